--- a/fleet/src/test/java/tinford/fleet/budgets/FairTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/FairTest.java
@@ -10,6 +10,7 @@
 import java.util.function.LongFunction;
 import org.testng.annotations.Test;
 
+/** Division of connections among accounts: max-min fairness and its bounds. */
 public class FairTest {
     private static final LongFunction<Proposer.Plan> PLANS = a -> new Proposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 40);
     /** Log: offered, taken, read. */
--- a/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
@@ -12,6 +12,7 @@
 import tinford.fleet.members.Life;
 import tinford.fleet.members.Term;
 
+/** Drawn histories of connection budgets under faults. */
 public class HistoriesTest {
     private static final LongFunction<Proposer.Plan> PLANS = a -> new Proposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 60);
 
--- a/fleet/src/test/java/tinford/fleet/budgets/MaxMinTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/MaxMinTest.java
@@ -8,6 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Max-min shares against cases worked out by hand. */
 public class MaxMinTest {
     @DataProvider
     public Object[][] cases() {
--- a/fleet/src/test/java/tinford/fleet/members/TermsTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/TermsTest.java
@@ -14,6 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Leases of members as the replicated log grants and ends them. */
 public class TermsTest {
     private static final Life FIRST = new Life(3, 100);
     private static final Life LATER = new Life(3, 900);
--- a/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
@@ -10,6 +10,7 @@
 import org.testng.annotations.Test;
 import tinford.fleet.members.Life;
 
+/** Exhaustive exploration of small plans of staged moves. */
 public class ExploreTest {
     @DataProvider
     public Object[][] told() {
--- a/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
@@ -12,6 +12,7 @@
 import tinford.fleet.members.Life;
 import tinford.fleet.members.Term;
 
+/** Stages of a move: begun, acknowledged, completed and reverted. */
 public class MovesTest {
     private static final Life ONE = new Life(1, 5);
     private static final Map<String, String> HOMES = Map.of("web", "a", "store", "a");
--- a/fleet/src/test/java/tinford/fleet/moves/PlanTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/PlanTest.java
@@ -11,6 +11,7 @@
 import tinford.api.Frontend;
 import tinford.api.Group;
 
+/** Validation of plans of staged moves. */
 public class PlanTest {
     static final String GOOD = """
             plan = "p"
--- a/fleet/src/test/java/tinford/fleet/overload/FurtherTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/FurtherTest.java
@@ -10,6 +10,7 @@
 import tinford.fleet.members.Life;
 import tinford.fleet.members.Sight;
 
+/** A gateway's part of the fleet's retry budget. */
 public class FurtherTest {
     private static final double PART = 0.1;
 
--- a/fleet/src/test/java/tinford/fleet/overload/LineTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/LineTest.java
@@ -9,6 +9,7 @@
 import tinford.fleet.members.Life;
 import tinford.fleet.members.Sight;
 
+/** The admission threshold that gateways work out from the same records. */
 public class LineTest {
     private static final double WINDOW = 4000;
 
--- a/fleet/src/test/java/tinford/fleet/overload/OwnersTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/OwnersTest.java
@@ -11,6 +11,7 @@
 import tinford.fleet.members.Life;
 import tinford.fleet.members.Sight;
 
+/** Which gateway probes an unhealthy server. */
 public class OwnersTest {
     private final Srv srv = new Srv("a-1");
 
--- a/gateway/src/test/java/tinford/DecideTest.java
+++ b/gateway/src/test/java/tinford/DecideTest.java
@@ -13,6 +13,7 @@
 import org.testng.annotations.Test;
 import tinford.api.*;
 
+/** Decisions of one gateway, driven by hand through its interface. */
 public class DecideTest {
     private static final Plan HARD = Bed.plan(0, 1, 0, 0);
     private static final Plan SOFT = Bed.plan(0.2, 0, 0, 0);
--- a/gateway/src/test/java/tinford/logs/LinesTest.java
+++ b/gateway/src/test/java/tinford/logs/LinesTest.java
@@ -14,6 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Form, order and bounds of log lines. */
 public class LinesTest {
     private static final String TIME = "\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d+Z ";
 
--- a/gateway/src/test/java/tinford/routing/RoutingTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingTest.java
@@ -26,7 +26,6 @@
 import tinford.api.Group;
 import tinford.api.Plan;
 import tinford.api.Req;
-import tinford.api.Writer;
 import tinford.transport.Ending;
 import tinford.transport.Loop;
 
--- a/lab/src/main/java/tinford/lab/model/Faults.java
+++ b/lab/src/main/java/tinford/lab/model/Faults.java
@@ -98,6 +98,7 @@
                 on.rise(f.size());
                 agenda.after(ms, () -> on.rise(1));
             }
+            default -> throw new IllegalArgumentException("fault without a play: " + f.kind());
         }
     }
 
--- a/lab/src/main/java/tinford/lab/model/Oracle.java
+++ b/lab/src/main/java/tinford/lab/model/Oracle.java
@@ -6,7 +6,6 @@
 import java.util.Locale;
 import java.util.Map;
 import tinford.api.Effect;
-import tinford.api.End;
 import tinford.api.Group;
 import tinford.api.Plan;
 
--- a/lab/src/main/java/tinford/lab/scenario/Scenario.java
+++ b/lab/src/main/java/tinford/lab/scenario/Scenario.java
@@ -22,16 +22,21 @@
     /** @param list_spread the part of {@code list_late} over which gateways hear of a change apart */
     public record Net(double one_way, double jitter, double list_late, double list_spread, double connect_timeout) {}
 
+    /** The servers: how many, their size, speed and zones, and how they behave after a cold start. */
     public record Servers(int count, int cores, int room, double speed, double speed_spread, List<String> zones,
             double cold_from, double cold_time) {}
 
+    /** The shared counter: its capacity, queue and time-out. */
     public record Counter(boolean present, int parts, double takes, int line, double timeout) {}
 
+    /** A class of requests and what it is worth. */
     public record Frontend(String name, double share, double work, Dist dist, double cv, double target, double timeout,
             double value, Effect effect, double repeat_window) {}
 
+    /** What a repeated request may do at a server. */
     public enum Effect { IDEMPOTENT, IDEMPOTENCY_KEY, NON_IDEMPOTENT }
 
+    /** A quota plan. */
     public record Plan(String name, double share, double rate, double burst, int max_out, double price, double beyond_value,
             double beyond_cost, double ceiling, double ceiling_burst, double slack) {}
 
@@ -46,6 +51,7 @@
             double spiky, double spike_times, double spike_s, double spike_every_s, int retries, double honour, double backoff,
             double leave, double largest, double uneven) {}
 
+    /** The limits that every gateway must keep. */
     public record Rules(double drain_grace, double fall_multiple, double fall_time, int max_dispatches, double max_retry_after) {}
 
     /** @param part of the nodes that it takes; {@code size} what it means is with its kind */
--- a/lab/src/test/java/tinford/lab/fleet/JudgeTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/JudgeTest.java
@@ -7,7 +7,6 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.lab.scenario.Scenario;
