--- a/fleet/src/main/java/tinford/fleet/budgets/Cost.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Cost.java
@@ -7,15 +7,27 @@
 import tinford.fleet.members.Life;
 import tinford.fleet.members.Terms;
 
-/** Prints what one proposal and its entry cost in processor time as servers, gateways, accounts and those awake grow. */
+/**
+ * Prints what one proposal and its entry cost in processor time as servers, gateways, accounts and
+ * those awake grow.
+ */
 public final class Cost {
-    private Cost() { }
+    private Cost() {}
 
     public static void main(String[] args) {
-        int[][] sizes = {{10, 10, 1000, 50}, {100, 100, 10_000, 200}, {400, 100, 10_000, 200}, {100, 400, 10_000, 200},
-            {400, 400, 10_000, 200}, {400, 400, 10_000, 1000}, {400, 400, 10_000, 10_000}};
-        System.out.println("| servers | gateways | accounts | awake | first proposal ms | later ms | entry bytes, first, later"
-            + " | apply ms, first, later | snapshot bytes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+        int[][] sizes = {
+            {10, 10, 1000, 50},
+            {100, 100, 10_000, 200},
+            {400, 100, 10_000, 200},
+            {100, 400, 10_000, 200},
+            {400, 400, 10_000, 200},
+            {400, 400, 10_000, 1000},
+            {400, 400, 10_000, 10_000}
+        };
+        System.out.println(
+                "| servers | gateways | accounts | awake | first proposal ms | later ms | entry"
+                        + " bytes, first, later | apply ms, first, later | snapshot bytes |\n"
+                        + "| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (int i = 0; i < 20; i++) {
             measure(sizes[i % 2], false);
         }
@@ -35,7 +47,8 @@
         for (int s = 0; s < size[0]; s++) {
             offers.put("server-" + s, 100);
         }
-        Ledger ledger = new Ledger(new Terms(size[1], 1e6, 100, 1000), new Statics(offers, 0.1, size[1]));
+        Ledger ledger =
+                new Ledger(new Terms(size[1], 1e6, 100, 1000), new Statics(offers, 0.1, size[1]));
         long index = 0;
         for (Map.Entry<String, Integer> e : offers.entrySet()) {
             ledger.apply(++index, Ledger.offer(e.getKey(), 1, e.getValue(), 1));
@@ -48,7 +61,9 @@
                 long account = random.nextInt(size[2]);
                 for (int k = 0; k < 4; k++) {
                     wanted.computeIfAbsent(random.nextInt(size[1]), g -> new LinkedHashMap<>())
-                        .put(account, random.nextInt(Math.max(4, 2 * size[0] * 100 / size[3] / 4)));
+                            .put(
+                                    account,
+                                    random.nextInt(Math.max(4, 2 * size[0] * 100 / size[3] / 4)));
                 }
             }
             for (int g = 0; g < size[1]; g++) {
@@ -62,7 +77,10 @@
                 if (h != null) {
                     h.cells.forEach((s, c) -> held.put(s, c.granted));
                 }
-                ledger.apply(++index, Ledger.tell(life, 2 + round, index, wanted.getOrDefault(g, Map.of()), held));
+                ledger.apply(
+                        ++index,
+                        Ledger.tell(
+                                life, 2 + round, index, wanted.getOrDefault(g, Map.of()), held));
             }
             Proposer proposer = new Proposer(a -> new Proposer.Plan(1 + (int) (a % 4), 1, 1000), 0);
             long t = cpu();
@@ -77,9 +95,19 @@
             took[first ? 4 : 5] += (v - u) / 1e6 / (first ? 1 : 11);
         }
         if (print) {
-            System.out.printf("| %d | %d | %d | %d | %.1f | %.1f | %.0f, %.0f | %.1f, %.1f | %d |%n",
-                size[0], size[1], size[2], size[3],
-                took[0], took[1], took[2], took[3], took[4], took[5], ledger.snapshot().length);
+            System.out.printf(
+                    "| %d | %d | %d | %d | %.1f | %.1f | %.0f, %.0f | %.1f, %.1f | %d |%n",
+                    size[0],
+                    size[1],
+                    size[2],
+                    size[3],
+                    took[0],
+                    took[1],
+                    took[2],
+                    took[3],
+                    took[4],
+                    took[5],
+                    ledger.snapshot().length);
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budgets/Division.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Division.java
@@ -5,10 +5,11 @@
 import java.util.List;
 
 /**
- * One pool divided: how many connections each gateway may hold at each server, and how many dispatches each account may have out
- * through each gateway. Accounts' parts are the weighted max-min of all that can be used; the previous division is kept where it
- * may be. Rows are gateways, columns servers. What a gateway has of its own (static) serves its own accounts first; where they
- * don't use their part of it, others' demand there does.
+ * One pool divided: how many connections each gateway may hold at each server, and how many
+ * dispatches each account may have out through each gateway. Accounts' parts are the weighted
+ * max-min of all that can be used; the previous division is kept where it may be. Rows are
+ * gateways, columns servers. What a gateway has of its own (static) serves its own accounts first;
+ * where they don't use their part of it, others' demand there does.
  */
 public final class Division {
     /** An account that asks: what it wants, and had before, at each of {@code rows}. */
@@ -20,10 +21,12 @@
         final int[] rows;
         final int[] wanted;
         final int[] before;
+
         /** The outcome, by {@code rows}. */
         public int[] given;
 
-        public Account(long id, int weight, int floor, int cap, int[] rows, int[] wanted, int[] before) {
+        public Account(
+                long id, int weight, int floor, int cap, int[] rows, int[] wanted, int[] before) {
             this.id = id;
             this.weight = weight;
             this.floor = floor;
@@ -42,20 +45,26 @@
         }
     }
 
-    /** A part of an account at a gateway is left as it was while it is off the even part by no more than this part of it, and
-     * one. */
+    /**
+     * A part of an account at a gateway is left as it was while it is off the even part by no more
+     * than this part of it, and one.
+     */
     private static final double KEPT = 0.25;
+
     private static final int PASSES = 64;
 
     /** What is aimed at, once all have let go. */
     public final int[][] aim;
+
     /** What may be granted now: no more at a column than is free. */
     public final int[][] now;
+
     private final int rows;
     private final int columns;
 
     /**
-     * @param pool by column: the offer less the static part and less what gateways outside these rows may hold
+     * @param pool by column: the offer less the static part and less what gateways outside these
+     *     rows may hold
      * @param own by row: connections that it has for good
      * @param granted the previous division
      * @param may what may be held, at least what is granted
@@ -99,7 +108,8 @@
             total += Math.min(own[g], wanted[g]);
         }
         long[] need = new long[rows];
-        // What is a gateway's own and unused by these parts can't serve accounts elsewhere: the total falls until it holds.
+        // What is a gateway's own and unused by these parts can't serve accounts elsewhere: the
+        // total falls until it holds.
         for (int pass = 0; pass < PASSES; pass++) {
             int[] part = MaxMin.divide(total, weight, floor, most);
             Arrays.fill(need, 0);
@@ -133,11 +143,15 @@
             // Where there is one for each gateway that asks, none is left without.
             int low = (int) Math.max(part >= n ? 1 : 0, Math.ceil(even * (1 - KEPT) - 1));
             int high = (int) Math.min(a.wanted[k], Math.floor(even * (1 + KEPT) + 1));
-            given[k] = Math.max(Math.min(low, a.wanted[k]), Math.min(Math.min(Math.max(high, 1), a.wanted[k]), a.before[k]));
+            given[k] =
+                    Math.max(
+                            Math.min(low, a.wanted[k]),
+                            Math.min(Math.min(Math.max(high, 1), a.wanted[k]), a.before[k]));
             sum += given[k];
         }
         while (sum != part) {
-            // To or from those that are farthest off, in one pass each: as many of them as are needed.
+            // To or from those that are farthest off, in one pass each: as many of them as are
+            // needed.
             int sign = sum < part ? 1 : -1;
             List<Integer> order = new ArrayList<>();
             for (int k = 0; k < n; k++) {
@@ -146,10 +160,14 @@
                 }
             }
             double scale = part / (double) Math.max(1, wants);
-            order.sort((x, y) -> {
-                int c = Double.compare(sign * (given[x] - scale * a.wanted[x]), sign * (given[y] - scale * a.wanted[y]));
-                return c != 0 ? c : Integer.compare(x, y);
-            });
+            order.sort(
+                    (x, y) -> {
+                        int c =
+                                Double.compare(
+                                        sign * (given[x] - scale * a.wanted[x]),
+                                        sign * (given[y] - scale * a.wanted[y]));
+                        return c != 0 ? c : Integer.compare(x, y);
+                    });
             for (int j = 0; j < order.size() && sum != part; j++) {
                 given[order.get(j)] += sign;
                 sum += sign;
@@ -188,7 +206,11 @@
                 Account a = accounts.get(here.get(j)[0]);
                 int k = here.get(j)[1];
                 weight[j] = a.weight;
-                most[j] = (int) Math.min(a.wanted[k] - a.given[k], a.cap - Arrays.stream(a.given).asLongStream().sum());
+                most[j] =
+                        (int)
+                                Math.min(
+                                        a.wanted[k] - a.given[k],
+                                        a.cap - Arrays.stream(a.given).asLongStream().sum());
             }
             int[] more = MaxMin.divide(own[g] - need[g], weight, new int[weight.length], most);
             for (int j = 0; j < more.length; j++) {
@@ -198,7 +220,10 @@
         }
     }
 
-    /** Rows come to their needs, columns to no more than their capacity; what need not change does not. */
+    /**
+     * Rows come to their needs, columns to no more than their capacity; what need not change does
+     * not.
+     */
     private void place(int[] capacity, int[] needs) {
         int[] used = new int[columns];
         int[] has = new int[rows];
@@ -212,8 +237,11 @@
             while (has[g] > needs[g]) {
                 int from = -1;
                 for (int s = 0; s < columns; s++) {
-                    if (aim[g][s] > 0 && (from < 0 || over(used, capacity, s) > over(used, capacity, from)
-                            || over(used, capacity, s) == over(used, capacity, from) && aim[g][s] > aim[g][from])) {
+                    if (aim[g][s] > 0
+                            && (from < 0
+                                    || over(used, capacity, s) > over(used, capacity, from)
+                                    || over(used, capacity, s) == over(used, capacity, from)
+                                            && aim[g][s] > aim[g][from])) {
                         from = s;
                     }
                 }
--- a/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
@@ -19,9 +19,10 @@
 import tinford.fleet.store.Log;
 
 /**
- * Who was granted what at which server, by the entries of the log; the same on every member. A grant is taken only where all that
- * is granted, may be held or lingers fits in the offer less its static part: here alone that promise is kept, whoever proposes.
- * Bounds: {@link #MOST_SERVERS} servers, {@link #MOST_ASKED} accounts a life, lives as {@link Terms} has.
+ * Who was granted what at which server, by the entries of the log; the same on every member. A
+ * grant is taken only where all that is granted, may be held or lingers fits in the offer less its
+ * static part: here alone that promise is kept, whoever proposes. Bounds: {@link #MOST_SERVERS}
+ * servers, {@link #MOST_ASKED} accounts a life, lives as {@link Terms} has.
  */
 public class Ledger implements Log.Reader {
     public static final int MOST_SERVERS = 4096;
@@ -35,12 +36,18 @@
     /** What one life has at one server. */
     static final class Cell {
         int granted;
+
         /** At least what is granted: what it may still hold of earlier grants. */
         int may;
-        /** Index of the last entry that made it less, and the log's time from which the holder surely has no more than is
-         * granted. */
+
+        /**
+         * Index of the last entry that made it less, and the log's time from which the holder
+         * surely has no more than is granted.
+         */
         long shrunk;
+
         double free;
+
         /** Index of the last entry that granted. */
         long fence;
     }
@@ -50,6 +57,7 @@
         final String name;
         long start;
         int offer;
+
         /** All cells' {@code may} together. */
         int held;
 
@@ -85,51 +93,68 @@
         this.statics = statics;
     }
 
-    /** Entry of one life: what it wants by account where that changed (0: nothing more), and what it holds beyond its static
-     * share at servers where it was granted more before, with the last index that it had read. */
-    public static byte[] tell(Life life, double at, long seen, Map<Long, Integer> wanted, Map<Integer, Integer> held) {
-        return entry(TELL, out -> {
-            Pack.put(out, life);
-            out.writeDouble(at);
-            Pack.put(out, seen);
-            Pack.put(out, wanted.size());
-            for (Map.Entry<Long, Integer> e : wanted.entrySet()) {
-                Pack.put(out, e.getKey());
-                Pack.put(out, e.getValue());
-            }
-            Pack.put(out, held.size());
-            for (Map.Entry<Integer, Integer> e : held.entrySet()) {
-                Pack.put(out, e.getKey());
-                Pack.put(out, e.getValue());
-            }
-        });
-    }
-
-    /** Entry: what a server offers the fleet from now on. A later {@code start} is another server under the same address: what
-     * was granted stays granted, as a holder may open it there. */
+    /**
+     * Entry of one life: what it wants by account where that changed (0: nothing more), and what it
+     * holds beyond its static share at servers where it was granted more before, with the last
+     * index that it had read.
+     */
+    public static byte[] tell(
+            Life life,
+            double at,
+            long seen,
+            Map<Long, Integer> wanted,
+            Map<Integer, Integer> held) {
+        return entry(
+                TELL,
+                out -> {
+                    Pack.put(out, life);
+                    out.writeDouble(at);
+                    Pack.put(out, seen);
+                    Pack.put(out, wanted.size());
+                    for (Map.Entry<Long, Integer> e : wanted.entrySet()) {
+                        Pack.put(out, e.getKey());
+                        Pack.put(out, e.getValue());
+                    }
+                    Pack.put(out, held.size());
+                    for (Map.Entry<Integer, Integer> e : held.entrySet()) {
+                        Pack.put(out, e.getKey());
+                        Pack.put(out, e.getValue());
+                    }
+                });
+    }
+
+    /**
+     * Entry: what a server offers the fleet from now on. A later {@code start} is another server
+     * under the same address: what was granted stays granted, as a holder may open it there.
+     */
     public static byte[] offer(String server, long start, int offer, double at) {
-        return entry(OFFER, out -> {
-            out.writeUTF(server);
-            Pack.put(out, start);
-            Pack.put(out, offer);
-            out.writeDouble(at);
-        });
+        return entry(
+                OFFER,
+                out -> {
+                    out.writeUTF(server);
+                    Pack.put(out, start);
+                    Pack.put(out, offer);
+                    out.writeDouble(at);
+                });
     }
 
     /** One line of a grant: from now on the life has that many, at a server or for an account. */
-    record Line(Life life, long what, int count) { }
+    record Line(Life life, long what, int count) {}
 
-    /** Entry of whoever leads. Lines that make less come first.
+    /**
+     * Entry of whoever leads. Lines that make less come first.
      *
      * @param basis last index that the proposal knew; it is void where another grant came since
      */
     static byte[] grant(long basis, double at, List<Line> atServers, List<Line> forAccounts) {
-        return entry(GRANT, out -> {
-            Pack.put(out, basis);
-            out.writeDouble(at);
-            lines(out, atServers);
-            lines(out, forAccounts);
-        });
+        return entry(
+                GRANT,
+                out -> {
+                    Pack.put(out, basis);
+                    out.writeDouble(at);
+                    lines(out, atServers);
+                    lines(out, forAccounts);
+                });
     }
 
     private static void lines(DataOutputStream out, List<Line> lines) throws IOException {
@@ -176,7 +201,8 @@
             return;
         }
         try {
-            DataInputStream in = new DataInputStream(new ByteArrayInputStream(entry, 2, entry.length - 2));
+            DataInputStream in =
+                    new DataInputStream(new ByteArrayInputStream(entry, 2, entry.length - 2));
             switch (entry[0]) {
                 case TELL -> told(in);
                 case GRANT -> granted(index, in);
@@ -326,7 +352,9 @@
         return servers.get(server).held + more <= pool(server);
     }
 
-    /** When the holder surely has let go of what it was told to, though it was never heard of again. */
+    /**
+     * When the holder surely has let go of what it was told to, though it was never heard of again.
+     */
     double free(Term term) {
         return term.until() + terms.apart() + terms.linger();
     }
@@ -349,13 +377,14 @@
         }
         nextFree = Double.POSITIVE_INFINITY;
         for (Holder h : holders.values()) {
-            h.cells.forEach((n, c) -> {
-                if (c.may > c.granted && terms.now() >= c.free) {
-                    may(n, c, c.granted);
-                } else if (c.may > c.granted) {
-                    nextFree = Math.min(nextFree, c.free);
-                }
-            });
+            h.cells.forEach(
+                    (n, c) -> {
+                        if (c.may > c.granted && terms.now() >= c.free) {
+                            may(n, c, c.granted);
+                        } else if (c.may > c.granted) {
+                            nextFree = Math.min(nextFree, c.free);
+                        }
+                    });
             h.cells.values().removeIf(c -> c.may == 0);
         }
     }
@@ -430,36 +459,42 @@
 
     @Override
     public byte[] snapshot() {
-        return entry(FORM, out -> {
-            terms.write(out);
-            Pack.put(out, last);
-            Pack.put(out, lastGrant);
-            Pack.put(out, servers.size());
-            for (Server s : servers) {
-                out.writeUTF(s.name);
-                Pack.put(out, s.start);
-                Pack.put(out, s.offer);
-            }
-            Pack.put(out, holders.size());
-            for (Map.Entry<Life, Holder> e : holders.entrySet()) {
-                Holder h = e.getValue();
-                Pack.put(out, e.getKey());
-                out.writeDouble(h.told);
-                // Cells with nothing go at a time that a snapshot does not carry: they are left out, so that all members' are the same.
-                List<Map.Entry<Integer, Cell>> cells = h.cells.entrySet().stream().filter(c -> c.getValue().may > 0).toList();
-                Pack.put(out, cells.size());
-                for (Map.Entry<Integer, Cell> c : cells) {
-                    Pack.put(out, c.getKey());
-                    Pack.put(out, c.getValue().granted);
-                    Pack.put(out, c.getValue().may);
-                    Pack.put(out, c.getValue().shrunk);
-                    out.writeDouble(c.getValue().free);
-                    Pack.put(out, c.getValue().fence);
-                }
-                counts(out, h.asked);
-                counts(out, h.uses);
-            }
-        });
+        return entry(
+                FORM,
+                out -> {
+                    terms.write(out);
+                    Pack.put(out, last);
+                    Pack.put(out, lastGrant);
+                    Pack.put(out, servers.size());
+                    for (Server s : servers) {
+                        out.writeUTF(s.name);
+                        Pack.put(out, s.start);
+                        Pack.put(out, s.offer);
+                    }
+                    Pack.put(out, holders.size());
+                    for (Map.Entry<Life, Holder> e : holders.entrySet()) {
+                        Holder h = e.getValue();
+                        Pack.put(out, e.getKey());
+                        out.writeDouble(h.told);
+                        // Cells with nothing go at a time that a snapshot does not carry: they are
+                        // left out, so that all members' are the same.
+                        List<Map.Entry<Integer, Cell>> cells =
+                                h.cells.entrySet().stream()
+                                        .filter(c -> c.getValue().may > 0)
+                                        .toList();
+                        Pack.put(out, cells.size());
+                        for (Map.Entry<Integer, Cell> c : cells) {
+                            Pack.put(out, c.getKey());
+                            Pack.put(out, c.getValue().granted);
+                            Pack.put(out, c.getValue().may);
+                            Pack.put(out, c.getValue().shrunk);
+                            out.writeDouble(c.getValue().free);
+                            Pack.put(out, c.getValue().fence);
+                        }
+                        counts(out, h.asked);
+                        counts(out, h.uses);
+                    }
+                });
     }
 
     private static void counts(DataOutputStream out, Map<Long, Integer> counts) throws IOException {
--- a/fleet/src/main/java/tinford/fleet/budgets/MaxMin.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/MaxMin.java
@@ -3,12 +3,13 @@
 import java.util.PriorityQueue;
 
 /**
- * Whole connections divided so that the least served, by connections over weight, is served as well as can be; then the next
- * least, and so on. Each has its floor first (floors too are divided so where they don't fit) and none more than its cap. Among
- * equals the earlier one gets the odd connection. Takes n log n.
+ * Whole connections divided so that the least served, by connections over weight, is served as well
+ * as can be; then the next least, and so on. Each has its floor first (floors too are divided so
+ * where they don't fit) and none more than its cap. Among equals the earlier one gets the odd
+ * connection. Takes n log n.
  */
 public final class MaxMin {
-    private MaxMin() { }
+    private MaxMin() {}
 
     /**
      * @param pool connections in all
@@ -27,11 +28,15 @@
             least[i] = Math.min(most[i], Math.max(0, floor[i]));
             floors += least[i];
         }
-        return floors <= pool ? fill(pool, weight, least, most) : fill(Math.max(0, pool), weight, new int[n], least);
+        return floors <= pool
+                ? fill(pool, weight, least, most)
+                : fill(Math.max(0, pool), weight, new int[n], least);
     }
 
-    /** The next connection goes to who has least over its weight; what all get up to a level below the last one is given at
-     * once. */
+    /**
+     * The next connection goes to who has least over its weight; what all get up to a level below
+     * the last one is given at once.
+     */
     private static int[] fill(long pool, int[] weight, int[] least, int[] most) {
         int n = weight.length;
         double high = 1;
@@ -54,10 +59,16 @@
         // Guards against the rounding of the level: a little below it, everyone's part is sure.
         low *= 1 - 1e-9;
         long rest = pool;
-        PriorityQueue<Integer> next = new PriorityQueue<>(Math.max(1, n), (a, b) -> {
-            int c = Long.compare((long) given[a] * weight[b], (long) given[b] * weight[a]);
-            return c != 0 ? c : Integer.compare(a, b);
-        });
+        PriorityQueue<Integer> next =
+                new PriorityQueue<>(
+                        Math.max(1, n),
+                        (a, b) -> {
+                            int c =
+                                    Long.compare(
+                                            (long) given[a] * weight[b],
+                                            (long) given[b] * weight[a]);
+                            return c != 0 ? c : Integer.compare(a, b);
+                        });
         for (int i = 0; i < n; i++) {
             given[i] = at(low, weight[i], least[i], most[i]);
             rest -= given[i];
--- a/fleet/src/main/java/tinford/fleet/budgets/Pack.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Pack.java
@@ -7,7 +7,7 @@
 
 /** Whole numbers in as few bytes as they need. */
 final class Pack {
-    private Pack() { }
+    private Pack() {}
 
     static void put(DataOutput out, long value) throws IOException {
         long v = value;
@@ -47,5 +47,4 @@
     static Life life(DataInput in) throws IOException {
         return new Life(count(in, Integer.MAX_VALUE), take(in));
     }
-
 }
--- a/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
@@ -7,11 +7,13 @@
 import java.util.function.LongFunction;
 import tinford.fleet.members.Life;
 
-/** What whoever leads proposes: the ledger as it knows it, divided anew. Wrong or stale proposals harm nothing, the ledger
- * checks. */
+/**
+ * What whoever leads proposes: the ledger as it knows it, divided anew. Wrong or stale proposals
+ * harm nothing, the ledger checks.
+ */
 public final class Proposer {
     /** An account's terms in the division, by its plan. */
-    public record Plan(int weight, int floor, int cap) { }
+    public record Plan(int weight, int floor, int cap) {}
 
     /** Lines at servers in one entry; what is left goes into the next. */
     public static final int MOST_LINES = 20_000;
@@ -29,7 +31,10 @@
         this.every = every;
     }
 
-    /** Called by whoever leads, with its own time; the entry to append, or null where nothing is to change or it is too soon. */
+    /**
+     * Called by whoever leads, with its own time; the entry to append, or null where nothing is to
+     * change or it is too soon.
+     */
     public byte[] propose(Ledger ledger, double now) {
         if (now < next) {
             return null;
@@ -52,14 +57,18 @@
             int row = g;
             Ledger.Holder h = ledger.holders.get(lives.get(g));
             for (int s = 0; s < columns; s++) {
-                own[g] += ledger.servers.get(s).offer == 0 ? 0
-                        : ledger.statics.of(ledger.servers.get(s).name, lives.get(g).gateway());
+                own[g] +=
+                        ledger.servers.get(s).offer == 0
+                                ? 0
+                                : ledger.statics.of(
+                                        ledger.servers.get(s).name, lives.get(g).gateway());
             }
-            h.cells.forEach((s, c) -> {
-                granted[row][s] = c.granted;
-                may[row][s] = c.may;
-                pool[s] += c.may;
-            });
+            h.cells.forEach(
+                    (s, c) -> {
+                        granted[row][s] = c.granted;
+                        may[row][s] = c.may;
+                        pool[s] += c.may;
+                    });
             h.uses.forEach((a, n) -> pair(wanted, a, row)[1] = n);
             h.asked.forEach((a, n) -> pair(wanted, a, row)[0] = n);
         }
@@ -71,7 +80,8 @@
         for (int g = 0; g < rows; g++) {
             for (int s = 0; s < columns; s++) {
                 if (d.now[g][s] != granted[g][s]) {
-                    (d.now[g][s] < granted[g][s] ? less : more).add(new Ledger.Line(lives.get(g), s, d.now[g][s]));
+                    (d.now[g][s] < granted[g][s] ? less : more)
+                            .add(new Ledger.Line(lives.get(g), s, d.now[g][s]));
                 }
             }
         }
@@ -88,11 +98,14 @@
             return null;
         }
         next = now + every;
-        return Ledger.grant(ledger.last(), now, less.subList(0, Math.min(MOST_LINES, less.size())), uses);
+        return Ledger.grant(
+                ledger.last(), now, less.subList(0, Math.min(MOST_LINES, less.size())), uses);
     }
 
-    private static int[] pair(TreeMap<Long, TreeMap<Integer, int[]>> wanted, long account, int row) {
-        return wanted.computeIfAbsent(account, k -> new TreeMap<>()).computeIfAbsent(row, k -> new int[2]);
+    private static int[] pair(
+            TreeMap<Long, TreeMap<Integer, int[]>> wanted, long account, int row) {
+        return wanted.computeIfAbsent(account, k -> new TreeMap<>())
+                .computeIfAbsent(row, k -> new int[2]);
     }
 
     private Division.Account account(long id, Map<Integer, int[]> at) {
@@ -106,8 +119,9 @@
             wanted[k] = plan == null ? 0 : e.getValue()[0];
             before[k++] = e.getValue()[1];
         }
-        return plan == null ? new Division.Account(id, 1, 0, 0, rows, wanted, before)
-                : new Division.Account(id, plan.weight(), plan.floor(), plan.cap(), rows, wanted, before);
+        return plan == null
+                ? new Division.Account(id, 1, 0, 0, rows, wanted, before)
+                : new Division.Account(
+                        id, plan.weight(), plan.floor(), plan.cap(), rows, wanted, before);
     }
-
 }
--- a/fleet/src/main/java/tinford/fleet/budgets/Share.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Share.java
@@ -11,15 +11,17 @@
 import tinford.fleet.members.Terms;
 
 /**
- * One gateway's own side: what it may hold and use now, by its own clock, and what it tells the log. Where its term has ended, or
- * ends within the margin, only its static share is left. Holds {@link Ledger#MOST_ASKED} accounts that want something and
- * {@link Ledger#MOST_SERVERS} servers at most.
+ * One gateway's own side: what it may hold and use now, by its own clock, and what it tells the
+ * log. Where its term has ended, or ends within the margin, only its static share is left. Holds
+ * {@link Ledger#MOST_ASKED} accounts that want something and {@link Ledger#MOST_SERVERS} servers at
+ * most.
  */
 public class Share {
     /** What an account wanted at most, in the last span of time and in the one before. */
     private static final class Want {
         int now;
         int before;
+
         /** What it may have out while this gateway has no term. */
         int alone;
 
@@ -50,13 +52,21 @@
      * @param length of a term, ms
      * @param margin what is granted is let go this long before the term ends, ms
      * @param every a round comes no sooner than this after the last, ms
-     * @param keep what was wanted is told on for this long, so that what comes and goes does not move grants, ms
-     * @param staticFrom from when the static share may be used: the start, where the last life of this gateway surely closed all;
-     * else
-     *     the linger after the start
+     * @param keep what was wanted is told on for this long, so that what comes and goes does not
+     *     move grants, ms
+     * @param staticFrom from when the static share may be used: the start, where the last life of
+     *     this gateway surely closed all; else the linger after the start
      */
-    public Share(Ledger ledger, Statics statics, LongFunction<Proposer.Plan> plans, Life life, double length, double margin,
-            double every, double keep, double staticFrom) {
+    public Share(
+            Ledger ledger,
+            Statics statics,
+            LongFunction<Proposer.Plan> plans,
+            Life life,
+            double length,
+            double margin,
+            double every,
+            double keep,
+            double staticFrom) {
         this.ledger = ledger;
         this.statics = statics;
         this.plans = plans;
@@ -74,7 +84,10 @@
         return term != null && term.holds(now + margin);
     }
 
-    /** Connections that this gateway may hold at the server; asked before one is opened, and before each dispatch. */
+    /**
+     * Connections that this gateway may hold at the server; asked before one is opened, and before
+     * each dispatch.
+     */
     public int mayHold(String server, double now) {
         if (left) {
             return 0;
@@ -92,8 +105,10 @@
         return Math.max(0, open.getOrDefault(server, 0) - mayHold(server, now));
     }
 
-    /** Dispatches that an account may have out through this gateway. One that the ledger does not know yet may
-     * have one. */
+    /**
+     * Dispatches that an account may have out through this gateway. One that the ledger does not
+     * know yet may have one.
+     */
     public int mayUse(long account, double now) {
         if (holds(now)) {
             Ledger.Holder h = ledger.holders.get(life);
@@ -104,7 +119,10 @@
         return want == null ? 1 : Math.max(1, want.alone);
     }
 
-    /** Number of the last entry that granted here; never falls. The routing opens nothing under a lower one. */
+    /**
+     * Number of the last entry that granted here; never falls. The routing opens nothing under a
+     * lower one.
+     */
     public long fence(String server) {
         int number = ledger.number(server);
         Ledger.Holder h = ledger.holders.get(life);
@@ -143,8 +161,10 @@
         return left;
     }
 
-    /** What to append to the log now: two entries at most, no sooner than {@code every} after the last ones. What is lost is told
-     * again, as it is worked out from what the ledger has. */
+    /**
+     * What to append to the log now: two entries at most, no sooner than {@code every} after the
+     * last ones. What is lost is told again, as it is worked out from what the ledger has.
+     */
     public List<byte[]> round(double now) {
         if (now < nextRound || left) {
             return List.of();
@@ -166,10 +186,12 @@
         }
         if (now >= nextSpan) {
             nextSpan = now + keep;
-            wants.values().forEach(w -> {
-                w.before = w.now;
-                w.now = 0;
-            });
+            wants.values()
+                    .forEach(
+                            w -> {
+                                w.before = w.now;
+                                w.now = 0;
+                            });
             wants.values().removeIf(w -> w.before == 0);
         }
         return entries;
@@ -180,27 +202,31 @@
         Map<Long, Integer> wanted = new LinkedHashMap<>();
         Map<Integer, Integer> held = new LinkedHashMap<>();
         if (!leaves) {
-            wants.forEach((a, w) -> {
-                int told = h == null ? 0 : h.asked.getOrDefault(a, 0);
-                // A little less is not told, more always is.
-                if (w.most() > told || w.most() < told - told / 8) {
-                    wanted.put(a, w.most());
-                }
-            });
+            wants.forEach(
+                    (a, w) -> {
+                        int told = h == null ? 0 : h.asked.getOrDefault(a, 0);
+                        // A little less is not told, more always is.
+                        if (w.most() > told || w.most() < told - told / 8) {
+                            wanted.put(a, w.most());
+                        }
+                    });
         }
         if (h != null) {
-            h.asked.forEach((a, told) -> {
-                if ((leaves || !wants.containsKey(a)) && wanted.size() < Ledger.MOST_ASKED) {
-                    wanted.put(a, 0);
-                }
-            });
-            h.cells.forEach((s, c) -> {
-                String name = ledger.servers.get(s).name;
-                int has = Math.max(0, open.getOrDefault(name, 0) - own(name, now));
-                if (c.may > c.granted && has < c.may) {
-                    held.put(s, has);
-                }
-            });
+            h.asked.forEach(
+                    (a, told) -> {
+                        if ((leaves || !wants.containsKey(a))
+                                && wanted.size() < Ledger.MOST_ASKED) {
+                            wanted.put(a, 0);
+                        }
+                    });
+            h.cells.forEach(
+                    (s, c) -> {
+                        String name = ledger.servers.get(s).name;
+                        int has = Math.max(0, open.getOrDefault(name, 0) - own(name, now));
+                        if (c.may > c.granted && has < c.may) {
+                            held.put(s, has);
+                        }
+                    });
         }
         if (!wanted.isEmpty() || !held.isEmpty()) {
             entries.add(Ledger.tell(life, now, ledger.last(), wanted, held));
--- a/fleet/src/main/java/tinford/fleet/budgets/Statics.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Statics.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * The part of each server's offer that is never granted and belongs to gateways for good, by settings that all of them share:
- * what a gateway holds without asking anyone. Even floors; the spare ones go to those first in the server's own order of gateways
- * (a hash of server and gateway), so each is somebody's and the sum is exact. Holds one array of gateways a server.
+ * The part of each server's offer that is never granted and belongs to gateways for good, by
+ * settings that all of them share: what a gateway holds without asking anyone. Even floors; the
+ * spare ones go to those first in the server's own order of gateways (a hash of server and
+ * gateway), so each is somebody's and the sum is exact. Holds one array of gateways a server.
  */
 public final class Statics {
     private static final int MOST_UNNAMED = Ledger.MOST_SERVERS;
@@ -27,7 +28,9 @@
         this(offers, 0, part, gateways);
     }
 
-    /** @param unnamed what each server offers that the settings do not name */
+    /**
+     * @param unnamed what each server offers that the settings do not name
+     */
     public Statics(Map<String, Integer> offers, int unnamed, double part, int gateways) {
         this.unnamed = unnamed;
         this.part = part;
--- a/fleet/src/main/java/tinford/fleet/members/Known.java
+++ b/fleet/src/main/java/tinford/fleet/members/Known.java
@@ -4,7 +4,10 @@
 
 /** What a gateway knows of its fleet from the records that it heard, its own included. */
 public interface Known {
-    /** How many live, as far as heard: itself, and those heard within the time after which a gateway is suspected. */
+    /**
+     * How many live, as far as heard: itself, and those heard within the time after which a gateway
+     * is suspected.
+     */
     int living();
 
     /** By number; itself always. */
@@ -13,8 +16,10 @@
     /** Their numbers, rising. */
     List<Integer> all();
 
-    /** The records of those that live and that are fresh enough to count, by number. Over many gateways a sample: the sum over
-     * the fleet is the mean of these times {@link #living}. */
+    /**
+     * The records of those that live and that are fresh enough to count, by number. Over many
+     * gateways a sample: the sum over the fleet is the mean of these times {@link #living}.
+     */
     List<Sight> fresh();
 
     /** How many gateways the fleet has by its settings, living or not. */
--- a/fleet/src/main/java/tinford/fleet/members/Members.java
+++ b/fleet/src/main/java/tinford/fleet/members/Members.java
@@ -10,67 +10,108 @@
 import tinford.fleet.talk.Talk;
 
 /**
- * Who lives, and what each saw: records told about by chance. Each round a message goes to a few others, with the own record and
- * those of others that were told least, so that a gateway sends and takes as much in a fleet of any size. Keeps one record a
- * gateway.
+ * Who lives, and what each saw: records told about by chance. Each round a message goes to a few
+ * others, with the own record and those of others that were told least, so that a gateway sends and
+ * takes as much in a fleet of any size. Keeps one record a gateway.
  *
- * <p>A record's age is what its teller counted and the time since it was heard. Where that life's records have come faster
- * before, one that took longer (late, or taken by a process that had been stopped) counts as older by the difference, so that an
- * age is too low by the quickest way of late at most; where a life is heard of for the first time, by that record's time under
- * way. Only the own clock and the owner's count of time since its start are compared, never two clocks.
+ * <p>A record's age is what its teller counted and the time since it was heard. Where that life's
+ * records have come faster before, one that took longer (late, or taken by a process that had been
+ * stopped) counts as older by the difference, so that an age is too low by the quickest way of late
+ * at most; where a life is heard of for the first time, by that record's time under way. Only the
+ * own clock and the owner's count of time since its start are compared, never two clocks.
  */
 public final class Members implements Known {
     /** How far in the future another's start may lie, ms. */
     public static final double AHEAD = 5000;
-    /** Messages taken in: so many a second, and so many at once; never more than the sum in any second. */
+
+    /**
+     * Messages taken in: so many a second, and so many at once; never more than the sum in any
+     * second.
+     */
     public static final int TAKEN_A_SECOND = 50;
+
     public static final int TAKEN_AT_ONCE = 50;
+
     /**
-     * So many times the time for suspicion after a later life was last heard of, an earlier one counts again (an upgrade that
-     * failed).
+     * So many times the time for suspicion after a later life was last heard of, an earlier one
+     * counts again (an upgrade that failed).
      */
     public static final double FORGOTTEN = 10;
-    /** One of so many messages goes to any gateway, heard of or not, so that halves find each other again. */
+
+    /**
+     * One of so many messages goes to any gateway, heard of or not, so that halves find each other
+     * again.
+     */
     private static final int ANY = 8;
-    /** The quickest way is that of the last one or two of these, ms: a clock that stood still is followed by then. */
+
+    /**
+     * The quickest way is that of the last one or two of these, ms: a clock that stood still is
+     * followed by then.
+     */
     private static final double QUICKEST_OVER = 10_000;
+
     /** Signs of life that a message holds at most: half of it. */
     private static final int SIGNS = 16;
+
     /** Other gateways' records that a message holds at most. */
     private static final int RECORDS = 5;
+
     /** A life is news until its records were told so often. */
     private static final int NEWS = 8;
-    private static final Comparator<Other> FRESHEST = (a, b) -> a.told != b.told ? Integer.compare(a.told, b.told)
-            : Double.compare(b.made, a.made);
+
+    private static final Comparator<Other> FRESHEST =
+            (a, b) ->
+                    a.told != b.told
+                            ? Integer.compare(a.told, b.told)
+                            : Double.compare(b.made, a.made);
+
     /** News first, then by turns, so that no gateway is left out. */
-    private static final Comparator<Other> TURNS = (a, b) -> {
-        int c = Integer.compare(Math.min(NEWS, a.lifeTold), Math.min(NEWS, b.lifeTold));
-        return c != 0 ? c : Double.compare(a.lastTold, b.lastTold);
-    };
-    private static final Comparator<Other> ALIVE = (a, b) -> a.aliveTold != b.aliveTold
-            ? Integer.compare(a.aliveTold, b.aliveTold)
-            : Double.compare(b.alive, a.alive);
+    private static final Comparator<Other> TURNS =
+            (a, b) -> {
+                int c = Integer.compare(Math.min(NEWS, a.lifeTold), Math.min(NEWS, b.lifeTold));
+                return c != 0 ? c : Double.compare(a.lastTold, b.lastTold);
+            };
+
+    private static final Comparator<Other> ALIVE =
+            (a, b) ->
+                    a.aliveTold != b.aliveTold
+                            ? Integer.compare(a.aliveTold, b.aliveTold)
+                            : Double.compare(b.alive, a.alive);
 
     /** What is known of one other gateway. */
     private static final class Other {
         Life life;
         int seq;
-        /** The record as it came; read again where it is asked for, which takes less room than 59 numbers. */
+
+        /**
+         * The record as it came; read again where it is asked for, which takes less room than 59
+         * numbers.
+         */
         byte[] raw;
+
         /** When its owner made it, by the own clock. */
         double made;
+
         /** When it surely lived, by the own clock: then or later. */
         double alive;
+
         /** How often this record, any of this life's, and this sign of life were told. */
         int told;
+
         int lifeTold;
         double lastTold;
         long lastIn;
         int aliveTold;
+
         /** Counted as living until then even if nothing is heard: the own process was stopped. */
         double granted;
-        /** When its owner's process started, by the own clock and the quickest way: over the present time and the one before. */
+
+        /**
+         * When its owner's process started, by the own clock and the quickest way: over the present
+         * time and the one before.
+         */
         double start;
+
         double startBefore;
         double startSince;
     }
@@ -83,23 +124,32 @@
     private final double freshFor;
     private final Random chance;
     private final Sights sights;
+
     /** What this round's messages carry, the best first. */
     private final Other[] freshest;
+
     private final Other[] turns;
     private final Other[] signs;
+
     /**
-     * When others told that a gateway lives of which no record was heard yet. What they told may be as old as they may tell it,
-     * so that one that never was heard itself may count for twice the time after which it is suspected.
+     * When others told that a gateway lives of which no record was heard yet. What they told may be
+     * as old as they may tell it, so that one that never was heard itself may count for twice the
+     * time after which it is suspected.
      */
     private final double[] rumoured;
+
     private final int[] peers;
     private Sight own;
     private byte[] ownRaw;
     private double ownMade;
     private double now = Double.NEGATIVE_INFINITY;
     private double next = Double.NEGATIVE_INFINITY;
-    /** The own process was stopped for so long, and until then takes what waited for it meanwhile. */
+
+    /**
+     * The own process was stopped for so long, and until then takes what waited for it meanwhile.
+     */
     private double stopped;
+
     private double wakesUntil = Double.NEGATIVE_INFINITY;
     private double tokens = TAKEN_AT_ONCE;
     private double tokensAt;
@@ -115,11 +165,28 @@
      * @param suspectAfter ms without a record made by then
      * @param freshFor up to which age a record counts, ms
      */
-    public Members(Life self, int gateways, double every, int fanout, double suspectAfter, double freshFor, Random chance) {
-        if (self.gateway() < 0 || self.gateway() >= gateways || gateways > 65536 || suspectAfter > Sights.OLDEST) {
-            throw new IllegalArgumentException("gateway " + self.gateway() + " of " + gateways + ", suspected after "
-                    + suspectAfter
-                    + " ms: expected one of at most 65536, and at most " + Sights.OLDEST + " ms");
+    public Members(
+            Life self,
+            int gateways,
+            double every,
+            int fanout,
+            double suspectAfter,
+            double freshFor,
+            Random chance) {
+        if (self.gateway() < 0
+                || self.gateway() >= gateways
+                || gateways > 65536
+                || suspectAfter > Sights.OLDEST) {
+            throw new IllegalArgumentException(
+                    "gateway "
+                            + self.gateway()
+                            + " of "
+                            + gateways
+                            + ", suspected after "
+                            + suspectAfter
+                            + " ms: expected one of at most 65536, and at most "
+                            + Sights.OLDEST
+                            + " ms");
         }
         this.self = self;
         this.others = new Other[gateways];
@@ -145,7 +212,10 @@
         ownRaw = Sights.raw(sight, now - self.start());
     }
 
-    /** Sends once {@code every} ms have gone by since it last did; what was missed is not made up for. */
+    /**
+     * Sends once {@code every} ms have gone by since it last did; what was missed is not made up
+     * for.
+     */
     public void round(double at, Talk out) {
         time(at);
         if (at < next || own == null || others.length < 2) {
@@ -157,7 +227,8 @@
         choose(signs, ALIVE, o -> o.alive);
         int living = livingPeers();
         for (int i = 0; i < fanout; i++) {
-            int to = living == 0 || chance.nextInt(ANY) == 0 ? any() : peers[chance.nextInt(living)];
+            int to =
+                    living == 0 || chance.nextInt(ANY) == 0 ? any() : peers[chance.nextInt(living)];
             tell(to, i, living, out);
         }
     }
@@ -165,7 +236,9 @@
     /** Takes a message; what can't be, or comes beyond the bound, is dropped and counted. */
     public void heard(byte[] message, int from, double at) {
         time(at);
-        tokens = Math.min(TAKEN_AT_ONCE, tokens + Math.max(0, at - tokensAt) * TAKEN_A_SECOND / 1000);
+        tokens =
+                Math.min(
+                        TAKEN_AT_ONCE, tokens + Math.max(0, at - tokensAt) * TAKEN_A_SECOND / 1000);
         tokensAt = at;
         if (tokens < 1) {
             over++;
@@ -180,7 +253,8 @@
         for (int i = 0; i < told.size(); i++) {
             take(told.get(i));
         }
-        for (ByteBuffer signsOfLife = Sights.signs(message); signsOfLife.remaining() >= Sights.SIGN;) {
+        for (ByteBuffer signsOfLife = Sights.signs(message);
+                signsOfLife.remaining() >= Sights.SIGN; ) {
             sign(signsOfLife);
         }
     }
@@ -213,7 +287,9 @@
         }
         Other o = others[life.gateway()];
         boolean forgotten = o != null && now - o.alive > FORGOTTEN * suspectAfter;
-        if (o == null || life.start() > o.life.start() || forgotten && life.start() < o.life.start()) {
+        if (o == null
+                || life.start() > o.life.start()
+                || forgotten && life.start() < o.life.start()) {
             double age = told.age() + (now < wakesUntil ? stopped : 0);
             double made = now - age;
             if (age > suspectAfter) {
@@ -228,7 +304,10 @@
             o.startSince = now;
             keep(o, told, made);
         } else if (life.start() == o.life.start()) {
-            double age = Math.max(told.age(), now - told.made() - quickest(o, now - told.age() - told.made()));
+            double age =
+                    Math.max(
+                            told.age(),
+                            now - told.made() - quickest(o, now - told.age() - told.made()));
             if (age <= suspectAfter && told.sight().seq - o.seq > 0) {
                 keep(o, told, now - age);
             }
@@ -258,7 +337,10 @@
         }
     }
 
-    /** After a stop of the own process, those who lived before are not accused until they had the time to be heard again. */
+    /**
+     * After a stop of the own process, those who lived before are not accused until they had the
+     * time to be heard again.
+     */
     private void time(double at) {
         if (at - now > 2 * every && now != Double.NEGATIVE_INFINITY) {
             stopped = at - now;
@@ -276,20 +358,25 @@
 
     private boolean alive(int gateway) {
         Other o = others[gateway];
-        return gateway == self.gateway() || (o == null ? now - rumoured[gateway] <= suspectAfter : lives(o));
+        return gateway == self.gateway()
+                || (o == null ? now - rumoured[gateway] <= suspectAfter : lives(o));
     }
 
     private boolean lives(Other o) {
         return now - o.alive <= suspectAfter || now < o.granted;
     }
 
-    /** The first by that order, of those whose record or sign is not too old; as many as this round's messages may hold. */
+    /**
+     * The first by that order, of those whose record or sign is not too old; as many as this
+     * round's messages may hold.
+     */
     private void choose(Other[] into, Comparator<Other> order, ToDoubleFunction<Other> time) {
         Arrays.fill(into, null);
         int n = 0;
         for (Other o : others) {
-            if (o == null || now - time.applyAsDouble(o) > suspectAfter || n == into.length
-                    && order.compare(o, into[n - 1]) >= 0) {
+            if (o == null
+                    || now - time.applyAsDouble(o) > suspectAfter
+                    || n == into.length && order.compare(o, into[n - 1]) >= 0) {
                 continue;
             }
             int at = n < into.length ? n++ : n - 1;
@@ -331,7 +418,8 @@
         Sights.endRecords(b);
         for (int i = message; i < signs.length && signs[i] != null; i += fanout) {
             Other o = signs[i];
-            if (o.life.gateway() != to && Sights.sign(b, o.life, o.alive - Math.min(o.start, o.startBefore))) {
+            if (o.life.gateway() != to
+                    && Sights.sign(b, o.life, o.alive - Math.min(o.start, o.startBefore))) {
                 o.aliveTold++;
             }
         }
@@ -339,8 +427,11 @@
     }
 
     private void record(ByteBuffer message, Other o, int to, int spare) {
-        if (o == null || o.lastIn == messages || o.life.gateway() == to
-                || message.remaining() < o.raw.length + spare || !Sights.add(message, o.raw, now - o.made)) {
+        if (o == null
+                || o.lastIn == messages
+                || o.life.gateway() == to
+                || message.remaining() < o.raw.length + spare
+                || !Sights.add(message, o.raw, now - o.made)) {
             return;
         }
         o.told++;
@@ -394,12 +485,16 @@
 
     /** The present life of a gateway as known; null where none was heard of. */
     public Life life(int gateway) {
-        return gateway == self.gateway() ? self : others[gateway] == null ? null : others[gateway].life;
+        return gateway == self.gateway()
+                ? self
+                : others[gateway] == null ? null : others[gateway].life;
     }
 
     /** The newest record heard of a gateway, fresh or not; null where there is none. */
     public Sight of(int gateway) {
-        return gateway == self.gateway() ? own : others[gateway] == null ? null : Sights.of(others[gateway].raw);
+        return gateway == self.gateway()
+                ? own
+                : others[gateway] == null ? null : Sights.of(others[gateway].raw);
     }
 
     /** Its age now, ms; infinite where there is none. */
@@ -412,7 +507,9 @@
 
     /** Ms since it surely lived; infinite where nothing was heard of it. */
     public double silent(int gateway) {
-        return gateway == self.gateway() ? 0 : others[gateway] == null ? Double.POSITIVE_INFINITY : now - others[gateway].alive;
+        return gateway == self.gateway()
+                ? 0
+                : others[gateway] == null ? Double.POSITIVE_INFINITY : now - others[gateway].alive;
     }
 
     /** Whether a later process of the own number was heard of. */
--- a/fleet/src/main/java/tinford/fleet/members/Sight.java
+++ b/fleet/src/main/java/tinford/fleet/members/Sight.java
@@ -4,41 +4,63 @@
 import java.util.List;
 
 /**
- * The soft record of one gateway: what it saw itself over the last second or so, rates a second. Classes of worth are powers of
- * the square root of two of the worth a unit, so that all gateways have the same ones without agreeing on any.
+ * The soft record of one gateway: what it saw itself over the last second or so, rates a second.
+ * Classes of worth are powers of the square root of two of the worth a unit, so that all gateways
+ * have the same ones without agreeing on any.
  */
 public final class Sight {
     public static final int CLASSES = 24;
+
     /** Worth a unit of class 0 and below; class {@code c} begins at LEAST * 2^(c/2). */
     public static final double LEAST = 1.0 / 16;
+
     public static final int MOST_ILL = 6;
 
     /**
-     * A server that this gateway put aside, or found well again, so many ms before the record was made; named by a hash of its
-     * id.
+     * A server that this gateway put aside, or found well again, so many ms before the record was
+     * made; named by a hash of its id.
      */
-    public record Ill(int server, boolean ill, double ago) { }
+    public record Ill(int server, boolean ill, double ago) {}
 
     public final Life life;
     public final int seq;
+
     /** Units a second inside quotas: asked for, and sent on, by class of worth. */
     public final double[] asked = new double[CLASSES];
+
     public final double[] sent = new double[CLASSES];
-    /** A second: first dispatches, further ones, and how dispatches ended: by their target, late or without an answer, failed. */
+
+    /**
+     * A second: first dispatches, further ones, and how dispatches ended: by their target, late or
+     * without an answer, failed.
+     */
     public double first;
+
     public double further;
     public double good;
     public double late;
     public double failed;
+
     /** Units a second of the answers that came by their target. */
     public double goodUnits;
+
     /** Dispatches out, and reqs that wait in its line. */
     public double open;
+
     public double waiting;
-    /** Units a second that this gateway believes the servers bear of the whole fleet; 0 where it sees no strain. */
+
+    /**
+     * Units a second that this gateway believes the servers bear of the whole fleet; 0 where it
+     * sees no strain.
+     */
     public double bears;
-    /** Which life it lately gave further dispatches of its own budget to (null: none), and how many in all. */
+
+    /**
+     * Which life it lately gave further dispatches of its own budget to (null: none), and how many
+     * in all.
+     */
     public Life cededTo;
+
     public double ceded;
     public final List<Ill> ills = new ArrayList<>(MOST_ILL);
 
@@ -57,8 +79,13 @@
         return LEAST * Math.pow(2, c / 2.0);
     }
 
-    /** Whether this one replaces the other of the same gateway: of a later life, or of the same one and told later. */
+    /**
+     * Whether this one replaces the other of the same gateway: of a later life, or of the same one
+     * and told later.
+     */
     public boolean newer(Sight other) {
-        return other == null || life.start() > other.life.start() || life.start() == other.life.start() && seq - other.seq > 0;
+        return other == null
+                || life.start() > other.life.start()
+                || life.start() == other.life.start() && seq - other.seq > 0;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/members/Sights.java
+++ b/fleet/src/main/java/tinford/fleet/members/Sights.java
@@ -5,34 +5,42 @@
 import java.util.List;
 
 /**
- * Messages: a version byte; records, the sender's own first; a byte 0, and signs of life, which say only that one lived, and
- * when. Rates take one byte each on a log scale, ten steps an octave from 1/64 to 635 000, zero by itself: 3.5 % off at most. A
- * record has 31 bytes, one for each class that is used and a bit (61 with all classes used), one more for each class that was
- * sent in part, five for each server named, and twelve where something was ceded, whose total is exact to seven digits: 127 at
- * most.
+ * Messages: a version byte; records, the sender's own first; a byte 0, and signs of life, which say
+ * only that one lived, and when. Rates take one byte each on a log scale, ten steps an octave from
+ * 1/64 to 635 000, zero by itself: 3.5 % off at most. A record has 31 bytes, one for each class
+ * that is used and a bit (61 with all classes used), one more for each class that was sent in part,
+ * five for each server named, and twelve where something was ceded, whose total is exact to seven
+ * digits: 127 at most.
  */
 public final class Sights {
     /** The longest message, whatever the transport bears. */
     public static final int MOST = 256;
+
     public static final int LONGEST = 127;
     private static final byte VERSION = 1;
+
     /** From a record's beginning: length, gateway, start, seq, made, age, body. */
     private static final int GATEWAY = 1;
+
     private static final int START = 3;
     private static final int SEQ = 9;
     private static final int MADE = 13;
     private static final int AGE = 18;
     private static final int BODY = 20;
     private static final double AGE_UNIT = 2;
+
     /** The greatest age that can be told, ms. */
     public static final double OLDEST = 65535 * AGE_UNIT;
+
     private static final int RATES = 9;
     private static final int CEDED = 12;
+
     /**
-     * Bytes of a sign of life: gateway, the start's low bits, and when it lived, in {@link #SIGN_UNIT} ms since its start, three
-     * bytes.
+     * Bytes of a sign of life: gateway, the start's low bits, and when it lived, in {@link
+     * #SIGN_UNIT} ms since its start, three bytes.
      */
     static final int SIGN = 7;
+
     private static final double SIGN_UNIT = 8;
     private static final int SIGN_UNITS = 1 << 24;
     private static final int STEPS = 10;
@@ -55,9 +63,11 @@
      * @param age ms since its owner made it, as the teller counts
      * @param raw as it came, for telling it on, with what a later version put at its end
      */
-    public record Told(Sight sight, double made, double age, byte[] raw) { }
+    public record Told(Sight sight, double made, double age, byte[] raw) {}
 
-    /** @param ahead by how many ms a start may lie in the future */
+    /**
+     * @param ahead by how many ms a start may lie in the future
+     */
     public Sights(int gateways, double ahead) {
         this.gateways = gateways;
         this.ahead = ahead;
@@ -67,7 +77,11 @@
         if (!(rate > 0)) {
             return 0;
         }
-        return (int) Math.max(1, Math.min(255, Math.round(Math.log(rate / LEAST) / Math.log(2) * STEPS) + 1));
+        return (int)
+                Math.max(
+                        1,
+                        Math.min(
+                                255, Math.round(Math.log(rate / LEAST) / Math.log(2) * STEPS) + 1));
     }
 
     static double value(int code) {
@@ -81,25 +95,48 @@
         b.putShort((short) (start >> 32)).putInt((int) start).putInt(s.seq);
         long ms = (long) Math.max(0, made);
         b.put((byte) (ms >> 32)).putInt((int) ms).putShort((short) 0);
-        for (double rate : new double[] {s.first, s.further, s.good, s.late, s.failed, s.goodUnits, s.open, s.waiting, s.bears}) {
+        for (double rate :
+                new double[] {
+                    s.first,
+                    s.further,
+                    s.good,
+                    s.late,
+                    s.failed,
+                    s.goodUnits,
+                    s.open,
+                    s.waiting,
+                    s.bears
+                }) {
             b.put((byte) code(rate));
         }
         classes(s, b);
         int n = Math.min(s.ills.size(), Sight.MOST_ILL);
         b.put((byte) n);
         for (Sight.Ill ill : s.ills.subList(0, n)) {
-            long ago = Math.max(0, Math.min(127, Math.round(8 * Math.log(Math.max(ill.ago(), 1)) / Math.log(2))));
+            long ago =
+                    Math.max(
+                            0,
+                            Math.min(
+                                    127,
+                                    Math.round(
+                                            8 * Math.log(Math.max(ill.ago(), 1)) / Math.log(2))));
             b.putInt(ill.server()).put((byte) (ago | (ill.ill() ? 128 : 0)));
         }
         if (s.cededTo != null) {
             long to = s.cededTo.start();
-            b.putShort((short) s.cededTo.gateway()).putShort((short) (to >> 32)).putInt((int) to).putFloat((float) s.ceded);
+            b.putShort((short) s.cededTo.gateway())
+                    .putShort((short) (to >> 32))
+                    .putInt((int) to)
+                    .putFloat((float) s.ceded);
         }
         b.put(0, (byte) b.position());
         return java.util.Arrays.copyOf(b.array(), b.position());
     }
 
-    /** How many classes; two bits each: 0 not used, 1 all sent, 2 none sent, 3 both rates; then the rates. */
+    /**
+     * How many classes; two bits each: 0 not used, 1 all sent, 2 none sent, 3 both rates; then the
+     * rates.
+     */
     private static void classes(Sight s, ByteBuffer b) {
         int n = Sight.CLASSES;
         while (n > 0 && code(s.asked[n - 1]) == 0 && code(s.sent[n - 1]) == 0) {
@@ -151,16 +188,20 @@
             return false;
         }
         long unit = (long) Math.floor(lived / SIGN_UNIT);
-        message.putShort((short) life.gateway()).putShort((short) life.start()).put((byte) (unit >> 16)).putShort((short) unit);
+        message.putShort((short) life.gateway())
+                .putShort((short) life.start())
+                .put((byte) (unit >> 16))
+                .putShort((short) unit);
         return true;
     }
 
     /**
-     * Ms since the start: of those that the three bytes may mean (they come round after 37 hours) the nearest to what is
-     * expected.
+     * Ms since the start: of those that the three bytes may mean (they come round after 37 hours)
+     * the nearest to what is expected.
      */
     static double unwrap(int unit, double expected) {
-        return (unit + Math.rint((expected / SIGN_UNIT - unit) / SIGN_UNITS) * SIGN_UNITS) * SIGN_UNIT;
+        return (unit + Math.rint((expected / SIGN_UNIT - unit) / SIGN_UNITS) * SIGN_UNITS)
+                * SIGN_UNIT;
     }
 
     /** The signs of a message that {@link #read} took. */
@@ -178,8 +219,8 @@
     }
 
     /**
-     * The records of a message; none where the message is of another version, torn, or its first record absurd. Of the others
-     * those that are absurd are left out. Never throws.
+     * The records of a message; none where the message is of another version, torn, or its first
+     * record absurd. Of the others those that are absurd are left out. Never throws.
      */
     public List<Told> read(byte[] message, double now) {
         if (message.length < 2 || message.length > MOST || message[0] != VERSION) {
@@ -187,16 +228,23 @@
         }
         ByteBuffer b = ByteBuffer.wrap(message);
         List<Told> read = new ArrayList<>(6);
-        for (int at = 1; at < message.length && (at == 1 || message[at] != 0);) {
+        for (int at = 1; at < message.length && (at == 1 || message[at] != 0); ) {
             int length = message[at] & 255;
             if (length < BODY || at + length > message.length) {
                 return List.of();
             }
             Sight sight = sane(b, at, now) ? sight(b, at, at + length) : null;
             if (sight != null) {
-                double made = (message[at + MADE] & 255L) * (1L << 32) + (b.getInt(at + MADE + 1) & 0xFFFFFFFFL);
+                double made =
+                        (message[at + MADE] & 255L) * (1L << 32)
+                                + (b.getInt(at + MADE + 1) & 0xFFFFFFFFL);
                 double age = (b.getShort(at + AGE) & 0xFFFF) * AGE_UNIT;
-                read.add(new Told(sight, made, age, java.util.Arrays.copyOfRange(message, at, at + length)));
+                read.add(
+                        new Told(
+                                sight,
+                                made,
+                                age,
+                                java.util.Arrays.copyOfRange(message, at, at + length)));
             } else if (at == 1) {
                 return List.of();
             }
@@ -224,7 +272,10 @@
         if (p + RATES + 1 > end) {
             return null;
         }
-        Sight s = new Sight(new Life(b.getShort(at + GATEWAY) & 0xFFFF, start(b, at)), b.getInt(at + SEQ));
+        Sight s =
+                new Sight(
+                        new Life(b.getShort(at + GATEWAY) & 0xFFFF, start(b, at)),
+                        b.getInt(at + SEQ));
         s.first = value(b.get(p++));
         s.further = value(b.get(p++));
         s.good = value(b.get(p++));
@@ -259,7 +310,10 @@
             s.ills.add(new Sight.Ill(b.getInt(p), how >= 128, Math.pow(2, (how & 127) / 8.0)));
         }
         if (p + CEDED <= end) {
-            s.cededTo = new Life(b.getShort(p) & 0xFFFF, (b.getShort(p + 2) & 0xFFFFL) << 32 | b.getInt(p + 4) & 0xFFFFFFFFL);
+            s.cededTo =
+                    new Life(
+                            b.getShort(p) & 0xFFFF,
+                            (b.getShort(p + 2) & 0xFFFFL) << 32 | b.getInt(p + 4) & 0xFFFFFFFFL);
             float total = b.getFloat(p + 8);
             s.ceded = total >= 0 && total < Float.POSITIVE_INFINITY ? total : 0;
         }
--- a/fleet/src/main/java/tinford/fleet/members/Term.java
+++ b/fleet/src/main/java/tinford/fleet/members/Term.java
@@ -1,8 +1,8 @@
 package tinford.fleet.members;
 
 /**
- * For how long one life may act on what it was granted, by clocks that differ by {@code apart} ms at most. The one place that
- * compares times of two machines.
+ * For how long one life may act on what it was granted, by clocks that differ by {@code apart} ms
+ * at most. The one place that compares times of two machines.
  *
  * @param until on the holder's own clock: its time when it asked, and the length
  * @param fence index of the entry that granted it: a later grant has a higher one
@@ -13,13 +13,16 @@
         return ownNow < until;
     }
 
-    /** Asked by all others, with the log's time: from now on the holder surely acts on it no more. */
+    /**
+     * Asked by all others, with the log's time: from now on the holder surely acts on it no more.
+     */
     public boolean surelyOver(double logNow, double apart) {
         return logNow >= until + apart;
     }
 
     /**
-     * And nothing that it opened is open any more: {@code linger} covers the servers' idle time and the longest client timeout.
+     * And nothing that it opened is open any more: {@code linger} covers the servers' idle time and
+     * the longest client timeout.
      */
     public boolean surelyClosed(double logNow, double apart, double linger) {
         return logNow >= until + apart + linger;
--- a/fleet/src/main/java/tinford/fleet/members/Terms.java
+++ b/fleet/src/main/java/tinford/fleet/members/Terms.java
@@ -1,9 +1,9 @@
 package tinford.fleet.members;
 
+import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInput;
 import java.io.DataInputStream;
-import java.io.ByteArrayInputStream;
 import java.io.DataOutput;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -14,13 +14,18 @@
 import java.util.TreeMap;
 
 /**
- * Who has a term, until when, by the entries of the log; the same on every member after the same entries. A later life of a
- * gateway ends no term of an earlier one: that one may be stopped, and act when it wakes. It only renews no more. Holds {@link
- * #MOST_LIVES} lives a gateway at most, until nothing that they opened can be open.
+ * Who has a term, until when, by the entries of the log; the same on every member after the same
+ * entries. A later life of a gateway ends no term of an earlier one: that one may be stopped, and
+ * act when it wakes. It only renews no more. Holds {@link #MOST_LIVES} lives a gateway at most,
+ * until nothing that they opened can be open.
  */
 public final class Terms {
-    /** Lives of one gateway that are not surely closed; a further one has no term until one of them is. */
+    /**
+     * Lives of one gateway that are not surely closed; a further one has no term until one of them
+     * is.
+     */
     public static final int MOST_LIVES = 8;
+
     private static final byte RENEW = 1;
     private static final byte LEAVE = 2;
     private static final byte FORM = 1;
@@ -30,8 +35,13 @@
     private final double apart;
     private final double linger;
     private final TreeMap<Life, Term> terms = new TreeMap<>();
-    /** The start of each gateway's latest life that had a term, and whether it left; outlasts the term. */
+
+    /**
+     * The start of each gateway's latest life that had a term, and whether it left; outlasts the
+     * term.
+     */
     private final TreeMap<Integer, Long> latest = new TreeMap<>();
+
     private final TreeMap<Integer, Long> left = new TreeMap<>();
     private double now;
     private long refused;
@@ -54,7 +64,10 @@
         return entry(RENEW, life, at, length);
     }
 
-    /** An entry: the life has closed all that it held, and acts no more from its own time {@code at} on. */
+    /**
+     * An entry: the life has closed all that it held, and acts no more from its own time {@code at}
+     * on.
+     */
     public static byte[] leave(Life life, double at) {
         return entry(LEAVE, life, at, 0);
     }
@@ -74,7 +87,9 @@
         return bytes.toByteArray();
     }
 
-    /** Takes its own entries and no others; what can't be read of its own is counted in {@link #refused} and changes nothing.
+    /**
+     * Takes its own entries and no others; what can't be read of its own is counted in {@link
+     * #refused} and changes nothing.
      *
      * @return whether the entry was one of these, taken or refused
      */
@@ -89,8 +104,15 @@
             Life life = readLife(in);
             double at = in.readDouble();
             double length = in.readDouble();
-            boolean good = form == FORM && in.available() == 0 && at >= 0 && at < Double.POSITIVE_INFINITY && length >= 0
-                    && length <= longest && life.gateway() >= 0 && life.gateway() < gateways;
+            boolean good =
+                    form == FORM
+                            && in.available() == 0
+                            && at >= 0
+                            && at < Double.POSITIVE_INFINITY
+                            && length >= 0
+                            && length <= longest
+                            && life.gateway() >= 0
+                            && life.gateway() < gateways;
             if (!good || !(kind == RENEW ? renewed(index, life, at, length) : left(life, at))) {
                 refused++;
             }
@@ -103,7 +125,8 @@
     private boolean renewed(long index, Life life, double at, double length) {
         seen(at);
         long last = latest.getOrDefault(life.gateway(), Long.MIN_VALUE);
-        if (life.start() < last || left.getOrDefault(life.gateway(), Long.MIN_VALUE) >= life.start()) {
+        if (life.start() < last
+                || left.getOrDefault(life.gateway(), Long.MIN_VALUE) >= life.start()) {
             return false;
         }
         Term old = terms.get(life);
@@ -111,7 +134,8 @@
             return false;
         }
         Term term = new Term(life, at + length, index);
-        // Guards against entries that come late or twice: a term never gets shorter, and none begins that is over already.
+        // Guards against entries that come late or twice: a term never gets shorter, and none
+        // begins that is over already.
         if (term.surelyOver(now, apart) || old != null && old.until() >= term.until()) {
             return false;
         }
@@ -150,7 +174,10 @@
         return linger;
     }
 
-    /** The term as far as the log knows, also one that is over as long as its connections may be open; else null. */
+    /**
+     * The term as far as the log knows, also one that is over as long as its connections may be
+     * open; else null.
+     */
     public Term of(Life life) {
         return terms.get(life);
     }
@@ -158,10 +185,14 @@
     /** The lives of a gateway that are not surely closed, the earliest first. */
     public List<Life> of(int gateway) {
         Life first = new Life(gateway, Long.MIN_VALUE);
-        return new ArrayList<>(terms.subMap(first, true, new Life(gateway, Long.MAX_VALUE), true).keySet());
+        return new ArrayList<>(
+                terms.subMap(first, true, new Life(gateway, Long.MAX_VALUE), true).keySet());
     }
 
-    /** Whether the life may still act: it has a term that is not surely over. Several lives of one gateway may. */
+    /**
+     * Whether the life may still act: it has a term that is not surely over. Several lives of one
+     * gateway may.
+     */
     public boolean mayAct(Life life) {
         Term term = terms.get(life);
         return term != null && !term.surelyOver(now, apart);
@@ -178,12 +209,17 @@
         return all;
     }
 
-    /** Whether the life is its gateway's latest and may act: only such a one is given anything new. */
+    /**
+     * Whether the life is its gateway's latest and may act: only such a one is given anything new.
+     */
     public boolean renews(Life life) {
         return mayAct(life) && latest.get(life.gateway()) == life.start();
     }
 
-    /** Whether nothing can be open of what it opened: it left, or its term is surely closed, or it never had one. */
+    /**
+     * Whether nothing can be open of what it opened: it left, or its term is surely closed, or it
+     * never had one.
+     */
     public boolean closed(Life life) {
         return !terms.containsKey(life);
     }
@@ -210,7 +246,8 @@
     /** In place of all that it holds. */
     public void read(DataInput in) throws IOException {
         if (in.readByte() != FORM) {
-            throw new IOException("terms in the snapshot: a form that is not known, expected " + FORM);
+            throw new IOException(
+                    "terms in the snapshot: a form that is not known, expected " + FORM);
         }
         terms.clear();
         now = in.readDouble();
--- a/fleet/src/main/java/tinford/fleet/moves/Due.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Due.java
@@ -5,8 +5,8 @@
 import tinford.fleet.members.Life;
 
 /**
- * The rules about when a change of position is due. {@link Moves} asks them in one place; tests replace one at a time by a broken
- * one.
+ * The rules about when a change of position is due. {@link Moves} asks them in one place; tests
+ * replace one at a time by a broken one.
  */
 class Due {
     /** One step at a time, in the direction that the moves have. */
@@ -20,13 +20,17 @@
     }
 
     /**
-     * Back to where the last change came from: whoever has not followed that change is there already, so nobody is waited for.
+     * Back to where the last change came from: whoever has not followed that change is there
+     * already, so nobody is waited for.
      */
     boolean returns(int before, int position, int to) {
         return before == to && before != position;
     }
 
-    /** Whether all who may have acted since that time had said by then that they act on the present position. */
+    /**
+     * Whether all who may have acted since that time had said by then that they act on the present
+     * position.
+     */
     boolean acked(Members members, Map<Life, Double> acks, double since) {
         Collection<Life> lives = members.mayHaveActed(since);
         for (Life life : lives) {
@@ -39,9 +43,9 @@
     }
 
     /**
-     * How long after all have acknowledged the present position the next one may begin. Where retries are told, none goes
-     * anywhere in either step of a change, so the wait is due at the end; where they aren't, nothing goes in HOLD, so the wait is
-     * due there.
+     * How long after all have acknowledged the present position the next one may begin. Where
+     * retries are told, none goes anywhere in either step of a change, so the wait is due at the
+     * end; where they aren't, nothing goes in HOLD, so the wait is due there.
      */
     double waits(Plan plan, int at, boolean back) {
         double most = 0;
@@ -49,7 +53,8 @@
         for (int i = 0; i < plan.frontends.size(); i++) {
             Step.Phase phase = step.parts().get(i).phase();
             boolean told = plan.frontends.get(i).told();
-            if (phase == Step.Phase.HOLD && (back || !told) || phase == Step.Phase.OPEN && told && !back) {
+            if (phase == Step.Phase.HOLD && (back || !told)
+                    || phase == Step.Phase.OPEN && told && !back) {
                 most = Math.max(most, plan.frontends.get(i).held());
             }
         }
--- a/fleet/src/main/java/tinford/fleet/moves/Entry.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Entry.java
@@ -10,19 +10,41 @@
 import tinford.fleet.members.Life;
 
 /**
- * One entry of the log about moves: version, kind, time stamp of whoever wrote it, then what the kind needs. At most 64 KiB.
+ * One entry of the log about moves: version, kind, time stamp of whoever wrote it, then what the
+ * kind needs. At most 64 KiB.
  *
- * @param turn which change of position it speaks of; for a halt's {@code resume} the number of that halt
- * @param counts for {@code REPORT}: of each frontend answers and bad ones of the old group, then of the new one
+ * @param turn which change of position it speaks of; for a halt's {@code resume} the number of that
+ *     halt
+ * @param counts for {@code REPORT}: of each frontend answers and bad ones of the old group, then of
+ *     the new one
  * @param warm for {@code GO}: warm units a second of each group that is gone to, by name
  */
-public record Entry(Kind kind, double at, Life life, long turn, int to, String who, long[] counts, double[] warm, Plan plan) {
+public record Entry(
+        Kind kind,
+        double at,
+        Life life,
+        long turn,
+        int to,
+        String who,
+        long[] counts,
+        double[] warm,
+        Plan plan) {
     /** The kinds, in the order of their numbers in the log. */
-    public enum Kind { BEGIN, ACK, GO, REPORT, HALT, RESUME, BACK }
+    public enum Kind {
+        BEGIN,
+        ACK,
+        GO,
+        REPORT,
+        HALT,
+        RESUME,
+        BACK
+    }
 
     public static final int VERSION = 1;
+
     /** Tells entries about moves from those of others in the same log. */
     public static final int MARK = 'M';
+
     private static final int MOST = 64 << 10;
     private static final Life NOBODY = new Life(0, 0);
 
@@ -59,7 +81,9 @@
         return of(Kind.HALT, at, NOBODY, 0, 0, operator);
     }
 
-    /** @param halt the number of the halt that the operator saw; a later one is not lifted by it */
+    /**
+     * @param halt the number of the halt that the operator saw; a later one is not lifted by it
+     */
     public static Entry resume(String operator, double at, long halt) {
         return of(Kind.RESUME, at, NOBODY, halt, 0, operator);
     }
@@ -98,11 +122,18 @@
     }
 
     static Entry of(byte[] bytes) throws Unknown {
-        if (bytes.length > MOST || bytes.length < 3 || bytes[0] != MARK || bytes[1] != VERSION
-                || bytes[2] < 0 || bytes[2] >= Kind.values().length) {
-            throw new Unknown("mark, version or kind " + Arrays.toString(Arrays.copyOf(bytes, Math.min(3, bytes.length))));
+        if (bytes.length > MOST
+                || bytes.length < 3
+                || bytes[0] != MARK
+                || bytes[1] != VERSION
+                || bytes[2] < 0
+                || bytes[2] >= Kind.values().length) {
+            throw new Unknown(
+                    "mark, version or kind "
+                            + Arrays.toString(Arrays.copyOf(bytes, Math.min(3, bytes.length))));
         }
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, 2, bytes.length - 2))) {
+        try (DataInputStream in =
+                new DataInputStream(new ByteArrayInputStream(bytes, 2, bytes.length - 2))) {
             Kind kind = Kind.values()[in.readByte()];
             double at = in.readDouble();
             Life life = new Life(in.readInt(), in.readLong());
--- a/fleet/src/main/java/tinford/fleet/moves/Explore.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Explore.java
@@ -13,9 +13,10 @@
 import tinford.fleet.members.Term;
 
 /**
- * Goes through everything that can happen to one plan at small size, breadth-first: entries in any order, late, lost or by a
- * wrong leader, kills, restarts with and without a disk, ended terms, halts, clocks that differ. Runs the real {@link Moves} and
- * {@link Route}. Holds every state that it found; its memory is bounded by {@code most} states.
+ * Goes through everything that can happen to one plan at small size, breadth-first: entries in any
+ * order, late, lost or by a wrong leader, kills, restarts with and without a disk, ended terms,
+ * halts, clocks that differ. Runs the real {@link Moves} and {@link Route}. Holds every state that
+ * it found; its memory is bounded by {@code most} states.
  */
 public final class Explore {
     /** What is explored: how many faults, and what is broken on purpose, if anything. */
@@ -27,8 +28,10 @@
         boolean countsFromAnswer;
         boolean grantFirst;
         boolean told;
+
         /** Of the frontend that is needed; the one that needs it has one more. */
         int stages = 1;
+
         boolean needs = true;
         boolean flights;
         boolean progress;
@@ -39,7 +42,7 @@
     }
 
     /** What came of it: states, and the shortest story of a broken promise, or null. */
-    record Found(int states, int edges, int ends, List<String> story, String broken) { }
+    record Found(int states, int edges, int ends, List<String> story, String broken) {}
 
     private static final double LENGTH = 2;
     private static final double WINDOW = 2;
@@ -47,9 +50,9 @@
     private static final Map<String, String> HOMES = Map.of("needed", "a", "needing", "a");
 
     /** Something in the log that a gateway sees when it comes to it: a stand, or its own grant. */
-    private record Seen(Stand stand, double until) { }
+    private record Seen(Stand stand, double until) {}
 
-    private record Old(Life life, double until) { }
+    private record Old(Life life, double until) {}
 
     /** One world. Copied for each thing that may happen next. */
     private final class World implements Members {
@@ -68,7 +71,8 @@
         double ran;
         int kills;
         String broken;
-        private double wait; // the longest that may be due at this position: acks that are older are alike
+        private double
+                wait; // the longest that may be due at this position: acks that are older are alike
 
         World() {
             head = new Moves(HOMES, this, c.apart, c.due);
@@ -103,11 +107,36 @@
         }
 
         private Plan plan() {
-            return new Plan("p", 0, 0.1, 1, List.of(
-                    new Plan.Mover("needing", "a", "b", c.needs ? List.of("needed") : List.of(), 0, List.of(1.0), 1, 1, true,
-                            c.told, WINDOW),
-                    new Plan.Mover("needed", "a", "b", List.of(), 0, c.stages == 2 ? List.of(0.5, 1.0) : List.of(1.0), 1, 1,
-                            false, false, 0)),
+            return new Plan(
+                    "p",
+                    0,
+                    0.1,
+                    1,
+                    List.of(
+                            new Plan.Mover(
+                                    "needing",
+                                    "a",
+                                    "b",
+                                    c.needs ? List.of("needed") : List.of(),
+                                    0,
+                                    List.of(1.0),
+                                    1,
+                                    1,
+                                    true,
+                                    c.told,
+                                    WINDOW),
+                            new Plan.Mover(
+                                    "needed",
+                                    "a",
+                                    "b",
+                                    List.of(),
+                                    0,
+                                    c.stages == 2 ? List.of(0.5, 1.0) : List.of(1.0),
+                                    1,
+                                    1,
+                                    false,
+                                    false,
+                                    0)),
                     Map.of("b", new Plan.Room(2, 2, 0.5)));
         }
 
@@ -142,7 +171,8 @@
         }
 
         /**
-         * One request at a time; without other entries ahead of it the grant is seen at once, as later it would only be shorter.
+         * One request at a time; without other entries ahead of it the grant is seen at once, as
+         * later it would only be shorter.
          */
         void renew(int g) {
             if (queue.get(g).stream().allMatch(q -> q.stand != null)) {
@@ -155,7 +185,10 @@
             }
         }
 
-        /** Applies an entry, lets the gateways have it coming, and looks at what became of the position. */
+        /**
+         * Applies an entry, lets the gateways have it coming, and looks at what became of the
+         * position.
+         */
         void entry(Entry e) {
             Stand was = head.stand();
             long halts = head.halts();
@@ -173,7 +206,9 @@
                 for (int g = 0; g < c.gateways; g++) {
                     queue.get(g).add(new Seen(is, 0));
                 }
-            } else if (e.kind() == Entry.Kind.RESUME && e.turn() != halts && was.state() != is.state()) {
+            } else if (e.kind() == Entry.Kind.RESUME
+                    && e.turn() != halts
+                    && was.state() != is.state()) {
                 broken = "a later halt is lifted by a resume that was meant for an earlier one";
             }
         }
@@ -185,7 +220,8 @@
                 boolean acts = own(g) < seen[g];
                 for (int i = q.size() - 2; i >= 0 && !acts; i--) {
                     if (q.get(i).stand != null && q.get(i + 1).stand != null) {
-                        q.remove(i); // it acts on neither: it may as well come to the later one at once
+                        q.remove(i); // it acts on neither: it may as well come to the later one at
+                        // once
                     }
                 }
                 if (q.size() == 1 && q.get(0).stand != null && !acts && !up[g]) {
@@ -221,7 +257,9 @@
             if (most - least > 1) {
                 broken = "two living gateways at steps " + least + " and " + most;
             } else if (some && lacks) {
-                broken = "one is sent to its new group, what it needs still to the old one elsewhere";
+                broken =
+                        "one is sent to its new group, what it needs still to the old one"
+                                + " elsewhere";
             }
         }
 
@@ -237,13 +275,18 @@
         private String form(int... order) {
             StringBuilder s = new StringBuilder(64);
             Stand is = head.stand();
-            s.append((char) ('A' + is.state().ordinal())).append(is.back() ? '-' : '+').append((char) is.position())
-                    .append((char) (1 + head.before())).append((char) head.halts()).append((char) kills);
+            s.append((char) ('A' + is.state().ordinal()))
+                    .append(is.back() ? '-' : '+')
+                    .append((char) is.position())
+                    .append((char) (1 + head.before()))
+                    .append((char) head.halts())
+                    .append((char) kills);
             wait = c.due.waits(is.plan(), is.position(), true);
             wait = Math.max(wait, is.back() ? 0 : c.due.waits(is.plan(), is.position(), false));
             s.append((char) (1 + key)).append((char) (key < 0 ? 0 : now - ran));
             for (int g : order) {
-                s.append(!up[g] ? 'd' : cut[g] ? 'c' : 'u').append((char) view[g].position())
+                s.append(!up[g] ? 'd' : cut[g] ? 'c' : 'u')
+                        .append((char) view[g].position())
                         .append(view[g].turn() == is.turn() ? '=' : '<');
                 time(s, seen[g] - own(g), 0, 9);
                 time(s, granted[g] - now, -WINDOW - c.apart, 9);
@@ -377,23 +420,37 @@
         for (int to = s.position() - 2; to <= s.position() + 2; to++) {
             offer(w, Entry.go(w.now, s.turn(), to, 2), "a leader: to step " + to, true);
         }
-        offer(w, Entry.go(w.now, s.turn() - 1, s.position() + 1, 2), "a stale leader: to step " + (s.position() + 1), true);
+        offer(
+                w,
+                Entry.go(w.now, s.turn() - 1, s.position() + 1, 2),
+                "a stale leader: to step " + (s.position() + 1),
+                true);
         offer(w, Entry.resume("o", w.now, w.head.halts()), "resume", true);
         offer(w, Entry.resume("o", w.now, w.head.halts() - 1), "resume of an earlier halt", false);
         if (w.head.halts() < c.halts) {
             offer(w, Entry.halt("o", w.now), "halt", false);
         }
         offer(w, Entry.back("o", w.now), "back", false);
-        offer(w, Entry.report(w.life(0), s.turn(), w.own(0), 1, 0, 9, 9, 1, 0, 0, 0), "gateway 0: bad", false);
+        offer(
+                w,
+                Entry.report(w.life(0), s.turn(), w.own(0), 1, 0, 9, 9, 1, 0, 0, 0),
+                "gateway 0: bad",
+                false);
     }
 
-    /** Entries that alter nothing are no step of a story. A report alters something only when it turns the moves back. */
+    /**
+     * Entries that alter nothing are no step of a story. A report alters something only when it
+     * turns the moves back.
+     */
     private void offer(World w, Entry e, String step, boolean good) {
         World n = new World(w);
         n.entry(e);
         Stand a = w.head.stand();
         Stand b = n.head.stand();
-        if (a.state() != b.state() || a.turn() != b.turn() || a.position() != b.position() || a.back() != b.back()) {
+        if (a.state() != b.state()
+                || a.turn() != b.turn()
+                || a.position() != b.position()
+                || a.back() != b.back()) {
             next(n, step, good);
         }
     }
@@ -413,11 +470,22 @@
             } else {
                 n.seen[g] = c.countsFromAnswer ? n.own(g) + LENGTH : s.until;
             }
-            next(n, "gateway " + g + (s.stand != null ? " sees step " + s.stand.position() : " sees its term"), true);
+            next(
+                    n,
+                    "gateway "
+                            + g
+                            + (s.stand != null
+                                    ? " sees step " + s.stand.position()
+                                    : " sees its term"),
+                    true);
         }
         Route r = w.route(g);
         boolean acts = r.mayAct(w.own(g));
-        if (acts && !w.cut[g] && w.own(g) < w.seen[g] && !w.head.acked(w.life(g)) && (!c.flights || w.flight[g] == GONE)) {
+        if (acts
+                && !w.cut[g]
+                && w.own(g) < w.seen[g]
+                && !w.head.acked(w.life(g))
+                && (!c.flights || w.flight[g] == GONE)) {
             World n = new World(w);
             if (c.flights) {
                 n.flight[g] = n.own(g);
@@ -444,15 +512,27 @@
             next(n, "gateway " + g + " is heard again", true);
         }
         boolean again = w.key >= 0;
-        for (int to = 0; acts && to < 2 && w.view[g].position() >= c.stages; to++) { // before, all go to the old group
+        for (int to = 0;
+                acts && to < 2 && w.view[g].position() >= c.stages;
+                to++) { // before, all go to the old group
             if (r.mayGo("needing", 1, c.told && again, to == 0 ? "a" : "b", null, w.own(g))) {
                 World n = new World(w);
-                String step = "gateway " + g + " sends the " + (again ? "retry" : "req") + " to " + (to == 0 ? "a" : "b");
+                String step =
+                        "gateway "
+                                + g
+                                + " sends the "
+                                + (again ? "retry" : "req")
+                                + " to "
+                                + (to == 0 ? "a" : "b");
                 if (again && w.key != to) {
                     n.broken = "it may have run at both groups";
                 }
                 n.key = to;
-                n.ran = again ? w.ran : n.now; // a repeat within the window does not run, and does not lengthen it
+                n.ran =
+                        again
+                                ? w.ran
+                                : n.now; // a repeat within the window does not run, and does not
+                // lengthen it
                 next(n, step, false);
             }
         }
@@ -483,11 +563,17 @@
             n.view[g] = disk == 1 ? n.view[g] : new Moves(HOMES, n, c.apart, c.due).stand();
             n.queue.get(g).clear();
             n.queue.get(g).add(new Seen(n.head.stand(), 0));
-            next(n, "gateway " + g + " restarts with" + (disk == 1 ? "" : "out") + " its disk", false);
+            next(
+                    n,
+                    "gateway " + g + " restarts with" + (disk == 1 ? "" : "out") + " its disk",
+                    false);
         }
     }
 
-    /** From every state an end must be within reach by what happens without faults and without a restart of who is down. */
+    /**
+     * From every state an end must be within reach by what happens without faults and without a
+     * restart of who is down.
+     */
     private void stuck() {
         int n = known.size();
         int[] first = new int[n + 1];
@@ -536,9 +622,18 @@
             c.flights = args.length > 2 && Boolean.parseBoolean(args[2]);
             long start = System.nanoTime();
             Found f = new Explore(c).run();
-            System.out.printf("retries %s, kills %d, halts %d, acks under way %b: %d states, %d edges, %d ends, %.1f s: %s%n",
-                    told ? "told" : "untold", c.kills, c.halts, c.flights, f.states(), f.edges(), f.ends(),
-                    (System.nanoTime() - start) / 1e9, f.broken() == null ? "no promise broken" : f.broken() + " " + f.story());
+            System.out.printf(
+                    "retries %s, kills %d, halts %d, acks under way %b: %d states, %d edges, %d"
+                            + " ends, %.1f s: %s%n",
+                    told ? "told" : "untold",
+                    c.kills,
+                    c.halts,
+                    c.flights,
+                    f.states(),
+                    f.edges(),
+                    f.ends(),
+                    (System.nanoTime() - start) / 1e9,
+                    f.broken() == null ? "no promise broken" : f.broken() + " " + f.story());
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/moves/Faults.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Faults.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** All that is wrong with one plan, a line each: file, line where it is found, frontend, key, and what was expected. */
+/**
+ * All that is wrong with one plan, a line each: file, line where it is found, frontend, key, and
+ * what was expected.
+ */
 public final class Faults {
     private static final Pattern HEAD = Pattern.compile("\\s*\\[\\[\\s*frontends\\s*]].*");
     private final String file;
@@ -16,10 +19,15 @@
         this.lines = text.split("\n", -1);
     }
 
-    /** @param frontend which one of the plan's, or -1 */
+    /**
+     * @param frontend which one of the plan's, or -1
+     */
     void unless(boolean good, int frontend, String key, String expected) {
         if (!good) {
-            add(line(frontend, key), (frontend < 0 ? "" : "frontends[" + (frontend + 1) + "].") + key, expected);
+            add(
+                    line(frontend, key),
+                    (frontend < 0 ? "" : "frontends[" + (frontend + 1) + "].") + key,
+                    expected);
         }
     }
 
@@ -40,7 +48,9 @@
         }
     }
 
-    /** Only to show a place to a person: the reading itself is the library's. 0 when it isn't found. */
+    /**
+     * Only to show a place to a person: the reading itself is the library's. 0 when it isn't found.
+     */
     private int line(int frontend, String key) {
         Pattern pair = Pattern.compile("\\s*" + Pattern.quote(key) + "\\s*=.*");
         int at = 0;
--- a/fleet/src/main/java/tinford/fleet/moves/Members.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Members.java
@@ -3,11 +3,14 @@
 import java.util.Collection;
 import tinford.fleet.members.Life;
 
-/** What the moves ask of the terms. It must follow from the entries of the same log, so that every member answers alike. */
+/**
+ * What the moves ask of the terms. It must follow from the entries of the same log, so that every
+ * member answers alike.
+ */
 public interface Members {
     /**
-     * All lives whose term was not surely over at that time of the log, later ones included; whoever is missing sent nothing from
-     * then on.
+     * All lives whose term was not surely over at that time of the log, later ones included;
+     * whoever is missing sent nothing from then on.
      */
     Collection<Life> mayHaveActed(double since);
 }
--- a/fleet/src/main/java/tinford/fleet/moves/Moves.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Moves.java
@@ -12,12 +12,20 @@
 import tinford.fleet.store.Log;
 
 /**
- * What the entries about moves have come to, on every member alike. {@link #apply} is the one place that enforces the rules: an
- * entry that is not due alters nothing. Holds one plan, and an ack and a report of each life that has them in the present turn.
+ * What the entries about moves have come to, on every member alike. {@link #apply} is the one place
+ * that enforces the rules: an entry that is not due alters nothing. Holds one plan, and an ack and
+ * a report of each life that has them in the present turn.
  */
 public final class Moves implements Log.Reader {
     /** See the table in docs/moves.md. */
-    public enum State { IDLE, FORWARD, HALTED, BACK, DONE, UNDONE }
+    public enum State {
+        IDLE,
+        FORWARD,
+        HALTED,
+        BACK,
+        DONE,
+        UNDONE
+    }
 
     private static final int LIVES = 4096;
     private final Due due;
@@ -30,7 +38,8 @@
     private boolean back;
     private long turn;
     private int position;
-    private int before; // position of the turn before, where nobody can be harmed by returning at once
+    private int
+            before; // position of the turn before, where nobody can be harmed by returning at once
     private Plan plan;
     private long halts;
     private double turned;
@@ -38,7 +47,9 @@
     private double[] usual = new double[0];
     private String told = "";
 
-    /** @param apart by how many ms clocks differ at most */
+    /**
+     * @param apart by how many ms clocks differ at most
+     */
     public Moves(Map<String, String> homes, Members members, double apart) {
         this(homes, members, apart, new Due());
     }
@@ -102,7 +113,10 @@
         return before;
     }
 
-    /** The log's time by its other entries: a life that they have forgotten must be past for these rules too. */
+    /**
+     * The log's time by its other entries: a life that they have forgotten must be past for these
+     * rules too.
+     */
     public void seen(double logNow) {
         this.logNow = Math.max(this.logNow, logNow);
     }
@@ -112,7 +126,13 @@
         try {
             Entry e = Entry.of(entry);
             logNow = Math.max(logNow, e.at());
-            told = index + " " + e.kind() + (e.who().isEmpty() ? "" : " by " + e.who()) + ": " + apply(e);
+            told =
+                    index
+                            + " "
+                            + e.kind()
+                            + (e.who().isEmpty() ? "" : " by " + e.who())
+                            + ": "
+                            + apply(e);
         } catch (Entry.Unknown e) {
             told = index + " refused: " + e.getMessage();
         }
@@ -171,7 +191,9 @@
             return "refused, not of this turn";
         }
         if (acks.size() < LIVES) {
-            acks.putIfAbsent(e.life(), Math.max(e.at() + apart, turned)); // guards against a clock that is behind
+            acks.putIfAbsent(
+                    e.life(),
+                    Math.max(e.at() + apart, turned)); // guards against a clock that is behind
         }
         return "ack " + acks.size();
     }
@@ -187,7 +209,10 @@
             if (!due.acked(members, acks, since)) {
                 return "refused, not all have acknowledged, or not long enough ago";
             }
-            if (!back && plan.steps.get(position).last() && position > 0 && logNow - turned < plan.soak) {
+            if (!back
+                    && plan.steps.get(position).last()
+                    && position > 0
+                    && logNow - turned < plan.soak) {
                 return "refused, it soaks";
             }
         }
@@ -203,7 +228,10 @@
     }
 
     private String report(Entry e) {
-        if (plan == null || e.turn() != turn || state != State.FORWARD || e.counts().length != 4 * plan.frontends.size()) {
+        if (plan == null
+                || e.turn() != turn
+                || state != State.FORWARD
+                || e.counts().length != 4 * plan.frontends.size()) {
             return "refused, not of this turn";
         }
         if (reports.size() < LIVES || reports.containsKey(e.life())) {
@@ -220,8 +248,14 @@
                 usual[i] = (double) sum[1] / sum[0];
             }
             if (sum[2] >= plan.answers && (double) sum[3] / sum[2] > usual[i] + plan.margin) {
-                return back(plan.frontends.get(i).name() + " bad: " + sum[3] + " of " + sum[2] + " at the new group, usual "
-                        + Math.round(usual[i] * 1000) / 1000.0);
+                return back(
+                        plan.frontends.get(i).name()
+                                + " bad: "
+                                + sum[3]
+                                + " of "
+                                + sum[2]
+                                + " at the new group, usual "
+                                + Math.round(usual[i] * 1000) / 1000.0);
             }
         }
         return "counted";
@@ -308,7 +342,11 @@
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(snapshot))) {
             int version = in.readByte();
             if (version != Entry.VERSION) {
-                throw new IllegalArgumentException("snapshot of moves: version: expected " + Entry.VERSION + ", not " + version);
+                throw new IllegalArgumentException(
+                        "snapshot of moves: version: expected "
+                                + Entry.VERSION
+                                + ", not "
+                                + version);
             }
             state = State.values()[in.readByte()];
             back = in.readBoolean();
--- a/fleet/src/main/java/tinford/fleet/moves/Plan.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Plan.java
@@ -13,7 +13,10 @@
 import java.util.TreeMap;
 import tinford.api.Frontend;
 
-/** A checked plan of moves. What it holds obeys the rules of its form; at most {@link #MOST} frontends of as many shares each. */
+/**
+ * A checked plan of moves. What it holds obeys the rules of its form; at most {@link #MOST}
+ * frontends of as many shares each.
+ */
 public final class Plan {
     public static final int MOST = 64;
     private static final int LONGEST = 64;
@@ -25,31 +28,60 @@
      * @param units a second that it may need, all of it
      * @param begins the stage in which it begins, from 1; 0 for as soon as what it needs has moved
      * @param told whether its clients say which reqs are retries
-     * @param held ms in which a req that may have run may still run, or its repeat would still be dropped; 0 unless uniqued
+     * @param held ms in which a req that may have run may still run, or its repeat would still be
+     *     dropped; 0 unless uniqued
      */
-    public record Mover(String name, String from, String to, List<String> needs, int begins, List<Double> shares, double units,
-            int connections, boolean uniqued, boolean told, double held) { }
+    public record Mover(
+            String name,
+            String from,
+            String to,
+            List<String> needs,
+            int begins,
+            List<Double> shares,
+            double units,
+            int connections,
+            boolean uniqued,
+            boolean told,
+            double held) {}
 
     /**
-     * What a group can take in addition to what stays there: units a second when warm, the part of them when cold, connections.
+     * What a group can take in addition to what stays there: units a second when warm, the part of
+     * them when cold, connections.
      */
-    public record Room(double units, int connections, double coldPart) { }
+    public record Room(double units, int connections, double coldPart) {}
 
-    /** What a plan is held against: the frontends that may move, where each one lives, and the groups. */
-    public record Known(Map<String, Frontend> frontends, Map<String, String> homes, Map<String, Room> groups) { }
+    /**
+     * What a plan is held against: the frontends that may move, where each one lives, and the
+     * groups.
+     */
+    public record Known(
+            Map<String, Frontend> frontends, Map<String, String> homes, Map<String, Room> groups) {}
 
     public final String name;
     public final double soak;
-    /** How much higher the share of failed and late answers may be at the new group, and from how many answers on it counts. */
+
+    /**
+     * How much higher the share of failed and late answers may be at the new group, and from how
+     * many answers on it counts.
+     */
     public final double margin;
+
     public final int answers;
     public final List<Mover> frontends;
+
     /** The groups that frontends go to, by name. */
     public final TreeMap<String, Room> groups;
+
     public final List<Step> steps;
     private final Map<String, Integer> index = new HashMap<>();
 
-    Plan(String name, double soak, double margin, int answers, List<Mover> frontends, Map<String, Room> groups) {
+    Plan(
+            String name,
+            double soak,
+            double margin,
+            int answers,
+            List<Mover> frontends,
+            Map<String, Room> groups) {
         this.name = name;
         this.soak = soak;
         this.margin = margin;
@@ -70,40 +102,64 @@
     }
 
     /** The rules of form, which need nothing but the plan. */
-    static void check(String name, double soak, double margin, int answers, List<Mover> movers, Faults faults) {
-        faults.unless(!name.isEmpty() && name.length() <= LONGEST, -1, "plan", "a name of 1 to 64 characters");
+    static void check(
+            String name,
+            double soak,
+            double margin,
+            int answers,
+            List<Mover> movers,
+            Faults faults) {
+        faults.unless(
+                !name.isEmpty() && name.length() <= LONGEST,
+                -1,
+                "plan",
+                "a name of 1 to 64 characters");
         faults.unless(soak >= 0 && soak <= 1e9, -1, "soak_ms", "ms from 0 to 1e9");
         faults.unless(margin >= 0 && margin <= 1, -1, "margin", "a part from 0 to 1");
         faults.unless(answers >= 1, -1, "answers", "a whole number from 1");
-        faults.unless(!movers.isEmpty() && movers.size() <= MOST, -1, "frontends", "1 to 64 of them");
+        faults.unless(
+                !movers.isEmpty() && movers.size() <= MOST, -1, "frontends", "1 to 64 of them");
         Map<String, Mover> by = new LinkedHashMap<>();
         for (int i = 0; i < movers.size(); i++) {
             Mover m = movers.get(i);
-            faults.unless(m.name.length() <= LONGEST && by.putIfAbsent(m.name, m) == null, i, "name",
+            faults.unless(
+                    m.name.length() <= LONGEST && by.putIfAbsent(m.name, m) == null,
+                    i,
+                    "name",
                     "each frontend once, not again " + m.name);
-            faults.unless(!m.from.equals(m.to) && m.to.length() <= LONGEST && m.from.length() <= LONGEST, i, "to",
+            faults.unless(
+                    !m.from.equals(m.to) && m.to.length() <= LONGEST && m.from.length() <= LONGEST,
+                    i,
+                    "to",
                     "another group than " + m.from);
             faults.unless(m.units >= 0 && m.units < 1e12, i, "units", "units a second from 0");
             faults.unless(m.connections >= 0, i, "connections", "a whole number from 0");
-            faults.unless(m.held >= 0 && m.held <= 1e9, i, "name", "a repeat window of 1e9 ms at most");
+            faults.unless(
+                    m.held >= 0 && m.held <= 1e9, i, "name", "a repeat window of 1e9 ms at most");
             double before = 0;
             boolean rising = !m.shares.isEmpty() && m.shares.size() <= MOST;
             for (double s : m.shares) {
                 rising &= s > before && s <= 1;
                 before = s;
             }
-            faults.unless(rising, i, "shares", "1 to 64 parts above 0, each higher than the one before");
+            faults.unless(
+                    rising, i, "shares", "1 to 64 parts above 0, each higher than the one before");
             faults.unless(m.shares.isEmpty() || before == 1, i, "shares", "1 as the last one");
         }
         for (int i = 0; i < movers.size(); i++) {
             Mover m = movers.get(i);
             for (String need : m.needs) {
-                faults.unless(by.containsKey(need), i, "needs", "frontends of this plan, not " + need);
+                faults.unless(
+                        by.containsKey(need), i, "needs", "frontends of this plan, not " + need);
             }
             faults.unless(m.needs.size() <= MOST, i, "needs", "64 at most");
-            faults.unless(!reaches(by, m.name, m.name, new HashSet<>()), i, "needs", "no circle, but " + m.name
-                    + " needs itself");
-            faults.unless(m.begins >= 0 && m.begins <= 1000, i, "begins", "a stage from 1 to 1000, or 0");
+            faults.unless(
+                    !reaches(by, m.name, m.name, new HashSet<>()),
+                    i,
+                    "needs",
+                    "no circle, but " + m.name + " needs itself");
+            faults.unless(
+                    m.begins >= 0 && m.begins <= 1000, i, "begins", "a stage from 1 to 1000, or 0");
         }
         if (faults.none()) {
             order(movers, faults);
@@ -114,12 +170,16 @@
         int[] earliest = Stages.begins(movers);
         for (int i = 0; i < earliest.length; i++) {
             int begins = movers.get(i).begins;
-            faults.unless(begins == 0 || begins > earliest[i], i, "begins",
+            faults.unless(
+                    begins == 0 || begins > earliest[i],
+                    i,
+                    "begins",
                     "stage " + (earliest[i] + 1) + " or later: only then what it needs has moved");
         }
     }
 
-    private static boolean reaches(Map<String, Mover> by, String from, String aim, Set<String> seen) {
+    private static boolean reaches(
+            Map<String, Mover> by, String from, String aim, Set<String> seen) {
         if (!by.containsKey(from)) {
             return false;
         }
@@ -184,8 +244,19 @@
             for (int k = in.readUnsignedByte(); k > 0; k--) {
                 shares.add(in.readDouble());
             }
-            movers.add(new Mover(frontend, from, to, List.copyOf(needs), begins, List.copyOf(shares), in.readDouble(),
-                    in.readInt(), in.readBoolean(), in.readBoolean(), in.readDouble()));
+            movers.add(
+                    new Mover(
+                            frontend,
+                            from,
+                            to,
+                            List.copyOf(needs),
+                            begins,
+                            List.copyOf(shares),
+                            in.readDouble(),
+                            in.readInt(),
+                            in.readBoolean(),
+                            in.readBoolean(),
+                            in.readDouble()));
         }
         Map<String, Room> groups = new TreeMap<>();
         for (int n = in.readUnsignedByte(); n > 0; n--) {
--- a/fleet/src/main/java/tinford/fleet/moves/PlanReader.java
+++ b/fleet/src/main/java/tinford/fleet/moves/PlanReader.java
@@ -13,12 +13,24 @@
 import tinford.api.Effect;
 import tinford.api.Frontend;
 
-/** Reads a plan from TOML and holds it against what is known; a plan with any fault is refused whole, with all of its faults. */
+/**
+ * Reads a plan from TOML and holds it against what is known; a plan with any fault is refused
+ * whole, with all of its faults.
+ */
 public final class PlanReader {
     private static final Set<String> TOP = Set.of("plan", "soak_ms", "bad", "frontends");
     private static final Set<String> BAD = Set.of("margin", "answers");
-    private static final Set<String> EACH = Set.of("name", "from", "to", "needs", "begins", "shares", "units",
-            "connections", "retries");
+    private static final Set<String> EACH =
+            Set.of(
+                    "name",
+                    "from",
+                    "to",
+                    "needs",
+                    "begins",
+                    "shares",
+                    "units",
+                    "connections",
+                    "retries");
     private static final int LONGEST = 256 << 10;
     private final Plan.Known known;
 
@@ -26,7 +38,9 @@
         this.known = known;
     }
 
-    /** @throws Faults.Refused with all faults */
+    /**
+     * @throws Faults.Refused with all faults
+     */
     public Plan read(String file, String text) {
         Faults faults = new Faults(file, text);
         if (text.length() > LONGEST) {
@@ -58,7 +72,9 @@
         try {
             return new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            faults.add(e.getLocation() == null ? 0 : e.getLocation().getLineNr(), "text",
+            faults.add(
+                    e.getLocation() == null ? 0 : e.getLocation().getLineNr(),
+                    "text",
                     "TOML: " + e.getOriginalMessage().lines().findFirst().orElse(""));
             faults.refuse();
             return null;
@@ -72,10 +88,14 @@
         faults.unless(f != null, i, "name", "one of the frontends that may move, not " + name);
         boolean uniqued = f != null && f.effect == Effect.IDEMPOTENCY_KEY;
         String from = text(n, "from", i, faults);
-        faults.unless(f == null || from.equals(known.homes().get(name)), i, "from",
+        faults.unless(
+                f == null || from.equals(known.homes().get(name)),
+                i,
+                "from",
                 "where it is: " + known.homes().get(name));
         String retries = n.has("retries") ? text(n, "retries", i, faults) : "untold";
-        faults.unless(retries.equals("told") || retries.equals("untold"), i, "retries", "told or untold");
+        faults.unless(
+                retries.equals("told") || retries.equals("untold"), i, "retries", "told or untold");
         List<Double> shares = new ArrayList<>();
         boolean list = n.path("shares").isArray();
         for (JsonNode s : n.path("shares")) {
@@ -90,9 +110,17 @@
             needs.add(s.asText());
         }
         faults.unless(texts, i, "needs", "names in brackets");
-        return new Plan.Mover(name, from, text(n, "to", i, faults), List.copyOf(needs),
-                n.has("begins") ? whole(n, "begins", i, faults) : 0, List.copyOf(shares), number(n, "units", i, faults),
-                whole(n, "connections", i, faults), uniqued, retries.equals("told"),
+        return new Plan.Mover(
+                name,
+                from,
+                text(n, "to", i, faults),
+                List.copyOf(needs),
+                n.has("begins") ? whole(n, "begins", i, faults) : 0,
+                List.copyOf(shares),
+                number(n, "units", i, faults),
+                whole(n, "connections", i, faults),
+                uniqued,
+                retries.equals("told"),
                 uniqued ? f.repeatWindow + f.timeout : 0);
     }
 
@@ -103,23 +131,41 @@
         Map<String, Double> connections = new HashMap<>();
         for (int i = 0; i < movers.size(); i++) {
             Plan.Mover m = movers.get(i);
-            faults.unless(known.groups().containsKey(m.from()), i, "from", "a known group, not " + m.from());
+            faults.unless(
+                    known.groups().containsKey(m.from()),
+                    i,
+                    "from",
+                    "a known group, not " + m.from());
             Plan.Room room = known.groups().get(m.to());
             faults.unless(room != null, i, "to", "a known group, not " + m.to());
             if (room != null) {
                 found.put(m.to(), room);
-                faults.unless(units.merge(m.to(), m.units(), Double::sum) <= room.units(), i, "units",
-                        "no more in all than the " + room.units() + " that " + m.to() + " has room for");
-                faults.unless(connections.merge(m.to(), (double) m.connections(), Double::sum) <= room.connections(), i,
+                faults.unless(
+                        units.merge(m.to(), m.units(), Double::sum) <= room.units(),
+                        i,
+                        "units",
+                        "no more in all than the "
+                                + room.units()
+                                + " that "
+                                + m.to()
+                                + " has room for");
+                faults.unless(
+                        connections.merge(m.to(), (double) m.connections(), Double::sum)
+                                <= room.connections(),
+                        i,
                         "connections",
-                        "no more in all than the " + room.connections() + " that " + m.to() + " has room for");
+                        "no more in all than the "
+                                + room.connections()
+                                + " that "
+                                + m.to()
+                                + " has room for");
             }
         }
         return found;
     }
 
     private static void names(JsonNode n, Set<String> known, int i, Faults faults) {
-        for (Iterator<String> at = n.fieldNames(); at.hasNext();) {
+        for (Iterator<String> at = n.fieldNames(); at.hasNext(); ) {
             String key = at.next();
             faults.unless(known.contains(key), i, key, "no such key");
         }
--- a/fleet/src/main/java/tinford/fleet/moves/Route.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Route.java
@@ -6,9 +6,9 @@
 import tinford.fleet.members.Term;
 
 /**
- * Where the reqs of frontends that may move go through one gateway, and what it tells the others. Called on the I/O thread only;
- * a stand and a term come from entries that were applied in order, so a term is never acted on with an older stand than it was
- * granted after.
+ * Where the reqs of frontends that may move go through one gateway, and what it tells the others.
+ * Called on the I/O thread only; a stand and a term come from entries that were applied in order,
+ * so a term is never acted on with an older stand than it was granted after.
  */
 public class Route {
     private final Life self;
@@ -22,7 +22,10 @@
     private long[] counts = new long[0];
     private boolean news;
 
-    /** @param every ms after which an ack that was not seen in the log is offered again, and between reports */
+    /**
+     * @param every ms after which an ack that was not seen in the log is offered again, and between
+     *     reports
+     */
     public Route(Life self, Stand first, double every) {
         this.self = self;
         this.every = every;
@@ -31,7 +34,8 @@
     }
 
     /**
-     * After each applied entry: how the moves stand, the own term if any, and whether the log has this life's ack of this turn.
+     * After each applied entry: how the moves stand, the own term if any, and whether the log has
+     * this life's ack of this turn.
      */
     public void see(Stand now, Term own, boolean acked) {
         if (stand == null || stand.turn() != now.turn()) {
@@ -46,13 +50,15 @@
     }
 
     /**
-     * Whether a req may be sent to that group now. Without a term of its own that holds by its own clock a gateway sends nothing
-     * of what may move. All reqs of one customer and frontend change together, so a retry is judged alike by every gateway.
+     * Whether a req may be sent to that group now. Without a term of its own that holds by its own
+     * clock a gateway sends nothing of what may move. All reqs of one customer and frontend change
+     * together, so a retry is judged alike by every gateway.
      *
      * @param retry whether the client says that it asked before
      * @param first where an earlier dispatch of this very req may have run, or null
      */
-    public boolean mayGo(String frontend, long customer, boolean retry, String group, String first, double now) {
+    public boolean mayGo(
+            String frontend, long customer, boolean retry, String group, String first, double now) {
         Integer salt = salts.get(frontend);
         if (salt == null) {
             return true;
@@ -114,7 +120,10 @@
         }
     }
 
-    /** What this gateway has to tell now, or null: the ack of its turn until the log has it, then what it counted. */
+    /**
+     * What this gateway has to tell now, or null: the ack of its turn until the log has it, then
+     * what it counted.
+     */
     public Entry tells(double now) {
         if (!mayAct(now) || stand.plan() == null) {
             return null;
--- a/fleet/src/main/java/tinford/fleet/moves/Stages.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Stages.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * The ordered positions of a plan. A frontend begins only in a stage after the one in which all that it needs has moved whole;
- * those that don't need each other share stages. A stage in which uniqued frontends move has three steps, any other one.
+ * The ordered positions of a plan. A frontend begins only in a stage after the one in which all
+ * that it needs has moved whole; those that don't need each other share stages. A stage in which
+ * uniqued frontends move has three steps, any other one.
  */
 public final class Stages {
-    private Stages() { }
+    private Stages() {}
 
     public static List<Step> of(Plan plan) {
         int[] begins = begins(plan.frontends);
@@ -20,8 +21,11 @@
         List<Step> steps = new ArrayList<>();
         steps.add(step(plan, begins, 0, Step.Phase.SETTLED));
         for (int stage = 1; stage <= most; stage++) {
-            for (Step.Phase phase : uniqued(plan, begins, stage)
-                    ? new Step.Phase[] {Step.Phase.HOLD, Step.Phase.OPEN, Step.Phase.SETTLED}
+            for (Step.Phase phase :
+                    uniqued(plan, begins, stage)
+                            ? new Step.Phase[] {
+                                Step.Phase.HOLD, Step.Phase.OPEN, Step.Phase.SETTLED
+                            }
                             : new Step.Phase[] {Step.Phase.SETTLED}) {
                 steps.add(step(plan, begins, stage, phase));
             }
@@ -29,16 +33,24 @@
         return List.copyOf(steps);
     }
 
-    /** After how many stages each may begin at the earliest, given where those that it needs begin. Without circles only. */
+    /**
+     * After how many stages each may begin at the earliest, given where those that it needs begin.
+     * Without circles only.
+     */
     static int[] begins(List<Plan.Mover> movers) {
         int[] begins = new int[movers.size()];
-        for (int round = 0; round < begins.length; round++) { // as many rounds as the longest chain can have links
+        for (int round = 0;
+                round < begins.length;
+                round++) { // as many rounds as the longest chain can have links
             for (int i = 0; i < begins.length; i++) {
                 for (int d = 0; d < begins.length; d++) {
                     Plan.Mover needed = movers.get(d);
                     if (movers.get(i).needs().contains(needed.name())) {
-                        begins[i] = Math.max(begins[i],
-                                Math.max(begins[d], needed.begins() - 1) + needed.shares().size());
+                        begins[i] =
+                                Math.max(
+                                        begins[i],
+                                        Math.max(begins[d], needed.begins() - 1)
+                                                + needed.shares().size());
                     }
                 }
             }
@@ -61,7 +73,10 @@
         for (int i = 0; i < begins.length; i++) {
             Plan.Mover m = plan.frontends.get(i);
             double to = share(m, begins[i], stage);
-            double from = m.uniqued() && phase != Step.Phase.SETTLED ? share(m, begins[i], stage - 1) : to;
+            double from =
+                    m.uniqued() && phase != Step.Phase.SETTLED
+                            ? share(m, begins[i], stage - 1)
+                            : to;
             parts.add(new Step.Part(from, to, from == to ? Step.Phase.SETTLED : phase));
         }
         return new Step(stage, phase == Step.Phase.SETTLED, List.copyOf(parts));
--- a/fleet/src/main/java/tinford/fleet/moves/Stand.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Stand.java
@@ -8,7 +8,13 @@
  * @param turn rises with each change of position, over all plans
  * @param homes where each frontend that may move lives when no plan is about it
  */
-public record Stand(Moves.State state, boolean back, long turn, int position, Plan plan, Map<String, String> homes) {
+public record Stand(
+        Moves.State state,
+        boolean back,
+        long turn,
+        int position,
+        Plan plan,
+        Map<String, String> homes) {
     public Step step() {
         return plan == null ? null : plan.steps.get(position);
     }
--- a/fleet/src/main/java/tinford/fleet/moves/Step.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Step.java
@@ -13,13 +13,22 @@
     public enum Phase {
         /** All have their group: below the share the new one. */
         SETTLED,
-        /** First tries still go to the old group, retries nowhere; where retries aren't told nothing goes anywhere. */
+        /**
+         * First tries still go to the old group, retries nowhere; where retries aren't told nothing
+         * goes anywhere.
+         */
         HOLD,
-        /** First tries go to the new group already, retries nowhere; where retries aren't told all go to the new one. */
+        /**
+         * First tries go to the new group already, retries nowhere; where retries aren't told all
+         * go to the new one.
+         */
         OPEN
     }
 
-    /** Of one frontend: customers below {@code share} have moved, those from there to below {@code until} are about to. */
+    /**
+     * Of one frontend: customers below {@code share} have moved, those from there to below {@code
+     * until} are about to.
+     */
     public record Part(double share, double until, Phase phase) {
         double load() {
             return phase == Phase.HOLD ? share : until;
--- a/fleet/src/main/java/tinford/fleet/overload/Further.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Further.java
@@ -8,18 +8,21 @@
 import tinford.fleet.members.Sight;
 
 /**
- * One budget of further dispatches for the fleet, kept as accounts: first dispatches feed the own one, further ones draw on
- * it, and what overflows is given to a gateway that saw failures, by a running total in the giver's record. A receiver takes
- * what that total rose by since it last took, so a record that is lost, doubled or old moves nothing twice: all together never
- * send more than the part of first dispatches, whatever each has heard. Without talk each lives on its own even slice. A lying
- * giver makes at most twice a middling gateway's part. Memory: two figures a gateway heard of, {@link #MOST_PEERS} at most.
+ * One budget of further dispatches for the fleet, kept as accounts: first dispatches feed the own
+ * one, further ones draw on it, and what overflows is given to a gateway that saw failures, by a
+ * running total in the giver's record. A receiver takes what that total rose by since it last took,
+ * so a record that is lost, doubled or old moves nothing twice: all together never send more than
+ * the part of first dispatches, whatever each has heard. Without talk each lives on its own even
+ * slice. A lying giver makes at most twice a middling gateway's part. Memory: two figures a gateway
+ * heard of, {@link #MOST_PEERS} at most.
  */
 public final class Further {
     private static final int MOST_PEERS = 1024;
     // saved up by the whole fleet; by one: many pots of ten would be a flood
     private static final double AT_ONCE = 40, LEAST_AT_ONCE = 2;
     private static final int MOST_FREE = 100; // not used by then, it is forgotten
-    private static final double CHOSEN_MS = 500; // one receiver for so long: its records must get there
+    private static final double CHOSEN_MS =
+            500; // one receiver for so long: its records must get there
 
     private static final class Account {
         final Life with;
@@ -32,12 +35,15 @@
 
     private final double part;
     private final Random chance;
-    private final Map<Integer, Account> given = new LinkedHashMap<>(), taken = new LinkedHashMap<>();
+    private final Map<Integer, Account> given = new LinkedHashMap<>(),
+            taken = new LinkedHashMap<>();
     private int free;
     private double full = LEAST_AT_ONCE, level, over, chosenAt = Double.NEGATIVE_INFINITY, at = -1;
     private Account to;
 
-    /** @param part of first dispatches that may be sent again, over the fleet */
+    /**
+     * @param part of first dispatches that may be sent again, over the fleet
+     */
     public Further(double part, Random chance) {
         this.part = part;
         this.chance = chance;
@@ -47,7 +53,10 @@
         return level;
     }
 
-    /** A further one costs one, or nothing where one before surely never ran: what may have run is bounded all the same. */
+    /**
+     * A further one costs one, or nothing where one before surely never ran: what may have run is
+     * bounded all the same.
+     */
     public void sent(boolean further) {
         if (!further) add(part, true);
         else if (free > 0) free--;
@@ -63,7 +72,8 @@
         at = now;
         full = Math.max(LEAST_AT_ONCE, AT_ONCE / Math.max(1, known.size()));
         level = Math.min(full, level);
-        double[] firsts = known.fresh().stream().mapToDouble(s -> Totals.clean(s.first)).sorted().toArray();
+        double[] firsts =
+                known.fresh().stream().mapToDouble(s -> Totals.clean(s.first)).sorted().toArray();
         double middling = firsts.length == 0 ? 0 : firsts[firsts.length / 2];
         for (Sight s : known.fresh()) {
             if (s.life.gateway() == own.gateway() || !own.equals(s.cededTo)) continue;
@@ -98,7 +108,8 @@
 
     private void add(double amount, boolean gives) {
         level += amount;
-        if (gives) over += Math.max(0, level - full); // what was given is not given on: it would wander
+        if (gives)
+            over += Math.max(0, level - full); // what was given is not given on: it would wander
         level = Math.min(full, level);
     }
 
@@ -111,7 +122,10 @@
         for (Sight s : known.fresh()) {
             double need = Math.max(0, Totals.clean(s.failed) - part * Totals.clean(s.first));
             if (s.life.gateway() == own.gateway() || need <= 0) continue;
-            need = Math.min(need, 100); // guards against a need without bound that takes all there is
+            need =
+                    Math.min(
+                            need,
+                            100); // guards against a need without bound that takes all there is
             all += need;
             if (chance.nextDouble() * all < need) chosen = s.life;
         }
--- a/fleet/src/main/java/tinford/fleet/overload/Line.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Line.java
@@ -4,27 +4,41 @@
 import tinford.fleet.members.Sight;
 
 /**
- * The worth a unit below which nothing is passed while the servers bear less than is asked for: every gateway works it out
- * from the same records. What the servers bear is what they answer in time while strained; it is told to the others, and a
- * middle value of what all believe is kept to, so that gateways that join, or that heard a little less, end at the same line.
- * Without strain it grows, slowly at first and then ever faster, until there is no line: whoever still asks, a line is gone
- * within two windows after its cause.
+ * The worth a unit below which nothing is passed while the servers bear less than is asked for:
+ * every gateway works it out from the same records. What the servers bear is what they answer in
+ * time while strained; it is told to the others, and a middle value of what all believe is kept to,
+ * so that gateways that join, or that heard a little less, end at the same line. Without strain it
+ * grows, slowly at first and then ever faster, until there is no line: whoever still asks, a line
+ * is gone within two windows after its cause.
  */
 public final class Line {
     private static final double NONE = Double.POSITIVE_INFINITY;
-    private static final double WAIT_S = 0.05; // for a slot, on average: gateways' own limits are full; bursts stay below
-    private static final double CHANCE = 3; // standard deviations: with few reqs, one that waits is no strain
-    private static final double LASTS_MS = 600; // before a line begins: a start, or a burst, is over by then
-    private static final double BAD = 0.25; // of what ended, late or failed: above one server in five that is ill
-    private static final double SETTLE_MS = 400; // towards what is answered now: some rounds, or one bad one would set it
-    private static final double AGREE_MS = 2000; // towards the others: slower than the growth, or their age would hold it back
-    private static final double OPENED = 1.1; // borne over asked for: a line that would pass all but bursts is none
+    private static final double WAIT_S =
+            0.05; // for a slot, on average: gateways' own limits are full; bursts stay below
+    private static final double CHANCE =
+            3; // standard deviations: with few reqs, one that waits is no strain
+    private static final double LASTS_MS =
+            600; // before a line begins: a start, or a burst, is over by then
+    private static final double BAD =
+            0.25; // of what ended, late or failed: above one server in five that is ill
+    private static final double SETTLE_MS =
+            400; // towards what is answered now: some rounds, or one bad one would set it
+    private static final double AGREE_MS =
+            2000; // towards the others: slower than the growth, or their age would hold it back
+    private static final double OPENED =
+            1.1; // borne over asked for: a line that would pass all but bursts is none
 
     private final double window;
-    private double bears = NONE, strainedFor, strainedAt, at = -1, openedAt = Double.NEGATIVE_INFINITY;
+    private double bears = NONE,
+            strainedFor,
+            strainedAt,
+            at = -1,
+            openedAt = Double.NEGATIVE_INFINITY;
     private double threshold, part = 1, asked;
 
-    /** @param window in ms: without strain, the line is gone within two of them */
+    /**
+     * @param window in ms: without strain, the line is gone within two of them
+     */
     public Line(double window) {
         this.window = window;
     }
@@ -64,11 +78,15 @@
         if (strained && (bears != NONE || strainedFor >= LASTS_MS)) {
             strainedAt = now;
             double towards = Math.min(all.demand, all.goodUnits);
-            bears = bears == NONE ? Math.max(towards, all.demand / 2)
-                    : bears + (towards - bears) * Math.min(1, passed / SETTLE_MS);
+            bears =
+                    bears == NONE
+                            ? Math.max(towards, all.demand / 2)
+                            : bears + (towards - bears) * Math.min(1, passed / SETTLE_MS);
         } else if (bears != NONE) {
             double calm = now - strainedAt, before = Math.max(0, calm - passed);
-            bears = Math.max(bears, all.demand / 64) * Math.pow(2, (calm * calm - before * before) / (window * window));
+            bears =
+                    Math.max(bears, all.demand / 64)
+                            * Math.pow(2, (calm * calm - before * before) / (window * window));
             if (bears > OPENED * all.demand) {
                 bears = NONE;
                 openedAt = now;
@@ -77,18 +95,24 @@
         draw(all);
     }
 
-    // guards against a line out of chance that what it sheds keeps up: the fewer are passed, the less waits
+    // guards against a line out of chance that what it sheds keeps up: the fewer are passed, the
+    // less waits
     private static boolean waits(Totals all) {
         double usual = WAIT_S * all.first;
         return all.waiting > usual + CHANCE * Math.sqrt(Math.max(1, usual));
     }
 
     private void agree(Known known, double passed) {
-        double[] told = known.fresh().stream().mapToDouble(s -> Totals.clean(s.bears))
-                .map(b -> b > 0 ? b : NONE).sorted().toArray();
+        double[] told =
+                known.fresh().stream()
+                        .mapToDouble(s -> Totals.clean(s.bears))
+                        .map(b -> b > 0 ? b : NONE)
+                        .sorted()
+                        .toArray();
         double middle = told[told.length / 2];
         if (middle != NONE && bears == NONE) {
-            // a gateway that joins; but a line that just went does not come back by records of before
+            // a gateway that joins; but a line that just went does not come back by records of
+            // before
             bears = at - openedAt > window ? middle : NONE;
         } else if (middle != NONE) {
             bears *= Math.pow(middle / bears, Math.min(1, passed / AGREE_MS));
--- a/fleet/src/main/java/tinford/fleet/overload/Overload.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Overload.java
@@ -10,11 +10,12 @@
 import tinford.fleet.members.Sight;
 
 /**
- * Overload handled by the fleet as one: the part of the view that bounds what is passed, sent again, and tried. No I/O, one
- * thread.
+ * Overload handled by the fleet as one: the part of the view that bounds what is passed, sent
+ * again, and tried. No I/O, one thread.
  */
 public final class Overload extends View {
-    private static final double STEP_MS = 100; // the line is worked out this often; records come no faster
+    private static final double STEP_MS =
+            100; // the line is worked out this often; records come no faster
 
     private final Life life;
     private final Own own;
--- a/fleet/src/main/java/tinford/fleet/overload/Own.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Own.java
@@ -5,13 +5,22 @@
 import tinford.fleet.members.Life;
 import tinford.fleet.members.Sight;
 
-/** What this gateway saw itself over the last second, in five buckets used again in a ring: of one size whatever comes. */
+/**
+ * What this gateway saw itself over the last second, in five buckets used again in a ring: of one
+ * size whatever comes.
+ */
 public final class Own {
     private static final int BUCKETS = 5;
     private static final double BUCKET_MS = 200;
-    private static final int FIRST = 0, FURTHER = 1, GOOD = 2, LATE = 3, FAILED = 4, GOOD_UNITS = 5, COUNTS = 6;
-
-    private final double[][] asked = new double[BUCKETS][Sight.CLASSES], denied = new double[BUCKETS][Sight.CLASSES];
+    private static final int FIRST = 0,
+            FURTHER = 1,
+            GOOD = 2,
+            LATE = 3,
+            FAILED = 4,
+            GOOD_UNITS = 5,
+            COUNTS = 6;
+    private final double[][] asked = new double[BUCKETS][Sight.CLASSES],
+            denied = new double[BUCKETS][Sight.CLASSES];
     private final double[][] counts = new double[BUCKETS][COUNTS];
     private final long startedTurn;
     private final double startedAt;
@@ -62,11 +71,14 @@
             }
             case TIMED_OUT -> count(LATE, 1);
             case ERROR, BROKEN, FULL -> count(FAILED, 1);
-            default -> { } // not reached says nothing of what the others bear, and costs no further dispatch
+            default -> {} // not reached says nothing of what the others bear, and costs no further
+                // dispatch
         }
     }
 
-    /** The record of now. What of a class was neither denied nor asked for lately counts as sent. */
+    /**
+     * The record of now. What of a class was neither denied nor asked for lately counts as sent.
+     */
     public Sight sight(Life life, int seq) {
         Sight s = new Sight(life, seq);
         double second = span() / 1000;
@@ -91,11 +103,12 @@
     }
 
     /**
-     * Time that the buckets cover: a part of the one that runs, and never less than one, or a first req would look like a
-     * flood.
+     * Time that the buckets cover: a part of the one that runs, and never less than one, or a first
+     * req would look like a flood.
      */
     private double span() {
-        double covered = Math.min(now - startedAt, (BUCKETS - 1) * BUCKET_MS + now - turn * BUCKET_MS);
+        double covered =
+                Math.min(now - startedAt, (BUCKETS - 1) * BUCKET_MS + now - turn * BUCKET_MS);
         return Math.max(BUCKET_MS, turn == startedTurn ? BUCKET_MS : covered);
     }
 
--- a/fleet/src/main/java/tinford/fleet/overload/Owners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Owners.java
@@ -11,20 +11,23 @@
 import tinford.fleet.members.Sight;
 
 /**
- * Who finds out how a server does that was put aside: the one that rendezvous hashing draws among those that live, so that the
- * tries at it do not grow with the gateways. The others leave it alone until it is told well, or until its owner has said
- * nothing for {@link #PATIENCE_MS}; then they look by chance, all together ever more rarely but never less than every {@link
- * #RAREST_MS}. What one alone says of a server that works here counts for nothing; two must say so. A server told well that is
- * not costs a try a gateway, each time after twice the wait. Memory: one note for each of {@link #MOST} servers at most,
- * dropped {@link #FORGET_MS} after they were last told of.
+ * Who finds out how a server does that was put aside: the one that rendezvous hashing draws among
+ * those that live, so that the tries at it do not grow with the gateways. The others leave it alone
+ * until it is told well, or until its owner has said nothing for {@link #PATIENCE_MS}; then they
+ * look by chance, all together ever more rarely but never less than every {@link #RAREST_MS}. What
+ * one alone says of a server that works here counts for nothing; two must say so. A server told
+ * well that is not costs a try a gateway, each time after twice the wait. Memory: one note for each
+ * of {@link #MOST} servers at most, dropped {@link #FORGET_MS} after they were last told of.
  */
 public final class Owners {
     private static final int MOST = 2048;
-    private static final double PATIENCE_MS = 6000; // the decisions' longest bar of 4 s, and the time that records take
+    private static final double PATIENCE_MS =
+            6000; // the decisions' longest bar of 4 s, and the time that records take
     // all that are not the owner together, at first; then half of the time since it was put aside
     private static final double SOON_MS = 4000;
     private static final double RAREST_MS = 30_000;
-    private static final double RETURN_MS = 300; // those who return to a server told well spread over so long
+    private static final double RETURN_MS =
+            300; // those who return to a server told well spread over so long
     private static final double TRUSTED_MS = 2000; // own good news that outweigh what others say
     private static final double FORGET_MS = 120_000;
 
@@ -34,7 +37,11 @@
         boolean ill, toldIll;
         int owner;
         long ownerIn = -1;
-        double foundAt = Double.NEGATIVE_INFINITY, heardAt = foundAt, wellAt = foundAt, ownerAt = foundAt, touchedAt;
+        double foundAt = Double.NEGATIVE_INFINITY,
+                heardAt = foundAt,
+                wellAt = foundAt,
+                ownerAt = foundAt,
+                touchedAt;
         double backAt, distrust = 250, since, waited, due;
 
         Note(int server) {
@@ -59,7 +66,10 @@
         return mix(srv.id.hashCode());
     }
 
-    /** Among those that live: the same for all that know the same, and moving only what its owner lost. */
+    /**
+     * Among those that live: the same for all that know the same, and moving only what its owner
+     * lost.
+     */
     static int owner(int server, Known known) {
         int best = -1, most = 0;
         for (int g : known.all()) {
@@ -85,13 +95,18 @@
                 Note n = note(told.server());
                 if (n == null) continue;
                 n.touchedAt = now;
-                double age = told.ago() >= 0 && told.ago() < FORGET_MS ? told.ago() : FORGET_MS, when = now - age;
+                double age = told.ago() >= 0 && told.ago() < FORGET_MS ? told.ago() : FORGET_MS,
+                        when = now - age;
                 boolean owns = ownerOf(n) == s.life.gateway();
                 if (owns && when > n.ownerAt) n.ownerAt = when;
                 if (told.ill()) {
-                    if (age < PATIENCE_MS) sayIll.computeIfAbsent(n.server, k -> new ArrayList<>()).add(s.life.gateway());
+                    if (age < PATIENCE_MS)
+                        sayIll.computeIfAbsent(n.server, k -> new ArrayList<>())
+                                .add(s.life.gateway());
                     if (owns) n.heardAt = Math.max(n.heardAt, when);
-                } else if ((n.ill || n.toldIll) && when > Math.max(n.foundAt + n.distrust, n.heardAt) && when > n.wellAt + 100) {
+                } else if ((n.ill || n.toldIll)
+                        && when > Math.max(n.foundAt + n.distrust, n.heardAt)
+                        && when > n.wellAt + 100) {
                     n.wellAt = when;
                     n.backAt = now + RETURN_MS * chance.nextDouble();
                 }
@@ -99,19 +114,27 @@
         }
         for (Note n : notes.values()) {
             boolean told = now - Math.max(n.ownerAt, n.foundAt) < PATIENCE_MS;
-            double gap = told ? RAREST_MS : Math.max(SOON_MS, Math.min(RAREST_MS, (now - n.since) / 2));
+            double gap =
+                    told ? RAREST_MS : Math.max(SOON_MS, Math.min(RAREST_MS, (now - n.since) / 2));
             n.waited += passed / gap / heard.living();
-            // two say so, and later one is enough: when all leave it alone, its owner alone has news of it
-            n.toldIll = sayIll.getOrDefault(n.server, List.of()).size() >= (n.toldIll ? 1 : 2) && n.wellAt <= n.heardAt;
+            // two say so, and later one is enough: when all leave it alone, its owner alone has
+            // news of it
+            n.toldIll =
+                    sayIll.getOrDefault(n.server, List.of()).size() >= (n.toldIll ? 1 : 2)
+                            && n.wellAt <= n.heardAt;
         }
         notes.values().removeIf(n -> now - n.touchedAt > FORGET_MS);
     }
 
-    /** A finding of this gateway itself; that a server is well matters only where somebody said otherwise. */
+    /**
+     * A finding of this gateway itself; that a server is well matters only where somebody said
+     * otherwise.
+     */
     public void found(Srv srv, boolean ill) {
         Note n = ill ? note(nameOf(srv)) : notes.get(nameOf(srv));
         if (n == null) return;
-        if (ill && n.wellAt > n.foundAt && now - n.wellAt < PATIENCE_MS) n.distrust = Math.min(2 * n.distrust, RAREST_MS);
+        if (ill && n.wellAt > n.foundAt && now - n.wellAt < PATIENCE_MS)
+            n.distrust = Math.min(2 * n.distrust, RAREST_MS);
         if (ill && !n.ill) draw(n, now);
         if (!ill) n.distrust = 250;
         n.ill = ill;
@@ -125,14 +148,16 @@
     }
 
     /**
-     * Whether this gateway may send to it: well as far as known, told well again, its own to look after, or due for a rare
-     * look.
+     * Whether this gateway may send to it: well as far as known, told well again, its own to look
+     * after, or due for a rare look.
      */
     public boolean looksAfter(Srv srv) {
         Note n = notes.get(nameOf(srv));
         if (n == null || known == null || known.living() <= 1) return true;
-        boolean leave = n.ill ? !(n.wellAt > n.foundAt && now >= n.backAt) 
-                : (n.toldIll || now < n.backAt) && now - n.foundAt > TRUSTED_MS;
+        boolean leave =
+                n.ill
+                        ? !(n.wellAt > n.foundAt && now >= n.backAt)
+                        : (n.toldIll || now < n.backAt) && now - n.foundAt > TRUSTED_MS;
         if (!leave || ownerOf(n) == own.gateway()) return true;
         return n.waited >= n.due;
     }
@@ -140,7 +165,9 @@
     /** Into the own record, the latest findings in turn where they do not all fit. */
     public void tell(Sight s) {
         List<Note> found = new ArrayList<>();
-        for (Note n : notes.values()) { if (now - n.foundAt < (n.ill ? FORGET_MS : PATIENCE_MS)) found.add(n); }
+        for (Note n : notes.values()) {
+            if (now - n.foundAt < (n.ill ? FORGET_MS : PATIENCE_MS)) found.add(n);
+        }
         for (int i = 0; i < Math.min(Sight.MOST_ILL, found.size()); i++) {
             Note n = found.get(Math.floorMod(turn + i, found.size()));
             s.ills.add(new Sight.Ill(n.server, n.ill, now - n.foundAt));
@@ -155,7 +182,8 @@
         return n.owner;
     }
 
-    // each looks at times of its own, on average once in as many gaps as gateways live: all together once a gap
+    // each looks at times of its own, on average once in as many gaps as gateways live: all
+    // together once a gap
     private void draw(Note n, double since) {
         n.since = since;
         n.waited = 0;
--- a/fleet/src/main/java/tinford/fleet/overload/Totals.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Totals.java
@@ -7,13 +7,15 @@
 import tinford.fleet.members.Sight;
 
 /**
- * What the fleet sees together: the mean of the records times those that live. A figure that is no number counts as nought,
- * and one record weighs at most {@link #MOST} times the mean of the others, so that a lying one among n adds at most MOST/n to
- * each total.
+ * What the fleet sees together: the mean of the records times those that live. A figure that is no
+ * number counts as nought, and one record weighs at most {@link #MOST} times the mean of the
+ * others, so that a lying one among n adds at most MOST/n to each total.
  */
 final class Totals {
-    // a lie takes so much, over the number of gateways, of the demand away from what is borne: of 14 a seventh. An honest gateway
-    // with more is counted as if it had no more: the line is then too low, and gateways' own limits hold as they do alone
+    // a lie takes so much, over the number of gateways, of the demand away from what is borne: of
+    // 14 a seventh. An honest gateway
+    // with more is counted as if it had no more: the line is then too low, and gateways' own limits
+    // hold as they do alone
     static final double MOST = 2;
 
     final double[] asked = new double[Sight.CLASSES];
@@ -36,7 +38,8 @@
         first = scale * capped(records, s -> s.first);
         waiting = scale * capped(records, s -> s.waiting);
         goodUnits = scale * capped(records, s -> s.goodUnits);
-        double good = capped(records, s -> s.good), not = capped(records, s -> s.late) + capped(records, s -> s.failed);
+        double good = capped(records, s -> s.good),
+                not = capped(records, s -> s.late) + capped(records, s -> s.failed);
         bad = not / Math.max(1e-9, good + not);
     }
 
@@ -59,7 +62,8 @@
     }
 
     private static double capped(List<Sight> records, ToDoubleFunction<Sight> figure) {
-        double[] figures = records.stream().mapToDouble(s -> clean(figure.applyAsDouble(s))).toArray();
+        double[] figures =
+                records.stream().mapToDouble(s -> clean(figure.applyAsDouble(s))).toArray();
         double most = most(figures);
         return Arrays.stream(figures).map(f -> Math.min(f, most)).sum();
     }
--- a/fleet/src/main/java/tinford/fleet/overload/Trial.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Trial.java
@@ -22,41 +22,61 @@
 import tinford.fleet.members.Sight;
 
 /**
- * A simulated strain in virtual time: half of the servers are lost for {@link #LOST_MS}, clients of what is denied or fails
- * come back. The gateways here are simpler than the decisions (learned limit, line by worth, servers put aside), and what is
- * compared is the view alone.
+ * A simulated strain in virtual time: half of the servers are lost for {@link #LOST_MS}, clients of
+ * what is denied or fails come back. The gateways here are simpler than the decisions (learned
+ * limit, line by worth, servers put aside), and what is compared is the view alone.
  */
 public final class Trial {
     /** Alone: no view. Talk: records of 100 to 500 ms of age, one in ten lost. Cut: none heard. */
-    public enum Mode { ALONE, TALK, CUT }
+    public enum Mode {
+        ALONE,
+        TALK,
+        CUT
+    }
 
     /**
-     * @param worth passed over worth asked first, while strained; @param best what one that sees all could pass at most;
+     * @param worth passed over worth asked first, while strained; @param best what one that sees
+     *     all could pass at most;
      * @param apart deviation between gateways of what worthy reqs lose
      */
-    public record Result(double worth, double best, double dispatches, double tries, double apart,
-            double recovery, double wholeWorth) { }
+    public record Result(
+            double worth,
+            double best,
+            double dispatches,
+            double tries,
+            double apart,
+            double recovery,
+            double wholeWorth) {}
 
     private static final int SERVERS = 20;
-    private static final double STEP = 10, SERVES = 0.15, TARGET = 500, STARTS = 8000, LOST_MS = 10_000, ENDS = 32_000, BASE = 30;
+    private static final double STEP = 10,
+            SERVES = 0.15,
+            TARGET = 500,
+            STARTS = 8000,
+            LOST_MS = 10_000,
+            ENDS = 32_000,
+            BASE = 30;
     private static final double[] VALUES = {0.5, 1, 2, 4, 8};
-    private static final double SKEW = 0.6; // gateways' traffic: the last gets (1+SKEW)/(1-SKEW) times that of the first
+    private static final double SKEW =
+            0.6; // gateways' traffic: the last gets (1+SKEW)/(1-SKEW) times that of the first
 
     private final Random chance;
     private final Mode mode;
     private final double window;
     private final List<Server> servers = new ArrayList<>();
     private final List<Gate> gates = new ArrayList<>();
-    private final PriorityQueue<Due> dues = new PriorityQueue<>(
-            Comparator.comparingDouble((Due d) -> d.at).thenComparingLong(d -> d.no));
+    private final PriorityQueue<Due> dues =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble((Due d) -> d.at).thenComparingLong(d -> d.no));
     private double now;
     private long made;
     private double asked, worth, allAsked, allWorth, first, sent, tries;
-    private final double[] passedBy = new double[(int) (ENDS / 500)], askedBy = new double[passedBy.length];
+    private final double[] passedBy = new double[(int) (ENDS / 500)],
+            askedBy = new double[passedBy.length];
 
     private final double[] units = new double[VALUES.length];
 
-    private record Due(double at, long no, Runnable what) { }
+    private record Due(double at, long no, Runnable what) {}
 
     private static final class Server {
         final Srv srv;
@@ -98,8 +118,12 @@
         final View view;
         final Map<Integer, Sight> heard = new LinkedHashMap<>();
         final Map<Server, Node> nodes = new LinkedHashMap<>();
-        final TreeSet<Job> line = new TreeSet<>((a, b) -> a.worth == b.worth
-                ? Long.compare(a.req.id, b.req.id) : Double.compare(b.worth, a.worth));
+        final TreeSet<Job> line =
+                new TreeSet<>(
+                        (a, b) ->
+                                a.worth == b.worth
+                                        ? Long.compare(a.req.id, b.req.id)
+                                        : Double.compare(b.worth, a.worth));
         double limit, mean = 60, spare, worthyAsked, worthyPassed;
         int out;
         private List<Sight> fresh;
@@ -107,7 +131,9 @@
 
         Gate(int number, int gateways) {
             this.number = number;
-            overload = new Overload(0, new Life(number, 1), window, 0.1, new Random(chance.nextLong()));
+            overload =
+                    new Overload(
+                            0, new Life(number, 1), window, 0.1, new Random(chance.nextLong()));
             view = mode == Mode.TALK || mode == Mode.CUT ? overload : new View();
             for (Server s : servers) nodes.put(s, new Node());
             limit = 5.0 * SERVERS / gateways;
@@ -146,14 +172,19 @@
             return TARGET - Math.max(0.1 * TARGET, 1.6 * mean);
         }
 
-        /** Each record gets to a few at once and to all within half a second; one in ten is lost. */
+        /**
+         * Each record gets to a few at once and to all within half a second; one in ten is lost.
+         */
         private void tell(Sight s) {
             for (Gate g : gates) {
-                if (g == this || chance.nextDouble() < 0.1
+                if (g == this
+                        || chance.nextDouble() < 0.1
                         || gates.size() > 60 && chance.nextDouble() > 60.0 / gates.size()) continue;
-                later(100 + 400 * chance.nextDouble(), () -> {
-                    if (s.newer(g.heard.get(number))) g.heard.put(number, s);
-                });
+                later(
+                        100 + 400 * chance.nextDouble(),
+                        () -> {
+                            if (s.newer(g.heard.get(number))) g.heard.put(number, s);
+                        });
             }
         }
 
@@ -169,7 +200,8 @@
             int alike = 1;
             for (Map.Entry<Server, Node> e : nodes.entrySet()) {
                 Node n = e.getValue();
-                if (now < n.barredUntil || n.ill && n.out > 0 || !view.looksAfter(e.getKey().srv)) continue;
+                if (now < n.barredUntil || n.ill && n.out > 0 || !view.looksAfter(e.getKey().srv))
+                    continue;
                 if (best != null && n.out > nodes.get(best).out) continue;
                 alike = best != null && n.out == nodes.get(best).out ? alike + 1 : 1;
                 if (chance.nextInt(alike) == 0) best = e.getKey();
@@ -220,7 +252,8 @@
             n.failed = 0;
             n.ill = false;
             if (!late) view.ill(s.srv, false);
-            if (late) back(j); else passed(j);
+            if (late) back(j);
+            else passed(j);
         }
 
         void passed(Job j) {
@@ -240,7 +273,9 @@
         void back(Job j) {
             if (j.round >= 3 || chance.nextDouble() > 0.67) return;
             Gate g = gates.get(chance.nextInt(gates.size()));
-            later(300 + view.spread() * chance.nextDouble(), () -> g.arrive(new Job(j.req, j.worth, j.round + 1, j.counts)));
+            later(
+                    300 + view.spread() * chance.nextDouble(),
+                    () -> g.arrive(new Job(j.req, j.worth, j.round + 1, j.counts)));
         }
 
         @Override
@@ -288,7 +323,9 @@
         dues.add(new Due(now + ms, made++, what));
     }
 
-    /** Load: 0.8 of all servers; which worth comes through which gateway is as uneven as how much. */
+    /**
+     * Load: 0.8 of all servers; which worth comes through which gateway is as uneven as how much.
+     */
     public Result run() {
         for (int i = 0; i < SERVERS; i++) servers.add(new Server(i));
         for (int g = 0; g < gateways; g++) {
@@ -296,24 +333,45 @@
             numbers.add(g);
         }
         List<Frontend> kinds = new ArrayList<>();
-        for (double v : VALUES) kinds.add(new Frontend("f" + v,
-                TARGET, 2 * TARGET, v, 0, Effect.IDEMPOTENT, Group.ALL, 0, false));
+        for (double v : VALUES)
+            kinds.add(
+                    new Frontend(
+                            "f" + v,
+                            TARGET,
+                            2 * TARGET,
+                            v,
+                            0,
+                            Effect.IDEMPOTENT,
+                            Group.ALL,
+                            0,
+                            false));
         Customer customer = new Customer(1, new Plan("p", 0, 0, 0, 1, 1, 0, 0, 0, 0), 1, 0);
         double rate = 0.8 * SERVERS * SERVES / 2.5; // reqs a ms, of 1 to 4 units
         int seq = 0;
         for (now = 0; now < ENDS; now += STEP, seq++) {
-            for (int i = 0; i < SERVERS / 2; i++) servers.get(2 * i).lost = now >= STARTS && now < STARTS + LOST_MS;
+            for (int i = 0; i < SERVERS / 2; i++)
+                servers.get(2 * i).lost = now >= STARTS && now < STARTS + LOST_MS;
             double until = now;
             while (!dues.isEmpty() && dues.peek().at <= until) dues.poll().what.run();
             for (Gate g : gates) g.step(seq);
-            for (int i = (int) (rate * STEP + chance.nextDouble()); i > 0; i--) ask(kinds, customer);
+            for (int i = (int) (rate * STEP + chance.nextDouble()); i > 0; i--)
+                ask(kinds, customer);
         }
-        double[] lost = gates.stream().filter(g -> g.worthyAsked > 0).mapToDouble(g -> g.worthyPassed / g.worthyAsked).toArray();
+        double[] lost =
+                gates.stream()
+                        .filter(g -> g.worthyAsked > 0)
+                        .mapToDouble(g -> g.worthyPassed / g.worthyAsked)
+                        .toArray();
         double mean = 0, square = 0;
         for (double l : lost) mean += l / lost.length;
         for (double l : lost) square += (l - mean) * (l - mean) / lost.length;
-        return new Result(worth / asked, best() / asked, sent / first,
-                tries / (LOST_MS - 3000) * 1000 / (SERVERS / 2), Math.sqrt(square), recovery(),
+        return new Result(
+                worth / asked,
+                best() / asked,
+                sent / first,
+                tries / (LOST_MS - 3000) * 1000 / (SERVERS / 2),
+                Math.sqrt(square),
+                recovery(),
                 allWorth / allAsked);
     }
 
@@ -322,7 +380,14 @@
         int g = (int) (gateways * (place * (1 - SKEW) + place * place * SKEW));
         // low numbers see more of what is worth most
         int kind = (int) (VALUES.length * Math.pow(chance.nextDouble(), 0.75 + 0.5 * g / gateways));
-        Req req = new Req(made++, kinds.get(kind), customer, now + 2 * TARGET, 1 + chance.nextInt(4), false);
+        Req req =
+                new Req(
+                        made++,
+                        kinds.get(kind),
+                        customer,
+                        now + 2 * TARGET,
+                        1 + chance.nextInt(4),
+                        false);
         boolean counts = now >= STARTS + 1000 && now < STARTS + LOST_MS;
         Job j = new Job(req, VALUES[kind], 0, counts);
         double w = j.worth * req.units;
@@ -334,7 +399,10 @@
         gates.get(g).arrive(j);
     }
 
-    /** All that the servers that are left can do, filled from the worthiest down, without a delay or an error. */
+    /**
+     * All that the servers that are left can do, filled from the worthiest down, without a delay or
+     * an error.
+     */
     private double best() {
         double left = SERVES * SERVERS / 2 * (LOST_MS - 1000), best = 0;
         for (int k = VALUES.length - 1; k >= 0; k--) {
@@ -356,30 +424,50 @@
         return ENDS - STARTS - LOST_MS;
     }
 
-    /** Prints one table: means over seeds, and half of a 95% interval. Arguments: seeds, then numbers of gateways. */
+    /**
+     * Prints one table: means over seeds, and half of a 95% interval. Arguments: seeds, then
+     * numbers of gateways.
+     */
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 5;
-        int[] sizes = args.length > 1 
-                ? java.util.Arrays.stream(args).skip(1).mapToInt(Integer::parseInt).toArray() : new int[] {5, 14, 100, 400};
-        System.out.println("| gateways | mode | worth while strained | all-seeing "
-                + "| dispatches a req | tries a second at an ill server "
-                + "| apart | as before, ms | worth, whole |");
+        int[] sizes =
+                args.length > 1
+                        ? java.util.Arrays.stream(args)
+                                .skip(1)
+                                .mapToInt(Integer::parseInt)
+                                .toArray()
+                        : new int[] {5, 14, 100, 400};
+        System.out.println(
+                "| gateways | mode | worth while strained | all-seeing "
+                        + "| dispatches a req | tries a second at an ill server "
+                        + "| apart | as before, ms | worth, whole |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (int n : sizes) {
             for (Mode mode : Mode.values()) {
                 List<Result> all = new ArrayList<>();
                 for (int s = 0; s < seeds; s++) all.add(new Trial(100 + s, n, mode, 4000).run());
-                System.out.printf("| %d | %s | %s | %s | %s | %s | %s | %s | %s |%n", n, mode.name().toLowerCase(),
-                        interval(all, Result::worth, 3), interval(all, Result::best, 3),
-                        interval(all, Result::dispatches, 3), interval(all, Result::tries, 2), interval(all, Result::apart, 3),
-                        interval(all, Result::recovery, 0), interval(all, Result::wholeWorth, 3));
+                System.out.printf(
+                        "| %d | %s | %s | %s | %s | %s | %s | %s | %s |%n",
+                        n,
+                        mode.name().toLowerCase(),
+                        interval(all, Result::worth, 3),
+                        interval(all, Result::best, 3),
+                        interval(all, Result::dispatches, 3),
+                        interval(all, Result::tries, 2),
+                        interval(all, Result::apart, 3),
+                        interval(all, Result::recovery, 0),
+                        interval(all, Result::wholeWorth, 3));
             }
         }
     }
 
-    private static String interval(List<Result> all, java.util.function.ToDoubleFunction<Result> of, int digits) {
+    private static String interval(
+            List<Result> all, java.util.function.ToDoubleFunction<Result> of, int digits) {
         double mean = all.stream().mapToDouble(of).average().orElse(0), n = all.size();
-        double square = all.stream().mapToDouble(of).map(x -> (x - mean) * (x - mean)).sum() / Math.max(1, n - 1);
-        return String.format("%." + digits + "f ± %." + digits + "f", mean, 2 * Math.sqrt(square / n));
+        double square =
+                all.stream().mapToDouble(of).map(x -> (x - mean) * (x - mean)).sum()
+                        / Math.max(1, n - 1);
+        return String.format(
+                "%." + digits + "f ± %." + digits + "f", mean, 2 * Math.sqrt(square / n));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/Agreed.java
+++ b/fleet/src/main/java/tinford/fleet/run/Agreed.java
@@ -17,30 +17,43 @@
 import tinford.fleet.store.Log;
 
 /**
- * What the log's entries have come to: terms and budgets, and moves, each taking its own entries. A process has it twice: on the
- * log's thread for snapshots, and on the I/O thread, where it is acted on; both see the same entries in the same order.
+ * What the log's entries have come to: terms and budgets, and moves, each taking its own entries. A
+ * process has it twice: on the log's thread for snapshots, and on the I/O thread, where it is acted
+ * on; both see the same entries in the same order.
  */
 final class Agreed implements Log.Reader {
     final Terms terms;
     final Ledger ledger;
     final Moves moves;
 
-    /** @param homes the group of each frontend that may move */
-    Agreed(int gateways, double term, double apart, double linger, Statics statics, Map<String, String> homes) {
+    /**
+     * @param homes the group of each frontend that may move
+     */
+    Agreed(
+            int gateways,
+            double term,
+            double apart,
+            double linger,
+            Statics statics,
+            Map<String, String> homes) {
         terms = new Terms(gateways, term, apart, linger);
         ledger = new Ledger(terms, statics);
-        moves = new Moves(homes, since -> {
-            java.util.ArrayList<Life> lives = new java.util.ArrayList<>();
-            for (int g = 0; g < gateways; g++) {
-                for (Life life : terms.of(g)) {
-                    Term t = terms.of(life);
-                    if (t != null && !t.surelyOver(since, apart)) {
-                        lives.add(life);
-                    }
-                }
-            }
-            return lives;
-        }, apart);
+        moves =
+                new Moves(
+                        homes,
+                        since -> {
+                            java.util.ArrayList<Life> lives = new java.util.ArrayList<>();
+                            for (int g = 0; g < gateways; g++) {
+                                for (Life life : terms.of(g)) {
+                                    Term t = terms.of(life);
+                                    if (t != null && !t.surelyOver(since, apart)) {
+                                        lives.add(life);
+                                    }
+                                }
+                            }
+                            return lives;
+                        },
+                        apart);
     }
 
     @Override
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -16,7 +16,10 @@
 import tinford.program.Companion;
 import tinford.transport.Loop;
 
-/** One gateway's part in its fleet: what the operator file asks for, made once and called on the I/O thread from then on. */
+/**
+ * One gateway's part in its fleet: what the operator file asks for, made once and called on the I/O
+ * thread from then on.
+ */
 final class Fleet implements Companion {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
     private static final double TICK = 50;
@@ -51,7 +54,11 @@
         this.orders = orders;
         this.handed = handed;
         this.historyPath = historyPath;
-        this.offset = Double.parseDouble(System.getProperty("tinford.clock.offset_ms", "0")); // for tests: a clock that is apart
+        this.offset =
+                Double.parseDouble(
+                        System.getProperty(
+                                "tinford.clock.offset_ms",
+                                "0")); // for tests: a clock that is apart
     }
 
     /** This machine's wall clock; never steps back. */
@@ -67,31 +74,69 @@
         mailbox = new Mailbox(MOST_SOFT, MOST_HARD, what -> enter.accept(what::run));
         double every = orders.number("talk.every_ms");
         double suspect = orders.number("talk.suspect_ms");
-        members = new Members(life, place.gateways, every, (int) orders.number("talk.fanout"), suspect, suspect,
-                new Random(handed.seed()));
-        overload = new Overload(now, life, orders.number("overload.window_ms"), orders.number("overload.further_part"),
-                new Random(handed.seed() + 1));
+        members =
+                new Members(
+                        life,
+                        place.gateways,
+                        every,
+                        (int) orders.number("talk.fanout"),
+                        suspect,
+                        suspect,
+                        new Random(handed.seed()));
+        overload =
+                new Overload(
+                        now,
+                        life,
+                        orders.number("overload.window_ms"),
+                        orders.number("overload.further_part"),
+                        new Random(handed.seed() + 1));
         if (orders.on("budgets.on") || orders.on("moves.on")) {
-            hard = new Hard(orders, life, place.gateways, Hard.statics(orders, place.gateways),
-                    moves == null ? Map.of() : moves.homes(), mailbox);
+            hard =
+                    new Hard(
+                            orders,
+                            life,
+                            place.gateways,
+                            Hard.statics(orders, place.gateways),
+                            moves == null ? Map.of() : moves.homes(),
+                            mailbox);
         }
         history = History.at(historyPath, life);
         if (moves != null) {
             mover = new Mover(hard.agreed, life, moves, hard::append, hard::left, history);
             hard.applied = entry -> mover.applied(entry, now());
-            new OrderFile(Path.of(orders.text("log.folder")), mailbox, (line, then) -> mover.order(line, now(), then)).start();
+            new OrderFile(
+                            Path.of(orders.text("log.folder")),
+                            mailbox,
+                            (line, then) -> mover.order(line, now(), then))
+                    .start();
         }
-        view = new FleetView(orders.on("overload.on") ? overload : null, orders.on("budgets.on") ? hard : null, mover, hard, this::now,
-                srv -> history.add(now(), "try", "server", srv.id));
+        view =
+                new FleetView(
+                        orders.on("overload.on") ? overload : null,
+                        orders.on("budgets.on") ? hard : null,
+                        mover,
+                        hard,
+                        this::now,
+                        srv -> history.add(now(), "try", "server", srv.id));
         if (handed.mayTalk()) {
-            talk = new Udp(place.number, handed.listen(), handed.peers(), MOST_BYTES,
-                    (from, message) -> mailbox.soft(() -> members.heard(message, from, now())));
+            talk =
+                    new Udp(
+                            place.number,
+                            handed.listen(),
+                            handed.peers(),
+                            MOST_BYTES,
+                            (from, message) ->
+                                    mailbox.soft(() -> members.heard(message, from, now())));
         }
         history.add(now, "start");
         if (hard != null) {
             history.add(now, "term", "holds", false);
         }
-        LOG.log(Level.INFO, "one of a fleet of " + place.gateways + (talk == null ? "; the settings allow no talk" : ""));
+        LOG.log(
+                Level.INFO,
+                "one of a fleet of "
+                        + place.gateways
+                        + (talk == null ? "; the settings allow no talk" : ""));
         return view;
     }
 
@@ -126,7 +171,9 @@
         if (hard != null) {
             if (hard.holds(now) != holds) {
                 holds = !holds;
-                LOG.log(Level.INFO, holds ? "acts on its term" : "holds no term: the static share only");
+                LOG.log(
+                        Level.INFO,
+                        holds ? "acts on its term" : "holds no term: the static share only");
                 history.add(now, "term", "holds", holds);
             }
             int may = hard.mayHold(now);
@@ -139,9 +186,15 @@
         if (on != strained) {
             strained = on;
             history.add(now, "strained", "on", strained);
-            LOG.log(Level.INFO, strained ? "the fleet is strained: what is worth less than " + overload.threshold() + " a unit is shed"
-                    : "the fleet is strained no more");
-            history.add(now, "line", "worth", overload.threshold(), "part", overload.partAtThreshold());
+            LOG.log(
+                    Level.INFO,
+                    strained
+                            ? "the fleet is strained: what is worth less than "
+                                    + overload.threshold()
+                                    + " a unit is shed"
+                            : "the fleet is strained no more");
+            history.add(
+                    now, "line", "worth", overload.threshold(), "part", overload.partAtThreshold());
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/run/FleetView.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetView.java
@@ -12,7 +12,10 @@
 import tinford.api.Srv;
 import tinford.api.View;
 
-/** The view that the decisions see, of those parts of the fleet that are on; what is off bounds nothing. */
+/**
+ * The view that the decisions see, of those parts of the fleet that are on; what is off bounds
+ * nothing.
+ */
 final class FleetView extends View {
     private static final int MOST_ACCOUNTS = 20_000;
     private static final int MOST_ASIDE = 2048;
@@ -26,9 +29,17 @@
     private final Consumer<Srv> tries;
     private final Set<String> aside = new HashSet<>(); // servers that this gateway found ill
 
-    /** @param overload null where it is off; {@code budgets}, {@code mover} likewise; {@code log} null where neither is on;
-     * {@code tries} is told what goes to a server put aside */
-    FleetView(View overload, Hard budgets, Mover mover, Hard log, DoubleSupplier clock, Consumer<Srv> tries) {
+    /**
+     * @param overload null where it is off; {@code budgets}, {@code mover} likewise; {@code log}
+     *     null where neither is on; {@code tries} is told what goes to a server put aside
+     */
+    FleetView(
+            View overload,
+            Hard budgets,
+            Mover mover,
+            Hard log,
+            DoubleSupplier clock,
+            Consumer<Srv> tries) {
         this.overload = overload == null ? new View() : overload;
         this.budgets = budgets;
         this.mover = mover;
@@ -49,7 +60,9 @@
 
     @Override
     public int mayHold(Srv srv) {
-        return budgets == null ? Integer.MAX_VALUE : over ? 0 : budgets.mayHold(srv, clock.getAsDouble());
+        return budgets == null
+                ? Integer.MAX_VALUE
+                : over ? 0 : budgets.mayHold(srv, clock.getAsDouble());
     }
 
     /** From any thread: nothing goes to servers any more. */
@@ -59,7 +72,9 @@
 
     @Override
     public int mayUse(Customer customer) {
-        return budgets == null ? Integer.MAX_VALUE : budgets.mayUse(budgets.key(customer), clock.getAsDouble());
+        return budgets == null
+                ? Integer.MAX_VALUE
+                : budgets.mayUse(budgets.key(customer), clock.getAsDouble());
     }
 
     @Override
--- a/fleet/src/main/java/tinford/fleet/run/Handed.java
+++ b/fleet/src/main/java/tinford/fleet/run/Handed.java
@@ -10,17 +10,26 @@
 import java.util.List;
 import tinford.routing.Addresses;
 
-/** What the fleet needs of the gateway's own configuration, which the gateway itself checks whole. */
-record Handed(String name, InetSocketAddress listen, List<InetSocketAddress> peers, long seed, boolean mayTalk) {
+/**
+ * What the fleet needs of the gateway's own configuration, which the gateway itself checks whole.
+ */
+record Handed(
+        String name,
+        InetSocketAddress listen,
+        List<InetSocketAddress> peers,
+        long seed,
+        boolean mayTalk) {
     static Handed read(String path) throws IOException {
         if (path == null) {
-            throw new IOException("environment, ROUTER_CONFIG: expected the path of the configuration");
+            throw new IOException(
+                    "environment, ROUTER_CONFIG: expected the path of the configuration");
         }
         JsonNode all;
         try {
             all = new ObjectMapper().readTree(Files.readString(Path.of(path)));
         } catch (IOException e) {
-            throw new IOException("configuration: expected JSON in a file that can be read, " + path);
+            throw new IOException(
+                    "configuration: expected JSON in a file that can be read, " + path);
         }
         List<InetSocketAddress> peers = new ArrayList<>();
         for (JsonNode p : all.path("peers")) {
@@ -33,14 +42,19 @@
         } catch (NumberFormatException e) {
             throw new IOException("configuration, seed: expected a number in hex digits");
         }
-        return new Handed(all.path("name").asText(""), mayTalk ? address("peer_listen", all.path("peer_listen")) : null, peers,
-                seed, mayTalk);
+        return new Handed(
+                all.path("name").asText(""),
+                mayTalk ? address("peer_listen", all.path("peer_listen")) : null,
+                peers,
+                seed,
+                mayTalk);
     }
 
     private static InetSocketAddress address(String field, JsonNode v) throws IOException {
         InetSocketAddress a = Addresses.of(v.asText());
         if (a == null) {
-            throw new IOException("configuration, " + field + ": expected numeric host:port, not " + v);
+            throw new IOException(
+                    "configuration, " + field + ": expected numeric host:port, not " + v);
         }
         return a;
     }
--- a/fleet/src/main/java/tinford/fleet/run/Hard.java
+++ b/fleet/src/main/java/tinford/fleet/run/Hard.java
@@ -26,44 +26,60 @@
 import tinford.routing.Addresses;
 
 /**
- * The log of one process, what it has come to, and what this process asks of it. Made off the I/O thread, called on it from then
- * on.
+ * The log of one process, what it has come to, and what this process asks of it. Made off the I/O
+ * thread, called on it from then on.
  */
 final class Hard {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
-    private static final double ROUND = 250; // entries of a gateway come no faster than two in this time
+    private static final double ROUND =
+            250; // entries of a gateway come no faster than two in this time
     private static final double KEEP = 2000; // what was wanted lately is wanted still
     private static final int MOST_SERVERS = 1024;
     private static final int OFFERS_A_ROUND = 64;
     private static final RaftLog.Bounds BOUNDS = new RaftLog.Bounds(2000, 256, 64 << 10, 5000, 400);
+
     /**
-     * A key of an account holds its plan's weight above the rest, so that every gateway divides by it. Customers of one weight share so many
-     * accounts: where more of them are awake than there are connections, whole ones can't be divided among all.
+     * A key of an account holds its plan's weight above the rest, so that every gateway divides by
+     * it. Customers of one weight share so many accounts: where more of them are awake than there
+     * are connections, whole ones can't be divided among all.
      */
     private static final int WEIGHT_AT = 40;
+
     final Agreed agreed;
     private final Share share;
     private final Proposer proposer;
     private final int offer;
     private final int accounts;
     private double nextOffers;
+
     /** Those asked for lately. */
-    private final Map<String, Srv> servers = new LinkedHashMap<>(16, 0.75f, true) {
-        private static final long serialVersionUID = 1L;
+    private final Map<String, Srv> servers =
+            new LinkedHashMap<>(16, 0.75f, true) {
+                private static final long serialVersionUID = 1L;
+
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Srv> eldest) {
+                    return size() > MOST_SERVERS;
+                }
+            };
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Srv> eldest) {
-            return size() > MOST_SERVERS;
-        }
-    };
     private final CountDownLatch left = new CountDownLatch(1);
-    private final FileChannel lock; // held for this life: one that nobody holds is closed, and its lock goes with it
+    private final FileChannel
+            lock; // held for this life: one that nobody holds is closed, and its lock goes with it
     private volatile Log log;
     private boolean led;
+
     /** Is told of each entry that was applied on the I/O thread, and of a snapshot as null. */
-    Consumer<byte[]> applied = entry -> { };
+    Consumer<byte[]> applied = entry -> {};
 
-    Hard(Orders orders, Life life, int gateways, Statics statics, Map<String, String> homes, Mailbox mailbox) throws IOException {
+    Hard(
+            Orders orders,
+            Life life,
+            int gateways,
+            Statics statics,
+            Map<String, String> homes,
+            Mailbox mailbox)
+            throws IOException {
         double term = orders.number("log.term_ms");
         double apart = orders.number("log.clocks_apart_ms");
         double linger = orders.number("log.linger_ms");
@@ -72,43 +88,78 @@
         agreed = new Agreed(gateways, term, apart, linger, statics, homes);
         int floor = (int) orders.number("budgets.floor");
         int cap = (int) orders.number("budgets.cap");
-        proposer = new Proposer(key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap), ROUND);
+        proposer =
+                new Proposer(key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap), ROUND);
         Path folder = Files.createDirectories(Path.of(orders.text("log.folder")));
-        lock = FileChannel.open(folder.resolve("life.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        lock =
+                FileChannel.open(
+                        folder.resolve("life.lock"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         boolean alone = lock.tryLock() != null;
-        share = new Share(agreed.ledger, statics, key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap), life, term, 2 * apart, ROUND,
-                KEEP, alone ? life.start() : life.start() + linger);
+        share =
+                new Share(
+                        agreed.ledger,
+                        statics,
+                        key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap),
+                        life,
+                        term,
+                        2 * apart,
+                        ROUND,
+                        KEEP,
+                        alone ? life.start() : life.start() + linger);
         Agreed kept = new Agreed(gateways, term, apart, linger, statics(orders, gateways), homes);
         TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
         List<String> addresses = orders.texts("log.members");
         for (int i = 0; i < addresses.size(); i++) {
             members.put(i, Addresses.of(addresses.get(i)));
         }
-        Thread starts = new Thread(() -> {
-            try {
-                log = new RaftLog(life.gateway(), members, folder.resolve("log"), reader(kept, mailbox), BOUNDS);
-            } catch (IOException | RuntimeException e) {
-                LOG.log(Level.ERROR, "no part in the fleet's log, so only the static share is held: " + e);
-            }
-        }, "log start");
+        Thread starts =
+                new Thread(
+                        () -> {
+                            try {
+                                log =
+                                        new RaftLog(
+                                                life.gateway(),
+                                                members,
+                                                folder.resolve("log"),
+                                                reader(kept, mailbox),
+                                                BOUNDS);
+                            } catch (IOException | RuntimeException e) {
+                                LOG.log(
+                                        Level.ERROR,
+                                        "no part in the fleet's log, so only the static share is"
+                                                + " held: "
+                                                + e);
+                            }
+                        },
+                        "log start");
         starts.setDaemon(true);
         starts.start();
     }
 
     static Statics statics(Orders orders, int gateways) {
-        return new Statics(Map.of(), (int) orders.number("budgets.offer"), orders.number("budgets.static_part"), gateways);
+        return new Statics(
+                Map.of(),
+                (int) orders.number("budgets.offer"),
+                orders.number("budgets.static_part"),
+                gateways);
     }
 
-    /** The kept one answers for snapshots; the I/O thread's follows it, and holds it back where it can't. */
+    /**
+     * The kept one answers for snapshots; the I/O thread's follows it, and holds it back where it
+     * can't.
+     */
     private Log.Reader reader(Agreed kept, Mailbox mailbox) {
         return new Log.Reader() {
             @Override
             public void apply(long index, byte[] entry) {
                 kept.apply(index, entry);
-                post(() -> {
-                    agreed.apply(index, entry);
-                    applied.accept(entry);
-                });
+                post(
+                        () -> {
+                            agreed.apply(index, entry);
+                            applied.accept(entry);
+                        });
             }
 
             @Override
@@ -119,10 +170,11 @@
             @Override
             public void restore(long index, byte[] snapshot) {
                 kept.restore(index, snapshot);
-                post(() -> {
-                    agreed.restore(index, snapshot);
-                    applied.accept(null);
-                });
+                post(
+                        () -> {
+                            agreed.restore(index, snapshot);
+                            applied.accept(null);
+                        });
             }
 
             private void post(Runnable what) {
@@ -135,7 +187,10 @@
         };
     }
 
-    /** Offers an entry; what is lost is offered again by whoever wants it, from what the log has come to. */
+    /**
+     * Offers an entry; what is lost is offered again by whoever wants it, from what the log has
+     * come to.
+     */
     CompletableFuture<Long> append(byte[] entry) {
         Log to = log;
         return to == null ? CompletableFuture.completedFuture(0L) : to.append(entry);
@@ -188,10 +243,14 @@
     }
 
     long key(tinford.api.Customer c) {
-        return Math.max(1, Math.min(1000, Math.round(10 * c.plan.price))) << WEIGHT_AT | Math.floorMod(c.id, accounts);
+        return Math.max(1, Math.min(1000, Math.round(10 * c.plan.price))) << WEIGHT_AT
+                | Math.floorMod(c.id, accounts);
     }
 
-    /** One at least: an account that was granted none meets the others at what connections there are. */
+    /**
+     * One at least: an account that was granted none meets the others at what connections there
+     * are.
+     */
     int mayUse(long account, double now) {
         return Math.max(1, share.mayUse(account, now));
     }
@@ -217,7 +276,10 @@
         return share.holds(now);
     }
 
-    /** Connections that it may hold at all servers that it has asked of: static ones and granted ones. */
+    /**
+     * Connections that it may hold at all servers that it has asked of: static ones and granted
+     * ones.
+     */
     int mayHold(double now) {
         int all = 0;
         for (String id : servers.keySet()) {
