--- a/fleet/src/main/java/tinford/fleet/run/History.java
+++ b/fleet/src/main/java/tinford/fleet/run/History.java
@@ -12,12 +12,14 @@
 import tinford.fleet.members.Life;
 
 /**
- * What this process did for the fleet, one JSON object a line: {@code at} (ms, monotone), {@code wall} (ms, by its own clock), {@code gateway},
- * {@code life}, {@code kind} and its fields. Written by a thread of its own; what finds no room is counted and dropped.
+ * What this process did for the fleet, one JSON object a line: {@code at} (ms, monotone), {@code
+ * wall} (ms, by its own clock), {@code gateway}, {@code life}, {@code kind} and its fields. Written
+ * by a thread of its own; what finds no room is counted and dropped.
  */
 public final class History implements AutoCloseable {
     private static final int MOST_WAITING = 4096;
-    private final ArrayBlockingQueue<Map<String, Object>> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+    private final ArrayBlockingQueue<Map<String, Object>> waiting =
+            new ArrayBlockingQueue<>(MOST_WAITING);
     private final ObjectMapper json = new ObjectMapper();
     private final BufferedWriter to;
     private final Life life;
@@ -28,20 +30,29 @@
         this.life = life;
     }
 
-    /** @param path null or empty: nothing is written */
+    /**
+     * @param path null or empty: nothing is written
+     */
     public static History at(String path, Life life) throws IOException {
         if (path == null || path.isEmpty()) {
             return new History(null, life);
         }
-        History h = new History(Files.newBufferedWriter(Path.of(path), StandardOpenOption.CREATE, StandardOpenOption.APPEND),
-                life);
+        History h =
+                new History(
+                        Files.newBufferedWriter(
+                                Path.of(path),
+                                StandardOpenOption.CREATE,
+                                StandardOpenOption.APPEND),
+                        life);
         Thread t = new Thread(h::write, "history");
         t.setDaemon(true);
         t.start();
         return h;
     }
 
-    /** @param fields name, value, name, value ... */
+    /**
+     * @param fields name, value, name, value ...
+     */
     public void add(double now, String kind, Object... fields) {
         if (to == null) {
             return;
@@ -71,7 +82,8 @@
                 }
             }
         } catch (IOException | InterruptedException e) {
-            System.getLogger("tinford.fleet").log(System.Logger.Level.WARNING, "no history is written any more: " + e);
+            System.getLogger("tinford.fleet")
+                    .log(System.Logger.Level.WARNING, "no history is written any more: " + e);
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/run/Mailbox.java
+++ b/fleet/src/main/java/tinford/fleet/run/Mailbox.java
@@ -6,8 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * What other threads have for the I/O thread, in the order in which it came, at most so many of each kind. Of soft ones the
- * oldest goes when there is no room: they come again. Hard ones are never dropped: who brings one waits for room.
+ * What other threads have for the I/O thread, in the order in which it came, at most so many of
+ * each kind. Of soft ones the oldest goes when there is no room: they come again. Hard ones are
+ * never dropped: who brings one waits for room.
  */
 public final class Mailbox {
     private final int mostSoft;
@@ -19,7 +20,10 @@
     private boolean closed;
     private long dropped;
 
-    /** @param enter runs what it is given on the I/O thread, soon; called once for all that has come by then */
+    /**
+     * @param enter runs what it is given on the I/O thread, soon; called once for all that has come
+     *     by then
+     */
     public Mailbox(int mostSoft, int mostHard, Consumer<Runnable> enter) {
         this.mostSoft = mostSoft;
         this.mostHard = mostHard;
@@ -38,7 +42,9 @@
         call();
     }
 
-    /** @return false when the box was closed before there was room */
+    /**
+     * @return false when the box was closed before there was room
+     */
     public synchronized boolean hard(Runnable what) throws InterruptedException {
         while (hard.size() >= mostHard && !closed) {
             wait();
--- a/fleet/src/main/java/tinford/fleet/run/Main.java
+++ b/fleet/src/main/java/tinford/fleet/run/Main.java
@@ -6,9 +6,12 @@
 import tinford.logs.Lines;
 import tinford.program.Serve;
 
-/** One gateway of a fleet: the gateway's own program, with a companion made from the operator file that TINFORD_FLEET names. */
+/**
+ * One gateway of a fleet: the gateway's own program, with a companion made from the operator file
+ * that TINFORD_FLEET names.
+ */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("serve")) {
@@ -19,7 +22,9 @@
         try {
             String file = System.getenv("TINFORD_FLEET");
             if (file == null || file.isEmpty()) {
-                throw new IOException("environment, TINFORD_FLEET: expected the path of the fleet's operator file");
+                throw new IOException(
+                        "environment, TINFORD_FLEET: expected the path of the fleet's operator"
+                                + " file");
             }
             Handed handed = Handed.read(System.getenv("ROUTER_CONFIG"));
             Orders orders = Orders.read(Path.of(file));
--- a/fleet/src/main/java/tinford/fleet/run/MoveOrders.java
+++ b/fleet/src/main/java/tinford/fleet/run/MoveOrders.java
@@ -21,26 +21,40 @@
 /**
  * What the operator file says of moves, held against the gateway's own settings.
  *
- * @param homes where each frontend that may ever move lived first; the same at all gateways for as long as the log lasts
+ * @param homes where each frontend that may ever move lived first; the same at all gateways for as
+ *     long as the log lasts
  * @param plan what {@code begin} begins, or null
  * @param coldTime ms after its start until a server counts as warm
  */
 record MoveOrders(Map<String, String> homes, Plan plan, double coldTime) {
     /** Null where moves are off. */
-    static MoveOrders read(String file, Orders orders, String config) throws Orders.Refused, IOException {
+    static MoveOrders read(String file, Orders orders, String config)
+            throws Orders.Refused, IOException {
         if (!orders.on("moves.on")) {
             return null;
         }
         try {
-            Fields set = Fields.of(new JsonFactory(), "configuration", Files.readString(Path.of(config))).part("settings");
+            Fields set =
+                    Fields.of(new JsonFactory(), "configuration", Files.readString(Path.of(config)))
+                            .part("settings");
             Fields rules = set.part("Rules");
-            return of(file, orders, tinford.handed.Handed.frontends(set), rules.real("ColdFrom"), rules.millis("ColdUs"));
+            return of(
+                    file,
+                    orders,
+                    tinford.handed.Handed.frontends(set),
+                    rules.real("ColdFrom"),
+                    rules.millis("ColdUs"));
         } catch (BadInput e) {
             throw new IOException(e.getMessage());
         }
     }
 
-    static MoveOrders of(String file, Orders orders, Map<String, Frontend> frontends, double coldFrom, double coldTime)
+    static MoveOrders of(
+            String file,
+            Orders orders,
+            Map<String, Frontend> frontends,
+            double coldFrom,
+            double coldTime)
             throws Orders.Refused {
         List<String> faults = new ArrayList<>();
         Map<String, String> homes = new TreeMap<>();
@@ -49,40 +63,75 @@
         for (String home : orders.texts("moves.homes")) {
             String[] pair = home.split("=", 2);
             Frontend f = frontends.get(pair[0]);
-            if (f == null || pair.length < 2 || pair[1].isBlank() || homes.put(pair[0], pair[1]) != null) {
-                faults.add(file + ": moves.homes: expected frontend=group, each of the settings' frontends once, not " + home);
+            if (f == null
+                    || pair.length < 2
+                    || pair[1].isBlank()
+                    || homes.put(pair[0], pair[1]) != null) {
+                faults.add(
+                        file
+                                + ": moves.homes: expected frontend=group, each of the settings'"
+                                + " frontends once, not "
+                                + home);
             } else {
                 may.put(f.name, f);
-                window = Math.max(window, f.effect == Effect.IDEMPOTENCY_KEY ? f.repeatWindow + f.timeout : 0);
+                window =
+                        Math.max(
+                                window,
+                                f.effect == Effect.IDEMPOTENCY_KEY
+                                        ? f.repeatWindow + f.timeout
+                                        : 0);
             }
         }
         if (orders.number("log.linger_ms") < window) {
             // guards against a life that is forgotten while what it sent may still be repeated
-            faults.add(file + ": log.linger_ms: expected " + Math.round(window) + " or more: repeat window and client timeout of what may move");
+            faults.add(
+                    file
+                            + ": log.linger_ms: expected "
+                            + Math.round(window)
+                            + " or more: repeat window and client timeout of what may move");
         }
         Map<String, Plan.Room> rooms = new TreeMap<>();
         for (String room : orders.texts("moves.rooms")) {
             String[] parts = room.split("[=,]");
             try {
-                rooms.put(parts[0], new Plan.Room(Double.parseDouble(parts[1]), Integer.parseInt(parts[2].strip()), coldFrom));
+                rooms.put(
+                        parts[0],
+                        new Plan.Room(
+                                Double.parseDouble(parts[1]),
+                                Integer.parseInt(parts[2].strip()),
+                                coldFrom));
             } catch (ArrayIndexOutOfBoundsException | NumberFormatException e) {
-                faults.add(file + ": moves.rooms: expected group=units a second,connections, not " + room);
+                faults.add(
+                        file
+                                + ": moves.rooms: expected group=units a second,connections, not "
+                                + room);
             }
         }
-        Plan plan = orders.text("moves.plan").isEmpty() ? null : plan(orders.text("moves.plan"), may, homes, rooms, faults);
+        Plan plan =
+                orders.text("moves.plan").isEmpty()
+                        ? null
+                        : plan(orders.text("moves.plan"), may, homes, rooms, faults);
         if (!faults.isEmpty()) {
             throw new Orders.Refused(faults);
         }
         return new MoveOrders(homes, plan, coldTime);
     }
 
-    private static Plan plan(String path, Map<String, Frontend> may, Map<String, String> homes, Map<String, Plan.Room> rooms,
+    private static Plan plan(
+            String path,
+            Map<String, Frontend> may,
+            Map<String, String> homes,
+            Map<String, Plan.Room> rooms,
             List<String> faults) {
         Map<String, String> now = new HashMap<>(homes);
         try {
             String text = Files.readString(Path.of(path));
-            // after an earlier plan a frontend is elsewhere; where it is now only the log knows, and it refuses what starts elsewhere
-            new TomlMapper().readTree(text).path("frontends").forEach(f -> now.replace(f.path("name").asText(), f.path("from").asText()));
+            // after an earlier plan a frontend is elsewhere; where it is now only the log knows,
+            // and it refuses what starts elsewhere
+            new TomlMapper()
+                    .readTree(text)
+                    .path("frontends")
+                    .forEach(f -> now.replace(f.path("name").asText(), f.path("from").asText()));
             return new PlanReader(new Plan.Known(may, now, rooms)).read(path, text);
         } catch (Faults.Refused e) {
             faults.addAll(e.faults());
--- a/fleet/src/main/java/tinford/fleet/run/Mover.java
+++ b/fleet/src/main/java/tinford/fleet/run/Mover.java
@@ -21,8 +21,9 @@
 import tinford.fleet.moves.Step;
 
 /**
- * One process's part in staged moves: where its reqs go, what it tells the log, and what it offers while it leads. Called on the I/O
- * thread only, after each applied entry and each tick. Holds {@link #MOST_SERVERS} servers and one order of an operator at most.
+ * One process's part in staged moves: where its reqs go, what it tells the log, and what it offers
+ * while it leads. Called on the I/O thread only, after each applied entry and each tick. Holds
+ * {@link #MOST_SERVERS} servers and one order of an operator at most.
  */
 final class Mover {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
@@ -47,8 +48,16 @@
     private double orderEnds;
     private Consumer<String> outcome;
 
-    /** @param left whether this process has left the fleet: from then on it acts on no term */
-    Mover(Agreed agreed, Life life, MoveOrders orders, Consumer<byte[]> log, BooleanSupplier left, History history) {
+    /**
+     * @param left whether this process has left the fleet: from then on it acts on no term
+     */
+    Mover(
+            Agreed agreed,
+            Life life,
+            MoveOrders orders,
+            Consumer<byte[]> log,
+            BooleanSupplier left,
+            History history) {
         this.agreed = agreed;
         this.life = life;
         this.orders = orders;
@@ -81,7 +90,10 @@
             log.accept(tells.bytes());
         }
         if (order != null && now >= orderEnds) {
-            over("not seen in the log within " + Math.round(PATIENCE) + " ms; it may still come: look before ordering again");
+            over(
+                    "not seen in the log within "
+                            + Math.round(PATIENCE)
+                            + " ms; it may still come: look before ordering again");
         }
         if (leads && now >= offered + OFFERS) {
             offer(now);
@@ -90,13 +102,23 @@
 
     private void offer(double now) {
         Stand s = agreed.moves.stand();
-        if (s.plan() != null && (s.state() == Moves.State.FORWARD || s.state() == Moves.State.BACK)) {
+        if (s.plan() != null
+                && (s.state() == Moves.State.FORWARD || s.state() == Moves.State.BACK)) {
             offered = now;
-            log.accept(Entry.go(now, s.turn(), s.position() + (s.state() == Moves.State.BACK ? -1 : 1), warm(s.plan(), now)).bytes());
+            log.accept(
+                    Entry.go(
+                                    now,
+                                    s.turn(),
+                                    s.position() + (s.state() == Moves.State.BACK ? -1 : 1),
+                                    warm(s.plan(), now))
+                            .bytes());
         }
     }
 
-    /** Of each group that is gone to, in order of name: the part of it that is warm, by the sizes of its servers, of the units it has room for. */
+    /**
+     * Of each group that is gone to, in order of name: the part of it that is warm, by the sizes of
+     * its servers, of the units it has room for.
+     */
     private double[] warm(Plan plan, double now) {
         double[] units = new double[plan.groups.size()];
         int at = 0;
@@ -106,7 +128,11 @@
             for (Srv s : servers.values()) {
                 if (s.group.equals(g.getKey()) && s.state != Srv.State.REMOVED) {
                     all += s.size;
-                    warm += s.state == Srv.State.UP && (s.born <= 0 || now - s.born >= orders.coldTime()) ? s.size : 0;
+                    warm +=
+                            s.state == Srv.State.UP
+                                            && (s.born <= 0 || now - s.born >= orders.coldTime())
+                                    ? s.size
+                                    : 0;
                 }
             }
             units[at++] = all > 0 ? g.getValue().units() * warm / all : 0;
@@ -115,8 +141,9 @@
     }
 
     /**
-     * An operator's line: {@code begin}, {@code halt NAME}, {@code resume NAME}, {@code back NAME}. A resume lifts the halt that this
-     * gateway's log shows now. Given twice, or at two gateways, the log takes it once.
+     * An operator's line: {@code begin}, {@code halt NAME}, {@code resume NAME}, {@code back NAME}.
+     * A resume lifts the halt that this gateway's log shows now. Given twice, or at two gateways,
+     * the log takes it once.
      *
      * @param then is told what came of it, once
      */
@@ -124,27 +151,37 @@
         String[] words = line.strip().split("\\s+", 2);
         String who = words.length > 1 ? words[1] : "";
         boolean named = !who.isEmpty() && who.length() <= 64;
-        Entry e = switch (words[0]) {
-            case "begin" -> orders.plan() == null || who.length() > 64 ? null : Entry.begin(who, now, orders.plan());
-            case "halt" -> named ? Entry.halt(who, now) : null;
-            case "resume" -> named ? Entry.resume(who, now, agreed.moves.halts()) : null;
-            case "back" -> named ? Entry.back(who, now) : null;
-            default -> null;
-        };
+        Entry e =
+                switch (words[0]) {
+                    case "begin" ->
+                            orders.plan() == null || who.length() > 64
+                                    ? null
+                                    : Entry.begin(who, now, orders.plan());
+                    case "halt" -> named ? Entry.halt(who, now) : null;
+                    case "resume" -> named ? Entry.resume(who, now, agreed.moves.halts()) : null;
+                    case "back" -> named ? Entry.back(who, now) : null;
+                    default -> null;
+                };
         if (e == null || order != null) {
-            String why = order != null ? "refused, another order is under way here" : words[0].equals("begin")
-                    ? "refused, moves.plan names no plan" : "refused, expected begin, halt NAME, resume NAME or back NAME, a name of 1 to 64 characters";
+            String why =
+                    order != null
+                            ? "refused, another order is under way here"
+                            : words[0].equals("begin")
+                                    ? "refused, moves.plan names no plan"
+                                    : "refused, expected begin, halt NAME, resume NAME or back"
+                                            + " NAME, a name of 1 to 64 characters";
             LOG.log(Level.WARNING, "moves.order: " + why);
             then.accept(why);
             return;
         }
         order = e.bytes();
         orderEnds = now + PATIENCE;
-        outcome = what -> {
-            LOG.log(Level.INFO, "moves.order " + line.strip() + ": " + what);
-            history.add(now, "order", "line", line.strip(), "outcome", what);
-            then.accept(what);
-        };
+        outcome =
+                what -> {
+                    LOG.log(Level.INFO, "moves.order " + line.strip() + ": " + what);
+                    history.add(now, "order", "line", line.strip(), "outcome", what);
+                    then.accept(what);
+                };
         log.accept(order);
     }
 
@@ -161,7 +198,14 @@
         } else if (!servers.containsKey(srv.id)) {
             servers.values().removeIf(s -> s.state == Srv.State.REMOVED);
         }
-        return !left.getAsBoolean() && route.mayGo(req.frontend.name, req.customer.id, req.resent, srv.group, first == null ? null : first.group, now)
+        return !left.getAsBoolean()
+                        && route.mayGo(
+                                req.frontend.name,
+                                req.customer.id,
+                                req.resent,
+                                srv.group,
+                                first == null ? null : first.group,
+                                now)
                 || !orders.homes().containsKey(req.frontend.name);
     }
 
@@ -172,8 +216,15 @@
             return true;
         }
         int at = s.plan() == null ? -1 : s.plan().index(name);
-        List<String> groups = at < 0 ? List.of(s.homes().getOrDefault(name, "")) : List.of(s.plan().frontends.get(at).from(), s.plan().frontends.get(at).to());
-        return !left.getAsBoolean() && groups.stream().anyMatch(g -> route.mayGo(name, req.customer.id, req.resent, g, null, now));
+        List<String> groups =
+                at < 0
+                        ? List.of(s.homes().getOrDefault(name, ""))
+                        : List.of(
+                                s.plan().frontends.get(at).from(), s.plan().frontends.get(at).to());
+        return !left.getAsBoolean()
+                && groups.stream()
+                        .anyMatch(
+                                g -> route.mayGo(name, req.customer.id, req.resent, g, null, now));
     }
 
     /** What was given up says nothing of its server. */
@@ -183,7 +234,9 @@
         }
     }
 
-    /** What changed for this process is told in its history, in the order in which it acts on it. */
+    /**
+     * What changed for this process is told in its history, in the order in which it acts on it.
+     */
     private void watch(double now) {
         Term term = term();
         boolean has = term != null && term.holds(now);
@@ -195,14 +248,19 @@
             holds = has;
         }
         Stand s = agreed.moves.stand();
-        boolean turned = told == null || told.turn() != s.turn() || told.state() != s.state() || told.plan() != s.plan();
+        boolean turned =
+                told == null
+                        || told.turn() != s.turn()
+                        || told.state() != s.state()
+                        || told.plan() != s.plan();
         if (s.plan() != null && (turned || again)) {
             stage(s, turned, now);
         }
         told = s;
         if (s.plan() != null && agreed.moves.acked(life) && ackedTurn != s.turn()) {
             ackedTurn = s.turn();
-            history.add(now, "acked", "move", s.plan().name, "turn", s.turn(), "stage", s.position());
+            history.add(
+                    now, "acked", "move", s.plan().name, "turn", s.turn(), "stage", s.position());
         }
     }
 
@@ -213,7 +271,15 @@
             Plan.Mover m = s.plan().frontends.get(i);
             Step.Part part = s.step().parts().get(i);
             if (told == null || told.plan() == null || !told.plan().name.equals(s.plan().name)) {
-                history.add(now, "plan", "move", s.plan().name, "frontend", m.name(), "needs", m.needs());
+                history.add(
+                        now,
+                        "plan",
+                        "move",
+                        s.plan().name,
+                        "frontend",
+                        m.name(),
+                        "needs",
+                        m.needs());
             }
             if (part.until() > 0) {
                 begun.add(m.name());
@@ -222,13 +288,36 @@
                 moved.add(m.name());
             }
         }
-        history.add(now, "stage", "move", s.plan().name, "stage", s.position(), "turn", s.turn(), "state", s.state().name(), "begun", begun,
-                "moved", moved);
+        history.add(
+                now,
+                "stage",
+                "move",
+                s.plan().name,
+                "stage",
+                s.position(),
+                "turn",
+                s.turn(),
+                "state",
+                s.state().name(),
+                "begun",
+                begun,
+                "moved",
+                moved);
         if (turned) {
-            LOG.log(Level.INFO, "moves, " + s.plan().name + ": " + s.state() + " at step " + s.position() + "; " + agreed.moves.told());
+            LOG.log(
+                    Level.INFO,
+                    "moves, "
+                            + s.plan().name
+                            + ": "
+                            + s.state()
+                            + " at step "
+                            + s.position()
+                            + "; "
+                            + agreed.moves.told());
         }
         if (turned && (s.state() == Moves.State.DONE || s.state() == Moves.State.UNDONE)) {
-            history.add(now, "moved", "move", s.plan().name, "state", s.state().name(), "moved", moved);
+            history.add(
+                    now, "moved", "move", s.plan().name, "state", s.state().name(), "moved", moved);
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/OrderFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OrderFile.java
@@ -13,8 +13,9 @@
 import java.util.function.Consumer;
 
 /**
- * The file by which operators order moves, looked at once a second by a thread of its own. An order is taken once: the file is
- * renamed before anything is done, and what came of it is written under the line. One order at a time.
+ * The file by which operators order moves, looked at once a second by a thread of its own. An order
+ * is taken once: the file is renamed before anything is done, and what came of it is written under
+ * the line. One order at a time.
  */
 final class OrderFile implements Runnable {
     private static final int LONGEST = 1024;
@@ -71,9 +72,13 @@
             } else {
                 mailbox.hard(() -> takes.take(line, came::complete));
             }
-            Files.writeString(taken, line + "\n" + came.get(PATIENCE, TimeUnit.MILLISECONDS) + "\n");
+            Files.writeString(
+                    taken, line + "\n" + came.get(PATIENCE, TimeUnit.MILLISECONDS) + "\n");
         } catch (IOException | ExecutionException | TimeoutException e) {
-            System.getLogger("tinford.fleet").log(Level.WARNING, "moves.order: expected a file that can be read and renamed: " + e);
+            System.getLogger("tinford.fleet")
+                    .log(
+                            Level.WARNING,
+                            "moves.order: expected a file that can be read and renamed: " + e);
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/Orders.java
+++ b/fleet/src/main/java/tinford/fleet/run/Orders.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The operator file of a fleet, checked whole: every fault is told at once, with file, line, key and what was expected. */
+/**
+ * The operator file of a fleet, checked whole: every fault is told at once, with file, line, key
+ * and what was expected.
+ */
 public final class Orders {
     /** The file can't be used; one line a fault. */
     public static final class Refused extends Exception {
@@ -23,12 +26,18 @@
         }
     }
 
-    private record Key(String expected, double least, double most, Object absent) { }
+    private record Key(String expected, double least, double most, Object absent) {}
 
     private static final Map<String, Key> KEYS = new LinkedHashMap<>();
 
     private static void number(String key, double absent, double least, double most) {
-        KEYS.put(key, new Key("a number from " + plain(least) + " to " + plain(most), least, most, absent));
+        KEYS.put(
+                key,
+                new Key(
+                        "a number from " + plain(least) + " to " + plain(most),
+                        least,
+                        most,
+                        absent));
     }
 
     static {
@@ -38,7 +47,9 @@
         KEYS.put("overload.on", new Key("true or false", 0, 0, true));
         number("overload.window_ms", 4000, 500, 60_000);
         number("overload.further_part", 0.1, 0, 1);
-        KEYS.put("log.members", new Key("a list of numeric host:port, one a gateway", 0, 0, List.of()));
+        KEYS.put(
+                "log.members",
+                new Key("a list of numeric host:port, one a gateway", 0, 0, List.of()));
         KEYS.put("log.folder", new Key("a folder that lasts", 0, 0, ""));
         number("log.term_ms", 4000, 500, 120_000);
         number("log.clocks_apart_ms", 50, 0, 10_000);
@@ -51,13 +62,21 @@
         number("budgets.cap", 64, 1, 100_000);
         KEYS.put("moves.on", new Key("true or false", 0, 0, false));
         KEYS.put("moves.plan", new Key("a path", 0, 0, ""));
-        KEYS.put("moves.homes", new Key("a list of frontend=group, of all frontends that may ever move", 0, 0, List.of()));
-        KEYS.put("moves.rooms", new Key("a list of group=units a second,connections", 0, 0, List.of()));
+        KEYS.put(
+                "moves.homes",
+                new Key(
+                        "a list of frontend=group, of all frontends that may ever move",
+                        0,
+                        0,
+                        List.of()));
+        KEYS.put(
+                "moves.rooms",
+                new Key("a list of group=units a second,connections", 0, 0, List.of()));
     }
 
     private final Map<String, Object> values = new LinkedHashMap<>();
 
-    private Orders() { }
+    private Orders() {}
 
     public static Orders read(Path file) throws Refused {
         String text;
@@ -76,24 +95,37 @@
         try {
             tree = new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            throw new Refused(List.of(file + ", line " + (e.getLocation() == null ? "?" : e.getLocation().getLineNr())
-                    + ": expected TOML: "
-                    + e.getOriginalMessage()));
+            throw new Refused(
+                    List.of(
+                            file
+                                    + ", line "
+                                    + (e.getLocation() == null ? "?" : e.getLocation().getLineNr())
+                                    + ": expected TOML: "
+                                    + e.getOriginalMessage()));
         }
-        for (Iterator<Map.Entry<String, JsonNode>> tables = tree.fields(); tables.hasNext();) {
+        for (Iterator<Map.Entry<String, JsonNode>> tables = tree.fields(); tables.hasNext(); ) {
             Map.Entry<String, JsonNode> table = tables.next();
             if (!table.getValue().isObject()) {
-                faults.add(at(file, text, "", table.getKey()) + table.getKey() + ": expected to stand in a table");
+                faults.add(
+                        at(file, text, "", table.getKey())
+                                + table.getKey()
+                                + ": expected to stand in a table");
                 continue;
             }
-            for (Iterator<Map.Entry<String, JsonNode>> keys = table.getValue().fields(); keys.hasNext();) {
+            for (Iterator<Map.Entry<String, JsonNode>> keys = table.getValue().fields();
+                    keys.hasNext(); ) {
                 Map.Entry<String, JsonNode> key = keys.next();
                 String name = table.getKey() + "." + key.getKey();
                 Key k = KEYS.get(name);
                 Object value = k == null ? null : value(k, key.getValue());
                 if (value == null) {
-                    faults.add(at(file, text, table.getKey(), key.getKey()) + name + ": expected "
-                            + (k == null ? "no such key; there are " + KEYS.keySet() : k.expected));
+                    faults.add(
+                            at(file, text, table.getKey(), key.getKey())
+                                    + name
+                                    + ": expected "
+                                    + (k == null
+                                            ? "no such key; there are " + KEYS.keySet()
+                                            : k.expected));
                 } else {
                     found.values.put(name, value);
                 }
@@ -111,18 +143,28 @@
 
     private void together(String file, String text, List<String> faults) {
         if (number("talk.suspect_ms") < 3 * number("talk.every_ms")) {
-            faults.add(at(file, text, "talk", "suspect_ms") + "talk.suspect_ms: expected three times talk.every_ms or more");
+            faults.add(
+                    at(file, text, "talk", "suspect_ms")
+                            + "talk.suspect_ms: expected three times talk.every_ms or more");
         }
-        if ((on("budgets.on") || on("moves.on")) && (texts("log.members").size() < 3 || text("log.folder").isEmpty())) {
-            faults.add(at(file, text, "log", "members")
-                    + "log.members: expected three or more, and log.folder, where budgets or moves are on");
+        if ((on("budgets.on") || on("moves.on"))
+                && (texts("log.members").size() < 3 || text("log.folder").isEmpty())) {
+            faults.add(
+                    at(file, text, "log", "members")
+                            + "log.members: expected three or more, and log.folder, where budgets"
+                            + " or moves are on");
         }
         if (on("moves.on") && texts("moves.homes").isEmpty()) {
-            faults.add(at(file, text, "moves", "homes") + "moves.homes: expected one or more where moves are on");
+            faults.add(
+                    at(file, text, "moves", "homes")
+                            + "moves.homes: expected one or more where moves are on");
         }
         for (String m : texts("log.members")) {
             if (!m.matches("[0-9.]+:[0-9]{1,5}")) {
-                faults.add(at(file, text, "log", "members") + "log.members: expected numeric host:port, not " + m);
+                faults.add(
+                        at(file, text, "log", "members")
+                                + "log.members: expected numeric host:port, not "
+                                + m);
             }
         }
     }
--- a/fleet/src/main/java/tinford/fleet/store/Applied.java
+++ b/fleet/src/main/java/tinford/fleet/store/Applied.java
@@ -17,10 +17,14 @@
 import org.apache.ratis.util.LifeCycle;
 import org.apache.ratis.util.MD5FileUtil;
 
-/** Hands what the library has committed to a reader, and keeps its snapshots as sealed files in the library's folder. */
+/**
+ * Hands what the library has committed to a reader, and keeps its snapshots as sealed files in the
+ * library's folder.
+ */
 final class Applied extends BaseStateMachine {
     /** Bytes that a snapshot may have. */
     private static final int LARGEST = 64 * 1024 * 1024;
+
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final Log.Reader reader;
 
@@ -29,12 +33,17 @@
     }
 
     @Override
-    public void initialize(RaftServer server, RaftGroupId group, RaftStorage disk) throws IOException {
+    public void initialize(RaftServer server, RaftGroupId group, RaftStorage disk)
+            throws IOException {
         super.initialize(server, group, disk);
         getLifeCycle().transition(LifeCycle.State.STARTING);
         storage.init(disk);
         restore();
-        getLifeCycle().transition(LifeCycle.State.RUNNING); // the library puts a snapshot only in place of what ran and paused
+        getLifeCycle()
+                .transition(
+                        LifeCycle.State
+                                .RUNNING); // the library puts a snapshot only in place of what ran
+        // and paused
     }
 
     /** After the library put another's snapshot in place. */
@@ -94,7 +103,8 @@
     @Override
     public CompletableFuture<Message> applyTransaction(TransactionContext entry) {
         long index = entry.getLogEntry().getIndex();
-        reader.apply(index, entry.getLogEntry().getStateMachineLogEntry().getLogData().toByteArray());
+        reader.apply(
+                index, entry.getLogEntry().getStateMachineLogEntry().getLogData().toByteArray());
         updateLastAppliedTermIndex(entry.getLogEntry().getTerm(), index);
         return CompletableFuture.completedFuture(Message.EMPTY);
     }
--- a/fleet/src/main/java/tinford/fleet/store/Disk.java
+++ b/fleet/src/main/java/tinford/fleet/store/Disk.java
@@ -8,7 +8,10 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** The steps of a write to a folder, each by itself, so that a test can stop between any two of them. */
+/**
+ * The steps of a write to a folder, each by itself, so that a test can stop between any two of
+ * them.
+ */
 interface Disk {
     /** Into a new file, which may be cut short by whatever stops it. */
     void write(Path file, ByteBuffer bytes) throws IOException;
@@ -29,7 +32,9 @@
     final class Real implements Disk {
         @Override
         public void write(Path file, ByteBuffer bytes) throws IOException {
-            try (FileChannel to = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
+            try (FileChannel to =
+                    FileChannel.open(
+                            file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
                 while (bytes.hasRemaining()) {
                     to.write(bytes);
                 }
@@ -54,7 +59,8 @@
             try {
                 of = FileChannel.open(folder, StandardOpenOption.READ);
             } catch (IOException none) {
-                return; // a platform that opens no folders, such as Windows, keeps its names by itself
+                return; // a platform that opens no folders, such as Windows, keeps its names by
+                // itself
             }
             try (of) {
                 of.force(true);
--- a/fleet/src/main/java/tinford/fleet/store/FileStore.java
+++ b/fleet/src/main/java/tinford/fleet/store/FileStore.java
@@ -8,8 +8,9 @@
 import java.nio.file.Path;
 
 /**
- * A store in one file of a folder: written beside it, forced, renamed over it, and the folder forced. One process at a time
- * writes to a name. Holds at most twice the largest content on the disk, and that once in memory while it reads or writes.
+ * A store in one file of a folder: written beside it, forced, renamed over it, and the folder
+ * forced. One process at a time writes to a name. Holds at most twice the largest content on the
+ * disk, and that once in memory while it reads or writes.
  */
 public final class FileStore implements Store {
     private static final String LEFTOVER = ".tmp";
@@ -31,10 +32,12 @@
 
     FileStore(Path folder, String name, int largest, double aheadMs, Disk disk) {
         if (name.isEmpty() || !Path.of(name).getFileName().toString().equals(name)) {
-            throw new IllegalArgumentException("store name '" + name + "': expected a file name without folders");
+            throw new IllegalArgumentException(
+                    "store name '" + name + "': expected a file name without folders");
         }
         if (largest < 0 || largest > Integer.MAX_VALUE - 64 || !(aheadMs >= 0)) {
-            throw new IllegalArgumentException("store " + name + ": largest and ahead expected not negative");
+            throw new IllegalArgumentException(
+                    "store " + name + ": largest and ahead expected not negative");
         }
         this.folder = folder;
         this.file = folder.resolve(name);
@@ -47,11 +50,13 @@
     @Override
     public synchronized Found read(double now) {
         clear();
-        // one byte more than may be there, so that what is too long is seen without being read whole
+        // one byte more than may be there, so that what is too long is seen without being read
+        // whole
         try (InputStream from = Files.newInputStream(file)) {
             byte[] bytes = from.readNBytes(Sealed.HEAD + largest + 1);
             if (bytes.length > Sealed.HEAD + largest) {
-                return new Found(null, file + ": too long: more than " + (Sealed.HEAD + largest) + " bytes");
+                return new Found(
+                        null, file + ": too long: more than " + (Sealed.HEAD + largest) + " bytes");
             }
             Found found = Sealed.open(bytes, now, aheadMs, largest);
             return found.why() == null ? found : new Found(null, file + ": " + found.why());
@@ -68,7 +73,12 @@
             throw new IOException(file + ": closed");
         }
         if (content.length > largest) {
-            throw new IOException(file + ": content of " + content.length + " bytes, expected at most " + largest);
+            throw new IOException(
+                    file
+                            + ": content of "
+                            + content.length
+                            + " bytes, expected at most "
+                            + largest);
         }
         try {
             disk.delete(beside);
--- a/fleet/src/main/java/tinford/fleet/store/Log.java
+++ b/fleet/src/main/java/tinford/fleet/store/Log.java
@@ -3,11 +3,15 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Entries in one order, kept by a majority of the members. An entry that was acknowledged is never lost while a majority keeps
- * its disks; without a majority nothing is acknowledged; a leader that was replaced acknowledges nothing more.
+ * Entries in one order, kept by a majority of the members. An entry that was acknowledged is never
+ * lost while a majority keeps its disks; without a majority nothing is acknowledged; a leader that
+ * was replaced acknowledges nothing more.
  */
 public interface Log extends AutoCloseable {
-    /** What the entries mean, on every member alike. Called by one thread, in order, each entry once a life. */
+    /**
+     * What the entries mean, on every member alike. Called by one thread, in order, each entry once
+     * a life.
+     */
     interface Reader {
         /** Indexes rise; some may be left out (the library's own). */
         void apply(long index, byte[] entry);
@@ -22,8 +26,8 @@
     /**
      * Offers an entry, from any member. No call waits.
      *
-     * @return completes with the entry's index once a majority has it; fails when it surely or perhaps was not taken (it may
-     * still come)
+     * @return completes with the entry's index once a majority has it; fails when it surely or
+     *     perhaps was not taken (it may still come)
      */
     CompletableFuture<Long> append(byte[] entry);
 
--- a/fleet/src/main/java/tinford/fleet/store/MemoryLogs.java
+++ b/fleet/src/main/java/tinford/fleet/store/MemoryLogs.java
@@ -8,8 +8,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The logs of all members in one place, for tests and the lab: they come to what a consensus comes to, but are none. One thread,
- * driven by {@link #advance}; chance is handed in. Bounds: {@code inFlight} appends a member; entries since the last snapshot.
+ * The logs of all members in one place, for tests and the lab: they come to what a consensus comes
+ * to, but are none. One thread, driven by {@link #advance}; chance is handed in. Bounds: {@code
+ * inFlight} appends a member; entries since the last snapshot.
  */
 public final class MemoryLogs {
     /** An append under way. */
@@ -18,6 +19,7 @@
         private final CompletableFuture<Long> told = new CompletableFuture<>();
         private final double until;
         private double due;
+
         /** In which term a leader took it; 0 while none has. */
         private long taken;
 
@@ -29,15 +31,17 @@
     }
 
     /** An entry that a majority has. */
-    private record Entry(long index, byte[] bytes) { }
+    private record Entry(long index, byte[] bytes) {}
 
     private final class Member {
         private final int number;
         private final List<Offer> offers = new ArrayList<>();
         private Log.Reader reader;
         private int life;
+
         /** Up to which index its disk has the entries, and the reader knows them. */
         private long has;
+
         private long knows;
         private double appliesAt;
         private long term;
@@ -55,7 +59,8 @@
 
         CompletableFuture<Long> offer(byte[] entry) {
             if (offers.size() >= inFlight) {
-                return CompletableFuture.failedFuture(new IOException("log: " + inFlight + " appends wait already"));
+                return CompletableFuture.failedFuture(
+                        new IOException("log: " + inFlight + " appends wait already"));
             }
             Offer made = new Offer(entry.clone(), now + delay(), now + appendMs);
             offers.add(made);
@@ -85,7 +90,9 @@
 
         @Override
         public CompletableFuture<Long> append(byte[] entry) {
-            return open() ? member.offer(entry) : CompletableFuture.failedFuture(new IOException("log: closed"));
+            return open()
+                    ? member.offer(entry)
+                    : CompletableFuture.failedFuture(new IOException("log: closed"));
         }
 
         @Override
@@ -123,8 +130,16 @@
     private long base;
     private byte[] snapshot = new byte[0];
 
-    /** @param size members, numbered from 1 */
-    public MemoryLogs(int size, double delayMs, double silenceMs, double appendMs, int inFlight, int snapshotEntries,
+    /**
+     * @param size members, numbered from 1
+     */
+    public MemoryLogs(
+            int size,
+            double delayMs,
+            double silenceMs,
+            double appendMs,
+            int inFlight,
+            int snapshotEntries,
             RandomGenerator chance) {
         for (int i = 1; i <= size; i++) {
             members.add(new Member(i));
@@ -177,8 +192,12 @@
     }
 
     private boolean reaches(Member a, Member b) {
-        return a.reader != null && b.reader != null
-                && (a == b || !cuts.contains(Math.min(a.number, b.number) * 1000 + Math.max(a.number, b.number)));
+        return a.reader != null
+                && b.reader != null
+                && (a == b
+                        || !cuts.contains(
+                                Math.min(a.number, b.number) * 1000
+                                        + Math.max(a.number, b.number)));
     }
 
     /** Whether a majority answers it, and one of them has all that was committed. */
@@ -210,10 +229,13 @@
     private void elect() {
         if (leader != null && canLead(leader)) {
             heardAt = now;
-            members.stream().filter(each -> reaches(leader, each)).forEach(each -> {
-                each.term = term;
-                each.leads = each == leader;
-            });
+            members.stream()
+                    .filter(each -> reaches(leader, each))
+                    .forEach(
+                            each -> {
+                                each.term = term;
+                                each.leads = each == leader;
+                            });
             return;
         }
         if (now - heardAt < silenceMs) {
@@ -256,7 +278,8 @@
             } else if (each.due <= now && each.taken != 0 && can) {
                 from.offers.remove(each);
                 boolean same = each.taken == term;
-                // taken by a leader that was replaced: it may have come to the next one or not, and nobody says so
+                // taken by a leader that was replaced: it may have come to the next one or not, and
+                // nobody says so
                 if (same || chance.nextBoolean()) {
                     spread(each.entry);
                 }
@@ -267,7 +290,8 @@
                 }
             } else if (now >= each.until) {
                 from.offers.remove(each);
-                each.told.completeExceptionally(new IOException("log: not within " + appendMs + " ms"));
+                each.told.completeExceptionally(
+                        new IOException("log: not within " + appendMs + " ms"));
             }
         }
     }
@@ -285,7 +309,10 @@
             to.reader.restore(base, snapshot.clone());
         }
         for (Entry each : new ArrayList<>(entries)) {
-            if (each.index() > to.knows && each.index() <= to.has && to.knows >= base && to.reader != null) {
+            if (each.index() > to.knows
+                    && each.index() <= to.has
+                    && to.knows >= base
+                    && to.reader != null) {
                 to.knows = each.index();
                 to.reader.apply(each.index(), each.bytes().clone());
             }
@@ -293,7 +320,10 @@
     }
 
     private void trim() {
-        if (entries.size() > snapshotEntries && leader != null && leader.reader != null && leader.knows > base) {
+        if (entries.size() > snapshotEntries
+                && leader != null
+                && leader.reader != null
+                && leader.knows > base) {
             snapshot = leader.reader.snapshot();
             base = leader.knows;
             entries.removeIf(each -> each.index() <= base);
--- a/fleet/src/main/java/tinford/fleet/store/MemoryStore.java
+++ b/fleet/src/main/java/tinford/fleet/store/MemoryStore.java
@@ -3,12 +3,19 @@
 import java.io.IOException;
 
 /**
- * A store in memory for tests and the lab, with the faults of a disk on demand. What lasts is in a {@link Platter}, which
- * outlives the store as a disk outlives a process. Holds two contents of at most {@code largest} bytes.
+ * A store in memory for tests and the lab, with the faults of a disk on demand. What lasts is in a
+ * {@link Platter}, which outlives the store as a disk outlives a process. Holds two contents of at
+ * most {@code largest} bytes.
  */
 public final class MemoryStore implements Store {
     /** What ails the disk. */
-    public enum Fault { NONE, FULL, READ_ONLY, SLOW, UNREADABLE }
+    public enum Fault {
+        NONE,
+        FULL,
+        READ_ONLY,
+        SLOW,
+        UNREADABLE
+    }
 
     /** What lasts: the sealed content of now, and the one before. */
     public static final class Platter {
@@ -80,9 +87,15 @@
                 throw new IOException("memory: closed");
             }
             if (content.length > largest) {
-                throw new IOException("memory: content of " + content.length + " bytes, expected at most " + largest);
+                throw new IOException(
+                        "memory: content of "
+                                + content.length
+                                + " bytes, expected at most "
+                                + largest);
             }
-            if (platter.fault == Fault.FULL || platter.fault == Fault.READ_ONLY || platter.fault == Fault.UNREADABLE) {
+            if (platter.fault == Fault.FULL
+                    || platter.fault == Fault.READ_ONLY
+                    || platter.fault == Fault.UNREADABLE) {
                 throw new IOException("memory: disk is " + platter.fault);
             }
             if (platter.fault == Fault.SLOW) {
--- a/fleet/src/main/java/tinford/fleet/store/RaftLog.java
+++ b/fleet/src/main/java/tinford/fleet/store/RaftLog.java
@@ -47,34 +47,47 @@
 import org.apache.ratis.util.TimeDuration;
 
 /**
- * A log kept by Apache Ratis, an implementation of Raft: over gRPC, on a folder of its own that it forces before it acknowledges.
+ * A log kept by Apache Ratis, an implementation of Raft: over gRPC, on a folder of its own that it
+ * forces before it acknowledges.
  *
- * <p>Chosen over jgroups-raft, which is smaller (3.7 MB of jars against 21 MB) but hands no index to its reader, answers an
- * append without one, and elects by views of the group, which a cut shapes; Ratis keeps term and vote on the disk, asks before it
- * votes, and catches up by chunks of a snapshot.
+ * <p>Chosen over jgroups-raft, which is smaller (3.7 MB of jars against 21 MB) but hands no index
+ * to its reader, answers an append without one, and elects by views of the group, which a cut
+ * shapes; Ratis keeps term and vote on the disk, asks before it votes, and catches up by chunks of
+ * a snapshot.
  *
  * <p>A member that lost its disk would break what it voted and acknowledged; see {@link Rejoining}.
  *
- * <p>Bounds: {@code inFlight} appends wait at a member, each of at most {@code entryBytes}; the disk holds the entries since the
- * last two snapshots and segments of 1 MiB.
+ * <p>Bounds: {@code inFlight} appends wait at a member, each of at most {@code entryBytes}; the
+ * disk holds the entries since the last two snapshots and segments of 1 MiB.
  */
 public final class RaftLog implements Log {
-    /** What an append may take and how many wait; when a snapshot is taken; how long a silent leader stays one. */
-    public record Bounds(double appendMs, int inFlight, int entryBytes, long snapshotEntries, double silenceMs) {
+    /**
+     * What an append may take and how many wait; when a snapshot is taken; how long a silent leader
+     * stays one.
+     */
+    public record Bounds(
+            double appendMs, int inFlight, int entryBytes, long snapshotEntries, double silenceMs) {
         public Bounds {
-            if (!(appendMs >= 1) || inFlight < 1 || entryBytes < 1 || entryBytes > 512 * 1024 || snapshotEntries < 1
+            if (!(appendMs >= 1)
+                    || inFlight < 1
+                    || entryBytes < 1
+                    || entryBytes > 512 * 1024
+                    || snapshotEntries < 1
                     || !(silenceMs >= 50)) {
-                throw new IllegalArgumentException("log: expected append_ms, in_flight, snapshot_entries >= 1, "
-                        + "entry_bytes 1 to 524288, silence_ms >= 50");
+                throw new IllegalArgumentException(
+                        "log: expected append_ms, in_flight, snapshot_entries >= 1, "
+                                + "entry_bytes 1 to 524288, silence_ms >= 50");
             }
         }
     }
 
-    private static final RaftGroupId GROUP = RaftGroupId.valueOf(UUID.fromString("74696e66-6f72-4d00-8000-666c65657400"));
+    private static final RaftGroupId GROUP =
+            RaftGroupId.valueOf(UUID.fromString("74696e66-6f72-4d00-8000-666c65657400"));
     private static final double AGAIN_MS = 30;
 
     /** Held here, as the platform forgets the level of a logger that nobody holds. */
     private final Logger quiet = Logger.getLogger("org.apache.ratis");
+
     private final Bounds bounds;
     private final RaftPeerId self;
     private final RaftServer server;
@@ -91,22 +104,37 @@
     /**
      * Starts the member; whether there is a leader shows later.
      *
-     * @param members all of them by number, the same on each; names of hosts are resolved by the library
+     * @param members all of them by number, the same on each; names of hosts are resolved by the
+     *     library
      * @throws IOException the folder can't be used or the port is taken
      */
-    public RaftLog(int number, SortedMap<Integer, InetSocketAddress> members, Path folder, Reader reader, Bounds bounds)
+    public RaftLog(
+            int number,
+            SortedMap<Integer, InetSocketAddress> members,
+            Path folder,
+            Reader reader,
+            Bounds bounds)
             throws IOException {
         this(number, members, folder, reader, bounds, SupportedRpcType.GRPC, new Parameters());
     }
 
-    RaftLog(int number, SortedMap<Integer, InetSocketAddress> members, Path folder, Reader reader, Bounds bounds, RpcType type,
-            Parameters parameters) throws IOException {
+    RaftLog(
+            int number,
+            SortedMap<Integer, InetSocketAddress> members,
+            Path folder,
+            Reader reader,
+            Bounds bounds,
+            RpcType type,
+            Parameters parameters)
+            throws IOException {
         InetSocketAddress own = members.get(number);
         if (own == null) {
-            throw new IllegalArgumentException("log member " + number + ": expected one of " + members.keySet());
+            throw new IllegalArgumentException(
+                    "log member " + number + ": expected one of " + members.keySet());
         }
         if (quiet.getLevel() == null) {
-            quiet.setLevel(Level.OFF); // it tells each failed connection; an operator's own level stays
+            quiet.setLevel(
+                    Level.OFF); // it tells each failed connection; an operator's own level stays
         }
         this.bounds = bounds;
         self = id(number);
@@ -114,28 +142,46 @@
         List<RaftPeer> peers = new ArrayList<>();
         for (Map.Entry<Integer, InetSocketAddress> each : members.entrySet()) {
             InetSocketAddress at = each.getValue();
-            peers.add(RaftPeer.newBuilder().setId(id(each.getKey())).setAddress(at.getHostString() + ":" + at.getPort()).build());
+            peers.add(
+                    RaftPeer.newBuilder()
+                            .setId(id(each.getKey()))
+                            .setAddress(at.getHostString() + ":" + at.getPort())
+                            .build());
         }
         RaftProperties properties = properties(own, folder, members.size());
         RaftConfigKeys.Rpc.setType(properties, type);
         Files.createDirectories(folder);
-        boolean known = Files.exists(folder.resolve(GROUP.getUuid().toString()).resolve("current").resolve("raft-meta"));
+        boolean known =
+                Files.exists(
+                        folder.resolve(GROUP.getUuid().toString())
+                                .resolve("current")
+                                .resolve("raft-meta"));
         Rejoining rejoining = new Rejoining(GROUP, self, peers, properties, parameters, folder);
         boolean again = rejoining.needed(known);
         RaftGroup group = again ? RaftGroup.valueOf(GROUP) : RaftGroup.valueOf(GROUP, peers);
-        server = RaftServer.newBuilder().setServerId(self).setGroup(group).setProperties(properties)
-                .setParameters(parameters).setStateMachine(new Applied(reader))
-                .setOption(known ? StartupOption.RECOVER : StartupOption.FORMAT).build();
-        sender = Executors.newSingleThreadScheduledExecutor(r -> {
-            Thread thread = new Thread(r, "tinford-log-" + number);
-            thread.setDaemon(true);
-            return thread;
-        });
+        server =
+                RaftServer.newBuilder()
+                        .setServerId(self)
+                        .setGroup(group)
+                        .setProperties(properties)
+                        .setParameters(parameters)
+                        .setStateMachine(new Applied(reader))
+                        .setOption(known ? StartupOption.RECOVER : StartupOption.FORMAT)
+                        .build();
+        sender =
+                Executors.newSingleThreadScheduledExecutor(
+                        r -> {
+                            Thread thread = new Thread(r, "tinford-log-" + number);
+                            thread.setDaemon(true);
+                            return thread;
+                        });
         RaftClientRpc made = null;
         try {
             server.start();
             division = server.getDivision(GROUP);
-            made = ClientFactory.cast(type.newFactory(parameters)).newRaftClientRpc(client, properties);
+            made =
+                    ClientFactory.cast(type.newFactory(parameters))
+                            .newRaftClientRpc(client, properties);
             made.addRaftPeers(peers);
             rejoins = again ? rejoining.start() : null;
         } catch (IOException | RuntimeException e) {
@@ -189,18 +235,24 @@
             return CompletableFuture.failedFuture(new IOException("log: closed"));
         }
         if (entry.length > bounds.entryBytes()) {
-            return CompletableFuture.failedFuture(new IOException(
-                    "log: entry of " + entry.length + " bytes, expected at most " + bounds.entryBytes()));
+            return CompletableFuture.failedFuture(
+                    new IOException(
+                            "log: entry of "
+                                    + entry.length
+                                    + " bytes, expected at most "
+                                    + bounds.entryBytes()));
         }
         if (!room.tryAcquire()) {
-            return CompletableFuture.failedFuture(new IOException("log: " + bounds.inFlight() + " appends wait already"));
+            return CompletableFuture.failedFuture(
+                    new IOException("log: " + bounds.inFlight() + " appends wait already"));
         }
         CompletableFuture<Long> told = new CompletableFuture<>();
         waiting.add(told);
-        told.whenComplete((index, e) -> {
-            waiting.remove(told);
-            room.release();
-        });
+        told.whenComplete(
+                (index, e) -> {
+                    waiting.remove(told);
+                    room.release();
+                });
         told.orTimeout((long) Math.ceil(bounds.appendMs()), TimeUnit.MILLISECONDS);
         Message message = Message.valueOf(ByteString.copyFrom(entry));
         long call = calls.incrementAndGet();
@@ -217,8 +269,8 @@
     }
 
     /**
-     * On the sender's thread. Asked again only where it surely was not taken, and under the same call, which the library takes
-     * once.
+     * On the sender's thread. Asked again only where it surely was not taken, and under the same
+     * call, which the library takes once.
      */
     private void offer(long call, Message message, CompletableFuture<Long> told) {
         if (told.isDone()) {
@@ -229,30 +281,44 @@
             later(() -> offer(call, message, told), AGAIN_MS, told);
             return;
         }
-        RaftClientRequest req = RaftClientRequest.newBuilder().setClientId(client).setServerId(leader).setGroupId(GROUP)
-                .setCallId(call).setMessage(message).setType(RaftClientRequest.writeRequestType()).build();
+        RaftClientRequest req =
+                RaftClientRequest.newBuilder()
+                        .setClientId(client)
+                        .setServerId(leader)
+                        .setGroupId(GROUP)
+                        .setCallId(call)
+                        .setMessage(message)
+                        .setType(RaftClientRequest.writeRequestType())
+                        .build();
         CompletableFuture<RaftClientReply> reply;
         try {
-            reply = leader.equals(self) ? server.submitClientRequestAsync(req) : rpc.sendRequestAsyncUnordered(req);
+            reply =
+                    leader.equals(self)
+                            ? server.submitClientRequestAsync(req)
+                            : rpc.sendRequestAsyncUnordered(req);
         } catch (IOException | RuntimeException e) {
             reply = CompletableFuture.failedFuture(e);
         }
-        reply.whenComplete((answer, e) -> {
-            Throwable why = e != null ? e : answer.getException();
-            while (why instanceof CompletionException && why.getCause() != null) {
-                why = why.getCause();
-            }
-            if (why == null) {
-                told.complete(answer.getLogIndex());
-            } else if (why instanceof NotLeaderException || why instanceof LeaderNotReadyException) {
-                later(() -> offer(call, message, told), AGAIN_MS, told);
-            } else {
-                if (!leader.equals(self) && !closed) {
-                    rpc.handleException(leader, why, true);
-                }
-                told.completeExceptionally(new IOException("log: append at " + leader + " failed: " + why, why));
-            }
-        });
+        reply.whenComplete(
+                (answer, e) -> {
+                    Throwable why = e != null ? e : answer.getException();
+                    while (why instanceof CompletionException && why.getCause() != null) {
+                        why = why.getCause();
+                    }
+                    if (why == null) {
+                        told.complete(answer.getLogIndex());
+                    } else if (why instanceof NotLeaderException
+                            || why instanceof LeaderNotReadyException) {
+                        later(() -> offer(call, message, told), AGAIN_MS, told);
+                    } else {
+                        if (!leader.equals(self) && !closed) {
+                            rpc.handleException(leader, why, true);
+                        }
+                        told.completeExceptionally(
+                                new IOException(
+                                        "log: append at " + leader + " failed: " + why, why));
+                    }
+                });
     }
 
     @Override
@@ -286,7 +352,11 @@
                 }
             } catch (Exception e) {
                 System.getLogger("tinford.fleet")
-                        .log(System.Logger.Level.WARNING, "log: {0} not closed: {1}", self, e.toString());
+                        .log(
+                                System.Logger.Level.WARNING,
+                                "log: {0} not closed: {1}",
+                                self,
+                                e.toString());
             }
         }
     }
--- a/fleet/src/main/java/tinford/fleet/store/Rejoining.java
+++ b/fleet/src/main/java/tinford/fleet/store/Rejoining.java
@@ -18,12 +18,13 @@
 import org.apache.ratis.util.TimeDuration;
 
 /**
- * How a member without its disk comes back: it votes for nothing and counts for nothing until the leader has taken it out, in
- * again, and brought it up to date. As a voter at once it could outvote what it had acknowledged before.
+ * How a member without its disk comes back: it votes for nothing and counts for nothing until the
+ * leader has taken it out, in again, and brought it up to date. As a voter at once it could outvote
+ * what it had acknowledged before.
  *
- * <p>It knows that it lost its disk when its folder is empty and another member tells of committed entries. Where no other
- * answers, it can't tell that from the first start of all: a member with an empty folder must not be started before another one
- * runs.
+ * <p>It knows that it lost its disk when its folder is empty and another member tells of committed
+ * entries. Where no other answers, it can't tell that from the first start of all: a member with an
+ * empty folder must not be started before another one runs.
  */
 final class Rejoining {
     private static final TimeDuration AGAIN = TimeDuration.valueOf(200, TimeUnit.MILLISECONDS);
@@ -32,10 +33,16 @@
     private final List<RaftPeer> others;
     private final RaftProperties properties;
     private final Parameters parameters;
+
     /** There from when it was found out until it counts again, over restarts. */
     private final Path mark;
 
-    Rejoining(RaftGroupId id, RaftPeerId self, List<RaftPeer> peers, RaftProperties properties, Parameters parameters,
+    Rejoining(
+            RaftGroupId id,
+            RaftPeerId self,
+            List<RaftPeer> peers,
+            RaftProperties properties,
+            Parameters parameters,
             Path folder) {
         this.group = RaftGroup.valueOf(id, peers);
         this.self = self;
@@ -74,34 +81,49 @@
     }
 
     private RaftClient client(int tries) {
-        return RaftClient.newBuilder().setRaftGroup(group).setProperties(properties).setParameters(parameters)
-                .setRetryPolicy(tries == 0 ? RetryPolicies.noRetry()
-                        : RetryPolicies.retryUpToMaximumCountWithFixedSleep(tries, AGAIN))
+        return RaftClient.newBuilder()
+                .setRaftGroup(group)
+                .setProperties(properties)
+                .setParameters(parameters)
+                .setRetryPolicy(
+                        tries == 0
+                                ? RetryPolicies.noRetry()
+                                : RetryPolicies.retryUpToMaximumCountWithFixedSleep(tries, AGAIN))
                 .build();
     }
 
     /** Tries until it counts again; an interrupt ends it. */
     Thread start() {
-        Thread thread = new Thread(() -> {
-            while (!Thread.currentThread().isInterrupted()) {
-                try (RaftClient client = client(25)) {
-                    RaftClientReply out = client.admin().setConfiguration(others);
-                    if (out.isSuccess() && client.admin().setConfiguration(List.copyOf(group.getPeers())).isSuccess()) {
-                        Files.deleteIfExists(mark);
-                        return;
-                    }
-                    AGAIN.sleep();
-                } catch (InterruptedException e) {
-                    return;
-                } catch (IOException | RuntimeException e) {
-                    System.getLogger("tinford.fleet")
-                            .log(System.Logger.Level.INFO, "log: {0} not back yet: {1}", self, e.toString());
-                    if (!rest()) {
-                        return;
-                    }
-                }
-            }
-        }, "tinford-log-rejoins-" + self);
+        Thread thread =
+                new Thread(
+                        () -> {
+                            while (!Thread.currentThread().isInterrupted()) {
+                                try (RaftClient client = client(25)) {
+                                    RaftClientReply out = client.admin().setConfiguration(others);
+                                    if (out.isSuccess()
+                                            && client.admin()
+                                                    .setConfiguration(List.copyOf(group.getPeers()))
+                                                    .isSuccess()) {
+                                        Files.deleteIfExists(mark);
+                                        return;
+                                    }
+                                    AGAIN.sleep();
+                                } catch (InterruptedException e) {
+                                    return;
+                                } catch (IOException | RuntimeException e) {
+                                    System.getLogger("tinford.fleet")
+                                            .log(
+                                                    System.Logger.Level.INFO,
+                                                    "log: {0} not back yet: {1}",
+                                                    self,
+                                                    e.toString());
+                                    if (!rest()) {
+                                        return;
+                                    }
+                                }
+                            }
+                        },
+                        "tinford-log-rejoins-" + self);
         thread.setDaemon(true);
         thread.start();
         return thread;
--- a/fleet/src/main/java/tinford/fleet/store/Sealed.java
+++ b/fleet/src/main/java/tinford/fleet/store/Sealed.java
@@ -4,8 +4,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * A content with a header that tells whether it is whole: magic, format version, written-at time, length and a CRC32C over all of
- * that and the content. Big-endian, 28 bytes before the content.
+ * A content with a header that tells whether it is whole: magic, format version, written-at time,
+ * length and a CRC32C over all of that and the content. Big-endian, 28 bytes before the content.
  */
 final class Sealed {
     static final int HEAD = 28;
@@ -13,11 +13,17 @@
     private static final int VERSION = 1;
     private static final int SUM_AT = 24;
 
-    private Sealed() { }
+    private Sealed() {}
 
     static byte[] seal(byte[] content, double now) {
         ByteBuffer to = ByteBuffer.allocate(HEAD + content.length);
-        to.putInt(MAGIC).putInt(VERSION).putDouble(now).putInt(content.length).putInt(0).putInt(0).put(content);
+        to.putInt(MAGIC)
+                .putInt(VERSION)
+                .putDouble(now)
+                .putInt(content.length)
+                .putInt(0)
+                .putInt(0)
+                .put(content);
         to.putInt(SUM_AT, sum(to.array()));
         return to.array();
     }
@@ -51,8 +57,16 @@
             return absent("damaged: CRC32C does not match");
         }
         if (version < 1 || !(at <= now + aheadMs)) {
-            return absent(version < 1 ? "version " + version + ", expected 1"
-                    : "dated in the future: written at " + at + ", now " + now + ", expected at most " + aheadMs + " ms ahead");
+            return absent(
+                    version < 1
+                            ? "version " + version + ", expected 1"
+                            : "dated in the future: written at "
+                                    + at
+                                    + ", now "
+                                    + now
+                                    + ", expected at most "
+                                    + aheadMs
+                                    + " ms ahead");
         }
         byte[] content = new byte[length];
         from.get(content);
--- a/fleet/src/main/java/tinford/fleet/talk/Memory.java
+++ b/fleet/src/main/java/tinford/fleet/talk/Memory.java
@@ -8,25 +8,29 @@
 import java.util.Random;
 
 /**
- * A fleet's messages in memory and in virtual time, for tests and the lab: the same seed gives the same run. Holds at most
- * {@code room} messages a receiver, under way and waiting; what is beyond is lost, as with datagrams.
+ * A fleet's messages in memory and in virtual time, for tests and the lab: the same seed gives the
+ * same run. Holds at most {@code room} messages a receiver, under way and waiting; what is beyond
+ * is lost, as with datagrams.
  */
 public final class Memory {
     /**
      * How messages fare on one way, ms and chances.
      *
-     * @param jitter up to so much is added by chance to the delay, so that messages overtake each other
+     * @param jitter up to so much is added by chance to the delay, so that messages overtake each
+     *     other
      * @param late chance that a message takes {@code lateBy} longer
      */
-    public record Way(double delay, double jitter, double loss, double twice, double late, double lateBy) {
+    public record Way(
+            double delay, double jitter, double loss, double twice, double late, double lateBy) {
         public static Way of(double delay, double jitter) {
             return new Way(delay, jitter, 0, 0, 0, 0);
         }
     }
 
-    private Memory() { }
+    private Memory() {}
 
-    private record Sent(double due, long order, int from, int to, byte[] message) implements Comparable<Sent> {
+    private record Sent(double due, long order, int from, int to, byte[] message)
+            implements Comparable<Sent> {
         @Override
         public int compareTo(Sent other) {
             int c = Double.compare(due, other.due);
@@ -71,12 +75,13 @@
         }
 
         /**
-         * A process of that gateway. An earlier process of the same number takes no more, but may send until it is closed; what
-         * was under way to or from it still arrives.
+         * A process of that gateway. An earlier process of the same number takes no more, but may
+         * send until it is closed; what was under way to or from it still arrives.
          */
         public Talk at(int gateway, Talk.Taker taker) {
             if (gateway < 0 || gateway >= gateways) {
-                throw new IllegalArgumentException("gateway " + gateway + ": expected 0 to " + (gateways - 1));
+                throw new IllegalArgumentException(
+                        "gateway " + gateway + ": expected 0 to " + (gateways - 1));
             }
             ends[gateway] = new End(gateway, taker);
             return ends[gateway];
@@ -112,14 +117,14 @@
         /** What waited is taken at the next {@link #advance}. */
         public void resume(int gateway) {
             paused.clear(gateway);
-            for (Sent one; (one = waiting.get(gateway).poll()) != null;) {
+            for (Sent one; (one = waiting.get(gateway).poll()) != null; ) {
                 under.add(new Sent(now, order++, one.from, gateway, one.message));
             }
         }
 
         /** Hands out in order of arrival what is due by then; takers may send meanwhile. */
         public void advance(double to) {
-            for (Sent one; (one = under.peek()) != null && one.due <= to;) {
+            for (Sent one; (one = under.peek()) != null && one.due <= to; ) {
                 under.poll();
                 now = Math.max(now, one.due);
                 if (paused.get(one.to)) {
@@ -149,8 +154,11 @@
                 return;
             }
             held[to]++;
-            double due = now + w.delay + (w.jitter > 0 ? w.jitter * chance.nextDouble() : 0)
-                    + (w.late > 0 && chance.nextDouble() < w.late ? w.lateBy : 0);
+            double due =
+                    now
+                            + w.delay
+                            + (w.jitter > 0 ? w.jitter * chance.nextDouble() : 0)
+                            + (w.late > 0 && chance.nextDouble() < w.late ? w.lateBy : 0);
             under.add(new Sent(due, order++, from, to, message.clone()));
         }
 
@@ -207,7 +215,11 @@
 
             @Override
             public boolean send(int to, byte[] message) {
-                return !closed && to >= 0 && to < gateways && message.length <= most && Network.this.send(number, to, message);
+                return !closed
+                        && to >= 0
+                        && to < gateways
+                        && message.length <= most
+                        && Network.this.send(number, to, message);
             }
 
             @Override
--- a/fleet/src/main/java/tinford/fleet/talk/Talk.java
+++ b/fleet/src/main/java/tinford/fleet/talk/Talk.java
@@ -1,8 +1,9 @@
 package tinford.fleet.talk;
 
 /**
- * Messages between the gateways of a fleet, by their numbers. Any message may be lost, doubled, late or out of order; none is
- * changed, and none is told as from another than its sender. No call waits, and nothing is kept without bound.
+ * Messages between the gateways of a fleet, by their numbers. Any message may be lost, doubled,
+ * late or out of order; none is changed, and none is told as from another than its sender. No call
+ * waits, and nothing is kept without bound.
  */
 public interface Talk extends AutoCloseable {
     /** Takes a message; called by one thread at a time, which may be the transport's own. */
--- a/fleet/src/main/java/tinford/fleet/talk/Udp.java
+++ b/fleet/src/main/java/tinford/fleet/talk/Udp.java
@@ -19,12 +19,13 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Messages as datagrams. One thread of its own takes what comes from the listed addresses, as from the number that has the
- * address; all else is dropped and counted. Nothing is kept outside the socket's own buffers, which hold {@link #BUFFER} bytes at
- * most (the system may count double).
+ * Messages as datagrams. One thread of its own takes what comes from the listed addresses, as from
+ * the number that has the address; all else is dropped and counted. Nothing is kept outside the
+ * socket's own buffers, which hold {@link #BUFFER} bytes at most (the system may count double).
  */
 public final class Udp implements Talk {
     private static final int BUFFER = 256 * 1024;
+
     /** How long {@link #close} waits for a taker that is at it. */
     private static final long CLOSE_MS = 1000;
 
@@ -35,15 +36,21 @@
     private final Taker taker;
     private final DatagramChannel channel;
     private final Selector selector;
+
     /** Held while the taker is at it, so that nothing is taken once {@link #close} is through. */
     private final ReentrantLock taking = new ReentrantLock();
+
     private final LongAdder strangers = new LongAdder();
     private final LongAdder tooLong = new LongAdder();
     private final LongAdder thrown = new LongAdder();
     private volatile boolean closed;
 
-    /** @param peers by number; the own one may be anything, null too */
-    public Udp(int own, InetSocketAddress listen, List<InetSocketAddress> peers, int most, Taker taker) throws IOException {
+    /**
+     * @param peers by number; the own one may be anything, null too
+     */
+    public Udp(
+            int own, InetSocketAddress listen, List<InetSocketAddress> peers, int most, Taker taker)
+            throws IOException {
         this.own = own;
         this.peers = Collections.unmodifiableList(new ArrayList<>(peers));
         this.most = most;
@@ -54,17 +61,24 @@
                 continue;
             }
             if (one == null || one.isUnresolved() || one.getPort() == 0) {
-                throw new IllegalArgumentException("peers, " + i + ": expected an address that resolves, with port: " + one);
+                throw new IllegalArgumentException(
+                        "peers, " + i + ": expected an address that resolves, with port: " + one);
             }
             if (numbers.put(one, i) != null) {
-                throw new IllegalArgumentException("peers, " + i + ": expected an address of its own, found " + one + " twice");
+                throw new IllegalArgumentException(
+                        "peers, "
+                                + i
+                                + ": expected an address of its own, found "
+                                + one
+                                + " twice");
             }
         }
         selector = Selector.open();
         DatagramChannel opened = null;
         try {
             opened = DatagramChannel.open();
-            opened.setOption(StandardSocketOptions.SO_RCVBUF, BUFFER).setOption(StandardSocketOptions.SO_SNDBUF, BUFFER);
+            opened.setOption(StandardSocketOptions.SO_RCVBUF, BUFFER)
+                    .setOption(StandardSocketOptions.SO_SNDBUF, BUFFER);
             opened.bind(listen).configureBlocking(false);
             opened.register(selector, SelectionKey.OP_READ);
         } catch (IOException | RuntimeException e) {
@@ -91,7 +105,8 @@
             return false;
         }
         try {
-            // An empty datagram that was sent counts 0 bytes as well; whether it left is not known then.
+            // An empty datagram that was sent counts 0 bytes as well; whether it left is not known
+            // then.
             return channel.send(ByteBuffer.wrap(message), peers.get(to)) == message.length;
         } catch (IOException | RuntimeException e) {
             return false;
@@ -109,7 +124,8 @@
                     take(from, buffer.flip());
                 }
             } catch (IOException e) {
-                // An error that a peer's machine sent back for an earlier datagram: nothing was received, nothing is lost.
+                // An error that a peer's machine sent back for an earlier datagram: nothing was
+                // received, nothing is lost.
                 if (!channel.isOpen()) {
                     return;
                 }
@@ -156,7 +172,10 @@
         return thrown.sum();
     }
 
-    /** Returns once no message is taken any more, or after a second where a taker hangs in one that it has. */
+    /**
+     * Returns once no message is taken any more, or after a second where a taker hangs in one that
+     * it has.
+     */
     @Override
     public void close() {
         closed = true;
--- a/fleet/src/test/java/tinford/fleet/budgets/FairTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/FairTest.java
@@ -12,11 +12,18 @@
 
 /** Division of connections among accounts: max-min fairness and its bounds. */
 public class FairTest {
-    private static final LongFunction<Proposer.Plan> PLANS = a -> new Proposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 40);
+    private static final LongFunction<Proposer.Plan> PLANS =
+            a -> new Proposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 40);
+
     /** Log: offered, taken, read. */
     private static final double LOG = 50 + Fleet.STEP;
-    /** An ask; the proposal; the let-go, once answered; the second proposal; each with its way through the log. */
+
+    /**
+     * An ask; the proposal; the let-go, once answered; the second proposal; each with its way
+     * through the log.
+     */
     static final double UP = 4 * (Fleet.EVERY + LOG) + Fleet.SERVICE;
+
     /** What is no longer wanted is told that long after. */
     static final double DOWN = UP + 2 * (Fleet.KEEP + Fleet.EVERY);
 
@@ -36,9 +43,13 @@
             long id = a;
             in[0][a] = PLANS.apply(a).weight();
             in[1][a] = PLANS.apply(a).floor();
-            in[2][a] = Math.min(40, f.gateways.stream().mapToInt(g -> g.wants.getOrDefault(id, 0)).sum());
+            in[2][a] =
+                    Math.min(
+                            40,
+                            f.gateways.stream().mapToInt(g -> g.wants.getOrDefault(id, 0)).sum());
         }
-        return MaxMin.divide(f.offers.values().stream().mapToInt(n -> n).sum(), in[0], in[1], in[2]);
+        return MaxMin.divide(
+                f.offers.values().stream().mapToInt(n -> n).sum(), in[0], in[1], in[2]);
     }
 
     private static int off(Fleet f, int[] exact) {
@@ -96,7 +107,15 @@
                         }
                     }
                 }
-                assertTrue(reached - start <= DOWN, "history " + seed + ", change " + change + ": " + (reached - start) + " ms");
+                assertTrue(
+                        reached - start <= DOWN,
+                        "history "
+                                + seed
+                                + ", change "
+                                + change
+                                + ": "
+                                + (reached - start)
+                                + " ms");
                 int sum = java.util.Arrays.stream(exact).sum();
                 use = Math.min(use, sum == 0 ? 1 : used / steps / sum);
             }
@@ -130,7 +149,9 @@
             f.gateways.get(2).wants.put(3L, k % 2 == 0 ? 2 : 18);
             long before = f.gateways.get(0).ledger.grants();
             f.run(700);
-            assertTrue(k < 5 || f.gateways.get(0).ledger.grants() == before, "grants flap in turn " + k);
+            assertTrue(
+                    k < 5 || f.gateways.get(0).ledger.grants() == before,
+                    "grants flap in turn " + k);
         }
     }
 
@@ -165,8 +186,13 @@
         f.run(Fleet.TERM + Fleet.LINGER);
         Map<String, Integer> sums = new TreeMap<>();
         for (Fleet.Gateway g : f.gateways) {
-            f.offers.keySet().forEach(s -> sums.merge(s, g.share.mayHold(s, f.now + g.offset), Integer::sum));
-            assertTrue(g.share.mayUse(1, f.now + g.offset) >= 1 && g.share.mayUse(2, f.now + g.offset) >= 1);
+            f.offers
+                    .keySet()
+                    .forEach(
+                            s -> sums.merge(s, g.share.mayHold(s, f.now + g.offset), Integer::sum));
+            assertTrue(
+                    g.share.mayUse(1, f.now + g.offset) >= 1
+                            && g.share.mayUse(2, f.now + g.offset) >= 1);
         }
         assertEquals(sums, Map.of("s0", 6, "s1", 6));
         int out = 0;
--- a/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
@@ -11,8 +11,10 @@
 import tinford.fleet.members.Life;
 import tinford.fleet.members.Terms;
 
-/** A fleet in driven time: gateways with their ledgers, a log that loses, doubles and delays what is offered, servers that count.
- * */
+/**
+ * A fleet in driven time: gateways with their ledgers, a log that loses, doubles and delays what is
+ * offered, servers that count.
+ */
 final class Fleet {
     static final double TERM = 3000;
     static final double MARGIN = 300;
@@ -79,8 +81,10 @@
 
     final Random random;
     final Map<String, Integer> offers = new LinkedHashMap<>();
+
     /** Highest offer lately, as what it was can't come back at once; and until when. */
     private final Map<String, double[]> lately = new LinkedHashMap<>();
+
     final List<Gateway> gateways = new ArrayList<>();
     final List<Conn> orphans = new ArrayList<>();
     final List<byte[]> log = new ArrayList<>();
@@ -99,8 +103,14 @@
     double used;
     double couldUse;
 
-    Fleet(long seed, int size, Map<String, Integer> offers, double part, LongFunction<Proposer.Plan> plans,
-            Function<Statics, Ledger> ledgers, Make shares) {
+    Fleet(
+            long seed,
+            int size,
+            Map<String, Integer> offers,
+            double part,
+            LongFunction<Proposer.Plan> plans,
+            Function<Statics, Ledger> ledgers,
+            Make shares) {
         random = new Random(seed);
         this.offers.putAll(offers);
         this.plans = plans;
@@ -133,7 +143,8 @@
 
     private void append(Gateway from, byte[] entry) {
         appended++;
-        boolean lost = now < noMajorityUntil || now < from.cutUntil || faults && random.nextInt(12) == 0;
+        boolean lost =
+                now < noMajorityUntil || now < from.cutUntil || faults && random.nextInt(12) == 0;
         if (!lost || faults && random.nextInt(8) == 0) {
             boolean late = faults && random.nextInt(12) == 0;
             put(entry, late || lost ? 200 + random.nextInt(4000) : 5 + random.nextInt(40));
@@ -207,13 +218,14 @@
             if (g.runs()) {
                 run(g);
             } else {
-                g.conns.removeIf(c -> {
-                    boolean closed = now >= c.sent + LINGER;
-                    if (closed && g.share != null) {
-                        g.share.closed(c.server);
-                    }
-                    return closed;
-                });
+                g.conns.removeIf(
+                        c -> {
+                            boolean closed = now >= c.sent + LINGER;
+                            if (closed && g.share != null) {
+                                g.share.closed(c.server);
+                            }
+                            return closed;
+                        });
             }
         }
         for (Map.Entry<String, Integer> e : offers.entrySet()) {
@@ -254,28 +266,33 @@
                 g.share.closed(c.server);
             }
         }
-        g.wants.forEach((a, want) -> {
-            g.share.wanted(a, want);
-            for (int n = out.getOrDefault(a, 0); n < want && n < g.share.mayUse(a, own); n++) {
-                Conn conn = null;
-                for (Conn c : g.conns) {
-                    conn = c.busy <= now && g.share.excess(c.server, own) == 0 ? c : conn;
-                }
-                for (String s : offers.keySet()) {
-                    if (conn == null && g.conns.stream().filter(c -> c.server.equals(s)).count() < g.share.mayHold(s, own)) {
-                        conn = new Conn(s);
-                        g.conns.add(conn);
-                        g.share.opened(s);
+        g.wants.forEach(
+                (a, want) -> {
+                    g.share.wanted(a, want);
+                    for (int n = out.getOrDefault(a, 0);
+                            n < want && n < g.share.mayUse(a, own);
+                            n++) {
+                        Conn conn = null;
+                        for (Conn c : g.conns) {
+                            conn = c.busy <= now && g.share.excess(c.server, own) == 0 ? c : conn;
+                        }
+                        for (String s : offers.keySet()) {
+                            if (conn == null
+                                    && g.conns.stream().filter(c -> c.server.equals(s)).count()
+                                            < g.share.mayHold(s, own)) {
+                                conn = new Conn(s);
+                                g.conns.add(conn);
+                                g.share.opened(s);
+                            }
+                        }
+                        if (conn == null) {
+                            return;
+                        }
+                        conn.account = a;
+                        conn.sent = now;
+                        conn.busy = now + 20 + random.nextInt((int) SERVICE - 20);
                     }
-                }
-                if (conn == null) {
-                    return;
-                }
-                conn.account = a;
-                conn.sent = now;
-                conn.busy = now + 20 + random.nextInt((int) SERVICE - 20);
-            }
-        });
+                });
         g.share.round(own).forEach(e -> append(g, e));
         if (g.number == leader || faults && g.number == otherLeader) {
             byte[] entry = g.proposer.propose(g.ledger, own);
@@ -289,7 +306,11 @@
     int out(long account) {
         int n = 0;
         for (Gateway g : gateways) {
-            n += (int) g.conns.stream().filter(c -> c.busy > now - STEP && c.account == account).count();
+            n +=
+                    (int)
+                            g.conns.stream()
+                                    .filter(c -> c.busy > now - STEP && c.account == account)
+                                    .count();
         }
         return n;
     }
--- a/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
@@ -14,9 +14,13 @@
 
 /** Drawn histories of connection budgets under faults. */
 public class HistoriesTest {
-    private static final LongFunction<Proposer.Plan> PLANS = a -> new Proposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 60);
+    private static final LongFunction<Proposer.Plan> PLANS =
+            a -> new Proposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 60);
 
-    /** A drawn history; returns by how many connections an offer was exceeded at most (below 0: how near). */
+    /**
+     * A drawn history; returns by how many connections an offer was exceeded at most (below 0: how
+     * near).
+     */
     private static int play(int seed, String broken) {
         return history(seed, broken).worst;
     }
@@ -30,10 +34,27 @@
         }
         double part = random.nextBoolean() ? 0.2 : 0;
         Fleet[] fleet = new Fleet[1];
-        fleet[0] = new Fleet(seed, size, offers, part, PLANS, broken.isEmpty() ? null : s -> ledger(size, s, broken),
-            !broken.equals("own clock ignored") ? null : (ledger, life, from) ->
-                new Share(ledger, new Statics(offers, part, size), PLANS, life, Fleet.TERM, -1e12,
-                     Fleet.EVERY, Fleet.KEEP, from));
+        fleet[0] =
+                new Fleet(
+                        seed,
+                        size,
+                        offers,
+                        part,
+                        PLANS,
+                        broken.isEmpty() ? null : s -> ledger(size, s, broken),
+                        !broken.equals("own clock ignored")
+                                ? null
+                                : (ledger, life, from) ->
+                                        new Share(
+                                                ledger,
+                                                new Statics(offers, part, size),
+                                                PLANS,
+                                                life,
+                                                Fleet.TERM,
+                                                -1e12,
+                                                Fleet.EVERY,
+                                                Fleet.KEEP,
+                                                from));
         Fleet f = fleet[0];
         f.faults = true;
         for (int k = 0; k < 12; k++) {
@@ -70,8 +91,10 @@
             boolean gone(Life life) {
                 return switch (broken) {
                     case "no linger" -> super.gone(life) || !terms().mayAct(life);
-                    case "a later life frees the earlier's" -> super.gone(life)
-                            || terms().of(life.gateway()).stream().anyMatch(l -> l.start() > life.start());
+                    case "a later life frees the earlier's" ->
+                            super.gone(life)
+                                    || terms().of(life.gateway()).stream()
+                                            .anyMatch(l -> l.start() > life.start());
                     default -> super.gone(life);
                 };
             }
@@ -130,14 +153,23 @@
 
     private static byte[] cells(Ledger ledger) {
         StringBuilder all = new StringBuilder();
-        ledger.holders.forEach((l, h) -> h.cells.forEach((s, c) ->
-            all.append(l).append(s).append(' ').append(c.granted).append(c.may)));
+        ledger.holders.forEach(
+                (l, h) ->
+                        h.cells.forEach(
+                                (s, c) ->
+                                        all.append(l)
+                                                .append(s)
+                                                .append(' ')
+                                                .append(c.granted)
+                                                .append(c.may)));
         return all.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
     }
 
     @DataProvider
     public Object[][] broken() {
-        return new Object[][] {{"no check"}, {"no linger"}, {"own clock ignored"}, {"a later life frees the earlier's"}};
+        return new Object[][] {
+            {"no check"}, {"no linger"}, {"own clock ignored"}, {"a later life frees the earlier's"}
+        };
     }
 
     @Test(dataProvider = "broken")
--- a/fleet/src/test/java/tinford/fleet/budgets/MaxMinTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/MaxMinTest.java
@@ -42,7 +42,10 @@
                 in[2][i] = random.nextInt(60);
             }
             int pool = random.nextInt(300);
-            assertEquals(MaxMin.divide(pool, in[0], in[1], in[2]), slow(pool, in[0], in[1], in[2]), "history " + k);
+            assertEquals(
+                    MaxMin.divide(pool, in[0], in[1], in[2]),
+                    slow(pool, in[0], in[1], in[2]),
+                    "history " + k);
         }
     }
 
@@ -53,8 +56,12 @@
             boolean low = false;
             for (int i = 0; i < given.length; i++) {
                 boolean below = given[i] < Math.min(floor[i], cap[i]);
-                if (given[i] < cap[i] && (best < 0 || below && !low
-                        || below == low && (long) given[i] * weight[best] < (long) given[best] * weight[i])) {
+                if (given[i] < cap[i]
+                        && (best < 0
+                                || below && !low
+                                || below == low
+                                        && (long) given[i] * weight[best]
+                                                < (long) given[best] * weight[i])) {
                     best = i;
                     low = below;
                 }
@@ -72,7 +79,11 @@
         for (int k = 0; k < 200; k++) {
             int gateways = 1 + random.nextInt(40);
             int offer = random.nextInt(100);
-            Statics s = new Statics(new LinkedHashMap<>(Map.of("a" + k, offer)), random.nextDouble(), gateways);
+            Statics s =
+                    new Statics(
+                            new LinkedHashMap<>(Map.of("a" + k, offer)),
+                            random.nextDouble(),
+                            gateways);
             int sum = 0;
             int most = 0;
             int least = 100;
--- a/fleet/src/test/java/tinford/fleet/members/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/members/Fleet.java
@@ -9,7 +9,8 @@
 import tinford.fleet.talk.Talk;
 
 /**
- * A fleet of members in virtual time, for tests: each renews its record and has its round every 100 ms, at a moment of its own.
+ * A fleet of members in virtual time, for tests: each renews its record and has its round every 100
+ * ms, at a moment of its own.
  */
 final class Fleet {
     static final double EVERY = 100;
@@ -19,11 +20,14 @@
     final Talk[] talks;
     final boolean[] stopped;
     final int[] seq;
+
     /** By life and seq: when the record was made. */
     final Map<Life, List<Double>> made = new HashMap<>();
+
     final Random chance;
     double now = 1000;
     private final double suspectAfter;
+
     /** How many times as much as others a gateway sees. */
     final double[] sees;
 
@@ -47,8 +51,15 @@
     private final double freshFor;
 
     void start(int i, long at) {
-        Members m = new Members(new Life(i, at), members.length, EVERY, FANOUT, suspectAfter, freshFor,
-                new Random(chance.nextLong()));
+        Members m =
+                new Members(
+                        new Life(i, at),
+                        members.length,
+                        EVERY,
+                        FANOUT,
+                        suspectAfter,
+                        freshFor,
+                        new Random(chance.nextLong()));
         members[i] = m;
         seq[i] = 0;
         stopped[i] = false;
@@ -87,7 +98,7 @@
     }
 
     void run(double ms) {
-        for (double end = now + ms; now < end;) {
+        for (double end = now + ms; now < end; ) {
             round();
         }
     }
--- a/fleet/src/test/java/tinford/fleet/members/MembersTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/MembersTest.java
@@ -16,7 +16,9 @@
     /** Whether each counts so many; of 400, one in a hundred may be missing at each. */
     private static boolean all(Fleet f, int living) {
         for (int i = 0; i < f.members.length; i++) {
-            if (!f.stopped[i] && Math.abs(f.members[i].living() - living) > (f.members.length == 400 ? 4 : 0)) {
+            if (!f.stopped[i]
+                    && Math.abs(f.members[i].living() - living)
+                            > (f.members.length == 400 ? 4 : 0)) {
                 return false;
             }
         }
@@ -70,24 +72,32 @@
         int lost = n / 2;
         f.until(20_000, () -> Arrays.stream(f.members).allMatch(m -> m.of(lost) != null));
         f.kill(lost);
-        double gone = f.until(suspectAfter + 10_000, () -> {
-            for (int i = 0; i < n; i++) {
-                if (i != lost && f.members[i].lives(lost)) {
-                    return false;
-                }
-            }
-            return true;
-        });
+        double gone =
+                f.until(
+                        suspectAfter + 10_000,
+                        () -> {
+                            for (int i = 0; i < n; i++) {
+                                if (i != lost && f.members[i].lives(lost)) {
+                                    return false;
+                                }
+                            }
+                            return true;
+                        });
         assertTrue(gone <= suspectAfter + 2 * Fleet.EVERY, "loss known by all after " + gone);
         f.start(lost, (long) f.now);
-        double back = f.until(10_000, () -> {
-            for (int i = 0; i < n; i++) {
-                if (!f.members[i].lives(lost) || f.members[i].life(lost).start() != f.members[lost].life(lost).start()) {
-                    return false;
-                }
-            }
-            return true;
-        });
+        double back =
+                f.until(
+                        10_000,
+                        () -> {
+                            for (int i = 0; i < n; i++) {
+                                if (!f.members[i].lives(lost)
+                                        || f.members[i].life(lost).start()
+                                                != f.members[lost].life(lost).start()) {
+                                    return false;
+                                }
+                            }
+                            return true;
+                        });
         assertTrue(back < 1500 + n * 10, "restart known by all after " + back);
     }
 
@@ -97,14 +107,17 @@
         f.run(2 * within);
         int half = n / 2;
         cut(f, half, true);
-        double seen = f.until(2 * suspectAfter, () -> {
-            for (int i = 0; i < n; i++) {
-                if (f.members[i].living() != (i < half ? half : n - half)) {
-                    return false;
-                }
-            }
-            return true;
-        });
+        double seen =
+                f.until(
+                        2 * suspectAfter,
+                        () -> {
+                            for (int i = 0; i < n; i++) {
+                                if (f.members[i].living() != (i < half ? half : n - half)) {
+                                    return false;
+                                }
+                            }
+                            return true;
+                        });
         assertTrue(seen <= suspectAfter + 2 * Fleet.EVERY, "halves seen after " + seen);
         assertEquals(f.members[0].size(), n);
         cut(f, half, false);
@@ -130,7 +143,10 @@
         }
     }
 
-    /** Some gateways see five times as much as others; the sum is the mean of the fresh records times those that live. */
+    /**
+     * Some gateways see five times as much as others; the sum is the mean of the fresh records
+     * times those that live.
+     */
     @Test
     public void sumOfUnevenGateways() {
         for (int n : new int[] {5, 14, 100}) {
@@ -144,15 +160,22 @@
             double worst = 0;
             double mean = 0;
             for (Members m : f.members) {
-                double estimate = m.fresh().stream().mapToDouble(s -> s.first).average().orElse(0) * m.living();
+                double estimate =
+                        m.fresh().stream().mapToDouble(s -> s.first).average().orElse(0)
+                                * m.living();
                 worst = Math.max(worst, Math.abs(estimate / sum - 1));
                 mean += Math.abs(estimate / sum - 1) / n;
             }
-            assertTrue(worst < (n < 100 ? 0.04 : 0.2) && mean < 0.05, n + " gateways, off by " + mean + ", worst " + worst);
+            assertTrue(
+                    worst < (n < 100 ? 0.04 : 0.2) && mean < 0.05,
+                    n + " gateways, off by " + mean + ", worst " + worst);
         }
     }
 
-    /** Stopped for long, with what came meanwhile waiting for it: nobody is accused, and no dead one brought to life. */
+    /**
+     * Stopped for long, with what came meanwhile waiting for it: nobody is accused, and no dead one
+     * brought to life.
+     */
     @Test
     public void wakesUpAfterALongPause() {
         Fleet f = new Fleet(14, 3000, 1500, 9);
@@ -165,13 +188,18 @@
         f.net.resume(3);
         f.stopped[3] = false;
         f.net.advance(f.now + 1);
-        assertTrue(f.members[3].age(7) > 29_000 && f.members[3].silent(7) > 29_000, "a stale record counts as "
-                + f.members[3].silent(7));
+        assertTrue(
+                f.members[3].age(7) > 29_000 && f.members[3].silent(7) > 29_000,
+                "a stale record counts as " + f.members[3].silent(7));
         for (int i = 0; i < 60; i++) {
             f.round();
-            assertTrue(f.members[3].living() >= 13, "accuses after its pause: sees " + f.members[3].living());
+            assertTrue(
+                    f.members[3].living() >= 13,
+                    "accuses after its pause: sees " + f.members[3].living());
             for (int j = 0; j < 14; j++) {
-                assertFalse(j != 3 && j != 7 && f.members[j].lives(7), "brought to life by stale records at " + j);
+                assertFalse(
+                        j != 3 && j != 7 && f.members[j].lives(7),
+                        "brought to life by stale records at " + j);
             }
         }
         assertFalse(f.members[3].lives(7));
@@ -184,9 +212,9 @@
     }
 
     /**
-     * Messages may be 2 s late, and wait for a stopped gateway for any time. Over drawn histories of losses, cuts, stops and
-     * restarts nothing is known before it was made, nor counts as fresher than it is by more than two late ways (of a life first
-     * heard of over them).
+     * Messages may be 2 s late, and wait for a stopped gateway for any time. Over drawn histories
+     * of losses, cuts, stops and restarts nothing is known before it was made, nor counts as
+     * fresher than it is by more than two late ways (of a life first heard of over them).
      */
     @Test(dataProvider = "seeds")
     public void nothingIsFresherThanItIs(long seed) {
@@ -210,7 +238,8 @@
                         since[a][b] = f.now;
                     }
                     java.util.List<Double> made = f.made.get(m.life(b));
-                    assertTrue(made != null && m.of(b).seq < made.size(), "known before it was made");
+                    assertTrue(
+                            made != null && m.of(b).seq < made.size(), "known before it was made");
                     double tooLow = f.now - made.get(m.of(b).seq) - m.age(b);
                     assertTrue(tooLow > -3120, "counts as older than it is by " + -tooLow);
                     if (!f.stopped[b] && f.now - since[a][b] > 3000) {
@@ -242,7 +271,7 @@
                 f.net.resume(a);
                 f.stopped[a] = false;
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/fleet/src/test/java/tinford/fleet/members/SightsTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/SightsTest.java
@@ -11,7 +11,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Records come through as they were within the stated error; whatever else comes is refused without harm. */
+/**
+ * Records come through as they were within the stated error; whatever else comes is refused without
+ * harm.
+ */
 public class SightsTest {
     private static final double NOW = 1.8e12;
     private static final double OFF = 0.036;
@@ -20,7 +23,10 @@
         Sight s = new Sight(new Life(gateway, (long) NOW - r.nextInt(1_000_000)), r.nextInt());
         for (int c = 0; c < classes; c++) {
             s.asked[c] = r.nextInt(4) == 0 ? 0 : Math.exp(r.nextDouble() * 12);
-            s.sent[c] = r.nextInt(3) == 0 ? 0 : r.nextInt(2) == 0 ? s.asked[c] : s.asked[c] * r.nextDouble();
+            s.sent[c] =
+                    r.nextInt(3) == 0
+                            ? 0
+                            : r.nextInt(2) == 0 ? s.asked[c] : s.asked[c] * r.nextDouble();
         }
         s.first = r.nextDouble() * 5000;
         s.bears = r.nextDouble() * 500;
@@ -45,7 +51,9 @@
     }
 
     private static void near(double found, double wanted) {
-        assertTrue(Math.abs(found - wanted) <= OFF * wanted + (wanted < 1.0 / 64 ? 1.0 / 64 : 0), found + ", wanted " + wanted);
+        assertTrue(
+                Math.abs(found - wanted) <= OFF * wanted + (wanted < 1.0 / 64 ? 1.0 / 64 : 0),
+                found + ", wanted " + wanted);
     }
 
     @Test
@@ -71,8 +79,11 @@
             for (int k = 0; k < s.ills.size(); k++) {
                 Sight.Ill a = s.ills.get(k);
                 Sight.Ill b = t.sight().ills.get(k);
-                assertTrue(a.server() == b.server() && a.ill() == b.ill() && Math.abs(a.ago() - b.ago()) <= 0.05 * a.ago(), a
-                        + " " + b);
+                assertTrue(
+                        a.server() == b.server()
+                                && a.ill() == b.ill()
+                                && Math.abs(a.ago() - b.ago()) <= 0.05 * a.ago(),
+                        a + " " + b);
             }
         }
     }
@@ -90,12 +101,17 @@
         byte[] ills = message(0, new Sight(new Life(1, 5), 1));
         ills[ills.length - 1] = Sight.MOST_ILL + 1;
         return new Object[][] {
-            {"empty", new byte[0]}, {"one byte", new byte[] {1}}, {"another version", version},
-                    {"torn", Arrays.copyOf(m, m.length - 1)},
-            {"longer than its end", length}, {"classes beyond", classes}, {"servers beyond", ills},
+            {"empty", new byte[0]},
+            {"one byte", new byte[] {1}},
+            {"another version", version},
+            {"torn", Arrays.copyOf(m, m.length - 1)},
+            {"longer than its end", length},
+            {"classes beyond", classes},
+            {"servers beyond", ills},
             {"gateway beyond", message(0, new Sight(new Life(10, 5), 1))},
             {"starts in the future", message(0, new Sight(new Life(1, (long) NOW + 5001), 1))},
-            {"too long", Arrays.copyOf(m, 257)}, {"only signs of life", new byte[] {1, 0, 0, 0, 0, 0, 0, 0, 0}},
+            {"too long", Arrays.copyOf(m, 257)},
+            {"only signs of life", new byte[] {1, 0, 0, 0, 0, 0, 0, 0, 0}},
         };
     }
 
@@ -127,13 +143,20 @@
         assertEquals(read.get(0).sight().asked, read.get(1).sight().asked);
     }
 
-    /** Neither chance bytes nor a good message with some changed, cut or added ever throw, here or in the members. */
+    /**
+     * Neither chance bytes nor a good message with some changed, cut or added ever throw, here or
+     * in the members.
+     */
     @Test
     public void garbageIsHarmless() {
         Random r = new Random(4);
         Members members = new Members(new Life(0, 5), 10, 100, 2, 3000, 3000, r);
         for (int i = 0; i < 20_000; i++) {
-            byte[] m = message(r.nextInt(5000), drawn(r, r.nextInt(10), 8), drawn(r, r.nextInt(10), 3));
+            byte[] m =
+                    message(
+                            r.nextInt(5000),
+                            drawn(r, r.nextInt(10), 8),
+                            drawn(r, r.nextInt(10), 3));
             for (int k = r.nextInt(4); k >= 0; k--) {
                 m[r.nextInt(m.length)] = (byte) r.nextInt();
             }
--- a/fleet/src/test/java/tinford/fleet/members/TermsTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/TermsTest.java
@@ -60,8 +60,15 @@
         byte[] cut = Terms.renew(FIRST, 1, 1);
         byte[] newer = cut.clone();
         newer[1] = 9;
-        return new Object[][] {{Terms.renew(FIRST, Double.NaN, 10)}, {Terms.renew(FIRST, 10, 1001)}, {Terms.renew(FIRST, 10, -1)},
-            {Terms.renew(new Life(8, 1), 10, 10)}, {java.util.Arrays.copyOf(cut, 9)}, {newer}, {Terms.leave(OTHER, 1)}};
+        return new Object[][] {
+            {Terms.renew(FIRST, Double.NaN, 10)},
+            {Terms.renew(FIRST, 10, 1001)},
+            {Terms.renew(FIRST, 10, -1)},
+            {Terms.renew(new Life(8, 1), 10, 10)},
+            {java.util.Arrays.copyOf(cut, 9)},
+            {newer},
+            {Terms.leave(OTHER, 1)}
+        };
     }
 
     @Test(dataProvider = "bad")
@@ -88,6 +95,9 @@
         assertEquals(again.now(), t.now());
         again.apply(30, Terms.renew(new Life(3, 6), 1100, 1000));
         assertNotNull(again.of(new Life(3, 6)));
-        assertEquals(again.of(new Life(3, 6)).until(), 2006.0, "an earlier life renews no more after a snapshot");
+        assertEquals(
+                again.of(new Life(3, 6)).until(),
+                2006.0,
+                "an earlier life renews no more after a snapshot");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
@@ -46,98 +46,204 @@
     @DataProvider
     public Object[][] broken() {
         return new Object[][] {
-            {"acks not awaited", "two living", due(new Due() {
-                @Override
-                boolean acked(Members m, Map<Life, Double> acks, double since) {
-                    return true;
-                }
-            })},
-            {"acks of another turn count", "", ((Consumer<Explore.Case>) c -> c.flights = true).andThen(due(new Due() {
-                @Override
-                boolean counts(long turn, long of) {
-                    return true;
-                }
-            }))},
-            {"the end of a term counted too early", "", (Consumer<Explore.Case>) c -> {
-                c.apartCounted = -1;
-                c.gateways = 3;
-                c.kills = 1;
-            }},
-            {"one that has died is waited for", "stuck", due(new Due() {
-                @Override
-                boolean acked(Members m, Map<Life, Double> acks, double since) {
-                    return super.acked(m, acks, since) && acks.size() > 2;
-                }
-            })},
-            {"two steps at once", "from step", due(new Due() {
-                @Override
-                boolean next(int from, int to, boolean back) {
-                    return super.next(from, to, back) || !back && to == from + 2;
-                }
-            })},
-            {"back in forward order", "forward", due(new Due() {
-                @Override
-                boolean next(int from, int to, boolean back) {
-                    return to == from + 1 || back && to == from - 1;
-                }
-            })},
-            {"back all at once", "from step", due(new Due() {
-                @Override
-                boolean next(int from, int to, boolean back) {
-                    return back ? to < from : to == from + 1;
-                }
-            })},
-            {"going back waits for nobody", "", due(new Due() {
-                @Override
-                boolean returns(int before, int position, int to) {
-                    return to < position;
-                }
-            })},
-            {"no window awaited", "both groups", due(new Due() {
-                @Override
-                double waits(Plan plan, int at, boolean back) {
-                    return 0;
-                }
-            })},
-            {"a resume moves on", "halted", due(new Due() {
-                @Override
-                int resumed(int position) {
-                    return position + 1;
-                }
-            })},
-            {"a resume lifts any halt", "later halt", due(new Due() {
-                @Override
-                boolean lifts(boolean halted, long halts, long seen) {
-                    return halted;
-                }
-            })},
-            {"routed without a term", "", ((Consumer<Explore.Case>) c -> c.kills = 1)
-                    .andThen(c -> c.route = (life, stand) -> new Route(life, stand, 1) {
-                @Override
-                protected boolean mayAct(double now) {
-                    return true;
-                }
-            })},
-            {"a key is not kept", "both groups", (Consumer<Explore.Case>) c -> c.route = (life, stand) ->
-                    new Route(life, stand, 1) {
-                @Override
-                protected String goes(Plan.Mover m, Step.Part part, double at, boolean retry) {
-                    return at < part.until() && part.phase() != Step.Phase.HOLD ? m.to() : m.from();
-                }
-            }},
-            {"a told retry is taken for a first try", "both groups", ((Consumer<Explore.Case>) c -> c.told = true).andThen(c ->
-                c.route = (life, stand) -> new Route(life, stand, 1) {
-                    @Override
-                    protected String goes(Plan.Mover m, Step.Part part, double at, boolean retry) {
-                        return super.goes(m, part, at, false);
-                    }
-                })},
-            {"a term counted from the answer", "", (Consumer<Explore.Case>) c -> c.countsFromAnswer = true},
-            {"a grant acted on before what came ahead of it", "", (Consumer<Explore.Case>) c -> c.grantFirst = true},
-            {"what is needed left out of the order", "what it needs", (Consumer<Explore.Case>) c -> {
-                c.needs = false;
-                c.stages = 2;
-            }},
+            {
+                "acks not awaited",
+                "two living",
+                due(
+                        new Due() {
+                            @Override
+                            boolean acked(Members m, Map<Life, Double> acks, double since) {
+                                return true;
+                            }
+                        })
+            },
+            {
+                "acks of another turn count",
+                "",
+                ((Consumer<Explore.Case>) c -> c.flights = true)
+                        .andThen(
+                                due(
+                                        new Due() {
+                                            @Override
+                                            boolean counts(long turn, long of) {
+                                                return true;
+                                            }
+                                        }))
+            },
+            {
+                "the end of a term counted too early",
+                "",
+                (Consumer<Explore.Case>)
+                        c -> {
+                            c.apartCounted = -1;
+                            c.gateways = 3;
+                            c.kills = 1;
+                        }
+            },
+            {
+                "one that has died is waited for",
+                "stuck",
+                due(
+                        new Due() {
+                            @Override
+                            boolean acked(Members m, Map<Life, Double> acks, double since) {
+                                return super.acked(m, acks, since) && acks.size() > 2;
+                            }
+                        })
+            },
+            {
+                "two steps at once",
+                "from step",
+                due(
+                        new Due() {
+                            @Override
+                            boolean next(int from, int to, boolean back) {
+                                return super.next(from, to, back) || !back && to == from + 2;
+                            }
+                        })
+            },
+            {
+                "back in forward order",
+                "forward",
+                due(
+                        new Due() {
+                            @Override
+                            boolean next(int from, int to, boolean back) {
+                                return to == from + 1 || back && to == from - 1;
+                            }
+                        })
+            },
+            {
+                "back all at once",
+                "from step",
+                due(
+                        new Due() {
+                            @Override
+                            boolean next(int from, int to, boolean back) {
+                                return back ? to < from : to == from + 1;
+                            }
+                        })
+            },
+            {
+                "going back waits for nobody",
+                "",
+                due(
+                        new Due() {
+                            @Override
+                            boolean returns(int before, int position, int to) {
+                                return to < position;
+                            }
+                        })
+            },
+            {
+                "no window awaited",
+                "both groups",
+                due(
+                        new Due() {
+                            @Override
+                            double waits(Plan plan, int at, boolean back) {
+                                return 0;
+                            }
+                        })
+            },
+            {
+                "a resume moves on",
+                "halted",
+                due(
+                        new Due() {
+                            @Override
+                            int resumed(int position) {
+                                return position + 1;
+                            }
+                        })
+            },
+            {
+                "a resume lifts any halt",
+                "later halt",
+                due(
+                        new Due() {
+                            @Override
+                            boolean lifts(boolean halted, long halts, long seen) {
+                                return halted;
+                            }
+                        })
+            },
+            {
+                "routed without a term",
+                "",
+                ((Consumer<Explore.Case>) c -> c.kills = 1)
+                        .andThen(
+                                c ->
+                                        c.route =
+                                                (life, stand) ->
+                                                        new Route(life, stand, 1) {
+                                                            @Override
+                                                            protected boolean mayAct(double now) {
+                                                                return true;
+                                                            }
+                                                        })
+            },
+            {
+                "a key is not kept",
+                "both groups",
+                (Consumer<Explore.Case>)
+                        c ->
+                                c.route =
+                                        (life, stand) ->
+                                                new Route(life, stand, 1) {
+                                                    @Override
+                                                    protected String goes(
+                                                            Plan.Mover m,
+                                                            Step.Part part,
+                                                            double at,
+                                                            boolean retry) {
+                                                        return at < part.until()
+                                                                        && part.phase()
+                                                                                != Step.Phase.HOLD
+                                                                ? m.to()
+                                                                : m.from();
+                                                    }
+                                                }
+            },
+            {
+                "a told retry is taken for a first try",
+                "both groups",
+                ((Consumer<Explore.Case>) c -> c.told = true)
+                        .andThen(
+                                c ->
+                                        c.route =
+                                                (life, stand) ->
+                                                        new Route(life, stand, 1) {
+                                                            @Override
+                                                            protected String goes(
+                                                                    Plan.Mover m,
+                                                                    Step.Part part,
+                                                                    double at,
+                                                                    boolean retry) {
+                                                                return super.goes(
+                                                                        m, part, at, false);
+                                                            }
+                                                        })
+            },
+            {
+                "a term counted from the answer",
+                "",
+                (Consumer<Explore.Case>) c -> c.countsFromAnswer = true
+            },
+            {
+                "a grant acted on before what came ahead of it",
+                "",
+                (Consumer<Explore.Case>) c -> c.grantFirst = true
+            },
+            {
+                "what is needed left out of the order",
+                "what it needs",
+                (Consumer<Explore.Case>)
+                        c -> {
+                            c.needs = false;
+                            c.stages = 2;
+                        }
+            },
         };
     }
 
--- a/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
@@ -26,27 +26,28 @@
     }
 
     /**
-     * b begin, a ack, A ack of another turn, g go ahead, G go too far, < go back, h halt, r resume, o resume of an earlier halt,
-     * x back, ! bad.
+     * b begin, a ack, A ack of another turn, g go ahead, G go too far, < go back, h halt, r resume,
+     * o resume of an earlier halt, x back, ! bad.
      */
     private static void play(Moves m, String what, double[] now) {
         for (char c : what.toCharArray()) {
             now[0] += 10_000;
             Stand s = m.stand();
-            Entry e = switch (c) {
-                case 'b' -> begin();
-                case 'a' -> Entry.ack(ONE, s.turn(), now[0]);
-                case 'A' -> Entry.ack(ONE, s.turn() - 1, now[0]);
-                case 'g' -> Entry.go(now[0], s.turn(), s.position() + 1, 20);
-                case 'G' -> Entry.go(now[0], s.turn(), s.position() + 2, 20);
-                case 'c' -> Entry.go(now[0], s.turn(), s.position() + 1);
-                case '<' -> Entry.go(now[0], s.turn(), s.position() - 1);
-                case 'h' -> Entry.halt("o", now[0]);
-                case 'r' -> Entry.resume("o", now[0], m.halts());
-                case 'o' -> Entry.resume("o", now[0], m.halts() - 1);
-                case 'x' -> Entry.back("o", now[0]);
-                default -> Entry.report(ONE, s.turn(), now[0], 100, 1, 100, 12, 0, 0, 0, 0);
-            };
+            Entry e =
+                    switch (c) {
+                        case 'b' -> begin();
+                        case 'a' -> Entry.ack(ONE, s.turn(), now[0]);
+                        case 'A' -> Entry.ack(ONE, s.turn() - 1, now[0]);
+                        case 'g' -> Entry.go(now[0], s.turn(), s.position() + 1, 20);
+                        case 'G' -> Entry.go(now[0], s.turn(), s.position() + 2, 20);
+                        case 'c' -> Entry.go(now[0], s.turn(), s.position() + 1);
+                        case '<' -> Entry.go(now[0], s.turn(), s.position() - 1);
+                        case 'h' -> Entry.halt("o", now[0]);
+                        case 'r' -> Entry.resume("o", now[0], m.halts());
+                        case 'o' -> Entry.resume("o", now[0], m.halts() - 1);
+                        case 'x' -> Entry.back("o", now[0]);
+                        default -> Entry.report(ONE, s.turn(), now[0], 100, 1, 100, 12, 0, 0, 0, 0);
+                    };
             m.apply(1, e.bytes());
         }
     }
@@ -54,13 +55,37 @@
     @DataProvider
     public Object[][] table() {
         return new Object[][] {
-            {"aghrx<!", "IDLE 0"}, {"b", "FORWARD 0"}, {"bb", "FORWARD 0"}, {"bg", "FORWARD 0"}, {"bAg", "FORWARD 0"},
-            {"bag", "FORWARD 1"}, {"baG", "FORWARD 0"}, {"ba<", "FORWARD 0"}, {"bagg", "FORWARD 1"}, {"bagagacg", "FORWARD 3"},
-            {"bagagagac", "FORWARD 3"}, {"bh", "HALTED 0"}, {"bhh", "HALTED 0"}, {"bhag", "HALTED 0"}, {"bhb", "HALTED 0"},
-            {"bhr", "FORWARD 0"}, {"bhrr", "FORWARD 0"}, {"bho", "HALTED 0"}, {"bhrho", "HALTED 0"}, {"bhx", "BACK 0"},
-            {"bagx<", "BACK 0"}, {"bagx<a<", "UNDONE 0"}, {"bagagx<<", "BACK 1"}, {"bagagxhr<", "BACK 1"}, {"bagxx", "BACK 1"},
-            {"bagag!", "BACK 2"}, {"bagagh!", "HALTED 2"}, {"bagagagagagag", "DONE 5"}, {"bagagagagagagb", "DONE 5"},
-            {"bagagagagagagx", "BACK 5"}, {"bagx<a<b", "FORWARD 0"},
+            {"aghrx<!", "IDLE 0"},
+            {"b", "FORWARD 0"},
+            {"bb", "FORWARD 0"},
+            {"bg", "FORWARD 0"},
+            {"bAg", "FORWARD 0"},
+            {"bag", "FORWARD 1"},
+            {"baG", "FORWARD 0"},
+            {"ba<", "FORWARD 0"},
+            {"bagg", "FORWARD 1"},
+            {"bagagacg", "FORWARD 3"},
+            {"bagagagac", "FORWARD 3"},
+            {"bh", "HALTED 0"},
+            {"bhh", "HALTED 0"},
+            {"bhag", "HALTED 0"},
+            {"bhb", "HALTED 0"},
+            {"bhr", "FORWARD 0"},
+            {"bhrr", "FORWARD 0"},
+            {"bho", "HALTED 0"},
+            {"bhrho", "HALTED 0"},
+            {"bhx", "BACK 0"},
+            {"bagx<", "BACK 0"},
+            {"bagx<a<", "UNDONE 0"},
+            {"bagagx<<", "BACK 1"},
+            {"bagagxhr<", "BACK 1"},
+            {"bagxx", "BACK 1"},
+            {"bagag!", "BACK 2"},
+            {"bagagh!", "HALTED 2"},
+            {"bagagagagagag", "DONE 5"},
+            {"bagagagagagagb", "DONE 5"},
+            {"bagagagagagagx", "BACK 5"},
+            {"bagx<a<b", "FORWARD 0"},
         };
     }
 
@@ -84,7 +109,9 @@
                 Stand before = m.stand();
                 play(m, one, now);
                 play(other, one, same);
-                assertTrue(Math.abs(m.stand().position() - before.position()) <= 1 || one.equals("b"), "seed " + seed);
+                assertTrue(
+                        Math.abs(m.stand().position() - before.position()) <= 1 || one.equals("b"),
+                        "seed " + seed);
                 byte[] rubbish = begin().bytes();
                 rubbish[random.nextInt(3)] = (byte) (20 + random.nextInt(40));
                 byte[] was = m.snapshot();
--- a/fleet/src/test/java/tinford/fleet/moves/PlanTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/PlanTest.java
@@ -13,7 +13,8 @@
 
 /** Validation of plans of staged moves. */
 public class PlanTest {
-    static final String GOOD = """
+    static final String GOOD =
+            """
             plan = "p"
             soak_ms = 10
             [bad]
@@ -37,9 +38,15 @@
             """;
 
     static PlanReader reader() {
-        return new PlanReader(new Plan.Known(Map.of("web", frontend("web", Effect.IDEMPOTENT), "store",
-                frontend("store", Effect.IDEMPOTENCY_KEY)),
-                Map.of("web", "a", "store", "a"), Map.of("a", new Plan.Room(50, 50, 0.3), "b", new Plan.Room(20, 10, 0.3))));
+        return new PlanReader(
+                new Plan.Known(
+                        Map.of(
+                                "web",
+                                frontend("web", Effect.IDEMPOTENT),
+                                "store",
+                                frontend("store", Effect.IDEMPOTENCY_KEY)),
+                        Map.of("web", "a", "store", "a"),
+                        Map.of("a", new Plan.Room(50, 50, 0.3), "b", new Plan.Room(20, 10, 0.3))));
     }
 
     private static Frontend frontend(String name, Effect effect) {
@@ -51,7 +58,8 @@
         Plan p = reader().read("f", GOOD);
         assertEquals(p.steps.size(), 6, "start, three steps of store, two stages of web");
         for (Step s : p.steps) {
-            assertTrue(s.parts().get(0).until() == 0 || s.parts().get(1).share() == 1, s.toString());
+            assertTrue(
+                    s.parts().get(0).until() == 0 || s.parts().get(1).share() == 1, s.toString());
         }
     }
 
@@ -64,20 +72,52 @@
             {"answers = 10", "answers = 0", "f:5: answers: expected"},
             {"soak_ms = 10", "soak_ms = -1", "f:2: soak_ms: expected"},
             {"soak_ms = 10", "soak = 1\nsoak_ms = 10", "f:2: soak: expected no such key"},
-            {"name = \"web\"", "name = \"wob\"", "f:7: frontends[1].name: expected one of the frontends that may move, not wob"},
-            {"name = \"web\"", "name = \"store\"", "f:15: frontends[2].name: expected each frontend once"},
-            {"needs = [\"store\"]", "needs = [\"wob\"]", "f:10: frontends[1].needs: expected frontends of this plan, not wob"},
-            {"needs = [\"store\"]", "needs = [\"web\"]", "f:10: frontends[1].needs: expected no circle"},
-            {"shares = [1.0]", "needs = [\"web\"]\nshares = [1.0]", "f:18: frontends[2].needs: expected no circle"},
-            {"needs = [\"store\"]", "begins = 1\nneeds = [\"store\"]", "f:10: frontends[1].begins: expected stage 2 or later"},
+            {
+                "name = \"web\"",
+                "name = \"wob\"",
+                "f:7: frontends[1].name: expected one of the frontends that may move, not wob"
+            },
+            {
+                "name = \"web\"",
+                "name = \"store\"",
+                "f:15: frontends[2].name: expected each frontend once"
+            },
+            {
+                "needs = [\"store\"]",
+                "needs = [\"wob\"]",
+                "f:10: frontends[1].needs: expected frontends of this plan, not wob"
+            },
+            {
+                "needs = [\"store\"]",
+                "needs = [\"web\"]",
+                "f:10: frontends[1].needs: expected no circle"
+            },
+            {
+                "shares = [1.0]",
+                "needs = [\"web\"]\nshares = [1.0]",
+                "f:18: frontends[2].needs: expected no circle"
+            },
+            {
+                "needs = [\"store\"]",
+                "begins = 1\nneeds = [\"store\"]",
+                "f:10: frontends[1].begins: expected stage 2 or later"
+            },
             {"[0.5, 1.0]", "[0.5, 0.4, 1.0]", "f:11: frontends[1].shares: expected 1 to 64 parts"},
             {"[0.5, 1.0]", "[0.5]", "f:11: frontends[1].shares: expected 1 as the last"},
             {"[0.5, 1.0]", "[]", "f:11: frontends[1].shares"},
             {"to = \"b\"", "to = \"a\"", "f:9: frontends[1].to: expected another group"},
             {"to = \"b\"", "to = \"c\"", "f:9: frontends[1].to: expected a known group, not c"},
             {"from = \"a\"", "from = \"c\"", "f:8: frontends[1].from: expected where it is: a"},
-            {"units = 10", "units = 11", "f:19: frontends[2].units: expected no more in all than the 20.0"},
-            {"connections = 5", "connections = 6", "f:20: frontends[2].connections: expected no more in all than the 10"},
+            {
+                "units = 10",
+                "units = 11",
+                "f:19: frontends[2].units: expected no more in all than the 20.0"
+            },
+            {
+                "connections = 5",
+                "connections = 6",
+                "f:20: frontends[2].connections: expected no more in all than the 10"
+            },
         };
     }
 
@@ -91,8 +131,10 @@
 
     @Test
     public void allFaultsAreToldAtOnce() {
-        String text = GOOD.replace("margin = 0.1", "margin = 2").replace("[0.5, 1.0]", "[0.5]")
-                .replace("units = 10", "units = 30");
+        String text =
+                GOOD.replace("margin = 0.1", "margin = 2")
+                        .replace("[0.5, 1.0]", "[0.5]")
+                        .replace("units = 10", "units = 30");
         Faults.Refused r = expectThrows(Faults.Refused.class, () -> reader().read("f", text));
         assertTrue(r.faults().size() >= 3, r.getMessage());
         expectThrows(Faults.Refused.class, () -> reader().read("f", "plan = \"p\"\n"));
--- a/fleet/src/test/java/tinford/fleet/overload/FurtherTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/FurtherTest.java
@@ -15,7 +15,8 @@
     private static final double PART = 0.1;
 
     /**
-     * Records lost, doubled, old, mixed, and gateways that start anew: what all send further never exceeds the part of the whole.
+     * Records lost, doubled, old, mixed, and gateways that start anew: what all send further never
+     * exceeds the part of the whole.
      */
     @Test
     public void partsNeverSumToMoreThanTheWholeWhateverIsHeard() {
@@ -41,8 +42,8 @@
                 }
                 Heard heard = new Heard(n);
                 for (int p = 0; p < n; p++) {
-                    if (p != g && !told.get(p).isEmpty() && chance.nextInt(3) > 0) heard.hear(told.get(p)
-                            .get(chance.nextInt(told.get(p).size())));
+                    if (p != g && !told.get(p).isEmpty() && chance.nextInt(3) > 0)
+                        heard.hear(told.get(p).get(chance.nextInt(told.get(p).size())));
                 }
                 all[g].round(round * 200, lives[g], heard);
                 for (int i = chance.nextInt(g == 0 ? 5 : 80); i > 0; i--) {
@@ -60,11 +61,15 @@
                 s.failed = g == 0 ? 80 : 0;
                 all[g].tell(s);
                 told.get(g).add(s);
-                assertTrue(further <= PART * first + 1e-6, "drawn " + drawn + ": " + further + " of " + first);
+                assertTrue(
+                        further <= PART * first + 1e-6,
+                        "drawn " + drawn + ": " + further + " of " + first);
             }
             if (spent[0] > PART * own[0] + 1) helped++;
         }
-        assertTrue(helped > 30, "who saw failures got more than an even slice in " + helped + " of 60");
+        assertTrue(
+                helped > 30,
+                "who saw failures got more than an even slice in " + helped + " of 60");
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/overload/LineTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/LineTest.java
@@ -26,7 +26,9 @@
     private static double run(Line line, Heard heard, double from, double until) {
         for (double t = from; t < until; t += 100) {
             line.round(t, heard);
-            for (Sight s : heard.fresh()) { if (s.bears < 1e3) s.bears = line.bears(); } // the others see the same
+            for (Sight s : heard.fresh()) {
+                if (s.bears < 1e3) s.bears = line.bears();
+            } // the others see the same
         }
         return line.threshold();
     }
@@ -36,23 +38,80 @@
         double inf = Double.POSITIVE_INFINITY;
         return new Object[][] {
             // name, records, least and most of the threshold, least and most of the part
-            {"even, half is borne", new Sight[] {sight(1, 200, true, 1, 2, 4, 8), sight(2, 200, true, 1, 2, 4, 8)}, 2, 4, 0, 1},
-            {"uneven: worth comes through one only", new Sight[] {sight(1, 100, true, 8, 8), sight(2, 100, true, 1, 1)}, 1, 8, 0,
-                    1},
-            {"one class only", new Sight[] {sight(1, 50, true, 3), sight(2, 50, true, 3)}, 2.8, 3, 0.45, 0.55},
-            {"worth equal everywhere", new Sight[] {sight(1, 150, true, 2, 2, 2), sight(2, 150, true, 2, 2, 2)}, 2, 2, 0.45,
-                    0.55},
-            {"one joins cold", new Sight[] {sight(1, 200, true, 1, 2, 4, 8), sight(2, 200, true, 1, 2, 4, 8),
-                    sight(3, 0, false)}, 2, 4, 0, 1},
-            {"calm", new Sight[] {sight(1, 400, false, 1, 2, 4, 8), sight(2, 400, false, 1, 2, 4, 8)}, 0, 0, 1, 1},
+            {
+                "even, half is borne",
+                new Sight[] {sight(1, 200, true, 1, 2, 4, 8), sight(2, 200, true, 1, 2, 4, 8)},
+                2,
+                4,
+                0,
+                1
+            },
+            {
+                "uneven: worth comes through one only",
+                new Sight[] {sight(1, 100, true, 8, 8), sight(2, 100, true, 1, 1)},
+                1,
+                8,
+                0,
+                1
+            },
+            {
+                "one class only",
+                new Sight[] {sight(1, 50, true, 3), sight(2, 50, true, 3)},
+                2.8,
+                3,
+                0.45,
+                0.55
+            },
+            {
+                "worth equal everywhere",
+                new Sight[] {sight(1, 150, true, 2, 2, 2), sight(2, 150, true, 2, 2, 2)},
+                2,
+                2,
+                0.45,
+                0.55
+            },
+            {
+                "one joins cold",
+                new Sight[] {
+                    sight(1, 200, true, 1, 2, 4, 8),
+                    sight(2, 200, true, 1, 2, 4, 8),
+                    sight(3, 0, false)
+                },
+                2,
+                4,
+                0,
+                1
+            },
+            {
+                "calm",
+                new Sight[] {sight(1, 400, false, 1, 2, 4, 8), sight(2, 400, false, 1, 2, 4, 8)},
+                0,
+                0,
+                1,
+                1
+            },
             {"nobody heard", new Sight[] {sight(1, 100, true, 1, 2, 4, 8)}, 0, 0, 1, 1},
-            {"figures that are none", new Sight[] {sight(1, Double.NaN, true, 1), sight(2, inf, true, 1), sight(3, 50, true, 1)},
-                    0, 1, 0, 1},
+            {
+                "figures that are none",
+                new Sight[] {
+                    sight(1, Double.NaN, true, 1), sight(2, inf, true, 1), sight(3, 50, true, 1)
+                },
+                0,
+                1,
+                0,
+                1
+            },
         };
     }
 
     @Test(dataProvider = "strains")
-    public void linesAreDrawnByWorth(String name, Sight[] records, double least, double most, double leastPart, double mostPart) {
+    public void linesAreDrawnByWorth(
+            String name,
+            Sight[] records,
+            double least,
+            double most,
+            double leastPart,
+            double mostPart) {
         Heard heard = new Heard(records.length + 1);
         for (Sight s : records) heard.hear(s);
         Line line = new Line(WINDOW);
@@ -64,9 +123,15 @@
     @Test
     public void lineIsGoneTwoWindowsAfterItsCauseHoweverManyStillAsk() {
         Line line = new Line(WINDOW);
-        Heard strained = new Heard(2).hear(sight(1, 100, true, 1, 2, 4, 8)).hear(sight(2, 100, true, 1, 2, 4, 8));
+        Heard strained =
+                new Heard(2)
+                        .hear(sight(1, 100, true, 1, 2, 4, 8))
+                        .hear(sight(2, 100, true, 1, 2, 4, 8));
         assertTrue(run(line, strained, 0, 10_000) > 0);
-        Heard calm = new Heard(2).hear(sight(1, 100, false, 1, 2, 4, 8)).hear(sight(2, 100, false, 1, 2, 4, 8));
+        Heard calm =
+                new Heard(2)
+                        .hear(sight(1, 100, false, 1, 2, 4, 8))
+                        .hear(sight(2, 100, false, 1, 2, 4, 8));
         assertEquals(run(line, calm, 10_000, 10_000 + 2 * WINDOW), 0.0);
     }
 
@@ -94,14 +159,16 @@
     }
 
     /**
-     * One of ten tells absurd figures: the line moves by what one record may weigh, and what the others ask for is passed as far.
+     * One of ten tells absurd figures: the line moves by what one record may weigh, and what the
+     * others ask for is passed as far.
      */
     @Test
     public void oneLyingRecordMovesTotalsByItsBoundOnly() {
         Random chance = new Random(5);
         for (int drawn = 0; drawn < 200; drawn++) {
             Heard heard = new Heard(10);
-            for (int g = 1; g < 10; g++) heard.hear(sight(g, 150 + chance.nextInt(100), true, 1, 2, 4, 8));
+            for (int g = 1; g < 10; g++)
+                heard.hear(sight(g, 150 + chance.nextInt(100), true, 1, 2, 4, 8));
             double demand = new Totals(heard).demand, good = new Totals(heard).goodUnits;
             Sight lie = sight(10, 1e9 * chance.nextDouble(), true, 8);
             lie.asked[Sight.CLASSES - 1] = Math.pow(10, chance.nextInt(12));
@@ -109,16 +176,19 @@
             heard.hear(lie);
             Totals with = new Totals(heard);
             assertTrue(with.demand <= demand * (1 + Totals.MOST / 9) + 1, "demand " + with.demand);
-            assertTrue(with.goodUnits <= good * (1 + Totals.MOST / 9) + 1, "good " + with.goodUnits);
+            assertTrue(
+                    with.goodUnits <= good * (1 + Totals.MOST / 9) + 1, "good " + with.goodUnits);
             Line line = new Line(WINDOW);
-            assertTrue(run(line, heard, 0, 6000) <= 8.01 && line.bears() < 1e5, "line " + line.threshold());
+            assertTrue(
+                    run(line, heard, 0, 6000) <= 8.01 && line.bears() < 1e5,
+                    "line " + line.threshold());
         }
     }
 
     @Test
     public void talkPassesMoreWorthAndCutTalkNoLess() {
-        Trial.Result alone = new Trial(7, 5, Trial.Mode.ALONE, WINDOW).run(), talk = new Trial(7, 5, Trial.Mode.TALK, WINDOW)
-                .run();
+        Trial.Result alone = new Trial(7, 5, Trial.Mode.ALONE, WINDOW).run(),
+                talk = new Trial(7, 5, Trial.Mode.TALK, WINDOW).run();
         Trial.Result cut = new Trial(7, 5, Trial.Mode.CUT, WINDOW).run();
         assertTrue(talk.worth() > alone.worth() + 0.02, talk + " / " + alone);
         assertTrue(talk.worth() > talk.best() - 0.06, talk.toString());
--- a/fleet/src/test/java/tinford/fleet/overload/OwnersTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/OwnersTest.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Owners that look once a second but tell nothing, and others that find out nothing: tries at one ill server over two
-     * minutes.
+     * Owners that look once a second but tell nothing, and others that find out nothing: tries at
+     * one ill server over two minutes.
      */
     @Test(dataProvider = "sizes")
     public void triesDoNotGrowWithGateways(int n) {
@@ -56,7 +56,8 @@
                 all[g].round(t, new Life(g, 1), heard);
                 if (t - triedAt[g] < 1000 || !all[g].looksAfter(srv)) continue;
                 triedAt[g] = t;
-                if (n == 1 || Owners.owner(Owners.nameOf(srv), heard) == g) byOwner++; else byOthers++;
+                if (n == 1 || Owners.owner(Owners.nameOf(srv), heard) == g) byOwner++;
+                else byOthers++;
                 all[g].tried(srv);
                 all[g].found(srv, true);
             }
@@ -92,7 +93,10 @@
         Owners o = new Owners(new Random(1));
         int owner = Owners.owner(Owners.nameOf(srv), heard), self = (owner + 1) % 5;
         for (int liars = 1; liars <= 2; liars++) {
-            Sight lie = new Sight(new Life((owner + liars) % 5 == self ? owner : (owner + liars) % 5, 1), 2);
+            Sight lie =
+                    new Sight(
+                            new Life((owner + liars) % 5 == self ? owner : (owner + liars) % 5, 1),
+                            2);
             lie.ills.add(new Sight.Ill(Owners.nameOf(srv), true, 0));
             o.round(5000, new Life(self, 1), heard.hear(lie));
             assertEquals(o.looksAfter(srv), liars < 2);
--- a/fleet/src/test/java/tinford/fleet/run/AgreedTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/AgreedTest.java
@@ -17,7 +17,8 @@
     private static final Life LIFE = new Life(1, 5000);
 
     private static Agreed agreed() {
-        return new Agreed(3, 3000, 100, 1000, new Statics(Map.of("s", 8), 0.5, 3), Map.of("f", "m"));
+        return new Agreed(
+                3, 3000, 100, 1000, new Statics(Map.of("s", 8), 0.5, 3), Map.of("f", "m"));
     }
 
     private static void fill(Agreed to) {
@@ -45,7 +46,11 @@
     public void eachPartHasItsOwnEntries() {
         Agreed all = agreed();
         fill(all);
-        all.apply(7, new byte[] {Entry.MARK, 99, 1}); // from each of their own entries on moves have the log's time
+        all.apply(
+                7,
+                new byte[] {
+                    Entry.MARK, 99, 1
+                }); // from each of their own entries on moves have the log's time
         byte[] moves = all.moves.snapshot();
         all.apply(8, new byte[] {Entry.MARK, 99, 1});
         assertEquals(all.ledger.unknown(), 0, "what belongs to moves is not the ledger's");
@@ -53,7 +58,10 @@
         all.apply(9, new byte[] {120, 1});
         all.apply(10, new byte[0]);
         assertEquals(all.ledger.unknown(), 2);
-        assertEquals(all.moves.snapshot(), moves, "what moves can't read, and what others have, changes nothing there");
+        assertEquals(
+                all.moves.snapshot(),
+                moves,
+                "what moves can't read, and what others have, changes nothing there");
         assertTrue(all.terms.mayAct(LIFE));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/run/MailboxTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MailboxTest.java
@@ -10,7 +10,9 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** What other threads bring is bounded; soft things go when there is no room, hard ones wait for it. */
+/**
+ * What other threads bring is bounded; soft things go when there is no room, hard ones wait for it.
+ */
 public class MailboxTest {
     private final List<Runnable> entered = new ArrayList<>();
     private final List<String> ran = new ArrayList<>();
@@ -43,21 +45,28 @@
         assertEquals(ran.get(4), "d");
     }
 
-    /** Brings one thing more than there is room for, on another thread, and waits until that one stands. */
+    /**
+     * Brings one thing more than there is room for, on another thread, and waits until that one
+     * stands.
+     */
     private CompletableFuture<Boolean> oneTooMany(Mailbox box) throws Exception {
         assertTrue(box.hard(() -> ran.add("1")));
         CompletableFuture<Boolean> taken = new CompletableFuture<>();
-        Thread brings = new Thread(() -> {
-            try {
-                taken.complete(box.hard(() -> ran.add("2")));
-            } catch (InterruptedException e) {
-                taken.completeExceptionally(e);
-            }
-        });
+        Thread brings =
+                new Thread(
+                        () -> {
+                            try {
+                                taken.complete(box.hard(() -> ran.add("2")));
+                            } catch (InterruptedException e) {
+                                taken.completeExceptionally(e);
+                            }
+                        });
         brings.setDaemon(true);
         brings.start();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); // only ends a test that hangs
-        while (brings.getState() != Thread.State.WAITING && !taken.isDone() && System.nanoTime() < end) {
+        while (brings.getState() != Thread.State.WAITING
+                && !taken.isDone()
+                && System.nanoTime() < end) {
             Thread.onSpinWait();
         }
         assertFalse(taken.isDone(), "it went in though there was no room");
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -27,12 +27,16 @@
 import tinford.fleet.store.Log;
 import tinford.fleet.store.MemoryLogs;
 
-/** Three processes' parts over logs in memory, driven; gateways are killed, stopped and cut off in each stage. */
+/**
+ * Three processes' parts over logs in memory, driven; gateways are killed, stopped and cut off in
+ * each stage.
+ */
 public class MoverTest {
     private static final double TERM = 2000;
     private static final double APART = 50;
     private static final double LINGER = 6000;
-    private static final String PLAN = """
+    private static final String PLAN =
+            """
             plan = "p"
             soak_ms = 1000
             [bad]
@@ -62,7 +66,8 @@
             units = 20.0
             connections = 10
             """;
-    private static final String ORDERS = """
+    private static final String ORDERS =
+            """
             [log]
             members = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
             folder = "x"
@@ -75,15 +80,34 @@
             """;
 
     private static Frontend frontend(String name) {
-        return new Frontend(name, 800, 2500, 1, 0, name.equals("mid") ? Effect.IDEMPOTENCY_KEY : Effect.IDEMPOTENT, Group.ALL, 3000, false);
+        return new Frontend(
+                name,
+                800,
+                2500,
+                1,
+                0,
+                name.equals("mid") ? Effect.IDEMPOTENCY_KEY : Effect.IDEMPOTENT,
+                Group.ALL,
+                3000,
+                false);
     }
 
     private static MoveOrders orders(String text, String plan) throws Exception {
         Path file = Files.createTempFile("plan", ".toml");
         try {
             Files.writeString(file, plan);
-            return MoveOrders.of("f", Orders.of("f", text.formatted(file)),
-                    Map.of("web", frontend("web"), "mid", frontend("mid"), "base", frontend("base")), 0.2, 1000);
+            return MoveOrders.of(
+                    "f",
+                    Orders.of("f", text.formatted(file)),
+                    Map.of(
+                            "web",
+                            frontend("web"),
+                            "mid",
+                            frontend("mid"),
+                            "base",
+                            frontend("base")),
+                    0.2,
+                    1000);
         } finally {
             Files.delete(file);
         }
@@ -117,7 +141,8 @@
         }
 
         private Agreed agreed() {
-            return new Agreed(3, TERM, APART, LINGER, new Statics(Map.of(), 16, 0.5, 3), orders.homes());
+            return new Agreed(
+                    3, TERM, APART, LINGER, new Statics(Map.of(), 16, 0.5, 3), orders.homes());
         }
 
         void start(int g) {
@@ -128,32 +153,44 @@
             s.renews = 0;
             s.up = true;
             Agreed kept = agreed();
-            s.log = logs.open(g + 1, new Log.Reader() {
-                @Override
-                public void apply(long index, byte[] entry) {
-                    kept.apply(index, entry);
-                    s.posted.add(() -> {
-                        s.agreed.apply(index, entry);
-                        s.mover.applied(entry, now);
-                    });
-                }
+            s.log =
+                    logs.open(
+                            g + 1,
+                            new Log.Reader() {
+                                @Override
+                                public void apply(long index, byte[] entry) {
+                                    kept.apply(index, entry);
+                                    s.posted.add(
+                                            () -> {
+                                                s.agreed.apply(index, entry);
+                                                s.mover.applied(entry, now);
+                                            });
+                                }
 
-                @Override
-                public byte[] snapshot() {
-                    return kept.snapshot();
-                }
+                                @Override
+                                public byte[] snapshot() {
+                                    return kept.snapshot();
+                                }
 
-                @Override
-                public void restore(long index, byte[] snapshot) {
-                    kept.restore(index, snapshot);
-                    s.posted.add(() -> {
-                        s.agreed.restore(index, snapshot);
-                        s.mover.applied(null, now);
-                    });
-                }
-            });
+                                @Override
+                                public void restore(long index, byte[] snapshot) {
+                                    kept.restore(index, snapshot);
+                                    s.posted.add(
+                                            () -> {
+                                                s.agreed.restore(index, snapshot);
+                                                s.mover.applied(null, now);
+                                            });
+                                }
+                            });
             try {
-                s.mover = new Mover(s.agreed, s.life, orders, s.log::append, () -> false, History.at(null, s.life));
+                s.mover =
+                        new Mover(
+                                s.agreed,
+                                s.life,
+                                orders,
+                                s.log::append,
+                                () -> false,
+                                History.at(null, s.life));
             } catch (java.io.IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
@@ -186,11 +223,19 @@
                     srv.group = group;
                     srv.size = 1;
                     srv.state = Srv.State.UP;
-                    Req req = new Req(1, frontend(f), new Customer((long) (now / 50), null, 1, 0), 0, 1, false);
+                    Req req =
+                            new Req(
+                                    1,
+                                    frontend(f),
+                                    new Customer((long) (now / 50), null, 1, 0),
+                                    0,
+                                    1,
+                                    false);
                     boolean goes = s.mover.mayGo(req, srv, null, now);
                     assertTrue(!goes || s.mover.goes(req, now), f);
                     if (goes) {
-                        s.mover.ended(req, srv, bad && group.equals("b") ? End.ERROR : End.GOOD, false);
+                        s.mover.ended(
+                                req, srv, bad && group.equals("b") ? End.ERROR : End.GOOD, false);
                         s.mover.ended(req, srv, End.CANCELLED, true);
                     }
                 }
@@ -200,21 +245,52 @@
         private boolean goes(Seat s, String frontend, long customer, String group) {
             Srv srv = new Srv("promise " + group);
             srv.group = group;
-            return s.mover.mayGo(new Req(1, frontend(frontend), new Customer(customer, null, 1, 0), 0, 1, false), srv, null, now);
+            return s.mover.mayGo(
+                    new Req(1, frontend(frontend), new Customer(customer, null, 1, 0), 0, 1, false),
+                    srv,
+                    null,
+                    now);
         }
 
-        /** Of those whose term holds now: one stage apart at most, and nobody goes where what it needs is not wholly at any of them. */
+        /**
+         * Of those whose term holds now: one stage apart at most, and nobody goes where what it
+         * needs is not wholly at any of them.
+         */
         private void promise() {
-            List<Seat> acting = seats.stream().filter(s -> s.up && s.agreed.terms.of(s.life) != null && s.agreed.terms.of(s.life).holds(now)).toList();
+            List<Seat> acting =
+                    seats.stream()
+                            .filter(
+                                    s ->
+                                            s.up
+                                                    && s.agreed.terms.of(s.life) != null
+                                                    && s.agreed.terms.of(s.life).holds(now))
+                            .toList();
             String[] chain = {"web", "mid", "base"};
             for (Seat s : acting) {
                 for (Seat o : acting) {
-                    assertTrue(Math.abs(s.agreed.moves.stand().turn() - o.agreed.moves.stand().turn()) <= 1, now + " " + s.life + " " + o.life);
+                    assertTrue(
+                            Math.abs(s.agreed.moves.stand().turn() - o.agreed.moves.stand().turn())
+                                    <= 1,
+                            now + " " + s.life + " " + o.life);
                     for (int f = 0; f < 2; f++) {
                         int of = f;
-                        boolean begun = java.util.stream.LongStream.range(0, 8).anyMatch(c -> goes(s, chain[of], c, "b"));
-                        boolean old = java.util.stream.LongStream.range(0, 8).anyMatch(c -> goes(o, chain[of + 1], c, "a"));
-                        assertTrue(!begun || !old, now + ": " + chain[f] + " has moved at " + s.life + ", " + chain[f + 1] + " not at " + o.life);
+                        boolean begun =
+                                java.util.stream.LongStream.range(0, 8)
+                                        .anyMatch(c -> goes(s, chain[of], c, "b"));
+                        boolean old =
+                                java.util.stream.LongStream.range(0, 8)
+                                        .anyMatch(c -> goes(o, chain[of + 1], c, "a"));
+                        assertTrue(
+                                !begun || !old,
+                                now
+                                        + ": "
+                                        + chain[f]
+                                        + " has moved at "
+                                        + s.life
+                                        + ", "
+                                        + chain[f + 1]
+                                        + " not at "
+                                        + o.life);
                     }
                 }
             }
@@ -228,12 +304,19 @@
                     return state;
                 }
             }
-            throw new AssertionError("at " + seats.get(0).agreed.moves.stand().position() + ": " + seats.get(0).agreed.moves.told());
+            throw new AssertionError(
+                    "at "
+                            + seats.get(0).agreed.moves.stand().position()
+                            + ": "
+                            + seats.get(0).agreed.moves.told());
         }
 
         /** As whoever is farthest sees it. */
         Stand head() {
-            return seats.stream().map(s -> s.agreed.moves.stand()).max(java.util.Comparator.comparingLong(Stand::turn)).orElseThrow();
+            return seats.stream()
+                    .map(s -> s.agreed.moves.stand())
+                    .max(java.util.Comparator.comparingLong(Stand::turn))
+                    .orElseThrow();
         }
 
         int position() {
@@ -246,7 +329,10 @@
         return new Object[][] {{"none"}, {"kill"}, {"still"}, {"cut"}};
     }
 
-    /** Two operators begin at once at two gateways; in each step one gateway fails; the move ends whole. A bad group turns it back. */
+    /**
+     * Two operators begin at once at two gateways; in each step one gateway fails; the move ends
+     * whole. A bad group turns it back.
+     */
     @Test(dataProvider = "faults")
     public void aMoveEnds(String fault) throws Exception {
         Fleet f = new Fleet(orders(ORDERS, PLAN));
@@ -288,8 +374,10 @@
             }
         }
         assertEquals(f.head().state(), Moves.State.DONE, f.seats.get(0).agreed.moves.told());
-        assertEquals(f.told.stream().filter(t -> t.contains("begun")).count(), 1, f.told.toString());
-        assertEquals(f.told.stream().filter(t -> t.contains("refused")).count(), 2, f.told.toString());
+        assertEquals(
+                f.told.stream().filter(t -> t.contains("begun")).count(), 1, f.told.toString());
+        assertEquals(
+                f.told.stream().filter(t -> t.contains("refused")).count(), 2, f.told.toString());
         for (int i = 0; i < 100; i++) {
             f.step();
         }
@@ -306,10 +394,17 @@
     @DataProvider
     public Object[][] bad() {
         return new Object[][] {
-            {ORDERS.replace("web=a", "wub=a"), PLAN, "moves.homes: expected"}, {ORDERS.replace("a=100,100", "a=much"), PLAN, "moves.rooms: expected"},
-            {ORDERS.replace("linger_ms = 6000", "linger_ms = 5000"), PLAN, "log.linger_ms: expected 5500"},
-            {ORDERS.replaceAll("homes.*", ""), PLAN, "moves.homes: expected one"}, {ORDERS, PLAN.replace("soak_ms = 1000", "soak_ms = -1"), "soak_ms"},
-            {ORDERS, "plan = ", "TOML"}, {ORDERS.replace("%s", "nowhere"), PLAN, "moves.plan: expected a file"},
+            {ORDERS.replace("web=a", "wub=a"), PLAN, "moves.homes: expected"},
+            {ORDERS.replace("a=100,100", "a=much"), PLAN, "moves.rooms: expected"},
+            {
+                ORDERS.replace("linger_ms = 6000", "linger_ms = 5000"),
+                PLAN,
+                "log.linger_ms: expected 5500"
+            },
+            {ORDERS.replaceAll("homes.*", ""), PLAN, "moves.homes: expected one"},
+            {ORDERS, PLAN.replace("soak_ms = 1000", "soak_ms = -1"), "soak_ms"},
+            {ORDERS, "plan = ", "TOML"},
+            {ORDERS.replace("%s", "nowhere"), PLAN, "moves.plan: expected a file"},
         };
     }
 
--- a/fleet/src/test/java/tinford/fleet/run/OrdersTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/OrdersTest.java
@@ -23,18 +23,43 @@
     @DataProvider
     public Object[][] bad() {
         return new Object[][] {
-            {"[talk]\nevery_ms = 20", "f.toml, line 2: talk.every_ms: expected a number from 50 to 10000"},
-            {"[talk]\nfanout = \"two\"", "f.toml, line 2: talk.fanout: expected a number from 1 to 16"},
+            {
+                "[talk]\nevery_ms = 20",
+                "f.toml, line 2: talk.every_ms: expected a number from 50 to 10000"
+            },
+            {
+                "[talk]\nfanout = \"two\"",
+                "f.toml, line 2: talk.fanout: expected a number from 1 to 16"
+            },
             {"[talk]\nfanout = nan", "f.toml, line 2: talk.fanout: expected a number from 1 to 16"},
             {"[overload]\n# how\non = 1", "f.toml, line 3: overload.on: expected true or false"},
-            {"[budgets]\nstatic_part = 1.5", "f.toml, line 2: budgets.static_part: expected a number from 0 to 1"},
+            {
+                "[budgets]\nstatic_part = 1.5",
+                "f.toml, line 2: budgets.static_part: expected a number from 0 to 1"
+            },
             {"[log]\nfolder = \" \"", "f.toml, line 2: log.folder: expected a folder that lasts"},
-            {"[log]\nmembers = [1, 2]", "f.toml, line 2: log.members: expected a list of numeric host:port, one a gateway"},
-            {"[log]\nmembers = [\"db:1\"]", "f.toml, line 2: log.members: expected numeric host:port, not db:1"},
-            {"[talk]\non = 1\n[budgets]\nofer = 2", "f.toml, line 4: budgets.ofer: expected no such key; there are"},
+            {
+                "[log]\nmembers = [1, 2]",
+                "f.toml, line 2: log.members: expected a list of numeric host:port, one a gateway"
+            },
+            {
+                "[log]\nmembers = [\"db:1\"]",
+                "f.toml, line 2: log.members: expected numeric host:port, not db:1"
+            },
+            {
+                "[talk]\non = 1\n[budgets]\nofer = 2",
+                "f.toml, line 4: budgets.ofer: expected no such key; there are"
+            },
             {"offer = 3", "f.toml, line 1: offer: expected to stand in a table"},
-            {"[budgets]\non = true", "f.toml: log.members: expected three or more, and log.folder, where budgets or moves are on"},
-            {"[talk]\nevery_ms = 1000\nsuspect_ms = 2000", "f.toml, line 3: talk.suspect_ms: expected three times talk.every_ms or more"},
+            {
+                "[budgets]\non = true",
+                "f.toml: log.members: expected three or more, and log.folder, where budgets or"
+                        + " moves are on"
+            },
+            {
+                "[talk]\nevery_ms = 1000\nsuspect_ms = 2000",
+                "f.toml, line 3: talk.suspect_ms: expected three times talk.every_ms or more"
+            },
             {"[talk]\nevery_ms = = 3", "f.toml, line 2: expected TOML: "},
             {"[talk]\nevery_ms = 100\nevery_ms = 200", "f.toml, line 3: expected TOML: "},
         };
@@ -42,21 +67,34 @@
 
     @Test(dataProvider = "bad")
     public void eachFaultIsToldWithItsPlace(String text, String told) {
-        assertTrue(faults(text).stream().anyMatch(f -> f.startsWith(told)), faults(text).toString());
+        assertTrue(
+                faults(text).stream().anyMatch(f -> f.startsWith(told)), faults(text).toString());
     }
 
     @Test
     public void allFaultsAreToldAtOnce() {
-        assertEquals(faults("[talk]\nevery_ms = 1\nfanout = 0\n[log]\nterm_ms = 1\n[none]\nx = 1\n").size(), 4);
+        assertEquals(
+                faults("[talk]\nevery_ms = 1\nfanout = 0\n[log]\nterm_ms = 1\n[none]\nx = 1\n")
+                        .size(),
+                4);
         assertThrows(Orders.Refused.class, () -> Orders.read(Path.of("no", "such", "file")));
     }
 
-    /** The example that operators start from loads, and what it names is what is used where it is left out. */
+    /**
+     * The example that operators start from loads, and what it names is what is used where it is
+     * left out.
+     */
     @Test
     public void theExampleLoads() throws Exception {
         Orders example = Orders.read(Path.of("..", "deploy", "fleet.toml"));
         Orders empty = Orders.of("f.toml", "");
-        for (String key : List.of("talk.every_ms", "overload.further_part", "log.term_ms", "budgets.offer", "budgets.accounts")) {
+        for (String key :
+                List.of(
+                        "talk.every_ms",
+                        "overload.further_part",
+                        "log.term_ms",
+                        "budgets.offer",
+                        "budgets.accounts")) {
             assertEquals(example.number(key), empty.number(key), key);
         }
     }
--- a/fleet/src/test/java/tinford/fleet/store/BrokenLogsTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/BrokenLogsTest.java
@@ -12,7 +12,13 @@
 
 /** Logs that are wrong on purpose: the contract must catch each. */
 public class BrokenLogsTest {
-    enum Wrong { NONE, ACKNOWLEDGES_ALONE, LOSES_ON_LEADER_CHANGE, REORDERS_ON_ONE, STALE_LEADER_ACKNOWLEDGES }
+    enum Wrong {
+        NONE,
+        ACKNOWLEDGES_ALONE,
+        LOSES_ON_LEADER_CHANGE,
+        REORDERS_ON_ONE,
+        STALE_LEADER_ACKNOWLEDGES
+    }
 
     private static final class Broken extends LogContract {
         private final Wrong wrong;
@@ -25,57 +31,68 @@
         @Override
         Cluster cluster() {
             Cluster right = new MemoryLogsTest().cluster();
-            return (Cluster) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Cluster.class},
-                    (proxy, method, with) -> {
-                try {
-                    return method.getName().equals("open") ? opened(right, (int) with[0], (Log.Reader) with[1])
-                            : method.invoke(right, with);
-                } catch (InvocationTargetException e) {
-                    throw e.getCause();
-                }
-            });
+            return (Cluster)
+                    Proxy.newProxyInstance(
+                            getClass().getClassLoader(),
+                            new Class<?>[] {Cluster.class},
+                            (proxy, method, with) -> {
+                                try {
+                                    return method.getName().equals("open")
+                                            ? opened(right, (int) with[0], (Log.Reader) with[1])
+                                            : method.invoke(right, with);
+                                } catch (InvocationTargetException e) {
+                                    throw e.getCause();
+                                }
+                            });
         }
 
         private Log opened(Cluster right, int number, Log.Reader reader) throws IOException {
             Log[] log = new Log[1];
-            log[0] = right.open(number, new Log.Reader() {
-                private byte[] held;
-                private boolean dropped;
+            log[0] =
+                    right.open(
+                            number,
+                            new Log.Reader() {
+                                private byte[] held;
+                                private boolean dropped;
 
-                @Override
-                public void apply(long index, byte[] entry) {
-                    if (wrong == Wrong.LOSES_ON_LEADER_CHANGE && log[0].term() > 1 && !dropped) {
-                        dropped = true;
-                    } else if (wrong == Wrong.REORDERS_ON_ONE && number == 2) {
-                        if (held == null && index % 4 == 0) {
-                            held = entry;
-                            return;
-                        }
-                        reader.apply(index, entry);
-                        if (held != null) {
-                            reader.apply(index + 1, held);
-                            held = null;
-                        }
-                    } else {
-                        reader.apply(index, entry);
-                    }
-                }
+                                @Override
+                                public void apply(long index, byte[] entry) {
+                                    if (wrong == Wrong.LOSES_ON_LEADER_CHANGE
+                                            && log[0].term() > 1
+                                            && !dropped) {
+                                        dropped = true;
+                                    } else if (wrong == Wrong.REORDERS_ON_ONE && number == 2) {
+                                        if (held == null && index % 4 == 0) {
+                                            held = entry;
+                                            return;
+                                        }
+                                        reader.apply(index, entry);
+                                        if (held != null) {
+                                            reader.apply(index + 1, held);
+                                            held = null;
+                                        }
+                                    } else {
+                                        reader.apply(index, entry);
+                                    }
+                                }
 
-                @Override
-                public byte[] snapshot() {
-                    return reader.snapshot();
-                }
+                                @Override
+                                public byte[] snapshot() {
+                                    return reader.snapshot();
+                                }
 
-                @Override
-                public void restore(long index, byte[] snapshot) {
-                    reader.restore(index, snapshot);
-                }
-            });
+                                @Override
+                                public void restore(long index, byte[] snapshot) {
+                                    reader.restore(index, snapshot);
+                                }
+                            });
             return new Log() {
                 @Override
                 public CompletableFuture<Long> append(byte[] entry) {
                     CompletableFuture<Long> told = log[0].append(entry);
-                    boolean early = wrong == Wrong.ACKNOWLEDGES_ALONE || wrong == Wrong.STALE_LEADER_ACKNOWLEDGES && leads();
+                    boolean early =
+                            wrong == Wrong.ACKNOWLEDGES_ALONE
+                                    || wrong == Wrong.STALE_LEADER_ACKNOWLEDGES && leads();
                     return early && !told.isDone() ? CompletableFuture.completedFuture(1L) : told;
                 }
 
@@ -99,7 +116,10 @@
 
     @DataProvider
     public Object[][] wrongs() {
-        return Arrays.stream(Wrong.values()).filter(w -> w != Wrong.NONE).map(w -> new Object[] {w}).toArray(Object[][]::new);
+        return Arrays.stream(Wrong.values())
+                .filter(w -> w != Wrong.NONE)
+                .map(w -> new Object[] {w})
+                .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "wrongs")
--- a/fleet/src/test/java/tinford/fleet/store/BrokenStoresTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/BrokenStoresTest.java
@@ -10,7 +10,15 @@
 
 /** Stores that are wrong on purpose: the contract must catch each. */
 public class BrokenStoresTest {
-    enum Wrong { NONE, IN_PLACE, NO_SUM, ACKNOWLEDGES_EARLY, MIXES, THROWS_WHEN_TORN, TRUSTS_THE_FUTURE }
+    enum Wrong {
+        NONE,
+        IN_PLACE,
+        NO_SUM,
+        ACKNOWLEDGES_EARLY,
+        MIXES,
+        THROWS_WHEN_TORN,
+        TRUSTS_THE_FUTURE
+    }
 
     /** Over the store in memory, so that each is right but for one thing. */
     private static final class Broken extends StoreContract {
@@ -24,7 +32,10 @@
         Place place() {
             return new MemoryStoreTest.InMemory() {
                 private final Store right =
-                        new MemoryStore(platter, LARGEST, wrong == Wrong.TRUSTS_THE_FUTURE ? Double.MAX_VALUE : AHEAD);
+                        new MemoryStore(
+                                platter,
+                                LARGEST,
+                                wrong == Wrong.TRUSTS_THE_FUTURE ? Double.MAX_VALUE : AHEAD);
 
                 @Override
                 public Store open() {
@@ -34,15 +45,24 @@
                         @Override
                         public Found read(double now) {
                             byte[] bytes = platter.bytes();
-                            if (wrong == Wrong.THROWS_WHEN_TORN && bytes != null && bytes.length < Sealed.HEAD) {
+                            if (wrong == Wrong.THROWS_WHEN_TORN
+                                    && bytes != null
+                                    && bytes.length < Sealed.HEAD) {
                                 throw new IllegalStateException("torn");
                             }
-                            if (wrong == Wrong.NO_SUM && bytes != null && bytes.length >= Sealed.HEAD) {
+                            if (wrong == Wrong.NO_SUM
+                                    && bytes != null
+                                    && bytes.length >= Sealed.HEAD) {
                                 ByteBuffer from = ByteBuffer.wrap(bytes);
-                                byte[] content = Arrays.copyOfRange(bytes, Sealed.HEAD, bytes.length);
+                                byte[] content =
+                                        Arrays.copyOfRange(bytes, Sealed.HEAD, bytes.length);
                                 // asks for all but the sum
-                                platter.bytes(ByteBuffer.wrap(Sealed.seal(content, from.getDouble(8))).putInt(0, from.getInt(0))
-                                        .putInt(4, from.getInt(4)).putInt(16, from.getInt(16)).putInt(20, from.getInt(20))
+                                platter.bytes(
+                                        ByteBuffer.wrap(Sealed.seal(content, from.getDouble(8)))
+                                                .putInt(0, from.getInt(0))
+                                                .putInt(4, from.getInt(4))
+                                                .putInt(16, from.getInt(16))
+                                                .putInt(20, from.getInt(20))
                                                 .array());
                             }
                             return right.read(now);
@@ -72,7 +92,8 @@
                 }
 
                 @Override
-                public boolean killedWrite(byte[] content, double now, int step) throws IOException {
+                public boolean killedWrite(byte[] content, double now, int step)
+                        throws IOException {
                     if (step > 0) {
                         return super.killedWrite(content, now, step);
                     }
@@ -82,7 +103,12 @@
                         platter.bytes(Arrays.copyOf(sealed, sealed.length / 2));
                     } else if (wrong == Wrong.MIXES) {
                         byte[] mixed = content.clone();
-                        System.arraycopy(old, Sealed.HEAD, mixed, 0, Math.min(content.length, old.length - Sealed.HEAD));
+                        System.arraycopy(
+                                old,
+                                Sealed.HEAD,
+                                mixed,
+                                0,
+                                Math.min(content.length, old.length - Sealed.HEAD));
                         platter.bytes(Sealed.seal(mixed, now));
                     }
                     return true;
@@ -103,7 +129,10 @@
 
     @DataProvider
     public Object[][] wrongs() {
-        return Arrays.stream(Wrong.values()).filter(w -> w != Wrong.NONE).map(w -> new Object[] {w}).toArray(Object[][]::new);
+        return Arrays.stream(Wrong.values())
+                .filter(w -> w != Wrong.NONE)
+                .map(w -> new Object[] {w})
+                .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "wrongs")
--- a/fleet/src/test/java/tinford/fleet/store/Cuts.java
+++ b/fleet/src/test/java/tinford/fleet/store/Cuts.java
@@ -41,25 +41,37 @@
     }
 
     private static RaftServer guarded(RaftServer server, Cut cut) {
-        return (RaftServer) Proxy.newProxyInstance(Cuts.class.getClassLoader(), new Class<?>[] {RaftServer.class},
-                (p, method, with) -> {
-            String name = method.getName();
-            if (name.startsWith("appendEntries") || name.equals("requestVote") || name.equals("installSnapshot")) {
-                Object header = with[0].getClass().getMethod("getServerRequest").invoke(with[0]);
-                String from = ((org.apache.ratis.proto.RaftProtos.RaftRpcRequestProto) header).getRequestorId().toStringUtf8();
-                if (cut.between(from, server.getId().toString())) {
-                    IOException e = new IOException("cut");
-                    if (method.getReturnType() == CompletableFuture.class) {
-                        return CompletableFuture.failedFuture(e);
-                    }
-                    throw e;
-                }
-            }
-            try {
-                return method.invoke(server, with);
-            } catch (InvocationTargetException e) {
-                throw e.getCause();
-            }
-        });
+        return (RaftServer)
+                Proxy.newProxyInstance(
+                        Cuts.class.getClassLoader(),
+                        new Class<?>[] {RaftServer.class},
+                        (p, method, with) -> {
+                            String name = method.getName();
+                            if (name.startsWith("appendEntries")
+                                    || name.equals("requestVote")
+                                    || name.equals("installSnapshot")) {
+                                Object header =
+                                        with[0].getClass()
+                                                .getMethod("getServerRequest")
+                                                .invoke(with[0]);
+                                String from =
+                                        ((org.apache.ratis.proto.RaftProtos.RaftRpcRequestProto)
+                                                        header)
+                                                .getRequestorId()
+                                                .toStringUtf8();
+                                if (cut.between(from, server.getId().toString())) {
+                                    IOException e = new IOException("cut");
+                                    if (method.getReturnType() == CompletableFuture.class) {
+                                        return CompletableFuture.failedFuture(e);
+                                    }
+                                    throw e;
+                                }
+                            }
+                            try {
+                                return method.invoke(server, with);
+                            } catch (InvocationTargetException e) {
+                                throw e.getCause();
+                            }
+                        });
     }
 }
--- a/fleet/src/test/java/tinford/fleet/store/FileStoreTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/FileStoreTest.java
@@ -15,11 +15,17 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.Test;
 
-/** The store in a file keeps the contract, stopped at each step of its write and by a kill of a real process. */
+/**
+ * The store in a file keeps the contract, stopped at each step of its write and by a kill of a real
+ * process.
+ */
 public class FileStoreTest extends StoreContract {
     private final List<Path> folders = new ArrayList<>();
 
-    /** Does each step, stopped before one of them, or ailing. Writing takes two steps: half of the bytes, all of them. */
+    /**
+     * Does each step, stopped before one of them, or ailing. Writing takes two steps: half of the
+     * bytes, all of them.
+     */
     static final class Stopped implements Disk {
         private final Disk real = new Disk.Real();
         private int left = Integer.MAX_VALUE;
@@ -131,7 +137,8 @@
         Path folder = folder();
         Files.write(folder.resolve("content.tmp"), new byte[7]);
         Files.write(folder.resolve("other.tmp"), new byte[7]);
-        assertTrue(new FileStore(folder, "content", LARGEST, AHEAD).read(NOW).why().endsWith("none"));
+        assertTrue(
+                new FileStore(folder, "content", LARGEST, AHEAD).read(NOW).why().endsWith("none"));
         try (Stream<Path> left = Files.list(folder)) {
             assertEquals(left.map(p -> p.getFileName().toString()).toList(), List.of("other.tmp"));
         }
@@ -141,8 +148,16 @@
     public void aFolderInItsPlace() throws IOException {
         Path folder = folder();
         Files.createDirectory(folder.resolve("content"));
-        assertTrue(new FileStore(folder, "content", LARGEST, AHEAD).read(NOW).why().contains("can't be read"));
-        assertTrue(new FileStore(folder.resolve("gone"), "content", LARGEST, AHEAD).read(NOW).why().endsWith("none"));
+        assertTrue(
+                new FileStore(folder, "content", LARGEST, AHEAD)
+                        .read(NOW)
+                        .why()
+                        .contains("can't be read"));
+        assertTrue(
+                new FileStore(folder.resolve("gone"), "content", LARGEST, AHEAD)
+                        .read(NOW)
+                        .why()
+                        .endsWith("none"));
     }
 
     /** Each content is one number over and over; the child tells it after it was acknowledged. */
@@ -150,10 +165,18 @@
     public void killedProcessLeavesTheLastToldOrTheNext() throws Exception {
         Path folder = folder();
         for (int life = 0; life < 2; life++) {
-            Process child = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xshare:auto",
-                    "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), Writes.class.getName(),
-                            folder.toString())
-                    .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+            Process child =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-Xshare:auto",
+                                    "-XX:TieredStopAtLevel=1",
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    Writes.class.getName(),
+                                    folder.toString())
+                            .redirectError(ProcessBuilder.Redirect.DISCARD)
+                            .start();
             int told = 0;
             try (var from = child.inputReader()) {
                 for (int i = 0; i < 15 + 7 * life; i++) {
--- a/fleet/src/test/java/tinford/fleet/store/LogContract.java
+++ b/fleet/src/test/java/tinford/fleet/store/LogContract.java
@@ -114,12 +114,14 @@
 
         CompletableFuture<Long> offer(int by) {
             String entry = "e" + ++made;
-            return logs[by].append(entry.getBytes(StandardCharsets.UTF_8)).thenApply(index -> {
-                synchronized (acknowledged) {
-                    acknowledged.add(entry);
-                }
-                return index;
-            });
+            return logs[by].append(entry.getBytes(StandardCharsets.UTF_8))
+                    .thenApply(
+                            index -> {
+                                synchronized (acknowledged) {
+                                    acknowledged.add(entry);
+                                }
+                                return index;
+                            });
         }
 
         /** Each entry offered anew, as another one, until one was acknowledged. */
@@ -142,14 +144,17 @@
 
         int leader() {
             int[] found = new int[1];
-            assertTrue(cluster.until(() -> {
-                for (int i = 1; i <= 3; i++) {
-                    if (logs[i] != null && logs[i].leads()) {
-                        found[0] = i;
-                    }
-                }
-                return found[0] > 0;
-            }), "no leader");
+            assertTrue(
+                    cluster.until(
+                            () -> {
+                                for (int i = 1; i <= 3; i++) {
+                                    if (logs[i] != null && logs[i].leads()) {
+                                        found[0] = i;
+                                    }
+                                }
+                                return found[0] > 0;
+                            }),
+                    "no leader");
             return found[0];
         }
 
@@ -160,22 +165,37 @@
         /** All running members have the same, with all that was acknowledged, each once. */
         void agree() {
             List<String> must = new ArrayList<>(acknowledged);
-            boolean same = cluster.until(() -> {
-                List<String> first = null;
-                for (int i = 1; i <= 3; i++) {
-                    if (logs[i] != null) {
-                        List<String> all = reads[i].all();
-                        if (!all.containsAll(must) || first != null && !first.equals(all)) {
-                            return false;
-                        }
-                        first = all;
-                    }
-                }
-                return true;
-            });
-            assertTrue(same, "not the same: " + must + " of " + reads[1].all() + " " + reads[2].all() + " " + reads[3].all());
+            boolean same =
+                    cluster.until(
+                            () -> {
+                                List<String> first = null;
+                                for (int i = 1; i <= 3; i++) {
+                                    if (logs[i] != null) {
+                                        List<String> all = reads[i].all();
+                                        if (!all.containsAll(must)
+                                                || first != null && !first.equals(all)) {
+                                            return false;
+                                        }
+                                        first = all;
+                                    }
+                                }
+                                return true;
+                            });
+            assertTrue(
+                    same,
+                    "not the same: "
+                            + must
+                            + " of "
+                            + reads[1].all()
+                            + " "
+                            + reads[2].all()
+                            + " "
+                            + reads[3].all());
             for (int i = 1; i <= 3; i++) {
-                assertEquals(new HashSet<>(reads[i].all()).size(), reads[i].all().size(), "twice: " + reads[i].all());
+                assertEquals(
+                        new HashSet<>(reads[i].all()).size(),
+                        reads[i].all().size(),
+                        "twice: " + reads[i].all());
             }
         }
 
@@ -203,15 +223,20 @@
             for (int i = 0; i < 60; i++) {
                 told.add(three.offer(1 + i % 3));
             }
-            assertTrue(three.cluster.until(() -> told.stream().allMatch(CompletableFuture::isDone)));
-            assertTrue(told.stream().noneMatch(CompletableFuture::isCompletedExceptionally), "within bounds");
+            assertTrue(
+                    three.cluster.until(() -> told.stream().allMatch(CompletableFuture::isDone)));
+            assertTrue(
+                    told.stream().noneMatch(CompletableFuture::isCompletedExceptionally),
+                    "within bounds");
             three.agree();
             List<CompletableFuture<Long>> many = new ArrayList<>();
             three.stop(2, 3);
             for (int i = 0; i < IN_FLIGHT + 5; i++) {
                 many.add(three.offer(1));
             }
-            assertTrue(many.subList(IN_FLIGHT, many.size()).stream().allMatch(CompletableFuture::isCompletedExceptionally),
+            assertTrue(
+                    many.subList(IN_FLIGHT, many.size()).stream()
+                            .allMatch(CompletableFuture::isCompletedExceptionally),
                     "beyond");
         }
     }
@@ -224,9 +249,14 @@
                 int a = alone % 3 + 1;
                 int b = a % 3 + 1;
                 three.stop(a, b);
-                List<CompletableFuture<Long>> told = List.of(three.offer(alone), three.offer(alone));
-                assertTrue(three.cluster.until(() -> told.stream().allMatch(CompletableFuture::isDone)));
-                assertTrue(told.stream().allMatch(CompletableFuture::isCompletedExceptionally), "acknowledged alone");
+                List<CompletableFuture<Long>> told =
+                        List.of(three.offer(alone), three.offer(alone));
+                assertTrue(
+                        three.cluster.until(
+                                () -> told.stream().allMatch(CompletableFuture::isDone)));
+                assertTrue(
+                        told.stream().allMatch(CompletableFuture::isCompletedExceptionally),
+                        "acknowledged alone");
                 three.start(a, b);
                 three.write(b, 2);
                 three.agree();
--- a/fleet/src/test/java/tinford/fleet/store/MemoryLogsTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/MemoryLogsTest.java
@@ -70,7 +70,10 @@
 
     @DataProvider
     public Object[][] seeds() {
-        return new Random(7).longs(50).mapToObj(each -> new Object[] {each}).toArray(Object[][]::new);
+        return new Random(7)
+                .longs(50)
+                .mapToObj(each -> new Object[] {each})
+                .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "seeds")
