--- a/fleet/src/test/java/tinford/fleet/store/RaftLogTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/RaftLogTest.java
@@ -27,10 +27,11 @@
     @Override
     Three three() throws IOException {
         if (kept == null) {
-            kept = new Three() {
-                @Override
-                public void close() { }
-            };
+            kept =
+                    new Three() {
+                        @Override
+                        public void close() {}
+                    };
         }
         kept.mend();
         return kept;
@@ -62,14 +63,24 @@
             public Log open(int number, Log.Reader reader) throws IOException {
                 Parameters parameters = new Parameters();
                 parameters.put(Cuts.CUT, cut, Cuts.Cut.class);
-                logs[number] = new RaftLog(number, members, folder.resolve("" + number), reader,
-                        new RaftLog.Bounds(1500, IN_FLIGHT, 1000, SNAPSHOT, 250), new Cuts(), parameters);
+                logs[number] =
+                        new RaftLog(
+                                number,
+                                members,
+                                folder.resolve("" + number),
+                                reader,
+                                new RaftLog.Bounds(1500, IN_FLIGHT, 1000, SNAPSHOT, 250),
+                                new Cuts(),
+                                parameters);
                 return logs[number];
             }
 
             @Override
             public void stop(int... numbers) {
-                Arrays.stream(numbers).parallel().filter(each -> logs[each] != null).forEach(each -> logs[each].close());
+                Arrays.stream(numbers)
+                        .parallel()
+                        .filter(each -> logs[each] != null)
+                        .forEach(each -> logs[each].close());
             }
 
             @Override
@@ -98,8 +109,17 @@
                 for (InetSocketAddress each : members.values()) {
                     assertTrue(until(() -> free(each)), "port still taken: " + each);
                 }
-                assertTrue(until(() -> Thread.getAllStackTraces().keySet().stream().map(Thread::getName)
-                        .noneMatch(t -> t.startsWith("tinford-log") || t.matches("m\\d[@-].*"))), "threads left");
+                assertTrue(
+                        until(
+                                () ->
+                                        Thread.getAllStackTraces().keySet().stream()
+                                                .map(Thread::getName)
+                                                .noneMatch(
+                                                        t ->
+                                                                t.startsWith("tinford-log")
+                                                                        || t.matches(
+                                                                                "m\\d[@-].*"))),
+                        "threads left");
                 clear(folder);
             }
         };
@@ -148,19 +168,26 @@
         }
         TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
         members.put(1, new InetSocketAddress("127.0.0.1", port));
-        Log.Reader counts = new Log.Reader() {
-            @Override
-            public void apply(long index, byte[] entry) { }
-
-            @Override
-            public byte[] snapshot() {
-                return new byte[8];
-            }
-
-            @Override
-            public void restore(long index, byte[] snapshot) { }
-        };
-        try (Log log = new RaftLog(1, members, folder, counts, new RaftLog.Bounds(5000, 100, 100_000, 50, 100))) {
+        Log.Reader counts =
+                new Log.Reader() {
+                    @Override
+                    public void apply(long index, byte[] entry) {}
+
+                    @Override
+                    public byte[] snapshot() {
+                        return new byte[8];
+                    }
+
+                    @Override
+                    public void restore(long index, byte[] snapshot) {}
+                };
+        try (Log log =
+                new RaftLog(
+                        1,
+                        members,
+                        folder,
+                        counts,
+                        new RaftLog.Bounds(5000, 100, 100_000, 50, 100))) {
             for (int i = 0; i < 8; i++) {
                 List<java.util.concurrent.CompletableFuture<Long>> told = new ArrayList<>();
                 for (int j = 0; j < 25; j++) {
--- a/fleet/src/test/java/tinford/fleet/store/StoreContract.java
+++ b/fleet/src/test/java/tinford/fleet/store/StoreContract.java
@@ -53,7 +53,8 @@
         Store.Found found = place.open().read(NOW);
         assertNull(found.content(), what);
         assertNotNull(found.why(), what);
-        assertTrue(!found.why().isEmpty() && found.why().indexOf('\n') < 0, what + ": " + found.why());
+        assertTrue(
+                !found.why().isEmpty() && found.why().indexOf('\n') < 0, what + ": " + found.why());
     }
 
     private Place written(int seed, int length) throws IOException {
@@ -88,7 +89,9 @@
             }
             steps++;
             byte[] found = place.open().read(NOW).content();
-            assertTrue(Arrays.equals(found, content(1, 100)) || Arrays.equals(found, content(2, 200)), "mixed at step " + step);
+            assertTrue(
+                    Arrays.equals(found, content(1, 100)) || Arrays.equals(found, content(2, 200)),
+                    "mixed at step " + step);
             place.open().write(content(3, 50), NOW);
             holds(place, content(3, 50));
         }
--- a/fleet/src/test/java/tinford/fleet/talk/BrokenTalksTest.java
+++ b/fleet/src/test/java/tinford/fleet/talk/BrokenTalksTest.java
@@ -11,11 +11,26 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The contract catches transports that are broken on purpose, and passes the one that they are made of. */
+/**
+ * The contract catches transports that are broken on purpose, and passes the one that they are made
+ * of.
+ */
 public class BrokenTalksTest {
-    enum Fault { NONE, ALTERS, WRONG_SENDER, BLOCKS, UNBOUNDED, DELIVERS_AFTER_CLOSE, SENDS_AFTER_CLOSE, TRUNCATES,
-            THROWS_TO_NOBODY,
-        DIES_OF_TAKER, DROPS_EMPTY, KEEPS_ARRAY, OLD_PROCESS_TAKES }
+    enum Fault {
+        NONE,
+        ALTERS,
+        WRONG_SENDER,
+        BLOCKS,
+        UNBOUNDED,
+        DELIVERS_AFTER_CLOSE,
+        SENDS_AFTER_CLOSE,
+        TRUNCATES,
+        THROWS_TO_NOBODY,
+        DIES_OF_TAKER,
+        DROPS_EMPTY,
+        KEEPS_ARRAY,
+        OLD_PROCESS_TAKES
+    }
 
     /** The network in memory with one fault. */
     private static final class Broken extends MemoryTest {
@@ -42,7 +57,10 @@
             first[gateway] = first[gateway] == null ? taker : first[gateway];
             Talk[] real = new Talk[1];
             Talk.Taker taken = (from, message) -> take(gateway, taker, from, message);
-            real[0] = fault == Fault.KEEPS_ARRAY ? new Sharing(net, gateway, taken) : net.at(gateway, taken);
+            real[0] =
+                    fault == Fault.KEEPS_ARRAY
+                            ? new Sharing(net, gateway, taken)
+                            : net.at(gateway, taken);
             return new Talk() {
                 private boolean closed;
 
@@ -59,7 +77,10 @@
                     if (fault == Fault.THROWS_TO_NOBODY && (to < 0 || to > 2)) {
                         throw new ArrayIndexOutOfBoundsException(to);
                     }
-                    byte[] m = fault == Fault.TRUNCATES && message.length > MOST ? Arrays.copyOf(message, MOST) : message;
+                    byte[] m =
+                            fault == Fault.TRUNCATES && message.length > MOST
+                                    ? Arrays.copyOf(message, MOST)
+                                    : message;
                     if (fault == Fault.DROPS_EMPTY && m.length == 0) {
                         return true;
                     }
@@ -102,8 +123,15 @@
         private final Talk real;
 
         Sharing(Memory.Network net, int gateway, Taker taker) {
-            real = net.at(gateway, (from, message) ->
-                    taker.take(from, last != null && last.length == message.length ? last : message));
+            real =
+                    net.at(
+                            gateway,
+                            (from, message) ->
+                                    taker.take(
+                                            from,
+                                            last != null && last.length == message.length
+                                                    ? last
+                                                    : message));
         }
 
         @Override
--- a/fleet/src/test/java/tinford/fleet/talk/MemoryTest.java
+++ b/fleet/src/test/java/tinford/fleet/talk/MemoryTest.java
@@ -51,7 +51,7 @@
 
     @Override
     void stranger(int to, byte[] message) {
-        assertThrows(IllegalArgumentException.class, () -> net.at(7, (f, m) -> { }));
+        assertThrows(IllegalArgumentException.class, () -> net.at(7, (f, m) -> {}));
     }
 
     public void waysAreAsSet() {
--- a/fleet/src/test/java/tinford/fleet/talk/TalkContract.java
+++ b/fleet/src/test/java/tinford/fleet/talk/TalkContract.java
@@ -14,15 +14,20 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** What every transport must keep, among gateways 0 to 2 that are open as {@link #talks} from the start of each case. */
+/**
+ * What every transport must keep, among gateways 0 to 2 that are open as {@link #talks} from the
+ * start of each case.
+ */
 public abstract class TalkContract {
     static final int MOST = 256;
+
     /** More than this may not be kept for a receiver that stalls. */
     static final int KEPT = 4096;
+
     private static final int FLOOD = 20_000;
     private static final double FLOOD_MS = 1500;
 
-    record Got(int from, byte[] message) { }
+    record Got(int from, byte[] message) {}
 
     List<Talk> talks = new ArrayList<>();
     final List<List<Got>> got = new ArrayList<>();
@@ -32,7 +37,9 @@
     /** Lets the transport act until it is so, or fails after a while. */
     abstract void until(BooleanSupplier so);
 
-    /** From now on the way loses, doubles, delays and reorders, where the transport can be made to. */
+    /**
+     * From now on the way loses, doubles, delays and reorders, where the transport can be made to.
+     */
     abstract void disturb();
 
     abstract void stall(int gateway);
@@ -67,10 +74,12 @@
 
     /** Sends again and again until it has come: any one may be lost. */
     private void comes(int from, int to, byte[] message) {
-        until(() -> {
-            talks.get(from).send(to, message);
-            return List.copyOf(got.get(to)).stream().anyMatch(g -> g.from == from && Arrays.equals(g.message, message));
-        });
+        until(
+                () -> {
+                    talks.get(from).send(to, message);
+                    return List.copyOf(got.get(to)).stream()
+                            .anyMatch(g -> g.from == from && Arrays.equals(g.message, message));
+                });
     }
 
     private void allGenuine(int to) {
@@ -102,7 +111,8 @@
         assertFalse(talks.get(0).send(1, marked(0, 1, MOST + 1)));
         assertFalse(talks.get(0).send(1, marked(0, 2, 70_000)));
         comes(0, 1, marked(0, 3, MOST));
-        assertTrue(got.get(1).stream().allMatch(g -> Arrays.equals(g.message, marked(0, 3, MOST))),
+        assertTrue(
+                got.get(1).stream().allMatch(g -> Arrays.equals(g.message, marked(0, 3, MOST))),
                 "a part of one too long came");
     }
 
@@ -166,7 +176,8 @@
         long from = System.nanoTime();
         for (int i = 0; i < FLOOD; i++) {
             talks.get(0).send(1, marked(0, 1, MOST));
-            assertTrue(System.nanoTime() - from < FLOOD_MS * 1e6, "sends wait for the receiver: " + i);
+            assertTrue(
+                    System.nanoTime() - from < FLOOD_MS * 1e6, "sends wait for the receiver: " + i);
         }
         go(1);
         comes(0, 1, marked(0, 2, 20));
@@ -179,10 +190,14 @@
         begin();
         talks.get(1).close();
         List<Got> list = got.get(1);
-        talks.set(1, open(1, (from, message) -> {
-            list.add(new Got(from, message));
-            throw new IllegalStateException("a taker's fault");
-        }));
+        talks.set(
+                1,
+                open(
+                        1,
+                        (from, message) -> {
+                            list.add(new Got(from, message));
+                            throw new IllegalStateException("a taker's fault");
+                        }));
         comes(0, 1, marked(0, 1, 20));
         comes(0, 1, marked(0, 2, 20));
     }
@@ -199,6 +214,8 @@
         byte[] changed = all.clone();
         comes(0, 2, changed);
         Arrays.fill(changed, (byte) 9);
-        assertTrue(got.get(2).stream().allMatch(g -> Arrays.equals(g.message, all)), "changed by its sender after it was sent");
+        assertTrue(
+                got.get(2).stream().allMatch(g -> Arrays.equals(g.message, all)),
+                "changed by its sender after it was sent");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/talk/UdpTest.java
+++ b/fleet/src/test/java/tinford/fleet/talk/UdpTest.java
@@ -24,7 +24,9 @@
 
     @Override
     void begin() {
-        try (DatagramSocket a = at(0); DatagramSocket b = at(0); DatagramSocket c = at(0)) {
+        try (DatagramSocket a = at(0);
+                DatagramSocket b = at(0);
+                DatagramSocket c = at(0)) {
             peers.clear();
             for (DatagramSocket s : List.of(a, b, c)) {
                 peers.add((InetSocketAddress) s.getLocalSocketAddress());
@@ -42,14 +44,19 @@
     @Override
     Talk open(int gateway, Talk.Taker taker) {
         try {
-            return new Udp(gateway, peers.get(gateway), peers, MOST, (from, message) -> {
-                synchronized (gate) {
-                    while (stalled[gateway]) {
-                        hang();
-                    }
-                }
-                taker.take(from, message);
-            });
+            return new Udp(
+                    gateway,
+                    peers.get(gateway),
+                    peers,
+                    MOST,
+                    (from, message) -> {
+                        synchronized (gate) {
+                            while (stalled[gateway]) {
+                                hang();
+                            }
+                        }
+                        taker.take(from, message);
+                    });
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -65,7 +72,7 @@
 
     @Override
     void until(BooleanSupplier so) {
-        for (long end = System.nanoTime() + 10_000_000_000L; !so.getAsBoolean();) {
+        for (long end = System.nanoTime() + 10_000_000_000L; !so.getAsBoolean(); ) {
             assertTrue(System.nanoTime() < end, "did not come");
             LockSupport.parkNanos(1_000_000);
         }
@@ -116,6 +123,8 @@
 
     public void oneAddressTwiceIsTold() {
         InetSocketAddress one = new InetSocketAddress("127.0.0.1", 9);
-        assertThrows(IllegalArgumentException.class, () -> new Udp(0, one, List.of(one, one, one), MOST, (f, m) -> { }));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Udp(0, one, List.of(one, one, one), MOST, (f, m) -> {}));
     }
 }
--- a/gateway/src/main/java/org/xnio/nio/SharedPort.java
+++ b/gateway/src/main/java/org/xnio/nio/SharedPort.java
@@ -13,8 +13,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * A listening socket of XNIO's own that shares its address with another process. XNIO has no option for SO_REUSEPORT and
- * binds where it opens, so this stands in its package and does what its worker does, with that one option set.
+ * A listening socket of XNIO's own that shares its address with another process. XNIO has no option
+ * for SO_REUSEPORT and binds where it opens, so this stands in its package and does what its worker
+ * does, with that one option set.
  */
 public final class SharedPort {
     private final NioTcpServer real;
@@ -25,9 +26,16 @@
         this.server = server;
     }
 
-    /** @param shared another process may listen there at the same time */
-    public static SharedPort open(XnioWorker worker, InetSocketAddress at, boolean shared, OptionMap options,
-            ChannelListener<? super AcceptingChannel<StreamConnection>> listener) throws IOException {
+    /**
+     * @param shared another process may listen there at the same time
+     */
+    public static SharedPort open(
+            XnioWorker worker,
+            InetSocketAddress at,
+            boolean shared,
+            OptionMap options,
+            ChannelListener<? super AcceptingChannel<StreamConnection>> listener)
+            throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         boolean opened = false;
         try {
@@ -54,21 +62,24 @@
     }
 
     /**
-     * Guards those in the backlog, which a close would reset: they are taken first, right before it. A channel that stands
-     * with a selector is closed only when that looks again, and lets in more until then; hence it leaves the selector first.
+     * Guards those in the backlog, which a close would reset: they are taken first, right before
+     * it. A channel that stands with a selector is closed only when that looks again, and lets in
+     * more until then; hence it leaves the selector first.
      */
     public void close(Runnable then) {
-        server.getAcceptThread().execute(() -> {
-            NioTcpServerHandle handle = real.getHandle(0);
-            handle.getSelectionKey().cancel();
-            try {
-                handle.getWorkerThread().getSelector().selectNow();
-            } catch (IOException e) {
-                // then it is closed a moment later
-            }
-            server.handleReady();
-            IoUtils.safeClose(server);
-            then.run();
-        });
+        server.getAcceptThread()
+                .execute(
+                        () -> {
+                            NioTcpServerHandle handle = real.getHandle(0);
+                            handle.getSelectionKey().cancel();
+                            try {
+                                handle.getWorkerThread().getSelector().selectNow();
+                            } catch (IOException e) {
+                                // then it is closed a moment later
+                            }
+                            server.handleReady();
+                            IoUtils.safeClose(server);
+                            then.run();
+                        });
     }
 }
--- a/gateway/src/main/java/tinford/api/CounterTerms.java
+++ b/gateway/src/main/java/tinford/api/CounterTerms.java
@@ -1,6 +1,9 @@
 package tinford.api;
 
-/** The quota counter: whether there is one, when a call is given up, the units of the largest req, late settling. */
+/**
+ * The quota counter: whether there is one, when a call is given up, the units of the largest req,
+ * late settling.
+ */
 public final class CounterTerms {
     public final boolean present;
     public final double timeout;
--- a/gateway/src/main/java/tinford/api/Customer.java
+++ b/gateway/src/main/java/tinford/api/Customer.java
@@ -1,6 +1,9 @@
 package tinford.api;
 
-/** Whose quota a req draws on. Its reqs come through {@code width} gateways in a row from number {@code first}. */
+/**
+ * Whose quota a req draws on. Its reqs come through {@code width} gateways in a row from number
+ * {@code first}.
+ */
 public final class Customer {
     public final long id;
     public final Plan plan;
--- a/gateway/src/main/java/tinford/api/Frontend.java
+++ b/gateway/src/main/java/tinford/api/Frontend.java
@@ -12,8 +12,16 @@
     public final double repeatWindow;
     public final boolean streamed;
 
-    public Frontend(String name, double target, double timeout, double value, double lateValue, Effect effect,
-            Group group, double repeatWindow, boolean streamed) {
+    public Frontend(
+            String name,
+            double target,
+            double timeout,
+            double value,
+            double lateValue,
+            Effect effect,
+            Group group,
+            double repeatWindow,
+            boolean streamed) {
         this.name = name;
         this.target = target;
         this.timeout = timeout;
--- a/gateway/src/main/java/tinford/api/Group.java
+++ b/gateway/src/main/java/tinford/api/Group.java
@@ -1,4 +1,8 @@
 package tinford.api;
 
 /** The servers that drop repeats of a req with an idempotency key. */
-public enum Group { ALL, ZONE, CELL }
+public enum Group {
+    ALL,
+    ZONE,
+    CELL
+}
--- a/gateway/src/main/java/tinford/api/Inbox.java
+++ b/gateway/src/main/java/tinford/api/Inbox.java
@@ -8,15 +8,21 @@
     void started();
 
     /** From now on this is what a fleet has settled; without this call a gateway is alone. */
-    default void sees(View view) { }
+    default void sees(View view) {}
 
     /** Another process of this gateway took its reqs so far; from now on they come here. */
     void takesOver();
 
-    /** From now on another process of this gateway takes its reqs, and this one only those on connections it has. */
+    /**
+     * From now on another process of this gateway takes its reqs, and this one only those on
+     * connections it has.
+     */
     void leaves();
 
-    /** Entries of the server list, already brought up to date; {@code whole} if absent servers are gone. */
+    /**
+     * Entries of the server list, already brought up to date; {@code whole} if absent servers are
+     * gone.
+     */
     void listed(List<Srv> entries, boolean whole);
 
     /** A call on discovery failed or the subscription broke. */
@@ -35,7 +41,15 @@
      * @param settled true units, told with the first good answer, or 0
      * @param load the server's load report or null
      */
-    void ended(Req req, int hop, End how, double took, boolean closed, int seenUse, double settled, double[] load);
+    void ended(
+            Req req,
+            int hop,
+            End how,
+            double took,
+            boolean closed,
+            int seenUse,
+            double settled,
+            double[] load);
 
     void left(Req req);
 
--- a/gateway/src/main/java/tinford/api/Limits.java
+++ b/gateway/src/main/java/tinford/api/Limits.java
@@ -9,7 +9,12 @@
     public final boolean probes;
     public final double maxRetryAfter;
 
-    public Limits(int maxDispatches, boolean mayDuplicate, boolean cancel, boolean peers, boolean probes,
+    public Limits(
+            int maxDispatches,
+            boolean mayDuplicate,
+            boolean cancel,
+            boolean peers,
+            boolean probes,
             double maxRetryAfter) {
         this.maxDispatches = maxDispatches;
         this.mayDuplicate = mayDuplicate;
--- a/gateway/src/main/java/tinford/api/Plan.java
+++ b/gateway/src/main/java/tinford/api/Plan.java
@@ -1,6 +1,9 @@
 package tinford.api;
 
-/** A plan: the quota of each of its customers over all gateways together. Rates are units a millisecond; 0 is none. */
+/**
+ * A plan: the quota of each of its customers over all gateways together. Rates are units a
+ * millisecond; 0 is none.
+ */
 public final class Plan {
     public final String name;
     public final double rate;
@@ -13,8 +16,17 @@
     public final double ceilingBurst;
     public final double ceilingSlack;
 
-    public Plan(String name, double rate, double burst, int maxOut, double price, double beyondValue,
-            double beyondCost, double ceilingRate, double ceilingBurst, double ceilingSlack) {
+    public Plan(
+            String name,
+            double rate,
+            double burst,
+            int maxOut,
+            double price,
+            double beyondValue,
+            double beyondCost,
+            double ceilingRate,
+            double ceilingBurst,
+            double ceilingSlack) {
         this.name = name;
         this.rate = rate;
         this.burst = burst;
--- a/gateway/src/main/java/tinford/api/Req.java
+++ b/gateway/src/main/java/tinford/api/Req.java
@@ -8,10 +8,17 @@
     public final double expires;
     public final double units;
     public final boolean resent;
+
     /** The decisions' own notes. */
     public Object notes;
 
-    public Req(long id, Frontend frontend, Customer customer, double expires, double units, boolean resent) {
+    public Req(
+            long id,
+            Frontend frontend,
+            Customer customer,
+            double expires,
+            double units,
+            boolean resent) {
         this.id = id;
         this.frontend = frontend;
         this.customer = customer;
@@ -20,7 +27,10 @@
         this.resent = resent;
     }
 
-    /** Whether its client has gone, as far as can be seen at this moment; {@link Inbox#left} then follows. */
+    /**
+     * Whether its client has gone, as far as can be seen at this moment; {@link Inbox#left} then
+     * follows.
+     */
     public boolean gone() {
         return false;
     }
--- a/gateway/src/main/java/tinford/api/Srv.java
+++ b/gateway/src/main/java/tinford/api/Srv.java
@@ -3,17 +3,25 @@
 /** A server as the list last showed it to this gateway; a front may extend it. */
 public class Srv {
     /** What the list says of a server. */
-    public enum State { UP, DRAINING, REMOVED }
+    public enum State {
+        UP,
+        DRAINING,
+        REMOVED
+    }
 
     public final String id;
     public String zone;
     public int cell;
+
     /** The group of servers that it belongs to, as the list names it; empty where none is told. */
     public String group = "";
+
     public State state;
     public double size;
+
     /** Its last start, or 0 for one long past. */
     public double born;
+
     /** The decisions' own notes. */
     public Object notes;
 
--- a/gateway/src/main/java/tinford/benchlink/Bench.java
+++ b/gateway/src/main/java/tinford/benchlink/Bench.java
@@ -17,7 +17,9 @@
 import tinford.handed.BadInput;
 import tinford.handed.Fields;
 
-/** The simulator's wire: batches of lines in, a reply of lines out, many gateways in one process. */
+/**
+ * The simulator's wire: batches of lines in, a reply of lines out, many gateways in one process.
+ */
 public final class Bench {
     private final JsonFactory json = new JsonFactory();
     private final Gateway.Maker maker;
@@ -34,7 +36,9 @@
             throws IOException {
         Bench bench = new Bench(maker);
         try {
-            bench.run(new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16), out);
+            bench.run(
+                    new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16),
+                    out);
             return 0;
         } catch (BadInput e) {
             err.println("benchlink: " + e.getMessage());
--- a/gateway/src/main/java/tinford/benchlink/Instance.java
+++ b/gateway/src/main/java/tinford/benchlink/Instance.java
@@ -94,7 +94,8 @@
                 case "Alarm" -> in.alarm(l.whole("Name"));
                 case "Pong" -> probed(l, in);
                 case "Whisper" -> in.heard((int) l.whole("SrcPeer", 0), l.text("Blob"));
-                case "Added" -> in.counted(l.whole("Name"), end(l), l.millis("TookUs"), l.real("NowAt", 0));
+                case "Added" ->
+                        in.counted(l.whole("Name"), end(l), l.millis("TookUs"), l.real("NowAt", 0));
                 default -> throw new BadInput("line " + l.number, l.name, "a message of the wire");
             }
         }
@@ -115,7 +116,7 @@
                 in.listRefused();
                 return;
             }
-            case "changes", "all", "remembered" -> { }
+            case "changes", "all", "remembered" -> {}
             default -> throw l.bad("Scope", "changes, all, remembered or refused");
         }
         List<Srv> entries = new ArrayList<>();
@@ -125,12 +126,13 @@
             srv.cell = (int) e.whole("Bay", 0);
             srv.size = e.real("Size", 1);
             srv.born = e.millis("BornUs");
-            srv.state = switch (e.text("Condition")) {
-                case "up" -> Srv.State.UP;
-                case "draining" -> Srv.State.DRAINING;
-                case "removed" -> Srv.State.REMOVED;
-                default -> throw e.bad("Condition", "up, draining or removed");
-            };
+            srv.state =
+                    switch (e.text("Condition")) {
+                        case "up" -> Srv.State.UP;
+                        case "draining" -> Srv.State.DRAINING;
+                        case "removed" -> Srv.State.REMOVED;
+                        default -> throw e.bad("Condition", "up, draining or removed");
+                    };
             entries.add(srv);
         }
         in.listed(entries, !scope.equals("changes"));
@@ -146,9 +148,20 @@
         if (plan == null) {
             throw l.bad("Terms", "a plan of the settings");
         }
-        Customer c = new Customer(l.whole("Customer"), plan, (int) l.whole("Width", 1), (int) l.whole("FromNo", 0));
-        Req req = new Req(l.whole("RequestId"), frontend, c, l.millis("ValidUntilUs"), l.real("Weight", 1),
-                l.flag("Resent"));
+        Customer c =
+                new Customer(
+                        l.whole("Customer"),
+                        plan,
+                        (int) l.whole("Width", 1),
+                        (int) l.whole("FromNo", 0));
+        Req req =
+                new Req(
+                        l.whole("RequestId"),
+                        frontend,
+                        c,
+                        l.millis("ValidUntilUs"),
+                        l.real("Weight", 1),
+                        l.flag("Resent"));
         reqs.put(req.id, new Door(req));
         in.arrived(req);
     }
@@ -164,8 +177,15 @@
             door.over = true;
         }
         l.text("Server");
-        in.ended(door.req, (int) l.whole("Hop", 0), end(l), l.millis("TookUs"), ended,
-                (int) l.whole("SeenUse", 0), l.real("Settled", 0), l.reals("Feedback"));
+        in.ended(
+                door.req,
+                (int) l.whole("Hop", 0),
+                end(l),
+                l.millis("TookUs"),
+                ended,
+                (int) l.whole("SeenUse", 0),
+                l.real("Settled", 0),
+                l.reals("Feedback"));
         if (door.over) {
             over(door);
         }
--- a/gateway/src/main/java/tinford/benchlink/Line.java
+++ b/gateway/src/main/java/tinford/benchlink/Line.java
@@ -13,6 +13,7 @@
 final class Line extends Fields {
     final int number;
     final String name;
+
     /** The server list that a message refers to, as it stood when the message came. */
     List<Fields> sheet;
 
@@ -25,7 +26,8 @@
     static Line parse(JsonFactory json, int number, String text) {
         String where = "line " + number;
         try (JsonParser in = json.createParser(text)) {
-            if (in.nextToken() != JsonToken.START_OBJECT || in.nextToken() != JsonToken.FIELD_NAME) {
+            if (in.nextToken() != JsonToken.START_OBJECT
+                    || in.nextToken() != JsonToken.FIELD_NAME) {
                 throw new BadInput(where, "message", "an object with one key");
             }
             String name = in.currentName();
--- a/gateway/src/main/java/tinford/benchlink/Reply.java
+++ b/gateway/src/main/java/tinford/benchlink/Reply.java
@@ -66,28 +66,34 @@
     @Override
     public void dispatch(Req req, Srv srv, double cap, double within) {
         instance.sent(req);
-        line("PassOn", () -> {
-            json.writeNumberField("RequestId", req.id);
-            json.writeStringField("Server", srv.id);
-            json.writeNumberField("CapUs", us(cap));
-        });
+        line(
+                "PassOn",
+                () -> {
+                    json.writeNumberField("RequestId", req.id);
+                    json.writeStringField("Server", srv.id);
+                    json.writeNumberField("CapUs", us(cap));
+                });
     }
 
     @Override
     public void cancel(Req req, int hop) {
-        line("StopAttempt", () -> {
-            json.writeNumberField("RequestId", req.id);
-            json.writeNumberField("Hop", hop);
-        });
+        line(
+                "StopAttempt",
+                () -> {
+                    json.writeNumberField("RequestId", req.id);
+                    json.writeNumberField("Hop", hop);
+                });
     }
 
     @Override
     public void deny(Req req, double retryAfter) {
         instance.answered(req);
-        line("Reject", () -> {
-            json.writeNumberField("RequestId", req.id);
-            json.writeNumberField("StayAwayUs", us(retryAfter));
-        });
+        line(
+                "Reject",
+                () -> {
+                    json.writeNumberField("RequestId", req.id);
+                    json.writeNumberField("StayAwayUs", us(retryAfter));
+                });
     }
 
     @Override
@@ -98,10 +104,12 @@
 
     @Override
     public void alarm(long token, double wait) {
-        line("Schedule", () -> {
-            json.writeNumberField("Name", token);
-            json.writeNumberField("WaitUs", us(wait));
-        });
+        line(
+                "Schedule",
+                () -> {
+                    json.writeNumberField("Name", token);
+                    json.writeNumberField("WaitUs", us(wait));
+                });
     }
 
     @Override
@@ -116,23 +124,27 @@
 
     @Override
     public void tell(int peer, String text) {
-        line("Publish", () -> {
-            if (peer < 0) {
-                json.writeNullField("Whom");
-            } else {
-                json.writeNumberField("Whom", peer);
-            }
-            json.writeStringField("Blob", text);
-        });
+        line(
+                "Publish",
+                () -> {
+                    if (peer < 0) {
+                        json.writeNullField("Whom");
+                    } else {
+                        json.writeNumberField("Whom", peer);
+                    }
+                    json.writeStringField("Blob", text);
+                });
     }
 
     @Override
     public void add(long name, double amount, double keep) {
-        line("Incr", () -> {
-            json.writeNumberField("Name", name);
-            json.writeNumberField("N", amount);
-            json.writeNumberField("KeepForUs", us(keep));
-        });
+        line(
+                "Incr",
+                () -> {
+                    json.writeNumberField("Name", name);
+                    json.writeNumberField("N", amount);
+                    json.writeNumberField("KeepForUs", us(keep));
+                });
     }
 
     @Override
@@ -142,7 +154,7 @@
 
     @Override
     public void fetchList() {
-        line("Resolve", () -> { });
+        line("Resolve", () -> {});
     }
 
     @Override
--- a/gateway/src/main/java/tinford/handed/Fields.java
+++ b/gateway/src/main/java/tinford/handed/Fields.java
@@ -10,9 +10,12 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** An object of named values, read with checks; what is not as expected is named by place and field. */
+/**
+ * An object of named values, read with checks; what is not as expected is named by place and field.
+ */
 public class Fields {
-    private static final int DEEPEST = 64; // guards the stack of the I/O thread: each level takes two calls of it
+    private static final int DEEPEST =
+            64; // guards the stack of the I/O thread: each level takes two calls of it
     private final String where;
     private final String name;
     private final Map<String, Object> fields;
@@ -69,7 +72,8 @@
                 }
                 return all;
             case VALUE_NUMBER_INT:
-                return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER ? in.getDoubleValue()
+                return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                        ? in.getDoubleValue()
                         : (Number) in.getLongValue();
             case VALUE_NUMBER_FLOAT:
                 return in.getDoubleValue();
--- a/gateway/src/main/java/tinford/handed/Handed.java
+++ b/gateway/src/main/java/tinford/handed/Handed.java
@@ -15,10 +15,13 @@
 
 /** The one reader of the settings object that a gateway is handed at its start, for every front. */
 public final class Handed {
-    private static final double CONNECT = 1000; // where no time is handed for it; none that is handed is longer
+    private static final double CONNECT =
+            1000; // where no time is handed for it; none that is handed is longer
     private static final double KEPT = 600_000; // idle connections, where none are closed
-    private static final double COLD = 30_000; // where it is not handed how long servers are: longer than any known
-    private static final double LEAST_KEPT = 16; // who closes them sooner has none that is used again
+    private static final double COLD =
+            30_000; // where it is not handed how long servers are: longer than any known
+    private static final double LEAST_KEPT =
+            16; // who closes them sooner has none that is used again
     private static final int OPEN = 20_000; // reqs, where no bound is handed
     private static final double MOST_UNITS = 1e9; // of one call on the counter
 
@@ -28,9 +31,18 @@
         Map<String, Frontend> found = new LinkedHashMap<>();
         for (Fields c : set.parts("Classes")) {
             double timeout = c.positive("HardLimitUs") / 1000;
-            found.put(c.text("Name"), new Frontend(c.text("Name"), c.millis("OnTimeUs", timeout), timeout,
-                    c.amount("Value", 1), c.amount("LateWorth", 0), effect(c), group(c), c.millis("WindowUs"),
-                    c.flag("Stream")));
+            found.put(
+                    c.text("Name"),
+                    new Frontend(
+                            c.text("Name"),
+                            c.millis("OnTimeUs", timeout),
+                            timeout,
+                            c.amount("Value", 1),
+                            c.amount("LateWorth", 0),
+                            effect(c),
+                            group(c),
+                            c.millis("WindowUs"),
+                            c.flag("Stream")));
         }
         return found;
     }
@@ -40,9 +52,19 @@
         for (Fields t : set.parts("Tariffs")) {
             double rate = t.amount("QuotaRate", 0) / 1000;
             double ceilingRate = t.amount("CapRate", 0) / 1000;
-            found.put(t.text("Name"), new Plan(t.text("Name"), rate, store(t, "MostAtOnce", rate),
-                    (int) t.amount("MaxOut", 0), t.amount("Price", 1), t.amount("ExtraWorth", 0), t.amount("OverrunCost", 0),
-                    ceilingRate, store(t, "CapDepth", ceilingRate), t.amount("HardSlack", 0)));
+            found.put(
+                    t.text("Name"),
+                    new Plan(
+                            t.text("Name"),
+                            rate,
+                            store(t, "MostAtOnce", rate),
+                            (int) t.amount("MaxOut", 0),
+                            t.amount("Price", 1),
+                            t.amount("ExtraWorth", 0),
+                            t.amount("OverrunCost", 0),
+                            ceilingRate,
+                            store(t, "CapDepth", ceilingRate),
+                            t.amount("HardSlack", 0)));
         }
         return found;
     }
@@ -53,20 +75,31 @@
     }
 
     public static Place place(Fields set) {
-        return new Place(set.count("MyNumber", 0, 0), set.count("NInstances", 1), set.has("Az") ? set.text("Az") : "",
+        return new Place(
+                set.count("MyNumber", 0, 0),
+                set.count("NInstances", 1),
+                set.has("Az") ? set.text("Az") : "",
                 set.millis("TickUs"));
     }
 
     public static Limits limits(Fields set) {
         Fields lim = set.part("Limits");
-        return new Limits(lim.count("MaxAttempts", 1), lim.flag("MayDuplicate"), lim.flag("Cancel"),
-                lim.flag("Peers"), lim.flag("Probes"), lim.flag("RetryAfter") ? lim.millis("MaxRetryAfterUs") : 0);
+        return new Limits(
+                lim.count("MaxAttempts", 1),
+                lim.flag("MayDuplicate"),
+                lim.flag("Cancel"),
+                lim.flag("Peers"),
+                lim.flag("Probes"),
+                lim.flag("RetryAfter") ? lim.millis("MaxRetryAfterUs") : 0);
     }
 
     public static CounterTerms counter(Fields set) {
         Fields fam = set.optional("Specifics");
         boolean present = fam.flag("Counter");
-        return new CounterTerms(present, present ? fam.positive("CountLimitUs") / 1000 : 0, fam.amount("UnitsTop", 1),
+        return new CounterTerms(
+                present,
+                present ? fam.positive("CountLimitUs") / 1000 : 0,
+                fam.amount("UnitsTop", 1),
                 fam.flag("PostPaid"));
     }
 
@@ -99,10 +132,18 @@
     public static Gateway make(Gateway.Maker maker, long seed, Fields set) {
         Fields rule = set.part("Rules");
         Fields mix = set.optional("ResultMix");
-        return maker.make(seed, place(set), limits(set),
-                new Rules(rule.amount("ColdFrom", 0), rule.has("ColdUs") ? rule.millis("ColdUs") : COLD,
-                        rule.positive("FallMultiple"), rule.millis("FallUs")),
-                counter(set), new Goal(mix.amount("Whole", 1), mix.amount("WorstTenant", 0)), mustAsk(set));
+        return maker.make(
+                seed,
+                place(set),
+                limits(set),
+                new Rules(
+                        rule.amount("ColdFrom", 0),
+                        rule.has("ColdUs") ? rule.millis("ColdUs") : COLD,
+                        rule.positive("FallMultiple"),
+                        rule.millis("FallUs")),
+                counter(set),
+                new Goal(mix.amount("Whole", 1), mix.amount("WorstTenant", 0)),
+                mustAsk(set));
     }
 
     private static Effect effect(Fields c) {
--- a/gateway/src/main/java/tinford/logs/LibraryLines.java
+++ b/gateway/src/main/java/tinford/logs/LibraryLines.java
@@ -6,7 +6,10 @@
 import org.jboss.logging.Logger;
 import org.jboss.logging.LoggerProvider;
 
-/** What XNIO and its threads say goes into the same lines. Contexts of threads, which nobody here sets, are not kept. */
+/**
+ * What XNIO and its threads say goes into the same lines. Contexts of threads, which nobody here
+ * sets, are not kept.
+ */
 public final class LibraryLines implements LoggerProvider {
     @Override
     public Logger getLogger(String name) {
@@ -42,16 +45,23 @@
         }
 
         @Override
-        protected void doLog(Level level, String by, Object message, Object[] parameters, Throwable thrown) {
+        protected void doLog(
+                Level level, String by, Object message, Object[] parameters, Throwable thrown) {
             if (isEnabled(level)) {
                 String text = String.valueOf(message);
-                Lines.write(getName(), of(level), parameters == null || parameters.length == 0 ? text
-                        : MessageFormat.format(text, parameters), thrown);
+                Lines.write(
+                        getName(),
+                        of(level),
+                        parameters == null || parameters.length == 0
+                                ? text
+                                : MessageFormat.format(text, parameters),
+                        thrown);
             }
         }
 
         @Override
-        protected void doLogf(Level level, String by, String format, Object[] parameters, Throwable thrown) {
+        protected void doLogf(
+                Level level, String by, String format, Object[] parameters, Throwable thrown) {
             if (isEnabled(level)) {
                 Lines.write(getName(), of(level), String.format(format, parameters), thrown);
             }
--- a/gateway/src/main/java/tinford/logs/Lines.java
+++ b/gateway/src/main/java/tinford/logs/Lines.java
@@ -10,11 +10,14 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The log behind System.Logger: one line on standard error for each entry, with time, level and part, written by a thread of its own. It stands in for the
- * JDK's own, whose set-up and formats take a quarter of the processor time of a start.
+ * The log behind System.Logger: one line on standard error for each entry, with time, level and
+ * part, written by a thread of its own. It stands in for the JDK's own, whose set-up and formats
+ * take a quarter of the processor time of a start.
  */
 public final class Lines extends System.LoggerFinder {
-    /** Libraries tell of their versions at each start; of them, only what may need somebody is told. */
+    /**
+     * Libraries tell of their versions at each start; of them, only what may need somebody is told.
+     */
     private static final String OURS = "tinford";
 
     @Override
@@ -23,13 +26,21 @@
     }
 
     static boolean told(String part, System.Logger.Level level) {
-        System.Logger.Level least = part.startsWith(OURS) ? System.Logger.Level.INFO : System.Logger.Level.WARNING;
+        System.Logger.Level least =
+                part.startsWith(OURS) ? System.Logger.Level.INFO : System.Logger.Level.WARNING;
         return level != System.Logger.Level.OFF && level.getSeverity() >= least.getSeverity();
     }
 
     static void write(String part, System.Logger.Level level, String text, Throwable thrown) {
-        StringBuilder line = new StringBuilder(120).append(Instant.now()).append(' ').append(level).append(' ').append(part)
-                .append(": ").append(text);
+        StringBuilder line =
+                new StringBuilder(120)
+                        .append(Instant.now())
+                        .append(' ')
+                        .append(level)
+                        .append(' ')
+                        .append(part)
+                        .append(": ")
+                        .append(text);
         if (thrown != null) {
             StringWriter trace = new StringWriter();
             thrown.printStackTrace(new PrintWriter(trace));
@@ -38,12 +49,18 @@
         Pipe.offer(line.toString());
     }
 
-    /** Before the end of the process: what was told is written, if somebody reads it within that time. */
+    /**
+     * Before the end of the process: what was told is written, if somebody reads it within that
+     * time.
+     */
     public static void flush(double ms) {
         Pipe.flush(ms);
     }
 
-    /** Guards the I/O thread against a log that nobody reads: it never waits; what finds no place is counted, and told of later. */
+    /**
+     * Guards the I/O thread against a log that nobody reads: it never waits; what finds no place is
+     * counted, and told of later.
+     */
     private static final class Pipe {
         private static final int PLACES = 256;
         private static final ArrayBlockingQueue<String> LINES = new ArrayBlockingQueue<>(PLACES);
@@ -77,7 +94,11 @@
                     String line = LINES.take();
                     long dropped = DROPPED.getAndSet(0);
                     if (dropped > 0) {
-                        System.err.println(Instant.now() + " WARNING tinford.logs: " + dropped + " lines found no place");
+                        System.err.println(
+                                Instant.now()
+                                        + " WARNING tinford.logs: "
+                                        + dropped
+                                        + " lines found no place");
                     }
                     System.err.println(line);
                     OPEN.decrementAndGet();
@@ -116,12 +137,20 @@
         public void log(Level level, ResourceBundle bundle, String format, Object... params) {
             if (isLoggable(level)) {
                 String text = in(bundle, format);
-                write(name, level, params == null || params.length == 0 ? text : MessageFormat.format(text, params), null);
+                write(
+                        name,
+                        level,
+                        params == null || params.length == 0
+                                ? text
+                                : MessageFormat.format(text, params),
+                        null);
             }
         }
 
         private static String in(ResourceBundle bundle, String key) {
-            return bundle != null && key != null && bundle.containsKey(key) ? bundle.getString(key) : key;
+            return bundle != null && key != null && bundle.containsKey(key)
+                    ? bundle.getString(key)
+                    : key;
         }
     }
 }
--- a/gateway/src/main/java/tinford/program/Companion.java
+++ b/gateway/src/main/java/tinford/program/Companion.java
@@ -6,7 +6,10 @@
 import tinford.api.View;
 import tinford.transport.Loop;
 
-/** What acts beside a gateway for a whole fleet, on its I/O thread. A gateway that is handed none is alone, and loads none of it. */
+/**
+ * What acts beside a gateway for a whole fleet, on its I/O thread. A gateway that is handed none is
+ * alone, and loads none of it.
+ */
 public interface Companion {
     /**
      * Called once, within the first round and before anything comes in.
@@ -23,6 +26,9 @@
     /** Within a round: this process is told to end, and goes on until all it took is answered. */
     void leaves();
 
-    /** On the thread that ends the process, once all that it took is answered: its last moment, which may take one. */
-    default void answered() { }
+    /**
+     * On the thread that ends the process, once all that it took is answered: its last moment,
+     * which may take one.
+     */
+    default void answered() {}
 }
--- a/gateway/src/main/java/tinford/program/Handover.java
+++ b/gateway/src/main/java/tinford/program/Handover.java
@@ -11,25 +11,32 @@
 import tinford.transport.Turn;
 
 /**
- * Which process of this gateway takes the clients. One that starts beside another waits, ready, until that one is told to
- * end and gives its turn away; then it opens its door, and only then the other closes its own. A process that dies gives
- * its turn away as well.
+ * Which process of this gateway takes the clients. One that starts beside another waits, ready,
+ * until that one is told to end and gives its turn away; then it opens its door, and only then the
+ * other closes its own. A process that dies gives its turn away as well.
  */
 final class Handover {
     private static final System.Logger LOG = System.getLogger("tinford.program");
 
-    /** Clients and connections that come this long after SIGTERM, to one without a successor, are none the wiser. */
+    /**
+     * Clients and connections that come this long after SIGTERM, to one without a successor, are
+     * none the wiser.
+     */
     private static final double CLIENTS_COME = 450;
 
     /** The door stays open so much longer, for what crosses the end of a connection. */
     private static final double DOOR_STAYS = 100;
 
-    /** Connections that bring no req meanwhile end this long after SIGTERM: their last req has its full time. */
+    /**
+     * Connections that bring no req meanwhile end this long after SIGTERM: their last req has its
+     * full time.
+     */
     private static final double CLIENTS_STAY = 650;
 
     private static final double LOOK = 10;
     private static final double LAST_LINES = 100; // for the log, at the end
-    private static final double LAST_LOOK = 100; // for the I/O threads, which end at once where nothing holds them up
+    private static final double LAST_LOOK =
+            100; // for the I/O threads, which end at once where nothing holds them up
     private final Desk desk;
     private final Clients clients;
     private final Operators operators;
@@ -46,7 +53,13 @@
      * @param turn shared with the gateway's other process, or null where there is none
      * @param aside descriptors that are not this process's while there are two
      */
-    Handover(Desk desk, Clients clients, Operators operators, Turn turn, InetSocketAddress at, int aside) {
+    Handover(
+            Desk desk,
+            Clients clients,
+            Operators operators,
+            Turn turn,
+            InetSocketAddress at,
+            int aside) {
         this.desk = desk;
         this.clients = clients;
         this.operators = operators;
@@ -60,7 +73,9 @@
         begun = true;
         if (turn != null && !turn.take()) {
             desk.loop.descriptors().setAside(aside);
-            LOG.log(Level.INFO, "another process of this gateway takes the clients; ready to follow it");
+            LOG.log(
+                    Level.INFO,
+                    "another process of this gateway takes the clients; ready to follow it");
             return false;
         }
         clients.listen(at, turn != null);
@@ -70,12 +85,13 @@
             if (!alone) {
                 desk.loop.descriptors().setAside(aside);
             }
-            desk.loop.enter(() -> {
-                opened();
-                if (!alone) {
-                    alone();
-                }
-            });
+            desk.loop.enter(
+                    () -> {
+                        opened();
+                        if (!alone) {
+                            alone();
+                        }
+                    });
         }
         return true;
     }
@@ -107,7 +123,9 @@
                 return;
             }
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "the other process is not told that this one's door is open: " + e);
+            LOG.log(
+                    Level.WARNING,
+                    "the other process is not told that this one's door is open: " + e);
         }
         desk.loop.after(LOOK / 2, this::opened);
     }
@@ -116,7 +134,9 @@
     private void alone() {
         try {
             if (turn.alone()) {
-                desk.loop.descriptors().setAside(ending ? aside : 0); // one that ends may have a successor by now
+                desk.loop
+                        .descriptors()
+                        .setAside(ending ? aside : 0); // one that ends may have a successor by now
                 return;
             }
         } catch (IOException e) {
@@ -125,7 +145,10 @@
         desk.loop.after(10 * LOOK, this::alone);
     }
 
-    /** At SIGTERM: goes on as before while clients still come, then lets them go, and ends when all is answered. */
+    /**
+     * At SIGTERM: goes on as before while clients still come, then lets them go, and ends when all
+     * is answered.
+     */
     void leave(Runnable last) {
         synchronized (this) { // guards a door that is being opened
             if (!begun) {
@@ -133,17 +156,18 @@
             }
         }
         CountDownLatch left = new CountDownLatch(1);
-        desk.loop.enter(() -> {
-            ending = true;
-            leftAt = System.nanoTime() / 1e6;
-            if (!taken) {
-                left.countDown(); // it waited for its turn, and goes without one
-            } else if (turn == null) {
-                desk.loop.after(CLIENTS_COME, () -> close(left));
-            } else {
-                give(left);
-            }
-        });
+        desk.loop.enter(
+                () -> {
+                    ending = true;
+                    leftAt = System.nanoTime() / 1e6;
+                    if (!taken) {
+                        left.countDown(); // it waited for its turn, and goes without one
+                    } else if (turn == null) {
+                        desk.loop.after(CLIENTS_COME, () -> close(left));
+                    } else {
+                        give(left);
+                    }
+                });
         try {
             left.await();
         } catch (InterruptedException e) {
--- a/gateway/src/main/java/tinford/protocol/Ask.java
+++ b/gateway/src/main/java/tinford/protocol/Ask.java
@@ -30,7 +30,9 @@
     private int timeFrom = -1;
     private int timeTo;
 
-    /** @param from where the command begins in the bytes, {@code n} how long it is */
+    /**
+     * @param from where the command begins in the bytes, {@code n} how long it is
+     */
     public Ask(Resp in, byte[] bytes, int from, int n) throws Malformed {
         String verb = in.text(0);
         resendable = verb.equals("Q.ASK");
@@ -39,7 +41,8 @@
         }
         int parts = in.parts();
         if (parts != 4 && (resendable || parts != 5)) {
-            throw new Malformed("customer, id and terms" + (resendable ? "" : ", and a body at most"));
+            throw new Malformed(
+                    "customer, id and terms" + (resendable ? "" : ", and a body at most"));
         }
         customer = hex(in.text(1), "customer");
         if (customer >>> 33 != 0) {
@@ -62,7 +65,7 @@
 
     private void terms() throws Malformed {
         Set<String> names = new HashSet<>();
-        for (int at = termsFrom; at < termsTo;) {
+        for (int at = termsFrom; at < termsTo; ) {
             int stop = at;
             while (stop < termsTo && raw[stop] != ',') {
                 stop++;
@@ -77,7 +80,9 @@
             String value = new String(raw, is + 1, stop - is - 1, StandardCharsets.ISO_8859_1);
             String name = new String(raw, at, is - at, StandardCharsets.ISO_8859_1);
             if (!names.add(name)) {
-                throw new Malformed("each term once"); // else a server could read another one than was judged here
+                throw new Malformed(
+                        "each term once"); // else a server could read another one than was judged
+                // here
             }
             switch (name) {
                 case "c" -> frontend = value;
@@ -92,13 +97,14 @@
                 case "first" -> first = whole(value, "first", 0);
                 case "k" -> keyed = !value.isEmpty();
                 case "r" -> resent = value.equals("1");
-                default -> { }
+                default -> {}
             }
             at = stop + 1;
         }
     }
 
-    private static double real(String value, String name, double least, double most) throws Malformed {
+    private static double real(String value, String name, double least, double most)
+            throws Malformed {
         double v = Numbers.real(value);
         if (v >= least && v <= most) {
             return v;
@@ -128,12 +134,17 @@
     /**
      * The same command, but for how long its sender will wait, in whole milliseconds.
      *
-     * @return how much of it has been put, counted as {@link #length} counts: the rest of a long one follows in pieces
+     * @return how much of it has been put, counted as {@link #length} counts: the rest of a long
+     *     one follows in pieces
      */
     public int write(Buf to, long patience) {
         String time = Long.toString(patience);
-        to.put(raw, 0, termsHead).put("$").put(termsTo - termsFrom - (timeTo - timeFrom) + time.length()).line()
-                .put(raw, termsFrom, timeFrom - termsFrom).put(time);
+        to.put(raw, 0, termsHead)
+                .put("$")
+                .put(termsTo - termsFrom - (timeTo - timeFrom) + time.length())
+                .line()
+                .put(raw, termsFrom, timeFrom - termsFrom)
+                .put(time);
         return write(to, timeTo);
     }
 
--- a/gateway/src/main/java/tinford/protocol/HttpCall.java
+++ b/gateway/src/main/java/tinford/protocol/HttpCall.java
@@ -2,7 +2,10 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The head of one HTTP/1.1 call: method and path. What a call carries beside these is not looked at. */
+/**
+ * The head of one HTTP/1.1 call: method and path. What a call carries beside these is not looked
+ * at.
+ */
 public final class HttpCall {
     private static final int MOST_HEAD = 8 << 10;
     public final String method;
@@ -34,7 +37,9 @@
     /** Behind the first empty line; lines may end with or without the carriage return. */
     private static int end(byte[] b, int from, int to) {
         for (int i = from; i < to; i++) {
-            if (b[i] == '\n' && (i + 1 < to && b[i + 1] == '\n' || i + 2 < to && b[i + 1] == '\r' && b[i + 2] == '\n')) {
+            if (b[i] == '\n'
+                    && (i + 1 < to && b[i + 1] == '\n'
+                            || i + 2 < to && b[i + 1] == '\r' && b[i + 2] == '\n')) {
                 return i + 1;
             }
         }
--- a/gateway/src/main/java/tinford/protocol/HttpLines.java
+++ b/gateway/src/main/java/tinford/protocol/HttpLines.java
@@ -5,14 +5,20 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/** An HTTP/1.1 answer that is sent in chunks and holds lines of text; line ends and chunk ends need not meet. */
+/**
+ * An HTTP/1.1 answer that is sent in chunks and holds lines of text; line ends and chunk ends need
+ * not meet.
+ */
 public final class HttpLines {
     private static final int MOST_HEAD = 8 << 10;
-    private static final int MOST_LINE = 1 << 20; // some 8000 servers: reading four times as many took more than the heap
+    private static final int MOST_LINE =
+            1 << 20; // some 8000 servers: reading four times as many took more than the heap
     private byte[] line = new byte[1024];
     private int length;
     private boolean headRead;
-    private long chunk; // bytes still to come of the present one; -1 before its size line, -2 before its closing one
+    private long
+            chunk; // bytes still to come of the present one; -1 before its size line, -2 before its
+    // closing one
     private boolean done;
 
     public HttpLines() {
@@ -87,7 +93,9 @@
     /** Where the first empty line ends (two line ends in a row), or the first line. */
     private static int end(byte[] b, int from, int to, int ends) {
         for (int i = from; i + 2 * ends <= to; i++) {
-            if (b[i] == '\r' && b[i + 1] == '\n' && (ends == 1 || b[i + 2] == '\r' && b[i + 3] == '\n')) {
+            if (b[i] == '\r'
+                    && b[i + 1] == '\n'
+                    && (ends == 1 || b[i + 2] == '\r' && b[i + 3] == '\n')) {
                 return i + 2 * ends;
             }
         }
--- a/gateway/src/main/java/tinford/protocol/JsonLines.java
+++ b/gateway/src/main/java/tinford/protocol/JsonLines.java
@@ -7,7 +7,10 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** JSON objects in lines of text, each in one line or over several. What it keeps of one is bounded at 1 MiB. */
+/**
+ * JSON objects in lines of text, each in one line or over several. What it keeps of one is bounded
+ * at 1 MiB.
+ */
 public final class JsonLines {
     private static final int MOST = 1 << 20;
     private final JsonParser in;
@@ -24,7 +27,10 @@
         feeder = (ByteArrayFeeder) in.getNonBlockingInputFeeder();
     }
 
-    /** What is whole with this line: an object, or an empty text for an empty line between objects; null: more has to come. */
+    /**
+     * What is whole with this line: an object, or an empty text for an empty line between objects;
+     * null: more has to come.
+     */
     public String take(String line) throws Malformed {
         if (line.isEmpty() && text.length() == 0) {
             return line;
--- a/gateway/src/main/java/tinford/protocol/Numbers.java
+++ b/gateway/src/main/java/tinford/protocol/Numbers.java
@@ -1,12 +1,18 @@
 package tinford.protocol;
 
-/** Numbers as they are written on every wire here: digits, and a sign, a point or an exponent at most. */
+/**
+ * Numbers as they are written on every wire here: digits, and a sign, a point or an exponent at
+ * most.
+ */
 public final class Numbers {
     private static final int LONGEST = 32;
 
     private Numbers() {}
 
-    /** Not a number where the text is none, or none that is finite: Java itself would take "NaN", "0x1p3" and "5d". */
+    /**
+     * Not a number where the text is none, or none that is finite: Java itself would take "NaN",
+     * "0x1p3" and "5d".
+     */
     public static double real(String text) {
         boolean digit = false;
         for (int i = 0; i < text.length(); i++) {
--- a/gateway/src/main/java/tinford/protocol/Resp.java
+++ b/gateway/src/main/java/tinford/protocol/Resp.java
@@ -2,15 +2,20 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** One RESP2 value at a time, found where it lies: a simple one, or an array of simple ones. Nothing is copied. */
+/**
+ * One RESP2 value at a time, found where it lies: a simple one, or an array of simple ones. Nothing
+ * is copied.
+ */
 public final class Resp {
     private static final int MOST_PARTS = 16;
     private static final int MOST_LINE = 1024;
     private static final int MOST_BULK = 64 << 10;
     private static final int MOST_LONG = 4 << 20;
     private static final int BODY = 4; // a command's last part
+
     /** A whole value that is read here is never longer than this. */
     public static final int MOST = MOST_BULK + MOST_PARTS * 1100;
+
     /** Nor a command with a long body. */
     public static final int MOST_COMMAND = MOST_LONG + MOST_BULK + MOST_PARTS * 1100;
 
@@ -31,7 +36,9 @@
         this(false);
     }
 
-    /** @param longBody whether the body of a command may be as long as a long value */
+    /**
+     * @param longBody whether the body of a command may be as long as a long value
+     */
     public Resp(boolean longBody) {
         this.longBody = longBody;
     }
@@ -125,7 +132,10 @@
         return true;
     }
 
-    /** The length behind the sign at the present place, or -1 when more has to come; goes on behind the line. */
+    /**
+     * The length behind the sign at the present place, or -1 when more has to come; goes on behind
+     * the line.
+     */
     private long number(int skip) throws Malformed {
         int stop = line();
         if (stop < 0) {
@@ -160,8 +170,9 @@
     }
 
     /**
-     * Looks for the beginning of a longer answer than is read whole: an array whose first part is such a value. Its
-     * length is then {@link #longValue}, and the result is where its bytes begin, counted from the start; else 0.
+     * Looks for the beginning of a longer answer than is read whole: an array whose first part is
+     * such a value. Its length is then {@link #longValue}, and the result is where its bytes begin,
+     * counted from the start; else 0.
      */
     public int parseLong(byte[] in, int start, int stop) throws Malformed {
         bytes = in;
@@ -185,7 +196,10 @@
         return at - start;
     }
 
-    /** After a parse that wants more: how many bytes the whole will have, where a long body is under way; else 0. */
+    /**
+     * After a parse that wants more: how many bytes the whole will have, where a long body is under
+     * way; else 0.
+     */
     public int needs() {
         return needs;
     }
@@ -194,7 +208,10 @@
         return longValue;
     }
 
-    /** What stands behind the first value of an array of so many parts: the line end, and the parts that follow. */
+    /**
+     * What stands behind the first value of an array of so many parts: the line end, and the parts
+     * that follow.
+     */
     public int parseRest(int parts, byte[] in, int start, int stop) throws Malformed {
         bytes = in;
         at = start;
--- a/gateway/src/main/java/tinford/protocol/Usage.java
+++ b/gateway/src/main/java/tinford/protocol/Usage.java
@@ -8,10 +8,12 @@
 
     /** The value of that name in the text, or {@code absent}. */
     public static double of(String text, String name, double absent) {
-        for (int at = 0; at < text.length();) {
+        for (int at = 0; at < text.length(); ) {
             int stop = text.indexOf(',', at);
             stop = stop < 0 ? text.length() : stop;
-            if (text.startsWith(name, at) && at + name.length() < stop && text.charAt(at + name.length()) == '=') {
+            if (text.startsWith(name, at)
+                    && at + name.length() < stop
+                    && text.charAt(at + name.length()) == '=') {
                 double found = Numbers.real(text.substring(at + name.length() + 1, stop));
                 return found >= 0 ? found : absent;
             }
@@ -20,7 +22,10 @@
         return absent;
     }
 
-    /** A load report: the values of the names given, in their order, or null when the text has none of them. */
+    /**
+     * A load report: the values of the names given, in their order, or null when the text has none
+     * of them.
+     */
     public static double[] report(String text, List<String> names) {
         double[] found = new double[names.size()];
         boolean any = false;
--- a/gateway/src/main/java/tinford/routing/Addresses.java
+++ b/gateway/src/main/java/tinford/routing/Addresses.java
@@ -8,9 +8,12 @@
 
 /** Addresses as they are written everywhere here: a numeric host and a port. */
 public final class Addresses {
-    // guards against the look-up of a name, which blocks: what only looks like four numbers is one to the machine
-    private static final Pattern NUMERIC = Pattern.compile("(25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(25[0-5]|2[0-4]\\d|1?\\d?\\d)){3}"
-            + "|\\[[0-9a-fA-F:.]+\\]");
+    // guards against the look-up of a name, which blocks: what only looks like four numbers is one
+    // to the machine
+    private static final Pattern NUMERIC =
+            Pattern.compile(
+                    "(25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(25[0-5]|2[0-4]\\d|1?\\d?\\d)){3}"
+                            + "|\\[[0-9a-fA-F:.]+\\]");
     private static final int SHOWN = 60; // of what is no address: the complaint is kept for a while
 
     private Addresses() {}
@@ -19,7 +22,10 @@
         String text = in.text(field);
         InetSocketAddress found = of(text);
         if (found == null) {
-            throw in.bad(field, "a numeric host:port, not " + text.substring(0, Math.min(SHOWN, text.length())));
+            throw in.bad(
+                    field,
+                    "a numeric host:port, not "
+                            + text.substring(0, Math.min(SHOWN, text.length())));
         }
         return found;
     }
@@ -32,7 +38,8 @@
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            return port < 1 || port > 65535 ? null
+            return port < 1 || port > 65535
+                    ? null
                     : new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
         } catch (NumberFormatException | UnknownHostException e) {
             return null;
--- a/gateway/src/main/java/tinford/routing/Again.java
+++ b/gateway/src/main/java/tinford/routing/Again.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long to wait before a party that turned us away is asked again: longer each time, and by chance, so that a whole fleet
- * that was turned away together does not come back together.
+ * How long to wait before a party that turned us away is asked again: longer each time, and by
+ * chance, so that a whole fleet that was turned away together does not come back together.
  */
 final class Again {
     private final double first;
@@ -12,7 +12,10 @@
     private final RandomGenerator chance;
     private double mean;
 
-    /** @param first the mean wait after the first refusal; twice as long after each further one, up to {@code most} */
+    /**
+     * @param first the mean wait after the first refusal; twice as long after each further one, up
+     *     to {@code most}
+     */
     Again(double first, double most, RandomGenerator chance) {
         this.first = first;
         this.most = most;
--- a/gateway/src/main/java/tinford/routing/Backend.java
+++ b/gateway/src/main/java/tinford/routing/Backend.java
@@ -9,15 +9,27 @@
 /** A server as the list shows it, with the connections to it. */
 final class Backend extends Srv {
     InetSocketAddress dial;
-    /** As the list has it; {@code state} and {@code born} are what holds, after the operators' calls. */
+
+    /**
+     * As the list has it; {@code state} and {@code born} are what holds, after the operators'
+     * calls.
+     */
     Srv.State listed;
+
     double listedBorn;
+
     /** Connections with nothing in them, the last used first. */
     final ArrayDeque<ServerLink> idle = new ArrayDeque<>();
+
     /** Connections that are not up yet, and carry a dispatch of which nothing has left. */
     final Set<ServerLink> opening = new LinkedHashSet<>();
-    /** All connections to it, those that are still opening, and those that it has not seen closed, included. */
+
+    /**
+     * All connections to it, those that are still opening, and those that it has not seen closed,
+     * included.
+     */
     int links;
+
     /** Of these, those that have ended, though the server may not have seen it yet. */
     int leaving;
 
--- a/gateway/src/main/java/tinford/routing/Bans.java
+++ b/gateway/src/main/java/tinford/routing/Bans.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * Which servers the operators have taken out, as a record tells that two processes of one gateway read alike: one line a
- * call, the later one counts. It does no I/O.
+ * Which servers the operators have taken out, as a record tells that two processes of one gateway
+ * read alike: one line a call, the later one counts. It does no I/O.
  */
 final class Bans {
     private static final int MOST = 4096; // those put back longest ago are forgotten beyond it
-    private static final double KEPT = 600_000; // a start before the ban is told by discovery long before this is over
+    private static final double KEPT =
+            600_000; // a start before the ban is told by discovery long before this is over
     private final Map<String, Ban> bans = new LinkedHashMap<>();
 
     private static final class Ban {
@@ -26,7 +27,9 @@
         return (out ? "suspend " : "resume ") + (long) now + " " + id;
     }
 
-    /** Takes a line of the record; the result is the server whose state may have changed, or null. */
+    /**
+     * Takes a line of the record; the result is the server whose state may have changed, or null.
+     */
     String take(String line) {
         String[] words = line.split(" ", 3);
         if (words.length != 3 || !words[1].matches("\\d{1,15}")) {
@@ -61,8 +64,9 @@
     }
 
     /**
-     * When a server started, as far as is safe to say: it is restarted while it is out, and discovery tells of that late.
-     * Guards one that comes back cold against being taken for the warm one that it was.
+     * When a server started, as far as is safe to say: it is restarted while it is out, and
+     * discovery tells of that late. Guards one that comes back cold against being taken for the
+     * warm one that it was.
      */
     double born(String id, double listed) {
         Ban ban = bans.get(id);
--- a/gateway/src/main/java/tinford/routing/ClientLink.java
+++ b/gateway/src/main/java/tinford/routing/ClientLink.java
@@ -14,11 +14,13 @@
     static final int JUST_COME = 4;
     static final int BUSY = 5;
     private static final double LATELY = 250;
-    private static final double UNREAD = 20_000; // a client that does not read its answer by then will not
+    private static final double UNREAD =
+            20_000; // a client that does not read its answer by then will not
     private static final int MOST_OUT = 1 << 20;
     private static final int MOST_FLOWING = 32 << 10; // of a value that is passed on as it comes
     private static final int LEAST_FLOWING = 8 << 10;
-    private static final int MOST_WAITING = 64; // commands of one connection; a client opens another when all are busy
+    private static final int MOST_WAITING =
+            64; // commands of one connection; a client opens another when all are busy
     private final Clients clients;
     private Slot first;
     private Slot last;
@@ -41,15 +43,20 @@
     }
 
     /**
-     * On its place here, where places are few: turned away, silent from the first, long between reqs, lately used, just
-     * come, in use. Guards those that have just come: their first command may lie unread.
+     * On its place here, where places are few: turned away, silent from the first, long between
+     * reqs, lately used, just come, in use. Guards those that have just come: their first command
+     * may lie unread.
      */
     int claim(double now, double silence) {
         double quiet = now - lastUse;
-        if (!idle() || buf.unwritten() > 0) { // guards an answer of this very turn, which has not left yet
+        if (!idle()
+                || buf.unwritten()
+                        > 0) { // guards an answer of this very turn, which has not left yet
             return BUSY;
         }
-        return closing != null ? 0 : asked ? quiet >= silence ? 2 : 3 : quiet >= LATELY ? 1 : JUST_COME;
+        return closing != null
+                ? 0
+                : asked ? quiet >= silence ? 2 : 3 : quiet >= LATELY ? 1 : JUST_COME;
     }
 
     @Override
@@ -58,9 +65,12 @@
     }
 
     @Override
-    protected void opened() { }
+    protected void opened() {}
 
-    /** Guards servers against work for nobody: an end is looked for before each dispatch, also behind what is not read yet. */
+    /**
+     * Guards servers against work for nobody: an end is looked for before each dispatch, also
+     * behind what is not read yet.
+     */
     boolean gone() {
         return ends();
     }
@@ -79,7 +89,10 @@
                 }
                 int n = resp.parse(buf.bytes(), buf.from(), buf.to());
                 if (n == 0) {
-                    halfSince = buf.unread() == 0 ? 0 : halfSince == 0 || room > 0 ? clients.desk.now : halfSince;
+                    halfSince =
+                            buf.unread() == 0
+                                    ? 0
+                                    : halfSince == 0 || room > 0 ? clients.desk.now : halfSince;
                     if (resp.needs() > 0) {
                         expect(resp.needs());
                     }
@@ -99,7 +112,10 @@
         }
     }
 
-    /** A long body is read once there is room for the whole of it; until then it stays with its client. */
+    /**
+     * A long body is read once there is room for the whole of it; until then it stays with its
+     * client.
+     */
     private void expect(int bytes) {
         if (room > 0 || awaited > 0) {
             return;
@@ -112,7 +128,8 @@
             hold();
             return;
         }
-        // guards the reqs before it: on a connection that is not read nobody sees that their client has gone
+        // guards the reqs before it: on a connection that is not read nobody sees that their client
+        // has gone
         giveRoom();
         passing = bytes;
         say(add(new Slot()), "-BUSY");
@@ -145,12 +162,17 @@
         }
     }
 
-    /** Behind this the stream can't be followed: one line, after the answers still owed, and the end. */
+    /**
+     * Behind this the stream can't be followed: one line, after the answers still owed, and the
+     * end.
+     */
     private void refuse(Malformed e) {
         lastWord("-ERR " + e.getMessage());
     }
 
-    /** No room came free for what it wants to send: nothing of it was heard, and it may come again. */
+    /**
+     * No room came free for what it wants to send: nothing of it was heard, and it may come again.
+     */
     private void turnAway() {
         lastWord("-BUSY");
     }
@@ -162,7 +184,10 @@
         close(Ending.MALFORMED);
     }
 
-    /** Guards the room of others: whoever says nothing, or half a command, for that long has an error line or a close. */
+    /**
+     * Guards the room of others: whoever says nothing, or half a command, for that long has an
+     * error line or a close.
+     */
     void look(double now, double silence, double half, double idleMost) {
         if (closing != Ending.MALFORMED && awaited > 0 && now - halfSince >= half) {
             turnAway();
@@ -175,7 +200,10 @@
         }
     }
 
-    /** Guards a command that has come since the sockets were last read: it counts as taken, and its client as answered. */
+    /**
+     * Guards a command that has come since the sockets were last read: it counts as taken, and its
+     * client as answered.
+     */
     boolean giveWay() {
         if ((closing != null || quiet() || idle()) && buf.unwritten() == 0) {
             end(Ending.RETIRED);
@@ -317,13 +345,19 @@
 
     /** Between reqs: a client sends once more what crosses this. */
     void close(Ending how) {
-        closing = closing == null ? how : closing; // guards against reading on behind what can't be followed
+        closing =
+                closing == null
+                        ? how
+                        : closing; // guards against reading on behind what can't be followed
         if (idle()) {
             last();
         }
     }
 
-    /** The process goes: each req has its answer, and a command that has come in part is told that nothing of it was heard. */
+    /**
+     * The process goes: each req has its answer, and a command that has come in part is told that
+     * nothing of it was heard.
+     */
     void cutShort() {
         for (Slot s = first; s != null; s = s.next) {
             if (s.exchange != null && !s.exchange.over) {
--- a/gateway/src/main/java/tinford/routing/Clients.java
+++ b/gateway/src/main/java/tinford/routing/Clients.java
@@ -22,12 +22,17 @@
 
 /** The clients' side: their connections, and the reqs that are open. */
 public final class Clients {
-    private static final int SPARE = 16; // for those that come while room is made by ends that take their time
-    private static final double SILENCE = 2000; // from the first; an error or a close is owed within 3 s
-    private static final double HALF = 2300; // with a command come in part: a client may take 2 s for one
+    private static final int SPARE =
+            16; // for those that come while room is made by ends that take their time
+    private static final double SILENCE =
+            2000; // from the first; an error or a close is owed within 3 s
+    private static final double HALF =
+            2300; // with a command come in part: a client may take 2 s for one
     private static final double LOOK = 250;
-    private static final double MOST_WAIT = 3000; // a client that waits longer counts as one that waits so long, at the end
-    private static final double LAST_ANSWERS = 20; // after the longest client timeout nobody waits for one any more
+    private static final double MOST_WAIT =
+            3000; // a client that waits longer counts as one that waits so long, at the end
+    private static final double LAST_ANSWERS =
+            20; // after the longest client timeout nobody waits for one any more
     private static final double LAST_READ = 20; // and so long what was said then has to be read
     final Desk desk;
     final Resp resp = new Resp(true);
@@ -42,13 +47,16 @@
     private final long mostHeld;
     private final Set<ClientLink> links = new LinkedHashSet<>();
     private final Set<Long> ids = new HashSet<>(); // of the reqs that are open
-    private final ArrayDeque<ClientLink> unread = new ArrayDeque<>(); // with a command that there is no room for yet
+    private final ArrayDeque<ClientLink> unread =
+            new ArrayDeque<>(); // with a command that there is no room for yet
     private long kept; // for commands under way
     private final double longest; // that a client waits
     private Door door;
     private Runnable closed;
+
     /** Another process takes the clients: each connection ends behind its next answer. */
     boolean leaving;
+
     private int open;
     private long held;
     private boolean cut; // the process goes
@@ -57,12 +65,21 @@
      * @param gateways that a customer's reqs may come through
      * @param mostUnits of one req
      * @param idleMost how long a connection may stand idle once it has brought a command
-     * @param mostOpen reqs at once, of {@code mostHeld} bytes together, and {@code mostLinks} connections, or as many as there
-     * are descriptors for clients where these are fewer
-     * @param ease connections from which on those between reqs go for new ones, or from where few more fit
+     * @param mostOpen reqs at once, of {@code mostHeld} bytes together, and {@code mostLinks}
+     *     connections, or as many as there are descriptors for clients where these are fewer
+     * @param ease connections from which on those between reqs go for new ones, or from where few
+     *     more fit
      */
-    public Clients(Desk desk, Map<String, Frontend> frontends, Map<String, Plan> plans, int gateways, double mostUnits,
-            double idleMost, int mostOpen, long mostHeld, int mostLinks,
+    public Clients(
+            Desk desk,
+            Map<String, Frontend> frontends,
+            Map<String, Plan> plans,
+            int gateways,
+            double mostUnits,
+            double idleMost,
+            int mostOpen,
+            long mostHeld,
+            int mostLinks,
             int ease) {
         this.gateways = gateways;
         this.mostUnits = mostUnits;
@@ -77,23 +94,35 @@
         this.longest = frontends.values().stream().mapToDouble(f -> f.timeout).max().orElse(0);
     }
 
-    /** @param shared another process of this gateway may listen there at the same time */
+    /**
+     * @param shared another process of this gateway may listen there at the same time
+     */
     public void listen(InetSocketAddress at, boolean shared) throws IOException {
         look();
-        door = new Door(desk.loop, at, shared, mostLinks, () -> {
-            // guards those to come: clients hold so many connections at most, also ones that they will not use again
-            if (links.size() >= Math.min(ease, full())) {
-                makeRoom(links.size() >= full() ? ClientLink.BUSY : ClientLink.JUST_COME);
-            }
-            // what is not taken is closed unread, so that its client goes elsewhere
-            if (links.size() >= most()) {
-                return null;
-            }
-            ClientLink link = new ClientLink(this);
-            link.lastUse = desk.now;
-            links.add(link);
-            return link;
-        });
+        door =
+                new Door(
+                        desk.loop,
+                        at,
+                        shared,
+                        mostLinks,
+                        () -> {
+                            // guards those to come: clients hold so many connections at most, also
+                            // ones that they will not use again
+                            if (links.size() >= Math.min(ease, full())) {
+                                makeRoom(
+                                        links.size() >= full()
+                                                ? ClientLink.BUSY
+                                                : ClientLink.JUST_COME);
+                            }
+                            // what is not taken is closed unread, so that its client goes elsewhere
+                            if (links.size() >= most()) {
+                                return null;
+                            }
+                            ClientLink link = new ClientLink(this);
+                            link.lastUse = desk.now;
+                            links.add(link);
+                            return link;
+                        });
     }
 
     private int most() {
@@ -109,17 +138,19 @@
         for (ClientLink l : new ArrayList<>(links)) {
             l.look(desk.now, SILENCE, HALF, idleMost);
         }
-        // guards those in the backlog, whom nobody sees: all were at work when they came, and some rest now
-        while (links.size() > full() && shut()) { }
+        // guards those in the backlog, whom nobody sees: all were at work when they came, and some
+        // rest now
+        while (links.size() > full() && shut()) {}
         desk.loop.after(LOOK, this::look);
     }
 
     /**
-     * Closing between reqs harms nobody: what crosses the close is sent once more by the client. Guards those that ask
-     * against those that are turned away or say nothing: these go first, and at once.
+     * Closing between reqs harms nobody: what crosses the close is sent once more by the client.
+     * Guards those that ask against those that are turned away or say nothing: these go first, and
+     * at once.
      */
     void makeRoom(int most) {
-        for (ClientLink l = least(most); l != null && !l.giveWay(); l = least(most)) { }
+        for (ClientLink l = least(most); l != null && !l.giveWay(); l = least(most)) {}
     }
 
     private ClientLink least(int most) {
@@ -135,10 +166,14 @@
         return least;
     }
 
-    /** Room for the command that this link waits to read: at once, or when others have theirs whole, in turn. */
+    /**
+     * Room for the command that this link waits to read: at once, or when others have theirs whole,
+     * in turn.
+     */
     boolean grant(ClientLink link) {
         // half of what reqs may hold: what has come whole needs its place too
-        if (!unread.isEmpty() && unread.peek() != link || kept > 0 && kept + link.awaited() > mostHeld / 2
+        if (!unread.isEmpty() && unread.peek() != link
+                || kept > 0 && kept + link.awaited() > mostHeld / 2
                 || link.awaited() > mostHeld) {
             if (!unread.contains(link)) {
                 unread.add(link);
@@ -154,7 +189,7 @@
     void ungrant(ClientLink link, int bytes) {
         kept -= bytes;
         unread.remove(link);
-        while (!unread.isEmpty() && grant(unread.peek())) { }
+        while (!unread.isEmpty() && grant(unread.peek())) {}
     }
 
     Exchange exchange(ClientLink from, Ask ask) throws Malformed {
@@ -167,7 +202,8 @@
             throw new Malformed("t to be one of " + plans.keySet());
         }
         if (ask.units > mostUnits || ask.width > gateways || ask.first >= gateways) {
-            throw new Malformed("units up to " + mostUnits + ", spread up to " + gateways + ", first below it");
+            throw new Malformed(
+                    "units up to " + mostUnits + ", spread up to " + gateways + ", first below it");
         }
         if (ask.resendable != (frontend.effect == Effect.IDEMPOTENT)) {
             throw new Malformed("Q.ASK for what may run again, Q.DO for the rest");
@@ -176,13 +212,20 @@
             throw new Malformed("k, the mark against repeats");
         }
         if (ids.contains(ask.id)) {
-            throw new Malformed("an id of its own"); // else servers and client would take one req for the other
+            throw new Malformed(
+                    "an id of its own"); // else servers and client would take one req for the other
         }
-        return new Exchange(from, ask, frontend, new Customer(ask.customer, plan, ask.width, ask.first),
+        return new Exchange(
+                from,
+                ask,
+                frontend,
+                new Customer(ask.customer, plan, ask.width, ask.first),
                 desk.looked + Math.min(ask.patience, frontend.timeout));
     }
 
-    /** @param tooMany wait on its connection already */
+    /**
+     * @param tooMany wait on its connection already
+     */
     void take(Exchange e, boolean tooMany) {
         open++;
         held += e.ask.length();
@@ -206,7 +249,10 @@
         }
     }
 
-    /** Its client has gone: what waits for a connection, or has not left whole, goes nowhere any more. */
+    /**
+     * Its client has gone: what waits for a connection, or has not left whole, goes nowhere any
+     * more.
+     */
     void left(Exchange e) {
         over(e);
         desk.in.left(e);
@@ -233,23 +279,27 @@
     void gone(ClientLink link) {
         links.remove(link);
         if (closed != null && links.isEmpty()) {
-            desk.loop.due(closed::run); // what this end caused, such as units given back, leaves before that
+            desk.loop.due(
+                    closed::run); // what this end caused, such as units given back, leaves before
+            // that
         }
     }
 
     /**
-     * Another process of this gateway has its door open: this one's closes. Each connection ends right behind its next
-     * answer, when its client is not about to write; the others after {@code stay}.
+     * Another process of this gateway has its door open: this one's closes. Each connection ends
+     * right behind its next answer, when its client is not about to write; the others after {@code
+     * stay}.
      */
     public void leave(double stay, Runnable then) {
         leaving = true;
-        while (links.size() > Math.min(ease, full()) && shut()) { } // both processes together have the descriptors of one
+        while (links.size() > Math.min(ease, full())
+                && shut()) {} // both processes together have the descriptors of one
         close(stay, then);
     }
 
     /**
-     * Connections between reqs end, the others right behind their next answer. Guards reqs that cross that: the door is still
-     * open, so that their clients find one to send them to once more.
+     * Connections between reqs end, the others right behind their next answer. Guards reqs that
+     * cross that: the door is still open, so that their clients find one to send them to once more.
      */
     public void letGo() {
         leaving = true;
@@ -265,18 +315,24 @@
         return l != null && l.giveWay();
     }
 
-    /** Nobody new is let in; those who have just come may stay so long, then each connection ends once all on it is answered. */
+    /**
+     * Nobody new is let in; those who have just come may stay so long, then each connection ends
+     * once all on it is answered.
+     */
     public void close(double stay, Runnable then) {
-        Loop.Due both = new Loop.Due() {
-            private int heard;
+        Loop.Due both =
+                new Loop.Due() {
+                    private int heard;
 
-            @Override
-            public void play() {
-                if (++heard == 2) { // guards those let in last, where the time was over before they were taken
-                    end(then);
-                }
-            }
-        };
+                    @Override
+                    public void play() {
+                        if (++heard
+                                == 2) { // guards those let in last, where the time was over before
+                            // they were taken
+                            end(then);
+                        }
+                    }
+                };
         door.close(both);
         desk.loop.after(stay, both);
     }
@@ -294,8 +350,9 @@
     }
 
     /**
-     * Guards the end against clients that neither read nor close, and against one from outside, which would find reqs without
-     * an answer: what is open is answered now, and what is still read after this is denied.
+     * Guards the end against clients that neither read nor close, and against one from outside,
+     * which would find reqs without an answer: what is open is answered now, and what is still read
+     * after this is denied.
      */
     private void cutShort(Runnable then) {
         cut = true;
@@ -305,7 +362,10 @@
         desk.loop.after(LAST_READ, then::run);
     }
 
-    /** Its final answer comes from here, not from the decisions, which hear that nobody waits any more. */
+    /**
+     * Its final answer comes from here, not from the decisions, which hear that nobody waits any
+     * more.
+     */
     void cutShort(Exchange e) {
         if (e.dispatches.isEmpty()) {
             deny(e, 0);
--- a/gateway/src/main/java/tinford/routing/Counter.java
+++ b/gateway/src/main/java/tinford/routing/Counter.java
@@ -15,9 +15,10 @@
 import tinford.transport.Loop;
 
 /**
- * The calls on the counter, on a few connections side by side. Calls on one name go one behind another on the same one, so
- * that their answers keep the order of the calls; of a connection that hangs, the others' calls know nothing. A call that was
- * given up stays in its place until its answer has come or the connection has ended.
+ * The calls on the counter, on a few connections side by side. Calls on one name go one behind
+ * another on the same one, so that their answers keep the order of the calls; of a connection that
+ * hangs, the others' calls know nothing. A call that was given up stays in its place until its
+ * answer has come or the connection has ended.
  */
 public final class Counter {
     private static final double MOST_KEPT = 60_000;
@@ -30,7 +31,8 @@
     private final Resp resp = new Resp();
     private final ArrayDeque<Call> waiting = new ArrayDeque<>(); // not told of, oldest first
     private final Lane[] lanes;
-    private double answeredFrom = Double.NEGATIVE_INFINITY; // the latest call answered in its time was made then
+    private double answeredFrom =
+            Double.NEGATIVE_INFINITY; // the latest call answered in its time was made then
     private Loop.Timer watch;
 
     private static final class Call {
@@ -50,8 +52,11 @@
         }
     }
 
-    /** @param abreast how many connections stand side by side */
-    public Counter(Desk desk, InetSocketAddress at, double connectWithin, double timeout, int abreast) {
+    /**
+     * @param abreast how many connections stand side by side
+     */
+    public Counter(
+            Desk desk, InetSocketAddress at, double connectWithin, double timeout, int abreast) {
         this.desk = desk;
         this.at = at;
         this.connectWithin = connectWithin;
@@ -68,7 +73,9 @@
         }
     }
 
-    /** New calls go there; those that were sent before still have their answers from where it was. */
+    /**
+     * New calls go there; those that were sent before still have their answers from where it was.
+     */
     public void move(InetSocketAddress to) {
         if (to.equals(at)) {
             return;
@@ -80,7 +87,11 @@
     }
 
     void add(long name, double amount, double keep) {
-        Lane lane = lanes[Math.floorMod(Long.hashCode(name * 0x9E3779B97F4A7C15L), lanes.length)]; // spreads neighbours
+        Lane lane =
+                lanes[
+                        Math.floorMod(
+                                Long.hashCode(name * 0x9E3779B97F4A7C15L),
+                                lanes.length)]; // spreads neighbours
         Call c = new Call(lane, name, amount, keep, desk.now);
         waiting.add(c);
         lane.add(c);
@@ -97,7 +108,10 @@
         for (Lane l : lanes) {
             next = l.wire == null ? next : Math.min(next, l.wire.deadAt());
         }
-        watch = next == Double.POSITIVE_INFINITY ? null : desk.loop.after(next - desk.now, this::giveUp);
+        watch =
+                next == Double.POSITIVE_INFINITY
+                        ? null
+                        : desk.loop.after(next - desk.now, this::giveUp);
     }
 
     /** The oldest call has waited long enough. */
@@ -160,7 +174,10 @@
             left();
         }
 
-        /** Once nothing is owed by the wire that leaves, its successor sends: answers for a name keep the order of its calls. */
+        /**
+         * Once nothing is owed by the wire that leaves, its successor sends: answers for a name
+         * keep the order of its calls.
+         */
         void left() {
             if (leaving != null && !leaving.owes()) {
                 leaving.end(Ending.RETIRED);
@@ -174,7 +191,8 @@
             } else {
                 wire = null;
             }
-            boolean refused = how == Ending.REFUSED || how == Ending.NO_ROOM; // else each has its time still
+            boolean refused =
+                    how == Ending.REFUSED || how == Ending.NO_ROOM; // else each has its time still
             for (Call c : ended.sent) {
                 tell(c, Ends.ofCall(how, true), 0);
             }
@@ -187,8 +205,12 @@
             for (Call c = refused ? unsent.poll() : null; c != null; c = unsent.poll()) {
                 tell(c, Ends.ofCall(how, false), 0);
             }
-            // another is ready before the next call needs it; what ends at once is not tried faster than what is silent
-            if (how == Ending.NEVER_UP || how == Ending.SILENT || how == Ending.PASSED_BY || how == Ending.MALFORMED
+            // another is ready before the next call needs it; what ends at once is not tried faster
+            // than what is silent
+            if (how == Ending.NEVER_UP
+                    || how == Ending.SILENT
+                    || how == Ending.PASSED_BY
+                    || how == Ending.MALFORMED
                     || !unsent.isEmpty()) {
                 connect();
             } else {
@@ -216,11 +238,13 @@
 
         void look() {
             double since = sent.isEmpty() ? desk.now : Math.max(sent.peek().at, heardAt);
-            // guards the calls behind one whose answer never comes: the counter answers what was asked later elsewhere
+            // guards the calls behind one whose answer never comes: the counter answers what was
+            // asked later elsewhere
             if (desk.now - since >= timeout - 0.5 && answeredFrom > since) {
                 end(Ending.PASSED_BY);
             } else if (desk.now >= deadAt() - 0.5) {
-                // guards against a connection whose other machine is gone without a word: a new one finds out
+                // guards against a connection whose other machine is gone without a word: a new one
+                // finds out
                 end(Ending.SILENT);
             }
         }
@@ -232,9 +256,22 @@
             for (Call c = lane.unsent.poll(); c != null; c = lane.unsent.poll()) {
                 String name = Long.toString(c.name);
                 String amount = number(c.amount);
-                String keep = Long.toString((long) Math.min(MOST_KEPT, Math.max(1, Math.ceil(c.keep))));
-                buf.put("*4\r\n$7\r\nCNT.ADD\r\n$").put(name.length()).line().put(name).line().put("$")
-                        .put(amount.length()).line().put(amount).line().put("$").put(keep.length()).line().put(keep)
+                String keep =
+                        Long.toString((long) Math.min(MOST_KEPT, Math.max(1, Math.ceil(c.keep))));
+                buf.put("*4\r\n$7\r\nCNT.ADD\r\n$")
+                        .put(name.length())
+                        .line()
+                        .put(name)
+                        .line()
+                        .put("$")
+                        .put(amount.length())
+                        .line()
+                        .put(amount)
+                        .line()
+                        .put("$")
+                        .put(keep.length())
+                        .line()
+                        .put(keep)
                         .line();
                 sent.add(c);
             }
@@ -247,7 +284,9 @@
 
         /** Nothing came for a call by then; never when none is out. */
         double deadAt() {
-            return sent.isEmpty() ? Double.POSITIVE_INFINITY : sent.peek().at + timeout + connectWithin;
+            return sent.isEmpty()
+                    ? Double.POSITIVE_INFINITY
+                    : sent.peek().at + timeout + connectWithin;
         }
 
         @Override
@@ -285,7 +324,10 @@
             }
         }
 
-        /** Guards all calls behind it against an answer that begins and does not end: these come in one piece. */
+        /**
+         * Guards all calls behind it against an answer that begins and does not end: these come in
+         * one piece.
+         */
         private void half() throws Malformed {
             if (buf.unread() > MOST_ANSWER) {
                 throw new Malformed("an answer of under " + MOST_ANSWER + " bytes");
@@ -295,7 +337,10 @@
             }
         }
 
-        /** A total that can be read is true, in whatever form; what is neither that nor known says nothing. */
+        /**
+         * A total that can be read is true, in whatever form; what is neither that nor known says
+         * nothing.
+         */
         private End kind() throws Malformed {
             if (!resp.array() && resp.kind(0) == '$' && !Double.isNaN(Numbers.real(resp.text(0)))) {
                 return End.GOOD;
@@ -305,7 +350,11 @@
                 return End.FULL;
             }
             if (line.startsWith("ERR ")) {
-                desk.complain(Level.WARNING, "counter", "", new Malformed("a total or -BUSY, not -" + line));
+                desk.complain(
+                        Level.WARNING,
+                        "counter",
+                        "",
+                        new Malformed("a total or -BUSY, not -" + line));
                 return End.FULL;
             }
             throw new Malformed("a total, -BUSY or -ERR");
@@ -321,7 +370,8 @@
     }
 
     private static String number(double amount) {
-        return amount == Math.rint(amount) && Math.abs(amount) < 1e9 ? Long.toString((long) amount)
+        return amount == Math.rint(amount) && Math.abs(amount) < 1e9
+                ? Long.toString((long) amount)
                 : BigDecimal.valueOf(amount).setScale(6, RoundingMode.HALF_EVEN).toPlainString();
     }
 }
--- a/gateway/src/main/java/tinford/routing/Desk.java
+++ b/gateway/src/main/java/tinford/routing/Desk.java
@@ -16,7 +16,10 @@
 import tinford.transport.Ending;
 import tinford.transport.Loop;
 
-/** Where the decisions sit: each wake-up's input becomes calls on them, and what they write goes its way. */
+/**
+ * Where the decisions sit: each wake-up's input becomes calls on them, and what they write goes its
+ * way.
+ */
 public final class Desk implements Writer {
     private static final System.Logger LOG = System.getLogger("tinford.routing");
     private static final int MOST_COMPLAINTS = 100;
@@ -32,21 +35,31 @@
     private Counter counter;
     private Watch watch;
     private Peers peers;
+
     /** What a fleet has settled; alone, it bounds nothing. */
     View view = new View();
+
     /** Of the present round. */
     Inbox in;
+
     double now = clock.now();
+
     /** When the sockets were last looked at: what came in since was sent no earlier. */
     double looked = now;
 
-    /** @param bytes what the buffers of all connections may take */
-    public Desk(Gateway gateway, int mostDispatches, int descriptors, long bytes) throws IOException {
+    /**
+     * @param bytes what the buffers of all connections may take
+     */
+    public Desk(Gateway gateway, int mostDispatches, int descriptors, long bytes)
+            throws IOException {
         this(gateway, mostDispatches, descriptors, bytes, System::nanoTime);
     }
 
-    /** @param nanos the time that timers go by */
-    Desk(Gateway gateway, int mostDispatches, int descriptors, long bytes, LongSupplier nanos) throws IOException {
+    /**
+     * @param nanos the time that timers go by
+     */
+    Desk(Gateway gateway, int mostDispatches, int descriptors, long bytes, LongSupplier nanos)
+            throws IOException {
         this.gateway = gateway;
         this.mostDispatches = mostDispatches;
         this.loop = new Loop(this::turn, descriptors, bytes, nanos);
@@ -71,7 +84,10 @@
         in.sees(fleet);
     }
 
-    /** Within a round: this process has the reqs of this gateway from another one, or gives them to one. */
+    /**
+     * Within a round: this process has the reqs of this gateway from another one, or gives them to
+     * one.
+     */
     public void takesOver() {
         in.takesOver();
     }
@@ -83,13 +99,19 @@
     private void turn() {
         looked = now;
         now = clock.now();
-        gateway.round(now, inbox -> {
-            in = inbox;
-            loop.playAll();
-        }, this);
-    }
-
-    /** Once a while for what is wrong, not once a req; of several that do the same the first is named. */
+        gateway.round(
+                now,
+                inbox -> {
+                    in = inbox;
+                    loop.playAll();
+                },
+                this);
+    }
+
+    /**
+     * Once a while for what is wrong, not once a req; of several that do the same the first is
+     * named.
+     */
     void complain(Level level, String who, String name, Exception what) {
         if (now - complaintsSince > COMPLAIN_AGAIN) {
             complaints.clear();
@@ -100,7 +122,10 @@
         }
     }
 
-    /** A long answer begins to flow to its client: that is the req's final answer, and no time counts any more. */
+    /**
+     * A long answer begins to flow to its client: that is the req's final answer, and no time
+     * counts any more.
+     */
     void began(Dispatch d) {
         d.stop();
         clients.over(d.exchange);
@@ -128,7 +153,14 @@
         double left = e.expires - now;
         double wait = cap == 0 ? left : Math.min(cap, left);
         if (e.over || wait <= 0 || d.no >= mostDispatches) {
-            loop.due(() -> ended(d, e.over || d.no >= mostDispatches ? End.VOID : End.TIMED_OUT, 0, 0, null));
+            loop.due(
+                    () ->
+                            ended(
+                                    d,
+                                    e.over || d.no >= mostDispatches ? End.VOID : End.TIMED_OUT,
+                                    0,
+                                    0,
+                                    null));
             return;
         }
         servers.carry(d, (Backend) srv, (long) Math.ceil(wait));
--- a/gateway/src/main/java/tinford/routing/Exchange.java
+++ b/gateway/src/main/java/tinford/routing/Exchange.java
@@ -13,6 +13,7 @@
     final Ask ask;
     final Slot slot = new Slot();
     final List<Dispatch> dispatches = new ArrayList<>(1);
+
     /** It has its final answer, or nobody waits for one. */
     boolean over;
 
--- a/gateway/src/main/java/tinford/routing/Operators.java
+++ b/gateway/src/main/java/tinford/routing/Operators.java
@@ -11,12 +11,16 @@
 import tinford.transport.Ending;
 import tinford.transport.Link;
 
-/** The operators' door: HTTP/1.1, one call to a connection. It has descriptors of its own, so that no crowd shuts it. */
+/**
+ * The operators' door: HTTP/1.1, one call to a connection. It has descriptors of its own, so that
+ * no crowd shuts it.
+ */
 public final class Operators {
     private static final int SPARE = 4; // the oldest call that does not end gives way in time
     private static final double PATIENCE = 10_000;
     private static final int MOST_HEAD = 16 << 10;
-    private static final double LOOK = 50; // calls come through the other process as well; they hold within a second
+    private static final double LOOK =
+            50; // calls come through the other process as well; they hold within a second
     private final Desk desk;
     private final Servers servers;
     private final Record record;
@@ -42,12 +46,17 @@
     }
 
     public void listen(InetSocketAddress at) throws IOException {
-        new Door(desk.loop, at, false, most, () -> {
-            if (calls.size() >= most - Math.min(SPARE, most / 4)) {
-                calls.peek().end(Ending.RETIRED);
-            }
-            return new Call();
-        });
+        new Door(
+                desk.loop,
+                at,
+                false,
+                most,
+                () -> {
+                    if (calls.size() >= most - Math.min(SPARE, most / 4)) {
+                        calls.peek().end(Ending.RETIRED);
+                    }
+                    return new Call();
+                });
     }
 
     /** This process takes no more clients. */
@@ -74,9 +83,12 @@
     private String answer(HttpCall call) {
         String[] parts = call.path.split("/");
         if (call.path.equals("/v1/readyz")) {
-            return !call.method.equals("GET") ? "405 Method Not Allowed" : ready ? "200 OK" : "503 Service Unavailable";
+            return !call.method.equals("GET")
+                    ? "405 Method Not Allowed"
+                    : ready ? "200 OK" : "503 Service Unavailable";
         }
-        if (parts.length != 5 || !call.path.startsWith("/v1/servers/")
+        if (parts.length != 5
+                || !call.path.startsWith("/v1/servers/")
                 || !parts[4].equals("suspend") && !parts[4].equals("resume")) {
             return "404 Not Found";
         }
@@ -116,7 +128,7 @@
         }
 
         @Override
-        protected void opened() { }
+        protected void opened() {}
 
         @Override
         protected void received() {
@@ -136,8 +148,17 @@
         private void say(String status) {
             answered = true;
             buf.take(buf.unread());
-            buf.put("HTTP/1.1 " + status + "\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: "
-                    + (status.length() + 1) + "\r\n\r\n" + status + "\n");
+            buf.put(
+                    "HTTP/1.1 "
+                            + status
+                            + "\r\n"
+                            + "Content-Type: text/plain\r\n"
+                            + "Connection: close\r\n"
+                            + "Content-Length: "
+                            + (status.length() + 1)
+                            + "\r\n\r\n"
+                            + status
+                            + "\n");
             finish(Ending.RETIRED);
         }
 
--- a/gateway/src/main/java/tinford/routing/Peers.java
+++ b/gateway/src/main/java/tinford/routing/Peers.java
@@ -13,17 +13,28 @@
     private final InetSocketAddress all;
     private final Datagrams datagrams;
 
-    /** @param peers by their numbers; only what comes from one of them is heard */
-    public Peers(Desk desk, InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress all)
+    /**
+     * @param peers by their numbers; only what comes from one of them is heard
+     */
+    public Peers(
+            Desk desk,
+            InetSocketAddress listen,
+            List<InetSocketAddress> peers,
+            InetSocketAddress all)
             throws IOException {
         this.peers = peers;
         this.all = all;
-        this.datagrams = new Datagrams(desk.loop, listen, MOST_BYTES, (from, bytes) -> {
-            int peer = peers.indexOf(from);
-            if (peer >= 0) {
-                desk.in.heard(peer, new String(bytes, StandardCharsets.UTF_8));
-            }
-        });
+        this.datagrams =
+                new Datagrams(
+                        desk.loop,
+                        listen,
+                        MOST_BYTES,
+                        (from, bytes) -> {
+                            int peer = peers.indexOf(from);
+                            if (peer >= 0) {
+                                desk.in.heard(peer, new String(bytes, StandardCharsets.UTF_8));
+                            }
+                        });
     }
 
     void tell(int peer, String text) {
--- a/gateway/src/main/java/tinford/routing/ServerLink.java
+++ b/gateway/src/main/java/tinford/routing/ServerLink.java
@@ -10,7 +10,10 @@
 import tinford.transport.Link;
 import tinford.transport.Loop;
 
-/** One connection to a server. It carries one dispatch at a time, so that giving one up costs no other. */
+/**
+ * One connection to a server. It carries one dispatch at a time, so that giving one up costs no
+ * other.
+ */
 final class ServerLink extends Link {
     private static final int MOST_OUT = 2 * Resp.MOST;
     private static final int LEAST_OUT = 8 << 10;
@@ -99,7 +102,8 @@
                 throw new Malformed("an answer to a command only");
             }
             if (n == 0) {
-                // guards against lengths that promise more than comes: the rest of an answer is on its way with it
+                // guards against lengths that promise more than comes: the rest of an answer is on
+                // its way with it
                 stop(whole);
                 whole = loop.after(servers.connectWithin, () -> end(Ending.MALFORMED));
                 return;
@@ -112,8 +116,9 @@
     }
 
     /**
-     * A value too long to be held: it is passed on as it comes, and its server has done its work with the first bytes. What
-     * follows is slow or quick as its client reads, and nobody's patience counts for it any more.
+     * A value too long to be held: it is passed on as it comes, and its server has done its work
+     * with the first bytes. What follows is slow or quick as its client reads, and nobody's
+     * patience counts for it any more.
      */
     private void begin(int head, long value, int parts) throws Malformed {
         Dispatch d = dispatch;
@@ -204,19 +209,26 @@
         if (kind(resp) == End.GOOD) {
             // the first good answer goes to the client as it lies here
             if (!d.exchange.over) {
-                d.exchange.client.value(d.exchange.slot, resp.bytes(), resp.from(0), resp.length(0));
+                d.exchange.client.value(
+                        d.exchange.slot, resp.bytes(), resp.from(0), resp.length(0));
             }
         }
         answered(resp, n);
     }
 
-    /** The figures beside an answer, which fills so many bytes of the buffer; the connection may be free again. */
+    /**
+     * The figures beside an answer, which fills so many bytes of the buffer; the connection may be
+     * free again.
+     */
     private void answered(Resp resp, int n) throws Malformed {
         Dispatch d = dispatch;
         Desk desk = servers.desk;
         End how = kind(resp);
-        // guards against a second copy or noise behind a good answer: it must not become the answer of the next command
-        boolean clean = buf.unread() == n && left(); // nor may the rest of a command that was answered early
+        // guards against a second copy or noise behind a good answer: it must not become the answer
+        // of the next command
+        boolean clean =
+                buf.unread() == n
+                        && left(); // nor may the rest of a command that was answered early
         String used;
         String load;
         if (how == End.GOOD) {
@@ -234,7 +246,11 @@
         } else {
             end(Ending.RETIRED);
         }
-        desk.ended(d, how, 1 + (int) Usage.of(used, "used", -1), how == End.GOOD ? Usage.of(used, "cost", 0) : 0,
+        desk.ended(
+                d,
+                how,
+                1 + (int) Usage.of(used, "used", -1),
+                how == End.GOOD ? Usage.of(used, "cost", 0) : 0,
                 servers.report(load));
     }
 
@@ -264,7 +280,9 @@
         flows = false;
     }
 
-    /** Where a fleet shares a server's connections, one that it still counts must not be given on. */
+    /**
+     * Where a fleet shares a server's connections, one that it still counts must not be given on.
+     */
     @Override
     protected boolean waits() {
         return servers.desk.view.mayHold(backend) < Integer.MAX_VALUE;
@@ -285,7 +303,8 @@
         if (d != null) {
             d.exchange.slot.source = null;
             if (cut) {
-                d.exchange.client.end(how); // it has had a part: only an end tells it that no more comes
+                d.exchange.client.end(
+                        how); // it has had a part: only an end tells it that no more comes
             }
             servers.desk.ended(d, Ends.ofDispatch(how, left), 0, 0, null);
         }
--- a/gateway/src/main/java/tinford/routing/Servers.java
+++ b/gateway/src/main/java/tinford/routing/Servers.java
@@ -22,14 +22,16 @@
     final Resp resp = new Resp();
     private final Map<String, Backend> backends = new LinkedHashMap<>();
     private final Bans bans = new Bans();
-    private final Set<String> listed = Collections.newSetFromMap(new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
+    private final Set<String> listed =
+            Collections.newSetFromMap(
+                    new LinkedHashMap<>() {
+                        private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MOST_NAMES;
-        }
-    });
+                        @Override
+                        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
+                            return size() > MOST_NAMES;
+                        }
+                    });
     final double connectWithin;
     private final double idleMost;
     private final int most;
@@ -40,7 +42,8 @@
      * @param idleMost how long a connection may stand idle before the server closes it
      * @param most connections to all servers together
      */
-    public Servers(Desk desk, double connectWithin, double idleMost, int most, List<String> loadNames) {
+    public Servers(
+            Desk desk, double connectWithin, double idleMost, int most, List<String> loadNames) {
         this.desk = desk;
         this.connectWithin = connectWithin;
         this.idleMost = idleMost;
@@ -146,7 +149,8 @@
             link = new ServerLink(desk, this, b);
             b.opening.add(link);
             link.carry(d, patience);
-            if (b.links >= desk.view.mayHold(b) && !b.idle.isEmpty()) { // one that has not rested gives its place
+            if (b.links >= desk.view.mayHold(b)
+                    && !b.idle.isEmpty()) { // one that has not rested gives its place
                 ServerLink old = b.idle.peekLast();
                 old.next = link;
                 old.end(Ending.RETIRED);
@@ -172,8 +176,8 @@
     }
 
     /**
-     * Guards against what comes behind an answer: a connection is used again only once it has been left alone for a
-     * moment, and is found with nothing in it when it is looked at once more.
+     * Guards against what comes behind an answer: a connection is used again only once it has been
+     * left alone for a moment, and is found with nothing in it when it is looked at once more.
      */
     private ServerLink rested(Backend b) {
         for (ServerLink link : b.idle) {
@@ -195,7 +199,8 @@
     }
 
     void free(ServerLink link) {
-        if (link.backend.state == Srv.State.UP && link.backend.links - link.backend.leaving <= desk.view.mayHold(link.backend)) {
+        if (link.backend.state == Srv.State.UP
+                && link.backend.links - link.backend.leaving <= desk.view.mayHold(link.backend)) {
             link.idleSince = desk.now;
             link.backend.idle.addFirst(link);
         } else {
@@ -207,7 +212,8 @@
         link.backend.leaving += link.counts ? 1 : 0;
         link.backend.idle.remove(link);
         link.backend.opening.remove(link);
-        // guards against connections that look idle and lead to a machine that is gone: none can be opened to it
+        // guards against connections that look idle and lead to a machine that is gone: none can be
+        // opened to it
         if (how == Ending.REFUSED || how == Ending.NEVER_UP) {
             retire(link.backend);
         }
@@ -225,7 +231,10 @@
         }
     }
 
-    /** What the fleet may hold has become less somewhere: idle connections go now, the others behind their answers. */
+    /**
+     * What the fleet may hold has become less somewhere: idle connections go now, the others behind
+     * their answers.
+     */
     public void trim() {
         for (Backend b : backends.values()) {
             while (b.links - b.leaving > desk.view.mayHold(b) && !b.idle.isEmpty()) {
@@ -234,7 +243,10 @@
         }
     }
 
-    /** Nothing new goes there: guards against a dispatch that waits for its connection and leaves when that comes up. */
+    /**
+     * Nothing new goes there: guards against a dispatch that waits for its connection and leaves
+     * when that comes up.
+     */
     private void leave(Backend b) {
         retire(b);
         for (ServerLink link : new ArrayList<>(b.opening)) {
--- a/gateway/src/main/java/tinford/routing/Slot.java
+++ b/gateway/src/main/java/tinford/routing/Slot.java
@@ -1,11 +1,16 @@
 package tinford.routing;
 
-/** A place in a client's order of answers; the answer is kept here while those before it are missing. */
+/**
+ * A place in a client's order of answers; the answer is kept here while those before it are
+ * missing.
+ */
 final class Slot {
     Slot next;
     byte[] answer;
+
     /** Null for what needs no decision. */
     Exchange exchange;
+
     /** Where its answer comes from while that flows, or waits to. */
     ServerLink source;
 }
--- a/gateway/src/main/java/tinford/routing/Watch.java
+++ b/gateway/src/main/java/tinford/routing/Watch.java
@@ -15,18 +15,25 @@
 import tinford.transport.Loop;
 
 /**
- * The watch on discovery. A line comes every two seconds at least; where none comes another watch is opened beside the
- * silent one, and the first to bring a line stays. Bounded: two connections.
+ * The watch on discovery. A line comes every two seconds at least; where none comes another watch
+ * is opened beside the silent one, and the first to bring a line stays. Bounded: two connections.
  */
 public final class Watch {
-    private static final double SILENT = 2600; // a line is due every 2 s: what is asked anew may well come within 6 s
-    private static final double UNHEARD = 1300; // for the first line, before another is opened; then a quarter longer each time
-    // Guards against an outage whose last call is lost, and the first one behind it too: twice this and the longest chance wait
-    // is 5.5 s, and what discovery has counts as told 6 s after it can be reached, however the calls before went.
+    private static final double SILENT =
+            2600; // a line is due every 2 s: what is asked anew may well come within 6 s
+    private static final double UNHEARD =
+            1300; // for the first line, before another is opened; then a quarter longer each time
+    // Guards against an outage whose last call is lost, and the first one behind it too: twice this
+    // and the longest chance wait
+    // is 5.5 s, and what discovery has counts as told 6 s after it can be reached, however the
+    // calls before went.
     private static final double MOST_UNHEARD = 2000;
-    private static final double AGAIN = 200; // and what discovery has to tell counts as told within seconds, heard or not
+    private static final double AGAIN =
+            200; // and what discovery has to tell counts as told within seconds, heard or not
     private static final double MOST_AGAIN = 500;
-    private static final double STEADY = 2000; // guards against one that speaks and ends at once, each time: it turns callers away
+    private static final double STEADY =
+            2000; // guards against one that speaks and ends at once, each time: it turns callers
+    // away
     private static final int MOST_OUT = 4096;
     private final Desk desk;
     private InetSocketAddress at;
@@ -43,11 +50,19 @@
     private Loop.Timer silence;
     private Loop.Timer opening;
     private Loop.Timer steady;
-    private Runnable lost = () -> { };
-    private Runnable first = () -> { };
+    private Runnable lost = () -> {};
+    private Runnable first = () -> {};
 
-    /** @param version of the list already known */
-    public Watch(Desk desk, InetSocketAddress at, double connectWithin, Servers servers, JsonFactory json, long version,
+    /**
+     * @param version of the list already known
+     */
+    public Watch(
+            Desk desk,
+            InetSocketAddress at,
+            double connectWithin,
+            Servers servers,
+            JsonFactory json,
+            long version,
             RandomGenerator chance) {
         this.desk = desk;
         this.at = at;
@@ -80,7 +95,7 @@
 
     private void first() {
         Runnable then = first;
-        first = () -> { };
+        first = () -> {};
         then.run();
     }
 
@@ -175,7 +190,11 @@
             Fields list = Fields.of(json, "discovery", text);
             long seq = list.whole("seq");
             if (seq < version) { // guards against a late one that puts back what was taken out
-                desk.complain(Level.WARNING, "discovery", "", new Malformed("no list older than the one held"));
+                desk.complain(
+                        Level.WARNING,
+                        "discovery",
+                        "",
+                        new Malformed("no list older than the one held"));
                 return;
             }
             servers.list(list);
@@ -195,8 +214,12 @@
         Wire(boolean once) {
             super(desk.loop, 64 << 10, MOST_OUT);
             this.once = once;
-            buf.put("GET /registry/instances" + (once ? "" : "?watch=1&after=" + version) + " HTTP/1.1\r\nHost: ")
-                    .put(at.getHostString() + ":" + at.getPort()).put("\r\n\r\n");
+            buf.put(
+                            "GET /registry/instances"
+                                    + (once ? "" : "?watch=1&after=" + version)
+                                    + " HTTP/1.1\r\nHost: ")
+                    .put(at.getHostString() + ":" + at.getPort())
+                    .put("\r\n\r\n");
             open(at, connectWithin);
         }
 
@@ -206,7 +229,7 @@
         }
 
         @Override
-        protected void opened() { }
+        protected void opened() {}
 
         @Override
         protected void received() {
--- a/gateway/src/main/java/tinford/transport/Buf.java
+++ b/gateway/src/main/java/tinford/transport/Buf.java
@@ -7,13 +7,15 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * The one buffer of a connection. What came in and was not yet taken lies on the left, what waits to be written lies on
- * the right of it; both are moved within the array as room is needed, and the array grows when that does not help.
+ * The one buffer of a connection. What came in and was not yet taken lies on the left, what waits
+ * to be written lies on the right of it; both are moved within the array as room is needed, and the
+ * array grows when that does not help.
  */
 public final class Buf {
     private static final int LEAST = 512;
     private static final int READ = 4096; // room made for one read
-    private static final int DOUBLED = 256 << 10; // beyond it an array is made as long as it has to be
+    private static final int DOUBLED =
+            256 << 10; // beyond it an array is made as long as it has to be
     private static final int KEPT = 16 << 10; // an empty array above this goes back
     private final Room room;
     private byte[] bytes = new byte[0];
@@ -25,7 +27,9 @@
         this.room = room;
     }
 
-    /** What came in lies in here, from {@link #from} to {@link #to}; any write or read may move it. */
+    /**
+     * What came in lies in here, from {@link #from} to {@link #to}; any write or read may move it.
+     */
     public byte[] bytes() {
         return bytes;
     }
@@ -116,7 +120,9 @@
         }
     }
 
-    /** So many bytes will lie here unread: room for them, and for a read behind them, is made once. */
+    /**
+     * So many bytes will lie here unread: room for them, and for a read behind them, is made once.
+     */
     public void expect(int unread) {
         if (unread > unread() && bytes.length < unread + 2 * READ + unwritten()) {
             arrange(unread - unread() + 2 * READ, 0);
--- a/gateway/src/main/java/tinford/transport/Datagrams.java
+++ b/gateway/src/main/java/tinford/transport/Datagrams.java
@@ -21,7 +21,9 @@
     private final ByteBuffer buffer;
     private final SocketAddressBuffer addresses = new SocketAddressBuffer();
 
-    /** @param most bytes of one; longer ones are dropped */
+    /**
+     * @param most bytes of one; longer ones are dropped
+     */
     public Datagrams(Loop loop, InetSocketAddress at, int most, Taker taker) throws IOException {
         buffer = ByteBuffer.allocate(most + 1);
         channel = loop.worker.createUdpServer(at, OptionMap.EMPTY);
--- a/gateway/src/main/java/tinford/transport/Descriptors.java
+++ b/gateway/src/main/java/tinford/transport/Descriptors.java
@@ -1,9 +1,9 @@
 package tinford.transport;
 
 /**
- * The descriptors that all connections together may hold, a part for each kind of party. Guards the few by which the gateway
- * learns where servers are and what is counted against clients and servers, and what servers need against idle clients,
- * however many there are at the moment.
+ * The descriptors that all connections together may hold, a part for each kind of party. Guards the
+ * few by which the gateway learns where servers are and what is counted against clients and
+ * servers, and what servers need against idle clients, however many there are at the moment.
  */
 public final class Descriptors {
     /** Whom a connection is with. */
@@ -18,6 +18,7 @@
 
     /** Two watches and a list fetched once; the counter's, where it was and where it moves to. */
     private static final int TO_SERVICES = 12;
+
     private final int all;
     private final int[] held = new int[Party.values().length];
     private int aside;
@@ -26,7 +27,10 @@
         this.all = all;
     }
 
-    /** How many connections of that kind there may be now; half of what is left when services have theirs. */
+    /**
+     * How many connections of that kind there may be now; half of what is left when services have
+     * theirs.
+     */
     public int most(Party with) {
         int now = Math.max(0, all - aside);
         int services = Math.min(TO_SERVICES, now / 2);
@@ -38,7 +42,9 @@
         };
     }
 
-    /** How many of that kind have to end before one more can be opened; 0 when it can be at once. */
+    /**
+     * How many of that kind have to end before one more can be opened; 0 when it can be at once.
+     */
     public int lacking(Party with) {
         return Math.max(0, held[with.ordinal()] + 1 - most(with));
     }
--- a/gateway/src/main/java/tinford/transport/Link.java
+++ b/gateway/src/main/java/tinford/transport/Link.java
@@ -9,14 +9,20 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** One TCP connection, accepted or opened from here. Its owner extends it; all callbacks come within a turn. */
+/**
+ * One TCP connection, accepted or opened from here. Its owner extends it; all callbacks come within
+ * a turn.
+ */
 public abstract class Link implements Loop.Due {
-    private static final double LAST_BYTES = 1000; // how long the other side may take to end its sending too
+    private static final double LAST_BYTES =
+            1000; // how long the other side may take to end its sending too
     private static final double LAST_READ = 20_000; // or to read what was written before that
-    private static final int MOST_LOOKED = 64; // reads in one go, for an end that lies behind what was sent before
+    private static final int MOST_LOOKED =
+            64; // reads in one go, for an end that lies behind what was sent before
     private static final int MOST_AHEAD = 256 << 10; // bytes kept unread on that account
     private static final double LOOK = 50; // for the end of one that is not listened to
-    private static final double LAST_LINE = 50; // or, where it is not listened to any more, to read what was written
+    private static final double LAST_LINE =
+            50; // or, where it is not listened to any more, to read what was written
     private static final OptionMap PLAIN = OptionMap.create(Options.TCP_NODELAY, true);
     protected final Loop loop;
     protected final Buf buf;
@@ -28,9 +34,24 @@
     private Ending failing;
     private Ending finishing;
     private int awaited = -1; // unwritten bytes at which its owner wants to hear of it
-    private boolean noted, opened, came, drained, dirty, holds, over, held, deaf, looks, brief, shut, gone;
+    private boolean noted,
+            opened,
+            came,
+            drained,
+            dirty,
+            holds,
+            over,
+            held,
+            deaf,
+            looks,
+            brief,
+            shut,
+            gone;
 
-    /** @param mostUnread bytes that may wait to be read whole; a link whose buffer holds more is overfull */
+    /**
+     * @param mostUnread bytes that may wait to be read whole; a link whose buffer holds more is
+     *     overfull
+     */
     protected Link(Loop loop, int mostUnread, int mostUnwritten) {
         this.loop = loop;
         this.buf = new Buf(loop.room);
@@ -48,7 +69,7 @@
     protected abstract void received();
 
     /** No more is unwritten than was asked for with {@link #awaitDrain}. */
-    protected void drained() { }
+    protected void drained() {}
 
     /** The last callback of every link, but for {@link #closed}. */
     protected abstract void ended(Ending how);
@@ -58,8 +79,11 @@
         return false;
     }
 
-    /** It is closed, and where {@link #waits} says so the other side has seen that, or had its time to. */
-    protected void closed() { }
+    /**
+     * It is closed, and where {@link #waits} says so the other side has seen that, or had its time
+     * to.
+     */
+    protected void closed() {}
 
     public final boolean up() {
         return connection != null && !over;
@@ -74,7 +98,9 @@
         return connection != null && buf.unwritten() == 0;
     }
 
-    /** @param within 0 where there is no room for it: then none is opened */
+    /**
+     * @param within 0 where there is no room for it: then none is opened
+     */
     protected final void open(InetSocketAddress to, double within) {
         holds = within > 0 && loop.descriptors.take(party());
         if (!holds) {
@@ -83,11 +109,13 @@
         }
         patience = loop.after(within, () -> end(Ending.NEVER_UP));
         opening = loop.thread.openStreamConnection(to, this::up, PLAIN);
-        opening.addNotifier((future, nothing) -> {
-            if (future.getStatus() == IoFuture.Status.FAILED) {
-                fail(Ending.REFUSED);
-            }
-        }, null);
+        opening.addNotifier(
+                (future, nothing) -> {
+                    if (future.getStatus() == IoFuture.Status.FAILED) {
+                        fail(Ending.REFUSED);
+                    }
+                },
+                null);
     }
 
     private void up(StreamConnection c) {
@@ -129,7 +157,10 @@
         }
     }
 
-    /** Looks once more whether anything has come, or the connection has ended, since the sockets were last read. */
+    /**
+     * Looks once more whether anything has come, or the connection has ended, since the sockets
+     * were last read.
+     */
     public final boolean quiet() {
         if (connection != null && !over && failing == null && !came) {
             readable();
@@ -137,10 +168,19 @@
         return !over && failing == null && !came && buf.unread() == 0;
     }
 
-    /** Whether the other side has ended its sending, or broken it, by now: also where that lies behind what it sent before. */
+    /**
+     * Whether the other side has ended its sending, or broken it, by now: also where that lies
+     * behind what it sent before.
+     */
     protected final boolean ends() {
         boolean more = connection != null && !held;
-        for (int i = 0; i < MOST_LOOKED && more && !endSeen() && buf.unread() <= MOST_AHEAD && !loop.room.tight(); i++) {
+        for (int i = 0;
+                i < MOST_LOOKED
+                        && more
+                        && !endSeen()
+                        && buf.unread() <= MOST_AHEAD
+                        && !loop.room.tight();
+                i++) {
             more = readable();
             if (deaf) {
                 passOver();
@@ -169,7 +209,9 @@
 
     final void flush() {
         dirty = false;
-        if (connection == null || over || buf.unwritten() == 0 && finishing == null && awaited < 0) {
+        if (connection == null
+                || over
+                || buf.unwritten() == 0 && finishing == null && awaited < 0) {
             return;
         }
         try {
@@ -198,7 +240,8 @@
         }
         shut = true;
         connection.getSinkChannel().shutdownWrites();
-        if (!brief) { // its time counts from now: until here the other side may have been busy reading
+        if (!brief) { // its time counts from now: until here the other side may have been busy
+            // reading
             patience.cancel();
             patience = loop.after(LAST_BYTES, () -> end(finishing));
         }
@@ -233,7 +276,9 @@
         }
         if (came && !over) {
             came = false;
-            if (finishing != null && looks && !shut) { // what was written is not all read yet, and more has come meanwhile
+            if (finishing != null
+                    && looks
+                    && !shut) { // what was written is not all read yet, and more has come meanwhile
                 goOn();
             }
             if (finishing != null) {
@@ -254,7 +299,10 @@
         }
     }
 
-    /** {@link #drained} comes once so few bytes are unwritten, after the end of this turn at the earliest. */
+    /**
+     * {@link #drained} comes once so few bytes are unwritten, after the end of this turn at the
+     * earliest.
+     */
     public final void awaitDrain(int unwritten) {
         awaited = unwritten;
         send();
@@ -276,8 +324,8 @@
     }
 
     /**
-     * Ends the sending once all is written, and the connection when the other side has done the same. A close at once
-     * could be a reset, before which the last answer would be lost.
+     * Ends the sending once all is written, and the connection when the other side has done the
+     * same. A close at once could be a reset, before which the last answer would be lost.
      */
     protected final void finish(Ending how) {
         if (!over && finishing == null) {
@@ -287,13 +335,19 @@
         }
     }
 
-    /** As {@link #finish}, but not where something has come until right before it: its owner hears of that, and asks again. */
+    /**
+     * As {@link #finish}, but not where something has come until right before it: its owner hears
+     * of that, and asks again.
+     */
     protected final void finishIfQuiet(Ending how) {
         looks = true;
         finish(how);
     }
 
-    /** Guards against what is sent without end: nothing more is read, and the connection ends soon after its last line. */
+    /**
+     * Guards against what is sent without end: nothing more is read, and the connection ends soon
+     * after its last line.
+     */
     protected final void dismiss(Ending how) {
         looks = false;
         brief = true;
@@ -335,7 +389,8 @@
         if (patience != null) {
             patience.cancel();
         }
-        boolean seen = connection == null || how == Ending.ENDED || how == Ending.BROKEN || !waits();
+        boolean seen =
+                connection == null || how == Ending.ENDED || how == Ending.BROKEN || !waits();
         if (!seen) {
             bid();
         } else if (connection != null) {
@@ -359,34 +414,41 @@
         }
     }
 
-    /** Ends the sending only, and closes when the other side has done so too: then it has seen the end. */
+    /**
+     * Ends the sending only, and closes when the other side has done so too: then it has seen the
+     * end.
+     */
     private void bid() {
-        Loop.Due last = () -> {
-            if (!gone) {
-                gone = true;
-                patience.cancel();
-                IoUtils.safeClose(connection);
-                giveDescriptor();
-                closed();
-            }
-        };
+        Loop.Due last =
+                () -> {
+                    if (!gone) {
+                        gone = true;
+                        patience.cancel();
+                        IoUtils.safeClose(connection);
+                        giveDescriptor();
+                        closed();
+                    }
+                };
         patience = loop.after(LAST_BYTES, () -> loop.due(last));
         ByteBuffer rest = ByteBuffer.allocate(1024);
-        connection.getSourceChannel().setReadListener(ch -> {
-            try {
-                int n;
-                do {
-                    n = ch.read(rest.clear());
-                } while (n > 0);
-                if (n == 0) {
-                    return;
-                }
-            } catch (IOException e) {
-                // reset: it has seen it
-            }
-            ch.suspendReads();
-            loop.due(last);
-        });
+        connection
+                .getSourceChannel()
+                .setReadListener(
+                        ch -> {
+                            try {
+                                int n;
+                                do {
+                                    n = ch.read(rest.clear());
+                                } while (n > 0);
+                                if (n == 0) {
+                                    return;
+                                }
+                            } catch (IOException e) {
+                                // reset: it has seen it
+                            }
+                            ch.suspendReads();
+                            loop.due(last);
+                        });
         connection.getSourceChannel().resumeReads();
         try {
             connection.getSinkChannel().shutdownWrites();
--- a/gateway/src/main/java/tinford/transport/Loop.java
+++ b/gateway/src/main/java/tinford/transport/Loop.java
@@ -15,13 +15,15 @@
 import org.xnio.XnioWorker;
 
 /**
- * The one I/O thread and its wake-ups. What comes in at a wake-up is only noted; once all of it is in, one turn plays
- * it to its owners in order of arrival, and then everything that was written meanwhile leaves.
+ * The one I/O thread and its wake-ups. What comes in at a wake-up is only noted; once all of it is
+ * in, one turn plays it to its owners in order of arrival, and then everything that was written
+ * meanwhile leaves.
  */
 public final class Loop {
     private static final System.Logger LOG = System.getLogger("tinford.transport");
 
-    private static final double FAR = 1e12; // some decades: guards against times handed that no clock can hold
+    private static final double FAR =
+            1e12; // some decades: guards against times handed that no clock can hold
 
     /** Something that came in and waits to be played. */
     public interface Due {
@@ -35,8 +37,10 @@
 
     final XnioWorker worker;
     final XnioIoThread thread;
+
     /** For the buffers of all connections. */
     final Room room;
+
     final Descriptors descriptors;
     private final Turn turn;
     private final LongSupplier nanos;
@@ -72,16 +76,24 @@
     /**
      * @param descriptors how many connections there may be, over all parties but operators
      * @param bytes what all their buffers may take
-     * @param nanos the time that timers go by; where it is driven, whoever drives it wakes the loop with {@link #enter}
+     * @param nanos the time that timers go by; where it is driven, whoever drives it wakes the loop
+     *     with {@link #enter}
      */
     public Loop(Turn turn, int descriptors, long bytes, LongSupplier nanos) throws IOException {
         this.turn = turn;
         this.nanos = nanos;
         this.room = new Room(bytes);
         this.descriptors = new Descriptors(descriptors);
-        worker = Xnio.getInstance("nio").createWorker(OptionMap.builder().set(Options.WORKER_NAME, "gateway")
-                .set(Options.WORKER_IO_THREADS, 1).set(Options.WORKER_TASK_CORE_THREADS, 0)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1).set(Options.STACK_SIZE, 256L << 10).getMap());
+        worker =
+                Xnio.getInstance("nio")
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_NAME, "gateway")
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_CORE_THREADS, 0)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .set(Options.STACK_SIZE, 256L << 10)
+                                        .getMap());
         thread = worker.getIoThread();
     }
 
@@ -96,7 +108,8 @@
     }
 
     public Timer after(double ms, Due then) {
-        Timer t = new Timer(nanos.getAsLong() + (long) (Math.min(FAR, Math.max(0, ms)) * 1e6), then);
+        Timer t =
+                new Timer(nanos.getAsLong() + (long) (Math.min(FAR, Math.max(0, ms)) * 1e6), then);
         timers.add(t);
         call(); // only the end of a turn sets the alarm
         return t;
@@ -117,7 +130,8 @@
             try {
                 playing.get(i).play();
             } catch (RuntimeException | Error e) {
-                // guards all others against a fault in the handling of one, also one that ran out of stack or of memory
+                // guards all others against a fault in the handling of one, also one that ran out
+                // of stack or of memory
                 LOG.log(Level.ERROR, "one thing that came in was not handled to its end", e);
             }
         }
@@ -126,15 +140,17 @@
 
     /** From any thread: nothing is played any more. */
     public void close() {
-        thread.execute(() -> {
-            closed = true;
-            worker.shutdownNow();
-        });
+        thread.execute(
+                () -> {
+                    closed = true;
+                    worker.shutdownNow();
+                });
     }
 
     /**
-     * As {@link #close}, and waits until its threads are gone, so long at most. Guards the process's end, which takes a JVM
-     * 0.3 s more while any thread waits within the machine, as those here do.
+     * As {@link #close}, and waits until its threads are gone, so long at most. Guards the
+     * process's end, which takes a JVM 0.3 s more while any thread waits within the machine, as
+     * those here do.
      */
     public void end(double ms) {
         close();
@@ -194,7 +210,8 @@
             return;
         }
         if (armed != null) {
-            armed.remove(); // also when it would come too soon: a wake-up for nothing costs as much as any other
+            armed.remove(); // also when it would come too soon: a wake-up for nothing costs as
+            // much as any other
             armed = null;
         }
         armedFor = next;
@@ -202,10 +219,14 @@
             return;
         }
         long ms = Math.max(0, (armedFor - nanos.getAsLong() + 999_999) / 1_000_000);
-        armed = thread.executeAfter(() -> {
-            armed = null;
-            armedFor = Long.MAX_VALUE;
-            call();
-        }, ms, TimeUnit.MILLISECONDS);
+        armed =
+                thread.executeAfter(
+                        () -> {
+                            armed = null;
+                            armedFor = Long.MAX_VALUE;
+                            call();
+                        },
+                        ms,
+                        TimeUnit.MILLISECONDS);
     }
 }
--- a/gateway/src/main/java/tinford/transport/NoBeans.java
+++ b/gateway/src/main/java/tinford/transport/NoBeans.java
@@ -3,7 +3,10 @@
 import javax.management.MBeanServerBuilder;
 import javax.management.MBeanServerDelegate;
 
-/** Named at the start as the maker of management beans: XNIO, which asks for some, does without when there is none. */
+/**
+ * Named at the start as the maker of management beans: XNIO, which asks for some, does without when
+ * there is none.
+ */
 public final class NoBeans extends MBeanServerBuilder {
     @Override
     public MBeanServerDelegate newMBeanServerDelegate() {
--- a/gateway/src/main/java/tinford/transport/Room.java
+++ b/gateway/src/main/java/tinford/transport/Room.java
@@ -1,6 +1,9 @@
 package tinford.transport;
 
-/** The bytes that all buffers together may take. It may be overdrawn for a moment: who did so gives all back. */
+/**
+ * The bytes that all buffers together may take. It may be overdrawn for a moment: who did so gives
+ * all back.
+ */
 public final class Room {
     private final long all;
     private long left;
--- a/gateway/src/main/java/tinford/transport/Turn.java
+++ b/gateway/src/main/java/tinford/transport/Turn.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * What two processes of one gateway share in a folder: whose turn it is to take clients, told by locks that the machine
- * takes back from a process that dies, and a record of lines. No call waits.
+ * What two processes of one gateway share in a folder: whose turn it is to take clients, told by
+ * locks that the machine takes back from a process that dies, and a record of lines. No call waits.
  */
 public final class Turn {
     private static final int TAKING = 0;
@@ -25,11 +25,21 @@
     private final FileLock[] held = new FileLock[3];
     private long read;
 
-    /** @param name of the gateway, so that several may share the folder */
+    /**
+     * @param name of the gateway, so that several may share the folder
+     */
     public Turn(Path folder, String name) throws IOException {
         String stem = "tinford-" + name.replaceAll("[^A-Za-z0-9_.-]", "_");
-        locks = FileChannel.open(folder.resolve(stem + ".turn"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        behind = FileChannel.open(folder.resolve(stem + ".record"), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        locks =
+                FileChannel.open(
+                        folder.resolve(stem + ".turn"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
+        behind =
+                FileChannel.open(
+                        folder.resolve(stem + ".record"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.APPEND);
         record = FileChannel.open(folder.resolve(stem + ".record"), StandardOpenOption.READ);
     }
 
@@ -52,7 +62,10 @@
         return take(TAKING);
     }
 
-    /** Said by the one whose turn it is: its door is open. False while the one before it looks: to be said again. */
+    /**
+     * Said by the one whose turn it is: its door is open. False while the one before it looks: to
+     * be said again.
+     */
     public boolean opened() throws IOException {
         return take(OPEN);
     }
--- a/gateway/src/test/java/tinford/DecideTest.java
+++ b/gateway/src/test/java/tinford/DecideTest.java
@@ -19,7 +19,9 @@
     private static final Plan SOFT = Bed.plan(0.2, 0, 0, 0);
     private static final Frontend READ = Bed.frontend(Effect.IDEMPOTENT, Group.ALL);
 
-    /** At 100 s a window of 30 s (six bursts of 10 units at 2 a second; 29 s at most) is 13 s old. */
+    /**
+     * At 100 s a window of 30 s (six bursts of 10 units at 2 a second; 29 s at most) is 13 s old.
+     */
     @DataProvider
     Object[][] estimates() {
         return new Object[][] {
@@ -40,7 +42,8 @@
         Req req = bed.req(Bed.customer(HARD), READ, units);
         List<String> said = bed.ask(req, before, total);
         assertEquals(Bed.count(said, passes ? "dispatch" : "deny"), 1, said.toString());
-        boolean back = said.stream().anyMatch(s -> s.startsWith("add ") && s.endsWith(" -" + units));
+        boolean back =
+                said.stream().anyMatch(s -> s.startsWith("add ") && s.endsWith(" -" + units));
         assertEquals(back, !passes, "a denial takes its units back");
     }
 
@@ -65,8 +68,12 @@
     @DataProvider
     Object[][] postures() {
         return new Object[][] {
-            // plan, end of the call, reqs of one unit passed out of 20; the slice of a hard plan holds 5
-            {SOFT, End.TIMED_OUT, 20}, {HARD, End.TIMED_OUT, 5}, {HARD, End.UNREACHABLE, 5}, {HARD, End.FULL, 5},
+            // plan, end of the call, reqs of one unit passed out of 20; the slice of a hard plan
+            // holds 5
+            {SOFT, End.TIMED_OUT, 20},
+            {HARD, End.TIMED_OUT, 5},
+            {HARD, End.UNREACHABLE, 5},
+            {HARD, End.FULL, 5},
         };
     }
 
@@ -92,7 +99,10 @@
         bed.play(in -> in.arrived(req));
         assertEquals(Bed.count(bed.pass(500), "dispatch"), 1);
         Req late = new Req(99, READ, Bed.customer(HARD), bed.now + 20, 1, false);
-        assertEquals(Bed.count(bed.play(in -> in.arrived(late)), "deny"), 1, "its client leaves before an answer");
+        assertEquals(
+                Bed.count(bed.play(in -> in.arrived(late)), "deny"),
+                1,
+                "its client leaves before an answer");
     }
 
     @Test
@@ -101,12 +111,17 @@
         Req req = bed.req(Bed.customer(HARD), READ, 3);
         List<String> asked = new ArrayList<>(bed.play(in -> in.arrived(req)));
         bed.play(in -> in.left(req));
-        List<String> said = bed.play(in -> {
-            for (String s : asked) {
-                if (s.startsWith("add ")) in.counted(Long.parseLong(s.split(" ")[1]), End.GOOD, 1, 3);
-            }
-        });
-        assertTrue(said.stream().anyMatch(s -> s.startsWith("add ") && s.endsWith(" -3.0")), said.toString());
+        List<String> said =
+                bed.play(
+                        in -> {
+                            for (String s : asked) {
+                                if (s.startsWith("add "))
+                                    in.counted(Long.parseLong(s.split(" ")[1]), End.GOOD, 1, 3);
+                            }
+                        });
+        assertTrue(
+                said.stream().anyMatch(s -> s.startsWith("add ") && s.endsWith(" -3.0")),
+                said.toString());
         assertEquals(Bed.count(said, "dispatch"), 0);
     }
 
@@ -138,9 +153,15 @@
         Frontend all = Bed.frontend(Effect.IDEMPOTENCY_KEY, Group.ALL);
         return new Object[][] {
             // frontend, end of the first dispatch, what must come (at once or in the end)
-            {READ, End.UNREACHABLE, "dispatch"}, {READ, End.BROKEN, "deny"}, {READ, End.TIMED_OUT, "deny"},
-            {once, End.FULL, "dispatch"}, {once, End.BROKEN, "abort"}, {once, End.ERROR, "abort"},
-            {cell, End.UNREACHABLE, "dispatch"}, {cell, End.BROKEN, "abort"}, {zone, End.ERROR, "abort"},
+            {READ, End.UNREACHABLE, "dispatch"},
+            {READ, End.BROKEN, "deny"},
+            {READ, End.TIMED_OUT, "deny"},
+            {once, End.FULL, "dispatch"},
+            {once, End.BROKEN, "abort"},
+            {once, End.ERROR, "abort"},
+            {cell, End.UNREACHABLE, "dispatch"},
+            {cell, End.BROKEN, "abort"},
+            {zone, End.ERROR, "abort"},
             {all, End.BROKEN, "deny"},
         };
     }
@@ -157,15 +178,24 @@
 
     @DataProvider
     Object[][] stores() {
-        // units that others added between two reads, time between these, units asked a second after, whether they pass
+        // units that others added between two reads, time between these, units asked a second
+        // after, whether they pass
         return new Object[][] {
-            {0.0, 8000, 9.0, true}, {8.0, 8000, 9.0, false}, {8.0, 8000, 5.5, true}, {14.0, 0, 1.0, true}, {14.0, 0, 3.0, false},
+            {0.0, 8000, 9.0, true},
+            {8.0, 8000, 9.0, false},
+            {8.0, 8000, 5.5, true},
+            {14.0, 0, 1.0, true},
+            {14.0, 0, 3.0, false},
         };
     }
 
-    /** What others used may have come last, out of a full store; what was sent on beyond the quota leaves no debt. */
+    /**
+     * What others used may have come last, out of a full store; what was sent on beyond the quota
+     * leaves no debt.
+     */
     @Test(dataProvider = "stores")
-    public void theStoreIsNeitherFullAfterABurstElsewhereNorBelowNought(double rose, int ms, double units, boolean passes) {
+    public void theStoreIsNeitherFullAfterABurstElsewhereNorBelowNought(
+            double rose, int ms, double units, boolean passes) {
         Bed bed = new Bed();
         Customer c = Bed.customer(HARD);
         Req first = bed.req(c, READ, 0.001);
@@ -173,18 +203,25 @@
         bed.ends(first, 0, End.GOOD, true);
         bed.pass(ms);
         Req next = bed.req(c, READ, 0.001);
-        if (Bed.count(bed.ask(next, 0, 15 + rose), "dispatch") > 0) bed.ends(next, 0, End.GOOD, true);
+        if (Bed.count(bed.ask(next, 0, 15 + rose), "dispatch") > 0)
+            bed.ends(next, 0, End.GOOD, true);
         bed.pass(rose > 10 ? 1000 : 0);
-        assertEquals(Bed.count(bed.ask(bed.req(c, READ, units), 0, 15 + rose + units), "dispatch"), passes ? 1 : 0);
+        assertEquals(
+                Bed.count(bed.ask(bed.req(c, READ, units), 0, 15 + rose + units), "dispatch"),
+                passes ? 1 : 0);
     }
 
     @DataProvider
     Object[][] lateTotals() {
-        // total told late after four calls without an answer in time, reqs of one unit that pass of 6 then
+        // total told late after four calls without an answer in time, reqs of one unit that pass of
+        // 6 then
         return new Object[][] {{2.0, 6}, {20.0, 5}, {34.5, 1}, {36.7, 0}};
     }
 
-    /** A counter that answers late still tells what is left; a slice would pass what is long used up. */
+    /**
+     * A counter that answers late still tells what is left; a slice would pass what is long used
+     * up.
+     */
     @Test(dataProvider = "lateTotals")
     public void aTotalThatComesLateIsTrue(double total, int passes) {
         Bed bed = new Bed();
@@ -206,7 +243,10 @@
         assertEquals(passed, passes);
     }
 
-    /** With the budget full a dispatch that may have run goes on only inside the group, and only for its window. */
+    /**
+     * With the budget full a dispatch that may have run goes on only inside the group, and only for
+     * its window.
+     */
     @Test
     public void aReqWithAKeyStaysInItsGroup() {
         Bed bed = new Bed();
@@ -216,8 +256,13 @@
         int again = 0;
         for (int i = 0; i < 40; i++) {
             Req req = bed.req(c, cell, 0.1);
-            String first = bed.ask(req, 0, 0.1 * i).stream().filter(s -> s.startsWith("dispatch")).findFirst().get();
-            List<String> said = new ArrayList<>(bed.ends(req, 0, i < 20 ? End.GOOD : End.BROKEN, i < 20));
+            String first =
+                    bed.ask(req, 0, 0.1 * i).stream()
+                            .filter(s -> s.startsWith("dispatch"))
+                            .findFirst()
+                            .get();
+            List<String> said =
+                    new ArrayList<>(bed.ends(req, 0, i < 20 ? End.GOOD : End.BROKEN, i < 20));
             for (String s : said) {
                 if (!s.startsWith("dispatch")) continue;
                 again++;
@@ -229,7 +274,10 @@
         assertTrue(again > 0);
     }
 
-    /** A repeat that waits for its connection is none any more once the window is over, whenever it was decided on. */
+    /**
+     * A repeat that waits for its connection is none any more once the window is over, whenever it
+     * was decided on.
+     */
     @Test
     public void aRepeatLeavesWithinTheWindowOfTheFirst() {
         Bed bed = new Bed();
@@ -252,27 +300,36 @@
         }
     }
 
-    /** It is seen to have gone before anybody has said so; what waits is told of that a moment later. */
+    /**
+     * It is seen to have gone before anybody has said so; what waits is told of that a moment
+     * later.
+     */
     @Test
     public void nothingIsSentForAClientThatHasGone() {
         for (boolean g : new boolean[] {true, false}) {
             Bed bed = new Bed();
-            Req req = new Req(7, READ, Bed.customer(HARD), bed.now + 8000, 1, false) {
-                @Override
-                public boolean gone() {
-                    return g;
-                }
-            };
+            Req req =
+                    new Req(7, READ, Bed.customer(HARD), bed.now + 8000, 1, false) {
+                        @Override
+                        public boolean gone() {
+                            return g;
+                        }
+                    };
             List<String> said = bed.ask(req, 0, 1);
             assertEquals(Bed.count(said, "dispatch"), g ? 0 : 1);
             said.addAll(bed.play(in -> in.left(req)));
-            assertEquals(said.stream().anyMatch(s -> s.startsWith("add ") && s.endsWith(" -1.0")), g, said.toString());
+            assertEquals(
+                    said.stream().anyMatch(s -> s.startsWith("add ") && s.endsWith(" -1.0")),
+                    g,
+                    said.toString());
         }
     }
 
     @DataProvider
     Object[][] states() {
-        return new Object[][] {{Srv.State.DRAINING, true}, {Srv.State.REMOVED, true}, {Srv.State.UP, false}};
+        return new Object[][] {
+            {Srv.State.DRAINING, true}, {Srv.State.REMOVED, true}, {Srv.State.UP, false}
+        };
     }
 
     @Test(dataProvider = "states")
@@ -290,9 +347,14 @@
     }
 
     @DataProvider
-    Object[][] sizes() { return new Object[][] {{0.1, 0.1}, {0.1, 0.9}, {0.1, 2.0}}; } // units of nine reqs in ten, of the tenth
-
-    /** In units, whatever the reqs' sizes: under 0.6 of a warm one's while it is cold, two thirds of what that allows at least. */
+    Object[][] sizes() {
+        return new Object[][] {{0.1, 0.1}, {0.1, 0.9}, {0.1, 2.0}};
+    } // units of nine reqs in ten, of the tenth
+
+    /**
+     * In units, whatever the reqs' sizes: under 0.6 of a warm one's while it is cold, two thirds of
+     * what that allows at least.
+     */
     @Test(dataProvider = "sizes")
     public void aColdServerGetsItsShareAndNoMore(double small, double large) {
         Bed bed = new Bed();
@@ -307,7 +369,8 @@
             Req req = bed.req(c, READ, i % 10 == 0 ? large : small);
             List<String> said = new ArrayList<>(bed.ask(req, 0, 0.1));
             for (String s : said) {
-                if (s.startsWith("dispatch") && i >= 500) units[s.endsWith(" cold") ? 1 : 0] += req.units;
+                if (s.startsWith("dispatch") && i >= 500)
+                    units[s.endsWith(" cold") ? 1 : 0] += req.units;
             }
             if (Bed.count(said, "dispatch") > 0) out.add(req);
             if (out.size() > 4) bed.ends(out.remove(0), 0, End.GOOD, true);
@@ -319,7 +382,9 @@
 
     @DataProvider
     Object[][] warmEnds() {
-        return new Object[][] {{End.GOOD, true}, {End.FULL, false}, {End.TIMED_OUT, false}, {End.BROKEN, false}};
+        return new Object[][] {
+            {End.GOOD, true}, {End.FULL, false}, {End.TIMED_OUT, false}, {End.BROKEN, false}
+        };
     }
 
     /** What warm servers are sent beyond what they do tells nothing of what a cold one can do. */
@@ -334,8 +399,11 @@
             Req req = bed.req(c, READ, 0.1);
             List<String> said = new ArrayList<>(bed.ask(req, 0, 0.1));
             for (int no = 0; Bed.count(said, "dispatch") > 0; no++) {
-                boolean cold = said.stream().anyMatch(s -> s.startsWith("dispatch") && s.endsWith(" cold"));
-                if (cold) toCold++; else sent++;
+                boolean cold =
+                        said.stream()
+                                .anyMatch(s -> s.startsWith("dispatch") && s.endsWith(" cold"));
+                if (cold) toCold++;
+                else sent++;
                 said = new ArrayList<>(bed.ends(req, no, cold ? End.VOID : how, how == End.GOOD));
             }
             bed.play(in -> in.left(req));
@@ -352,9 +420,11 @@
         for (String id : ids) bed.srv(id).born = bed.now;
         bed.list(ids);
         Customer over = Bed.customer(HARD), within = new Customer(6, HARD, 2, 0);
-        for (int i = 0; i < 60; i++) assertEquals(Bed.count(bed.ask(bed.req(over, READ, 1), 0, 1e6), "deny"), 1);
+        for (int i = 0; i < 60; i++)
+            assertEquals(Bed.count(bed.ask(bed.req(over, READ, 1), 0, 1e6), "deny"), 1);
         long sent = 0;
-        for (int i = 1; i <= 5; i++) sent += Bed.count(bed.ask(bed.req(within, READ, 1), 0, i), "dispatch");
+        for (int i = 1; i <= 5; i++)
+            sent += Bed.count(bed.ask(bed.req(within, READ, 1), 0, i), "dispatch");
         assertTrue(sent < 3, sent + " of 5 at once");
     }
 
@@ -381,12 +451,15 @@
             for (Req r : out) bed.ends(r, 0, End.GOOD, true); // each cold one earns a dispatch
             Req req = bed.req(c, READ, 1);
             for (String s : bed.ask(req, 0, 1)) {
-                if (s.startsWith("dispatch")) firsts.merge(s.substring(s.lastIndexOf(' ') + 1), 1, Integer::sum);
+                if (s.startsWith("dispatch"))
+                    firsts.merge(s.substring(s.lastIndexOf(' ') + 1), 1, Integer::sum);
             }
             bed.ends(req, 0, End.GOOD, true);
         }
         assertEquals(firsts.values().stream().mapToInt(n -> n).sum(), 12, firsts.toString());
-        assertTrue(firsts.size() > 2 && firsts.keySet().stream().allMatch(s -> s.startsWith("c")), firsts.toString());
+        assertTrue(
+                firsts.size() > 2 && firsts.keySet().stream().allMatch(s -> s.startsWith("c")),
+                firsts.toString());
     }
 
     @Test
@@ -404,10 +477,15 @@
                 passed++;
             }
         }
-        assertTrue(passed > 0 && passed <= 10, "slice of 2 units a second, from empty, in 5 s: " + passed);
+        assertTrue(
+                passed > 0 && passed <= 10,
+                "slice of 2 units a second, from empty, in 5 s: " + passed);
     }
 
-    /** A long answer that its client reads slowly is no trouble of its server, and its req has its final answer. */
+    /**
+     * A long answer that its client reads slowly is no trouble of its server, and its req has its
+     * final answer.
+     */
     @Test
     public void whatFlowsIsAnswered() {
         Bed bed = new Bed();
@@ -436,10 +514,16 @@
         return new Object[][] {{0, 0}, {2000, 1000}, {6000, 3000}, {20_000, 6000}};
     }
 
-    /** Two processes of one gateway draw on a ceiling at once: never more than one of them could, whoever is asked. */
+    /**
+     * Two processes of one gateway draw on a ceiling at once: never more than one of them could,
+     * whoever is asked.
+     */
     @Test(dataProvider = "handovers")
     public void aCeilingHandedOverIsDrawnOnOnce(double alone, double beside) {
-        Plan plan = new Plan("p", 0, 0, 0, 1, 1, 0, 0.004, 20, 1); // a slice of 2 units a second, 10 at most
+        Plan plan =
+                new Plan(
+                        "p", 0, 0, 0, 1, 1, 0, 0.004, 20,
+                        1); // a slice of 2 units a second, 10 at most
         Customer c = Bed.customer(plan);
         Bed old = new Bed();
         old.pass(alone);
@@ -459,7 +543,9 @@
                     if (Bed.count(said, "dispatch") > 0) bed.ends(req, 0, End.GOOD, true);
                 }
             }
-            assertTrue(passed <= most + i * 0.5 + 1e-6, passed + " after " + i * 250 + " ms, from " + most);
+            assertTrue(
+                    passed <= most + i * 0.5 + 1e-6,
+                    passed + " after " + i * 250 + " ms, from " + most);
             passed += Bed.count(old.pass(250), "dispatch") + Bed.count(next.pass(250), "dispatch");
         }
         assertTrue(passed >= 2, "the other one fills: " + passed);
@@ -470,7 +556,8 @@
         Bed bed = new Bed();
         Customer c = Bed.customer(Bed.plan(0, 1, 2, 0));
         long passed = 0;
-        for (int i = 1; i <= 6; i++) passed += Bed.count(bed.ask(bed.req(c, READ, 1), 0, i), "dispatch");
+        for (int i = 1; i <= 6; i++)
+            passed += Bed.count(bed.ask(bed.req(c, READ, 1), 0, i), "dispatch");
         assertTrue(passed >= 1 && passed <= 2, "" + passed);
     }
 
@@ -519,10 +606,15 @@
 
     @DataProvider
     Object[][] speeds() {
-        return new Object[][] {{200, 120}, {1400, 12}}; // its first server's answers take, reqs there of 120 at most
+        return new Object[][] {
+            {200, 120}, {1400, 12}
+        }; // its first server's answers take, reqs there of 120 at most
     }
 
-    /** A gateway of little traffic keeps to few servers while they are as good as any, and to none that is not. */
+    /**
+     * A gateway of little traffic keeps to few servers while they are as good as any, and to none
+     * that is not.
+     */
     @Test(dataProvider = "speeds")
     public void fewReqsKeepToFewServers(double took, int most) {
         Bed bed = new Bed(Bed.limits(false), true, false, 14);
@@ -530,16 +622,25 @@
         List<String> met = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
             Req req = bed.req(Bed.customer(Bed.plan(1, 0, 0, 0)), READ, 0.1);
-            met.add(bed.ask(req, 0, 0.1).stream().filter(s -> s.startsWith("dispatch")).findFirst().orElseThrow().split(" ")[2]);
+            met.add(
+                    bed.ask(req, 0, 0.1).stream()
+                            .filter(s -> s.startsWith("dispatch"))
+                            .findFirst()
+                            .orElseThrow()
+                            .split(" ")[2]);
             double time = met.get(i).equals(met.get(0)) ? took : 200;
             bed.pass(250);
             bed.play(in -> in.ended(req, 0, End.GOOD, time, true, 0, 0, null));
         }
-        long first = met.stream().filter(met.get(0)::equals).count(), kinds = met.stream().distinct().count();
+        long first = met.stream().filter(met.get(0)::equals).count(),
+                kinds = met.stream().distinct().count();
         assertTrue(first <= most && kinds <= 6, kinds + " servers: " + met);
     }
 
-    /** Large reqs take long anywhere: a server that happened to get some is no slower than the others. */
+    /**
+     * Large reqs take long anywhere: a server that happened to get some is no slower than the
+     * others.
+     */
     @Test
     public void whoGetsLargeReqsIsNotLeftForIt() {
         Bed bed = new Bed(Bed.limits(false), true, false, 14);
@@ -548,7 +649,12 @@
         List<String> met = new ArrayList<>();
         for (int i = 0; i < 240; i++) {
             Req req = bed.req(c, READ, i % 10 == 0 ? 6 : 1);
-            met.add(bed.ask(req, 0, 0.1).stream().filter(s -> s.startsWith("dispatch")).findFirst().orElseThrow().split(" ")[2]);
+            met.add(
+                    bed.ask(req, 0, 0.1).stream()
+                            .filter(s -> s.startsWith("dispatch"))
+                            .findFirst()
+                            .orElseThrow()
+                            .split(" ")[2]);
             double took = 200 * req.units;
             bed.pass(50);
             bed.play(in -> in.ended(req, 0, End.GOOD, took, true, 0, 0, null));
@@ -558,9 +664,14 @@
     }
 
     @DataProvider
-    Object[][] hurries() { return new Object[][] {{1, 900, "dispatch"}, {6, 900, "deny"}, {6, 1900, "dispatch"}}; }
+    Object[][] hurries() {
+        return new Object[][] {{1, 900, "dispatch"}, {6, 900, "deny"}, {6, 1900, "dispatch"}};
+    }
 
-    /** What a req will take goes by its units: one that can't be answered in time is denied at once, one that can is not. */
+    /**
+     * What a req will take goes by its units: one that can't be answered in time is denied at once,
+     * one that can is not.
+     */
     @Test(dataProvider = "hurries")
     public void aReqIsGivenTheTimeOfItsSize(double units, double left, String then) {
         Bed bed = new Bed();
@@ -577,7 +688,9 @@
     }
 
     @DataProvider
-    Object[][] breaks() { return new Object[][] {{100, false}, {8, true}}; }
+    Object[][] breaks() {
+        return new Object[][] {{100, false}, {8, true}};
+    }
 
     /** Kept connections that break under the next req are renewed while more than a few do. */
     @Test(dataProvider = "breaks")
@@ -594,7 +707,9 @@
     }
 
     @DataProvider
-    Object[][] noTotals() { return new Object[][] {{End.TIMED_OUT, 0}, {End.BROKEN, 1}}; }
+    Object[][] noTotals() {
+        return new Object[][] {{End.TIMED_OUT, 0}, {End.BROKEN, 1}};
+    }
 
     /** Answers that can't be read are no silence: the counter is still asked. */
     @Test(dataProvider = "noTotals")
@@ -605,24 +720,37 @@
             bed.play(in -> in.arrived(req));
             bed.counterEnds(how);
         }
-        assertEquals(Bed.count(bed.play(in -> in.arrived(bed.req(new Customer(9, HARD, 2, 0), READ, 1))), "add "), calls);
+        assertEquals(
+                Bed.count(
+                        bed.play(in -> in.arrived(bed.req(new Customer(9, HARD, 2, 0), READ, 1))),
+                        "add "),
+                calls);
     }
 
     @DataProvider
     Object[][] lastTotals() {
         return new Object[][] {
-            // gateways, counted by all, how long ago, units asked one by one with no call answered: how many pass of a slice of five
-            {2, 0, 100, 12, 10}, {2, 0, 6000, 12, 5}, {2, 36, 100, 12, 0}, {2, 36, 2400, 12, 2}, {5, 0, 100, 12, 2},
+            // gateways, counted by all, how long ago, units asked one by one with no call answered:
+            // how many pass of a slice of five
+            {2, 0, 100, 12, 10},
+            {2, 0, 6000, 12, 5},
+            {2, 36, 100, 12, 0},
+            {2, 36, 2400, 12, 2},
+            {5, 0, 100, 12, 2},
         };
     }
 
-    /** A counter that misses calls has spoken lately: its last total tells more than an even slice. */
+    /**
+     * A counter that misses calls has spoken lately: its last total tells more than an even slice.
+     */
     @Test(dataProvider = "lastTotals")
-    public void theLastTotalHoldsForABurst(int width, double total, double ago, int asked, int passes) {
+    public void theLastTotalHoldsForABurst(
+            int width, double total, double ago, int asked, int passes) {
         Bed bed = new Bed();
         Customer c = new Customer(5, HARD, width, 0);
         Req first = bed.req(c, READ, 0.1);
-        if (Bed.count(bed.ask(first, 0, total + 0.1), "dispatch") > 0) bed.ends(first, 0, End.GOOD, true);
+        if (Bed.count(bed.ask(first, 0, total + 0.1), "dispatch") > 0)
+            bed.ends(first, 0, End.GOOD, true);
         bed.now += ago;
         long passed = 0;
         for (int i = 0; i < asked; i++) {
@@ -647,13 +775,17 @@
             Req req = bed.req(new Customer(i < 4 ? i : chance.nextInt(4), SOFT, 2, 0), READ, 0.01);
             List<String> said = new ArrayList<>(bed.play(in -> in.arrived(req)));
             boolean answered = i < 4 || i % 3 == 0;
-            for (List<String> now = said; Bed.count(now, "add ") > 0;) {
+            for (List<String> now = said; Bed.count(now, "add ") > 0; ) {
                 for (String s : now) {
                     if (!s.startsWith("add ")) continue;
                     added += Double.parseDouble(s.split(" ")[2]);
                     calls += i >= 200 ? 1 : 0;
                 }
-                now = new ArrayList<>(answered ? bed.answers(now, 0, added) : bed.counterEnds(End.TIMED_OUT));
+                now =
+                        new ArrayList<>(
+                                answered
+                                        ? bed.answers(now, 0, added)
+                                        : bed.counterEnds(End.TIMED_OUT));
                 said.addAll(now);
             }
             asked += 0.01;
@@ -664,7 +796,10 @@
         assertTrue(Math.abs(asked - added) < 1.2, asked + " and " + added);
     }
 
-    /** A counter that takes a call each 20 ms and answers all that come: its line is kept short of what is waited for. */
+    /**
+     * A counter that takes a call each 20 ms and answers all that come: its line is kept short of
+     * what is waited for.
+     */
     @Test
     public void theLineAtAShortCounterIsKeptShort() {
         Bed bed = new Bed();
@@ -684,11 +819,19 @@
                 if (!late && bed.now < call[2]) continue;
                 line.remove(call);
                 missed += late && i > 10_000 ? 1 : 0;
-                said.addAll(bed.play(in -> in.counted((long) call[0], late ? End.TIMED_OUT : End.GOOD, bed.now - call[1], 0.01)));
+                said.addAll(
+                        bed.play(
+                                in ->
+                                        in.counted(
+                                                (long) call[0],
+                                                late ? End.TIMED_OUT : End.GOOD,
+                                                bed.now - call[1],
+                                                0.01)));
             }
             for (String s : said) {
                 String[] w = s.split(" ");
-                if (w[0].equals("dispatch")) bed.ends(reqs.get(Long.parseLong(w[1])), 0, End.GOOD, true);
+                if (w[0].equals("dispatch"))
+                    bed.ends(reqs.get(Long.parseLong(w[1])), 0, End.GOOD, true);
                 if (!w[0].equals("add")) continue;
                 idle = Math.max(idle, bed.now) + 20;
                 line.add(new double[] {Long.parseLong(w[1]), bed.now, idle});
@@ -698,7 +841,10 @@
         assertTrue(made > 300 && missed < 0.15 * made, missed + " of " + made + " calls missed");
     }
 
-    /** Where calls are short they go to those whom an answer can deny: what a soft plan asks passes with it or without. */
+    /**
+     * Where calls are short they go to those whom an answer can deny: what a soft plan asks passes
+     * with it or without.
+     */
     @Test
     public void shortCallsGoToPlansWhoseExcessCosts() {
         Bed bed = new Bed();
@@ -714,7 +860,9 @@
                 calls[soft] += i >= 200 ? 1 : 0;
             }
             for (List<String> now = said; Bed.count(now, "add ") > 0; said.addAll(now)) {
-                now = new ArrayList<>(answered ? bed.answers(now, 0, 1) : bed.counterEnds(End.TIMED_OUT));
+                now =
+                        new ArrayList<>(
+                                answered ? bed.answers(now, 0, 1) : bed.counterEnds(End.TIMED_OUT));
             }
             if (Bed.count(said, "dispatch") > 0) bed.ends(req, 0, End.GOOD, true);
             bed.pass(5);
@@ -725,12 +873,16 @@
     @DataProvider
     Object[][] windowsBefore() {
         return new Object[][] {
-            // calls without an answer before, total read 13 s into a window that holds 68 units, calls for the window before
+            // calls without an answer before, total read 13 s into a window that holds 68 units,
+            // calls for the window before
             {0, 5.0, 1}, {1, 5.0, 0}, {1, 29.0, 0}, {1, 32.0, 1},
         };
     }
 
-    /** A short counter is asked for the window before once what that may hold could change the answer, not before. */
+    /**
+     * A short counter is asked for the window before once what that may hold could change the
+     * answer, not before.
+     */
     @Test(dataProvider = "windowsBefore")
     public void theWindowBeforeIsReadWhereItCanMatter(int missed, double total, int reads) {
         Bed bed = new Bed();
@@ -740,7 +892,8 @@
         }
         bed.pass(50);
         List<String> said = bed.ask(bed.req(Bed.customer(HARD), READ, 0.1), 0, total);
-        assertEquals(said.stream().filter(s -> s.matches("add .* 0.0")).count(), reads, said.toString());
+        assertEquals(
+                said.stream().filter(s -> s.matches("add .* 0.0")).count(), reads, said.toString());
         assertEquals(Bed.count(said, "dispatch"), 1, said.toString());
     }
 
@@ -751,8 +904,12 @@
         Req req = bed.req(c, READ, 2);
         bed.ask(req, 0, 2);
         bed.play(in -> in.ended(req, 0, End.GOOD, 100, true, 0, 5, null));
-        assertTrue(bed.play(in -> in.arrived(bed.req(c, READ, 1))).stream().anyMatch(s -> s.endsWith(" 4.0")));
-        assertTrue(bed.play(in -> in.arrived(bed.req(c, READ, 1))).stream().anyMatch(s -> s.endsWith(" 1.0")));
+        assertTrue(
+                bed.play(in -> in.arrived(bed.req(c, READ, 1))).stream()
+                        .anyMatch(s -> s.endsWith(" 4.0")));
+        assertTrue(
+                bed.play(in -> in.arrived(bed.req(c, READ, 1))).stream()
+                        .anyMatch(s -> s.endsWith(" 1.0")));
     }
 
     @Test
@@ -764,13 +921,20 @@
     }
 
     @DataProvider
-    Object[][] caps() { return new Object[][] {{0.0, 2500.0}, {0.2, 0.0}}; }
+    Object[][] caps() {
+        return new Object[][] {{0.0, 2500.0}, {0.2, 0.0}};
+    }
 
-    /** A req that hangs is given up once its answer earns nothing, and its client told when to come back. */
+    /**
+     * A req that hangs is given up once its answer earns nothing, and its client told when to come
+     * back.
+     */
     @Test(dataProvider = "caps")
     public void whatEarnsNothingMoreIsGivenUp(double lateValue, double cap) {
         Bed bed = new Bed();
-        Frontend f = new Frontend("f", 2000, 8000, 1, lateValue, Effect.IDEMPOTENT, Group.ALL, 3000, false);
+        Frontend f =
+                new Frontend(
+                        "f", 2000, 8000, 1, lateValue, Effect.IDEMPOTENT, Group.ALL, 3000, false);
         Req req = bed.req(Bed.customer(HARD), f, 1);
         bed.ask(req, 0, 1);
         assertEquals(bed.cap, cap);
@@ -781,7 +945,8 @@
     @DataProvider
     Object[][] widths() {
         return new Object[][] {
-            // gateways of the customer, reqs of one unit that pass of 6 at once while the counter is silent
+            // gateways of the customer, reqs of one unit that pass of 6 at once while the counter
+            // is silent
             {2, 5}, {10, 1}, {100, 1},
         };
     }
@@ -800,7 +965,9 @@
     }
 
     @DataProvider
-    Object[][] fleets() { return new Object[][] {{2, 6, 30}, {100, 1, 2}, {330, 1, 2}}; }
+    Object[][] fleets() {
+        return new Object[][] {{2, 6, 30}, {100, 1, 2}, {330, 1, 2}};
+    }
 
     /** Three servers take five each over all gateways, or one slot a gateway where that is less. */
     @Test(dataProvider = "fleets")
@@ -810,7 +977,10 @@
         bed.pass(250);
         long out = 0;
         for (int i = 0; i < 40; i++) {
-            out += Bed.count(bed.play(in -> in.arrived(bed.req(Bed.customer(SOFT), READ, 0.1))), "dispatch");
+            out +=
+                    Bed.count(
+                            bed.play(in -> in.arrived(bed.req(Bed.customer(SOFT), READ, 0.1))),
+                            "dispatch");
         }
         assertTrue(out >= least && out <= most, gateways + " gateways: " + out);
     }
--- a/gateway/src/test/java/tinford/ViewTest.java
+++ b/gateway/src/test/java/tinford/ViewTest.java
@@ -19,36 +19,75 @@
         final String what;
         final List<String> told = new ArrayList<>();
 
-        Bound(String what) { this.what = what; }
+        Bound(String what) {
+            this.what = what;
+        }
 
-        @Override public double part(double worth) { return what.equals("part") ? 0 : 1; }
+        @Override
+        public double part(double worth) {
+            return what.equals("part") ? 0 : 1;
+        }
 
-        @Override public double further(double own) { return what.equals("further") ? 0 : own; }
+        @Override
+        public double further(double own) {
+            return what.equals("further") ? 0 : own;
+        }
 
-        @Override public boolean looksAfter(Srv srv) { return !what.equals("looksAfter"); }
+        @Override
+        public boolean looksAfter(Srv srv) {
+            return !what.equals("looksAfter");
+        }
 
-        @Override public int mayHold(Srv srv) { return what.equals("hold") ? 0 : 9; }
+        @Override
+        public int mayHold(Srv srv) {
+            return what.equals("hold") ? 0 : 9;
+        }
 
-        @Override public int mayUse(Customer c) { return what.equals("use") ? 0 : 9; }
+        @Override
+        public int mayUse(Customer c) {
+            return what.equals("use") ? 0 : 9;
+        }
 
-        @Override public boolean mayGo(Req req, Srv srv, Srv first) {
+        @Override
+        public boolean mayGo(Req req, Srv srv, Srv first) {
             told.add("go " + (first == null ? "-" : first.id));
             return !what.equals("go") && (!what.equals("first") || first == null || first == srv);
         }
 
-        @Override public boolean goes(Req req) { return !what.equals("goes"); }
+        @Override
+        public boolean goes(Req req) {
+            return !what.equals("goes");
+        }
 
-        @Override public double spread() { return what.equals("part") ? 400 : 0; }
+        @Override
+        public double spread() {
+            return what.equals("part") ? 400 : 0;
+        }
 
-        @Override public void asked(Req req, double worth) { told.add("asked"); }
+        @Override
+        public void asked(Req req, double worth) {
+            told.add("asked");
+        }
 
-        @Override public void sent(Req req, Srv srv, double worth, boolean further) { told.add(further ? "again" : "sent"); }
+        @Override
+        public void sent(Req req, Srv srv, double worth, boolean further) {
+            told.add(further ? "again" : "sent");
+        }
 
-        @Override public void ended(Req req, Srv srv, End how, boolean late) { told.add("ended " + how); }
+        @Override
+        public void ended(Req req, Srv srv, End how, boolean late) {
+            told.add("ended " + how);
+        }
 
-        @Override public void lacked(Req req) { told.add("lacked"); }
+        @Override
+        public void lacked(Req req) {
+            told.add("lacked");
+        }
 
-        @Override public void ill(Srv srv, boolean ill) { told.add(ill ? "ill" : "well"); }
+        @Override
+        public void ill(Srv srv, boolean ill) {
+            told.add(ill ? "ill" : "well");
+        }
     }
 
     private static Bed bed(View view) {
@@ -72,15 +111,22 @@
         };
     }
 
-    /** What is shed, or may go nowhere, is answered at once; what lacks a connection waits while its target is in reach. */
+    /**
+     * What is shed, or may go nowhere, is answered at once; what lacks a connection waits while its
+     * target is in reach.
+     */
     @Test(dataProvider = "bounds")
     public void aFirstDispatchIsBound(String what, String said, String told) {
         Bound view = new Bound(what);
         Bed bed = bed(view);
         one(bed);
-        assertEquals(bed.said.stream().map(s -> s.split(" ")[0]).reduce("", String::concat), said, bed.said.toString());
+        assertEquals(
+                bed.said.stream().map(s -> s.split(" ")[0]).reduce("", String::concat),
+                said,
+                bed.said.toString());
         assertTrue(view.told.contains(told), view.told.toString());
-        assertEquals(Bed.count(bed.pass(3000), "deny"), said.isEmpty() ? 1 : 0, "the one final answer");
+        assertEquals(
+                Bed.count(bed.pass(3000), "deny"), said.isEmpty() ? 1 : 0, "the one final answer");
     }
 
     /** Those denied together are told to come back at times apart. */
@@ -99,11 +145,16 @@
     @DataProvider
     public Object[][] furthers() {
         return new Object[][] {
-            {"nothing", End.ERROR, "dispatch"}, {"further", End.ERROR, "deny"}, {"further", End.FULL, "dispatch"},
+            {"nothing", End.ERROR, "dispatch"},
+            {"further", End.ERROR, "deny"},
+            {"further", End.FULL, "dispatch"},
         };
     }
 
-    /** What may have run goes out again only from the fleet's budget; what surely never ran needs none. */
+    /**
+     * What may have run goes out again only from the fleet's budget; what surely never ran needs
+     * none.
+     */
     @Test(dataProvider = "furthers")
     public void furtherDispatchesAreTheFleets(String what, End how, String said) {
         Bound view = new Bound(what);
@@ -114,7 +165,10 @@
         assertEquals(view.told.contains("again"), said.equals("dispatch"));
     }
 
-    /** Where an earlier dispatch may have run is told, and no dispatch leaves the group that it went to. */
+    /**
+     * Where an earlier dispatch may have run is told, and no dispatch leaves the group that it went
+     * to.
+     */
     @Test
     public void aFurtherDispatchKeepsToTheFirstGroup() {
         Bound view = new Bound("first");
@@ -122,11 +176,14 @@
         for (int i = 0; i < 12; i++) bed.ends(one(bed), 0, End.GOOD, true);
         Req req = one(bed);
         String first = bed.said.get(0).split(" ")[2];
-        assertEquals(bed.ends(req, 0, End.ERROR, false), List.of("dispatch " + req.id + " " + first));
+        assertEquals(
+                bed.ends(req, 0, End.ERROR, false), List.of("dispatch " + req.id + " " + first));
         assertTrue(view.told.contains("go " + first));
     }
 
-    /** A server that was put aside is left to the gateway that looks after it, and its end is told. */
+    /**
+     * A server that was put aside is left to the gateway that looks after it, and its end is told.
+     */
     @Test
     public void anIllServerIsLeftToItsOwner() {
         for (String what : List.of("nothing", "looksAfter")) {
@@ -138,7 +195,10 @@
             assertTrue(view.told.contains("ill"));
             bed.pass(1000);
             Req req = one(bed);
-            assertEquals(Bed.count(bed.said, "dispatch"), what.equals("nothing") ? 1 : 0, bed.said.toString());
+            assertEquals(
+                    Bed.count(bed.said, "dispatch"),
+                    what.equals("nothing") ? 1 : 0,
+                    bed.said.toString());
             if (what.equals("nothing")) bed.ends(req, 0, End.GOOD, true);
             assertEquals(view.told.contains("well"), what.equals("nothing"));
         }
