--- a/gateway/src/test/java/tinford/handed/HandedTest.java
+++ b/gateway/src/test/java/tinford/handed/HandedTest.java
@@ -18,23 +18,34 @@
 import tinford.api.Plan;
 import tinford.api.Rules;
 
-/** Settings unlike those known: what may be missing, what it stands for then, and what is an error. */
+/**
+ * Settings unlike those known: what may be missing, what it stands for then, and what is an error.
+ */
 public class HandedTest {
-    private static final String LEAST = "{\"Classes\":[{\"Name\":\"a\",\"HardLimitUs\":4000000,\"Effect\":\"read_like\"},"
-            + "{\"Name\":\"k\",\"HardLimitUs\":5000000,\"Effect\":\"idempotency_key\"}],\"Limits\":{\"MaxAttempts\":3},"
-            + "\"NInstances\":2,\"Rules\":{\"FallMultiple\":2},\"Tariffs\":[{\"Name\":\"p\"}]}";
+    private static final String LEAST =
+            "{\"Classes\":[{\"Name\":\"a\",\"HardLimitUs\":4000000,\"Effect\":\"read_like\"},"
+                + "{\"Name\":\"k\",\"HardLimitUs\":5000000,\"Effect\":\"idempotency_key\"}],\"Limits\":{\"MaxAttempts\":3},"
+                + "\"NInstances\":2,\"Rules\":{\"FallMultiple\":2},\"Tariffs\":[{\"Name\":\"p\"}]}";
 
     private Rules rules;
     private Goal goal;
 
-    private Gateway make(long seed, Place place, Limits limits, Rules cold, CounterTerms counter, Goal weighs, boolean mustAsk) {
+    private Gateway make(
+            long seed,
+            Place place,
+            Limits limits,
+            Rules cold,
+            CounterTerms counter,
+            Goal weighs,
+            boolean mustAsk) {
         rules = cold;
         goal = weighs;
         return null;
     }
 
     private static Fields read(String text) {
-        return Fields.of(new JsonFactory(), "configuration", "{\"settings\":" + text + "}").part("settings");
+        return Fields.of(new JsonFactory(), "configuration", "{\"settings\":" + text + "}")
+                .part("settings");
     }
 
     /** All that a start takes of them. */
@@ -54,21 +65,40 @@
         take(set);
         Frontend a = Handed.frontends(set).get("a");
         Frontend k = Handed.frontends(set).get("k");
-        assertEquals(new double[] {a.target, a.timeout, a.value, a.lateValue, k.target}, new double[] {4000, 4000, 1, 0, 5000});
+        assertEquals(
+                new double[] {a.target, a.timeout, a.value, a.lateValue, k.target},
+                new double[] {4000, 4000, 1, 0, 5000});
         assertEquals(a.effect, Effect.IDEMPOTENT);
         assertEquals(k.repeatWindow, 0.0); // none known: never again where it may have run
         assertEquals(k.group, Group.CELL); // within any group
         Plan p = Handed.plans(set).get("p");
-        assertEquals(new double[] {p.rate, p.maxOut, p.ceilingRate, p.price, p.beyondValue, p.beyondCost},
+        assertEquals(
+                new double[] {
+                    p.rate, p.maxOut, p.ceilingRate, p.price, p.beyondValue, p.beyondCost
+                },
                 new double[] {0, 0, 0, 1, 0, 0});
         Limits limits = Handed.limits(set);
-        assertTrue(!limits.mayDuplicate && !limits.cancel && !limits.peers && !limits.probes && limits.maxRetryAfter == 0);
+        assertTrue(
+                !limits.mayDuplicate
+                        && !limits.cancel
+                        && !limits.peers
+                        && !limits.probes
+                        && limits.maxRetryAfter == 0);
         CounterTerms counter = Handed.counter(set);
         assertTrue(!counter.present && !counter.settles && !Handed.mustAsk(set));
         assertEquals(Handed.place(set).zone, "");
-        assertEquals(new double[] {Handed.connectWithin(set), Handed.idleMost(set), Handed.mostOpen(set), Handed.mostUnits(set)},
+        assertEquals(
+                new double[] {
+                    Handed.connectWithin(set),
+                    Handed.idleMost(set),
+                    Handed.mostOpen(set),
+                    Handed.mostUnits(set)
+                },
                 new double[] {1000, 600_000, 20_000, 1e9});
-        assertEquals(new double[] {rules.coldFrom, rules.coldTime, rules.fallMultiple, goal.whole, goal.worstPlan},
+        assertEquals(
+                new double[] {
+                    rules.coldFrom, rules.coldTime, rules.fallMultiple, goal.whole, goal.worstPlan
+                },
                 new double[] {0, 30_000, 2, 1, 0});
     }
 
@@ -76,11 +106,26 @@
     @DataProvider
     public Object[][] unlikeOnes() {
         return new Object[][] {
-            {"\"NInstances\":2", "\"NInstances\":2,\"New\":{\"x\":[1,null,{}]},\"Az\":null,\"Specifics\":null,\"LoadInfo\":null"},
-            {"\"MaxAttempts\":3", "\"MaxAttempts\":1,\"RetryAfter\":true,\"OpenCap\":0,\"KeepaliveUs\":0,\"ConnectTimeoutUs\":0"},
-            {"\"Name\":\"a\"", "\"Name\":\"\u00e1 b,c=\",\"Group\":\"any\",\"WindowUs\":1,\"AimStretch\":2.5"},
-            {"\"Name\":\"p\"", "\"Name\":\"p\",\"QuotaRate\":1e-3,\"MostAtOnce\":1e30,\"MaxOut\":1e12"},
-            {"\"Name\":\"p\"}]", "\"Name\":\"p\",\"CapRate\":0,\"CapDepth\":0}],\"Discovery\":\"pushed\""},
+            {
+                "\"NInstances\":2",
+                "\"NInstances\":2,\"New\":{\"x\":[1,null,{}]},\"Az\":null,\"Specifics\":null,\"LoadInfo\":null"
+            },
+            {
+                "\"MaxAttempts\":3",
+                "\"MaxAttempts\":1,\"RetryAfter\":true,\"OpenCap\":0,\"KeepaliveUs\":0,\"ConnectTimeoutUs\":0"
+            },
+            {
+                "\"Name\":\"a\"",
+                "\"Name\":\"\u00e1 b,c=\",\"Group\":\"any\",\"WindowUs\":1,\"AimStretch\":2.5"
+            },
+            {
+                "\"Name\":\"p\"",
+                "\"Name\":\"p\",\"QuotaRate\":1e-3,\"MostAtOnce\":1e30,\"MaxOut\":1e12"
+            },
+            {
+                "\"Name\":\"p\"}]",
+                "\"Name\":\"p\",\"CapRate\":0,\"CapDepth\":0}],\"Discovery\":\"pushed\""
+            },
             {"\"HardLimitUs\":4000000", "\"HardLimitUs\":1e300,\"OnTimeUs\":0"},
         };
     }
@@ -95,25 +140,85 @@
     public Object[][] wrongOnes() {
         return new Object[][] {
             {"\"HardLimitUs\":4000000,", "", "Classes.HardLimitUs: expected a number"},
-            {"\"HardLimitUs\":4000000", "\"HardLimitUs\":0", "Classes.HardLimitUs: expected a number above 0"},
-            {"\"HardLimitUs\":4000000", "\"HardLimitUs\":1e999", "Classes.HardLimitUs: expected a number above 0"},
-            {"\"HardLimitUs\":4000000", "\"HardLimitUs\":4000000,\"OnTimeUs\":-1", "Classes.OnTimeUs: expected a number from 0 on"},
-            {"\"HardLimitUs\":4000000", "\"HardLimitUs\":4000000,\"WindowUs\":\"3\"", "Classes.WindowUs: expected a number"},
-            {"\"read_like\"", "\"idempotent\"", "Classes.Effect: expected read_like, idempotency_key or non_idempotent"},
-            {"\"idempotency_key\"", "\"idempotency_key\",\"Group\":\"region\"", "Classes.Group: expected all, zone or cell"},
+            {
+                "\"HardLimitUs\":4000000",
+                "\"HardLimitUs\":0",
+                "Classes.HardLimitUs: expected a number above 0"
+            },
+            {
+                "\"HardLimitUs\":4000000",
+                "\"HardLimitUs\":1e999",
+                "Classes.HardLimitUs: expected a number above 0"
+            },
+            {
+                "\"HardLimitUs\":4000000",
+                "\"HardLimitUs\":4000000,\"OnTimeUs\":-1",
+                "Classes.OnTimeUs: expected a number from 0 on"
+            },
+            {
+                "\"HardLimitUs\":4000000",
+                "\"HardLimitUs\":4000000,\"WindowUs\":\"3\"",
+                "Classes.WindowUs: expected a number"
+            },
+            {
+                "\"read_like\"",
+                "\"idempotent\"",
+                "Classes.Effect: expected read_like, idempotency_key or non_idempotent"
+            },
+            {
+                "\"idempotency_key\"",
+                "\"idempotency_key\",\"Group\":\"region\"",
+                "Classes.Group: expected all, zone or cell"
+            },
             {"\"Name\":\"a\",", "", "Classes.Name: expected a text"},
             {"[{\"Name\":\"p\"}]", "{\"Name\":\"p\"}", "Tariffs: expected an array of objects"},
             {"[{\"Name\":\"p\"}]", "[null]", "Tariffs: expected an array of objects"},
-            {"\"Name\":\"p\"", "\"Name\":\"p\",\"QuotaRate\":1", "Tariffs.MostAtOnce: expected a number"},
-            {"\"Name\":\"p\"", "\"Name\":\"p\",\"QuotaRate\":1,\"MostAtOnce\":0", "Tariffs.MostAtOnce: expected a number above 0"},
-            {"\"Name\":\"p\"", "\"Name\":\"p\",\"QuotaRate\":-1", "Tariffs.QuotaRate: expected a number from 0 on"},
-            {"\"Name\":\"p\"", "\"Name\":\"p\",\"CapRate\":3", "Tariffs.CapDepth: expected a number"},
+            {
+                "\"Name\":\"p\"",
+                "\"Name\":\"p\",\"QuotaRate\":1",
+                "Tariffs.MostAtOnce: expected a number"
+            },
+            {
+                "\"Name\":\"p\"",
+                "\"Name\":\"p\",\"QuotaRate\":1,\"MostAtOnce\":0",
+                "Tariffs.MostAtOnce: expected a number above 0"
+            },
+            {
+                "\"Name\":\"p\"",
+                "\"Name\":\"p\",\"QuotaRate\":-1",
+                "Tariffs.QuotaRate: expected a number from 0 on"
+            },
+            {
+                "\"Name\":\"p\"",
+                "\"Name\":\"p\",\"CapRate\":3",
+                "Tariffs.CapDepth: expected a number"
+            },
             {"\"MaxAttempts\":3", "\"Cancel\":true", "Limits.MaxAttempts: expected a whole number"},
-            {"\"MaxAttempts\":3", "\"MaxAttempts\":0", "Limits.MaxAttempts: expected a whole number from 1 to 2147483647"},
-            {"\"MaxAttempts\":3", "\"MaxAttempts\":4294967297", "Limits.MaxAttempts: expected a whole number from 1 to 2147483647"},
-            {"\"MaxAttempts\":3", "\"MaxAttempts\":3,\"Cancel\":1", "Limits.Cancel: expected true or false"},
-            {"\"NInstances\":2", "\"NInstances\":0", "NInstances: expected a whole number from 1 to 2147483647"},
-            {"\"NInstances\":2", "\"NInstances\":2,\"Specifics\":{\"Counter\":true}", "Specifics.CountLimitUs: expected a number"},
+            {
+                "\"MaxAttempts\":3",
+                "\"MaxAttempts\":0",
+                "Limits.MaxAttempts: expected a whole number from 1 to 2147483647"
+            },
+            {
+                "\"MaxAttempts\":3",
+                "\"MaxAttempts\":4294967297",
+                "Limits.MaxAttempts: expected a whole number from 1 to 2147483647"
+            },
+            {
+                "\"MaxAttempts\":3",
+                "\"MaxAttempts\":3,\"Cancel\":1",
+                "Limits.Cancel: expected true or false"
+            },
+            {
+                "\"NInstances\":2",
+                "\"NInstances\":0",
+                "NInstances: expected a whole number from 1 to 2147483647"
+            },
+            {
+                "\"NInstances\":2",
+                "\"NInstances\":2,\"Specifics\":{\"Counter\":true}",
+                "Specifics.CountLimitUs: expected a number"
+            },
             {"\"FallMultiple\":2", "\"FallUs\":2", "Rules.FallMultiple: expected a number"},
             {"\"Rules\":", "\"Rule\":", "Rules: expected an object"},
         };
@@ -123,7 +228,8 @@
     @Test(dataProvider = "wrongOnes")
     public void whatIsWrongIsNamed(String part, String instead, String line) {
         assertTrue(LEAST.contains(part));
-        BadInput wrong = expectThrows(BadInput.class, () -> take(read(LEAST.replace(part, instead))));
+        BadInput wrong =
+                expectThrows(BadInput.class, () -> take(read(LEAST.replace(part, instead))));
         assertEquals(wrong.getMessage(), "configuration: settings." + line);
     }
 }
--- a/gateway/src/test/java/tinford/logs/LinesTest.java
+++ b/gateway/src/test/java/tinford/logs/LinesTest.java
@@ -21,18 +21,48 @@
     @DataProvider
     static Object[][] entries() {
         return new Object[][] {
-            {(Runnable) () -> System.getLogger("tinford.x").log(Level.INFO, "up"), TIME + "INFO tinford.x: up\n"},
-            {(Runnable) () -> System.getLogger("tinford.x").log(Level.WARNING, "{0} of {1}", 1, "two"),
-                TIME + "WARNING tinford.x: 1 of two\n"},
-            {(Runnable) () -> System.getLogger("tinford.x").log(Level.INFO, "braces {stay}"), TIME + "INFO tinford.x: braces \\{stay}\n"},
-            {(Runnable) () -> System.getLogger("tinford.x").log(Level.ERROR, "broke", new IllegalStateException("why")),
-                "(?s)" + TIME + "ERROR tinford.x: broke\njava.lang.IllegalStateException: why\n\tat .*"},
+            {
+                (Runnable) () -> System.getLogger("tinford.x").log(Level.INFO, "up"),
+                TIME + "INFO tinford.x: up\n"
+            },
+            {
+                (Runnable)
+                        () ->
+                                System.getLogger("tinford.x")
+                                        .log(Level.WARNING, "{0} of {1}", 1, "two"),
+                TIME + "WARNING tinford.x: 1 of two\n"
+            },
+            {
+                (Runnable) () -> System.getLogger("tinford.x").log(Level.INFO, "braces {stay}"),
+                TIME + "INFO tinford.x: braces \\{stay}\n"
+            },
+            {
+                (Runnable)
+                        () ->
+                                System.getLogger("tinford.x")
+                                        .log(
+                                                Level.ERROR,
+                                                "broke",
+                                                new IllegalStateException("why")),
+                "(?s)"
+                        + TIME
+                        + "ERROR tinford.x: broke\njava.lang.IllegalStateException: why\n\tat .*"
+            },
             {(Runnable) () -> System.getLogger("tinford.x").log(Level.DEBUG, "fine"), ""},
             {(Runnable) () -> System.getLogger("org.x").log(Level.INFO, "version 1"), ""},
             {(Runnable) () -> Logger.getLogger("org.xnio.x").infof("version %s", 1), ""},
-            {(Runnable) () -> Logger.getLogger("org.xnio.x").warnf("%s left", "two"), TIME + "WARNING org.xnio.x: two left\n"},
-            {(Runnable) () -> Logger.getLogger("org.xnio.x").errorv("{0} left", "two"), TIME + "ERROR org.xnio.x: two left\n"},
-            {(Runnable) () -> Logger.getLogger("org.xnio.x").fatal("100%"), TIME + "ERROR org.xnio.x: 100%\n"},
+            {
+                (Runnable) () -> Logger.getLogger("org.xnio.x").warnf("%s left", "two"),
+                TIME + "WARNING org.xnio.x: two left\n"
+            },
+            {
+                (Runnable) () -> Logger.getLogger("org.xnio.x").errorv("{0} left", "two"),
+                TIME + "ERROR org.xnio.x: two left\n"
+            },
+            {
+                (Runnable) () -> Logger.getLogger("org.xnio.x").fatal("100%"),
+                TIME + "ERROR org.xnio.x: 100%\n"
+            },
         };
     }
 
@@ -50,18 +80,32 @@
         assertTrue(said.toString().matches(want), said.toString());
     }
 
-    /** Guards the time of a start at a part of a core: the JDK's log and its management beans took a third of it. */
+    /**
+     * Guards the time of a start at a part of a core: the JDK's log and its management beans took a
+     * third of it.
+     */
     @Test
     public void aStartSetsUpNoOtherLogAndNoBeans() throws Exception {
         Path loaded = Files.createTempFile("tinford", ".classes");
         try {
-            Process p = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-Xshare:auto",
-                    "-Djavax.management.builder.initial=tinford.transport.NoBeans", "-Xlog:class+load:file=" + loaded,
-                    "-cp", System.getProperty("java.class.path"), Starts.class.getName()).inheritIO().start();
+            Process p =
+                    new ProcessBuilder(
+                                    System.getProperty("java.home") + "/bin/java",
+                                    "-Xshare:auto",
+                                    "-Djavax.management.builder.initial=tinford.transport.NoBeans",
+                                    "-Xlog:class+load:file=" + loaded,
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    Starts.class.getName())
+                            .inheritIO()
+                            .start();
             assertEquals(p.waitFor(), 0);
             List<String> lines = Files.readAllLines(loaded);
             assertTrue(lines.stream().anyMatch(l -> l.contains("org.xnio.XnioWorker ")));
-            for (String none : List.of("java.util.logging.LogManager ", "com.sun.jmx.mbeanserver.JmxMBeanServer ")) {
+            for (String none :
+                    List.of(
+                            "java.util.logging.LogManager ",
+                            "com.sun.jmx.mbeanserver.JmxMBeanServer ")) {
                 assertFalse(lines.stream().anyMatch(l -> l.contains(none)), none);
             }
         } finally {
@@ -69,21 +113,38 @@
         }
     }
 
-    /** Guards the I/O thread against a log that nobody reads: the pipe is full long before all is told, and it goes on. */
+    /**
+     * Guards the I/O thread against a log that nobody reads: the pipe is full long before all is
+     * told, and it goes on.
+     */
     @Test
     public void aLogThatNobodyReadsStopsNobody() throws Exception {
-        Process p = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-cp",
-                System.getProperty("java.class.path"), Talks.class.getName()).start();
-        assertEquals(new String(p.getInputStream().readNBytes(5)), "said\n"); // only then is the log read
+        Process p =
+                new ProcessBuilder(
+                                System.getProperty("java.home") + "/bin/java",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                Talks.class.getName())
+                        .start();
+        assertEquals(
+                new String(p.getInputStream().readNBytes(5)),
+                "said\n"); // only then is the log read
         String said = new String(p.getErrorStream().readAllBytes());
         assertEquals(p.waitFor(), 0);
         long told = said.lines().filter(l -> l.contains(" a long line ")).count();
-        long dropped = said.lines().filter(l -> l.endsWith(" lines found no place"))
-                .mapToLong(l -> Long.parseLong(l.split(" ")[3])).sum();
-        assertTrue(dropped > 0 && told + dropped == Talks.LINES + 1, told + " told, " + dropped + " dropped");
+        long dropped =
+                said.lines()
+                        .filter(l -> l.endsWith(" lines found no place"))
+                        .mapToLong(l -> Long.parseLong(l.split(" ")[3]))
+                        .sum();
+        assertTrue(
+                dropped > 0 && told + dropped == Talks.LINES + 1,
+                told + " told, " + dropped + " dropped");
     }
 
-    /** Says more than a pipe and all places hold, and when it has, that it has; then one line more. */
+    /**
+     * Says more than a pipe and all places hold, and when it has, that it has; then one line more.
+     */
     public static final class Talks {
         static final int LINES = 5000;
 
@@ -102,7 +163,7 @@
     /** The loop of a gateway, as a process of its own. */
     public static final class Starts {
         public static void main(String[] args) throws Exception {
-            new tinford.transport.Loop(() -> { }, 1, 1, System::nanoTime).close();
+            new tinford.transport.Loop(() -> {}, 1, 1, System::nanoTime).close();
         }
     }
 }
--- a/gateway/src/test/java/tinford/program/DescriptorsTest.java
+++ b/gateway/src/test/java/tinford/program/DescriptorsTest.java
@@ -16,14 +16,19 @@
 import org.testng.annotations.Test;
 import tinford.transport.Turn;
 
-/** Crowds of idle clients against what the gateway itself needs, under the limit that the machine sets. */
+/**
+ * Crowds of idle clients against what the gateway itself needs, under the limit that the machine
+ * sets.
+ */
 public class DescriptorsTest extends Surroundings {
     private int limit;
 
     /** The machine refuses what is beyond the limit handed. */
     @Override
     List<String> program() {
-        List<String> line = new ArrayList<>(List.of("/bin/sh", "-c", "ulimit -n " + limit + "; exec \"$@\"", "sh"));
+        List<String> line =
+                new ArrayList<>(
+                        List.of("/bin/sh", "-c", "ulimit -n " + limit + "; exec \"$@\"", "sh"));
         line.addAll(super.program());
         return line;
     }
@@ -31,7 +36,8 @@
     /** No idle client goes by its time. */
     @Override
     String configuration() {
-        return super.configuration().replace("\"sockets\":1024", "\"sockets\":" + limit)
+        return super.configuration()
+                .replace("\"sockets\":1024", "\"sockets\":" + limit)
                 .replace("\"KeepaliveUs\":15000000", "\"KeepaliveUs\":600000000");
     }
 
@@ -43,18 +49,25 @@
 
     /** The list that takes s0 out and s1 in, to whoever asks on this door. */
     private void tell(ServerSocket at) {
-        Thread door = new Thread(() -> {
-            while (!at.isClosed()) {
-                try {
-                    Talk t = accept(at);
-                    if (t.line() != null) {
-                        chunk(t, "{\"seq\":43,\"whole\":true,\"hosts\":[" + entry(1, servers[1], "ready") + "]}\n", true);
-                    }
-                } catch (IOException e) {
-                    // that one was given up before discovery came back
-                }
-            }
-        });
+        Thread door =
+                new Thread(
+                        () -> {
+                            while (!at.isClosed()) {
+                                try {
+                                    Talk t = accept(at);
+                                    if (t.line() != null) {
+                                        chunk(
+                                                t,
+                                                "{\"seq\":43,\"whole\":true,\"hosts\":["
+                                                        + entry(1, servers[1], "ready")
+                                                        + "]}\n",
+                                                true);
+                                    }
+                                } catch (IOException e) {
+                                    // that one was given up before discovery came back
+                                }
+                            }
+                        });
         door.setDaemon(true);
         door.start();
     }
@@ -63,21 +76,33 @@
     private String answerTo(int n) throws IOException {
         long from = System.nanoTime();
         String heard = client().say(ask(n)).hear();
-        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(1500), "heard late: " + heard);
+        assertTrue(
+                System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(1500),
+                "heard late: " + heard);
         return heard;
     }
 
-    /** Descriptors handed; whether another process of the gateway has its part; whether idle ones ask once; discovery when down. */
+    /**
+     * Descriptors handed; whether another process of the gateway has its part; whether idle ones
+     * ask once; discovery when down.
+     */
     @DataProvider
     public Object[][] crowds() {
         return new Object[][] {
-            {64, false, false, false}, {64, false, true, true}, {96, false, true, false}, {128, false, false, true},
-            {128, true, false, false}, {128, true, true, true}, {256, true, true, false}, {1024, true, true, false},
+            {64, false, false, false},
+            {64, false, true, true},
+            {96, false, true, false},
+            {128, false, false, true},
+            {128, true, false, false},
+            {128, true, true, true},
+            {256, true, true, false},
+            {1024, true, true, false},
         };
     }
 
     @Test(dataProvider = "crowds")
-    public void idleClientsTakeNothingThatTheGatewayNeeds(int sockets, boolean beside, boolean ask, boolean refuses) throws Exception {
+    public void idleClientsTakeNothingThatTheGatewayNeeds(
+            int sockets, boolean beside, boolean ask, boolean refuses) throws Exception {
         limit = sockets;
         if (beside) {
             share();
@@ -119,7 +144,8 @@
         most = Math.max(most, held());
         servers[0].close();
         serveAll(servers[1]);
-        ServerSocket back = refuses ? new ServerSocket(told, 50, InetAddress.getLoopbackAddress()) : discovery;
+        ServerSocket back =
+                refuses ? new ServerSocket(told, 50, InetAddress.getLoopbackAddress()) : discovery;
         open.add(back);
         tell(back);
         String heard = "";
@@ -132,7 +158,10 @@
         assertTrue(most < sockets, most + " held");
     }
 
-    /** All places are taken by clients at work, and one more stands where nobody sees it: it is let in once they rest. */
+    /**
+     * All places are taken by clients at work, and one more stands where nobody sees it: it is let
+     * in once they rest.
+     */
     @Test
     public void whoeverWaitsBehindClientsAtWorkIsLetInOnceTheyRest() throws Exception {
         limit = 64;
--- a/gateway/src/test/java/tinford/program/RestartTest.java
+++ b/gateway/src/test/java/tinford/program/RestartTest.java
@@ -135,20 +135,22 @@
 
     /** Answers at once, after a moment, or late, by the req. */
     private void serveLate(ServerSocket at) {
-        daemon(() -> {
-            while (true) {
-                Talk t = accept(at);
-                daemon(() -> {
-                    for (String s = t.hear(); s != null; s = t.hear()) {
-                        String id = s.split(" ")[2];
-                        seen.add(id);
-                        int n = Integer.parseInt(id.substring(8), 16);
-                        Thread.sleep(n % 40 == 3 ? LATE : n % 7 * 5);
-                        t.say(value("for " + id));
+        daemon(
+                () -> {
+                    while (true) {
+                        Talk t = accept(at);
+                        daemon(
+                                () -> {
+                                    for (String s = t.hear(); s != null; s = t.hear()) {
+                                        String id = s.split(" ")[2];
+                                        seen.add(id);
+                                        int n = Integer.parseInt(id.substring(8), 16);
+                                        Thread.sleep(n % 40 == 3 ? LATE : n % 7 * 5);
+                                        t.say(value("for " + id));
+                                    }
+                                });
                     }
                 });
-            }
-        });
     }
 
     private void signal() {
@@ -156,10 +158,15 @@
         gateway.toHandle().destroy();
     }
 
-    /** Whether reqs go on before the signal, for how long the process has been up, and whether another one follows. */
+    /**
+     * Whether reqs go on before the signal, for how long the process has been up, and whether
+     * another one follows.
+     */
     @DataProvider
     public Object[][] ends() {
-        return new Object[][] {{"alone", 300, false}, {"just started", 0, false}, {"followed", 300, true}};
+        return new Object[][] {
+            {"alone", 300, false}, {"just started", 0, false}, {"followed", 300, true}
+        };
     }
 
     @Test(dataProvider = "ends")
@@ -177,8 +184,12 @@
         for (int i = 0; i < 12; i++) {
             callers.add(new Caller(callers.size(), i < 8 ? 1 : 3, -1, true));
         }
-        for (int i = 0; i < 40; i++) { // between reqs until long after the signal, or until about the close
-            callers.add(new Caller(callers.size(), 1 + i % 2, i < 8 ? 60 * i : 430 + 8 * (i - 8), true));
+        for (int i = 0;
+                i < 40;
+                i++) { // between reqs until long after the signal, or until about the close
+            callers.add(
+                    new Caller(
+                            callers.size(), 1 + i % 2, i < 8 ? 60 * i : 430 + 8 * (i - 8), true));
         }
         for (int i = 0; i < 20; i++) {
             callers.add(new Caller(callers.size(), 1, 35 * i, false));
@@ -210,16 +221,30 @@
             answered += c.answered;
             crossed += c.crossed.size();
             lost += c.lost;
-            c.crossed.stream().filter(seen::contains).forEach(id -> wrong.add("sent on and not answered: " + id));
+            c.crossed.stream()
+                    .filter(seen::contains)
+                    .forEach(id -> wrong.add("sent on and not answered: " + id));
             if (c.wrong != null) {
                 wrong.add(c.firstAt + ": " + c.wrong);
             }
         }
-        String account = answered + " answered, " + crossed + " crossed the close, " + lost + " lost, half a req: " + heard
-                + ", gone after " + took + " ms, " + wrong;
+        String account =
+                answered
+                        + " answered, "
+                        + crossed
+                        + " crossed the close, "
+                        + lost
+                        + " lost, half a req: "
+                        + heard
+                        + ", gone after "
+                        + took
+                        + " ms, "
+                        + wrong;
         assertEquals(wrong, List.of(), account);
         assertEquals(lost, 0, account);
-        assertTrue(heard != null && (heard.equals("for " + id(7)) || heard.startsWith("-BUSY")), account);
+        assertTrue(
+                heard != null && (heard.equals("for " + id(7)) || heard.startsWith("-BUSY")),
+                account);
         assertTrue(answered > 60 && took <= LONGEST + 700, account);
         assertEquals(gateway.exitValue(), 0);
         lingers.socket.close();
@@ -232,7 +257,8 @@
         Files.writeString(config, configuration());
         gateway = start(Map.of("ROUTER_CONFIG", config.toString()));
         Talk client = null;
-        for (long until = System.nanoTime() + PATIENCE * 1_000_000L; client == null && System.nanoTime() < until;) {
+        for (long until = System.nanoTime() + PATIENCE * 1_000_000L;
+                client == null && System.nanoTime() < until; ) {
             try {
                 client = client();
             } catch (ConnectException e) {
@@ -241,12 +267,17 @@
         }
         signal();
         String heard = client.say(ask(1)).hear();
-        assertTrue(heard != null && (heard.equals("for " + id(1)) || heard.startsWith("-BUSY")), "heard " + heard);
+        assertTrue(
+                heard != null && (heard.equals("for " + id(1)) || heard.startsWith("-BUSY")),
+                "heard " + heard);
         assertTrue(gateway.waitFor(PATIENCE, TimeUnit.MILLISECONDS));
         assertEquals(gateway.exitValue(), 0);
     }
 
-    /** Its answer is a long value, of which it takes nothing: the end comes when nobody waits for an answer any more. */
+    /**
+     * Its answer is a long value, of which it takes nothing: the end comes when nobody waits for an
+     * answer any more.
+     */
     @Test
     public void aClientThatDoesNotReadHoldsUpNoEnd() throws Exception {
         Talk client = up("\"HardLimitUs\":4000000", "\"HardLimitUs\":1000000");
@@ -258,7 +289,9 @@
         signal();
         assertTrue(gateway.waitFor(PATIENCE, TimeUnit.MILLISECONDS));
         double took = (System.nanoTime() - signalled) / 1e6;
-        assertTrue(took >= 1600 && took < 3000, "gone after " + took); // 1680 by its own clock, 10 s without
+        assertTrue(
+                took >= 1600 && took < 3000,
+                "gone after " + took); // 1680 by its own clock, 10 s without
         assertEquals(gateway.exitValue(), 0);
     }
 
--- a/gateway/src/test/java/tinford/program/SettingsTest.java
+++ b/gateway/src/test/java/tinford/program/SettingsTest.java
@@ -11,19 +11,25 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The program started with configurations that lack what may be missing, or hold what can't be taken. */
+/**
+ * The program started with configurations that lack what may be missing, or hold what can't be
+ * taken.
+ */
 public class SettingsTest extends Surroundings {
     private String settings = "";
 
     @Override
     String configuration() {
         String all = super.configuration();
-        return settings.isEmpty() ? all : all.substring(0, all.indexOf("\"settings\":")) + "\"settings\":" + settings + "}";
+        return settings.isEmpty()
+                ? all
+                : all.substring(0, all.indexOf("\"settings\":")) + "\"settings\":" + settings + "}";
     }
 
-    private static final String LEAST = "{\"Classes\":[{\"Name\":\"read\",\"HardLimitUs\":4000000,\"Effect\":\"read_like\"}],"
-            + "\"Limits\":{\"MaxAttempts\":3},\"NInstances\":1,\"Rules\":{\"ColdUs\":10000000,\"FallMultiple\":2},"
-            + "\"Tariffs\":[{\"Name\":\"free\"}]}";
+    private static final String LEAST =
+            "{\"Classes\":[{\"Name\":\"read\",\"HardLimitUs\":4000000,\"Effect\":\"read_like\"}],"
+                + "\"Limits\":{\"MaxAttempts\":3},\"NInstances\":1,\"Rules\":{\"ColdUs\":10000000,\"FallMultiple\":2},"
+                + "\"Tariffs\":[{\"Name\":\"free\"}]}";
 
     @DataProvider
     public Object[][] runs() {
@@ -37,12 +43,16 @@
 
     /** It serves, answers what is out when it is told to end, and ends. */
     @Test(dataProvider = "runs")
-    public void whatMayBeMissingOrOddStopsNothing(String part, String instead, String set) throws Exception {
+    public void whatMayBeMissingOrOddStopsNothing(String part, String instead, String set)
+            throws Exception {
         settings = set;
         Talk client = up(part, instead);
         Talk watch = accept(discovery);
         watch.line();
-        chunk(watch, "{\"seq\":43,\"whole\":true,\"hosts\":[" + entry(0, servers[0], "ready") + "]}\n", true);
+        chunk(
+                watch,
+                "{\"seq\":43,\"whole\":true,\"hosts\":[" + entry(0, servers[0], "ready") + "]}\n",
+                true);
         CountDownLatch signalled = new CountDownLatch(1);
         serveAll(servers[0], id(9999), signalled);
         String heard = "";
@@ -52,7 +62,9 @@
         }
         client.say(ask(9999));
         gateway.toHandle().destroy();
-        assertFalse(gateway.waitFor(1, TimeUnit.SECONDS), "gone with a req out"); // its door is closed by then
+        assertFalse(
+                gateway.waitFor(1, TimeUnit.SECONDS),
+                "gone with a req out"); // its door is closed by then
         signalled.countDown();
         assertEquals(client.hear(), "for " + id(9999));
         assertEquals(client.hear(), null);
@@ -65,16 +77,29 @@
     public Object[][] stops() {
         return new Object[][] {
             {"\"sockets\":1024", "\"sockets\":47", "limits.sockets: expected 48 or more"},
-            {"\"sockets\":1024", "\"sockets\":-9223372036854775808", "limits.sockets: expected 48 or more"},
-            {"\"health\":\"ready\"", "\"health\":\"well\"", "known.hosts.health: expected ready, draining or gone"},
+            {
+                "\"sockets\":1024",
+                "\"sockets\":-9223372036854775808",
+                "limits.sockets: expected 48 or more"
+            },
+            {
+                "\"health\":\"ready\"",
+                "\"health\":\"well\"",
+                "known.hosts.health: expected ready, draining or gone"
+            },
             {"\"known\":", "\"known\":[],\"old\":", "known: expected an object"},
-            {"\"WindowUs\":3000000", "\"WindowUs\":-1", "settings.Classes.WindowUs: expected a number from 0 on"},
+            {
+                "\"WindowUs\":3000000",
+                "\"WindowUs\":-1",
+                "settings.Classes.WindowUs: expected a number from 0 on"
+            },
         };
     }
 
     /** One line, and the exit code 1. */
     @Test(dataProvider = "stops")
-    public void whatCannotBeTakenEndsTheStart(String part, String instead, String line) throws Exception {
+    public void whatCannotBeTakenEndsTheStart(String part, String instead, String line)
+            throws Exception {
         settings = "";
         assertTrue(configuration().contains(part));
         Files.writeString(config, configuration().replace(part, instead));
--- a/gateway/src/test/java/tinford/program/ShutdownTest.java
+++ b/gateway/src/test/java/tinford/program/ShutdownTest.java
@@ -23,16 +23,19 @@
 
 /** SIGTERM at the instants at which something is owed. */
 public class ShutdownTest extends Surroundings {
-    private static final int SLACK = 700; // after the longest client timeout, or 3 s, SIGKILL may come
+    private static final int SLACK =
+            700; // after the longest client timeout, or 3 s, SIGKILL may come
     private final Set<String> sentOn = ConcurrentHashMap.newKeySet(); // ids seen by servers
-    private final Semaphore holds = new Semaphore(0); // one for each req that a server has read and does not answer
+    private final Semaphore holds =
+            new Semaphore(0); // one for each req that a server has read and does not answer
     private long signalled;
     private volatile double latest; // ms, of this machine since the signal
     private int longest = 4000; // of the client timeouts
 
     @Override
     String configuration() {
-        return super.configuration().replace("\"HardLimitUs\":4000000", "\"HardLimitUs\":" + longest + "000")
+        return super.configuration()
+                .replace("\"HardLimitUs\":4000000", "\"HardLimitUs\":" + longest + "000")
                 .replaceAll("\"OnTimeUs\":[0-9]*", "\"OnTimeUs\":" + longest / 2 + "000");
     }
 
@@ -63,33 +66,40 @@
         signalled = 0;
         sentOn.clear();
         holds.drainPermits();
-        daemon(() -> {
-            while (true) {
-                Talk t = accept(at);
-                daemon(() -> {
-                    for (String s = t.hear(); s != null; s = t.hear()) {
-                        String id = s.split(" ")[2];
-                        sentOn.add(id);
-                        if (answers) {
-                            t.say(value("for " + id));
-                        } else {
-                            holds.release();
-                        }
+        daemon(
+                () -> {
+                    while (true) {
+                        Talk t = accept(at);
+                        daemon(
+                                () -> {
+                                    for (String s = t.hear(); s != null; s = t.hear()) {
+                                        String id = s.split(" ")[2];
+                                        sentOn.add(id);
+                                        if (answers) {
+                                            t.say(value("for " + id));
+                                        } else {
+                                            holds.release();
+                                        }
+                                    }
+                                });
                     }
                 });
-            }
-        });
     }
 
     private void gone(double from, double to) throws Exception {
         assertTrue(gateway.waitFor(PATIENCE, TimeUnit.MILLISECONDS));
         double took = since();
-        assertTrue(took >= from && took <= to + 5 * latest, "gone after " + took + ", the machine late by " + latest);
+        assertTrue(
+                took >= from && took <= to + 5 * latest,
+                "gone after " + took + ", the machine late by " + latest);
         assertEquals(gateway.exitValue(), 0);
     }
 
     private static boolean isAnswer(String heard, int id) {
-        return heard != null && (heard.equals("for " + id(id)) || heard.startsWith("-BUSY") || heard.equals("-ERR aborted"));
+        return heard != null
+                && (heard.equals("for " + id(id))
+                        || heard.startsWith("-BUSY")
+                        || heard.equals("-ERR aborted"));
     }
 
     @DataProvider
@@ -98,8 +108,8 @@
     }
 
     /**
-     * The servers hang, one client never closes, one sends half a command and one sends on and on: each req has an answer, and
-     * the process is gone in time.
+     * The servers hang, one client never closes, one sends half a command and one sends on and on:
+     * each req has an answer, and the process is gone in time.
      */
     @Test(dataProvider = "timeouts")
     public void serversThatHangHoldUpNoEnd(int timeout) throws Exception {
@@ -113,35 +123,46 @@
         Semaphore room = new Semaphore(2);
         stays.say(ask(1).replace("d=4000", "d=8000"));
         assertTrue(holds.tryAcquire(PATIENCE, TimeUnit.MILLISECONDS));
-        Thread hears = daemon(() -> {
-            for (String s = busy.hear(); s != null; s = busy.hear()) {
-                answers.add(s);
-                room.release();
-            }
-            room.release(1000);
-        });
+        Thread hears =
+                daemon(
+                        () -> {
+                            for (String s = busy.hear(); s != null; s = busy.hear()) {
+                                answers.add(s);
+                                room.release();
+                            }
+                            room.release(1000);
+                        });
         signal();
-        Thread writes = daemon(() -> {
-            for (int n = 100; hears.isAlive(); n++) { // two are always under way, so that this connection is never at rest
-                room.acquire();
-                busy.say(ask(n));
-                said.add(id(n));
-            }
-        });
+        Thread writes =
+                daemon(
+                        () -> {
+                            for (int n = 100;
+                                    hears.isAlive();
+                                    n++) { // two are always under way, so that this connection is
+                                // never at rest
+                                room.acquire();
+                                busy.say(ask(n));
+                                said.add(id(n));
+                            }
+                        });
         assertTrue(isAnswer(stays.hear(), 1));
         String word = half.hear();
-        assertTrue(word != null && (word.equals("-BUSY") || word.startsWith("-ERR ")), "half a command hears " + word);
+        assertTrue(
+                word != null && (word.equals("-BUSY") || word.startsWith("-ERR ")),
+                "half a command hears " + word);
         int counted = Math.min(timeout, 3000);
         gone(counted, counted + SLACK + 250); // so much for this test's own machine
         hears.join(PATIENCE);
         writes.join(PATIENCE);
         List<String> open = said.subList(answers.size(), said.size());
-        assertTrue(open.stream().noneMatch(sentOn::contains), "sent on and not answered: " + open + ", answered " + answers.size());
+        assertTrue(
+                open.stream().noneMatch(sentOn::contains),
+                "sent on and not answered: " + open + ", answered " + answers.size());
     }
 
     /**
-     * Reqs written right before the signal, on connections that stand, that have just come and that wait to be let in, and
-     * right behind it: none is dropped.
+     * Reqs written right before the signal, on connections that stand, that have just come and that
+     * wait to be let in, and right behind it: none is dropped.
      */
     @Test
     public void whatLiesUnreadAtTheSignalIsAnswered() throws Exception {
@@ -173,7 +194,10 @@
         gone(0, 4000 + SLACK);
     }
 
-    /** Told again and again while something is owed: nothing changes, and the end is the one of the first time. */
+    /**
+     * Told again and again while something is owed: nothing changes, and the end is the one of the
+     * first time.
+     */
     @Test
     public void aSecondSignalChangesNothing() throws Exception {
         signalled = 0;
@@ -200,7 +224,10 @@
         gone(400, 4000 + SLACK);
     }
 
-    /** Discovery has been asked and has not answered, so that the door is not open: nobody is owed anything. */
+    /**
+     * Discovery has been asked and has not answered, so that the door is not open: nobody is owed
+     * anything.
+     */
     @Test
     public void aStartIsCutShort() throws Exception {
         signalled = 0;
@@ -213,7 +240,10 @@
         assertEquals(Files.readString(log), "");
     }
 
-    /** Clients that come as the door opens, with the signal right behind the first of them: answered, or never read. */
+    /**
+     * Clients that come as the door opens, with the signal right behind the first of them:
+     * answered, or never read.
+     */
     @Test
     public void thoseWhoComeAsTheDoorOpensAreAnswered() throws Exception {
         serve(servers[0], true);
@@ -224,22 +254,25 @@
         List<Thread> callers = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             int n = i;
-            callers.add(daemon(() -> {
-                Talk t = null;
-                for (long until = System.nanoTime() + PATIENCE * 1_000_000L; t == null && System.nanoTime() < until;) {
-                    try {
-                        t = client().say(ask(n));
-                    } catch (ConnectException e) {
-                        Thread.sleep(1);
-                    }
-                }
-                first.release();
-                String heard = t.hear();
-                if (!isAnswer(heard, n)) {
-                    wrong.add(n + ": " + heard);
-                }
-                t.socket.close();
-            }));
+            callers.add(
+                    daemon(
+                            () -> {
+                                Talk t = null;
+                                for (long until = System.nanoTime() + PATIENCE * 1_000_000L;
+                                        t == null && System.nanoTime() < until; ) {
+                                    try {
+                                        t = client().say(ask(n));
+                                    } catch (ConnectException e) {
+                                        Thread.sleep(1);
+                                    }
+                                }
+                                first.release();
+                                String heard = t.hear();
+                                if (!isAnswer(heard, n)) {
+                                    wrong.add(n + ": " + heard);
+                                }
+                                t.socket.close();
+                            }));
         }
         assertTrue(first.tryAcquire(PATIENCE, TimeUnit.MILLISECONDS));
         signal();
@@ -250,7 +283,10 @@
         gone(400, 4000 + SLACK);
     }
 
-    /** It rests until the gateway ends its connection and writes in that moment: that req is read by nobody, and it can tell. */
+    /**
+     * It rests until the gateway ends its connection and writes in that moment: that req is read by
+     * nobody, and it can tell.
+     */
     @Test
     public void aReqBehindTheEndOfTheSendingIsSentOnNowhere() throws Exception {
         serve(servers[0], true);
@@ -266,13 +302,15 @@
         List<String> heard = new CopyOnWriteArrayList<>();
         for (Talk t : clients) {
             int n = 100 + clients.indexOf(t);
-            callers.add(daemon(() -> {
-                assertEquals(t.hear(), null);
-                for (int i = 0; i < 50; i++) {
-                    t.say(ask(100 * n + i)); // until the connection is gone
-                }
-                heard.add(String.valueOf(t.hear()));
-            }));
+            callers.add(
+                    daemon(
+                            () -> {
+                                assertEquals(t.hear(), null);
+                                for (int i = 0; i < 50; i++) {
+                                    t.say(ask(100 * n + i)); // until the connection is gone
+                                }
+                                heard.add(String.valueOf(t.hear()));
+                            }));
         }
         for (Thread t : callers) {
             t.join(PATIENCE);
--- a/gateway/src/test/java/tinford/program/SocketTest.java
+++ b/gateway/src/test/java/tinford/program/SocketTest.java
@@ -15,48 +15,54 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.Callable;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Speaks to the program over loopback; what stands round it is played by the test, step by step. */
+/**
+ * Speaks to the program over loopback; what stands round it is played by the test, step by step.
+ */
 public class SocketTest extends Surroundings {
-    private static final String OUT_OF_RANGE = "-ERR expected units up to 6.0, spread up to 1, first below it";
+    private static final String OUT_OF_RANGE =
+            "-ERR expected units up to 6.0, spread up to 1, first below it";
 
     /** The counter as it is called, on whichever of the gateway's connections a call comes. */
     private final class Count {
-        private final BlockingQueue<Map.Entry<Talk, String>> heard =
-                new LinkedBlockingQueue<>();
+        private final BlockingQueue<Map.Entry<Talk, String>> heard = new LinkedBlockingQueue<>();
         final List<Talk> wires = new ArrayList<>();
         Talk last; // where the last call that was heard came from
 
-        /** Takes the connections that the gateway opens at its start, and any that it opens later. */
+        /**
+         * Takes the connections that the gateway opens at its start, and any that it opens later.
+         */
         Count(ServerSocket at) throws IOException {
             for (int i = 0; i < 4; i++) {
                 take(accept(at));
             }
-            follow(() -> {
-                while (true) {
-                    take(accept(at));
-                }
-            });
+            follow(
+                    () -> {
+                        while (true) {
+                            take(accept(at));
+                        }
+                    });
         }
 
         private void take(Talk t) {
             synchronized (wires) {
                 wires.add(t);
             }
-            follow(() -> {
-                for (String s = t.hear(); s != null; s = t.hear()) {
-                    heard.add(Map.entry(t, s));
-                }
-                heard.add(Map.entry(t, "end"));
-                return null;
-            });
+            follow(
+                    () -> {
+                        for (String s = t.hear(); s != null; s = t.hear()) {
+                            heard.add(Map.entry(t, s));
+                        }
+                        heard.add(Map.entry(t, "end"));
+                        return null;
+                    });
         }
 
         String hear() throws InterruptedException {
@@ -72,13 +78,15 @@
         }
 
         private void follow(Callable<Void> what) {
-            Thread thread = new Thread(() -> {
-                try {
-                    what.call();
-                } catch (Exception e) {
-                    return; // the test is over, or the gateway is
-                }
-            });
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    what.call();
+                                } catch (Exception e) {
+                                    return; // the test is over, or the gateway is
+                                }
+                            });
             thread.setDaemon(true);
             thread.start();
         }
@@ -91,8 +99,15 @@
         client.say(command("Q.DO", id(7), id(1), terms, "BODY"));
         Talk server = accept(servers[0]);
         String heard = server.hear();
-        assertTrue(heard.matches("Q.DO " + id(7) + " " + id(1)
-                + " c=write,t=free,d=[123]\\d{3},k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0 BODY"), heard);
+        assertTrue(
+                heard.matches(
+                        "Q.DO "
+                                + id(7)
+                                + " "
+                                + id(1)
+                                + " c=write,t=free,d=[123]\\d{3},k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0"
+                                + " BODY"),
+                heard);
         server.say(value("fine"));
         assertEquals(client.hear(), "fine");
         rest(client);
@@ -142,7 +157,10 @@
         return "long\r\n$5\r\n".repeat(n / 10 + 1).substring(0, n);
     }
 
-    /** The beginning is with the client while the server still holds the rest, whatever pieces it comes in. */
+    /**
+     * The beginning is with the client while the server still holds the rest, whatever pieces it
+     * comes in.
+     */
     @Test
     public void longValuesFlow() throws Exception {
         Talk client = up();
@@ -154,51 +172,80 @@
             String answer = "*3\r\n$" + n + "\r\n" + text + "\r\n$6\r\ncost=1\r\n$-1\r\n";
             server.say(answer.substring(0, 5)).say(answer.substring(5, 50));
             assertEquals(client.line(), "$" + n);
-            assertEquals(new String(client.in.readNBytes(20), StandardCharsets.ISO_8859_1), text.substring(0, 20));
-            Thread rest = new Thread(() -> {
-                try {
-                    for (int at = 50; at < answer.length(); at += 60_000) {
-                        server.say(answer.substring(at, Math.min(answer.length(), at + 60_000)));
-                    }
-                } catch (IOException e) {
-                    // then the client does not get it whole
-                }
-            });
+            assertEquals(
+                    new String(client.in.readNBytes(20), StandardCharsets.ISO_8859_1),
+                    text.substring(0, 20));
+            Thread rest =
+                    new Thread(
+                            () -> {
+                                try {
+                                    for (int at = 50; at < answer.length(); at += 60_000) {
+                                        server.say(
+                                                answer.substring(
+                                                        at,
+                                                        Math.min(answer.length(), at + 60_000)));
+                                    }
+                                } catch (IOException e) {
+                                    // then the client does not get it whole
+                                }
+                            });
             rest.start();
-            assertEquals(new String(client.in.readNBytes(n - 20), StandardCharsets.ISO_8859_1), text.substring(20));
+            assertEquals(
+                    new String(client.in.readNBytes(n - 20), StandardCharsets.ISO_8859_1),
+                    text.substring(20));
             assertEquals(client.line(), "");
             rest.join();
             server.socket.close();
         }
     }
 
-    /** Many that are asked for and not read take next to nothing: they stay with their servers. Others go on. */
+    /**
+     * Many that are asked for and not read take next to nothing: they stay with their servers.
+     * Others go on.
+     */
     @Test
     public void longValuesNobodyReadsStayWhereTheyAre() throws Exception {
         up();
         String answer = value(longValue(4 << 20));
-        Thread door = new Thread(() -> {
-            try {
-                while (true) {
-                    Talk t = accept(servers[0]);
-                    Thread talk = new Thread(() -> {
-                        try {
-                            boolean small = t.hear().split(" ")[1].equals(id(8));
-                            for (int at = 0; !small && at < answer.length(); at += 1 << 14) {
-                                t.say(answer.substring(at, Math.min(answer.length(), at + (1 << 14))));
+        Thread door =
+                new Thread(
+                        () -> {
+                            try {
+                                while (true) {
+                                    Talk t = accept(servers[0]);
+                                    Thread talk =
+                                            new Thread(
+                                                    () -> {
+                                                        try {
+                                                            boolean small =
+                                                                    t.hear()
+                                                                            .split(" ")[1]
+                                                                            .equals(id(8));
+                                                            for (int at = 0;
+                                                                    !small && at < answer.length();
+                                                                    at += 1 << 14) {
+                                                                t.say(
+                                                                        answer.substring(
+                                                                                at,
+                                                                                Math.min(
+                                                                                        answer
+                                                                                                .length(),
+                                                                                        at
+                                                                                                + (1
+                                                                                                        << 14))));
+                                                            }
+                                                            t.say(small ? value("small") : "");
+                                                        } catch (IOException e) {
+                                                            // the gateway has given it up
+                                                        }
+                                                    });
+                                    talk.setDaemon(true);
+                                    talk.start();
+                                }
+                            } catch (IOException e) {
+                                // the test is over
                             }
-                            t.say(small ? value("small") : "");
-                        } catch (IOException e) {
-                            // the gateway has given it up
-                        }
-                    });
-                    talk.setDaemon(true);
-                    talk.start();
-                }
-            } catch (IOException e) {
-                // the test is over
-            }
-        });
+                        });
         door.setDaemon(true);
         door.start();
         List<Talk> clients = new ArrayList<>();
@@ -211,7 +258,9 @@
             String line = c.line();
             heard += line.equals("$" + (4 << 20)) ? 1 : 0;
         }
-        assertTrue(heard >= 3, heard + " were let through"); // as many as the server's limit lets out at once
+        assertTrue(
+                heard >= 3,
+                heard + " were let through"); // as many as the server's limit lets out at once
         Talk other = client();
         other.say(command("Q.ASK", id(8), id(500), terms("read", "")));
         String said = other.hear();
@@ -227,7 +276,10 @@
         assertEquals(first, 4 << 20);
     }
 
-    /** A long body reaches its server as it is, in whatever pieces it comes; one that is longer yet is refused. */
+    /**
+     * A long body reaches its server as it is, in whatever pieces it comes; one that is longer yet
+     * is refused.
+     */
     @Test
     public void longBodiesPass() throws Exception {
         Talk client = up();
@@ -243,35 +295,46 @@
             assertEquals(client.hear(), "filed " + n);
             server.socket.close();
         }
-        client.say(command("Q.DO", id(7), id(1), terms("write", ""), "x").replace("$1\r\nx", "$" + ((4 << 20) + 1)) + "xxxx");
+        client.say(
+                command("Q.DO", id(7), id(1), terms("write", ""), "x")
+                                .replace("$1\r\nx", "$" + ((4 << 20) + 1))
+                        + "xxxx");
         assertEquals(client.hear(), "-ERR expected a value of at most 4194304 bytes");
     }
 
-    /** More than fits at once: each is passed or turned away, one that stands still too, and nobody else waits. */
+    /**
+     * More than fits at once: each is passed or turned away, one that stands still too, and nobody
+     * else waits.
+     */
     @Test
     public void moreLongBodiesThanFitAreReadInTurn() throws Exception {
         Talk other = up();
         serveAll(servers[0]);
         Talk still = client();
-        still.say(command("Q.DO", id(7), id(50), terms("write", ""), longValue(4 << 20)).substring(0, 100_000));
+        still.say(
+                command("Q.DO", id(7), id(50), terms("write", ""), longValue(4 << 20))
+                        .substring(0, 100_000));
         List<Thread> senders = new ArrayList<>();
         List<String> heard = new CopyOnWriteArrayList<>();
         for (int i = 0; i < 16; i++) {
             Talk c = client();
-            String whole = command("Q.DO", id(7), id(100 + i), terms("write", ""), longValue(4 << 20));
-            Thread t = new Thread(() -> {
-                try {
-                    c.say(whole);
-                } catch (IOException e) {
-                    // turned away before all of it was sent
-                }
-                try {
-                    String said = c.hear();
-                    heard.add(said == null ? "end" : said.split(" ")[0]);
-                } catch (IOException e) {
-                    heard.add("nothing: " + e);
-                }
-            });
+            String whole =
+                    command("Q.DO", id(7), id(100 + i), terms("write", ""), longValue(4 << 20));
+            Thread t =
+                    new Thread(
+                            () -> {
+                                try {
+                                    c.say(whole);
+                                } catch (IOException e) {
+                                    // turned away before all of it was sent
+                                }
+                                try {
+                                    String said = c.hear();
+                                    heard.add(said == null ? "end" : said.split(" ")[0]);
+                                } catch (IOException e) {
+                                    heard.add("nothing: " + e);
+                                }
+                            });
             t.start();
             senders.add(t);
         }
@@ -292,14 +355,17 @@
     public Object[][] cutFlows() {
         String whole = value(longValue(100_000));
         return new Object[][] {
-            {whole.substring(0, 70_000), true}, {whole.substring(0, 100_011), true},
-            {whole.replace("$-1\r\n$-1", "noise"), false}, {whole.substring(0, 100_011) + "xx$-1\r\n$-1\r\n", false},
+            {whole.substring(0, 70_000), true},
+            {whole.substring(0, 100_011), true},
+            {whole.replace("$-1\r\n$-1", "noise"), false},
+            {whole.substring(0, 100_011) + "xx$-1\r\n$-1\r\n", false},
         };
     }
 
     /** Where a part has gone out already, the end of the connection says that it is not whole. */
     @Test(dataProvider = "cutFlows")
-    public void aFlowThatIsCutEndsItsClientsConnection(String says, boolean closes) throws Exception {
+    public void aFlowThatIsCutEndsItsClientsConnection(String says, boolean closes)
+            throws Exception {
         Talk client = up();
         client.say(ask(1));
         Talk server = accept(servers[0]);
@@ -315,7 +381,10 @@
         assertEquals(next.say(command("PING")).hear(), "+PONG");
     }
 
-    /** What flows to a client that goes is not asked for any more; what flows behind another answer waits for it. */
+    /**
+     * What flows to a client that goes is not asked for any more; what flows behind another answer
+     * waits for it.
+     */
     @Test
     public void flowsEndWithTheirClientsAndKeepTheOrder() throws Exception {
         Talk client = up();
@@ -367,11 +436,20 @@
         };
     }
 
-    /** A req that may have run is never denied where a repeat could do harm; null: the server closes. */
+    /**
+     * A req that may have run is never denied where a repeat could do harm; null: the server
+     * closes.
+     */
     @Test(dataProvider = "serverAnswers")
-    public void failedReqsEndAsTheirKindAllows(String frontend, String says, String client) throws Exception {
+    public void failedReqsEndAsTheirKindAllows(String frontend, String says, String client)
+            throws Exception {
         Talk c = up();
-        c.say(command(frontend.equals("read") ? "Q.ASK" : "Q.DO", id(7), id(1), terms(frontend, "")));
+        c.say(
+                command(
+                        frontend.equals("read") ? "Q.ASK" : "Q.DO",
+                        id(7),
+                        id(1),
+                        terms(frontend, "")));
         Talk server = accept(servers[0]);
         server.hear();
         if (says == null) {
@@ -388,8 +466,17 @@
     public Object[][] leftovers() {
         String copy = value("one");
         return new Object[][] {
-            {copy, copy}, {copy, "noise"}, {copy, "-ERR failed\r\n"}, {copy, "$3\r\n"}, {copy, "x".repeat(9000)},
-            {copy.replace("*3\r\n$3\r\none\r\n$-1\r\n$-1", "*3\r\n$3\r\none\r\n$7\r\ncost=oh\r\n$3\r\n=,="), ""},
+            {copy, copy},
+            {copy, "noise"},
+            {copy, "-ERR failed\r\n"},
+            {copy, "$3\r\n"},
+            {copy, "x".repeat(9000)},
+            {
+                copy.replace(
+                        "*3\r\n$3\r\none\r\n$-1\r\n$-1",
+                        "*3\r\n$3\r\none\r\n$7\r\ncost=oh\r\n$3\r\n=,="),
+                ""
+            },
         };
     }
 
@@ -425,7 +512,10 @@
         Talk watch = accept(discovery);
         watch.line();
         servers[0].close();
-        chunk(watch, "{\"seq\":42,\"whole\":false,\"hosts\":[" + entry(1, servers[1], "ready") + "]}\n", true);
+        chunk(
+                watch,
+                "{\"seq\":42,\"whole\":false,\"hosts\":[" + entry(1, servers[1], "ready") + "]}\n",
+                true);
         for (int i = 0; i < 8; i++) {
             client.say(command("Q.DO", id(7), id(i), terms("write", "")));
             Talk server = accept(servers[1]);
@@ -446,7 +536,8 @@
         second.hear();
         Talk silent = swapped ? second : first;
         Talk other = swapped ? first : second;
-        assertEquals(silent.hear(), null); // closed by the gateway, some time after the response target
+        assertEquals(
+                silent.hear(), null); // closed by the gateway, some time after the response target
         other.say(value("still here"));
         assertTrue(client.hear().startsWith("-BUSY"));
         assertEquals(client.hear(), "still here");
@@ -456,17 +547,53 @@
     public Object[][] badCommands() {
         return new Object[][] {
             {command("GET", "x"), "-ERR expected Q.ASK, Q.DO or PING", true},
-            {command("Q.ASK", id(7), id(1), "c=what,t=free,d=400"), "-ERR expected c to be one of [read, write, brief, marked]", true},
-            {command("Q.ASK", id(7), id(1), "c=read,t=what,d=400"), "-ERR expected t to be one of [free, paid]", true},
+            {
+                command("Q.ASK", id(7), id(1), "c=what,t=free,d=400"),
+                "-ERR expected c to be one of [read, write, brief, marked]",
+                true
+            },
+            {
+                command("Q.ASK", id(7), id(1), "c=read,t=what,d=400"),
+                "-ERR expected t to be one of [free, paid]",
+                true
+            },
             {command("Q.ASK", id(7), id(1), "c=read"), "-ERR expected the terms c, t and d", true},
-            {command("Q.ASK", id(7), id(1), terms("read", "").replace("units=1", "units=7")), OUT_OF_RANGE, true},
-            {command("Q.ASK", id(7), id(1), terms("read", "").replace("spread=1", "spread=2")), OUT_OF_RANGE, true},
-            {command("Q.ASK", id(7), id(1), terms("read", "").replace("first=0", "first=1")), OUT_OF_RANGE, true},
-            {command("Q.ASK", id(7), id(1), terms("write", "")), "-ERR expected Q.ASK for what may run again, Q.DO for the rest", true},
-            {command("Q.DO", id(7), id(1), terms("marked", "")), "-ERR expected k, the mark against repeats", true},
-            {command("Q.ASK", id(7), "", terms("read", "")), "-ERR expected id of 16 hex digits", true},
+            {
+                command("Q.ASK", id(7), id(1), terms("read", "").replace("units=1", "units=7")),
+                OUT_OF_RANGE,
+                true
+            },
+            {
+                command("Q.ASK", id(7), id(1), terms("read", "").replace("spread=1", "spread=2")),
+                OUT_OF_RANGE,
+                true
+            },
+            {
+                command("Q.ASK", id(7), id(1), terms("read", "").replace("first=0", "first=1")),
+                OUT_OF_RANGE,
+                true
+            },
+            {
+                command("Q.ASK", id(7), id(1), terms("write", "")),
+                "-ERR expected Q.ASK for what may run again, Q.DO for the rest",
+                true
+            },
+            {
+                command("Q.DO", id(7), id(1), terms("marked", "")),
+                "-ERR expected k, the mark against repeats",
+                true
+            },
+            {
+                command("Q.ASK", id(7), "", terms("read", "")),
+                "-ERR expected id of 16 hex digits",
+                true
+            },
             {"*3\r\n$5\r\nQ.ASK\r\n$-5\r\n", "-ERR expected $-1 for no value", false},
-            {"*4\r\n$5\r\nQ.ASK\r\n$60000000\r\n" + "x".repeat(1 << 20), "-ERR expected a value of at most 65536 bytes", false},
+            {
+                "*4\r\n$5\r\nQ.ASK\r\n$60000000\r\n" + "x".repeat(1 << 20),
+                "-ERR expected a value of at most 65536 bytes",
+                false
+            },
             {"x".repeat(1 << 20), "-ERR expected a RESP2 value", false},
             {"*" + "1".repeat(1 << 20), "-ERR expected a line of under 1024 bytes", false},
             {"*2\r\n$4\r\nPING\r\n+x\r\n", "-ERR expected an array of bulk strings", false},
@@ -476,7 +603,8 @@
     }
 
     @Test(dataProvider = "badCommands")
-    public void badCommandGetsOneErrorAndHarmsNoOther(String bytes, String error, boolean goesOn) throws Exception {
+    public void badCommandGetsOneErrorAndHarmsNoOther(String bytes, String error, boolean goesOn)
+            throws Exception {
         Talk client = up();
         Talk other = client();
         try {
@@ -498,10 +626,15 @@
 
     @DataProvider
     public Object[][] halfCommands() {
-        return new Object[][] {{""}, {"*4\r\n$5\r\nQ.A"}, {"*1\r\n$4\r\nPI"}, {ask(1).substring(0, 60)}};
+        return new Object[][] {
+            {""}, {"*4\r\n$5\r\nQ.A"}, {"*1\r\n$4\r\nPI"}, {ask(1).substring(0, 60)}
+        };
     }
 
-    /** Who says nothing, or half a command, is not waited for; a client with a req out is, however long that takes. */
+    /**
+     * Who says nothing, or half a command, is not waited for; a client with a req out is, however
+     * long that takes.
+     */
     @Test(dataProvider = "halfCommands")
     public void silenceIsClosedAndHalfACommandNamed(String half) throws Exception {
         Talk asks = up();
@@ -547,7 +680,8 @@
             all.append(ask(i));
         }
         client.say(all.toString());
-        rest(other); // all of it has been read before the first is answered, which would make room for one more
+        rest(other); // all of it has been read before the first is answered, which would make
+        // room for one more
         serveAll(servers[0]);
         int denied = 0;
         for (int i = 0; i < 300; i++) {
@@ -558,7 +692,10 @@
         assertTrue(denied >= 200, "" + denied);
     }
 
-    /** Hundreds that say nothing, or asked once and stay, hold no place that a client with a req needs. */
+    /**
+     * Hundreds that say nothing, or asked once and stay, hold no place that a client with a req
+     * needs.
+     */
     @Test
     public void thoseThatStayGiveWayToThoseThatCome() throws Exception {
         Talk client = up("\"sockets\":1024", "\"sockets\":128");
@@ -581,7 +718,10 @@
         assertTrue(gateway.isAlive());
     }
 
-    /** Those between reqs go for those that come long before places run out, the longest idle first; who has just come stays. */
+    /**
+     * Those between reqs go for those that come long before places run out, the longest idle first;
+     * who has just come stays.
+     */
     @Test
     public void aNewConnectionIsNotClosedForTheNextOne() throws Exception {
         Talk client = up("\"sockets\":1024", "\"sockets\":128");
@@ -647,7 +787,10 @@
         return new Object[][] {{"silent"}, {"busy"}, {"garbage"}, {"gone"}};
     }
 
-    /** Whatever the counter does, a req within the even slice passes, and reqs that need no call never wait. */
+    /**
+     * Whatever the counter does, a req within the even slice passes, and reqs that need no call
+     * never wait.
+     */
     @Test(dataProvider = "counterTroubles")
     public void counterInTroubleStopsNobody(String trouble) throws Exception {
         Talk client = up();
@@ -665,7 +808,7 @@
         switch (trouble) {
             case "busy" -> count.say("-BUSY\r\n");
             case "garbage" -> count.say("*1\r\n$1\r\n5\r\n");
-            default -> { }
+            default -> {}
         }
         Talk other = client();
         other.say(ask(3));
@@ -697,7 +840,10 @@
         assertTrue(count.last != dead);
     }
 
-    /** Guards the counter's other calls against an answer that never comes: whoever is asked for elsewhere is answered. */
+    /**
+     * Guards the counter's other calls against an answer that never comes: whoever is asked for
+     * elsewhere is answered.
+     */
     @Test
     public void aCounterConnectionThatHangsIsPassedBy() throws Exception {
         Talk client = up();
@@ -708,7 +854,12 @@
         serveAll(servers[0]);
         StringBuilder others = new StringBuilder();
         for (int i = 2; i < 42; i++) {
-            others.append(command("Q.ASK", id(100 + i), id(i), "c=read,t=paid,d=4000,units=1,spread=1,first=0"));
+            others.append(
+                    command(
+                            "Q.ASK",
+                            id(100 + i),
+                            id(i),
+                            "c=read,t=paid,d=4000,units=1,spread=1,first=0"));
         }
         client.say(others.toString());
         int elsewhere = 0;
@@ -719,7 +870,10 @@
             }
         }
         assertTrue(count.last == hangs);
-        assertTrue(elsewhere >= 20, elsewhere + " calls"); // a fourth of forty would have to wait, not all behind the first
+        assertTrue(
+                elsewhere >= 20,
+                elsewhere + " calls"); // a fourth of forty would have to wait, not all behind the
+        // first
         int passed = 0;
         for (int i = 1; i < 42; i++) {
             String answer = client.hear();
@@ -740,11 +894,21 @@
         Talk client = up("\"Discovery\":\"automatic\"", "\"Discovery\":\"" + how + "\"");
         Talk watch = accept(discovery);
         assertEquals(watch.line(), "GET /registry/instances?watch=1&after=41 HTTP/1.1");
-        chunk(watch, "\n{\"seq\":43,\"whole\":false,\"hosts\":[" + entry(1, servers[1], "ready") + "]}\n", true);
+        chunk(
+                watch,
+                "\n{\"seq\":43,\"whole\":false,\"hosts\":["
+                        + entry(1, servers[1], "ready")
+                        + "]}\n",
+                true);
         watch.socket.close();
         watch = accept(discovery);
         assertEquals(watch.line(), "GET /registry/instances?watch=1&after=43 HTTP/1.1");
-        chunk(watch, "{\"seq\":44,\"whole\":false,\"hosts\":[" + entry(0, servers[0], "draining") + "]}\n", true);
+        chunk(
+                watch,
+                "{\"seq\":44,\"whole\":false,\"hosts\":["
+                        + entry(0, servers[0], "draining")
+                        + "]}\n",
+                true);
         chunk(watch, "{\"seq\":\"no number\"}\n", false);
         watch = accept(discovery); // after the list: what is asked from now on knows of the drain
         assertEquals(watch.line(), "GET /registry/instances?watch=1&after=44 HTTP/1.1");
@@ -759,20 +923,33 @@
         says(log, "discovery: expected discovery: seq: expected a whole number");
     }
 
-    /** A list that says what has changed since the one known is heard before the first client is let in. */
+    /**
+     * A list that says what has changed since the one known is heard before the first client is let
+     * in.
+     */
     @Test
     public void theFirstListIsHeardBeforeTheFirstClient() throws Exception {
-        Thread agent = new Thread(() -> {
-            try {
-                Talk watch = accept(discovery);
-                watch.line();
-                Thread.sleep(150); // a client that is let in meanwhile would have its req sent where the known list says
-                chunk(watch, "{\"seq\":42,\"whole\":false,\"hosts\":[" + entry(0, servers[0], "draining") + ","
-                        + entry(1, servers[1], "ready") + "]}\n", true);
-            } catch (IOException | InterruptedException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        Thread agent =
+                new Thread(
+                        () -> {
+                            try {
+                                Talk watch = accept(discovery);
+                                watch.line();
+                                Thread.sleep(
+                                        150); // a client that is let in meanwhile would have its
+                                // req sent where the known list says
+                                chunk(
+                                        watch,
+                                        "{\"seq\":42,\"whole\":false,\"hosts\":["
+                                                + entry(0, servers[0], "draining")
+                                                + ","
+                                                + entry(1, servers[1], "ready")
+                                                + "]}\n",
+                                        true);
+                            } catch (IOException | InterruptedException e) {
+                                throw new IllegalStateException(e);
+                            }
+                        });
         agent.start();
         Talk client = up();
         for (int i = 0; i < 4; i++) {
@@ -818,7 +995,9 @@
 
     private void hangUp(String text) throws Exception {
         Files.writeString(config, text);
-        assertEquals(new ProcessBuilder("kill", "-HUP", Long.toString(gateway.pid())).start().waitFor(), 0);
+        assertEquals(
+                new ProcessBuilder("kill", "-HUP", Long.toString(gateway.pid())).start().waitFor(),
+                0);
     }
 
     /** More than once under way: counter and discovery move, and no req is lost. */
@@ -827,7 +1006,8 @@
         Talk client = up();
         for (int i = 1; i < 4; i++) {
             Count count = new Count(counter);
-            assertEquals(accept(discovery).line(), "GET /registry/instances?watch=1&after=41 HTTP/1.1");
+            assertEquals(
+                    accept(discovery).line(), "GET /registry/instances?watch=1&after=41 HTTP/1.1");
             client.say(ask(i));
             Talk server = accept(servers[0]);
             assertTrue(server.hear().contains(id(i)));
@@ -841,7 +1021,10 @@
         }
     }
 
-    /** Discovery goes from where it was, and the signal that should have said so before is not heard. */
+    /**
+     * Discovery goes from where it was, and the signal that should have said so before is not
+     * heard.
+     */
     @Test
     public void aMoveIsFollowedWithoutItsSignal() throws Exception {
         up();
@@ -854,7 +1037,10 @@
         counter = door();
         Path next = Files.createTempFile("tinford", ".json");
         Files.writeString(next, configuration());
-        Files.setLastModifiedTime(next, java.nio.file.attribute.FileTime.fromMillis(Files.getLastModifiedTime(config).toMillis() + 1));
+        Files.setLastModifiedTime(
+                next,
+                java.nio.file.attribute.FileTime.fromMillis(
+                        Files.getLastModifiedTime(config).toMillis() + 1));
         Files.move(next, config, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         before.close();
         watch.socket.close();
@@ -866,14 +1052,19 @@
     public Object[][] badConfigurations() {
         return new Object[][] {
             {"", "{", "configuration: text: expected JSON"},
-            {"\"discovery\":\"", "\"discovery\":\"host.example", "configuration: discovery: expected a numeric host:port"},
+            {
+                "\"discovery\":\"",
+                "\"discovery\":\"host.example",
+                "configuration: discovery: expected a numeric host:port"
+            },
             {"\"counter\":\"", "\"count\":\"", "configuration: counter: expected a text"},
         };
     }
 
     /** What is in force stays so, and the log says why. */
     @Test(dataProvider = "badConfigurations")
-    public void badNewConfigurationChangesNothing(String part, String instead, String line) throws Exception {
+    public void badNewConfigurationChangesNothing(String part, String instead, String line)
+            throws Exception {
         Talk client = up();
         Talk[] wires = {accept(counter), accept(counter), accept(counter), accept(counter)};
         ServerSocket[] before = {discovery, counter};
@@ -906,11 +1097,31 @@
             {null, null, "environment: ROUTER_CONFIG: expected the path of the configuration"},
             {"", "{", "configuration: text: expected JSON"},
             {"", "{\"settings\":3}", "configuration: settings: expected an object"},
-            {"\"seed\":", "\"management\":\"here\",\"seed\":", "configuration: management: expected a numeric host:port"},
-            {"\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"new\"", "configuration: seed: expected a number in hex digits"},
-            {"\"QuotaRate\":1}", "\"QuotaRate\":\"x\"}", "configuration: settings.Tariffs.QuotaRate: expected a number"},
-            {"\"discovery\":\"", "\"discovery\":\"host.example", "configuration: discovery: expected a numeric host:port"},
-            {"\"sockets\":1024", "\"socks\":1024", "configuration: limits.sockets: expected a whole number"},
+            {
+                "\"seed\":",
+                "\"management\":\"here\",\"seed\":",
+                "configuration: management: expected a numeric host:port"
+            },
+            {
+                "\"seed\":\"8c1f30d27a5be964\"",
+                "\"seed\":\"new\"",
+                "configuration: seed: expected a number in hex digits"
+            },
+            {
+                "\"QuotaRate\":1}",
+                "\"QuotaRate\":\"x\"}",
+                "configuration: settings.Tariffs.QuotaRate: expected a number"
+            },
+            {
+                "\"discovery\":\"",
+                "\"discovery\":\"host.example",
+                "configuration: discovery: expected a numeric host:port"
+            },
+            {
+                "\"sockets\":1024",
+                "\"socks\":1024",
+                "configuration: limits.sockets: expected a whole number"
+            },
             {"taken", "", "an address to listen on is not free"},
         };
     }
@@ -936,12 +1147,24 @@
 
     private static String[][] operatorsCalls() {
         return new String[][] {
-            {"GET /v1/readyz", "200"}, {"POST /v1/readyz", "405"}, {"GET /", "404"}, {"GET /v1/servers/s0/suspend", "405"},
-            {"POST /v1/servers/s0/suspend", "200"}, {"POST /v1/servers/s0/resume", "200"}, {"POST /v1/servers/s9/suspend", "404"},
-            {"POST /v1/servers/s9/resume", "404"}, {"POST /v1/servers/s0/stop", "404"}, {"POST /v1/servers/s0", "404"},
-            {"POST /v1/servers/%73%30/suspend", "404"}, {"POST /v1/servers//suspend", "404"}, {"POST /v1/servers/s0/suspend/x", "404"},
-            {"POST /v1/servers/../s0/suspend", "404"}, {"DELETE /v1/servers/s0/suspend", "405"}, {"POST /v1/servers/s0 /suspend", "400"},
-            {"POST /v1/servers/" + "s".repeat(3000) + "/suspend", "404"}, {"POST v1/servers/s0/suspend", "400"},
+            {"GET /v1/readyz", "200"},
+            {"POST /v1/readyz", "405"},
+            {"GET /", "404"},
+            {"GET /v1/servers/s0/suspend", "405"},
+            {"POST /v1/servers/s0/suspend", "200"},
+            {"POST /v1/servers/s0/resume", "200"},
+            {"POST /v1/servers/s9/suspend", "404"},
+            {"POST /v1/servers/s9/resume", "404"},
+            {"POST /v1/servers/s0/stop", "404"},
+            {"POST /v1/servers/s0", "404"},
+            {"POST /v1/servers/%73%30/suspend", "404"},
+            {"POST /v1/servers//suspend", "404"},
+            {"POST /v1/servers/s0/suspend/x", "404"},
+            {"POST /v1/servers/../s0/suspend", "404"},
+            {"DELETE /v1/servers/s0/suspend", "405"},
+            {"POST /v1/servers/s0 /suspend", "400"},
+            {"POST /v1/servers/" + "s".repeat(3000) + "/suspend", "404"},
+            {"POST v1/servers/s0/suspend", "400"},
         };
     }
 
@@ -972,7 +1195,9 @@
         half.socket.close();
         serveAll(servers[0]);
         String heard = "";
-        for (int i = 1; i < 40 && !heard.startsWith("for"); i++) { // it was put back above, and earns its reqs
+        for (int i = 1;
+                i < 40 && !heard.startsWith("for");
+                i++) { // it was put back above, and earns its reqs
             heard = client().say(ask(i)).hear();
         }
         assertTrue(heard.startsWith("for"), "neither took the server out: " + heard);
@@ -980,7 +1205,10 @@
         assertEquals(wrong.say("what\r\n\r\n").line(), "HTTP/1.1 400 Bad Request");
     }
 
-    /** Whatever discovery says of it meanwhile; back with one call, and its old connections are not used again. */
+    /**
+     * Whatever discovery says of it meanwhile; back with one call, and its old connections are not
+     * used again.
+     */
     @Test
     public void aServerTakenOutGetsNothingUntilItIsPutBack() throws Exception {
         share();
@@ -989,13 +1217,22 @@
         Talk client = client();
         Talk watch = accept(discovery);
         watch.line();
-        chunk(watch, "{\"seq\":42,\"whole\":false,\"hosts\":[" + entry(1, servers[1], "ready") + "]}\n", true);
+        chunk(
+                watch,
+                "{\"seq\":42,\"whole\":false,\"hosts\":[" + entry(1, servers[1], "ready") + "]}\n",
+                true);
         while (!call(management, "POST /v1/servers/s1/resume").equals("200")) {
             Thread.onSpinWait(); // until the list has been read; one that is in stays in
         }
         assertEquals(call(management, "POST /v1/servers/s0/suspend"), "200");
-        chunk(watch, "{\"seq\":43,\"whole\":true,\"hosts\":[" + entry(0, servers[0], "ready") + "," + entry(1, servers[1], "ready")
-                + "]}\n", false);
+        chunk(
+                watch,
+                "{\"seq\":43,\"whole\":true,\"hosts\":["
+                        + entry(0, servers[0], "ready")
+                        + ","
+                        + entry(1, servers[1], "ready")
+                        + "]}\n",
+                false);
         for (int i = 0; i < 12; i++) {
             client.say(ask(i));
             Talk server = accept(servers[1]);
@@ -1008,13 +1245,18 @@
         assertEquals(call(management, "POST /v1/servers/s1/suspend"), "200");
         serveAll(servers[0]);
         String heard = "";
-        for (int i = 20; i < 60 && !heard.startsWith("for"); i++) { // it comes back cold, and earns its reqs one by one
+        for (int i = 20;
+                i < 60 && !heard.startsWith("for");
+                i++) { // it comes back cold, and earns its reqs one by one
             heard = client.say(ask(i)).hear();
         }
         assertTrue(heard.startsWith("for"), heard);
     }
 
-    /** A second process beside the first: no client is turned away, what is out is answered, and a ban holds on. */
+    /**
+     * A second process beside the first: no client is turned away, what is out is answered, and a
+     * ban holds on.
+     */
     @Test
     public void aSecondProcessTakesTheClientsOver() throws Exception {
         share();
@@ -1051,14 +1293,18 @@
         }
         assertTrue(gateway.waitFor(PATIENCE, TimeUnit.MILLISECONDS));
         assertEquals(gateway.exitValue(), 0);
-        assertTrue(unheard <= 2, unheard + " turned away"); // what comes between the last look and the close
+        assertTrue(
+                unheard <= 2,
+                unheard + " turned away"); // what comes between the last look and the close
         says(otherLog, "the clients come here now");
         Talk late = client();
         assertTrue(late.say(ask(2)).hear().startsWith("-BUSY")); // the only server is still out
         assertEquals(call(other, "POST /v1/servers/s0/resume"), "200");
         serveAll(servers[0]);
         String heard = "";
-        for (int i = 3; i < 60 && !heard.startsWith("for"); i++) { // it comes back cold, and earns its reqs one by one
+        for (int i = 3;
+                i < 60 && !heard.startsWith("for");
+                i++) { // it comes back cold, and earns its reqs one by one
             heard = late.say(ask(i)).hear();
         }
         assertTrue(heard.startsWith("for"), heard);
@@ -1081,7 +1327,9 @@
         assertEquals(client().say(command("PING")).hear(), "+PONG");
     }
 
-    /** Sends one req after another, on a connection it keeps where it can, until it is told to stop. */
+    /**
+     * Sends one req after another, on a connection it keeps where it can, until it is told to stop.
+     */
     private final class Load extends Thread {
         final int from;
         final boolean keeps;
@@ -1119,7 +1367,8 @@
                 }
                 passed += said != null && said.equals("for " + id(from + i)) ? 1 : 0;
                 denied += said != null && said.startsWith("-BUSY") ? 1 : 0;
-                if (said == null || !said.startsWith("-BUSY") && !said.equals("for " + id(from + i))) {
+                if (said == null
+                        || !said.startsWith("-BUSY") && !said.equals("for " + id(from + i))) {
                     wrong.add(i + ": " + said);
                 }
             }
@@ -1137,7 +1386,10 @@
         }
     }
 
-    /** Two upgrades one right behind the other under steady load: each req is answered, hardly one is sent twice. */
+    /**
+     * Two upgrades one right behind the other under steady load: each req is answered, hardly one
+     * is sent twice.
+     */
     @Test
     public void reqsAreAccountedForOverTwoUpgrades() throws Exception {
         share();
@@ -1169,17 +1421,24 @@
         }
         for (Load l : loads) {
             assertEquals(l.wrong, List.of());
-            // these clients write before they look whether the connection has ended: each crosses the close once an upgrade, and
+            // these clients write before they look whether the connection has ended: each crosses
+            // the close once an upgrade, and
             // may meet the moment between the last look and the close when it comes anew
             assertTrue(!l.keeps || l.again <= 4, l.again + " sent once more");
             again += l.keeps ? 0 : l.again;
             passed += l.passed;
         }
-        assertTrue(again <= 4, again + " on new connections sent once more"); // between the last look and the close
+        assertTrue(
+                again <= 4,
+                again + " on new connections sent once more"); // between the last look and the
+        // close
         assertTrue(passed > 50, passed + " passed");
     }
 
-    /** A successor that dies before it serves is as good as none: the old process serves, and ends as without one. */
+    /**
+     * A successor that dies before it serves is as good as none: the old process serves, and ends
+     * as without one.
+     */
     @Test
     public void aSuccessorThatDiesChangesNothing() throws Exception {
         share();
@@ -1198,11 +1457,16 @@
         assertEquals(gateway.exitValue(), 0);
     }
 
-    /** What stands in the record and can't be read is passed over; a folder that can't be used is one line, and no end. */
+    /**
+     * What stands in the record and can't be read is passed over; a folder that can't be used is
+     * one line, and no end.
+     */
     @Test
     public void aSpoiltRecordStopsNothing() throws Exception {
         share();
-        Files.writeString(shared.resolve("tinford-n0.record"), "suspend 12 s0\nsusp\n\u0000\u0001 what\nresume x s0\nsuspend 99");
+        Files.writeString(
+                shared.resolve("tinford-n0.record"),
+                "suspend 12 s0\nsusp\n\u0000\u0001 what\nresume x s0\nsuspend 99");
         int management = free();
         gateway = managed(management, log);
         Talk client = client();
--- a/gateway/src/test/java/tinford/program/Surroundings.java
+++ b/gateway/src/test/java/tinford/program/Surroundings.java
@@ -23,7 +23,8 @@
 
 /** Starts the program, and is what stands round it over loopback. */
 abstract class Surroundings {
-    static final int PATIENCE = 20_000; // nothing here takes as long: it only ends a test that hangs
+    static final int PATIENCE =
+            20_000; // nothing here takes as long: it only ends a test that hangs
     final List<AutoCloseable> open = new CopyOnWriteArrayList<>();
     ServerSocket discovery;
     ServerSocket counter;
@@ -68,13 +69,19 @@
             return s.substring(0, s.length() - 1);
         }
 
-        /** A value: the text of a bulk string, the words of an array with blanks between, or the line as it is. */
+        /**
+         * A value: the text of a bulk string, the words of an array with blanks between, or the
+         * line as it is.
+         */
         String hear() throws IOException {
             String head = line();
             if (head == null || head.isEmpty() || head.equals("$-1")) {
                 return head;
             }
-            int n = head.charAt(0) == '*' || head.charAt(0) == '$' ? Integer.parseInt(head.substring(1)) : 0;
+            int n =
+                    head.charAt(0) == '*' || head.charAt(0) == '$'
+                            ? Integer.parseInt(head.substring(1))
+                            : 0;
             if (head.charAt(0) == '$') {
                 String text = new String(in.readNBytes(n), StandardCharsets.ISO_8859_1);
                 in.readNBytes(2);
@@ -128,41 +135,80 @@
     }
 
     static String entry(int n, ServerSocket s, String health) {
-        return "{\"host\":\"s" + n + "\",\"dial\":\"" + at(s.getLocalPort()) + "\",\"site\":\"a\",\"class\":\"k\",\"block\":" + n
-                + ",\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0,\"new\":{\"x\":[1]}}";
+        return "{\"host\":\"s"
+                + n
+                + "\",\"dial\":\""
+                + at(s.getLocalPort())
+                + "\",\"site\":\"a\",\"class\":\"k\",\"block\":"
+                + n
+                + ",\"health\":\""
+                + health
+                + "\",\"share\":1.0,\"born_ms\":0,\"new\":{\"x\":[1]}}";
     }
 
     static String frontend(String name, String effect) {
-        return "{\"Effect\":\"" + effect + "\",\"Group\":\"cell\",\"HardLimitUs\":4000000,\"LateWorth\":0.0,\"Name\":\"" + name
-                + "\",\"OnTimeUs\":" + (name.equals("brief") ? 300000 : 2000000)
+        return "{\"Effect\":\""
+                + effect
+                + "\",\"Group\":\"cell\",\"HardLimitUs\":4000000,\"LateWorth\":0.0,\"Name\":\""
+                + name
+                + "\",\"OnTimeUs\":"
+                + (name.equals("brief") ? 300000 : 2000000)
                 + ",\"Stream\":false,\"Value\":1.0,\"WindowUs\":3000000}";
     }
 
     static String plan(String name, int rate) {
-        return "{\"CapDepth\":0,\"CapRate\":0,\"ExtraWorth\":0,\"HardSlack\":0,\"MaxOut\":0,\"MostAtOnce\":2.0,\"Name\":\"" + name
-                + "\",\"OverrunCost\":1.0,\"Price\":1.0,\"QuotaRate\":" + rate + "}";
+        return "{\"CapDepth\":0,\"CapRate\":0,\"ExtraWorth\":0,\"HardSlack\":0,\"MaxOut\":0,\"MostAtOnce\":2.0,\"Name\":\""
+                + name
+                + "\",\"OverrunCost\":1.0,\"Price\":1.0,\"QuotaRate\":"
+                + rate
+                + "}";
     }
 
     String configuration() {
-        return "{\"name\":\"n0\",\"listen\":\"" + at(port) + "\",\"discovery\":\"" + at(discovery.getLocalPort())
+        return "{\"name\":\"n0\",\"listen\":\""
+                + at(port)
+                + "\",\"discovery\":\""
+                + at(discovery.getLocalPort())
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\"peer_listen\":\""
-                + at(port) + "\",\"peers\":[\"" + at(port) + "\"],\"peers_all\":\"" + at(port) + "\",\"counter\":\""
-                + at(counter.getLocalPort()) + "\",\"known\":{\"seq\":41,\"whole\":true,\"hosts\":[" + entry(0, servers[0], "ready")
-                + "]},\"settings\":{\"Az\":\"a\",\"Azs\":[\"a\"],\"Classes\":[" + frontend("read", "read_like") + ","
-                + frontend("write", "non_idempotent") + "," + frontend("brief", "read_like") + ","
-                + frontend("marked", "idempotency_key") + "],\"Discovery\":\"automatic\","
+                + at(port)
+                + "\",\"peers\":[\""
+                + at(port)
+                + "\"],\"peers_all\":\""
+                + at(port)
+                + "\",\"counter\":\""
+                + at(counter.getLocalPort())
+                + "\",\"known\":{\"seq\":41,\"whole\":true,\"hosts\":["
+                + entry(0, servers[0], "ready")
+                + "]},\"settings\":{\"Az\":\"a\",\"Azs\":[\"a\"],\"Classes\":["
+                + frontend("read", "read_like")
+                + ","
+                + frontend("write", "non_idempotent")
+                + ","
+                + frontend("brief", "read_like")
+                + ","
+                + frontend("marked", "idempotency_key")
+                + "],\"Discovery\":\"automatic\","
                 + "\"Limits\":{\"Cancel\":true,\"ConnectTimeoutUs\":250000,\"KeepaliveUs\":15000000,\"MaxAttempts\":3,"
                 + "\"MaxRetryAfterUs\":2000000,\"MayDuplicate\":false,\"OpenCap\":20000,\"Peers\":true,\"Probes\":false,"
                 + "\"RetryAfter\":true},\"LoadInfo\":{\"Fields\":[],\"How\":\"silent\"},\"MyNumber\":0,\"NInstances\":1,"
                 + "\"ResultMix\":{\"Whole\":1},\"Rules\":{\"ColdFrom\":0.3,\"ColdUs\":10000000,\"FallMultiple\":2,\"FallUs\":1000000},"
                 + "\"Specifics\":{\"CountLimitUs\":200000,\"Counter\":true,\"PostPaid\":true,\"UnitsTop\":6},\"Tariffs\":["
-                + plan("free", 0) + "," + plan("paid", 1) + "],\"TickUs\":4000}}";
+                + plan("free", 0)
+                + ","
+                + plan("paid", 1)
+                + "],\"TickUs\":4000}}";
     }
 
     /** The program with its arguments, as the machine is to start it. */
     List<String> program() {
-        return List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx64m", "-cp",
-                System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")), "tinford.Main", "serve");
+        return List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xmx64m",
+                "-cp",
+                System.getProperty(
+                        "surefire.test.class.path", System.getProperty("java.class.path")),
+                "tinford.Main",
+                "serve");
     }
 
     Process start(Map<String, String> env) throws IOException {
@@ -200,9 +246,12 @@
         return up("", "");
     }
 
-    /** Starts the program, with this in place of that; the result is a client's connection to it. */
+    /**
+     * Starts the program, with this in place of that; the result is a client's connection to it.
+     */
     Talk up(String part, String instead) throws Exception {
-        Files.writeString(config, part.isEmpty() ? configuration() : configuration().replace(part, instead));
+        Files.writeString(
+                config, part.isEmpty() ? configuration() : configuration().replace(part, instead));
         gateway = start(Map.of("ROUTER_CONFIG", config.toString()));
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE);
         while (true) {
@@ -211,7 +260,9 @@
                 assertEquals(client.say(command("PING")).hear(), "+PONG");
                 return client;
             } catch (IOException e) {
-                assertTrue(gateway.isAlive() && System.nanoTime() < until, "not up: " + Files.readString(log));
+                assertTrue(
+                        gateway.isAlive() && System.nanoTime() < until,
+                        "not up: " + Files.readString(log));
                 Thread.onSpinWait();
             }
         }
@@ -225,9 +276,12 @@
         return new Talk(at.accept());
     }
 
-    /** Until a connection that has just brought an answer is used again, by the clock of the gateway's own machine. */
+    /**
+     * Until a connection that has just brought an answer is used again, by the clock of the
+     * gateway's own machine.
+     */
     static void rest(Talk client) throws IOException {
-        for (long until = System.nanoTime() + 30_000_000L; System.nanoTime() < until;) {
+        for (long until = System.nanoTime() + 30_000_000L; System.nanoTime() < until; ) {
             assertEquals(client.say(command("PING")).hear(), "+PONG");
         }
     }
@@ -238,13 +292,15 @@
 
     /** Beside the test, until that is over or what it talks with is gone. */
     static Thread daemon(Part part) {
-        Thread t = new Thread(() -> {
-            try {
-                part.play();
-            } catch (Exception e) {
-                // it is
-            }
-        });
+        Thread t =
+                new Thread(
+                        () -> {
+                            try {
+                                part.play();
+                            } catch (Exception e) {
+                                // it is
+                            }
+                        });
         t.setDaemon(true);
         t.start();
         return t;
@@ -257,42 +313,65 @@
 
     /** That one's answer waits. */
     void serveAll(ServerSocket at, String id, CountDownLatch until) {
-        Thread door = new Thread(() -> {
-            try {
-                while (true) {
-                    Talk t = accept(at);
-                    Thread talk = new Thread(() -> {
-                        try {
-                            for (String s = t.hear(); s != null; s = t.hear()) {
-                                if (s.split(" ")[2].equals(id)) {
-                                    until.await();
+        Thread door =
+                new Thread(
+                        () -> {
+                            try {
+                                while (true) {
+                                    Talk t = accept(at);
+                                    Thread talk =
+                                            new Thread(
+                                                    () -> {
+                                                        try {
+                                                            for (String s = t.hear();
+                                                                    s != null;
+                                                                    s = t.hear()) {
+                                                                if (s.split(" ")[2].equals(id)) {
+                                                                    until.await();
+                                                                }
+                                                                t.say(
+                                                                        value(
+                                                                                "for "
+                                                                                        + s.split(
+                                                                                                        " ")[
+                                                                                                2]));
+                                                            }
+                                                        } catch (IOException
+                                                                | InterruptedException e) {
+                                                            // the test is over
+                                                        }
+                                                    });
+                                    talk.setDaemon(true);
+                                    talk.start();
                                 }
-                                t.say(value("for " + s.split(" ")[2]));
+                            } catch (IOException e) {
+                                // the test is over
                             }
-                        } catch (IOException | InterruptedException e) {
-                            // the test is over
-                        }
-                    });
-                    talk.setDaemon(true);
-                    talk.start();
-                }
-            } catch (IOException e) {
-                // the test is over
-            }
-        });
+                        });
         door.setDaemon(true);
         door.start();
     }
 
     static void chunk(Talk watch, String text, boolean first) throws IOException {
-        watch.say((first ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" : "") + Integer.toHexString(text.length()) + "\r\n"
-                + text + "\r\n");
+        watch.say(
+                (first ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" : "")
+                        + Integer.toHexString(text.length())
+                        + "\r\n"
+                        + text
+                        + "\r\n");
     }
 
-    /** A process with an operators' door, and its connection to the counter, which says that it is up. */
+    /**
+     * A process with an operators' door, and its connection to the counter, which says that it is
+     * up.
+     */
     Process managed(int management, Path to) throws Exception {
-        Files.writeString(config, configuration().replace("\"discovery\"", "\"management\":\"" + at(management)
-                + "\",\"discovery\""));
+        Files.writeString(
+                config,
+                configuration()
+                        .replace(
+                                "\"discovery\"",
+                                "\"management\":\"" + at(management) + "\",\"discovery\""));
         Path before = log;
         log = to;
         Process p = start(Map.of("ROUTER_CONFIG", config.toString(), "TMPDIR", shared.toString()));
@@ -300,7 +379,8 @@
         open.add(p::destroyForcibly);
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE);
         while (!call(management, "GET /v1/readyz").equals("200")) {
-            assertTrue(p.isAlive() && System.nanoTime() < until, "not ready: " + Files.readString(to));
+            assertTrue(
+                    p.isAlive() && System.nanoTime() < until, "not ready: " + Files.readString(to));
             Thread.onSpinWait();
         }
         return p;
@@ -325,7 +405,8 @@
     String call(int management, String what) throws IOException {
         try {
             Talk t = new Talk(new Socket(InetAddress.getLoopbackAddress(), management));
-            String status = t.say(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").line();
+            String status =
+                    t.say(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").line();
             t.socket.close();
             return status == null ? "closed" : status.split(" ")[1];
         } catch (java.net.ConnectException e) {
@@ -335,13 +416,14 @@
 
     void share() throws IOException {
         shared = Files.createTempDirectory("tinford");
-        open.add(() -> {
-            try (var files = Files.list(shared)) {
-                for (Path p : files.toList()) {
-                    Files.delete(p);
-                }
-            }
-            Files.delete(shared);
-        });
+        open.add(
+                () -> {
+                    try (var files = Files.list(shared)) {
+                        for (Path p : files.toList()) {
+                            Files.delete(p);
+                        }
+                    }
+                    Files.delete(shared);
+                });
     }
 }
--- a/gateway/src/test/java/tinford/protocol/ProtocolTest.java
+++ b/gateway/src/test/java/tinford/protocol/ProtocolTest.java
@@ -20,7 +20,8 @@
     private static String shown(Resp r) {
         StringBuilder s = new StringBuilder(r.array() ? "*" : "");
         for (int i = 0; i < r.parts(); i++) {
-            s.append(i > 0 ? " " : "").append(r.kind(i) == 0 ? "null" : (char) r.kind(i) + r.text(i));
+            s.append(i > 0 ? " " : "")
+                    .append(r.kind(i) == 0 ? "null" : (char) r.kind(i) + r.text(i));
         }
         return s.toString();
     }
@@ -72,7 +73,9 @@
 
     @Test(dataProvider = "garbage")
     public void garbageIsNamed(String text, String expected) {
-        Malformed m = expectThrows(Malformed.class, () -> new Resp().parse(bytes(text), 0, text.length()));
+        Malformed m =
+                expectThrows(
+                        Malformed.class, () -> new Resp().parse(bytes(text), 0, text.length()));
         assertEquals(m.getMessage(), "expected " + expected);
     }
 
@@ -92,9 +95,29 @@
     @Test
     public void askTellsItsTerms() throws Malformed {
         Ask a = ask("Q.DO", "00000001b4d65521", "ffffffffaa5c7e2d", TERMS + ",r=1,new=7", "BODY");
-        assertEquals(Arrays.asList(a.resendable, a.customer, a.id, a.frontend, a.plan, a.patience, a.units, a.width,
-                a.first, a.resent), Arrays.asList(false, 0x1b4d65521L, 0xffffffffaa5c7e2dL, "read", "gold", 480.0, 2.5,
-                3, 1, true));
+        assertEquals(
+                Arrays.asList(
+                        a.resendable,
+                        a.customer,
+                        a.id,
+                        a.frontend,
+                        a.plan,
+                        a.patience,
+                        a.units,
+                        a.width,
+                        a.first,
+                        a.resent),
+                Arrays.asList(
+                        false,
+                        0x1b4d65521L,
+                        0xffffffffaa5c7e2dL,
+                        "read",
+                        "gold",
+                        480.0,
+                        2.5,
+                        3,
+                        1,
+                        true));
     }
 
     @DataProvider
@@ -123,7 +146,8 @@
     }
 
     @Test(dataProvider = "badAsks")
-    public void badAskIsNamed(String verb, String customer, String id, String terms, String expected) {
+    public void badAskIsNamed(
+            String verb, String customer, String id, String terms, String expected) {
         Malformed m = expectThrows(Malformed.class, () -> ask(verb, customer, id, terms));
         assertEquals(m.getMessage(), "expected " + expected);
     }
@@ -147,8 +171,18 @@
     @DataProvider
     public Object[][] numbers() {
         return new Object[][] {
-            {"12", 12.0}, {"-2.50", -2.5}, {"+1e3", 1000.0}, {"0x1p3", Double.NaN}, {"5d", Double.NaN}, {"NaN", Double.NaN},
-            {"Infinity", Double.NaN}, {"1e999", Double.NaN}, {"", Double.NaN}, {"-", Double.NaN}, {" 7", Double.NaN}, {"1-2", Double.NaN},
+            {"12", 12.0},
+            {"-2.50", -2.5},
+            {"+1e3", 1000.0},
+            {"0x1p3", Double.NaN},
+            {"5d", Double.NaN},
+            {"NaN", Double.NaN},
+            {"Infinity", Double.NaN},
+            {"1e999", Double.NaN},
+            {"", Double.NaN},
+            {"-", Double.NaN},
+            {" 7", Double.NaN},
+            {"1-2", Double.NaN},
             {"0".repeat(40), Double.NaN},
         };
     }
@@ -165,11 +199,14 @@
 
     @Test
     public void reportFollowsTheNamesGiven() {
-        assertEquals(Usage.report("queue=2,x=9,util=0.61", List.of("util", "queue", "qps")), new double[] {0.61, 2, 0});
+        assertEquals(
+                Usage.report("queue=2,x=9,util=0.61", List.of("util", "queue", "qps")),
+                new double[] {0.61, 2, 0});
         assertEquals(Usage.report("cost=4", List.of("util")), null);
     }
 
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nContent-Type: x\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String HEAD =
+            "HTTP/1.1 200 OK\r\nContent-Type: x\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     @Test
     public void linesAreFoundWhereverChunksAndReadsEnd() throws Malformed {
@@ -179,15 +216,19 @@
             StringBuilder s = new StringBuilder(HEAD);
             for (int at = 0; at < text.length; at += chunk) {
                 int n = Math.min(chunk, text.length - at);
-                s.append(Integer.toHexString(n)).append(";x=1\r\n")
-                        .append(new String(text, at, n, StandardCharsets.ISO_8859_1)).append("\r\n");
+                s.append(Integer.toHexString(n))
+                        .append(";x=1\r\n")
+                        .append(new String(text, at, n, StandardCharsets.ISO_8859_1))
+                        .append("\r\n");
             }
             byte[] all = bytes(s + "0\r\n\r\n");
             for (int read = 1; read < all.length; read += 3) {
                 List<String> found = new ArrayList<>();
                 HttpLines lines = new HttpLines();
                 int from = 0;
-                for (int to = read; from < all.length && !lines.done(); to = Math.min(all.length, to + read)) {
+                for (int to = read;
+                        from < all.length && !lines.done();
+                        to = Math.min(all.length, to + read)) {
                     from += lines.read(all, from, to, found::add);
                 }
                 assertTrue(lines.done());
@@ -210,8 +251,10 @@
 
     @Test(dataProvider = "badHttp")
     public void badHttpIsNamed(String text, String expected) {
-        Malformed m = expectThrows(Malformed.class,
-                () -> new HttpLines().read(bytes(text), 0, text.length(), line -> { }));
+        Malformed m =
+                expectThrows(
+                        Malformed.class,
+                        () -> new HttpLines().read(bytes(text), 0, text.length(), line -> {}));
         assertEquals(m.getMessage(), "expected " + expected);
     }
 
@@ -219,7 +262,10 @@
     public Object[][] calls() {
         return new Object[][] {
             {"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", "GET /v1/readyz"},
-            {"POST /v1/servers/s-1/suspend?why=disk HTTP/1.1\nHost: x\n\nbody", "POST /v1/servers/s-1/suspend"},
+            {
+                "POST /v1/servers/s-1/suspend?why=disk HTTP/1.1\nHost: x\n\nbody",
+                "POST /v1/servers/s-1/suspend"
+            },
             {"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n", null},
             {"", null},
             {"hello\r\n\r\n", "expected METHOD /path HTTP/1.1"},
--- a/gateway/src/test/java/tinford/routing/AddressesTest.java
+++ b/gateway/src/test/java/tinford/routing/AddressesTest.java
@@ -18,7 +18,7 @@
 public class AddressesTest {
     /** Prints what the address given is taken for. */
     public static final class Says {
-        private Says() { }
+        private Says() {}
 
         public static void main(String[] address) {
             System.out.println(Addresses.of(address[0]));
@@ -36,9 +36,20 @@
         Path hosts = Files.createTempFile("hosts", "");
         try {
             Files.writeString(hosts, "10.9.9.9 " + name + "\n");
-            Process p = new ProcessBuilder(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
-                    "-Djdk.net.hosts.file=" + hosts, "-cp", System.getProperty("java.class.path"), Says.class.getName(), name + ":80")
-                    .redirectErrorStream(true).start();
+            Process p =
+                    new ProcessBuilder(
+                                    System.getProperty("java.home")
+                                            + File.separator
+                                            + "bin"
+                                            + File.separator
+                                            + "java",
+                                    "-Djdk.net.hosts.file=" + hosts,
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    Says.class.getName(),
+                                    name + ":80")
+                            .redirectErrorStream(true)
+                            .start();
             String said = new String(p.getInputStream().readAllBytes());
             assertTrue(p.waitFor(30, TimeUnit.SECONDS));
             assertEquals(said.strip(), "null");
@@ -49,7 +60,13 @@
 
     @DataProvider
     public Object[][] numeric() {
-        return new Object[][] {{"127.0.0.1:80"}, {"255.249.199.9:65535"}, {"0.0.0.0:1"}, {"[::1]:80"}, {"[fe80::1.2.3.4]:80"}};
+        return new Object[][] {
+            {"127.0.0.1:80"},
+            {"255.249.199.9:65535"},
+            {"0.0.0.0:1"},
+            {"[::1]:80"},
+            {"[fe80::1.2.3.4]:80"}
+        };
     }
 
     @Test(dataProvider = "numeric")
@@ -60,9 +77,15 @@
     /** What is complained of is kept for a while: of a text without end only its beginning. */
     @Test
     public void aLongOneIsNamedByItsBeginning() {
-        Fields in = Fields.of(new JsonFactory(), "discovery", "{\"dial\":\"" + "1".repeat(1 << 20) + "\"}");
+        Fields in =
+                Fields.of(
+                        new JsonFactory(),
+                        "discovery",
+                        "{\"dial\":\"" + "1".repeat(1 << 20) + "\"}");
         BadInput bad = expectThrows(BadInput.class, () -> Addresses.of(in, "dial"));
-        assertEquals(bad.getMessage().replaceAll("1+$", ""), "discovery: dial: expected a numeric host:port, not ");
+        assertEquals(
+                bad.getMessage().replaceAll("1+$", ""),
+                "discovery: dial: expected a numeric host:port, not ");
         assertTrue(bad.getMessage().length() < 120, "of " + bad.getMessage().length());
     }
 }
--- a/gateway/src/test/java/tinford/routing/BansTest.java
+++ b/gateway/src/test/java/tinford/routing/BansTest.java
@@ -12,20 +12,29 @@
     @DataProvider
     public Object[][] records() {
         return new Object[][] {
-            // lines, whether s is out, its start where the list says 0, and where the list says 1500
+            // lines, whether s is out, its start where the list says 0, and where the list says
+            // 1500
             {List.of(), false, 0, 1500},
             {List.of("suspend 1000 s"), true, 0, 1500},
             {List.of("suspend 1000 s", "suspend 1200 s", "resume 2000 s"), false, 2000, 1500},
             {List.of("suspend 1000 s", "resume 2000 s", "resume 3000 s"), false, 2000, 1500},
             {List.of("suspend 1000 s", "resume 2000 s", "suspend 3000 s"), true, 0, 1500},
-            {List.of("suspend 1000 s", "resume 2000 s", "suspend 3000 s", "resume 4000 s"), false, 4000, 4000},
+            {
+                List.of("suspend 1000 s", "resume 2000 s", "suspend 3000 s", "resume 4000 s"),
+                false,
+                4000,
+                4000
+            },
             {List.of("resume 2000 s"), false, 0, 1500},
             {List.of("suspend 1000 other", "resume 2000 other"), false, 0, 1500},
             {List.of("susp", "suspend 12", "suspend x s", "what 1 s", ""), false, 0, 1500},
         };
     }
 
-    /** The start of one put back is never before its return, unless the list tells of one while it was out. */
+    /**
+     * The start of one put back is never before its return, unless the list tells of one while it
+     * was out.
+     */
     @Test(dataProvider = "records")
     public void theLastCallCounts(List<String> lines, boolean out, double born, double listed) {
         Bans bans = new Bans();
@@ -36,7 +45,10 @@
         assertEquals(bans.knows("s"), lines.stream().anyMatch(l -> l.matches("suspend \\d+ s")));
     }
 
-    /** However many are taken out and put back, what is remembered is bounded; those still out are never forgotten. */
+    /**
+     * However many are taken out and put back, what is remembered is bounded; those still out are
+     * never forgotten.
+     */
     @Test
     public void whatIsKeptIsBounded() {
         Bans bans = new Bans();
--- a/gateway/src/test/java/tinford/routing/ClosingTest.java
+++ b/gateway/src/test/java/tinford/routing/ClosingTest.java
@@ -39,7 +39,10 @@
 import tinford.transport.Link;
 import tinford.transport.Loop;
 
-/** The gateway's own closes of client connections, turn by turn, on real connections and in driven time. */
+/**
+ * The gateway's own closes of client connections, turn by turn, on real connections and in driven
+ * time.
+ */
 public class ClosingTest {
     private static final int LONGEST = 8000; // of the client timeouts
     private static final String ABORTED = "-ERR aborted\r\n";
@@ -63,40 +66,64 @@
         nanos.set(0);
         arrived.clear();
         heard.clear();
-        Gateway gateway = (now, feed, to) -> {
-            out = to;
-            feed.replay(new Bed.Deaf() {
-                @Override
-                public void arrived(Req req) {
-                    heard.add(req.id);
-                    arrived.add((Exchange) req);
-                    if (answers) {
-                        to.abort(req);
-                    }
-                }
-
-                @Override
-                public void left(Req req) {
-                    if (takesBack) {
-                        to.add(1, -1, 1000);
-                    }
-                }
-            });
-        };
+        Gateway gateway =
+                (now, feed, to) -> {
+                    out = to;
+                    feed.replay(
+                            new Bed.Deaf() {
+                                @Override
+                                public void arrived(Req req) {
+                                    heard.add(req.id);
+                                    arrived.add((Exchange) req);
+                                    if (answers) {
+                                        to.abort(req);
+                                    }
+                                }
+
+                                @Override
+                                public void left(Req req) {
+                                    if (takesBack) {
+                                        to.add(1, -1, 1000);
+                                    }
+                                }
+                            });
+                };
         desk = new Desk(gateway, 3, 20, 64 << 20, nanos::get);
-        clients = new Clients(desk, Map.of("f", new Frontend("f", 2000, LONGEST, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false)),
-                Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)), 1, 6, 15_000, 10, 1 << 20, 8, 8);
+        clients =
+                new Clients(
+                        desk,
+                        Map.of(
+                                "f",
+                                new Frontend(
+                                        "f",
+                                        2000,
+                                        LONGEST,
+                                        1,
+                                        0,
+                                        Effect.IDEMPOTENT,
+                                        Group.ALL,
+                                        0,
+                                        false)),
+                        Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                        1,
+                        6,
+                        15_000,
+                        10,
+                        1 << 20,
+                        8,
+                        8);
         desk.seat(clients, null, null, null, null);
         try (ServerSocket free = new ServerSocket(0, 1, here)) {
             port = free.getLocalPort();
         }
-        turn(() -> {
-            try {
-                clients.listen(new InetSocketAddress(here, port), false);
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-        });
+        turn(
+                () -> {
+                    try {
+                        clients.listen(new InetSocketAddress(here, port), false);
+                    } catch (IOException e) {
+                        throw new UncheckedIOException(e);
+                    }
+                });
     }
 
     @AfterMethod(alwaysRun = true)
@@ -120,7 +147,7 @@
 
     private void pass(int ms) throws Exception {
         nanos.addAndGet(ms * 1_000_000L);
-        turn(() -> { });
+        turn(() -> {});
     }
 
     private Socket client(int receives) throws IOException {
@@ -161,10 +188,14 @@
     }
 
     private static String ask(int n) {
-        return "*4\r\n$5\r\nQ.ASK\r\n$16\r\n0000000000000007\r\n$16\r\n" + String.format("%016x", n) + "\r\n$13\r\nc=f,t=p,d=900\r\n";
+        return "*4\r\n$5\r\nQ.ASK\r\n$16\r\n0000000000000007\r\n$16\r\n"
+                + String.format("%016x", n)
+                + "\r\n$13\r\nc=f,t=p,d=900\r\n";
     }
 
-    /** What was written before this has been read, on whichever connection, and its turn is over. */
+    /**
+     * What was written before this has been read, on whichever connection, and its turn is over.
+     */
     private void settle() throws Exception {
         for (int i = 0; i < 2; i++) {
             Socket other = client(0);
@@ -172,14 +203,17 @@
             assertEquals(hear(other, 7), "+PONG\r\n");
             other.close();
         }
-        turn(() -> { });
+        turn(() -> {});
     }
 
     private Exchange next() throws InterruptedException {
         return arrived.poll(20, TimeUnit.SECONDS);
     }
 
-    /** The end comes to a connection that must not be followed any further, and still owes the answer before that. */
+    /**
+     * The end comes to a connection that must not be followed any further, and still owes the
+     * answer before that.
+     */
     @Test
     public void whatComesBehindNonsenseIsNotReadAtTheEnd() throws Exception {
         answers = false;
@@ -187,39 +221,50 @@
         say(c, ask(1) + "+nonsense\r\n");
         Exchange e = next();
         say(c, ask(2));
-        turn(() -> { });
-        turn(() -> clients.end(() -> { }));
+        turn(() -> {});
+        turn(() -> clients.end(() -> {}));
         turn(() -> clients.abort(e));
         pass(50);
         assertEquals(heard, List.of(1L));
         String said = rest(c);
-        assertTrue(said.startsWith(ABORTED + "-ERR ") && said.indexOf('\n', ABORTED.length()) == said.length() - 1, said);
+        assertTrue(
+                said.startsWith(ABORTED + "-ERR ")
+                        && said.indexOf('\n', ABORTED.length()) == said.length() - 1,
+                said);
     }
 
-    /** The result is how many bytes of an answer were put, of which the last are not written when the leave begins. */
+    /**
+     * The result is how many bytes of an answer were put, of which the last are not written when
+     * the leave begins.
+     */
     private int leaveWithAnAnswerUnread(Socket c) throws Exception {
         answers = false;
         say(c, ask(1));
         Exchange e = next();
         int[] put = new int[1];
         do { // until the machine takes no more
-            turn(() -> {
-                clients.over(e);
-                e.client.piece(new byte[PIECE], 0, PIECE);
-                put[0] += PIECE;
-            });
+            turn(
+                    () -> {
+                        clients.over(e);
+                        e.client.piece(new byte[PIECE], 0, PIECE);
+                        put[0] += PIECE;
+                    });
         } while (e.client.allWritten());
         answers = true;
-        turn(() -> {
-            e.client.piece(new byte[8 * PIECE], 0, 8 * PIECE); // far more than it would still take
-            clients.leaving = true;
-            e.client.flown();
-        });
+        turn(
+                () -> {
+                    e.client.piece(
+                            new byte[8 * PIECE], 0, 8 * PIECE); // far more than it would still take
+                    clients.leaving = true;
+                    e.client.flown();
+                });
         assertTrue(!e.client.allWritten() && !e.client.over());
         return put[0] + 8 * PIECE + 2;
     }
 
-    /** It reads nothing for a while, and then all: the answer is whole, and the end comes behind it. */
+    /**
+     * It reads nothing for a while, and then all: the answer is whole, and the end comes behind it.
+     */
     @Test
     public void anAnswerThatIsReadLateIsWholeBeforeTheEnd() throws Exception {
         Socket c = client(4096);
@@ -229,7 +274,10 @@
         assertEquals(c.getInputStream().read(), -1);
     }
 
-    /** Its sending has not been ended yet, so that it can't know: what it writes meanwhile is answered behind the other. */
+    /**
+     * Its sending has not been ended yet, so that it can't know: what it writes meanwhile is
+     * answered behind the other.
+     */
     @Test
     public void aReqBeforeTheEndOfTheSendingIsAnswered() throws Exception {
         Socket c = client(4096);
@@ -241,7 +289,10 @@
         assertEquals(heard, List.of(1L, 2L));
     }
 
-    /** Its client has seen the end: no req is read any more, whole or in part, and the connection goes soon. */
+    /**
+     * Its client has seen the end: no req is read any more, whole or in part, and the connection
+     * goes soon.
+     */
     @Test
     public void aReqBehindTheEndOfTheSendingIsNeverSentOn() throws Exception {
         Socket c = client(0);
@@ -251,15 +302,16 @@
         ClientLink link = next().client;
         say(other, ask(2).substring(0, 30));
         say(c, ask(3).substring(0, 30));
-        turn(() -> { });
+        turn(() -> {});
         say(c, ask(3).substring(30));
         assertEquals(hear(c, ABORTED.length()), ABORTED);
         turn(clients::letGo);
         assertEquals(c.getInputStream().read(), -1);
         say(c, ask(4) + "x".repeat(200_000) + ask(5));
         say(other, ask(2).substring(30));
-        assertEquals(hear(other, ABORTED.length()), ABORTED); // its half is owed an answer, and had it
-        turn(() -> { });
+        assertEquals(
+                hear(other, ABORTED.length()), ABORTED); // its half is owed an answer, and had it
+        turn(() -> {});
         assertFalse(link.over());
         pass(1000);
         assertTrue(link.over());
@@ -271,26 +323,30 @@
         return new Object[][] {{true}, {false}};
     }
 
-    /** A connection that has stood idle for too long, and a req at that moment: answered, or closed without a byte. */
+    /**
+     * A connection that has stood idle for too long, and a req at that moment: answered, or closed
+     * without a byte.
+     */
     @Test(dataProvider = "rests")
     public void aReqThatCrossesAnIdleCloseIsAnsweredOrNeverRead(boolean before) throws Exception {
         Socket c = client(0);
         say(c, ask(1));
         assertEquals(hear(c, ABORTED.length()), ABORTED);
         ClientLink link = next().client;
-        turn(() -> {
-            if (before) {
-                say(c, ask(2));
-            }
-            link.look(desk.now + 15_000, 2000, 2300, 15_000);
-            if (!before) {
-                try {
-                    say(c, ask(2));
-                } catch (UncheckedIOException e) {
-                    // its client is told here
-                }
-            }
-        });
+        turn(
+                () -> {
+                    if (before) {
+                        say(c, ask(2));
+                    }
+                    link.look(desk.now + 15_000, 2000, 2300, 15_000);
+                    if (!before) {
+                        try {
+                            say(c, ask(2));
+                        } catch (UncheckedIOException e) {
+                            // its client is told here
+                        }
+                    }
+                });
         if (before) {
             assertEquals(hear(c, ABORTED.length()), ABORTED);
         } else {
@@ -299,24 +355,30 @@
         }
     }
 
-    /** The time to stay was over before the last who were let in could be taken: they are answered all the same. */
+    /**
+     * The time to stay was over before the last who were let in could be taken: they are answered
+     * all the same.
+     */
     @Test
     public void thoseLetInLastAreAnsweredBeforeTheEnd() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
         Socket[] c = new Socket[1];
         boolean[] early = new boolean[1];
-        turn(() -> {
-            try {
-                c[0] = client(0); // while this turn holds the thread
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-            say(c[0], ask(1));
-            clients.close(0, () -> {
-                early[0] |= heard.isEmpty();
-                gone.countDown();
-            });
-        });
+        turn(
+                () -> {
+                    try {
+                        c[0] = client(0); // while this turn holds the thread
+                    } catch (IOException e) {
+                        throw new UncheckedIOException(e);
+                    }
+                    say(c[0], ask(1));
+                    clients.close(
+                            0,
+                            () -> {
+                                early[0] |= heard.isEmpty();
+                                gone.countDown();
+                            });
+                });
         assertEquals(rest(c[0]), ABORTED);
         c[0].close();
         assertTrue(gone.await(20, TimeUnit.SECONDS));
@@ -330,7 +392,9 @@
         answers = false;
         ServerSocket door = new ServerSocket(0, 1, here);
         open.add(door);
-        Counter counter = new Counter(desk, new InetSocketAddress(here, door.getLocalPort()), 60_000, 60_000, 1);
+        Counter counter =
+                new Counter(
+                        desk, new InetSocketAddress(here, door.getLocalPort()), 60_000, 60_000, 1);
         desk.seat(clients, null, counter, null, null);
         turn(() -> out.add(1, 1, 1000));
         Socket at = door.accept();
@@ -341,20 +405,28 @@
         say(c, ask(1));
         next();
         LinkedBlockingQueue<String> counted = new LinkedBlockingQueue<>();
-        turn(() -> clients.end(() -> {
-            try {
-                at.setSoTimeout(1000); // what has not left by now would not leave any more
-                counted.add(hear(at, 42));
-            } catch (IOException e) {
-                counted.add(e.toString());
-            }
-        }));
+        turn(
+                () ->
+                        clients.end(
+                                () -> {
+                                    try {
+                                        at.setSoTimeout(
+                                                1000); // what has not left by now would not leave
+                                        // any more
+                                        counted.add(hear(at, 42));
+                                    } catch (IOException e) {
+                                        counted.add(e.toString());
+                                    }
+                                }));
         c.close();
         String said = counted.poll(20, TimeUnit.SECONDS);
         assertTrue(said != null && said.contains("\r\n-1\r\n"), said);
     }
 
-    /** All that is open when the process goes has its answer; what comes then is denied, half a command is told so. */
+    /**
+     * All that is open when the process goes has its answer; what comes then is denied, half a
+     * command is told so.
+     */
     @Test
     public void nothingReadIsWithoutAnAnswerWhenTheProcessGoes() throws Exception {
         answers = false;
@@ -372,10 +444,11 @@
         turn(() -> clients.end(gone::countDown));
         pass(3019);
         assertEquals(half.getInputStream().available() + hangs.getInputStream().available(), 0);
-        turn(() -> {
-            say(hangs, ask(7));
-            nanos.addAndGet(1_000_000L);
-        });
+        turn(
+                () -> {
+                    say(hangs, ask(7));
+                    nanos.addAndGet(1_000_000L);
+                });
         assertEquals(rest(hangs), "-BUSY\r\n".repeat(3));
         assertEquals(rest(half), "-BUSY\r\n");
         assertEquals(hear(both, 14), "-BUSY\r\n-BUSY\r\n");
@@ -385,7 +458,10 @@
         assertEquals(heard.size(), 3, heard.toString());
     }
 
-    /** Small writes are not held back by the machine, where a close that is a reset would take them along. */
+    /**
+     * Small writes are not held back by the machine, where a close that is a reset would take them
+     * along.
+     */
     @Test
     public void smallWritesLeaveAtOnce() throws Exception {
         Socket c = client(0);
@@ -413,10 +489,10 @@
             }
 
             @Override
-            protected void received() { }
+            protected void received() {}
 
             @Override
-            protected void ended(Ending how) { }
+            protected void ended(Ending how) {}
         }
 
         Opened[] link = new Opened[1];
--- a/gateway/src/test/java/tinford/routing/LeavingTest.java
+++ b/gateway/src/test/java/tinford/routing/LeavingTest.java
@@ -35,9 +35,13 @@
 import tinford.api.Writer;
 import tinford.handed.Fields;
 
-/** Clients that go and servers that leave while something still waits: what is heard of it, and what goes out. */
+/**
+ * Clients that go and servers that leave while something still waits: what is heard of it, and what
+ * goes out.
+ */
 public class LeavingTest {
-    private static final int PATIENCE = 10_000; // nothing here takes as long: it only ends a test that hangs
+    private static final int PATIENCE =
+            10_000; // nothing here takes as long: it only ends a test that hangs
     private static final int ROOM = 6_000_000; // half of it for commands that come
     private final List<AutoCloseable> open = new ArrayList<>();
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
@@ -69,39 +73,88 @@
         other.bind(new InetSocketAddress(here, 0));
         other.setSoTimeout(PATIENCE);
         open.add(other);
-        Gateway gateway = (now, feed, out) -> {
-            writer = out;
-            feed.replay(new Bed.Deaf() {
-                @Override
-                public void listed(List<Srv> entries, boolean whole) {
-                    first = first == null ? entries.get(0) : first;
-                }
+        Gateway gateway =
+                (now, feed, out) -> {
+                    writer = out;
+                    feed.replay(
+                            new Bed.Deaf() {
+                                @Override
+                                public void listed(List<Srv> entries, boolean whole) {
+                                    first = first == null ? entries.get(0) : first;
+                                }
 
-                @Override
-                public void arrived(Req req) {
-                    heard.add("arrived" + (looks ? " " + req.id + (req.gone() ? " and gone" : " and there") : ""));
-                    if (sends) {
-                        out.dispatch(req, first, 0, within);
-                    }
-                }
+                                @Override
+                                public void arrived(Req req) {
+                                    heard.add(
+                                            "arrived"
+                                                    + (looks
+                                                            ? " "
+                                                                    + req.id
+                                                                    + (req.gone()
+                                                                            ? " and gone"
+                                                                            : " and there")
+                                                            : ""));
+                                    if (sends) {
+                                        out.dispatch(req, first, 0, within);
+                                    }
+                                }
 
-                @Override
-                public void left(Req req) {
-                    heard.add("left");
-                }
+                                @Override
+                                public void left(Req req) {
+                                    heard.add("left");
+                                }
 
-                @Override
-                public void ended(Req req, int no, End how, double took, boolean closed, int seenUse, double settled, double[] load) {
-                    heard.add("ended " + how);
-                }
-            });
-        };
+                                @Override
+                                public void ended(
+                                        Req req,
+                                        int no,
+                                        End how,
+                                        double took,
+                                        boolean closed,
+                                        int seenUse,
+                                        double settled,
+                                        double[] load) {
+                                    heard.add("ended " + how);
+                                }
+                            });
+                };
         desk = new Desk(gateway, 3, 30, 1 << 26);
         open.add(desk.loop::close);
         servers = new Servers(desk, 2.0 * PATIENCE, 15_000, 10, List.of());
-        clients = new Clients(desk, Map.of("f", new Frontend("f", 20_000, 80_000, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false),
-                "w", new Frontend("w", 20_000, 80_000, 1, 0, Effect.NON_IDEMPOTENT, Group.ALL, 0, false)),
-                Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)), 1, 6, 15_000, 10, ROOM, 8, 8);
+        clients =
+                new Clients(
+                        desk,
+                        Map.of(
+                                "f",
+                                new Frontend(
+                                        "f",
+                                        20_000,
+                                        80_000,
+                                        1,
+                                        0,
+                                        Effect.IDEMPOTENT,
+                                        Group.ALL,
+                                        0,
+                                        false),
+                                "w",
+                                new Frontend(
+                                        "w",
+                                        20_000,
+                                        80_000,
+                                        1,
+                                        0,
+                                        Effect.NON_IDEMPOTENT,
+                                        Group.ALL,
+                                        0,
+                                        false)),
+                        Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                        1,
+                        6,
+                        15_000,
+                        10,
+                        ROOM,
+                        8,
+                        8);
         desk.seat(clients, servers, null, null, null);
         try (ServerSocket free = new ServerSocket(0, 1, here)) {
             at = new InetSocketAddress(here, free.getLocalPort());
@@ -120,26 +173,41 @@
     }
 
     private static String entry(String id, ServerSocket at, String health, int born) {
-        return "{\"host\":\"" + id + "\",\"dial\":\"127.0.0.1:" + at.getLocalPort() + "\",\"site\":\"a\",\"block\":0,\"health\":\""
-                + health + "\",\"share\":1.0,\"born_ms\":" + born + "}";
+        return "{\"host\":\""
+                + id
+                + "\",\"dial\":\"127.0.0.1:"
+                + at.getLocalPort()
+                + "\",\"site\":\"a\",\"block\":0,\"health\":\""
+                + health
+                + "\",\"share\":1.0,\"born_ms\":"
+                + born
+                + "}";
     }
 
     private void list(boolean whole, String... entries) {
-        servers.list(Fields.of(new JsonFactory(), "list", "{\"seq\":1,\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries)
-                + "]}"));
+        servers.list(
+                Fields.of(
+                        new JsonFactory(),
+                        "list",
+                        "{\"seq\":1,\"whole\":"
+                                + whole
+                                + ",\"hosts\":["
+                                + String.join(",", entries)
+                                + "]}"));
     }
 
     /** Within one turn of the loop: nothing that comes meanwhile has been read. */
     private void turn(Runnable what) {
         BlockingQueue<Object> done = new LinkedBlockingQueue<>();
-        desk.loop.enter(() -> {
-            try {
-                what.run();
-                done.add(true);
-            } catch (RuntimeException | AssertionError e) {
-                done.add(e);
-            }
-        });
+        desk.loop.enter(
+                () -> {
+                    try {
+                        what.run();
+                        done.add(true);
+                    } catch (RuntimeException | AssertionError e) {
+                        done.add(e);
+                    }
+                });
         try {
             assertEquals(done.poll(PATIENCE, TimeUnit.MILLISECONDS), true);
         } catch (InterruptedException e) {
@@ -217,37 +285,50 @@
         Socket s = client();
         say(s, ask(1));
         assertEquals(hear(), "arrived");
-        turn(() -> clients.end(() -> { }));
+        turn(() -> clients.end(() -> {}));
         String answer = "-ERR aborted\r\n";
-        assertEquals(new String(s.getInputStream().readNBytes(answer.length()), StandardCharsets.ISO_8859_1), answer);
+        assertEquals(
+                new String(
+                        s.getInputStream().readNBytes(answer.length()),
+                        StandardCharsets.ISO_8859_1),
+                answer);
         assertEquals(hear(), "left");
         assertEquals(hear(), "ended VOID");
     }
 
     @DataProvider
     public Object[][] leavings() {
-        return new Object[][] {{"draining"}, {"gone"}, {"not listed"}, {"moved"}, {"started anew"}, {"taken out"}};
+        return new Object[][] {
+            {"draining"}, {"gone"}, {"not listed"}, {"moved"}, {"started anew"}, {"taken out"}
+        };
     }
 
-    /** Nothing of it has left: it is void, and goes elsewhere, rather than reach a server that wants nothing new. */
+    /**
+     * Nothing of it has left: it is void, and goes elsewhere, rather than reach a server that wants
+     * nothing new.
+     */
     @Test(dataProvider = "leavings")
     public void whatWaitsForAConnectionDoesNotReachAServerThatLeaves(String how) throws Exception {
         sends = true;
         say(client(), ask(1));
         assertEquals(hear(), "arrived");
-        turn(() -> {
-            switch (how) {
-                case "not listed" -> list(true, entry("s1", other, "ready", 0));
-                case "moved" -> list(false, entry("s0", other, "ready", 0));
-                case "started anew" -> list(false, entry("s0", full, "ready", 77));
-                case "taken out" -> servers.ban("suspend 5 s0");
-                default -> list(false, entry("s0", full, how, 0));
-            }
-        });
+        turn(
+                () -> {
+                    switch (how) {
+                        case "not listed" -> list(true, entry("s1", other, "ready", 0));
+                        case "moved" -> list(false, entry("s0", other, "ready", 0));
+                        case "started anew" -> list(false, entry("s0", full, "ready", 77));
+                        case "taken out" -> servers.ban("suspend 5 s0");
+                        default -> list(false, entry("s0", full, how, 0));
+                    }
+                });
         assertEquals(hear(), "ended VOID");
     }
 
-    /** What may go out within a time only is withdrawn after it, however long its connection may take. */
+    /**
+     * What may go out within a time only is withdrawn after it, however long its connection may
+     * take.
+     */
     @Test
     public void whatHasNotLeftInItsTimeIsWithdrawn() throws Exception {
         sends = true;
@@ -262,7 +343,11 @@
         Socket server = other.accept();
         open.add(server);
         byte[] whole = ask(2).getBytes(StandardCharsets.ISO_8859_1);
-        assertTrue(new String(server.getInputStream().readNBytes(whole.length), StandardCharsets.ISO_8859_1).startsWith("*4"));
+        assertTrue(
+                new String(
+                                server.getInputStream().readNBytes(whole.length),
+                                StandardCharsets.ISO_8859_1)
+                        .startsWith("*4"));
         assertEquals(hear(), "arrived");
         say(server, "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
         assertEquals(hear(), "ended GOOD");
@@ -285,15 +370,19 @@
         assertEquals(hear(), "ended VOID");
     }
 
-    /** Looked for before each dispatch: nobody may have read its end yet, nor what it sent before that. */
+    /**
+     * Looked for before each dispatch: nobody may have read its end yet, nor what it sent before
+     * that.
+     */
     @Test(dataProvider = "goings")
     public void aClientThatHasGoneIsSeenBeforeItsEndIsRead(String how) throws Exception {
         looks = true;
         Socket s = client();
-        turn(() -> {
-            say(s, ask(1));
-            go(s, how);
-        });
+        turn(
+                () -> {
+                    say(s, ask(1));
+                    go(s, how);
+                });
         say(client(), ask(2));
         String next = hear();
         for (; !next.equals("arrived 2 and there"); next = hear()) {
@@ -302,7 +391,13 @@
     }
 
     private static String halfOfALongOne(int id) {
-        return command("Q.DO", "0000000000000007", String.format("%016x", id), "c=w,t=p,d=60000", "x".repeat(4 << 20)).substring(0, 70_000);
+        return command(
+                        "Q.DO",
+                        "0000000000000007",
+                        String.format("%016x", id),
+                        "c=w,t=p,d=60000",
+                        "x".repeat(4 << 20))
+                .substring(0, 70_000);
     }
 
     private static String unread(String what) {
@@ -310,13 +405,19 @@
             case "noise" -> "noise\r\n\r\n" + "x".repeat(3000);
             case "noise without end" -> "x".repeat(900_000);
             case "a command that there is no room for" -> halfOfALongOne(9);
-            default -> IntStream.range(2, 80).mapToObj(LeavingTest::ask).collect(Collectors.joining());
+            default ->
+                    IntStream.range(2, 80).mapToObj(LeavingTest::ask).collect(Collectors.joining());
         };
     }
 
     @DataProvider
     public Object[][] unread() {
-        return new Object[][] {{"noise"}, {"noise without end"}, {"a command that there is no room for"}, {"many that wait"}};
+        return new Object[][] {
+            {"noise"},
+            {"noise without end"},
+            {"a command that there is no room for"},
+            {"many that wait"}
+        };
     }
 
     /** Its end is heard while a req of it is open, whatever lies before it on the connection. */
@@ -335,7 +436,10 @@
         assertEquals(next, "left");
     }
 
-    /** What there is no room for is denied where reqs before it are open, and passed over: what comes behind it is read. */
+    /**
+     * What there is no room for is denied where reqs before it are open, and passed over: what
+     * comes behind it is read.
+     */
     @Test(timeOut = 3 * PATIENCE)
     public void whatIsPassedOverLeavesTheRestInOrder() throws Exception {
         say(client(), halfOfALongOne(8));
@@ -346,10 +450,20 @@
         say(s, ask(1));
         Socket server = other.accept();
         open.add(server);
-        String whole = command("Q.DO", "0000000000000007", "0000000000000009", "c=w,t=p,d=60000", "x".repeat(4 << 20));
+        String whole =
+                command(
+                        "Q.DO",
+                        "0000000000000007",
+                        "0000000000000009",
+                        "c=w,t=p,d=60000",
+                        "x".repeat(4 << 20));
         say(s, whole + command("PING"));
         say(server, "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
         String answers = "$2\r\nok\r\n-BUSY\r\n+PONG\r\n";
-        assertEquals(new String(s.getInputStream().readNBytes(answers.length()), StandardCharsets.ISO_8859_1), answers);
+        assertEquals(
+                new String(
+                        s.getInputStream().readNBytes(answers.length()),
+                        StandardCharsets.ISO_8859_1),
+                answers);
     }
 }
--- a/gateway/src/test/java/tinford/routing/RoutingTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingTest.java
@@ -52,12 +52,20 @@
     public void endsSayWhatMayHaveRun(Ending how, End before, End after) {
         assertEquals(Ends.ofDispatch(how, false), before);
         assertEquals(Ends.ofDispatch(how, true), after);
-        assertEquals(Ends.ofCall(how, false), how == Ending.SILENT ? End.TIMED_OUT : End.UNREACHABLE);
+        assertEquals(
+                Ends.ofCall(how, false), how == Ending.SILENT ? End.TIMED_OUT : End.UNREACHABLE);
         // only silence in the whole of a call's time tells of what the counter bears
-        assertEquals(Ends.ofCall(how, true), how == Ending.SILENT ? End.TIMED_OUT : after.mayHaveRun ? End.BROKEN : End.UNREACHABLE);
+        assertEquals(
+                Ends.ofCall(how, true),
+                how == Ending.SILENT
+                        ? End.TIMED_OUT
+                        : after.mayHaveRun ? End.BROKEN : End.UNREACHABLE);
     }
 
-    /** Guards discovery against a fleet that it turned away together: all come back, each at its own time, ever more rarely. */
+    /**
+     * Guards discovery against a fleet that it turned away together: all come back, each at its own
+     * time, ever more rarely.
+     */
     @Test
     public void aFleetTurnedAwayTogetherComesBackSpread() {
         int[] first = new int[10];
@@ -82,8 +90,14 @@
     @DataProvider
     public Object[][] addresses() {
         return new Object[][] {
-            {"127.0.0.1:80", true}, {"[::1]:80", true}, {"127.0.0.1", false}, {"127.0.0.1:0", false},
-            {"127.0.0.1:65536", false}, {"host.example:80", false}, {":80", false}, {"127.0.0.1:x", false},
+            {"127.0.0.1:80", true},
+            {"[::1]:80", true},
+            {"127.0.0.1", false},
+            {"127.0.0.1:0", false},
+            {"127.0.0.1:65536", false},
+            {"host.example:80", false},
+            {":80", false},
+            {"127.0.0.1:x", false},
         };
     }
 
@@ -96,23 +110,32 @@
     public void onlyShortMessagesOfListedPeersAreHeard() throws Exception {
         InetAddress here = InetAddress.getLoopbackAddress();
         LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        Gateway gateway = (now, feed, out) -> feed.replay(new Bed.Deaf() {
-            @Override
-            public void heard(int peer, String text) {
-                heard.add(peer + " " + text);
-                out.tell(peer, "re " + text);
-                out.tell(peer, "x".repeat(257));
-                out.tell(-1, "all");
-            }
-        });
-        try (DatagramSocket peer = new DatagramSocket(0, here); DatagramSocket other = new DatagramSocket(0, here);
+        Gateway gateway =
+                (now, feed, out) ->
+                        feed.replay(
+                                new Bed.Deaf() {
+                                    @Override
+                                    public void heard(int peer, String text) {
+                                        heard.add(peer + " " + text);
+                                        out.tell(peer, "re " + text);
+                                        out.tell(peer, "x".repeat(257));
+                                        out.tell(-1, "all");
+                                    }
+                                });
+        try (DatagramSocket peer = new DatagramSocket(0, here);
+                DatagramSocket other = new DatagramSocket(0, here);
                 DatagramSocket all = new DatagramSocket(0, here)) {
             InetSocketAddress listen;
             try (DatagramSocket free = new DatagramSocket(0, here)) {
                 listen = address(free);
             }
             Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-            Peers peers = new Peers(desk, listen, List.of(new InetSocketAddress(here, 9), address(peer)), address(all));
+            Peers peers =
+                    new Peers(
+                            desk,
+                            listen,
+                            List.of(new InetSocketAddress(here, 9), address(peer)),
+                            address(all));
             desk.seat(null, null, null, null, peers);
             send(other, listen, "stranger");
             send(peer, listen, "x".repeat(257));
@@ -131,20 +154,44 @@
     }
 
     /**
-     * What has come by the time its connection would go for a new one, or at SIGTERM, is answered, though nobody has read it; so
-     * is what comes in the very turn in which the end was begun.
+     * What has come by the time its connection would go for a new one, or at SIGTERM, is answered,
+     * though nobody has read it; so is what comes in the very turn in which the end was begun.
      */
     @Test(dataProvider = "closes")
     public void aReqUnreadKeepsItsConnection(String how) throws Exception {
-        Gateway gateway = (now, feed, out) -> feed.replay(new Bed.Deaf() {
-            @Override
-            public void arrived(Req req) {
-                out.abort(req);
-            }
-        });
+        Gateway gateway =
+                (now, feed, out) ->
+                        feed.replay(
+                                new Bed.Deaf() {
+                                    @Override
+                                    public void arrived(Req req) {
+                                        out.abort(req);
+                                    }
+                                });
         Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-        Clients clients = new Clients(desk, Map.of("f", new Frontend("f", 2000, 8000, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false)),
-                Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)), 1, 6, 15_000, 10, 1 << 20, 8, 8);
+        Clients clients =
+                new Clients(
+                        desk,
+                        Map.of(
+                                "f",
+                                new Frontend(
+                                        "f",
+                                        2000,
+                                        8000,
+                                        1,
+                                        0,
+                                        Effect.IDEMPOTENT,
+                                        Group.ALL,
+                                        0,
+                                        false)),
+                        Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                        1,
+                        6,
+                        15_000,
+                        10,
+                        1 << 20,
+                        8,
+                        8);
         desk.seat(clients, null, null, null, null);
         InetAddress here = InetAddress.getLoopbackAddress();
         int port;
@@ -152,53 +199,98 @@
             port = free.getLocalPort();
         }
         clients.listen(new InetSocketAddress(here, port), false);
-        try (Socket longest = new Socket(here, port); Socket next = new Socket(here, port)) {
+        try (Socket longest = new Socket(here, port);
+                Socket next = new Socket(here, port)) {
             for (Socket s : List.of(longest, next)) {
                 s.setSoTimeout(10_000);
-                s.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
-                assertEquals(new String(s.getInputStream().readNBytes(7), StandardCharsets.US_ASCII), "+PONG\r\n");
+                s.getOutputStream()
+                        .write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
+                assertEquals(
+                        new String(s.getInputStream().readNBytes(7), StandardCharsets.US_ASCII),
+                        "+PONG\r\n");
             }
-            Loop.Due write = () -> {
-                try {
-                    longest.getOutputStream().write(("*4\r\n$5\r\nQ.ASK\r\n$16\r\n0000000000000007\r\n$16\r\n0000000000000001\r\n"
-                            + "$13\r\nc=f,t=p,d=900\r\n").getBytes(StandardCharsets.US_ASCII));
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-            };
-            desk.loop.enter(() -> {
-                if (!how.endsWith("crossed")) {
-                    write.play();
-                }
-                switch (how.split(",")[0]) {
-                    case "room" -> clients.makeRoom(ClientLink.JUST_COME);
-                    case "end" -> clients.end(() -> { });
-                    default -> clients.letGo();
-                }
-                if (how.endsWith("crossed")) {
-                    write.play();
-                }
-            });
-            assertEquals(new String(longest.getInputStream().readNBytes(14), StandardCharsets.US_ASCII), "-ERR aborted\r\n");
+            Loop.Due write =
+                    () -> {
+                        try {
+                            longest.getOutputStream()
+                                    .write(
+                                            ("*4\r\n"
+                                                            + "$5\r\n"
+                                                            + "Q.ASK\r\n"
+                                                            + "$16\r\n"
+                                                            + "0000000000000007\r\n"
+                                                            + "$16\r\n"
+                                                            + "0000000000000001\r\n"
+                                                            + "$13\r\n"
+                                                            + "c=f,t=p,d=900\r\n")
+                                                    .getBytes(StandardCharsets.US_ASCII));
+                        } catch (IOException e) {
+                            throw new UncheckedIOException(e);
+                        }
+                    };
+            desk.loop.enter(
+                    () -> {
+                        if (!how.endsWith("crossed")) {
+                            write.play();
+                        }
+                        switch (how.split(",")[0]) {
+                            case "room" -> clients.makeRoom(ClientLink.JUST_COME);
+                            case "end" -> clients.end(() -> {});
+                            default -> clients.letGo();
+                        }
+                        if (how.endsWith("crossed")) {
+                            write.play();
+                        }
+                    });
+            assertEquals(
+                    new String(longest.getInputStream().readNBytes(14), StandardCharsets.US_ASCII),
+                    "-ERR aborted\r\n");
             assertEquals(next.getInputStream().read(), -1);
         }
         desk.loop.close();
     }
 
-    /** Room is made for a crowd in the very turn in which a req is answered: its answer leaves all the same. */
+    /**
+     * Room is made for a crowd in the very turn in which a req is answered: its answer leaves all
+     * the same.
+     */
     @Test
     public void anAnswerOfThisTurnIsNotClosedUpon() throws Exception {
         Clients[] clients = new Clients[1];
-        Gateway gateway = (now, feed, out) -> feed.replay(new Bed.Deaf() {
-            @Override
-            public void arrived(Req req) {
-                out.abort(req);
-                clients[0].makeRoom(ClientLink.BUSY);
-            }
-        });
+        Gateway gateway =
+                (now, feed, out) ->
+                        feed.replay(
+                                new Bed.Deaf() {
+                                    @Override
+                                    public void arrived(Req req) {
+                                        out.abort(req);
+                                        clients[0].makeRoom(ClientLink.BUSY);
+                                    }
+                                });
         Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-        clients[0] = new Clients(desk, Map.of("f", new Frontend("f", 2000, 8000, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false)),
-                Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)), 1, 6, 15_000, 10, 1 << 20, 8, 8);
+        clients[0] =
+                new Clients(
+                        desk,
+                        Map.of(
+                                "f",
+                                new Frontend(
+                                        "f",
+                                        2000,
+                                        8000,
+                                        1,
+                                        0,
+                                        Effect.IDEMPOTENT,
+                                        Group.ALL,
+                                        0,
+                                        false)),
+                        Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                        1,
+                        6,
+                        15_000,
+                        10,
+                        1 << 20,
+                        8,
+                        8);
         desk.seat(clients[0], null, null, null, null);
         InetAddress here = InetAddress.getLoopbackAddress();
         int port;
@@ -208,34 +300,60 @@
         clients[0].listen(new InetSocketAddress(here, port), false);
         try (Socket s = new Socket(here, port)) {
             s.setSoTimeout(10_000);
-            s.getOutputStream().write(("*4\r\n$5\r\nQ.ASK\r\n$16\r\n0000000000000007\r\n$16\r\n0000000000000001\r\n"
-                    + "$13\r\nc=f,t=p,d=900\r\n").getBytes(StandardCharsets.US_ASCII));
-            assertEquals(new String(s.getInputStream().readNBytes(14), StandardCharsets.US_ASCII), "-ERR aborted\r\n");
+            s.getOutputStream()
+                    .write(
+                            ("*4\r\n"
+                                            + "$5\r\n"
+                                            + "Q.ASK\r\n"
+                                            + "$16\r\n"
+                                            + "0000000000000007\r\n"
+                                            + "$16\r\n"
+                                            + "0000000000000001\r\n"
+                                            + "$13\r\n"
+                                            + "c=f,t=p,d=900\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
+            assertEquals(
+                    new String(s.getInputStream().readNBytes(14), StandardCharsets.US_ASCII),
+                    "-ERR aborted\r\n");
         }
         desk.loop.close();
     }
 
-    /** A call that was given up keeps its place: its late answer is told as such, not taken for the next one's. */
+    /**
+     * A call that was given up keeps its place: its late answer is told as such, not taken for the
+     * next one's.
+     */
     @Test
     public void lateAnswerOfTheCounterIsNotTheNextOne() throws Exception {
         LinkedBlockingQueue<String> counted = new LinkedBlockingQueue<>();
-        Gateway gateway = (now, feed, out) -> feed.replay(new Bed.Deaf() {
-            @Override
-            public void counted(long name, End how, double took, double total) {
-                counted.add(name + " " + how + " " + total);
-            }
+        Gateway gateway =
+                (now, feed, out) ->
+                        feed.replay(
+                                new Bed.Deaf() {
+                                    @Override
+                                    public void counted(
+                                            long name, End how, double took, double total) {
+                                        counted.add(name + " " + how + " " + total);
+                                    }
 
-            @Override
-            public void countedLate(long name, double total) {
-                counted.add(name + " late " + total);
-            }
-        });
+                                    @Override
+                                    public void countedLate(long name, double total) {
+                                        counted.add(name + " late " + total);
+                                    }
+                                });
         try (ServerSocket door = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-            Counter counter = new Counter(desk, new InetSocketAddress(door.getInetAddress(), door.getLocalPort()), 60_000, 50, 1);
+            Counter counter =
+                    new Counter(
+                            desk,
+                            new InetSocketAddress(door.getInetAddress(), door.getLocalPort()),
+                            60_000,
+                            50,
+                            1);
             desk.loop.enter(() -> counter.add(1, 2.5, 1000));
             try (Socket s = door.accept()) {
-                assertEquals(new String(s.getInputStream().readNBytes(48), StandardCharsets.US_ASCII),
+                assertEquals(
+                        new String(s.getInputStream().readNBytes(48), StandardCharsets.US_ASCII),
                         "*4\r\n$7\r\nCNT.ADD\r\n$1\r\n1\r\n$8\r\n2.500000\r\n$4\r\n1000\r\n");
                 assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 TIMED_OUT 0.0");
                 s.getOutputStream().write("$1\r\n4\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -249,31 +367,48 @@
         }
     }
 
-    /** What the counter owes where it was is waited for there, and calls made since do not overtake it. */
+    /**
+     * What the counter owes where it was is waited for there, and calls made since do not overtake
+     * it.
+     */
     @Test
     public void counterThatMovesKeepsTheOrderOfAnswers() throws Exception {
         LinkedBlockingQueue<String> counted = new LinkedBlockingQueue<>();
-        Gateway gateway = (now, feed, out) -> feed.replay(new Bed.Deaf() {
-            @Override
-            public void counted(long name, End how, double took, double total) {
-                counted.add(name + " " + how + " " + total);
-            }
-        });
+        Gateway gateway =
+                (now, feed, out) ->
+                        feed.replay(
+                                new Bed.Deaf() {
+                                    @Override
+                                    public void counted(
+                                            long name, End how, double took, double total) {
+                                        counted.add(name + " " + how + " " + total);
+                                    }
+                                });
         InetAddress here = InetAddress.getLoopbackAddress();
-        try (ServerSocket old = new ServerSocket(0, 1, here); ServerSocket next = new ServerSocket(0, 1, here)) {
+        try (ServerSocket old = new ServerSocket(0, 1, here);
+                ServerSocket next = new ServerSocket(0, 1, here)) {
             Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-            Counter counter = new Counter(desk, new InetSocketAddress(here, old.getLocalPort()), 60_000, 60_000, 1);
+            Counter counter =
+                    new Counter(
+                            desk,
+                            new InetSocketAddress(here, old.getLocalPort()),
+                            60_000,
+                            60_000,
+                            1);
             desk.loop.enter(() -> counter.add(1, 1, 1000));
             try (Socket before = old.accept()) {
                 before.getInputStream().readNBytes(41);
-                desk.loop.enter(() -> counter.move(new InetSocketAddress(here, next.getLocalPort())));
+                desk.loop.enter(
+                        () -> counter.move(new InetSocketAddress(here, next.getLocalPort())));
                 desk.loop.enter(() -> counter.add(1, 2, 1000));
                 try (Socket after = next.accept()) {
-                    before.getOutputStream().write("$1\r\n4\r\n".getBytes(StandardCharsets.US_ASCII));
+                    before.getOutputStream()
+                            .write("$1\r\n4\r\n".getBytes(StandardCharsets.US_ASCII));
                     assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 GOOD 4.0");
                     assertEquals(before.getInputStream().read(), -1);
                     after.getInputStream().readNBytes(41);
-                    after.getOutputStream().write("$1\r\n6\r\n".getBytes(StandardCharsets.US_ASCII));
+                    after.getOutputStream()
+                            .write("$1\r\n6\r\n".getBytes(StandardCharsets.US_ASCII));
                     assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 GOOD 6.0");
                 }
             }
@@ -284,31 +419,56 @@
     @DataProvider
     public Object[][] spoiltTotals() {
         return new Object[][] {
-            {"\u00c6\u00b3\r\n", 1}, {"$2\r\nno\r\n", 1}, {"$3\r\nNaN\r\n", 1}, {":5\r\n", 1}, {"-?\r\n", 1}, {"*1\r\n$1\r\n5\r\n", 1},
-            {"$-1\r\n", 1}, {"$9\r\n1", 1}, {"$1\r\n5\r\n$1\r\n6\r\n$1\r\n7\r\n", 2}, {"x".repeat(3000), 1},
+            {"\u00c6\u00b3\r\n", 1},
+            {"$2\r\nno\r\n", 1},
+            {"$3\r\nNaN\r\n", 1},
+            {":5\r\n", 1},
+            {"-?\r\n", 1},
+            {"*1\r\n$1\r\n5\r\n", 1},
+            {"$-1\r\n", 1},
+            {"$9\r\n1", 1},
+            {"$1\r\n5\r\n$1\r\n6\r\n$1\r\n7\r\n", 2},
+            {"x".repeat(3000), 1},
         };
     }
 
-    /** What carries no total has been added and says nothing more; the calls behind it go on elsewhere at once. */
+    /**
+     * What carries no total has been added and says nothing more; the calls behind it go on
+     * elsewhere at once.
+     */
     @Test(dataProvider = "spoiltTotals")
     public void spoiltTotalCostsItsConnectionOnly(String text, int answers) throws Exception {
         LinkedBlockingQueue<String> counted = new LinkedBlockingQueue<>();
-        Gateway gateway = (now, feed, out) -> feed.replay(new Bed.Deaf() {
-            @Override
-            public void counted(long name, End how, double took, double total) {
-                counted.add(name + " " + how + " " + total);
-            }
-        });
+        Gateway gateway =
+                (now, feed, out) ->
+                        feed.replay(
+                                new Bed.Deaf() {
+                                    @Override
+                                    public void counted(
+                                            long name, End how, double took, double total) {
+                                        counted.add(name + " " + how + " " + total);
+                                    }
+                                });
         try (ServerSocket door = new ServerSocket(0, 2, InetAddress.getLoopbackAddress())) {
             Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-            Counter counter = new Counter(desk, new InetSocketAddress(door.getInetAddress(), door.getLocalPort()), 60_000, 60_000, 1);
+            Counter counter =
+                    new Counter(
+                            desk,
+                            new InetSocketAddress(door.getInetAddress(), door.getLocalPort()),
+                            60_000,
+                            60_000,
+                            1);
             desk.loop.enter(() -> counter.add(1, 1, 1000));
             desk.loop.enter(() -> counter.add(2, 1, 1000));
             try (Socket s = door.accept()) {
                 s.getInputStream().readNBytes(82);
                 s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-                assertEquals(counted.poll(10, TimeUnit.SECONDS), answers == 2 ? "1 GOOD 5.0" : "1 BROKEN 0.0");
-                assertEquals(counted.poll(10, TimeUnit.SECONDS), answers == 2 ? "2 GOOD 6.0" : "2 BROKEN 0.0");
+                assertEquals(
+                        counted.poll(10, TimeUnit.SECONDS),
+                        answers == 2 ? "1 GOOD 5.0" : "1 BROKEN 0.0");
+                assertEquals(
+                        counted.poll(10, TimeUnit.SECONDS),
+                        answers == 2 ? "2 GOOD 6.0" : "2 BROKEN 0.0");
                 try (Socket next = door.accept()) {
                     desk.loop.enter(() -> counter.add(3, 1, 1000));
                     next.getInputStream().readNBytes(41);
@@ -328,7 +488,13 @@
             port = free.getLocalPort();
         }
         Desk desk = new Desk((now, feed, out) -> feed.replay(new Bed.Deaf()), 3, 10, 1 << 20);
-        Counter counter = new Counter(desk, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 20, 50, 1);
+        Counter counter =
+                new Counter(
+                        desk,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                        20,
+                        50,
+                        1);
         desk.loop.enter(counter::connect);
         try (ServerSocket door = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
             door.setSoTimeout(10_000);
@@ -342,7 +508,8 @@
         return new InetSocketAddress(s.getLocalAddress(), s.getLocalPort());
     }
 
-    private static void send(DatagramSocket from, InetSocketAddress to, String text) throws Exception {
+    private static void send(DatagramSocket from, InetSocketAddress to, String text)
+            throws Exception {
         byte[] b = text.getBytes(StandardCharsets.UTF_8);
         from.send(new DatagramPacket(b, b.length, to));
     }
--- a/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
+++ b/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
@@ -33,7 +33,10 @@
 import tinford.api.Srv;
 import tinford.handed.Fields;
 
-/** What comes from a server in the very turn in which something ends, or begins, here; dispatches are the test's own. */
+/**
+ * What comes from a server in the very turn in which something ends, or begins, here; dispatches
+ * are the test's own.
+ */
 public class ServerTurnsTest {
     private static final String ONE = "*1\r\n$3\r\none\r\n";
     private static final double CAP = 300;
@@ -54,38 +57,76 @@
         door = new ServerSocket(0, 5, here);
         door.setSoTimeout(10_000);
         open.add(door);
-        Bed.Deaf inbox = new Bed.Deaf() {
-            @Override
-            public void listed(List<Srv> entries, boolean whole) {
-                srv = entries.get(0);
-            }
+        Bed.Deaf inbox =
+                new Bed.Deaf() {
+                    @Override
+                    public void listed(List<Srv> entries, boolean whole) {
+                        srv = entries.get(0);
+                    }
 
-            @Override
-            public void arrived(Req req) {
-                arrived.add(req);
-            }
+                    @Override
+                    public void arrived(Req req) {
+                        arrived.add(req);
+                    }
 
-            @Override
-            public void ended(Req req, int hop, End how, double took, boolean closed, int seenUse, double settled, double[] load) {
-                ended.add(how + (closed ? " closed" : ""));
-                if (!closed) {
-                    desk.abort(req);
-                }
-            }
-        };
+                    @Override
+                    public void ended(
+                            Req req,
+                            int hop,
+                            End how,
+                            double took,
+                            boolean closed,
+                            int seenUse,
+                            double settled,
+                            double[] load) {
+                        ended.add(how + (closed ? " closed" : ""));
+                        if (!closed) {
+                            desk.abort(req);
+                        }
+                    }
+                };
         desk = new Desk((at, feed, out) -> feed.replay(inbox), 3, 100, 1 << 22, nanos::get);
         open.add(desk.loop::close);
         Servers servers = new Servers(desk, 250, 15_000, 10, List.of());
-        Clients clients = new Clients(desk, Map.of("f", new Frontend("f", 2000, 8000, 1, 0, Effect.NON_IDEMPOTENT, Group.ALL, 0, false)),
-                Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)), 1, 6, 15_000, 10, 1 << 20, 8, 8);
+        Clients clients =
+                new Clients(
+                        desk,
+                        Map.of(
+                                "f",
+                                new Frontend(
+                                        "f",
+                                        2000,
+                                        8000,
+                                        1,
+                                        0,
+                                        Effect.NON_IDEMPOTENT,
+                                        Group.ALL,
+                                        0,
+                                        false)),
+                        Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                        1,
+                        6,
+                        15_000,
+                        10,
+                        1 << 20,
+                        8,
+                        8);
         desk.seat(clients, servers, null, null, null);
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, here)) {
             port = free.getLocalPort();
         }
         clients.listen(new InetSocketAddress(here, port), false);
-        desk.loop.enter(() -> servers.list(Fields.of(new JsonFactory(), "known", "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s\","
-                + "\"dial\":\"127.0.0.1:" + door.getLocalPort() + "\",\"site\":\"a\",\"health\":\"ready\"}]}")));
+        desk.loop.enter(
+                () ->
+                        servers.list(
+                                Fields.of(
+                                        new JsonFactory(),
+                                        "known",
+                                        "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s\","
+                                                + "\"dial\":\"127.0.0.1:"
+                                                + door.getLocalPort()
+                                                + "\",\"site\":\"a\",\"health\":\"ready\"}]}")));
         client = new Socket(here, port);
         client.setSoTimeout(10_000);
         open.add(client);
@@ -112,7 +153,11 @@
     }
 
     private Req ask(int n) throws InterruptedException {
-        say(client, "*4\r\n$4\r\nQ.DO\r\n$16\r\n0000000000000007\r\n$16\r\n000000000000000" + n + "\r\n$14\r\nc=f,t=p,d=7000\r\n");
+        say(
+                client,
+                "*4\r\n$4\r\nQ.DO\r\n$16\r\n0000000000000007\r\n$16\r\n000000000000000"
+                        + n
+                        + "\r\n$14\r\nc=f,t=p,d=7000\r\n");
         return arrived.poll(10, TimeUnit.SECONDS);
     }
 
@@ -121,7 +166,9 @@
         s.setSoTimeout(10_000);
         open.add(s);
         StringBuilder command = new StringBuilder();
-        for (int lines = 0; lines < 9; lines += command.charAt(command.length() - 1) == '\n' ? 1 : 0) {
+        for (int lines = 0;
+                lines < 9;
+                lines += command.charAt(command.length() - 1) == '\n' ? 1 : 0) {
             command.append(hear(s, 1));
         }
         assertTrue(command.indexOf("000000000000000" + n) > 0, command.toString());
@@ -137,26 +184,42 @@
     @DataProvider
     public Object[][] timeOuts() {
         String flows = "*1\r\n$70000\r\n" + "x".repeat(200);
-        return new Object[][] {{ONE, true}, {ONE, false}, {ONE + ONE, true}, {"-ERR failed\r\n", true}, {"-BUSY\r\n", true},
-            {"*1\r\n$3\r\non", true}, {flows, true}, {flows, false}};
+        return new Object[][] {
+            {ONE, true},
+            {ONE, false},
+            {ONE + ONE, true},
+            {"-ERR failed\r\n", true},
+            {"-BUSY\r\n", true},
+            {"*1\r\n$3\r\non", true},
+            {flows, true},
+            {flows, false}
+        };
     }
 
     /** Timers go first: the req has its one final answer, and what came with it is nobody's. */
     @Test(dataProvider = "timeOuts")
-    public void anAnswerInTheTurnOfTheTimeOutIsNoSecondOne(String comes, boolean read) throws Exception {
+    public void anAnswerInTheTurnOfTheTimeOutIsNoSecondOne(String comes, boolean read)
+            throws Exception {
         Req req = ask(1);
         desk.loop.enter(() -> desk.dispatch(req, srv, CAP, 1e9));
         Socket server = accept(1);
-        desk.loop.enter(() -> {
-            say(server, comes);
-            if (read) {
-                ((Exchange) req).dispatches.get(0).link.quiet();
-            }
-            nanos.addAndGet((long) (2 * CAP * 1e6));
-        });
+        desk.loop.enter(
+                () -> {
+                    say(server, comes);
+                    if (read) {
+                        ((Exchange) req).dispatches.get(0).link.quiet();
+                    }
+                    nanos.addAndGet((long) (2 * CAP * 1e6));
+                });
         String heard = hear(client, 3);
-        boolean inTime = !read && !heard.equals("-ER"); // it may be read before the timer's turn, and then is the answer
-        assertEquals(heard + hear(client, inTime ? 6 : 11), !inTime ? "-ERR aborted\r\n" : comes.equals(ONE) ? "$3\r\none\r\n" : "$70000\r\n");
+        boolean inTime =
+                !read
+                        && !heard.equals(
+                                "-ER"); // it may be read before the timer's turn, and then is the
+        // answer
+        assertEquals(
+                heard + hear(client, inTime ? 6 : 11),
+                !inTime ? "-ERR aborted\r\n" : comes.equals(ONE) ? "$3\r\none\r\n" : "$70000\r\n");
         if (inTime && !comes.equals(ONE)) {
             return; // it flows, and no time counts
         }
@@ -167,7 +230,10 @@
         }
     }
 
-    /** A second answer comes right when its connection would be used again: the next req has another, and its own answer. */
+    /**
+     * A second answer comes right when its connection would be used again: the next req has
+     * another, and its own answer.
+     */
     @Test
     public void aSecondAnswerInTheTurnOfTheNextDispatchIsNotItsAnswer() throws Exception {
         Req first = ask(1);
@@ -175,14 +241,15 @@
         Socket server = accept(1);
         say(server, ONE);
         assertEquals(hear(client, 9), "$3\r\none\r\n");
-        for (long until = System.nanoTime() + 30_000_000L; System.nanoTime() < until;) {
+        for (long until = System.nanoTime() + 30_000_000L; System.nanoTime() < until; ) {
             ping(); // until the connection has rested
         }
         Req second = ask(2);
-        desk.loop.enter(() -> {
-            say(server, ONE);
-            desk.dispatch(second, srv, 0, 1e9);
-        });
+        desk.loop.enter(
+                () -> {
+                    say(server, ONE);
+                    desk.dispatch(second, srv, 0, 1e9);
+                });
         Socket next = accept(2);
         say(next, ONE.replace("one", "two"));
         assertEquals(hear(client, 9), "$3\r\ntwo\r\n");
--- a/gateway/src/test/java/tinford/routing/WatchBed.java
+++ b/gateway/src/test/java/tinford/routing/WatchBed.java
@@ -34,10 +34,24 @@
     static final int TOLD = 6000; // what is missed counts as told then
     static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     static final String DROPS = list(43, true, "s1", "s2");
-    static final String[] GOOD = {"0", HEAD + chunk(DROPS), "2000", chunk("\n"), "4000", chunk("\n"), "6000", chunk("\n"),
-        "8000", chunk("\n"), "10000", chunk("\n")};
+    static final String[] GOOD = {
+        "0",
+        HEAD + chunk(DROPS),
+        "2000",
+        chunk("\n"),
+        "4000",
+        chunk("\n"),
+        "6000",
+        chunk("\n"),
+        "8000",
+        chunk("\n"),
+        "10000",
+        chunk("\n")
+    };
     static final String[] SILENT = {};
-    static final String[] FAILING = {"0", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "0", "end"};
+    static final String[] FAILING = {
+        "0", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "0", "end"
+    };
     final AtomicLong nanos = new AtomicLong();
     final Semaphore looked = new Semaphore(0);
     final DatagramSocket probe = probe();
@@ -58,7 +72,10 @@
     Desk desk;
     Watch watch;
 
-    /** One connection of the stand-in: says what its script tells, times counting from the req for the list. */
+    /**
+     * One connection of the stand-in: says what its script tells, times counting from the req for
+     * the list.
+     */
     final class Wire {
         final SocketChannel channel;
         String[] script;
@@ -86,13 +103,18 @@
                 opens.add(now);
                 asked.add(heard.substring(0, heard.indexOf('\r')));
             }
-            for (; askedAt >= 0 && said < script.length && now - askedAt >= Integer.parseInt(script[said]); said += 2) {
+            for (;
+                    askedAt >= 0
+                            && said < script.length
+                            && now - askedAt >= Integer.parseInt(script[said]);
+                    said += 2) {
                 if (script[said + 1].equals("end")) {
                     channel.close();
                 } else if (script[said + 1].equals("reset")) {
                     reset();
                 } else if (channel.isOpen()) {
-                    channel.write(ByteBuffer.wrap(script[said + 1].getBytes(StandardCharsets.UTF_8)));
+                    channel.write(
+                            ByteBuffer.wrap(script[said + 1].getBytes(StandardCharsets.UTF_8)));
                 }
             }
         }
@@ -105,14 +127,18 @@
     }
 
     static String host(String id, String health) {
-        return "{\"host\":\"" + id + "\",\"dial\":\"127.0.0.1:9\",\"site\":\"a\",\"block\":0,\"health\":\"" + health
+        return "{\"host\":\""
+                + id
+                + "\",\"dial\":\"127.0.0.1:9\",\"site\":\"a\",\"block\":0,\"health\":\""
+                + health
                 + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
     static String list(int seq, boolean whole, String... ids) {
         StringBuilder hosts = new StringBuilder();
         for (String id : ids) {
-            hosts.append(hosts.length() == 0 ? "" : ",").append(id.startsWith("{") ? id : host(id, "ready"));
+            hosts.append(hosts.length() == 0 ? "" : ",")
+                    .append(id.startsWith("{") ? id : host(id, "ready"));
         }
         return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + hosts + "]}\n";
     }
@@ -123,7 +149,8 @@
 
     /** One object over many lines, with an empty one among them. */
     static String indented(String list) {
-        return list.strip().replace("{", "{\n  ").replace(",", ",\n\n    ").replace("]", "\n]") + "\n";
+        return list.strip().replace("{", "{\n  ").replace(",", ",\n\n    ").replace("]", "\n]")
+                + "\n";
     }
 
     /** These texts {@code apart} ms from one another. */
@@ -195,36 +222,51 @@
     }
 
     void start(long seed) throws Exception {
-        Bed.Deaf inbox = new Bed.Deaf() {
-            @Override
-            public void listed(List<Srv> entries, boolean whole) {
-                if (whole) {
-                    held.clear();
-                }
-                entries.forEach(s -> held.put(((Backend) s).id, s));
-                held.values().removeIf(s -> s.state == Srv.State.REMOVED);
-                takenAt = takenAt < 0 && !held.containsKey("s0") ? now : takenAt;
-            }
+        Bed.Deaf inbox =
+                new Bed.Deaf() {
+                    @Override
+                    public void listed(List<Srv> entries, boolean whole) {
+                        if (whole) {
+                            held.clear();
+                        }
+                        entries.forEach(s -> held.put(((Backend) s).id, s));
+                        held.values().removeIf(s -> s.state == Srv.State.REMOVED);
+                        takenAt = takenAt < 0 && !held.containsKey("s0") ? now : takenAt;
+                    }
 
-            @Override
-            public void listRefused() {
-                refused++;
-            }
-        };
+                    @Override
+                    public void listRefused() {
+                        refused++;
+                    }
+                };
         desk = new Desk((at, feed, out) -> feed.replay(inbox), 3, descriptors, 1 << 22, nanos::get);
         open.add(desk.loop::close);
         probed = new InetSocketAddress(InetAddress.getLoopbackAddress(), free());
         new Datagrams(desk.loop, probed, 8, (from, bytes) -> looked.release());
         Servers servers = new Servers(desk, 250, 15_000, 10, List.of());
-        watch = new Watch(desk, at(), connectWithin, servers, new JsonFactory(), 42, new Random(seed));
+        watch =
+                new Watch(
+                        desk,
+                        at(),
+                        connectWithin,
+                        servers,
+                        new JsonFactory(),
+                        42,
+                        new Random(seed));
         desk.seat(null, servers, null, watch, null);
-        desk.loop.enter(() -> {
-            servers.list(tinford.handed.Fields.of(new JsonFactory(), "known", list(42, true, "s0", "s1")));
-            watch.want(true);
-        });
+        desk.loop.enter(
+                () -> {
+                    servers.list(
+                            tinford.handed.Fields.of(
+                                    new JsonFactory(), "known", list(42, true, "s0", "s1")));
+                    watch.want(true);
+                });
     }
 
-    /** Lets all that is under way come to rest: what was there before a datagram has been looked at once it is taken. */
+    /**
+     * Lets all that is under way come to rest: what was there before a datagram has been looked at
+     * once it is taken.
+     */
     void settle() throws Exception {
         for (int i = 0; i < 3; i++) {
             probe.send(new DatagramPacket(new byte[1], 1, probed));
