--- a/fleet/src/main/java/tinford/fleet/budgets/Cost.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Cost.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Random;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Terms;
 
 /**
@@ -67,20 +67,24 @@
                 }
             }
             for (int g = 0; g < size[1]; g++) {
-                Life life = new Life(g, 1);
+                Incarnation incarnation = new Incarnation(g, 1);
                 if (first) {
-                    ledger.apply(++index, Terms.renew(life, 1, 1e6));
+                    ledger.apply(++index, Terms.renew(incarnation, 1, 1e6));
                 }
                 // All that was taken back is let go.
                 Map<Integer, Integer> held = new LinkedHashMap<>();
-                Ledger.Holder h = ledger.holders.get(life);
+                Ledger.Holder h = ledger.holders.get(incarnation);
                 if (h != null) {
                     h.cells.forEach((s, c) -> held.put(s, c.granted));
                 }
                 ledger.apply(
                         ++index,
                         Ledger.tell(
-                                life, 2 + round, index, wanted.getOrDefault(g, Map.of()), held));
+                                incarnation,
+                                2 + round,
+                                index,
+                                wanted.getOrDefault(g, Map.of()),
+                                held));
             }
             Proposer proposer = new Proposer(a -> new Proposer.Plan(1 + (int) (a % 4), 1, 1000), 0);
             long t = cpu();
--- a/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Term;
 import tinford.fleet.members.Terms;
 import tinford.fleet.store.Log;
@@ -22,7 +22,7 @@
  * Who was granted what at which server, by the entries of the log; the same on every member. A
  * grant is taken only where all that is granted, may be held or lingers fits in the offer less its
  * static part: here alone that promise is kept, whoever proposes. Bounds: {@link #MOST_SERVERS}
- * servers, {@link #MOST_ASKED} accounts a life, lives as {@link Terms} has.
+ * servers, {@link #MOST_ASKED} accounts an incarnation, incarnations as {@link Terms} has.
  */
 public class Ledger implements Log.Reader {
     public static final int MOST_SERVERS = 4096;
@@ -33,7 +33,7 @@
     private static final byte FORM = 1;
     private static final int MOST_COUNT = 1 << 24;
 
-    /** What one life has at one server. */
+    /** What one incarnation has at one server. */
     static final class Cell {
         int granted;
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /** All of one life. */
+    /** All of one incarnation. */
     static final class Holder {
         final TreeMap<Integer, Cell> cells = new TreeMap<>();
         final TreeMap<Long, Integer> asked = new TreeMap<>();
@@ -77,7 +77,7 @@
     final Terms terms;
     final Statics statics;
     final List<Server> servers = new ArrayList<>();
-    final TreeMap<Life, Holder> holders = new TreeMap<>();
+    final TreeMap<Incarnation, Holder> holders = new TreeMap<>();
     private final Map<String, Integer> numbers = new LinkedHashMap<>();
     private double nextFree = Double.POSITIVE_INFINITY;
     private long last;
@@ -94,12 +94,12 @@
     }
 
     /**
-     * Entry of one life: what it wants by account where that changed (0: nothing more), and what it
-     * holds beyond its static share at servers where it was granted more before, with the last
-     * index that it had read.
+     * Entry of one incarnation: what it wants by account where that changed (0: nothing more), and
+     * what it holds beyond its static share at servers where it was granted more before, with the
+     * last index that it had read.
      */
     public static byte[] tell(
-            Life life,
+            Incarnation incarnation,
             double at,
             long seen,
             Map<Long, Integer> wanted,
@@ -107,7 +107,7 @@
         return entry(
                 TELL,
                 out -> {
-                    Pack.put(out, life);
+                    Pack.put(out, incarnation);
                     out.writeDouble(at);
                     Pack.put(out, seen);
                     Pack.put(out, wanted.size());
@@ -138,8 +138,11 @@
                 });
     }
 
-    /** One line of a grant: from now on the life has that many, at a server or for an account. */
-    record Line(Life life, long what, int count) {}
+    /**
+     * One line of a grant: from now on the incarnation has that many, at a server or for an
+     * account.
+     */
+    record Line(Incarnation incarnation, long what, int count) {}
 
     /**
      * Entry of whoever leads. Lines that make less come first.
@@ -160,7 +163,7 @@
     private static void lines(DataOutputStream out, List<Line> lines) throws IOException {
         Pack.put(out, lines.size());
         for (Line l : lines) {
-            Pack.put(out, l.life);
+            Pack.put(out, l.incarnation);
             Pack.put(out, l.what);
             Pack.put(out, l.count);
         }
@@ -222,7 +225,7 @@
     }
 
     private void told(DataInputStream in) throws IOException {
-        Life life = Pack.life(in);
+        Incarnation incarnation = Pack.incarnation(in);
         double at = at(in);
         long seen = Pack.take(in);
         Map<Long, Integer> wanted = new LinkedHashMap<>();
@@ -234,11 +237,11 @@
             held.put(Pack.count(in, MOST_SERVERS), Pack.count(in, MOST_COUNT));
         }
         terms.seen(at);
-        if (terms.closed(life)) {
+        if (terms.closed(incarnation)) {
             stale++;
             return;
         }
-        Holder h = holders.computeIfAbsent(life, l -> new Holder());
+        Holder h = holders.computeIfAbsent(incarnation, l -> new Holder());
         // What is let go is safe to take late; what is wanted is not.
         for (Map.Entry<Integer, Integer> e : held.entrySet()) {
             Cell c = h.cells.get(e.getKey());
@@ -300,8 +303,8 @@
             cell(index, l);
         }
         for (Line l : forAccounts) {
-            Holder h = holders.get(l.life);
-            if (h == null || !terms.renews(l.life)) {
+            Holder h = holders.get(l.incarnation);
+            if (h == null || !terms.renews(l.incarnation)) {
                 stale++;
             } else if (l.count == 0) {
                 h.uses.remove(l.what);
@@ -314,30 +317,30 @@
     private static List<Line> lines(DataInputStream in) throws IOException {
         List<Line> lines = new ArrayList<>();
         for (int n = Pack.count(in, MOST_COUNT); n > 0; n--) {
-            lines.add(new Line(Pack.life(in), Pack.take(in), Pack.count(in, MOST_COUNT)));
+            lines.add(new Line(Pack.incarnation(in), Pack.take(in), Pack.count(in, MOST_COUNT)));
         }
         return lines;
     }
 
     private void cell(long index, Line l) {
-        Holder h = holders.get(l.life);
+        Holder h = holders.get(l.incarnation);
         if (h == null || l.what < 0 || l.what >= servers.size()) {
             stale++;
             return;
         }
         int number = (int) l.what;
         Cell c = h.cells.computeIfAbsent(number, k -> new Cell());
-        if (l.count > c.may && !fits(l.life, number, l.count - c.may)) {
+        if (l.count > c.may && !fits(l.incarnation, number, l.count - c.may)) {
             over++;
             return;
         }
-        if (l.count > c.granted && !terms.renews(l.life)) {
+        if (l.count > c.granted && !terms.renews(l.incarnation)) {
             stale++;
             return;
         }
         if (l.count < c.granted) {
             c.shrunk = index;
-            Term term = terms.of(l.life);
+            Term term = terms.of(l.incarnation);
             c.free = term == null ? terms.now() : free(term);
             nextFree = Math.min(nextFree, c.free);
         }
@@ -348,7 +351,7 @@
     }
 
     /** Whether so many more fit beside all that may be held: the promise "never over". */
-    boolean fits(Life life, int server, int more) {
+    boolean fits(Incarnation incarnation, int server, int more) {
         return servers.get(server).held + more <= pool(server);
     }
 
@@ -365,8 +368,9 @@
     }
 
     private void sweep() {
-        for (Iterator<Map.Entry<Life, Holder>> it = holders.entrySet().iterator(); it.hasNext(); ) {
-            Map.Entry<Life, Holder> e = it.next();
+        for (Iterator<Map.Entry<Incarnation, Holder>> it = holders.entrySet().iterator();
+                it.hasNext(); ) {
+            Map.Entry<Incarnation, Holder> e = it.next();
             if (gone(e.getKey())) {
                 e.getValue().cells.forEach((n, c) -> may(n, c, 0));
                 it.remove();
@@ -389,9 +393,9 @@
         }
     }
 
-    /** Whether nothing that the life was granted can be open. */
-    boolean gone(Life life) {
-        return terms.closed(life);
+    /** Whether nothing that the incarnation was granted can be open. */
+    boolean gone(Incarnation incarnation) {
+        return terms.closed(incarnation);
     }
 
     /** What can be granted at a server in all. */
@@ -444,16 +448,16 @@
         return servers.get(server).held;
     }
 
-    /** What one life is granted at a server. */
-    public int granted(Life life, int server) {
-        Holder h = holders.get(life);
+    /** What one incarnation is granted at a server. */
+    public int granted(Incarnation incarnation, int server) {
+        Holder h = holders.get(incarnation);
         Cell c = h == null ? null : h.cells.get(server);
         return c == null ? 0 : c.granted;
     }
 
-    /** For an account through one life. */
-    public int uses(Life life, long account) {
-        Holder h = holders.get(life);
+    /** For an account through one incarnation. */
+    public int uses(Incarnation incarnation, long account) {
+        Holder h = holders.get(incarnation);
         return h == null ? 0 : h.uses.getOrDefault(account, 0);
     }
 
@@ -472,7 +476,7 @@
                         Pack.put(out, s.offer);
                     }
                     Pack.put(out, holders.size());
-                    for (Map.Entry<Life, Holder> e : holders.entrySet()) {
+                    for (Map.Entry<Incarnation, Holder> e : holders.entrySet()) {
                         Holder h = e.getValue();
                         Pack.put(out, e.getKey());
                         out.writeDouble(h.told);
@@ -526,7 +530,7 @@
             }
             holders.clear();
             for (int n = Pack.count(in, MOST_COUNT); n > 0; n--) {
-                holders.put(Pack.life(in), holder(in));
+                holders.put(Pack.incarnation(in), holder(in));
             }
             nextFree = 0;
             sweep();
@@ -557,14 +561,14 @@
         return h;
     }
 
-    /** The lives that may be given something, by gateway. */
-    List<Life> givable() {
-        List<Life> lives = new ArrayList<>();
-        for (Life life : holders.keySet()) {
-            if (terms.renews(life)) {
-                lives.add(life);
+    /** The incarnations that may be given something, by gateway. */
+    List<Incarnation> givable() {
+        List<Incarnation> incarnations = new ArrayList<>();
+        for (Incarnation incarnation : holders.keySet()) {
+            if (terms.renews(incarnation)) {
+                incarnations.add(incarnation);
             }
         }
-        return Collections.unmodifiableList(lives);
+        return Collections.unmodifiableList(incarnations);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budgets/Pack.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Pack.java
@@ -3,7 +3,7 @@
 import java.io.DataInput;
 import java.io.DataOutput;
 import java.io.IOException;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 
 /** Whole numbers in as few bytes as they need. */
 final class Pack {
@@ -39,12 +39,12 @@
         return (int) v;
     }
 
-    static void put(DataOutput out, Life life) throws IOException {
-        put(out, life.gateway());
-        put(out, life.start());
+    static void put(DataOutput out, Incarnation incarnation) throws IOException {
+        put(out, incarnation.gateway());
+        put(out, incarnation.start());
     }
 
-    static Life life(DataInput in) throws IOException {
-        return new Life(count(in, Integer.MAX_VALUE), take(in));
+    static Incarnation incarnation(DataInput in) throws IOException {
+        return new Incarnation(count(in, Integer.MAX_VALUE), take(in));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 
 /**
  * What whoever leads proposes: the ledger as it knows it, divided anew. Wrong or stale proposals
@@ -39,9 +39,9 @@
         if (now < next) {
             return null;
         }
-        List<Life> lives = ledger.givable();
+        List<Incarnation> incarnations = ledger.givable();
         int columns = ledger.servers.size();
-        int rows = lives.size();
+        int rows = incarnations.size();
         if (rows == 0 || columns == 0) {
             return null;
         }
@@ -55,13 +55,13 @@
         TreeMap<Long, TreeMap<Integer, int[]>> wanted = new TreeMap<>();
         for (int g = 0; g < rows; g++) {
             int row = g;
-            Ledger.Holder h = ledger.holders.get(lives.get(g));
+            Ledger.Holder h = ledger.holders.get(incarnations.get(g));
             for (int s = 0; s < columns; s++) {
                 own[g] +=
                         ledger.servers.get(s).offer == 0
                                 ? 0
                                 : ledger.statics.of(
-                                        ledger.servers.get(s).name, lives.get(g).gateway());
+                                        ledger.servers.get(s).name, incarnations.get(g).gateway());
             }
             h.cells.forEach(
                     (s, c) -> {
@@ -81,7 +81,7 @@
             for (int s = 0; s < columns; s++) {
                 if (d.now[g][s] != granted[g][s]) {
                     (d.now[g][s] < granted[g][s] ? less : more)
-                            .add(new Ledger.Line(lives.get(g), s, d.now[g][s]));
+                            .add(new Ledger.Line(incarnations.get(g), s, d.now[g][s]));
                 }
             }
         }
@@ -90,7 +90,7 @@
         for (Division.Account a : accounts) {
             for (int k = 0; k < a.rows.length; k++) {
                 if (a.given[k] != a.before[k]) {
-                    uses.add(new Ledger.Line(lives.get(a.rows[k]), a.id, a.given[k]));
+                    uses.add(new Ledger.Line(incarnations.get(a.rows[k]), a.id, a.given[k]));
                 }
             }
         }
--- a/fleet/src/main/java/tinford/fleet/budgets/Share.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Share.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Term;
 import tinford.fleet.members.Terms;
 
@@ -33,7 +33,7 @@
     private final Ledger ledger;
     private final Statics statics;
     private final LongFunction<Proposer.Plan> plans;
-    private final Life life;
+    private final Incarnation incarnation;
     private final double length;
     private final double margin;
     private final double every;
@@ -54,14 +54,14 @@
      * @param every a round comes no sooner than this after the last, ms
      * @param keep what was wanted is told on for this long, so that what comes and goes does not
      *     move grants, ms
-     * @param staticFrom from when the static share may be used: the start, where the last life of
-     *     this gateway surely closed all; else the linger after the start
+     * @param staticFrom from when the static share may be used: the start, where the last
+     *     incarnation of this gateway surely closed all; else the linger after the start
      */
     public Share(
             Ledger ledger,
             Statics statics,
             LongFunction<Proposer.Plan> plans,
-            Life life,
+            Incarnation incarnation,
             double length,
             double margin,
             double every,
@@ -70,7 +70,7 @@
         this.ledger = ledger;
         this.statics = statics;
         this.plans = plans;
-        this.life = life;
+        this.incarnation = incarnation;
         this.length = length;
         this.margin = margin;
         this.every = every;
@@ -80,7 +80,7 @@
 
     /** Whether its grants count now, by its own clock. */
     public boolean holds(double now) {
-        Term term = ledger.terms().of(life);
+        Term term = ledger.terms().of(incarnation);
         return term != null && term.holds(now + margin);
     }
 
@@ -93,11 +93,12 @@
             return 0;
         }
         int number = ledger.number(server);
-        return own(server, now) + (number >= 0 && holds(now) ? ledger.granted(life, number) : 0);
+        return own(server, now)
+                + (number >= 0 && holds(now) ? ledger.granted(incarnation, number) : 0);
     }
 
     private int own(String server, double now) {
-        return now >= staticFrom ? statics.of(server, life.gateway()) : 0;
+        return now >= staticFrom ? statics.of(server, incarnation.gateway()) : 0;
     }
 
     /** Connections to let go: idle ones at once, busy ones as they are answered. */
@@ -111,9 +112,9 @@
      */
     public int mayUse(long account, double now) {
         if (holds(now)) {
-            Ledger.Holder h = ledger.holders.get(life);
+            Ledger.Holder h = ledger.holders.get(incarnation);
             int least = h == null || !h.asked.containsKey(account) ? 1 : 0;
-            return Math.max(least, ledger.uses(life, account));
+            return Math.max(least, ledger.uses(incarnation, account));
         }
         Want want = wants.get(account);
         return want == null ? 1 : Math.max(1, want.alone);
@@ -125,7 +126,7 @@
      */
     public long fence(String server) {
         int number = ledger.number(server);
-        Ledger.Holder h = ledger.holders.get(life);
+        Ledger.Holder h = ledger.holders.get(incarnation);
         Ledger.Cell c = h == null || number < 0 ? null : h.cells.get(number);
         return fences.merge(server, c == null ? 0 : c.fence, Math::max);
     }
@@ -171,14 +172,14 @@
         }
         nextRound = now + every;
         List<byte[]> entries = new ArrayList<>(2);
-        Term term = ledger.terms().of(life);
+        Term term = ledger.terms().of(incarnation);
         if (leaves && open.isEmpty()) {
             left = true;
-            entries.add(Terms.leave(life, now));
+            entries.add(Terms.leave(incarnation, now));
             return entries;
         }
         if (term == null || now >= term.until() - length * 2 / 3) {
-            entries.add(Terms.renew(life, now, length));
+            entries.add(Terms.renew(incarnation, now, length));
         }
         alone(now);
         if (term != null) {
@@ -198,7 +199,7 @@
     }
 
     private void tell(double now, List<byte[]> entries) {
-        Ledger.Holder h = ledger.holders.get(life);
+        Ledger.Holder h = ledger.holders.get(incarnation);
         Map<Long, Integer> wanted = new LinkedHashMap<>();
         Map<Integer, Integer> held = new LinkedHashMap<>();
         if (!leaves) {
@@ -229,7 +230,7 @@
                     });
         }
         if (!wanted.isEmpty() || !held.isEmpty()) {
-            entries.add(Ledger.tell(life, now, ledger.last(), wanted, held));
+            entries.add(Ledger.tell(incarnation, now, ledger.last(), wanted, held));
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/members/Members.java
+++ b/fleet/src/main/java/tinford/fleet/members/Members.java
@@ -14,11 +14,12 @@
  * others, with the own record and those of others that were told least, so that a gateway sends and
  * takes as much in a fleet of any size. Keeps one record a gateway.
  *
- * <p>A record's age is what its teller counted and the time since it was heard. Where that life's
- * records have come faster before, one that took longer (late, or taken by a process that had been
- * stopped) counts as older by the difference, so that an age is too low by the quickest way of late
- * at most; where a life is heard of for the first time, by that record's time under way. Only the
- * own clock and the owner's count of time since its start are compared, never two clocks.
+ * <p>A record's age is what its teller counted and the time since it was heard. Where that
+ * incarnation's records have come faster before, one that took longer (late, or taken by a process
+ * that had been stopped) counts as older by the difference, so that an age is too low by the
+ * quickest way of late at most; where an incarnation is heard of for the first time, by that
+ * record's time under way. Only the own clock and the owner's count of time since its start are
+ * compared, never two clocks.
  */
 public final class Members implements Known {
     /** How far in the future another's start may lie, ms. */
@@ -33,8 +34,8 @@
     public static final int TAKEN_AT_ONCE = 50;
 
     /**
-     * So many times the time for suspicion after a later life was last heard of, an earlier one
-     * counts again (an upgrade that failed).
+     * So many times the time for suspicion after a later incarnation was last heard of, an earlier
+     * one counts again (an upgrade that failed).
      */
     public static final double FORGOTTEN = 10;
 
@@ -50,13 +51,13 @@
      */
     private static final double QUICKEST_OVER = 10_000;
 
-    /** Signs of life that a message holds at most: half of it. */
+    /** Signs of incarnation that a message holds at most: half of it. */
     private static final int SIGNS = 16;
 
     /** Other gateways' records that a message holds at most. */
     private static final int RECORDS = 5;
 
-    /** A life is news until its records were told so often. */
+    /** An incarnation is news until its records were told so often. */
     private static final int NEWS = 8;
 
     private static final Comparator<Other> FRESHEST =
@@ -68,7 +69,10 @@
     /** News first, then by turns, so that no gateway is left out. */
     private static final Comparator<Other> TURNS =
             (a, b) -> {
-                int c = Integer.compare(Math.min(NEWS, a.lifeTold), Math.min(NEWS, b.lifeTold));
+                int c =
+                        Integer.compare(
+                                Math.min(NEWS, a.incarnationTold),
+                                Math.min(NEWS, b.incarnationTold));
                 return c != 0 ? c : Double.compare(a.lastTold, b.lastTold);
             };
 
@@ -80,7 +84,7 @@
 
     /** What is known of one other gateway. */
     private static final class Other {
-        Life life;
+        Incarnation incarnation;
         int seq;
 
         /**
@@ -95,10 +99,10 @@
         /** When it surely lived, by the own clock: then or later. */
         double alive;
 
-        /** How often this record, any of this life's, and this sign of life were told. */
+        /** How often this record, any of this incarnation's, and this sign of life were told. */
         int told;
 
-        int lifeTold;
+        int incarnationTold;
         double lastTold;
         long lastIn;
         int aliveTold;
@@ -116,7 +120,7 @@
         double startSince;
     }
 
-    private final Life self;
+    private final Incarnation self;
     private final Other[] others;
     private final double every;
     private final int fanout;
@@ -166,7 +170,7 @@
      * @param freshFor up to which age a record counts, ms
      */
     public Members(
-            Life self,
+            Incarnation self,
             int gateways,
             double every,
             int fanout,
@@ -246,7 +250,7 @@
         }
         tokens--;
         List<Sights.Told> told = sights.read(message, at);
-        if (told.isEmpty() || told.get(0).sight().life.gateway() != from) {
+        if (told.isEmpty() || told.get(0).sight().incarnation.gateway() != from) {
             refused++;
             return;
         }
@@ -259,16 +263,16 @@
         }
     }
 
-    /** A life that is known was seen alive; one that isn't is left to its record. */
+    /** An incarnation that is known was seen alive; one that isn't is left to its record. */
     private void sign(ByteBuffer sign) {
         int gateway = sign.getShort() & 0xFFFF;
-        short life = sign.getShort();
+        short incarnation = sign.getShort();
         int unit = (sign.get() & 255) << 16 | sign.getShort() & 0xFFFF;
         Other o = gateway < others.length ? others[gateway] : null;
         if (o == null && gateway < others.length && now >= wakesUntil) {
             rumoured[gateway] = now;
         }
-        if (o == null || (short) o.life.start() != life) {
+        if (o == null || (short) o.incarnation.start() != incarnation) {
             return;
         }
         double start = Math.min(o.start, o.startBefore);
@@ -280,30 +284,30 @@
     }
 
     private void take(Sights.Told told) {
-        Life life = told.sight().life;
-        if (life.gateway() == self.gateway()) {
-            replaced |= life.start() > self.start();
+        Incarnation incarnation = told.sight().incarnation;
+        if (incarnation.gateway() == self.gateway()) {
+            replaced |= incarnation.start() > self.start();
             return;
         }
-        Other o = others[life.gateway()];
+        Other o = others[incarnation.gateway()];
         boolean forgotten = o != null && now - o.alive > FORGOTTEN * suspectAfter;
         if (o == null
-                || life.start() > o.life.start()
-                || forgotten && life.start() < o.life.start()) {
+                || incarnation.start() > o.incarnation.start()
+                || forgotten && incarnation.start() < o.incarnation.start()) {
             double age = told.age() + (now < wakesUntil ? stopped : 0);
             double made = now - age;
             if (age > suspectAfter) {
                 return;
             }
             o = new Other();
-            others[life.gateway()] = o;
+            others[incarnation.gateway()] = o;
             o.granted = Double.NEGATIVE_INFINITY;
             o.alive = Double.NEGATIVE_INFINITY;
             o.start = made - told.made();
             o.startBefore = o.start;
             o.startSince = now;
             keep(o, told, made);
-        } else if (life.start() == o.life.start()) {
+        } else if (incarnation.start() == o.incarnation.start()) {
             double age =
                     Math.max(
                             told.age(),
@@ -326,7 +330,7 @@
     }
 
     private static void keep(Other o, Sights.Told told, double made) {
-        o.life = told.sight().life;
+        o.incarnation = told.sight().incarnation;
         o.seq = told.sight().seq;
         o.raw = told.raw();
         o.made = made;
@@ -409,7 +413,7 @@
             return;
         }
         messages++;
-        boolean news = turns[0] != null && turns[0].lifeTold < NEWS;
+        boolean news = turns[0] != null && turns[0].incarnationTold < NEWS;
         int spare = 1 + (news ? SIGNS / 4 : Math.max(0, Math.min(SIGNS, living - 4))) * Sights.SIGN;
         for (int i = message; i < RECORDS * fanout; i += fanout) {
             record(b, turns[i], to, spare);
@@ -418,8 +422,8 @@
         Sights.endRecords(b);
         for (int i = message; i < signs.length && signs[i] != null; i += fanout) {
             Other o = signs[i];
-            if (o.life.gateway() != to
-                    && Sights.sign(b, o.life, o.alive - Math.min(o.start, o.startBefore))) {
+            if (o.incarnation.gateway() != to
+                    && Sights.sign(b, o.incarnation, o.alive - Math.min(o.start, o.startBefore))) {
                 o.aliveTold++;
             }
         }
@@ -429,13 +433,13 @@
     private void record(ByteBuffer message, Other o, int to, int spare) {
         if (o == null
                 || o.lastIn == messages
-                || o.life.gateway() == to
+                || o.incarnation.gateway() == to
                 || message.remaining() < o.raw.length + spare
                 || !Sights.add(message, o.raw, now - o.made)) {
             return;
         }
         o.told++;
-        o.lifeTold++;
+        o.incarnationTold++;
         o.lastTold = now;
         o.lastIn = messages;
     }
@@ -483,11 +487,11 @@
         return others.length;
     }
 
-    /** The present life of a gateway as known; null where none was heard of. */
-    public Life life(int gateway) {
+    /** The present incarnation of a gateway as known; null where none was heard of. */
+    public Incarnation incarnation(int gateway) {
         return gateway == self.gateway()
                 ? self
-                : others[gateway] == null ? null : others[gateway].life;
+                : others[gateway] == null ? null : others[gateway].incarnation;
     }
 
     /** The newest record heard of a gateway, fresh or not; null where there is none. */
--- a/fleet/src/main/java/tinford/fleet/members/Sight.java
+++ b/fleet/src/main/java/tinford/fleet/members/Sight.java
@@ -22,7 +22,7 @@
      */
     public record Ill(int server, boolean ill, double ago) {}
 
-    public final Life life;
+    public final Incarnation incarnation;
     public final int seq;
 
     /** Units a second inside quotas: asked for, and sent on, by class of worth. */
@@ -56,16 +56,16 @@
     public double bears;
 
     /**
-     * Which life it lately gave further dispatches of its own budget to (null: none), and how many
-     * in all.
+     * Which incarnation it lately gave further dispatches of its own budget to (null: none), and
+     * how many in all.
      */
-    public Life cededTo;
+    public Incarnation cededTo;
 
     public double ceded;
     public final List<Ill> ills = new ArrayList<>(MOST_ILL);
 
-    public Sight(Life life, int seq) {
-        this.life = life;
+    public Sight(Incarnation incarnation, int seq) {
+        this.incarnation = incarnation;
         this.seq = seq;
     }
 
@@ -80,12 +80,12 @@
     }
 
     /**
-     * Whether this one replaces the other of the same gateway: of a later life, or of the same one
-     * and told later.
+     * Whether this one replaces the other of the same gateway: of a later incarnation, or of the
+     * same one and told later.
      */
     public boolean newer(Sight other) {
         return other == null
-                || life.start() > other.life.start()
-                || life.start() == other.life.start() && seq - other.seq > 0;
+                || incarnation.start() > other.incarnation.start()
+                || incarnation.start() == other.incarnation.start() && seq - other.seq > 0;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/members/Sights.java
+++ b/fleet/src/main/java/tinford/fleet/members/Sights.java
@@ -90,8 +90,8 @@
 
     public static byte[] raw(Sight s, double made) {
         ByteBuffer b = ByteBuffer.allocate(LONGEST);
-        b.put((byte) 0).putShort((short) s.life.gateway());
-        long start = s.life.start();
+        b.put((byte) 0).putShort((short) s.incarnation.gateway());
+        long start = s.incarnation.start();
         b.putShort((short) (start >> 32)).putInt((int) start).putInt(s.seq);
         long ms = (long) Math.max(0, made);
         b.put((byte) (ms >> 32)).putInt((int) ms).putShort((short) 0);
@@ -183,13 +183,13 @@
     }
 
     /** Whether there was room. When it lived is rounded down. */
-    static boolean sign(ByteBuffer message, Life life, double lived) {
+    static boolean sign(ByteBuffer message, Incarnation incarnation, double lived) {
         if (message.remaining() < SIGN) {
             return false;
         }
         long unit = (long) Math.floor(lived / SIGN_UNIT);
-        message.putShort((short) life.gateway())
-                .putShort((short) life.start())
+        message.putShort((short) incarnation.gateway())
+                .putShort((short) incarnation.start())
                 .put((byte) (unit >> 16))
                 .putShort((short) unit);
         return true;
@@ -274,7 +274,7 @@
         }
         Sight s =
                 new Sight(
-                        new Life(b.getShort(at + GATEWAY) & 0xFFFF, start(b, at)),
+                        new Incarnation(b.getShort(at + GATEWAY) & 0xFFFF, start(b, at)),
                         b.getInt(at + SEQ));
         s.first = value(b.get(p++));
         s.further = value(b.get(p++));
@@ -311,7 +311,7 @@
         }
         if (p + CEDED <= end) {
             s.cededTo =
-                    new Life(
+                    new Incarnation(
                             b.getShort(p) & 0xFFFF,
                             (b.getShort(p + 2) & 0xFFFFL) << 32 | b.getInt(p + 4) & 0xFFFFFFFFL);
             float total = b.getFloat(p + 8);
--- a/fleet/src/main/java/tinford/fleet/members/Terms.java
+++ b/fleet/src/main/java/tinford/fleet/members/Terms.java
@@ -15,16 +15,16 @@
 
 /**
  * Who has a term, until when, by the entries of the log; the same on every member after the same
- * entries. A later life of a gateway ends no term of an earlier one: that one may be stopped, and
- * act when it wakes. It only renews no more. Holds {@link #MOST_LIVES} lives a gateway at most,
- * until nothing that they opened can be open.
+ * entries. A later incarnation of a gateway ends no term of an earlier one: that one may be
+ * stopped, and act when it wakes. It only renews no more. Holds {@link #MOST_INCARNATIONS}
+ * incarnations a gateway at most, until nothing that they opened can be open.
  */
 public final class Terms {
     /**
-     * Lives of one gateway that are not surely closed; a further one has no term until one of them
-     * is.
+     * Incarnations of one gateway that are not surely closed; a further one has no term until one
+     * of them is.
      */
-    public static final int MOST_LIVES = 8;
+    public static final int MOST_INCARNATIONS = 8;
 
     private static final byte RENEW = 1;
     private static final byte LEAVE = 2;
@@ -34,11 +34,11 @@
     private final double longest;
     private final double apart;
     private final double linger;
-    private final TreeMap<Life, Term> terms = new TreeMap<>();
+    private final TreeMap<Incarnation, Term> terms = new TreeMap<>();
 
     /**
-     * The start of each gateway's latest life that had a term, and whether it left; outlasts the
-     * term.
+     * The start of each gateway's latest incarnation that had a term, and whether it left; outlasts
+     * the term.
      */
     private final TreeMap<Integer, Long> latest = new TreeMap<>();
 
@@ -59,26 +59,26 @@
         this.linger = linger;
     }
 
-    /** An entry: the life asks, at its own time, for a term of that length. */
-    public static byte[] renew(Life life, double at, double length) {
-        return entry(RENEW, life, at, length);
+    /** An entry: the incarnation asks, at its own time, for a term of that length. */
+    public static byte[] renew(Incarnation incarnation, double at, double length) {
+        return entry(RENEW, incarnation, at, length);
     }
 
     /**
-     * An entry: the life has closed all that it held, and acts no more from its own time {@code at}
-     * on.
+     * An entry: the incarnation has closed all that it held, and acts no more from its own time
+     * {@code at} on.
      */
-    public static byte[] leave(Life life, double at) {
-        return entry(LEAVE, life, at, 0);
+    public static byte[] leave(Incarnation incarnation, double at) {
+        return entry(LEAVE, incarnation, at, 0);
     }
 
-    private static byte[] entry(byte kind, Life life, double at, double length) {
+    private static byte[] entry(byte kind, Incarnation incarnation, double at, double length) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(30);
         try {
             DataOutputStream out = new DataOutputStream(bytes);
             out.writeByte(kind);
             out.writeByte(FORM);
-            write(out, life);
+            write(out, incarnation);
             out.writeDouble(at);
             out.writeDouble(length);
         } catch (IOException e) {
@@ -101,7 +101,7 @@
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(entry));
             byte kind = in.readByte();
             byte form = in.readByte();
-            Life life = readLife(in);
+            Incarnation incarnation = readIncarnation(in);
             double at = in.readDouble();
             double length = in.readDouble();
             boolean good =
@@ -111,9 +111,12 @@
                             && at < Double.POSITIVE_INFINITY
                             && length >= 0
                             && length <= longest
-                            && life.gateway() >= 0
-                            && life.gateway() < gateways;
-            if (!good || !(kind == RENEW ? renewed(index, life, at, length) : left(life, at))) {
+                            && incarnation.gateway() >= 0
+                            && incarnation.gateway() < gateways;
+            if (!good
+                    || !(kind == RENEW
+                            ? renewed(index, incarnation, at, length)
+                            : left(incarnation, at))) {
                 refused++;
             }
         } catch (IOException e) {
@@ -122,34 +125,35 @@
         return true;
     }
 
-    private boolean renewed(long index, Life life, double at, double length) {
+    private boolean renewed(long index, Incarnation incarnation, double at, double length) {
         seen(at);
-        long last = latest.getOrDefault(life.gateway(), Long.MIN_VALUE);
-        if (life.start() < last
-                || left.getOrDefault(life.gateway(), Long.MIN_VALUE) >= life.start()) {
+        long last = latest.getOrDefault(incarnation.gateway(), Long.MIN_VALUE);
+        if (incarnation.start() < last
+                || left.getOrDefault(incarnation.gateway(), Long.MIN_VALUE)
+                        >= incarnation.start()) {
             return false;
         }
-        Term old = terms.get(life);
-        if (old == null && of(life.gateway()).size() >= MOST_LIVES) {
+        Term old = terms.get(incarnation);
+        if (old == null && of(incarnation.gateway()).size() >= MOST_INCARNATIONS) {
             return false;
         }
-        Term term = new Term(life, at + length, index);
+        Term term = new Term(incarnation, at + length, index);
         // Guards against entries that come late or twice: a term never gets shorter, and none
         // begins that is over already.
         if (term.surelyOver(now, apart) || old != null && old.until() >= term.until()) {
             return false;
         }
-        terms.put(life, term);
-        latest.put(life.gateway(), life.start());
+        terms.put(incarnation, term);
+        latest.put(incarnation.gateway(), incarnation.start());
         return true;
     }
 
-    private boolean left(Life life, double at) {
+    private boolean left(Incarnation incarnation, double at) {
         seen(at);
-        if (terms.remove(life) == null) {
+        if (terms.remove(incarnation) == null) {
             return false;
         }
-        left.merge(life.gateway(), life.start(), Math::max);
+        left.merge(incarnation.gateway(), incarnation.start(), Math::max);
         return true;
     }
 
@@ -178,50 +182,51 @@
      * The term as far as the log knows, also one that is over as long as its connections may be
      * open; else null.
      */
-    public Term of(Life life) {
-        return terms.get(life);
+    public Term of(Incarnation incarnation) {
+        return terms.get(incarnation);
     }
 
-    /** The lives of a gateway that are not surely closed, the earliest first. */
-    public List<Life> of(int gateway) {
-        Life first = new Life(gateway, Long.MIN_VALUE);
+    /** The incarnations of a gateway that are not surely closed, the earliest first. */
+    public List<Incarnation> of(int gateway) {
+        Incarnation first = new Incarnation(gateway, Long.MIN_VALUE);
         return new ArrayList<>(
-                terms.subMap(first, true, new Life(gateway, Long.MAX_VALUE), true).keySet());
+                terms.subMap(first, true, new Incarnation(gateway, Long.MAX_VALUE), true).keySet());
     }
 
     /**
-     * Whether the life may still act: it has a term that is not surely over. Several lives of one
-     * gateway may.
+     * Whether the incarnation may still act: it has a term that is not surely over. Several
+     * incarnations of one gateway may.
      */
-    public boolean mayAct(Life life) {
-        Term term = terms.get(life);
+    public boolean mayAct(Incarnation incarnation) {
+        Term term = terms.get(incarnation);
         return term != null && !term.surelyOver(now, apart);
     }
 
-    /** All lives that may still act, by gateway and start: those that a stage waits for. */
-    public List<Life> mayAct() {
-        List<Life> all = new ArrayList<>();
-        for (Life life : terms.keySet()) {
-            if (mayAct(life)) {
-                all.add(life);
+    /** All incarnations that may still act, by gateway and start: those that a stage waits for. */
+    public List<Incarnation> mayAct() {
+        List<Incarnation> all = new ArrayList<>();
+        for (Incarnation incarnation : terms.keySet()) {
+            if (mayAct(incarnation)) {
+                all.add(incarnation);
             }
         }
         return all;
     }
 
     /**
-     * Whether the life is its gateway's latest and may act: only such a one is given anything new.
+     * Whether the incarnation is its gateway's latest and may act: only such a one is given
+     * anything new.
      */
-    public boolean renews(Life life) {
-        return mayAct(life) && latest.get(life.gateway()) == life.start();
+    public boolean renews(Incarnation incarnation) {
+        return mayAct(incarnation) && latest.get(incarnation.gateway()) == incarnation.start();
     }
 
     /**
      * Whether nothing can be open of what it opened: it left, or its term is surely closed, or it
      * never had one.
      */
-    public boolean closed(Life life) {
-        return !terms.containsKey(life);
+    public boolean closed(Incarnation incarnation) {
+        return !terms.containsKey(incarnation);
     }
 
     /** Entries that were its own and changed nothing. */
@@ -252,8 +257,8 @@
         terms.clear();
         now = in.readDouble();
         for (int n = in.readInt(); n > 0; n--) {
-            Life life = readLife(in);
-            terms.put(life, new Term(life, in.readDouble(), in.readLong()));
+            Incarnation incarnation = readIncarnation(in);
+            terms.put(incarnation, new Term(incarnation, in.readDouble(), in.readLong()));
         }
         read(in, latest);
         read(in, left);
@@ -274,12 +279,12 @@
         }
     }
 
-    private static void write(DataOutput out, Life life) throws IOException {
-        out.writeInt(life.gateway());
-        out.writeLong(life.start());
+    private static void write(DataOutput out, Incarnation incarnation) throws IOException {
+        out.writeInt(incarnation.gateway());
+        out.writeLong(incarnation.start());
     }
 
-    private static Life readLife(DataInput in) throws IOException {
-        return new Life(in.readInt(), in.readLong());
+    private static Incarnation readIncarnation(DataInput in) throws IOException {
+        return new Incarnation(in.readInt(), in.readLong());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/moves/Due.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Due.java
@@ -2,7 +2,7 @@
 
 import java.util.Collection;
 import java.util.Map;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 
 /**
  * The rules about when a change of position is due. {@link Moves} asks them in one place; tests
@@ -31,10 +31,10 @@
      * Whether all who may have acted since that time had said by then that they act on the present
      * position.
      */
-    boolean acked(Members members, Map<Life, Double> acks, double since) {
-        Collection<Life> lives = members.mayHaveActed(since);
-        for (Life life : lives) {
-            Double at = acks.get(life);
+    boolean acked(Members members, Map<Incarnation, Double> acks, double since) {
+        Collection<Incarnation> incarnations = members.mayHaveActed(since);
+        for (Incarnation incarnation : incarnations) {
+            Double at = acks.get(incarnation);
             if (at == null || at > since) {
                 return false;
             }
--- a/fleet/src/main/java/tinford/fleet/moves/Entry.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Entry.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Arrays;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 
 /**
  * One entry of the log about moves: version, kind, time stamp of whoever wrote it, then what the
@@ -22,7 +22,7 @@
 public record Entry(
         Kind kind,
         double at,
-        Life life,
+        Incarnation incarnation,
         long turn,
         int to,
         String who,
@@ -46,7 +46,7 @@
     public static final int MARK = 'M';
 
     private static final int MOST = 64 << 10;
-    private static final Life NOBODY = new Life(0, 0);
+    private static final Incarnation NOBODY = new Incarnation(0, 0);
 
     /** Bytes that are no entry, or of a version or kind that is not known here. */
     static final class Unknown extends Exception {
@@ -57,24 +57,25 @@
         }
     }
 
-    private static Entry of(Kind kind, double at, Life life, long turn, int to, String who) {
-        return new Entry(kind, at, life, turn, to, who, new long[0], new double[0], null);
+    private static Entry of(
+            Kind kind, double at, Incarnation incarnation, long turn, int to, String who) {
+        return new Entry(kind, at, incarnation, turn, to, who, new long[0], new double[0], null);
     }
 
     public static Entry begin(String operator, double at, Plan plan) {
         return new Entry(Kind.BEGIN, at, NOBODY, 0, 0, operator, new long[0], new double[0], plan);
     }
 
-    public static Entry ack(Life life, long turn, double at) {
-        return of(Kind.ACK, at, life, turn, 0, "");
+    public static Entry ack(Incarnation incarnation, long turn, double at) {
+        return of(Kind.ACK, at, incarnation, turn, 0, "");
     }
 
     public static Entry go(double at, long turn, int to, double... warm) {
         return new Entry(Kind.GO, at, NOBODY, turn, to, "", new long[0], warm, null);
     }
 
-    public static Entry report(Life life, long turn, double at, long... counts) {
-        return new Entry(Kind.REPORT, at, life, turn, 0, "", counts, new double[0], null);
+    public static Entry report(Incarnation incarnation, long turn, double at, long... counts) {
+        return new Entry(Kind.REPORT, at, incarnation, turn, 0, "", counts, new double[0], null);
     }
 
     public static Entry halt(String operator, double at) {
@@ -99,8 +100,8 @@
             out.writeByte(VERSION);
             out.writeByte(kind.ordinal());
             out.writeDouble(at);
-            out.writeInt(life.gateway());
-            out.writeLong(life.start());
+            out.writeInt(incarnation.gateway());
+            out.writeLong(incarnation.start());
             out.writeLong(turn);
             out.writeInt(to);
             out.writeUTF(who);
@@ -136,7 +137,7 @@
                 new DataInputStream(new ByteArrayInputStream(bytes, 2, bytes.length - 2))) {
             Kind kind = Kind.values()[in.readByte()];
             double at = in.readDouble();
-            Life life = new Life(in.readInt(), in.readLong());
+            Incarnation incarnation = new Incarnation(in.readInt(), in.readLong());
             long turn = in.readLong();
             int to = in.readInt();
             String who = in.readUTF();
@@ -152,7 +153,7 @@
             if (in.available() > 0 || !Double.isFinite(at) || who.length() > 64) {
                 throw new Unknown("a length, a time or a name out of form");
             }
-            return new Entry(kind, at, life, turn, to, who, counts, warm, plan);
+            return new Entry(kind, at, incarnation, turn, to, who, counts, warm, plan);
         } catch (IOException | Faults.Refused e) {
             throw new Unknown(e.toString());
         }
--- a/fleet/src/main/java/tinford/fleet/moves/Explore.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Explore.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiFunction;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Term;
 
 /**
@@ -22,7 +22,8 @@
     /** What is explored: how many faults, and what is broken on purpose, if anything. */
     static final class Case {
         Due due = new Due();
-        BiFunction<Life, Stand, Route> route = (life, stand) -> new Route(life, stand, 1);
+        BiFunction<Incarnation, Stand, Route> route =
+                (incarnation, stand) -> new Route(incarnation, stand, 1);
         double apart = 1;
         double apartCounted = 1;
         boolean countsFromAnswer;
@@ -52,7 +53,7 @@
     /** Something in the log that a gateway sees when it comes to it: a stand, or its own grant. */
     private record Seen(Stand stand, double until) {}
 
-    private record Old(Life life, double until) {}
+    private record Old(Incarnation incarnation, double until) {}
 
     /** One world. Copied for each thing that may happen next. */
     private final class World implements Members {
@@ -144,20 +145,20 @@
             return g == 0 ? now - c.apart : now;
         }
 
-        Life life(int g) {
-            return new Life(g, start[g]);
+        Incarnation incarnation(int g) {
+            return new Incarnation(g, start[g]);
         }
 
         @Override
-        public Collection<Life> mayHaveActed(double since) {
-            List<Life> found = new ArrayList<>();
+        public Collection<Incarnation> mayHaveActed(double since) {
+            List<Incarnation> found = new ArrayList<>();
             for (int g = 0; g < c.gateways; g++) {
-                if (!new Term(life(g), granted[g], 0).surelyOver(since, c.apartCounted)) {
-                    found.add(life(g));
+                if (!new Term(incarnation(g), granted[g], 0).surelyOver(since, c.apartCounted)) {
+                    found.add(incarnation(g));
                 }
                 for (Old o : old.get(g)) {
-                    if (!new Term(o.life, o.until, 0).surelyOver(since, c.apartCounted)) {
-                        found.add(o.life);
+                    if (!new Term(o.incarnation, o.until, 0).surelyOver(since, c.apartCounted)) {
+                        found.add(o.incarnation);
                     }
                 }
             }
@@ -165,8 +166,8 @@
         }
 
         Route route(int g) {
-            Route r = c.route.apply(life(g), view[g]);
-            r.see(view[g], new Term(life(g), seen[g], 0), false);
+            Route r = c.route.apply(incarnation(g), view[g]);
+            r.see(view[g], new Term(incarnation(g), seen[g], 0), false);
             return r;
         }
 
@@ -291,7 +292,7 @@
                 time(s, seen[g] - own(g), 0, 9);
                 time(s, granted[g] - now, -WINDOW - c.apart, 9);
                 time(s, flight[g] == GONE ? -9 : flight[g] - now, -5, 0);
-                ack(s, life(g));
+                ack(s, incarnation(g));
                 for (Seen q : queue.get(g)) {
                     if (q.stand == null) {
                         time(s.append('g'), q.until - own(g), 0, 9);
@@ -301,15 +302,15 @@
                 }
                 for (Old o : old.get(g)) {
                     time(s.append('o'), o.until - now, -WINDOW - c.apart, 9);
-                    ack(s, o.life);
+                    ack(s, o.incarnation);
                 }
                 s.append('|');
             }
             return s.toString();
         }
 
-        private void ack(StringBuilder s, Life life) {
-            Double at = head.acks().get(life);
+        private void ack(StringBuilder s, Incarnation incarnation) {
+            Double at = head.acks().get(incarnation);
             time(s, at == null ? 8 : at - now, -wait, 8);
         }
 
@@ -433,7 +434,7 @@
         offer(w, Entry.back("o", w.now), "back", false);
         offer(
                 w,
-                Entry.report(w.life(0), s.turn(), w.own(0), 1, 0, 9, 9, 1, 0, 0, 0),
+                Entry.report(w.incarnation(0), s.turn(), w.own(0), 1, 0, 9, 9, 1, 0, 0, 0),
                 "gateway 0: bad",
                 false);
     }
@@ -484,19 +485,19 @@
         if (acts
                 && !w.cut[g]
                 && w.own(g) < w.seen[g]
-                && !w.head.acked(w.life(g))
+                && !w.head.acked(w.incarnation(g))
                 && (!c.flights || w.flight[g] == GONE)) {
             World n = new World(w);
             if (c.flights) {
                 n.flight[g] = n.own(g);
             } else {
-                n.entry(Entry.ack(n.life(g), n.view[g].turn(), n.own(g)));
+                n.entry(Entry.ack(n.incarnation(g), n.view[g].turn(), n.own(g)));
             }
             next(n, "gateway " + g + " acks step " + w.view[g].position(), true);
         }
         if (w.flight[g] != GONE) {
             World n = new World(w);
-            n.entry(Entry.ack(n.life(g), n.view[g].turn(), n.flight[g]));
+            n.entry(Entry.ack(n.incarnation(g), n.view[g].turn(), n.flight[g]));
             n.flight[g] = GONE;
             next(n, "the ack of gateway " + g + " is in the log", true);
         }
@@ -556,7 +557,7 @@
         for (int disk = 0; !w.up[g] && disk < 2; disk++) {
             World n = new World(w);
             n.up[g] = true;
-            n.old.get(g).add(new Old(n.life(g), n.granted[g]));
+            n.old.get(g).add(new Old(n.incarnation(g), n.granted[g]));
             n.start[g]++;
             n.granted[g] = GONE;
             n.seen[g] = GONE;
--- a/fleet/src/main/java/tinford/fleet/moves/Members.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Members.java
@@ -1,7 +1,7 @@
 package tinford.fleet.moves;
 
 import java.util.Collection;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 
 /**
  * What the moves ask of the terms. It must follow from the entries of the same log, so that every
@@ -9,8 +9,8 @@
  */
 public interface Members {
     /**
-     * All lives whose term was not surely over at that time of the log, later ones included;
+     * All incarnations whose term was not surely over at that time of the log, later ones included;
      * whoever is missing sent nothing from then on.
      */
-    Collection<Life> mayHaveActed(double since);
+    Collection<Incarnation> mayHaveActed(double since);
 }
--- a/fleet/src/main/java/tinford/fleet/moves/Moves.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Moves.java
@@ -8,13 +8,13 @@
 import java.io.UncheckedIOException;
 import java.util.Map;
 import java.util.TreeMap;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.store.Log;
 
 /**
  * What the entries about moves have come to, on every member alike. {@link #apply} is the one place
  * that enforces the rules: an entry that is not due alters nothing. Holds one plan, and an ack and
- * a report of each life that has them in the present turn.
+ * a report of each incarnation that has them in the present turn.
  */
 public final class Moves implements Log.Reader {
     /** See the table in docs/moves.md. */
@@ -27,13 +27,13 @@
         UNDONE
     }
 
-    private static final int LIVES = 4096;
+    private static final int MOST_INCARNATIONS = 4096;
     private final Due due;
     private final Members members;
     private final double apart;
     private final TreeMap<String, String> homes;
-    private TreeMap<Life, Double> acks = new TreeMap<>();
-    private TreeMap<Life, long[]> reports = new TreeMap<>();
+    private TreeMap<Incarnation, Double> acks = new TreeMap<>();
+    private TreeMap<Incarnation, long[]> reports = new TreeMap<>();
     State state = State.IDLE;
     private boolean back;
     private long turn;
@@ -93,11 +93,11 @@
         return told;
     }
 
-    public boolean acked(Life life) {
-        return acks.containsKey(life);
+    public boolean acked(Incarnation incarnation) {
+        return acks.containsKey(incarnation);
     }
 
-    Map<Life, Double> acks() {
+    Map<Incarnation, Double> acks() {
         return acks;
     }
 
@@ -114,8 +114,8 @@
     }
 
     /**
-     * The log's time by its other entries: a life that they have forgotten must be past for these
-     * rules too.
+     * The log's time by its other entries: an incarnation that they have forgotten must be past for
+     * these rules too.
      */
     public void seen(double logNow) {
         this.logNow = Math.max(this.logNow, logNow);
@@ -190,9 +190,9 @@
         if (plan == null || !due.counts(turn, e.turn())) {
             return "refused, not of this turn";
         }
-        if (acks.size() < LIVES) {
+        if (acks.size() < MOST_INCARNATIONS) {
             acks.putIfAbsent(
-                    e.life(),
+                    e.incarnation(),
                     Math.max(e.at() + apart, turned)); // guards against a clock that is behind
         }
         return "ack " + acks.size();
@@ -234,8 +234,8 @@
                 || e.counts().length != 4 * plan.frontends.size()) {
             return "refused, not of this turn";
         }
-        if (reports.size() < LIVES || reports.containsKey(e.life())) {
-            reports.put(e.life(), e.counts());
+        if (reports.size() < MOST_INCARNATIONS || reports.containsKey(e.incarnation())) {
+            reports.put(e.incarnation(), e.counts());
         }
         for (int i = 0; i < plan.frontends.size(); i++) {
             long[] sum = new long[4];
@@ -307,13 +307,13 @@
                 out.writeUTF(h.getValue());
             }
             out.writeInt(acks.size());
-            for (Map.Entry<Life, Double> a : acks.entrySet()) {
-                life(out, a.getKey());
+            for (Map.Entry<Incarnation, Double> a : acks.entrySet()) {
+                incarnation(out, a.getKey());
                 out.writeDouble(a.getValue());
             }
             out.writeInt(reports.size());
-            for (Map.Entry<Life, long[]> r : reports.entrySet()) {
-                life(out, r.getKey());
+            for (Map.Entry<Incarnation, long[]> r : reports.entrySet()) {
+                incarnation(out, r.getKey());
                 out.writeInt(r.getValue().length);
                 for (long c : r.getValue()) {
                     out.writeLong(c);
@@ -332,9 +332,10 @@
         return bytes.toByteArray();
     }
 
-    private static void life(DataOutputStream out, Life life) throws IOException {
-        out.writeInt(life.gateway());
-        out.writeLong(life.start());
+    private static void incarnation(DataOutputStream out, Incarnation incarnation)
+            throws IOException {
+        out.writeInt(incarnation.gateway());
+        out.writeLong(incarnation.start());
     }
 
     @Override
@@ -362,16 +363,16 @@
             }
             acks.clear();
             for (int n = in.readInt(); n > 0; n--) {
-                acks.put(new Life(in.readInt(), in.readLong()), in.readDouble());
+                acks.put(new Incarnation(in.readInt(), in.readLong()), in.readDouble());
             }
             reports.clear();
             for (int n = in.readInt(); n > 0; n--) {
-                Life life = new Life(in.readInt(), in.readLong());
+                Incarnation incarnation = new Incarnation(in.readInt(), in.readLong());
                 long[] counts = new long[in.readInt()];
                 for (int i = 0; i < counts.length; i++) {
                     counts[i] = in.readLong();
                 }
-                reports.put(life, counts);
+                reports.put(incarnation, counts);
             }
             plan = in.readBoolean() ? Plan.read(in) : null;
             usual = new double[plan == null ? 0 : plan.frontends.size()];
--- a/fleet/src/main/java/tinford/fleet/moves/Route.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Route.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Term;
 
 /**
@@ -11,7 +11,7 @@
  * so a term is never acted on with an older stand than it was granted after.
  */
 public class Route {
-    private final Life self;
+    private final Incarnation self;
     private final double every;
     private final Map<String, Integer> salts = new HashMap<>();
     private Stand stand;
@@ -26,7 +26,7 @@
      * @param every ms after which an ack that was not seen in the log is offered again, and between
      *     reports
      */
-    public Route(Life self, Stand first, double every) {
+    public Route(Incarnation self, Stand first, double every) {
         this.self = self;
         this.every = every;
         first.homes().keySet().forEach(name -> salts.put(name, name.hashCode()));
@@ -35,7 +35,7 @@
 
     /**
      * After each applied entry: how the moves stand, the own term if any, and whether the log has
-     * this life's ack of this turn.
+     * this incarnation's ack of this turn.
      */
     public void see(Stand now, Term own, boolean acked) {
         if (stand == null || stand.turn() != now.turn()) {
--- a/fleet/src/main/java/tinford/fleet/overload/Further.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Further.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Random;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Known;
-import tinford.fleet.members.Life;
 import tinford.fleet.members.Sight;
 
 /**
@@ -25,10 +25,10 @@
             500; // one receiver for so long: its records must get there
 
     private static final class Account {
-        final Life with;
+        final Incarnation with;
         double total, credit = 1;
 
-        Account(Life with) {
+        Account(Incarnation with) {
             this.with = with;
         }
     }
@@ -67,7 +67,7 @@
         free = Math.min(free + 1, MOST_FREE);
     }
 
-    public void round(double now, Life own, Known known) {
+    public void round(double now, Incarnation own, Known known) {
         double passed = at < 0 ? 0 : Math.max(0, Math.min(now - at, 1000));
         at = now;
         full = Math.max(LEAST_AT_ONCE, AT_ONCE / Math.max(1, known.size()));
@@ -76,8 +76,8 @@
                 known.fresh().stream().mapToDouble(s -> Totals.clean(s.first)).sorted().toArray();
         double middling = firsts.length == 0 ? 0 : firsts[firsts.length / 2];
         for (Sight s : known.fresh()) {
-            if (s.life.gateway() == own.gateway() || !own.equals(s.cededTo)) continue;
-            Account of = account(taken, s.life);
+            if (s.incarnation.gateway() == own.gateway() || !own.equals(s.cededTo)) continue;
+            Account of = account(taken, s.incarnation);
             if (of == null) continue;
             of.credit = Math.min(full, of.credit + 2 * part * middling * passed / 1000);
             double takes = Math.max(0, Math.min(Totals.clean(s.ceded) - of.total, of.credit));
@@ -96,8 +96,8 @@
         own.ceded = to == null ? 0 : to.total;
     }
 
-    /** A later life begins from nought, an earlier one has none any more. */
-    private static Account account(Map<Integer, Account> all, Life with) {
+    /** A later incarnation begins from nought, an earlier one has none any more. */
+    private static Account account(Map<Integer, Account> all, Incarnation with) {
         Account is = all.get(with.gateway());
         if (is != null && is.with.start() >= with.start()) return is.with.equals(with) ? is : null;
         if (is == null && all.size() >= MOST_PEERS) return null;
@@ -114,20 +114,20 @@
     }
 
     /** By chance, in proportion to the failures that a gateway's own budget does not cover. */
-    private void choose(double now, Life own, Known known) {
+    private void choose(double now, Incarnation own, Known known) {
         if (now - chosenAt < CHOSEN_MS) return;
         chosenAt = now;
-        Life chosen = null;
+        Incarnation chosen = null;
         double all = 0;
         for (Sight s : known.fresh()) {
             double need = Math.max(0, Totals.clean(s.failed) - part * Totals.clean(s.first));
-            if (s.life.gateway() == own.gateway() || need <= 0) continue;
+            if (s.incarnation.gateway() == own.gateway() || need <= 0) continue;
             need =
                     Math.min(
                             need,
                             100); // guards against a need without bound that takes all there is
             all += need;
-            if (chance.nextDouble() * all < need) chosen = s.life;
+            if (chance.nextDouble() * all < need) chosen = s.incarnation;
         }
         to = chosen == null ? null : account(given, chosen);
     }
--- a/fleet/src/main/java/tinford/fleet/overload/Overload.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Overload.java
@@ -5,8 +5,8 @@
 import tinford.api.Req;
 import tinford.api.Srv;
 import tinford.api.View;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Known;
-import tinford.fleet.members.Life;
 import tinford.fleet.members.Sight;
 
 /**
@@ -17,7 +17,7 @@
     private static final double STEP_MS =
             100; // the line is worked out this often; records come no faster
 
-    private final Life life;
+    private final Incarnation incarnation;
     private final Own own;
     private final Line line;
     private final Further further;
@@ -30,8 +30,9 @@
      * @param window ms, of some seconds: a line is gone two of them after its cause
      * @param part of first dispatches that may be sent again where they may have run
      */
-    public Overload(double now, Life life, double window, double part, Random chance) {
-        this.life = life;
+    public Overload(
+            double now, Incarnation incarnation, double window, double part, Random chance) {
+        this.incarnation = incarnation;
         this.own = new Own(now);
         this.line = new Line(window);
         this.further = new Further(part, chance);
@@ -46,13 +47,13 @@
         steppedAt = now;
         alone = known.living() <= 1;
         line.round(now, known);
-        further.round(now, life, known);
-        owners.round(now, life, known);
+        further.round(now, incarnation, known);
+        owners.round(now, incarnation, known);
     }
 
     /** The record to tell. */
     public Sight sight(int seq) {
-        Sight s = own.sight(life, seq);
+        Sight s = own.sight(incarnation, seq);
         s.bears = line.bears();
         further.tell(s);
         owners.tell(s);
--- a/fleet/src/main/java/tinford/fleet/overload/Own.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Own.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import tinford.api.End;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Sight;
 
 /**
@@ -79,8 +79,8 @@
     /**
      * The record of now. What of a class was neither denied nor asked for lately counts as sent.
      */
-    public Sight sight(Life life, int seq) {
-        Sight s = new Sight(life, seq);
+    public Sight sight(Incarnation incarnation, int seq) {
+        Sight s = new Sight(incarnation, seq);
         double second = span() / 1000;
         for (int c = 0; c < Sight.CLASSES; c++) {
             double all = 0, not = 0;
--- a/fleet/src/main/java/tinford/fleet/overload/Owners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Owners.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Random;
 import tinford.api.Srv;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Known;
-import tinford.fleet.members.Life;
 import tinford.fleet.members.Sight;
 
 /**
@@ -52,7 +52,7 @@
     private final Random chance;
     private final Map<Integer, Note> notes = new LinkedHashMap<>();
     private Known known;
-    private Life own;
+    private Incarnation own;
     private double now;
     private int turn;
     private long rounds;
@@ -82,7 +82,7 @@
         return best;
     }
 
-    public void round(double at, Life self, Known heard) {
+    public void round(double at, Incarnation self, Known heard) {
         double passed = Math.max(0, Math.min(at - now, 1000));
         now = at;
         own = self;
@@ -90,19 +90,19 @@
         rounds++;
         Map<Integer, List<Integer>> sayIll = new LinkedHashMap<>();
         for (Sight s : heard.fresh()) {
-            if (s.life.gateway() == self.gateway()) continue;
+            if (s.incarnation.gateway() == self.gateway()) continue;
             for (Sight.Ill told : s.ills) {
                 Note n = note(told.server());
                 if (n == null) continue;
                 n.touchedAt = now;
                 double age = told.ago() >= 0 && told.ago() < FORGET_MS ? told.ago() : FORGET_MS,
                         when = now - age;
-                boolean owns = ownerOf(n) == s.life.gateway();
+                boolean owns = ownerOf(n) == s.incarnation.gateway();
                 if (owns && when > n.ownerAt) n.ownerAt = when;
                 if (told.ill()) {
                     if (age < PATIENCE_MS)
                         sayIll.computeIfAbsent(n.server, k -> new ArrayList<>())
-                                .add(s.life.gateway());
+                                .add(s.incarnation.gateway());
                     if (owns) n.heardAt = Math.max(n.heardAt, when);
                 } else if ((n.ill || n.toldIll)
                         && when > Math.max(n.foundAt + n.distrust, n.heardAt)
--- a/fleet/src/main/java/tinford/fleet/overload/Trial.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Trial.java
@@ -17,8 +17,8 @@
 import tinford.api.Req;
 import tinford.api.Srv;
 import tinford.api.View;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Known;
-import tinford.fleet.members.Life;
 import tinford.fleet.members.Sight;
 
 /**
@@ -133,7 +133,11 @@
             this.number = number;
             overload =
                     new Overload(
-                            0, new Life(number, 1), window, 0.1, new Random(chance.nextLong()));
+                            0,
+                            new Incarnation(number, 1),
+                            window,
+                            0.1,
+                            new Random(chance.nextLong()));
             view = mode == Mode.TALK || mode == Mode.CUT ? overload : new View();
             for (Server s : servers) nodes.put(s, new Node());
             limit = 5.0 * SERVERS / gateways;
--- a/fleet/src/main/java/tinford/fleet/run/Agreed.java
+++ b/fleet/src/main/java/tinford/fleet/run/Agreed.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import tinford.fleet.budgets.Ledger;
 import tinford.fleet.budgets.Statics;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Term;
 import tinford.fleet.members.Terms;
 import tinford.fleet.moves.Entry;
@@ -42,16 +42,17 @@
                 new Moves(
                         homes,
                         since -> {
-                            java.util.ArrayList<Life> lives = new java.util.ArrayList<>();
+                            java.util.ArrayList<Incarnation> incarnations =
+                                    new java.util.ArrayList<>();
                             for (int g = 0; g < gateways; g++) {
-                                for (Life life : terms.of(g)) {
-                                    Term t = terms.of(life);
+                                for (Incarnation incarnation : terms.of(g)) {
+                                    Term t = terms.of(incarnation);
                                     if (t != null && !t.surelyOver(since, apart)) {
-                                        lives.add(life);
+                                        incarnations.add(incarnation);
                                     }
                                 }
                             }
-                            return lives;
+                            return incarnations;
                         },
                         apart);
     }
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import tinford.api.Place;
 import tinford.api.View;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Members;
 import tinford.fleet.overload.Overload;
 import tinford.fleet.talk.Talk;
@@ -31,7 +31,7 @@
     private final Handed handed;
     private final String historyPath;
     private final double offset;
-    private Life life;
+    private Incarnation incarnation;
     private History history;
     private Mailbox mailbox;
     private Members members;
@@ -70,13 +70,13 @@
     @Override
     public View join(Place place, Consumer<Loop.Due> enter) throws IOException {
         double now = now();
-        life = new Life(place.number, (long) now);
+        incarnation = new Incarnation(place.number, (long) now);
         mailbox = new Mailbox(MOST_SOFT, MOST_HARD, what -> enter.accept(what::run));
         double every = orders.number("talk.every_ms");
         double suspect = orders.number("talk.suspect_ms");
         members =
                 new Members(
-                        life,
+                        incarnation,
                         place.gateways,
                         every,
                         (int) orders.number("talk.fanout"),
@@ -86,7 +86,7 @@
         overload =
                 new Overload(
                         now,
-                        life,
+                        incarnation,
                         orders.number("overload.window_ms"),
                         orders.number("overload.further_part"),
                         new Random(handed.seed() + 1));
@@ -94,15 +94,15 @@
             hard =
                     new Hard(
                             orders,
-                            life,
+                            incarnation,
                             place.gateways,
                             Hard.statics(orders, place.gateways),
                             moves == null ? Map.of() : moves.homes(),
                             mailbox);
         }
-        history = History.at(historyPath, life);
+        history = History.at(historyPath, incarnation);
         if (moves != null) {
-            mover = new Mover(hard.agreed, life, moves, hard::append, hard::left, history);
+            mover = new Mover(hard.agreed, incarnation, moves, hard::append, hard::left, history);
             hard.applied = entry -> mover.applied(entry, now());
             new OrderFile(
                             Path.of(orders.text("log.folder")),
--- a/fleet/src/main/java/tinford/fleet/run/Hard.java
+++ b/fleet/src/main/java/tinford/fleet/run/Hard.java
@@ -20,7 +20,7 @@
 import tinford.fleet.budgets.Proposer;
 import tinford.fleet.budgets.Share;
 import tinford.fleet.budgets.Statics;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.store.Log;
 import tinford.fleet.store.RaftLog;
 import tinford.routing.Addresses;
@@ -65,7 +65,8 @@
 
     private final CountDownLatch left = new CountDownLatch(1);
     private final FileChannel
-            lock; // held for this life: one that nobody holds is closed, and its lock goes with it
+            lock; // held for this incarnation: one that nobody holds is closed, and its lock goes
+    // with it
     private volatile Log log;
     private boolean led;
 
@@ -74,7 +75,7 @@
 
     Hard(
             Orders orders,
-            Life life,
+            Incarnation incarnation,
             int gateways,
             Statics statics,
             Map<String, String> homes,
@@ -102,12 +103,12 @@
                         agreed.ledger,
                         statics,
                         key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap),
-                        life,
+                        incarnation,
                         term,
                         2 * apart,
                         ROUND,
                         KEEP,
-                        alone ? life.start() : life.start() + linger);
+                        alone ? incarnation.start() : incarnation.start() + linger);
         Agreed kept = new Agreed(gateways, term, apart, linger, statics(orders, gateways), homes);
         TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
         List<String> addresses = orders.texts("log.members");
@@ -120,7 +121,7 @@
                             try {
                                 log =
                                         new RaftLog(
-                                                life.gateway(),
+                                                incarnation.gateway(),
                                                 members,
                                                 folder.resolve("log"),
                                                 reader(kept, mailbox),
--- a/fleet/src/main/java/tinford/fleet/run/History.java
+++ b/fleet/src/main/java/tinford/fleet/run/History.java
@@ -9,12 +9,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.ArrayBlockingQueue;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 
 /**
  * What this process did for the fleet, one JSON object a line: {@code at} (ms, monotone), {@code
- * wall} (ms, by its own clock), {@code gateway}, {@code life}, {@code kind} and its fields. Written
- * by a thread of its own; what finds no room is counted and dropped.
+ * wall} (ms, by its own clock), {@code gateway}, {@code incarnation}, {@code kind} and its fields.
+ * Written by a thread of its own; what finds no room is counted and dropped.
  */
 public final class History implements AutoCloseable {
     private static final int MOST_WAITING = 4096;
@@ -22,20 +22,20 @@
             new ArrayBlockingQueue<>(MOST_WAITING);
     private final ObjectMapper json = new ObjectMapper();
     private final BufferedWriter to;
-    private final Life life;
+    private final Incarnation incarnation;
     private long dropped;
 
-    private History(BufferedWriter to, Life life) {
+    private History(BufferedWriter to, Incarnation incarnation) {
         this.to = to;
-        this.life = life;
+        this.incarnation = incarnation;
     }
 
     /**
      * @param path null or empty: nothing is written
      */
-    public static History at(String path, Life life) throws IOException {
+    public static History at(String path, Incarnation incarnation) throws IOException {
         if (path == null || path.isEmpty()) {
-            return new History(null, life);
+            return new History(null, incarnation);
         }
         History h =
                 new History(
@@ -43,7 +43,7 @@
                                 Path.of(path),
                                 StandardOpenOption.CREATE,
                                 StandardOpenOption.APPEND),
-                        life);
+                        incarnation);
         Thread t = new Thread(h::write, "history");
         t.setDaemon(true);
         t.start();
@@ -60,8 +60,8 @@
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("at", System.nanoTime() / 1e6);
         line.put("wall", now);
-        line.put("gateway", life.gateway());
-        line.put("life", life.start());
+        line.put("gateway", incarnation.gateway());
+        line.put("@@incarnation", incarnation.start());
         line.put("kind", kind);
         for (int i = 0; i + 1 < fields.length; i += 2) {
             line.put((String) fields[i], fields[i + 1]);
--- a/fleet/src/main/java/tinford/fleet/run/MoveOrders.java
+++ b/fleet/src/main/java/tinford/fleet/run/MoveOrders.java
@@ -83,7 +83,8 @@
             }
         }
         if (orders.number("log.linger_ms") < window) {
-            // guards against a life that is forgotten while what it sent may still be repeated
+            // guards against an incarnation that is forgotten while what it sent may still be
+            // repeated
             faults.add(
                     file
                             + ": log.linger_ms: expected "
--- a/fleet/src/main/java/tinford/fleet/run/Mover.java
+++ b/fleet/src/main/java/tinford/fleet/run/Mover.java
@@ -11,7 +11,7 @@
 import tinford.api.End;
 import tinford.api.Req;
 import tinford.api.Srv;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Term;
 import tinford.fleet.moves.Entry;
 import tinford.fleet.moves.Moves;
@@ -32,7 +32,7 @@
     private static final double OFFERS = 1000;
     private static final double PATIENCE = 10_000;
     private final Agreed agreed;
-    private final Life life;
+    private final Incarnation incarnation;
     private final MoveOrders orders;
     private final Consumer<byte[]> log;
     private final BooleanSupplier left;
@@ -53,27 +53,27 @@
      */
     Mover(
             Agreed agreed,
-            Life life,
+            Incarnation incarnation,
             MoveOrders orders,
             Consumer<byte[]> log,
             BooleanSupplier left,
             History history) {
         this.agreed = agreed;
-        this.life = life;
+        this.incarnation = incarnation;
         this.orders = orders;
         this.log = log;
         this.left = left;
         this.history = history;
-        this.route = new Route(life, agreed.moves.stand(), EVERY);
+        this.route = new Route(incarnation, agreed.moves.stand(), EVERY);
     }
 
     private Term term() {
-        return left.getAsBoolean() ? null : agreed.terms.of(life);
+        return left.getAsBoolean() ? null : agreed.terms.of(incarnation);
     }
 
     /** After each entry, in order; {@code entry} is null after a snapshot. */
     void applied(byte[] entry, double now) {
-        route.see(agreed.moves.stand(), term(), agreed.moves.acked(life));
+        route.see(agreed.moves.stand(), term(), agreed.moves.acked(incarnation));
         if (entry == null || entry.length == 0 || entry[0] == Entry.MARK) {
             if (order != null && Arrays.equals(order, entry)) {
                 over(agreed.moves.told());
@@ -83,7 +83,7 @@
     }
 
     void tick(double now, boolean leads) {
-        route.see(agreed.moves.stand(), term(), agreed.moves.acked(life));
+        route.see(agreed.moves.stand(), term(), agreed.moves.acked(incarnation));
         watch(now);
         Entry tells = route.tells(now);
         if (tells != null) {
@@ -257,7 +257,7 @@
             stage(s, turned, now);
         }
         told = s;
-        if (s.plan() != null && agreed.moves.acked(life) && ackedTurn != s.turn()) {
+        if (s.plan() != null && agreed.moves.acked(incarnation) && ackedTurn != s.turn()) {
             ackedTurn = s.turn();
             history.add(
                     now, "acked", "move", s.plan().name, "turn", s.turn(), "stage", s.position());
--- a/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Terms;
 
 /**
@@ -60,7 +60,7 @@
             ledger = ledgers.apply(statics);
             applied = 0;
             double own = now + offset;
-            share = shares.make(ledger, new Life(number, (long) own), own + linger);
+            share = shares.make(ledger, new Incarnation(number, (long) own), own + linger);
             proposer = new Proposer(plans, EVERY);
             // Half of those that start are handed a snapshot of another's.
             Gateway other = linger > 0 ? gateways.get((number + 1) % gateways.size()) : this;
@@ -76,7 +76,7 @@
     }
 
     interface Make {
-        Share make(Ledger ledger, Life life, double staticFrom);
+        Share make(Ledger ledger, Incarnation incarnation, double staticFrom);
     }
 
     final Random random;
@@ -127,8 +127,9 @@
         return new Terms(size, TERM, APART, LINGER);
     }
 
-    Share share(Ledger ledger, Life life, double staticFrom) {
-        return new Share(ledger, statics, plans, life, TERM, MARGIN, EVERY, KEEP, staticFrom);
+    Share share(Ledger ledger, Incarnation incarnation, double staticFrom) {
+        return new Share(
+                ledger, statics, plans, incarnation, TERM, MARGIN, EVERY, KEEP, staticFrom);
     }
 
     void offer(String server, int offer, long start) {
@@ -184,8 +185,10 @@
     private void wrong(Gateway g) {
         if (g.ledger != null && !g.ledger.holders.isEmpty()) {
             List<Ledger.Line> lines = new ArrayList<>();
-            for (Life life : g.ledger.holders.keySet()) {
-                lines.add(new Ledger.Line(life, random.nextInt(offers.size()), random.nextInt(60)));
+            for (Incarnation incarnation : g.ledger.holders.keySet()) {
+                lines.add(
+                        new Ledger.Line(
+                                incarnation, random.nextInt(offers.size()), random.nextInt(60)));
             }
             log.add(Ledger.grant(log.size(), now + g.offset, lines, List.of()));
         }
--- a/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
@@ -9,7 +9,7 @@
 import java.util.function.LongFunction;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Term;
 
 /** Drawn histories of connection budgets under faults. */
@@ -44,12 +44,12 @@
                         broken.isEmpty() ? null : s -> ledger(size, s, broken),
                         !broken.equals("own clock ignored")
                                 ? null
-                                : (ledger, life, from) ->
+                                : (ledger, incarnation, from) ->
                                         new Share(
                                                 ledger,
                                                 new Statics(offers, part, size),
                                                 PLANS,
-                                                life,
+                                                incarnation,
                                                 Fleet.TERM,
                                                 -1e12,
                                                 Fleet.EVERY,
@@ -78,8 +78,8 @@
     private static Ledger ledger(int size, Statics statics, String broken) {
         return new Ledger(Fleet.terms(size), statics) {
             @Override
-            boolean fits(Life life, int server, int more) {
-                return broken.equals("no check") || super.fits(life, server, more);
+            boolean fits(Incarnation incarnation, int server, int more) {
+                return broken.equals("no check") || super.fits(incarnation, server, more);
             }
 
             @Override
@@ -88,14 +88,14 @@
             }
 
             @Override
-            boolean gone(Life life) {
+            boolean gone(Incarnation incarnation) {
                 return switch (broken) {
-                    case "no linger" -> super.gone(life) || !terms().mayAct(life);
-                    case "a later life frees the earlier's" ->
-                            super.gone(life)
-                                    || terms().of(life.gateway()).stream()
-                                            .anyMatch(l -> l.start() > life.start());
-                    default -> super.gone(life);
+                    case "no linger" -> super.gone(incarnation) || !terms().mayAct(incarnation);
+                    case "a later incarnation frees the earlier's" ->
+                            super.gone(incarnation)
+                                    || terms().of(incarnation.gateway()).stream()
+                                            .anyMatch(l -> l.start() > incarnation.start());
+                    default -> super.gone(incarnation);
                 };
             }
         };
@@ -168,7 +168,10 @@
     @DataProvider
     public Object[][] broken() {
         return new Object[][] {
-            {"no check"}, {"no linger"}, {"own clock ignored"}, {"a later life frees the earlier's"}
+            {"no check"},
+            {"no linger"},
+            {"own clock ignored"},
+            {"a later incarnation frees the earlier's"}
         };
     }
 
--- a/fleet/src/test/java/tinford/fleet/members/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/members/Fleet.java
@@ -21,8 +21,8 @@
     final boolean[] stopped;
     final int[] seq;
 
-    /** By life and seq: when the record was made. */
-    final Map<Life, List<Double>> made = new HashMap<>();
+    /** By incarnation and seq: when the record was made. */
+    final Map<Incarnation, List<Double>> made = new HashMap<>();
 
     final Random chance;
     double now = 1000;
@@ -53,7 +53,7 @@
     void start(int i, long at) {
         Members m =
                 new Members(
-                        new Life(i, at),
+                        new Incarnation(i, at),
                         members.length,
                         EVERY,
                         FANOUT,
@@ -85,9 +85,9 @@
     }
 
     private void turn(int i) {
-        Sight s = new Sight(members[i].life(i), seq[i]);
+        Sight s = new Sight(members[i].incarnation(i), seq[i]);
         seq[i]++;
-        made.computeIfAbsent(s.life, l -> new ArrayList<>()).add(now);
+        made.computeIfAbsent(s.incarnation, l -> new ArrayList<>()).add(now);
         for (int c = 4; c < 14; c++) {
             s.asked[c] = 10 * sees[i];
             s.sent[c] = c < 9 ? 0 : c == 9 ? 3 * sees[i] : s.asked[c];
--- a/fleet/src/test/java/tinford/fleet/members/MembersTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/MembersTest.java
@@ -91,8 +91,8 @@
                         () -> {
                             for (int i = 0; i < n; i++) {
                                 if (!f.members[i].lives(lost)
-                                        || f.members[i].life(lost).start()
-                                                != f.members[lost].life(lost).start()) {
+                                        || f.members[i].incarnation(lost).start()
+                                                != f.members[lost].incarnation(lost).start()) {
                                     return false;
                                 }
                             }
@@ -214,7 +214,7 @@
     /**
      * Messages may be 2 s late, and wait for a stopped gateway for any time. Over drawn histories
      * of losses, cuts, stops and restarts nothing is known before it was made, nor counts as
-     * fresher than it is by more than two late ways (of a life first heard of over them).
+     * fresher than it is by more than two late ways (of an incarnation first heard of over them).
      */
     @Test(dataProvider = "seeds")
     public void nothingIsFresherThanItIs(long seed) {
@@ -222,7 +222,7 @@
         Random r = new Random(seed);
         f.net.way(new Memory.Way(1, 20, 0.2, 0.2, 0.05, 2000));
         double[][] since = new double[7][7];
-        Life[][] known = new Life[7][7];
+        Incarnation[][] known = new Incarnation[7][7];
         double worst = 0;
         for (int i = 0; i < 900; i++) {
             disturb(f, r);
@@ -233,11 +233,11 @@
                     if (a == b || f.stopped[a] || m.of(b) == null) {
                         continue;
                     }
-                    if (!m.life(b).equals(known[a][b])) {
-                        known[a][b] = m.life(b);
+                    if (!m.incarnation(b).equals(known[a][b])) {
+                        known[a][b] = m.incarnation(b);
                         since[a][b] = f.now;
                     }
-                    java.util.List<Double> made = f.made.get(m.life(b));
+                    java.util.List<Double> made = f.made.get(m.incarnation(b));
                     assertTrue(
                             made != null && m.of(b).seq < made.size(), "known before it was made");
                     double tooLow = f.now - made.get(m.of(b).seq) - m.age(b);
@@ -290,34 +290,35 @@
 
     private static byte[] told(long start, int seq, double made) {
         ByteBuffer m = Sights.message(256);
-        Sights.add(m, Sights.raw(new Sight(new Life(1, start), seq), made), 0);
+        Sights.add(m, Sights.raw(new Sight(new Incarnation(1, start), seq), made), 0);
         return Sights.whole(m);
     }
 
     @Test
-    public void theLaterLifeWins() {
-        Members m = new Members(new Life(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
+    public void theLaterIncarnationWins() {
+        Members m = new Members(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
         m.heard(told(500, 900, 500), 1, 1000);
         m.heard(told(1000, 1, 50), 1, 1050);
         m.heard(told(500, 901, 600), 1, 1100);
-        assertEquals(m.life(1).start(), 1000);
+        assertEquals(m.incarnation(1).start(), 1000);
         m.heard(told(1000, 0, 40), 1, 1110);
         assertEquals(m.of(1).seq, 1);
         for (int t = 1200; t < 10_000; t += 500) {
             m.heard(told(500, t, t - 500), 1, t);
-            assertEquals(m.life(1).start(), 1000, "an earlier life came back at " + t);
+            assertEquals(
+                    m.incarnation(1).start(), 1000, "an earlier incarnation came back at " + t);
         }
         assertFalse(m.lives(1));
         m.heard(told(500, 20_000, 11_500), 1, 12_000);
         m.heard(told(500, 20_000, 11_650), 1, 12_150);
-        assertEquals(m.life(1).start(), 500, "the upgrade failed long ago");
+        assertEquals(m.incarnation(1).start(), 500, "the upgrade failed long ago");
         m.heard(told(500, 20_001, 11_700), 0, 12_200);
         assertEquals(m.refused(), 1);
     }
 
     @Test
     public void takesABoundedNumberASecond() {
-        Members m = new Members(new Life(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
+        Members m = new Members(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
         for (int i = 0; i < 10_000; i++) {
             m.heard(told(500, i, i), 1, 1000 + i / 10.0);
         }
--- a/fleet/src/test/java/tinford/fleet/members/SightsTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/SightsTest.java
@@ -20,7 +20,8 @@
     private static final double OFF = 0.036;
 
     private static Sight drawn(Random r, int gateway, int classes) {
-        Sight s = new Sight(new Life(gateway, (long) NOW - r.nextInt(1_000_000)), r.nextInt());
+        Sight s =
+                new Sight(new Incarnation(gateway, (long) NOW - r.nextInt(1_000_000)), r.nextInt());
         for (int c = 0; c < classes; c++) {
             s.asked[c] = r.nextInt(4) == 0 ? 0 : Math.exp(r.nextDouble() * 12);
             s.sent[c] =
@@ -30,7 +31,7 @@
         }
         s.first = r.nextDouble() * 5000;
         s.bears = r.nextDouble() * 500;
-        s.cededTo = r.nextBoolean() ? null : new Life(gateway + 1, (long) NOW - 1);
+        s.cededTo = r.nextBoolean() ? null : new Incarnation(gateway + 1, (long) NOW - 1);
         s.ceded = s.cededTo == null ? 0 : r.nextInt(10_000_000) / 8.0;
         for (int i = r.nextInt(Sight.MOST_ILL + 1); i > 0; i--) {
             s.ills.add(new Sight.Ill(r.nextInt(), r.nextBoolean(), 1 + r.nextInt(50_000)));
@@ -63,7 +64,7 @@
             Sight s = drawn(r, i % 10, r.nextInt(Sight.CLASSES + 1));
             double age = r.nextDouble() * 60_000;
             Sights.Told t = read(message(age, s)).get(0);
-            assertEquals(t.sight().life, s.life);
+            assertEquals(t.sight().incarnation, s.incarnation);
             assertEquals(t.sight().seq, s.seq);
             assertEquals(t.made(), 5000.0);
             assertTrue(t.age() >= age && t.age() < age + 2, "age " + age + " told as " + t.age());
@@ -98,7 +99,7 @@
         length[1] += 1;
         byte[] classes = m.clone();
         classes[1 + 29] = Sight.CLASSES + 1;
-        byte[] ills = message(0, new Sight(new Life(1, 5), 1));
+        byte[] ills = message(0, new Sight(new Incarnation(1, 5), 1));
         ills[ills.length - 1] = Sight.MOST_ILL + 1;
         return new Object[][] {
             {"empty", new byte[0]},
@@ -108,8 +109,11 @@
             {"longer than its end", length},
             {"classes beyond", classes},
             {"servers beyond", ills},
-            {"gateway beyond", message(0, new Sight(new Life(10, 5), 1))},
-            {"starts in the future", message(0, new Sight(new Life(1, (long) NOW + 5001), 1))},
+            {"gateway beyond", message(0, new Sight(new Incarnation(10, 5), 1))},
+            {
+                "starts in the future",
+                message(0, new Sight(new Incarnation(1, (long) NOW + 5001), 1))
+            },
             {"too long", Arrays.copyOf(m, 257)},
             {"only signs of life", new byte[] {1, 0, 0, 0, 0, 0, 0, 0, 0}},
         };
@@ -122,10 +126,11 @@
 
     @Test
     public void oneAbsurdRecordOfAnotherCostsOnlyItself() {
-        Sight good = new Sight(new Life(1, 5), 1);
-        Sight late = new Sight(new Life(2, (long) NOW + 9999), 1);
-        List<Sights.Told> read = read(message(0, good, late, new Sight(new Life(3, 7), 1)));
-        assertEquals(read.stream().map(t -> t.sight().life.gateway()).toList(), List.of(1, 3));
+        Sight good = new Sight(new Incarnation(1, 5), 1);
+        Sight late = new Sight(new Incarnation(2, (long) NOW + 9999), 1);
+        List<Sights.Told> read = read(message(0, good, late, new Sight(new Incarnation(3, 7), 1)));
+        assertEquals(
+                read.stream().map(t -> t.sight().incarnation.gateway()).toList(), List.of(1, 3));
     }
 
     @Test
@@ -150,7 +155,7 @@
     @Test
     public void garbageIsHarmless() {
         Random r = new Random(4);
-        Members members = new Members(new Life(0, 5), 10, 100, 2, 3000, 3000, r);
+        Members members = new Members(new Incarnation(0, 5), 10, 100, 2, 3000, 3000, r);
         for (int i = 0; i < 20_000; i++) {
             byte[] m =
                     message(
@@ -162,7 +167,9 @@
             }
             m = Arrays.copyOf(m, r.nextInt(3) == 0 ? r.nextInt(300) : m.length);
             for (Sights.Told t : read(m)) {
-                assertTrue(t.sight().life.gateway() < 10 && t.sight().life.start() <= NOW + 5000);
+                assertTrue(
+                        t.sight().incarnation.gateway() < 10
+                                && t.sight().incarnation.start() <= NOW + 5000);
             }
             members.heard(m, r.nextInt(10), NOW + i * 20);
         }
@@ -172,7 +179,7 @@
 
     @Test
     public void aUsualRecordIsShort() {
-        Sight s = new Sight(new Life(1, 5), 1);
+        Sight s = new Sight(new Incarnation(1, 5), 1);
         Arrays.fill(s.asked, 4, 20, 100);
         Arrays.fill(s.sent, 10, 20, 100);
         s.sent[9] = 30;
--- a/fleet/src/test/java/tinford/fleet/members/TermsTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/TermsTest.java
@@ -16,9 +16,9 @@
 
 /** Leases of members as the replicated log grants and ends them. */
 public class TermsTest {
-    private static final Life FIRST = new Life(3, 100);
-    private static final Life LATER = new Life(3, 900);
-    private static final Life OTHER = new Life(5, 100);
+    private static final Incarnation FIRST = new Incarnation(3, 100);
+    private static final Incarnation LATER = new Incarnation(3, 900);
+    private static final Incarnation OTHER = new Incarnation(5, 100);
 
     private static Terms terms() {
         return new Terms(8, 1000, 50, 400);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void aLaterLifeEndsNoTermOfAnEarlierOneWhichRenewsNoMore() {
+    public void aLaterIncarnationEndsNoTermOfAnEarlierOneWhichRenewsNoMore() {
         Terms t = terms();
         t.apply(1, Terms.renew(FIRST, 1000, 1000));
         t.apply(2, Terms.renew(LATER, 1100, 1000));
@@ -64,7 +64,7 @@
             {Terms.renew(FIRST, Double.NaN, 10)},
             {Terms.renew(FIRST, 10, 1001)},
             {Terms.renew(FIRST, 10, -1)},
-            {Terms.renew(new Life(8, 1), 10, 10)},
+            {Terms.renew(new Incarnation(8, 1), 10, 10)},
             {java.util.Arrays.copyOf(cut, 9)},
             {newer},
             {Terms.leave(OTHER, 1)}
@@ -81,23 +81,23 @@
     }
 
     @Test
-    public void manyLivesOfOneGatewayAreBoundedAndASnapshotIsTheSame() throws IOException {
+    public void manyIncarnationsOfOneGatewayAreBoundedAndASnapshotIsTheSame() throws IOException {
         Terms t = terms();
         for (int i = 0; i < 20; i++) {
-            t.apply(i + 1, Terms.renew(new Life(3, i), 1000 + i, 1000));
+            t.apply(i + 1, Terms.renew(new Incarnation(3, i), 1000 + i, 1000));
         }
-        assertEquals(t.of(3).size(), Terms.MOST_LIVES);
+        assertEquals(t.of(3).size(), Terms.MOST_INCARNATIONS);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         t.write(new DataOutputStream(bytes));
         Terms again = terms();
         again.read(new DataInputStream(new ByteArrayInputStream(bytes.toByteArray())));
         assertEquals(again.mayAct(), t.mayAct());
         assertEquals(again.now(), t.now());
-        again.apply(30, Terms.renew(new Life(3, 6), 1100, 1000));
-        assertNotNull(again.of(new Life(3, 6)));
+        again.apply(30, Terms.renew(new Incarnation(3, 6), 1100, 1000));
+        assertNotNull(again.of(new Incarnation(3, 6)));
         assertEquals(
-                again.of(new Life(3, 6)).until(),
+                again.of(new Incarnation(3, 6)).until(),
                 2006.0,
-                "an earlier life renews no more after a snapshot");
+                "an earlier incarnation renews no more after a snapshot");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 
 /** Exhaustive exploration of small plans of staged moves. */
 public class ExploreTest {
@@ -52,7 +52,7 @@
                 due(
                         new Due() {
                             @Override
-                            boolean acked(Members m, Map<Life, Double> acks, double since) {
+                            boolean acked(Members m, Map<Incarnation, Double> acks, double since) {
                                 return true;
                             }
                         })
@@ -86,7 +86,7 @@
                 due(
                         new Due() {
                             @Override
-                            boolean acked(Members m, Map<Life, Double> acks, double since) {
+                            boolean acked(Members m, Map<Incarnation, Double> acks, double since) {
                                 return super.acked(m, acks, since) && acks.size() > 2;
                             }
                         })
@@ -175,8 +175,8 @@
                         .andThen(
                                 c ->
                                         c.route =
-                                                (life, stand) ->
-                                                        new Route(life, stand, 1) {
+                                                (incarnation, stand) ->
+                                                        new Route(incarnation, stand, 1) {
                                                             @Override
                                                             protected boolean mayAct(double now) {
                                                                 return true;
@@ -189,8 +189,8 @@
                 (Consumer<Explore.Case>)
                         c ->
                                 c.route =
-                                        (life, stand) ->
-                                                new Route(life, stand, 1) {
+                                        (incarnation, stand) ->
+                                                new Route(incarnation, stand, 1) {
                                                     @Override
                                                     protected String goes(
                                                             Plan.Mover m,
@@ -212,8 +212,8 @@
                         .andThen(
                                 c ->
                                         c.route =
-                                                (life, stand) ->
-                                                        new Route(life, stand, 1) {
+                                                (incarnation, stand) ->
+                                                        new Route(incarnation, stand, 1) {
                                                             @Override
                                                             protected String goes(
                                                                     Plan.Mover m,
--- a/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
@@ -9,12 +9,12 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Term;
 
 /** Stages of a move: begun, acknowledged, completed and reverted. */
 public class MovesTest {
-    private static final Life ONE = new Life(1, 5);
+    private static final Incarnation ONE = new Incarnation(1, 5);
     private static final Map<String, String> HOMES = Map.of("web", "a", "store", "a");
 
     private static Moves moves() {
--- a/fleet/src/test/java/tinford/fleet/overload/FurtherTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/FurtherTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Sight;
 
 /** A gateway's part of the fleet's retry budget. */
@@ -25,19 +25,19 @@
             Random chance = new Random(drawn);
             int n = 2 + chance.nextInt(8);
             Further[] all = new Further[n];
-            Life[] lives = new Life[n];
+            Incarnation[] incarnations = new Incarnation[n];
             List<List<Sight>> told = new ArrayList<>();
             double[] own = new double[n], spent = new double[n];
             for (int g = 0; g < n; g++) {
                 all[g] = new Further(PART, chance);
-                lives[g] = new Life(g, 1);
+                incarnations[g] = new Incarnation(g, 1);
                 told.add(new ArrayList<>());
             }
             double first = 0, further = 0;
             for (int round = 1; round < 300; round++) {
                 int g = chance.nextInt(n);
                 if (chance.nextInt(60) == 0) {
-                    lives[g] = new Life(g, round + 1);
+                    incarnations[g] = new Incarnation(g, round + 1);
                     all[g] = new Further(PART, chance);
                 }
                 Heard heard = new Heard(n);
@@ -45,7 +45,7 @@
                     if (p != g && !told.get(p).isEmpty() && chance.nextInt(3) > 0)
                         heard.hear(told.get(p).get(chance.nextInt(told.get(p).size())));
                 }
-                all[g].round(round * 200, lives[g], heard);
+                all[g].round(round * 200, incarnations[g], heard);
                 for (int i = chance.nextInt(g == 0 ? 5 : 80); i > 0; i--) {
                     all[g].sent(false);
                     first++;
@@ -56,7 +56,7 @@
                     further++;
                     spent[g]++;
                 }
-                Sight s = new Sight(lives[g], round);
+                Sight s = new Sight(incarnations[g], round);
                 s.first = 100;
                 s.failed = g == 0 ? 80 : 0;
                 all[g].tell(s);
@@ -75,10 +75,10 @@
     @Test
     public void aLyingGiverMakesNoMoreThanTwiceAMiddlingPart() {
         Further f = new Further(PART, new Random(1));
-        Life own = new Life(1, 1);
+        Incarnation own = new Incarnation(1, 1);
         double got = 0;
         for (int t = 0; t <= 10_000; t += 100) {
-            Sight lie = new Sight(new Life(2, 1), t);
+            Sight lie = new Sight(new Incarnation(2, 1), t);
             lie.first = 100;
             lie.cededTo = own;
             lie.ceded = 1e9 + t;
--- a/fleet/src/test/java/tinford/fleet/overload/Heard.java
+++ b/fleet/src/test/java/tinford/fleet/overload/Heard.java
@@ -16,7 +16,7 @@
     }
 
     Heard hear(Sight s) {
-        records.put(s.life.gateway(), s);
+        records.put(s.incarnation.gateway(), s);
         return this;
     }
 
--- a/fleet/src/test/java/tinford/fleet/overload/LineTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/LineTest.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Sight;
 
 /** The admission threshold that gateways work out from the same records. */
@@ -15,7 +15,7 @@
 
     /** Asked for 100 units a second of each worth given, of which so many come back in time. */
     static Sight sight(int gateway, double good, boolean waits, double... worths) {
-        Sight s = new Sight(new Life(gateway, 1), 1);
+        Sight s = new Sight(new Incarnation(gateway, 1), 1);
         for (double w : worths) s.asked[Sight.classOf(w)] += 100;
         s.goodUnits = good;
         s.good = s.first = 40;
--- a/fleet/src/test/java/tinford/fleet/overload/OwnersTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/OwnersTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.api.Srv;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Sight;
 
 /** Which gateway probes an unhealthy server. */
@@ -17,7 +17,7 @@
 
     private static Heard fleet(int from, int until) {
         Heard h = new Heard(until);
-        for (int g = from; g < until; g++) h.hear(new Sight(new Life(g, 1), 1));
+        for (int g = from; g < until; g++) h.hear(new Sight(new Incarnation(g, 1), 1));
         return h;
     }
 
@@ -46,14 +46,14 @@
         Owners[] all = new Owners[n];
         for (int g = 0; g < n; g++) {
             all[g] = new Owners(new Random(g));
-            all[g].round(0, new Life(g, 1), heard);
+            all[g].round(0, new Incarnation(g, 1), heard);
             all[g].found(srv, true);
         }
         int byOwner = 0, byOthers = 0;
         double[] triedAt = new double[n];
         for (double t = 100; t < 120_000; t += 100) {
             for (int g = 0; g < n; g++) {
-                all[g].round(t, new Life(g, 1), heard);
+                all[g].round(t, new Incarnation(g, 1), heard);
                 if (t - triedAt[g] < 1000 || !all[g].looksAfter(srv)) continue;
                 triedAt[g] = t;
                 if (n == 1 || Owners.owner(Owners.nameOf(srv), heard) == g) byOwner++;
@@ -71,14 +71,14 @@
         Heard heard = fleet(0, 5);
         int owner = Owners.owner(Owners.nameOf(srv), heard), other = (owner + 1) % 5;
         Owners o = new Owners(new Random(1));
-        o.round(0, new Life(other, 1), heard);
+        o.round(0, new Incarnation(other, 1), heard);
         o.found(srv, true);
         assertFalse(o.looksAfter(srv));
         int tries = 0;
         for (double t = 100; t < 60_000; t += 100) {
-            Sight well = new Sight(new Life(owner, 1), (int) t);
+            Sight well = new Sight(new Incarnation(owner, 1), (int) t);
             well.ills.add(new Sight.Ill(Owners.nameOf(srv), false, 0));
-            o.round(t, new Life(other, 1), heard.hear(well));
+            o.round(t, new Incarnation(other, 1), heard.hear(well));
             if (!o.looksAfter(srv)) continue;
             if (tries++ == 0) assertTrue(t < 1000, "first at " + t);
             o.tried(srv);
@@ -95,10 +95,11 @@
         for (int liars = 1; liars <= 2; liars++) {
             Sight lie =
                     new Sight(
-                            new Life((owner + liars) % 5 == self ? owner : (owner + liars) % 5, 1),
+                            new Incarnation(
+                                    (owner + liars) % 5 == self ? owner : (owner + liars) % 5, 1),
                             2);
             lie.ills.add(new Sight.Ill(Owners.nameOf(srv), true, 0));
-            o.round(5000, new Life(self, 1), heard.hear(lie));
+            o.round(5000, new Incarnation(self, 1), heard.hear(lie));
             assertEquals(o.looksAfter(srv), liars < 2);
         }
     }
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -20,7 +20,7 @@
 import tinford.api.Req;
 import tinford.api.Srv;
 import tinford.fleet.budgets.Statics;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Terms;
 import tinford.fleet.moves.Moves;
 import tinford.fleet.moves.Stand;
@@ -116,7 +116,7 @@
     /** One gateway's process: what is posted to its I/O thread waits while it stands still. */
     private static final class Seat {
         final ArrayDeque<Runnable> posted = new ArrayDeque<>();
-        Life life;
+        Incarnation incarnation;
         Agreed agreed;
         Mover mover;
         Log log;
@@ -148,7 +148,7 @@
         void start(int g) {
             Seat s = seats.get(g);
             s.posted.clear();
-            s.life = new Life(g, (long) now);
+            s.incarnation = new Incarnation(g, (long) now);
             s.agreed = agreed();
             s.renews = 0;
             s.up = true;
@@ -186,11 +186,11 @@
                 s.mover =
                         new Mover(
                                 s.agreed,
-                                s.life,
+                                s.incarnation,
                                 orders,
                                 s.log::append,
                                 () -> false,
-                                History.at(null, s.life));
+                                History.at(null, s.incarnation));
             } catch (java.io.IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
@@ -208,7 +208,7 @@
                 }
                 if (now >= s.renews) {
                     s.renews = now + TERM / 3;
-                    s.log.append(Terms.renew(s.life, now, TERM));
+                    s.log.append(Terms.renew(s.incarnation, now, TERM));
                 }
                 s.mover.tick(now, s.log.leads());
                 load(s);
@@ -262,8 +262,8 @@
                             .filter(
                                     s ->
                                             s.up
-                                                    && s.agreed.terms.of(s.life) != null
-                                                    && s.agreed.terms.of(s.life).holds(now))
+                                                    && s.agreed.terms.of(s.incarnation) != null
+                                                    && s.agreed.terms.of(s.incarnation).holds(now))
                             .toList();
             String[] chain = {"web", "mid", "base"};
             for (Seat s : acting) {
@@ -271,7 +271,7 @@
                     assertTrue(
                             Math.abs(s.agreed.moves.stand().turn() - o.agreed.moves.stand().turn())
                                     <= 1,
-                            now + " " + s.life + " " + o.life);
+                            now + " " + s.incarnation + " " + o.incarnation);
                     for (int f = 0; f < 2; f++) {
                         int of = f;
                         boolean begun =
@@ -286,11 +286,11 @@
                                         + ": "
                                         + chain[f]
                                         + " has moved at "
-                                        + s.life
+                                        + s.incarnation
                                         + ", "
                                         + chain[f + 1]
                                         + " not at "
-                                        + o.life);
+                                        + o.incarnation);
                     }
                 }
             }
@@ -349,7 +349,7 @@
         for (int i = 0; i < 6000 && f.head().state() != Moves.State.DONE; i++) {
             f.step();
             Seat victim = f.seats.get(f.position() % 3);
-            int g = victim.life.gateway();
+            int g = victim.incarnation.gateway();
             if (f.position() != steps && !fault.equals("none")) {
                 steps = f.position();
                 switch (fault) {
