--- a/fleet/src/main/java/tinford/fleet/members/Sights.java
+++ b/fleet/src/main/java/tinford/fleet/members/GossipCodec.java
@@ -5,18 +5,20 @@
 import java.util.List;
 
 /**
- * Messages: a version byte; records, the sender's own first; a byte 0, and signs of life, which say
- * only that one lived, and when. Rates take one byte each on a log scale, ten steps an octave from
- * 1/64 to 635 000, zero by itself: 3.5 % off at most. A record has 31 bytes, one for each class
- * that is used and a bit (61 with all classes used), one more for each class that was sent in part,
- * five for each server named, and twelve where something was ceded, whose total is exact to seven
- * digits: 127 at most.
+ * Encodes and decodes gossip messages.
+ *
+ * <p>A message: a version byte; records, the sender's own first; a byte 0, and heartbeats, which
+ * say only that one lived, and when. Rates take one byte each on a log scale, ten steps an octave
+ * from 1/64 to 635 000, zero by itself: 3.5 % off at most. A record has 31 bytes, one for each
+ * class that is used and a bit (61 with all classes used), one more for each class that was sent in
+ * part, five for each server named, and twelve where something was ceded, whose total is exact to
+ * seven digits: 127 at most.
  */
-public final class Sights {
+public final class GossipCodec {
     /** The longest message, whatever the transport bears. */
-    public static final int MOST = 256;
+    public static final int MAX_MESSAGE_BYTES = 256;
 
-    public static final int LONGEST = 127;
+    public static final int MAX_RECORD_BYTES = 127;
     private static final byte VERSION = 1;
 
     /** From a record's beginning: length, gateway, start, seq, made, age, body. */
@@ -30,19 +32,19 @@
     private static final double AGE_UNIT = 2;
 
     /** The greatest age that can be told, ms. */
-    public static final double OLDEST = 65535 * AGE_UNIT;
+    public static final double MAX_AGE = 65535 * AGE_UNIT;
 
     private static final int RATES = 9;
     private static final int CEDED = 12;
 
     /**
-     * Bytes of a sign of life: gateway, the start's low bits, and when it lived, in {@link
-     * #SIGN_UNIT} ms since its start, three bytes.
+     * Bytes of a heartbeat: gateway, the start's low bits, and when it lived, in {@link
+     * #HEARTBEAT_UNIT} ms since its start, three bytes.
      */
-    static final int SIGN = 7;
+    static final int HEARTBEAT_BYTES = 7;
 
-    private static final double SIGN_UNIT = 8;
-    private static final int SIGN_UNITS = 1 << 24;
+    private static final double HEARTBEAT_UNIT = 8;
+    private static final int HEARTBEAT_UNITS = 1 << 24;
     private static final int STEPS = 10;
     private static final double LEAST = 1.0 / 64;
     private static final double[] VALUES = new double[256];
@@ -54,7 +56,7 @@
     }
 
     private final int gateways;
-    private final double ahead;
+    private final double maxStartAhead;
 
     /**
      * A record as told.
@@ -63,14 +65,14 @@
      * @param age ms since its owner made it, as the teller counts
      * @param raw as it came, for telling it on, with what a later version put at its end
      */
-    public record Told(Sight sight, double made, double age, byte[] raw) {}
+    public record Received(GossipRecord record, double made, double age, byte[] raw) {}
 
     /**
-     * @param ahead by how many ms a start may lie in the future
+     * @param maxStartAhead by how many ms a start may lie in the future
      */
-    public Sights(int gateways, double ahead) {
+    public GossipCodec(int gateways, double maxStartAhead) {
         this.gateways = gateways;
-        this.ahead = ahead;
+        this.maxStartAhead = maxStartAhead;
     }
 
     static int code(double rate) {
@@ -88,8 +90,8 @@
         return VALUES[code & 255];
     }
 
-    public static byte[] raw(Sight s, double made) {
-        ByteBuffer b = ByteBuffer.allocate(LONGEST);
+    public static byte[] encode(GossipRecord s, double made) {
+        ByteBuffer b = ByteBuffer.allocate(MAX_RECORD_BYTES);
         b.put((byte) 0).putShort((short) s.incarnation.gateway());
         long start = s.incarnation.start();
         b.putShort((short) (start >> 32)).putInt((int) start).putInt(s.seq);
@@ -110,17 +112,19 @@
             b.put((byte) code(rate));
         }
         classes(s, b);
-        int n = Math.min(s.ills.size(), Sight.MOST_ILL);
+        int n = Math.min(s.serverHealth.size(), GossipRecord.MAX_SERVERS);
         b.put((byte) n);
-        for (Sight.Ill ill : s.ills.subList(0, n)) {
+        for (GossipRecord.ServerHealth health : s.serverHealth.subList(0, n)) {
             long ago =
                     Math.max(
                             0,
                             Math.min(
                                     127,
                                     Math.round(
-                                            8 * Math.log(Math.max(ill.ago(), 1)) / Math.log(2))));
-            b.putInt(ill.server()).put((byte) (ago | (ill.ill() ? 128 : 0)));
+                                            8
+                                                    * Math.log(Math.max(health.ago(), 1))
+                                                    / Math.log(2))));
+            b.putInt(health.server()).put((byte) (ago | (health.unhealthy() ? 128 : 0)));
         }
         if (s.cededTo != null) {
             long to = s.cededTo.start();
@@ -137,8 +141,8 @@
      * How many classes; two bits each: 0 not used, 1 all sent, 2 none sent, 3 both rates; then the
      * rates.
      */
-    private static void classes(Sight s, ByteBuffer b) {
-        int n = Sight.CLASSES;
+    private static void classes(GossipRecord s, ByteBuffer b) {
+        int n = GossipRecord.CLASSES;
         while (n > 0 && code(s.asked[n - 1]) == 0 && code(s.sent[n - 1]) == 0) {
             n--;
         }
@@ -160,14 +164,14 @@
         }
     }
 
-    /** An empty message to be filled by {@link #add}. */
+    /** An empty message to be filled by {@link #addRecord}. */
     public static ByteBuffer message(int most) {
-        return ByteBuffer.allocate(Math.min(most, MOST)).put(VERSION);
+        return ByteBuffer.allocate(Math.min(most, MAX_MESSAGE_BYTES)).put(VERSION);
     }
 
     /** Whether there was room; the age is rounded up. */
-    public static boolean add(ByteBuffer message, byte[] raw, double age) {
-        if (raw.length > message.remaining() || age > OLDEST) {
+    public static boolean addRecord(ByteBuffer message, byte[] raw, double age) {
+        if (raw.length > message.remaining() || age > MAX_AGE) {
             return false;
         }
         int at = message.position();
@@ -175,7 +179,7 @@
         return true;
     }
 
-    /** Ends the records; what follows are signs of life. */
+    /** Ends the records; what follows are heartbeats. */
     static void endRecords(ByteBuffer message) {
         if (message.hasRemaining()) {
             message.put((byte) 0);
@@ -183,11 +187,11 @@
     }
 
     /** Whether there was room. When it lived is rounded down. */
-    static boolean sign(ByteBuffer message, Incarnation incarnation, double lived) {
-        if (message.remaining() < SIGN) {
+    static boolean addHeartbeat(ByteBuffer message, Incarnation incarnation, double lived) {
+        if (message.remaining() < HEARTBEAT_BYTES) {
             return false;
         }
-        long unit = (long) Math.floor(lived / SIGN_UNIT);
+        long unit = (long) Math.floor(lived / HEARTBEAT_UNIT);
         message.putShort((short) incarnation.gateway())
                 .putShort((short) incarnation.start())
                 .put((byte) (unit >> 16))
@@ -200,12 +204,14 @@
      * the nearest to what is expected.
      */
     static double unwrap(int unit, double expected) {
-        return (unit + Math.rint((expected / SIGN_UNIT - unit) / SIGN_UNITS) * SIGN_UNITS)
-                * SIGN_UNIT;
+        return (unit
+                        + Math.rint((expected / HEARTBEAT_UNIT - unit) / HEARTBEAT_UNITS)
+                                * HEARTBEAT_UNITS)
+                * HEARTBEAT_UNIT;
     }
 
-    /** The signs of a message that {@link #read} took. */
-    static ByteBuffer signs(byte[] message) {
+    /** The heartbeats of a message that {@link #read} took. */
+    static ByteBuffer heartbeats(byte[] message) {
         int at = 1;
         while (at < message.length && message[at] != 0) {
             at += message[at] & 255;
@@ -214,7 +220,7 @@
         return ByteBuffer.wrap(message, at, message.length - at);
     }
 
-    public static byte[] whole(ByteBuffer message) {
+    public static byte[] toBytes(ByteBuffer message) {
         return java.util.Arrays.copyOf(message.array(), message.position());
     }
 
@@ -222,26 +228,26 @@
      * The records of a message; none where the message is of another version, torn, or its first
      * record absurd. Of the others those that are absurd are left out. Never throws.
      */
-    public List<Told> read(byte[] message, double now) {
-        if (message.length < 2 || message.length > MOST || message[0] != VERSION) {
+    public List<Received> read(byte[] message, double now) {
+        if (message.length < 2 || message.length > MAX_MESSAGE_BYTES || message[0] != VERSION) {
             return List.of();
         }
         ByteBuffer b = ByteBuffer.wrap(message);
-        List<Told> read = new ArrayList<>(6);
+        List<Received> read = new ArrayList<>(6);
         for (int at = 1; at < message.length && (at == 1 || message[at] != 0); ) {
             int length = message[at] & 255;
             if (length < BODY || at + length > message.length) {
                 return List.of();
             }
-            Sight sight = sane(b, at, now) ? sight(b, at, at + length) : null;
-            if (sight != null) {
+            GossipRecord record = isPlausible(b, at, now) ? decode(b, at, at + length) : null;
+            if (record != null) {
                 double made =
                         (message[at + MADE] & 255L) * (1L << 32)
                                 + (b.getInt(at + MADE + 1) & 0xFFFFFFFFL);
                 double age = (b.getShort(at + AGE) & 0xFFFF) * AGE_UNIT;
                 read.add(
-                        new Told(
-                                sight,
+                        new Received(
+                                record,
                                 made,
                                 age,
                                 java.util.Arrays.copyOfRange(message, at, at + length)));
@@ -254,26 +260,27 @@
     }
 
     /** A record that {@link #read} took. */
-    static Sight of(byte[] raw) {
-        return sight(ByteBuffer.wrap(raw), 0, raw.length);
+    static GossipRecord decode(byte[] raw) {
+        return decode(ByteBuffer.wrap(raw), 0, raw.length);
     }
 
     private static long start(ByteBuffer b, int at) {
         return (b.getShort(at + START) & 0xFFFFL) << 32 | b.getInt(at + START + 2) & 0xFFFFFFFFL;
     }
 
-    private boolean sane(ByteBuffer b, int at, double now) {
-        return (b.getShort(at + GATEWAY) & 0xFFFF) < gateways && start(b, at) <= now + ahead;
+    private boolean isPlausible(ByteBuffer b, int at, double now) {
+        return (b.getShort(at + GATEWAY) & 0xFFFF) < gateways
+                && start(b, at) <= now + maxStartAhead;
     }
 
     /** Null where the record's fields don't fit into its length, or count beyond what there is. */
-    private static Sight sight(ByteBuffer b, int at, int end) {
+    private static GossipRecord decode(ByteBuffer b, int at, int end) {
         int p = at + BODY;
         if (p + RATES + 1 > end) {
             return null;
         }
-        Sight s =
-                new Sight(
+        GossipRecord s =
+                new GossipRecord(
                         new Incarnation(b.getShort(at + GATEWAY) & 0xFFFF, start(b, at)),
                         b.getInt(at + SEQ));
         s.first = value(b.get(p++));
@@ -288,7 +295,7 @@
         int n = b.get(p++) & 255;
         int kinds = p;
         p += (n + 3) / 4;
-        if (n > Sight.CLASSES || p > end) {
+        if (n > GossipRecord.CLASSES || p > end) {
             return null;
         }
         for (int c = 0; c < n; c++) {
@@ -301,13 +308,15 @@
                 s.sent[c] = kind == 1 ? s.asked[c] : kind == 2 ? 0 : value(b.get(p++));
             }
         }
-        int ills = p < end ? b.get(p++) & 255 : Sight.MOST_ILL + 1;
-        if (ills > Sight.MOST_ILL || p + 5 * ills > end) {
+        int servers = p < end ? b.get(p++) & 255 : GossipRecord.MAX_SERVERS + 1;
+        if (servers > GossipRecord.MAX_SERVERS || p + 5 * servers > end) {
             return null;
         }
-        for (int i = 0; i < ills; i++, p += 5) {
+        for (int i = 0; i < servers; i++, p += 5) {
             int how = b.get(p + 4) & 255;
-            s.ills.add(new Sight.Ill(b.getInt(p), how >= 128, Math.pow(2, (how & 127) / 8.0)));
+            s.serverHealth.add(
+                    new GossipRecord.ServerHealth(
+                            b.getInt(p), how >= 128, Math.pow(2, (how & 127) / 8.0)));
         }
         if (p + CEDED <= end) {
             s.cededTo =
--- a/fleet/src/main/java/tinford/fleet/members/Sight.java
+++ b/fleet/src/main/java/tinford/fleet/members/GossipRecord.java
@@ -4,23 +4,23 @@
 import java.util.List;
 
 /**
- * The soft record of one gateway: what it saw itself over the last second or so, rates a second.
+ * The gossip record of one gateway: what it saw itself over the last second or so, rates a second.
  * Classes of worth are powers of the square root of two of the worth a unit, so that all gateways
  * have the same ones without agreeing on any.
  */
-public final class Sight {
+public final class GossipRecord {
     public static final int CLASSES = 24;
 
     /** Worth a unit of class 0 and below; class {@code c} begins at LEAST * 2^(c/2). */
     public static final double LEAST = 1.0 / 16;
 
-    public static final int MOST_ILL = 6;
+    public static final int MAX_SERVERS = 6;
 
     /**
      * A server that this gateway put aside, or found well again, so many ms before the record was
      * made; named by a hash of its id.
      */
-    public record Ill(int server, boolean ill, double ago) {}
+    public record ServerHealth(int server, boolean unhealthy, double ago) {}
 
     public final Incarnation incarnation;
     public final int seq;
@@ -62,9 +62,9 @@
     public Incarnation cededTo;
 
     public double ceded;
-    public final List<Ill> ills = new ArrayList<>(MOST_ILL);
+    public final List<ServerHealth> serverHealth = new ArrayList<>(MAX_SERVERS);
 
-    public Sight(Incarnation incarnation, int seq) {
+    public GossipRecord(Incarnation incarnation, int seq) {
         this.incarnation = incarnation;
         this.seq = seq;
     }
@@ -83,7 +83,7 @@
      * Whether this one replaces the other of the same gateway: of a later incarnation, or of the
      * same one and told later.
      */
-    public boolean newer(Sight other) {
+    public boolean newer(GossipRecord other) {
         return other == null
                 || incarnation.start() > other.incarnation.start()
                 || incarnation.start() == other.incarnation.start() && seq - other.seq > 0;
--- a/fleet/src/main/java/tinford/fleet/members/Members.java
+++ b/fleet/src/main/java/tinford/fleet/members/Members.java
@@ -21,7 +21,7 @@
  * record's time under way. Only the own clock and the owner's count of time since its start are
  * compared, never two clocks.
  */
-public final class Members implements Known {
+public final class Members implements Membership {
     /** How far in the future another's start may lie, ms. */
     public static final double AHEAD = 5000;
 
@@ -52,10 +52,10 @@
     private static final double QUICKEST_OVER = 10_000;
 
     /** Signs of incarnation that a message holds at most: half of it. */
-    private static final int SIGNS = 16;
+    private static final int MAX_HEARTBEATS = 16;
 
     /** Other gateways' records that a message holds at most. */
-    private static final int RECORDS = 5;
+    private static final int MAX_RECORDS = 5;
 
     /** An incarnation is news until its records were told so often. */
     private static final int NEWS = 8;
@@ -99,7 +99,7 @@
         /** When it surely lived, by the own clock: then or later. */
         double alive;
 
-        /** How often this record, any of this incarnation's, and this sign of life were told. */
+        /** How often this record, any of this incarnation's, and this heartbeat were told. */
         int told;
 
         int incarnationTold;
@@ -127,13 +127,13 @@
     private final double suspectAfter;
     private final double freshFor;
     private final Random chance;
-    private final Sights sights;
+    private final GossipCodec codec;
 
     /** What this round's messages carry, the best first. */
     private final Other[] freshest;
 
     private final Other[] turns;
-    private final Other[] signs;
+    private final Other[] heartbeats;
 
     /**
      * When others told that a gateway lives of which no record was heard yet. What they told may be
@@ -143,7 +143,7 @@
     private final double[] rumoured;
 
     private final int[] peers;
-    private Sight own;
+    private GossipRecord own;
     private byte[] ownRaw;
     private double ownMade;
     private double now = Double.NEGATIVE_INFINITY;
@@ -180,7 +180,7 @@
         if (self.gateway() < 0
                 || self.gateway() >= gateways
                 || gateways > 65536
-                || suspectAfter > Sights.OLDEST) {
+                || suspectAfter > GossipCodec.MAX_AGE) {
             throw new IllegalArgumentException(
                     "gateway "
                             + self.gateway()
@@ -189,7 +189,7 @@
                             + ", suspected after "
                             + suspectAfter
                             + " ms: expected one of at most 65536, and at most "
-                            + Sights.OLDEST
+                            + GossipCodec.MAX_AGE
                             + " ms");
         }
         this.self = self;
@@ -199,21 +199,21 @@
         this.suspectAfter = suspectAfter;
         this.freshFor = Math.min(freshFor, suspectAfter);
         this.chance = chance;
-        this.sights = new Sights(gateways, AHEAD);
-        this.freshest = new Other[fanout * RECORDS];
-        this.turns = new Other[fanout * RECORDS];
+        this.codec = new GossipCodec(gateways, AHEAD);
+        this.freshest = new Other[fanout * MAX_RECORDS];
+        this.turns = new Other[fanout * MAX_RECORDS];
         this.rumoured = new double[gateways];
         Arrays.fill(rumoured, Double.NEGATIVE_INFINITY);
-        this.signs = new Other[fanout * SIGNS];
+        this.heartbeats = new Other[fanout * MAX_HEARTBEATS];
         this.peers = new int[gateways];
     }
 
     /** The own record, renewed by its owner before each round. */
-    public void own(Sight sight, double at) {
+    public void own(GossipRecord record, double at) {
         time(at);
-        own = sight;
+        own = record;
         ownMade = now;
-        ownRaw = Sights.raw(sight, now - self.start());
+        ownRaw = GossipCodec.encode(record, now - self.start());
     }
 
     /**
@@ -228,7 +228,7 @@
         next = Math.max(next + every, at + every / 2);
         choose(freshest, FRESHEST, o -> o.made);
         choose(turns, TURNS, o -> o.made);
-        choose(signs, ALIVE, o -> o.alive);
+        choose(heartbeats, ALIVE, o -> o.alive);
         int living = livingPeers();
         for (int i = 0; i < fanout; i++) {
             int to =
@@ -249,25 +249,25 @@
             return;
         }
         tokens--;
-        List<Sights.Told> told = sights.read(message, at);
-        if (told.isEmpty() || told.get(0).sight().incarnation.gateway() != from) {
+        List<GossipCodec.Received> received = codec.read(message, at);
+        if (received.isEmpty() || received.get(0).record().incarnation.gateway() != from) {
             refused++;
             return;
         }
-        for (int i = 0; i < told.size(); i++) {
-            take(told.get(i));
+        for (int i = 0; i < received.size(); i++) {
+            take(received.get(i));
         }
-        for (ByteBuffer signsOfLife = Sights.signs(message);
-                signsOfLife.remaining() >= Sights.SIGN; ) {
-            sign(signsOfLife);
+        for (ByteBuffer heartbeats = GossipCodec.heartbeats(message);
+                heartbeats.remaining() >= GossipCodec.HEARTBEAT_BYTES; ) {
+            takeHeartbeat(heartbeats);
         }
     }
 
     /** An incarnation that is known was seen alive; one that isn't is left to its record. */
-    private void sign(ByteBuffer sign) {
-        int gateway = sign.getShort() & 0xFFFF;
-        short incarnation = sign.getShort();
-        int unit = (sign.get() & 255) << 16 | sign.getShort() & 0xFFFF;
+    private void takeHeartbeat(ByteBuffer heartbeat) {
+        int gateway = heartbeat.getShort() & 0xFFFF;
+        short incarnation = heartbeat.getShort();
+        int unit = (heartbeat.get() & 255) << 16 | heartbeat.getShort() & 0xFFFF;
         Other o = gateway < others.length ? others[gateway] : null;
         if (o == null && gateway < others.length && now >= wakesUntil) {
             rumoured[gateway] = now;
@@ -276,15 +276,15 @@
             return;
         }
         double start = Math.min(o.start, o.startBefore);
-        double alive = start + Sights.unwrap(unit, now - start);
+        double alive = start + GossipCodec.unwrap(unit, now - start);
         if (alive > o.alive && alive <= now) {
             o.alive = alive;
             o.aliveTold = 0;
         }
     }
 
-    private void take(Sights.Told told) {
-        Incarnation incarnation = told.sight().incarnation;
+    private void take(GossipCodec.Received received) {
+        Incarnation incarnation = received.record().incarnation;
         if (incarnation.gateway() == self.gateway()) {
             replaced |= incarnation.start() > self.start();
             return;
@@ -294,7 +294,7 @@
         if (o == null
                 || incarnation.start() > o.incarnation.start()
                 || forgotten && incarnation.start() < o.incarnation.start()) {
-            double age = told.age() + (now < wakesUntil ? stopped : 0);
+            double age = received.age() + (now < wakesUntil ? stopped : 0);
             double made = now - age;
             if (age > suspectAfter) {
                 return;
@@ -303,17 +303,19 @@
             others[incarnation.gateway()] = o;
             o.granted = Double.NEGATIVE_INFINITY;
             o.alive = Double.NEGATIVE_INFINITY;
-            o.start = made - told.made();
+            o.start = made - received.made();
             o.startBefore = o.start;
             o.startSince = now;
-            keep(o, told, made);
+            keep(o, received, made);
         } else if (incarnation.start() == o.incarnation.start()) {
             double age =
                     Math.max(
-                            told.age(),
-                            now - told.made() - quickest(o, now - told.age() - told.made()));
-            if (age <= suspectAfter && told.sight().seq - o.seq > 0) {
-                keep(o, told, now - age);
+                            received.age(),
+                            now
+                                    - received.made()
+                                    - quickest(o, now - received.age() - received.made()));
+            if (age <= suspectAfter && received.record().seq - o.seq > 0) {
+                keep(o, received, now - age);
             }
         }
     }
@@ -329,10 +331,10 @@
         return Math.min(o.start, o.startBefore);
     }
 
-    private static void keep(Other o, Sights.Told told, double made) {
-        o.incarnation = told.sight().incarnation;
-        o.seq = told.sight().seq;
-        o.raw = told.raw();
+    private static void keep(Other o, GossipCodec.Received received, double made) {
+        o.incarnation = received.record().incarnation;
+        o.seq = received.record().seq;
+        o.raw = received.raw();
         o.made = made;
         o.told = 0;
         if (made > o.alive) {
@@ -371,7 +373,7 @@
     }
 
     /**
-     * The first by that order, of those whose record or sign is not too old; as many as this
+     * The first by that order, of those whose record or heartbeat is not too old; as many as this
      * round's messages may hold.
      */
     private void choose(Other[] into, Comparator<Other> order, ToDoubleFunction<Other> time) {
@@ -406,28 +408,34 @@
         return i < self.gateway() ? i : i + 1;
     }
 
-    /** The own record, others' by freshness and by turns alternately, and signs of life. */
+    /** The own record, others' by freshness and by turns alternately, and heartbeats. */
     private void tell(int to, int message, int living, Talk out) {
-        ByteBuffer b = Sights.message(out.most());
-        if (!Sights.add(b, ownRaw, now - ownMade)) {
+        ByteBuffer b = GossipCodec.message(out.most());
+        if (!GossipCodec.addRecord(b, ownRaw, now - ownMade)) {
             return;
         }
         messages++;
         boolean news = turns[0] != null && turns[0].incarnationTold < NEWS;
-        int spare = 1 + (news ? SIGNS / 4 : Math.max(0, Math.min(SIGNS, living - 4))) * Sights.SIGN;
-        for (int i = message; i < RECORDS * fanout; i += fanout) {
+        int spare =
+                1
+                        + (news
+                                        ? MAX_HEARTBEATS / 4
+                                        : Math.max(0, Math.min(MAX_HEARTBEATS, living - 4)))
+                                * GossipCodec.HEARTBEAT_BYTES;
+        for (int i = message; i < MAX_RECORDS * fanout; i += fanout) {
             record(b, turns[i], to, spare);
             record(b, freshest[i], to, spare);
         }
-        Sights.endRecords(b);
-        for (int i = message; i < signs.length && signs[i] != null; i += fanout) {
-            Other o = signs[i];
+        GossipCodec.endRecords(b);
+        for (int i = message; i < heartbeats.length && heartbeats[i] != null; i += fanout) {
+            Other o = heartbeats[i];
             if (o.incarnation.gateway() != to
-                    && Sights.sign(b, o.incarnation, o.alive - Math.min(o.start, o.startBefore))) {
+                    && GossipCodec.addHeartbeat(
+                            b, o.incarnation, o.alive - Math.min(o.start, o.startBefore))) {
                 o.aliveTold++;
             }
         }
-        out.send(to, Sights.whole(b));
+        out.send(to, GossipCodec.toBytes(b));
     }
 
     private void record(ByteBuffer message, Other o, int to, int spare) {
@@ -435,7 +443,7 @@
                 || o.lastIn == messages
                 || o.incarnation.gateway() == to
                 || message.remaining() < o.raw.length + spare
-                || !Sights.add(message, o.raw, now - o.made)) {
+                || !GossipCodec.addRecord(message, o.raw, now - o.made)) {
             return;
         }
         o.told++;
@@ -470,13 +478,13 @@
     }
 
     @Override
-    public List<Sight> fresh() {
-        List<Sight> fresh = new ArrayList<>();
+    public List<GossipRecord> fresh() {
+        List<GossipRecord> fresh = new ArrayList<>();
         for (int i = 0; i < others.length; i++) {
             if (i == self.gateway() && own != null) {
                 fresh.add(own);
             } else if (others[i] != null && now - others[i].made <= freshFor) {
-                fresh.add(Sights.of(others[i].raw));
+                fresh.add(GossipCodec.decode(others[i].raw));
             }
         }
         return fresh;
@@ -495,10 +503,10 @@
     }
 
     /** The newest record heard of a gateway, fresh or not; null where there is none. */
-    public Sight of(int gateway) {
+    public GossipRecord of(int gateway) {
         return gateway == self.gateway()
                 ? own
-                : others[gateway] == null ? null : Sights.of(others[gateway].raw);
+                : others[gateway] == null ? null : GossipCodec.decode(others[gateway].raw);
     }
 
     /** Its age now, ms; infinite where there is none. */
--- a/fleet/src/main/java/tinford/fleet/members/Known.java
+++ b/fleet/src/main/java/tinford/fleet/members/Membership.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 
-/** What a gateway knows of its fleet from the records that it heard, its own included. */
-public interface Known {
+/** The fleet as one gateway knows it from the gossip records that it received, its own included. */
+public interface Membership {
     /**
      * How many live, as far as heard: itself, and those heard within the time after which a gateway
      * is suspected.
@@ -20,7 +20,7 @@
      * The records of those that live and that are fresh enough to count, by number. Over many
      * gateways a sample: the sum over the fleet is the mean of these times {@link #living}.
      */
-    List<Sight> fresh();
+    List<GossipRecord> fresh();
 
     /** How many gateways the fleet has by its settings, living or not. */
     int size();
--- a/fleet/src/main/java/tinford/fleet/overload/Further.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Further.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Random;
+import tinford.fleet.members.GossipRecord;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Known;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.Membership;
 
 /**
  * One budget of further dispatches for the fleet, kept as accounts: first dispatches feed the own
@@ -67,15 +67,18 @@
         free = Math.min(free + 1, MOST_FREE);
     }
 
-    public void round(double now, Incarnation own, Known known) {
+    public void round(double now, Incarnation own, Membership membership) {
         double passed = at < 0 ? 0 : Math.max(0, Math.min(now - at, 1000));
         at = now;
-        full = Math.max(LEAST_AT_ONCE, AT_ONCE / Math.max(1, known.size()));
+        full = Math.max(LEAST_AT_ONCE, AT_ONCE / Math.max(1, membership.size()));
         level = Math.min(full, level);
         double[] firsts =
-                known.fresh().stream().mapToDouble(s -> Totals.clean(s.first)).sorted().toArray();
+                membership.fresh().stream()
+                        .mapToDouble(s -> Totals.clean(s.first))
+                        .sorted()
+                        .toArray();
         double middling = firsts.length == 0 ? 0 : firsts[firsts.length / 2];
-        for (Sight s : known.fresh()) {
+        for (GossipRecord s : membership.fresh()) {
             if (s.incarnation.gateway() == own.gateway() || !own.equals(s.cededTo)) continue;
             Account of = account(taken, s.incarnation);
             if (of == null) continue;
@@ -85,13 +88,13 @@
             of.credit -= takes;
             add(takes, false);
         }
-        choose(now, own, known);
+        choose(now, own, membership);
         if (to != null) to.total += over;
         over = 0;
     }
 
     /** Into the own record. */
-    public void tell(Sight own) {
+    public void tell(GossipRecord own) {
         own.cededTo = to == null ? null : to.with;
         own.ceded = to == null ? 0 : to.total;
     }
@@ -114,12 +117,12 @@
     }
 
     /** By chance, in proportion to the failures that a gateway's own budget does not cover. */
-    private void choose(double now, Incarnation own, Known known) {
+    private void choose(double now, Incarnation own, Membership membership) {
         if (now - chosenAt < CHOSEN_MS) return;
         chosenAt = now;
         Incarnation chosen = null;
         double all = 0;
-        for (Sight s : known.fresh()) {
+        for (GossipRecord s : membership.fresh()) {
             double need = Math.max(0, Totals.clean(s.failed) - part * Totals.clean(s.first));
             if (s.incarnation.gateway() == own.gateway() || need <= 0) continue;
             need =
--- a/fleet/src/main/java/tinford/fleet/overload/Line.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Line.java
@@ -1,7 +1,7 @@
 package tinford.fleet.overload;
 
-import tinford.fleet.members.Known;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.GossipRecord;
+import tinford.fleet.members.Membership;
 
 /**
  * The worth a unit below which nothing is passed while the servers bear less than is asked for:
@@ -62,17 +62,17 @@
         return bears == NONE ? 0 : asked / Math.max(1e-9, bears);
     }
 
-    public void round(double now, Known known) {
+    public void round(double now, Membership membership) {
         double passed = at < 0 ? 0 : Math.max(0, Math.min(now - at, 1000));
         at = now;
-        // guards a gateway that hears nobody: its own sight is no fleet's, so it acts as alone
-        if (known.living() <= 1 || known.fresh().size() < 2) {
+        // guards a gateway that hears nobody: its own record is no fleet's, so it acts as alone
+        if (membership.living() <= 1 || membership.fresh().size() < 2) {
             bears = NONE;
             draw(null);
             return;
         }
-        Totals all = new Totals(known);
-        agree(known, passed);
+        Totals all = new Totals(membership);
+        agree(membership, passed);
         boolean strained = all.demand > 0 && (waits(all) || all.bad > BAD);
         strainedFor = Math.max(0, Math.min(LASTS_MS, strainedFor + (strained ? passed : -passed)));
         if (strained && (bears != NONE || strainedFor >= LASTS_MS)) {
@@ -102,9 +102,9 @@
         return all.waiting > usual + CHANCE * Math.sqrt(Math.max(1, usual));
     }
 
-    private void agree(Known known, double passed) {
+    private void agree(Membership membership, double passed) {
         double[] told =
-                known.fresh().stream()
+                membership.fresh().stream()
                         .mapToDouble(s -> Totals.clean(s.bears))
                         .map(b -> b > 0 ? b : NONE)
                         .sorted()
@@ -128,9 +128,9 @@
         asked = all == null ? 0 : all.demand;
         double left = bears;
         if (left == NONE) return;
-        for (int c = Sight.CLASSES - 1; c >= 0; c--) {
+        for (int c = GossipRecord.CLASSES - 1; c >= 0; c--) {
             if (all.asked[c] > left) {
-                threshold = Sight.worthOf(c);
+                threshold = GossipRecord.worthOf(c);
                 part = Math.max(0, left / all.asked[c]);
                 return;
             }
--- a/fleet/src/main/java/tinford/fleet/overload/Overload.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Overload.java
@@ -5,9 +5,9 @@
 import tinford.api.Req;
 import tinford.api.Srv;
 import tinford.api.View;
+import tinford.fleet.members.GossipRecord;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Known;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.Membership;
 
 /**
  * Overload handled by the fleet as one: the part of the view that bounds what is passed, sent
@@ -41,19 +41,19 @@
     }
 
     /** Once a round, before the round's calls of the view. */
-    public void round(double now, Known known) {
+    public void round(double now, Membership membership) {
         own.round(now);
         if (now - steppedAt < STEP_MS) return;
         steppedAt = now;
-        alone = known.living() <= 1;
-        line.round(now, known);
-        further.round(now, incarnation, known);
-        owners.round(now, incarnation, known);
+        alone = membership.living() <= 1;
+        line.round(now, membership);
+        further.round(now, incarnation, membership);
+        owners.round(now, incarnation, membership);
     }
 
     /** The record to tell. */
-    public Sight sight(int seq) {
-        Sight s = own.sight(incarnation, seq);
+    public GossipRecord record(int seq) {
+        GossipRecord s = own.record(incarnation, seq);
         s.bears = line.bears();
         further.tell(s);
         owners.tell(s);
@@ -71,8 +71,8 @@
     /** By class of worth, so that gateways whose lines differ a little within one shed alike. */
     @Override
     public double part(double worth) {
-        int c = Sight.classOf(worth);
-        int at = Sight.classOf(line.threshold());
+        int c = GossipRecord.classOf(worth);
+        int at = GossipRecord.classOf(line.threshold());
         return line.threshold() <= 0 || c > at ? 1 : c < at ? 0 : line.part();
     }
 
--- a/fleet/src/main/java/tinford/fleet/overload/Own.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Own.java
@@ -2,8 +2,8 @@
 
 import java.util.Arrays;
 import tinford.api.End;
+import tinford.fleet.members.GossipRecord;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Sight;
 
 /**
  * What this gateway saw itself over the last second, in five buckets used again in a ring: of one
@@ -19,8 +19,8 @@
             FAILED = 4,
             GOOD_UNITS = 5,
             COUNTS = 6;
-    private final double[][] asked = new double[BUCKETS][Sight.CLASSES],
-            denied = new double[BUCKETS][Sight.CLASSES];
+    private final double[][] asked = new double[BUCKETS][GossipRecord.CLASSES],
+            denied = new double[BUCKETS][GossipRecord.CLASSES];
     private final double[][] counts = new double[BUCKETS][COUNTS];
     private final long startedTurn;
     private final double startedAt;
@@ -46,13 +46,13 @@
     }
 
     public void asked(double units, double worth) {
-        asked[here()][Sight.classOf(worth)] += units;
+        asked[here()][GossipRecord.classOf(worth)] += units;
         waiting++;
     }
 
     /** Of those that were told as asked, and were never sent. */
     public void denied(double units, double worth) {
-        denied[here()][Sight.classOf(worth)] += units;
+        denied[here()][GossipRecord.classOf(worth)] += units;
         waiting = Math.max(0, waiting - 1);
     }
 
@@ -79,10 +79,10 @@
     /**
      * The record of now. What of a class was neither denied nor asked for lately counts as sent.
      */
-    public Sight sight(Incarnation incarnation, int seq) {
-        Sight s = new Sight(incarnation, seq);
+    public GossipRecord record(Incarnation incarnation, int seq) {
+        GossipRecord s = new GossipRecord(incarnation, seq);
         double second = span() / 1000;
-        for (int c = 0; c < Sight.CLASSES; c++) {
+        for (int c = 0; c < GossipRecord.CLASSES; c++) {
             double all = 0, not = 0;
             for (int i = 0; i < BUCKETS; i++) {
                 all += asked[i][c];
--- a/fleet/src/main/java/tinford/fleet/overload/Owners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Owners.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Random;
 import tinford.api.Srv;
+import tinford.fleet.members.GossipRecord;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Known;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.Membership;
 
 /**
  * Who finds out how a server does that was put aside: the one that rendezvous hashing draws among
@@ -51,7 +51,7 @@
 
     private final Random chance;
     private final Map<Integer, Note> notes = new LinkedHashMap<>();
-    private Known known;
+    private Membership membership;
     private Incarnation own;
     private double now;
     private int turn;
@@ -70,11 +70,11 @@
      * Among those that live: the same for all that know the same, and moving only what its owner
      * lost.
      */
-    static int owner(int server, Known known) {
+    static int owner(int server, Membership membership) {
         int best = -1, most = 0;
-        for (int g : known.all()) {
+        for (int g : membership.all()) {
             int drawn = mix(server * 31 + mix(g)) >>> 1;
-            if (known.lives(g) && (best < 0 || drawn > most)) {
+            if (membership.lives(g) && (best < 0 || drawn > most)) {
                 best = g;
                 most = drawn;
             }
@@ -82,16 +82,16 @@
         return best;
     }
 
-    public void round(double at, Incarnation self, Known heard) {
+    public void round(double at, Incarnation self, Membership heard) {
         double passed = Math.max(0, Math.min(at - now, 1000));
         now = at;
         own = self;
-        known = heard;
+        membership = heard;
         rounds++;
         Map<Integer, List<Integer>> sayIll = new LinkedHashMap<>();
-        for (Sight s : heard.fresh()) {
+        for (GossipRecord s : heard.fresh()) {
             if (s.incarnation.gateway() == self.gateway()) continue;
-            for (Sight.Ill told : s.ills) {
+            for (GossipRecord.ServerHealth told : s.serverHealth) {
                 Note n = note(told.server());
                 if (n == null) continue;
                 n.touchedAt = now;
@@ -99,7 +99,7 @@
                         when = now - age;
                 boolean owns = ownerOf(n) == s.incarnation.gateway();
                 if (owns && when > n.ownerAt) n.ownerAt = when;
-                if (told.ill()) {
+                if (told.unhealthy()) {
                     if (age < PATIENCE_MS)
                         sayIll.computeIfAbsent(n.server, k -> new ArrayList<>())
                                 .add(s.incarnation.gateway());
@@ -153,7 +153,7 @@
      */
     public boolean looksAfter(Srv srv) {
         Note n = notes.get(nameOf(srv));
-        if (n == null || known == null || known.living() <= 1) return true;
+        if (n == null || membership == null || membership.living() <= 1) return true;
         boolean leave =
                 n.ill
                         ? !(n.wellAt > n.foundAt && now >= n.backAt)
@@ -163,21 +163,21 @@
     }
 
     /** Into the own record, the latest findings in turn where they do not all fit. */
-    public void tell(Sight s) {
+    public void tell(GossipRecord s) {
         List<Note> found = new ArrayList<>();
         for (Note n : notes.values()) {
             if (now - n.foundAt < (n.ill ? FORGET_MS : PATIENCE_MS)) found.add(n);
         }
-        for (int i = 0; i < Math.min(Sight.MOST_ILL, found.size()); i++) {
+        for (int i = 0; i < Math.min(GossipRecord.MAX_SERVERS, found.size()); i++) {
             Note n = found.get(Math.floorMod(turn + i, found.size()));
-            s.ills.add(new Sight.Ill(n.server, n.ill, now - n.foundAt));
+            s.serverHealth.add(new GossipRecord.ServerHealth(n.server, n.ill, now - n.foundAt));
         }
-        turn = found.size() > Sight.MOST_ILL ? turn + Sight.MOST_ILL : 0;
+        turn = found.size() > GossipRecord.MAX_SERVERS ? turn + GossipRecord.MAX_SERVERS : 0;
     }
 
     /** Drawn once a round: it costs a hash a gateway. */
     private int ownerOf(Note n) {
-        if (n.ownerIn != rounds) n.owner = owner(n.server, known);
+        if (n.ownerIn != rounds) n.owner = owner(n.server, membership);
         n.ownerIn = rounds;
         return n.owner;
     }
--- a/fleet/src/main/java/tinford/fleet/overload/Totals.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Totals.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
-import tinford.fleet.members.Known;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.GossipRecord;
+import tinford.fleet.members.Membership;
 
 /**
  * What the fleet sees together: the mean of the records times those that live. A figure that is no
@@ -18,17 +18,17 @@
     // hold as they do alone
     static final double MOST = 2;
 
-    final double[] asked = new double[Sight.CLASSES];
+    final double[] asked = new double[GossipRecord.CLASSES];
     final double demand, first, waiting, goodUnits, bad;
 
-    Totals(Known known) {
-        List<Sight> records = known.fresh();
-        double scale = (double) known.living() / Math.max(1, records.size());
+    Totals(Membership membership) {
+        List<GossipRecord> records = membership.fresh();
+        double scale = (double) membership.living() / Math.max(1, records.size());
         double[] sizes = records.stream().mapToDouble(s -> sum(s.asked)).toArray();
         double most = most(sizes), all = 0;
         for (int i = 0; i < sizes.length; i++) {
             double part = sizes[i] > most ? most / sizes[i] : 1;
-            for (int c = 0; c < Sight.CLASSES; c++) {
+            for (int c = 0; c < GossipRecord.CLASSES; c++) {
                 double a = clean(records.get(i).asked[c]) * part * scale;
                 asked[c] += a;
                 all += a;
@@ -61,7 +61,8 @@
         return kept < 1 ? Double.MAX_VALUE : MOST * Arrays.stream(sorted, 0, kept).sum() / kept;
     }
 
-    private static double capped(List<Sight> records, ToDoubleFunction<Sight> figure) {
+    private static double capped(
+            List<GossipRecord> records, ToDoubleFunction<GossipRecord> figure) {
         double[] figures =
                 records.stream().mapToDouble(s -> clean(figure.applyAsDouble(s))).toArray();
         double most = most(figures);
--- a/fleet/src/main/java/tinford/fleet/overload/Trial.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Trial.java
@@ -17,9 +17,9 @@
 import tinford.api.Req;
 import tinford.api.Srv;
 import tinford.api.View;
+import tinford.fleet.members.GossipRecord;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Known;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.Membership;
 
 /**
  * A simulated strain in virtual time: half of the servers are lost for {@link #LOST_MS}, clients of
@@ -112,11 +112,11 @@
         boolean ill;
     }
 
-    private final class Gate implements Known {
+    private final class Gate implements Membership {
         final int number;
         final Overload overload;
         final View view;
-        final Map<Integer, Sight> heard = new LinkedHashMap<>();
+        final Map<Integer, GossipRecord> heard = new LinkedHashMap<>();
         final Map<Server, Node> nodes = new LinkedHashMap<>();
         final TreeSet<Job> line =
                 new TreeSet<>(
@@ -126,7 +126,7 @@
                                         : Double.compare(b.worth, a.worth));
         double limit, mean = 60, spare, worthyAsked, worthyPassed;
         int out;
-        private List<Sight> fresh;
+        private List<GossipRecord> fresh;
         private double freshAt = -1;
 
         Gate(int number, int gateways) {
@@ -147,7 +147,7 @@
             if (view == overload) {
                 overload.round(now, this);
                 if (seq % 10 == 0) {
-                    Sight s = overload.sight(seq);
+                    GossipRecord s = overload.record(seq);
                     heard.put(number, s);
                     if (mode == Mode.TALK) tell(s);
                 }
@@ -179,7 +179,7 @@
         /**
          * Each record gets to a few at once and to all within half a second; one in ten is lost.
          */
-        private void tell(Sight s) {
+        private void tell(GossipRecord s) {
             for (Gate g : gates) {
                 if (g == this
                         || chance.nextDouble() < 0.1
@@ -298,11 +298,11 @@
         }
 
         @Override
-        public List<Sight> fresh() {
+        public List<GossipRecord> fresh() {
             return freshAt == now ? fresh : refresh();
         }
 
-        private List<Sight> refresh() {
+        private List<GossipRecord> refresh() {
             freshAt = now;
             return fresh = new ArrayList<>(heard.values());
         }
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -143,7 +143,7 @@
     @Override
     public void tick() {
         double now = now();
-        members.own(overload.sight(seq++), now);
+        members.own(overload.record(seq++), now);
         if (talk != null) {
             members.round(now, talk);
         }
--- a/fleet/src/test/java/tinford/fleet/members/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/members/Fleet.java
@@ -85,7 +85,7 @@
     }
 
     private void turn(int i) {
-        Sight s = new Sight(members[i].incarnation(i), seq[i]);
+        GossipRecord s = new GossipRecord(members[i].incarnation(i), seq[i]);
         seq[i]++;
         made.computeIfAbsent(s.incarnation, l -> new ArrayList<>()).add(now);
         for (int c = 4; c < 14; c++) {
--- a/fleet/src/test/java/tinford/fleet/members/SightsTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/GossipCodecTest.java
@@ -15,13 +15,14 @@
  * Records come through as they were within the stated error; whatever else comes is refused without
  * harm.
  */
-public class SightsTest {
+public class GossipCodecTest {
     private static final double NOW = 1.8e12;
     private static final double OFF = 0.036;
 
-    private static Sight drawn(Random r, int gateway, int classes) {
-        Sight s =
-                new Sight(new Incarnation(gateway, (long) NOW - r.nextInt(1_000_000)), r.nextInt());
+    private static GossipRecord drawn(Random r, int gateway, int classes) {
+        GossipRecord s =
+                new GossipRecord(
+                        new Incarnation(gateway, (long) NOW - r.nextInt(1_000_000)), r.nextInt());
         for (int c = 0; c < classes; c++) {
             s.asked[c] = r.nextInt(4) == 0 ? 0 : Math.exp(r.nextDouble() * 12);
             s.sent[c] =
@@ -33,22 +34,24 @@
         s.bears = r.nextDouble() * 500;
         s.cededTo = r.nextBoolean() ? null : new Incarnation(gateway + 1, (long) NOW - 1);
         s.ceded = s.cededTo == null ? 0 : r.nextInt(10_000_000) / 8.0;
-        for (int i = r.nextInt(Sight.MOST_ILL + 1); i > 0; i--) {
-            s.ills.add(new Sight.Ill(r.nextInt(), r.nextBoolean(), 1 + r.nextInt(50_000)));
+        for (int i = r.nextInt(GossipRecord.MAX_SERVERS + 1); i > 0; i--) {
+            s.serverHealth.add(
+                    new GossipRecord.ServerHealth(
+                            r.nextInt(), r.nextBoolean(), 1 + r.nextInt(50_000)));
         }
         return s;
     }
 
-    private static byte[] message(double age, Sight... sights) {
-        ByteBuffer m = Sights.message(256);
-        for (Sight s : sights) {
-            assertTrue(Sights.add(m, Sights.raw(s, 5000), age));
+    private static byte[] message(double age, GossipRecord... records) {
+        ByteBuffer m = GossipCodec.message(256);
+        for (GossipRecord s : records) {
+            assertTrue(GossipCodec.addRecord(m, GossipCodec.encode(s, 5000), age));
         }
-        return Sights.whole(m);
+        return GossipCodec.toBytes(m);
     }
 
-    private static List<Sights.Told> read(byte[] m) {
-        return new Sights(10, 5000).read(m, NOW);
+    private static List<GossipCodec.Received> read(byte[] m) {
+        return new GossipCodec(10, 5000).read(m, NOW);
     }
 
     private static void near(double found, double wanted) {
@@ -61,28 +64,28 @@
     public void thereAndBack() {
         Random r = new Random(3);
         for (int i = 0; i < 2000; i++) {
-            Sight s = drawn(r, i % 10, r.nextInt(Sight.CLASSES + 1));
+            GossipRecord s = drawn(r, i % 10, r.nextInt(GossipRecord.CLASSES + 1));
             double age = r.nextDouble() * 60_000;
-            Sights.Told t = read(message(age, s)).get(0);
-            assertEquals(t.sight().incarnation, s.incarnation);
-            assertEquals(t.sight().seq, s.seq);
+            GossipCodec.Received t = read(message(age, s)).get(0);
+            assertEquals(t.record().incarnation, s.incarnation);
+            assertEquals(t.record().seq, s.seq);
             assertEquals(t.made(), 5000.0);
             assertTrue(t.age() >= age && t.age() < age + 2, "age " + age + " told as " + t.age());
-            assertTrue(t.raw().length <= Sights.LONGEST);
-            assertEquals(t.sight().cededTo, s.cededTo);
-            assertEquals(t.sight().ceded, s.ceded, 0.1);
-            near(t.sight().first, s.first);
-            near(t.sight().bears, s.bears);
-            for (int c = 0; c < Sight.CLASSES; c++) {
-                near(t.sight().asked[c], s.asked[c]);
-                near(t.sight().sent[c], s.sent[c]);
+            assertTrue(t.raw().length <= GossipCodec.MAX_RECORD_BYTES);
+            assertEquals(t.record().cededTo, s.cededTo);
+            assertEquals(t.record().ceded, s.ceded, 0.1);
+            near(t.record().first, s.first);
+            near(t.record().bears, s.bears);
+            for (int c = 0; c < GossipRecord.CLASSES; c++) {
+                near(t.record().asked[c], s.asked[c]);
+                near(t.record().sent[c], s.sent[c]);
             }
-            for (int k = 0; k < s.ills.size(); k++) {
-                Sight.Ill a = s.ills.get(k);
-                Sight.Ill b = t.sight().ills.get(k);
+            for (int k = 0; k < s.serverHealth.size(); k++) {
+                GossipRecord.ServerHealth a = s.serverHealth.get(k);
+                GossipRecord.ServerHealth b = t.record().serverHealth.get(k);
                 assertTrue(
                         a.server() == b.server()
-                                && a.ill() == b.ill()
+                                && a.unhealthy() == b.unhealthy()
                                 && Math.abs(a.ago() - b.ago()) <= 0.05 * a.ago(),
                         a + " " + b);
             }
@@ -91,16 +94,16 @@
 
     @DataProvider
     public Object[][] refused() {
-        Sight good = drawn(new Random(1), 3, 14);
+        GossipRecord good = drawn(new Random(1), 3, 14);
         byte[] m = message(0, good);
         byte[] version = m.clone();
         version[0] = 2;
         byte[] length = m.clone();
         length[1] += 1;
         byte[] classes = m.clone();
-        classes[1 + 29] = Sight.CLASSES + 1;
-        byte[] ills = message(0, new Sight(new Incarnation(1, 5), 1));
-        ills[ills.length - 1] = Sight.MOST_ILL + 1;
+        classes[1 + 29] = GossipRecord.CLASSES + 1;
+        byte[] ills = message(0, new GossipRecord(new Incarnation(1, 5), 1));
+        ills[ills.length - 1] = GossipRecord.MAX_SERVERS + 1;
         return new Object[][] {
             {"empty", new byte[0]},
             {"one byte", new byte[] {1}},
@@ -109,13 +112,13 @@
             {"longer than its end", length},
             {"classes beyond", classes},
             {"servers beyond", ills},
-            {"gateway beyond", message(0, new Sight(new Incarnation(10, 5), 1))},
+            {"gateway beyond", message(0, new GossipRecord(new Incarnation(10, 5), 1))},
             {
                 "starts in the future",
-                message(0, new Sight(new Incarnation(1, (long) NOW + 5001), 1))
+                message(0, new GossipRecord(new Incarnation(1, (long) NOW + 5001), 1))
             },
             {"too long", Arrays.copyOf(m, 257)},
-            {"only signs of life", new byte[] {1, 0, 0, 0, 0, 0, 0, 0, 0}},
+            {"only heartbeats", new byte[] {1, 0, 0, 0, 0, 0, 0, 0, 0}},
         };
     }
 
@@ -126,26 +129,27 @@
 
     @Test
     public void oneAbsurdRecordOfAnotherCostsOnlyItself() {
-        Sight good = new Sight(new Incarnation(1, 5), 1);
-        Sight late = new Sight(new Incarnation(2, (long) NOW + 9999), 1);
-        List<Sights.Told> read = read(message(0, good, late, new Sight(new Incarnation(3, 7), 1)));
+        GossipRecord good = new GossipRecord(new Incarnation(1, 5), 1);
+        GossipRecord late = new GossipRecord(new Incarnation(2, (long) NOW + 9999), 1);
+        List<GossipCodec.Received> read =
+                read(message(0, good, late, new GossipRecord(new Incarnation(3, 7), 1)));
         assertEquals(
-                read.stream().map(t -> t.sight().incarnation.gateway()).toList(), List.of(1, 3));
+                read.stream().map(t -> t.record().incarnation.gateway()).toList(), List.of(1, 3));
     }
 
     @Test
     public void whatALaterVersionAddsIsSkippedAndToldOn() {
-        byte[] raw = Sights.raw(drawn(new Random(2), 3, 10), 5000);
+        byte[] raw = GossipCodec.encode(drawn(new Random(2), 3, 10), 5000);
         byte[] longer = Arrays.copyOf(raw, raw.length + 9);
         longer[0] += 9;
         longer[raw.length + 4] = 77;
-        ByteBuffer m = Sights.message(256);
-        Sights.add(m, longer, 0);
-        Sights.add(m, raw, 0);
-        List<Sights.Told> read = read(Sights.whole(m));
+        ByteBuffer m = GossipCodec.message(256);
+        GossipCodec.addRecord(m, longer, 0);
+        GossipCodec.addRecord(m, raw, 0);
+        List<GossipCodec.Received> read = read(GossipCodec.toBytes(m));
         assertEquals(read.size(), 2);
         assertEquals(read.get(0).raw(), longer);
-        assertEquals(read.get(0).sight().asked, read.get(1).sight().asked);
+        assertEquals(read.get(0).record().asked, read.get(1).record().asked);
     }
 
     /**
@@ -166,10 +170,10 @@
                 m[r.nextInt(m.length)] = (byte) r.nextInt();
             }
             m = Arrays.copyOf(m, r.nextInt(3) == 0 ? r.nextInt(300) : m.length);
-            for (Sights.Told t : read(m)) {
+            for (GossipCodec.Received t : read(m)) {
                 assertTrue(
-                        t.sight().incarnation.gateway() < 10
-                                && t.sight().incarnation.start() <= NOW + 5000);
+                        t.record().incarnation.gateway() < 10
+                                && t.record().incarnation.start() <= NOW + 5000);
             }
             members.heard(m, r.nextInt(10), NOW + i * 20);
         }
@@ -179,15 +183,17 @@
 
     @Test
     public void aUsualRecordIsShort() {
-        Sight s = new Sight(new Incarnation(1, 5), 1);
+        GossipRecord s = new GossipRecord(new Incarnation(1, 5), 1);
         Arrays.fill(s.asked, 4, 20, 100);
         Arrays.fill(s.sent, 10, 20, 100);
         s.sent[9] = 30;
-        s.ills.add(new Sight.Ill(1, true, 100));
+        s.serverHealth.add(new GossipRecord.ServerHealth(1, true, 100));
         s.cededTo = null;
-        assertTrue(Sights.raw(s, 0).length <= 60, "" + Sights.raw(s, 0).length);
+        assertTrue(GossipCodec.encode(s, 0).length <= 60, "" + GossipCodec.encode(s, 0).length);
         Arrays.fill(s.asked, 100);
         Arrays.fill(s.sent, 50);
-        assertTrue(Sights.raw(s, 0).length * 2 + 1 <= Sights.MOST, "two of the longest don't fit");
+        assertTrue(
+                GossipCodec.encode(s, 0).length * 2 + 1 <= GossipCodec.MAX_MESSAGE_BYTES,
+                "two of the longest don't fit");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/members/MembersTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/MembersTest.java
@@ -289,9 +289,10 @@
     }
 
     private static byte[] told(long start, int seq, double made) {
-        ByteBuffer m = Sights.message(256);
-        Sights.add(m, Sights.raw(new Sight(new Incarnation(1, start), seq), made), 0);
-        return Sights.whole(m);
+        ByteBuffer m = GossipCodec.message(256);
+        GossipCodec.addRecord(
+                m, GossipCodec.encode(new GossipRecord(new Incarnation(1, start), seq), made), 0);
+        return GossipCodec.toBytes(m);
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/overload/FurtherTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/FurtherTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
+import tinford.fleet.members.GossipRecord;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Sight;
 
 /** A gateway's part of the fleet's retry budget. */
 public class FurtherTest {
@@ -26,7 +26,7 @@
             int n = 2 + chance.nextInt(8);
             Further[] all = new Further[n];
             Incarnation[] incarnations = new Incarnation[n];
-            List<List<Sight>> told = new ArrayList<>();
+            List<List<GossipRecord>> told = new ArrayList<>();
             double[] own = new double[n], spent = new double[n];
             for (int g = 0; g < n; g++) {
                 all[g] = new Further(PART, chance);
@@ -56,7 +56,7 @@
                     further++;
                     spent[g]++;
                 }
-                Sight s = new Sight(incarnations[g], round);
+                GossipRecord s = new GossipRecord(incarnations[g], round);
                 s.first = 100;
                 s.failed = g == 0 ? 80 : 0;
                 all[g].tell(s);
@@ -78,7 +78,7 @@
         Incarnation own = new Incarnation(1, 1);
         double got = 0;
         for (int t = 0; t <= 10_000; t += 100) {
-            Sight lie = new Sight(new Incarnation(2, 1), t);
+            GossipRecord lie = new GossipRecord(new Incarnation(2, 1), t);
             lie.first = 100;
             lie.cededTo = own;
             lie.ceded = 1e9 + t;
--- a/fleet/src/test/java/tinford/fleet/overload/Heard.java
+++ b/fleet/src/test/java/tinford/fleet/overload/Heard.java
@@ -3,19 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import tinford.fleet.members.Known;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.GossipRecord;
+import tinford.fleet.members.Membership;
 
 /** Whatever a test says was heard. */
-final class Heard implements Known {
-    final TreeMap<Integer, Sight> records = new TreeMap<>();
+final class Heard implements Membership {
+    final TreeMap<Integer, GossipRecord> records = new TreeMap<>();
     int size;
 
     Heard(int size) {
         this.size = size;
     }
 
-    Heard hear(Sight s) {
+    Heard hear(GossipRecord s) {
         records.put(s.incarnation.gateway(), s);
         return this;
     }
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public List<Sight> fresh() {
+    public List<GossipRecord> fresh() {
         return new ArrayList<>(records.values());
     }
 
--- a/fleet/src/test/java/tinford/fleet/overload/LineTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/LineTest.java
@@ -6,17 +6,17 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import tinford.fleet.members.GossipRecord;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Sight;
 
 /** The admission threshold that gateways work out from the same records. */
 public class LineTest {
     private static final double WINDOW = 4000;
 
     /** Asked for 100 units a second of each worth given, of which so many come back in time. */
-    static Sight sight(int gateway, double good, boolean waits, double... worths) {
-        Sight s = new Sight(new Incarnation(gateway, 1), 1);
-        for (double w : worths) s.asked[Sight.classOf(w)] += 100;
+    static GossipRecord record(int gateway, double good, boolean waits, double... worths) {
+        GossipRecord s = new GossipRecord(new Incarnation(gateway, 1), 1);
+        for (double w : worths) s.asked[GossipRecord.classOf(w)] += 100;
         s.goodUnits = good;
         s.good = s.first = 40;
         s.waiting = waits ? 8 : 0;
@@ -26,7 +26,7 @@
     private static double run(Line line, Heard heard, double from, double until) {
         for (double t = from; t < until; t += 100) {
             line.round(t, heard);
-            for (Sight s : heard.fresh()) {
+            for (GossipRecord s : heard.fresh()) {
                 if (s.bears < 1e3) s.bears = line.bears();
             } // the others see the same
         }
@@ -40,7 +40,9 @@
             // name, records, least and most of the threshold, least and most of the part
             {
                 "even, half is borne",
-                new Sight[] {sight(1, 200, true, 1, 2, 4, 8), sight(2, 200, true, 1, 2, 4, 8)},
+                new GossipRecord[] {
+                    record(1, 200, true, 1, 2, 4, 8), record(2, 200, true, 1, 2, 4, 8)
+                },
                 2,
                 4,
                 0,
@@ -48,7 +50,7 @@
             },
             {
                 "uneven: worth comes through one only",
-                new Sight[] {sight(1, 100, true, 8, 8), sight(2, 100, true, 1, 1)},
+                new GossipRecord[] {record(1, 100, true, 8, 8), record(2, 100, true, 1, 1)},
                 1,
                 8,
                 0,
@@ -56,7 +58,7 @@
             },
             {
                 "one class only",
-                new Sight[] {sight(1, 50, true, 3), sight(2, 50, true, 3)},
+                new GossipRecord[] {record(1, 50, true, 3), record(2, 50, true, 3)},
                 2.8,
                 3,
                 0.45,
@@ -64,7 +66,7 @@
             },
             {
                 "worth equal everywhere",
-                new Sight[] {sight(1, 150, true, 2, 2, 2), sight(2, 150, true, 2, 2, 2)},
+                new GossipRecord[] {record(1, 150, true, 2, 2, 2), record(2, 150, true, 2, 2, 2)},
                 2,
                 2,
                 0.45,
@@ -72,10 +74,10 @@
             },
             {
                 "one joins cold",
-                new Sight[] {
-                    sight(1, 200, true, 1, 2, 4, 8),
-                    sight(2, 200, true, 1, 2, 4, 8),
-                    sight(3, 0, false)
+                new GossipRecord[] {
+                    record(1, 200, true, 1, 2, 4, 8),
+                    record(2, 200, true, 1, 2, 4, 8),
+                    record(3, 0, false)
                 },
                 2,
                 4,
@@ -84,17 +86,19 @@
             },
             {
                 "calm",
-                new Sight[] {sight(1, 400, false, 1, 2, 4, 8), sight(2, 400, false, 1, 2, 4, 8)},
+                new GossipRecord[] {
+                    record(1, 400, false, 1, 2, 4, 8), record(2, 400, false, 1, 2, 4, 8)
+                },
                 0,
                 0,
                 1,
                 1
             },
-            {"nobody heard", new Sight[] {sight(1, 100, true, 1, 2, 4, 8)}, 0, 0, 1, 1},
+            {"nobody heard", new GossipRecord[] {record(1, 100, true, 1, 2, 4, 8)}, 0, 0, 1, 1},
             {
                 "figures that are none",
-                new Sight[] {
-                    sight(1, Double.NaN, true, 1), sight(2, inf, true, 1), sight(3, 50, true, 1)
+                new GossipRecord[] {
+                    record(1, Double.NaN, true, 1), record(2, inf, true, 1), record(3, 50, true, 1)
                 },
                 0,
                 1,
@@ -107,13 +111,13 @@
     @Test(dataProvider = "strains")
     public void linesAreDrawnByWorth(
             String name,
-            Sight[] records,
+            GossipRecord[] records,
             double least,
             double most,
             double leastPart,
             double mostPart) {
         Heard heard = new Heard(records.length + 1);
-        for (Sight s : records) heard.hear(s);
+        for (GossipRecord s : records) heard.hear(s);
         Line line = new Line(WINDOW);
         double threshold = run(line, heard, 0, 4000);
         assertTrue(threshold >= least - 0.01 && threshold <= most + 0.01, name + ": " + threshold);
@@ -125,20 +129,21 @@
         Line line = new Line(WINDOW);
         Heard strained =
                 new Heard(2)
-                        .hear(sight(1, 100, true, 1, 2, 4, 8))
-                        .hear(sight(2, 100, true, 1, 2, 4, 8));
+                        .hear(record(1, 100, true, 1, 2, 4, 8))
+                        .hear(record(2, 100, true, 1, 2, 4, 8));
         assertTrue(run(line, strained, 0, 10_000) > 0);
         Heard calm =
                 new Heard(2)
-                        .hear(sight(1, 100, false, 1, 2, 4, 8))
-                        .hear(sight(2, 100, false, 1, 2, 4, 8));
+                        .hear(record(1, 100, false, 1, 2, 4, 8))
+                        .hear(record(2, 100, false, 1, 2, 4, 8));
         assertEquals(run(line, calm, 10_000, 10_000 + 2 * WINDOW), 0.0);
     }
 
     @Test
     public void silenceOfAllOthersLeavesNoLine() {
         Line line = new Line(WINDOW);
-        Heard heard = new Heard(2).hear(sight(1, 100, true, 1, 8)).hear(sight(2, 100, true, 1, 8));
+        Heard heard =
+                new Heard(2).hear(record(1, 100, true, 1, 8)).hear(record(2, 100, true, 1, 8));
         assertTrue(run(line, heard, 0, 3000) > 0);
         heard.records.remove(2);
         line.round(3000, heard);
@@ -149,7 +154,7 @@
     @Test
     public void oneThatJoinsHasTheLineOfTheOthersAtOnce() {
         Heard heard = new Heard(3);
-        for (int g = 1; g <= 3; g++) heard.hear(sight(g, 100, true, 1, 2, 4, 8));
+        for (int g = 1; g <= 3; g++) heard.hear(record(g, 100, true, 1, 2, 4, 8));
         Line old = new Line(WINDOW), joins = new Line(WINDOW);
         run(old, heard, 0, 5000);
         old.round(5000, heard);
@@ -168,10 +173,10 @@
         for (int drawn = 0; drawn < 200; drawn++) {
             Heard heard = new Heard(10);
             for (int g = 1; g < 10; g++)
-                heard.hear(sight(g, 150 + chance.nextInt(100), true, 1, 2, 4, 8));
+                heard.hear(record(g, 150 + chance.nextInt(100), true, 1, 2, 4, 8));
             double demand = new Totals(heard).demand, good = new Totals(heard).goodUnits;
-            Sight lie = sight(10, 1e9 * chance.nextDouble(), true, 8);
-            lie.asked[Sight.CLASSES - 1] = Math.pow(10, chance.nextInt(12));
+            GossipRecord lie = record(10, 1e9 * chance.nextDouble(), true, 8);
+            lie.asked[GossipRecord.CLASSES - 1] = Math.pow(10, chance.nextInt(12));
             lie.bears = Math.pow(10, 3 + chance.nextInt(6));
             heard.hear(lie);
             Totals with = new Totals(heard);
--- a/fleet/src/test/java/tinford/fleet/overload/OwnersTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/OwnersTest.java
@@ -8,8 +8,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.api.Srv;
+import tinford.fleet.members.GossipRecord;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Sight;
 
 /** Which gateway probes an unhealthy server. */
 public class OwnersTest {
@@ -17,7 +17,7 @@
 
     private static Heard fleet(int from, int until) {
         Heard h = new Heard(until);
-        for (int g = from; g < until; g++) h.hear(new Sight(new Incarnation(g, 1), 1));
+        for (int g = from; g < until; g++) h.hear(new GossipRecord(new Incarnation(g, 1), 1));
         return h;
     }
 
@@ -76,8 +76,8 @@
         assertFalse(o.looksAfter(srv));
         int tries = 0;
         for (double t = 100; t < 60_000; t += 100) {
-            Sight well = new Sight(new Incarnation(owner, 1), (int) t);
-            well.ills.add(new Sight.Ill(Owners.nameOf(srv), false, 0));
+            GossipRecord well = new GossipRecord(new Incarnation(owner, 1), (int) t);
+            well.serverHealth.add(new GossipRecord.ServerHealth(Owners.nameOf(srv), false, 0));
             o.round(t, new Incarnation(other, 1), heard.hear(well));
             if (!o.looksAfter(srv)) continue;
             if (tries++ == 0) assertTrue(t < 1000, "first at " + t);
@@ -93,12 +93,12 @@
         Owners o = new Owners(new Random(1));
         int owner = Owners.owner(Owners.nameOf(srv), heard), self = (owner + 1) % 5;
         for (int liars = 1; liars <= 2; liars++) {
-            Sight lie =
-                    new Sight(
+            GossipRecord lie =
+                    new GossipRecord(
                             new Incarnation(
                                     (owner + liars) % 5 == self ? owner : (owner + liars) % 5, 1),
                             2);
-            lie.ills.add(new Sight.Ill(Owners.nameOf(srv), true, 0));
+            lie.serverHealth.add(new GossipRecord.ServerHealth(Owners.nameOf(srv), true, 0));
             o.round(5000, new Incarnation(self, 1), heard.hear(lie));
             assertEquals(o.looksAfter(srv), liars < 2);
         }
