--- a/fleet/src/main/java/tinford/fleet/budgets/Cost.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Cost.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Random;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Leases;
 
 /**
  * Prints what one proposal and its entry cost in processor time as servers, gateways, accounts and
@@ -48,7 +48,7 @@
             offers.put("server-" + s, 100);
         }
         Ledger ledger =
-                new Ledger(new Terms(size[1], 1e6, 100, 1000), new Statics(offers, 0.1, size[1]));
+                new Ledger(new Leases(size[1], 1e6, 100, 1000), new Statics(offers, 0.1, size[1]));
         long index = 0;
         for (Map.Entry<String, Integer> e : offers.entrySet()) {
             ledger.apply(++index, Ledger.offer(e.getKey(), 1, e.getValue(), 1));
@@ -69,7 +69,7 @@
             for (int g = 0; g < size[1]; g++) {
                 Incarnation incarnation = new Incarnation(g, 1);
                 if (first) {
-                    ledger.apply(++index, Terms.renew(incarnation, 1, 1e6));
+                    ledger.apply(++index, Leases.renew(incarnation, 1, 1e6));
                 }
                 // All that was taken back is let go.
                 Map<Integer, Integer> held = new LinkedHashMap<>();
--- a/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
@@ -14,15 +14,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Term;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Lease;
+import tinford.fleet.members.Leases;
 import tinford.fleet.store.Log;
 
 /**
  * Who was granted what at which server, by the entries of the log; the same on every member. A
  * grant is taken only where all that is granted, may be held or lingers fits in the offer less its
  * static part: here alone that promise is kept, whoever proposes. Bounds: {@link #MOST_SERVERS}
- * servers, {@link #MOST_ASKED} accounts an incarnation, incarnations as {@link Terms} has.
+ * servers, {@link #MOST_ASKED} accounts an incarnation, incarnations as {@link Leases} has.
  */
 public class Ledger implements Log.Reader {
     public static final int MOST_SERVERS = 4096;
@@ -49,7 +49,7 @@
         double free;
 
         /** Index of the last entry that granted. */
-        long fence;
+        long fencingToken;
     }
 
     /** A server by its number here. */
@@ -74,7 +74,7 @@
         double told;
     }
 
-    final Terms terms;
+    final Leases leases;
     final Statics statics;
     final List<Server> servers = new ArrayList<>();
     final TreeMap<Incarnation, Holder> holders = new TreeMap<>();
@@ -88,8 +88,8 @@
     private long over;
     private long grants;
 
-    public Ledger(Terms terms, Statics statics) {
-        this.terms = terms;
+    public Ledger(Leases leases, Statics statics) {
+        this.leases = leases;
         this.statics = statics;
     }
 
@@ -192,7 +192,7 @@
             return;
         }
         last = index;
-        if (!terms.apply(index, entry)) {
+        if (!leases.apply(index, entry)) {
             take(index, entry);
         }
         sweep();
@@ -236,8 +236,8 @@
         for (int n = Pack.count(in, MOST_SERVERS); n > 0; n--) {
             held.put(Pack.count(in, MOST_SERVERS), Pack.count(in, MOST_COUNT));
         }
-        terms.seen(at);
-        if (terms.closed(incarnation)) {
+        leases.seen(at);
+        if (leases.closed(incarnation)) {
             stale++;
             return;
         }
@@ -267,7 +267,7 @@
         String name = in.readUTF();
         long start = Pack.take(in);
         int offer = Pack.count(in, MOST_COUNT);
-        terms.seen(at(in));
+        leases.seen(at(in));
         Integer n = numbers.get(name);
         if (n == null) {
             if (servers.size() >= MOST_SERVERS) {
@@ -292,7 +292,7 @@
         double at = at(in);
         List<Line> atServers = lines(in);
         List<Line> forAccounts = lines(in);
-        terms.seen(at);
+        leases.seen(at);
         sweep();
         if (basis < lastGrant || basis >= index) {
             stale++;
@@ -304,7 +304,7 @@
         }
         for (Line l : forAccounts) {
             Holder h = holders.get(l.incarnation);
-            if (h == null || !terms.renews(l.incarnation)) {
+            if (h == null || !leases.renews(l.incarnation)) {
                 stale++;
             } else if (l.count == 0) {
                 h.uses.remove(l.what);
@@ -334,18 +334,18 @@
             over++;
             return;
         }
-        if (l.count > c.granted && !terms.renews(l.incarnation)) {
+        if (l.count > c.granted && !leases.renews(l.incarnation)) {
             stale++;
             return;
         }
         if (l.count < c.granted) {
             c.shrunk = index;
-            Term term = terms.of(l.incarnation);
-            c.free = term == null ? terms.now() : free(term);
+            Lease lease = leases.of(l.incarnation);
+            c.free = lease == null ? leases.now() : free(lease);
             nextFree = Math.min(nextFree, c.free);
         }
         c.granted = l.count;
-        c.fence = index;
+        c.fencingToken = index;
         may(number, c, Math.max(c.may, l.count));
         grants++;
     }
@@ -358,8 +358,8 @@
     /**
      * When the holder surely has let go of what it was told to, though it was never heard of again.
      */
-    double free(Term term) {
-        return term.until() + terms.apart() + terms.linger();
+    double free(Lease lease) {
+        return lease.until() + leases.apart() + leases.linger();
     }
 
     private void may(int number, Cell c, int may) {
@@ -376,14 +376,14 @@
                 it.remove();
             }
         }
-        if (terms.now() < nextFree) {
+        if (leases.now() < nextFree) {
             return;
         }
         nextFree = Double.POSITIVE_INFINITY;
         for (Holder h : holders.values()) {
             h.cells.forEach(
                     (n, c) -> {
-                        if (c.may > c.granted && terms.now() >= c.free) {
+                        if (c.may > c.granted && leases.now() >= c.free) {
                             may(n, c, c.granted);
                         } else if (c.may > c.granted) {
                             nextFree = Math.min(nextFree, c.free);
@@ -395,7 +395,7 @@
 
     /** Whether nothing that the incarnation was granted can be open. */
     boolean gone(Incarnation incarnation) {
-        return terms.closed(incarnation);
+        return leases.closed(incarnation);
     }
 
     /** What can be granted at a server in all. */
@@ -414,8 +414,8 @@
         return last;
     }
 
-    public Terms terms() {
-        return terms;
+    public Leases leases() {
+        return leases;
     }
 
     /** Entries of kinds or forms that it does not know: each one skipped whole. */
@@ -466,7 +466,7 @@
         return entry(
                 FORM,
                 out -> {
-                    terms.write(out);
+                    leases.write(out);
                     Pack.put(out, last);
                     Pack.put(out, lastGrant);
                     Pack.put(out, servers.size());
@@ -493,7 +493,7 @@
                             Pack.put(out, c.getValue().may);
                             Pack.put(out, c.getValue().shrunk);
                             out.writeDouble(c.getValue().free);
-                            Pack.put(out, c.getValue().fence);
+                            Pack.put(out, c.getValue().fencingToken);
                         }
                         counts(out, h.asked);
                         counts(out, h.uses);
@@ -516,7 +516,7 @@
             if (in.readByte() != FORM || in.readByte() != FORM) {
                 throw new IOException("a snapshot of a form that is not known, expected " + FORM);
             }
-            terms.read(in);
+            leases.read(in);
             last = Math.max(index, Pack.take(in));
             lastGrant = Pack.take(in);
             servers.clear();
@@ -550,7 +550,7 @@
             may(number, c, Pack.count(in, MOST_COUNT));
             c.shrunk = Pack.take(in);
             c.free = in.readDouble();
-            c.fence = Pack.take(in);
+            c.fencingToken = Pack.take(in);
             h.cells.put(number, c);
         }
         for (TreeMap<Long, Integer> counts : List.of(h.asked, h.uses)) {
@@ -565,7 +565,7 @@
     List<Incarnation> givable() {
         List<Incarnation> incarnations = new ArrayList<>();
         for (Incarnation incarnation : holders.keySet()) {
-            if (terms.renews(incarnation)) {
+            if (leases.renews(incarnation)) {
                 incarnations.add(incarnation);
             }
         }
--- a/fleet/src/main/java/tinford/fleet/budgets/Share.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Share.java
@@ -7,12 +7,12 @@
 import java.util.TreeMap;
 import java.util.function.LongFunction;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Term;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Lease;
+import tinford.fleet.members.Leases;
 
 /**
  * One gateway's own side: what it may hold and use now, by its own clock, and what it tells the
- * log. Where its term has ended, or ends within the margin, only its static share is left. Holds
+ * log. Where its lease has ended, or ends within the margin, only its static share is left. Holds
  * {@link Ledger#MOST_ASKED} accounts that want something and {@link Ledger#MOST_SERVERS} servers at
  * most.
  */
@@ -22,7 +22,7 @@
         int now;
         int before;
 
-        /** What it may have out while this gateway has no term. */
+        /** What it may have out while this gateway has no lease. */
         int alone;
 
         int most() {
@@ -41,7 +41,7 @@
     private final double staticFrom;
     private final TreeMap<Long, Want> wants = new TreeMap<>();
     private final Map<String, Integer> open = new LinkedHashMap<>();
-    private final Map<String, Long> fences = new LinkedHashMap<>();
+    private final Map<String, Long> fencingTokens = new LinkedHashMap<>();
     private double nextRound;
     private double nextSpan;
     private boolean leaves;
@@ -49,8 +49,8 @@
 
     /**
      * @param ledger this process's own, as the log is applied to it
-     * @param length of a term, ms
-     * @param margin what is granted is let go this long before the term ends, ms
+     * @param length of a lease, ms
+     * @param margin what is granted is let go this long before the lease ends, ms
      * @param every a round comes no sooner than this after the last, ms
      * @param keep what was wanted is told on for this long, so that what comes and goes does not
      *     move grants, ms
@@ -80,8 +80,8 @@
 
     /** Whether its grants count now, by its own clock. */
     public boolean holds(double now) {
-        Term term = ledger.terms().of(incarnation);
-        return term != null && term.holds(now + margin);
+        Lease lease = ledger.leases().of(incarnation);
+        return lease != null && lease.holds(now + margin);
     }
 
     /**
@@ -124,11 +124,11 @@
      * Number of the last entry that granted here; never falls. The routing opens nothing under a
      * lower one.
      */
-    public long fence(String server) {
+    public long fencingToken(String server) {
         int number = ledger.number(server);
         Ledger.Holder h = ledger.holders.get(incarnation);
         Ledger.Cell c = h == null || number < 0 ? null : h.cells.get(number);
-        return fences.merge(server, c == null ? 0 : c.fence, Math::max);
+        return fencingTokens.merge(server, c == null ? 0 : c.fencingToken, Math::max);
     }
 
     public void opened(String server) {
@@ -172,17 +172,17 @@
         }
         nextRound = now + every;
         List<byte[]> entries = new ArrayList<>(2);
-        Term term = ledger.terms().of(incarnation);
+        Lease lease = ledger.leases().of(incarnation);
         if (leaves && open.isEmpty()) {
             left = true;
-            entries.add(Terms.leave(incarnation, now));
+            entries.add(Leases.leave(incarnation, now));
             return entries;
         }
-        if (term == null || now >= term.until() - length * 2 / 3) {
-            entries.add(Terms.renew(incarnation, now, length));
+        if (lease == null || now >= lease.until() - length * 2 / 3) {
+            entries.add(Leases.renew(incarnation, now, length));
         }
         alone(now);
-        if (term != null) {
+        if (lease != null) {
             tell(now, entries);
         }
         if (now >= nextSpan) {
@@ -234,7 +234,7 @@
         }
     }
 
-    /** Without a term its static share is divided here, by the same rule. */
+    /** Without a lease its static share is divided here, by the same rule. */
     private void alone(double now) {
         int pool = 0;
         for (Ledger.Server s : ledger.servers) {
--- a/fleet/src/main/java/tinford/fleet/members/Term.java
+++ b/fleet/src/main/java/tinford/fleet/members/Lease.java
@@ -1,13 +1,13 @@
 package tinford.fleet.members;
 
 /**
- * For how long one incarnation may act on what it was granted, by clocks that differ by {@code
- * apart} ms at most. The one place that compares times of two machines.
+ * A lease: for how long one incarnation may act on what it was granted, by clocks that differ by
+ * {@code apart} ms at most. The one place that compares times of two machines.
  *
  * @param until on the holder's own clock: its time when it asked, and the length
- * @param fence index of the entry that granted it: a later grant has a higher one
+ * @param fencingToken index of the entry that granted it: a later grant has a higher one
  */
-public record Term(Incarnation holder, double until, long fence) {
+public record Lease(Incarnation holder, double until, long fencingToken) {
     /** Asked by the holder, before each use, with its own time. */
     public boolean holds(double ownNow) {
         return ownNow < until;
--- a/fleet/src/main/java/tinford/fleet/members/Terms.java
+++ b/fleet/src/main/java/tinford/fleet/members/Leases.java
@@ -14,14 +14,14 @@
 import java.util.TreeMap;
 
 /**
- * Who has a term, until when, by the entries of the log; the same on every member after the same
- * entries. A later incarnation of a gateway ends no term of an earlier one: that one may be
+ * Who has a lease, until when, by the entries of the log; the same on every member after the same
+ * entries. A later incarnation of a gateway ends no lease of an earlier one: that one may be
  * stopped, and act when it wakes. It only renews no more. Holds {@link #MOST_INCARNATIONS}
  * incarnations a gateway at most, until nothing that they opened can be open.
  */
-public final class Terms {
+public final class Leases {
     /**
-     * Incarnations of one gateway that are not surely closed; a further one has no term until one
+     * Incarnations of one gateway that are not surely closed; a further one has no lease until one
      * of them is.
      */
     public static final int MOST_INCARNATIONS = 8;
@@ -34,11 +34,11 @@
     private final double longest;
     private final double apart;
     private final double linger;
-    private final TreeMap<Incarnation, Term> terms = new TreeMap<>();
+    private final TreeMap<Incarnation, Lease> leases = new TreeMap<>();
 
     /**
-     * The start of each gateway's latest incarnation that had a term, and whether it left; outlasts
-     * the term.
+     * The start of each gateway's latest incarnation that had a lease, and whether it left;
+     * outlasts the lease.
      */
     private final TreeMap<Integer, Long> latest = new TreeMap<>();
 
@@ -48,18 +48,18 @@
 
     /**
      * @param gateways how many numbers there are
-     * @param longest no term is longer, ms
+     * @param longest no lease is longer, ms
      * @param apart clocks differ by this much at most, ms
      * @param linger until nothing is open of what a stopped process opened, ms
      */
-    public Terms(int gateways, double longest, double apart, double linger) {
+    public Leases(int gateways, double longest, double apart, double linger) {
         this.gateways = gateways;
         this.longest = longest;
         this.apart = apart;
         this.linger = linger;
     }
 
-    /** An entry: the incarnation asks, at its own time, for a term of that length. */
+    /** An entry: the incarnation asks, at its own time, for a lease of that length. */
     public static byte[] renew(Incarnation incarnation, double at, double length) {
         return entry(RENEW, incarnation, at, length);
     }
@@ -133,24 +133,24 @@
                         >= incarnation.start()) {
             return false;
         }
-        Term old = terms.get(incarnation);
+        Lease old = leases.get(incarnation);
         if (old == null && of(incarnation.gateway()).size() >= MOST_INCARNATIONS) {
             return false;
         }
-        Term term = new Term(incarnation, at + length, index);
-        // Guards against entries that come late or twice: a term never gets shorter, and none
+        Lease lease = new Lease(incarnation, at + length, index);
+        // Guards against entries that come late or twice: a lease never gets shorter, and none
         // begins that is over already.
-        if (term.surelyOver(now, apart) || old != null && old.until() >= term.until()) {
+        if (lease.surelyOver(now, apart) || old != null && old.until() >= lease.until()) {
             return false;
         }
-        terms.put(incarnation, term);
+        leases.put(incarnation, lease);
         latest.put(incarnation.gateway(), incarnation.start());
         return true;
     }
 
     private boolean left(Incarnation incarnation, double at) {
         seen(at);
-        if (terms.remove(incarnation) == null) {
+        if (leases.remove(incarnation) == null) {
             return false;
         }
         left.merge(incarnation.gateway(), incarnation.start(), Math::max);
@@ -161,7 +161,7 @@
     public void seen(double at) {
         if (at > now && at < Double.POSITIVE_INFINITY) {
             now = at;
-            terms.values().removeIf(t -> t.surelyClosed(now, apart, linger));
+            leases.values().removeIf(t -> t.surelyClosed(now, apart, linger));
         }
     }
 
@@ -179,33 +179,34 @@
     }
 
     /**
-     * The term as far as the log knows, also one that is over as long as its connections may be
+     * The lease as far as the log knows, also one that is over as long as its connections may be
      * open; else null.
      */
-    public Term of(Incarnation incarnation) {
-        return terms.get(incarnation);
+    public Lease of(Incarnation incarnation) {
+        return leases.get(incarnation);
     }
 
     /** The incarnations of a gateway that are not surely closed, the earliest first. */
     public List<Incarnation> of(int gateway) {
         Incarnation first = new Incarnation(gateway, Long.MIN_VALUE);
         return new ArrayList<>(
-                terms.subMap(first, true, new Incarnation(gateway, Long.MAX_VALUE), true).keySet());
+                leases.subMap(first, true, new Incarnation(gateway, Long.MAX_VALUE), true)
+                        .keySet());
     }
 
     /**
-     * Whether the incarnation may still act: it has a term that is not surely over. Several
+     * Whether the incarnation may still act: it has a lease that is not surely over. Several
      * incarnations of one gateway may.
      */
     public boolean mayAct(Incarnation incarnation) {
-        Term term = terms.get(incarnation);
-        return term != null && !term.surelyOver(now, apart);
+        Lease lease = leases.get(incarnation);
+        return lease != null && !lease.surelyOver(now, apart);
     }
 
     /** All incarnations that may still act, by gateway and start: those that a stage waits for. */
     public List<Incarnation> mayAct() {
         List<Incarnation> all = new ArrayList<>();
-        for (Incarnation incarnation : terms.keySet()) {
+        for (Incarnation incarnation : leases.keySet()) {
             if (mayAct(incarnation)) {
                 all.add(incarnation);
             }
@@ -222,11 +223,11 @@
     }
 
     /**
-     * Whether nothing can be open of what it opened: it left, or its term is surely closed, or it
+     * Whether nothing can be open of what it opened: it left, or its lease is surely closed, or it
      * never had one.
      */
     public boolean closed(Incarnation incarnation) {
-        return !terms.containsKey(incarnation);
+        return !leases.containsKey(incarnation);
     }
 
     /** Entries that were its own and changed nothing. */
@@ -238,11 +239,11 @@
     public void write(DataOutput out) throws IOException {
         out.writeByte(FORM);
         out.writeDouble(now);
-        out.writeInt(terms.size());
-        for (Term t : terms.values()) {
-            write(out, t.holder());
-            out.writeDouble(t.until());
-            out.writeLong(t.fence());
+        out.writeInt(leases.size());
+        for (Lease lease : leases.values()) {
+            write(out, lease.holder());
+            out.writeDouble(lease.until());
+            out.writeLong(lease.fencingToken());
         }
         write(out, latest);
         write(out, left);
@@ -252,13 +253,13 @@
     public void read(DataInput in) throws IOException {
         if (in.readByte() != FORM) {
             throw new IOException(
-                    "terms in the snapshot: a form that is not known, expected " + FORM);
+                    "leases in the snapshot: a form that is not known, expected " + FORM);
         }
-        terms.clear();
+        leases.clear();
         now = in.readDouble();
         for (int n = in.readInt(); n > 0; n--) {
             Incarnation incarnation = readIncarnation(in);
-            terms.put(incarnation, new Term(incarnation, in.readDouble(), in.readLong()));
+            leases.put(incarnation, new Lease(incarnation, in.readDouble(), in.readLong()));
         }
         read(in, latest);
         read(in, left);
--- a/fleet/src/main/java/tinford/fleet/moves/Explore.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Explore.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.function.BiFunction;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Term;
+import tinford.fleet.members.Lease;
 
 /**
  * Goes through everything that can happen to one plan at small size, breadth-first: entries in any
- * order, late, lost or by a wrong leader, kills, restarts with and without a disk, ended terms,
+ * order, late, lost or by a wrong leader, kills, restarts with and without a disk, ended leases,
  * halts, clocks that differ. Runs the real {@link Moves} and {@link Route}. Holds every state that
  * it found; its memory is bounded by {@code most} states.
  */
@@ -153,11 +153,11 @@
         public Collection<Incarnation> mayHaveActed(double since) {
             List<Incarnation> found = new ArrayList<>();
             for (int g = 0; g < c.gateways; g++) {
-                if (!new Term(incarnation(g), granted[g], 0).surelyOver(since, c.apartCounted)) {
+                if (!new Lease(incarnation(g), granted[g], 0).surelyOver(since, c.apartCounted)) {
                     found.add(incarnation(g));
                 }
                 for (Old o : old.get(g)) {
-                    if (!new Term(o.incarnation, o.until, 0).surelyOver(since, c.apartCounted)) {
+                    if (!new Lease(o.incarnation, o.until, 0).surelyOver(since, c.apartCounted)) {
                         found.add(o.incarnation);
                     }
                 }
@@ -167,7 +167,7 @@
 
         Route route(int g) {
             Route r = c.route.apply(incarnation(g), view[g]);
-            r.see(view[g], new Term(incarnation(g), seen[g], 0), false);
+            r.see(view[g], new Lease(incarnation(g), seen[g], 0), false);
             return r;
         }
 
@@ -477,7 +477,7 @@
                             + g
                             + (s.stand != null
                                     ? " sees step " + s.stand.position()
-                                    : " sees its term"),
+                                    : " sees its lease"),
                     true);
         }
         Route r = w.route(g);
@@ -504,7 +504,7 @@
         if (w.granted[g] == GONE && !w.cut[g]) {
             World n = new World(w);
             n.renew(g);
-            next(n, "gateway " + g + " is granted its first term", true);
+            next(n, "gateway " + g + " is granted its first lease", true);
         }
         if (w.cut[g]) {
             World n = new World(w);
--- a/fleet/src/main/java/tinford/fleet/moves/Members.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Members.java
@@ -4,13 +4,13 @@
 import tinford.fleet.members.Incarnation;
 
 /**
- * What the moves ask of the terms. It must follow from the entries of the same log, so that every
+ * What the moves ask of the leases. It must follow from the entries of the same log, so that every
  * member answers alike.
  */
 public interface Members {
     /**
-     * All incarnations whose term was not surely over at that time of the log, later ones included;
-     * whoever is missing sent nothing from then on.
+     * All incarnations whose lease was not surely over at that time of the log, later ones
+     * included; whoever is missing sent nothing from then on.
      */
     Collection<Incarnation> mayHaveActed(double since);
 }
--- a/fleet/src/main/java/tinford/fleet/moves/Route.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Route.java
@@ -3,19 +3,19 @@
 import java.util.HashMap;
 import java.util.Map;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Term;
+import tinford.fleet.members.Lease;
 
 /**
  * Where the reqs of frontends that may move go through one gateway, and what it tells the others.
- * Called on the I/O thread only; a stand and a term come from entries that were applied in order,
- * so a term is never acted on with an older stand than it was granted after.
+ * Called on the I/O thread only; a stand and a lease come from entries that were applied in order,
+ * so a lease is never acted on with an older stand than it was granted after.
  */
 public class Route {
     private final Incarnation self;
     private final double every;
     private final Map<String, Integer> salts = new HashMap<>();
     private Stand stand;
-    private Term term;
+    private Lease lease;
     private boolean acked;
     private double ackOffered = Double.NEGATIVE_INFINITY;
     private double reported = Double.NEGATIVE_INFINITY;
@@ -34,10 +34,10 @@
     }
 
     /**
-     * After each applied entry: how the moves stand, the own term if any, and whether the log has
+     * After each applied entry: how the moves stand, the own lease if any, and whether the log has
      * this incarnation's ack of this turn.
      */
-    public void see(Stand now, Term own, boolean acked) {
+    public void see(Stand now, Lease own, boolean acked) {
         if (stand == null || stand.turn() != now.turn()) {
             counts = new long[now.plan() == null ? 0 : 4 * now.plan().frontends.size()];
             news = false;
@@ -45,12 +45,12 @@
             reported = Double.NEGATIVE_INFINITY;
         }
         this.stand = now;
-        this.term = own;
+        this.lease = own;
         this.acked = acked;
     }
 
     /**
-     * Whether a req may be sent to that group now. Without a term of its own that holds by its own
+     * Whether a req may be sent to that group now. Without a lease of its own that holds by its own
      * clock a gateway sends nothing of what may move. All reqs of one customer and frontend change
      * together, so a retry is judged alike by every gateway.
      *
@@ -80,7 +80,7 @@
 
     /** By its own clock. */
     protected boolean mayAct(double now) {
-        return term != null && term.holds(now);
+        return lease != null && lease.holds(now);
     }
 
     /** The group, or null for neither. */
--- a/fleet/src/main/java/tinford/fleet/run/Agreed.java
+++ b/fleet/src/main/java/tinford/fleet/run/Agreed.java
@@ -10,19 +10,19 @@
 import tinford.fleet.budgets.Ledger;
 import tinford.fleet.budgets.Statics;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Term;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Lease;
+import tinford.fleet.members.Leases;
 import tinford.fleet.moves.Entry;
 import tinford.fleet.moves.Moves;
 import tinford.fleet.store.Log;
 
 /**
- * What the log's entries have come to: terms and budgets, and moves, each taking its own entries. A
- * process has it twice: on the log's thread for snapshots, and on the I/O thread, where it is acted
- * on; both see the same entries in the same order.
+ * What the log's entries have come to: leases and budgets, and moves, each taking its own entries.
+ * A process has it twice: on the log's thread for snapshots, and on the I/O thread, where it is
+ * acted on; both see the same entries in the same order.
  */
 final class Agreed implements Log.Reader {
-    final Terms terms;
+    final Leases leases;
     final Ledger ledger;
     final Moves moves;
 
@@ -31,13 +31,13 @@
      */
     Agreed(
             int gateways,
-            double term,
+            double leaseMs,
             double apart,
             double linger,
             Statics statics,
             Map<String, String> homes) {
-        terms = new Terms(gateways, term, apart, linger);
-        ledger = new Ledger(terms, statics);
+        leases = new Leases(gateways, leaseMs, apart, linger);
+        ledger = new Ledger(leases, statics);
         moves =
                 new Moves(
                         homes,
@@ -45,8 +45,8 @@
                             java.util.ArrayList<Incarnation> incarnations =
                                     new java.util.ArrayList<>();
                             for (int g = 0; g < gateways; g++) {
-                                for (Incarnation incarnation : terms.of(g)) {
-                                    Term t = terms.of(incarnation);
+                                for (Incarnation incarnation : leases.of(g)) {
+                                    Lease t = leases.of(incarnation);
                                     if (t != null && !t.surelyOver(since, apart)) {
                                         incarnations.add(incarnation);
                                     }
@@ -60,7 +60,7 @@
     @Override
     public void apply(long index, byte[] entry) {
         if (entry.length > 0 && entry[0] == Entry.MARK) {
-            moves.seen(terms.now());
+            moves.seen(leases.now());
             moves.apply(index, entry);
         } else {
             ledger.apply(index, entry);
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -173,7 +173,7 @@
                 holds = !holds;
                 LOG.log(
                         Level.INFO,
-                        holds ? "acts on its term" : "holds no term: the static share only");
+                        holds ? "acts on its lease" : "holds no lease: the static share only");
                 history.add(now, "term", "holds", holds);
             }
             int may = hard.mayHold(now);
--- a/fleet/src/main/java/tinford/fleet/run/Hard.java
+++ b/fleet/src/main/java/tinford/fleet/run/Hard.java
@@ -81,12 +81,12 @@
             Map<String, String> homes,
             Mailbox mailbox)
             throws IOException {
-        double term = orders.number("log.term_ms");
+        double leaseMs = orders.number("log.term_ms");
         double apart = orders.number("log.clocks_apart_ms");
         double linger = orders.number("log.linger_ms");
         offer = (int) orders.number("budgets.offer");
         accounts = (int) orders.number("budgets.accounts");
-        agreed = new Agreed(gateways, term, apart, linger, statics, homes);
+        agreed = new Agreed(gateways, leaseMs, apart, linger, statics, homes);
         int floor = (int) orders.number("budgets.floor");
         int cap = (int) orders.number("budgets.cap");
         proposer =
@@ -104,12 +104,13 @@
                         statics,
                         key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap),
                         incarnation,
-                        term,
+                        leaseMs,
                         2 * apart,
                         ROUND,
                         KEEP,
                         alone ? incarnation.start() : incarnation.start() + linger);
-        Agreed kept = new Agreed(gateways, term, apart, linger, statics(orders, gateways), homes);
+        Agreed kept =
+                new Agreed(gateways, leaseMs, apart, linger, statics(orders, gateways), homes);
         TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
         List<String> addresses = orders.texts("log.members");
         for (int i = 0; i < addresses.size(); i++) {
@@ -272,7 +273,7 @@
         share.leaves();
     }
 
-    /** Whether it acts on its term, or on its static share only. */
+    /** Whether it acts on its lease, or on its static share only. */
     boolean holds(double now) {
         return share.holds(now);
     }
--- a/fleet/src/main/java/tinford/fleet/run/Mover.java
+++ b/fleet/src/main/java/tinford/fleet/run/Mover.java
@@ -12,7 +12,7 @@
 import tinford.api.Req;
 import tinford.api.Srv;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Term;
+import tinford.fleet.members.Lease;
 import tinford.fleet.moves.Entry;
 import tinford.fleet.moves.Moves;
 import tinford.fleet.moves.Plan;
@@ -49,7 +49,7 @@
     private Consumer<String> outcome;
 
     /**
-     * @param left whether this process has left the fleet: from then on it acts on no term
+     * @param left whether this process has left the fleet: from then on it acts on no lease
      */
     Mover(
             Agreed agreed,
@@ -67,13 +67,13 @@
         this.route = new Route(incarnation, agreed.moves.stand(), EVERY);
     }
 
-    private Term term() {
-        return left.getAsBoolean() ? null : agreed.terms.of(incarnation);
+    private Lease lease() {
+        return left.getAsBoolean() ? null : agreed.leases.of(incarnation);
     }
 
     /** After each entry, in order; {@code entry} is null after a snapshot. */
     void applied(byte[] entry, double now) {
-        route.see(agreed.moves.stand(), term(), agreed.moves.acked(incarnation));
+        route.see(agreed.moves.stand(), lease(), agreed.moves.acked(incarnation));
         if (entry == null || entry.length == 0 || entry[0] == Entry.MARK) {
             if (order != null && Arrays.equals(order, entry)) {
                 over(agreed.moves.told());
@@ -83,7 +83,7 @@
     }
 
     void tick(double now, boolean leads) {
-        route.see(agreed.moves.stand(), term(), agreed.moves.acked(incarnation));
+        route.see(agreed.moves.stand(), lease(), agreed.moves.acked(incarnation));
         watch(now);
         Entry tells = route.tells(now);
         if (tells != null) {
@@ -238,9 +238,9 @@
      * What changed for this process is told in its history, in the order in which it acts on it.
      */
     private void watch(double now) {
-        Term term = term();
-        boolean has = term != null && term.holds(now);
-        double until = has ? term.until() : 0;
+        Lease lease = lease();
+        boolean has = lease != null && lease.holds(now);
+        double until = has ? lease.until() : 0;
         boolean again = has && !holds;
         if (until != toldUntil) {
             history.add(now, "term", "holds", has, "for", has ? until - now : 0);
--- a/fleet/src/test/java/tinford/fleet/budgets/FairTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/FairTest.java
@@ -156,7 +156,7 @@
     }
 
     @Test
-    public void aGatewayThatDiesHoldingMostGivesBackAfterTermSpreadAndLinger() {
+    public void aGatewayThatDiesHoldingMostGivesBackAfterLeaseSpreadAndLinger() {
         Fleet f = fleet(3, 3, 2, 10, 0);
         f.gateways.get(0).wants.put(3L, 40);
         f.run(4000);
@@ -166,7 +166,7 @@
         f.leader = 1;
         f.gateways.get(1).wants.put(7L, 40);
         double start = f.now;
-        double stated = Fleet.TERM + 2 * Fleet.APART + Fleet.LINGER + UP;
+        double stated = Fleet.LEASE + 2 * Fleet.APART + Fleet.LINGER + UP;
         while (f.out(7) < 18) {
             f.run(Fleet.STEP);
             assertTrue(f.now - start <= stated, "not back after " + stated);
@@ -183,7 +183,7 @@
         }
         f.run(4000);
         f.noMajorityUntil = Double.MAX_VALUE;
-        f.run(Fleet.TERM + Fleet.LINGER);
+        f.run(Fleet.LEASE + Fleet.LINGER);
         Map<String, Integer> sums = new TreeMap<>();
         for (Fleet.Gateway g : f.gateways) {
             f.offers
--- a/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
@@ -9,14 +9,14 @@
 import java.util.function.Function;
 import java.util.function.LongFunction;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Leases;
 
 /**
  * A fleet in driven time: gateways with their ledgers, a log that loses, doubles and delays what is
  * offered, servers that count.
  */
 final class Fleet {
-    static final double TERM = 3000;
+    static final double LEASE = 3000;
     static final double MARGIN = 300;
     static final double APART = 200;
     static final double LINGER = 1500;
@@ -115,7 +115,7 @@
         this.offers.putAll(offers);
         this.plans = plans;
         statics = new Statics(offers, part, size);
-        this.ledgers = ledgers != null ? ledgers : s -> new Ledger(terms(size), s);
+        this.ledgers = ledgers != null ? ledgers : s -> new Ledger(leases(size), s);
         this.shares = shares != null ? shares : this::share;
         for (int g = 0; g < size; g++) {
             gateways.add(new Gateway(g, size == 1 ? 0 : (g % 3 - 1) * APART / 2));
@@ -123,20 +123,20 @@
         offers.forEach((s, n) -> log.add(Ledger.offer(s, 1, n, now)));
     }
 
-    static Terms terms(int size) {
-        return new Terms(size, TERM, APART, LINGER);
+    static Leases leases(int size) {
+        return new Leases(size, LEASE, APART, LINGER);
     }
 
     Share share(Ledger ledger, Incarnation incarnation, double staticFrom) {
         return new Share(
-                ledger, statics, plans, incarnation, TERM, MARGIN, EVERY, KEEP, staticFrom);
+                ledger, statics, plans, incarnation, LEASE, MARGIN, EVERY, KEEP, staticFrom);
     }
 
     void offer(String server, int offer, long start) {
         double[] l = lately.computeIfAbsent(server, s -> new double[2]);
         if (offer < offers.get(server)) {
             l[0] = Math.max(now < l[1] ? l[0] : 0, offers.get(server));
-            l[1] = now + 4 * EVERY + 2 * (TERM + APART + LINGER);
+            l[1] = now + 4 * EVERY + 2 * (LEASE + APART + LINGER);
         }
         offers.put(server, offer);
         log.add(Ledger.offer(server, start, offer, now));
--- a/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Term;
+import tinford.fleet.members.Lease;
 
 /** Drawn histories of connection budgets under faults. */
 public class HistoriesTest {
@@ -50,7 +50,7 @@
                                                 new Statics(offers, part, size),
                                                 PLANS,
                                                 incarnation,
-                                                Fleet.TERM,
+                                                Fleet.LEASE,
                                                 -1e12,
                                                 Fleet.EVERY,
                                                 Fleet.KEEP,
@@ -76,24 +76,24 @@
     }
 
     private static Ledger ledger(int size, Statics statics, String broken) {
-        return new Ledger(Fleet.terms(size), statics) {
+        return new Ledger(Fleet.leases(size), statics) {
             @Override
             boolean fits(Incarnation incarnation, int server, int more) {
                 return broken.equals("no check") || super.fits(incarnation, server, more);
             }
 
             @Override
-            double free(Term term) {
-                return broken.equals("no linger") ? terms().now() : super.free(term);
+            double free(Lease lease) {
+                return broken.equals("no linger") ? leases().now() : super.free(lease);
             }
 
             @Override
             boolean gone(Incarnation incarnation) {
                 return switch (broken) {
-                    case "no linger" -> super.gone(incarnation) || !terms().mayAct(incarnation);
+                    case "no linger" -> super.gone(incarnation) || !leases().mayAct(incarnation);
                     case "a later incarnation frees the earlier's" ->
                             super.gone(incarnation)
-                                    || terms().of(incarnation.gateway()).stream()
+                                    || leases().of(incarnation.gateway()).stream()
                                             .anyMatch(l -> l.start() > incarnation.start());
                     default -> super.gone(incarnation);
                 };
@@ -124,20 +124,20 @@
     @Test
     public void aSnapshotAtAnyPointCarriesAllAndWhatCantBeReadChangesNothing() {
         Fleet f = history(3, "");
-        Ledger whole = new Ledger(Fleet.terms(f.gateways.size()), f.statics);
-        Ledger cut = new Ledger(Fleet.terms(f.gateways.size()), f.statics);
+        Ledger whole = new Ledger(Fleet.leases(f.gateways.size()), f.statics);
+        Ledger cut = new Ledger(Fleet.leases(f.gateways.size()), f.statics);
         Random random = new Random(9);
         for (int i = 0; i < f.log.size(); i++) {
             whole.apply(i + 1, f.log.get(i));
             cut.apply(i + 1, f.log.get(i));
             assertEquals(cut.snapshot(), whole.snapshot(), "entry " + i);
             if (random.nextInt(5) == 0) {
-                Ledger next = new Ledger(Fleet.terms(f.gateways.size()), f.statics);
+                Ledger next = new Ledger(Fleet.leases(f.gateways.size()), f.statics);
                 next.restore(i + 1, cut.snapshot());
                 cut = next;
             }
         }
-        Ledger bad = new Ledger(Fleet.terms(f.gateways.size()), f.statics);
+        Ledger bad = new Ledger(Fleet.leases(f.gateways.size()), f.statics);
         bad.restore(f.log.size(), whole.snapshot());
         byte[] cells = cells(bad);
         long index = f.log.size();
@@ -148,7 +148,7 @@
             bad.apply(++index, spoilt);
         }
         assertEquals(cells(bad), cells, "spoilt entries");
-        assertTrue(bad.unread() > 0 && bad.unknown() > 0 && bad.terms().refused() > 0);
+        assertTrue(bad.unread() > 0 && bad.unknown() > 0 && bad.leases().refused() > 0);
     }
 
     private static byte[] cells(Ledger ledger) {
--- a/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
@@ -71,7 +71,7 @@
                                         }))
             },
             {
-                "the end of a term counted too early",
+                "the end of a lease counted too early",
                 "",
                 (Consumer<Explore.Case>)
                         c -> {
@@ -169,7 +169,7 @@
                         })
             },
             {
-                "routed without a term",
+                "routed without a lease",
                 "",
                 ((Consumer<Explore.Case>) c -> c.kills = 1)
                         .andThen(
@@ -226,7 +226,7 @@
                                                         })
             },
             {
-                "a term counted from the answer",
+                "a lease counted from the answer",
                 "",
                 (Consumer<Explore.Case>) c -> c.countsFromAnswer = true
             },
--- a/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Term;
+import tinford.fleet.members.Lease;
 
 /** Stages of a move: begun, acknowledged, completed and reverted. */
 public class MovesTest {
@@ -133,12 +133,12 @@
         Route r = new Route(ONE, m.stand(), 10);
         assertFalse(r.mayGo("web", 1, false, "a", null, 0));
         assertTrue(r.mayGo("other", 1, false, "a", null, 0));
-        r.see(m.stand(), new Term(ONE, 100, 1), false);
+        r.see(m.stand(), new Lease(ONE, 100, 1), false);
         assertTrue(r.mayGo("web", 1, false, "a", null, 99));
         assertFalse(r.mayGo("web", 1, false, "b", null, 99));
         assertFalse(r.mayGo("web", 1, false, "a", null, 100));
         play(m, "b", new double[1]);
-        r.see(m.stand(), new Term(ONE, 100, 1), false);
+        r.see(m.stand(), new Lease(ONE, 100, 1), false);
         assertEquals(r.tells(50).kind(), Entry.Kind.ACK);
         assertTrue(r.mayGo("store", 1, true, "b", "b", 50), "stays with its first group");
     }
--- a/fleet/src/test/java/tinford/fleet/run/AgreedTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/AgreedTest.java
@@ -9,10 +9,10 @@
 import tinford.fleet.budgets.Ledger;
 import tinford.fleet.budgets.Statics;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Leases;
 import tinford.fleet.moves.Entry;
 
-/** Terms, budgets and moves in one log. */
+/** Leases, budgets and moves in one log. */
 public class AgreedTest {
     private static final Incarnation INCARNATION = new Incarnation(1, 5000);
 
@@ -22,7 +22,7 @@
     }
 
     private static void fill(Agreed to) {
-        to.apply(3, Terms.renew(INCARNATION, 10_000, 3000));
+        to.apply(3, Leases.renew(INCARNATION, 10_000, 3000));
         to.apply(5, Ledger.offer("s", 0, 8, 10_010));
         to.apply(6, Ledger.tell(INCARNATION, 10_020, 5, Map.of(7L, 2), Map.of()));
     }
@@ -36,9 +36,9 @@
         assertEquals(second.snapshot(), first.snapshot());
         assertEquals(second.ledger.number("s"), 0);
         assertEquals(second.ledger.last(), 6);
-        assertNotNull(second.terms.of(INCARNATION));
-        second.apply(7, Terms.renew(INCARNATION, 12_000, 3000));
-        first.apply(7, Terms.renew(INCARNATION, 12_000, 3000));
+        assertNotNull(second.leases.of(INCARNATION));
+        second.apply(7, Leases.renew(INCARNATION, 12_000, 3000));
+        first.apply(7, Leases.renew(INCARNATION, 12_000, 3000));
         assertEquals(second.snapshot(), first.snapshot());
     }
 
@@ -62,6 +62,6 @@
                 all.moves.snapshot(),
                 moves,
                 "what moves can't read, and what others have, changes nothing there");
-        assertTrue(all.terms.mayAct(INCARNATION));
+        assertTrue(all.leases.mayAct(INCARNATION));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -21,7 +21,7 @@
 import tinford.api.Srv;
 import tinford.fleet.budgets.Statics;
 import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Leases;
 import tinford.fleet.moves.Moves;
 import tinford.fleet.moves.Stand;
 import tinford.fleet.store.Log;
@@ -32,7 +32,7 @@
  * each stage.
  */
 public class MoverTest {
-    private static final double TERM = 2000;
+    private static final double LEASE = 2000;
     private static final double APART = 50;
     private static final double LINGER = 6000;
     private static final String PLAN =
@@ -142,7 +142,7 @@
 
         private Agreed agreed() {
             return new Agreed(
-                    3, TERM, APART, LINGER, new Statics(Map.of(), 16, 0.5, 3), orders.homes());
+                    3, LEASE, APART, LINGER, new Statics(Map.of(), 16, 0.5, 3), orders.homes());
         }
 
         void start(int g) {
@@ -207,8 +207,8 @@
                     r.run();
                 }
                 if (now >= s.renews) {
-                    s.renews = now + TERM / 3;
-                    s.log.append(Terms.renew(s.incarnation, now, TERM));
+                    s.renews = now + LEASE / 3;
+                    s.log.append(Leases.renew(s.incarnation, now, LEASE));
                 }
                 s.mover.tick(now, s.log.leads());
                 load(s);
@@ -253,7 +253,7 @@
         }
 
         /**
-         * Of those whose term holds now: one stage apart at most, and nobody goes where what it
+         * Of those whose lease holds now: one stage apart at most, and nobody goes where what it
          * needs is not wholly at any of them.
          */
         private void promise() {
@@ -262,8 +262,8 @@
                             .filter(
                                     s ->
                                             s.up
-                                                    && s.agreed.terms.of(s.incarnation) != null
-                                                    && s.agreed.terms.of(s.incarnation).holds(now))
+                                                    && s.agreed.leases.of(s.incarnation) != null
+                                                    && s.agreed.leases.of(s.incarnation).holds(now))
                             .toList();
             String[] chain = {"web", "mid", "base"};
             for (Seat s : acting) {
@@ -363,7 +363,7 @@
                         f.logs.cut(g + 1, (g + 2) % 3 + 1);
                     }
                 }
-                for (int k = 0; k < 30 + 10 * (steps % 4); k++) { // some past the term, some not
+                for (int k = 0; k < 30 + 10 * (steps % 4); k++) { // some past the lease, some not
                     f.step();
                 }
                 if (fault.equals("kill")) {
