--- a/fleet/src/main/java/tinford/fleet/members/Leases.java
+++ b/fleet/src/main/java/tinford/fleet/members/Leases.java
@@ -205,10 +205,15 @@
 
     /** All incarnations that may still act, by gateway and start: those that a stage waits for. */
     public List<Incarnation> mayAct() {
+        return notSurelyOver(now);
+    }
+
+    /** Those whose lease was not surely over at that time of the log, by gateway and start. */
+    public List<Incarnation> notSurelyOver(double logNow) {
         List<Incarnation> all = new ArrayList<>();
-        for (Incarnation incarnation : leases.keySet()) {
-            if (mayAct(incarnation)) {
-                all.add(incarnation);
+        for (Lease lease : leases.values()) {
+            if (!lease.surelyOver(logNow, apart)) {
+                all.add(lease.holder());
             }
         }
         return all;
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -25,8 +25,8 @@
     private static final double TICK = 50;
     private static final double MOST_LEAVING = 700; // two rounds, and the way through the log
     private static final int MOST_BYTES = 256;
-    private static final int MOST_SOFT = 128;
-    private static final int MOST_HARD = 1024;
+    private static final int LOSSY_CAPACITY = 128;
+    private static final int LOSSLESS_CAPACITY = 1024;
     private final Orders orders;
     private final Handed handed;
     private final String historyPath;
@@ -40,7 +40,7 @@
     private FleetView view;
     private final MoveOrders moves; // null where they are off
     private Mover mover;
-    private Hard hard; // null where nothing needs agreement
+    private ReplicatedState replicatedState; // null where nothing needs agreement
     private boolean led;
     private boolean holds;
     private int mayHold = -1; // at all servers
@@ -71,7 +71,7 @@
     public View join(Place place, Consumer<Loop.Due> enter) throws IOException {
         double now = now();
         incarnation = new Incarnation(place.number, (long) now);
-        mailbox = new Mailbox(MOST_SOFT, MOST_HARD, what -> enter.accept(what::run));
+        mailbox = new Mailbox(LOSSY_CAPACITY, LOSSLESS_CAPACITY, what -> enter.accept(what::run));
         double every = orders.number("talk.every_ms");
         double suspect = orders.number("talk.suspect_ms");
         members =
@@ -91,19 +91,26 @@
                         orders.number("overload.further_part"),
                         new Random(handed.seed() + 1));
         if (orders.on("budgets.on") || orders.on("moves.on")) {
-            hard =
-                    new Hard(
+            replicatedState =
+                    new ReplicatedState(
                             orders,
                             incarnation,
                             place.gateways,
-                            Hard.statics(orders, place.gateways),
+                            ReplicatedState.statics(orders, place.gateways),
                             moves == null ? Map.of() : moves.homes(),
                             mailbox);
         }
         history = History.at(historyPath, incarnation);
         if (moves != null) {
-            mover = new Mover(hard.agreed, incarnation, moves, hard::append, hard::left, history);
-            hard.applied = entry -> mover.applied(entry, now());
+            mover =
+                    new Mover(
+                            replicatedState.stateMachine,
+                            incarnation,
+                            moves,
+                            replicatedState::append,
+                            replicatedState::left,
+                            history);
+            replicatedState.applied = entry -> mover.applied(entry, now());
             new OrderFile(
                             Path.of(orders.text("log.folder")),
                             mailbox,
@@ -113,9 +120,9 @@
         view =
                 new FleetView(
                         orders.on("overload.on") ? overload : null,
-                        orders.on("budgets.on") ? hard : null,
+                        orders.on("budgets.on") ? replicatedState : null,
                         mover,
-                        hard,
+                        replicatedState,
                         this::now,
                         srv -> history.add(now(), "try", "server", srv.id));
         if (handed.mayTalk()) {
@@ -126,10 +133,10 @@
                             handed.peers(),
                             MOST_BYTES,
                             (from, message) ->
-                                    mailbox.soft(() -> members.heard(message, from, now())));
+                                    mailbox.offer(() -> members.heard(message, from, now())));
         }
         history.add(now, "start");
-        if (hard != null) {
+        if (replicatedState != null) {
             history.add(now, "term", "holds", false);
         }
         LOG.log(
@@ -148,11 +155,11 @@
             members.round(now, talk);
         }
         overload.round(now, members);
-        if (hard != null) {
-            hard.tick(now);
+        if (replicatedState != null) {
+            replicatedState.tick(now);
         }
         if (mover != null) {
-            mover.tick(now, hard.leads());
+            mover.tick(now, replicatedState.leads());
         }
         tell(now);
     }
@@ -164,19 +171,19 @@
             LOG.log(Level.INFO, "of the fleet live " + members.all());
             history.add(now, "living", "who", members.all());
         }
-        if (hard != null && hard.leads() != led) {
-            led = hard.leads();
+        if (replicatedState != null && replicatedState.leads() != led) {
+            led = replicatedState.leads();
             history.add(now, "leads", "on", led);
         }
-        if (hard != null) {
-            if (hard.holds(now) != holds) {
+        if (replicatedState != null) {
+            if (replicatedState.holds(now) != holds) {
                 holds = !holds;
                 LOG.log(
                         Level.INFO,
                         holds ? "acts on its lease" : "holds no lease: the static share only");
                 history.add(now, "term", "holds", holds);
             }
-            int may = hard.mayHold(now);
+            int may = replicatedState.mayHold(now);
             if (may != mayHold) {
                 mayHold = may;
                 history.add(now, "grant", "all", may);
@@ -206,19 +213,19 @@
     @Override
     public void leaves() {
         history.add(now(), "leaves");
-        if (hard != null) {
-            hard.leaves();
+        if (replicatedState != null) {
+            replicatedState.leaves();
         }
     }
 
     @Override
     public void answered() {
-        if (hard == null) {
+        if (replicatedState == null) {
             return;
         }
         view.over();
         try {
-            hard.awaitLeft(MOST_LEAVING);
+            replicatedState.awaitLeft(MOST_LEAVING);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/fleet/src/main/java/tinford/fleet/run/Agreed.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
@@ -9,19 +9,17 @@
 import java.util.Map;
 import tinford.fleet.budgets.Ledger;
 import tinford.fleet.budgets.Statics;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Lease;
 import tinford.fleet.members.Leases;
 import tinford.fleet.moves.Entry;
 import tinford.fleet.moves.Moves;
 import tinford.fleet.store.Log;
 
 /**
- * What the log's entries have come to: leases and budgets, and moves, each taking its own entries.
- * A process has it twice: on the log's thread for snapshots, and on the I/O thread, where it is
- * acted on; both see the same entries in the same order.
+ * The state machine that reads the log: leases, budgets and moves, each taking its own entries. A
+ * process has it twice: on the log's thread for snapshots, and on the I/O thread, where it is acted
+ * on; both see the same entries in the same order.
  */
-final class Agreed implements Log.Reader {
+final class FleetStateMachine implements Log.Reader {
     final Leases leases;
     final Ledger ledger;
     final Moves moves;
@@ -29,7 +27,7 @@
     /**
      * @param homes the group of each frontend that may move
      */
-    Agreed(
+    FleetStateMachine(
             int gateways,
             double leaseMs,
             double apart,
@@ -38,23 +36,7 @@
             Map<String, String> homes) {
         leases = new Leases(gateways, leaseMs, apart, linger);
         ledger = new Ledger(leases, statics);
-        moves =
-                new Moves(
-                        homes,
-                        since -> {
-                            java.util.ArrayList<Incarnation> incarnations =
-                                    new java.util.ArrayList<>();
-                            for (int g = 0; g < gateways; g++) {
-                                for (Incarnation incarnation : leases.of(g)) {
-                                    Lease t = leases.of(incarnation);
-                                    if (t != null && !t.surelyOver(since, apart)) {
-                                        incarnations.add(incarnation);
-                                    }
-                                }
-                            }
-                            return incarnations;
-                        },
-                        apart);
+        moves = new Moves(homes, leases::notSurelyOver, apart);
     }
 
     @Override
--- a/fleet/src/main/java/tinford/fleet/run/FleetView.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetView.java
@@ -20,9 +20,9 @@
     private static final int MOST_ACCOUNTS = 20_000;
     private static final int MOST_ASIDE = 2048;
     private final View overload;
-    private final Hard budgets;
+    private final ReplicatedState budgets;
     private final Mover mover;
-    private final Hard log;
+    private final ReplicatedState log;
     private final DoubleSupplier clock;
     private volatile boolean over;
     private final Map<Long, Integer> out = new HashMap<>(); // dispatches, by account
@@ -35,9 +35,9 @@
      */
     FleetView(
             View overload,
-            Hard budgets,
+            ReplicatedState budgets,
             Mover mover,
-            Hard log,
+            ReplicatedState log,
             DoubleSupplier clock,
             Consumer<Srv> tries) {
         this.overload = overload == null ? new View() : overload;
--- a/fleet/src/main/java/tinford/fleet/run/Mailbox.java
+++ b/fleet/src/main/java/tinford/fleet/run/Mailbox.java
@@ -6,16 +6,16 @@
 import java.util.function.Consumer;
 
 /**
- * What other threads have for the I/O thread, in the order in which it came, at most so many of
- * each kind. Of soft ones the oldest goes when there is no room: they come again. Hard ones are
- * never dropped: who brings one waits for room.
+ * Two bounded queues of tasks that other threads have for the I/O thread, each in order of arrival.
+ * When the lossy one is full its oldest task is dropped, for it will come again. The lossless one
+ * drops nothing: whoever adds to it waits for room.
  */
 public final class Mailbox {
-    private final int mostSoft;
-    private final int mostHard;
+    private final int lossyCapacity;
+    private final int losslessCapacity;
     private final Consumer<Runnable> enter;
-    private final ArrayDeque<Runnable> soft = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> hard = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> lossy = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> lossless = new ArrayDeque<>();
     private boolean called;
     private boolean closed;
     private long dropped;
@@ -24,35 +24,38 @@
      * @param enter runs what it is given on the I/O thread, soon; called once for all that has come
      *     by then
      */
-    public Mailbox(int mostSoft, int mostHard, Consumer<Runnable> enter) {
-        this.mostSoft = mostSoft;
-        this.mostHard = mostHard;
+    public Mailbox(int lossyCapacity, int losslessCapacity, Consumer<Runnable> enter) {
+        this.lossyCapacity = lossyCapacity;
+        this.losslessCapacity = losslessCapacity;
         this.enter = enter;
     }
 
-    public synchronized void soft(Runnable what) {
+    /** Adds to the lossy queue; never waits. */
+    public synchronized void offer(Runnable what) {
         if (closed) {
             return;
         }
-        if (soft.size() >= mostSoft) {
-            soft.poll();
+        if (lossy.size() >= lossyCapacity) {
+            lossy.poll();
             dropped++;
         }
-        soft.add(what);
+        lossy.add(what);
         call();
     }
 
     /**
+     * Adds to the lossless queue and waits for room.
+     *
      * @return false when the box was closed before there was room
      */
-    public synchronized boolean hard(Runnable what) throws InterruptedException {
-        while (hard.size() >= mostHard && !closed) {
+    public synchronized boolean put(Runnable what) throws InterruptedException {
+        while (lossless.size() >= losslessCapacity && !closed) {
             wait();
         }
         if (closed) {
             return false;
         }
-        hard.add(what);
+        lossless.add(what);
         call();
         return true;
     }
@@ -68,10 +71,10 @@
         List<Runnable> all = new ArrayList<>();
         synchronized (this) {
             called = false;
-            all.addAll(hard); // what was agreed goes before what was only heard
-            all.addAll(soft);
-            hard.clear();
-            soft.clear();
+            all.addAll(lossless); // what the log agreed on goes before what was only heard
+            all.addAll(lossy);
+            lossless.clear();
+            lossy.clear();
             notifyAll();
         }
         for (Runnable r : all) {
--- a/fleet/src/main/java/tinford/fleet/run/Mover.java
+++ b/fleet/src/main/java/tinford/fleet/run/Mover.java
@@ -31,7 +31,7 @@
     private static final double EVERY = 500; // acks and reports
     private static final double OFFERS = 1000;
     private static final double PATIENCE = 10_000;
-    private final Agreed agreed;
+    private final FleetStateMachine stateMachine;
     private final Incarnation incarnation;
     private final MoveOrders orders;
     private final Consumer<byte[]> log;
@@ -52,38 +52,38 @@
      * @param left whether this process has left the fleet: from then on it acts on no lease
      */
     Mover(
-            Agreed agreed,
+            FleetStateMachine stateMachine,
             Incarnation incarnation,
             MoveOrders orders,
             Consumer<byte[]> log,
             BooleanSupplier left,
             History history) {
-        this.agreed = agreed;
+        this.stateMachine = stateMachine;
         this.incarnation = incarnation;
         this.orders = orders;
         this.log = log;
         this.left = left;
         this.history = history;
-        this.route = new Route(incarnation, agreed.moves.stand(), EVERY);
+        this.route = new Route(incarnation, stateMachine.moves.stand(), EVERY);
     }
 
     private Lease lease() {
-        return left.getAsBoolean() ? null : agreed.leases.of(incarnation);
+        return left.getAsBoolean() ? null : stateMachine.leases.of(incarnation);
     }
 
     /** After each entry, in order; {@code entry} is null after a snapshot. */
     void applied(byte[] entry, double now) {
-        route.see(agreed.moves.stand(), lease(), agreed.moves.acked(incarnation));
+        route.see(stateMachine.moves.stand(), lease(), stateMachine.moves.acked(incarnation));
         if (entry == null || entry.length == 0 || entry[0] == Entry.MARK) {
             if (order != null && Arrays.equals(order, entry)) {
-                over(agreed.moves.told());
+                over(stateMachine.moves.told());
             }
         }
         watch(now);
     }
 
     void tick(double now, boolean leads) {
-        route.see(agreed.moves.stand(), lease(), agreed.moves.acked(incarnation));
+        route.see(stateMachine.moves.stand(), lease(), stateMachine.moves.acked(incarnation));
         watch(now);
         Entry tells = route.tells(now);
         if (tells != null) {
@@ -101,7 +101,7 @@
     }
 
     private void offer(double now) {
-        Stand s = agreed.moves.stand();
+        Stand s = stateMachine.moves.stand();
         if (s.plan() != null
                 && (s.state() == Moves.State.FORWARD || s.state() == Moves.State.BACK)) {
             offered = now;
@@ -158,7 +158,8 @@
                                     ? null
                                     : Entry.begin(who, now, orders.plan());
                     case "halt" -> named ? Entry.halt(who, now) : null;
-                    case "resume" -> named ? Entry.resume(who, now, agreed.moves.halts()) : null;
+                    case "resume" ->
+                            named ? Entry.resume(who, now, stateMachine.moves.halts()) : null;
                     case "back" -> named ? Entry.back(who, now) : null;
                     default -> null;
                 };
@@ -211,7 +212,7 @@
 
     boolean goes(Req req, double now) {
         String name = req.frontend.name;
-        Stand s = agreed.moves.stand();
+        Stand s = stateMachine.moves.stand();
         if (!orders.homes().containsKey(name)) {
             return true;
         }
@@ -247,7 +248,7 @@
             toldUntil = until;
             holds = has;
         }
-        Stand s = agreed.moves.stand();
+        Stand s = stateMachine.moves.stand();
         boolean turned =
                 told == null
                         || told.turn() != s.turn()
@@ -257,7 +258,7 @@
             stage(s, turned, now);
         }
         told = s;
-        if (s.plan() != null && agreed.moves.acked(incarnation) && ackedTurn != s.turn()) {
+        if (s.plan() != null && stateMachine.moves.acked(incarnation) && ackedTurn != s.turn()) {
             ackedTurn = s.turn();
             history.add(
                     now, "acked", "move", s.plan().name, "turn", s.turn(), "stage", s.position());
@@ -313,7 +314,7 @@
                             + " at step "
                             + s.position()
                             + "; "
-                            + agreed.moves.told());
+                            + stateMachine.moves.told());
         }
         if (turned && (s.state() == Moves.State.DONE || s.state() == Moves.State.UNDONE)) {
             history.add(
--- a/fleet/src/main/java/tinford/fleet/run/OrderFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OrderFile.java
@@ -70,7 +70,7 @@
             if (line.contains("\n")) {
                 came.complete("refused, expected one line");
             } else {
-                mailbox.hard(() -> takes.take(line, came::complete));
+                mailbox.put(() -> takes.take(line, came::complete));
             }
             Files.writeString(
                     taken, line + "\n" + came.get(PATIENCE, TimeUnit.MILLISECONDS) + "\n");
--- a/fleet/src/main/java/tinford/fleet/run/Hard.java
+++ b/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
@@ -26,10 +26,10 @@
 import tinford.routing.Addresses;
 
 /**
- * The log of one process, what it has come to, and what this process asks of it. Made off the I/O
- * thread, called on it from then on.
+ * The replicated state of the fleet as one process has it: its log, the state machine that reads
+ * the log, and what this process asks of it. Made off the I/O thread, called on it from then on.
  */
-final class Hard {
+final class ReplicatedState {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
     private static final double ROUND =
             250; // entries of a gateway come no faster than two in this time
@@ -45,7 +45,7 @@
      */
     private static final int WEIGHT_AT = 40;
 
-    final Agreed agreed;
+    final FleetStateMachine stateMachine;
     private final Share share;
     private final Proposer proposer;
     private final int offer;
@@ -73,7 +73,7 @@
     /** Is told of each entry that was applied on the I/O thread, and of a snapshot as null. */
     Consumer<byte[]> applied = entry -> {};
 
-    Hard(
+    ReplicatedState(
             Orders orders,
             Incarnation incarnation,
             int gateways,
@@ -86,7 +86,7 @@
         double linger = orders.number("log.linger_ms");
         offer = (int) orders.number("budgets.offer");
         accounts = (int) orders.number("budgets.accounts");
-        agreed = new Agreed(gateways, leaseMs, apart, linger, statics, homes);
+        stateMachine = new FleetStateMachine(gateways, leaseMs, apart, linger, statics, homes);
         int floor = (int) orders.number("budgets.floor");
         int cap = (int) orders.number("budgets.cap");
         proposer =
@@ -100,7 +100,7 @@
         boolean alone = lock.tryLock() != null;
         share =
                 new Share(
-                        agreed.ledger,
+                        stateMachine.ledger,
                         statics,
                         key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap),
                         incarnation,
@@ -109,8 +109,9 @@
                         ROUND,
                         KEEP,
                         alone ? incarnation.start() : incarnation.start() + linger);
-        Agreed kept =
-                new Agreed(gateways, leaseMs, apart, linger, statics(orders, gateways), homes);
+        FleetStateMachine snapshotSource =
+                new FleetStateMachine(
+                        gateways, leaseMs, apart, linger, statics(orders, gateways), homes);
         TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
         List<String> addresses = orders.texts("log.members");
         for (int i = 0; i < addresses.size(); i++) {
@@ -125,7 +126,7 @@
                                                 incarnation.gateway(),
                                                 members,
                                                 folder.resolve("log"),
-                                                reader(kept, mailbox),
+                                                reader(snapshotSource, mailbox),
                                                 BOUNDS);
                             } catch (IOException | RuntimeException e) {
                                 LOG.log(
@@ -149,39 +150,39 @@
     }
 
     /**
-     * The kept one answers for snapshots; the I/O thread's follows it, and holds it back where it
-     * can't.
+     * The one on the log's thread answers for snapshots; the one on the I/O thread follows it, and
+     * holds it back where it can't.
      */
-    private Log.Reader reader(Agreed kept, Mailbox mailbox) {
+    private Log.Reader reader(FleetStateMachine snapshotSource, Mailbox mailbox) {
         return new Log.Reader() {
             @Override
             public void apply(long index, byte[] entry) {
-                kept.apply(index, entry);
+                snapshotSource.apply(index, entry);
                 post(
                         () -> {
-                            agreed.apply(index, entry);
+                            stateMachine.apply(index, entry);
                             applied.accept(entry);
                         });
             }
 
             @Override
             public byte[] snapshot() {
-                return kept.snapshot();
+                return snapshotSource.snapshot();
             }
 
             @Override
             public void restore(long index, byte[] snapshot) {
-                kept.restore(index, snapshot);
+                snapshotSource.restore(index, snapshot);
                 post(
                         () -> {
-                            agreed.restore(index, snapshot);
+                            stateMachine.restore(index, snapshot);
                             applied.accept(null);
                         });
             }
 
             private void post(Runnable what) {
                 try {
-                    mailbox.hard(what);
+                    mailbox.put(what);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -219,12 +220,12 @@
         int told = now < nextOffers ? OFFERS_A_ROUND : 0;
         nextOffers = told > 0 ? nextOffers : now + ROUND;
         for (Srv s : servers.values()) {
-            if (told < OFFERS_A_ROUND && agreed.ledger.number(s.id) < 0) {
+            if (told < OFFERS_A_ROUND && stateMachine.ledger.number(s.id) < 0) {
                 told++;
                 append(Ledger.offer(s.id, (long) s.born, offer, now));
             }
         }
-        byte[] grant = proposer.propose(agreed.ledger, now);
+        byte[] grant = proposer.propose(stateMachine.ledger, now);
         if (grant != null) {
             append(grant);
         }
--- a/fleet/src/test/java/tinford/fleet/run/AgreedTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
@@ -13,15 +13,15 @@
 import tinford.fleet.moves.Entry;
 
 /** Leases, budgets and moves in one log. */
-public class AgreedTest {
+public class FleetStateMachineTest {
     private static final Incarnation INCARNATION = new Incarnation(1, 5000);
 
-    private static Agreed agreed() {
-        return new Agreed(
+    private static FleetStateMachine stateMachine() {
+        return new FleetStateMachine(
                 3, 3000, 100, 1000, new Statics(Map.of("s", 8), 0.5, 3), Map.of("f", "m"));
     }
 
-    private static void fill(Agreed to) {
+    private static void fill(FleetStateMachine to) {
         to.apply(3, Leases.renew(INCARNATION, 10_000, 3000));
         to.apply(5, Ledger.offer("s", 0, 8, 10_010));
         to.apply(6, Ledger.tell(INCARNATION, 10_020, 5, Map.of(7L, 2), Map.of()));
@@ -29,9 +29,9 @@
 
     @Test
     public void aSnapshotHoldsAll() {
-        Agreed first = agreed();
+        FleetStateMachine first = stateMachine();
         fill(first);
-        Agreed second = agreed();
+        FleetStateMachine second = stateMachine();
         second.restore(6, first.snapshot());
         assertEquals(second.snapshot(), first.snapshot());
         assertEquals(second.ledger.number("s"), 0);
@@ -44,7 +44,7 @@
 
     @Test
     public void eachPartHasItsOwnEntries() {
-        Agreed all = agreed();
+        FleetStateMachine all = stateMachine();
         fill(all);
         all.apply(
                 7,
--- a/fleet/src/test/java/tinford/fleet/run/MailboxTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MailboxTest.java
@@ -11,16 +11,17 @@
 import org.testng.annotations.Test;
 
 /**
- * What other threads bring is bounded; soft things go when there is no room, hard ones wait for it.
+ * What other threads bring is bounded; lossy entries go when there is no room, lossless ones wait
+ * for it.
  */
 public class MailboxTest {
     private final List<Runnable> entered = new ArrayList<>();
     private final List<String> ran = new ArrayList<>();
 
-    private Mailbox box(int soft, int hard) {
+    private Mailbox box(int lossyCapacity, int losslessCapacity) {
         entered.clear();
         ran.clear();
-        return new Mailbox(soft, hard, entered::add);
+        return new Mailbox(lossyCapacity, losslessCapacity, entered::add);
     }
 
     private void drain() {
@@ -30,17 +31,17 @@
     }
 
     @Test
-    public void theOldestSoftOneGoesAndHardOnesComeFirst() throws Exception {
+    public void theOldestLossyOneGoesAndLosslessOnesComeFirst() throws Exception {
         Mailbox box = box(2, 2);
         for (String s : List.of("a", "b", "c")) {
-            box.soft(() -> ran.add(s));
+            box.offer(() -> ran.add(s));
         }
-        assertTrue(box.hard(() -> ran.add("1")) && box.hard(() -> ran.add("2")));
+        assertTrue(box.put(() -> ran.add("1")) && box.put(() -> ran.add("2")));
         assertEquals(entered.size(), 1, "called once for all");
         drain();
         assertEquals(ran, List.of("1", "2", "b", "c"));
         assertEquals(box.dropped(), 1);
-        box.soft(() -> ran.add("d"));
+        box.offer(() -> ran.add("d"));
         drain();
         assertEquals(ran.get(4), "d");
     }
@@ -50,13 +51,13 @@
      * stands.
      */
     private CompletableFuture<Boolean> oneTooMany(Mailbox box) throws Exception {
-        assertTrue(box.hard(() -> ran.add("1")));
+        assertTrue(box.put(() -> ran.add("1")));
         CompletableFuture<Boolean> taken = new CompletableFuture<>();
         Thread brings =
                 new Thread(
                         () -> {
                             try {
-                                taken.complete(box.hard(() -> ran.add("2")));
+                                taken.complete(box.put(() -> ran.add("2")));
                             } catch (InterruptedException e) {
                                 taken.completeExceptionally(e);
                             }
@@ -74,7 +75,7 @@
     }
 
     @Test
-    public void aHardOneWaitsForRoom() throws Exception {
+    public void aLosslessOneWaitsForRoom() throws Exception {
         Mailbox box = box(1, 1);
         CompletableFuture<Boolean> taken = oneTooMany(box);
         drain();
@@ -89,8 +90,8 @@
         CompletableFuture<Boolean> taken = oneTooMany(box);
         box.close();
         assertFalse(taken.get(20, TimeUnit.SECONDS));
-        box.soft(() -> ran.add("late"));
-        assertFalse(box.hard(() -> ran.add("late")));
+        box.offer(() -> ran.add("late"));
+        assertFalse(box.put(() -> ran.add("late")));
         drain();
         assertEquals(ran, List.of("1"));
     }
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -117,7 +117,7 @@
     private static final class Seat {
         final ArrayDeque<Runnable> posted = new ArrayDeque<>();
         Incarnation incarnation;
-        Agreed agreed;
+        FleetStateMachine stateMachine;
         Mover mover;
         Log log;
         boolean up;
@@ -140,8 +140,8 @@
             }
         }
 
-        private Agreed agreed() {
-            return new Agreed(
+        private FleetStateMachine stateMachine() {
+            return new FleetStateMachine(
                     3, LEASE, APART, LINGER, new Statics(Map.of(), 16, 0.5, 3), orders.homes());
         }
 
@@ -149,35 +149,35 @@
             Seat s = seats.get(g);
             s.posted.clear();
             s.incarnation = new Incarnation(g, (long) now);
-            s.agreed = agreed();
+            s.stateMachine = stateMachine();
             s.renews = 0;
             s.up = true;
-            Agreed kept = agreed();
+            FleetStateMachine snapshotSource = stateMachine();
             s.log =
                     logs.open(
                             g + 1,
                             new Log.Reader() {
                                 @Override
                                 public void apply(long index, byte[] entry) {
-                                    kept.apply(index, entry);
+                                    snapshotSource.apply(index, entry);
                                     s.posted.add(
                                             () -> {
-                                                s.agreed.apply(index, entry);
+                                                s.stateMachine.apply(index, entry);
                                                 s.mover.applied(entry, now);
                                             });
                                 }
 
                                 @Override
                                 public byte[] snapshot() {
-                                    return kept.snapshot();
+                                    return snapshotSource.snapshot();
                                 }
 
                                 @Override
                                 public void restore(long index, byte[] snapshot) {
-                                    kept.restore(index, snapshot);
+                                    snapshotSource.restore(index, snapshot);
                                     s.posted.add(
                                             () -> {
-                                                s.agreed.restore(index, snapshot);
+                                                s.stateMachine.restore(index, snapshot);
                                                 s.mover.applied(null, now);
                                             });
                                 }
@@ -185,7 +185,7 @@
             try {
                 s.mover =
                         new Mover(
-                                s.agreed,
+                                s.stateMachine,
                                 s.incarnation,
                                 orders,
                                 s.log::append,
@@ -262,14 +262,20 @@
                             .filter(
                                     s ->
                                             s.up
-                                                    && s.agreed.leases.of(s.incarnation) != null
-                                                    && s.agreed.leases.of(s.incarnation).holds(now))
+                                                    && s.stateMachine.leases.of(s.incarnation)
+                                                            != null
+                                                    && s.stateMachine
+                                                            .leases
+                                                            .of(s.incarnation)
+                                                            .holds(now))
                             .toList();
             String[] chain = {"web", "mid", "base"};
             for (Seat s : acting) {
                 for (Seat o : acting) {
                     assertTrue(
-                            Math.abs(s.agreed.moves.stand().turn() - o.agreed.moves.stand().turn())
+                            Math.abs(
+                                            s.stateMachine.moves.stand().turn()
+                                                    - o.stateMachine.moves.stand().turn())
                                     <= 1,
                             now + " " + s.incarnation + " " + o.incarnation);
                     for (int f = 0; f < 2; f++) {
@@ -299,22 +305,22 @@
         Moves.State until(Moves.State... ends) {
             for (int i = 0; i < 4000; i++) {
                 step();
-                Moves.State state = seats.get(0).agreed.moves.stand().state();
+                Moves.State state = seats.get(0).stateMachine.moves.stand().state();
                 if (List.of(ends).contains(state)) {
                     return state;
                 }
             }
             throw new AssertionError(
                     "at "
-                            + seats.get(0).agreed.moves.stand().position()
+                            + seats.get(0).stateMachine.moves.stand().position()
                             + ": "
-                            + seats.get(0).agreed.moves.told());
+                            + seats.get(0).stateMachine.moves.told());
         }
 
         /** As whoever is farthest sees it. */
         Stand head() {
             return seats.stream()
-                    .map(s -> s.agreed.moves.stand())
+                    .map(s -> s.stateMachine.moves.stand())
                     .max(java.util.Comparator.comparingLong(Stand::turn))
                     .orElseThrow();
         }
@@ -373,7 +379,7 @@
                 f.logs.heal();
             }
         }
-        assertEquals(f.head().state(), Moves.State.DONE, f.seats.get(0).agreed.moves.told());
+        assertEquals(f.head().state(), Moves.State.DONE, f.seats.get(0).stateMachine.moves.told());
         assertEquals(
                 f.told.stream().filter(t -> t.contains("begun")).count(), 1, f.told.toString());
         assertEquals(
