--- a/fleet/src/main/java/tinford/fleet/members/Members.java
+++ b/fleet/src/main/java/tinford/fleet/members/Members.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.function.ToDoubleFunction;
-import tinford.fleet.talk.Talk;
+import tinford.fleet.transport.Transport;
 
 /**
  * Who lives, and what each saw: records told about by chance. Each round a message goes to a few
@@ -220,7 +220,7 @@
      * Sends once {@code every} ms have gone by since it last did; what was missed is not made up
      * for.
      */
-    public void round(double at, Talk out) {
+    public void round(double at, Transport out) {
         time(at);
         if (at < next || own == null || others.length < 2) {
             return;
@@ -409,8 +409,8 @@
     }
 
     /** The own record, others' by freshness and by turns alternately, and heartbeats. */
-    private void tell(int to, int message, int living, Talk out) {
-        ByteBuffer b = GossipCodec.message(out.most());
+    private void tell(int to, int message, int living, Transport out) {
+        ByteBuffer b = GossipCodec.message(out.maxMessageBytes());
         if (!GossipCodec.addRecord(b, ownRaw, now - ownMade)) {
             return;
         }
--- a/fleet/src/main/java/tinford/fleet/overload/Further.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Further.java
@@ -12,9 +12,9 @@
  * one, further ones draw on it, and what overflows is given to a gateway that saw failures, by a
  * running total in the giver's record. A receiver takes what that total rose by since it last took,
  * so a record that is lost, doubled or old moves nothing twice: all together never send more than
- * the part of first dispatches, whatever each has heard. Without talk each lives on its own even
- * slice. A lying giver makes at most twice a middling gateway's part. Memory: two figures a gateway
- * heard of, {@link #MOST_PEERS} at most.
+ * the part of first dispatches, whatever each has heard. Without messages each lives on its own
+ * even slice. A lying giver makes at most twice a middling gateway's part. Memory: two figures a
+ * gateway heard of, {@link #MOST_PEERS} at most.
  */
 public final class Further {
     private static final int MOST_PEERS = 1024;
--- a/fleet/src/main/java/tinford/fleet/overload/Trial.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Trial.java
@@ -27,10 +27,12 @@
  * limit, line by worth, servers put aside), and what is compared is the view alone.
  */
 public final class Trial {
-    /** Alone: no view. Talk: records of 100 to 500 ms of age, one in ten lost. Cut: none heard. */
+    /**
+     * Alone: no view. Gossip: records of 100 to 500 ms of age, one in ten lost. Cut: none heard.
+     */
     public enum Mode {
         ALONE,
-        TALK,
+        GOSSIP,
         CUT
     }
 
@@ -138,7 +140,7 @@
                             window,
                             0.1,
                             new Random(chance.nextLong()));
-            view = mode == Mode.TALK || mode == Mode.CUT ? overload : new View();
+            view = mode == Mode.GOSSIP || mode == Mode.CUT ? overload : new View();
             for (Server s : servers) nodes.put(s, new Node());
             limit = 5.0 * SERVERS / gateways;
         }
@@ -149,7 +151,7 @@
                 if (seq % 10 == 0) {
                     GossipRecord s = overload.record(seq);
                     heard.put(number, s);
-                    if (mode == Mode.TALK) tell(s);
+                    if (mode == Mode.GOSSIP) tell(s);
                 }
             }
             if (seq % 20 == 0) {
@@ -284,7 +286,7 @@
 
         @Override
         public int living() {
-            return mode == Mode.TALK && now > 500 ? gates.size() : 1;
+            return mode == Mode.GOSSIP && now > 500 ? gates.size() : 1;
         }
 
         @Override
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -11,8 +11,8 @@
 import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Members;
 import tinford.fleet.overload.Overload;
-import tinford.fleet.talk.Talk;
-import tinford.fleet.talk.Udp;
+import tinford.fleet.transport.Transport;
+import tinford.fleet.transport.UdpTransport;
 import tinford.program.Companion;
 import tinford.transport.Loop;
 
@@ -35,7 +35,7 @@
     private History history;
     private Mailbox mailbox;
     private Members members;
-    private Talk talk;
+    private Transport transport;
     private Overload overload;
     private FleetView view;
     private final MoveOrders moves; // null where they are off
@@ -126,8 +126,8 @@
                         this::now,
                         srv -> history.add(now(), "try", "server", srv.id));
         if (handed.mayTalk()) {
-            talk =
-                    new Udp(
+            transport =
+                    new UdpTransport(
                             place.number,
                             handed.listen(),
                             handed.peers(),
@@ -143,7 +143,9 @@
                 Level.INFO,
                 "one of a fleet of "
                         + place.gateways
-                        + (talk == null ? "; the settings allow no talk" : ""));
+                        + (transport == null
+                                ? "; the settings allow no messages between gateways"
+                                : ""));
         return view;
     }
 
@@ -151,8 +153,8 @@
     public void tick() {
         double now = now();
         members.own(overload.record(seq++), now);
-        if (talk != null) {
-            members.round(now, talk);
+        if (transport != null) {
+            members.round(now, transport);
         }
         overload.round(now, members);
         if (replicatedState != null) {
--- a/fleet/src/main/java/tinford/fleet/talk/Memory.java
+++ b/fleet/src/main/java/tinford/fleet/transport/InMemoryTransport.java
@@ -1,4 +1,4 @@
-package tinford.fleet.talk;
+package tinford.fleet.transport;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -12,22 +12,22 @@
  * same run. Holds at most {@code room} messages a receiver, under way and waiting; what is beyond
  * is lost, as with datagrams.
  */
-public final class Memory {
+public final class InMemoryTransport {
     /**
-     * How messages fare on one way, ms and chances.
+     * How messages fare on a link in one direction, ms and chances.
      *
      * @param jitter up to so much is added by chance to the delay, so that messages overtake each
      *     other
      * @param late chance that a message takes {@code lateBy} longer
      */
-    public record Way(
+    public record Link(
             double delay, double jitter, double loss, double twice, double late, double lateBy) {
-        public static Way of(double delay, double jitter) {
-            return new Way(delay, jitter, 0, 0, 0, 0);
+        public static Link of(double delay, double jitter) {
+            return new Link(delay, jitter, 0, 0, 0, 0);
         }
     }
 
-    private Memory() {}
+    private InMemoryTransport() {}
 
     private record Sent(double due, long order, int from, int to, byte[] message)
             implements Comparable<Sent> {
@@ -41,11 +41,11 @@
     /** The network: every gateway's place in it, and what is wrong with it at the moment. */
     public static final class Network {
         private final int gateways;
-        private final int most;
+        private final int maxMessageBytes;
         private final int room;
         private final Random chance;
-        private Way way = Way.of(1, 1);
-        private final List<Way[]> ways = new ArrayList<>();
+        private Link link = Link.of(1, 1);
+        private final List<Link[]> links = new ArrayList<>();
         private final BitSet cut;
         private final End[] ends;
         private final BitSet paused;
@@ -59,9 +59,9 @@
         private long dropped;
         private long thrown;
 
-        public Network(int gateways, int most, int room, long seed) {
+        public Network(int gateways, int maxMessageBytes, int room, long seed) {
             this.gateways = gateways;
-            this.most = most;
+            this.maxMessageBytes = maxMessageBytes;
             this.room = room;
             this.chance = new Random(seed);
             this.cut = new BitSet(gateways * gateways);
@@ -69,7 +69,7 @@
             this.paused = new BitSet(gateways);
             this.held = new int[gateways];
             for (int i = 0; i < gateways; i++) {
-                ways.add(null);
+                links.add(null);
                 waiting.add(new ArrayDeque<>());
             }
         }
@@ -78,28 +78,28 @@
          * A process of that gateway. An earlier process of the same number takes no more, but may
          * send until it is closed; what was under way to or from it still arrives.
          */
-        public Talk at(int gateway, Talk.Taker taker) {
+        public Transport at(int gateway, Transport.Receiver receiver) {
             if (gateway < 0 || gateway >= gateways) {
                 throw new IllegalArgumentException(
                         "gateway " + gateway + ": expected 0 to " + (gateways - 1));
             }
-            ends[gateway] = new End(gateway, taker);
+            ends[gateway] = new End(gateway, receiver);
             return ends[gateway];
         }
 
-        /** All ways that have none of their own. */
-        public void way(Way all) {
-            way = all;
+        /** All links that have none of their own. */
+        public void link(Link all) {
+            link = all;
         }
 
-        public void way(int from, int to, Way one) {
-            if (ways.get(from) == null) {
-                ways.set(from, new Way[gateways]);
+        public void link(int from, int to, Link one) {
+            if (links.get(from) == null) {
+                links.set(from, new Link[gateways]);
             }
-            ways.get(from)[to] = one;
+            links.get(from)[to] = one;
         }
 
-        /** One way only; what is under way still arrives. */
+        /** One direction only; what is under way still arrives. */
         public void cut(int from, int to, boolean on) {
             cut.set(from * gateways + to, on);
         }
@@ -122,7 +122,7 @@
             }
         }
 
-        /** Hands out in order of arrival what is due by then; takers may send meanwhile. */
+        /** Hands out in order of arrival what is due by then; receivers may send meanwhile. */
         public void advance(double to) {
             for (Sent one; (one = under.peek()) != null && one.due <= to; ) {
                 under.poll();
@@ -142,13 +142,13 @@
 
         private void hand(End end, Sent one) {
             try {
-                end.taker.take(one.from, one.message);
+                end.receiver.receive(one.from, one.message);
             } catch (RuntimeException e) {
                 thrown++;
             }
         }
 
-        private void carry(int from, int to, byte[] message, Way w) {
+        private void carry(int from, int to, byte[] message, Link link) {
             if (held[to] >= room) {
                 dropped++;
                 return;
@@ -156,22 +156,25 @@
             held[to]++;
             double due =
                     now
-                            + w.delay
-                            + (w.jitter > 0 ? w.jitter * chance.nextDouble() : 0)
-                            + (w.late > 0 && chance.nextDouble() < w.late ? w.lateBy : 0);
+                            + link.delay
+                            + (link.jitter > 0 ? link.jitter * chance.nextDouble() : 0)
+                            + (link.late > 0 && chance.nextDouble() < link.late ? link.lateBy : 0);
             under.add(new Sent(due, order++, from, to, message.clone()));
         }
 
         private boolean send(int from, int to, byte[] message) {
             sent++;
             bytes += message.length;
-            Way w = ways.get(from) == null || ways.get(from)[to] == null ? way : ways.get(from)[to];
-            if (cut.get(from * gateways + to) || w.loss > 0 && chance.nextDouble() < w.loss) {
+            Link here =
+                    links.get(from) == null || links.get(from)[to] == null
+                            ? link
+                            : links.get(from)[to];
+            if (cut.get(from * gateways + to) || here.loss > 0 && chance.nextDouble() < here.loss) {
                 return true;
             }
-            carry(from, to, message, w);
-            if (w.twice > 0 && chance.nextDouble() < w.twice) {
-                carry(from, to, message, w);
+            carry(from, to, message, here);
+            if (here.twice > 0 && chance.nextDouble() < here.twice) {
+                carry(from, to, message, here);
             }
             return true;
         }
@@ -193,24 +196,24 @@
             return dropped;
         }
 
-        /** How often a taker threw. */
+        /** How often a receiver threw. */
         public long thrown() {
             return thrown;
         }
 
-        private final class End implements Talk {
+        private final class End implements Transport {
             private final int number;
-            private final Taker taker;
+            private final Receiver receiver;
             private boolean closed;
 
-            End(int number, Taker taker) {
+            End(int number, Receiver receiver) {
                 this.number = number;
-                this.taker = taker;
+                this.receiver = receiver;
             }
 
             @Override
-            public int most() {
-                return most;
+            public int maxMessageBytes() {
+                return maxMessageBytes;
             }
 
             @Override
@@ -218,7 +221,7 @@
                 return !closed
                         && to >= 0
                         && to < gateways
-                        && message.length <= most
+                        && message.length <= maxMessageBytes
                         && Network.this.send(number, to, message);
             }
 
--- a/fleet/src/main/java/tinford/fleet/talk/Talk.java
+++ b/fleet/src/main/java/tinford/fleet/transport/Transport.java
@@ -1,18 +1,18 @@
-package tinford.fleet.talk;
+package tinford.fleet.transport;
 
 /**
  * Messages between the gateways of a fleet, by their numbers. Any message may be lost, doubled,
  * late or out of order; none is changed, and none is told as from another than its sender. No call
  * waits, and nothing is kept without bound.
  */
-public interface Talk extends AutoCloseable {
+public interface Transport extends AutoCloseable {
     /** Takes a message; called by one thread at a time, which may be the transport's own. */
-    interface Taker {
-        void take(int from, byte[] message);
+    interface Receiver {
+        void receive(int from, byte[] message);
     }
 
-    /** Bytes of the longest message. */
-    int most();
+    /** The longest message, in bytes. */
+    int maxMessageBytes();
 
     /**
      * Sends now or never.
--- a/fleet/src/main/java/tinford/fleet/talk/Udp.java
+++ b/fleet/src/main/java/tinford/fleet/transport/UdpTransport.java
@@ -1,4 +1,4 @@
-package tinford.fleet.talk;
+package tinford.fleet.transport;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -23,21 +23,23 @@
  * the number that has the address; all else is dropped and counted. Nothing is kept outside the
  * socket's own buffers, which hold {@link #BUFFER} bytes at most (the system may count double).
  */
-public final class Udp implements Talk {
+public final class UdpTransport implements Transport {
     private static final int BUFFER = 256 * 1024;
 
-    /** How long {@link #close} waits for a taker that is at it. */
+    /** How long {@link #close} waits for a receiver that is being called. */
     private static final long CLOSE_MS = 1000;
 
     private final List<InetSocketAddress> peers;
     private final Map<SocketAddress, Integer> numbers = new HashMap<>();
     private final int own;
-    private final int most;
-    private final Taker taker;
+    private final int maxMessageBytes;
+    private final Receiver receiver;
     private final DatagramChannel channel;
     private final Selector selector;
 
-    /** Held while the taker is at it, so that nothing is taken once {@link #close} is through. */
+    /**
+     * Held while the receiver is called, so that nothing is taken once {@link #close} is through.
+     */
     private final ReentrantLock taking = new ReentrantLock();
 
     private final LongAdder strangers = new LongAdder();
@@ -48,13 +50,17 @@
     /**
      * @param peers by number; the own one may be anything, null too
      */
-    public Udp(
-            int own, InetSocketAddress listen, List<InetSocketAddress> peers, int most, Taker taker)
+    public UdpTransport(
+            int own,
+            InetSocketAddress listen,
+            List<InetSocketAddress> peers,
+            int maxMessageBytes,
+            Receiver receiver)
             throws IOException {
         this.own = own;
         this.peers = Collections.unmodifiableList(new ArrayList<>(peers));
-        this.most = most;
-        this.taker = taker;
+        this.maxMessageBytes = maxMessageBytes;
+        this.receiver = receiver;
         for (int i = 0; i < peers.size(); i++) {
             InetSocketAddress one = peers.get(i);
             if (i == own) {
@@ -89,19 +95,23 @@
             throw e;
         }
         channel = opened;
-        Thread thread = new Thread(this::listen, "talk-" + own);
+        Thread thread = new Thread(this::listen, "fleet-transport-" + own);
         thread.setDaemon(true);
         thread.start();
     }
 
     @Override
-    public int most() {
-        return most;
+    public int maxMessageBytes() {
+        return maxMessageBytes;
     }
 
     @Override
     public boolean send(int to, byte[] message) {
-        if (closed || to < 0 || to >= peers.size() || to == own || message.length > most) {
+        if (closed
+                || to < 0
+                || to >= peers.size()
+                || to == own
+                || message.length > maxMessageBytes) {
             return false;
         }
         try {
@@ -114,7 +124,7 @@
     }
 
     private void listen() {
-        ByteBuffer buffer = ByteBuffer.allocate(most + 1);
+        ByteBuffer buffer = ByteBuffer.allocate(maxMessageBytes + 1);
         while (!closed) {
             try {
                 selector.select();
@@ -141,7 +151,7 @@
             strangers.increment();
             return;
         }
-        if (received.remaining() > most) {
+        if (received.remaining() > maxMessageBytes) {
             tooLong.increment();
             return;
         }
@@ -150,7 +160,7 @@
         taking.lock();
         try {
             if (!closed) {
-                taker.take(number, message);
+                receiver.receive(number, message);
             }
         } catch (RuntimeException e) {
             thrown.increment();
@@ -167,14 +177,14 @@
         return tooLong.sum();
     }
 
-    /** How often the taker threw. */
+    /** How often the receiver threw. */
     public long thrown() {
         return thrown.sum();
     }
 
     /**
-     * Returns once no message is taken any more, or after a second where a taker hangs in one that
-     * it has.
+     * Returns once no message is taken any more, or after a second where a receiver hangs in one
+     * that it has.
      */
     @Override
     public void close() {
--- a/fleet/src/test/java/tinford/fleet/members/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/members/Fleet.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import tinford.fleet.talk.Memory;
-import tinford.fleet.talk.Talk;
+import tinford.fleet.transport.InMemoryTransport;
+import tinford.fleet.transport.Transport;
 
 /**
  * A fleet of members in virtual time, for tests: each renews its record and has its round every 100
@@ -15,9 +15,9 @@
 final class Fleet {
     static final double EVERY = 100;
     static final int FANOUT = 2;
-    final Memory.Network net;
+    final InMemoryTransport.Network net;
     final Members[] members;
-    final Talk[] talks;
+    final Transport[] transports;
     final boolean[] stopped;
     final int[] seq;
 
@@ -32,10 +32,10 @@
     final double[] sees;
 
     Fleet(int n, double suspectAfter, double freshFor, long seed) {
-        net = new Memory.Network(n, 256, 200, seed);
+        net = new InMemoryTransport.Network(n, 256, 200, seed);
         net.advance(now);
         members = new Members[n];
-        talks = new Talk[n];
+        transports = new Transport[n];
         stopped = new boolean[n];
         seq = new int[n];
         sees = new double[n];
@@ -63,11 +63,11 @@
         members[i] = m;
         seq[i] = 0;
         stopped[i] = false;
-        talks[i] = net.at(i, (from, message) -> m.heard(message, from, net.now()));
+        transports[i] = net.at(i, (from, message) -> m.heard(message, from, net.now()));
     }
 
     void kill(int i) {
-        talks[i].close();
+        transports[i].close();
         stopped[i] = true;
     }
 
@@ -94,7 +94,7 @@
         }
         s.first = 50 * sees[i];
         members[i].own(s, now);
-        members[i].round(now, talks[i]);
+        members[i].round(now, transports[i]);
     }
 
     void run(double ms) {
--- a/fleet/src/test/java/tinford/fleet/members/MembersTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/MembersTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.talk.Memory;
+import tinford.fleet.transport.InMemoryTransport;
 
 /** Fleets of many sizes in virtual time: who is known to live, how soon, at what cost. */
 public class MembersTest {
@@ -57,7 +57,7 @@
 
     private static void lostAndBack(int n, double suspectAfter, double within) {
         Fleet f = new Fleet(n, suspectAfter, suspectAfter / 2, 5);
-        f.net.way(new Memory.Way(1, 2, 0.01, 0.01, 0.01, 50));
+        f.net.link(new InMemoryTransport.Link(1, 2, 0.01, 0.01, 0.01, 50));
         upTo(f, within);
         double from = f.now;
         long sent = f.net.sent();
@@ -135,7 +135,7 @@
     @Test
     public void lossAndDoublingCostAgeOnly() {
         Fleet f = new Fleet(14, 3000, 3000, 7);
-        f.net.way(new Memory.Way(1, 30, 0.3, 0.3, 0.1, 300));
+        f.net.link(new InMemoryTransport.Link(1, 30, 0.3, 0.3, 0.1, 300));
         upTo(f, 5000);
         for (int i = 0; i < 200; i++) {
             f.round();
@@ -220,7 +220,7 @@
     public void nothingIsFresherThanItIs(long seed) {
         Fleet f = new Fleet(7, 3000, 1500, seed);
         Random r = new Random(seed);
-        f.net.way(new Memory.Way(1, 20, 0.2, 0.2, 0.05, 2000));
+        f.net.link(new InMemoryTransport.Link(1, 20, 0.2, 0.2, 0.05, 2000));
         double[][] since = new double[7][7];
         Incarnation[][] known = new Incarnation[7][7];
         double worst = 0;
--- a/fleet/src/test/java/tinford/fleet/overload/LineTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/LineTest.java
@@ -191,14 +191,14 @@
     }
 
     @Test
-    public void talkPassesMoreWorthAndCutTalkNoLess() {
+    public void gossipPassesMoreWorthAndCutGossipNoLess() {
         Trial.Result alone = new Trial(7, 5, Trial.Mode.ALONE, WINDOW).run(),
-                talk = new Trial(7, 5, Trial.Mode.TALK, WINDOW).run();
+                gossip = new Trial(7, 5, Trial.Mode.GOSSIP, WINDOW).run();
         Trial.Result cut = new Trial(7, 5, Trial.Mode.CUT, WINDOW).run();
-        assertTrue(talk.worth() > alone.worth() + 0.02, talk + " / " + alone);
-        assertTrue(talk.worth() > talk.best() - 0.06, talk.toString());
-        assertTrue(talk.dispatches() <= 1.1, talk.toString());
-        assertTrue(talk.recovery() <= 2 * WINDOW, talk.toString());
+        assertTrue(gossip.worth() > alone.worth() + 0.02, gossip + " / " + alone);
+        assertTrue(gossip.worth() > gossip.best() - 0.06, gossip.toString());
+        assertTrue(gossip.dispatches() <= 1.1, gossip.toString());
+        assertTrue(gossip.recovery() <= 2 * WINDOW, gossip.toString());
         assertTrue(cut.worth() >= alone.worth() - 0.01, cut + " / " + alone);
     }
 }
--- a/fleet/src/test/java/tinford/fleet/talk/BrokenTalksTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/BrokenTransportsTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.talk;
+package tinford.fleet.transport;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -15,7 +15,7 @@
  * The contract catches transports that are broken on purpose, and passes the one that they are made
  * of.
  */
-public class BrokenTalksTest {
+public class BrokenTransportsTest {
     enum Fault {
         NONE,
         ALTERS,
@@ -33,9 +33,9 @@
     }
 
     /** The network in memory with one fault. */
-    private static final class Broken extends MemoryTest {
+    private static final class Broken extends InMemoryTransportTest {
         private final Fault fault;
-        private final Talk.Taker[] first = new Talk.Taker[3];
+        private final Transport.Receiver[] first = new Transport.Receiver[3];
         private final boolean[] dead = new boolean[3];
 
         Broken(Fault fault) {
@@ -50,22 +50,22 @@
         }
 
         @Override
-        Talk open(int gateway, Talk.Taker taker) {
+        Transport open(int gateway, Transport.Receiver receiver) {
             if (fault == Fault.UNBOUNDED && gateway == 0) {
-                net = new Memory.Network(3, MOST, Integer.MAX_VALUE, 7);
+                net = new InMemoryTransport.Network(3, MOST, Integer.MAX_VALUE, 7);
             }
-            first[gateway] = first[gateway] == null ? taker : first[gateway];
-            Talk[] real = new Talk[1];
-            Talk.Taker taken = (from, message) -> take(gateway, taker, from, message);
+            first[gateway] = first[gateway] == null ? receiver : first[gateway];
+            Transport[] real = new Transport[1];
+            Transport.Receiver taken = (from, message) -> take(gateway, receiver, from, message);
             real[0] =
                     fault == Fault.KEEPS_ARRAY
                             ? new Sharing(net, gateway, taken)
                             : net.at(gateway, taken);
-            return new Talk() {
+            return new Transport() {
                 private boolean closed;
 
                 @Override
-                public int most() {
+                public int maxMessageBytes() {
                     return MOST;
                 }
 
@@ -97,7 +97,7 @@
             };
         }
 
-        private void take(int gateway, Talk.Taker taker, int from, byte[] message) {
+        private void take(int gateway, Transport.Receiver receiver, int from, byte[] message) {
             if (dead[gateway]) {
                 return;
             }
@@ -106,7 +106,8 @@
             }
             int told = fault == Fault.WRONG_SENDER && message.length > 100 ? (from + 1) % 3 : from;
             try {
-                (fault == Fault.OLD_PROCESS_TAKES ? first[gateway] : taker).take(told, message);
+                (fault == Fault.OLD_PROCESS_TAKES ? first[gateway] : receiver)
+                        .receive(told, message);
             } catch (IllegalStateException e) {
                 dead[gateway] = fault == Fault.DIES_OF_TAKER;
             }
@@ -118,16 +119,16 @@
     }
 
     /** Hands on the sender's own array, at the next {@code advance}. */
-    private static final class Sharing implements Talk {
+    private static final class Sharing implements Transport {
         private static byte[] last;
-        private final Talk real;
+        private final Transport real;
 
-        Sharing(Memory.Network net, int gateway, Taker taker) {
+        Sharing(InMemoryTransport.Network net, int gateway, Receiver receiver) {
             real =
                     net.at(
                             gateway,
                             (from, message) ->
-                                    taker.take(
+                                    receiver.receive(
                                             from,
                                             last != null && last.length == message.length
                                                     ? last
@@ -135,8 +136,8 @@
         }
 
         @Override
-        public int most() {
-            return TalkContract.MOST;
+        public int maxMessageBytes() {
+            return TransportContract.MOST;
         }
 
         @Override
@@ -153,7 +154,7 @@
 
     private static Set<String> failing(Fault fault) throws IllegalAccessException {
         Set<String> failing = new TreeSet<>();
-        for (Method one : TalkContract.class.getDeclaredMethods()) {
+        for (Method one : TransportContract.class.getDeclaredMethods()) {
             if (one.isAnnotationPresent(Test.class)) {
                 Broken broken = new Broken(fault);
                 try {
--- a/fleet/src/test/java/tinford/fleet/talk/MemoryTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/InMemoryTransportTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.talk;
+package tinford.fleet.transport;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -12,18 +12,18 @@
 
 /** The network in memory keeps the contract, and does what it says on each way. */
 @Test
-public class MemoryTest extends TalkContract {
-    Memory.Network net;
+public class InMemoryTransportTest extends TransportContract {
+    InMemoryTransport.Network net;
 
     @Override
     void begin() {
-        net = new Memory.Network(3, MOST, 500, 7);
+        net = new InMemoryTransport.Network(3, MOST, 500, 7);
         super.begin();
     }
 
     @Override
-    Talk open(int gateway, Talk.Taker taker) {
-        return net.at(gateway, taker);
+    Transport open(int gateway, Transport.Receiver receiver) {
+        return net.at(gateway, receiver);
     }
 
     @Override
@@ -36,7 +36,7 @@
 
     @Override
     void disturb() {
-        net.way(new Memory.Way(5, 50, 0.3, 0.3, 0.2, 500));
+        net.link(new InMemoryTransport.Link(5, 50, 0.3, 0.3, 0.2, 500));
     }
 
     @Override
@@ -55,12 +55,12 @@
     }
 
     public void waysAreAsSet() {
-        Memory.Network n = new Memory.Network(3, 10, 1000, 1);
+        InMemoryTransport.Network n = new InMemoryTransport.Network(3, 10, 1000, 1);
         List<Integer> to1 = new ArrayList<>();
         List<Integer> to0 = new ArrayList<>();
-        Talk a = n.at(0, (from, m) -> to0.add((int) m[0]));
-        Talk b = n.at(1, (from, m) -> to1.add((int) m[0]));
-        n.way(0, 1, Memory.Way.of(100, 0));
+        Transport a = n.at(0, (from, m) -> to0.add((int) m[0]));
+        Transport b = n.at(1, (from, m) -> to1.add((int) m[0]));
+        n.link(0, 1, InMemoryTransport.Link.of(100, 0));
         n.cut(1, 0, true);
         b.send(0, new byte[] {1});
         a.send(1, new byte[] {2});
@@ -70,7 +70,7 @@
         assertEquals(to1, List.of(2));
         assertTrue(to0.isEmpty(), "came through a cut");
         n.cut(1, 0, false);
-        n.way(1, 0, new Memory.Way(1, 100, 0.5, 0.5, 0, 0));
+        n.link(1, 0, new InMemoryTransport.Link(1, 100, 0.5, 0.5, 0, 0));
         for (int i = 0; i < 100; i++) {
             b.send(0, new byte[] {(byte) i});
         }
--- a/fleet/src/test/java/tinford/fleet/talk/TalkContract.java
+++ b/fleet/src/test/java/tinford/fleet/transport/TransportContract.java
@@ -1,4 +1,4 @@
-package tinford.fleet.talk;
+package tinford.fleet.transport;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -15,10 +15,10 @@
 import org.testng.annotations.Test;
 
 /**
- * What every transport must keep, among gateways 0 to 2 that are open as {@link #talks} from the
- * start of each case.
+ * What every transport must keep, among gateways 0 to 2 that are open as {@link #transports} from
+ * the start of each case.
  */
-public abstract class TalkContract {
+public abstract class TransportContract {
     static final int MOST = 256;
 
     /** More than this may not be kept for a receiver that stalls. */
@@ -29,10 +29,10 @@
 
     record Got(int from, byte[] message) {}
 
-    List<Talk> talks = new ArrayList<>();
+    List<Transport> transports = new ArrayList<>();
     final List<List<Got>> got = new ArrayList<>();
 
-    abstract Talk open(int gateway, Talk.Taker taker);
+    abstract Transport open(int gateway, Transport.Receiver receiver);
 
     /** Lets the transport act until it is so, or fails after a while. */
     abstract void until(BooleanSupplier so);
@@ -55,14 +55,14 @@
         for (int i = 0; i < 3; i++) {
             List<Got> list = Collections.synchronizedList(new ArrayList<>());
             got.add(list);
-            talks.add(open(i, (from, message) -> list.add(new Got(from, message))));
+            transports.add(open(i, (from, message) -> list.add(new Got(from, message))));
         }
     }
 
     @AfterMethod(alwaysRun = true)
     void end() {
-        talks.forEach(Talk::close);
-        talks.clear();
+        transports.forEach(Transport::close);
+        transports.clear();
     }
 
     static byte[] marked(int from, int number, int length) {
@@ -76,7 +76,7 @@
     private void comes(int from, int to, byte[] message) {
         until(
                 () -> {
-                    talks.get(from).send(to, message);
+                    transports.get(from).send(to, message);
                     return List.copyOf(got.get(to)).stream()
                             .anyMatch(g -> g.from == from && Arrays.equals(g.message, message));
                 });
@@ -96,8 +96,8 @@
         begin();
         disturb();
         for (int i = 0; i < 200; i++) {
-            talks.get(0).send(2, marked(0, i, 8 + i));
-            talks.get(1).send(2, marked(1, i, MOST - i));
+            transports.get(0).send(2, marked(0, i, 8 + i));
+            transports.get(1).send(2, marked(1, i, MOST - i));
         }
         comes(0, 2, marked(0, 1000, 40));
         comes(1, 2, marked(1, 1000, 40));
@@ -107,9 +107,9 @@
     @Test
     public void tooLong() {
         begin();
-        assertEquals(talks.get(0).most(), MOST);
-        assertFalse(talks.get(0).send(1, marked(0, 1, MOST + 1)));
-        assertFalse(talks.get(0).send(1, marked(0, 2, 70_000)));
+        assertEquals(transports.get(0).maxMessageBytes(), MOST);
+        assertFalse(transports.get(0).send(1, marked(0, 1, MOST + 1)));
+        assertFalse(transports.get(0).send(1, marked(0, 2, 70_000)));
         comes(0, 1, marked(0, 3, MOST));
         assertTrue(
                 got.get(1).stream().allMatch(g -> Arrays.equals(g.message, marked(0, 3, MOST))),
@@ -120,10 +120,10 @@
     public void toNobody() {
         begin();
         for (int to : new int[] {-1, 3, 1000, Integer.MAX_VALUE, Integer.MIN_VALUE}) {
-            assertFalse(talks.get(0).send(to, marked(0, 1, 20)), "to " + to);
+            assertFalse(transports.get(0).send(to, marked(0, 1, 20)), "to " + to);
         }
-        talks.get(1).close();
-        talks.get(0).send(1, marked(0, 2, 20));
+        transports.get(1).close();
+        transports.get(0).send(1, marked(0, 2, 20));
         comes(0, 2, marked(0, 3, 20));
         assertTrue(got.get(1).isEmpty());
     }
@@ -140,12 +140,12 @@
     public void restartedUnderItsNumber() {
         begin();
         comes(0, 1, marked(0, 1, 20));
-        talks.get(1).close();
-        talks.get(0).send(1, marked(0, 2, 20));
+        transports.get(1).close();
+        transports.get(0).send(1, marked(0, 2, 20));
         int before = got.get(1).size();
         List<Got> later = Collections.synchronizedList(new ArrayList<>());
-        talks.set(1, open(1, (from, message) -> later.add(new Got(from, message))));
-        until(() -> talks.get(0).send(1, marked(0, 3, 20)) && !later.isEmpty());
+        transports.set(1, open(1, (from, message) -> later.add(new Got(from, message))));
+        until(() -> transports.get(0).send(1, marked(0, 3, 20)) && !later.isEmpty());
         comes(1, 0, marked(1, 4, 20));
         assertEquals(got.get(1).size(), before, "taken by the process that was closed");
         allGenuine(0);
@@ -156,13 +156,13 @@
         begin();
         comes(0, 1, marked(0, 1, 20));
         for (int i = 0; i < 50; i++) {
-            talks.get(0).send(1, marked(0, 2, 20));
+            transports.get(0).send(1, marked(0, 2, 20));
         }
-        talks.get(1).close();
+        transports.get(1).close();
         int before = got.get(1).size();
-        talks.get(1).close();
-        assertFalse(talks.get(1).send(2, marked(1, 3, 20)));
-        talks.get(0).send(1, marked(0, 4, 20));
+        transports.get(1).close();
+        assertFalse(transports.get(1).send(2, marked(1, 3, 20)));
+        transports.get(0).send(1, marked(0, 4, 20));
         comes(0, 2, marked(0, 5, 20));
         assertEquals(got.get(1).size(), before, "taken after it was closed");
         assertTrue(got.get(2).stream().allMatch(g -> g.from == 0), "sent after it was closed");
@@ -175,7 +175,7 @@
         stall(1);
         long from = System.nanoTime();
         for (int i = 0; i < FLOOD; i++) {
-            talks.get(0).send(1, marked(0, 1, MOST));
+            transports.get(0).send(1, marked(0, 1, MOST));
             assertTrue(
                     System.nanoTime() - from < FLOOD_MS * 1e6, "sends wait for the receiver: " + i);
         }
@@ -188,15 +188,15 @@
     @Test
     public void takerThrows() {
         begin();
-        talks.get(1).close();
+        transports.get(1).close();
         List<Got> list = got.get(1);
-        talks.set(
+        transports.set(
                 1,
                 open(
                         1,
                         (from, message) -> {
                             list.add(new Got(from, message));
-                            throw new IllegalStateException("a taker's fault");
+                            throw new IllegalStateException("a receiver's fault");
                         }));
         comes(0, 1, marked(0, 1, 20));
         comes(0, 1, marked(0, 2, 20));
--- a/fleet/src/test/java/tinford/fleet/talk/UdpTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/UdpTransportTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.talk;
+package tinford.fleet.transport;
 
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
@@ -17,7 +17,7 @@
 
 /** Datagrams over loopback keep the contract. */
 @Test
-public class UdpTest extends TalkContract {
+public class UdpTransportTest extends TransportContract {
     private final List<InetSocketAddress> peers = new ArrayList<>();
     private final boolean[] stalled = new boolean[3];
     private final Object gate = new Object();
@@ -42,9 +42,9 @@
     }
 
     @Override
-    Talk open(int gateway, Talk.Taker taker) {
+    Transport open(int gateway, Transport.Receiver receiver) {
         try {
-            return new Udp(
+            return new UdpTransport(
                     gateway,
                     peers.get(gateway),
                     peers,
@@ -55,7 +55,7 @@
                                 hang();
                             }
                         }
-                        taker.take(from, message);
+                        receiver.receive(from, message);
                     });
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -107,17 +107,17 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        until(() -> ((Udp) talks.get(to)).strangers() == 1);
+        until(() -> ((UdpTransport) transports.get(to)).strangers() == 1);
     }
 
     /** One longer than agreed, from a peer's own address. */
     public void longerOneIsDropped() throws IOException {
         begin();
-        talks.get(0).close();
+        transports.get(0).close();
         try (DatagramSocket s = at(peers.get(0).getPort())) {
             s.send(new DatagramPacket(marked(0, 1, 300), 300, peers.get(1)));
         }
-        until(() -> ((Udp) talks.get(1)).tooLong() == 1);
+        until(() -> ((UdpTransport) transports.get(1)).tooLong() == 1);
         assertTrue(got.get(1).isEmpty());
     }
 
@@ -125,6 +125,6 @@
         InetSocketAddress one = new InetSocketAddress("127.0.0.1", 9);
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Udp(0, one, List.of(one, one, one), MOST, (f, m) -> {}));
+                () -> new UdpTransport(0, one, List.of(one, one, one), MOST, (f, m) -> {}));
     }
 }
