--- a/fleet/src/main/java/tinford/fleet/moves/Explore.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Explore.java
@@ -21,9 +21,9 @@
 public final class Explore {
     /** What is explored: how many faults, and what is broken on purpose, if anything. */
     static final class Case {
-        Due due = new Due();
-        BiFunction<Incarnation, Stand, Route> route =
-                (incarnation, stand) -> new Route(incarnation, stand, 1);
+        TransitionRules rules = new TransitionRules();
+        BiFunction<Incarnation, MoveStatus, Route> route =
+                (incarnation, status) -> new Route(incarnation, status, 1);
         double apart = 1;
         double apartCounted = 1;
         boolean countsFromAnswer;
@@ -50,19 +50,19 @@
     private static final double GONE = -1e9;
     private static final Map<String, String> HOMES = Map.of("needed", "a", "needing", "a");
 
-    /** Something in the log that a gateway sees when it comes to it: a stand, or its own grant. */
-    private record Seen(Stand stand, double until) {}
+    /** Something in the log that a gateway sees when it comes to it: a status, or its own grant. */
+    private record Seen(MoveStatus status, double until) {}
 
     private record Old(Incarnation incarnation, double until) {}
 
     /** One world. Copied for each thing that may happen next. */
-    private final class World implements Members {
+    private final class World implements LeaseHolders {
         double now = 10;
         Moves head;
         final boolean[] up = new boolean[c.gateways];
         final boolean[] cut = new boolean[c.gateways]; // what it asks for doesn't get to the log
         final int[] start = new int[c.gateways];
-        final Stand[] view = new Stand[c.gateways];
+        final MoveStatus[] view = new MoveStatus[c.gateways];
         final double[] seen = new double[c.gateways];
         final double[] granted = new double[c.gateways];
         final double[] flight = new double[c.gateways];
@@ -76,11 +76,11 @@
                 wait; // the longest that may be due at this position: acks that are older are alike
 
         World() {
-            head = new Moves(HOMES, this, c.apart, c.due);
+            head = new Moves(HOMES, this, c.apart, c.rules);
             head.apply(1, Entry.begin("o", now, plan()).bytes());
             for (int g = 0; g < c.gateways; g++) {
                 up[g] = true;
-                view[g] = head.stand();
+                view[g] = head.status();
                 seen[g] = granted[g] = own(g) + LENGTH;
                 flight[g] = GONE;
                 queue.add(new ArrayList<>());
@@ -176,7 +176,7 @@
          * later it would only be shorter.
          */
         void renew(int g) {
-            if (queue.get(g).stream().allMatch(q -> q.stand != null)) {
+            if (queue.get(g).stream().allMatch(q -> q.status != null)) {
                 granted[g] = own(g) + LENGTH;
                 if (queue.get(g).isEmpty() && !c.countsFromAnswer) {
                     seen[g] = granted[g];
@@ -191,10 +191,10 @@
          * position.
          */
         void entry(Entry e) {
-            Stand was = head.stand();
+            MoveStatus was = head.status();
             long halts = head.halts();
             head.apply(1, e.bytes());
-            Stand is = head.stand();
+            MoveStatus is = head.status();
             if (is.turn() != was.turn() || is.position() != was.position()) {
                 int by = is.position() - was.position();
                 if (Math.abs(by) != 1) {
@@ -220,16 +220,16 @@
                 List<Seen> q = queue.get(g);
                 boolean acts = own(g) < seen[g];
                 for (int i = q.size() - 2; i >= 0 && !acts; i--) {
-                    if (q.get(i).stand != null && q.get(i + 1).stand != null) {
+                    if (q.get(i).status != null && q.get(i + 1).status != null) {
                         q.remove(i); // it acts on neither: it may as well come to the later one at
                         // once
                     }
                 }
-                if (q.size() == 1 && q.get(0).stand != null && !acts && !up[g]) {
+                if (q.size() == 1 && q.get(0).status != null && !acts && !up[g]) {
                     q.clear(); // a restart begins its own queue
                 }
-                if (flight[g] != GONE && view[g].turn() != head.stand().turn()) {
-                    flight[g] = c.due.counts(1, 0) ? flight[g] : GONE;
+                if (flight[g] != GONE && view[g].turn() != head.status().turn()) {
+                    flight[g] = c.rules.counts(1, 0) ? flight[g] : GONE;
                 }
                 old.get(g).removeIf(o -> now - WINDOW >= o.until + c.apart);
             }
@@ -275,15 +275,15 @@
 
         private String form(int... order) {
             StringBuilder s = new StringBuilder(64);
-            Stand is = head.stand();
+            MoveStatus is = head.status();
             s.append((char) ('A' + is.state().ordinal()))
                     .append(is.back() ? '-' : '+')
                     .append((char) is.position())
                     .append((char) (1 + head.before()))
                     .append((char) head.halts())
                     .append((char) kills);
-            wait = c.due.waits(is.plan(), is.position(), true);
-            wait = Math.max(wait, is.back() ? 0 : c.due.waits(is.plan(), is.position(), false));
+            wait = c.rules.waits(is.plan(), is.position(), true);
+            wait = Math.max(wait, is.back() ? 0 : c.rules.waits(is.plan(), is.position(), false));
             s.append((char) (1 + key)).append((char) (key < 0 ? 0 : now - ran));
             for (int g : order) {
                 s.append(!up[g] ? 'd' : cut[g] ? 'c' : 'u')
@@ -294,10 +294,10 @@
                 time(s, flight[g] == GONE ? -9 : flight[g] - now, -5, 0);
                 ack(s, incarnation(g));
                 for (Seen q : queue.get(g)) {
-                    if (q.stand == null) {
+                    if (q.status == null) {
                         time(s.append('g'), q.until - own(g), 0, 9);
                     } else {
-                        s.append('p').append((char) q.stand.position());
+                        s.append('p').append((char) q.status.position());
                     }
                 }
                 for (Old o : old.get(g)) {
@@ -417,7 +417,7 @@
             }
             faults(w, g);
         }
-        Stand s = w.head.stand();
+        MoveStatus s = w.head.status();
         for (int to = s.position() - 2; to <= s.position() + 2; to++) {
             offer(w, Entry.go(w.now, s.turn(), to, 2), "a leader: to step " + to, true);
         }
@@ -446,8 +446,8 @@
     private void offer(World w, Entry e, String step, boolean good) {
         World n = new World(w);
         n.entry(e);
-        Stand a = w.head.stand();
-        Stand b = n.head.stand();
+        MoveStatus a = w.head.status();
+        MoveStatus b = n.head.status();
         if (a.state() != b.state()
                 || a.turn() != b.turn()
                 || a.position() != b.position()
@@ -462,11 +462,11 @@
             List<Seen> q = n.queue.get(g);
             int first = 0;
             for (int i = 0; c.grantFirst && i < q.size(); i++) {
-                first = q.get(i).stand == null ? i : first;
+                first = q.get(i).status == null ? i : first;
             }
             Seen s = q.remove(first);
-            if (s.stand != null) {
-                n.view[g] = s.stand;
+            if (s.status != null) {
+                n.view[g] = s.status;
                 n.flight[g] = GONE;
             } else {
                 n.seen[g] = c.countsFromAnswer ? n.own(g) + LENGTH : s.until;
@@ -475,8 +475,8 @@
                     n,
                     "gateway "
                             + g
-                            + (s.stand != null
-                                    ? " sees step " + s.stand.position()
+                            + (s.status != null
+                                    ? " sees step " + s.status.position()
                                     : " sees its lease"),
                     true);
         }
@@ -561,9 +561,9 @@
             n.start[g]++;
             n.granted[g] = GONE;
             n.seen[g] = GONE;
-            n.view[g] = disk == 1 ? n.view[g] : new Moves(HOMES, n, c.apart, c.due).stand();
+            n.view[g] = disk == 1 ? n.view[g] : new Moves(HOMES, n, c.apart, c.rules).status();
             n.queue.get(g).clear();
-            n.queue.get(g).add(new Seen(n.head.stand(), 0));
+            n.queue.get(g).add(new Seen(n.head.status(), 0));
             next(
                     n,
                     "gateway " + g + " restarts with" + (disk == 1 ? "" : "out") + " its disk",
--- a/fleet/src/main/java/tinford/fleet/moves/Stand.java
+++ b/fleet/src/main/java/tinford/fleet/moves/MoveStatus.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * How the moves stand after some entry.
+ * The status of the moves after some entry.
  *
  * @param turn rises with each change of position, over all plans
  * @param homes where each frontend that may move lives when no plan is about it
  */
-public record Stand(
+public record MoveStatus(
         Moves.State state,
         boolean back,
         long turn,
--- a/fleet/src/main/java/tinford/fleet/moves/Moves.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Moves.java
@@ -28,8 +28,8 @@
     }
 
     private static final int MOST_INCARNATIONS = 4096;
-    private final Due due;
-    private final Members members;
+    private final TransitionRules rules;
+    private final LeaseHolders leaseHolders;
     private final double apart;
     private final TreeMap<String, String> homes;
     private TreeMap<Incarnation, Double> acks = new TreeMap<>();
@@ -50,19 +50,23 @@
     /**
      * @param apart by how many ms clocks differ at most
      */
-    public Moves(Map<String, String> homes, Members members, double apart) {
-        this(homes, members, apart, new Due());
+    public Moves(Map<String, String> homes, LeaseHolders leaseHolders, double apart) {
+        this(homes, leaseHolders, apart, new TransitionRules());
     }
 
-    Moves(Map<String, String> homes, Members members, double apart, Due due) {
+    Moves(
+            Map<String, String> homes,
+            LeaseHolders leaseHolders,
+            double apart,
+            TransitionRules rules) {
         this.homes = new TreeMap<>(homes);
-        this.members = members;
+        this.leaseHolders = leaseHolders;
         this.apart = apart;
-        this.due = due;
+        this.rules = rules;
     }
 
-    Moves copy(Members others) {
-        Moves m = new Moves(homes, others, apart, due);
+    Moves copy(LeaseHolders others) {
+        Moves m = new Moves(homes, others, apart, rules);
         m.acks = new TreeMap<>(acks);
         m.reports = new TreeMap<>(reports);
         m.state = state;
@@ -79,8 +83,8 @@
         return m;
     }
 
-    public Stand stand() {
-        return new Stand(state, back, turn, position, plan, homes);
+    public MoveStatus status() {
+        return new MoveStatus(state, back, turn, position, plan, homes);
     }
 
     /** Which halt is the present one; an operator's resume names it. */
@@ -187,7 +191,7 @@
     }
 
     private String ack(Entry e) {
-        if (plan == null || !due.counts(turn, e.turn())) {
+        if (plan == null || !rules.counts(turn, e.turn())) {
             return "refused, not of this turn";
         }
         if (acks.size() < MOST_INCARNATIONS) {
@@ -199,14 +203,14 @@
     }
 
     private String go(Entry e) {
-        if (!moving() || e.turn() != turn || !due.next(position, e.to(), back)) {
+        if (!moving() || e.turn() != turn || !rules.next(position, e.to(), back)) {
             return "refused, not the next one";
         }
         boolean over = e.to() < 0 || e.to() >= plan.steps.size();
-        boolean returns = due.returns(before, position, e.to());
+        boolean returns = rules.returns(before, position, e.to());
         if (!returns) {
-            double since = logNow - due.waits(plan, position, back);
-            if (!due.acked(members, acks, since)) {
+            double since = logNow - rules.waits(plan, position, back);
+            if (!rules.acked(leaseHolders, acks, since)) {
                 return "refused, not all have acknowledged, or not long enough ago";
             }
             if (!back
@@ -216,7 +220,7 @@
                 return "refused, it soaks";
             }
         }
-        if (!back && !over && !due.fits(plan, plan.steps.get(e.to()), e.warm())) {
+        if (!back && !over && !rules.fits(plan, plan.steps.get(e.to()), e.warm())) {
             return "refused, too little of the group is warm";
         }
         if (over) {
@@ -271,11 +275,11 @@
     }
 
     private String resume(Entry e) {
-        if (!due.lifts(state == State.HALTED, halts, e.turn())) {
+        if (!rules.lifts(state == State.HALTED, halts, e.turn())) {
             return "refused, no such halt";
         }
         state = back ? State.BACK : State.FORWARD;
-        position = due.resumed(position);
+        position = rules.resumed(position);
         return "resumed";
     }
 
--- a/fleet/src/main/java/tinford/fleet/moves/Route.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Route.java
@@ -7,14 +7,14 @@
 
 /**
  * Where the reqs of frontends that may move go through one gateway, and what it tells the others.
- * Called on the I/O thread only; a stand and a lease come from entries that were applied in order,
- * so a lease is never acted on with an older stand than it was granted after.
+ * Called on the I/O thread only; a status and a lease come from entries that were applied in order,
+ * so a lease is never acted on with an older status than it was granted after.
  */
 public class Route {
     private final Incarnation self;
     private final double every;
     private final Map<String, Integer> salts = new HashMap<>();
-    private Stand stand;
+    private MoveStatus status;
     private Lease lease;
     private boolean acked;
     private double ackOffered = Double.NEGATIVE_INFINITY;
@@ -26,7 +26,7 @@
      * @param every ms after which an ack that was not seen in the log is offered again, and between
      *     reports
      */
-    public Route(Incarnation self, Stand first, double every) {
+    public Route(Incarnation self, MoveStatus first, double every) {
         this.self = self;
         this.every = every;
         first.homes().keySet().forEach(name -> salts.put(name, name.hashCode()));
@@ -34,17 +34,17 @@
     }
 
     /**
-     * After each applied entry: how the moves stand, the own lease if any, and whether the log has
-     * this incarnation's ack of this turn.
+     * After each applied entry: the status of the moves, the own lease if any, and whether the log
+     * has this incarnation's ack of this turn.
      */
-    public void see(Stand now, Lease own, boolean acked) {
-        if (stand == null || stand.turn() != now.turn()) {
+    public void see(MoveStatus now, Lease own, boolean acked) {
+        if (status == null || status.turn() != now.turn()) {
             counts = new long[now.plan() == null ? 0 : 4 * now.plan().frontends.size()];
             news = false;
             ackOffered = Double.NEGATIVE_INFINITY;
             reported = Double.NEGATIVE_INFINITY;
         }
-        this.stand = now;
+        this.status = now;
         this.lease = own;
         this.acked = acked;
     }
@@ -66,15 +66,15 @@
         if (!mayAct(now)) {
             return false;
         }
-        int at = stand.plan() == null ? -1 : stand.plan().index(frontend);
+        int at = status.plan() == null ? -1 : status.plan().index(frontend);
         if (at < 0) {
-            return group.equals(stand.homes().get(frontend));
+            return group.equals(status.homes().get(frontend));
         }
-        Plan.Mover mover = stand.plan().frontends.get(at);
+        Plan.Mover mover = status.plan().frontends.get(at);
         if (mover.uniqued() && first != null) {
             return group.equals(first);
         }
-        Step.Part part = stand.step().parts().get(at);
+        Step.Part part = status.step().parts().get(at);
         return group.equals(goes(mover, part, part(customer, salt), retry));
     }
 
@@ -107,11 +107,11 @@
 
     /** An answer of a server of that group came, or failed to; late ones count as bad. */
     public void ended(String frontend, String group, boolean good) {
-        int at = stand.plan() == null ? -1 : stand.plan().index(frontend);
+        int at = status.plan() == null ? -1 : status.plan().index(frontend);
         if (at < 0) {
             return;
         }
-        Plan.Mover mover = stand.plan().frontends.get(at);
+        Plan.Mover mover = status.plan().frontends.get(at);
         int side = group.equals(mover.to()) ? 2 : group.equals(mover.from()) ? 0 : -1;
         if (side >= 0) {
             counts[4 * at + side]++;
@@ -125,7 +125,7 @@
      * what it counted.
      */
     public Entry tells(double now) {
-        if (!mayAct(now) || stand.plan() == null) {
+        if (!mayAct(now) || status.plan() == null) {
             return null;
         }
         if (!acked) {
@@ -133,13 +133,13 @@
                 return null;
             }
             ackOffered = now;
-            return Entry.ack(self, stand.turn(), now);
+            return Entry.ack(self, status.turn(), now);
         }
-        if (!news || now - reported < every || stand.state() != Moves.State.FORWARD) {
+        if (!news || now - reported < every || status.state() != Moves.State.FORWARD) {
             return null;
         }
         reported = now;
         news = false;
-        return Entry.report(self, stand.turn(), now, counts.clone());
+        return Entry.report(self, status.turn(), now, counts.clone());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/moves/Due.java
+++ b/fleet/src/main/java/tinford/fleet/moves/TransitionRules.java
@@ -8,7 +8,7 @@
  * The rules about when a change of position is due. {@link Moves} asks them in one place; tests
  * replace one at a time by a broken one.
  */
-class Due {
+class TransitionRules {
     /** One step at a time, in the direction that the moves have. */
     boolean next(int from, int to, boolean back) {
         return to == (back ? from - 1 : from + 1);
@@ -31,8 +31,8 @@
      * Whether all who may have acted since that time had said by then that they act on the present
      * position.
      */
-    boolean acked(Members members, Map<Incarnation, Double> acks, double since) {
-        Collection<Incarnation> incarnations = members.mayHaveActed(since);
+    boolean acked(LeaseHolders leaseHolders, Map<Incarnation, Double> acks, double since) {
+        Collection<Incarnation> incarnations = leaseHolders.mayHaveActed(since);
         for (Incarnation incarnation : incarnations) {
             Double at = acks.get(incarnation);
             if (at == null || at > since) {
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -27,8 +27,8 @@
     private static final int MOST_BYTES = 256;
     private static final int LOSSY_CAPACITY = 128;
     private static final int LOSSLESS_CAPACITY = 1024;
-    private final Orders orders;
-    private final Handed handed;
+    private final OperatorFile operatorFile;
+    private final GatewaySettings gatewaySettings;
     private final String historyPath;
     private final double offset;
     private Incarnation incarnation;
@@ -38,7 +38,7 @@
     private Transport transport;
     private Overload overload;
     private FleetView view;
-    private final MoveOrders moves; // null where they are off
+    private final MoveSettings moves; // null where they are off
     private Mover mover;
     private ReplicatedState replicatedState; // null where nothing needs agreement
     private boolean led;
@@ -49,10 +49,14 @@
     private int living = -1;
     private boolean strained;
 
-    Fleet(Orders orders, MoveOrders moves, Handed handed, String historyPath) {
+    Fleet(
+            OperatorFile operatorFile,
+            MoveSettings moves,
+            GatewaySettings gatewaySettings,
+            String historyPath) {
         this.moves = moves;
-        this.orders = orders;
-        this.handed = handed;
+        this.operatorFile = operatorFile;
+        this.gatewaySettings = gatewaySettings;
         this.historyPath = historyPath;
         this.offset =
                 Double.parseDouble(
@@ -72,31 +76,31 @@
         double now = now();
         incarnation = new Incarnation(place.number, (long) now);
         mailbox = new Mailbox(LOSSY_CAPACITY, LOSSLESS_CAPACITY, what -> enter.accept(what::run));
-        double every = orders.number("talk.every_ms");
-        double suspect = orders.number("talk.suspect_ms");
+        double every = operatorFile.number("talk.every_ms");
+        double suspect = operatorFile.number("talk.suspect_ms");
         members =
                 new Members(
                         incarnation,
                         place.gateways,
                         every,
-                        (int) orders.number("talk.fanout"),
+                        (int) operatorFile.number("talk.fanout"),
                         suspect,
                         suspect,
-                        new Random(handed.seed()));
+                        new Random(gatewaySettings.seed()));
         overload =
                 new Overload(
                         now,
                         incarnation,
-                        orders.number("overload.window_ms"),
-                        orders.number("overload.further_part"),
-                        new Random(handed.seed() + 1));
-        if (orders.on("budgets.on") || orders.on("moves.on")) {
+                        operatorFile.number("overload.window_ms"),
+                        operatorFile.number("overload.further_part"),
+                        new Random(gatewaySettings.seed() + 1));
+        if (operatorFile.on("budgets.on") || operatorFile.on("moves.on")) {
             replicatedState =
                     new ReplicatedState(
-                            orders,
+                            operatorFile,
                             incarnation,
                             place.gateways,
-                            ReplicatedState.statics(orders, place.gateways),
+                            ReplicatedState.statics(operatorFile, place.gateways),
                             moves == null ? Map.of() : moves.homes(),
                             mailbox);
         }
@@ -111,26 +115,26 @@
                             replicatedState::left,
                             history);
             replicatedState.applied = entry -> mover.applied(entry, now());
-            new OrderFile(
-                            Path.of(orders.text("log.folder")),
+            new MoveCommandFile(
+                            Path.of(operatorFile.text("log.folder")),
                             mailbox,
-                            (line, then) -> mover.order(line, now(), then))
+                            (line, then) -> mover.command(line, now(), then))
                     .start();
         }
         view =
                 new FleetView(
-                        orders.on("overload.on") ? overload : null,
-                        orders.on("budgets.on") ? replicatedState : null,
+                        operatorFile.on("overload.on") ? overload : null,
+                        operatorFile.on("budgets.on") ? replicatedState : null,
                         mover,
                         replicatedState,
                         this::now,
                         srv -> history.add(now(), "try", "server", srv.id));
-        if (handed.mayTalk()) {
+        if (gatewaySettings.mayGossip()) {
             transport =
                     new UdpTransport(
                             place.number,
-                            handed.listen(),
-                            handed.peers(),
+                            gatewaySettings.listen(),
+                            gatewaySettings.peers(),
                             MOST_BYTES,
                             (from, message) ->
                                     mailbox.offer(() -> members.heard(message, from, now())));
@@ -191,7 +195,7 @@
                 history.add(now, "grant", "all", may);
             }
         }
-        boolean on = orders.on("overload.on") && overload.threshold() > 0;
+        boolean on = operatorFile.on("overload.on") && overload.threshold() > 0;
         if (on != strained) {
             strained = on;
             history.add(now, "strained", "on", strained);
--- a/fleet/src/main/java/tinford/fleet/run/Handed.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
@@ -13,13 +13,13 @@
 /**
  * What the fleet needs of the gateway's own configuration, which the gateway itself checks whole.
  */
-record Handed(
+record GatewaySettings(
         String name,
         InetSocketAddress listen,
         List<InetSocketAddress> peers,
         long seed,
-        boolean mayTalk) {
-    static Handed read(String path) throws IOException {
+        boolean mayGossip) {
+    static GatewaySettings read(String path) throws IOException {
         if (path == null) {
             throw new IOException(
                     "environment, ROUTER_CONFIG: expected the path of the configuration");
@@ -35,19 +35,19 @@
         for (JsonNode p : all.path("peers")) {
             peers.add(address("peers", p));
         }
-        boolean mayTalk = all.path("settings").path("Limits").path("Peers").asBoolean();
+        boolean mayGossip = all.path("settings").path("Limits").path("Peers").asBoolean();
         long seed;
         try {
             seed = Long.parseUnsignedLong(all.path("seed").asText(), 16);
         } catch (NumberFormatException e) {
             throw new IOException("configuration, seed: expected a number in hex digits");
         }
-        return new Handed(
+        return new GatewaySettings(
                 all.path("name").asText(""),
-                mayTalk ? address("peer_listen", all.path("peer_listen")) : null,
+                mayGossip ? address("peer_listen", all.path("peer_listen")) : null,
                 peers,
                 seed,
-                mayTalk);
+                mayGossip);
     }
 
     private static InetSocketAddress address(String field, JsonNode v) throws IOException {
--- a/fleet/src/main/java/tinford/fleet/run/Main.java
+++ b/fleet/src/main/java/tinford/fleet/run/Main.java
@@ -26,12 +26,15 @@
                         "environment, TINFORD_FLEET: expected the path of the fleet's operator"
                                 + " file");
             }
-            Handed handed = Handed.read(System.getenv("ROUTER_CONFIG"));
-            Orders orders = Orders.read(Path.of(file));
-            MoveOrders moves = MoveOrders.read(file, orders, System.getenv("ROUTER_CONFIG"));
-            Fleet fleet = new Fleet(orders, moves, handed, System.getenv("TINFORD_HISTORY"));
+            GatewaySettings gatewaySettings = GatewaySettings.read(System.getenv("ROUTER_CONFIG"));
+            OperatorFile operatorFile = OperatorFile.read(Path.of(file));
+            MoveSettings moves =
+                    MoveSettings.read(file, operatorFile, System.getenv("ROUTER_CONFIG"));
+            Fleet fleet =
+                    new Fleet(
+                            operatorFile, moves, gatewaySettings, System.getenv("TINFORD_HISTORY"));
             code = Serve.start(System.getenv(), System.err, Decide::new, fleet);
-        } catch (Orders.Refused | IOException e) {
+        } catch (OperatorFile.Refused | IOException e) {
             e.getMessage().lines().forEach(l -> System.err.println("tinford: " + l));
         }
         if (code >= 0) {
--- a/fleet/src/main/java/tinford/fleet/run/OrderFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/MoveCommandFile.java
@@ -17,29 +17,29 @@
  * is taken once: the file is renamed before anything is done, and what came of it is written under
  * the line. One order at a time.
  */
-final class OrderFile implements Runnable {
+final class MoveCommandFile implements Runnable {
     private static final int LONGEST = 1024;
     private static final long EVERY = 1000;
     private static final long PATIENCE = 15_000;
     private final Path file;
     private final Path taken;
     private final Mailbox mailbox;
-    private final Takes takes;
+    private final Handler handler;
 
     /** Takes an order on the I/O thread. */
-    interface Takes {
-        void take(String line, Consumer<String> then);
+    interface Handler {
+        void handle(String line, Consumer<String> then);
     }
 
-    OrderFile(Path folder, Mailbox mailbox, Takes takes) {
+    MoveCommandFile(Path folder, Mailbox mailbox, Handler handler) {
         this.file = folder.resolve("moves.order");
         this.taken = folder.resolve("moves.order.taken");
         this.mailbox = mailbox;
-        this.takes = takes;
+        this.handler = handler;
     }
 
     void start() {
-        Thread t = new Thread(this, "moves orders");
+        Thread t = new Thread(this, "move-commands");
         t.setDaemon(true);
         t.start();
     }
@@ -70,7 +70,7 @@
             if (line.contains("\n")) {
                 came.complete("refused, expected one line");
             } else {
-                mailbox.put(() -> takes.take(line, came::complete));
+                mailbox.put(() -> handler.handle(line, came::complete));
             }
             Files.writeString(
                     taken, line + "\n" + came.get(PATIENCE, TimeUnit.MILLISECONDS) + "\n");
--- a/fleet/src/main/java/tinford/fleet/run/MoveOrders.java
+++ b/fleet/src/main/java/tinford/fleet/run/MoveSettings.java
@@ -26,11 +26,11 @@
  * @param plan what {@code begin} begins, or null
  * @param coldTime ms after its start until a server counts as warm
  */
-record MoveOrders(Map<String, String> homes, Plan plan, double coldTime) {
+record MoveSettings(Map<String, String> homes, Plan plan, double coldTime) {
     /** Null where moves are off. */
-    static MoveOrders read(String file, Orders orders, String config)
-            throws Orders.Refused, IOException {
-        if (!orders.on("moves.on")) {
+    static MoveSettings read(String file, OperatorFile operatorFile, String config)
+            throws OperatorFile.Refused, IOException {
+        if (!operatorFile.on("moves.on")) {
             return null;
         }
         try {
@@ -40,7 +40,7 @@
             Fields rules = set.part("Rules");
             return of(
                     file,
-                    orders,
+                    operatorFile,
                     tinford.handed.Handed.frontends(set),
                     rules.real("ColdFrom"),
                     rules.millis("ColdUs"));
@@ -49,18 +49,18 @@
         }
     }
 
-    static MoveOrders of(
+    static MoveSettings of(
             String file,
-            Orders orders,
+            OperatorFile operatorFile,
             Map<String, Frontend> frontends,
             double coldFrom,
             double coldTime)
-            throws Orders.Refused {
+            throws OperatorFile.Refused {
         List<String> faults = new ArrayList<>();
         Map<String, String> homes = new TreeMap<>();
         Map<String, Frontend> may = new HashMap<>();
         double window = 0;
-        for (String home : orders.texts("moves.homes")) {
+        for (String home : operatorFile.texts("moves.homes")) {
             String[] pair = home.split("=", 2);
             Frontend f = frontends.get(pair[0]);
             if (f == null
@@ -82,7 +82,7 @@
                                         : 0);
             }
         }
-        if (orders.number("log.linger_ms") < window) {
+        if (operatorFile.number("log.linger_ms") < window) {
             // guards against an incarnation that is forgotten while what it sent may still be
             // repeated
             faults.add(
@@ -92,7 +92,7 @@
                             + " or more: repeat window and client timeout of what may move");
         }
         Map<String, Plan.Room> rooms = new TreeMap<>();
-        for (String room : orders.texts("moves.rooms")) {
+        for (String room : operatorFile.texts("moves.rooms")) {
             String[] parts = room.split("[=,]");
             try {
                 rooms.put(
@@ -109,13 +109,13 @@
             }
         }
         Plan plan =
-                orders.text("moves.plan").isEmpty()
+                operatorFile.text("moves.plan").isEmpty()
                         ? null
-                        : plan(orders.text("moves.plan"), may, homes, rooms, faults);
+                        : plan(operatorFile.text("moves.plan"), may, homes, rooms, faults);
         if (!faults.isEmpty()) {
-            throw new Orders.Refused(faults);
+            throw new OperatorFile.Refused(faults);
         }
-        return new MoveOrders(homes, plan, coldTime);
+        return new MoveSettings(homes, plan, coldTime);
     }
 
     private static Plan plan(
--- a/fleet/src/main/java/tinford/fleet/run/Mover.java
+++ b/fleet/src/main/java/tinford/fleet/run/Mover.java
@@ -14,16 +14,16 @@
 import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Lease;
 import tinford.fleet.moves.Entry;
+import tinford.fleet.moves.MoveStatus;
 import tinford.fleet.moves.Moves;
 import tinford.fleet.moves.Plan;
 import tinford.fleet.moves.Route;
-import tinford.fleet.moves.Stand;
 import tinford.fleet.moves.Step;
 
 /**
  * One process's part in staged moves: where its reqs go, what it tells the log, and what it offers
  * while it leads. Called on the I/O thread only, after each applied entry and each tick. Holds
- * {@link #MOST_SERVERS} servers and one order of an operator at most.
+ * {@link #MOST_SERVERS} servers and one command of an operator at most.
  */
 final class Mover {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
@@ -33,19 +33,19 @@
     private static final double PATIENCE = 10_000;
     private final FleetStateMachine stateMachine;
     private final Incarnation incarnation;
-    private final MoveOrders orders;
+    private final MoveSettings settings;
     private final Consumer<byte[]> log;
     private final BooleanSupplier left;
     private final History history;
     private final Route route;
     private final Map<String, Srv> servers = new LinkedHashMap<>();
     private double offered = Double.NEGATIVE_INFINITY;
-    private Stand told;
+    private MoveStatus told;
     private double toldUntil = Double.NaN;
     private boolean holds;
     private long ackedTurn = -1;
-    private byte[] order;
-    private double orderEnds;
+    private byte[] pending;
+    private double pendingUntil;
     private Consumer<String> outcome;
 
     /**
@@ -54,17 +54,17 @@
     Mover(
             FleetStateMachine stateMachine,
             Incarnation incarnation,
-            MoveOrders orders,
+            MoveSettings settings,
             Consumer<byte[]> log,
             BooleanSupplier left,
             History history) {
         this.stateMachine = stateMachine;
         this.incarnation = incarnation;
-        this.orders = orders;
+        this.settings = settings;
         this.log = log;
         this.left = left;
         this.history = history;
-        this.route = new Route(incarnation, stateMachine.moves.stand(), EVERY);
+        this.route = new Route(incarnation, stateMachine.moves.status(), EVERY);
     }
 
     private Lease lease() {
@@ -73,9 +73,9 @@
 
     /** After each entry, in order; {@code entry} is null after a snapshot. */
     void applied(byte[] entry, double now) {
-        route.see(stateMachine.moves.stand(), lease(), stateMachine.moves.acked(incarnation));
+        route.see(stateMachine.moves.status(), lease(), stateMachine.moves.acked(incarnation));
         if (entry == null || entry.length == 0 || entry[0] == Entry.MARK) {
-            if (order != null && Arrays.equals(order, entry)) {
+            if (pending != null && Arrays.equals(pending, entry)) {
                 over(stateMachine.moves.told());
             }
         }
@@ -83,13 +83,13 @@
     }
 
     void tick(double now, boolean leads) {
-        route.see(stateMachine.moves.stand(), lease(), stateMachine.moves.acked(incarnation));
+        route.see(stateMachine.moves.status(), lease(), stateMachine.moves.acked(incarnation));
         watch(now);
         Entry tells = route.tells(now);
         if (tells != null) {
             log.accept(tells.bytes());
         }
-        if (order != null && now >= orderEnds) {
+        if (pending != null && now >= pendingUntil) {
             over(
                     "not seen in the log within "
                             + Math.round(PATIENCE)
@@ -101,7 +101,7 @@
     }
 
     private void offer(double now) {
-        Stand s = stateMachine.moves.stand();
+        MoveStatus s = stateMachine.moves.status();
         if (s.plan() != null
                 && (s.state() == Moves.State.FORWARD || s.state() == Moves.State.BACK)) {
             offered = now;
@@ -130,7 +130,7 @@
                     all += s.size;
                     warm +=
                             s.state == Srv.State.UP
-                                            && (s.born <= 0 || now - s.born >= orders.coldTime())
+                                            && (s.born <= 0 || now - s.born >= settings.coldTime())
                                     ? s.size
                                     : 0;
                 }
@@ -147,25 +147,25 @@
      *
      * @param then is told what came of it, once
      */
-    void order(String line, double now, Consumer<String> then) {
+    void command(String line, double now, Consumer<String> then) {
         String[] words = line.strip().split("\\s+", 2);
         String who = words.length > 1 ? words[1] : "";
         boolean named = !who.isEmpty() && who.length() <= 64;
         Entry e =
                 switch (words[0]) {
                     case "begin" ->
-                            orders.plan() == null || who.length() > 64
+                            settings.plan() == null || who.length() > 64
                                     ? null
-                                    : Entry.begin(who, now, orders.plan());
+                                    : Entry.begin(who, now, settings.plan());
                     case "halt" -> named ? Entry.halt(who, now) : null;
                     case "resume" ->
                             named ? Entry.resume(who, now, stateMachine.moves.halts()) : null;
                     case "back" -> named ? Entry.back(who, now) : null;
                     default -> null;
                 };
-        if (e == null || order != null) {
+        if (e == null || pending != null) {
             String why =
-                    order != null
+                    pending != null
                             ? "refused, another order is under way here"
                             : words[0].equals("begin")
                                     ? "refused, moves.plan names no plan"
@@ -175,20 +175,20 @@
             then.accept(why);
             return;
         }
-        order = e.bytes();
-        orderEnds = now + PATIENCE;
+        pending = e.bytes();
+        pendingUntil = now + PATIENCE;
         outcome =
                 what -> {
                     LOG.log(Level.INFO, "moves.order " + line.strip() + ": " + what);
                     history.add(now, "order", "line", line.strip(), "outcome", what);
                     then.accept(what);
                 };
-        log.accept(order);
+        log.accept(pending);
     }
 
     private void over(String what) {
         Consumer<String> to = outcome;
-        order = null;
+        pending = null;
         outcome = null;
         to.accept(what);
     }
@@ -207,13 +207,13 @@
                                 srv.group,
                                 first == null ? null : first.group,
                                 now)
-                || !orders.homes().containsKey(req.frontend.name);
+                || !settings.homes().containsKey(req.frontend.name);
     }
 
     boolean goes(Req req, double now) {
         String name = req.frontend.name;
-        Stand s = stateMachine.moves.stand();
-        if (!orders.homes().containsKey(name)) {
+        MoveStatus s = stateMachine.moves.status();
+        if (!settings.homes().containsKey(name)) {
             return true;
         }
         int at = s.plan() == null ? -1 : s.plan().index(name);
@@ -248,7 +248,7 @@
             toldUntil = until;
             holds = has;
         }
-        Stand s = stateMachine.moves.stand();
+        MoveStatus s = stateMachine.moves.status();
         boolean turned =
                 told == null
                         || told.turn() != s.turn()
@@ -265,7 +265,7 @@
         }
     }
 
-    private void stage(Stand s, boolean turned, double now) {
+    private void stage(MoveStatus s, boolean turned, double now) {
         List<String> begun = new ArrayList<>();
         List<String> moved = new ArrayList<>();
         for (int i = 0; i < s.plan().frontends.size(); i++) {
--- a/fleet/src/main/java/tinford/fleet/run/Orders.java
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -16,7 +16,7 @@
  * The operator file of a fleet, checked whole: every fault is told at once, with file, line, key
  * and what was expected.
  */
-public final class Orders {
+public final class OperatorFile {
     /** The file can't be used; one line a fault. */
     public static final class Refused extends Exception {
         private static final long serialVersionUID = 1L;
@@ -76,9 +76,9 @@
 
     private final Map<String, Object> values = new LinkedHashMap<>();
 
-    private Orders() {}
+    private OperatorFile() {}
 
-    public static Orders read(Path file) throws Refused {
+    public static OperatorFile read(Path file) throws Refused {
         String text;
         try {
             text = Files.readString(file);
@@ -88,9 +88,9 @@
         return of(file.toString(), text);
     }
 
-    static Orders of(String file, String text) throws Refused {
+    static OperatorFile of(String file, String text) throws Refused {
         List<String> faults = new ArrayList<>();
-        Orders found = new Orders();
+        OperatorFile found = new OperatorFile();
         JsonNode tree;
         try {
             tree = new TomlMapper().readTree(text);
@@ -133,7 +133,7 @@
         }
         KEYS.forEach((name, k) -> found.values.putIfAbsent(name, k.absent));
         if (faults.isEmpty()) {
-            found.together(file, text, faults);
+            found.checkTogether(file, text, faults);
         }
         if (!faults.isEmpty()) {
             throw new Refused(faults);
@@ -141,7 +141,7 @@
         return found;
     }
 
-    private void together(String file, String text, List<String> faults) {
+    private void checkTogether(String file, String text, List<String> faults) {
         if (number("talk.suspect_ms") < 3 * number("talk.every_ms")) {
             faults.add(
                     at(file, text, "talk", "suspect_ms")
--- a/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
+++ b/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
@@ -74,24 +74,24 @@
     Consumer<byte[]> applied = entry -> {};
 
     ReplicatedState(
-            Orders orders,
+            OperatorFile operatorFile,
             Incarnation incarnation,
             int gateways,
             Statics statics,
             Map<String, String> homes,
             Mailbox mailbox)
             throws IOException {
-        double leaseMs = orders.number("log.term_ms");
-        double apart = orders.number("log.clocks_apart_ms");
-        double linger = orders.number("log.linger_ms");
-        offer = (int) orders.number("budgets.offer");
-        accounts = (int) orders.number("budgets.accounts");
+        double leaseMs = operatorFile.number("log.term_ms");
+        double apart = operatorFile.number("log.clocks_apart_ms");
+        double linger = operatorFile.number("log.linger_ms");
+        offer = (int) operatorFile.number("budgets.offer");
+        accounts = (int) operatorFile.number("budgets.accounts");
         stateMachine = new FleetStateMachine(gateways, leaseMs, apart, linger, statics, homes);
-        int floor = (int) orders.number("budgets.floor");
-        int cap = (int) orders.number("budgets.cap");
+        int floor = (int) operatorFile.number("budgets.floor");
+        int cap = (int) operatorFile.number("budgets.cap");
         proposer =
                 new Proposer(key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap), ROUND);
-        Path folder = Files.createDirectories(Path.of(orders.text("log.folder")));
+        Path folder = Files.createDirectories(Path.of(operatorFile.text("log.folder")));
         lock =
                 FileChannel.open(
                         folder.resolve("life.lock"),
@@ -111,9 +111,9 @@
                         alone ? incarnation.start() : incarnation.start() + linger);
         FleetStateMachine snapshotSource =
                 new FleetStateMachine(
-                        gateways, leaseMs, apart, linger, statics(orders, gateways), homes);
+                        gateways, leaseMs, apart, linger, statics(operatorFile, gateways), homes);
         TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
-        List<String> addresses = orders.texts("log.members");
+        List<String> addresses = operatorFile.texts("log.members");
         for (int i = 0; i < addresses.size(); i++) {
             members.put(i, Addresses.of(addresses.get(i)));
         }
@@ -141,11 +141,11 @@
         starts.start();
     }
 
-    static Statics statics(Orders orders, int gateways) {
+    static Statics statics(OperatorFile operatorFile, int gateways) {
         return new Statics(
                 Map.of(),
-                (int) orders.number("budgets.offer"),
-                orders.number("budgets.static_part"),
+                (int) operatorFile.number("budgets.offer"),
+                operatorFile.number("budgets.static_part"),
                 gateways);
     }
 
--- a/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
@@ -39,8 +39,8 @@
         assertTrue(f.ends() > 0 || f.states() >= c.most, f.states() + " states, none an end");
     }
 
-    private static Consumer<Explore.Case> due(Due due) {
-        return c -> c.due = due;
+    private static Consumer<Explore.Case> rules(TransitionRules rules) {
+        return c -> c.rules = rules;
     }
 
     @DataProvider
@@ -49,10 +49,11 @@
             {
                 "acks not awaited",
                 "two living",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
-                            boolean acked(Members m, Map<Incarnation, Double> acks, double since) {
+                            boolean acked(
+                                    LeaseHolders m, Map<Incarnation, Double> acks, double since) {
                                 return true;
                             }
                         })
@@ -62,8 +63,8 @@
                 "",
                 ((Consumer<Explore.Case>) c -> c.flights = true)
                         .andThen(
-                                due(
-                                        new Due() {
+                                rules(
+                                        new TransitionRules() {
                                             @Override
                                             boolean counts(long turn, long of) {
                                                 return true;
@@ -83,10 +84,11 @@
             {
                 "one that has died is waited for",
                 "stuck",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
-                            boolean acked(Members m, Map<Incarnation, Double> acks, double since) {
+                            boolean acked(
+                                    LeaseHolders m, Map<Incarnation, Double> acks, double since) {
                                 return super.acked(m, acks, since) && acks.size() > 2;
                             }
                         })
@@ -94,8 +96,8 @@
             {
                 "two steps at once",
                 "from step",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             boolean next(int from, int to, boolean back) {
                                 return super.next(from, to, back) || !back && to == from + 2;
@@ -105,8 +107,8 @@
             {
                 "back in forward order",
                 "forward",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             boolean next(int from, int to, boolean back) {
                                 return to == from + 1 || back && to == from - 1;
@@ -116,8 +118,8 @@
             {
                 "back all at once",
                 "from step",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             boolean next(int from, int to, boolean back) {
                                 return back ? to < from : to == from + 1;
@@ -127,8 +129,8 @@
             {
                 "going back waits for nobody",
                 "",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             boolean returns(int before, int position, int to) {
                                 return to < position;
@@ -138,8 +140,8 @@
             {
                 "no window awaited",
                 "both groups",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             double waits(Plan plan, int at, boolean back) {
                                 return 0;
@@ -149,8 +151,8 @@
             {
                 "a resume moves on",
                 "halted",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             int resumed(int position) {
                                 return position + 1;
@@ -160,8 +162,8 @@
             {
                 "a resume lifts any halt",
                 "later halt",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             boolean lifts(boolean halted, long halts, long seen) {
                                 return halted;
@@ -175,8 +177,8 @@
                         .andThen(
                                 c ->
                                         c.route =
-                                                (incarnation, stand) ->
-                                                        new Route(incarnation, stand, 1) {
+                                                (incarnation, status) ->
+                                                        new Route(incarnation, status, 1) {
                                                             @Override
                                                             protected boolean mayAct(double now) {
                                                                 return true;
@@ -189,8 +191,8 @@
                 (Consumer<Explore.Case>)
                         c ->
                                 c.route =
-                                        (incarnation, stand) ->
-                                                new Route(incarnation, stand, 1) {
+                                        (incarnation, status) ->
+                                                new Route(incarnation, status, 1) {
                                                     @Override
                                                     protected String goes(
                                                             Plan.Mover m,
@@ -212,8 +214,8 @@
                         .andThen(
                                 c ->
                                         c.route =
-                                                (incarnation, stand) ->
-                                                        new Route(incarnation, stand, 1) {
+                                                (incarnation, status) ->
+                                                        new Route(incarnation, status, 1) {
                                                             @Override
                                                             protected String goes(
                                                                     Plan.Mover m,
--- a/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
@@ -32,7 +32,7 @@
     private static void play(Moves m, String what, double[] now) {
         for (char c : what.toCharArray()) {
             now[0] += 10_000;
-            Stand s = m.stand();
+            MoveStatus s = m.status();
             Entry e =
                     switch (c) {
                         case 'b' -> begin();
@@ -93,7 +93,7 @@
     public void entriesDoWhatTheTableSays(String what, String expected) {
         Moves m = moves();
         play(m, what, new double[1]);
-        assertEquals(m.stand().state() + " " + m.stand().position(), expected, m.told());
+        assertEquals(m.status().state() + " " + m.status().position(), expected, m.told());
     }
 
     @Test
@@ -106,11 +106,11 @@
             double[] same = new double[1];
             for (int i = 0; i < 60; i++) {
                 String one = "baaAgggGc<<hrrox!".charAt(random.nextInt(17)) + "";
-                Stand before = m.stand();
+                MoveStatus before = m.status();
                 play(m, one, now);
                 play(other, one, same);
                 assertTrue(
-                        Math.abs(m.stand().position() - before.position()) <= 1 || one.equals("b"),
+                        Math.abs(m.status().position() - before.position()) <= 1 || one.equals("b"),
                         "seed " + seed);
                 byte[] rubbish = begin().bytes();
                 rubbish[random.nextInt(3)] = (byte) (20 + random.nextInt(40));
@@ -130,15 +130,15 @@
     @Test
     public void withoutATermNothingOfWhatMayMoveIsSent() {
         Moves m = moves();
-        Route r = new Route(ONE, m.stand(), 10);
+        Route r = new Route(ONE, m.status(), 10);
         assertFalse(r.mayGo("web", 1, false, "a", null, 0));
         assertTrue(r.mayGo("other", 1, false, "a", null, 0));
-        r.see(m.stand(), new Lease(ONE, 100, 1), false);
+        r.see(m.status(), new Lease(ONE, 100, 1), false);
         assertTrue(r.mayGo("web", 1, false, "a", null, 99));
         assertFalse(r.mayGo("web", 1, false, "b", null, 99));
         assertFalse(r.mayGo("web", 1, false, "a", null, 100));
         play(m, "b", new double[1]);
-        r.see(m.stand(), new Lease(ONE, 100, 1), false);
+        r.see(m.status(), new Lease(ONE, 100, 1), false);
         assertEquals(r.tells(50).kind(), Entry.Kind.ACK);
         assertTrue(r.mayGo("store", 1, true, "b", "b", 50), "stays with its first group");
     }
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -22,8 +22,8 @@
 import tinford.fleet.budgets.Statics;
 import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Leases;
+import tinford.fleet.moves.MoveStatus;
 import tinford.fleet.moves.Moves;
-import tinford.fleet.moves.Stand;
 import tinford.fleet.store.Log;
 import tinford.fleet.store.MemoryLogs;
 
@@ -66,10 +66,10 @@
             units = 20.0
             connections = 10
             """;
-    private static final String ORDERS =
+    private static final String OPERATOR_FILE =
             """
             [log]
-            members = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
+            leaseHolders = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
             folder = "x"
             linger_ms = 6000
             [moves]
@@ -92,13 +92,13 @@
                 false);
     }
 
-    private static MoveOrders orders(String text, String plan) throws Exception {
+    private static MoveSettings settings(String text, String plan) throws Exception {
         Path file = Files.createTempFile("plan", ".toml");
         try {
             Files.writeString(file, plan);
-            return MoveOrders.of(
+            return MoveSettings.of(
                     "f",
-                    Orders.of("f", text.formatted(file)),
+                    OperatorFile.of("f", text.formatted(file)),
                     Map.of(
                             "web",
                             frontend("web"),
@@ -128,13 +128,13 @@
     private static final class Fleet {
         final MemoryLogs logs = new MemoryLogs(3, 10, 300, 2000, 64, 40, new Random(3));
         final List<Seat> seats = List.of(new Seat(), new Seat(), new Seat());
-        final MoveOrders orders;
+        final MoveSettings settings;
         final List<String> told = new ArrayList<>();
         double now = 1000;
         boolean bad;
 
-        Fleet(MoveOrders orders) {
-            this.orders = orders;
+        Fleet(MoveSettings settings) {
+            this.settings = settings;
             for (int g = 0; g < 3; g++) {
                 start(g);
             }
@@ -142,7 +142,7 @@
 
         private FleetStateMachine stateMachine() {
             return new FleetStateMachine(
-                    3, LEASE, APART, LINGER, new Statics(Map.of(), 16, 0.5, 3), orders.homes());
+                    3, LEASE, APART, LINGER, new Statics(Map.of(), 16, 0.5, 3), settings.homes());
         }
 
         void start(int g) {
@@ -187,7 +187,7 @@
                         new Mover(
                                 s.stateMachine,
                                 s.incarnation,
-                                orders,
+                                settings,
                                 s.log::append,
                                 () -> false,
                                 History.at(null, s.incarnation));
@@ -274,8 +274,8 @@
                 for (Seat o : acting) {
                     assertTrue(
                             Math.abs(
-                                            s.stateMachine.moves.stand().turn()
-                                                    - o.stateMachine.moves.stand().turn())
+                                            s.stateMachine.moves.status().turn()
+                                                    - o.stateMachine.moves.status().turn())
                                     <= 1,
                             now + " " + s.incarnation + " " + o.incarnation);
                     for (int f = 0; f < 2; f++) {
@@ -305,23 +305,23 @@
         Moves.State until(Moves.State... ends) {
             for (int i = 0; i < 4000; i++) {
                 step();
-                Moves.State state = seats.get(0).stateMachine.moves.stand().state();
+                Moves.State state = seats.get(0).stateMachine.moves.status().state();
                 if (List.of(ends).contains(state)) {
                     return state;
                 }
             }
             throw new AssertionError(
                     "at "
-                            + seats.get(0).stateMachine.moves.stand().position()
+                            + seats.get(0).stateMachine.moves.status().position()
                             + ": "
                             + seats.get(0).stateMachine.moves.told());
         }
 
         /** As whoever is farthest sees it. */
-        Stand head() {
+        MoveStatus head() {
             return seats.stream()
-                    .map(s -> s.stateMachine.moves.stand())
-                    .max(java.util.Comparator.comparingLong(Stand::turn))
+                    .map(s -> s.stateMachine.moves.status())
+                    .max(java.util.Comparator.comparingLong(MoveStatus::turn))
                     .orElseThrow();
         }
 
@@ -341,13 +341,13 @@
      */
     @Test(dataProvider = "faults")
     public void aMoveEnds(String fault) throws Exception {
-        Fleet f = new Fleet(orders(ORDERS, PLAN));
+        Fleet f = new Fleet(settings(OPERATOR_FILE, PLAN));
         for (int i = 0; i < 40; i++) {
             f.step();
         }
-        f.seats.get(0).mover.order("begin one", f.now, f.told::add);
-        f.seats.get(1).mover.order("begin two", f.now, f.told::add);
-        f.seats.get(1).mover.order("what", f.now, f.told::add);
+        f.seats.get(0).mover.command("begin one", f.now, f.told::add);
+        f.seats.get(1).mover.command("begin two", f.now, f.told::add);
+        f.seats.get(1).mover.command("what", f.now, f.told::add);
         for (int i = 0; i < 20; i++) {
             f.step();
         }
@@ -388,10 +388,10 @@
             f.step();
         }
         assertTrue(f.goes(f.seats.get(2), "web", 5, "b") && !f.goes(f.seats.get(2), "web", 5, "a"));
-        f.seats.get(2).mover.order("back three", f.now, f.told::add);
+        f.seats.get(2).mover.command("back three", f.now, f.told::add);
         f.until(Moves.State.UNDONE);
         f.bad = true;
-        f.seats.get(1).mover.order("begin four", f.now, f.told::add);
+        f.seats.get(1).mover.command("begin four", f.now, f.told::add);
         f.until(Moves.State.FORWARD);
         assertEquals(f.until(Moves.State.DONE, Moves.State.UNDONE), Moves.State.UNDONE);
         assertTrue(f.goes(f.seats.get(0), "base", 5, "a"));
@@ -400,26 +400,26 @@
     @DataProvider
     public Object[][] bad() {
         return new Object[][] {
-            {ORDERS.replace("web=a", "wub=a"), PLAN, "moves.homes: expected"},
-            {ORDERS.replace("a=100,100", "a=much"), PLAN, "moves.rooms: expected"},
+            {OPERATOR_FILE.replace("web=a", "wub=a"), PLAN, "moves.homes: expected"},
+            {OPERATOR_FILE.replace("a=100,100", "a=much"), PLAN, "moves.rooms: expected"},
             {
-                ORDERS.replace("linger_ms = 6000", "linger_ms = 5000"),
+                OPERATOR_FILE.replace("linger_ms = 6000", "linger_ms = 5000"),
                 PLAN,
                 "log.linger_ms: expected 5500"
             },
-            {ORDERS.replaceAll("homes.*", ""), PLAN, "moves.homes: expected one"},
-            {ORDERS, PLAN.replace("soak_ms = 1000", "soak_ms = -1"), "soak_ms"},
-            {ORDERS, "plan = ", "TOML"},
-            {ORDERS.replace("%s", "nowhere"), PLAN, "moves.plan: expected a file"},
+            {OPERATOR_FILE.replaceAll("homes.*", ""), PLAN, "moves.homes: expected one"},
+            {OPERATOR_FILE, PLAN.replace("soak_ms = 1000", "soak_ms = -1"), "soak_ms"},
+            {OPERATOR_FILE, "plan = ", "TOML"},
+            {OPERATOR_FILE.replace("%s", "nowhere"), PLAN, "moves.plan: expected a file"},
         };
     }
 
     @Test(dataProvider = "bad")
-    public void badOrdersAreTold(String orders, String plan, String told) throws Exception {
+    public void badSettingsAreTold(String operatorFile, String plan, String told) throws Exception {
         String said = "";
         try {
-            orders(orders, plan);
-        } catch (Orders.Refused e) {
+            settings(operatorFile, plan);
+        } catch (OperatorFile.Refused e) {
             said = e.getMessage();
         }
         assertTrue(said.contains(told), said);
--- a/fleet/src/test/java/tinford/fleet/run/OrdersTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
@@ -10,12 +10,12 @@
 import org.testng.annotations.Test;
 
 /** What an operator wrote wrong is told with its place and what was expected. */
-public class OrdersTest {
+public class OperatorFileTest {
     private static List<String> faults(String text) {
         try {
-            Orders.of("f.toml", text);
+            OperatorFile.of("f.toml", text);
             return List.of();
-        } catch (Orders.Refused e) {
+        } catch (OperatorFile.Refused e) {
             return e.getMessage().lines().toList();
         }
     }
@@ -77,7 +77,8 @@
                 faults("[talk]\nevery_ms = 1\nfanout = 0\n[log]\nterm_ms = 1\n[none]\nx = 1\n")
                         .size(),
                 4);
-        assertThrows(Orders.Refused.class, () -> Orders.read(Path.of("no", "such", "file")));
+        assertThrows(
+                OperatorFile.Refused.class, () -> OperatorFile.read(Path.of("no", "such", "file")));
     }
 
     /**
@@ -86,8 +87,8 @@
      */
     @Test
     public void theExampleLoads() throws Exception {
-        Orders example = Orders.read(Path.of("..", "deploy", "fleet.toml"));
-        Orders empty = Orders.of("f.toml", "");
+        OperatorFile example = OperatorFile.read(Path.of("..", "deploy", "fleet.toml"));
+        OperatorFile empty = OperatorFile.of("f.toml", "");
         for (String key :
                 List.of(
                         "talk.every_ms",
@@ -101,7 +102,7 @@
 
     @Test
     public void whatIsLeftOutIsAsUsual() throws Exception {
-        Orders o = Orders.of("f.toml", "[budgets]\noffer = 8\n");
+        OperatorFile o = OperatorFile.of("f.toml", "[budgets]\noffer = 8\n");
         assertEquals(o.number("budgets.offer"), 8.0);
         assertEquals(o.number("log.term_ms"), 4000.0);
         assertTrue(o.on("overload.on") && !o.on("budgets.on"));
