--- a/fleet/src/main/java/tinford/fleet/overload/Line.java
+++ b/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
@@ -11,7 +11,7 @@
  * grows, slowly at first and then ever faster, until there is no line: whoever still asks, a line
  * is gone within two windows after its cause.
  */
-public final class Line {
+public final class AdmissionThreshold {
     private static final double NONE = Double.POSITIVE_INFINITY;
     private static final double WAIT_S =
             0.05; // for a slot, on average: gateways' own limits are full; bursts stay below
@@ -39,7 +39,7 @@
     /**
      * @param window in ms: without strain, the line is gone within two of them
      */
-    public Line(double window) {
+    public AdmissionThreshold(double window) {
         this.window = window;
     }
 
@@ -71,7 +71,7 @@
             draw(null);
             return;
         }
-        Totals all = new Totals(membership);
+        FleetTotals all = new FleetTotals(membership);
         agree(membership, passed);
         boolean strained = all.demand > 0 && (waits(all) || all.bad > BAD);
         strainedFor = Math.max(0, Math.min(LASTS_MS, strainedFor + (strained ? passed : -passed)));
@@ -97,7 +97,7 @@
 
     // guards against a line out of chance that what it sheds keeps up: the fewer are passed, the
     // less waits
-    private static boolean waits(Totals all) {
+    private static boolean waits(FleetTotals all) {
         double usual = WAIT_S * all.first;
         return all.waiting > usual + CHANCE * Math.sqrt(Math.max(1, usual));
     }
@@ -105,7 +105,7 @@
     private void agree(Membership membership, double passed) {
         double[] told =
                 membership.fresh().stream()
-                        .mapToDouble(s -> Totals.clean(s.bears))
+                        .mapToDouble(s -> FleetTotals.clean(s.bears))
                         .map(b -> b > 0 ? b : NONE)
                         .sorted()
                         .toArray();
@@ -122,7 +122,7 @@
     }
 
     /** From the worthiest class down, as far as it is borne. */
-    private void draw(Totals all) {
+    private void draw(FleetTotals all) {
         threshold = 0;
         part = 1;
         asked = all == null ? 0 : all.demand;
--- a/fleet/src/main/java/tinford/fleet/overload/Totals.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
@@ -11,7 +11,7 @@
  * number counts as nought, and one record weighs at most {@link #MOST} times the mean of the
  * others, so that a lying one among n adds at most MOST/n to each total.
  */
-final class Totals {
+final class FleetTotals {
     // a lie takes so much, over the number of gateways, of the demand away from what is borne: of
     // 14 a seventh. An honest gateway
     // with more is counted as if it had no more: the line is then too low, and gateways' own limits
@@ -21,7 +21,7 @@
     final double[] asked = new double[GossipRecord.CLASSES];
     final double demand, first, waiting, goodUnits, bad;
 
-    Totals(Membership membership) {
+    FleetTotals(Membership membership) {
         List<GossipRecord> records = membership.fresh();
         double scale = (double) membership.living() / Math.max(1, records.size());
         double[] sizes = records.stream().mapToDouble(s -> sum(s.asked)).toArray();
--- a/fleet/src/main/java/tinford/fleet/overload/Own.java
+++ b/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
@@ -9,7 +9,7 @@
  * What this gateway saw itself over the last second, in five buckets used again in a ring: of one
  * size whatever comes.
  */
-public final class Own {
+public final class LocalStatistics {
     private static final int BUCKETS = 5;
     private static final double BUCKET_MS = 200;
     private static final int FIRST = 0,
@@ -28,7 +28,7 @@
     private double now;
     private int open, waiting;
 
-    public Own(double now) {
+    public LocalStatistics(double now) {
         this.now = this.startedAt = now;
         this.turn = this.startedTurn = (long) Math.floor(now / BUCKET_MS);
     }
--- a/fleet/src/main/java/tinford/fleet/overload/Overload.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Overload.java
@@ -18,11 +18,11 @@
             100; // the line is worked out this often; records come no faster
 
     private final Incarnation incarnation;
-    private final Own own;
-    private final Line line;
-    private final Further further;
-    private final Owners owners;
-    private final Spread spread;
+    private final LocalStatistics statistics;
+    private final AdmissionThreshold admission;
+    private final RetryBudget retryBudget;
+    private final ProbeOwners probeOwners;
+    private final RetryJitter retryJitter;
     private boolean alone = true;
     private double steppedAt = Double.NEGATIVE_INFINITY;
 
@@ -33,89 +33,89 @@
     public Overload(
             double now, Incarnation incarnation, double window, double part, Random chance) {
         this.incarnation = incarnation;
-        this.own = new Own(now);
-        this.line = new Line(window);
-        this.further = new Further(part, chance);
-        this.owners = new Owners(chance);
-        this.spread = new Spread(window / 2);
+        this.statistics = new LocalStatistics(now);
+        this.admission = new AdmissionThreshold(window);
+        this.retryBudget = new RetryBudget(part, chance);
+        this.probeOwners = new ProbeOwners(chance);
+        this.retryJitter = new RetryJitter(window / 2);
     }
 
     /** Once a round, before the round's calls of the view. */
     public void round(double now, Membership membership) {
-        own.round(now);
+        statistics.round(now);
         if (now - steppedAt < STEP_MS) return;
         steppedAt = now;
         alone = membership.living() <= 1;
-        line.round(now, membership);
-        further.round(now, incarnation, membership);
-        owners.round(now, incarnation, membership);
+        admission.round(now, membership);
+        retryBudget.round(now, incarnation, membership);
+        probeOwners.round(now, incarnation, membership);
     }
 
     /** The record to tell. */
     public GossipRecord record(int seq) {
-        GossipRecord s = own.record(incarnation, seq);
-        s.bears = line.bears();
-        further.tell(s);
-        owners.tell(s);
+        GossipRecord s = statistics.record(incarnation, seq);
+        s.bears = admission.bears();
+        retryBudget.tell(s);
+        probeOwners.tell(s);
         return s;
     }
 
     public double threshold() {
-        return line.threshold();
+        return admission.threshold();
     }
 
     public double partAtThreshold() {
-        return line.part();
+        return admission.part();
     }
 
     /** By class of worth, so that gateways whose lines differ a little within one shed alike. */
     @Override
     public double part(double worth) {
         int c = GossipRecord.classOf(worth);
-        int at = GossipRecord.classOf(line.threshold());
-        return line.threshold() <= 0 || c > at ? 1 : c < at ? 0 : line.part();
+        int at = GossipRecord.classOf(admission.threshold());
+        return admission.threshold() <= 0 || c > at ? 1 : c < at ? 0 : admission.part();
     }
 
     @Override
     public double further(double byOwn) {
-        return alone ? byOwn : further.level();
+        return alone ? byOwn : retryBudget.level();
     }
 
     @Override
     public boolean looksAfter(Srv srv) {
-        return owners.looksAfter(srv);
+        return probeOwners.looksAfter(srv);
     }
 
     @Override
     public double spread() {
-        return spread.most(line.overAsked());
+        return retryJitter.most(admission.overAsked());
     }
 
     @Override
     public void asked(Req req, double worth) {
-        own.asked(req.units, worth);
+        statistics.asked(req.units, worth);
     }
 
     @Override
     public void denied(Req req, double worth) {
-        own.denied(req.units, worth);
+        statistics.denied(req.units, worth);
     }
 
     @Override
     public void sent(Req req, Srv srv, double worth, boolean again) {
-        own.sent(again);
-        further.sent(again);
-        owners.tried(srv);
+        statistics.sent(again);
+        retryBudget.sent(again);
+        probeOwners.tried(srv);
     }
 
     @Override
     public void ended(Req req, Srv srv, End how, boolean late) {
-        own.ended(req.units, how, late);
-        if (!how.mayHaveRun) further.neverRan();
+        statistics.ended(req.units, how, late);
+        if (!how.mayHaveRun) retryBudget.neverRan();
     }
 
     @Override
     public void ill(Srv srv, boolean ill) {
-        owners.found(srv, ill);
+        probeOwners.found(srv, ill);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/Owners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
@@ -19,7 +19,7 @@
  * well that is not costs a try a gateway, each time after twice the wait. Memory: one note for each
  * of {@link #MOST} servers at most, dropped {@link #FORGET_MS} after they were last told of.
  */
-public final class Owners {
+public final class ProbeOwners {
     private static final int MOST = 2048;
     private static final double PATIENCE_MS =
             6000; // the decisions' longest bar of 4 s, and the time that records take
@@ -57,7 +57,7 @@
     private int turn;
     private long rounds;
 
-    public Owners(Random chance) {
+    public ProbeOwners(Random chance) {
         this.chance = chance;
     }
 
--- a/fleet/src/main/java/tinford/fleet/overload/Further.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
@@ -16,7 +16,7 @@
  * even slice. A lying giver makes at most twice a middling gateway's part. Memory: two figures a
  * gateway heard of, {@link #MOST_PEERS} at most.
  */
-public final class Further {
+public final class RetryBudget {
     private static final int MOST_PEERS = 1024;
     // saved up by the whole fleet; by one: many pots of ten would be a flood
     private static final double AT_ONCE = 40, LEAST_AT_ONCE = 2;
@@ -44,7 +44,7 @@
     /**
      * @param part of first dispatches that may be sent again, over the fleet
      */
-    public Further(double part, Random chance) {
+    public RetryBudget(double part, Random chance) {
         this.part = part;
         this.chance = chance;
     }
@@ -74,7 +74,7 @@
         level = Math.min(full, level);
         double[] firsts =
                 membership.fresh().stream()
-                        .mapToDouble(s -> Totals.clean(s.first))
+                        .mapToDouble(s -> FleetTotals.clean(s.first))
                         .sorted()
                         .toArray();
         double middling = firsts.length == 0 ? 0 : firsts[firsts.length / 2];
@@ -83,7 +83,7 @@
             Account of = account(taken, s.incarnation);
             if (of == null) continue;
             of.credit = Math.min(full, of.credit + 2 * part * middling * passed / 1000);
-            double takes = Math.max(0, Math.min(Totals.clean(s.ceded) - of.total, of.credit));
+            double takes = Math.max(0, Math.min(FleetTotals.clean(s.ceded) - of.total, of.credit));
             of.total += takes;
             of.credit -= takes;
             add(takes, false);
@@ -123,7 +123,8 @@
         Incarnation chosen = null;
         double all = 0;
         for (GossipRecord s : membership.fresh()) {
-            double need = Math.max(0, Totals.clean(s.failed) - part * Totals.clean(s.first));
+            double need =
+                    Math.max(0, FleetTotals.clean(s.failed) - part * FleetTotals.clean(s.first));
             if (s.incarnation.gateway() == own.gateway() || need <= 0) continue;
             need =
                     Math.min(
--- a/fleet/src/main/java/tinford/fleet/overload/Spread.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryJitter.java
@@ -4,13 +4,13 @@
  * By how much at most a time to come back is put off by chance: long enough that those denied in
  * one second return as a trickle.
  */
-public final class Spread {
+public final class RetryJitter {
     private final double longest;
 
     /**
      * @param longest in ms; nobody is put off for longer than a line stands without cause
      */
-    public Spread(double longest) {
+    public RetryJitter(double longest) {
         this.longest = longest;
     }
 
--- a/fleet/src/test/java/tinford/fleet/overload/LineTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
@@ -10,7 +10,7 @@
 import tinford.fleet.members.Incarnation;
 
 /** The admission threshold that gateways work out from the same records. */
-public class LineTest {
+public class AdmissionThresholdTest {
     private static final double WINDOW = 4000;
 
     /** Asked for 100 units a second of each worth given, of which so many come back in time. */
@@ -23,7 +23,8 @@
         return s;
     }
 
-    private static double run(Line line, Heard heard, double from, double until) {
+    private static double run(
+            AdmissionThreshold line, FixedMembership heard, double from, double until) {
         for (double t = from; t < until; t += 100) {
             line.round(t, heard);
             for (GossipRecord s : heard.fresh()) {
@@ -116,9 +117,9 @@
             double most,
             double leastPart,
             double mostPart) {
-        Heard heard = new Heard(records.length + 1);
+        FixedMembership heard = new FixedMembership(records.length + 1);
         for (GossipRecord s : records) heard.hear(s);
-        Line line = new Line(WINDOW);
+        AdmissionThreshold line = new AdmissionThreshold(WINDOW);
         double threshold = run(line, heard, 0, 4000);
         assertTrue(threshold >= least - 0.01 && threshold <= most + 0.01, name + ": " + threshold);
         assertTrue(line.part() >= leastPart && line.part() <= mostPart, name + ": " + line.part());
@@ -126,14 +127,14 @@
 
     @Test
     public void lineIsGoneTwoWindowsAfterItsCauseHoweverManyStillAsk() {
-        Line line = new Line(WINDOW);
-        Heard strained =
-                new Heard(2)
+        AdmissionThreshold line = new AdmissionThreshold(WINDOW);
+        FixedMembership strained =
+                new FixedMembership(2)
                         .hear(record(1, 100, true, 1, 2, 4, 8))
                         .hear(record(2, 100, true, 1, 2, 4, 8));
         assertTrue(run(line, strained, 0, 10_000) > 0);
-        Heard calm =
-                new Heard(2)
+        FixedMembership calm =
+                new FixedMembership(2)
                         .hear(record(1, 100, false, 1, 2, 4, 8))
                         .hear(record(2, 100, false, 1, 2, 4, 8));
         assertEquals(run(line, calm, 10_000, 10_000 + 2 * WINDOW), 0.0);
@@ -141,9 +142,11 @@
 
     @Test
     public void silenceOfAllOthersLeavesNoLine() {
-        Line line = new Line(WINDOW);
-        Heard heard =
-                new Heard(2).hear(record(1, 100, true, 1, 8)).hear(record(2, 100, true, 1, 8));
+        AdmissionThreshold line = new AdmissionThreshold(WINDOW);
+        FixedMembership heard =
+                new FixedMembership(2)
+                        .hear(record(1, 100, true, 1, 8))
+                        .hear(record(2, 100, true, 1, 8));
         assertTrue(run(line, heard, 0, 3000) > 0);
         heard.records.remove(2);
         line.round(3000, heard);
@@ -153,9 +156,10 @@
 
     @Test
     public void oneThatJoinsHasTheLineOfTheOthersAtOnce() {
-        Heard heard = new Heard(3);
+        FixedMembership heard = new FixedMembership(3);
         for (int g = 1; g <= 3; g++) heard.hear(record(g, 100, true, 1, 2, 4, 8));
-        Line old = new Line(WINDOW), joins = new Line(WINDOW);
+        AdmissionThreshold old = new AdmissionThreshold(WINDOW),
+                joins = new AdmissionThreshold(WINDOW);
         run(old, heard, 0, 5000);
         old.round(5000, heard);
         joins.round(5000, heard);
@@ -171,19 +175,22 @@
     public void oneLyingRecordMovesTotalsByItsBoundOnly() {
         Random chance = new Random(5);
         for (int drawn = 0; drawn < 200; drawn++) {
-            Heard heard = new Heard(10);
+            FixedMembership heard = new FixedMembership(10);
             for (int g = 1; g < 10; g++)
                 heard.hear(record(g, 150 + chance.nextInt(100), true, 1, 2, 4, 8));
-            double demand = new Totals(heard).demand, good = new Totals(heard).goodUnits;
+            double demand = new FleetTotals(heard).demand, good = new FleetTotals(heard).goodUnits;
             GossipRecord lie = record(10, 1e9 * chance.nextDouble(), true, 8);
             lie.asked[GossipRecord.CLASSES - 1] = Math.pow(10, chance.nextInt(12));
             lie.bears = Math.pow(10, 3 + chance.nextInt(6));
             heard.hear(lie);
-            Totals with = new Totals(heard);
-            assertTrue(with.demand <= demand * (1 + Totals.MOST / 9) + 1, "demand " + with.demand);
+            FleetTotals with = new FleetTotals(heard);
             assertTrue(
-                    with.goodUnits <= good * (1 + Totals.MOST / 9) + 1, "good " + with.goodUnits);
-            Line line = new Line(WINDOW);
+                    with.demand <= demand * (1 + FleetTotals.MOST / 9) + 1,
+                    "demand " + with.demand);
+            assertTrue(
+                    with.goodUnits <= good * (1 + FleetTotals.MOST / 9) + 1,
+                    "good " + with.goodUnits);
+            AdmissionThreshold line = new AdmissionThreshold(WINDOW);
             assertTrue(
                     run(line, heard, 0, 6000) <= 8.01 && line.bears() < 1e5,
                     "line " + line.threshold());
--- a/fleet/src/test/java/tinford/fleet/overload/Heard.java
+++ b/fleet/src/test/java/tinford/fleet/overload/FixedMembership.java
@@ -7,15 +7,15 @@
 import tinford.fleet.members.Membership;
 
 /** Whatever a test says was heard. */
-final class Heard implements Membership {
+final class FixedMembership implements Membership {
     final TreeMap<Integer, GossipRecord> records = new TreeMap<>();
     int size;
 
-    Heard(int size) {
+    FixedMembership(int size) {
         this.size = size;
     }
 
-    Heard hear(GossipRecord s) {
+    FixedMembership hear(GossipRecord s) {
         records.put(s.incarnation.gateway(), s);
         return this;
     }
--- a/fleet/src/test/java/tinford/fleet/overload/OwnersTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
@@ -12,22 +12,22 @@
 import tinford.fleet.members.Incarnation;
 
 /** Which gateway probes an unhealthy server. */
-public class OwnersTest {
+public class ProbeOwnersTest {
     private final Srv srv = new Srv("a-1");
 
-    private static Heard fleet(int from, int until) {
-        Heard h = new Heard(until);
+    private static FixedMembership fleet(int from, int until) {
+        FixedMembership h = new FixedMembership(until);
         for (int g = from; g < until; g++) h.hear(new GossipRecord(new Incarnation(g, 1), 1));
         return h;
     }
 
     @Test
     public void oneOwnerInEachHalfAndOnlyTheLostOnesAreReplaced() {
-        Heard all = fleet(0, 14), lower = fleet(0, 7), upper = fleet(7, 14);
+        FixedMembership all = fleet(0, 14), lower = fleet(0, 7), upper = fleet(7, 14);
         for (int s = 0; s < 200; s++) {
-            int owner = Owners.owner(s, all);
-            assertEquals(Owners.owner(s, owner < 7 ? lower : upper), owner);
-            assertTrue(Owners.owner(s, owner < 7 ? upper : lower) >= 0);
+            int owner = ProbeOwners.owner(s, all);
+            assertEquals(ProbeOwners.owner(s, owner < 7 ? lower : upper), owner);
+            assertTrue(ProbeOwners.owner(s, owner < 7 ? upper : lower) >= 0);
         }
     }
 
@@ -37,15 +37,15 @@
     }
 
     /**
-     * Owners that look once a second but tell nothing, and others that find out nothing: tries at
-     * one ill server over two minutes.
+     * ProbeOwners that look once a second but tell nothing, and others that find out nothing: tries
+     * at one ill server over two minutes.
      */
     @Test(dataProvider = "sizes")
     public void triesDoNotGrowWithGateways(int n) {
-        Heard heard = fleet(0, n);
-        Owners[] all = new Owners[n];
+        FixedMembership heard = fleet(0, n);
+        ProbeOwners[] all = new ProbeOwners[n];
         for (int g = 0; g < n; g++) {
-            all[g] = new Owners(new Random(g));
+            all[g] = new ProbeOwners(new Random(g));
             all[g].round(0, new Incarnation(g, 1), heard);
             all[g].found(srv, true);
         }
@@ -56,7 +56,7 @@
                 all[g].round(t, new Incarnation(g, 1), heard);
                 if (t - triedAt[g] < 1000 || !all[g].looksAfter(srv)) continue;
                 triedAt[g] = t;
-                if (n == 1 || Owners.owner(Owners.nameOf(srv), heard) == g) byOwner++;
+                if (n == 1 || ProbeOwners.owner(ProbeOwners.nameOf(srv), heard) == g) byOwner++;
                 else byOthers++;
                 all[g].tried(srv);
                 all[g].found(srv, true);
@@ -68,16 +68,16 @@
 
     @Test
     public void whatItsOwnerFindsWellIsTriedAtOnceAndALieCostsOneTryAfterEverLongerWaits() {
-        Heard heard = fleet(0, 5);
-        int owner = Owners.owner(Owners.nameOf(srv), heard), other = (owner + 1) % 5;
-        Owners o = new Owners(new Random(1));
+        FixedMembership heard = fleet(0, 5);
+        int owner = ProbeOwners.owner(ProbeOwners.nameOf(srv), heard), other = (owner + 1) % 5;
+        ProbeOwners o = new ProbeOwners(new Random(1));
         o.round(0, new Incarnation(other, 1), heard);
         o.found(srv, true);
         assertFalse(o.looksAfter(srv));
         int tries = 0;
         for (double t = 100; t < 60_000; t += 100) {
             GossipRecord well = new GossipRecord(new Incarnation(owner, 1), (int) t);
-            well.serverHealth.add(new GossipRecord.ServerHealth(Owners.nameOf(srv), false, 0));
+            well.serverHealth.add(new GossipRecord.ServerHealth(ProbeOwners.nameOf(srv), false, 0));
             o.round(t, new Incarnation(other, 1), heard.hear(well));
             if (!o.looksAfter(srv)) continue;
             if (tries++ == 0) assertTrue(t < 1000, "first at " + t);
@@ -89,16 +89,16 @@
 
     @Test
     public void oneAloneCannotMakeAServerThatWorksHereBeLeft() {
-        Heard heard = fleet(0, 5);
-        Owners o = new Owners(new Random(1));
-        int owner = Owners.owner(Owners.nameOf(srv), heard), self = (owner + 1) % 5;
+        FixedMembership heard = fleet(0, 5);
+        ProbeOwners o = new ProbeOwners(new Random(1));
+        int owner = ProbeOwners.owner(ProbeOwners.nameOf(srv), heard), self = (owner + 1) % 5;
         for (int liars = 1; liars <= 2; liars++) {
             GossipRecord lie =
                     new GossipRecord(
                             new Incarnation(
                                     (owner + liars) % 5 == self ? owner : (owner + liars) % 5, 1),
                             2);
-            lie.serverHealth.add(new GossipRecord.ServerHealth(Owners.nameOf(srv), true, 0));
+            lie.serverHealth.add(new GossipRecord.ServerHealth(ProbeOwners.nameOf(srv), true, 0));
             o.round(5000, new Incarnation(self, 1), heard.hear(lie));
             assertEquals(o.looksAfter(srv), liars < 2);
         }
--- a/fleet/src/test/java/tinford/fleet/overload/FurtherTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
@@ -11,7 +11,7 @@
 import tinford.fleet.members.Incarnation;
 
 /** A gateway's part of the fleet's retry budget. */
-public class FurtherTest {
+public class RetryBudgetTest {
     private static final double PART = 0.1;
 
     /**
@@ -24,12 +24,12 @@
         for (int drawn = 0; drawn < 60; drawn++) {
             Random chance = new Random(drawn);
             int n = 2 + chance.nextInt(8);
-            Further[] all = new Further[n];
+            RetryBudget[] all = new RetryBudget[n];
             Incarnation[] incarnations = new Incarnation[n];
             List<List<GossipRecord>> told = new ArrayList<>();
             double[] own = new double[n], spent = new double[n];
             for (int g = 0; g < n; g++) {
-                all[g] = new Further(PART, chance);
+                all[g] = new RetryBudget(PART, chance);
                 incarnations[g] = new Incarnation(g, 1);
                 told.add(new ArrayList<>());
             }
@@ -38,9 +38,9 @@
                 int g = chance.nextInt(n);
                 if (chance.nextInt(60) == 0) {
                     incarnations[g] = new Incarnation(g, round + 1);
-                    all[g] = new Further(PART, chance);
+                    all[g] = new RetryBudget(PART, chance);
                 }
-                Heard heard = new Heard(n);
+                FixedMembership heard = new FixedMembership(n);
                 for (int p = 0; p < n; p++) {
                     if (p != g && !told.get(p).isEmpty() && chance.nextInt(3) > 0)
                         heard.hear(told.get(p).get(chance.nextInt(told.get(p).size())));
@@ -74,7 +74,7 @@
 
     @Test
     public void aLyingGiverMakesNoMoreThanTwiceAMiddlingPart() {
-        Further f = new Further(PART, new Random(1));
+        RetryBudget f = new RetryBudget(PART, new Random(1));
         Incarnation own = new Incarnation(1, 1);
         double got = 0;
         for (int t = 0; t <= 10_000; t += 100) {
@@ -82,7 +82,7 @@
             lie.first = 100;
             lie.cededTo = own;
             lie.ceded = 1e9 + t;
-            f.round(t, own, new Heard(2).hear(lie));
+            f.round(t, own, new FixedMembership(2).hear(lie));
             for (; f.level() >= 1; got++) f.sent(true);
         }
         assertTrue(got <= 10 * 2 * PART * 100 + 21 && got > 0, "got " + got);
@@ -90,7 +90,7 @@
 
     @Test
     public void whatSurelyNeverRanCostsNothing() {
-        Further f = new Further(PART, new Random(1));
+        RetryBudget f = new RetryBudget(PART, new Random(1));
         for (int i = 0; i < 10; i++) f.sent(false);
         double before = f.level();
         f.neverRan();
