--- a/fleet/src/main/java/tinford/fleet/budgets/Cost.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Cost.java
@@ -48,7 +48,9 @@
             offers.put("server-" + s, 100);
         }
         Ledger ledger =
-                new Ledger(new Leases(size[1], 1e6, 100, 1000), new Statics(offers, 0.1, size[1]));
+                new Ledger(
+                        new Leases(size[1], 1e6, 100, 1000),
+                        new StaticShares(offers, 0.1, size[1]));
         long index = 0;
         for (Map.Entry<String, Integer> e : offers.entrySet()) {
             ledger.apply(++index, Ledger.offer(e.getKey(), 1, e.getValue(), 1));
--- a/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
@@ -75,7 +75,7 @@
     }
 
     final Leases leases;
-    final Statics statics;
+    final StaticShares staticShares;
     final List<Server> servers = new ArrayList<>();
     final TreeMap<Incarnation, Holder> holders = new TreeMap<>();
     private final Map<String, Integer> numbers = new LinkedHashMap<>();
@@ -88,9 +88,9 @@
     private long over;
     private long grants;
 
-    public Ledger(Leases leases, Statics statics) {
+    public Ledger(Leases leases, StaticShares staticShares) {
         this.leases = leases;
-        this.statics = statics;
+        this.staticShares = staticShares;
     }
 
     /**
@@ -107,18 +107,18 @@
         return entry(
                 TELL,
                 out -> {
-                    Pack.put(out, incarnation);
+                    VarInts.put(out, incarnation);
                     out.writeDouble(at);
-                    Pack.put(out, seen);
-                    Pack.put(out, wanted.size());
+                    VarInts.put(out, seen);
+                    VarInts.put(out, wanted.size());
                     for (Map.Entry<Long, Integer> e : wanted.entrySet()) {
-                        Pack.put(out, e.getKey());
-                        Pack.put(out, e.getValue());
+                        VarInts.put(out, e.getKey());
+                        VarInts.put(out, e.getValue());
                     }
-                    Pack.put(out, held.size());
+                    VarInts.put(out, held.size());
                     for (Map.Entry<Integer, Integer> e : held.entrySet()) {
-                        Pack.put(out, e.getKey());
-                        Pack.put(out, e.getValue());
+                        VarInts.put(out, e.getKey());
+                        VarInts.put(out, e.getValue());
                     }
                 });
     }
@@ -132,8 +132,8 @@
                 OFFER,
                 out -> {
                     out.writeUTF(server);
-                    Pack.put(out, start);
-                    Pack.put(out, offer);
+                    VarInts.put(out, start);
+                    VarInts.put(out, offer);
                     out.writeDouble(at);
                 });
     }
@@ -153,7 +153,7 @@
         return entry(
                 GRANT,
                 out -> {
-                    Pack.put(out, basis);
+                    VarInts.put(out, basis);
                     out.writeDouble(at);
                     lines(out, atServers);
                     lines(out, forAccounts);
@@ -161,11 +161,11 @@
     }
 
     private static void lines(DataOutputStream out, List<Line> lines) throws IOException {
-        Pack.put(out, lines.size());
+        VarInts.put(out, lines.size());
         for (Line l : lines) {
-            Pack.put(out, l.incarnation);
-            Pack.put(out, l.what);
-            Pack.put(out, l.count);
+            VarInts.put(out, l.incarnation);
+            VarInts.put(out, l.what);
+            VarInts.put(out, l.count);
         }
     }
 
@@ -225,16 +225,16 @@
     }
 
     private void told(DataInputStream in) throws IOException {
-        Incarnation incarnation = Pack.incarnation(in);
+        Incarnation incarnation = VarInts.incarnation(in);
         double at = at(in);
-        long seen = Pack.take(in);
+        long seen = VarInts.take(in);
         Map<Long, Integer> wanted = new LinkedHashMap<>();
-        for (int n = Pack.count(in, MOST_ASKED); n > 0; n--) {
-            wanted.put(Pack.take(in), Pack.count(in, MOST_COUNT));
+        for (int n = VarInts.count(in, MOST_ASKED); n > 0; n--) {
+            wanted.put(VarInts.take(in), VarInts.count(in, MOST_COUNT));
         }
         Map<Integer, Integer> held = new LinkedHashMap<>();
-        for (int n = Pack.count(in, MOST_SERVERS); n > 0; n--) {
-            held.put(Pack.count(in, MOST_SERVERS), Pack.count(in, MOST_COUNT));
+        for (int n = VarInts.count(in, MOST_SERVERS); n > 0; n--) {
+            held.put(VarInts.count(in, MOST_SERVERS), VarInts.count(in, MOST_COUNT));
         }
         leases.seen(at);
         if (leases.closed(incarnation)) {
@@ -265,8 +265,8 @@
 
     private void offered(DataInputStream in) throws IOException {
         String name = in.readUTF();
-        long start = Pack.take(in);
-        int offer = Pack.count(in, MOST_COUNT);
+        long start = VarInts.take(in);
+        int offer = VarInts.count(in, MOST_COUNT);
         leases.seen(at(in));
         Integer n = numbers.get(name);
         if (n == null) {
@@ -288,7 +288,7 @@
     }
 
     private void granted(long index, DataInputStream in) throws IOException {
-        long basis = Pack.take(in);
+        long basis = VarInts.take(in);
         double at = at(in);
         List<Line> atServers = lines(in);
         List<Line> forAccounts = lines(in);
@@ -316,8 +316,12 @@
 
     private static List<Line> lines(DataInputStream in) throws IOException {
         List<Line> lines = new ArrayList<>();
-        for (int n = Pack.count(in, MOST_COUNT); n > 0; n--) {
-            lines.add(new Line(Pack.incarnation(in), Pack.take(in), Pack.count(in, MOST_COUNT)));
+        for (int n = VarInts.count(in, MOST_COUNT); n > 0; n--) {
+            lines.add(
+                    new Line(
+                            VarInts.incarnation(in),
+                            VarInts.take(in),
+                            VarInts.count(in, MOST_COUNT)));
         }
         return lines;
     }
@@ -401,7 +405,7 @@
     /** What can be granted at a server in all. */
     int pool(int server) {
         Server s = servers.get(server);
-        return s.offer - statics.sum(s.name);
+        return s.offer - staticShares.sum(s.name);
     }
 
     /** Its number in this log, or -1. */
@@ -467,18 +471,18 @@
                 FORM,
                 out -> {
                     leases.write(out);
-                    Pack.put(out, last);
-                    Pack.put(out, lastGrant);
-                    Pack.put(out, servers.size());
+                    VarInts.put(out, last);
+                    VarInts.put(out, lastGrant);
+                    VarInts.put(out, servers.size());
                     for (Server s : servers) {
                         out.writeUTF(s.name);
-                        Pack.put(out, s.start);
-                        Pack.put(out, s.offer);
+                        VarInts.put(out, s.start);
+                        VarInts.put(out, s.offer);
                     }
-                    Pack.put(out, holders.size());
+                    VarInts.put(out, holders.size());
                     for (Map.Entry<Incarnation, Holder> e : holders.entrySet()) {
                         Holder h = e.getValue();
-                        Pack.put(out, e.getKey());
+                        VarInts.put(out, e.getKey());
                         out.writeDouble(h.told);
                         // Cells with nothing go at a time that a snapshot does not carry: they are
                         // left out, so that all members' are the same.
@@ -486,14 +490,14 @@
                                 h.cells.entrySet().stream()
                                         .filter(c -> c.getValue().may > 0)
                                         .toList();
-                        Pack.put(out, cells.size());
+                        VarInts.put(out, cells.size());
                         for (Map.Entry<Integer, Cell> c : cells) {
-                            Pack.put(out, c.getKey());
-                            Pack.put(out, c.getValue().granted);
-                            Pack.put(out, c.getValue().may);
-                            Pack.put(out, c.getValue().shrunk);
+                            VarInts.put(out, c.getKey());
+                            VarInts.put(out, c.getValue().granted);
+                            VarInts.put(out, c.getValue().may);
+                            VarInts.put(out, c.getValue().shrunk);
                             out.writeDouble(c.getValue().free);
-                            Pack.put(out, c.getValue().fencingToken);
+                            VarInts.put(out, c.getValue().fencingToken);
                         }
                         counts(out, h.asked);
                         counts(out, h.uses);
@@ -502,10 +506,10 @@
     }
 
     private static void counts(DataOutputStream out, Map<Long, Integer> counts) throws IOException {
-        Pack.put(out, counts.size());
+        VarInts.put(out, counts.size());
         for (Map.Entry<Long, Integer> e : counts.entrySet()) {
-            Pack.put(out, e.getKey());
-            Pack.put(out, e.getValue());
+            VarInts.put(out, e.getKey());
+            VarInts.put(out, e.getValue());
         }
     }
 
@@ -517,20 +521,20 @@
                 throw new IOException("a snapshot of a form that is not known, expected " + FORM);
             }
             leases.read(in);
-            last = Math.max(index, Pack.take(in));
-            lastGrant = Pack.take(in);
+            last = Math.max(index, VarInts.take(in));
+            lastGrant = VarInts.take(in);
             servers.clear();
             numbers.clear();
-            for (int n = Pack.count(in, MOST_SERVERS); n > 0; n--) {
+            for (int n = VarInts.count(in, MOST_SERVERS); n > 0; n--) {
                 Server s = new Server(in.readUTF());
-                s.start = Pack.take(in);
-                s.offer = Pack.count(in, MOST_COUNT);
+                s.start = VarInts.take(in);
+                s.offer = VarInts.count(in, MOST_COUNT);
                 numbers.put(s.name, servers.size());
                 servers.add(s);
             }
             holders.clear();
-            for (int n = Pack.count(in, MOST_COUNT); n > 0; n--) {
-                holders.put(Pack.incarnation(in), holder(in));
+            for (int n = VarInts.count(in, MOST_COUNT); n > 0; n--) {
+                holders.put(VarInts.incarnation(in), holder(in));
             }
             nextFree = 0;
             sweep();
@@ -543,19 +547,19 @@
     private Holder holder(DataInputStream in) throws IOException {
         Holder h = new Holder();
         h.told = in.readDouble();
-        for (int n = Pack.count(in, MOST_SERVERS); n > 0; n--) {
-            int number = Pack.count(in, servers.size() - 1);
+        for (int n = VarInts.count(in, MOST_SERVERS); n > 0; n--) {
+            int number = VarInts.count(in, servers.size() - 1);
             Cell c = new Cell();
-            c.granted = Pack.count(in, MOST_COUNT);
-            may(number, c, Pack.count(in, MOST_COUNT));
-            c.shrunk = Pack.take(in);
+            c.granted = VarInts.count(in, MOST_COUNT);
+            may(number, c, VarInts.count(in, MOST_COUNT));
+            c.shrunk = VarInts.take(in);
             c.free = in.readDouble();
-            c.fencingToken = Pack.take(in);
+            c.fencingToken = VarInts.take(in);
             h.cells.put(number, c);
         }
         for (TreeMap<Long, Integer> counts : List.of(h.asked, h.uses)) {
-            for (int n = Pack.count(in, MOST_ASKED); n > 0; n--) {
-                counts.put(Pack.take(in), Pack.count(in, MOST_COUNT));
+            for (int n = VarInts.count(in, MOST_ASKED); n > 0; n--) {
+                counts.put(VarInts.take(in), VarInts.count(in, MOST_COUNT));
             }
         }
         return h;
--- a/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
@@ -60,7 +60,7 @@
                 own[g] +=
                         ledger.servers.get(s).offer == 0
                                 ? 0
-                                : ledger.statics.of(
+                                : ledger.staticShares.of(
                                         ledger.servers.get(s).name, incarnations.get(g).gateway());
             }
             h.cells.forEach(
--- a/fleet/src/main/java/tinford/fleet/budgets/Share.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Share.java
@@ -31,7 +31,7 @@
     }
 
     private final Ledger ledger;
-    private final Statics statics;
+    private final StaticShares staticShares;
     private final LongFunction<Proposer.Plan> plans;
     private final Incarnation incarnation;
     private final double length;
@@ -59,7 +59,7 @@
      */
     public Share(
             Ledger ledger,
-            Statics statics,
+            StaticShares staticShares,
             LongFunction<Proposer.Plan> plans,
             Incarnation incarnation,
             double length,
@@ -68,7 +68,7 @@
             double keep,
             double staticFrom) {
         this.ledger = ledger;
-        this.statics = statics;
+        this.staticShares = staticShares;
         this.plans = plans;
         this.incarnation = incarnation;
         this.length = length;
@@ -98,7 +98,7 @@
     }
 
     private int own(String server, double now) {
-        return now >= staticFrom ? statics.of(server, incarnation.gateway()) : 0;
+        return now >= staticFrom ? staticShares.of(server, incarnation.gateway()) : 0;
     }
 
     /** Connections to let go: idle ones at once, busy ones as they are answered. */
--- a/fleet/src/main/java/tinford/fleet/budgets/Statics.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/StaticShares.java
@@ -12,7 +12,7 @@
  * spare ones go to those first in the server's own order of gateways (a hash of server and
  * gateway), so each is somebody's and the sum is exact. Holds one array of gateways a server.
  */
-public final class Statics {
+public final class StaticShares {
     private static final int MOST_UNNAMED = Ledger.MOST_SERVERS;
     private final Map<String, int[]> by = new LinkedHashMap<>();
     private final Map<String, Integer> sums = new LinkedHashMap<>();
@@ -24,14 +24,14 @@
      * @param offers by server, from the settings
      * @param part of an offer that is static, 0 to 1
      */
-    public Statics(Map<String, Integer> offers, double part, int gateways) {
+    public StaticShares(Map<String, Integer> offers, double part, int gateways) {
         this(offers, 0, part, gateways);
     }
 
     /**
      * @param unnamed what each server offers that the settings do not name
      */
-    public Statics(Map<String, Integer> offers, int unnamed, double part, int gateways) {
+    public StaticShares(Map<String, Integer> offers, int unnamed, double part, int gateways) {
         this.unnamed = unnamed;
         this.part = part;
         this.gateways = gateways;
--- a/fleet/src/main/java/tinford/fleet/budgets/Pack.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/VarInts.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 import tinford.fleet.members.Incarnation;
 
-/** Whole numbers in as few bytes as they need. */
-final class Pack {
-    private Pack() {}
+/** Whole numbers as variable-length integers: seven bits a byte, the lowest first. */
+final class VarInts {
+    private VarInts() {}
 
     static void put(DataOutput out, long value) throws IOException {
         long v = value;
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -100,7 +100,7 @@
                             operatorFile,
                             incarnation,
                             place.gateways,
-                            ReplicatedState.statics(operatorFile, place.gateways),
+                            ReplicatedState.staticShares(operatorFile, place.gateways),
                             moves == null ? Map.of() : moves.homes(),
                             mailbox);
         }
--- a/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
@@ -8,7 +8,7 @@
 import java.io.UncheckedIOException;
 import java.util.Map;
 import tinford.fleet.budgets.Ledger;
-import tinford.fleet.budgets.Statics;
+import tinford.fleet.budgets.StaticShares;
 import tinford.fleet.members.Leases;
 import tinford.fleet.moves.Entry;
 import tinford.fleet.moves.Moves;
@@ -32,10 +32,10 @@
             double leaseMs,
             double apart,
             double linger,
-            Statics statics,
+            StaticShares staticShares,
             Map<String, String> homes) {
         leases = new Leases(gateways, leaseMs, apart, linger);
-        ledger = new Ledger(leases, statics);
+        ledger = new Ledger(leases, staticShares);
         moves = new Moves(homes, leases::notSurelyOver, apart);
     }
 
--- a/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
+++ b/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
@@ -19,7 +19,7 @@
 import tinford.fleet.budgets.Ledger;
 import tinford.fleet.budgets.Proposer;
 import tinford.fleet.budgets.Share;
-import tinford.fleet.budgets.Statics;
+import tinford.fleet.budgets.StaticShares;
 import tinford.fleet.members.Incarnation;
 import tinford.fleet.store.Log;
 import tinford.fleet.store.RaftLog;
@@ -77,7 +77,7 @@
             OperatorFile operatorFile,
             Incarnation incarnation,
             int gateways,
-            Statics statics,
+            StaticShares staticShares,
             Map<String, String> homes,
             Mailbox mailbox)
             throws IOException {
@@ -86,7 +86,7 @@
         double linger = operatorFile.number("log.linger_ms");
         offer = (int) operatorFile.number("budgets.offer");
         accounts = (int) operatorFile.number("budgets.accounts");
-        stateMachine = new FleetStateMachine(gateways, leaseMs, apart, linger, statics, homes);
+        stateMachine = new FleetStateMachine(gateways, leaseMs, apart, linger, staticShares, homes);
         int floor = (int) operatorFile.number("budgets.floor");
         int cap = (int) operatorFile.number("budgets.cap");
         proposer =
@@ -101,7 +101,7 @@
         share =
                 new Share(
                         stateMachine.ledger,
-                        statics,
+                        staticShares,
                         key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap),
                         incarnation,
                         leaseMs,
@@ -111,7 +111,12 @@
                         alone ? incarnation.start() : incarnation.start() + linger);
         FleetStateMachine snapshotSource =
                 new FleetStateMachine(
-                        gateways, leaseMs, apart, linger, statics(operatorFile, gateways), homes);
+                        gateways,
+                        leaseMs,
+                        apart,
+                        linger,
+                        staticShares(operatorFile, gateways),
+                        homes);
         TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
         List<String> addresses = operatorFile.texts("log.members");
         for (int i = 0; i < addresses.size(); i++) {
@@ -141,8 +146,8 @@
         starts.start();
     }
 
-    static Statics statics(OperatorFile operatorFile, int gateways) {
-        return new Statics(
+    static StaticShares staticShares(OperatorFile operatorFile, int gateways) {
+        return new StaticShares(
                 Map.of(),
                 (int) operatorFile.number("budgets.offer"),
                 operatorFile.number("budgets.static_part"),
--- a/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
@@ -57,7 +57,7 @@
         }
 
         void start(double linger) {
-            ledger = ledgers.apply(statics);
+            ledger = ledgers.apply(staticShares);
             applied = 0;
             double own = now + offset;
             share = shares.make(ledger, new Incarnation(number, (long) own), own + linger);
@@ -89,9 +89,9 @@
     final List<Conn> orphans = new ArrayList<>();
     final List<byte[]> log = new ArrayList<>();
     private final TreeMap<Double, List<byte[]>> coming = new TreeMap<>();
-    final Statics statics;
+    final StaticShares staticShares;
     final LongFunction<Proposer.Plan> plans;
-    Function<Statics, Ledger> ledgers;
+    Function<StaticShares, Ledger> ledgers;
     Make shares;
     boolean faults;
     double now = 1_000_000;
@@ -109,12 +109,12 @@
             Map<String, Integer> offers,
             double part,
             LongFunction<Proposer.Plan> plans,
-            Function<Statics, Ledger> ledgers,
+            Function<StaticShares, Ledger> ledgers,
             Make shares) {
         random = new Random(seed);
         this.offers.putAll(offers);
         this.plans = plans;
-        statics = new Statics(offers, part, size);
+        staticShares = new StaticShares(offers, part, size);
         this.ledgers = ledgers != null ? ledgers : s -> new Ledger(leases(size), s);
         this.shares = shares != null ? shares : this::share;
         for (int g = 0; g < size; g++) {
@@ -129,7 +129,7 @@
 
     Share share(Ledger ledger, Incarnation incarnation, double staticFrom) {
         return new Share(
-                ledger, statics, plans, incarnation, LEASE, MARGIN, EVERY, KEEP, staticFrom);
+                ledger, staticShares, plans, incarnation, LEASE, MARGIN, EVERY, KEEP, staticFrom);
     }
 
     void offer(String server, int offer, long start) {
--- a/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
@@ -47,7 +47,7 @@
                                 : (ledger, incarnation, from) ->
                                         new Share(
                                                 ledger,
-                                                new Statics(offers, part, size),
+                                                new StaticShares(offers, part, size),
                                                 PLANS,
                                                 incarnation,
                                                 Fleet.LEASE,
@@ -75,8 +75,8 @@
         return f;
     }
 
-    private static Ledger ledger(int size, Statics statics, String broken) {
-        return new Ledger(Fleet.leases(size), statics) {
+    private static Ledger ledger(int size, StaticShares staticShares, String broken) {
+        return new Ledger(Fleet.leases(size), staticShares) {
             @Override
             boolean fits(Incarnation incarnation, int server, int more) {
                 return broken.equals("no check") || super.fits(incarnation, server, more);
@@ -124,20 +124,20 @@
     @Test
     public void aSnapshotAtAnyPointCarriesAllAndWhatCantBeReadChangesNothing() {
         Fleet f = history(3, "");
-        Ledger whole = new Ledger(Fleet.leases(f.gateways.size()), f.statics);
-        Ledger cut = new Ledger(Fleet.leases(f.gateways.size()), f.statics);
+        Ledger whole = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
+        Ledger cut = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
         Random random = new Random(9);
         for (int i = 0; i < f.log.size(); i++) {
             whole.apply(i + 1, f.log.get(i));
             cut.apply(i + 1, f.log.get(i));
             assertEquals(cut.snapshot(), whole.snapshot(), "entry " + i);
             if (random.nextInt(5) == 0) {
-                Ledger next = new Ledger(Fleet.leases(f.gateways.size()), f.statics);
+                Ledger next = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
                 next.restore(i + 1, cut.snapshot());
                 cut = next;
             }
         }
-        Ledger bad = new Ledger(Fleet.leases(f.gateways.size()), f.statics);
+        Ledger bad = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
         bad.restore(f.log.size(), whole.snapshot());
         byte[] cells = cells(bad);
         long index = f.log.size();
--- a/fleet/src/test/java/tinford/fleet/budgets/MaxMinTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/MaxMinTest.java
@@ -79,8 +79,8 @@
         for (int k = 0; k < 200; k++) {
             int gateways = 1 + random.nextInt(40);
             int offer = random.nextInt(100);
-            Statics s =
-                    new Statics(
+            StaticShares s =
+                    new StaticShares(
                             new LinkedHashMap<>(Map.of("a" + k, offer)),
                             random.nextDouble(),
                             gateways);
--- a/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 import tinford.fleet.budgets.Ledger;
-import tinford.fleet.budgets.Statics;
+import tinford.fleet.budgets.StaticShares;
 import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Leases;
 import tinford.fleet.moves.Entry;
@@ -18,7 +18,7 @@
 
     private static FleetStateMachine stateMachine() {
         return new FleetStateMachine(
-                3, 3000, 100, 1000, new Statics(Map.of("s", 8), 0.5, 3), Map.of("f", "m"));
+                3, 3000, 100, 1000, new StaticShares(Map.of("s", 8), 0.5, 3), Map.of("f", "m"));
     }
 
     private static void fill(FleetStateMachine to) {
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -19,7 +19,7 @@
 import tinford.api.Group;
 import tinford.api.Req;
 import tinford.api.Srv;
-import tinford.fleet.budgets.Statics;
+import tinford.fleet.budgets.StaticShares;
 import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Leases;
 import tinford.fleet.moves.MoveStatus;
@@ -142,7 +142,12 @@
 
         private FleetStateMachine stateMachine() {
             return new FleetStateMachine(
-                    3, LEASE, APART, LINGER, new Statics(Map.of(), 16, 0.5, 3), settings.homes());
+                    3,
+                    LEASE,
+                    APART,
+                    LINGER,
+                    new StaticShares(Map.of(), 16, 0.5, 3),
+                    settings.homes());
         }
 
         void start(int g) {
