--- a/fleet/src/main/java/tinford/fleet/moves/Moves.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Moves.java
@@ -6,6 +6,7 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
 import tinford.fleet.members.Incarnation;
@@ -54,7 +55,10 @@
         this(homes, leaseHolders, apart, new TransitionRules());
     }
 
-    Moves(
+    /**
+     * @param rules tests and the lab replace one at a time by a broken one
+     */
+    public Moves(
             Map<String, String> homes,
             LeaseHolders leaseHolders,
             double apart,
@@ -65,7 +69,8 @@
         this.rules = rules;
     }
 
-    Moves copy(LeaseHolders others) {
+    /** An independent copy that asks others about leases: what the lab explores from. */
+    public Moves copy(LeaseHolders others) {
         Moves m = new Moves(homes, others, apart, rules);
         m.acks = new TreeMap<>(acks);
         m.reports = new TreeMap<>(reports);
@@ -101,8 +106,9 @@
         return acks.containsKey(incarnation);
     }
 
-    Map<Incarnation, Double> acks() {
-        return acks;
+    /** When each incarnation acknowledged the present position, by the log's time. */
+    public Map<Incarnation, Double> acks() {
+        return Collections.unmodifiableMap(acks);
     }
 
     double turned() {
@@ -113,7 +119,8 @@
         return logNow;
     }
 
-    int before() {
+    /** The position of the turn before. */
+    public int before() {
         return before;
     }
 
--- a/fleet/src/main/java/tinford/fleet/moves/Plan.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Plan.java
@@ -75,7 +75,10 @@
     public final List<Step> steps;
     private final Map<String, Integer> index = new HashMap<>();
 
-    Plan(
+    /**
+     * @throws Faults.Refused where it breaks a rule of form
+     */
+    public Plan(
             String name,
             double soak,
             double margin,
--- a/fleet/src/main/java/tinford/fleet/moves/Route.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Route.java
@@ -79,7 +79,7 @@
     }
 
     /** By its own clock. */
-    protected boolean mayAct(double now) {
+    public boolean mayAct(double now) {
         return lease != null && lease.holds(now);
     }
 
@@ -98,7 +98,7 @@
     }
 
     /** From 0 to below 1, the same at every gateway. */
-    static double part(long customer, int salt) {
+    public static double part(long customer, int salt) {
         long x = customer * 0x9E3779B97F4A7C15L + salt * 0xBF58476D1CE4E5B9L;
         x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
         x = (x ^ x >>> 27) * 0x94D049BB133111EBL;
--- a/fleet/src/main/java/tinford/fleet/moves/TransitionRules.java
+++ b/fleet/src/main/java/tinford/fleet/moves/TransitionRules.java
@@ -8,14 +8,14 @@
  * The rules about when a change of position is due. {@link Moves} asks them in one place; tests
  * replace one at a time by a broken one.
  */
-class TransitionRules {
+public class TransitionRules {
     /** One step at a time, in the direction that the moves have. */
-    boolean next(int from, int to, boolean back) {
+    public boolean next(int from, int to, boolean back) {
         return to == (back ? from - 1 : from + 1);
     }
 
     /** An ack counts for the present position only. */
-    boolean counts(long turn, long of) {
+    public boolean counts(long turn, long of) {
         return turn == of;
     }
 
@@ -23,7 +23,7 @@
      * Back to where the last change came from: whoever has not followed that change is there
      * already, so nobody is waited for.
      */
-    boolean returns(int before, int position, int to) {
+    public boolean returns(int before, int position, int to) {
         return before == to && before != position;
     }
 
@@ -31,7 +31,7 @@
      * Whether all who may have acted since that time had said by then that they act on the present
      * position.
      */
-    boolean acked(LeaseHolders leaseHolders, Map<Incarnation, Double> acks, double since) {
+    public boolean acked(LeaseHolders leaseHolders, Map<Incarnation, Double> acks, double since) {
         Collection<Incarnation> incarnations = leaseHolders.mayHaveActed(since);
         for (Incarnation incarnation : incarnations) {
             Double at = acks.get(incarnation);
@@ -47,7 +47,7 @@
      * retries are told, none goes anywhere in either step of a change, so the wait is due at the
      * end; where they aren't, nothing goes in HOLD, so the wait is due there.
      */
-    double waits(Plan plan, int at, boolean back) {
+    public double waits(Plan plan, int at, boolean back) {
         double most = 0;
         Step step = plan.steps.get(at);
         for (int i = 0; i < plan.frontends.size(); i++) {
@@ -62,7 +62,7 @@
     }
 
     /** Whether the groups that are gone to can take their share with what of them is warm now. */
-    boolean fits(Plan plan, Step step, double[] warm) {
+    public boolean fits(Plan plan, Step step, double[] warm) {
         int g = 0;
         for (Map.Entry<String, Plan.Room> group : plan.groups.entrySet()) {
             double load = 0;
@@ -82,12 +82,12 @@
     }
 
     /** A resume lifts the halt that its operator saw, once. */
-    boolean lifts(boolean halted, long halts, long seen) {
+    public boolean lifts(boolean halted, long halts, long seen) {
         return halted && halts == seen;
     }
 
     /** What a resume alters of the position: nothing. */
-    int resumed(int position) {
+    public int resumed(int position) {
         return position;
     }
 }
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/explore/Explorer.java
@@ -0,0 +1,286 @@
+package tinford.lab.explore;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import tinford.fleet.moves.Entry;
+import tinford.fleet.moves.MoveStatus;
+import tinford.fleet.moves.Moves;
+import tinford.fleet.moves.Route;
+
+/**
+ * Goes through everything that can happen to one plan of moves at small size, breadth-first:
+ * entries in any order, late, lost or by a wrong leader, kills, restarts with and without a disk,
+ * ended leases, halts, clocks that differ. Runs the real {@link Moves} and {@link Route}. Holds
+ * every state that it found; its memory is bounded by the number of states in its settings.
+ */
+final class Explorer {
+    private static final int PROGRESS_EVERY = 100_000;
+
+    /** Warm units a second of the new group: as much as the plan needs. */
+    private static final double ALL_WARM = 2;
+
+    private final ExplorationSettings settings;
+    private final StateGraph graph = new StateGraph();
+    private final ArrayDeque<FleetModel> open = new ArrayDeque<>();
+
+    /** The number of the state that is being expanded. */
+    private int current = StateGraph.NONE;
+
+    private List<String> story;
+    private String broken;
+
+    Explorer(ExplorationSettings settings) {
+        this.settings = settings;
+    }
+
+    ExplorationResult run() {
+        reach(new FleetModel(settings), "begun", false);
+        for (current = 0;
+                !open.isEmpty() && broken == null && graph.states() < settings.maxStates;
+                current++) {
+            expand(open.poll());
+            if (current % PROGRESS_EVERY == 0) {
+                settings.progress.at(current, graph.states());
+            }
+        }
+        if (broken == null && open.isEmpty()) {
+            checkEnds();
+        }
+        return new ExplorationResult(graph.states(), graph.edges(), graph.ends(), story, broken);
+    }
+
+    /**
+     * From every state an end must be within reach by what happens without faults and without a
+     * restart of who is down.
+     */
+    private void checkEnds() {
+        int stuck = graph.firstStuck();
+        if (stuck != StateGraph.NONE) {
+            broken = "stuck: no end is within reach";
+            story = graph.story(stuck);
+        }
+    }
+
+    /**
+     * @param faultless whether it happens without a fault
+     */
+    private void reach(FleetModel model, String step, boolean faultless) {
+        model.normalise();
+        model.check();
+        String form = model.form();
+        int number = graph.number(form);
+        if (number == StateGraph.NONE) {
+            Moves.State state = model.moves.status().state();
+            boolean end = state == Moves.State.DONE || state == Moves.State.UNDONE;
+            number = graph.add(form, current, step, end);
+            open.add(model);
+        }
+        if (faultless && number != current) {
+            graph.edge(current, number);
+        }
+        if (model.broken != null && broken == null) {
+            broken = model.broken;
+            story = new ArrayList<>(graph.story(current));
+            story.add(step);
+        }
+    }
+
+    private void expand(FleetModel model) {
+        tick(model);
+        for (GatewayModel gateway : model.gateways) {
+            if (gateway.up) {
+                act(model, gateway);
+            }
+            fail(model, gateway);
+        }
+        lead(model);
+        operate(model);
+        MoveStatus status = model.moves.status();
+        Entry bad =
+                Entry.report(
+                        model.gateways.get(0).incarnation(),
+                        status.turn(),
+                        model.clock(0),
+                        1,
+                        0,
+                        9,
+                        9,
+                        1,
+                        0,
+                        0,
+                        0);
+        offer(model, bad, "gateway 0: bad", false);
+    }
+
+    private void tick(FleetModel model) {
+        FleetModel next = new FleetModel(model);
+        next.now++;
+        for (GatewayModel gateway : next.gateways) {
+            if (gateway.up && !gateway.cutOff && gateway.leaseGranted != GatewayModel.NEVER) {
+                next.renew(gateway);
+            }
+        }
+        reach(next, "a tick", true);
+    }
+
+    private void lead(FleetModel model) {
+        MoveStatus status = model.moves.status();
+        for (int to = status.position() - 2; to <= status.position() + 2; to++) {
+            Entry go = Entry.go(model.now, status.turn(), to, ALL_WARM);
+            offer(model, go, "a leader: to step " + to, true);
+        }
+        int next = status.position() + 1;
+        Entry stale = Entry.go(model.now, status.turn() - 1, next, ALL_WARM);
+        offer(model, stale, "a stale leader: to step " + next, true);
+    }
+
+    private void operate(FleetModel model) {
+        long halts = model.moves.halts();
+        offer(model, Entry.resume("o", model.now, halts), "resume", true);
+        offer(model, Entry.resume("o", model.now, halts - 1), "resume of an earlier halt", false);
+        if (halts < settings.maxHalts) {
+            offer(model, Entry.halt("o", model.now), "halt", false);
+        }
+        offer(model, Entry.back("o", model.now), "back", false);
+    }
+
+    /**
+     * Entries that alter nothing are no step of a story. A report alters something only when it
+     * turns the moves back.
+     */
+    private void offer(FleetModel model, Entry entry, String step, boolean faultless) {
+        FleetModel next = new FleetModel(model);
+        next.apply(entry);
+        MoveStatus before = model.moves.status();
+        MoveStatus after = next.moves.status();
+        if (before.state() != after.state()
+                || before.turn() != after.turn()
+                || before.position() != after.position()
+                || before.back() != after.back()) {
+            reach(next, step, faultless);
+        }
+    }
+
+    /** All that a gateway may do next. */
+    private void act(FleetModel model, GatewayModel gateway) {
+        if (!gateway.unread.isEmpty()) {
+            read(model, gateway);
+        }
+        acknowledge(model, gateway);
+        if (gateway.leaseGranted == GatewayModel.NEVER && !gateway.cutOff) {
+            FleetModel next = new FleetModel(model);
+            next.renew(next.gateways.get(gateway.number));
+            reach(next, name(gateway) + " is granted its first lease", true);
+        }
+        if (gateway.cutOff) {
+            FleetModel next = new FleetModel(model);
+            GatewayModel heard = next.gateways.get(gateway.number);
+            heard.cutOff = false;
+            next.renew(heard);
+            reach(next, name(gateway) + " is heard again", true);
+        }
+        send(model, gateway);
+    }
+
+    private void read(FleetModel model, GatewayModel gateway) {
+        FleetModel next = new FleetModel(model);
+        GatewayModel reader = next.gateways.get(gateway.number);
+        int first = 0;
+        for (int i = 0; settings.grantFirst && i < reader.unread.size(); i++) {
+            first = reader.unread.get(i).isGrant() ? i : first;
+        }
+        GatewayModel.LogEvent event = reader.unread.remove(first);
+        next.see(reader, event);
+        String what = event.isGrant() ? "its lease" : "step " + event.status().position();
+        reach(next, name(gateway) + " sees " + what, true);
+    }
+
+    private void acknowledge(FleetModel model, GatewayModel gateway) {
+        if (model.mayAct(gateway)
+                && !gateway.cutOff
+                && model.clock(gateway) < gateway.leaseSeen
+                && !model.moves.acked(gateway.incarnation())
+                && (!settings.acksInFlight || !gateway.ackInFlight())) {
+            FleetModel next = new FleetModel(model);
+            if (settings.acksInFlight) {
+                next.gateways.get(gateway.number).ackSent = model.clock(gateway);
+            } else {
+                next.apply(ack(gateway, model.clock(gateway)));
+            }
+            reach(next, name(gateway) + " acks step " + gateway.view.position(), true);
+        }
+        if (gateway.ackInFlight()) {
+            FleetModel next = new FleetModel(model);
+            next.apply(ack(gateway, gateway.ackSent));
+            next.gateways.get(gateway.number).ackSent = GatewayModel.NEVER;
+            reach(next, "the ack of " + name(gateway) + " is in the log", true);
+        }
+    }
+
+    private static Entry ack(GatewayModel gateway, double sent) {
+        return Entry.ack(gateway.incarnation(), gateway.view.turn(), sent);
+    }
+
+    private void send(FleetModel model, GatewayModel gateway) {
+        // before, all go to the old group
+        if (!model.mayAct(gateway) || gateway.view.position() < settings.stages) {
+            return;
+        }
+        boolean again = model.sentBefore();
+        boolean retry = settings.retriesTold && again;
+        Route route = model.route(gateway);
+        for (int to = FleetModel.OLD_GROUP; to <= FleetModel.NEW_GROUP; to++) {
+            String group = to == FleetModel.OLD_GROUP ? "a" : "b";
+            if (route.mayGo("needing", 1, retry, group, null, model.clock(gateway))) {
+                FleetModel next = new FleetModel(model);
+                next.send(to);
+                String what = again ? "retry" : "request";
+                reach(next, name(gateway) + " sends the " + what + " to " + group, false);
+            }
+        }
+    }
+
+    /** All faults that a gateway may have next, and its restart. */
+    private void fail(FleetModel model, GatewayModel gateway) {
+        if (gateway.up && model.faults < settings.maxFaults) {
+            kill(model, gateway);
+            if (!gateway.cutOff) {
+                cutOff(model, gateway);
+            }
+        }
+        if (!gateway.up) {
+            restart(model, gateway, false);
+            restart(model, gateway, true);
+        }
+    }
+
+    private void kill(FleetModel model, GatewayModel gateway) {
+        FleetModel next = new FleetModel(model);
+        GatewayModel killed = next.gateways.get(gateway.number);
+        killed.up = false;
+        killed.ackSent = GatewayModel.NEVER;
+        killed.cutOff = false;
+        next.faults++;
+        reach(next, name(gateway) + " is killed", false);
+    }
+
+    private void cutOff(FleetModel model, GatewayModel gateway) {
+        FleetModel next = new FleetModel(model);
+        next.gateways.get(gateway.number).cutOff = true;
+        next.faults++;
+        reach(next, name(gateway) + " is cut off", false);
+    }
+
+    private void restart(FleetModel model, GatewayModel gateway, boolean withDisk) {
+        FleetModel next = new FleetModel(model);
+        MoveStatus known = withDisk ? gateway.view : next.newMoves().status();
+        next.gateways.get(gateway.number).restart(known, next.moves.status());
+        String how = withDisk ? " restarts with its disk" : " restarts without its disk";
+        reach(next, name(gateway) + how, false);
+    }
+
+    private static String name(GatewayModel gateway) {
+        return "gateway " + gateway.number;
+    }
+}
--- a/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
+++ b/lab/src/test/java/tinford/lab/explore/ExplorerTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.lab.explore;
 
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
@@ -9,9 +9,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.fleet.members.Incarnation;
+import tinford.fleet.moves.LeaseHolders;
+import tinford.fleet.moves.Plan;
+import tinford.fleet.moves.Route;
+import tinford.fleet.moves.Step;
+import tinford.fleet.moves.TransitionRules;
 
 /** Exhaustive exploration of small plans of staged moves. */
-public class ExploreTest {
+public class ExplorerTest {
     @DataProvider
     public Object[][] told() {
         return new Object[][] {{false}, {true}};
@@ -28,19 +33,21 @@
     }
 
     private static void holds(boolean told, int most) {
-        Explore.Case c = new Explore.Case();
-        c.told = told;
-        c.gateways = 2;
-        c.kills = 0;
-        c.halts = 0;
-        c.most = most;
-        Explore.Found f = new Explore(c).run();
-        assertNull(f.broken(), f.broken() + " " + f.story());
-        assertTrue(f.ends() > 0 || f.states() >= c.most, f.states() + " states, none an end");
+        ExplorationSettings settings = new ExplorationSettings();
+        settings.retriesTold = told;
+        settings.gateways = 2;
+        settings.maxFaults = 0;
+        settings.maxHalts = 0;
+        settings.maxStates = most;
+        ExplorationResult result = new Explorer(settings).run();
+        assertNull(result.broken(), result.broken() + " " + result.story());
+        assertTrue(
+                result.ends() > 0 || result.states() >= settings.maxStates,
+                result.states() + " states, none an end");
     }
 
-    private static Consumer<Explore.Case> rules(TransitionRules rules) {
-        return c -> c.rules = rules;
+    private static Consumer<ExplorationSettings> rules(TransitionRules rules) {
+        return settings -> settings.rules = rules;
     }
 
     @DataProvider
@@ -52,7 +59,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            boolean acked(
+                            public boolean acked(
                                     LeaseHolders m, Map<Incarnation, Double> acks, double since) {
                                 return true;
                             }
@@ -61,12 +68,12 @@
             {
                 "acks of another turn count",
                 "",
-                ((Consumer<Explore.Case>) c -> c.flights = true)
+                ((Consumer<ExplorationSettings>) settings -> settings.acksInFlight = true)
                         .andThen(
                                 rules(
                                         new TransitionRules() {
                                             @Override
-                                            boolean counts(long turn, long of) {
+                                            public boolean counts(long turn, long of) {
                                                 return true;
                                             }
                                         }))
@@ -74,11 +81,11 @@
             {
                 "the end of a lease counted too early",
                 "",
-                (Consumer<Explore.Case>)
-                        c -> {
-                            c.apartCounted = -1;
-                            c.gateways = 3;
-                            c.kills = 1;
+                (Consumer<ExplorationSettings>)
+                        settings -> {
+                            settings.countedClockSkew = -1;
+                            settings.gateways = 3;
+                            settings.maxFaults = 1;
                         }
             },
             {
@@ -87,7 +94,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            boolean acked(
+                            public boolean acked(
                                     LeaseHolders m, Map<Incarnation, Double> acks, double since) {
                                 return super.acked(m, acks, since) && acks.size() > 2;
                             }
@@ -99,7 +106,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            boolean next(int from, int to, boolean back) {
+                            public boolean next(int from, int to, boolean back) {
                                 return super.next(from, to, back) || !back && to == from + 2;
                             }
                         })
@@ -110,7 +117,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            boolean next(int from, int to, boolean back) {
+                            public boolean next(int from, int to, boolean back) {
                                 return to == from + 1 || back && to == from - 1;
                             }
                         })
@@ -121,7 +128,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            boolean next(int from, int to, boolean back) {
+                            public boolean next(int from, int to, boolean back) {
                                 return back ? to < from : to == from + 1;
                             }
                         })
@@ -132,7 +139,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            boolean returns(int before, int position, int to) {
+                            public boolean returns(int before, int position, int to) {
                                 return to < position;
                             }
                         })
@@ -143,7 +150,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            double waits(Plan plan, int at, boolean back) {
+                            public double waits(Plan plan, int at, boolean back) {
                                 return 0;
                             }
                         })
@@ -154,7 +161,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            int resumed(int position) {
+                            public int resumed(int position) {
                                 return position + 1;
                             }
                         })
@@ -165,7 +172,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            boolean lifts(boolean halted, long halts, long seen) {
+                            public boolean lifts(boolean halted, long halts, long seen) {
                                 return halted;
                             }
                         })
@@ -173,14 +180,14 @@
             {
                 "routed without a lease",
                 "",
-                ((Consumer<Explore.Case>) c -> c.kills = 1)
+                ((Consumer<ExplorationSettings>) settings -> settings.maxFaults = 1)
                         .andThen(
-                                c ->
-                                        c.route =
+                                settings ->
+                                        settings.routes =
                                                 (incarnation, status) ->
                                                         new Route(incarnation, status, 1) {
                                                             @Override
-                                                            protected boolean mayAct(double now) {
+                                                            public boolean mayAct(double now) {
                                                                 return true;
                                                             }
                                                         })
@@ -188,9 +195,9 @@
             {
                 "a key is not kept",
                 "both groups",
-                (Consumer<Explore.Case>)
-                        c ->
-                                c.route =
+                (Consumer<ExplorationSettings>)
+                        settings ->
+                                settings.routes =
                                         (incarnation, status) ->
                                                 new Route(incarnation, status, 1) {
                                                     @Override
@@ -210,10 +217,10 @@
             {
                 "a told retry is taken for a first try",
                 "both groups",
-                ((Consumer<Explore.Case>) c -> c.told = true)
+                ((Consumer<ExplorationSettings>) settings -> settings.retriesTold = true)
                         .andThen(
-                                c ->
-                                        c.route =
+                                settings ->
+                                        settings.routes =
                                                 (incarnation, status) ->
                                                         new Route(incarnation, status, 1) {
                                                             @Override
@@ -230,34 +237,34 @@
             {
                 "a lease counted from the answer",
                 "",
-                (Consumer<Explore.Case>) c -> c.countsFromAnswer = true
+                (Consumer<ExplorationSettings>) settings -> settings.leaseFromAnswer = true
             },
             {
                 "a grant acted on before what came ahead of it",
                 "",
-                (Consumer<Explore.Case>) c -> c.grantFirst = true
+                (Consumer<ExplorationSettings>) settings -> settings.grantFirst = true
             },
             {
                 "what is needed left out of the order",
                 "what it needs",
-                (Consumer<Explore.Case>)
-                        c -> {
-                            c.needs = false;
-                            c.stages = 2;
+                (Consumer<ExplorationSettings>)
+                        settings -> {
+                            settings.needs = false;
+                            settings.stages = 2;
                         }
             },
         };
     }
 
     @Test(dataProvider = "broken")
-    public void brokenRulesAreFound(String name, String how, Consumer<Explore.Case> breaks) {
-        Explore.Case c = new Explore.Case();
-        c.gateways = 2;
-        c.kills = 0;
-        c.most = 150_000;
-        breaks.accept(c);
-        Explore.Found f = new Explore(c).run();
-        assertNotNull(f.broken(), name + " not found among " + f.states() + " states");
-        assertTrue(f.broken().contains(how), f.broken());
+    public void brokenRulesAreFound(String name, String how, Consumer<ExplorationSettings> breaks) {
+        ExplorationSettings settings = new ExplorationSettings();
+        settings.gateways = 2;
+        settings.maxFaults = 0;
+        settings.maxStates = 150_000;
+        breaks.accept(settings);
+        ExplorationResult result = new Explorer(settings).run();
+        assertNotNull(result.broken(), name + " not found among " + result.states() + " states");
+        assertTrue(result.broken().contains(how), result.broken());
     }
 }
