--- a/fleet/src/main/java/tinford/fleet/budgets/Cost.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Cost.java
@@ -53,7 +53,7 @@
                         new StaticShares(offers, 0.1, size[1]));
         long index = 0;
         for (Map.Entry<String, Integer> e : offers.entrySet()) {
-            ledger.apply(++index, Ledger.offer(e.getKey(), 1, e.getValue(), 1));
+            ledger.apply(++index, new LedgerEntry.Offer(e.getKey(), 1, e.getValue(), 1).bytes());
         }
         double[] took = new double[6];
         for (int round = 0; round < 12; round++) {
@@ -75,18 +75,19 @@
                 }
                 // All that was taken back is let go.
                 Map<Integer, Integer> held = new LinkedHashMap<>();
-                Ledger.Holder h = ledger.holders.get(incarnation);
+                GrantTable.Holder h = ledger.table.holders.get(incarnation);
                 if (h != null) {
                     h.cells.forEach((s, c) -> held.put(s, c.granted));
                 }
                 ledger.apply(
                         ++index,
-                        Ledger.tell(
-                                incarnation,
-                                2 + round,
-                                index,
-                                wanted.getOrDefault(g, Map.of()),
-                                held));
+                        new LedgerEntry.Tell(
+                                        incarnation,
+                                        2 + round,
+                                        index,
+                                        wanted.getOrDefault(g, Map.of()),
+                                        held)
+                                .bytes());
             }
             Proposer proposer = new Proposer(a -> new Proposer.Plan(1 + (int) (a % 4), 1, 1000), 0);
             long t = cpu();
--- a/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
@@ -40,7 +40,7 @@
             return null;
         }
         List<Incarnation> incarnations = ledger.givable();
-        int columns = ledger.servers.size();
+        int columns = ledger.table.servers.size();
         int rows = incarnations.size();
         if (rows == 0 || columns == 0) {
             return null;
@@ -55,13 +55,14 @@
         TreeMap<Long, TreeMap<Integer, int[]>> wanted = new TreeMap<>();
         for (int g = 0; g < rows; g++) {
             int row = g;
-            Ledger.Holder h = ledger.holders.get(incarnations.get(g));
+            GrantTable.Holder h = ledger.table.holders.get(incarnations.get(g));
             for (int s = 0; s < columns; s++) {
                 own[g] +=
-                        ledger.servers.get(s).offer == 0
+                        ledger.table.servers.get(s).offer == 0
                                 ? 0
                                 : ledger.staticShares.of(
-                                        ledger.servers.get(s).name, incarnations.get(g).gateway());
+                                        ledger.table.servers.get(s).name,
+                                        incarnations.get(g).gateway());
             }
             h.cells.forEach(
                     (s, c) -> {
@@ -75,22 +76,22 @@
         List<Division.Account> accounts = new ArrayList<>();
         wanted.forEach((id, at) -> accounts.add(account(id, at)));
         Division d = new Division(pool, own, granted, may, accounts);
-        List<Ledger.Line> less = new ArrayList<>();
-        List<Ledger.Line> more = new ArrayList<>();
+        List<LedgerEntry.Line> less = new ArrayList<>();
+        List<LedgerEntry.Line> more = new ArrayList<>();
         for (int g = 0; g < rows; g++) {
             for (int s = 0; s < columns; s++) {
                 if (d.now[g][s] != granted[g][s]) {
                     (d.now[g][s] < granted[g][s] ? less : more)
-                            .add(new Ledger.Line(incarnations.get(g), s, d.now[g][s]));
+                            .add(new LedgerEntry.Line(incarnations.get(g), s, d.now[g][s]));
                 }
             }
         }
         less.addAll(more);
-        List<Ledger.Line> uses = new ArrayList<>();
+        List<LedgerEntry.Line> uses = new ArrayList<>();
         for (Division.Account a : accounts) {
             for (int k = 0; k < a.rows.length; k++) {
                 if (a.given[k] != a.before[k]) {
-                    uses.add(new Ledger.Line(incarnations.get(a.rows[k]), a.id, a.given[k]));
+                    uses.add(new LedgerEntry.Line(incarnations.get(a.rows[k]), a.id, a.given[k]));
                 }
             }
         }
@@ -98,8 +99,12 @@
             return null;
         }
         next = now + every;
-        return Ledger.grant(
-                ledger.last(), now, less.subList(0, Math.min(MOST_LINES, less.size())), uses);
+        return new LedgerEntry.Grant(
+                        ledger.last(),
+                        now,
+                        less.subList(0, Math.min(MOST_LINES, less.size())),
+                        uses)
+                .bytes();
     }
 
     private static int[] pair(
--- a/fleet/src/main/java/tinford/fleet/budgets/Share.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Share.java
@@ -112,7 +112,7 @@
      */
     public int mayUse(long account, double now) {
         if (holds(now)) {
-            Ledger.Holder h = ledger.holders.get(incarnation);
+            GrantTable.Holder h = ledger.table.holders.get(incarnation);
             int least = h == null || !h.asked.containsKey(account) ? 1 : 0;
             return Math.max(least, ledger.uses(incarnation, account));
         }
@@ -126,8 +126,8 @@
      */
     public long fencingToken(String server) {
         int number = ledger.number(server);
-        Ledger.Holder h = ledger.holders.get(incarnation);
-        Ledger.Cell c = h == null || number < 0 ? null : h.cells.get(number);
+        GrantTable.Holder h = ledger.table.holders.get(incarnation);
+        GrantTable.Cell c = h == null || number < 0 ? null : h.cells.get(number);
         return fencingTokens.merge(server, c == null ? 0 : c.fencingToken, Math::max);
     }
 
@@ -199,7 +199,7 @@
     }
 
     private void tell(double now, List<byte[]> entries) {
-        Ledger.Holder h = ledger.holders.get(incarnation);
+        GrantTable.Holder h = ledger.table.holders.get(incarnation);
         Map<Long, Integer> wanted = new LinkedHashMap<>();
         Map<Integer, Integer> held = new LinkedHashMap<>();
         if (!leaves) {
@@ -222,7 +222,7 @@
                     });
             h.cells.forEach(
                     (s, c) -> {
-                        String name = ledger.servers.get(s).name;
+                        String name = ledger.table.servers.get(s).name;
                         int has = Math.max(0, open.getOrDefault(name, 0) - own(name, now));
                         if (c.may > c.granted && has < c.may) {
                             held.put(s, has);
@@ -230,14 +230,15 @@
                     });
         }
         if (!wanted.isEmpty() || !held.isEmpty()) {
-            entries.add(Ledger.tell(incarnation, now, ledger.last(), wanted, held));
+            entries.add(
+                    new LedgerEntry.Tell(incarnation, now, ledger.last(), wanted, held).bytes());
         }
     }
 
     /** Without a lease its static share is divided here, by the same rule. */
     private void alone(double now) {
         int pool = 0;
-        for (Ledger.Server s : ledger.servers) {
+        for (GrantTable.Server s : ledger.table.servers) {
             pool += own(s.name, now);
         }
         int[][] in = new int[3][wants.size()];
--- a/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
+++ b/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import tinford.api.Srv;
-import tinford.fleet.budgets.Ledger;
+import tinford.fleet.budgets.LedgerEntry;
 import tinford.fleet.budgets.Proposer;
 import tinford.fleet.budgets.Share;
 import tinford.fleet.budgets.StaticShares;
@@ -227,7 +227,7 @@
         for (Srv s : servers.values()) {
             if (told < OFFERS_A_ROUND && stateMachine.ledger.number(s.id) < 0) {
                 told++;
-                append(Ledger.offer(s.id, (long) s.born, offer, now));
+                append(new LedgerEntry.Offer(s.id, (long) s.born, offer, now).bytes());
             }
         }
         byte[] grant = proposer.propose(stateMachine.ledger, now);
--- a/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
@@ -120,7 +120,7 @@
         for (int g = 0; g < size; g++) {
             gateways.add(new Gateway(g, size == 1 ? 0 : (g % 3 - 1) * APART / 2));
         }
-        offers.forEach((s, n) -> log.add(Ledger.offer(s, 1, n, now)));
+        offers.forEach((s, n) -> log.add(new LedgerEntry.Offer(s, 1, n, now).bytes()));
     }
 
     static Leases leases(int size) {
@@ -139,7 +139,7 @@
             l[1] = now + 4 * EVERY + 2 * (LEASE + APART + LINGER);
         }
         offers.put(server, offer);
-        log.add(Ledger.offer(server, start, offer, now));
+        log.add(new LedgerEntry.Offer(server, start, offer, now).bytes());
     }
 
     private void append(Gateway from, byte[] entry) {
@@ -183,14 +183,14 @@
 
     /** One that leads wrongly gives someone far too much, out of the newest state. */
     private void wrong(Gateway g) {
-        if (g.ledger != null && !g.ledger.holders.isEmpty()) {
-            List<Ledger.Line> lines = new ArrayList<>();
-            for (Incarnation incarnation : g.ledger.holders.keySet()) {
+        if (g.ledger != null && !g.ledger.table.holders.isEmpty()) {
+            List<LedgerEntry.Line> lines = new ArrayList<>();
+            for (Incarnation incarnation : g.ledger.table.holders.keySet()) {
                 lines.add(
-                        new Ledger.Line(
+                        new LedgerEntry.Line(
                                 incarnation, random.nextInt(offers.size()), random.nextInt(60)));
             }
-            log.add(Ledger.grant(log.size(), now + g.offset, lines, List.of()));
+            log.add(new LedgerEntry.Grant(log.size(), now + g.offset, lines, List.of()).bytes());
         }
     }
 
@@ -321,6 +321,8 @@
     /** Granted to an account through all that run. */
     int granted(long account) {
         Ledger l = gateways.get(leader).ledger;
-        return l.holders.values().stream().mapToInt(h -> h.uses.getOrDefault(account, 0)).sum();
+        return l.table.holders.values().stream()
+                .mapToInt(h -> h.uses.getOrDefault(account, 0))
+                .sum();
     }
 }
--- a/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
@@ -153,7 +153,7 @@
 
     private static byte[] cells(Ledger ledger) {
         StringBuilder all = new StringBuilder();
-        ledger.holders.forEach(
+        ledger.table.holders.forEach(
                 (l, h) ->
                         h.cells.forEach(
                                 (s, c) ->
--- a/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
@@ -6,7 +6,7 @@
 
 import java.util.Map;
 import org.testng.annotations.Test;
-import tinford.fleet.budgets.Ledger;
+import tinford.fleet.budgets.LedgerEntry;
 import tinford.fleet.budgets.StaticShares;
 import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Leases;
@@ -23,8 +23,8 @@
 
     private static void fill(FleetStateMachine to) {
         to.apply(3, Leases.renew(INCARNATION, 10_000, 3000));
-        to.apply(5, Ledger.offer("s", 0, 8, 10_010));
-        to.apply(6, Ledger.tell(INCARNATION, 10_020, 5, Map.of(7L, 2), Map.of()));
+        to.apply(5, new LedgerEntry.Offer("s", 0, 8, 10_010).bytes());
+        to.apply(6, new LedgerEntry.Tell(INCARNATION, 10_020, 5, Map.of(7L, 2), Map.of()).bytes());
     }
 
     @Test
