--- /dev/null
+++ b/lab/src/main/java/tinford/lab/sockets/ServerStandIn.java
@@ -0,0 +1,248 @@
+package tinford.lab.sockets;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
+import tinford.api.End;
+import tinford.api.Srv;
+import tinford.lab.model.Machine;
+import tinford.lab.model.Try;
+import tinford.lab.scenario.Scenario;
+
+/** A server: the model's machine behind a listening socket, which is closed while it is dead. */
+final class ServerStandIn {
+    private static final int BACKLOG = 200;
+
+    /** How often it is looked at whether the machine has died or is back, ms. */
+    private static final double LOOK_EVERY = 20;
+
+    private final BenchContext context;
+    private final RequestRecords records;
+    private final Map<String, ContinuousSampler> work;
+    private final Machine machine;
+    private final int port;
+    private final Map<Wire, Boolean> wires = new ConcurrentHashMap<>();
+    private final AtomicInteger held = new AtomicInteger();
+
+    /** The last dispatch on each connection. */
+    private final Map<Wire, Try.Hop> dispatches = new HashMap<>();
+
+    private ServerSocket listener;
+    private boolean ill;
+
+    /** As gateways were told: its state, since when it drains, and its last start. */
+    private Srv.State state = Srv.State.UP;
+
+    private double drainToldAt = Double.POSITIVE_INFINITY;
+    private double toldBorn;
+
+    /**
+     * @param work how long requests of each frontend take
+     */
+    ServerStandIn(
+            BenchContext context,
+            RequestRecords records,
+            Map<String, ContinuousSampler> work,
+            Machine machine)
+            throws IOException {
+        this.context = context;
+        this.records = records;
+        this.work = work;
+        this.machine = machine;
+        this.listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+        this.port = listener.getLocalPort();
+        accept();
+        context.live.post(this::look);
+    }
+
+    Machine machine() {
+        return machine;
+    }
+
+    int port() {
+        return port;
+    }
+
+    Srv.State state() {
+        return state;
+    }
+
+    /** What gateways are told now. */
+    void announce(Srv.State announced) {
+        state = announced;
+        toldBorn = machine.born;
+        drainToldAt =
+                announced == Srv.State.UP
+                        ? Double.POSITIVE_INFINITY
+                        : Math.min(drainToldAt, context.live.agenda().now());
+    }
+
+    void close() throws IOException {
+        if (listener != null) {
+            listener.close();
+        }
+    }
+
+    private void look() {
+        try {
+            boolean sick = !machine.up() || machine.hangs();
+            if (sick != ill) {
+                ill = sick;
+                context.between.tell(ill ? "ill" : "well", "server", machine.id);
+            }
+            if (!machine.up() && listener != null) {
+                context.between.shut(machine.id, true);
+                listener.close();
+                listener = null;
+                wires.keySet().forEach(this::drop);
+            } else if (machine.up() && listener == null) {
+                listenAgain();
+            }
+        } catch (IOException e) {
+            listener = null; // tried again at the next look
+        }
+        context.live.agenda().after(LOOK_EVERY, this::look);
+    }
+
+    private void listenAgain() throws IOException {
+        listener = new ServerSocket();
+        listener.setReuseAddress(true);
+        listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
+        accept();
+        context.between.shut(machine.id, false);
+    }
+
+    private void accept() {
+        context.accept(
+                listener,
+                wire -> {
+                    wire.socket.setSoTimeout((int) (context.between.idle() + longestTimeout()));
+                    // guards the order of the lines: each has the count of its own change
+                    synchronized (held) {
+                        wires.put(wire, true);
+                        tellConnection("opened", wire, held.incrementAndGet());
+                    }
+                    context.pool.execute(() -> serve(wire));
+                });
+    }
+
+    private double longestTimeout() {
+        return context.scenario.frontends().stream()
+                .mapToDouble(Scenario.Frontend::timeout)
+                .max()
+                .orElse(0);
+    }
+
+    private void tellConnection(String kind, Wire wire, int count) {
+        context.between.tell(
+                kind,
+                "server",
+                machine.id,
+                "from",
+                context.between.from(wire.socket.getPort()),
+                "held",
+                count);
+    }
+
+    private void serve(Wire wire) {
+        Machine.Visit[] visit = new Machine.Visit[1];
+        try {
+            for (String[] words = wire.words(); words != null; words = wire.words()) {
+                String[] command = words;
+                context.live.post(() -> visit[0] = begin(wire, command));
+            }
+        } catch (IOException | RuntimeException e) {
+            // what can't be read ends its connection
+        } finally {
+            drop(wire);
+            context.live.post(() -> ended(wire, visit[0]));
+        }
+    }
+
+    /** Counted first: whoever sees the end may open another one at once. */
+    private void drop(Wire wire) {
+        synchronized (held) {
+            if (wires.remove(wire) != null) {
+                tellConnection("closed", wire, held.decrementAndGet());
+            }
+        }
+        wire.close();
+    }
+
+    private void ended(Wire wire, Machine.Visit visit) {
+        records.connectionEnded(wire.socket.getPort());
+        if (visit != null) {
+            machine.withdraw(visit);
+        }
+        Try.Hop dispatch = dispatches.remove(wire);
+        if (dispatch != null && dispatch.end == null) {
+            dispatch.end = End.TIMED_OUT; // given up by its gateway; it may have run
+        }
+    }
+
+    private Machine.Visit begin(Wire wire, String[] words) {
+        double now = context.live.agenda().now();
+        String id = words[2];
+        int from = wire.socket.getPort();
+        Try request = records.request(Long.parseUnsignedLong(id, 16));
+        double works = work.get(request.frontend.name).sample();
+        boolean further = records.reachedServer(request.id);
+        tellDispatch(request, id, from, further);
+        if (!further) {
+            records.drawUnits(request, now);
+        }
+        Try.Hop dispatch = records.dispatched(request, machine, from, now, drainToldAt);
+        dispatches.put(wire, dispatch);
+        Machine.Visit visit = new Machine.Visit(works, end -> finish(wire, id, dispatch, end));
+        if (records.overloads(machine, works, now, toldBorn == machine.born)) {
+            machine.die();
+        }
+        machine.come(visit);
+        return visit;
+    }
+
+    private void tellDispatch(Try request, String id, int from, boolean further) {
+        context.between.tell(
+                "dispatch",
+                "server",
+                machine.id,
+                "from",
+                context.between.from(from),
+                "req",
+                id,
+                "frontend",
+                request.frontend.name,
+                "effect",
+                request.frontend.effect.name(),
+                "units",
+                request.units,
+                "further",
+                further,
+                "group",
+                Integer.toString(machine.cell),
+                "class",
+                context.between.group(machine.id),
+                "window",
+                request.frontend.repeatWindow);
+    }
+
+    private void finish(Wire wire, String id, Try.Hop dispatch, End end) {
+        dispatch.end = dispatch.end == null ? end : dispatch.end;
+        context.between.tell("ended", "server", machine.id, "req", id, "how", end.name());
+        try {
+            switch (end) {
+                case GOOD -> wire.say("*3\r\n$16\r\n" + id + "\r\n$-1\r\n$-1\r\n");
+                case FULL -> wire.say("-BUSY\r\n");
+                default -> drop(wire);
+            }
+        } catch (IOException e) {
+            drop(wire);
+        }
+    }
+}
