--- a/fleet/src/main/java/tinford/fleet/members/GossipRecord.java
+++ b/fleet/src/main/java/tinford/fleet/members/GossipRecord.java
@@ -44,7 +44,7 @@
     /** Units a second of the answers that came by their target. */
     public double goodUnits;
 
-    /** Dispatches out, and reqs that wait in its line. */
+    /** Dispatches out, and requests that wait in its line. */
     public double open;
 
     public double waiting;
--- a/fleet/src/main/java/tinford/fleet/moves/Plan.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Plan.java
@@ -27,9 +27,9 @@
      * @param shares of its customers, rising, the last one 1
      * @param units a second that it may need, all of it
      * @param begins the stage in which it begins, from 1; 0 for as soon as what it needs has moved
-     * @param told whether its clients say which reqs are retries
-     * @param held ms in which a req that may have run may still run, or its repeat would still be
-     *     dropped; 0 unless uniqued
+     * @param told whether its clients say which requests are retries
+     * @param held ms in which a request that may have run may still run, or its repeat would still
+     *     be dropped; 0 unless uniqued
      */
     public record Mover(
             String name,
--- a/fleet/src/main/java/tinford/fleet/moves/Route.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Route.java
@@ -6,9 +6,9 @@
 import tinford.fleet.members.Lease;
 
 /**
- * Where the reqs of frontends that may move go through one gateway, and what it tells the others.
- * Called on the I/O thread only; a status and a lease come from entries that were applied in order,
- * so a lease is never acted on with an older status than it was granted after.
+ * Where the requests of frontends that may move go through one gateway, and what it tells the
+ * others. Called on the I/O thread only; a status and a lease come from entries that were applied
+ * in order, so a lease is never acted on with an older status than it was granted after.
  */
 public class Route {
     private final Incarnation self;
@@ -50,12 +50,12 @@
     }
 
     /**
-     * Whether a req may be sent to that group now. Without a lease of its own that holds by its own
-     * clock a gateway sends nothing of what may move. All reqs of one customer and frontend change
-     * together, so a retry is judged alike by every gateway.
+     * Whether a request may be sent to that group now. Without a lease of its own that holds by its
+     * own clock a gateway sends nothing of what may move. All requests of one customer and frontend
+     * change together, so a retry is judged alike by every gateway.
      *
      * @param retry whether the client says that it asked before
-     * @param first where an earlier dispatch of this very req may have run, or null
+     * @param first where an earlier dispatch of this very request may have run, or null
      */
     public boolean mayGo(
             String frontend, long customer, boolean retry, String group, String first, double now) {
--- a/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
+++ b/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
@@ -16,7 +16,7 @@
     private static final double WAIT_S =
             0.05; // for a slot, on average: gateways' own limits are full; bursts stay below
     private static final double CHANCE =
-            3; // standard deviations: with few reqs, one that waits is no strain
+            3; // standard deviations: with few requests, one that waits is no strain
     private static final double LASTS_MS =
             600; // before a line begins: a start, or a burst, is over by then
     private static final double BAD =
--- a/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
+++ b/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
@@ -104,7 +104,7 @@
 
     /**
      * Time that the buckets cover: a part of the one that runs, and never less than one, or a first
-     * req would look like a flood.
+     * request would look like a flood.
      */
     private double span() {
         double covered =
--- a/fleet/src/main/java/tinford/fleet/overload/Overload.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Overload.java
@@ -92,25 +92,25 @@
     }
 
     @Override
-    public void asked(Req req, double worth) {
-        statistics.asked(req.units, worth);
+    public void asked(Req request, double worth) {
+        statistics.asked(request.units, worth);
     }
 
     @Override
-    public void denied(Req req, double worth) {
-        statistics.denied(req.units, worth);
+    public void denied(Req request, double worth) {
+        statistics.denied(request.units, worth);
     }
 
     @Override
-    public void sent(Req req, Srv srv, double worth, boolean again) {
+    public void sent(Req request, Srv srv, double worth, boolean again) {
         statistics.sent(again);
         retryBudget.sent(again);
         probeOwners.tried(srv);
     }
 
     @Override
-    public void ended(Req req, Srv srv, End how, boolean late) {
-        statistics.ended(req.units, how, late);
+    public void ended(Req request, Srv srv, End how, boolean late) {
+        statistics.ended(request.units, how, late);
         if (!how.mayHaveRun) retryBudget.neverRan();
     }
 
--- a/fleet/src/main/java/tinford/fleet/overload/Trial.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Trial.java
@@ -39,7 +39,7 @@
     /**
      * @param worth passed over worth asked first, while strained; @param best what one that sees
      *     all could pass at most;
-     * @param apart deviation between gateways of what worthy reqs lose
+     * @param apart deviation between gateways of what worthy requests lose
      */
     public record Result(
             double worth,
@@ -91,7 +91,7 @@
     }
 
     private final class Job {
-        final Req req;
+        final Req request;
         final double worth;
         final int round;
         final boolean counts;
@@ -99,8 +99,8 @@
         boolean further;
         int hops;
 
-        Job(Req req, double worth, int round, boolean counts) {
-            this.req = req;
+        Job(Req request, double worth, int round, boolean counts) {
+            this.request = request;
             this.worth = worth;
             this.round = round;
             this.counts = counts;
@@ -124,7 +124,7 @@
                 new TreeSet<>(
                         (a, b) ->
                                 a.worth == b.worth
-                                        ? Long.compare(a.req.id, b.req.id)
+                                        ? Long.compare(a.request.id, b.request.id)
                                         : Double.compare(b.worth, a.worth));
         double limit, mean = 60, spare, worthyAsked, worthyPassed;
         int out;
@@ -195,7 +195,7 @@
         }
 
         void arrive(Job j) {
-            view.asked(j.req, j.worth);
+            view.asked(j.request, j.worth);
             double part = view.part(j.worth);
             if (part < 1 && chance.nextDouble() >= part) deny(j);
             else if (full() || !send(j)) line.add(j);
@@ -216,7 +216,7 @@
             Server s = best;
             nodes.get(s).out++;
             out++;
-            view.sent(j.req, s.srv, j.worth, j.hops > 0);
+            view.sent(j.request, s.srv, j.worth, j.hops > 0);
             boolean strained = now >= STARTS && now < STARTS + LOST_MS;
             if (!j.further) spare = Math.min(10, spare + 0.1);
             if (strained) {
@@ -227,7 +227,7 @@
             j.hops++;
             if (s.lost) later(50, () -> ended(j, s, End.BROKEN, 50));
             else {
-                s.freeAt = Math.max(s.freeAt, now) + j.req.units / SERVES;
+                s.freeAt = Math.max(s.freeAt, now) + j.request.units / SERVES;
                 double took = Math.min(s.freeAt - now + BASE, 2 * TARGET);
                 later(took, () -> ended(j, s, took >= 2 * TARGET ? End.TIMED_OUT : End.GOOD, took));
             }
@@ -239,7 +239,7 @@
             n.out--;
             out--;
             boolean late = now - j.askedAt > TARGET;
-            view.ended(j.req, s.srv, how, late);
+            view.ended(j.request, s.srv, how, late);
             if (how == End.BROKEN) {
                 n.ill = ++n.failed >= 2;
                 if (n.ill) {
@@ -263,7 +263,7 @@
         }
 
         void passed(Job j) {
-            double w = j.worth * j.req.units;
+            double w = j.worth * j.request.units;
             if (j.counts && now < STARTS + LOST_MS) worth += w;
             allWorth += w;
             passedBy[Math.min(passedBy.length - 1, (int) (now / 500))] += w;
@@ -271,7 +271,7 @@
         }
 
         void deny(Job j) {
-            if (j.hops == 0) view.denied(j.req, j.worth);
+            if (j.hops == 0) view.denied(j.request, j.worth);
             back(j);
         }
 
@@ -281,7 +281,7 @@
             Gate g = gates.get(chance.nextInt(gates.size()));
             later(
                     300 + view.spread() * chance.nextDouble(),
-                    () -> g.arrive(new Job(j.req, j.worth, j.round + 1, j.counts)));
+                    () -> g.arrive(new Job(j.request, j.worth, j.round + 1, j.counts)));
         }
 
         @Override
@@ -352,7 +352,7 @@
                             0,
                             false));
         Customer customer = new Customer(1, new Plan("p", 0, 0, 0, 1, 1, 0, 0, 0, 0), 1, 0);
-        double rate = 0.8 * SERVERS * SERVES / 2.5; // reqs a ms, of 1 to 4 units
+        double rate = 0.8 * SERVERS * SERVES / 2.5; // requests a ms, of 1 to 4 units
         int seq = 0;
         for (now = 0; now < ENDS; now += STEP, seq++) {
             for (int i = 0; i < SERVERS / 2; i++)
@@ -386,7 +386,7 @@
         int g = (int) (gateways * (place * (1 - SKEW) + place * place * SKEW));
         // low numbers see more of what is worth most
         int kind = (int) (VALUES.length * Math.pow(chance.nextDouble(), 0.75 + 0.5 * g / gateways));
-        Req req =
+        Req request =
                 new Req(
                         made++,
                         kinds.get(kind),
@@ -395,12 +395,12 @@
                         1 + chance.nextInt(4),
                         false);
         boolean counts = now >= STARTS + 1000 && now < STARTS + LOST_MS;
-        Job j = new Job(req, VALUES[kind], 0, counts);
-        double w = j.worth * req.units;
+        Job j = new Job(request, VALUES[kind], 0, counts);
+        double w = j.worth * request.units;
         allAsked += w;
         askedBy[(int) (now / 500)] += w;
         if (counts) asked += w;
-        if (counts) units[kind] += req.units;
+        if (counts) units[kind] += request.units;
         if (counts && j.worth >= 4) gates.get(g).worthyAsked += w;
         gates.get(g).arrive(j);
     }
--- a/fleet/src/main/java/tinford/fleet/run/FleetView.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetView.java
@@ -49,13 +49,13 @@
     }
 
     @Override
-    public boolean mayGo(Req req, Srv srv, Srv first) {
-        return mover == null || mover.mayGo(req, srv, first, clock.getAsDouble());
+    public boolean mayGo(Req request, Srv srv, Srv first) {
+        return mover == null || mover.mayGo(request, srv, first, clock.getAsDouble());
     }
 
     @Override
-    public boolean goes(Req req) {
-        return mover == null || mover.goes(req, clock.getAsDouble());
+    public boolean goes(Req request) {
+        return mover == null || mover.goes(request, clock.getAsDouble());
     }
 
     @Override
@@ -78,9 +78,9 @@
     }
 
     @Override
-    public void lacked(Req req) {
+    public void lacked(Req request) {
         if (budgets != null) {
-            long account = budgets.key(req.customer);
+            long account = budgets.key(request.customer);
             budgets.wanted(account, out.getOrDefault(account, 0) + 1);
         }
     }
@@ -99,11 +99,11 @@
         }
     }
 
-    private void count(Req req, int more) {
+    private void count(Req request, int more) {
         if (budgets == null) {
             return;
         }
-        long account = budgets.key(req.customer);
+        long account = budgets.key(request.customer);
         if (more > 0 && out.size() < MOST_ACCOUNTS) {
             budgets.wanted(account, out.merge(account, more, Integer::sum));
         } else if (more < 0) {
@@ -132,30 +132,30 @@
     }
 
     @Override
-    public void asked(Req req, double worth) {
-        overload.asked(req, worth);
+    public void asked(Req request, double worth) {
+        overload.asked(request, worth);
     }
 
     @Override
-    public void denied(Req req, double worth) {
-        overload.denied(req, worth);
+    public void denied(Req request, double worth) {
+        overload.denied(request, worth);
     }
 
     @Override
-    public void sent(Req req, Srv srv, double worth, boolean further) {
-        count(req, 1);
+    public void sent(Req request, Srv srv, double worth, boolean further) {
+        count(request, 1);
         if (aside.contains(srv.id)) {
             tries.accept(srv);
         }
-        overload.sent(req, srv, worth, further);
+        overload.sent(request, srv, worth, further);
     }
 
     @Override
-    public void ended(Req req, Srv srv, End how, boolean late) {
-        count(req, -1);
-        overload.ended(req, srv, how, late);
+    public void ended(Req request, Srv srv, End how, boolean late) {
+        count(request, -1);
+        overload.ended(request, srv, how, late);
         if (mover != null) {
-            mover.ended(req, srv, how, late);
+            mover.ended(request, srv, how, late);
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/run/Mover.java
+++ b/fleet/src/main/java/tinford/fleet/run/Mover.java
@@ -21,9 +21,9 @@
 import tinford.fleet.moves.Step;
 
 /**
- * One process's part in staged moves: where its reqs go, what it tells the log, and what it offers
- * while it leads. Called on the I/O thread only, after each applied entry and each tick. Holds
- * {@link #MOST_SERVERS} servers and one command of an operator at most.
+ * One process's part in staged moves: where its requests go, what it tells the log, and what it
+ * offers while it leads. Called on the I/O thread only, after each applied entry and each tick.
+ * Holds {@link #MOST_SERVERS} servers and one command of an operator at most.
  */
 final class Mover {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
@@ -193,7 +193,7 @@
         to.accept(what);
     }
 
-    boolean mayGo(Req req, Srv srv, Srv first, double now) {
+    boolean mayGo(Req request, Srv srv, Srv first, double now) {
         if (servers.size() < MOST_SERVERS) {
             servers.putIfAbsent(srv.id, srv);
         } else if (!servers.containsKey(srv.id)) {
@@ -201,17 +201,17 @@
         }
         return !left.getAsBoolean()
                         && route.mayGo(
-                                req.frontend.name,
-                                req.customer.id,
-                                req.resent,
+                                request.frontend.name,
+                                request.customer.id,
+                                request.resent,
                                 srv.group,
                                 first == null ? null : first.group,
                                 now)
-                || !settings.homes().containsKey(req.frontend.name);
+                || !settings.homes().containsKey(request.frontend.name);
     }
 
-    boolean goes(Req req, double now) {
-        String name = req.frontend.name;
+    boolean goes(Req request, double now) {
+        String name = request.frontend.name;
         MoveStatus s = stateMachine.moves.status();
         if (!settings.homes().containsKey(name)) {
             return true;
@@ -225,13 +225,20 @@
         return !left.getAsBoolean()
                 && groups.stream()
                         .anyMatch(
-                                g -> route.mayGo(name, req.customer.id, req.resent, g, null, now));
+                                g ->
+                                        route.mayGo(
+                                                name,
+                                                request.customer.id,
+                                                request.resent,
+                                                g,
+                                                null,
+                                                now));
     }
 
     /** What was given up says nothing of its server. */
-    void ended(Req req, Srv srv, End how, boolean late) {
+    void ended(Req request, Srv srv, End how, boolean late) {
         if (how != End.CANCELLED && how != End.VOID) {
-            route.ended(req.frontend.name, srv.group, how == End.GOOD && !late);
+            route.ended(request.frontend.name, srv.group, how == End.GOOD && !late);
         }
     }
 
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -228,7 +228,7 @@
                     srv.group = group;
                     srv.size = 1;
                     srv.state = Srv.State.UP;
-                    Req req =
+                    Req request =
                             new Req(
                                     1,
                                     frontend(f),
@@ -236,12 +236,15 @@
                                     0,
                                     1,
                                     false);
-                    boolean goes = s.mover.mayGo(req, srv, null, now);
-                    assertTrue(!goes || s.mover.goes(req, now), f);
+                    boolean goes = s.mover.mayGo(request, srv, null, now);
+                    assertTrue(!goes || s.mover.goes(request, now), f);
                     if (goes) {
                         s.mover.ended(
-                                req, srv, bad && group.equals("b") ? End.ERROR : End.GOOD, false);
-                        s.mover.ended(req, srv, End.CANCELLED, true);
+                                request,
+                                srv,
+                                bad && group.equals("b") ? End.ERROR : End.GOOD,
+                                false);
+                        s.mover.ended(request, srv, End.CANCELLED, true);
                     }
                 }
             }
--- a/lab/src/main/java/tinford/lab/fleet/Answers.java
+++ b/lab/src/main/java/tinford/lab/fleet/Answers.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Every req has one final answer: none twice, none lost but by a gateway that was killed, stood
+ * Every request has one final answer: none twice, none lost but by a gateway that was killed, stood
  * still or ended while it was out.
  */
 final class Answers implements Promise {
@@ -14,25 +14,25 @@
 
     @Override
     public void see(History.Line l, Lives lives, Finds finds) {
-        String req = l.text("req");
+        String request = l.text("req");
         if (l.kind().equals("asked")) {
-            asked.put(req, l);
+            asked.put(request, l);
         } else if (l.kind().equals("answered")) {
-            History.Line before = answered.put(req, l);
-            History.Line ask = asked.get(req);
+            History.Line before = answered.put(request, l);
+            History.Line ask = asked.get(request);
             String how = l.text("how");
             if (how.equals("again")) {
                 finds.breach(
                         "gateway " + l.number("via") + " answered once more than it was asked",
                         List.of(l));
             } else if (ask == null) {
-                finds.breach("req " + req + " was answered and never asked", List.of(l));
+                finds.breach("req " + request + " was answered and never asked", List.of(l));
             } else if (before != null) {
-                finds.breach("req " + req + " has two final answers", List.of(ask, before, l));
+                finds.breach("req " + request + " has two final answers", List.of(ask, before, l));
             } else if (how.equals("strange")) {
-                finds.breach("req " + req + " has an answer that is none", List.of(ask, l));
+                finds.breach("req " + request + " has an answer that is none", List.of(ask, l));
             } else if (how.equals("nothing") && lives.undisturbed(ask.number("via"), ask.at())) {
-                finds.breach("req " + req + " has no answer", List.of(ask, l));
+                finds.breach("req " + request + " has no answer", List.of(ask, l));
             }
         }
     }
--- a/lab/src/main/java/tinford/lab/fleet/Runs.java
+++ b/lab/src/main/java/tinford/lab/fleet/Runs.java
@@ -8,18 +8,18 @@
 import tinford.api.End;
 
 /**
- * A req that may have run runs again only where that does no harm: a uniqued one in its first group
- * and within its window, a non-replayable one nowhere.
+ * A request that may have run runs again only where that does no harm: a uniqued one in its first
+ * group and within its window, a non-replayable one nowhere.
  */
 final class Runs implements Promise {
     private final Map<String, List<History.Line>> runs =
-            new HashMap<>(); // of reqs that are not replayable: what may have run
+            new HashMap<>(); // of requests that are not replayable: what may have run
 
     @Override
     public void see(History.Line l, Lives lives, Finds finds) {
-        String req = l.text("req");
+        String request = l.text("req");
         if (l.kind().equals("dispatch") && !l.text("effect").equals(Effect.IDEMPOTENT.name())) {
-            List<History.Line> its = runs.computeIfAbsent(req, k -> new ArrayList<>());
+            List<History.Line> its = runs.computeIfAbsent(request, k -> new ArrayList<>());
             its.stream()
                     .filter(first -> harm(first, l))
                     .findFirst()
@@ -27,7 +27,7 @@
                             first ->
                                     finds.breach(
                                             "req "
-                                                    + req
+                                                    + request
                                                     + " ("
                                                     + l.text("frontend")
                                                     + ", "
@@ -37,8 +37,8 @@
             its.add(l);
         } else if (l.kind().equals("ended")
                 && !End.valueOf(l.text("how")).mayHaveRun
-                && runs.containsKey(req)) {
-            runs.get(req).removeIf(run -> run.text("server").equals(l.text("server")));
+                && runs.containsKey(request)) {
+            runs.get(request).removeIf(run -> run.text("server").equals(l.text("server")));
         }
     }
 
--- a/lab/src/main/java/tinford/lab/model/Bucket.java
+++ b/lab/src/main/java/tinford/lab/model/Bucket.java
@@ -1,6 +1,6 @@
 package tinford.lab.model;
 
-/** The true quota of a customer, as one who saw all its reqs would keep it: it starts full. */
+/** The true quota of a customer, as one who saw all its requests would keep it: it starts full. */
 public final class Bucket {
     private final double rate;
     private final double burst;
--- a/lab/src/main/java/tinford/lab/model/ColdBudget.java
+++ b/lab/src/main/java/tinford/lab/model/ColdBudget.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * The operators' bound on cold servers: one falls when it gets more than N + 2 sqrt(N) + 2 reqs of
- * mean work within the fall time, from all processes together, N being what the settings allow it
- * then. It keeps how near the run came. It holds the arrivals of one fall time for each server that
- * is cold.
+ * The operators' bound on cold servers: one falls when it gets more than N + 2 sqrt(N) + 2 requests
+ * of mean work within the fall time, from all processes together, N being what the settings allow
+ * it then. It keeps how near the run came. It holds the arrivals of one fall time for each server
+ * that is cold.
  */
 final class ColdBudget {
     private static final double BLAMED =
-            2.0 / 3; // of the reqs that come from gateways told of the start: beyond, it is
+            2.0 / 3; // of the requests that come from gateways told of the start: beyond, it is
     // their fall
     private static final Approach NONE =
             new Approach(Double.NaN, 0, 0, Double.POSITIVE_INFINITY, 0);
@@ -41,10 +41,10 @@
     /**
      * What an arrival comes to.
      *
-     * @param of what may come, more than 1 is a fall; {@code told} the share of the reqs from
+     * @param of what may come, more than 1 is a fall; {@code told} the share of the requests from
      *     gateways that knew of the start
      */
-    record Approach(double at, double of, double reqs, double most, double told) {
+    record Approach(double at, double of, double requests, double most, double told) {
         boolean falls() {
             return of > 1;
         }
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Reqs of mean work that a server falls beyond, where {@code allowed} is what the settings
+     * Requests of mean work that a server falls beyond, where {@code allowed} is what the settings
      * allow.
      */
     static double most(double allowed) {
@@ -87,9 +87,10 @@
         while (now - w.came.peek().at > time) {
             w.told -= w.came.poll().told ? 1 : 0;
         }
-        double reqs = w.came.stream().mapToDouble(Came::work).sum() / meanWork;
+        double requests = w.came.stream().mapToDouble(Came::work).sum() / meanWork;
         double most = most(multiple * m.capacity() * time / meanWork);
-        Approach a = new Approach(now, reqs / most, reqs, most, (double) w.told / w.came.size());
+        Approach a =
+                new Approach(now, requests / most, requests, most, (double) w.told / w.came.size());
         if (a.of > nearest.of) {
             nearest = a;
         }
@@ -120,7 +121,7 @@
         return falls;
     }
 
-    /** Reqs of mean work that came to cold servers in all. */
+    /** Requests of mean work that came to cold servers in all. */
     double came() {
         return came;
     }
--- a/lab/src/main/java/tinford/lab/model/Node.java
+++ b/lab/src/main/java/tinford/lab/model/Node.java
@@ -168,8 +168,8 @@
     }
 
     @Override
-    public void dispatch(Req req, Srv srv, double cap, double within) {
-        Try t = (Try) req;
+    public void dispatch(Req request, Srv srv, double cap, double within) {
+        Try t = (Try) request;
         double now = world.agenda.now();
         Machine m = world.machine(srv.id);
         boolean told = srv.born == m.born;
@@ -231,8 +231,8 @@
     }
 
     @Override
-    public void cancel(Req req, int no) {
-        Try t = (Try) req;
+    public void cancel(Req request, int no) {
+        Try t = (Try) request;
         Try.Hop hop = t.hops.get(no);
         if (hop.end == null) {
             hop.to.withdraw(hop.visit);
@@ -241,13 +241,13 @@
     }
 
     @Override
-    public void deny(Req req, double retryAfter) {
-        finish((Try) req, "denied", retryAfter);
+    public void deny(Req request, double retryAfter) {
+        finish((Try) request, "denied", retryAfter);
     }
 
     @Override
-    public void abort(Req req) {
-        finish((Try) req, "aborted", 0);
+    public void abort(Req request) {
+        finish((Try) request, "aborted", 0);
     }
 
     private void finish(Try t, String answer, double retryAfter) {
--- a/lab/src/main/java/tinford/lab/model/Oracle.java
+++ b/lab/src/main/java/tinford/lab/model/Oracle.java
@@ -23,7 +23,7 @@
     private long count;
 
     /**
-     * @param meanWork of the reqs, which what the settings allow cold servers is counted in
+     * @param meanWork of the requests, which what the settings allow cold servers is counted in
      */
     public Oracle(double grace, double fallMultiple, double fallTime, double meanWork) {
         this.grace = grace;
@@ -34,7 +34,7 @@
         return cold;
     }
 
-    /** The first ones, each with the history of its req. */
+    /** The first ones, each with the history of its request. */
     public List<String> broken() {
         return broken;
     }
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The final answer of a req, as it leaves its gateway. */
+    /** The final answer of a request, as it leaves its gateway. */
     public void answered(Try t, String answer, double now) {
         t.tell(now, answer);
         if (t.answers++ > 0) {
@@ -143,7 +143,7 @@
                             "%s fell at %.1f reqs of mean work, %.1f being the most, %.2f of them"
                                     + " from gateways told of its start, %.0f ms after it",
                             m.id,
-                            a.reqs(),
+                            a.requests(),
                             a.most(),
                             a.told(),
                             now - m.born));
--- a/lab/src/main/java/tinford/lab/model/World.java
+++ b/lab/src/main/java/tinford/lab/model/World.java
@@ -30,7 +30,7 @@
     private static final double SETTLES =
             2; // times the longest timeout that is waited for the last answers
     private static final double NOTICE =
-            2000; // reqs that would come to a dead gateway go on coming so long
+            2000; // requests that would come to a dead gateway go on coming so long
     final Agenda agenda = new Agenda(START);
     final Oracle oracle;
     final Store store;
@@ -61,8 +61,8 @@
     }
 
     /**
-     * @param trace the traffic, in place of drawn reqs; its customers' gateways and all work are
-     *     drawn all the same
+     * @param trace the traffic, in place of drawn requests; its customers' gateways and all work
+     *     are drawn all the same
      */
     public World(Scenario s, long seed, Gateway.Maker maker, Trace trace) {
         this.trace = trace;
@@ -303,8 +303,8 @@
     }
 
     /**
-     * The gateways of its set, in an order that changes now and then, each with less of its reqs
-     * than the one before.
+     * The gateways of its set, in an order that changes now and then, each with less of its
+     * requests than the one before.
      */
     private int way(Customer c, UniformRandomProvider draw) {
         double left =
--- a/lab/src/main/java/tinford/lab/scenario/Scenario.java
+++ b/lab/src/main/java/tinford/lab/scenario/Scenario.java
@@ -96,8 +96,8 @@
      * @param use of their quotas that customers make, in the mean; {@code heavy} of them ask {@code
      *     heavy_times} theirs; {@code spiky} of them ask {@code spike_times} as much as else for
      *     {@code spike_s} out of every {@code spike_every_s}
-     * @param skew how unevenly a customer's reqs come through its gateways: each has e to the minus
-     *     this of the one before; which one is the first is drawn anew every {@code shift_s}
+     * @param skew how unevenly a customer's requests come through its gateways: each has e to the
+     *     minus this of the one before; which one is the first is drawn anew every {@code shift_s}
      * @param uneven how unevenly customers lie over the gateways: of n the first is the first of n
      *     to the minus 1 / (1 + this) of them
      */
@@ -174,7 +174,7 @@
         }
     }
 
-    /** Of a req, over all frontends. */
+    /** Of a request, over all frontends. */
     public double meanWork() {
         double shares = frontends.stream().mapToDouble(Frontend::share).sum();
         return frontends.stream().mapToDouble(f -> f.share * f.work).sum() / shares;
--- a/lab/src/main/java/tinford/lab/sockets/Between.java
+++ b/lab/src/main/java/tinford/lab/sockets/Between.java
@@ -53,7 +53,7 @@
     default void tell(String kind, Object... fields) {}
 
     /**
-     * How long a server keeps a connection with nothing in it, ms; one with a req in it, the
+     * How long a server keeps a connection with nothing in it, ms; one with a request in it, the
      * longest client timeout more.
      */
     default double idle() {
--- a/lab/src/main/java/tinford/lab/study/Study.java
+++ b/lab/src/main/java/tinford/lab/study/Study.java
@@ -27,7 +27,7 @@
     }
 
     /**
-     * @param trace recorded traffic in place of drawn reqs, or null
+     * @param trace recorded traffic in place of drawn requests, or null
      */
     public Study(Scenario scenario, int threads, Trace trace) {
         this.scenario = scenario;
--- a/lab/src/test/java/tinford/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/FleetTest.java
@@ -81,7 +81,7 @@
 
     /**
      * One gateway stands still, one is killed, two lose the counter: no rule is broken, and every
-     * req that is owed an answer has one.
+     * request that is owed an answer has one.
      */
     @Test
     public void aFleetUnderFaultsKeepsTheRules() throws Exception {
--- a/lab/src/test/java/tinford/lab/fleet/JudgeTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/JudgeTest.java
@@ -33,12 +33,12 @@
     }
 
     private static History.Line run(
-            double ms, String req, String effect, String group, String server) {
+            double ms, String request, String effect, String group, String server) {
         return at(
                 ms,
                 "dispatch",
                 "req",
-                req,
+                request,
                 "frontend",
                 "f",
                 "effect",
--- a/lab/src/test/java/tinford/lab/model/ColdBudgetStudy.java
+++ b/lab/src/test/java/tinford/lab/model/ColdBudgetStudy.java
@@ -27,7 +27,7 @@
     static final Map<String, Object[]> CASES = new LinkedHashMap<>();
 
     static {
-        // reqs that the settings allow a server just started: 64, 16, 0.67
+        // requests that the settings allow a server just started: 64, 16, 0.67
         SETTINGS.put(
                 "large",
                 Map.of(
@@ -206,7 +206,7 @@
                                                     n.of(),
                                                     b.nearestBlamed().of(),
                                                     f.get("cold_at_s"),
-                                                    n.reqs(),
+                                                    n.requests(),
                                                     n.most(),
                                                     b.falls(),
                                                     o.brokenCount(),
--- a/lab/src/test/java/tinford/lab/model/ColdBudgetTest.java
+++ b/lab/src/test/java/tinford/lab/model/ColdBudgetTest.java
@@ -23,10 +23,12 @@
 
     @DataProvider
     public Object[][] arrivals() {
-        // a server of two cores at 0.2, reqs of 50 ms: the settings allow 16 in 1 s just after its
+        // a server of two cores at 0.2, requests of 50 ms: the settings allow 16 in 1 s just after
+        // its
         // start, the most is 26
         return new Object[][] {
-            // reqs, of which told, ms between them, work of each, what falls, what of it is broken
+            // requests, of which told, ms between them, work of each, what falls, what of it is
+            // broken
             {26, 26, 0.0, 50.0, false, false},
             {27, 27, 0.0, 50.0, true, true},
             {14, 14, 0.0, 100.0, true, true},
@@ -42,7 +44,7 @@
 
     @Test(dataProvider = "arrivals")
     public void whatCameWithinTheTimeIsCounted(
-            int reqs, int told, double apart, double work, boolean falls, boolean broken) {
+            int requests, int told, double apart, double work, boolean falls, boolean broken) {
         Agenda agenda = new Agenda(1000);
         Machine m = new Machine(agenda, "s", "a", 0, 2, 20, 1, 0.2, 1e9);
         ColdBudget budget = new ColdBudget(2, 1000, 50);
@@ -50,7 +52,7 @@
         m.start();
         boolean fell = false;
         boolean blamed = false;
-        for (int i = 0; i < reqs; i++) {
+        for (int i = 0; i < requests; i++) {
             // those that did not know come last: the fall is at the last one
             ColdBudget.Approach a = budget.arrives(m, work, 1000 + i * apart, i < told);
             fell |= a.falls();
--- a/lab/src/test/java/tinford/lab/model/OracleTest.java
+++ b/lab/src/test/java/tinford/lab/model/OracleTest.java
@@ -18,9 +18,9 @@
 import tinford.lab.Scenarios;
 import tinford.lab.scenario.Scenario;
 
-/** Decisions that break a rule on purpose are caught, and told with the story of a req. */
+/** Decisions that break a rule on purpose are caught, and told with the story of a request. */
 public class OracleTest {
-    /** Sends each req to the next server and passes on how it ends, but for one fault. */
+    /** Sends each request to the next server and passes on how it ends, but for one fault. */
     static final class Rogue implements Gateway, Inbox {
         private final String fault;
         private final List<Srv> servers = new ArrayList<>();
@@ -47,28 +47,28 @@
             }
         }
 
-        private void send(Req req) {
+        private void send(Req request) {
             Srv s = servers.get(next++ % servers.size());
             if (fault.equals("cold")) {
                 s = servers.stream().filter(x -> x.born > 0).findFirst().orElse(s);
             }
-            out.dispatch(req, s, 0, Double.POSITIVE_INFINITY);
+            out.dispatch(request, s, 0, Double.POSITIVE_INFINITY);
         }
 
         @Override
-        public void arrived(Req req) {
+        public void arrived(Req request) {
             if (fault.equals("silent") && next++ % 50 == 0) {
                 return;
             }
-            send(req);
+            send(request);
             if (fault.equals("copies") && next % 50 == 0) {
-                send(req);
+                send(request);
             }
         }
 
         @Override
         public void ended(
-                Req req,
+                Req request,
                 int hop,
                 End how,
                 double took,
@@ -78,18 +78,18 @@
                 double[] load) {
             if (closed) {
                 if (fault.equals("twice") && next % 50 == 0) {
-                    out.abort(req);
+                    out.abort(request);
                 }
                 return;
             }
             if (how.mayHaveRun && fault.equals("denies")) {
-                out.deny(req, 0);
+                out.deny(request, 0);
             } else if (how.mayHaveRun && fault.equals("again") && hop == 0) {
-                send(req);
+                send(request);
             } else if (how.mayHaveRun) {
-                out.abort(req);
+                out.abort(request);
             } else {
-                out.deny(req, 0);
+                out.deny(request, 0);
             }
         }
 
@@ -106,10 +106,10 @@
         public void listRefused() {}
 
         @Override
-        public void began(Req req, int hop) {}
+        public void began(Req request, int hop) {}
 
         @Override
-        public void left(Req req) {}
+        public void left(Req request) {}
 
         @Override
         public void alarm(long token) {}
--- a/lab/src/test/java/tinford/lab/sockets/Rogue.java
+++ b/lab/src/test/java/tinford/lab/sockets/Rogue.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A gateway that sends each req to the next server of its first list and passes on what comes, but
- * for one fault.
+ * A gateway that sends each request to the next server of its first list and passes on what comes,
+ * but for one fault.
  */
 public final class Rogue {
     private static final AtomicInteger NEXT = new AtomicInteger();
--- a/lab/src/test/java/tinford/lab/sockets/SocketsTest.java
+++ b/lab/src/test/java/tinford/lab/sockets/SocketsTest.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Servers die, the counter falls silent: every req has its answer, no rule is broken, and the
-     * model says much the same.
+     * Servers die, the counter falls silent: every request has its answer, no rule is broken, and
+     * the model says much the same.
      */
     @Test
     public void modelAndSocketsAgree() throws Exception {
--- a/lab/src/test/java/tinford/lab/study/StudyTest.java
+++ b/lab/src/test/java/tinford/lab/study/StudyTest.java
@@ -53,7 +53,8 @@
     }
 
     /**
-     * One that denies every fourth req is known to be worse; a version is no better than itself.
+     * One that denies every fourth request is known to be worse; a version is no better than
+     * itself.
      */
     @Test
     public void aKnownDifferenceIsRanked() throws Exception {
--- a/lab/src/test/java/tinford/lab/study/TraceTest.java
+++ b/lab/src/test/java/tinford/lab/study/TraceTest.java
@@ -45,8 +45,8 @@
     }
 
     /**
-     * What was recorded is asked for again, req by req, at any rate; and what is written is what is
-     * read.
+     * What was recorded is asked for again, request by request, at any rate; and what is written is
+     * what is read.
      */
     @Test
     public void aReplayAsksWhatWasAsked() throws Exception {
