--- a/lab/src/main/java/tinford/lab/Lab.java
+++ b/lab/src/main/java/tinford/lab/Lab.java
@@ -48,9 +48,9 @@
             Lab.Compare.class,
             Lab.Sweep.class,
             Lab.Record.class,
-            ExploreCommand.class,
             Lab.Sockets.class,
-            Lab.Fleet.class
+            Lab.Fleet.class,
+            ExploreCommand.class
         })
 public final class Lab {
     static final int RULE_BROKEN = 1;
