--- a/lab/src/main/java/tinford/lab/Lab.java
+++ b/lab/src/main/java/tinford/lab/Lab.java
@@ -25,6 +25,7 @@
 import tinford.lab.fleet.Program;
 import tinford.lab.model.Outcome;
 import tinford.lab.model.World;
+import tinford.lab.scale.ScaleCommand;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 import tinford.lab.sockets.Bench;
@@ -48,7 +49,8 @@
             Lab.Sweep.class,
             Lab.Record.class,
             Lab.Sockets.class,
-            Lab.Fleet.class
+            Lab.Fleet.class,
+            ScaleCommand.class
         })
 public final class Lab {
     static final int RULE_BROKEN = 1;
