--- /dev/null
+++ b/lab/src/main/java/tinford/lab/scale/GossipFleet.java
@@ -0,0 +1,289 @@
+package tinford.lab.scale;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.function.BooleanSupplier;
+import org.apache.commons.rng.UniformRandomProvider;
+import tinford.fleet.members.Life;
+import tinford.fleet.members.Members;
+import tinford.fleet.members.Sight;
+import tinford.fleet.talk.Memory;
+import tinford.fleet.talk.Talk;
+
+/**
+ * The members of a fleet over a network in memory, in virtual time, with the pace of {@code
+ * deploy/fleet.toml}. Gateways lie in two regions of five zones each, by turns.
+ */
+final class GossipFleet {
+    /** What {@code deploy/fleet.toml} has. */
+    static final double ROUND_MS = 250;
+
+    static final int FANOUT = 2;
+
+    /** The longest time for suspicion that the operator file takes. */
+    static final double LONGEST_SUSPICION_MS = 60_000;
+
+    static final int ZONES = 10;
+    private static final int REGIONS = 2;
+    private static final int MESSAGE_BYTES = 256;
+    private static final int RECEIVE_ROOM = 200;
+    private static final double START_MS = 1000;
+    private static final double STEP_MS = 10;
+    private static final int STEPS_PER_ROUND = (int) (ROUND_MS / STEP_MS);
+    private static final double LOSS = 0.01;
+    private static final Memory.Way WITHIN_REGION = new Memory.Way(0.5, 0.5, LOSS, 0, 0, 0);
+    private static final Memory.Way BETWEEN_REGIONS = new Memory.Way(30, 3, LOSS, 0, 0, 0);
+
+    private final Memory.Network network;
+    private final Members[] members;
+    private final Talk[] transports;
+    private final boolean[] stopped;
+    private final int[] sequence;
+    private final double suspectMs;
+    private final Random chance;
+    private double now = START_MS;
+    private int step;
+    private long messages;
+    private long bytes;
+    private long bytesBetweenRegions;
+    private long received;
+    private long sendNanos;
+    private long receiveNanos;
+
+    GossipFleet(int gateways, double suspectMs, UniformRandomProvider random) {
+        this.suspectMs = suspectMs;
+        chance = new Random(random.nextLong());
+        network = new Memory.Network(gateways, MESSAGE_BYTES, RECEIVE_ROOM, random.nextLong());
+        network.advance(now);
+        members = new Members[gateways];
+        transports = new Talk[gateways];
+        stopped = new boolean[gateways];
+        sequence = new int[gateways];
+        for (int gateway = 0; gateway < gateways; gateway++) {
+            start(gateway);
+            for (int other = 0; other < gateways; other++) {
+                boolean same = region(gateway) == region(other);
+                network.way(gateway, other, same ? WITHIN_REGION : BETWEEN_REGIONS);
+            }
+        }
+    }
+
+    static int region(int gateway) {
+        return gateway % REGIONS;
+    }
+
+    static int zone(int gateway) {
+        return gateway % ZONES;
+    }
+
+    int size() {
+        return members.length;
+    }
+
+    double now() {
+        return now;
+    }
+
+    /** A new process of that gateway. */
+    void start(int gateway) {
+        Life life = new Life(gateway, (long) now);
+        Random own = new Random(chance.nextLong());
+        Members started =
+                new Members(life, members.length, ROUND_MS, FANOUT, suspectMs, suspectMs, own);
+        members[gateway] = started;
+        sequence[gateway] = 0;
+        stopped[gateway] = false;
+        transports[gateway] =
+                new RegionCounting(
+                        gateway,
+                        network.at(gateway, (from, message) -> receive(started, from, message)));
+    }
+
+    private void receive(Members to, int from, byte[] message) {
+        long started = System.nanoTime();
+        to.heard(message, from, network.now());
+        receiveNanos += System.nanoTime() - started;
+        received++;
+    }
+
+    void kill(int gateway) {
+        transports[gateway].close();
+        stopped[gateway] = true;
+    }
+
+    /** All ways between the two regions, both directions. */
+    void cutRegions(boolean cut) {
+        for (int gateway = 0; gateway < members.length; gateway++) {
+            for (int other = 0; other < members.length; other++) {
+                if (region(gateway) != region(other)) {
+                    network.cut(gateway, other, cut);
+                }
+            }
+        }
+    }
+
+    /** Plays so many virtual ms. */
+    void play(double durationMs) {
+        for (double end = now + durationMs; now < end; ) {
+            step();
+        }
+    }
+
+    /** Plays until it is so; how many virtual ms that took, or the most where it never was. */
+    double playUntil(double mostMs, BooleanSupplier condition) {
+        double began = now;
+        while (now - began < mostMs && !condition.getAsBoolean()) {
+            play(ROUND_MS / 5);
+        }
+        return now - began;
+    }
+
+    /** A part of the gateways has its round at each step. */
+    private void step() {
+        now += STEP_MS;
+        network.advance(now);
+        int phase = step++ % STEPS_PER_ROUND;
+        for (int gateway = phase; gateway < members.length; gateway += STEPS_PER_ROUND) {
+            if (!stopped[gateway]) {
+                round(gateway);
+            }
+        }
+    }
+
+    private void round(int gateway) {
+        Members own = members[gateway];
+        Sight record = record(own.life(gateway), sequence[gateway]++);
+        long started = System.nanoTime();
+        own.own(record, now);
+        own.round(now, transports[gateway]);
+        sendNanos += System.nanoTime() - started;
+    }
+
+    /** A record as a gateway under some strain has it: ten classes of worth in use. */
+    static Sight record(Life life, int sequence) {
+        Sight record = new Sight(life, sequence);
+        for (int worth = 4; worth < 14; worth++) {
+            record.asked[worth] = 10;
+            record.sent[worth] = worth < 9 ? 0 : worth == 9 ? 3 : 10;
+        }
+        record.first = 50;
+        return record;
+    }
+
+    Members members(int gateway) {
+        return members[gateway];
+    }
+
+    /** Whether each running gateway counts exactly those that run. */
+    boolean allAgree() {
+        for (int observer = 0; observer < members.length; observer++) {
+            for (int other = 0; !stopped[observer] && other < members.length; other++) {
+                if (members[observer].lives(other) == stopped[other]) {
+                    return false;
+                }
+            }
+        }
+        return true;
+    }
+
+    /** Whether each running gateway knows this one by the process that runs now. */
+    boolean allKnow(int gateway) {
+        Life life = members[gateway].life(gateway);
+        for (int observer = 0; observer < members.length; observer++) {
+            if (!stopped[observer] && !life.equals(members[observer].life(gateway))) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** Of all pairs of running gateways, the part in which one counts the other as gone. */
+    double wronglySuspected() {
+        long pairs = 0;
+        long wrong = 0;
+        for (int observer = 0; observer < members.length; observer++) {
+            for (int other = 0; other < members.length; other++) {
+                if (other != observer && !stopped[observer] && !stopped[other]) {
+                    pairs++;
+                    wrong += members[observer].lives(other) ? 0 : 1;
+                }
+            }
+        }
+        return pairs == 0 ? 0 : (double) wrong / pairs;
+    }
+
+    /** For how long each running gateway has heard no sign of each other one, ms. */
+    Quantiles silences() {
+        List<Double> silences = new ArrayList<>();
+        for (int observer = 0; observer < members.length; observer++) {
+            for (int other = 0; other < members.length; other++) {
+                if (other != observer && !stopped[observer] && !stopped[other]) {
+                    silences.add(members[observer].silent(other));
+                }
+            }
+        }
+        return new Quantiles(silences);
+    }
+
+    /** What was sent, taken in and spent since the start. */
+    Traffic traffic() {
+        return new Traffic(
+                messages,
+                bytes,
+                bytesBetweenRegions,
+                received,
+                sendNanos / 1e6,
+                receiveNanos / 1e6);
+    }
+
+    /** Counts over all gateways; times are those of this thread, ms. */
+    record Traffic(
+            long messages,
+            long bytes,
+            long bytesBetweenRegions,
+            long received,
+            double sendMs,
+            double receiveMs) {
+        Traffic since(Traffic earlier) {
+            return new Traffic(
+                    messages - earlier.messages,
+                    bytes - earlier.bytes,
+                    bytesBetweenRegions - earlier.bytesBetweenRegions,
+                    received - earlier.received,
+                    sendMs - earlier.sendMs,
+                    receiveMs - earlier.receiveMs);
+        }
+    }
+
+    /** Counts what a gateway sends, and what of it crosses between the regions. */
+    private final class RegionCounting implements Talk {
+        private final int gateway;
+        private final Talk transport;
+
+        RegionCounting(int gateway, Talk transport) {
+            this.gateway = gateway;
+            this.transport = transport;
+        }
+
+        @Override
+        public int most() {
+            return transport.most();
+        }
+
+        @Override
+        public boolean send(int to, byte[] message) {
+            messages++;
+            bytes += message.length;
+            if (region(gateway) != region(to)) {
+                bytesBetweenRegions += message.length;
+            }
+            return transport.send(to, message);
+        }
+
+        @Override
+        public void close() {
+            transport.close();
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/scale/GrantEntryMeasurement.java
@@ -0,0 +1,84 @@
+package tinford.lab.scale;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.apache.commons.rng.UniformRandomProvider;
+import tinford.fleet.budgets.Ledger;
+import tinford.fleet.members.Life;
+import tinford.fleet.members.Terms;
+
+/**
+ * The first grant that a leader proposes after a cold start, by gateways, with servers in
+ * proportion: its bytes against what an entry of the log may have, and its processor time.
+ */
+final class GrantEntryMeasurement implements Measurement {
+    private static final double SERVERS_PER_GATEWAY = 6000.0 / 530;
+    private static final double NOW_MS = 100_000;
+
+    @Override
+    public String name() {
+        return "log.grant-entry";
+    }
+
+    @Override
+    public String sizeUnit() {
+        return "gateways";
+    }
+
+    @Override
+    public int[] sizes(boolean full) {
+        return full ? new int[] {5, 25, 50, 75, 100, 200, 400, 530} : new int[] {5, 10, 20, 40};
+    }
+
+    @Override
+    public int repetitions() {
+        return 3;
+    }
+
+    @Override
+    public Growth expected() {
+        return Growth.N_LOG_N;
+    }
+
+    @Override
+    public Sample measure(int gateways, UniformRandomProvider random) {
+        Ledger ledger = demand(gateways);
+        double processorBefore = ProcessorTime.threadMs();
+        double allocatedBefore = ProcessorTime.threadAllocatedBytes();
+        byte[] grant = LeaseDeployment.proposer().propose(ledger, NOW_MS);
+        double allocated = ProcessorTime.threadAllocatedBytes() - allocatedBefore;
+        double processorMs = ProcessorTime.threadMs() - processorBefore;
+        double bytes = grant == null ? 0 : grant.length;
+        return new Sample(
+                Map.of("grant_bytes", bytes),
+                Map.of(
+                        "grant_bytes_of_bound",
+                        bytes / RaftQuorum.BOUNDS.entryBytes(),
+                        "propose_ms",
+                        processorMs,
+                        "propose_allocated_mb",
+                        allocated / 1e6));
+    }
+
+    /** Each gateway has a lease and one open request for each of its accounts. */
+    private static Ledger demand(int gateways) {
+        Ledger ledger = LeaseDeployment.ledger(gateways);
+        Map<Long, Integer> wanted = new LinkedHashMap<>();
+        for (long account = 0; account < LeaseDeployment.ACCOUNTS; account++) {
+            wanted.put(account, 1);
+        }
+        List<Life> lives = LeaseDeployment.lives(gateways, (long) NOW_MS);
+        long index = 0;
+        for (Life life : lives) {
+            ledger.apply(++index, Terms.renew(life, NOW_MS, LeaseDeployment.LEASE_MS));
+            ledger.apply(++index, Ledger.tell(life, NOW_MS, 0, wanted, Map.of()));
+        }
+        int servers = (int) Math.ceil(gateways * SERVERS_PER_GATEWAY);
+        for (int server = 0; server < Math.min(servers, Ledger.MOST_SERVERS); server++) {
+            int offered = LeaseDeployment.CONNECTIONS_OFFERED;
+            ledger.apply(++index, Ledger.offer("server-" + server, 1, offered, NOW_MS));
+        }
+        return ledger;
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/scale/LeaseDeployment.java
@@ -0,0 +1,68 @@
+package tinford.lab.scale;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import tinford.fleet.budgets.Ledger;
+import tinford.fleet.budgets.Proposer;
+import tinford.fleet.budgets.Share;
+import tinford.fleet.budgets.Statics;
+import tinford.fleet.members.Life;
+import tinford.fleet.members.Terms;
+
+/** Ledgers and shares of many gateways by the operator file's own settings, in virtual time. */
+final class LeaseDeployment {
+    /** The values of {@code deploy/fleet.toml}. */
+    static final double LEASE_MS = 4000;
+
+    static final double CLOCKS_APART_MS = 50;
+    static final double LINGER_MS = 15_000;
+    static final double ROUND_MS = 250;
+    static final int CONNECTIONS_OFFERED = 16;
+    static final int ACCOUNTS = 64;
+
+    /** How often the gateway's companion looks whether something is due. */
+    static final double TICK_MS = 50;
+
+    private static final double STATIC_PART = 0.5;
+    private static final double KEEP_MS = 2000;
+    private static final Proposer.Plan PLAN = new Proposer.Plan(1, 1, 64);
+
+    private LeaseDeployment() {}
+
+    static Statics statics(int gateways) {
+        return new Statics(Map.of(), CONNECTIONS_OFFERED, STATIC_PART, gateways);
+    }
+
+    static Ledger ledger(int gateways) {
+        return new Ledger(
+                new Terms(gateways, LEASE_MS, CLOCKS_APART_MS, LINGER_MS), statics(gateways));
+    }
+
+    static Proposer proposer() {
+        return new Proposer(account -> PLAN, ROUND_MS);
+    }
+
+    /** What one gateway asks of the log, as it sees the given ledger. */
+    static Share share(Ledger ledger, int gateways, Life life) {
+        return new Share(
+                ledger,
+                statics(gateways),
+                account -> PLAN,
+                life,
+                LEASE_MS,
+                2 * CLOCKS_APART_MS,
+                ROUND_MS,
+                KEEP_MS,
+                life.start());
+    }
+
+    /** One life of each gateway, all started at the same time. */
+    static List<Life> lives(int gateways, long start) {
+        List<Life> lives = new ArrayList<>();
+        for (int gateway = 0; gateway < gateways; gateway++) {
+            lives.add(new Life(gateway, start));
+        }
+        return lives;
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/scale/LeaseRenewals.java
@@ -0,0 +1,127 @@
+package tinford.lab.scale;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.random.RandomGenerator;
+import org.apache.commons.rng.UniformRandomProvider;
+import tinford.fleet.budgets.Ledger;
+import tinford.fleet.budgets.Share;
+import tinford.fleet.members.Life;
+import tinford.fleet.store.Log;
+import tinford.fleet.store.MemoryLogs;
+
+/**
+ * Gateways that renew their leases through logs in memory, in virtual time. Their ticks are spread
+ * by chance over the tick's length.
+ */
+final class LeaseRenewals {
+    private static final long START_MS = 100_000;
+    private static final double STEP_MS = 25;
+    private static final double DELAY_MS = 5;
+    private static final double SILENCE_MS = 400;
+    private static final double APPEND_MS = 2000;
+    private static final int IN_FLIGHT = 256;
+    private static final int SNAPSHOT_ENTRIES = 200;
+
+    private final List<AppliedLedger> members = new ArrayList<>();
+    private final List<Gateway> gateways = new ArrayList<>();
+    private final MemoryLogs logs;
+    private double now = START_MS;
+    private long entries;
+    private long entryBytes;
+
+    /** A gateway's share, and the member of the log that it hands its entries to. */
+    private static final class Gateway {
+        private final Share share;
+        private final Log log;
+        private double nextTick;
+
+        Gateway(Share share, Log log, double nextTick) {
+            this.share = share;
+            this.log = log;
+            this.nextTick = nextTick;
+        }
+    }
+
+    /**
+     * @param voters members of the log; gateways are shared out among them by turns
+     */
+    LeaseRenewals(int gatewayCount, int voters, UniformRandomProvider random) {
+        RandomGenerator chance = new Random(random.nextLong());
+        logs =
+                new MemoryLogs(
+                        voters,
+                        DELAY_MS,
+                        SILENCE_MS,
+                        APPEND_MS,
+                        IN_FLIGHT,
+                        SNAPSHOT_ENTRIES,
+                        chance);
+        List<Log> handles = new ArrayList<>();
+        for (int member = 0; member < voters; member++) {
+            AppliedLedger applied = new AppliedLedger(LeaseDeployment.ledger(gatewayCount));
+            members.add(applied);
+            handles.add(logs.open(member + 1, applied));
+        }
+        for (Life life : LeaseDeployment.lives(gatewayCount, START_MS)) {
+            int member = life.gateway() % voters;
+            Ledger ledger = members.get(member).ledger();
+            Share share = LeaseDeployment.share(ledger, gatewayCount, life);
+            double firstTick = START_MS + random.nextDouble() * LeaseDeployment.ROUND_MS;
+            gateways.add(new Gateway(share, handles.get(member), firstTick));
+        }
+    }
+
+    /** Plays so many virtual ms. */
+    void play(double durationMs) {
+        for (double end = now + durationMs; now < end; ) {
+            now += STEP_MS;
+            for (Gateway gateway : gateways) {
+                tick(gateway);
+            }
+            logs.advance(now);
+        }
+    }
+
+    private void tick(Gateway gateway) {
+        while (gateway.nextTick <= now) {
+            for (byte[] entry : gateway.share.round(gateway.nextTick)) {
+                entries++;
+                entryBytes += entry.length;
+                gateway.log.append(entry);
+            }
+            gateway.nextTick += LeaseDeployment.TICK_MS;
+        }
+    }
+
+    /** Entries that gateways handed to the log so far. */
+    long entries() {
+        return entries;
+    }
+
+    /** The bytes of those entries. */
+    long entryBytes() {
+        return entryBytes;
+    }
+
+    /** Entries that members have applied so far, each member counted. */
+    long applied() {
+        return members.stream().mapToLong(AppliedLedger::entries).sum();
+    }
+
+    /** Processor time of all members for what they have applied so far, ms. */
+    double applyMs() {
+        return members.stream().mapToDouble(AppliedLedger::processorMs).sum();
+    }
+
+    /** How many gateways hold a lease now. */
+    long holders() {
+        return gateways.stream().filter(gateway -> gateway.share.holds(now)).count();
+    }
+
+    /** The bytes of one member's snapshot. */
+    int snapshotBytes() {
+        return members.get(0).snapshot().length;
+    }
+}
