--- a/lab/src/main/java/tinford/lab/scale/GossipFleet.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipFleet.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.function.BooleanSupplier;
+import java.util.function.IntPredicate;
 import org.apache.commons.rng.UniformRandomProvider;
 import tinford.fleet.members.Life;
 import tinford.fleet.members.Members;
@@ -25,7 +26,7 @@
     static final double LONGEST_SUSPICION_MS = 60_000;
 
     static final int ZONES = 10;
-    private static final int REGIONS = 2;
+    static final int REGIONS = 2;
     private static final int MESSAGE_BYTES = 256;
     private static final int RECEIVE_ROOM = 200;
     private static final double START_MS = 1000;
@@ -177,11 +178,27 @@
 
     /** Whether each running gateway counts exactly those that run. */
     boolean allAgree() {
+        return agree(observer -> true);
+    }
+
+    /** Whether each running gateway of the region counts exactly those that run. */
+    boolean regionAgrees(int region) {
+        return agree(observer -> region(observer) == region);
+    }
+
+    private boolean agree(IntPredicate asked) {
         for (int observer = 0; observer < members.length; observer++) {
-            for (int other = 0; !stopped[observer] && other < members.length; other++) {
-                if (members[observer].lives(other) == stopped[other]) {
-                    return false;
-                }
+            if (!stopped[observer] && asked.test(observer) && !countsThoseThatRun(observer)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private boolean countsThoseThatRun(int observer) {
+        for (int other = 0; other < members.length; other++) {
+            if (members[observer].lives(other) == stopped[other]) {
+                return false;
             }
         }
         return true;
--- a/lab/src/main/java/tinford/lab/scale/GossipLossMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipLossMeasurement.java
@@ -44,7 +44,7 @@
         fleet.playUntil(MOST_MS, fleet::allAgree);
         int victim = random.nextInt(gateways);
         fleet.kill(victim);
-        double lossMs = fleet.playUntil(MOST_MS, fleet::allAgree);
+        Loss loss = awaitKnown(fleet, GossipFleet.region(victim));
         fleet.start(victim);
         double restartMs = fleet.playUntil(MOST_MS, () -> fleet.allKnow(victim));
         fleet.playUntil(MOST_MS, fleet::allAgree);
@@ -54,8 +54,10 @@
                 Map.of(
                         "suspect_ms",
                         suspicionMs(gateways),
-                        "loss_known_by_all_ms",
-                        lossMs,
+                        "loss_known_in_own_region_ms",
+                        loss.ownRegionMs(),
+                        "loss_known_in_other_region_ms",
+                        loss.otherRegionMs(),
                         "restart_known_by_all_ms",
                         restartMs,
                         "zone_loss_known_by_all_ms",
@@ -65,6 +67,26 @@
                 Map.of());
     }
 
+    private record Loss(double ownRegionMs, double otherRegionMs) {}
+
+    /** When all of each region knew. */
+    private static Loss awaitKnown(GossipFleet fleet, int region) {
+        double began = fleet.now();
+        double[] knownAt = {Double.NaN, Double.NaN};
+        fleet.playUntil(
+                MOST_MS,
+                () -> {
+                    for (int each = 0; each < GossipFleet.REGIONS; each++) {
+                        if (Double.isNaN(knownAt[each]) && fleet.regionAgrees(each)) {
+                            knownAt[each] = fleet.now();
+                        }
+                    }
+                    return !Double.isNaN(knownAt[0] + knownAt[1]);
+                });
+        int other = GossipFleet.REGIONS - 1 - region;
+        return new Loss(knownAt[region] - began, knownAt[other] - began);
+    }
+
     /** The zone comes back afterwards. */
     private static double loseZone(GossipFleet fleet) {
         for (int gateway = 0; gateway < fleet.size(); gateway++) {
