--- a/fleet/src/main/java/tinford/fleet/overload/Line.java
+++ b/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
@@ -1,7 +1,7 @@
 package tinford.fleet.overload;
 
-import tinford.fleet.members.Known;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.GossipRecord;
+import tinford.fleet.members.Membership;
 
 /**
  * The worth a unit below which nothing is passed while the servers bear less than is asked for:
@@ -11,7 +11,7 @@
  * grows, slowly at first and then ever faster, until there is no line: whoever still asks, a line
  * is gone within two windows after its cause.
  */
-public final class Line {
+public final class AdmissionThreshold {
     private static final double NONE = Double.POSITIVE_INFINITY;
     private static final double WAIT_S =
             0.05; // for a slot, on average: gateways' own limits are full; bursts stay below
@@ -39,7 +39,7 @@
     /**
      * @param window in ms: without strain, the line is gone within two of them
      */
-    public Line(double window) {
+    public AdmissionThreshold(double window) {
         this.window = window;
     }
 
@@ -62,17 +62,17 @@
         return bears == NONE ? 0 : asked / Math.max(1e-9, bears);
     }
 
-    public void round(double now, Known known) {
+    public void round(double now, Membership membership) {
         double passed = at < 0 ? 0 : Math.max(0, Math.min(now - at, 1000));
         at = now;
-        // guards a gateway that hears nobody: its own sight is no fleet's, so it acts as alone
-        if (known.living() <= 1 || known.fresh().size() < 2) {
+        // guards a gateway that hears nobody: its own record is no fleet's, so it acts as alone
+        if (membership.living() <= 1 || membership.fresh().size() < 2) {
             bears = NONE;
             draw(null);
             return;
         }
-        Totals all = new Totals(known);
-        agree(known, passed);
+        FleetTotals all = new FleetTotals(membership);
+        agree(membership, passed);
         boolean strained = all.demand > 0 && (waits(all) || all.bad > BAD);
         strainedFor = Math.max(0, Math.min(LASTS_MS, strainedFor + (strained ? passed : -passed)));
         if (strained && (bears != NONE || strainedFor >= LASTS_MS)) {
@@ -97,15 +97,15 @@
 
     // guards against a line out of chance that what it sheds keeps up: the fewer are passed, the
     // less waits
-    private static boolean waits(Totals all) {
+    private static boolean waits(FleetTotals all) {
         double usual = WAIT_S * all.first;
         return all.waiting > usual + CHANCE * Math.sqrt(Math.max(1, usual));
     }
 
-    private void agree(Known known, double passed) {
+    private void agree(Membership membership, double passed) {
         double[] told =
-                known.fresh().stream()
-                        .mapToDouble(s -> Totals.clean(s.bears))
+                membership.fresh().stream()
+                        .mapToDouble(s -> FleetTotals.clean(s.bears))
                         .map(b -> b > 0 ? b : NONE)
                         .sorted()
                         .toArray();
@@ -122,15 +122,15 @@
     }
 
     /** From the worthiest class down, as far as it is borne. */
-    private void draw(Totals all) {
+    private void draw(FleetTotals all) {
         threshold = 0;
         part = 1;
         asked = all == null ? 0 : all.demand;
         double left = bears;
         if (left == NONE) return;
-        for (int c = Sight.CLASSES - 1; c >= 0; c--) {
+        for (int c = GossipRecord.CLASSES - 1; c >= 0; c--) {
             if (all.asked[c] > left) {
-                threshold = Sight.worthOf(c);
+                threshold = GossipRecord.worthOf(c);
                 part = Math.max(0, left / all.asked[c]);
                 return;
             }
--- a/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
@@ -9,8 +9,8 @@
 import java.util.function.LongFunction;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Term;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Lease;
 
 /** Drawn histories of connection budgets under faults. */
 public class HistoriesTest {
@@ -44,13 +44,13 @@
                         broken.isEmpty() ? null : s -> ledger(size, s, broken),
                         !broken.equals("own clock ignored")
                                 ? null
-                                : (ledger, life, from) ->
+                                : (ledger, incarnation, from) ->
                                         new Share(
                                                 ledger,
-                                                new Statics(offers, part, size),
+                                                new StaticShares(offers, part, size),
                                                 PLANS,
-                                                life,
-                                                Fleet.TERM,
+                                                incarnation,
+                                                Fleet.LEASE,
                                                 -1e12,
                                                 Fleet.EVERY,
                                                 Fleet.KEEP,
@@ -75,27 +75,27 @@
         return f;
     }
 
-    private static Ledger ledger(int size, Statics statics, String broken) {
-        return new Ledger(Fleet.terms(size), statics) {
+    private static Ledger ledger(int size, StaticShares staticShares, String broken) {
+        return new Ledger(Fleet.leases(size), staticShares) {
             @Override
-            boolean fits(Life life, int server, int more) {
-                return broken.equals("no check") || super.fits(life, server, more);
+            boolean fits(Incarnation incarnation, int server, int more) {
+                return broken.equals("no check") || super.fits(incarnation, server, more);
             }
 
             @Override
-            double free(Term term) {
-                return broken.equals("no linger") ? terms().now() : super.free(term);
+            double free(Lease lease) {
+                return broken.equals("no linger") ? leases().now() : super.free(lease);
             }
 
             @Override
-            boolean gone(Life life) {
+            boolean gone(Incarnation incarnation) {
                 return switch (broken) {
-                    case "no linger" -> super.gone(life) || !terms().mayAct(life);
-                    case "a later life frees the earlier's" ->
-                            super.gone(life)
-                                    || terms().of(life.gateway()).stream()
-                                            .anyMatch(l -> l.start() > life.start());
-                    default -> super.gone(life);
+                    case "no linger" -> super.gone(incarnation) || !leases().mayAct(incarnation);
+                    case "a later incarnation frees the earlier's" ->
+                            super.gone(incarnation)
+                                    || leases().of(incarnation.gateway()).stream()
+                                            .anyMatch(l -> l.start() > incarnation.start());
+                    default -> super.gone(incarnation);
                 };
             }
         };
@@ -124,20 +124,20 @@
     @Test
     public void aSnapshotAtAnyPointCarriesAllAndWhatCantBeReadChangesNothing() {
         Fleet f = history(3, "");
-        Ledger whole = new Ledger(Fleet.terms(f.gateways.size()), f.statics);
-        Ledger cut = new Ledger(Fleet.terms(f.gateways.size()), f.statics);
+        Ledger whole = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
+        Ledger cut = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
         Random random = new Random(9);
         for (int i = 0; i < f.log.size(); i++) {
             whole.apply(i + 1, f.log.get(i));
             cut.apply(i + 1, f.log.get(i));
             assertEquals(cut.snapshot(), whole.snapshot(), "entry " + i);
             if (random.nextInt(5) == 0) {
-                Ledger next = new Ledger(Fleet.terms(f.gateways.size()), f.statics);
+                Ledger next = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
                 next.restore(i + 1, cut.snapshot());
                 cut = next;
             }
         }
-        Ledger bad = new Ledger(Fleet.terms(f.gateways.size()), f.statics);
+        Ledger bad = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
         bad.restore(f.log.size(), whole.snapshot());
         byte[] cells = cells(bad);
         long index = f.log.size();
@@ -148,12 +148,12 @@
             bad.apply(++index, spoilt);
         }
         assertEquals(cells(bad), cells, "spoilt entries");
-        assertTrue(bad.unread() > 0 && bad.unknown() > 0 && bad.terms().refused() > 0);
+        assertTrue(bad.unread() > 0 && bad.unknown() > 0 && bad.leases().refused() > 0);
     }
 
     private static byte[] cells(Ledger ledger) {
         StringBuilder all = new StringBuilder();
-        ledger.holders.forEach(
+        ledger.table.holders.forEach(
                 (l, h) ->
                         h.cells.forEach(
                                 (s, c) ->
@@ -168,7 +168,10 @@
     @DataProvider
     public Object[][] broken() {
         return new Object[][] {
-            {"no check"}, {"no linger"}, {"own clock ignored"}, {"a later life frees the earlier's"}
+            {"no check"},
+            {"no linger"},
+            {"own clock ignored"},
+            {"a later incarnation frees the earlier's"}
         };
     }
 
--- a/fleet/src/test/java/tinford/fleet/run/AgreedTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
@@ -6,45 +6,45 @@
 
 import java.util.Map;
 import org.testng.annotations.Test;
-import tinford.fleet.budgets.Ledger;
-import tinford.fleet.budgets.Statics;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Terms;
+import tinford.fleet.budgets.LedgerEntry;
+import tinford.fleet.budgets.StaticShares;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Leases;
 import tinford.fleet.moves.Entry;
 
-/** Terms, budgets and moves in one log. */
-public class AgreedTest {
-    private static final Life LIFE = new Life(1, 5000);
+/** Leases, budgets and moves in one log. */
+public class FleetStateMachineTest {
+    private static final Incarnation INCARNATION = new Incarnation(1, 5000);
 
-    private static Agreed agreed() {
-        return new Agreed(
-                3, 3000, 100, 1000, new Statics(Map.of("s", 8), 0.5, 3), Map.of("f", "m"));
+    private static FleetStateMachine stateMachine() {
+        return new FleetStateMachine(
+                3, 3000, 100, 1000, new StaticShares(Map.of("s", 8), 0.5, 3), Map.of("f", "m"));
     }
 
-    private static void fill(Agreed to) {
-        to.apply(3, Terms.renew(LIFE, 10_000, 3000));
-        to.apply(5, Ledger.offer("s", 0, 8, 10_010));
-        to.apply(6, Ledger.tell(LIFE, 10_020, 5, Map.of(7L, 2), Map.of()));
+    private static void fill(FleetStateMachine to) {
+        to.apply(3, Leases.renew(INCARNATION, 10_000, 3000));
+        to.apply(5, new LedgerEntry.Offer("s", 0, 8, 10_010).bytes());
+        to.apply(6, new LedgerEntry.Tell(INCARNATION, 10_020, 5, Map.of(7L, 2), Map.of()).bytes());
     }
 
     @Test
     public void aSnapshotHoldsAll() {
-        Agreed first = agreed();
+        FleetStateMachine first = stateMachine();
         fill(first);
-        Agreed second = agreed();
+        FleetStateMachine second = stateMachine();
         second.restore(6, first.snapshot());
         assertEquals(second.snapshot(), first.snapshot());
         assertEquals(second.ledger.number("s"), 0);
         assertEquals(second.ledger.last(), 6);
-        assertNotNull(second.terms.of(LIFE));
-        second.apply(7, Terms.renew(LIFE, 12_000, 3000));
-        first.apply(7, Terms.renew(LIFE, 12_000, 3000));
+        assertNotNull(second.leases.of(INCARNATION));
+        second.apply(7, Leases.renew(INCARNATION, 12_000, 3000));
+        first.apply(7, Leases.renew(INCARNATION, 12_000, 3000));
         assertEquals(second.snapshot(), first.snapshot());
     }
 
     @Test
     public void eachPartHasItsOwnEntries() {
-        Agreed all = agreed();
+        FleetStateMachine all = stateMachine();
         fill(all);
         all.apply(
                 7,
@@ -62,6 +62,6 @@
                 all.moves.snapshot(),
                 moves,
                 "what moves can't read, and what others have, changes nothing there");
-        assertTrue(all.terms.mayAct(LIFE));
+        assertTrue(all.leases.mayAct(INCARNATION));
     }
 }
--- a/lab/src/main/java/tinford/lab/scale/BudgetedServersMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/BudgetedServersMeasurement.java
@@ -3,8 +3,9 @@
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 import tinford.fleet.budgets.Ledger;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Terms;
+import tinford.fleet.budgets.LedgerEntry;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Leases;
 
 /** The ledger by the number of servers that are offered to it: how many it takes, and its size. */
 final class BudgetedServersMeasurement implements Measurement {
@@ -40,14 +41,14 @@
     public Sample measure(int servers, UniformRandomProvider random) {
         Ledger ledger = LeaseDeployment.ledger(GATEWAYS);
         long index = 0;
-        for (Life life : LeaseDeployment.lives(GATEWAYS, (long) NOW_MS)) {
-            ledger.apply(++index, Terms.renew(life, NOW_MS, LeaseDeployment.LEASE_MS));
+        for (Incarnation incarnation : LeaseDeployment.incarnations(GATEWAYS, (long) NOW_MS)) {
+            ledger.apply(++index, Leases.renew(incarnation, NOW_MS, LeaseDeployment.LEASE_MS));
         }
         long started = System.nanoTime();
         for (int server = 0; server < servers; server++) {
             String id = "10." + server / 65536 + "." + server / 256 % 256 + "." + server % 256;
             int offered = LeaseDeployment.CONNECTIONS_OFFERED;
-            ledger.apply(++index, Ledger.offer(id + ":8080", 1, offered, NOW_MS));
+            ledger.apply(++index, new LedgerEntry.Offer(id + ":8080", 1, offered, NOW_MS).bytes());
         }
         double offersMs = (System.nanoTime() - started) / 1e6;
         double taken = servers - ledger.stale();
--- a/lab/src/main/java/tinford/lab/scale/GossipFleet.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipFleet.java
@@ -6,11 +6,11 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.IntPredicate;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.GossipRecord;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Members;
-import tinford.fleet.members.Sight;
-import tinford.fleet.talk.Memory;
-import tinford.fleet.talk.Talk;
+import tinford.fleet.transport.InMemoryTransport;
+import tinford.fleet.transport.Transport;
 
 /**
  * The members of a fleet over a network in memory, in virtual time, with the pace of {@code
@@ -33,12 +33,14 @@
     private static final double STEP_MS = 10;
     private static final int STEPS_PER_ROUND = (int) (ROUND_MS / STEP_MS);
     private static final double LOSS = 0.01;
-    private static final Memory.Way WITHIN_REGION = new Memory.Way(0.5, 0.5, LOSS, 0, 0, 0);
-    private static final Memory.Way BETWEEN_REGIONS = new Memory.Way(30, 3, LOSS, 0, 0, 0);
+    private static final InMemoryTransport.Link WITHIN_REGION =
+            new InMemoryTransport.Link(0.5, 0.5, LOSS, 0, 0, 0);
+    private static final InMemoryTransport.Link BETWEEN_REGIONS =
+            new InMemoryTransport.Link(30, 3, LOSS, 0, 0, 0);
 
-    private final Memory.Network network;
+    private final InMemoryTransport.Network network;
     private final Members[] members;
-    private final Talk[] transports;
+    private final Transport[] transports;
     private final boolean[] stopped;
     private final int[] sequence;
     private final double suspectMs;
@@ -55,17 +57,19 @@
     GossipFleet(int gateways, double suspectMs, UniformRandomProvider random) {
         this.suspectMs = suspectMs;
         chance = new Random(random.nextLong());
-        network = new Memory.Network(gateways, MESSAGE_BYTES, RECEIVE_ROOM, random.nextLong());
+        network =
+                new InMemoryTransport.Network(
+                        gateways, MESSAGE_BYTES, RECEIVE_ROOM, random.nextLong());
         network.advance(now);
         members = new Members[gateways];
-        transports = new Talk[gateways];
+        transports = new Transport[gateways];
         stopped = new boolean[gateways];
         sequence = new int[gateways];
         for (int gateway = 0; gateway < gateways; gateway++) {
             start(gateway);
             for (int other = 0; other < gateways; other++) {
                 boolean same = region(gateway) == region(other);
-                network.way(gateway, other, same ? WITHIN_REGION : BETWEEN_REGIONS);
+                network.link(gateway, other, same ? WITHIN_REGION : BETWEEN_REGIONS);
             }
         }
     }
@@ -88,10 +92,11 @@
 
     /** A new process of that gateway. */
     void start(int gateway) {
-        Life life = new Life(gateway, (long) now);
+        Incarnation incarnation = new Incarnation(gateway, (long) now);
         Random own = new Random(chance.nextLong());
         Members started =
-                new Members(life, members.length, ROUND_MS, FANOUT, suspectMs, suspectMs, own);
+                new Members(
+                        incarnation, members.length, ROUND_MS, FANOUT, suspectMs, suspectMs, own);
         members[gateway] = started;
         sequence[gateway] = 0;
         stopped[gateway] = false;
@@ -154,7 +159,7 @@
 
     private void round(int gateway) {
         Members own = members[gateway];
-        Sight record = record(own.life(gateway), sequence[gateway]++);
+        GossipRecord record = record(own.incarnation(gateway), sequence[gateway]++);
         long started = System.nanoTime();
         own.own(record, now);
         own.round(now, transports[gateway]);
@@ -162,8 +167,8 @@
     }
 
     /** A record as a gateway under some strain has it: ten classes of worth in use. */
-    static Sight record(Life life, int sequence) {
-        Sight record = new Sight(life, sequence);
+    static GossipRecord record(Incarnation incarnation, int sequence) {
+        GossipRecord record = new GossipRecord(incarnation, sequence);
         for (int worth = 4; worth < 14; worth++) {
             record.asked[worth] = 10;
             record.sent[worth] = worth < 9 ? 0 : worth == 9 ? 3 : 10;
@@ -206,9 +211,9 @@
 
     /** Whether each running gateway knows this one by the process that runs now. */
     boolean allKnow(int gateway) {
-        Life life = members[gateway].life(gateway);
+        Incarnation incarnation = members[gateway].incarnation(gateway);
         for (int observer = 0; observer < members.length; observer++) {
-            if (!stopped[observer] && !life.equals(members[observer].life(gateway))) {
+            if (!stopped[observer] && !incarnation.equals(members[observer].incarnation(gateway))) {
                 return false;
             }
         }
@@ -274,18 +279,18 @@
     }
 
     /** Counts what a gateway sends, and what of it crosses between the regions. */
-    private final class RegionCounting implements Talk {
+    private final class RegionCounting implements Transport {
         private final int gateway;
-        private final Talk transport;
+        private final Transport transport;
 
-        RegionCounting(int gateway, Talk transport) {
+        RegionCounting(int gateway, Transport transport) {
             this.gateway = gateway;
             this.transport = transport;
         }
 
         @Override
-        public int most() {
-            return transport.most();
+        public int maxMessageBytes() {
+            return transport.maxMessageBytes();
         }
 
         @Override
--- a/lab/src/main/java/tinford/lab/scale/GossipSocketsMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipSocketsMeasurement.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Members;
-import tinford.fleet.talk.Udp;
+import tinford.fleet.transport.UdpTransport;
 import tinford.lab.sockets.FreePort;
 
 /** Gossip over real datagrams on loopback, all gateways in this process: its processor time. */
@@ -111,17 +111,17 @@
         private record Message(int from, byte[] bytes) {}
 
         private final ConcurrentLinkedQueue<Message> inbox = new ConcurrentLinkedQueue<>();
-        private final Life life;
+        private final Incarnation incarnation;
         private final Members members;
-        private final Udp transport;
+        private final UdpTransport transport;
         private int sequence;
         private long taken;
 
         Gateway(int number, List<InetSocketAddress> peers, Random chance) throws IOException {
-            life = new Life(number, 0);
+            incarnation = new Incarnation(number, 0);
             members =
                     new Members(
-                            life,
+                            incarnation,
                             peers.size(),
                             GossipFleet.ROUND_MS,
                             GossipFleet.FANOUT,
@@ -129,7 +129,7 @@
                             SUSPECT_MS,
                             chance);
             transport =
-                    new Udp(
+                    new UdpTransport(
                             number,
                             peers.get(number),
                             peers,
@@ -142,7 +142,7 @@
                 members.heard(message.bytes(), message.from(), now);
                 taken++;
             }
-            members.own(GossipFleet.record(life, sequence++), now);
+            members.own(GossipFleet.record(incarnation, sequence++), now);
             members.round(now, transport);
         }
 
--- a/lab/src/main/java/tinford/lab/scale/GossipTrafficMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipTrafficMeasurement.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.Random;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.overload.Overload;
 
 /** Gossip of a fleet at rest: messages, bytes, processor time and heap of one gateway. */
@@ -86,7 +86,7 @@
 
     /** What reading all records for the common line against overload costs a gateway each time. */
     private static double overloadRoundMs(GossipFleet fleet) {
-        Life self = fleet.members(0).life(0);
+        Incarnation self = fleet.members(0).incarnation(0);
         double now = fleet.now();
         Overload overload =
                 new Overload(now, self, OVERLOAD_WINDOW_MS, FURTHER_PART, new Random(1));
--- a/lab/src/main/java/tinford/lab/scale/GrantEntryMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GrantEntryMeasurement.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 import tinford.fleet.budgets.Ledger;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Terms;
+import tinford.fleet.budgets.LedgerEntry;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Leases;
 
 /**
  * The first grant that a leader proposes after a cold start, by gateways, with servers in
@@ -68,16 +69,19 @@
         for (long account = 0; account < LeaseDeployment.ACCOUNTS; account++) {
             wanted.put(account, 1);
         }
-        List<Life> lives = LeaseDeployment.lives(gateways, (long) NOW_MS);
+        List<Incarnation> incarnations = LeaseDeployment.incarnations(gateways, (long) NOW_MS);
         long index = 0;
-        for (Life life : lives) {
-            ledger.apply(++index, Terms.renew(life, NOW_MS, LeaseDeployment.LEASE_MS));
-            ledger.apply(++index, Ledger.tell(life, NOW_MS, 0, wanted, Map.of()));
+        for (Incarnation incarnation : incarnations) {
+            ledger.apply(++index, Leases.renew(incarnation, NOW_MS, LeaseDeployment.LEASE_MS));
+            ledger.apply(
+                    ++index,
+                    new LedgerEntry.Tell(incarnation, NOW_MS, 0, wanted, Map.of()).bytes());
         }
         int servers = (int) Math.ceil(gateways * SERVERS_PER_GATEWAY);
         for (int server = 0; server < Math.min(servers, Ledger.MOST_SERVERS); server++) {
             int offered = LeaseDeployment.CONNECTIONS_OFFERED;
-            ledger.apply(++index, Ledger.offer("server-" + server, 1, offered, NOW_MS));
+            ledger.apply(
+                    ++index, new LedgerEntry.Offer("server-" + server, 1, offered, NOW_MS).bytes());
         }
         return ledger;
     }
--- a/lab/src/main/java/tinford/lab/scale/LeaseDeployment.java
+++ b/lab/src/main/java/tinford/lab/scale/LeaseDeployment.java
@@ -6,9 +6,9 @@
 import tinford.fleet.budgets.Ledger;
 import tinford.fleet.budgets.Proposer;
 import tinford.fleet.budgets.Share;
-import tinford.fleet.budgets.Statics;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Terms;
+import tinford.fleet.budgets.StaticShares;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Leases;
 
 /** Ledgers and shares of many gateways by the operator file's own settings, in virtual time. */
 final class LeaseDeployment {
@@ -30,13 +30,13 @@
 
     private LeaseDeployment() {}
 
-    static Statics statics(int gateways) {
-        return new Statics(Map.of(), CONNECTIONS_OFFERED, STATIC_PART, gateways);
+    static StaticShares staticShares(int gateways) {
+        return new StaticShares(Map.of(), CONNECTIONS_OFFERED, STATIC_PART, gateways);
     }
 
     static Ledger ledger(int gateways) {
         return new Ledger(
-                new Terms(gateways, LEASE_MS, CLOCKS_APART_MS, LINGER_MS), statics(gateways));
+                new Leases(gateways, LEASE_MS, CLOCKS_APART_MS, LINGER_MS), staticShares(gateways));
     }
 
     static Proposer proposer() {
@@ -44,25 +44,25 @@
     }
 
     /** What one gateway asks of the log, as it sees the given ledger. */
-    static Share share(Ledger ledger, int gateways, Life life) {
+    static Share share(Ledger ledger, int gateways, Incarnation incarnation) {
         return new Share(
                 ledger,
-                statics(gateways),
+                staticShares(gateways),
                 account -> PLAN,
-                life,
+                incarnation,
                 LEASE_MS,
                 2 * CLOCKS_APART_MS,
                 ROUND_MS,
                 KEEP_MS,
-                life.start());
+                incarnation.start());
     }
 
-    /** One life of each gateway, all started at the same time. */
-    static List<Life> lives(int gateways, long start) {
-        List<Life> lives = new ArrayList<>();
+    /** One incarnation of each gateway, all started at the same time. */
+    static List<Incarnation> incarnations(int gateways, long start) {
+        List<Incarnation> incarnations = new ArrayList<>();
         for (int gateway = 0; gateway < gateways; gateway++) {
-            lives.add(new Life(gateway, start));
+            incarnations.add(new Incarnation(gateway, start));
         }
-        return lives;
+        return incarnations;
     }
 }
--- a/lab/src/main/java/tinford/lab/scale/LeaseRenewals.java
+++ b/lab/src/main/java/tinford/lab/scale/LeaseRenewals.java
@@ -7,7 +7,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import tinford.fleet.budgets.Ledger;
 import tinford.fleet.budgets.Share;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.store.Log;
 import tinford.fleet.store.MemoryLogs;
 
@@ -64,10 +64,10 @@
             members.add(applied);
             handles.add(logs.open(member + 1, applied));
         }
-        for (Life life : LeaseDeployment.lives(gatewayCount, START_MS)) {
-            int member = life.gateway() % voters;
+        for (Incarnation incarnation : LeaseDeployment.incarnations(gatewayCount, START_MS)) {
+            int member = incarnation.gateway() % voters;
             Ledger ledger = members.get(member).ledger();
-            Share share = LeaseDeployment.share(ledger, gatewayCount, life);
+            Share share = LeaseDeployment.share(ledger, gatewayCount, incarnation);
             double firstTick = START_MS + random.nextDouble() * LeaseDeployment.ROUND_MS;
             gateways.add(new Gateway(share, handles.get(member), firstTick));
         }
--- a/lab/src/main/java/tinford/lab/scale/RaftRenewalMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/RaftRenewalMeasurement.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Leases;
 import tinford.fleet.store.Log;
 
 /**
@@ -69,9 +69,15 @@
         long bytes = 0;
         for (Renewal renewal : renewals) {
             sleepUntil(started, renewal.atMs());
-            byte[] entry = Terms.renew(renewal.life(), renewal.atMs(), LeaseDeployment.LEASE_MS);
+            byte[] entry =
+                    Leases.renew(renewal.incarnation(), renewal.atMs(), LeaseDeployment.LEASE_MS);
             bytes += entry.length;
-            under.add(offer(quorum.member(renewal.life().gateway()), entry, latencies, failures));
+            under.add(
+                    offer(
+                            quorum.member(renewal.incarnation().gateway()),
+                            entry,
+                            latencies,
+                            failures));
         }
         awaitAll(under);
         double processorMs = ProcessorTime.processMs() - processorBefore;
@@ -98,15 +104,15 @@
                         processorMs / elapsedMs));
     }
 
-    private record Renewal(double atMs, Life life) {}
+    private record Renewal(double atMs, Incarnation incarnation) {}
 
     /** Each gateway's first at a time drawn within one interval, the others at that pace. */
     private static List<Renewal> renewals(int gateways, UniformRandomProvider random) {
         List<Renewal> renewals = new ArrayList<>();
-        for (Life life : LeaseDeployment.lives(gateways, 0)) {
+        for (Incarnation incarnation : LeaseDeployment.incarnations(gateways, 0)) {
             double first = random.nextDouble() * RENEWAL_MS;
             for (double at = first; at < DURATION_MS; at += RENEWAL_MS) {
-                renewals.add(new Renewal(at, life));
+                renewals.add(new Renewal(at, incarnation));
             }
         }
         renewals.sort((a, b) -> Double.compare(a.atMs(), b.atMs()));
