--- a/lab/src/main/java/tinford/lab/Lab.java
+++ b/lab/src/main/java/tinford/lab/Lab.java
@@ -26,6 +26,7 @@
 import tinford.lab.fleet.Program;
 import tinford.lab.model.Outcome;
 import tinford.lab.model.World;
+import tinford.lab.scale.ScaleCommand;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 import tinford.lab.sockets.Bench;
@@ -50,6 +51,7 @@
             Lab.Record.class,
             Lab.Sockets.class,
             Lab.Fleet.class,
+            ScaleCommand.class,
             ExploreCommand.class
         })
 public final class Lab {
