--- a/lab/src/main/java/tinford/lab/scale/Measurements.java
+++ b/lab/src/main/java/tinford/lab/scale/Measurements.java
@@ -9,6 +9,6 @@
 
     /** All measurements, area by area. */
     public static List<Measurement> all() {
-        return Stream.<List<Measurement>>of().flatMap(List::stream).toList();
+        return Stream.of(DecisionMeasurements.all()).flatMap(List::stream).toList();
     }
 }
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
@@ -0,0 +1,270 @@
+package tinford.lab.scale.driver;
+
+import java.io.IOException;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.function.Consumer;
+import org.apache.commons.rng.UniformRandomProvider;
+import tinford.Decide;
+import tinford.api.CounterTerms;
+import tinford.api.Customer;
+import tinford.api.End;
+import tinford.api.Frontend;
+import tinford.api.Goal;
+import tinford.api.Inbox;
+import tinford.api.Limits;
+import tinford.api.Place;
+import tinford.api.Req;
+import tinford.api.Rules;
+import tinford.api.Srv;
+import tinford.api.Writer;
+import tinford.handed.Fields;
+import tinford.lab.scale.count.Cost;
+import tinford.lab.scale.gateway.DrivenGateway;
+import tinford.routing.Desk;
+import tinford.routing.Servers;
+
+/**
+ * Drives the decisions and the server table of one gateway. The counter answers each call in the
+ * next round, servers after a service time with an exponential distribution.
+ */
+public final class GatewayDriver implements DrivenGateway, Writer {
+    private static final double START = 100_000;
+    private static final double TICK_MS = 50;
+    private static final double SERVICE_MS = 20;
+    private static final double COLD_MS = 10_000;
+    private static final double COUNTER_TIMEOUT_MS = 50;
+    private static final double NEVER_MS = 1e9;
+    private static final int MOST_DISPATCHES = 3;
+    private static final int DESCRIPTORS = 1000;
+    private static final long BUFFER_BYTES = 16L << 20;
+    private static final int TICKS_A_RANK = 4;
+
+    private final Decide decisions;
+    private final Desk desk;
+    private final Servers servers;
+    private final UniformRandomProvider random;
+    private final PriorityQueue<Running> running = new PriorityQueue<>();
+    private final Deque<Long> calls = new ArrayDeque<>();
+    private final Map<Long, Double> totals = new HashMap<>();
+    private final Map<Req, Integer> dispatchesOf = new HashMap<>();
+    private DispatchListener listener = (server, at) -> {};
+    private Cost largestRound = new Cost(0, 0, 0, 0);
+    private double now = START;
+    private double nextTick = START;
+    private long dispatches;
+    private long requests;
+    private int ticks;
+
+    /** A dispatch whose answer is due at some time. */
+    private record Running(double due, long sequence, Req req, int number, double sentAt)
+            implements Comparable<Running> {
+        @Override
+        public int compareTo(Running other) {
+            int byTime = Double.compare(due, other.due);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
+        }
+    }
+
+    public GatewayDriver(int gateways, UniformRandomProvider random) throws IOException {
+        this.random = random;
+        this.decisions =
+                new Decide(
+                        random.nextLong(),
+                        new Place(0, gateways, "a", 1),
+                        new Limits(MOST_DISPATCHES, false, true, true, true, 1000),
+                        new Rules(0.3, COLD_MS, 2, 1000),
+                        new CounterTerms(true, COUNTER_TIMEOUT_MS, 6, false),
+                        new Goal(0.7, 0.3),
+                        false);
+        this.desk = new Desk(decisions, MOST_DISPATCHES, DESCRIPTORS, BUFFER_BYTES);
+        this.servers = new Servers(desk, COUNTER_TIMEOUT_MS, NEVER_MS, DESCRIPTORS, List.of());
+        desk.seat(null, servers, null, null, null);
+    }
+
+    @Override
+    public <T> T onIoThread(Callable<T> job) throws Exception {
+        CompletableFuture<T> done = new CompletableFuture<>();
+        desk.loop.enter(
+                () -> {
+                    try {
+                        takeOverRound();
+                        done.complete(job.call());
+                    } catch (Exception | Error e) {
+                        done.completeExceptionally(e);
+                    }
+                });
+        try {
+            return done.get();
+        } catch (ExecutionException e) {
+            throw e.getCause() instanceof Exception cause ? cause : e;
+        }
+    }
+
+    /** From here to the end of the desk's turn the time is virtual and this is the writer. */
+    private void takeOverRound() {
+        decisions.round(now, inbox -> {}, this);
+    }
+
+    @Override
+    public double now() {
+        return now;
+    }
+
+    @Override
+    public void pass(double millis) {
+        double until = now + millis;
+        while (true) {
+            double answer = running.isEmpty() ? NEVER_MS : running.peek().due();
+            double next = Math.min(nextTick, answer);
+            if (next > until) {
+                break;
+            }
+            now = Math.max(now, next);
+            if (answer <= nextTick) {
+                answer(running.poll());
+            } else {
+                tick();
+            }
+        }
+        now = until;
+    }
+
+    @Override
+    public Cost rank() {
+        while (ticks % TICKS_A_RANK != 0) {
+            pass(nextTick - now);
+        }
+        while (!running.isEmpty() && running.peek().due() <= nextTick) {
+            now = running.peek().due();
+            answer(running.poll());
+        }
+        now = nextTick;
+        return Cost.of(this::tick);
+    }
+
+    private void tick() {
+        ticks++;
+        nextTick += TICK_MS;
+        round(inbox -> inbox.alarm(1));
+        answerCalls();
+    }
+
+    private void answer(Running done) {
+        Integer open = dispatchesOf.remove(done.req());
+        if (open == null) {
+            return;
+        }
+        double took = now - done.sentAt();
+        round(inbox -> inbox.ended(done.req(), done.number(), End.GOOD, took, true, 0, 0, null));
+    }
+
+    @Override
+    public void list(Fields list) {
+        servers.list(list);
+    }
+
+    @Override
+    public void request(Customer customer, Frontend frontend, double units) {
+        Req req = new Req(requests++, frontend, customer, now + frontend.timeout, units, false);
+        round(inbox -> inbox.arrived(req));
+        answerCalls();
+    }
+
+    private void answerCalls() {
+        while (!calls.isEmpty()) {
+            long name = calls.poll();
+            round(inbox -> inbox.counted(name, End.GOOD, 1, totals.get(name)));
+        }
+    }
+
+    private void round(Consumer<Inbox> input) {
+        Cost cost = Cost.of(() -> decisions.round(now, input::accept, this));
+        largestRound =
+                new Cost(
+                        Math.max(largestRound.operations(), cost.operations()),
+                        Math.max(largestRound.elements(), cost.elements()),
+                        Math.max(largestRound.nanos(), cost.nanos()),
+                        Math.max(largestRound.allocatedBytes(), cost.allocatedBytes()));
+    }
+
+    @Override
+    public Cost largestRound() {
+        return largestRound;
+    }
+
+    @Override
+    public void resetRounds() {
+        largestRound = new Cost(0, 0, 0, 0);
+    }
+
+    @Override
+    public long dispatches() {
+        return dispatches;
+    }
+
+    @Override
+    public void onDispatch(DispatchListener to) {
+        listener = to;
+    }
+
+    @Override
+    public void close() {
+        desk.loop.end(1000);
+    }
+
+    @Override
+    public void dispatch(Req req, Srv server, double cap, double within) {
+        int number = dispatchesOf.merge(req, 1, Integer::sum) - 1;
+        double service = -SERVICE_MS * Math.log(1 - random.nextDouble());
+        running.add(new Running(now + service, dispatches++, req, number, now));
+        listener.dispatched(server, now);
+    }
+
+    @Override
+    public void add(long name, double units, double keep) {
+        totals.merge(name, units, Double::sum);
+        calls.add(name);
+    }
+
+    @Override
+    public void deny(Req req, double retryAfter) {
+        dispatchesOf.remove(req);
+    }
+
+    @Override
+    public void abort(Req req) {
+        dispatchesOf.remove(req);
+    }
+
+    @Override
+    public void cancel(Req req, int hop) {}
+
+    @Override
+    public void alarm(long token, double wait) {}
+
+    @Override
+    public void probe(Srv server) {}
+
+    @Override
+    public void closeIdle(Srv server) {}
+
+    @Override
+    public void tell(int peer, String text) {}
+
+    @Override
+    public void watch(boolean on) {}
+
+    @Override
+    public void fetchList() {}
+
+    @Override
+    public void log(String text) {}
+}
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/scale/gateway/DrivenGateway.java
@@ -0,0 +1,50 @@
+package tinford.lab.scale.gateway;
+
+import java.util.concurrent.Callable;
+import tinford.api.Customer;
+import tinford.api.Frontend;
+import tinford.api.Srv;
+import tinford.handed.Fields;
+import tinford.lab.scale.count.Cost;
+
+/**
+ * One gateway's real decisions and server table, driven by hand in virtual time. All calls but
+ * {@link #onIoThread} and {@link #close} are made on its I/O thread, by a job handed to {@link
+ * #onIoThread}.
+ */
+public interface DrivenGateway extends AutoCloseable {
+    /** Hears of each dispatch. */
+    interface DispatchListener {
+        void dispatched(Srv server, double now);
+    }
+
+    /** Runs the job on the I/O thread, waits for its end, and hands on its result or fault. */
+    <T> T onIoThread(Callable<T> job) throws Exception;
+
+    /** Milliseconds of virtual time. */
+    double now();
+
+    /** Lets the virtual time pass: answers come in as they are due, the timer runs each 50 ms. */
+    void pass(double millis);
+
+    /** Plays the timer until the ranking has been renewed, and tells what that round took. */
+    Cost rank();
+
+    /** A list in discovery's form, as a watch hands it to the server table. */
+    void list(Fields list);
+
+    /** One request arrives; the counter answers at once, the server after its service time. */
+    void request(Customer customer, Frontend frontend, double units);
+
+    /** The most that one round has taken since {@link #resetRounds}, field by field. */
+    Cost largestRound();
+
+    void resetRounds();
+
+    long dispatches();
+
+    void onDispatch(DispatchListener listener);
+
+    @Override
+    void close();
+}
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/scale/gateway/Traffic.java
@@ -0,0 +1,55 @@
+package tinford.lab.scale.gateway;
+
+import java.util.List;
+import java.util.stream.LongStream;
+import org.apache.commons.rng.UniformRandomProvider;
+import tinford.api.Customer;
+import tinford.api.Effect;
+import tinford.api.Frontend;
+import tinford.api.Group;
+import tinford.api.Plan;
+
+/** Requests at a steady rate, from customers whose quotas have room, over some routes. */
+public final class Traffic {
+    /** A gateway's part of the deployment's peak. */
+    public static final double REQUESTS_A_SECOND = 245;
+
+    /** Gateways of the deployment. */
+    public static final int GATEWAYS = 530;
+
+    private static final double TARGET_MS = 200;
+    private static final double TIMEOUT_MS = 2000;
+    private static final Plan PLAN = new Plan("p", 10, 10_000, 0, 1, 0, 1, 0, 0, 1);
+
+    private final UniformRandomProvider random;
+    private final List<Customer> customers;
+    private final Frontend frontend =
+            new Frontend(
+                    "f", TARGET_MS, TIMEOUT_MS, 1, 0, Effect.IDEMPOTENT, Group.ALL, 3000, false);
+
+    public Traffic(int customers, UniformRandomProvider random) {
+        this.random = random;
+        this.customers =
+                LongStream.range(0, customers)
+                        .mapToObj(id -> new Customer(id, PLAN, GATEWAYS, 0))
+                        .toList();
+    }
+
+    /** One request of a customer drawn by chance. */
+    public void request(DrivenGateway gateway) {
+        request(gateway, random.nextInt(customers.size()));
+    }
+
+    /** One request of this customer. */
+    public void request(DrivenGateway gateway, int customer) {
+        gateway.request(customers.get(customer), frontend, 1);
+    }
+
+    /** So many requests at the steady rate, with the time between them. */
+    public void play(DrivenGateway gateway, int requests) {
+        for (int i = 0; i < requests; i++) {
+            request(gateway);
+            gateway.pass(1000 / REQUESTS_A_SECOND);
+        }
+    }
+}
