--- a/lab/src/main/java/tinford/lab/scale/Measurements.java
+++ b/lab/src/main/java/tinford/lab/scale/Measurements.java
@@ -9,7 +9,10 @@
 
     /** All measurements, area by area. */
     public static List<Measurement> all() {
-        return Stream.of(GossipMeasurements.all(), LogMeasurements.all())
+        return Stream.of(
+                        DecisionMeasurements.all(),
+                        GossipMeasurements.all(),
+                        LogMeasurements.all())
                 .flatMap(List::stream)
                 .toList();
     }
