--- a/lab/src/main/java/tinford/lab/model/Node.java
+++ b/lab/src/main/java/tinford/lab/model/Node.java
@@ -300,7 +300,7 @@
                 };
         long mine = life;
         world.agenda.after(
-                world.oneWay(),
+                world.oneWayToCounter(),
                 () -> {
                     if (!cutOff) {
                         world.store.add(
@@ -309,7 +309,7 @@
                                 keep,
                                 (how, total) ->
                                         world.agenda.after(
-                                                world.oneWay(),
+                                                world.oneWayToCounter(),
                                                 () -> {
                                                     if (mine == life && up && !cutOff) {
                                                         answer.accept(
--- a/lab/src/main/java/tinford/lab/model/Store.java
+++ b/lab/src/main/java/tinford/lab/model/Store.java
@@ -1,6 +1,7 @@
 package tinford.lab.model;
 
 import java.util.ArrayDeque;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.BiConsumer;
@@ -84,6 +85,14 @@
         }
     }
 
+    /** How many names are held now. */
+    public long held() {
+        return Arrays.stream(parts)
+                .flatMap(p -> p.held.values().stream())
+                .filter(entry -> entry[1] >= agenda.now())
+                .count();
+    }
+
     public void silence(boolean on) {
         silent = on;
     }
--- a/lab/src/main/java/tinford/lab/model/World.java
+++ b/lab/src/main/java/tinford/lab/model/World.java
@@ -26,7 +26,9 @@
 
 /** One run: the parties of a scenario, put together, with what goes wrong, from start to end. */
 public final class World implements Faults.Ground {
-    private static final double START = 1_000_000; // no party's clock begins at nought
+    /** When a run begins, ms: no party's clock begins at nought. */
+    public static final double START = 1_000_000;
+
     private static final double SETTLES =
             2; // times the longest timeout that is waited for the last answers
     private static final double NOTICE =
@@ -54,6 +56,7 @@
     private final Map<Long, Customer> recorded = new HashMap<>();
     private final List<Trace.Ask> asked = new ArrayList<>();
     private double rise = 1;
+    private double counterAway;
     private long ids;
 
     public World(Scenario s, long seed, Gateway.Maker maker) {
@@ -525,6 +528,20 @@
         return s.net().one_way() * (1 + s.net().jitter() * (2 * wires.nextDouble() - 1));
     }
 
+    /**
+     * Puts the counter farther away than the servers, as in another region.
+     *
+     * @param roundTrip what each call on it takes longer, ms
+     */
+    public void counterAway(double roundTrip) {
+        counterAway = roundTrip;
+    }
+
+    /** One way between a gateway and the counter. */
+    double oneWayToCounter() {
+        return oneWay() + counterAway / 2;
+    }
+
     double counterTimeout() {
         return s.counter().timeout();
     }
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/scale/AddedTimeMeasurements.java
@@ -0,0 +1,164 @@
+package tinford.lab.scale;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import tinford.lab.model.Outcome;
+import tinford.lab.model.World;
+import tinford.lab.scale.FirstDispatchTimes.Part;
+
+/**
+ * What a gateway adds before a request's first dispatch, told apart: its turn, the counter's
+ * answer, the slice of the tenant's ceiling, room at the servers.
+ */
+final class AddedTimeMeasurements {
+    /** At the 99th percentile. */
+    static final double BUDGET_MS = 6.2;
+
+    private static final int REPETITIONS = 5;
+    private static final int GATEWAYS = 20;
+    private static final int SMALL_FLEET = 60;
+    private static final int THIN_GATEWAYS = 93;
+    private static final double CALM_LOAD = 45;
+    private static final double BENCH_TICK_MS = 4;
+
+    private AddedTimeMeasurements() {}
+
+    static List<Measurement> all() {
+        return List.of(
+                byLoad(),
+                byLoadWithoutCeilings(),
+                byFleet(),
+                byWidth(),
+                byThinness(),
+                byThinLoad(),
+                byCounter());
+    }
+
+    private static Measurement byLoad() {
+        return new SampledMeasurement(
+                "added.load",
+                "percent of the servers' cores asked for",
+                new int[] {30, 45, 60, 75},
+                new int[] {30, 40, 50, 60, 70, 80, 90, 100},
+                REPETITIONS,
+                Growth.CONSTANT,
+                (size, seed) -> play(new FleetModel(GATEWAYS).load(size), seed));
+    }
+
+    private static Measurement byLoadWithoutCeilings() {
+        return new SampledMeasurement(
+                "added.load_without_ceilings",
+                "percent of the servers' cores asked for",
+                new int[] {30, 45, 60, 75},
+                new int[] {30, 40, 50, 60, 70, 80, 90, 100},
+                REPETITIONS,
+                Growth.CONSTANT,
+                (size, seed) -> play(new FleetModel(GATEWAYS).load(size).withoutCeilings(), seed));
+    }
+
+    /** By the size of the fleet, at the peak. */
+    private static Measurement byFleet() {
+        return new SampledMeasurement(
+                "added.fleet",
+                "gateways",
+                new int[] {3, 6, 12, 24},
+                new int[] {16, 33, 66, 132},
+                3,
+                Growth.CONSTANT,
+                (size, seed) -> play(new FleetModel(size), seed));
+    }
+
+    /** By the gateways that a tenant comes through: each holds an even slice of its ceiling. */
+    private static Measurement byWidth() {
+        return new SampledMeasurement(
+                "added.width",
+                "gateways a tenant",
+                new int[] {1, 3, 6, 12},
+                new int[] {1, 3, 6, 12, 24, 48},
+                REPETITIONS,
+                Growth.CONSTANT,
+                (size, seed) -> play(new FleetModel(Math.max(GATEWAYS, size)).width(size), seed));
+    }
+
+    /**
+     * By the gateways that share a small fleet of servers, as on the bench's calm day: the more
+     * there are, the fewer dispatches each may have open. Its clock has turns of 4 ms.
+     */
+    private static Measurement byThinness() {
+        return new SampledMeasurement(
+                "added.thin",
+                "gateways before 60 servers",
+                new int[] {6, 12, 24, 48},
+                new int[] {6, 12, 24, 48, 93},
+                REPETITIONS,
+                Growth.CONSTANT,
+                (size, seed) -> play(thin(size, CALM_LOAD), seed));
+    }
+
+    private static FleetModel thin(int gateways, double load) {
+        double whole = FleetModel.PEAK_REQUESTS * SMALL_FLEET * FleetModel.DEPLOYED_GATEWAYS;
+        double atPeak = whole / FleetModel.DEPLOYED_SERVERS / gateways;
+        return new FleetModel(gateways)
+                .servers(SMALL_FLEET)
+                .tenants(SMALL_FLEET * 3)
+                .requests(atPeak * load / FleetModel.PEAK_LOAD)
+                .tick(BENCH_TICK_MS);
+    }
+
+    /** Room at the servers alone, where each gateway may have few dispatches open. */
+    private static Measurement byThinLoad() {
+        return new SampledMeasurement(
+                "added.thin_load_without_ceilings",
+                "percent of the servers' cores asked for",
+                new int[] {30, 45, 60, 75},
+                new int[] {30, 45, 60, 75, 90, 100},
+                REPETITIONS,
+                Growth.CONSTANT,
+                (size, seed) -> play(thin(THIN_GATEWAYS, size).withoutCeilings(), seed));
+    }
+
+    /** By how busy the counter is, with the turns of the bench's clock. */
+    private static Measurement byCounter() {
+        return new SampledMeasurement(
+                "added.counter_load",
+                "percent of the counter's capacity asked for",
+                new int[] {25, 50, 75, 90},
+                new int[] {25, 50, 75, 90, 110, 150},
+                REPETITIONS,
+                Growth.SQUARE,
+                (size, seed) ->
+                        play(
+                                new FleetModel(GATEWAYS)
+                                        .withoutCeilings()
+                                        .counterLoad(size)
+                                        .tick(BENCH_TICK_MS),
+                                seed));
+    }
+
+    private static Sample play(FleetModel model, long seed) {
+        double from = World.START + model.warmUpSeconds() * 1000;
+        FirstDispatchTimes times = new FirstDispatchTimes(from);
+        Outcome outcome = model.run(seed, times);
+        Map<String, Double> reported = new TreeMap<>();
+        for (Part part : Part.values()) {
+            String name = part.name().toLowerCase(java.util.Locale.ROOT);
+            reported.put(name + "_p50_ms", times.percentile(part, 50));
+            reported.put(name + "_p90_ms", times.percentile(part, 90));
+            reported.put(name + "_p99_ms", times.percentile(part, 99));
+            reported.put(name + "_mean_ms", times.mean(part));
+            reported.put(name + "_mean_of_slowest_1_percent_ms", times.meanOfSlowest(part, 99));
+        }
+        reported.put("share_over_budget", times.shareAbove(Part.TOTAL, BUDGET_MS));
+        reported.put("share_that_waits_for_a_ceiling", times.shareAbove(Part.CEILING, 0));
+        reported.put("share_that_waits_for_room", times.shareAbove(Part.ROOM, 0));
+        reported.put("load_of_cores", outcome.figures().get("load"));
+        reported.put("denied_share", outcome.figures().get("denied"));
+        reported.put("service", outcome.service());
+        return new Sample(
+                Map.of(
+                        "turn_p99_ms", reported.remove("turn_p99_ms"),
+                        "counter_p99_ms", reported.remove("counter_p99_ms")),
+                reported);
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/scale/CounterMeasurements.java
@@ -0,0 +1,154 @@
+package tinford.lab.scale;
+
+import java.util.List;
+import java.util.Map;
+import tinford.lab.model.Outcome;
+import tinford.lab.model.World;
+
+/** What the shared counter is asked for, by the decisions as they are in a model of the fleet. */
+final class CounterMeasurements {
+    private static final int REPETITIONS = 5;
+    private static final double MS = 1000;
+
+    /** A tenant's window may last 29 s and is held for two of them and a second. */
+    private static final double WINDOWS_FILL_SECONDS = 60;
+
+    private CounterMeasurements() {}
+
+    static List<Measurement> all() {
+        return List.of(gatewayTraffic(), counterTraffic(), windows(), otherRegion(), lost());
+    }
+
+    /** Of one gateway at its peak: calls and bytes. */
+    private static Measurement gatewayTraffic() {
+        return new SampledMeasurement(
+                "counter.gateway",
+                "gateways",
+                new int[] {3, 6, 12, 24},
+                new int[] {16, 33, 66, 132},
+                REPETITIONS,
+                Growth.CONSTANT,
+                (size, seed) -> {
+                    CounterTraffic traffic = play(new FleetModel(size), seed).traffic;
+                    double sent = FleetModel.PEAK_REQUESTS * traffic.sentBytesARequest();
+                    double received = FleetModel.PEAK_REQUESTS * traffic.receivedBytesARequest();
+                    return new Sample(
+                            Map.of(
+                                    "calls_a_request",
+                                    traffic.callsARequest(),
+                                    "sent_bytes_a_second",
+                                    sent,
+                                    "received_bytes_a_second",
+                                    received),
+                            Map.of("read_only_share", traffic.readOnlyShare()));
+                });
+    }
+
+    /** Of all gateways together, at one counter. */
+    private static Measurement counterTraffic() {
+        return new SampledMeasurement(
+                "counter.total",
+                "gateways",
+                new int[] {3, 6, 12, 24},
+                new int[] {16, 33, 66, 132},
+                REPETITIONS,
+                Growth.LINEAR,
+                (size, seed) -> {
+                    FleetModel model = new FleetModel(size);
+                    CounterTraffic traffic = play(model, seed).traffic;
+                    return new Sample(
+                            Map.of(
+                                    "calls_a_second",
+                                    traffic.calls() / model.seconds(),
+                                    "requests_a_second",
+                                    traffic.requests() / model.seconds()),
+                            Map.of());
+                });
+    }
+
+    /** Customers' windows that the counter holds; tenants ask seldom, but each asks. */
+    private static Measurement windows() {
+        return new SampledMeasurement(
+                "counter.windows",
+                "tenants",
+                new int[] {50, 100, 200, 400},
+                new int[] {1_750, 3_500, 7_000, 14_000},
+                3,
+                Growth.LINEAR,
+                (size, seed) -> {
+                    int gateways = 4;
+                    FleetModel model =
+                            new FleetModel(gateways)
+                                    .tenants(size)
+                                    .servers(Math.max(8, size / 10))
+                                    .requests((double) size / gateways)
+                                    .seconds(0, WINDOWS_FILL_SECONDS);
+                    World world = model.world(seed);
+                    long[] held = new long[1];
+                    world.agenda()
+                            .after(WINDOWS_FILL_SECONDS * MS, () -> held[0] = world.store().held());
+                    world.run();
+                    return new Sample(Map.of("windows_held", (double) held[0]), Map.of());
+                });
+    }
+
+    /** A counter that is farther away than the servers, but answers within its time. */
+    private static Measurement otherRegion() {
+        return new SampledMeasurement(
+                "counter.other_region",
+                "ms added to a round trip",
+                new int[] {5, 20, 40, 60},
+                new int[] {5, 10, 20, 30, 40, 50, 60, 70},
+                REPETITIONS,
+                Growth.LINEAR,
+                CounterMeasurements::away);
+    }
+
+    /** A counter so far away that no call is answered in its time of 80 ms. */
+    private static Measurement lost() {
+        return new SampledMeasurement(
+                "counter.too_far",
+                "ms added to a round trip",
+                new int[] {90, 120, 160, 240},
+                new int[] {80, 90, 120, 160, 240},
+                REPETITIONS,
+                Growth.CONSTANT,
+                CounterMeasurements::away);
+    }
+
+    private static Sample away(int roundTripMs, long seed) {
+        Play play = play(new FleetModel(12).counterAway(roundTripMs), seed);
+        FirstDispatchTimes times = play.times;
+        Map<String, Double> figures = play.outcome.figures();
+        return new Sample(
+                Map.of(
+                        "calls_a_request",
+                        play.traffic.callsARequest(),
+                        "counter_wait_p50_ms",
+                        times.percentile(FirstDispatchTimes.Part.COUNTER, 50)),
+                Map.of(
+                        "answered_share",
+                        play.traffic.answeredShare(),
+                        "counter_wait_p99_ms",
+                        times.percentile(FirstDispatchTimes.Part.COUNTER, 99),
+                        "added_p50_ms",
+                        times.percentile(FirstDispatchTimes.Part.TOTAL, 50),
+                        "added_p99_ms",
+                        times.percentile(FirstDispatchTimes.Part.TOTAL, 99),
+                        "service",
+                        figures.get("service"),
+                        "denied_share",
+                        figures.get("denied"),
+                        "beyond_units_share",
+                        figures.get("beyond_units")));
+    }
+
+    private record Play(Outcome outcome, CounterTraffic traffic, FirstDispatchTimes times) {}
+
+    private static Play play(FleetModel model, long seed) {
+        double from = World.START + model.warmUpSeconds() * MS;
+        CounterTraffic traffic = new CounterTraffic(from, from + model.seconds() * MS);
+        FirstDispatchTimes times = new FirstDispatchTimes(from);
+        return new Play(model.run(seed, traffic, times), traffic, times);
+    }
+}
--- a/lab/src/main/java/tinford/lab/scale/Measurements.java
+++ b/lab/src/main/java/tinford/lab/scale/Measurements.java
@@ -9,6 +9,12 @@
 
     /** All measurements, area by area. */
     public static List<Measurement> all() {
-        return Stream.<List<Measurement>>of().flatMap(List::stream).toList();
+        return Stream.of(
+                        AddedTimeMeasurements.all(),
+                        ConfigurationMeasurements.all(),
+                        CounterMeasurements.all(),
+                        RestartMeasurements.all())
+                .flatMap(List::stream)
+                .toList();
     }
 }
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
@@ -0,0 +1,176 @@
+package tinford.lab.scale;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import tinford.handed.Fields;
+import tinford.lab.model.Outcome;
+import tinford.lab.model.World;
+import tinford.lab.scenario.Scenario;
+import tinford.lab.sockets.ServerList;
+import tinford.lab.sockets.SingleGateway;
+import tinford.protocol.HttpLines;
+import tinford.protocol.JsonLines;
+
+/** What restarts cost: of gateways (a rack, a zone, all) and of servers. */
+final class RestartMeasurements {
+    private static final double MS = 1000;
+    private static final double DOWN_SECONDS = 1;
+    private static final double AFTER_SECONDS = 10;
+    private static final double KEEP_ALIVE_MS = 15_000;
+
+    /** Restarted at once: one, a rack, a zone, the fleet. */
+    private static final int[] AT_ONCE = {1, 20, 53, 530};
+
+    private RestartMeasurements() {}
+
+    static List<Measurement> all() {
+        return List.of(lists(), listsAtOnce(), starts(), connections(), coldServers());
+    }
+
+    /** One whole list, as each gateway that starts reads it, through the gateway's own parsers. */
+    private static Measurement lists() {
+        return new SampledMeasurement(
+                "restarts.list",
+                "servers",
+                new int[] {60, 300, 1_500, 3_000},
+                new int[] {60, 300, 1_500, 3_000, 6_000},
+                5,
+                Growth.LINEAR,
+                (size, seed) -> {
+                    String list = ServerList.whole(size);
+                    long began = System.nanoTime();
+                    int hosts = readList(list);
+                    double took = (System.nanoTime() - began) / 1e6;
+                    return new Sample(
+                            Map.of("bytes", (double) list.length(), "hosts_read", (double) hosts),
+                            Map.of("read_ms", took));
+                });
+    }
+
+    /** Reads it as {@code tinford.routing.Watch} does, and gives how many servers it names. */
+    private static int readList(String list) throws Exception {
+        String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        String chunk = Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n";
+        byte[] answer = (head + chunk).getBytes(StandardCharsets.UTF_8);
+        JsonFactory json = new JsonFactory();
+        JsonLines objects = new JsonLines(json);
+        String[] line = new String[1];
+        new HttpLines().read(answer, 0, answer.length, text -> line[0] = text);
+        Fields read = Fields.of(json, "list", objects.take(line[0]));
+        return read.parts("hosts").size();
+    }
+
+    /** Computed from the measured size of one list: what discovery's agents send at once. */
+    private static Measurement listsAtOnce() {
+        return new SampledMeasurement(
+                "restarts.lists_at_once",
+                "gateways restarted at once",
+                AT_ONCE,
+                AT_ONCE,
+                1,
+                Growth.LINEAR,
+                (size, seed) -> {
+                    double bytes = ServerList.whole(FleetModel.DEPLOYED_SERVERS).length();
+                    return new Sample(Map.of("computed_list_bytes", size * bytes), Map.of());
+                });
+    }
+
+    /** The start of one real gateway: what it asks of others, and how long it takes. */
+    private static Measurement starts() {
+        return new SampledMeasurement(
+                "restarts.start",
+                "servers",
+                new int[] {60, 300, 1_500, 3_000},
+                new int[] {60, 300, 1_500, 3_000, 6_000},
+                3,
+                Growth.CONSTANT,
+                (size, seed) -> {
+                    try (ScratchFolder folder = new ScratchFolder();
+                            SingleGateway gateway =
+                                    new SingleGateway(
+                                            FleetModel.DEPLOYED_ROUTES, size, folder.path())) {
+                        double startMs = gateway.start();
+                        return new Sample(
+                                Map.of(
+                                        "lists_asked",
+                                        (double) gateway.listsAsked(),
+                                        "counter_handshakes",
+                                        (double) gateway.counterConnections()),
+                                Map.of("start_ms", startMs, "processor_ms", gateway.processorMs()));
+                    }
+                });
+    }
+
+    /** Connections to servers that are opened once so many gateways have started anew at once. */
+    private static Measurement connections() {
+        return new SampledMeasurement(
+                "restarts.connections",
+                "gateways restarted at once",
+                new int[] {2, 4, 8, 16},
+                new int[] {5, 10, 20, 53},
+                3,
+                Growth.LINEAR,
+                (size, seed) -> restart(size, seed));
+    }
+
+    private static Sample restart(int restarted, long seed) {
+        FleetModel model = new FleetModel(Math.max(20, 2 * restarted));
+        double at = model.warmUpSeconds();
+        double part = (double) restarted / model.gateways();
+        model.seconds(at, DOWN_SECONDS + AFTER_SECONDS)
+                .faults(new Scenario.Fault(Scenario.Kind.GATEWAYS_DIE, at, DOWN_SECONDS, part, 0));
+        ConnectionPools pools = new ConnectionPools(KEEP_ALIVE_MS);
+        model.run(seed, pools);
+        double killed = World.START + at * MS;
+        double back = killed + DOWN_SECONDS * MS;
+        double before = pools.handshakes(killed - MS, killed);
+        double first = pools.handshakes(back, back + MS);
+        double usual = before * (1 - part);
+        return new Sample(
+                Map.of("handshakes_in_the_first_second", first - usual),
+                Map.of(
+                        "handshakes_a_second_before",
+                        before,
+                        "handshakes_a_dispatch_before",
+                        before / pools.dispatches(killed - MS, killed),
+                        "most_at_a_server_in_a_second_before",
+                        (double) pools.mostAtAServer(killed - MS, killed),
+                        "most_at_a_server_in_a_second_after",
+                        (double) pools.mostAtAServer(back, back + AFTER_SECONDS * MS),
+                        "handshakes_in_ten_seconds",
+                        (double) pools.handshakes(back, back + AFTER_SECONDS * MS)));
+    }
+
+    /** Servers that come back cold together, before gateways that keep running. */
+    private static Measurement coldServers() {
+        return new SampledMeasurement(
+                "restarts.cold_servers",
+                "servers restarted at once",
+                new int[] {2, 4, 8, 16},
+                new int[] {5, 10, 20, 60, 120},
+                3,
+                Growth.CONSTANT,
+                RestartMeasurements::coldRestart);
+    }
+
+    private static Sample coldRestart(int restarted, long seed) {
+        FleetModel model = new FleetModel(Math.max(8, restarted / 3));
+        double at = model.warmUpSeconds();
+        double part = (double) restarted / model.servers();
+        model.seconds(at, DOWN_SECONDS + AFTER_SECONDS)
+                .faults(new Scenario.Fault(Scenario.Kind.SERVERS_DIE, at, DOWN_SECONDS, part, 0));
+        Outcome outcome = model.run(seed);
+        Map<String, Double> figures = outcome.figures();
+        return new Sample(
+                Map.of("cold_falls", figures.get("cold_falls")),
+                Map.of(
+                        "nearest_to_a_fall",
+                        figures.get("cold_nearest"),
+                        "service",
+                        figures.get("service"),
+                        "part_of_the_servers",
+                        part));
+    }
+}
