--- a/lab/src/main/java/tinford/lab/scale/FleetModel.java
+++ b/lab/src/main/java/tinford/lab/scale/FleetModel.java
@@ -56,6 +56,7 @@
     private double counterTimeoutMs = 80;
     private double counterAwayMs;
     private double tickMs = SHORT_TICK_MS;
+    private boolean counter = true;
     private int counterParts = 64;
     private double counterCallMs = QUICK_CALL_MS;
     private double warmUpSeconds = 5;
@@ -121,6 +122,12 @@
         return this;
     }
 
+    /** Nothing is counted: all requests are inside. */
+    FleetModel withoutCounter() {
+        counter = false;
+        return this;
+    }
+
     /**
      * @param ms between the turns of a gateway
      */
@@ -190,7 +197,8 @@
                 gateways,
                 new Scenario.Net(0.5, 0.3, 1500, 0.5, 250),
                 new Scenario.Servers(servers, CORES, 40, 1, 0.3, List.of("a"), 0.3, 10_000),
-                new Scenario.Counter(true, counterParts, counterCallMs, 100_000, counterTimeoutMs),
+                new Scenario.Counter(
+                        counter, counterParts, counterCallMs, 100_000, counterTimeoutMs),
                 frontends(),
                 plans(),
                 new Scenario.Clients(
--- a/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
@@ -93,12 +93,14 @@
                                             FleetModel.DEPLOYED_ROUTES, size, folder.path())) {
                         double startMs = gateway.start();
                         return new Sample(
+                                Map.of("counter_handshakes", (double) gateway.counterConnections()),
                                 Map.of(
                                         "lists_asked",
                                         (double) gateway.listsAsked(),
-                                        "counter_handshakes",
-                                        (double) gateway.counterConnections()),
-                                Map.of("start_ms", startMs, "processor_ms", gateway.processorMs()));
+                                        "start_ms",
+                                        startMs,
+                                        "processor_ms",
+                                        gateway.processorMs()));
                     }
                 });
     }
