--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/Change.java
@@ -0,0 +1,28 @@
+package tinford.fleet.config;
+
+/** One addition, replacement or removal in a configuration. */
+public sealed interface Change {
+    /** Adds a service. */
+    record PutService(Service service) implements Change {}
+
+    /** Removes a service that no route uses. */
+    record RemoveService(String name) implements Change {}
+
+    /** Adds or replaces a route. */
+    record PutRoute(Route route) implements Change {}
+
+    /** Removes a route. */
+    record RemoveRoute(String name) implements Change {}
+
+    /** Adds or replaces a plan. */
+    record PutPlan(Plan plan) implements Change {}
+
+    /** Removes a plan that no tenant uses. */
+    record RemovePlan(String name) implements Change {}
+
+    /** Adds a tenant or moves it to another plan. */
+    record PutTenant(Tenant tenant) implements Change {}
+
+    /** Removes a tenant. */
+    record RemoveTenant(long id) implements Change {}
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/Proposal.java
@@ -0,0 +1,10 @@
+package tinford.fleet.config;
+
+/** What an operator asks of the control servers. */
+public sealed interface Proposal permits ChangeSet, Revert {
+    /**
+     * Chosen by the proposer; the same proposal sent again with the same id has the outcome of the
+     * first.
+     */
+    String id();
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/Refusal.java
@@ -0,0 +1,20 @@
+package tinford.fleet.config;
+
+import java.util.List;
+import java.util.stream.Collectors;
+
+/** Why a proposal was refused: at least one fault, the first {@link ConfigurationLimits#FAULTS}. */
+public record Refusal(List<Fault> faults) {
+    public Refusal {
+        if (faults.isEmpty()) {
+            throw new IllegalArgumentException("a refusal needs a fault");
+        }
+        faults =
+                List.copyOf(faults.subList(0, Math.min(faults.size(), ConfigurationLimits.FAULTS)));
+    }
+
+    @Override
+    public String toString() {
+        return faults.stream().map(Fault::toString).collect(Collectors.joining("; "));
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/Service.java
@@ -0,0 +1,4 @@
+package tinford.fleet.config;
+
+/** A service: the servers that routes lead to, found by name in discovery. */
+public record Service(String name) {}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * The fleet's configuration as numbered revisions: its types, their validation and encoding, the
+ * replicated state machine that accepts changes, and the follower that keeps up with it. Nothing in
+ * this package does I/O, starts a thread or reads a clock; time and randomness are passed in.
+ */
+package tinford.fleet.config;
