--- a/fleet/src/main/java/tinford/fleet/config/Configuration.java
+++ b/fleet/src/main/java/tinford/fleet/config/Configuration.java
@@ -1,7 +1,14 @@
 package tinford.fleet.config;
 
+import java.util.ArrayList;
+import java.util.Collection;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import java.util.function.Function;
+import java.util.function.ToLongFunction;
 
 /**
  * The configuration at one revision; immutable. The maps iterate in ascending order of their keys
@@ -9,28 +16,74 @@
  */
 public final class Configuration {
     /** Revision 0, without any content. */
-    public static final Configuration EMPTY = new Configuration();
+    public static final Configuration EMPTY =
+            new Configuration(
+                    0,
+                    SortedArrayMap.empty(),
+                    SortedArrayMap.empty(),
+                    SortedArrayMap.empty(),
+                    SortedArrayMap.empty(),
+                    0);
 
-    private Configuration() {}
+    private final long revision;
+    private final SortedArrayMap<String, Service> services;
+    private final SortedArrayMap<String, Route> routes;
+    private final SortedArrayMap<String, Plan> plans;
+    private final SortedArrayMap<Long, Tenant> tenants;
+    private final long contentHash;
+
+    private Configuration(
+            long revision,
+            SortedArrayMap<String, Service> services,
+            SortedArrayMap<String, Route> routes,
+            SortedArrayMap<String, Plan> plans,
+            SortedArrayMap<Long, Tenant> tenants,
+            long contentHash) {
+        this.revision = revision;
+        this.services = services;
+        this.routes = routes;
+        this.plans = plans;
+        this.tenants = tenants;
+        this.contentHash = contentHash;
+    }
+
+    /** Of several records with one key the last is kept; nothing is validated. */
+    static Configuration of(
+            long revision,
+            Collection<Service> services,
+            Collection<Route> routes,
+            Collection<Plan> plans,
+            Collection<Tenant> tenants) {
+        SortedArrayMap<String, Service> serviceMap = SortedArrayMap.of(services, Service::name);
+        SortedArrayMap<String, Route> routeMap = SortedArrayMap.of(routes, Route::name);
+        SortedArrayMap<String, Plan> planMap = SortedArrayMap.of(plans, Plan::name);
+        SortedArrayMap<Long, Tenant> tenantMap = SortedArrayMap.of(tenants, Tenant::id);
+        long hash =
+                sum(serviceMap.values(), ContentHash::of)
+                        + sum(routeMap.values(), ContentHash::of)
+                        + sum(planMap.values(), ContentHash::of)
+                        + sum(tenantMap.values(), ContentHash::of);
+        return new Configuration(revision, serviceMap, routeMap, planMap, tenantMap, hash);
+    }
 
     public long revision() {
-        return 0;
+        return revision;
     }
 
     public Map<String, Service> services() {
-        return Map.of();
+        return services;
     }
 
     public Map<String, Route> routes() {
-        return Map.of();
+        return routes;
     }
 
     public Map<String, Plan> plans() {
-        return Map.of();
+        return plans;
     }
 
     public Map<Long, Tenant> tenants() {
-        return Map.of();
+        return tenants;
     }
 
     /**
@@ -38,16 +91,110 @@
      * as far as 64 bits tell them apart; the same in every process. Costs nothing to ask.
      */
     public long contentHash() {
-        return 0;
+        return contentHash;
     }
 
     /** With these changes made, in their order, at a later revision; nothing is validated. */
-    public Configuration with(long revision, List<Change> changes) {
-        throw new UnsupportedOperationException();
+    public Configuration with(long laterRevision, List<Change> changes) {
+        Edits edits = new Edits();
+        for (Change change : changes) {
+            edits.add(change);
+        }
+        long hash =
+                contentHash
+                        + difference(services, edits.services, ContentHash::of)
+                        + difference(routes, edits.routes, ContentHash::of)
+                        + difference(plans, edits.plans, ContentHash::of)
+                        + difference(tenants, edits.tenants, ContentHash::of);
+        return new Configuration(
+                laterRevision,
+                services.with(edits.services),
+                routes.with(edits.routes),
+                plans.with(edits.plans),
+                tenants.with(edits.tenants),
+                hash);
     }
 
     /** The changes that make this content into that of another configuration. */
     public List<Change> changesTo(Configuration other) {
-        throw new UnsupportedOperationException();
+        List<Change> changes = new ArrayList<>();
+        addPuts(changes, services, other.services, Change.PutService::new);
+        addPuts(changes, plans, other.plans, Change.PutPlan::new);
+        addPuts(changes, routes, other.routes, Change.PutRoute::new);
+        addPuts(changes, tenants, other.tenants, Change.PutTenant::new);
+        addRemovals(changes, tenants, other.tenants, Change.RemoveTenant::new);
+        addRemovals(changes, routes, other.routes, Change.RemoveRoute::new);
+        addRemovals(changes, plans, other.plans, Change.RemovePlan::new);
+        addRemovals(changes, services, other.services, Change.RemoveService::new);
+        return changes;
+    }
+
+    private static <K, V> void addPuts(
+            List<Change> changes, Map<K, V> from, Map<K, V> to, Function<V, Change> put) {
+        if (from == to) {
+            return;
+        }
+        to.forEach(
+                (key, value) -> {
+                    if (!Objects.equals(from.get(key), value)) {
+                        changes.add(put.apply(value));
+                    }
+                });
+    }
+
+    private static <K, V> void addRemovals(
+            List<Change> changes, Map<K, V> from, Map<K, V> to, Function<K, Change> remove) {
+        if (from == to) {
+            return;
+        }
+        for (K key : from.keySet()) {
+            if (!to.containsKey(key)) {
+                changes.add(remove.apply(key));
+            }
+        }
+    }
+
+    private static <V> long sum(Collection<V> values, ToLongFunction<V> hash) {
+        return values.stream().mapToLong(hash).sum();
+    }
+
+    /** By how much edits change the sum of hashes. */
+    private static <K extends Comparable<K>, V> long difference(
+            SortedArrayMap<K, V> before, SortedMap<K, V> edits, ToLongFunction<V> hash) {
+        long difference = 0;
+        for (Map.Entry<K, V> edit : edits.entrySet()) {
+            V old = before.get(edit.getKey());
+            difference -= old == null ? 0 : hash.applyAsLong(old);
+            difference += edit.getValue() == null ? 0 : hash.applyAsLong(edit.getValue());
+        }
+        return difference;
+    }
+
+    /** Changes by key; a null value removes. */
+    private static final class Edits {
+        private final SortedMap<String, Service> services = new TreeMap<>();
+        private final SortedMap<String, Route> routes = new TreeMap<>();
+        private final SortedMap<String, Plan> plans = new TreeMap<>();
+        private final SortedMap<Long, Tenant> tenants = new TreeMap<>();
+
+        private void add(Change change) {
+            if (change instanceof Change.PutService put) {
+                services.put(put.service().name(), put.service());
+            } else if (change instanceof Change.RemoveService remove) {
+                services.put(remove.name(), null);
+            } else if (change instanceof Change.PutRoute put) {
+                routes.put(put.route().name(), put.route());
+            } else if (change instanceof Change.RemoveRoute remove) {
+                routes.put(remove.name(), null);
+            } else if (change instanceof Change.PutPlan put) {
+                plans.put(put.plan().name(), put.plan());
+            } else if (change instanceof Change.RemovePlan remove) {
+                plans.put(remove.name(), null);
+            } else if (change instanceof Change.PutTenant put) {
+                tenants.put(put.tenant().id(), put.tenant());
+            } else if (change instanceof Change.RemoveTenant remove) {
+                tenants.put(remove.id(), null);
+            }
+        }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
@@ -1,5 +1,11 @@
 package tinford.fleet.config;
 
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.util.Base64;
+import java.util.List;
+import java.util.Set;
+
 /**
  * Proposals, outcomes, watch messages and reports as JSON, one object each with a field {@code
  * version}. Unknown fields, a later version and whatever exceeds {@link ConfigurationLimits} are
@@ -9,38 +15,167 @@
     /** The version of the JSON forms. */
     public static final int VERSION = 1;
 
+    private static final Set<String> CHANGE_SET_KEYS =
+            RecordJson.keys("version", "id", "expectedRevision", "changes");
+    private static final Set<String> REVERT_KEYS = RecordJson.keys("version", "id", "revertTo");
+    private static final Set<String> ACCEPTED_KEYS = RecordJson.keys("version", "revision");
+    private static final Set<String> REFUSED_KEYS = RecordJson.keys("version", "faults");
+    private static final Set<String> UPDATE_MESSAGE_KEYS = RecordJson.keys("version", "update");
+    private static final Set<String> SNAPSHOT_MESSAGE_KEYS = RecordJson.keys("version", "snapshot");
+    private static final Set<String> UPDATE_KEYS = RecordJson.keys("from", "revision", "changes");
+    private static final Set<String> SNAPSHOT_KEYS = RecordJson.keys("revision", "data");
+    private static final Set<String> REPORT_KEYS =
+            RecordJson.keys("version", "follower", "region", "revision", "refusal");
+
     private ConfigurationCodec() {}
 
     public static byte[] encode(Proposal proposal) {
-        throw new UnsupportedOperationException();
+        return Json.write(VERSION, out -> writeProposal(out, proposal));
     }
 
     public static Proposal decodeProposal(byte[] json) throws InvalidConfiguration {
-        throw new UnsupportedOperationException();
+        JsonObject object = Json.read(json, VERSION, ConfigurationLimits.PROPOSAL_BYTES);
+        if (object.has("revertTo")) {
+            object.allow(REVERT_KEYS);
+            return new Revert(object.text("id"), object.count("revertTo"));
+        }
+        object.allow(CHANGE_SET_KEYS);
+        return new ChangeSet(
+                object.text("id"),
+                object.has("expectedRevision") ? (Long) object.count("expectedRevision") : null,
+                RecordJson.readAll(object, "changes", RecordJson::readChange));
     }
 
     public static byte[] encode(Outcome outcome) {
-        throw new UnsupportedOperationException();
+        return Json.write(VERSION, out -> writeOutcome(out, outcome));
     }
 
     public static Outcome decodeOutcome(byte[] json) throws InvalidConfiguration {
-        throw new UnsupportedOperationException();
+        JsonObject object = Json.read(json, VERSION, ConfigurationLimits.OUTCOME_BYTES);
+        if (object.has("revision")) {
+            object.allow(ACCEPTED_KEYS);
+        } else {
+            object.allow(REFUSED_KEYS);
+        }
+        return readOutcome(object);
     }
 
     /** Without a line end. */
     public static byte[] encode(WatchMessage message) {
-        throw new UnsupportedOperationException();
+        return Json.write(VERSION, out -> writeWatchMessage(out, message));
     }
 
     public static WatchMessage decodeWatchMessage(byte[] json) throws InvalidConfiguration {
-        throw new UnsupportedOperationException();
+        JsonObject object = Json.readWithLongTexts(json, VERSION, ConfigurationLimits.LINE_BYTES);
+        if (object.has("snapshot")) {
+            object.allow(SNAPSHOT_MESSAGE_KEYS);
+            return readSnapshotMessage(object.object("snapshot"));
+        }
+        object.allow(UPDATE_MESSAGE_KEYS);
+        return new WatchMessage.UpdateMessage(readUpdate(object.object("update")));
     }
 
     public static byte[] encode(FollowerReport report) {
-        throw new UnsupportedOperationException();
+        return Json.write(VERSION, out -> writeReport(out, report));
     }
 
     public static FollowerReport decodeReport(byte[] json) throws InvalidConfiguration {
-        throw new UnsupportedOperationException();
+        JsonObject object = Json.read(json, VERSION, ConfigurationLimits.REPORT_BYTES);
+        object.allow(REPORT_KEYS);
+        return new FollowerReport(
+                readName(object, "follower"),
+                readName(object, "region"),
+                object.count("revision"),
+                object.has("refusal") ? object.text("refusal") : null);
+    }
+
+    static void writeUpdate(JsonGenerator out, Update update) throws IOException {
+        out.writeStartObject();
+        out.writeNumberField("from", update.fromRevision());
+        out.writeNumberField("revision", update.revision());
+        RecordJson.writeAll(out, "changes", update.changes(), RecordJson::writeChange);
+        out.writeEndObject();
+    }
+
+    static Update readUpdate(JsonObject json) throws InvalidConfiguration {
+        json.allow(UPDATE_KEYS);
+        long from = json.count("from");
+        long revision = json.count("revision");
+        if (revision <= from) {
+            throw json.invalid("revision", "one above from, " + from);
+        }
+        return new Update(
+                from, revision, RecordJson.readAll(json, "changes", RecordJson::readChange));
+    }
+
+    static void writeOutcome(JsonGenerator out, Outcome outcome) throws IOException {
+        if (outcome instanceof Outcome.Accepted accepted) {
+            out.writeNumberField("revision", accepted.revision());
+        } else if (outcome instanceof Outcome.Refused refused) {
+            RecordJson.writeAll(out, "faults", refused.refusal().faults(), RecordJson::writeFault);
+        }
+    }
+
+    static Outcome readOutcome(JsonObject json) throws InvalidConfiguration {
+        if (json.has("revision")) {
+            return new Outcome.Accepted(json.count("revision"));
+        }
+        List<Fault> faults = RecordJson.readAll(json, "faults", RecordJson::readFault);
+        if (faults.isEmpty()) {
+            throw json.invalid("faults", "one at least");
+        }
+        return new Outcome.Refused(new Refusal(faults));
+    }
+
+    private static void writeProposal(JsonGenerator out, Proposal proposal) throws IOException {
+        out.writeStringField("id", proposal.id());
+        if (proposal instanceof Revert revert) {
+            out.writeNumberField("revertTo", revert.toRevision());
+        } else if (proposal instanceof ChangeSet set) {
+            if (set.expectedRevision() != null) {
+                out.writeNumberField("expectedRevision", set.expectedRevision());
+            }
+            RecordJson.writeAll(out, "changes", set.changes(), RecordJson::writeChange);
+        }
+    }
+
+    private static void writeWatchMessage(JsonGenerator out, WatchMessage message)
+            throws IOException {
+        if (message instanceof WatchMessage.UpdateMessage update) {
+            out.writeFieldName("update");
+            writeUpdate(out, update.update());
+        } else if (message instanceof WatchMessage.SnapshotMessage snapshot) {
+            out.writeObjectFieldStart("snapshot");
+            out.writeNumberField("revision", snapshot.revision());
+            out.writeStringField("data", Base64.getEncoder().encodeToString(snapshot.data()));
+            out.writeEndObject();
+        }
+    }
+
+    private static WatchMessage readSnapshotMessage(JsonObject json) throws InvalidConfiguration {
+        json.allow(SNAPSHOT_KEYS);
+        try {
+            return new WatchMessage.SnapshotMessage(
+                    json.count("revision"), Base64.getDecoder().decode(json.text("data")));
+        } catch (IllegalArgumentException e) {
+            throw json.invalid("data", "Base64");
+        }
+    }
+
+    private static void writeReport(JsonGenerator out, FollowerReport report) throws IOException {
+        out.writeStringField("follower", report.follower());
+        out.writeStringField("region", report.region());
+        out.writeNumberField("revision", report.revision());
+        if (report.refusal() != null) {
+            out.writeStringField("refusal", Fault.oneLine(report.refusal()));
+        }
+    }
+
+    private static String readName(JsonObject json, String key) throws InvalidConfiguration {
+        String name = json.text(key);
+        if (!RecordChecks.isName(name)) {
+            throw json.invalid(key, RecordChecks.EXPECTED_NAME);
+        }
+        return name;
     }
 }
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
@@ -0,0 +1,47 @@
+package tinford.fleet.config;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.util.List;
+import java.util.Map;
+
+/** The JSON of a whole configuration. What is read is validated. */
+final class ConfigurationJson {
+    private ConfigurationJson() {}
+
+    static void writeFields(JsonGenerator out, Configuration configuration) throws IOException {
+        out.writeNumberField("revision", configuration.revision());
+        RecordJson.writeAll(
+                out, "services", configuration.services().values(), RecordJson::writeService);
+        RecordJson.writeAll(out, "plans", configuration.plans().values(), RecordJson::writePlan);
+        RecordJson.writeAll(out, "routes", configuration.routes().values(), RecordJson::writeRoute);
+        RecordJson.writeAll(
+                out, "tenants", configuration.tenants().values(), RecordJson::writeTenant);
+    }
+
+    static Configuration read(JsonObject json) throws InvalidConfiguration {
+        List<Service> services = RecordJson.readAll(json, "services", RecordJson::readService);
+        List<Plan> plans = RecordJson.readAll(json, "plans", RecordJson::readPlan);
+        List<Route> routes = RecordJson.readAll(json, "routes", RecordJson::readRoute);
+        List<Tenant> tenants = RecordJson.readAll(json, "tenants", RecordJson::readTenant);
+        Configuration configuration =
+                Configuration.of(json.count("revision"), services, routes, plans, tenants);
+        expectNoDuplicates(json, "services", services, configuration.services());
+        expectNoDuplicates(json, "plans", plans, configuration.plans());
+        expectNoDuplicates(json, "routes", routes, configuration.routes());
+        expectNoDuplicates(json, "tenants", tenants, configuration.tenants());
+        List<Fault> faults = Validator.check(configuration);
+        if (!faults.isEmpty()) {
+            throw new InvalidConfiguration(faults.get(0).key(), faults.get(0).expected());
+        }
+        return configuration;
+    }
+
+    private static void expectNoDuplicates(
+            JsonObject json, String key, List<?> listed, Map<?, ?> distinct)
+            throws InvalidConfiguration {
+        if (listed.size() != distinct.size()) {
+            throw json.invalid(key, "each once");
+        }
+    }
+}
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationLimits.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationLimits.java
@@ -5,7 +5,7 @@
     public static final int SERVICES = 4_096;
     public static final int ROUTES = 16_384;
     public static final int PLANS = 1_024;
-    public static final int TENANTS = 131_072;
+    public static final int TENANTS = 65_536;
 
     /** Characters of a name or an id. */
     public static final int NAME_LENGTH = 64;
@@ -25,6 +25,9 @@
     /** Bytes of an encoded snapshot before compression. */
     public static final int SNAPSHOT_BYTES = 48 << 20;
 
+    /** Bytes of one encoded outcome of a proposal. */
+    public static final int OUTCOME_BYTES = 256 << 10;
+
     /** Bytes of one encoded follower's report. */
     public static final int REPORT_BYTES = 4_096;
 
@@ -43,6 +46,9 @@
     /** Proposal ids whose outcome a history remembers. */
     public static final int REMEMBERED_PROPOSALS = 4_096;
 
+    /** Characters, about, of the remembered outcomes. */
+    public static final int REMEMBERED_CHARACTERS = 4 << 20;
+
     /** The largest number that a field takes. */
     public static final double LARGEST_NUMBER = 1e12;
 
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/ContentHash.java
@@ -0,0 +1,71 @@
+package tinford.fleet.config;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+
+/**
+ * Hashes of single records, the same in every process. The hash of a configuration is their sum, so
+ * that a change costs the hashes of what it changes.
+ */
+final class ContentHash {
+    private static final char SEPARATOR = '\n';
+
+    private ContentHash() {}
+
+    static long of(Service service) {
+        return hash("service", service.name());
+    }
+
+    static long of(Route route) {
+        return hash(
+                "route",
+                route.name(),
+                route.service(),
+                route.targetMs(),
+                route.timeoutMs(),
+                route.value(),
+                route.lateValue(),
+                route.effect(),
+                route.group(),
+                route.repeatWindowMs(),
+                route.streamed());
+    }
+
+    static long of(Plan plan) {
+        return hash(
+                "plan",
+                plan.name(),
+                plan.ratePerSecond(),
+                plan.burst(),
+                plan.maxOpen(),
+                plan.price(),
+                plan.beyondValue(),
+                plan.beyondCost(),
+                plan.ceilingPerSecond(),
+                plan.ceilingBurst(),
+                plan.ceilingSlack());
+    }
+
+    static long of(Tenant tenant) {
+        return hash("tenant", tenant.id(), tenant.plan());
+    }
+
+    static MessageDigest sha256() {
+        try {
+            return MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException("every JDK has SHA-256", e);
+        }
+    }
+
+    private static long hash(Object... fields) {
+        StringBuilder text = new StringBuilder();
+        for (Object field : fields) {
+            text.append(field).append(SEPARATOR);
+        }
+        byte[] digest = sha256().digest(text.toString().getBytes(StandardCharsets.UTF_8));
+        return ByteBuffer.wrap(digest).getLong();
+    }
+}
--- a/fleet/src/main/java/tinford/fleet/config/Fault.java
+++ b/fleet/src/main/java/tinford/fleet/config/Fault.java
@@ -1,9 +1,24 @@
 package tinford.fleet.config;
 
-/** One thing that is wrong: where, and what was expected there. */
+import java.util.regex.Pattern;
+
+/** One thing that is wrong: where, and what was expected there. One line, bounded in length. */
 public record Fault(String key, String expected) {
+    private static final Pattern CONTROL_CHARACTERS = Pattern.compile("\\p{Cntrl}+");
+
+    public Fault {
+        key = oneLine(key);
+        expected = oneLine(expected);
+    }
+
     @Override
     public String toString() {
         return key + ": expected " + expected;
     }
+
+    /** The text without control characters, cut to {@link ConfigurationLimits#TEXT_LENGTH}. */
+    static String oneLine(String text) {
+        String cut = text.substring(0, Math.min(text.length(), ConfigurationLimits.TEXT_LENGTH));
+        return CONTROL_CHARACTERS.matcher(cut).replaceAll(" ");
+    }
 }
--- a/fleet/src/main/java/tinford/fleet/config/Follower.java
+++ b/fleet/src/main/java/tinford/fleet/config/Follower.java
@@ -1,5 +1,6 @@
 package tinford.fleet.config;
 
+import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
 
@@ -36,6 +37,58 @@
     /** How often {@link #tick} should come, ms. */
     public static final double TICK_MS = 100;
 
+    /** How long an attempt to connect may take, ms. */
+    public static final double CONNECT_TIMEOUT_MS = 2_500;
+
+    /** How long a watch may be silent, ms; a heartbeat is due each second. */
+    public static final double HEARTBEAT_TIMEOUT_MS = 3_500;
+
+    /** How long a line may take from its first bytes to its end, ms. */
+    public static final double LINE_TIMEOUT_MS = 10_000;
+
+    /** How often a report is sent where nothing changes, ms. */
+    public static final double REPORT_EVERY_MS = 10_000;
+
+    /** The least time between two reports, ms. */
+    public static final double REPORT_GAP_MS = 250;
+
+    /** Attempts are not slowed down any more once a watch has lived so long, ms. */
+    static final double STEADY_MS = 5_000;
+
+    /** How long another region's server is followed at least before the own one's is tried, ms. */
+    static final double RETURN_MS = 60_000;
+
+    /** How often a control server's faults are told, ms. */
+    static final double WARN_EVERY_MS = 60_000;
+
+    private enum State {
+        /** Nothing is open; an attempt is due. */
+        WAITING,
+        CONNECTING,
+        WATCHING
+    }
+
+    private final String id;
+    private final String region;
+    private final SnapshotCodec snapshots;
+    private final EndpointRotation rotation;
+    private final RandomGenerator random;
+    private final AppliedState applied;
+
+    private State state = State.WAITING;
+    private Endpoint endpoint;
+    private double attemptAt = Double.NEGATIVE_INFINITY;
+    private double openedAt;
+    private double heardAt;
+    private double lineAt;
+    private double returnAt;
+    private double reportAt = Double.POSITIVE_INFINITY;
+    private double reportedAt = Double.NEGATIVE_INFINITY;
+    private double warnedAt = Double.NEGATIVE_INFINITY;
+
+    /** What a control server sent that can't be taken; null once another has served steadily. */
+    private String serverFault;
+
     /**
      * Nothing is connected before the first {@link #tick}.
      *
@@ -50,21 +103,67 @@
             String fleetId,
             List<Endpoint> endpoints,
             Configuration inForce,
-            RandomGenerator random) {}
+            RandomGenerator random) {
+        if (!RecordChecks.isName(id) || !RecordChecks.isName(region)) {
+            throw new IllegalArgumentException(
+                    "follower and region: expected " + RecordChecks.EXPECTED_NAME);
+        }
+        this.id = id;
+        this.region = region;
+        this.snapshots = new SnapshotCodec(fleetId);
+        this.rotation = new EndpointRotation(region, endpoints, random);
+        this.random = random;
+        this.applied = new AppliedState(inForce);
+    }
 
     /** The watch asked for last is open. */
     public List<Action> opened(double now) {
-        throw new UnsupportedOperationException();
+        if (state != State.CONNECTING) {
+            return List.of();
+        }
+        state = State.WATCHING;
+        openedAt = now;
+        heardAt = now;
+        lineAt = now;
+        returnAt = now + RETURN_MS * (1 + random.nextDouble());
+        List<Action> actions = new ArrayList<>();
+        report(actions, now);
+        return actions;
     }
 
     /** A line came without its line end; an empty one is a heartbeat. */
     public List<Action> line(byte[] line, double now) {
-        throw new UnsupportedOperationException();
+        if (state != State.WATCHING) {
+            return List.of();
+        }
+        heardAt = now;
+        lineAt = now;
+        List<Action> actions = new ArrayList<>();
+        if (line.length == 0) {
+            return actions;
+        }
+        try {
+            receive(ConfigurationCodec.decodeWatchMessage(line));
+            applied.offer(actions);
+        } catch (InvalidConfiguration e) {
+            refuse(e.getMessage(), actions, now);
+        }
+        return actions;
+    }
+
+    /** Bytes of a line came that isn't whole yet: a long one on a slow link is no silence. */
+    public void partialLine(double now) {
+        if (state == State.WATCHING && now - lineAt < LINE_TIMEOUT_MS) {
+            heardAt = now;
+        }
     }
 
     /** The watch could not be opened, or ended. */
     public List<Action> closed(String reason, double now) {
-        throw new UnsupportedOperationException();
+        if (state != State.WAITING) {
+            waitForNext(now);
+        }
+        return List.of();
     }
 
     /**
@@ -73,21 +172,126 @@
      * @param refusal why not; null where it is in force
      */
     public List<Action> applied(String refusal, double now) {
-        throw new UnsupportedOperationException();
+        List<Action> actions = new ArrayList<>();
+        if (!applied.isPending()) {
+            return actions;
+        }
+        applied.settle(refusal);
+        if (refusal != null) {
+            actions.add(new Action.Warn(applied.refusal()));
+        }
+        applied.offer(actions);
+        reportSoon(actions, now);
+        return actions;
     }
 
     /** Time has passed. */
     public List<Action> tick(double now) {
-        throw new UnsupportedOperationException();
+        List<Action> actions = new ArrayList<>();
+        switch (state) {
+            case WAITING -> connectWhenDue(actions, now);
+            case CONNECTING -> {
+                if (now - attemptAt >= CONNECT_TIMEOUT_MS) {
+                    disconnect("no watch within " + CONNECT_TIMEOUT_MS + " ms", actions, now);
+                }
+            }
+            case WATCHING -> watch(actions, now);
+            default -> throw new IllegalStateException(state.toString());
+        }
+        return actions;
     }
 
     /** The configuration in force. */
     public Configuration inForce() {
-        throw new UnsupportedOperationException();
+        return applied.inForce();
     }
 
     /** The latest configuration received; in force unless it is being applied or was refused. */
     public Configuration received() {
-        throw new UnsupportedOperationException();
+        return applied.received();
+    }
+
+    private void connectWhenDue(List<Action> actions, double now) {
+        if (now < attemptAt) {
+            return;
+        }
+        endpoint = rotation.next();
+        attemptAt = now;
+        state = State.CONNECTING;
+        actions.add(new Action.Connect(endpoint, applied.received().revision()));
+    }
+
+    private void watch(List<Action> actions, double now) {
+        if (now - heardAt >= HEARTBEAT_TIMEOUT_MS) {
+            disconnect("silent for " + HEARTBEAT_TIMEOUT_MS + " ms", actions, now);
+            return;
+        }
+        if (now - openedAt >= STEADY_MS) {
+            rotation.succeeded();
+            serverFault = null;
+        }
+        if (now >= returnAt && !rotation.isOwnRegion(endpoint) && rotation.hasOwnRegion()) {
+            actions.add(new Action.Disconnect("to return to the own region"));
+            rotation.restart();
+            connectNow(actions, now);
+            return;
+        }
+        if (now >= reportAt) {
+            report(actions, now);
+        }
+    }
+
+    private void connectNow(List<Action> actions, double now) {
+        attemptAt = now;
+        connectWhenDue(actions, now);
+    }
+
+    private void disconnect(String reason, List<Action> actions, double now) {
+        actions.add(new Action.Disconnect(reason));
+        waitForNext(now);
+    }
+
+    private void waitForNext(double now) {
+        state = State.WAITING;
+        attemptAt = now + rotation.failed();
+    }
+
+    private void receive(WatchMessage message) throws InvalidConfiguration {
+        if (message instanceof WatchMessage.UpdateMessage update) {
+            applied.receive(update.update());
+        } else if (message instanceof WatchMessage.SnapshotMessage snapshot) {
+            applied.receive(snapshot.revision(), snapshot.data(), snapshots);
+        }
+    }
+
+    /** Told to the server and the operators; another server may do better. */
+    private void refuse(String fault, List<Action> actions, double now) {
+        serverFault = Fault.oneLine(endpoint + ": " + fault);
+        report(actions, now);
+        if (now - warnedAt >= WARN_EVERY_MS) {
+            warnedAt = now;
+            actions.add(new Action.Warn(serverFault));
+        }
+        disconnect(fault, actions, now);
+    }
+
+    private void reportSoon(List<Action> actions, double now) {
+        if (state != State.WATCHING) {
+            return;
+        }
+        if (now - reportedAt >= REPORT_GAP_MS) {
+            report(actions, now);
+        } else {
+            reportAt = Math.min(reportAt, reportedAt + REPORT_GAP_MS);
+        }
+    }
+
+    private void report(List<Action> actions, double now) {
+        reportedAt = now;
+        reportAt = now + REPORT_EVERY_MS * (0.9 + 0.1 * random.nextDouble());
+        String refusal = applied.refusal() != null ? applied.refusal() : serverFault;
+        FollowerReport report =
+                new FollowerReport(id, region, applied.inForce().revision(), refusal);
+        actions.add(new Action.Report(endpoint, report));
     }
 }
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
@@ -0,0 +1,90 @@
+package tinford.fleet.config;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.util.List;
+import java.util.Set;
+
+/** The whole state of a {@link RevisionHistory} as sealed bytes. */
+final class HistoryCodec {
+    private static final int CONTENT_VERSION = 1;
+    private static final Set<String> KEYS =
+            RecordJson.keys("version", "oldest", "updates", "proposals");
+    private static final Set<String> CONFIGURATION_KEYS =
+            RecordJson.keys("revision", "services", "plans", "routes", "tenants");
+    private static final Set<String> PROPOSAL_KEYS =
+            RecordJson.keys("id", "digest", "revision", "faults");
+
+    private final String fleetId;
+
+    HistoryCodec(String fleetId) {
+        if (!RecordChecks.isName(fleetId)) {
+            throw new IllegalArgumentException("fleet id: expected " + RecordChecks.EXPECTED_NAME);
+        }
+        this.fleetId = fleetId;
+    }
+
+    /** What is decoded. */
+    record State(Configuration oldest, List<Update> updates, ProposalMemory proposals) {}
+
+    byte[] encode(Configuration oldest, List<Update> updates, ProposalMemory proposals) {
+        byte[] json =
+                Json.write(
+                        CONTENT_VERSION,
+                        out -> {
+                            out.writeObjectFieldStart("oldest");
+                            ConfigurationJson.writeFields(out, oldest);
+                            out.writeEndObject();
+                            RecordJson.writeAll(
+                                    out, "updates", updates, ConfigurationCodec::writeUpdate);
+                            RecordJson.writeAll(
+                                    out, "proposals", proposals.all(), HistoryCodec::writeProposal);
+                        });
+        long revision =
+                updates.isEmpty() ? oldest.revision() : updates.get(updates.size() - 1).revision();
+        return SealedState.seal(SealedState.Kind.HISTORY, fleetId, revision, json);
+    }
+
+    State decode(byte[] snapshot) throws InvalidConfiguration {
+        byte[] content = SealedState.open(SealedState.Kind.HISTORY, fleetId, snapshot).content();
+        JsonObject json = Json.read(content, CONTENT_VERSION, ConfigurationLimits.SNAPSHOT_BYTES);
+        json.allow(KEYS);
+        JsonObject oldestJson = json.object("oldest");
+        oldestJson.allow(CONFIGURATION_KEYS);
+        Configuration oldest = ConfigurationJson.read(oldestJson);
+        List<Update> updates = RecordJson.readAll(json, "updates", ConfigurationCodec::readUpdate);
+        expectUnbroken(json, oldest.revision(), updates);
+        ProposalMemory proposals = new ProposalMemory();
+        for (JsonObject each : json.objects("proposals")) {
+            proposals.add(readProposal(each));
+        }
+        return new State(oldest, updates, proposals);
+    }
+
+    private static void expectUnbroken(JsonObject json, long oldest, List<Update> updates)
+            throws InvalidConfiguration {
+        long at = oldest;
+        for (Update update : updates) {
+            if (update.fromRevision() != at || update.revision() != at + 1) {
+                throw json.invalid("updates", "one that leads from " + at + " to " + (at + 1));
+            }
+            at++;
+        }
+    }
+
+    private static void writeProposal(JsonGenerator out, ProposalMemory.Remembered proposal)
+            throws IOException {
+        out.writeStartObject();
+        out.writeStringField("id", proposal.id());
+        out.writeStringField("digest", proposal.digest());
+        ConfigurationCodec.writeOutcome(out, proposal.outcome());
+        out.writeEndObject();
+    }
+
+    private static ProposalMemory.Remembered readProposal(JsonObject json)
+            throws InvalidConfiguration {
+        json.allow(PROPOSAL_KEYS);
+        return new ProposalMemory.Remembered(
+                json.text("id"), json.text("digest"), ConfigurationCodec.readOutcome(json));
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/JsonObject.java
@@ -0,0 +1,141 @@
+package tinford.fleet.config;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Set;
+
+/** An object of a JSON tree whose fields are read with checks; a fault is named by its path. */
+final class JsonObject {
+    private final JsonObject parent;
+    private final String name;
+    private final JsonNode node;
+
+    private JsonObject(JsonObject parent, String name, JsonNode node) {
+        this.parent = parent;
+        this.name = name;
+        this.node = node;
+    }
+
+    static JsonObject root(JsonNode node) throws InvalidConfiguration {
+        if (!node.isObject()) {
+            throw new InvalidConfiguration("json", "an object");
+        }
+        return new JsonObject(null, "", node);
+    }
+
+    InvalidConfiguration invalid(String key, String expected) {
+        return new InvalidConfiguration(path(key), expected);
+    }
+
+    boolean has(String key) {
+        return node.hasNonNull(key);
+    }
+
+    /** Refuses an object with any other field. */
+    void allow(Set<String> keys) throws InvalidConfiguration {
+        for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
+            String key = names.next();
+            if (!keys.contains(key)) {
+                throw invalid(key, "no such key; known are " + String.join(", ", keys));
+            }
+        }
+    }
+
+    /** The name of the only field. */
+    String onlyKey(String expected) throws InvalidConfiguration {
+        if (node.size() != 1) {
+            throw new InvalidConfiguration(path(), expected);
+        }
+        return node.fieldNames().next();
+    }
+
+    String text(String key) throws InvalidConfiguration {
+        JsonNode value = node.path(key);
+        if (!value.isTextual()) {
+            throw invalid(key, "a text");
+        }
+        return value.textValue();
+    }
+
+    long whole(String key) throws InvalidConfiguration {
+        JsonNode value = node.path(key);
+        if (!value.isIntegralNumber() || !value.canConvertToLong()) {
+            throw invalid(key, "a whole number");
+        }
+        return value.longValue();
+    }
+
+    /** A whole number from 0 on. */
+    long count(String key) throws InvalidConfiguration {
+        long value = whole(key);
+        if (value < 0) {
+            throw invalid(key, "a whole number from 0 on");
+        }
+        return value;
+    }
+
+    int smallCount(String key) throws InvalidConfiguration {
+        long value = count(key);
+        if (value > Integer.MAX_VALUE) {
+            throw invalid(key, "a whole number from 0 to " + Integer.MAX_VALUE);
+        }
+        return (int) value;
+    }
+
+    double number(String key) throws InvalidConfiguration {
+        JsonNode value = node.path(key);
+        if (!value.isNumber()) {
+            throw invalid(key, "a number");
+        }
+        return value.doubleValue();
+    }
+
+    double number(String key, double absent) throws InvalidConfiguration {
+        return has(key) ? number(key) : absent;
+    }
+
+    boolean flag(String key, boolean absent) throws InvalidConfiguration {
+        if (!has(key)) {
+            return absent;
+        }
+        JsonNode value = node.path(key);
+        if (!value.isBoolean()) {
+            throw invalid(key, "true or false");
+        }
+        return value.booleanValue();
+    }
+
+    JsonObject object(String key) throws InvalidConfiguration {
+        return object(key, node.path(key));
+    }
+
+    List<JsonObject> objects(String key) throws InvalidConfiguration {
+        JsonNode values = node.path(key);
+        if (!values.isArray()) {
+            throw invalid(key, "an array of objects");
+        }
+        List<JsonObject> objects = new ArrayList<>(values.size());
+        for (int i = 0; i < values.size(); i++) {
+            objects.add(object(key + "[" + i + "]", values.get(i)));
+        }
+        return objects;
+    }
+
+    private JsonObject object(String key, JsonNode value) throws InvalidConfiguration {
+        if (!value.isObject()) {
+            throw invalid(key, "an object");
+        }
+        return new JsonObject(this, key, value);
+    }
+
+    private String path() {
+        return parent == null ? name : parent.path(name);
+    }
+
+    private String path(String key) {
+        String own = path();
+        return own.isEmpty() ? key : own + "." + key;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/RecordJson.java
@@ -0,0 +1,278 @@
+package tinford.fleet.config;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import tinford.api.Effect;
+import tinford.api.Group;
+
+/** The JSON of single records and changes; numbers and names are read, not yet validated. */
+final class RecordJson {
+    private static final Set<String> NAME_KEYS = keys("name");
+    private static final Set<String> ID_KEYS = keys("id");
+    private static final Set<String> TENANT_KEYS = keys("id", "plan");
+    private static final Set<String> FAULT_KEYS = keys("key", "expected");
+    private static final Set<String> ROUTE_KEYS =
+            keys(
+                    "name",
+                    "service",
+                    "targetMs",
+                    "timeoutMs",
+                    "value",
+                    "lateValue",
+                    "effect",
+                    "group",
+                    "repeatWindowMs",
+                    "streamed");
+    private static final Set<String> PLAN_KEYS =
+            keys(
+                    "name",
+                    "ratePerSecond",
+                    "burst",
+                    "maxOpen",
+                    "price",
+                    "beyondValue",
+                    "beyondCost",
+                    "ceilingPerSecond",
+                    "ceilingBurst",
+                    "ceilingSlack");
+    private static final String EXPECTED_CHANGE =
+            "one of putService, removeService, putRoute, removeRoute, putPlan, removePlan, "
+                    + "putTenant, removeTenant";
+
+    private RecordJson() {}
+
+    static Set<String> keys(String... keys) {
+        return new TreeSet<>(List.of(keys));
+    }
+
+    /** Writes one value of an array. */
+    interface ElementWriter<T> {
+        void write(JsonGenerator out, T value) throws IOException;
+    }
+
+    /** Reads one object of an array. */
+    interface ElementReader<T> {
+        T read(JsonObject json) throws InvalidConfiguration;
+    }
+
+    static <T> void writeAll(
+            JsonGenerator out, String key, Collection<T> values, ElementWriter<T> writer)
+            throws IOException {
+        out.writeArrayFieldStart(key);
+        for (T value : values) {
+            writer.write(out, value);
+        }
+        out.writeEndArray();
+    }
+
+    static <T> List<T> readAll(JsonObject json, String key, ElementReader<T> reader)
+            throws InvalidConfiguration {
+        List<T> values = new ArrayList<>();
+        for (JsonObject element : json.objects(key)) {
+            values.add(reader.read(element));
+        }
+        return values;
+    }
+
+    static void writeService(JsonGenerator out, Service service) throws IOException {
+        out.writeStartObject();
+        out.writeStringField("name", service.name());
+        out.writeEndObject();
+    }
+
+    static Service readService(JsonObject json) throws InvalidConfiguration {
+        json.allow(NAME_KEYS);
+        return new Service(json.text("name"));
+    }
+
+    static void writeRoute(JsonGenerator out, Route route) throws IOException {
+        out.writeStartObject();
+        out.writeStringField("name", route.name());
+        out.writeStringField("service", route.service());
+        out.writeNumberField("targetMs", route.targetMs());
+        out.writeNumberField("timeoutMs", route.timeoutMs());
+        out.writeNumberField("value", route.value());
+        out.writeNumberField("lateValue", route.lateValue());
+        out.writeStringField("effect", effectName(route.effect()));
+        out.writeStringField("group", groupName(route.group()));
+        out.writeNumberField("repeatWindowMs", route.repeatWindowMs());
+        out.writeBooleanField("streamed", route.streamed());
+        out.writeEndObject();
+    }
+
+    static Route readRoute(JsonObject json) throws InvalidConfiguration {
+        json.allow(ROUTE_KEYS);
+        double timeoutMs = json.number("timeoutMs");
+        Effect effect = readEffect(json);
+        return new Route(
+                json.text("name"),
+                json.text("service"),
+                json.number("targetMs", timeoutMs),
+                timeoutMs,
+                json.number("value", 1),
+                json.number("lateValue", 0),
+                effect,
+                readGroup(json, effect),
+                json.number("repeatWindowMs", 0),
+                json.flag("streamed", false));
+    }
+
+    static void writePlan(JsonGenerator out, Plan plan) throws IOException {
+        out.writeStartObject();
+        out.writeStringField("name", plan.name());
+        out.writeNumberField("ratePerSecond", plan.ratePerSecond());
+        out.writeNumberField("burst", plan.burst());
+        out.writeNumberField("maxOpen", plan.maxOpen());
+        out.writeNumberField("price", plan.price());
+        out.writeNumberField("beyondValue", plan.beyondValue());
+        out.writeNumberField("beyondCost", plan.beyondCost());
+        out.writeNumberField("ceilingPerSecond", plan.ceilingPerSecond());
+        out.writeNumberField("ceilingBurst", plan.ceilingBurst());
+        out.writeNumberField("ceilingSlack", plan.ceilingSlack());
+        out.writeEndObject();
+    }
+
+    static Plan readPlan(JsonObject json) throws InvalidConfiguration {
+        json.allow(PLAN_KEYS);
+        return new Plan(
+                json.text("name"),
+                json.number("ratePerSecond", 0),
+                json.number("burst", 0),
+                json.has("maxOpen") ? json.smallCount("maxOpen") : 0,
+                json.number("price", 1),
+                json.number("beyondValue", 0),
+                json.number("beyondCost", 0),
+                json.number("ceilingPerSecond", 0),
+                json.number("ceilingBurst", 0),
+                json.number("ceilingSlack", 0));
+    }
+
+    static void writeTenant(JsonGenerator out, Tenant tenant) throws IOException {
+        out.writeStartObject();
+        out.writeNumberField("id", tenant.id());
+        out.writeStringField("plan", tenant.plan());
+        out.writeEndObject();
+    }
+
+    static Tenant readTenant(JsonObject json) throws InvalidConfiguration {
+        json.allow(TENANT_KEYS);
+        return new Tenant(json.whole("id"), json.text("plan"));
+    }
+
+    static void writeFault(JsonGenerator out, Fault fault) throws IOException {
+        out.writeStartObject();
+        out.writeStringField("key", fault.key());
+        out.writeStringField("expected", fault.expected());
+        out.writeEndObject();
+    }
+
+    static Fault readFault(JsonObject json) throws InvalidConfiguration {
+        json.allow(FAULT_KEYS);
+        return new Fault(json.text("key"), json.text("expected"));
+    }
+
+    static void writeChange(JsonGenerator out, Change change) throws IOException {
+        out.writeStartObject();
+        if (change instanceof Change.PutService put) {
+            out.writeFieldName("putService");
+            writeService(out, put.service());
+        } else if (change instanceof Change.RemoveService remove) {
+            writeName(out, "removeService", remove.name());
+        } else if (change instanceof Change.PutRoute put) {
+            out.writeFieldName("putRoute");
+            writeRoute(out, put.route());
+        } else if (change instanceof Change.RemoveRoute remove) {
+            writeName(out, "removeRoute", remove.name());
+        } else if (change instanceof Change.PutPlan put) {
+            out.writeFieldName("putPlan");
+            writePlan(out, put.plan());
+        } else if (change instanceof Change.RemovePlan remove) {
+            writeName(out, "removePlan", remove.name());
+        } else if (change instanceof Change.PutTenant put) {
+            out.writeFieldName("putTenant");
+            writeTenant(out, put.tenant());
+        } else if (change instanceof Change.RemoveTenant remove) {
+            out.writeObjectFieldStart("removeTenant");
+            out.writeNumberField("id", remove.id());
+            out.writeEndObject();
+        }
+        out.writeEndObject();
+    }
+
+    static Change readChange(JsonObject json) throws InvalidConfiguration {
+        String kind = json.onlyKey(EXPECTED_CHANGE);
+        JsonObject body = json.object(kind);
+        return switch (kind) {
+            case "putService" -> new Change.PutService(readService(body));
+            case "removeService" -> new Change.RemoveService(readName(body));
+            case "putRoute" -> new Change.PutRoute(readRoute(body));
+            case "removeRoute" -> new Change.RemoveRoute(readName(body));
+            case "putPlan" -> new Change.PutPlan(readPlan(body));
+            case "removePlan" -> new Change.RemovePlan(readName(body));
+            case "putTenant" -> new Change.PutTenant(readTenant(body));
+            case "removeTenant" -> new Change.RemoveTenant(readId(body));
+            default -> throw json.invalid(kind, EXPECTED_CHANGE);
+        };
+    }
+
+    private static void writeName(JsonGenerator out, String kind, String name) throws IOException {
+        out.writeObjectFieldStart(kind);
+        out.writeStringField("name", name);
+        out.writeEndObject();
+    }
+
+    private static String readName(JsonObject json) throws InvalidConfiguration {
+        json.allow(NAME_KEYS);
+        return json.text("name");
+    }
+
+    private static long readId(JsonObject json) throws InvalidConfiguration {
+        json.allow(ID_KEYS);
+        return json.whole("id");
+    }
+
+    private static String effectName(Effect effect) {
+        return switch (effect) {
+            case IDEMPOTENT -> "read_like";
+            case IDEMPOTENCY_KEY -> "idempotency_key";
+            case NON_IDEMPOTENT -> "non_idempotent";
+        };
+    }
+
+    private static Effect readEffect(JsonObject json) throws InvalidConfiguration {
+        return switch (json.text("effect")) {
+            case "read_like" -> Effect.IDEMPOTENT;
+            case "idempotency_key" -> Effect.IDEMPOTENCY_KEY;
+            case "non_idempotent" -> Effect.NON_IDEMPOTENT;
+            default -> throw json.invalid("effect", "read_like, idempotency_key or non_idempotent");
+        };
+    }
+
+    private static String groupName(Group group) {
+        return switch (group) {
+            case ALL -> "all";
+            case ZONE -> "zone";
+            case CELL -> "cell";
+        };
+    }
+
+    /**
+     * Where a key counts and no group is named, the narrowest: a repeat there is dropped in any.
+     */
+    private static Group readGroup(JsonObject json, Effect effect) throws InvalidConfiguration {
+        if (!json.has("group")) {
+            return effect == Effect.IDEMPOTENCY_KEY ? Group.CELL : Group.ALL;
+        }
+        return switch (json.text("group")) {
+            case "all" -> Group.ALL;
+            case "zone" -> Group.ZONE;
+            case "cell" -> Group.CELL;
+            default -> throw json.invalid("group", "all, zone or cell");
+        };
+    }
+}
--- a/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
+++ b/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
@@ -1,5 +1,8 @@
 package tinford.fleet.config;
 
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
 
@@ -9,21 +12,89 @@
  * ConfigurationLimits}. Not thread-safe.
  */
 public final class RevisionHistory {
+    /** How many updates are retained: at most so many, with at most so many encoded bytes. */
+    public record Retention(int updates, int bytes) {
+        public static final Retention DEFAULT =
+                new Retention(
+                        ConfigurationLimits.RETAINED_UPDATES, ConfigurationLimits.RETAINED_BYTES);
+
+        public Retention {
+            if (updates < 0
+                    || updates > ConfigurationLimits.RETAINED_UPDATES
+                    || bytes < 0
+                    || bytes > ConfigurationLimits.RETAINED_BYTES) {
+                throw new IllegalArgumentException(
+                        "retention: expected at most "
+                                + ConfigurationLimits.RETAINED_UPDATES
+                                + " updates of "
+                                + ConfigurationLimits.RETAINED_BYTES
+                                + " bytes");
+            }
+        }
+    }
+
+    /** An update and how many bytes it has when encoded. */
+    private record RetainedUpdate(Update update, int bytes) {}
+
+    private final HistoryCodec codec;
+    private final Retention retention;
+    private final Deque<RetainedUpdate> retained = new ArrayDeque<>();
+    private ProposalMemory proposals = new ProposalMemory();
+
+    /** What the retained updates begin from. */
+    private Configuration oldest = Configuration.EMPTY;
+
+    private Configuration current = Configuration.EMPTY;
+    private long retainedBytes;
+
     /** An empty history, at revision 0. */
-    public RevisionHistory(String fleetId) {}
+    public RevisionHistory(String fleetId) {
+        this(fleetId, Retention.DEFAULT);
+    }
+
+    public RevisionHistory(String fleetId, Retention retention) {
+        this.codec = new HistoryCodec(fleetId);
+        this.retention = retention;
+    }
 
     public Configuration current() {
-        throw new UnsupportedOperationException();
+        return current;
     }
 
     /** The oldest revision that {@link #since} and a revert can go from. */
     public long oldestRetained() {
-        throw new UnsupportedOperationException();
+        return oldest.revision();
+    }
+
+    public int retainedUpdates() {
+        return retained.size();
+    }
+
+    /** Bytes of the retained updates when encoded. */
+    public long retainedBytes() {
+        return retainedBytes;
+    }
+
+    /** How many proposals' outcomes are remembered. */
+    public int rememberedProposals() {
+        return proposals.size();
     }
 
     /** Accepts the proposal as a new revision, or refuses it and changes nothing. */
     public Outcome propose(Proposal proposal) {
-        throw new UnsupportedOperationException();
+        if (!RecordChecks.isName(proposal.id())) {
+            return refused(new Fault("id", RecordChecks.EXPECTED_NAME));
+        }
+        String digest = ProposalMemory.digest(proposal);
+        ProposalMemory.Remembered before = proposals.get(proposal.id());
+        if (before == null) {
+            Outcome outcome = decide(proposal);
+            proposals.add(new ProposalMemory.Remembered(proposal.id(), digest, outcome));
+            return outcome;
+        }
+        return before.digest().equals(digest)
+                ? before.outcome()
+                : refused(new Fault("id", "an id that no other proposal has had"));
     }
 
     /**
@@ -31,12 +102,22 @@
      * also for a revision that is yet to come; absent when they are no longer retained.
      */
     public Optional<List<Update>> since(long revision) {
-        throw new UnsupportedOperationException();
+        if (revision < oldest.revision()) {
+            return Optional.empty();
+        }
+        List<Update> updates = new ArrayList<>();
+        for (RetainedUpdate each : retained) {
+            if (each.update().fromRevision() >= revision) {
+                updates.add(each.update());
+            }
+        }
+        return Optional.of(updates);
     }
 
     /** The whole state, for {@link #restore} on any replica. */
     public byte[] snapshot() {
-        throw new UnsupportedOperationException();
+        return codec.encode(
+                oldest, retained.stream().map(RetainedUpdate::update).toList(), proposals);
     }
 
     /**
@@ -45,6 +126,89 @@
      * @throws InvalidConfiguration the state stays as it was
      */
     public void restore(byte[] snapshot) throws InvalidConfiguration {
-        throw new UnsupportedOperationException();
+        HistoryCodec.State state = codec.decode(snapshot);
+        retained.clear();
+        retainedBytes = 0;
+        oldest = state.oldest();
+        current = state.oldest();
+        proposals = state.proposals();
+        for (Update update : state.updates()) {
+            current = current.with(update.revision(), update.changes());
+            retain(update);
+        }
+    }
+
+    private Outcome decide(Proposal proposal) {
+        if (proposal instanceof ChangeSet set) {
+            return decide(set);
+        } else if (proposal instanceof Revert revert) {
+            return decide(revert);
+        }
+        throw new IllegalArgumentException("unknown proposal " + proposal);
+    }
+
+    private Outcome decide(ChangeSet set) {
+        Long expected = set.expectedRevision();
+        if (expected != null && expected != current.revision()) {
+            return refused(
+                    new Fault("expectedRevision", "the current revision, " + current.revision()));
+        }
+        if (set.changes().isEmpty()) {
+            return refused(new Fault("changes", "one at least"));
+        }
+        Configuration next = current.with(current.revision() + 1, set.changes());
+        List<Fault> faults = Validator.check(current, set.changes(), next);
+        if (!faults.isEmpty()) {
+            return new Outcome.Refused(new Refusal(faults));
+        }
+        return accept(set.changes(), next);
+    }
+
+    private Outcome decide(Revert revert) {
+        long to = revert.toRevision();
+        if (to < oldest.revision() || to > current.revision()) {
+            return refused(
+                    new Fault(
+                            "revertTo",
+                            "a retained revision, "
+                                    + oldest.revision()
+                                    + " to "
+                                    + current.revision()));
+        }
+        List<Change> changes = current.changesTo(at(to));
+        return accept(changes, current.with(current.revision() + 1, changes));
+    }
+
+    private Configuration at(long revision) {
+        Configuration configuration = oldest;
+        for (RetainedUpdate each : retained) {
+            if (each.update().revision() > revision) {
+                break;
+            }
+            configuration = configuration.with(each.update().revision(), each.update().changes());
+        }
+        return configuration;
+    }
+
+    private Outcome accept(List<Change> changes, Configuration next) {
+        Update update = new Update(current.revision(), next.revision(), changes);
+        current = next;
+        retain(update);
+        return new Outcome.Accepted(next.revision());
+    }
+
+    private void retain(Update update) {
+        int bytes = ConfigurationCodec.encode(new WatchMessage.UpdateMessage(update)).length;
+        retained.addLast(new RetainedUpdate(update, bytes));
+        retainedBytes += bytes;
+        while (retained.size() > retention.updates() || retainedBytes > retention.bytes()) {
+            RetainedUpdate dropped = retained.removeFirst();
+            retainedBytes -= dropped.bytes();
+            oldest = oldest.with(dropped.update().revision(), dropped.update().changes());
+        }
+    }
+
+    private static Outcome refused(Fault fault) {
+        return new Outcome.Refused(new Refusal(List.of(fault)));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
@@ -1,22 +1,44 @@
 package tinford.fleet.config;
 
+import java.util.Set;
+
 /**
  * A whole configuration as compressed bytes that tell the fleet, the revision and a SHA-256 over
  * all of it. Bytes that are torn, damaged, of another fleet or of a later format are refused.
  */
 public final class SnapshotCodec {
+    private static final int CONTENT_VERSION = 1;
+    private static final Set<String> KEYS =
+            RecordJson.keys("version", "revision", "services", "plans", "routes", "tenants");
+
     private final String fleetId;
 
     /** For the snapshots of one fleet. */
     public SnapshotCodec(String fleetId) {
+        if (!RecordChecks.isName(fleetId)) {
+            throw new IllegalArgumentException("fleet id: expected " + RecordChecks.EXPECTED_NAME);
+        }
         this.fleetId = fleetId;
     }
 
     public byte[] encode(Configuration configuration) {
-        throw new UnsupportedOperationException(fleetId);
+        byte[] json =
+                Json.write(
+                        CONTENT_VERSION, out -> ConfigurationJson.writeFields(out, configuration));
+        return SealedState.seal(
+                SealedState.Kind.CONFIGURATION, fleetId, configuration.revision(), json);
     }
 
     public Configuration decode(byte[] snapshot) throws InvalidConfiguration {
-        throw new UnsupportedOperationException(fleetId);
+        SealedState.Opened opened =
+                SealedState.open(SealedState.Kind.CONFIGURATION, fleetId, snapshot);
+        JsonObject object =
+                Json.read(opened.content(), CONTENT_VERSION, ConfigurationLimits.SNAPSHOT_BYTES);
+        object.allow(KEYS);
+        Configuration configuration = ConfigurationJson.read(object);
+        if (configuration.revision() != opened.revision()) {
+            throw object.invalid("revision", "that of the envelope, " + opened.revision());
+        }
+        return configuration;
     }
 }
