--- /dev/null
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
@@ -0,0 +1,330 @@
+package tinford.fleet.config;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+import static org.testng.Assert.expectThrows;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Random;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import tinford.api.Effect;
+import tinford.api.Group;
+
+/** The JSON forms: whole ones come back as they were, all others are refused by key. */
+public class ConfigurationCodecTest {
+    private static final String OPEN = "{\"version\":1,\"id\":\"a\",\"changes\":[";
+    private static final String CLOSE = "]}";
+
+    @DataProvider
+    public Object[][] proposals() {
+        Route keyed =
+                new Route(
+                        "r",
+                        "s",
+                        0.1,
+                        1e-3 + 0.2,
+                        1 / 3.0,
+                        Double.MIN_VALUE,
+                        Effect.IDEMPOTENCY_KEY,
+                        Group.ZONE,
+                        12_345.678,
+                        true);
+        return new Object[][] {
+            {new Revert("back", 7)},
+            {new ChangeSet("empty", null, List.of())},
+            {new ChangeSet("all", 3L, Samples.basics())},
+            {Samples.set("keyed", new Change.PutRoute(keyed))},
+            {
+                Samples.set(
+                        "removals",
+                        new Change.RemoveService("s"),
+                        new Change.RemoveRoute("r"),
+                        new Change.RemovePlan("p"),
+                        new Change.RemoveTenant(Long.MIN_VALUE))
+            },
+        };
+    }
+
+    @Test(dataProvider = "proposals")
+    public void aProposalComesBackAsItWas(Proposal proposal) throws Exception {
+        byte[] json = ConfigurationCodec.encode(proposal);
+        assertEquals(ConfigurationCodec.decodeProposal(json), proposal);
+        assertFalse(text(json).contains("\n"), "one line");
+    }
+
+    @Test
+    public void theFormsAreTheDocumentedOnes() {
+        assertEquals(
+                text(
+                        ConfigurationCodec.encode(
+                                new ChangeSet("a", 4L, List.of(Samples.putTenant(5, "p"))))),
+                "{\"version\":1,\"id\":\"a\",\"expectedRevision\":4,"
+                        + "\"changes\":[{\"putTenant\":{\"id\":5,\"plan\":\"p\"}}]}");
+        assertEquals(
+                text(ConfigurationCodec.encode(new Revert("b", 2))),
+                "{\"version\":1,\"id\":\"b\",\"revertTo\":2}");
+        Update update = new Update(5, 6, List.of(new Change.RemoveRoute("r")));
+        assertEquals(
+                text(ConfigurationCodec.encode(new WatchMessage.UpdateMessage(update))),
+                "{\"version\":1,\"update\":{\"from\":5,\"revision\":6,"
+                        + "\"changes\":[{\"removeRoute\":{\"name\":\"r\"}}]}}");
+        assertEquals(
+                text(
+                        ConfigurationCodec.encode(
+                                new WatchMessage.SnapshotMessage(6, new byte[] {1, 2}))),
+                "{\"version\":1,\"snapshot\":{\"revision\":6,\"data\":\"AQI=\"}}");
+        assertEquals(
+                text(ConfigurationCodec.encode(new FollowerReport("g", "east", 6, null))),
+                "{\"version\":1,\"follower\":\"g\",\"region\":\"east\",\"revision\":6}");
+        assertEquals(
+                text(ConfigurationCodec.encode(new Outcome.Accepted(6))),
+                "{\"version\":1,\"revision\":6}");
+        Refusal refusal = new Refusal(List.of(new Fault("k", "e")));
+        assertEquals(
+                text(ConfigurationCodec.encode(new Outcome.Refused(refusal))),
+                "{\"version\":1,\"faults\":[{\"key\":\"k\",\"expected\":\"e\"}]}");
+    }
+
+    @Test
+    public void outcomesReportsAndMessagesComeBackAsTheyWere() throws Exception {
+        Outcome accepted = new Outcome.Accepted(9);
+        Outcome refused = new Outcome.Refused(new Refusal(List.of(new Fault("k", "\"e\" \\"))));
+        assertEquals(
+                ConfigurationCodec.decodeOutcome(ConfigurationCodec.encode(accepted)), accepted);
+        assertEquals(ConfigurationCodec.decodeOutcome(ConfigurationCodec.encode(refused)), refused);
+        FollowerReport report = new FollowerReport("g-1", "east", 3, "routes.r: no");
+        assertEquals(ConfigurationCodec.decodeReport(ConfigurationCodec.encode(report)), report);
+        WatchMessage update = new WatchMessage.UpdateMessage(new Update(0, 1, Samples.basics()));
+        assertEquals(
+                ConfigurationCodec.decodeWatchMessage(ConfigurationCodec.encode(update)), update);
+        byte[] data = new byte[100_000];
+        new Random(1).nextBytes(data);
+        WatchMessage.SnapshotMessage snapshot =
+                (WatchMessage.SnapshotMessage)
+                        ConfigurationCodec.decodeWatchMessage(
+                                ConfigurationCodec.encode(
+                                        new WatchMessage.SnapshotMessage(4, data)));
+        assertEquals(snapshot.revision(), 4);
+        assertEquals(snapshot.data(), data);
+    }
+
+    @Test
+    public void whatARouteMayLeaveOutHasItsDefault() throws Exception {
+        String json =
+                "{\"putRoute\":{\"name\":\"r\",\"service\":\"s\",\"timeoutMs\":400,"
+                        + "\"effect\":\"%s\"}}";
+        assertEquals(
+                decodeOne(String.format(json, "read_like")),
+                new Change.PutRoute(
+                        new Route(
+                                "r", "s", 400, 400, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false)));
+        assertEquals(
+                decodeOne(String.format(json, "idempotency_key")),
+                new Change.PutRoute(
+                        new Route(
+                                "r",
+                                "s",
+                                400,
+                                400,
+                                1,
+                                0,
+                                Effect.IDEMPOTENCY_KEY,
+                                Group.CELL,
+                                0,
+                                false)));
+    }
+
+    @DataProvider
+    public Object[][] badProposals() {
+        return new Object[][] {
+            {"", "json"},
+            {"null", "json"},
+            {"[]", "json"},
+            {"{\"version\":1,\"id\":\"a\"", "json"},
+            {"{\"version\":1,\"id\":\"a\",\"changes\":[]} x", "json"},
+            {"{\"version\":1,\"version\":1,\"id\":\"a\",\"changes\":[]}", "json"},
+            {"{\"id\":\"a\",\"changes\":[]}", "version"},
+            {"{\"version\":2,\"id\":\"a\",\"changes\":[]}", "version"},
+            {"{\"version\":0,\"id\":\"a\",\"changes\":[]}", "version"},
+            {"{\"version\":\"1\",\"id\":\"a\",\"changes\":[]}", "version"},
+            {"{\"version\":1,\"changes\":[]}", "id"},
+            {"{\"version\":1,\"id\":7,\"changes\":[]}", "id"},
+            {"{\"version\":1,\"id\":\"a\"}", "changes"},
+            {"{\"version\":1,\"id\":\"a\",\"changes\":{}}", "changes"},
+            {"{\"version\":1,\"id\":\"a\",\"changes\":[3]}", "changes[0]"},
+            {"{\"version\":1,\"id\":\"a\",\"changes\":[],\"more\":1}", "more"},
+            {"{\"version\":1,\"id\":\"a\",\"revertTo\":1,\"changes\":[]}", "changes"},
+            {"{\"version\":1,\"id\":\"a\",\"revertTo\":-1}", "revertTo"},
+            {"{\"version\":1,\"id\":\"a\",\"revertTo\":1.5}", "revertTo"},
+            {
+                "{\"version\":1,\"id\":\"a\",\"expectedRevision\":\"1\",\"changes\":[]}",
+                "expectedRevision"
+            },
+            {OPEN + "{}" + CLOSE, "changes[0]"},
+            {OPEN + "{\"putTenant\":{},\"putPlan\":{}}" + CLOSE, "changes[0]"},
+            {OPEN + "{\"dropAll\":{}}" + CLOSE, "changes[0].dropAll"},
+            {OPEN + "{\"putTenant\":7}" + CLOSE, "changes[0].putTenant"},
+            {OPEN + "{\"putTenant\":{\"id\":1}}" + CLOSE, "changes[0].putTenant.plan"},
+            {
+                OPEN + "{\"putTenant\":{\"id\":1.5,\"plan\":\"p\"}}" + CLOSE,
+                "changes[0].putTenant.id"
+            },
+            {
+                OPEN + "{\"putTenant\":{\"id\":9223372036854775808,\"plan\":\"p\"}}" + CLOSE,
+                "changes[0].putTenant.id"
+            },
+            {
+                OPEN + "{\"putTenant\":{\"id\":1,\"plan\":\"p\",\"note\":\"x\"}}" + CLOSE,
+                "changes[0].putTenant.note"
+            },
+            {
+                OPEN + "{\"putPlan\":{\"name\":\"p\",\"maxOpen\":3000000000}}" + CLOSE,
+                "changes[0].putPlan.maxOpen"
+            },
+            {
+                OPEN + "{\"putPlan\":{\"name\":\"p\",\"burst\":\"5\"}}" + CLOSE,
+                "changes[0].putPlan.burst"
+            },
+            {OPEN + "{\"putPlan\":{\"name\":\"p\",\"burst\":NaN}}" + CLOSE, "json"},
+            {
+                OPEN
+                        + "{\"putRoute\":{\"name\":\"r\",\"service\":\"s\",\"timeoutMs\":1,"
+                        + "\"effect\":\"maybe\"}}"
+                        + CLOSE,
+                "changes[0].putRoute.effect"
+            },
+            {
+                OPEN
+                        + "{\"putRoute\":{\"name\":\"r\",\"service\":\"s\",\"timeoutMs\":1,"
+                        + "\"effect\":\"read_like\",\"group\":\"planet\"}}"
+                        + CLOSE,
+                "changes[0].putRoute.group"
+            },
+            {
+                OPEN
+                        + "{\"putRoute\":{\"name\":\"r\",\"service\":\"s\",\"timeoutMs\":1,"
+                        + "\"effect\":\"read_like\",\"streamed\":1}}"
+                        + CLOSE,
+                "changes[0].putRoute.streamed"
+            },
+            {OPEN + "{\"putService\":{\"name\":\"" + "x".repeat(513) + "\"}}" + CLOSE, "json"},
+            {OPEN + "{\"" + "k".repeat(65) + "\":{}}" + CLOSE, "json"},
+            {OPEN + "[".repeat(17) + "]".repeat(17) + CLOSE, "json"},
+            {OPEN + "[".repeat(100_000), "json"},
+        };
+    }
+
+    @Test(dataProvider = "badProposals")
+    public void isRefusedByKey(String json, String key) {
+        InvalidConfiguration refused =
+                expectThrows(
+                        InvalidConfiguration.class,
+                        () -> ConfigurationCodec.decodeProposal(bytes(json)));
+        assertEquals(refused.key(), key, refused.getMessage());
+        assertFalse(refused.expected().isBlank());
+        assertEquals(refused.fault().toString().lines().count(), 1);
+    }
+
+    @Test
+    public void anOversizedProposalIsRefusedBeforeItIsRead() {
+        byte[] large = new byte[ConfigurationLimits.PROPOSAL_BYTES + 1];
+        InvalidConfiguration refused =
+                expectThrows(
+                        InvalidConfiguration.class, () -> ConfigurationCodec.decodeProposal(large));
+        assertEquals(refused.expected(), "at most 500000 bytes, not 500001");
+    }
+
+    @Test
+    public void aProposalCutAnywhereIsRefused() {
+        byte[] whole = ConfigurationCodec.encode(new ChangeSet("all", 3L, Samples.basics()));
+        for (int length = 0; length < whole.length; length++) {
+            byte[] cut = Arrays.copyOf(whole, length);
+            expectThrows(InvalidConfiguration.class, () -> ConfigurationCodec.decodeProposal(cut));
+        }
+    }
+
+    @DataProvider
+    public Object[][] badWatchMessages() {
+        return new Object[][] {
+            {"{\"version\":1}", "update"},
+            {
+                "{\"version\":1,\"update\":{\"from\":5,\"revision\":5,\"changes\":[]}}",
+                "update.revision"
+            },
+            {
+                "{\"version\":1,\"update\":{\"from\":-1,\"revision\":5,\"changes\":[]}}",
+                "update.from"
+            },
+            {"{\"version\":1,\"update\":{\"from\":1,\"revision\":2}}", "update.changes"},
+            {"{\"version\":1,\"snapshot\":{\"revision\":5,\"data\":\"%\"}}", "snapshot.data"},
+            {"{\"version\":1,\"snapshot\":{\"revision\":5}}", "snapshot.data"},
+            {"{\"version\":9,\"snapshot\":{\"revision\":5,\"data\":\"\"}}", "version"},
+        };
+    }
+
+    @Test(dataProvider = "badWatchMessages")
+    public void aWatchMessageIsRefusedByKey(String json, String key) {
+        InvalidConfiguration refused =
+                expectThrows(
+                        InvalidConfiguration.class,
+                        () -> ConfigurationCodec.decodeWatchMessage(bytes(json)));
+        assertEquals(refused.key(), key, refused.getMessage());
+    }
+
+    @Test
+    public void aReportNeedsNamesAndIsBounded() {
+        for (String bad :
+                List.of(
+                        "{\"version\":1,\"follower\":\"a b\",\"region\":\"r\",\"revision\":1}",
+                        "{\"version\":1,\"follower\":\"a\",\"region\":\"\",\"revision\":1}",
+                        "{\"version\":1,\"follower\":\"a\",\"region\":\"r\",\"revision\":-1}",
+                        "{\"version\":1,\"follower\":\"a\",\"region\":\"r\"}",
+                        " ".repeat(5000))) {
+            expectThrows(
+                    InvalidConfiguration.class, () -> ConfigurationCodec.decodeReport(bytes(bad)));
+        }
+    }
+
+    @Test
+    public void aLongRefusalIsCutInAReport() throws Exception {
+        FollowerReport report = new FollowerReport("g", "east", 1, "x\n".repeat(2000));
+        FollowerReport read = ConfigurationCodec.decodeReport(ConfigurationCodec.encode(report));
+        assertEquals(read.refusal().length(), ConfigurationLimits.TEXT_LENGTH);
+    }
+
+    @Test
+    public void drawnBytesAreRefusedNeverThrownUpon() {
+        Random random = new Random(5);
+        byte[] whole = ConfigurationCodec.encode(new ChangeSet("all", 3L, Samples.basics()));
+        int refusals = 0;
+        for (int i = 0; i < 3000; i++) {
+            byte[] bytes = whole.clone();
+            for (int flips = 1 + random.nextInt(3); flips > 0; flips--) {
+                bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
+            }
+            try {
+                ConfigurationCodec.decodeProposal(bytes);
+            } catch (InvalidConfiguration e) {
+                refusals++;
+            }
+        }
+        assertTrue(refusals > 1000, "refused " + refusals);
+    }
+
+    private static Change decodeOne(String change) throws InvalidConfiguration {
+        Proposal proposal = ConfigurationCodec.decodeProposal(bytes(OPEN + change + CLOSE));
+        return ((ChangeSet) proposal).changes().get(0);
+    }
+
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
+    }
+
+    private static String text(byte[] bytes) {
+        return new String(bytes, StandardCharsets.UTF_8);
+    }
+}
--- /dev/null
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
@@ -0,0 +1,117 @@
+package tinford.fleet.config;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import org.testng.annotations.Test;
+
+/** Drawn histories against the reference, and replicas against each other. */
+public class RevisionHistoryModelTest {
+    private static final int SEEDS = 300;
+    private static final int PROPOSALS = 60;
+
+    @Test
+    public void drawnHistoriesDoWhatTheReferenceDoes() {
+        int accepted = 0;
+        int refused = 0;
+        for (int seed = 0; seed < SEEDS; seed++) {
+            Random random = new Random(seed);
+            RevisionHistory history = new RevisionHistory(Samples.FLEET);
+            ReferenceHistory reference = new ReferenceHistory();
+            List<Proposal> made = new ArrayList<>();
+            for (int step = 0; step < PROPOSALS; step++) {
+                Proposal proposal = draw(random, made, history);
+                made.add(proposal);
+                Long expected = reference.propose(proposal);
+                Outcome outcome = history.propose(proposal);
+                String where = "seed " + seed + " step " + step + " " + proposal + " " + outcome;
+                Long revision = outcome instanceof Outcome.Accepted a ? a.revision() : null;
+                assertEquals(revision, expected, where);
+                assertEquals(history.current().revision(), reference.currentRevision(), where);
+                assertEquals(
+                        ReferenceHistory.contentOf(history.current()),
+                        reference.at(reference.currentRevision()),
+                        where);
+                if (expected == null) {
+                    refused++;
+                } else {
+                    accepted++;
+                }
+            }
+            followersReachTheCurrentRevision(history, reference);
+        }
+        assertTrue(accepted > 3000 && refused > 3000, accepted + " and " + refused);
+    }
+
+    @Test
+    public void theSameLogGivesTheSameBytesOnEachReplica() throws Exception {
+        for (int seed = 0; seed < SEEDS; seed++) {
+            Random random = new Random(seed);
+            RevisionHistory.Retention retention =
+                    new RevisionHistory.Retention(random.nextInt(40), 200 + random.nextInt(8000));
+            RevisionHistory first = new RevisionHistory(Samples.FLEET, retention);
+            List<byte[]> log = new ArrayList<>();
+            List<Outcome> outcomes = new ArrayList<>();
+            List<Proposal> made = new ArrayList<>();
+            int cut = random.nextInt(PROPOSALS);
+            byte[] atCut = first.snapshot();
+            for (int step = 0; step < PROPOSALS; step++) {
+                if (step == cut) {
+                    atCut = first.snapshot();
+                }
+                Proposal proposal = draw(random, made, first);
+                made.add(proposal);
+                log.add(ConfigurationCodec.encode(proposal));
+                outcomes.add(first.propose(proposal));
+            }
+            RevisionHistory whole = new RevisionHistory(Samples.FLEET, retention);
+            assertEquals(replay(whole, log), outcomes, "seed " + seed);
+            assertEquals(whole.snapshot(), first.snapshot(), "seed " + seed);
+            RevisionHistory restored = new RevisionHistory(Samples.FLEET, retention);
+            restored.restore(atCut);
+            assertEquals(
+                    replay(restored, log.subList(cut, log.size())),
+                    outcomes.subList(cut, outcomes.size()),
+                    "seed " + seed);
+            assertEquals(restored.snapshot(), first.snapshot(), "seed " + seed);
+            assertEquals(restored.current().contentHash(), first.current().contentHash());
+        }
+    }
+
+    /** Now and then one that was made before is sent again. */
+    private static Proposal draw(Random random, List<Proposal> made, RevisionHistory history) {
+        if (!made.isEmpty() && random.nextInt(10) == 0) {
+            return made.get(random.nextInt(made.size()));
+        }
+        return Samples.drawProposal(random, history.current().revision());
+    }
+
+    private static List<Outcome> replay(RevisionHistory history, List<byte[]> log)
+            throws InvalidConfiguration {
+        List<Outcome> outcomes = new ArrayList<>();
+        for (byte[] entry : log) {
+            outcomes.add(history.propose(ConfigurationCodec.decodeProposal(entry)));
+        }
+        return outcomes;
+    }
+
+    /** From every revision, by the updates alone. */
+    private static void followersReachTheCurrentRevision(
+            RevisionHistory history, ReferenceHistory reference) {
+        Configuration configuration = Configuration.EMPTY;
+        for (Update update : history.since(0).orElseThrow()) {
+            assertEquals(update.fromRevision(), configuration.revision());
+            assertEquals(Validator.check(configuration, update.changes()), List.of());
+            configuration = configuration.with(update.revision(), update.changes());
+            assertEquals(
+                    ReferenceHistory.contentOf(configuration),
+                    reference.at(configuration.revision()));
+            assertEquals(Validator.check(configuration), List.of());
+        }
+        assertEquals(configuration.contentHash(), history.current().contentHash());
+        assertEquals(configuration.revision(), history.current().revision());
+    }
+}
--- /dev/null
+++ b/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
@@ -0,0 +1,174 @@
+package tinford.fleet.config;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import tinford.api.Effect;
+import tinford.api.Group;
+
+/** What is refused, with which key. */
+public class ValidatorTest {
+    private static final Configuration BASIC = Samples.basic();
+
+    @DataProvider
+    public Object[][] faults() {
+        return new Object[][] {
+            {"putRoute.service", Samples.putRoute("r", "missing"), "a service that exists"},
+            {"putRoute.name", Samples.putRoute("a b", "search"), "A-Z"},
+            {"putRoute.name", Samples.putRoute("", "search"), "1 to 64"},
+            {"putRoute.name", Samples.putRoute("x".repeat(65), "search"), "1 to 64"},
+            {"putRoute.name", Samples.putRoute("-x", "search"), "not beginning with"},
+            {"removeService.name", new Change.RemoveService("search"), "no route uses; lookup"},
+            {"removeService.name", new Change.RemoveService("absent"), "one that exists"},
+            {"removeRoute.name", new Change.RemoveRoute("absent"), "one that exists"},
+            {"removePlan.name", new Change.RemovePlan("team"), "no tenant uses; 1 does"},
+            {"removePlan.name", new Change.RemovePlan("absent"), "one that exists"},
+            {"removeTenant.id", new Change.RemoveTenant(77), "one that exists, not 77"},
+            {"putTenant.plan", Samples.putTenant(2, "missing"), "a plan that exists"},
+            {"putService.name", Samples.putService("a/b"), "A-Z"},
+            {"putRoute.targetMs", timing(0, 100), "above 0"},
+            {"putRoute.targetMs", timing(200, 100), "at most timeoutMs"},
+            {"putRoute.targetMs", timing(Double.NaN, 100), "above 0"},
+            {"putRoute.timeoutMs", timing(50, Double.POSITIVE_INFINITY), "at most 86400000"},
+            {"putRoute.timeoutMs", timing(50, 86_400_001), "at most 86400000"},
+            {"putRoute.group", grouped(Effect.NON_IDEMPOTENT, Group.ZONE), "none, or all"},
+            {"putPlan.ratePerSecond", Samples.putPlan("p", -1), "from 0"},
+            {"putPlan.ratePerSecond", Samples.putPlan("p", Double.NaN), "from 0"},
+            {"putPlan.ratePerSecond", Samples.putPlan("p", 1e13), "from 0"},
+            {"putPlan.burst", rates(5, 0, 0, 0), "above 0 where there is a rate"},
+            {"putPlan.ceilingBurst", rates(5, 5, 5, 0), "above 0 where there is a rate"},
+        };
+    }
+
+    @Test(dataProvider = "faults")
+    public void isRefusedWithKeyAndExpectation(String key, Change change, String expected) {
+        List<Fault> faults = Validator.check(BASIC, List.of(change));
+        assertEquals(faults.get(0).key(), "changes[0]." + key);
+        assertTrue(faults.get(0).expected().contains(expected), faults.toString());
+    }
+
+    @Test
+    public void referencesWithinOneSetHoldInAnyOrder() {
+        assertEquals(
+                Validator.check(
+                        BASIC,
+                        List.of(
+                                Samples.putTenant(2, "new"),
+                                Samples.putPlan("new", 0),
+                                Samples.putRoute("r", "s"),
+                                Samples.putService("s"))),
+                List.of());
+    }
+
+    @Test
+    public void whatIsUsedCanGoWithItsLastUser() {
+        assertEquals(
+                Validator.check(
+                        BASIC,
+                        List.of(
+                                new Change.RemoveService("search"),
+                                new Change.RemoveRoute("lookup"),
+                                new Change.RemovePlan("team"),
+                                new Change.RemoveTenant(1))),
+                List.of());
+    }
+
+    @Test
+    public void aThingIsChangedOnceInASet() {
+        List<Fault> tenants =
+                Validator.check(
+                        BASIC, List.of(Samples.putTenant(2, "team"), Samples.putTenant(2, "team")));
+        assertEquals(
+                tenants,
+                List.of(new Fault("changes[1].tenant", "one change of tenant 2 in a set")));
+        List<Fault> routes =
+                Validator.check(
+                        BASIC,
+                        List.of(
+                                new Change.RemoveRoute("lookup"),
+                                Samples.putRoute("lookup", "search")));
+        assertEquals(routes.get(0).key(), "changes[1].route");
+    }
+
+    @Test
+    public void countsAreBounded() {
+        List<Change> changes = new ArrayList<>();
+        for (int i = 0; i <= ConfigurationLimits.PLANS; i++) {
+            changes.add(Samples.putPlan("p" + i, 0));
+        }
+        List<Fault> faults = Validator.check(Configuration.EMPTY, changes);
+        assertEquals(faults, List.of(new Fault("plans", "at most 1024, not 1025")));
+    }
+
+    @Test
+    public void aSetIsBounded() {
+        List<Change> changes = new ArrayList<>();
+        for (int i = 0; i <= ConfigurationLimits.CHANGES; i++) {
+            changes.add(Samples.putTenant(i, "team"));
+        }
+        assertEquals(
+                Validator.check(BASIC, changes), List.of(new Fault("changes", "at most 16384")));
+    }
+
+    @Test
+    public void noMoreThanTheFirstFaultsAreTold() {
+        List<Change> changes = new ArrayList<>();
+        for (int i = 0; i < 1000; i++) {
+            changes.add(new Change.RemoveTenant(1000 + i));
+        }
+        assertEquals(Validator.check(BASIC, changes).size(), ConfigurationLimits.FAULTS);
+    }
+
+    @Test
+    public void aWholeConfigurationIsCheckedInAllItsParts() {
+        assertEquals(Validator.check(BASIC), List.of());
+        Configuration broken =
+                BASIC.with(
+                        2,
+                        List.of(
+                                new Change.RemoveService("search"),
+                                new Change.RemovePlan("team"),
+                                Samples.putPlan("bad", -1)));
+        List<String> keys = Validator.check(broken).stream().map(Fault::key).toList();
+        assertEquals(
+                keys,
+                List.of("plans.bad.ratePerSecond", "routes.lookup.service", "tenants.1.plan"));
+    }
+
+    @Test
+    public void aFaultIsOneLineOfBoundedLength() {
+        Fault fault = new Fault("a\nb", "x\r\n".repeat(1000));
+        assertEquals(fault.key(), "a b");
+        assertEquals(fault.expected().lines().count(), 1);
+        assertTrue(fault.expected().length() <= ConfigurationLimits.TEXT_LENGTH);
+    }
+
+    private static Change timing(double targetMs, double timeoutMs) {
+        return new Change.PutRoute(
+                new Route(
+                        "r",
+                        "search",
+                        targetMs,
+                        timeoutMs,
+                        1,
+                        0,
+                        Effect.IDEMPOTENT,
+                        Group.ALL,
+                        0,
+                        false));
+    }
+
+    private static Change grouped(Effect effect, Group group) {
+        return new Change.PutRoute(new Route("r", "search", 1, 2, 1, 0, effect, group, 0, false));
+    }
+
+    private static Change rates(
+            double rate, double burst, double ceilingRate, double ceilingBurst) {
+        return new Change.PutPlan(
+                new Plan("p", rate, burst, 0, 1, 0, 0, ceilingRate, ceilingBurst, 0));
+    }
+}
