--- a/lab/src/main/java/tinford/lab/scale/Measurements.java
+++ b/lab/src/main/java/tinford/lab/scale/Measurements.java
@@ -12,7 +12,9 @@
         return Stream.of(
                         AddedTimeMeasurements.all(),
                         ConfigurationMeasurements.all(),
+                        ConfigurationStateMeasurements.all(),
                         CounterMeasurements.all(),
+                        DecisionMeasurements.all(),
                         RestartMeasurements.all())
                 .flatMap(List::stream)
                 .toList();
