--- a/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
@@ -7,6 +7,8 @@
 import tinford.handed.Fields;
 import tinford.lab.model.Outcome;
 import tinford.lab.model.World;
+import tinford.lab.scale.configuration.ConfigurationState;
+import tinford.lab.scale.configuration.ConfigurationStates;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.sockets.ServerList;
 import tinford.lab.sockets.SingleGateway;
@@ -26,7 +28,8 @@
     private RestartMeasurements() {}
 
     static List<Measurement> all() {
-        return List.of(lists(), listsAtOnce(), starts(), connections(), coldServers());
+        return List.of(
+                lists(), listsAtOnce(), snapshotsAtOnce(), starts(), connections(), coldServers());
     }
 
     /** One whole list, as each gateway that starts reads it, through the gateway's own parsers. */
@@ -77,6 +80,26 @@
                 });
     }
 
+    /**
+     * Computed from the size of one compressed snapshot of the configuration: what control servers
+     * send where no gateway has kept its last one.
+     */
+    private static Measurement snapshotsAtOnce() {
+        return new SampledMeasurement(
+                "restarts.snapshots_at_once",
+                "gateways restarted at once",
+                AT_ONCE,
+                AT_ONCE,
+                1,
+                Growth.LINEAR,
+                (size, seed) -> {
+                    ConfigurationState state =
+                            ConfigurationStates.timed(FleetModel.DEPLOYED_TENANTS);
+                    double bytes = state.encodeSnapshot().length;
+                    return new Sample(Map.of("computed_snapshot_bytes", size * bytes), Map.of());
+                });
+    }
+
     /** The start of one real gateway: what it asks of others, and how long it takes. */
     private static Measurement starts() {
         return new SampledMeasurement(
