--- a/lab/src/main/java/tinford/lab/scale/Measurements.java
+++ b/lab/src/main/java/tinford/lab/scale/Measurements.java
@@ -11,8 +11,13 @@
     public static List<Measurement> all() {
         return Stream.of(
                         DecisionMeasurements.all(),
+                        CounterMeasurements.all(),
+                        AddedTimeMeasurements.all(),
                         GossipMeasurements.all(),
-                        LogMeasurements.all())
+                        LogMeasurements.all(),
+                        ConfigurationMeasurements.all(),
+                        ConfigurationStateMeasurements.all(),
+                        RestartMeasurements.all())
                 .flatMap(List::stream)
                 .toList();
     }
