--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/follow/FollowerSettings.java
@@ -0,0 +1,29 @@
+package tinford.fleet.follow;
+
+import java.util.List;
+import java.util.random.RandomGenerator;
+import tinford.fleet.config.Configuration;
+import tinford.fleet.config.Endpoint;
+
+/**
+ * Who follows, and whom.
+ *
+ * @param id of the follower, the same over restarts
+ * @param region where it runs; control servers there are preferred
+ * @param fleetId the fleet whose configuration it takes, and no other's
+ * @param endpoints all control servers
+ * @param inForce what is in force at the start: the last good snapshot, or {@link
+ *     Configuration#EMPTY}
+ * @param random for the jitter of reconnects
+ */
+public record FollowerSettings(
+        String id,
+        String region,
+        String fleetId,
+        List<Endpoint> endpoints,
+        Configuration inForce,
+        RandomGenerator random) {
+    public FollowerSettings {
+        endpoints = List.copyOf(endpoints);
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
@@ -0,0 +1,65 @@
+package tinford.fleet.follow;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import tinford.fleet.config.Configuration;
+import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.SnapshotCodec;
+import tinford.fleet.store.FileStore;
+import tinford.fleet.store.Store;
+
+/**
+ * The last good configuration on the disk, so that a process starts without any control server. A
+ * write that was stopped at any step leaves the one before. Not thread-safe.
+ */
+public final class SnapshotFile implements AutoCloseable {
+    /**
+     * What was found.
+     *
+     * @param configuration null where there is none that can be used
+     * @param problem why there is none, in one line; null where there is one
+     */
+    public record Loaded(Configuration configuration, String problem) {}
+
+    private static final String NAME = "configuration";
+    private static final int LARGEST_BYTES = 8 << 20;
+
+    /** Revisions order the contents; how a clock was set since does not matter. */
+    private static final double ANY_DATE = Double.POSITIVE_INFINITY;
+
+    private final Store store;
+    private final SnapshotCodec codec;
+
+    /** In a folder that lasts, for the configuration of one fleet. */
+    public SnapshotFile(Path folder, String fleetId) {
+        this(new FileStore(folder, NAME, LARGEST_BYTES, ANY_DATE), fleetId);
+    }
+
+    SnapshotFile(Store store, String fleetId) {
+        this.store = store;
+        this.codec = new SnapshotCodec(fleetId);
+    }
+
+    /** Never fails: what is torn, damaged, of another fleet or of a later version is told. */
+    public Loaded read() {
+        Store.Found found = store.read(System.currentTimeMillis());
+        if (found.content() == null) {
+            return new Loaded(null, found.why());
+        }
+        try {
+            return new Loaded(codec.decode(found.content()), null);
+        } catch (InvalidConfiguration e) {
+            return new Loaded(null, e.getMessage());
+        }
+    }
+
+    /** Returns once it lasts; where it fails, the one before is still there. */
+    public void write(Configuration configuration) throws IOException {
+        store.write(codec.encode(configuration), System.currentTimeMillis());
+    }
+
+    @Override
+    public void close() {
+        store.close();
+    }
+}
