--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/control/EnterCommand.java
@@ -0,0 +1,83 @@
+package tinford.fleet.control;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.UUID;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
+import tinford.fleet.config.ConfigurationCodec;
+import tinford.fleet.config.ConfigurationLimits;
+import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.Proposal;
+
+/** {@code enter FILE}: proposes the changes that a file holds, as one revision. */
+@Command(
+        name = "enter",
+        mixinStandardHelpOptions = true,
+        description = "Proposes the changes in a file; all of them come into force, or none.")
+final class EnterCommand implements Callable<Integer> {
+    private static final ObjectMapper MAPPER = new ObjectMapper();
+
+    @Spec private CommandSpec spec;
+    @Mixin private ServerList servers;
+
+    @Parameters(paramLabel = "FILE", description = "A proposal as JSON; id may be left out.")
+    private Path file;
+
+    @Option(
+            names = "--within",
+            paramLabel = "MS",
+            defaultValue = "15000",
+            description = "Tries for as long, ms (${DEFAULT-VALUE}).")
+    private long withinMs;
+
+    @Override
+    public Integer call() throws InterruptedException {
+        PrintWriter err = spec.commandLine().getErr();
+        Proposal proposal;
+        try {
+            proposal = ConfigurationCodec.decodeProposal(withId(content()));
+        } catch (InvalidConfiguration e) {
+            err.println(file + ": " + e.getMessage());
+            return ExitCode.REFUSED;
+        } catch (IOException e) {
+            err.println(file + ": expected a file that can be read, of JSON: " + e.getMessage());
+            return ExitCode.REFUSED;
+        }
+        PrintWriter out = spec.commandLine().getOut();
+        return new ProposalSender(servers.addresses(), out, err).send(proposal, withinMs);
+    }
+
+    private byte[] content() throws IOException, InvalidConfiguration {
+        if (Files.size(file) > ConfigurationLimits.PROPOSAL_BYTES) {
+            throw new InvalidConfiguration(
+                    "file", "at most " + ConfigurationLimits.PROPOSAL_BYTES + " bytes");
+        }
+        return Files.readAllBytes(file);
+    }
+
+    private static byte[] withId(byte[] content) throws IOException, InvalidConfiguration {
+        JsonNode tree;
+        try {
+            tree = MAPPER.readTree(content);
+        } catch (JsonProcessingException e) {
+            return content; // the codec tells what is wrong with it
+        }
+        if (!(tree instanceof ObjectNode object) || object.has("id")) {
+            return content;
+        }
+        object.put("id", UUID.randomUUID().toString());
+        return MAPPER.writeValueAsBytes(object);
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/control/ExchangeDeadline.java
@@ -0,0 +1,34 @@
+package tinford.fleet.control;
+
+import io.undertow.server.HttpHandler;
+import io.undertow.server.HttpServerExchange;
+import java.util.concurrent.TimeUnit;
+import org.xnio.IoUtils;
+import org.xnio.XnioExecutor;
+
+/** Closes the connection of a request that is not read, answered and written within a time. */
+final class ExchangeDeadline implements HttpHandler {
+    private final long withinMs;
+    private final HttpHandler next;
+
+    ExchangeDeadline(long withinMs, HttpHandler next) {
+        this.withinMs = withinMs;
+        this.next = next;
+    }
+
+    @Override
+    public void handleRequest(HttpServerExchange exchange) throws Exception {
+        XnioExecutor.Key timer =
+                exchange.getIoThread()
+                        .executeAfter(
+                                () -> IoUtils.safeClose(exchange.getConnection()),
+                                withinMs,
+                                TimeUnit.MILLISECONDS);
+        exchange.addExchangeCompleteListener(
+                (completed, following) -> {
+                    timer.remove();
+                    following.proceed();
+                });
+        next.handleRequest(exchange);
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/control/FleetStatus.java
@@ -0,0 +1,135 @@
+package tinford.fleet.control;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.SortedMap;
+import java.util.TreeMap;
+
+/**
+ * What all control servers say about themselves and their followers, joined: of each follower the
+ * report that came last.
+ */
+final class FleetStatus {
+    /** One server; {@code failure} is null where it answered. */
+    record Server(
+            InetSocketAddress address,
+            String failure,
+            String name,
+            String region,
+            String role,
+            boolean leads,
+            long revision,
+            int followers,
+            long pendingBytes) {}
+
+    /** One follower's latest report. */
+    record Follower(String name, String region, long revision, String refusal, long ageMs) {}
+
+    private final List<Server> servers = new ArrayList<>();
+    private final SortedMap<String, Follower> followers = new TreeMap<>();
+
+    static FleetStatus ask(List<InetSocketAddress> addresses) throws InterruptedException {
+        ControlClient client = new ControlClient();
+        FleetStatus status = new FleetStatus();
+        for (InetSocketAddress address : addresses) {
+            try {
+                status.addServer(address, client.get(address, "/status").body());
+                status.addFollowers(client.get(address, "/followers").body());
+            } catch (IOException e) {
+                status.servers.add(unreachable(address, e));
+            }
+        }
+        return status;
+    }
+
+    private static Server unreachable(InetSocketAddress address, IOException failure) {
+        return new Server(address, failure.toString(), "", "", "", false, 0, 0, 0);
+    }
+
+    private void addServer(InetSocketAddress address, JsonNode body) {
+        servers.add(
+                new Server(
+                        address,
+                        null,
+                        body.path("server").asText(),
+                        body.path("region").asText(),
+                        body.path("role").asText(),
+                        body.path("leads").asBoolean(),
+                        body.path("revision").asLong(),
+                        body.path("followers").asInt(),
+                        body.path("pendingBytes").asLong()));
+    }
+
+    private void addFollowers(JsonNode body) {
+        for (JsonNode each : body.path("followers")) {
+            JsonNode refusal = each.path("refusal");
+            Follower follower =
+                    new Follower(
+                            each.path("follower").asText(),
+                            each.path("region").asText(),
+                            each.path("revision").asLong(),
+                            refusal.isTextual() ? refusal.asText() : null,
+                            each.path("ageMs").asLong());
+            followers.merge(follower.name(), follower, FleetStatus::later);
+        }
+    }
+
+    private static Follower later(Follower one, Follower other) {
+        return one.ageMs() <= other.ageMs() ? one : other;
+    }
+
+    List<Server> servers() {
+        return servers;
+    }
+
+    List<Follower> followers() {
+        return List.copyOf(followers.values());
+    }
+
+    boolean answered() {
+        return servers.stream().anyMatch(server -> server.failure() == null);
+    }
+
+    boolean hasLeader() {
+        return servers.stream().anyMatch(Server::leads);
+    }
+
+    /** The latest revision that any server holds. */
+    long revision() {
+        return servers.stream().mapToLong(Server::revision).max().orElse(0);
+    }
+
+    /** Servers that did not answer or hold an earlier revision. */
+    List<Server> laggingServers() {
+        return servers.stream()
+                .filter(server -> server.failure() != null || server.revision() < revision())
+                .toList();
+    }
+
+    /** Followers at an earlier revision or with a refusal, the furthest behind first. */
+    List<Follower> laggingFollowers() {
+        return followers.values().stream()
+                .filter(each -> each.revision() < revision() || each.refusal() != null)
+                .sorted(Comparator.comparingLong(Follower::revision))
+                .toList();
+    }
+
+    /** How many followers hold which revision, the latest first. */
+    SortedMap<Long, Integer> countByRevision() {
+        SortedMap<Long, Integer> counts = new TreeMap<>(Comparator.reverseOrder());
+        followers.values().forEach(each -> counts.merge(each.revision(), 1, Integer::sum));
+        return counts;
+    }
+
+    /** By region, how many followers are known. */
+    Map<String, Integer> countByRegion() {
+        Map<String, Integer> counts = new TreeMap<>();
+        followers.values().forEach(each -> counts.merge(each.region(), 1, Integer::sum));
+        return counts;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
@@ -0,0 +1,70 @@
+package tinford.fleet.control;
+
+import io.undertow.server.HttpServerExchange;
+import java.util.Deque;
+import java.util.regex.Pattern;
+import tinford.fleet.config.ConfigurationLimits;
+import tinford.fleet.config.InvalidConfiguration;
+
+/** Reads the query of a request for a watch. */
+final class QueryParameters {
+    private static final Pattern NAME =
+            Pattern.compile("[A-Za-z0-9._:-]{1," + ConfigurationLimits.NAME_LENGTH + "}");
+
+    private QueryParameters() {}
+
+    static WatchRequest watchRequest(HttpServerExchange exchange, String ownFleet)
+            throws InvalidConfiguration {
+        if (!text(exchange, "fleet", "").equals(ownFleet)) {
+            throw new InvalidConfiguration("fleet", ownFleet);
+        }
+        boolean watch = watch(exchange);
+        String follower = text(exchange, "follower", "");
+        if (watch) {
+            checkName("follower", follower);
+        }
+        return new WatchRequest(watch, revision(exchange), follower);
+    }
+
+    private static boolean watch(HttpServerExchange exchange) throws InvalidConfiguration {
+        return switch (text(exchange, "watch", "0")) {
+            case "0" -> false;
+            case "1" -> true;
+            default -> throw new InvalidConfiguration("watch", "0 or 1");
+        };
+    }
+
+    private static long revision(HttpServerExchange exchange) throws InvalidConfiguration {
+        try {
+            long revision = Long.parseLong(text(exchange, "after", "0"));
+            if (revision >= 0) {
+                return revision;
+            }
+        } catch (NumberFormatException e) {
+            // told below, as for a negative one
+        }
+        throw new InvalidConfiguration("after", "a revision, a whole number from 0");
+    }
+
+    private static void checkName(String key, String text) throws InvalidConfiguration {
+        if (!NAME.matcher(text).matches()) {
+            throw new InvalidConfiguration(
+                    key,
+                    "1 to "
+                            + ConfigurationLimits.NAME_LENGTH
+                            + " of letters, digits, '.', '_', ':', '-'");
+        }
+    }
+
+    private static String text(HttpServerExchange exchange, String key, String absent)
+            throws InvalidConfiguration {
+        Deque<String> values = exchange.getQueryParameters().get(key);
+        if (values == null) {
+            return absent;
+        }
+        if (values.size() > 1) {
+            throw new InvalidConfiguration(key, "one value");
+        }
+        return values.getFirst();
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/control/Replica.java
@@ -0,0 +1,97 @@
+package tinford.fleet.control;
+
+import java.net.http.HttpClient;
+import java.time.Duration;
+import java.util.List;
+import java.util.Random;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.Executors;
+import java.util.concurrent.ScheduledExecutorService;
+import tinford.fleet.config.Change;
+import tinford.fleet.config.Configuration;
+import tinford.fleet.config.Proposal;
+import tinford.fleet.config.Update;
+import tinford.fleet.control.ProposalResult.Taken;
+import tinford.fleet.control.ProposalResult.Unavailable;
+import tinford.fleet.follow.ConfigurationClient;
+import tinford.fleet.follow.FollowerSettings;
+import tinford.fleet.follow.SnapshotFile;
+
+/**
+ * Follows a voter, one of its own region where there is one, and serves what it holds; over a
+ * restart from its last good snapshot on.
+ */
+final class Replica implements ControlRole {
+    private static final Duration CONNECT_WITHIN = Duration.ofSeconds(2);
+    private static final int THREADS = 2;
+
+    private final RevisionFeed feed;
+    private final ScheduledExecutorService executor;
+    private final ConfigurationClient client;
+    private final SnapshotKeeper keeper;
+
+    Replica(ControlSettings settings, RevisionFeed feed) {
+        this.feed = feed;
+        keeper = new SnapshotKeeper(new SnapshotFile(settings.folder(), settings.fleet()), feed);
+        keeper.load();
+        executor = Executors.newScheduledThreadPool(THREADS, Replica::thread);
+        HttpClient http =
+                HttpClient.newBuilder()
+                        .version(HttpClient.Version.HTTP_1_1)
+                        .connectTimeout(CONNECT_WITHIN)
+                        .executor(executor)
+                        .build();
+        FollowerSettings follower =
+                new FollowerSettings(
+                        settings.name(),
+                        settings.region(),
+                        settings.fleet(),
+                        settings.upstream(),
+                        feed.current(),
+                        new Random());
+        client = new ConfigurationClient(follower, this::apply, http, executor);
+        client.start();
+    }
+
+    private static Thread thread(Runnable task) {
+        Thread thread = new Thread(task, "control-replica");
+        thread.setDaemon(true);
+        return thread;
+    }
+
+    private String apply(Configuration configuration, List<Change> changes) {
+        long before = feed.current().revision();
+        if (changes == null) {
+            feed.replace(configuration, List.of());
+        } else {
+            feed.append(configuration, new Update(before, configuration.revision(), changes));
+        }
+        keeper.saveSoon();
+        ControlLog.revision(configuration.revision());
+        return null;
+    }
+
+    /** Replicas take none and forward none. */
+    @Override
+    public CompletableFuture<ProposalResult> propose(Proposal proposal) {
+        return CompletableFuture.completedFuture(
+                new Unavailable(Taken.NO, "a replica takes no proposals, ask a voter"));
+    }
+
+    @Override
+    public boolean leads() {
+        return false;
+    }
+
+    @Override
+    public long term() {
+        return 0;
+    }
+
+    @Override
+    public void close() {
+        client.close();
+        executor.shutdown();
+        keeper.close();
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/control/ReportHandler.java
@@ -0,0 +1,53 @@
+package tinford.fleet.control;
+
+import io.undertow.server.HttpHandler;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.PathTemplateMatch;
+import io.undertow.util.StatusCodes;
+import tinford.fleet.config.ConfigurationCodec;
+import tinford.fleet.config.ConfigurationLimits;
+import tinford.fleet.config.Fault;
+import tinford.fleet.config.FollowerReport;
+import tinford.fleet.config.InvalidConfiguration;
+
+/** {@code POST /followers/ID}: a follower tells what is in force there. */
+final class ReportHandler implements HttpHandler {
+    /** Of the path. */
+    static final String ID = "id";
+
+    private final FollowerReports reports;
+
+    ReportHandler(FollowerReports reports) {
+        this.reports = reports;
+    }
+
+    @Override
+    public void handleRequest(HttpServerExchange exchange) {
+        String follower =
+                exchange.getAttachment(PathTemplateMatch.ATTACHMENT_KEY).getParameters().get(ID);
+        RequestBody.read(
+                exchange, ConfigurationLimits.REPORT_BYTES, body -> take(exchange, follower, body));
+    }
+
+    private void take(HttpServerExchange exchange, String follower, byte[] body) {
+        FollowerReport report;
+        try {
+            report = ConfigurationCodec.decodeReport(body);
+            if (!report.follower().equals(follower)) {
+                throw new InvalidConfiguration("follower", "the id in the path, " + follower);
+            }
+        } catch (InvalidConfiguration e) {
+            JsonResponse.sendFault(exchange, StatusCodes.BAD_REQUEST, e.fault());
+            return;
+        }
+        if (!reports.report(report)) {
+            JsonResponse.sendFault(
+                    exchange,
+                    StatusCodes.SERVICE_UNAVAILABLE,
+                    new Fault("follower", "fewer followers at this server"));
+            return;
+        }
+        exchange.setStatusCode(StatusCodes.NO_CONTENT);
+        exchange.endExchange();
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/control/SnapshotKeeper.java
@@ -0,0 +1,78 @@
+package tinford.fleet.control;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import tinford.fleet.config.Configuration;
+import tinford.fleet.follow.SnapshotFile;
+
+/**
+ * Keeps what a replica serves on its disk. Writes on a thread of its own; of revisions that come
+ * while it writes, only the latest is written.
+ */
+final class SnapshotKeeper implements AutoCloseable {
+    private static final long CLOSE_WITHIN_MS = 2000;
+
+    private final SnapshotFile file;
+    private final RevisionFeed feed;
+    private final ExecutorService writer = Executors.newSingleThreadExecutor(SnapshotKeeper::named);
+    private final AtomicBoolean scheduled = new AtomicBoolean();
+
+    SnapshotKeeper(SnapshotFile file, RevisionFeed feed) {
+        this.file = file;
+        this.feed = feed;
+    }
+
+    private static Thread named(Runnable task) {
+        Thread thread = new Thread(task, "control-snapshot-file");
+        thread.setDaemon(true);
+        return thread;
+    }
+
+    /** Feeds what the disk has, if it can be used. */
+    void load() {
+        SnapshotFile.Loaded loaded = file.read();
+        if (loaded.configuration() == null) {
+            ControlLog.snapshotNotRead(loaded.problem());
+        } else {
+            feed.replace(loaded.configuration(), List.of());
+        }
+    }
+
+    void saveSoon() {
+        if (!scheduled.compareAndSet(false, true)) {
+            return;
+        }
+        try {
+            writer.execute(this::save);
+        } catch (RejectedExecutionException e) {
+            ControlLog.snapshotNotKept(e); // it is being closed
+        }
+    }
+
+    private void save() {
+        scheduled.set(false);
+        Configuration configuration = feed.current();
+        try {
+            file.write(configuration);
+        } catch (IOException e) {
+            ControlLog.snapshotNotKept(e);
+        }
+    }
+
+    /** Returns once what was to be written is. */
+    @Override
+    public void close() {
+        writer.shutdown();
+        try {
+            writer.awaitTermination(CLOSE_WITHIN_MS, TimeUnit.MILLISECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        file.close();
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/control/WatchHub.java
@@ -0,0 +1,65 @@
+package tinford.fleet.control;
+
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+
+/**
+ * The watches that are open: one a follower, {@code capacity} at most. Wakes all of them when there
+ * is a new revision. Thread-safe.
+ */
+final class WatchHub {
+    private final Map<String, WatchStream> streams = new ConcurrentHashMap<>();
+    private final int capacity;
+
+    WatchHub(int capacity) {
+        this.capacity = capacity;
+    }
+
+    /**
+     * Takes in a watch, in place of an earlier one of the same follower.
+     *
+     * @return false when there are too many
+     */
+    boolean add(WatchStream stream) {
+        String follower = stream.request().follower();
+        WatchStream earlier;
+        synchronized (this) {
+            if (streams.size() >= capacity && !streams.containsKey(follower)) {
+                return false;
+            }
+            earlier = streams.put(follower, stream);
+        }
+        if (earlier != null) {
+            earlier.closeSoon();
+        }
+        return true;
+    }
+
+    void remove(WatchStream stream) {
+        streams.remove(stream.request().follower(), stream);
+    }
+
+    void wakeAll() {
+        streams.values().forEach(WatchStream::wake);
+    }
+
+    void closeAll() {
+        streams.values().forEach(WatchStream::closeSoon);
+    }
+
+    Set<String> followers() {
+        return Set.copyOf(streams.keySet());
+    }
+
+    int size() {
+        return streams.size();
+    }
+
+    /**
+     * Bytes of lines that followers have not taken in yet; lines that they share count for each.
+     */
+    long pendingBytes() {
+        return streams.values().stream().mapToLong(WatchStream::pendingBytes).sum();
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsKey.java
@@ -0,0 +1,59 @@
+package tinford.fleet.settings;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * One key of a schema: its type, and the value it has where it is left out.
+ *
+ * @param absent null where the key is required
+ */
+record SettingsKey(Type type, String expected, double least, double most, Object absent) {
+    /** The types of values. */
+    enum Type {
+        NUMBER,
+        FLAG,
+        TEXT,
+        TEXTS
+    }
+
+    static SettingsKey number(double least, double most, Double absent) {
+        String expected = "a number from " + plain(least) + " to " + plain(most);
+        return new SettingsKey(Type.NUMBER, expected, least, most, absent);
+    }
+
+    static SettingsKey of(Type type, String expected, Object absent) {
+        return new SettingsKey(type, expected, 0, 0, absent);
+    }
+
+    /** The value, or null where it is not as expected. */
+    Object value(JsonNode node) {
+        return switch (type) {
+            case NUMBER -> number(node);
+            case FLAG -> node.isBoolean() ? node.booleanValue() : null;
+            case TEXT -> node.isTextual() && !node.textValue().isBlank() ? node.textValue() : null;
+            case TEXTS -> texts(node);
+        };
+    }
+
+    private Double number(JsonNode node) {
+        double number = node.isNumber() ? node.doubleValue() : Double.NaN;
+        return number >= least && number <= most ? (Double) number : null;
+    }
+
+    private static List<String> texts(JsonNode node) {
+        List<String> texts = new ArrayList<>();
+        for (JsonNode each : node) {
+            if (!each.isTextual()) {
+                return null;
+            }
+            texts.add(each.textValue());
+        }
+        return node.isArray() ? texts : null;
+    }
+
+    private static String plain(double number) {
+        return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/settings/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * Operator files in TOML: a schema of typed keys, and readers that tell every fault at once with
+ * file, line, key and what was expected.
+ */
+package tinford.fleet.settings;
