--- a/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
@@ -7,7 +7,6 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.regex.Pattern;
-import tinford.fleet.config.ConfigurationLimits;
 import tinford.fleet.config.Endpoint;
 import tinford.fleet.control.ControlSettings.VoterSettings;
 import tinford.fleet.control.ControlSettings.WatchTiming;
@@ -35,8 +34,6 @@
                     .number("voters.decide_ms", 5000, 500, 10_000)
                     .texts("replica.upstream", "a list of region=host:port, all voters");
 
-    private static final Pattern NAME =
-            Pattern.compile("[A-Za-z0-9._:-]{1," + ConfigurationLimits.NAME_LENGTH + "}");
     private static final Pattern NUMBER = Pattern.compile("[1-9][0-9]{0,2}");
 
     private final Settings settings;
@@ -80,12 +77,8 @@
 
     private String name(String key) {
         String text = settings.text(key);
-        if (!NAME.matcher(text).matches()) {
-            fault(
-                    key,
-                    "1 to "
-                            + ConfigurationLimits.NAME_LENGTH
-                            + " of letters, digits, '.', '_', ':', '-'");
+        if (!FollowerName.isValid(text)) {
+            fault(key, FollowerName.EXPECTED);
         }
         return text;
     }
--- a/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
+++ b/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
@@ -2,14 +2,10 @@
 
 import io.undertow.server.HttpServerExchange;
 import java.util.Deque;
-import java.util.regex.Pattern;
-import tinford.fleet.config.ConfigurationLimits;
 import tinford.fleet.config.InvalidConfiguration;
 
 /** Reads the query of a request for a watch. */
 final class QueryParameters {
-    private static final Pattern NAME =
-            Pattern.compile("[A-Za-z0-9._:-]{1," + ConfigurationLimits.NAME_LENGTH + "}");
 
     private QueryParameters() {}
 
@@ -47,12 +43,8 @@
     }
 
     private static void checkName(String key, String text) throws InvalidConfiguration {
-        if (!NAME.matcher(text).matches()) {
-            throw new InvalidConfiguration(
-                    key,
-                    "1 to "
-                            + ConfigurationLimits.NAME_LENGTH
-                            + " of letters, digits, '.', '_', ':', '-'");
+        if (!FollowerName.isValid(text)) {
+            throw new InvalidConfiguration(key, FollowerName.EXPECTED);
         }
     }
 
