--- a/fleet/src/main/java/tinford/fleet/control/ControlSettings.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlSettings.java
@@ -55,6 +55,6 @@
      */
     public record WatchTiming(long heartbeatMs, long stallMs, long lineMs) {
         /** What a server uses where its operator file says nothing else. */
-        public static final WatchTiming STANDARD = new WatchTiming(1000, 5000, 60_000);
+        public static final WatchTiming STANDARD = new WatchTiming(1000, 5000, 15_000);
     }
 }
--- /dev/null
+++ b/fleet/src/test/java/tinford/fleet/control/DrivenLogs.java
@@ -0,0 +1,84 @@
+package tinford.fleet.control;
+
+import java.util.Random;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.Executors;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.TimeUnit;
+import tinford.fleet.store.Log;
+import tinford.fleet.store.MemoryLogs;
+
+/** Logs in memory for servers with threads: driven by a thread of their own, one call at a time. */
+final class DrivenLogs implements AutoCloseable {
+    private static final double DELAY_MS = 2;
+    private static final double SILENCE_MS = 50;
+    private static final double APPEND_MS = 300;
+    private static final int IN_FLIGHT = 64;
+    private static final int SNAPSHOT_ENTRIES = 1000;
+
+    private final MemoryLogs logs;
+    private final ScheduledExecutorService driver = Executors.newSingleThreadScheduledExecutor();
+
+    DrivenLogs(int size) {
+        logs =
+                new MemoryLogs(
+                        size,
+                        DELAY_MS,
+                        SILENCE_MS,
+                        APPEND_MS,
+                        IN_FLIGHT,
+                        SNAPSHOT_ENTRIES,
+                        new Random(1));
+        driver.scheduleAtFixedRate(this::advance, 0, 1, TimeUnit.MILLISECONDS);
+    }
+
+    private synchronized void advance() {
+        logs.advance(System.nanoTime() / 1e6);
+    }
+
+    synchronized void cut(int one, int other) {
+        logs.cut(one, other);
+    }
+
+    synchronized void heal() {
+        logs.heal();
+    }
+
+    synchronized Log open(int number, Log.Reader reader) {
+        Log log = logs.open(number, reader);
+        return new Log() {
+            @Override
+            public CompletableFuture<Long> append(byte[] entry) {
+                synchronized (DrivenLogs.this) {
+                    return log.append(entry);
+                }
+            }
+
+            @Override
+            public boolean leads() {
+                synchronized (DrivenLogs.this) {
+                    return log.leads();
+                }
+            }
+
+            @Override
+            public long term() {
+                synchronized (DrivenLogs.this) {
+                    return log.term();
+                }
+            }
+
+            @Override
+            public void close() {
+                synchronized (DrivenLogs.this) {
+                    log.close();
+                }
+            }
+        };
+    }
+
+    @Override
+    public void close() {
+        driver.shutdownNow();
+    }
+}
--- /dev/null
+++ b/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
@@ -0,0 +1,130 @@
+package tinford.fleet.control;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertNotSame;
+import static org.testng.Assert.assertNull;
+import static org.testng.Assert.assertSame;
+import static org.testng.Assert.assertTrue;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Queue;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+import tinford.fleet.config.Change;
+import tinford.fleet.config.Configuration;
+import tinford.fleet.config.Service;
+import tinford.fleet.config.Update;
+
+/** Which line a follower gets next, and what is kept for it. */
+public class RevisionFeedTest {
+    private Queue<Runnable> tasks;
+    private RevisionFeed feed;
+
+    @BeforeMethod
+    public void start() {
+        tasks = new ArrayDeque<>();
+        feed = new RevisionFeed("fleet", tasks::add);
+    }
+
+    private void append(int changes) {
+        Configuration before = feed.current();
+        long revision = before.revision() + 1;
+        List<Change> list = new ArrayList<>();
+        for (int i = 0; i < changes; i++) {
+            list.add(new Change.PutService(new Service("service-" + revision + "-" + i)));
+        }
+        Update update = new Update(before.revision(), revision, list);
+        feed.append(before.with(revision, list), update);
+    }
+
+    private void runTasks() {
+        while (!tasks.isEmpty()) {
+            tasks.remove().run();
+        }
+    }
+
+    @Test
+    public void updatesKeptAreBoundedByCount() {
+        for (int i = 0; i < RevisionFeed.MAX_LINES + 10; i++) {
+            append(1);
+        }
+        assertEquals(feed.oldestRetained(), 10);
+        assertNull(feed.next(9), "a snapshot is to be made first");
+        runTasks();
+        assertEquals(feed.next(9).revision(), RevisionFeed.MAX_LINES + 10);
+        assertEquals(feed.next(10).revision(), 11);
+    }
+
+    @Test
+    public void updatesKeptAreBoundedByBytes() {
+        for (int i = 0; i < 40; i++) {
+            append(2000);
+        }
+        assertTrue(feed.cachedBytes() <= RevisionFeed.MAX_LINE_BYTES);
+        assertTrue(feed.oldestRetained() > 0);
+    }
+
+    @Test
+    public void followersAtTheSameRevisionShareTheBytes() {
+        append(1);
+        assertSame(feed.next(0).bytes(), feed.next(0).bytes());
+        assertNull(feed.next(1));
+        assertNull(feed.next(2), "ahead of the server");
+    }
+
+    @Test
+    public void oneSnapshotServesWhileUpdatesLeadOnFromIt() {
+        Configuration far = Configuration.EMPTY.with(50, List.of());
+        feed.replace(far, List.of());
+        assertNull(feed.next(3));
+        assertNull(feed.next(4));
+        assertEquals(tasks.size(), 1);
+        runTasks();
+        Line snapshot = feed.next(3);
+        append(1);
+        append(1);
+        assertSame(feed.next(4), snapshot);
+        assertEquals(feed.next(50).revision(), 51);
+        assertTrue(tasks.isEmpty());
+    }
+
+    @Test
+    public void aSnapshotThatNoUpdateLeadsOnFromIsMadeAnew() {
+        feed.replace(Configuration.EMPTY.with(50, List.of()), List.of());
+        feed.next(0);
+        runTasks();
+        Line earlier = feed.next(0);
+        for (int i = 0; i <= RevisionFeed.MAX_LINES; i++) {
+            append(1);
+        }
+        assertNull(feed.next(0));
+        runTasks();
+        assertNotSame(feed.next(0), earlier);
+        assertEquals(feed.next(0).revision(), feed.current().revision());
+    }
+
+    @Test
+    public void aSnapshotThatIsOutOfDateWhenItIsReadyStillServes() {
+        feed.replace(Configuration.EMPTY.with(50, List.of()), List.of());
+        feed.next(0);
+        Runnable making = tasks.remove();
+        append(1);
+        making.run();
+        assertEquals(feed.next(0).revision(), 51);
+    }
+
+    @Test
+    public void listenersHearOfChangesAndOfSnapshots() {
+        int[] calls = new int[1];
+        feed.addListener(() -> calls[0]++);
+        append(1);
+        assertEquals(calls[0], 1);
+        feed.replace(Configuration.EMPTY.with(50, List.of()), List.of());
+        assertEquals(calls[0], 2);
+        feed.next(0);
+        runTasks();
+        assertEquals(calls[0], 3);
+    }
+}
--- /dev/null
+++ b/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
@@ -0,0 +1,164 @@
+package tinford.fleet.control;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.Test;
+import tinford.fleet.config.Change;
+import tinford.fleet.config.Configuration;
+import tinford.fleet.config.Plan;
+import tinford.fleet.config.SnapshotCodec;
+import tinford.fleet.config.Tenant;
+import tinford.fleet.config.Update;
+import tinford.fleet.config.WatchMessage;
+import tinford.fleet.control.ControlSettings.WatchTiming;
+
+/** What followers cost a server: those that stall, those that are many or far behind. */
+public class WatchLoadTest {
+    private final ControlClient client = new ControlClient();
+    private final RevisionFeed[] feed = new RevisionFeed[1];
+    private ControlServer server;
+
+    @AfterMethod(alwaysRun = true)
+    public void stop() {
+        server.close();
+    }
+
+    private void start(int followers, WatchTiming timing) throws Exception {
+        server = TestServers.fed(feed, followers, timing);
+    }
+
+    private JsonNode status() throws Exception {
+        return client.get(server.address(), "/status").body();
+    }
+
+    /** One change of many tenants, so that a line is larger than what sockets buffer. */
+    private void appendLarge(int tenants) {
+        Configuration before = feed[0].current();
+        List<Change> changes = new ArrayList<>();
+        if (before.revision() == 0) {
+            changes.add(new Change.PutPlan(new Plan("team", 5, 5, 0, 1, 0, 0, 0, 0, 0)));
+        }
+        for (int i = 0; i < tenants; i++) {
+            changes.add(new Change.PutTenant(new Tenant(i * 7_919L, "team")));
+        }
+        long revision = before.revision() + 1;
+        feed[0].append(
+                before.with(revision, changes), new Update(before.revision(), revision, changes));
+    }
+
+    @Test
+    public void aStalledFollowerCostsOneLineAndIsClosed() throws Exception {
+        start(10, TestServers.FAST);
+        try (WatchConnection stalled = WatchConnection.open(server, "gw-1", 0);
+                WatchConnection reading = WatchConnection.open(server, "gw-2", 0)) {
+            reading.head();
+            Eventually.holds("both watch", () -> status().path("followers").asInt() == 2);
+            long largest = 0;
+            for (int revision = 1; revision <= 30; revision++) {
+                appendLarge(8_000);
+                WatchMessage.UpdateMessage message = (WatchMessage.UpdateMessage) reading.message();
+                assertEquals(message.update().revision(), revision);
+                largest = Math.max(largest, status().path("pendingBytes").asLong());
+            }
+            long line = feed[0].next(29).bytes().length;
+            assertTrue(line > 300_000, "a line of " + line);
+            assertTrue(largest <= 2 * line, largest + " bytes for lines of " + line);
+            Eventually.holds(
+                    "the stalled one is closed", () -> status().path("followers").asInt() == 1);
+            assertEquals(status().path("pendingBytes").asLong(), 0);
+            appendLarge(1);
+            assertEquals(((WatchMessage.UpdateMessage) reading.message()).update().revision(), 31);
+        }
+    }
+
+    @Test
+    public void aFollowerThatIsTooFarBehindGetsTheSharedSnapshotAndThenUpdates() throws Exception {
+        start(10, TestServers.FAST);
+        Configuration far = Configuration.EMPTY;
+        far = far.with(40, List.of(new Change.PutPlan(new Plan("p", 1, 1, 0, 1, 0, 0, 0, 0, 0))));
+        feed[0].replace(far, List.of());
+        List<WatchConnection> watches = new ArrayList<>();
+        try {
+            for (int i = 0; i < 5; i++) {
+                watches.add(WatchConnection.open(server, "gw-" + i, i));
+            }
+            for (WatchConnection watch : watches) {
+                watch.head();
+                WatchMessage.SnapshotMessage snapshot =
+                        (WatchMessage.SnapshotMessage) watch.message();
+                assertEquals(snapshot.revision(), 40);
+                Configuration decoded =
+                        new SnapshotCodec(TestServers.FLEET).decode(snapshot.data());
+                assertEquals(decoded.contentHash(), far.contentHash());
+            }
+            appendLarge(3);
+            for (WatchConnection watch : watches) {
+                WatchMessage.UpdateMessage message = (WatchMessage.UpdateMessage) watch.message();
+                assertEquals(message.update().fromRevision(), 40);
+            }
+        } finally {
+            for (WatchConnection watch : watches) {
+                watch.close();
+            }
+        }
+    }
+
+    @Test
+    public void moreFollowersThanAllowedAreTurnedAway() throws Exception {
+        start(2, TestServers.FAST);
+        try (WatchConnection first = WatchConnection.open(server, "gw-1", 0);
+                WatchConnection second = WatchConnection.open(server, "gw-2", 0)) {
+            assertTrue(first.head().contains(" 200 "));
+            assertTrue(second.head().contains(" 200 "));
+            try (WatchConnection third = WatchConnection.open(server, "gw-3", 0)) {
+                assertTrue(third.head().contains(" 503 "));
+            }
+            assertEquals(status().path("followers").asInt(), 2);
+        }
+    }
+
+    @Test
+    public void aSecondWatchOfTheSameFollowerEndsTheFirst() throws Exception {
+        start(2, TestServers.FAST);
+        try (WatchConnection first = WatchConnection.open(server, "gw-1", 0)) {
+            first.head();
+            try (WatchConnection second = WatchConnection.open(server, "gw-1", 0)) {
+                second.head();
+                assertEquals(second.line(), "");
+                while (first.line() != null) {
+                    // heartbeats from before it was ended
+                }
+                assertEquals(second.line(), "");
+                assertEquals(status().path("followers").asInt(), 1);
+            }
+        }
+    }
+
+    @Test
+    public void aThousandFollowersAllGetAChange() throws Exception {
+        start(1000, new WatchTiming(1000, 5000, 15_000));
+        List<WatchConnection> watches = new ArrayList<>();
+        try {
+            for (int i = 0; i < 1000; i++) {
+                WatchConnection watch = WatchConnection.open(server, "gw-" + i, 0);
+                watches.add(watch);
+                watch.head();
+            }
+            appendLarge(2);
+            for (WatchConnection watch : watches) {
+                WatchMessage.UpdateMessage message = (WatchMessage.UpdateMessage) watch.message();
+                assertEquals(message.update().revision(), 1);
+            }
+            assertEquals(status().path("followers").asInt(), 1000);
+        } finally {
+            for (WatchConnection watch : watches) {
+                watch.close();
+            }
+        }
+    }
+}
