--- a/fleet/src/main/java/tinford/fleet/run/Agreed.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
@@ -8,58 +8,41 @@
 import java.io.UncheckedIOException;
 import java.util.Map;
 import tinford.fleet.budgets.Ledger;
-import tinford.fleet.budgets.Statics;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Term;
-import tinford.fleet.members.Terms;
+import tinford.fleet.budgets.StaticShares;
+import tinford.fleet.members.Leases;
 import tinford.fleet.moves.Entry;
 import tinford.fleet.moves.Moves;
 import tinford.fleet.store.Log;
 
 /**
- * What the log's entries have come to: terms and budgets, and moves, each taking its own entries. A
+ * The state machine that reads the log: leases, budgets and moves, each taking its own entries. A
  * process has it twice: on the log's thread for snapshots, and on the I/O thread, where it is acted
  * on; both see the same entries in the same order.
  */
-final class Agreed implements Log.Reader {
-    final Terms terms;
+final class FleetStateMachine implements Log.Reader {
+    final Leases leases;
     final Ledger ledger;
     final Moves moves;
 
     /**
      * @param homes the group of each frontend that may move
      */
-    Agreed(
+    FleetStateMachine(
             int gateways,
-            double term,
+            double leaseMs,
             double apart,
             double linger,
-            Statics statics,
+            StaticShares staticShares,
             Map<String, String> homes) {
-        terms = new Terms(gateways, term, apart, linger);
-        ledger = new Ledger(terms, statics);
-        moves =
-                new Moves(
-                        homes,
-                        since -> {
-                            java.util.ArrayList<Life> lives = new java.util.ArrayList<>();
-                            for (int g = 0; g < gateways; g++) {
-                                for (Life life : terms.of(g)) {
-                                    Term t = terms.of(life);
-                                    if (t != null && !t.surelyOver(since, apart)) {
-                                        lives.add(life);
-                                    }
-                                }
-                            }
-                            return lives;
-                        },
-                        apart);
+        leases = new Leases(gateways, leaseMs, apart, linger);
+        ledger = new Ledger(leases, staticShares);
+        moves = new Moves(homes, leases::notSurelyOver, apart);
     }
 
     @Override
     public void apply(long index, byte[] entry) {
         if (entry.length > 0 && entry[0] == Entry.MARK) {
-            moves.seen(terms.now());
+            moves.seen(leases.now());
             moves.apply(index, entry);
         } else {
             ledger.apply(index, entry);
--- a/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
@@ -8,15 +8,15 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Leases;
 
 /**
  * A fleet in driven time: gateways with their ledgers, a log that loses, doubles and delays what is
  * offered, servers that count.
  */
 final class Fleet {
-    static final double TERM = 3000;
+    static final double LEASE = 3000;
     static final double MARGIN = 300;
     static final double APART = 200;
     static final double LINGER = 1500;
@@ -57,10 +57,10 @@
         }
 
         void start(double linger) {
-            ledger = ledgers.apply(statics);
+            ledger = ledgers.apply(staticShares);
             applied = 0;
             double own = now + offset;
-            share = shares.make(ledger, new Life(number, (long) own), own + linger);
+            share = shares.make(ledger, new Incarnation(number, (long) own), own + linger);
             proposer = new Proposer(plans, EVERY);
             // Half of those that start are handed a snapshot of another's.
             Gateway other = linger > 0 ? gateways.get((number + 1) % gateways.size()) : this;
@@ -76,7 +76,7 @@
     }
 
     interface Make {
-        Share make(Ledger ledger, Life life, double staticFrom);
+        Share make(Ledger ledger, Incarnation incarnation, double staticFrom);
     }
 
     final Random random;
@@ -89,9 +89,9 @@
     final List<Conn> orphans = new ArrayList<>();
     final List<byte[]> log = new ArrayList<>();
     private final TreeMap<Double, List<byte[]>> coming = new TreeMap<>();
-    final Statics statics;
+    final StaticShares staticShares;
     final LongFunction<Proposer.Plan> plans;
-    Function<Statics, Ledger> ledgers;
+    Function<StaticShares, Ledger> ledgers;
     Make shares;
     boolean faults;
     double now = 1_000_000;
@@ -109,13 +109,13 @@
             Map<String, Integer> offers,
             double part,
             LongFunction<Proposer.Plan> plans,
-            Function<Statics, Ledger> ledgers,
+            Function<StaticShares, Ledger> ledgers,
             Make shares) {
         random = new Random(seed);
         this.offers.putAll(offers);
         this.plans = plans;
-        statics = new Statics(offers, part, size);
-        this.ledgers = ledgers != null ? ledgers : s -> new Ledger(terms(size), s);
+        staticShares = new StaticShares(offers, part, size);
+        this.ledgers = ledgers != null ? ledgers : s -> new Ledger(leases(size), s);
         this.shares = shares != null ? shares : this::share;
         for (int g = 0; g < size; g++) {
             gateways.add(new Gateway(g, size == 1 ? 0 : (g % 3 - 1) * APART / 2));
@@ -123,19 +123,20 @@
         offers.forEach((s, n) -> log.add(Ledger.offer(s, 1, n, now)));
     }
 
-    static Terms terms(int size) {
-        return new Terms(size, TERM, APART, LINGER);
+    static Leases leases(int size) {
+        return new Leases(size, LEASE, APART, LINGER);
     }
 
-    Share share(Ledger ledger, Life life, double staticFrom) {
-        return new Share(ledger, statics, plans, life, TERM, MARGIN, EVERY, KEEP, staticFrom);
+    Share share(Ledger ledger, Incarnation incarnation, double staticFrom) {
+        return new Share(
+                ledger, staticShares, plans, incarnation, LEASE, MARGIN, EVERY, KEEP, staticFrom);
     }
 
     void offer(String server, int offer, long start) {
         double[] l = lately.computeIfAbsent(server, s -> new double[2]);
         if (offer < offers.get(server)) {
             l[0] = Math.max(now < l[1] ? l[0] : 0, offers.get(server));
-            l[1] = now + 4 * EVERY + 2 * (TERM + APART + LINGER);
+            l[1] = now + 4 * EVERY + 2 * (LEASE + APART + LINGER);
         }
         offers.put(server, offer);
         log.add(Ledger.offer(server, start, offer, now));
@@ -184,8 +185,10 @@
     private void wrong(Gateway g) {
         if (g.ledger != null && !g.ledger.holders.isEmpty()) {
             List<Ledger.Line> lines = new ArrayList<>();
-            for (Life life : g.ledger.holders.keySet()) {
-                lines.add(new Ledger.Line(life, random.nextInt(offers.size()), random.nextInt(60)));
+            for (Incarnation incarnation : g.ledger.holders.keySet()) {
+                lines.add(
+                        new Ledger.Line(
+                                incarnation, random.nextInt(offers.size()), random.nextInt(60)));
             }
             log.add(Ledger.grant(log.size(), now + g.offset, lines, List.of()));
         }
