--- a/fleet/src/main/java/tinford/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlServer.java
@@ -38,6 +38,7 @@
 
     private static final int HEAD_WITHIN_MS = 5000;
     private static final int IDLE_CONNECTION_MS = 60_000;
+    private static final int CLOSE_WITHIN_MS = 2000;
 
     /** Makes the role that feeds the server. */
     interface RoleOpener {
@@ -126,6 +127,7 @@
                 .setServerOption(UndertowOptions.MAX_PARAMETERS, PARAMETERS)
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEAD_WITHIN_MS)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_CONNECTION_MS)
+                .setServerOption(UndertowOptions.SHUTDOWN_TIMEOUT, CLOSE_WITHIN_MS)
                 .setSocketOption(Options.SEND_BUFFER, SEND_BUFFER_BYTES)
                 .setSocketOption(Options.CONNECTION_HIGH_WATER, connections)
                 .setSocketOption(Options.CONNECTION_LOW_WATER, connections)
--- a/fleet/src/main/java/tinford/fleet/control/WatchHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchHandler.java
@@ -31,7 +31,6 @@
             JsonResponse.sendFault(exchange, StatusCodes.BAD_REQUEST, e.fault());
             return;
         }
-        exchange.setPersistent(false);
         WatchStream stream = new WatchStream(request, exchange, feed, timing, hub::remove);
         if (request.watch() && !hub.add(stream)) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, "1");
--- a/fleet/src/main/java/tinford/fleet/control/WatchStream.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchStream.java
@@ -41,6 +41,7 @@
 
     private long lineStartedAt;
     private long progressAt;
+    private boolean lineSinceTick;
     private boolean ending;
     private boolean closed;
     private volatile long sentRevision;
@@ -77,7 +78,9 @@
 
     /** On the I/O thread, once. */
     void start() {
-        exchange.getConnection().addCloseListener(connection -> thread.execute(this::close));
+        if (request.watch()) {
+            exchange.getConnection().addCloseListener(connection -> thread.execute(this::close));
+        }
         channel = exchange.getResponseChannel();
         if (channel == null || !exchange.getConnection().isOpen()) {
             close();
@@ -133,6 +136,7 @@
             return false;
         }
         sentRevision = line.revision();
+        lineSinceTick = true;
         begin(line.bytes());
         ending = !request.watch();
         return true;
@@ -189,9 +193,10 @@
             }
             return;
         }
-        if (request.watch()) {
+        if (request.watch() && !lineSinceTick) {
             begin(HEARTBEAT);
         }
+        lineSinceTick = false;
         advance();
     }
 
