--- a/fleet/src/test/java/tinford/fleet/control/WatchConnection.java
+++ b/fleet/src/test/java/tinford/fleet/control/WatchConnection.java
@@ -20,26 +20,42 @@
     private String chunk = "";
 
     WatchConnection(InetSocketAddress server, String query) throws IOException {
-        socket.setReceiveBufferSize(SMALL_BUFFER);
+        this(server, query, 0);
+    }
+
+    /**
+     * @param receiveBuffer of the operating system; 0 for what is usual
+     */
+    private WatchConnection(InetSocketAddress server, String query, int receiveBuffer)
+            throws IOException {
+        if (receiveBuffer > 0) {
+            socket.setReceiveBufferSize(receiveBuffer);
+        }
         socket.setSoTimeout(PATIENCE_MS);
         socket.connect(server);
         reader =
                 new BufferedReader(
-                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII),
-                        SMALL_BUFFER);
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         send("GET /configuration?" + query + " HTTP/1.1\r\nHost: control\r\n\r\n");
     }
 
     static WatchConnection open(ControlServer server, String follower, long after)
             throws IOException {
-        return new WatchConnection(
-                server.address(),
-                "watch=1&after="
-                        + after
-                        + "&follower="
-                        + follower
-                        + "&region=east&fleet="
-                        + TestServers.FLEET);
+        return new WatchConnection(server.address(), query(follower, after));
+    }
+
+    /** For a follower that does not read: little is taken in by the operating system. */
+    static WatchConnection openStalled(ControlServer server, String follower) throws IOException {
+        return new WatchConnection(server.address(), query(follower, 0), SMALL_BUFFER);
+    }
+
+    private static String query(String follower, long after) {
+        return "watch=1&after="
+                + after
+                + "&follower="
+                + follower
+                + "&region=east&fleet="
+                + TestServers.FLEET;
     }
 
     private void send(String text) throws IOException {
--- a/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
@@ -54,7 +54,7 @@
     @Test
     public void aStalledFollowerCostsOneLineAndIsClosed() throws Exception {
         start(10, TestServers.FAST);
-        try (WatchConnection stalled = WatchConnection.open(server, "gw-1", 0);
+        try (WatchConnection stalled = WatchConnection.openStalled(server, "gw-1");
                 WatchConnection reading = WatchConnection.open(server, "gw-2", 0)) {
             reading.head();
             Eventually.holds("both watch", () -> status().path("followers").asInt() == 2);
