--- a/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
+++ b/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
@@ -1,7 +1,10 @@
 package tinford.fleet.follow;
 
 import java.io.IOException;
+import java.nio.channels.FileChannel;
+import java.nio.channels.OverlappingFileLockException;
 import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
 import tinford.fleet.config.Configuration;
 import tinford.fleet.config.InvalidConfiguration;
 import tinford.fleet.config.SnapshotCodec;
@@ -27,16 +30,15 @@
     /** Revisions order the contents; how a clock was set since does not matter. */
     private static final double ANY_DATE = Double.POSITIVE_INFINITY;
 
+    private final Path lockFile;
     private final Store store;
     private final SnapshotCodec codec;
+    private FileChannel lock;
 
     /** In a folder that lasts, for the configuration of one fleet. */
     public SnapshotFile(Path folder, String fleetId) {
-        this(new FileStore(folder, NAME, LARGEST_BYTES, ANY_DATE), fleetId);
-    }
-
-    SnapshotFile(Store store, String fleetId) {
-        this.store = store;
+        this.lockFile = folder.resolve(NAME + ".lock");
+        this.store = new FileStore(folder, NAME, LARGEST_BYTES, ANY_DATE);
         this.codec = new SnapshotCodec(fleetId);
     }
 
@@ -53,13 +55,37 @@
         }
     }
 
-    /** Returns once it lasts; where it fails, the one before is still there. */
+    /**
+     * Returns once it lasts; where it fails, the one before is still there. Fails also while another
+     * process of the same gateway writes there, as one does that is being replaced.
+     */
     public void write(Configuration configuration) throws IOException {
+        if (lock == null) {
+            lock = acquireLock();
+        }
         store.write(codec.encode(configuration), System.currentTimeMillis());
     }
 
+    private FileChannel acquireLock() throws IOException {
+        FileChannel channel =
+                FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        try {
+            if (channel.tryLock() != null) {
+                return channel;
+            }
+        } catch (OverlappingFileLockException e) {
+            channel.close();
+            throw new IOException(lockFile + ": held within this process", e);
+        }
+        channel.close();
+        throw new IOException(lockFile + ": held by another process");
+    }
+
     @Override
-    public void close() {
+    public void close() throws IOException {
         store.close();
+        if (lock != null) {
+            lock.close();
+        }
     }
 }
