--- a/fleet/src/main/java/tinford/fleet/budgets/Cost.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Cost.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Random;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Leases;
 
 /**
  * Prints what one proposal and its entry cost in processor time as servers, gateways, accounts and
@@ -48,7 +48,7 @@
             offers.put("server-" + s, 100);
         }
         Ledger ledger =
-                new Ledger(new Terms(size[1], 1e6, 100, 1000), new Statics(offers, 0.1, size[1]));
+                new Ledger(new Leases(size[1], 1e6, 100, 1000), new Statics(offers, 0.1, size[1]));
         long index = 0;
         for (Map.Entry<String, Integer> e : offers.entrySet()) {
             ledger.apply(++index, Ledger.offer(e.getKey(), 1, e.getValue(), 1));
@@ -67,20 +67,24 @@
                 }
             }
             for (int g = 0; g < size[1]; g++) {
-                Life life = new Life(g, 1);
+                Incarnation incarnation = new Incarnation(g, 1);
                 if (first) {
-                    ledger.apply(++index, Terms.renew(life, 1, 1e6));
+                    ledger.apply(++index, Leases.renew(incarnation, 1, 1e6));
                 }
                 // All that was taken back is let go.
                 Map<Integer, Integer> held = new LinkedHashMap<>();
-                Ledger.Holder h = ledger.holders.get(life);
+                Ledger.Holder h = ledger.holders.get(incarnation);
                 if (h != null) {
                     h.cells.forEach((s, c) -> held.put(s, c.granted));
                 }
                 ledger.apply(
                         ++index,
                         Ledger.tell(
-                                life, 2 + round, index, wanted.getOrDefault(g, Map.of()), held));
+                                incarnation,
+                                2 + round,
+                                index,
+                                wanted.getOrDefault(g, Map.of()),
+                                held));
             }
             Proposer proposer = new Proposer(a -> new Proposer.Plan(1 + (int) (a % 4), 1, 1000), 0);
             long t = cpu();
--- a/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
@@ -13,16 +13,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Term;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Lease;
+import tinford.fleet.members.Leases;
 import tinford.fleet.store.Log;
 
 /**
  * Who was granted what at which server, by the entries of the log; the same on every member. A
  * grant is taken only where all that is granted, may be held or lingers fits in the offer less its
  * static part: here alone that promise is kept, whoever proposes. Bounds: {@link #MOST_SERVERS}
- * servers, {@link #MOST_ASKED} accounts a life, lives as {@link Terms} has.
+ * servers, {@link #MOST_ASKED} accounts an incarnation, incarnations as {@link Leases} has.
  */
 public class Ledger implements Log.Reader {
     public static final int MOST_SERVERS = 4096;
@@ -33,7 +33,7 @@
     private static final byte FORM = 1;
     private static final int MOST_COUNT = 1 << 24;
 
-    /** What one life has at one server. */
+    /** What one incarnation has at one server. */
     static final class Cell {
         int granted;
 
@@ -49,7 +49,7 @@
         double free;
 
         /** Index of the last entry that granted. */
-        long fence;
+        long fencingToken;
     }
 
     /** A server by its number here. */
@@ -66,7 +66,7 @@
         }
     }
 
-    /** All of one life. */
+    /** All of one incarnation. */
     static final class Holder {
         final TreeMap<Integer, Cell> cells = new TreeMap<>();
         final TreeMap<Long, Integer> asked = new TreeMap<>();
@@ -74,10 +74,10 @@
         double told;
     }
 
-    final Terms terms;
+    final Leases leases;
     final Statics statics;
     final List<Server> servers = new ArrayList<>();
-    final TreeMap<Life, Holder> holders = new TreeMap<>();
+    final TreeMap<Incarnation, Holder> holders = new TreeMap<>();
     private final Map<String, Integer> numbers = new LinkedHashMap<>();
     private double nextFree = Double.POSITIVE_INFINITY;
     private long last;
@@ -88,18 +88,18 @@
     private long over;
     private long grants;
 
-    public Ledger(Terms terms, Statics statics) {
-        this.terms = terms;
+    public Ledger(Leases leases, Statics statics) {
+        this.leases = leases;
         this.statics = statics;
     }
 
     /**
-     * Entry of one life: what it wants by account where that changed (0: nothing more), and what it
-     * holds beyond its static share at servers where it was granted more before, with the last
-     * index that it had read.
+     * Entry of one incarnation: what it wants by account where that changed (0: nothing more), and
+     * what it holds beyond its static share at servers where it was granted more before, with the
+     * last index that it had read.
      */
     public static byte[] tell(
-            Life life,
+            Incarnation incarnation,
             double at,
             long seen,
             Map<Long, Integer> wanted,
@@ -107,7 +107,7 @@
         return entry(
                 TELL,
                 out -> {
-                    Pack.put(out, life);
+                    Pack.put(out, incarnation);
                     out.writeDouble(at);
                     Pack.put(out, seen);
                     Pack.put(out, wanted.size());
@@ -138,8 +138,11 @@
                 });
     }
 
-    /** One line of a grant: from now on the life has that many, at a server or for an account. */
-    record Line(Life life, long what, int count) {}
+    /**
+     * One line of a grant: from now on the incarnation has that many, at a server or for an
+     * account.
+     */
+    record Line(Incarnation incarnation, long what, int count) {}
 
     /**
      * Entry of whoever leads. Lines that make less come first.
@@ -160,7 +163,7 @@
     private static void lines(DataOutputStream out, List<Line> lines) throws IOException {
         Pack.put(out, lines.size());
         for (Line l : lines) {
-            Pack.put(out, l.life);
+            Pack.put(out, l.incarnation);
             Pack.put(out, l.what);
             Pack.put(out, l.count);
         }
@@ -189,7 +192,7 @@
             return;
         }
         last = index;
-        if (!terms.apply(index, entry)) {
+        if (!leases.apply(index, entry)) {
             take(index, entry);
         }
         sweep();
@@ -222,7 +225,7 @@
     }
 
     private void told(DataInputStream in) throws IOException {
-        Life life = Pack.life(in);
+        Incarnation incarnation = Pack.incarnation(in);
         double at = at(in);
         long seen = Pack.take(in);
         Map<Long, Integer> wanted = new LinkedHashMap<>();
@@ -233,12 +236,12 @@
         for (int n = Pack.count(in, MOST_SERVERS); n > 0; n--) {
             held.put(Pack.count(in, MOST_SERVERS), Pack.count(in, MOST_COUNT));
         }
-        terms.seen(at);
-        if (terms.closed(life)) {
+        leases.seen(at);
+        if (leases.closed(incarnation)) {
             stale++;
             return;
         }
-        Holder h = holders.computeIfAbsent(life, l -> new Holder());
+        Holder h = holders.computeIfAbsent(incarnation, l -> new Holder());
         // What is let go is safe to take late; what is wanted is not.
         for (Map.Entry<Integer, Integer> e : held.entrySet()) {
             Cell c = h.cells.get(e.getKey());
@@ -264,7 +267,7 @@
         String name = in.readUTF();
         long start = Pack.take(in);
         int offer = Pack.count(in, MOST_COUNT);
-        terms.seen(at(in));
+        leases.seen(at(in));
         Integer n = numbers.get(name);
         if (n == null) {
             if (servers.size() >= MOST_SERVERS) {
@@ -289,7 +292,7 @@
         double at = at(in);
         List<Line> atServers = lines(in);
         List<Line> forAccounts = lines(in);
-        terms.seen(at);
+        leases.seen(at);
         sweep();
         if (basis < lastGrant || basis >= index) {
             stale++;
@@ -300,8 +303,8 @@
             cell(index, l);
         }
         for (Line l : forAccounts) {
-            Holder h = holders.get(l.life);
-            if (h == null || !terms.renews(l.life)) {
+            Holder h = holders.get(l.incarnation);
+            if (h == null || !leases.renews(l.incarnation)) {
                 stale++;
             } else if (l.count == 0) {
                 h.uses.remove(l.what);
@@ -314,49 +317,49 @@
     private static List<Line> lines(DataInputStream in) throws IOException {
         List<Line> lines = new ArrayList<>();
         for (int n = Pack.count(in, MOST_COUNT); n > 0; n--) {
-            lines.add(new Line(Pack.life(in), Pack.take(in), Pack.count(in, MOST_COUNT)));
+            lines.add(new Line(Pack.incarnation(in), Pack.take(in), Pack.count(in, MOST_COUNT)));
         }
         return lines;
     }
 
     private void cell(long index, Line l) {
-        Holder h = holders.get(l.life);
+        Holder h = holders.get(l.incarnation);
         if (h == null || l.what < 0 || l.what >= servers.size()) {
             stale++;
             return;
         }
         int number = (int) l.what;
         Cell c = h.cells.computeIfAbsent(number, k -> new Cell());
-        if (l.count > c.may && !fits(l.life, number, l.count - c.may)) {
+        if (l.count > c.may && !fits(l.incarnation, number, l.count - c.may)) {
             over++;
             return;
         }
-        if (l.count > c.granted && !terms.renews(l.life)) {
+        if (l.count > c.granted && !leases.renews(l.incarnation)) {
             stale++;
             return;
         }
         if (l.count < c.granted) {
             c.shrunk = index;
-            Term term = terms.of(l.life);
-            c.free = term == null ? terms.now() : free(term);
+            Lease lease = leases.of(l.incarnation);
+            c.free = lease == null ? leases.now() : free(lease);
             nextFree = Math.min(nextFree, c.free);
         }
         c.granted = l.count;
-        c.fence = index;
+        c.fencingToken = index;
         may(number, c, Math.max(c.may, l.count));
         grants++;
     }
 
     /** Whether so many more fit beside all that may be held: the promise "never over". */
-    boolean fits(Life life, int server, int more) {
+    boolean fits(Incarnation incarnation, int server, int more) {
         return servers.get(server).held + more <= pool(server);
     }
 
     /**
      * When the holder surely has let go of what it was told to, though it was never heard of again.
      */
-    double free(Term term) {
-        return term.until() + terms.apart() + terms.linger();
+    double free(Lease lease) {
+        return lease.until() + leases.apart() + leases.linger();
     }
 
     private void may(int number, Cell c, int may) {
@@ -365,21 +368,22 @@
     }
 
     private void sweep() {
-        for (Iterator<Map.Entry<Life, Holder>> it = holders.entrySet().iterator(); it.hasNext(); ) {
-            Map.Entry<Life, Holder> e = it.next();
+        for (Iterator<Map.Entry<Incarnation, Holder>> it = holders.entrySet().iterator();
+                it.hasNext(); ) {
+            Map.Entry<Incarnation, Holder> e = it.next();
             if (gone(e.getKey())) {
                 e.getValue().cells.forEach((n, c) -> may(n, c, 0));
                 it.remove();
             }
         }
-        if (terms.now() < nextFree) {
+        if (leases.now() < nextFree) {
             return;
         }
         nextFree = Double.POSITIVE_INFINITY;
         for (Holder h : holders.values()) {
             h.cells.forEach(
                     (n, c) -> {
-                        if (c.may > c.granted && terms.now() >= c.free) {
+                        if (c.may > c.granted && leases.now() >= c.free) {
                             may(n, c, c.granted);
                         } else if (c.may > c.granted) {
                             nextFree = Math.min(nextFree, c.free);
@@ -389,9 +393,9 @@
         }
     }
 
-    /** Whether nothing that the life was granted can be open. */
-    boolean gone(Life life) {
-        return terms.closed(life);
+    /** Whether nothing that the incarnation was granted can be open. */
+    boolean gone(Incarnation incarnation) {
+        return leases.closed(incarnation);
     }
 
     /** What can be granted at a server in all. */
@@ -410,8 +414,8 @@
         return last;
     }
 
-    public Terms terms() {
-        return terms;
+    public Leases leases() {
+        return leases;
     }
 
     /** Entries of kinds or forms that it does not know: each one skipped whole. */
@@ -444,16 +448,16 @@
         return servers.get(server).held;
     }
 
-    /** What one life is granted at a server. */
-    public int granted(Life life, int server) {
-        Holder h = holders.get(life);
+    /** What one incarnation is granted at a server. */
+    public int granted(Incarnation incarnation, int server) {
+        Holder h = holders.get(incarnation);
         Cell c = h == null ? null : h.cells.get(server);
         return c == null ? 0 : c.granted;
     }
 
-    /** For an account through one life. */
-    public int uses(Life life, long account) {
-        Holder h = holders.get(life);
+    /** For an account through one incarnation. */
+    public int uses(Incarnation incarnation, long account) {
+        Holder h = holders.get(incarnation);
         return h == null ? 0 : h.uses.getOrDefault(account, 0);
     }
 
@@ -462,7 +466,7 @@
         return entry(
                 FORM,
                 out -> {
-                    terms.write(out);
+                    leases.write(out);
                     Pack.put(out, last);
                     Pack.put(out, lastGrant);
                     Pack.put(out, servers.size());
@@ -472,7 +476,7 @@
                         Pack.put(out, s.offer);
                     }
                     Pack.put(out, holders.size());
-                    for (Map.Entry<Life, Holder> e : holders.entrySet()) {
+                    for (Map.Entry<Incarnation, Holder> e : holders.entrySet()) {
                         Holder h = e.getValue();
                         Pack.put(out, e.getKey());
                         out.writeDouble(h.told);
@@ -489,7 +493,7 @@
                             Pack.put(out, c.getValue().may);
                             Pack.put(out, c.getValue().shrunk);
                             out.writeDouble(c.getValue().free);
-                            Pack.put(out, c.getValue().fence);
+                            Pack.put(out, c.getValue().fencingToken);
                         }
                         counts(out, h.asked);
                         counts(out, h.uses);
@@ -512,7 +516,7 @@
             if (in.readByte() != FORM || in.readByte() != FORM) {
                 throw new IOException("a snapshot of a form that is not known, expected " + FORM);
             }
-            terms.read(in);
+            leases.read(in);
             last = Math.max(index, Pack.take(in));
             lastGrant = Pack.take(in);
             servers.clear();
@@ -526,7 +530,7 @@
             }
             holders.clear();
             for (int n = Pack.count(in, MOST_COUNT); n > 0; n--) {
-                holders.put(Pack.life(in), holder(in));
+                holders.put(Pack.incarnation(in), holder(in));
             }
             nextFree = 0;
             sweep();
@@ -546,7 +550,7 @@
             may(number, c, Pack.count(in, MOST_COUNT));
             c.shrunk = Pack.take(in);
             c.free = in.readDouble();
-            c.fence = Pack.take(in);
+            c.fencingToken = Pack.take(in);
             h.cells.put(number, c);
         }
         for (TreeMap<Long, Integer> counts : List.of(h.asked, h.uses)) {
@@ -557,14 +561,14 @@
         return h;
     }
 
-    /** The lives that may be given something, by gateway. */
-    List<Life> givable() {
-        List<Life> lives = new ArrayList<>();
-        for (Life life : holders.keySet()) {
-            if (terms.renews(life)) {
-                lives.add(life);
+    /** The incarnations that may be given something, by gateway. */
+    List<Incarnation> givable() {
+        List<Incarnation> incarnations = new ArrayList<>();
+        for (Incarnation incarnation : holders.keySet()) {
+            if (leases.renews(incarnation)) {
+                incarnations.add(incarnation);
             }
         }
-        return Collections.unmodifiableList(lives);
+        return Collections.unmodifiableList(incarnations);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budgets/Share.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Share.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Term;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Lease;
+import tinford.fleet.members.Leases;
 
 /**
  * One gateway's own side: what it may hold and use now, by its own clock, and what it tells the
- * log. Where its term has ended, or ends within the margin, only its static share is left. Holds
+ * log. Where its lease has ended, or ends within the margin, only its static share is left. Holds
  * {@link Ledger#MOST_ASKED} accounts that want something and {@link Ledger#MOST_SERVERS} servers at
  * most.
  */
@@ -22,7 +22,7 @@
         int now;
         int before;
 
-        /** What it may have out while this gateway has no term. */
+        /** What it may have out while this gateway has no lease. */
         int alone;
 
         int most() {
@@ -33,7 +33,7 @@
     private final Ledger ledger;
     private final Statics statics;
     private final LongFunction<Proposer.Plan> plans;
-    private final Life life;
+    private final Incarnation incarnation;
     private final double length;
     private final double margin;
     private final double every;
@@ -41,7 +41,7 @@
     private final double staticFrom;
     private final TreeMap<Long, Want> wants = new TreeMap<>();
     private final Map<String, Integer> open = new LinkedHashMap<>();
-    private final Map<String, Long> fences = new LinkedHashMap<>();
+    private final Map<String, Long> fencingTokens = new LinkedHashMap<>();
     private double nextRound;
     private double nextSpan;
     private boolean leaves;
@@ -49,19 +49,19 @@
 
     /**
      * @param ledger this process's own, as the log is applied to it
-     * @param length of a term, ms
-     * @param margin what is granted is let go this long before the term ends, ms
+     * @param length of a lease, ms
+     * @param margin what is granted is let go this long before the lease ends, ms
      * @param every a round comes no sooner than this after the last, ms
      * @param keep what was wanted is told on for this long, so that what comes and goes does not
      *     move grants, ms
-     * @param staticFrom from when the static share may be used: the start, where the last life of
-     *     this gateway surely closed all; else the linger after the start
+     * @param staticFrom from when the static share may be used: the start, where the last
+     *     incarnation of this gateway surely closed all; else the linger after the start
      */
     public Share(
             Ledger ledger,
             Statics statics,
             LongFunction<Proposer.Plan> plans,
-            Life life,
+            Incarnation incarnation,
             double length,
             double margin,
             double every,
@@ -70,7 +70,7 @@
         this.ledger = ledger;
         this.statics = statics;
         this.plans = plans;
-        this.life = life;
+        this.incarnation = incarnation;
         this.length = length;
         this.margin = margin;
         this.every = every;
@@ -80,8 +80,8 @@
 
     /** Whether its grants count now, by its own clock. */
     public boolean holds(double now) {
-        Term term = ledger.terms().of(life);
-        return term != null && term.holds(now + margin);
+        Lease lease = ledger.leases().of(incarnation);
+        return lease != null && lease.holds(now + margin);
     }
 
     /**
@@ -93,11 +93,12 @@
             return 0;
         }
         int number = ledger.number(server);
-        return own(server, now) + (number >= 0 && holds(now) ? ledger.granted(life, number) : 0);
+        return own(server, now)
+                + (number >= 0 && holds(now) ? ledger.granted(incarnation, number) : 0);
     }
 
     private int own(String server, double now) {
-        return now >= staticFrom ? statics.of(server, life.gateway()) : 0;
+        return now >= staticFrom ? statics.of(server, incarnation.gateway()) : 0;
     }
 
     /** Connections to let go: idle ones at once, busy ones as they are answered. */
@@ -111,9 +112,9 @@
      */
     public int mayUse(long account, double now) {
         if (holds(now)) {
-            Ledger.Holder h = ledger.holders.get(life);
+            Ledger.Holder h = ledger.holders.get(incarnation);
             int least = h == null || !h.asked.containsKey(account) ? 1 : 0;
-            return Math.max(least, ledger.uses(life, account));
+            return Math.max(least, ledger.uses(incarnation, account));
         }
         Want want = wants.get(account);
         return want == null ? 1 : Math.max(1, want.alone);
@@ -123,11 +124,11 @@
      * Number of the last entry that granted here; never falls. The routing opens nothing under a
      * lower one.
      */
-    public long fence(String server) {
+    public long fencingToken(String server) {
         int number = ledger.number(server);
-        Ledger.Holder h = ledger.holders.get(life);
+        Ledger.Holder h = ledger.holders.get(incarnation);
         Ledger.Cell c = h == null || number < 0 ? null : h.cells.get(number);
-        return fences.merge(server, c == null ? 0 : c.fence, Math::max);
+        return fencingTokens.merge(server, c == null ? 0 : c.fencingToken, Math::max);
     }
 
     public void opened(String server) {
@@ -171,17 +172,17 @@
         }
         nextRound = now + every;
         List<byte[]> entries = new ArrayList<>(2);
-        Term term = ledger.terms().of(life);
+        Lease lease = ledger.leases().of(incarnation);
         if (leaves && open.isEmpty()) {
             left = true;
-            entries.add(Terms.leave(life, now));
+            entries.add(Leases.leave(incarnation, now));
             return entries;
         }
-        if (term == null || now >= term.until() - length * 2 / 3) {
-            entries.add(Terms.renew(life, now, length));
+        if (lease == null || now >= lease.until() - length * 2 / 3) {
+            entries.add(Leases.renew(incarnation, now, length));
         }
         alone(now);
-        if (term != null) {
+        if (lease != null) {
             tell(now, entries);
         }
         if (now >= nextSpan) {
@@ -198,7 +199,7 @@
     }
 
     private void tell(double now, List<byte[]> entries) {
-        Ledger.Holder h = ledger.holders.get(life);
+        Ledger.Holder h = ledger.holders.get(incarnation);
         Map<Long, Integer> wanted = new LinkedHashMap<>();
         Map<Integer, Integer> held = new LinkedHashMap<>();
         if (!leaves) {
@@ -229,11 +230,11 @@
                     });
         }
         if (!wanted.isEmpty() || !held.isEmpty()) {
-            entries.add(Ledger.tell(life, now, ledger.last(), wanted, held));
+            entries.add(Ledger.tell(incarnation, now, ledger.last(), wanted, held));
         }
     }
 
-    /** Without a term its static share is divided here, by the same rule. */
+    /** Without a lease its static share is divided here, by the same rule. */
     private void alone(double now) {
         int pool = 0;
         for (Ledger.Server s : ledger.servers) {
--- a/fleet/src/main/java/tinford/fleet/moves/Due.java
+++ b/fleet/src/main/java/tinford/fleet/moves/TransitionRules.java
@@ -2,13 +2,13 @@
 
 import java.util.Collection;
 import java.util.Map;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 
 /**
  * The rules about when a change of position is due. {@link Moves} asks them in one place; tests
  * replace one at a time by a broken one.
  */
-class Due {
+class TransitionRules {
     /** One step at a time, in the direction that the moves have. */
     boolean next(int from, int to, boolean back) {
         return to == (back ? from - 1 : from + 1);
@@ -31,10 +31,10 @@
      * Whether all who may have acted since that time had said by then that they act on the present
      * position.
      */
-    boolean acked(Members members, Map<Life, Double> acks, double since) {
-        Collection<Life> lives = members.mayHaveActed(since);
-        for (Life life : lives) {
-            Double at = acks.get(life);
+    boolean acked(LeaseHolders leaseHolders, Map<Incarnation, Double> acks, double since) {
+        Collection<Incarnation> incarnations = leaseHolders.mayHaveActed(since);
+        for (Incarnation incarnation : incarnations) {
+            Double at = acks.get(incarnation);
             if (at == null || at > since) {
                 return false;
             }
--- a/fleet/src/main/java/tinford/fleet/run/Mover.java
+++ b/fleet/src/main/java/tinford/fleet/run/Mover.java
@@ -11,19 +11,19 @@
 import tinford.api.End;
 import tinford.api.Req;
 import tinford.api.Srv;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Term;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Lease;
 import tinford.fleet.moves.Entry;
+import tinford.fleet.moves.MoveStatus;
 import tinford.fleet.moves.Moves;
 import tinford.fleet.moves.Plan;
 import tinford.fleet.moves.Route;
-import tinford.fleet.moves.Stand;
 import tinford.fleet.moves.Step;
 
 /**
  * One process's part in staged moves: where its reqs go, what it tells the log, and what it offers
  * while it leads. Called on the I/O thread only, after each applied entry and each tick. Holds
- * {@link #MOST_SERVERS} servers and one order of an operator at most.
+ * {@link #MOST_SERVERS} servers and one command of an operator at most.
  */
 final class Mover {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
@@ -31,65 +31,65 @@
     private static final double EVERY = 500; // acks and reports
     private static final double OFFERS = 1000;
     private static final double PATIENCE = 10_000;
-    private final Agreed agreed;
-    private final Life life;
-    private final MoveOrders orders;
+    private final FleetStateMachine stateMachine;
+    private final Incarnation incarnation;
+    private final MoveSettings settings;
     private final Consumer<byte[]> log;
     private final BooleanSupplier left;
     private final History history;
     private final Route route;
     private final Map<String, Srv> servers = new LinkedHashMap<>();
     private double offered = Double.NEGATIVE_INFINITY;
-    private Stand told;
+    private MoveStatus told;
     private double toldUntil = Double.NaN;
     private boolean holds;
     private long ackedTurn = -1;
-    private byte[] order;
-    private double orderEnds;
+    private byte[] pending;
+    private double pendingUntil;
     private Consumer<String> outcome;
 
     /**
-     * @param left whether this process has left the fleet: from then on it acts on no term
+     * @param left whether this process has left the fleet: from then on it acts on no lease
      */
     Mover(
-            Agreed agreed,
-            Life life,
-            MoveOrders orders,
+            FleetStateMachine stateMachine,
+            Incarnation incarnation,
+            MoveSettings settings,
             Consumer<byte[]> log,
             BooleanSupplier left,
             History history) {
-        this.agreed = agreed;
-        this.life = life;
-        this.orders = orders;
+        this.stateMachine = stateMachine;
+        this.incarnation = incarnation;
+        this.settings = settings;
         this.log = log;
         this.left = left;
         this.history = history;
-        this.route = new Route(life, agreed.moves.stand(), EVERY);
+        this.route = new Route(incarnation, stateMachine.moves.status(), EVERY);
     }
 
-    private Term term() {
-        return left.getAsBoolean() ? null : agreed.terms.of(life);
+    private Lease lease() {
+        return left.getAsBoolean() ? null : stateMachine.leases.of(incarnation);
     }
 
     /** After each entry, in order; {@code entry} is null after a snapshot. */
     void applied(byte[] entry, double now) {
-        route.see(agreed.moves.stand(), term(), agreed.moves.acked(life));
+        route.see(stateMachine.moves.status(), lease(), stateMachine.moves.acked(incarnation));
         if (entry == null || entry.length == 0 || entry[0] == Entry.MARK) {
-            if (order != null && Arrays.equals(order, entry)) {
-                over(agreed.moves.told());
+            if (pending != null && Arrays.equals(pending, entry)) {
+                over(stateMachine.moves.told());
             }
         }
         watch(now);
     }
 
     void tick(double now, boolean leads) {
-        route.see(agreed.moves.stand(), term(), agreed.moves.acked(life));
+        route.see(stateMachine.moves.status(), lease(), stateMachine.moves.acked(incarnation));
         watch(now);
         Entry tells = route.tells(now);
         if (tells != null) {
             log.accept(tells.bytes());
         }
-        if (order != null && now >= orderEnds) {
+        if (pending != null && now >= pendingUntil) {
             over(
                     "not seen in the log within "
                             + Math.round(PATIENCE)
@@ -101,7 +101,7 @@
     }
 
     private void offer(double now) {
-        Stand s = agreed.moves.stand();
+        MoveStatus s = stateMachine.moves.status();
         if (s.plan() != null
                 && (s.state() == Moves.State.FORWARD || s.state() == Moves.State.BACK)) {
             offered = now;
@@ -130,7 +130,7 @@
                     all += s.size;
                     warm +=
                             s.state == Srv.State.UP
-                                            && (s.born <= 0 || now - s.born >= orders.coldTime())
+                                            && (s.born <= 0 || now - s.born >= settings.coldTime())
                                     ? s.size
                                     : 0;
                 }
@@ -147,24 +147,25 @@
      *
      * @param then is told what came of it, once
      */
-    void order(String line, double now, Consumer<String> then) {
+    void command(String line, double now, Consumer<String> then) {
         String[] words = line.strip().split("\\s+", 2);
         String who = words.length > 1 ? words[1] : "";
         boolean named = !who.isEmpty() && who.length() <= 64;
         Entry e =
                 switch (words[0]) {
                     case "begin" ->
-                            orders.plan() == null || who.length() > 64
+                            settings.plan() == null || who.length() > 64
                                     ? null
-                                    : Entry.begin(who, now, orders.plan());
+                                    : Entry.begin(who, now, settings.plan());
                     case "halt" -> named ? Entry.halt(who, now) : null;
-                    case "resume" -> named ? Entry.resume(who, now, agreed.moves.halts()) : null;
+                    case "resume" ->
+                            named ? Entry.resume(who, now, stateMachine.moves.halts()) : null;
                     case "back" -> named ? Entry.back(who, now) : null;
                     default -> null;
                 };
-        if (e == null || order != null) {
+        if (e == null || pending != null) {
             String why =
-                    order != null
+                    pending != null
                             ? "refused, another order is under way here"
                             : words[0].equals("begin")
                                     ? "refused, moves.plan names no plan"
@@ -174,20 +175,20 @@
             then.accept(why);
             return;
         }
-        order = e.bytes();
-        orderEnds = now + PATIENCE;
+        pending = e.bytes();
+        pendingUntil = now + PATIENCE;
         outcome =
                 what -> {
                     LOG.log(Level.INFO, "moves.order " + line.strip() + ": " + what);
                     history.add(now, "order", "line", line.strip(), "outcome", what);
                     then.accept(what);
                 };
-        log.accept(order);
+        log.accept(pending);
     }
 
     private void over(String what) {
         Consumer<String> to = outcome;
-        order = null;
+        pending = null;
         outcome = null;
         to.accept(what);
     }
@@ -206,13 +207,13 @@
                                 srv.group,
                                 first == null ? null : first.group,
                                 now)
-                || !orders.homes().containsKey(req.frontend.name);
+                || !settings.homes().containsKey(req.frontend.name);
     }
 
     boolean goes(Req req, double now) {
         String name = req.frontend.name;
-        Stand s = agreed.moves.stand();
-        if (!orders.homes().containsKey(name)) {
+        MoveStatus s = stateMachine.moves.status();
+        if (!settings.homes().containsKey(name)) {
             return true;
         }
         int at = s.plan() == null ? -1 : s.plan().index(name);
@@ -238,16 +239,16 @@
      * What changed for this process is told in its history, in the order in which it acts on it.
      */
     private void watch(double now) {
-        Term term = term();
-        boolean has = term != null && term.holds(now);
-        double until = has ? term.until() : 0;
+        Lease lease = lease();
+        boolean has = lease != null && lease.holds(now);
+        double until = has ? lease.until() : 0;
         boolean again = has && !holds;
         if (until != toldUntil) {
             history.add(now, "term", "holds", has, "for", has ? until - now : 0);
             toldUntil = until;
             holds = has;
         }
-        Stand s = agreed.moves.stand();
+        MoveStatus s = stateMachine.moves.status();
         boolean turned =
                 told == null
                         || told.turn() != s.turn()
@@ -257,14 +258,14 @@
             stage(s, turned, now);
         }
         told = s;
-        if (s.plan() != null && agreed.moves.acked(life) && ackedTurn != s.turn()) {
+        if (s.plan() != null && stateMachine.moves.acked(incarnation) && ackedTurn != s.turn()) {
             ackedTurn = s.turn();
             history.add(
                     now, "acked", "move", s.plan().name, "turn", s.turn(), "stage", s.position());
         }
     }
 
-    private void stage(Stand s, boolean turned, double now) {
+    private void stage(MoveStatus s, boolean turned, double now) {
         List<String> begun = new ArrayList<>();
         List<String> moved = new ArrayList<>();
         for (int i = 0; i < s.plan().frontends.size(); i++) {
@@ -313,7 +314,7 @@
                             + " at step "
                             + s.position()
                             + "; "
-                            + agreed.moves.told());
+                            + stateMachine.moves.told());
         }
         if (turned && (s.state() == Moves.State.DONE || s.state() == Moves.State.UNDONE)) {
             history.add(
--- a/fleet/src/main/java/tinford/fleet/run/Hard.java
+++ b/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
@@ -20,16 +20,16 @@
 import tinford.fleet.budgets.Proposer;
 import tinford.fleet.budgets.Share;
 import tinford.fleet.budgets.Statics;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.store.Log;
 import tinford.fleet.store.RaftLog;
 import tinford.routing.Addresses;
 
 /**
- * The log of one process, what it has come to, and what this process asks of it. Made off the I/O
- * thread, called on it from then on.
+ * The replicated state of the fleet as one process has it: its log, the state machine that reads
+ * the log, and what this process asks of it. Made off the I/O thread, called on it from then on.
  */
-final class Hard {
+final class ReplicatedState {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
     private static final double ROUND =
             250; // entries of a gateway come no faster than two in this time
@@ -45,7 +45,7 @@
      */
     private static final int WEIGHT_AT = 40;
 
-    final Agreed agreed;
+    final FleetStateMachine stateMachine;
     private final Share share;
     private final Proposer proposer;
     private final int offer;
@@ -65,32 +65,33 @@
 
     private final CountDownLatch left = new CountDownLatch(1);
     private final FileChannel
-            lock; // held for this life: one that nobody holds is closed, and its lock goes with it
+            lock; // held for this incarnation: one that nobody holds is closed, and its lock goes
+    // with it
     private volatile Log log;
     private boolean led;
 
     /** Is told of each entry that was applied on the I/O thread, and of a snapshot as null. */
     Consumer<byte[]> applied = entry -> {};
 
-    Hard(
-            Orders orders,
-            Life life,
+    ReplicatedState(
+            OperatorFile operatorFile,
+            Incarnation incarnation,
             int gateways,
             Statics statics,
             Map<String, String> homes,
             Mailbox mailbox)
             throws IOException {
-        double term = orders.number("log.term_ms");
-        double apart = orders.number("log.clocks_apart_ms");
-        double linger = orders.number("log.linger_ms");
-        offer = (int) orders.number("budgets.offer");
-        accounts = (int) orders.number("budgets.accounts");
-        agreed = new Agreed(gateways, term, apart, linger, statics, homes);
-        int floor = (int) orders.number("budgets.floor");
-        int cap = (int) orders.number("budgets.cap");
+        double leaseMs = operatorFile.number("log.term_ms");
+        double apart = operatorFile.number("log.clocks_apart_ms");
+        double linger = operatorFile.number("log.linger_ms");
+        offer = (int) operatorFile.number("budgets.offer");
+        accounts = (int) operatorFile.number("budgets.accounts");
+        stateMachine = new FleetStateMachine(gateways, leaseMs, apart, linger, statics, homes);
+        int floor = (int) operatorFile.number("budgets.floor");
+        int cap = (int) operatorFile.number("budgets.cap");
         proposer =
                 new Proposer(key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap), ROUND);
-        Path folder = Files.createDirectories(Path.of(orders.text("log.folder")));
+        Path folder = Files.createDirectories(Path.of(operatorFile.text("log.folder")));
         lock =
                 FileChannel.open(
                         folder.resolve("life.lock"),
@@ -99,18 +100,20 @@
         boolean alone = lock.tryLock() != null;
         share =
                 new Share(
-                        agreed.ledger,
+                        stateMachine.ledger,
                         statics,
                         key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap),
-                        life,
-                        term,
+                        incarnation,
+                        leaseMs,
                         2 * apart,
                         ROUND,
                         KEEP,
-                        alone ? life.start() : life.start() + linger);
-        Agreed kept = new Agreed(gateways, term, apart, linger, statics(orders, gateways), homes);
+                        alone ? incarnation.start() : incarnation.start() + linger);
+        FleetStateMachine snapshotSource =
+                new FleetStateMachine(
+                        gateways, leaseMs, apart, linger, statics(operatorFile, gateways), homes);
         TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
-        List<String> addresses = orders.texts("log.members");
+        List<String> addresses = operatorFile.texts("log.members");
         for (int i = 0; i < addresses.size(); i++) {
             members.put(i, Addresses.of(addresses.get(i)));
         }
@@ -120,10 +123,10 @@
                             try {
                                 log =
                                         new RaftLog(
-                                                life.gateway(),
+                                                incarnation.gateway(),
                                                 members,
                                                 folder.resolve("log"),
-                                                reader(kept, mailbox),
+                                                reader(snapshotSource, mailbox),
                                                 BOUNDS);
                             } catch (IOException | RuntimeException e) {
                                 LOG.log(
@@ -138,48 +141,48 @@
         starts.start();
     }
 
-    static Statics statics(Orders orders, int gateways) {
+    static Statics statics(OperatorFile operatorFile, int gateways) {
         return new Statics(
                 Map.of(),
-                (int) orders.number("budgets.offer"),
-                orders.number("budgets.static_part"),
+                (int) operatorFile.number("budgets.offer"),
+                operatorFile.number("budgets.static_part"),
                 gateways);
     }
 
     /**
-     * The kept one answers for snapshots; the I/O thread's follows it, and holds it back where it
-     * can't.
+     * The one on the log's thread answers for snapshots; the one on the I/O thread follows it, and
+     * holds it back where it can't.
      */
-    private Log.Reader reader(Agreed kept, Mailbox mailbox) {
+    private Log.Reader reader(FleetStateMachine snapshotSource, Mailbox mailbox) {
         return new Log.Reader() {
             @Override
             public void apply(long index, byte[] entry) {
-                kept.apply(index, entry);
+                snapshotSource.apply(index, entry);
                 post(
                         () -> {
-                            agreed.apply(index, entry);
+                            stateMachine.apply(index, entry);
                             applied.accept(entry);
                         });
             }
 
             @Override
             public byte[] snapshot() {
-                return kept.snapshot();
+                return snapshotSource.snapshot();
             }
 
             @Override
             public void restore(long index, byte[] snapshot) {
-                kept.restore(index, snapshot);
+                snapshotSource.restore(index, snapshot);
                 post(
                         () -> {
-                            agreed.restore(index, snapshot);
+                            stateMachine.restore(index, snapshot);
                             applied.accept(null);
                         });
             }
 
             private void post(Runnable what) {
                 try {
-                    mailbox.hard(what);
+                    mailbox.put(what);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -217,12 +220,12 @@
         int told = now < nextOffers ? OFFERS_A_ROUND : 0;
         nextOffers = told > 0 ? nextOffers : now + ROUND;
         for (Srv s : servers.values()) {
-            if (told < OFFERS_A_ROUND && agreed.ledger.number(s.id) < 0) {
+            if (told < OFFERS_A_ROUND && stateMachine.ledger.number(s.id) < 0) {
                 told++;
                 append(Ledger.offer(s.id, (long) s.born, offer, now));
             }
         }
-        byte[] grant = proposer.propose(agreed.ledger, now);
+        byte[] grant = proposer.propose(stateMachine.ledger, now);
         if (grant != null) {
             append(grant);
         }
@@ -271,7 +274,7 @@
         share.leaves();
     }
 
-    /** Whether it acts on its term, or on its static share only. */
+    /** Whether it acts on its lease, or on its static share only. */
     boolean holds(double now) {
         return share.holds(now);
     }
--- a/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
+++ b/fleet/src/test/java/tinford/fleet/moves/ExploreTest.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 
 /** Exhaustive exploration of small plans of staged moves. */
 public class ExploreTest {
@@ -39,8 +39,8 @@
         assertTrue(f.ends() > 0 || f.states() >= c.most, f.states() + " states, none an end");
     }
 
-    private static Consumer<Explore.Case> due(Due due) {
-        return c -> c.due = due;
+    private static Consumer<Explore.Case> rules(TransitionRules rules) {
+        return c -> c.rules = rules;
     }
 
     @DataProvider
@@ -49,10 +49,11 @@
             {
                 "acks not awaited",
                 "two living",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
-                            boolean acked(Members m, Map<Life, Double> acks, double since) {
+                            boolean acked(
+                                    LeaseHolders m, Map<Incarnation, Double> acks, double since) {
                                 return true;
                             }
                         })
@@ -62,8 +63,8 @@
                 "",
                 ((Consumer<Explore.Case>) c -> c.flights = true)
                         .andThen(
-                                due(
-                                        new Due() {
+                                rules(
+                                        new TransitionRules() {
                                             @Override
                                             boolean counts(long turn, long of) {
                                                 return true;
@@ -71,7 +72,7 @@
                                         }))
             },
             {
-                "the end of a term counted too early",
+                "the end of a lease counted too early",
                 "",
                 (Consumer<Explore.Case>)
                         c -> {
@@ -83,10 +84,11 @@
             {
                 "one that has died is waited for",
                 "stuck",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
-                            boolean acked(Members m, Map<Life, Double> acks, double since) {
+                            boolean acked(
+                                    LeaseHolders m, Map<Incarnation, Double> acks, double since) {
                                 return super.acked(m, acks, since) && acks.size() > 2;
                             }
                         })
@@ -94,8 +96,8 @@
             {
                 "two steps at once",
                 "from step",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             boolean next(int from, int to, boolean back) {
                                 return super.next(from, to, back) || !back && to == from + 2;
@@ -105,8 +107,8 @@
             {
                 "back in forward order",
                 "forward",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             boolean next(int from, int to, boolean back) {
                                 return to == from + 1 || back && to == from - 1;
@@ -116,8 +118,8 @@
             {
                 "back all at once",
                 "from step",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             boolean next(int from, int to, boolean back) {
                                 return back ? to < from : to == from + 1;
@@ -127,8 +129,8 @@
             {
                 "going back waits for nobody",
                 "",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             boolean returns(int before, int position, int to) {
                                 return to < position;
@@ -138,8 +140,8 @@
             {
                 "no window awaited",
                 "both groups",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             double waits(Plan plan, int at, boolean back) {
                                 return 0;
@@ -149,8 +151,8 @@
             {
                 "a resume moves on",
                 "halted",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             int resumed(int position) {
                                 return position + 1;
@@ -160,8 +162,8 @@
             {
                 "a resume lifts any halt",
                 "later halt",
-                due(
-                        new Due() {
+                rules(
+                        new TransitionRules() {
                             @Override
                             boolean lifts(boolean halted, long halts, long seen) {
                                 return halted;
@@ -169,14 +171,14 @@
                         })
             },
             {
-                "routed without a term",
+                "routed without a lease",
                 "",
                 ((Consumer<Explore.Case>) c -> c.kills = 1)
                         .andThen(
                                 c ->
                                         c.route =
-                                                (life, stand) ->
-                                                        new Route(life, stand, 1) {
+                                                (incarnation, status) ->
+                                                        new Route(incarnation, status, 1) {
                                                             @Override
                                                             protected boolean mayAct(double now) {
                                                                 return true;
@@ -189,8 +191,8 @@
                 (Consumer<Explore.Case>)
                         c ->
                                 c.route =
-                                        (life, stand) ->
-                                                new Route(life, stand, 1) {
+                                        (incarnation, status) ->
+                                                new Route(incarnation, status, 1) {
                                                     @Override
                                                     protected String goes(
                                                             Plan.Mover m,
@@ -212,8 +214,8 @@
                         .andThen(
                                 c ->
                                         c.route =
-                                                (life, stand) ->
-                                                        new Route(life, stand, 1) {
+                                                (incarnation, status) ->
+                                                        new Route(incarnation, status, 1) {
                                                             @Override
                                                             protected String goes(
                                                                     Plan.Mover m,
@@ -226,7 +228,7 @@
                                                         })
             },
             {
-                "a term counted from the answer",
+                "a lease counted from the answer",
                 "",
                 (Consumer<Explore.Case>) c -> c.countsFromAnswer = true
             },
--- a/fleet/src/test/java/tinford/fleet/overload/Heard.java
+++ b/fleet/src/test/java/tinford/fleet/overload/FixedMembership.java
@@ -3,20 +3,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import tinford.fleet.members.Known;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.GossipRecord;
+import tinford.fleet.members.Membership;
 
 /** Whatever a test says was heard. */
-final class Heard implements Known {
-    final TreeMap<Integer, Sight> records = new TreeMap<>();
+final class FixedMembership implements Membership {
+    final TreeMap<Integer, GossipRecord> records = new TreeMap<>();
     int size;
 
-    Heard(int size) {
+    FixedMembership(int size) {
         this.size = size;
     }
 
-    Heard hear(Sight s) {
-        records.put(s.life.gateway(), s);
+    FixedMembership hear(GossipRecord s) {
+        records.put(s.incarnation.gateway(), s);
         return this;
     }
 
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public List<Sight> fresh() {
+    public List<GossipRecord> fresh() {
         return new ArrayList<>(records.values());
     }
 
