--- a/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
+++ b/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Returns once it lasts; where it fails, the one before is still there. Fails also while another
-     * process of the same gateway writes there, as one does that is being replaced.
+     * Returns once it lasts; where it fails, the one before is still there. Fails also while
+     * another process of the same gateway writes there, as one does that is being replaced.
      */
     public void write(Configuration configuration) throws IOException {
         if (lock == null) {
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -5,6 +5,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.Random;
+import java.util.Set;
 import java.util.function.Consumer;
 import tinford.api.Place;
 import tinford.api.View;
@@ -14,6 +15,7 @@
 import tinford.fleet.transport.Transport;
 import tinford.fleet.transport.UdpTransport;
 import tinford.program.Companion;
+import tinford.routing.Catalog;
 import tinford.transport.Loop;
 
 /**
@@ -41,6 +43,8 @@
     private final MoveSettings moves; // null where they are off
     private Mover mover;
     private ReplicatedState replicatedState; // null where nothing needs agreement
+    private Consumer<Catalog> useCatalog;
+    private GatewayConfiguration configuration; // null where it is off
     private boolean led;
     private boolean holds;
     private int mayHold = -1; // at all servers
@@ -71,6 +75,33 @@
         return last;
     }
 
+    @Override
+    public void configures(Consumer<Catalog> use) {
+        useCatalog = use;
+    }
+
+    /** Starts from the last good configuration, and follows the control servers from then on. */
+    private void startConfiguration(Place place, Consumer<Loop.Due> enter) {
+        ConfigurationSettings settings = ConfigurationSettings.of(operatorFile);
+        if (settings == null) {
+            return;
+        }
+        CatalogBuilder catalogs =
+                new CatalogBuilder(
+                        moves == null ? Set.of() : moves.homes().keySet(),
+                        Runtime.getRuntime().maxMemory());
+        configuration =
+                new GatewayConfiguration(
+                        settings,
+                        gatewaySettings.followerId(place),
+                        new Random(gatewaySettings.seed() + incarnation.start()),
+                        catalogs,
+                        useCatalog,
+                        enter,
+                        new ConfigurationHistory(history, this::now));
+        configuration.start();
+    }
+
     @Override
     public View join(Place place, Consumer<Loop.Due> enter) throws IOException {
         double now = now();
@@ -140,6 +171,7 @@
                                     mailbox.offer(() -> members.heard(message, from, now())));
         }
         history.add(now, "start");
+        startConfiguration(place, enter);
         if (replicatedState != null) {
             history.add(now, "term", "holds", false);
         }
@@ -218,6 +250,9 @@
 
     @Override
     public void leaves() {
+        if (configuration != null) {
+            configuration.close();
+        }
         history.add(now(), "leaves");
         if (replicatedState != null) {
             replicatedState.leaves();
--- a/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import tinford.api.Place;
 import tinford.routing.Addresses;
 
 /**
@@ -19,6 +20,11 @@
         List<InetSocketAddress> peers,
         long seed,
         boolean mayGossip) {
+    /** Its name among the followers of the control servers. */
+    String followerId(Place place) {
+        return name.isEmpty() ? "gateway-" + place.number : name;
+    }
+
     static GatewaySettings read(String path) throws IOException {
         if (path == null) {
             throw new IOException(
--- a/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -74,6 +74,16 @@
                 new Key("a list of group=units a second,connections", 0, 0, List.of()));
     }
 
+    static {
+        KEYS.put("configuration.on", new Key("true or false", 0, 0, false));
+        KEYS.put("configuration.fleet", new Key("the name of the fleet", 0, 0, ""));
+        KEYS.put("configuration.region", new Key("the name of this gateway's region", 0, 0, ""));
+        KEYS.put(
+                "configuration.servers",
+                new Key("a list of " + ConfigurationSettings.SERVER_FORM, 0, 0, List.of()));
+        KEYS.put("configuration.folder", new Key("a folder that lasts", 0, 0, ""));
+    }
+
     private final Map<String, Object> values = new LinkedHashMap<>();
 
     private OperatorFile() {}
@@ -134,6 +144,7 @@
         KEYS.forEach((name, k) -> found.values.putIfAbsent(name, k.absent));
         if (faults.isEmpty()) {
             found.checkTogether(file, text, faults);
+            found.checkConfiguration(file, text, faults);
         }
         if (!faults.isEmpty()) {
             throw new Refused(faults);
@@ -169,6 +180,37 @@
         }
     }
 
+    private void checkConfiguration(String file, String text, List<String> faults) {
+        for (String server : texts("configuration.servers")) {
+            if (ConfigurationSettings.endpoint(server) == null) {
+                faults.add(
+                        at(file, text, "configuration", "servers")
+                                + "configuration.servers: expected "
+                                + ConfigurationSettings.SERVER_FORM
+                                + ", not "
+                                + server);
+            }
+        }
+        if (!on("configuration.on")) {
+            return;
+        }
+        for (String key : List.of("fleet", "region", "folder")) {
+            if (text("configuration." + key).isEmpty()) {
+                faults.add(
+                        at(file, text, "configuration", "on")
+                                + "configuration."
+                                + key
+                                + ": expected where configuration.on is true");
+            }
+        }
+        if (texts("configuration.servers").isEmpty()) {
+            faults.add(
+                    at(file, text, "configuration", "on")
+                            + "configuration.servers: expected one or more where configuration.on"
+                            + " is true");
+        }
+    }
+
     private static Object value(Key k, JsonNode v) {
         if (k.absent instanceof Boolean) {
             return v.isBoolean() ? v.booleanValue() : null;
--- a/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
@@ -69,7 +69,8 @@
         FollowerSettings settings =
                 new FollowerSettings("gateway 7", "near", FLEET, endpoints, inForce, new Random(1));
         ConfigurationClient client =
-                new ConfigurationClient(settings, this::apply, HttpClient.newHttpClient(), executor);
+                new ConfigurationClient(
+                        settings, this::apply, HttpClient.newHttpClient(), executor);
         open.add(client);
         client.start();
         return client;
--- a/fleet/src/test/java/tinford/fleet/follow/ScriptedControlServer.java
+++ b/fleet/src/test/java/tinford/fleet/follow/ScriptedControlServer.java
@@ -31,12 +31,12 @@
  * A control server of a test, on loopback: each watch is handed to the test, which sends what it
  * likes; reports are kept. A watch brings heartbeats only where the test sends them.
  */
-final class ScriptedControlServer implements AutoCloseable {
+public final class ScriptedControlServer implements AutoCloseable {
     private static final int PATIENCE_S = 30;
     private static final int OK = 200;
 
     /** One watch that a client has asked for. */
-    final class Watch implements AutoCloseable {
+    public final class Watch implements AutoCloseable {
         final Map<String, String> parameters;
         private final Socket socket;
 
@@ -45,29 +45,31 @@
             this.socket = socket;
         }
 
-        long after() {
+        public long after() {
             return Long.parseLong(parameters.get("after"));
         }
 
-        void send(WatchMessage message) {
+        public void send(WatchMessage message) {
             line(ConfigurationCodec.encode(message));
         }
 
-        void heartbeat() {
+        public void heartbeat() {
             line(new byte[0]);
         }
 
-        void line(byte[] line) {
+        public void line(byte[] line) {
             byte[] whole = Arrays.copyOf(line, line.length + 1);
             whole[line.length] = '\n';
             chunk(whole);
         }
 
         /** Bytes as they are, in one chunk. */
-        void chunk(byte[] bytes) {
+        public void chunk(byte[] bytes) {
             try {
                 OutputStream out = socket.getOutputStream();
-                out.write((Integer.toHexString(bytes.length) + "\r\n").getBytes(StandardCharsets.US_ASCII));
+                out.write(
+                        (Integer.toHexString(bytes.length) + "\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
                 out.write(bytes);
                 out.write("\r\n".getBytes(StandardCharsets.US_ASCII));
                 out.flush();
@@ -77,7 +79,7 @@
         }
 
         /** Returns once the client has ended the connection. */
-        void awaitEnd() throws IOException {
+        public void awaitEnd() throws IOException {
             socket.setSoTimeout(PATIENCE_S * 1000);
             try {
                 while (socket.getInputStream().read() >= 0) {
@@ -102,27 +104,27 @@
     private volatile int status = OK;
     private volatile boolean endlessAnswers;
 
-    ScriptedControlServer(String region) throws IOException {
+    public ScriptedControlServer(String region) throws IOException {
         this.region = region;
         start(this::accept);
     }
 
-    Endpoint endpoint() {
+    public Endpoint endpoint() {
         return new Endpoint(region, "127.0.0.1", door.getLocalPort());
     }
 
     /** Answers watches so from now on. */
-    void status(int code) {
+    public void status(int code) {
         status = code;
     }
 
     /** Answers to reports never end from now on. */
-    void answersWithoutEnd() {
+    public void answersWithoutEnd() {
         endlessAnswers = true;
     }
 
     /** The next watch that is asked for. */
-    Watch watch() throws InterruptedException {
+    public Watch watch() throws InterruptedException {
         Watch watch = watches.poll(PATIENCE_S, TimeUnit.SECONDS);
         if (watch == null) {
             throw new AssertionError("no watch was asked for");
@@ -131,7 +133,7 @@
     }
 
     /** The next report of this revision. */
-    FollowerReport report(long revision) throws InterruptedException {
+    public FollowerReport report(long revision) throws InterruptedException {
         while (true) {
             FollowerReport report = reports.poll(PATIENCE_S, TimeUnit.SECONDS);
             if (report == null) {
@@ -144,7 +146,7 @@
     }
 
     /** The next report of a refusal. */
-    FollowerReport refusal() throws InterruptedException {
+    public FollowerReport refusal() throws InterruptedException {
         while (true) {
             FollowerReport report = reports.poll(PATIENCE_S, TimeUnit.SECONDS);
             if (report == null) {
@@ -223,8 +225,7 @@
         watches.add(new Watch(parameters, socket));
     }
 
-    private void answerReport(byte[] body, Socket socket)
-            throws IOException, InvalidConfiguration {
+    private void answerReport(byte[] body, Socket socket) throws IOException, InvalidConfiguration {
         reports.add(ConfigurationCodec.decodeReport(body));
         String head =
                 endlessAnswers
--- a/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
@@ -50,6 +50,27 @@
                 "[talk]\non = 1\n[budgets]\nofer = 2",
                 "f.toml, line 4: budgets.ofer: expected no such key; there are"
             },
+            {
+                "[configuration]\non = true\nfleet = \"f\"\nregion = \"r\"\nfolder = \"d\"",
+                "f.toml, line 2: configuration.servers: expected one or more where"
+            },
+            {
+                "[configuration]\non = true\nservers = [\"r=1.2.3.4:5\"]",
+                "f.toml, line 2: configuration.fleet: expected where configuration.on is true"
+            },
+            {
+                "[configuration]\nservers = [\"r=1.2.3.4:5\", \"1.2.3.4:5\"]",
+                "f.toml, line 2: configuration.servers: expected region=numeric host:port, not"
+                        + " 1.2.3.4:5"
+            },
+            {
+                "[configuration]\nservers = [\"r=1.2.3.4:70000\"]",
+                "f.toml, line 2: configuration.servers: expected region=numeric host:port, not"
+            },
+            {
+                "[configuration]\nservers = \"r=1.2.3.4:5\"",
+                "f.toml, line 2: configuration.servers: expected a list of region=numeric"
+            },
             {"offer = 3", "f.toml, line 1: offer: expected to stand in a table"},
             {
                 "[budgets]\non = true",
