--- a/gateway/src/main/java/tinford/Decide.java
+++ b/gateway/src/main/java/tinford/Decide.java
@@ -68,6 +68,8 @@
 
     @Override public void sees(View fleet) { view = fleet; }
 
+    @Override public void plansInForce(Set<Plan> plans) { tallies.keySet().retainAll(plans); }
+
     /** No ceiling has filled here while another process drew on it. */
     @Override public void takesOver() { startedAt = now; }
 
@@ -109,10 +111,6 @@
 
     @Override public void left(Req req) { over((Job) req.notes); }
 
-    @Override public void probed(Srv srv, End how, double took, double[] load) { }
-
-    @Override public void heard(int peer, String text) { }
-
     @Override public void counted(long name, End how, double took, double total) {
         quotas.answer(name, how, took, total);
     }
@@ -139,9 +137,8 @@
         final long seq = arrivals++;
         final double askedAt = now, targetAt, lift;
         final List<Hop> hops = new ArrayList<>(1);
-        double reachBy, worth;
+        double reachBy, worth, total; // the last as it was counted
         Win countedIn;
-        double total;
         boolean begun, over, waits, decided, passed; // for the window before only; no more; on silence
         boolean inside; // its quota
 
@@ -495,9 +492,8 @@
                 if (part <= n.meanStrain * h.size) continue;
                 seen++;
                 sum += Math.min(part / h.size, 2);
-                if (part <= 1 || h.late) continue;
-                h.late = true;
-                n.late.add(now, 1);
+                if (part > 1 && !h.late) n.late.add(now, 1);
+                h.late |= part > 1;
             }
             // what is seen of few answers is weighed with what the whole fleet shows
             n.meanStrain = (sum + pooled * n.rel * 4) / (seen + 4);
@@ -523,6 +519,7 @@
         double total; // as last read, with what a flush lost
         double readAt = Double.NEGATIVE_INFINITY;
         double own, lost; // net of this gateway's adds that are surely held; what a flush took off
+        double brought; // an even share of what was used under another plan
         boolean read;
 
         Win(long index) { this.index = index; }
@@ -533,10 +530,10 @@
 
     /** A customer's quota as this gateway knows it. */
     private final class Book {
-        final Customer customer;
-        final Plan plan;
-        final Tally tally;
-        final double slice, window;
+        Customer customer;
+        Plan plan;
+        Tally tally;
+        double slice, window;
         Win cur, prev;
         double owed; // used, and not yet on the counter
         double local, localAt = now, ceiling, ceilingAt = startedAt;
@@ -545,13 +542,35 @@
         int open;
 
         Book(Customer customer) {
+            follow(customer);
+            this.local = Math.max(plan.burst * slice, fleet.meanUnits);
+        }
+
+        private void follow(Customer customer) {
             this.customer = customer;
             this.plan = customer.plan;
             this.tally = tallies.computeIfAbsent(plan, p -> new Tally());
             this.slice = 1.0 / Math.max(1, customer.width);
             this.window = plan.rate <= 0 ? MAX_WINDOW
                     : Math.min(MAX_WINDOW, BURSTS_A_WINDOW * plan.burst / plan.rate);
-            this.local = Math.max(plan.burst * slice, fleet.meanUnits);
+        }
+
+        /** Under another plan what was used stands as a floor under its count, at most as all it allows by now. */
+        Book under(Customer to) {
+            if (to.revision <= customer.revision || to.plan == plan) return this;
+            roll();
+            double spent = plan.burst - room(0), used = prev.total * (1 - into() / window) + cur.total - owed;
+            Win old = cur;
+            follow(to);
+            roll();
+            if (cur != old) { // a window of another length has another name on the counter
+                cur.lost = Math.max(0, Math.min(used, plan.burst + plan.rate * into()));
+                cur.brought = cur.lost * slice;
+                cur.total = cur.lost + owed;
+            }
+            room = Math.max(0, plan.burst - spent);
+            roomAt = now;
+            return this;
         }
 
         void roll() {
@@ -576,25 +595,25 @@
             return room;
         }
 
+        double most() { return plan.rate * window + plan.burst; } // that a window may hold
+
+        double into() { return Math.min(window, now - cur.index * window); }
+
         boolean fits(double total) {
-            double into = Math.min(window, now - cur.index * window);
-            return prev.total * (1 - into / window) + total <= plan.rate * window + plan.burst
-                    && total <= plan.burst + plan.rate * into && total - cur.total <= room(0) + 1e-6;
+            return prev.total * (1 - into() / window) + total <= most()
+                    && total <= plan.burst + plan.rate * into() && total - cur.total <= room(0) + 1e-6;
         }
 
         /** Whether the window before, had it passed all it may, would deny anything now. */
-        boolean overlaps() {
-            return cur.total > (plan.rate * window + plan.burst) * Math.min(1, now / window - cur.index);
-        }
+        boolean overlaps() { return cur.total > most() * Math.min(1, now / window - cur.index); }
 
-        void spend(double units) { room -= units; known -= units; }
+        void spend(Win win, double units) { win.total += units; room -= units; known -= units; }
 
         /** How long until these units will fit, if nobody else asks. */
         double fitsIn(double units) {
             double into = now - cur.index * window, total = cur.total + units;
             double wait = Math.max((total - plan.burst) / plan.rate - into, (units - room(0)) / plan.rate);
-            double left = plan.rate * window + plan.burst - total;
-            if (prev.total > 0) wait = Math.max(wait, window * (1 - left / prev.total) - into);
+            if (prev.total > 0) wait = Math.max(wait, window * (1 - (most() - total) / prev.total) - into);
             return Math.max(1, wait);
         }
 
@@ -608,13 +627,6 @@
             return local;
         }
 
-        // a slice smaller than the req is drawn for: over all gateways the slices pass what they hold
-        boolean takeLocal(double units) {
-            boolean takes = local() >= units * chance.nextDouble();
-            local = Math.max(0, local - units);
-            return takes;
-        }
-
         // of many gateways each would take all the room that was left
         boolean fresh() { return 4 * slice >= 1 && cur.read && now - cur.readAt < plan.burst / plan.rate; }
 
@@ -622,11 +634,13 @@
         // way: guards plans whose excess costs against others that take the calls they are judged by
         double patience() { return soft() || fresh() && fits(cur.total + plan.burst / 2) ? 4 : 0.5; }
 
-        /** On the last total, as if the others have used their slices of what has come free since. */
-        boolean takeKnown(double units) {
-            boolean takes = fits(cur.total + units)
-                    && units <= known + slice * plan.rate * (now - cur.readAt);
-            if (takes) local = Math.max(0, local() - units);
+        // on a fresh total, as if the others have used their slices of what has come free since, else on the
+        // own slice; one smaller than the req is drawn for: over all gateways the slices pass what they hold
+        boolean take(double units) {
+            boolean fresh = fresh(), takes = fresh
+                    ? fits(cur.total + units) && units <= known + slice * plan.rate * (now - cur.readAt)
+                    : local() >= units * chance.nextDouble();
+            if (takes || !fresh) local = Math.max(0, local() - units);
             return takes;
         }
 
@@ -640,15 +654,13 @@
 
         /** Ceiling and cap on open reqs, for a first dispatch. */
         boolean mayOpen(double units) {
-            fill();
-            return (plan.maxOut <= 0 || open + 0.5 < openSlice())
-                    && (plan.ceilingRate <= 0 || ceiling >= units);
+            return ceilingWait(units) <= 0 && (plan.maxOut <= 0 || open + 0.5 < openSlice());
         }
 
         /** The cap on open reqs is shared as the counter shows the traffic to be, at first evenly. */
         private double openSlice() {
-            double own = cur == null ? 0 : Math.max(0, cur.own) + Math.max(0, prev.own);
-            double all = cur == null ? 0 : cur.total + prev.total;
+            double own = Math.max(0, cur.own) + Math.max(0, prev.own) + cur.brought + prev.brought;
+            double all = cur.total + prev.total;
             double part = (own + plan.burst * slice) / (all + plan.burst + 1e-9);
             return Math.max(1, plan.maxOut * Math.min(1, part));
         }
@@ -681,7 +693,7 @@
 
         Quotas(CounterTerms terms) { this.terms = terms; }
 
-        Book book(Customer c) { return books.computeIfAbsent(c.id, id -> new Book(c)); }
+        Book book(Customer c) { return books.computeIfAbsent(c.id, id -> new Book(c)).under(c); }
 
         /** Keeps memory bounded: of a customer not seen for two windows no count matters any more. */
         void forget() {
@@ -695,10 +707,8 @@
             b.seenAt = now;
             double units = job.req.units;
             if (b.plan.rate <= 0 || !terms.present) { posture(job); return; }
-            if (b.cur.read && now - b.cur.readAt < TRUST_MS && !b.fits(b.cur.total + units)) {
-                finish(job, b.fitsIn(units));
-                return;
-            }
+            boolean empty = b.cur.read && now - b.cur.readAt < TRUST_MS && !b.fits(b.cur.total + units);
+            if (empty) { finish(job, b.fitsIn(units)); return; }
             boolean silent = unanswered >= SILENT_AFTER;
             double pause = silent ? Math.min(4000, ASK_SILENT_MS * place.gateways) : gap * b.patience();
             if (now - askedAt < pause) { if (posture(job)) b.owed += units; return; }
@@ -745,8 +755,7 @@
             boolean slow = unanswered < SILENT_AFTER || now - lateAt < LATE_MS;
             if (how != End.BROKEN) pace(good, took);
             if (good) read(call, total);
-            if (call.reads() && job.waits) judge(job);
-            if (call.reads()) return;
+            if (call.reads()) { if (job.waits) judge(job); return; }
             if (!good) {
                 if (job != null) settleSilence(job);
                 // surely not added: what is owed, passed or to be taken back rides on the next call
@@ -819,8 +828,7 @@
             Book b = job.book;
             b.roll();
             job.waits = false;
-            if (job.over && job.countedIn != null) takeBack(job); // else done when its client left
-            if (job.over) return;
+            if (job.over) { if (job.countedIn != null) takeBack(job); return; } // else done already
             if (b.fits(b.cur == job.countedIn ? job.total : b.cur.total)) {
                 b.local = Math.max(0, b.local() - job.req.units); // the slice tells what is left, read or not
                 admit(job);
@@ -828,8 +836,7 @@
         }
 
         private void takeBack(Job job) {
-            job.countedIn.total -= job.req.units;
-            job.book.spend(-job.req.units);
+            job.book.spend(job.countedIn, -job.req.units);
             call(job.book, job.countedIn, null, -job.req.units);
             job.countedIn = null;
         }
@@ -837,13 +844,11 @@
         /** When the counter says nothing: soft plans pass, others live on its last word or an even slice. */
         private boolean posture(Job job) {
             Plan p = job.book.plan;
-            boolean inside = p.rate <= 0 || (job.book.fresh() ? job.book.takeKnown(job.req.units)
-                    : job.book.takeLocal(job.req.units));
+            boolean inside = p.rate <= 0 || job.book.take(job.req.units);
             if (!inside) job.worth *= p.beyondValue;
             if (inside && p.rate > 0 && terms.present) { // it is owed, or was added: as if it had been read
                 job.countedIn = job.book.cur;
-                job.countedIn.total += job.req.units;
-                job.book.spend(job.req.units);
+                job.book.spend(job.countedIn, job.req.units);
             }
             if (inside || job.book.soft()) admit(job); else finish(job, job.req.units / p.rate);
             return inside;
@@ -866,11 +871,8 @@
         void add(double at, double amount) {
             long turn = (long) (at / BUCKET_MS);
             int i = (int) (turn % BUCKETS);
-            if (turns[i] != turn) {
-                turns[i] = turn;
-                sums[i] = 0;
-            }
-            sums[i] += amount;
+            sums[i] = turns[i] == turn ? sums[i] + amount : amount;
+            turns[i] = turn;
         }
 
         double total(double at) {
--- a/gateway/src/main/java/tinford/api/Inbox.java
+++ b/gateway/src/main/java/tinford/api/Inbox.java
@@ -1,6 +1,7 @@
 package tinford.api;
 
 import java.util.List;
+import java.util.Set;
 
 /** All that can reach a gateway, one call each. */
 public interface Inbox {
@@ -10,6 +11,9 @@
     /** From now on this is what a fleet has settled; without this call a gateway is alone. */
     default void sees(View view) {}
 
+    /** From now on customers are on these plans only; nothing has to be kept of others. */
+    default void plansInForce(Set<Plan> plans) {}
+
     /** Another process of this gateway took its reqs so far; from now on they come here. */
     void takesOver();
 
@@ -55,9 +59,9 @@
 
     void alarm(long token);
 
-    void probed(Srv srv, End how, double took, double[] load);
+    default void probed(Srv srv, End how, double took, double[] load) {}
 
-    void heard(int peer, String text);
+    default void heard(int peer, String text) {}
 
     void counted(long name, End how, double took, double total);
 
--- a/gateway/src/test/java/tinford/Bed.java
+++ b/gateway/src/test/java/tinford/Bed.java
@@ -202,6 +202,17 @@
         }
     }
 
+    /** How many plans the gateway keeps notes of. */
+    int plansKept() {
+        try {
+            var tallies = Decide.class.getDeclaredField("tallies");
+            tallies.setAccessible(true);
+            return ((Map<?, ?>) tallies.get(gateway)).size();
+        } catch (ReflectiveOperationException e) {
+            throw new AssertionError(e);
+        }
+    }
+
     private int size(String part, String field) throws ReflectiveOperationException {
         var of = Decide.class.getDeclaredField(part);
         of.setAccessible(true);
