--- a/gateway/src/main/java/tinford/program/Companion.java
+++ b/gateway/src/main/java/tinford/program/Companion.java
@@ -4,6 +4,7 @@
 import java.util.function.Consumer;
 import tinford.api.Place;
 import tinford.api.View;
+import tinford.routing.Catalog;
 import tinford.transport.Loop;
 
 /**
@@ -18,6 +19,14 @@
      */
     View join(Place place, Consumer<Loop.Due> enter) throws IOException;
 
+    /**
+     * Called once, right before {@link #join}.
+     *
+     * @param use within a round: brings a catalog into force, in place of the settings' own or the
+     *     one before
+     */
+    default void configures(Consumer<Catalog> use) {}
+
     /** Within a round, each {@link #every} ms. */
     void tick();
 
--- a/gateway/src/main/java/tinford/program/Serve.java
+++ b/gateway/src/main/java/tinford/program/Serve.java
@@ -23,6 +23,7 @@
 import tinford.handed.Fields;
 import tinford.handed.Handed;
 import tinford.routing.Addresses;
+import tinford.routing.Catalog;
 import tinford.routing.Clients;
 import tinford.routing.Counter;
 import tinford.routing.Desk;
@@ -142,8 +143,7 @@
         Clients clients =
                 new Clients(
                         desk,
-                        Handed.frontends(set),
-                        Handed.plans(set),
+                        new Catalog(Handed.frontends(set), Handed.plans(set)),
                         Handed.place(set).gateways,
                         Handed.mostUnits(set),
                         idleMost,
@@ -217,6 +217,7 @@
                         }
                         if (companion != null) {
                             try {
+                                companion.configures(desk::use);
                                 desk.sees(companion.join(Handed.place(set), desk.loop::enter));
                             } catch (IOException e) {
                                 shut.set(e);
--- a/gateway/src/main/java/tinford/routing/Clients.java
+++ b/gateway/src/main/java/tinford/routing/Clients.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
-import java.util.Map;
 import java.util.Set;
 import tinford.api.Customer;
 import tinford.api.Effect;
@@ -36,8 +35,6 @@
     private static final double LAST_READ = 20; // and so long what was said then has to be read
     final Desk desk;
     final Resp resp = new Resp(true);
-    private final Map<String, Frontend> frontends;
-    private final Map<String, Plan> plans;
     private final int gateways;
     private final double mostUnits;
     private final double idleMost;
@@ -50,7 +47,8 @@
     private final ArrayDeque<ClientLink> unread =
             new ArrayDeque<>(); // with a command that there is no room for yet
     private long kept; // for commands under way
-    private final double longest; // that a client waits
+    private Catalog catalog;
+    private double longest; // that a client waits, under any catalog so far
     private Door door;
     private Runnable closed;
 
@@ -62,6 +60,7 @@
     private boolean cut; // the process goes
 
     /**
+     * @param catalog until another one comes
      * @param gateways that a customer's reqs may come through
      * @param mostUnits of one req
      * @param idleMost how long a connection may stand idle once it has brought a command
@@ -72,8 +71,7 @@
      */
     public Clients(
             Desk desk,
-            Map<String, Frontend> frontends,
-            Map<String, Plan> plans,
+            Catalog catalog,
             int gateways,
             double mostUnits,
             double idleMost,
@@ -85,13 +83,19 @@
         this.mostUnits = mostUnits;
         this.idleMost = idleMost;
         this.desk = desk;
-        this.frontends = frontends;
-        this.plans = plans;
         this.mostOpen = mostOpen;
         this.mostLinks = mostLinks;
         this.ease = ease;
         this.mostHeld = mostHeld;
-        this.longest = frontends.values().stream().mapToDouble(f -> f.timeout).max().orElse(0);
+        use(catalog);
+    }
+
+    /**
+     * For the requests from now on; those that are open keep the frontend and plan that they had.
+     */
+    void use(Catalog next) {
+        catalog = next;
+        longest = Math.max(longest, next.longestTimeout());
     }
 
     /**
@@ -193,14 +197,8 @@
     }
 
     Exchange exchange(ClientLink from, Ask ask) throws Malformed {
-        Frontend frontend = frontends.get(ask.frontend);
-        if (frontend == null) {
-            throw new Malformed("c to be one of " + frontends.keySet());
-        }
-        Plan plan = plans.get(ask.plan);
-        if (plan == null) {
-            throw new Malformed("t to be one of " + plans.keySet());
-        }
+        Frontend frontend = catalog.frontend(ask.frontend);
+        Plan plan = catalog.plan(ask.customer, ask.plan);
         if (ask.units > mostUnits || ask.width > gateways || ask.first >= gateways) {
             throw new Malformed(
                     "units up to " + mostUnits + ", spread up to " + gateways + ", first below it");
@@ -219,7 +217,7 @@
                 from,
                 ask,
                 frontend,
-                new Customer(ask.customer, plan, ask.width, ask.first),
+                new Customer(ask.customer, plan, ask.width, ask.first, catalog.revision()),
                 desk.looked + Math.min(ask.patience, frontend.timeout));
     }
 
--- a/gateway/src/main/java/tinford/routing/Desk.java
+++ b/gateway/src/main/java/tinford/routing/Desk.java
@@ -84,6 +84,12 @@
         in.sees(fleet);
     }
 
+    /** Within a round: what clients may ask for from now on. */
+    public void use(Catalog catalog) {
+        clients.use(catalog);
+        in.plansInForce(catalog.plansInForce());
+    }
+
     /**
      * Within a round: this process has the reqs of this gateway from another one, or gives them to
      * one.
--- a/gateway/src/test/java/tinford/routing/ClosingTest.java
+++ b/gateway/src/test/java/tinford/routing/ClosingTest.java
@@ -92,19 +92,20 @@
         clients =
                 new Clients(
                         desk,
-                        Map.of(
-                                "f",
-                                new Frontend(
+                        new Catalog(
+                                Map.of(
                                         "f",
-                                        2000,
-                                        LONGEST,
-                                        1,
-                                        0,
-                                        Effect.IDEMPOTENT,
-                                        Group.ALL,
-                                        0,
-                                        false)),
-                        Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                                        new Frontend(
+                                                "f",
+                                                2000,
+                                                LONGEST,
+                                                1,
+                                                0,
+                                                Effect.IDEMPOTENT,
+                                                Group.ALL,
+                                                0,
+                                                false)),
+                                Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0))),
                         1,
                         6,
                         15_000,
--- a/gateway/src/test/java/tinford/routing/LeavingTest.java
+++ b/gateway/src/test/java/tinford/routing/LeavingTest.java
@@ -124,30 +124,31 @@
         clients =
                 new Clients(
                         desk,
-                        Map.of(
-                                "f",
-                                new Frontend(
+                        new Catalog(
+                                Map.of(
                                         "f",
-                                        20_000,
-                                        80_000,
-                                        1,
-                                        0,
-                                        Effect.IDEMPOTENT,
-                                        Group.ALL,
-                                        0,
-                                        false),
-                                "w",
-                                new Frontend(
+                                        new Frontend(
+                                                "f",
+                                                20_000,
+                                                80_000,
+                                                1,
+                                                0,
+                                                Effect.IDEMPOTENT,
+                                                Group.ALL,
+                                                0,
+                                                false),
                                         "w",
-                                        20_000,
-                                        80_000,
-                                        1,
-                                        0,
-                                        Effect.NON_IDEMPOTENT,
-                                        Group.ALL,
-                                        0,
-                                        false)),
-                        Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                                        new Frontend(
+                                                "w",
+                                                20_000,
+                                                80_000,
+                                                1,
+                                                0,
+                                                Effect.NON_IDEMPOTENT,
+                                                Group.ALL,
+                                                0,
+                                                false)),
+                                Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0))),
                         1,
                         6,
                         15_000,
--- a/gateway/src/test/java/tinford/routing/RoutingTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingTest.java
@@ -172,19 +172,20 @@
         Clients clients =
                 new Clients(
                         desk,
-                        Map.of(
-                                "f",
-                                new Frontend(
+                        new Catalog(
+                                Map.of(
                                         "f",
-                                        2000,
-                                        8000,
-                                        1,
-                                        0,
-                                        Effect.IDEMPOTENT,
-                                        Group.ALL,
-                                        0,
-                                        false)),
-                        Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                                        new Frontend(
+                                                "f",
+                                                2000,
+                                                8000,
+                                                1,
+                                                0,
+                                                Effect.IDEMPOTENT,
+                                                Group.ALL,
+                                                0,
+                                                false)),
+                                Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0))),
                         1,
                         6,
                         15_000,
@@ -271,19 +272,20 @@
         clients[0] =
                 new Clients(
                         desk,
-                        Map.of(
-                                "f",
-                                new Frontend(
+                        new Catalog(
+                                Map.of(
                                         "f",
-                                        2000,
-                                        8000,
-                                        1,
-                                        0,
-                                        Effect.IDEMPOTENT,
-                                        Group.ALL,
-                                        0,
-                                        false)),
-                        Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                                        new Frontend(
+                                                "f",
+                                                2000,
+                                                8000,
+                                                1,
+                                                0,
+                                                Effect.IDEMPOTENT,
+                                                Group.ALL,
+                                                0,
+                                                false)),
+                                Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0))),
                         1,
                         6,
                         15_000,
--- a/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
+++ b/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
@@ -91,19 +91,20 @@
         Clients clients =
                 new Clients(
                         desk,
-                        Map.of(
-                                "f",
-                                new Frontend(
+                        new Catalog(
+                                Map.of(
                                         "f",
-                                        2000,
-                                        8000,
-                                        1,
-                                        0,
-                                        Effect.NON_IDEMPOTENT,
-                                        Group.ALL,
-                                        0,
-                                        false)),
-                        Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                                        new Frontend(
+                                                "f",
+                                                2000,
+                                                8000,
+                                                1,
+                                                0,
+                                                Effect.NON_IDEMPOTENT,
+                                                Group.ALL,
+                                                0,
+                                                false)),
+                                Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0))),
                         1,
                         6,
                         15_000,
