--- a/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
@@ -184,7 +184,9 @@
         }
     }
 
-    /** From any thread: nothing more is followed; what is in force stays, and is kept on the disk. */
+    /**
+     * From any thread: nothing more is followed; what is in force stays, and is kept on the disk.
+     */
     void close() {
         executor.execute(this::end);
     }
