--- a/fleet/src/main/java/tinford/fleet/config/RecordChecks.java
+++ b/fleet/src/main/java/tinford/fleet/config/RecordChecks.java
@@ -5,14 +5,17 @@
 import tinford.api.Group;
 
 /** Checks of single records by themselves: names and ranges of numbers. */
-final class RecordChecks {
+public final class RecordChecks {
     private static final Pattern NAME =
             Pattern.compile(
                     "[A-Za-z0-9_][A-Za-z0-9_.-]{0," + (ConfigurationLimits.NAME_LENGTH - 1) + "}");
-    static final String EXPECTED_NAME =
+
+    /** What a name is, for a line that tells of one that is none. */
+    public static final String EXPECTED_NAME =
             "1 to "
                     + ConfigurationLimits.NAME_LENGTH
                     + " of A-Z a-z 0-9 _ . -, not beginning with . or -";
+
     private static final String EXPECTED_AMOUNT =
             "a number from 0 to " + ConfigurationLimits.LARGEST_NUMBER;
     private static final String EXPECTED_TIME =
@@ -24,7 +27,8 @@
         this.faults = faults;
     }
 
-    static boolean isName(String text) {
+    /** Whether a text is a name: of a service, a route, a plan, a follower, a region or a fleet. */
+    public static boolean isName(String text) {
         return text != null && NAME.matcher(text).matches();
     }
 
--- a/fleet/src/main/java/tinford/fleet/follow/ConfigurationClient.java
+++ b/fleet/src/main/java/tinford/fleet/follow/ConfigurationClient.java
@@ -296,6 +296,13 @@
             }
         }
 
+        @Override
+        public void partialLine() {
+            if (this == watch) {
+                follower.partialLine(now());
+            }
+        }
+
         @Override
         public void ended(String reason) {
             if (this == watch) {
--- a/fleet/src/main/java/tinford/fleet/follow/WatchStream.java
+++ b/fleet/src/main/java/tinford/fleet/follow/WatchStream.java
@@ -18,6 +18,9 @@
     interface Listener {
         void line(byte[] line);
 
+        /** Bytes came that don't end a line. */
+        void partialLine();
+
         void ended(String reason);
     }
 
@@ -63,7 +66,11 @@
     private void handle(List<ByteBuffer> buffers) {
         bytesReceived.addAndGet(buffers.stream().mapToLong(ByteBuffer::remaining).sum());
         try {
-            lines.split(buffers).forEach(listener::line);
+            List<byte[]> whole = lines.split(buffers);
+            whole.forEach(listener::line);
+            if (whole.isEmpty()) {
+                listener.partialLine();
+            }
             requestMore();
         } catch (LineSplitter.LineTooLong e) {
             cancel();
--- a/fleet/src/main/java/tinford/fleet/run/ConfigurationSettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/ConfigurationSettings.java
@@ -6,6 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import tinford.fleet.config.Endpoint;
+import tinford.fleet.config.RecordChecks;
 
 /**
  * The table {@code [configuration]} of the operator file.
@@ -42,7 +43,7 @@
             return null;
         }
         int port = Integer.parseInt(form.group(3));
-        return port < 1 || port > MOST_PORT
+        return port < 1 || port > MOST_PORT || !RecordChecks.isName(form.group(1))
                 ? null
                 : new Endpoint(form.group(1), form.group(2), port);
     }
--- a/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import tinford.api.Place;
+import tinford.fleet.config.RecordChecks;
 import tinford.routing.Addresses;
 
 /**
@@ -22,7 +23,7 @@
         boolean mayGossip) {
     /** Its name among the followers of the control servers. */
     String followerId(Place place) {
-        return name.isEmpty() ? "gateway-" + place.number : name;
+        return RecordChecks.isName(name) ? name : "gateway-" + place.number;
     }
 
     static GatewaySettings read(String path) throws IOException {
--- a/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -11,6 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import tinford.fleet.config.RecordChecks;
 
 /**
  * The operator file of a fleet, checked whole: every fault is told at once, with file, line, key
@@ -191,6 +192,19 @@
                                 + server);
             }
         }
+        for (String key : List.of("fleet", "region")) {
+            String name = text("configuration." + key);
+            if (!name.isEmpty() && !RecordChecks.isName(name)) {
+                faults.add(
+                        at(file, text, "configuration", key)
+                                + "configuration."
+                                + key
+                                + ": expected "
+                                + RecordChecks.EXPECTED_NAME
+                                + ", not "
+                                + name);
+            }
+        }
         if (!on("configuration.on")) {
             return;
         }
--- a/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
@@ -71,6 +71,10 @@
                 "[configuration]\nservers = \"r=1.2.3.4:5\"",
                 "f.toml, line 2: configuration.servers: expected a list of region=numeric"
             },
+            {
+                "[configuration]\nfleet = \"f\"\nregion = \"a b\"",
+                "f.toml, line 3: configuration.region: expected 1 to 64 of"
+            },
             {"offer = 3", "f.toml, line 1: offer: expected to stand in a table"},
             {
                 "[budgets]\non = true",
