--- a/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
+++ b/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
@@ -29,7 +29,7 @@
     /** What a tenant takes in the configuration, the catalog, and both of their successors. */
     private static final int BYTES_PER_TENANT = 512;
 
-    /** Of the heap, what tenants may take. */
+    /** Of the heap, the part that tenants may take. */
     private static final int HEAP_PART_OF_TENANTS = 2;
 
     private static final double SECOND_MS = 1000;
--- a/gateway/src/test/java/tinford/PlanChangeTest.java
+++ b/gateway/src/test/java/tinford/PlanChangeTest.java
@@ -233,9 +233,9 @@
         }
     }
 
-    /** Moves, and a move back, at all gateways together: nothing is passed twice. */
+    /** Again and again, at all gateways together. */
     @Test
-    public void whoIsMovedBackHasNoSecondBurst() {
+    public void eachMoveOpensNoMoreThanTheDifferenceOfTheBursts() {
         Site site = new Site(2, plan(20, 40));
         site.run(20_000, true);
         for (int i = 0; i < 10; i++) {
