--- a/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -11,6 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import tinford.fleet.config.RecordChecks;
 
 /**
  * The operator file of a fleet, checked whole: every fault is told at once, with file, line, key
@@ -74,6 +75,16 @@
                 new Key("a list of group=units a second,connections", 0, 0, List.of()));
     }
 
+    static {
+        KEYS.put("configuration.on", new Key("true or false", 0, 0, false));
+        KEYS.put("configuration.fleet", new Key("the name of the fleet", 0, 0, ""));
+        KEYS.put("configuration.region", new Key("the name of this gateway's region", 0, 0, ""));
+        KEYS.put(
+                "configuration.servers",
+                new Key("a list of " + ConfigurationSettings.SERVER_FORM, 0, 0, List.of()));
+        KEYS.put("configuration.folder", new Key("a folder that lasts", 0, 0, ""));
+    }
+
     private final Map<String, Object> values = new LinkedHashMap<>();
 
     private OperatorFile() {}
@@ -134,6 +145,7 @@
         KEYS.forEach((name, k) -> found.values.putIfAbsent(name, k.absent));
         if (faults.isEmpty()) {
             found.checkTogether(file, text, faults);
+            found.checkConfiguration(file, text, faults);
         }
         if (!faults.isEmpty()) {
             throw new Refused(faults);
@@ -169,6 +181,50 @@
         }
     }
 
+    private void checkConfiguration(String file, String text, List<String> faults) {
+        for (String server : texts("configuration.servers")) {
+            if (ConfigurationSettings.endpoint(server) == null) {
+                faults.add(
+                        at(file, text, "configuration", "servers")
+                                + "configuration.servers: expected "
+                                + ConfigurationSettings.SERVER_FORM
+                                + ", not "
+                                + server);
+            }
+        }
+        for (String key : List.of("fleet", "region")) {
+            String name = text("configuration." + key);
+            if (!name.isEmpty() && !RecordChecks.isName(name)) {
+                faults.add(
+                        at(file, text, "configuration", key)
+                                + "configuration."
+                                + key
+                                + ": expected "
+                                + RecordChecks.EXPECTED_NAME
+                                + ", not "
+                                + name);
+            }
+        }
+        if (!on("configuration.on")) {
+            return;
+        }
+        for (String key : List.of("fleet", "region", "folder")) {
+            if (text("configuration." + key).isEmpty()) {
+                faults.add(
+                        at(file, text, "configuration", "on")
+                                + "configuration."
+                                + key
+                                + ": expected where configuration.on is true");
+            }
+        }
+        if (texts("configuration.servers").isEmpty()) {
+            faults.add(
+                    at(file, text, "configuration", "on")
+                            + "configuration.servers: expected one or more where configuration.on"
+                            + " is true");
+        }
+    }
+
     private static Object value(Key k, JsonNode v) {
         if (k.absent instanceof Boolean) {
             return v.isBoolean() ? v.booleanValue() : null;
