--- a/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
@@ -8,8 +8,10 @@
 import java.util.TreeMap;
 import java.util.regex.Pattern;
 import tinford.fleet.config.Endpoint;
+import tinford.fleet.config.RecordChecks;
 import tinford.fleet.control.ControlSettings.VoterSettings;
 import tinford.fleet.control.ControlSettings.WatchTiming;
+import tinford.fleet.settings.EndpointText;
 import tinford.fleet.settings.InvalidSettings;
 import tinford.fleet.settings.Settings;
 import tinford.fleet.settings.SettingsSchema;
@@ -32,7 +34,7 @@
                     .texts("voters.members", "a list of number=host:port, all voters")
                     .number("voters.silence_ms", 1000, 100, 30_000)
                     .number("voters.decide_ms", 5000, 500, 10_000)
-                    .texts("replica.upstream", "a list of region=host:port, all voters");
+                    .texts("replica.upstream", "a list of " + EndpointText.FORM + ", all voters");
 
     private static final Pattern NUMBER = Pattern.compile("[1-9][0-9]{0,2}");
 
@@ -77,8 +79,8 @@
 
     private String name(String key) {
         String text = settings.text(key);
-        if (!FollowerName.isValid(text)) {
-            fault(key, FollowerName.EXPECTED);
+        if (!RecordChecks.isName(text)) {
+            fault(key, RecordChecks.EXPECTED_NAME);
         }
         return text;
     }
@@ -141,20 +143,15 @@
     private List<Endpoint> upstream() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (String text : settings.texts("replica.upstream")) {
-            int equals = text.indexOf('=');
-            InetSocketAddress address = Addresses.of(text.substring(equals + 1));
-            if (address == null || equals < 1) {
-                fault("replica.upstream", "region=host:port, not " + text);
+            Endpoint endpoint = EndpointText.parse(text);
+            if (endpoint == null) {
+                fault("replica.upstream", EndpointText.FORM + ", not " + text);
             } else {
-                endpoints.add(
-                        new Endpoint(
-                                text.substring(0, equals),
-                                address.getAddress().getHostAddress(),
-                                address.getPort()));
+                endpoints.add(endpoint);
             }
         }
         if (endpoints.isEmpty()) {
-            fault("replica.upstream", "one or more region=host:port for a replica");
+            fault("replica.upstream", "one or more " + EndpointText.FORM + " for a replica");
         }
         return endpoints;
     }
--- a/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
+++ b/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
@@ -3,6 +3,7 @@
 import io.undertow.server.HttpServerExchange;
 import java.util.Deque;
 import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.RecordChecks;
 
 /** Reads the query of a request for a watch. */
 final class QueryParameters {
@@ -43,8 +44,8 @@
     }
 
     private static void checkName(String key, String text) throws InvalidConfiguration {
-        if (!FollowerName.isValid(text)) {
-            throw new InvalidConfiguration(key, FollowerName.EXPECTED);
+        if (!RecordChecks.isName(text)) {
+            throw new InvalidConfiguration(key, RecordChecks.EXPECTED_NAME);
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/control/SnapshotKeeper.java
+++ b/fleet/src/main/java/tinford/fleet/control/SnapshotKeeper.java
@@ -73,6 +73,10 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        file.close();
+        try {
+            file.close();
+        } catch (IOException e) {
+            ControlLog.snapshotNotKept(e);
+        }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/Main.java
+++ b/fleet/src/main/java/tinford/fleet/run/Main.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import tinford.Decide;
+import tinford.fleet.settings.InvalidSettings;
 import tinford.logs.Lines;
 import tinford.program.Serve;
 
@@ -34,7 +35,7 @@
                     new Fleet(
                             operatorFile, moves, gatewaySettings, System.getenv("TINFORD_HISTORY"));
             code = Serve.start(System.getenv(), System.err, Decide::new, fleet);
-        } catch (OperatorFile.Refused | IOException e) {
+        } catch (InvalidSettings | IOException e) {
             e.getMessage().lines().forEach(l -> System.err.println("tinford: " + l));
         }
         if (code >= 0) {
--- a/fleet/src/main/java/tinford/fleet/run/MoveSettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/MoveSettings.java
@@ -15,6 +15,7 @@
 import tinford.fleet.moves.Faults;
 import tinford.fleet.moves.Plan;
 import tinford.fleet.moves.PlanReader;
+import tinford.fleet.settings.InvalidSettings;
 import tinford.handed.BadInput;
 import tinford.handed.Fields;
 
@@ -29,7 +30,7 @@
 record MoveSettings(Map<String, String> homes, Plan plan, double coldTime) {
     /** Null where moves are off. */
     static MoveSettings read(String file, OperatorFile operatorFile, String config)
-            throws OperatorFile.Refused, IOException {
+            throws InvalidSettings, IOException {
         if (!operatorFile.on("moves.on")) {
             return null;
         }
@@ -55,7 +56,7 @@
             Map<String, Frontend> frontends,
             double coldFrom,
             double coldTime)
-            throws OperatorFile.Refused {
+            throws InvalidSettings {
         List<String> faults = new ArrayList<>();
         Map<String, String> homes = new TreeMap<>();
         Map<String, Frontend> may = new HashMap<>();
@@ -113,7 +114,7 @@
                         ? null
                         : plan(operatorFile.text("moves.plan"), may, homes, rooms, faults);
         if (!faults.isEmpty()) {
-            throw new OperatorFile.Refused(faults);
+            throw new InvalidSettings(faults);
         }
         return new MoveSettings(homes, plan, coldTime);
     }
--- a/fleet/src/main/java/tinford/fleet/settings/Settings.java
+++ b/fleet/src/main/java/tinford/fleet/settings/Settings.java
@@ -37,9 +37,14 @@
 
     /** One line that tells of a fault: file, line of the key where it is written, key. */
     public String fault(String key, String expected) {
-        int line = lineOf(key);
-        String place = line == NOWHERE ? file : file + ", line " + line;
-        return place + ": " + key + ": expected " + expected;
+        return faultAt(key, key, expected);
+    }
+
+    /** The same, with the line of another key, as where that one makes this one needed. */
+    public String faultAt(String place, String key, String expected) {
+        int line = lineOf(place);
+        String where = line == NOWHERE ? file : file + ", line " + line;
+        return where + ": " + key + ": expected " + expected;
     }
 
     boolean isWritten(String key) {
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -24,6 +24,7 @@
 import tinford.fleet.members.Leases;
 import tinford.fleet.moves.MoveStatus;
 import tinford.fleet.moves.Moves;
+import tinford.fleet.settings.InvalidSettings;
 import tinford.fleet.store.Log;
 import tinford.fleet.store.MemoryLogs;
 
@@ -424,7 +425,7 @@
         String said = "";
         try {
             settings(operatorFile, plan);
-        } catch (OperatorFile.Refused e) {
+        } catch (InvalidSettings e) {
             said = e.getMessage();
         }
         assertTrue(said.contains(told), said);
