--- a/fleet/src/main/java/tinford/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlServer.java
@@ -142,7 +142,7 @@
                         new WatchHandler(settings.fleet(), feed, hub, settings.timing()))
                 .get("/followers", timed(new FollowersHandler(feed, hub, reports)))
                 .post("/followers/{" + ReportHandler.ID + "}", timed(new ReportHandler(reports)))
-                .post("/proposals", timed(new ProposalHandler(role)))
+                .post("/proposals", timed(ProposalHandler.limited(role)))
                 .get("/status", timed(new StatusHandler(settings, role, feed, hub)));
     }
 
--- a/fleet/src/main/java/tinford/fleet/control/ProposalHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/ProposalHandler.java
@@ -3,6 +3,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
+import io.undertow.server.handlers.RequestLimit;
+import io.undertow.server.handlers.RequestLimitingHandler;
 import io.undertow.util.SameThreadExecutor;
 import io.undertow.util.StatusCodes;
 import java.util.Locale;
@@ -12,16 +14,25 @@
 import tinford.fleet.config.Outcome;
 import tinford.fleet.config.Proposal;
 import tinford.fleet.control.ProposalResult.Decided;
+import tinford.fleet.control.ProposalResult.Taken;
 import tinford.fleet.control.ProposalResult.Unavailable;
 
 /** {@code POST /proposals}: changes of the configuration. */
 final class ProposalHandler implements HttpHandler {
     private final ControlRole role;
 
-    ProposalHandler(ControlRole role) {
+    private ProposalHandler(ControlRole role) {
         this.role = role;
     }
 
+    /** Holds the bodies of {@link PendingProposals#CAPACITY} at once; as many more wait unread. */
+    static HttpHandler limited(ControlRole role) {
+        RequestLimit limit = new RequestLimit(PendingProposals.CAPACITY, PendingProposals.CAPACITY);
+        limit.setFailureHandler(
+                exchange -> answer(exchange, new Unavailable(Taken.NO, "too many proposals")));
+        return new RequestLimitingHandler(limit, new ProposalHandler(role));
+    }
+
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         RequestBody.read(
