--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/run/ConfigurationSettings.java
@@ -0,0 +1,30 @@
+package tinford.fleet.run;
+
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import tinford.fleet.config.Endpoint;
+import tinford.fleet.settings.EndpointText;
+
+/**
+ * The table {@code [configuration]} of the operator file.
+ *
+ * @param folder where the last good configuration is kept
+ */
+record ConfigurationSettings(String fleetId, String region, List<Endpoint> servers, Path folder) {
+    /** Null where configurations are off. */
+    static ConfigurationSettings of(OperatorFile file) {
+        if (!file.on("configuration.on")) {
+            return null;
+        }
+        List<Endpoint> servers = new ArrayList<>();
+        for (String server : file.texts("configuration.servers")) {
+            servers.add(EndpointText.parse(server));
+        }
+        return new ConfigurationSettings(
+                file.text("configuration.fleet"),
+                file.text("configuration.region"),
+                servers,
+                Path.of(file.text("configuration.folder")));
+    }
+}
