--- a/lab/src/main/java/tinford/lab/fleet/Judge.java
+++ b/lab/src/main/java/tinford/lab/fleet/Judge.java
@@ -52,7 +52,10 @@
         }
     }
 
-    Judge(Map<String, Promise> promises) {
+    /**
+     * @param promises by name
+     */
+    public Judge(Map<String, Promise> promises) {
         this.promises = promises;
     }
 
--- a/lab/src/main/java/tinford/lab/fleet/Processes.java
+++ b/lab/src/main/java/tinford/lab/fleet/Processes.java
@@ -18,7 +18,7 @@
  * pids} while it lives; when this JVM is gone, however it went, a watcher that held a pipe to it
  * kills what is still named there, and goes too.
  */
-final class Processes implements AutoCloseable {
+public final class Processes implements AutoCloseable {
     private static final String ENTER = ": > \"$0/$$\" && exec \"$@\"";
     private static final String WATCH =
             "trap '' INT TERM HUP; cat > /dev/null; for f in \"$0\"/*; do [ -e \"$f\" ] && kill -9"
@@ -30,7 +30,7 @@
     private final Thread hook = new Thread(this::killAll, "end of processes");
     private boolean closed;
 
-    Processes(Path folder) throws IOException {
+    public Processes(Path folder) throws IOException {
         this.folder = folder;
         pids = Files.createDirectories(folder.resolve("pids"));
         watcher =
@@ -41,15 +41,15 @@
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
-    Path of(int gateway) throws IOException {
+    public Path of(int gateway) throws IOException {
         return Files.createDirectories(folder.resolve("gateway" + gateway));
     }
 
-    Path disk(int gateway) throws IOException {
+    public Path disk(int gateway) throws IOException {
         return Files.createDirectories(of(gateway).resolve("disk"));
     }
 
-    synchronized Process start(
+    public synchronized Process start(
             int gateway, List<String> words, Map<String, String> environment, Path log)
             throws IOException {
         if (closed) {
@@ -86,7 +86,7 @@
     }
 
     /** STOP or CONT, to a gateway that was started here and lives. */
-    void signal(int gateway, String name) throws IOException {
+    public void signal(int gateway, String name) throws IOException {
         Process p = now.get(gateway);
         if (p == null || !p.isAlive()) {
             return;
@@ -100,6 +100,19 @@
         }
     }
 
+    /** Ends one that lives, without a word to it, and waits until it is gone. */
+    public void kill(int gateway) throws IOException {
+        Process p = now.get(gateway);
+        if (p == null) {
+            return;
+        }
+        try {
+            p.destroyForcibly().waitFor();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
     /** Puts a copy of its disk aside. */
     void copyDisk(int gateway) throws IOException {
         copy(disk(gateway), of(gateway).resolve("old"));
@@ -130,7 +143,7 @@
         }
     }
 
-    static void delete(Path folder) throws IOException {
+    public static void delete(Path folder) throws IOException {
         if (Files.exists(folder)) {
             try (Stream<Path> all = Files.walk(folder)) {
                 for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
--- a/lab/src/main/java/tinford/lab/fleet/Promise.java
+++ b/lab/src/main/java/tinford/lab/fleet/Promise.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** One promise, held against the histories line by line, in the order of time. */
-interface Promise {
+public interface Promise {
     /** Who finds a breach says so here, with the lines that tell it in the shortest way. */
     interface Finds {
         void breach(String what, List<History.Line> story);
--- a/lab/src/main/java/tinford/lab/fleet/StreamLink.java
+++ b/lab/src/main/java/tinford/lab/fleet/StreamLink.java
@@ -25,6 +25,7 @@
     private final InetSocketAddress target;
     private final IntConsumer opened;
     private final IntConsumer left;
+    private final Traffic traffic;
     private final Way there;
     private final Way back;
     private final int port;
@@ -34,6 +35,14 @@
     private boolean shut;
     private Stand stand = Stand.OPEN;
 
+    /** Is told, on the loop's thread, of all bytes that enter the link, either way. */
+    interface Traffic {
+        /**
+         * @param connection by the port from which it comes to the target
+         */
+        void passed(int connection, int bytes);
+    }
+
     /** How its door stands. */
     private enum Stand {
         OPEN,
@@ -158,6 +167,7 @@
                         break;
                     }
                     if (n > 0) {
+                        traffic.passed(number, n);
                         f.hold(b.flip());
                     }
                     if (n == 0 || f.bytes > MOST) {
@@ -226,10 +236,22 @@
             IntConsumer opened,
             IntConsumer left)
             throws IOException {
+        this(loop, draw, target, opened, left, (connection, bytes) -> {});
+    }
+
+    StreamLink(
+            LinkLoop loop,
+            Random draw,
+            InetSocketAddress target,
+            IntConsumer opened,
+            IntConsumer left,
+            Traffic traffic)
+            throws IOException {
         this.loop = loop;
         this.target = target;
         this.opened = opened;
         this.left = left;
+        this.traffic = traffic;
         there = new Way(draw);
         back = new Way(draw);
         door =
