--- a/lab/src/main/java/tinford/lab/control/ConfigurationOperator.java
+++ b/lab/src/main/java/tinford/lab/control/ConfigurationOperator.java
@@ -95,11 +95,9 @@
 
     private Outcome told(String id, Outcome outcome) {
         if (outcome instanceof Outcome.Accepted accepted) {
-            history.tell(
-                    Events.ACCEPTED, Events.ID, id, Events.REVISION, accepted.revision());
+            history.tell(Events.ACCEPTED, Events.ID, id, Events.REVISION, accepted.revision());
         } else if (outcome instanceof Outcome.Refused refused) {
-            history.tell(
-                    Events.REFUSED, Events.ID, id, Events.WHY, refused.refusal().toString());
+            history.tell(Events.REFUSED, Events.ID, id, Events.WHY, refused.refusal().toString());
         }
         return outcome;
     }
--- a/lab/src/main/java/tinford/lab/control/ContentDigest.java
+++ b/lab/src/main/java/tinford/lab/control/ContentDigest.java
@@ -32,7 +32,6 @@
     private static void add(MessageDigest digest, Map<?, ?> entries) {
         entries.forEach(
                 (key, value) ->
-                        digest.update(
-                                (key + "=" + value + "\n").getBytes(StandardCharsets.UTF_8)));
+                        digest.update((key + "=" + value + "\n").getBytes(StandardCharsets.UTF_8)));
     }
 }
--- a/lab/src/main/java/tinford/lab/control/ControlFigures.java
+++ b/lab/src/main/java/tinford/lab/control/ControlFigures.java
@@ -73,9 +73,7 @@
             result.put("restarted", restarts.count());
             result.put("restart_median_s", restarts.median() / 1000);
             result.putLimited(
-                    "restart_largest_s",
-                    restarts.largest() / 1000,
-                    ControlLimits.IN_FORCE_SECONDS);
+                    "restart_largest_s", restarts.largest() / 1000, ControlLimits.IN_FORCE_SECONDS);
         }
         result.put("attempts_not_taken", countInPlay(Events.TRIED));
         result.put("refusals_by_followers", countInPlay(Events.NOT_APPLIED));
@@ -125,8 +123,7 @@
             }
         }
         int hollow = run.options().size().hollow();
-        result.putLimited(
-                "cores_a_follower", cores / hollow, ControlLimits.CORES_A_FOLLOWER);
+        result.putLimited("cores_a_follower", cores / hollow, ControlLimits.CORES_A_FOLLOWER);
         result.putLimited(
                 "megabytes_a_follower", megabytes / hollow, ControlLimits.MEGABYTES_A_FOLLOWER);
         result.put("cores_a_server_most", serverCores);
--- a/lab/src/main/java/tinford/lab/control/ControlRun.java
+++ b/lab/src/main/java/tinford/lab/control/ControlRun.java
@@ -44,6 +44,7 @@
     private final HeldRevisions held = new HeldRevisions();
     private final ChangeDraw draw;
     private final ConfigurationOperator operator;
+    private final ControlTool tool;
     private final GatewayLoad load;
     private final List<String> failures = new ArrayList<>();
     private Configuration reference = Configuration.EMPTY;
@@ -71,6 +72,9 @@
                             http,
                             folder.resolve("servers"));
             operator = new ConfigurationOperator(http, this::reachable, history);
+            tool =
+                    new ControlTool(
+                            processes, options.program(), servers, folder.resolve("commands"));
             draw = new ChangeDraw(RandomSource.XO_RO_SHI_RO_128_PP.create(options.seed()));
             makeHollow(folder);
             load = size.gateways() == 0 ? null : makeLoad(folder.resolve("load"));
@@ -113,7 +117,9 @@
                 folder);
     }
 
-    /** The operator is in the east, and reaches the voters there whatever happens between regions. */
+    /**
+     * The operator is in the east, and reaches the voters there whatever happens between regions.
+     */
     private List<URI> reachable() {
         return servers.all().stream()
                 .filter(server -> server.voter() && server.region().equals(Regions.EAST))
@@ -124,7 +130,7 @@
     ControlResult play() throws IOException, InterruptedException {
         servers.startAll();
         servers.awaitReady(READY_SECONDS);
-        enterAll(draw.load(size, load == null ? List.of() : load.configuration()));
+        enterConfiguration();
         startFollowers();
         links.resetMeters();
         began = now();
@@ -143,8 +149,7 @@
             load.start();
         }
         for (int i = 0; i < hollow.size(); i++) {
-            hollow.get(i)
-                    .launch(FOLLOWER_PROCESS_BASE + i, processes, Classpath.own(), resources);
+            hollow.get(i).launch(FOLLOWER_PROCESS_BASE + i, processes, Classpath.own(), resources);
             hollow.get(i).startAll();
         }
         if (!held.await(size.hollow(), reference.revision(), READY_SECONDS)) {
@@ -154,7 +159,13 @@
         }
     }
 
-    private void enterAll(List<ChangeSet> sets) throws IOException, InterruptedException {
+    /** The first set by the operators' command; entered again, it has the same outcome. */
+    private void enterConfiguration() throws IOException, InterruptedException {
+        List<ChangeSet> sets = draw.load(size, load == null ? List.of() : load.configuration());
+        int code = tool.enter(sets.get(0));
+        if (code != 0) {
+            failures.add("the enter command ended with " + code + ", see " + tool.log());
+        }
         for (ChangeSet set : sets) {
             enter(set);
         }
@@ -207,6 +218,10 @@
         if (load != null) {
             TimeUnit.MILLISECONDS.sleep(GATEWAYS_SETTLE_MS);
         }
+        int code = tool.status(size.followers(), reference.revision());
+        if (code != 0) {
+            failures.add("the status command ended with " + code + ", see " + tool.log());
+        }
         for (ControlServers.Server server : servers.all()) {
             long revision = serverRevision(server);
             history.tell(
--- a/lab/src/main/java/tinford/lab/control/ControlServers.java
+++ b/lab/src/main/java/tinford/lab/control/ControlServers.java
@@ -73,8 +73,7 @@
         this.folder = Files.createDirectories(folder);
         for (int i = 0; i < size.servers(); i++) {
             String region = Regions.ofServer(size, i);
-            servers.add(
-                    new Server(i, region, i < size.voters(), FreePort.find(), FreePort.find()));
+            servers.add(new Server(i, region, i < size.voters(), FreePort.find(), FreePort.find()));
         }
         for (Server server : servers) {
             Files.writeString(operatorFile(server), operatorText(server));
--- a/lab/src/main/java/tinford/lab/control/Events.java
+++ b/lab/src/main/java/tinford/lab/control/Events.java
@@ -30,8 +30,8 @@
     static final String CONTENT = "content";
 
     /**
-     * What the acknowledged change sets come to at {@link #REVISION}: {@link #HASH}, at the
-     * end {@link #DIGEST}.
+     * What the acknowledged change sets come to at {@link #REVISION}: {@link #HASH}, at the end
+     * {@link #DIGEST}.
      */
     static final String REFERENCE = "reference";
 
--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -202,8 +202,7 @@
     private static History.Line follower(History.Line line, String kind) {
         ObjectNode fields = line.fields().deepCopy();
         fields.put(Events.FOLLOWER, name(line.gateway()));
-        return new History.Line(
-                line.at(), line.wall(), line.gateway(), line.life(), kind, fields);
+        return new History.Line(line.at(), line.wall(), line.gateway(), line.life(), kind, fields);
     }
 
     @Override
--- a/lab/src/main/java/tinford/lab/control/HollowFollower.java
+++ b/lab/src/main/java/tinford/lab/control/HollowFollower.java
@@ -57,7 +57,8 @@
             }
             String refused = refusedRoute;
             if (refused != null && configuration.routes().containsKey(refused)) {
-                String why = "routes." + refused + ": expected a route that this follower can apply";
+                String why =
+                        "routes." + refused + ": expected a route that this follower can apply";
                 tell(Events.NOT_APPLIED, configuration, Events.WHY, why);
                 return why;
             }
--- a/lab/src/main/java/tinford/lab/control/HollowFollowers.java
+++ b/lab/src/main/java/tinford/lab/control/HollowFollowers.java
@@ -38,8 +38,7 @@
         Path folder = Files.createDirectories(Path.of(settings.folder()));
         for (HollowSettings.Spec spec : settings.followers()) {
             long seed = settings.seed() + spec.id().hashCode();
-            followers.add(
-                    new HollowFollower(spec, folder, seed, history, http, executor));
+            followers.add(new HollowFollower(spec, folder, seed, history, http, executor));
         }
     }
 
--- a/lab/src/main/java/tinford/lab/control/HollowProcess.java
+++ b/lab/src/main/java/tinford/lab/control/HollowProcess.java
@@ -43,8 +43,7 @@
         historyFile = own.resolve("history.jsonl");
         settingsFile = own.resolve("settings.json");
         log = own.resolve("log");
-        new HollowSettings(
-                        historyFile.toString(), own.resolve("disks").toString(), seed, followers)
+        new HollowSettings(historyFile.toString(), own.resolve("disks").toString(), seed, followers)
                 .write(settingsFile);
     }
 
--- a/lab/src/main/java/tinford/lab/control/InForce.java
+++ b/lab/src/main/java/tinford/lab/control/InForce.java
@@ -49,10 +49,7 @@
             double[] sorted = values.stream().mapToDouble(v -> v).toArray();
             Arrays.sort(sorted);
             return new Spread(
-                    sorted.length,
-                    at(sorted, 0.5),
-                    at(sorted, 0.99),
-                    sorted[sorted.length - 1]);
+                    sorted.length, at(sorted, 0.5), at(sorted, 0.99), sorted[sorted.length - 1]);
         }
 
         private static double at(double[] sorted, double part) {
@@ -83,8 +80,7 @@
             case Events.STARTED -> {
                 Life before = followers.get(follower);
                 followers.put(
-                        follower,
-                        new Life(line.text(Events.REGION), line.at(), before != null));
+                        follower, new Life(line.text(Events.REGION), line.at(), before != null));
             }
             case Events.STOPPED -> {
                 if (followers.containsKey(follower)) {
--- a/lab/src/main/java/tinford/lab/control/QuotaUse.java
+++ b/lab/src/main/java/tinford/lab/control/QuotaUse.java
@@ -87,12 +87,7 @@
         if (plan != null) {
             quotas.values().forEach(b -> b.fill(phase.at(), plan.ratePerSecond(), plan.burst()));
             ceilings.values()
-                    .forEach(
-                            b ->
-                                    b.fill(
-                                            phase.at(),
-                                            plan.ceilingPerSecond(),
-                                            plan.ceilingBurst()));
+                    .forEach(b -> b.fill(phase.at(), plan.ceilingPerSecond(), plan.ceilingBurst()));
         }
         plan = phase.plan();
         units = 0;
@@ -129,7 +124,6 @@
         ceiling.fill(now, plan.ceilingPerSecond(), plan.ceilingBurst());
         ceiling.level -= taken;
         double grace = plan.ceilingPerSecond() * GRACE_MS / 1000;
-        worstOverCeiling =
-                Math.max(worstOverCeiling, -ceiling.level - plan.ceilingSlack() - grace);
+        worstOverCeiling = Math.max(worstOverCeiling, -ceiling.level - plan.ceilingSlack() - grace);
     }
 }
--- a/lab/src/main/java/tinford/lab/control/ResourceSampler.java
+++ b/lab/src/main/java/tinford/lab/control/ResourceSampler.java
@@ -66,7 +66,8 @@
         String stat = Files.readString(proc.resolve("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         double cpu =
-                (Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[SYSTEM_TIME_FIELD]))
+                (Long.parseLong(fields[USER_TIME_FIELD])
+                                + Long.parseLong(fields[SYSTEM_TIME_FIELD]))
                         / TICKS_PER_SECOND;
         long resident =
                 Files.readAllLines(proc.resolve("status")).stream()
@@ -118,9 +119,7 @@
 
     /** Processor seconds from one sample to the next, which may be of the process after it. */
     private static double between(Sample earlier, Sample later) {
-        return later.pid == earlier.pid
-                ? later.cpuSeconds - earlier.cpuSeconds
-                : later.cpuSeconds;
+        return later.pid == earlier.pid ? later.cpuSeconds - earlier.cpuSeconds : later.cpuSeconds;
     }
 
     @Override
--- a/lab/src/main/java/tinford/lab/control/RevisionsRise.java
+++ b/lab/src/main/java/tinford/lab/control/RevisionsRise.java
@@ -17,8 +17,7 @@
     @Override
     public void see(History.Line line, Lives lives, Finds finds) {
         String follower = line.text(Events.FOLLOWER);
-        if (line.kind().equals(Events.STARTED)
-                && line.text(Events.DISK).equals(Events.DISK_LOST)) {
+        if (line.kind().equals(Events.STARTED) && line.text(Events.DISK).equals(Events.DISK_LOST)) {
             held.remove(follower);
         } else if (line.kind().equals(Events.APPLIED)) {
             History.Line before = held.put(follower, line);
--- a/lab/src/main/java/tinford/lab/fleet/StreamLinks.java
+++ b/lab/src/main/java/tinford/lab/fleet/StreamLinks.java
@@ -45,9 +45,7 @@
         return link.port();
     }
 
-    /**
-     * Cuts links, or heals them. While a link is cut, its bytes wait and new connections hang.
-     */
+    /** Cuts links, or heals them. While a link is cut, its bytes wait and new connections hang. */
     public synchronized void cut(Predicate<String> names, boolean on) throws IOException {
         for (Map.Entry<String, StreamLink> link : links.entrySet()) {
             if (names.test(link.getKey())) {
--- a/lab/src/test/java/tinford/lab/control/PromisesTest.java
+++ b/lab/src/test/java/tinford/lab/control/PromisesTest.java
@@ -99,13 +99,14 @@
             {
                 "a follower lacks what was acknowledged",
                 KEPT,
-                of(STARTED, accepted(1, "a", 1), accepted(2, "b", 2), applied(3, "f", 1), settled(9))
-            },
-            {
-                "a follower holds nothing",
-                KEPT,
-                of(STARTED, accepted(1, "a", 1), settled(9))
+                of(
+                        STARTED,
+                        accepted(1, "a", 1),
+                        accepted(2, "b", 2),
+                        applied(3, "f", 1),
+                        settled(9))
             },
+            {"a follower holds nothing", KEPT, of(STARTED, accepted(1, "a", 1), settled(9))},
             {
                 "a follower holds nothing any more",
                 KEPT,
@@ -190,7 +191,6 @@
     public void breachesAreFound(String what, String promise, List<History.Line> lines) {
         Judge judge = ControlFigures.judgeOfPromises();
         lines.forEach(judge::see);
-        assertEquals(
-                judge.counts(), promise == null ? Map.of() : Map.of(promise, 1), what);
+        assertEquals(judge.counts(), promise == null ? Map.of() : Map.of(promise, 1), what);
     }
 }
--- a/lab/src/test/java/tinford/lab/control/QuotaUseTest.java
+++ b/lab/src/test/java/tinford/lab/control/QuotaUseTest.java
@@ -15,8 +15,7 @@
 
     /** At a factor of 1: 10 units a second and 10 at once; a ceiling of twice that, slack 2. */
     private static Plan plan(double factor) {
-        return new Plan(
-                "full", 10 * factor, 10 * factor, 0, 1, 0, 1, 20 * factor, 20 * factor, 2);
+        return new Plan("full", 10 * factor, 10 * factor, 0, 1, 0, 1, 20 * factor, 20 * factor, 2);
     }
 
     private static List<History.Line> sent(double from, int count, double everyMs) {
@@ -24,11 +23,8 @@
         for (int i = 0; i < count; i++) {
             double ms = from + i * everyMs;
             String request = "request-" + ms;
-            all.add(
-                    Lines.at(ms, "asked", "req", request, "plan", "full", "customer", "c"));
-            all.add(
-                    Lines.at(
-                            ms, "dispatch", "req", request, "units", 1, "further", false));
+            all.add(Lines.at(ms, "asked", "req", request, "plan", "full", "customer", "c"));
+            all.add(Lines.at(ms, "dispatch", "req", request, "units", 1, "further", false));
         }
         return all;
     }
@@ -77,8 +73,7 @@
     public void furtherDispatchesAreNotCountedAgain() {
         List<History.Line> lines = sent(0, 1, 1);
         List<History.Line> again = new ArrayList<>(lines);
-        again.add(
-                Lines.at(5, "dispatch", "req", "request-0.0", "units", 1, "further", true));
+        again.add(Lines.at(5, "dispatch", "req", "request-0.0", "units", 1, "further", true));
         assertEquals(halvedAt(90, again).get(0).units(), 1.0);
     }
 }
