--- a/fleet/src/main/java/tinford/fleet/moves/Explore.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Explore.java
@@ -9,20 +9,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiFunction;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Term;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Lease;
 
 /**
  * Goes through everything that can happen to one plan at small size, breadth-first: entries in any
- * order, late, lost or by a wrong leader, kills, restarts with and without a disk, ended terms,
+ * order, late, lost or by a wrong leader, kills, restarts with and without a disk, ended leases,
  * halts, clocks that differ. Runs the real {@link Moves} and {@link Route}. Holds every state that
  * it found; its memory is bounded by {@code most} states.
  */
 public final class Explore {
     /** What is explored: how many faults, and what is broken on purpose, if anything. */
     static final class Case {
-        Due due = new Due();
-        BiFunction<Life, Stand, Route> route = (life, stand) -> new Route(life, stand, 1);
+        TransitionRules rules = new TransitionRules();
+        BiFunction<Incarnation, MoveStatus, Route> route =
+                (incarnation, status) -> new Route(incarnation, status, 1);
         double apart = 1;
         double apartCounted = 1;
         boolean countsFromAnswer;
@@ -49,19 +50,19 @@
     private static final double GONE = -1e9;
     private static final Map<String, String> HOMES = Map.of("needed", "a", "needing", "a");
 
-    /** Something in the log that a gateway sees when it comes to it: a stand, or its own grant. */
-    private record Seen(Stand stand, double until) {}
+    /** Something in the log that a gateway sees when it comes to it: a status, or its own grant. */
+    private record Seen(MoveStatus status, double until) {}
 
-    private record Old(Life life, double until) {}
+    private record Old(Incarnation incarnation, double until) {}
 
     /** One world. Copied for each thing that may happen next. */
-    private final class World implements Members {
+    private final class World implements LeaseHolders {
         double now = 10;
         Moves head;
         final boolean[] up = new boolean[c.gateways];
         final boolean[] cut = new boolean[c.gateways]; // what it asks for doesn't get to the log
         final int[] start = new int[c.gateways];
-        final Stand[] view = new Stand[c.gateways];
+        final MoveStatus[] view = new MoveStatus[c.gateways];
         final double[] seen = new double[c.gateways];
         final double[] granted = new double[c.gateways];
         final double[] flight = new double[c.gateways];
@@ -75,11 +76,11 @@
                 wait; // the longest that may be due at this position: acks that are older are alike
 
         World() {
-            head = new Moves(HOMES, this, c.apart, c.due);
+            head = new Moves(HOMES, this, c.apart, c.rules);
             head.apply(1, Entry.begin("o", now, plan()).bytes());
             for (int g = 0; g < c.gateways; g++) {
                 up[g] = true;
-                view[g] = head.stand();
+                view[g] = head.status();
                 seen[g] = granted[g] = own(g) + LENGTH;
                 flight[g] = GONE;
                 queue.add(new ArrayList<>());
@@ -144,20 +145,20 @@
             return g == 0 ? now - c.apart : now;
         }
 
-        Life life(int g) {
-            return new Life(g, start[g]);
+        Incarnation incarnation(int g) {
+            return new Incarnation(g, start[g]);
         }
 
         @Override
-        public Collection<Life> mayHaveActed(double since) {
-            List<Life> found = new ArrayList<>();
+        public Collection<Incarnation> mayHaveActed(double since) {
+            List<Incarnation> found = new ArrayList<>();
             for (int g = 0; g < c.gateways; g++) {
-                if (!new Term(life(g), granted[g], 0).surelyOver(since, c.apartCounted)) {
-                    found.add(life(g));
+                if (!new Lease(incarnation(g), granted[g], 0).surelyOver(since, c.apartCounted)) {
+                    found.add(incarnation(g));
                 }
                 for (Old o : old.get(g)) {
-                    if (!new Term(o.life, o.until, 0).surelyOver(since, c.apartCounted)) {
-                        found.add(o.life);
+                    if (!new Lease(o.incarnation, o.until, 0).surelyOver(since, c.apartCounted)) {
+                        found.add(o.incarnation);
                     }
                 }
             }
@@ -165,8 +166,8 @@
         }
 
         Route route(int g) {
-            Route r = c.route.apply(life(g), view[g]);
-            r.see(view[g], new Term(life(g), seen[g], 0), false);
+            Route r = c.route.apply(incarnation(g), view[g]);
+            r.see(view[g], new Lease(incarnation(g), seen[g], 0), false);
             return r;
         }
 
@@ -175,7 +176,7 @@
          * later it would only be shorter.
          */
         void renew(int g) {
-            if (queue.get(g).stream().allMatch(q -> q.stand != null)) {
+            if (queue.get(g).stream().allMatch(q -> q.status != null)) {
                 granted[g] = own(g) + LENGTH;
                 if (queue.get(g).isEmpty() && !c.countsFromAnswer) {
                     seen[g] = granted[g];
@@ -190,10 +191,10 @@
          * position.
          */
         void entry(Entry e) {
-            Stand was = head.stand();
+            MoveStatus was = head.status();
             long halts = head.halts();
             head.apply(1, e.bytes());
-            Stand is = head.stand();
+            MoveStatus is = head.status();
             if (is.turn() != was.turn() || is.position() != was.position()) {
                 int by = is.position() - was.position();
                 if (Math.abs(by) != 1) {
@@ -219,16 +220,16 @@
                 List<Seen> q = queue.get(g);
                 boolean acts = own(g) < seen[g];
                 for (int i = q.size() - 2; i >= 0 && !acts; i--) {
-                    if (q.get(i).stand != null && q.get(i + 1).stand != null) {
+                    if (q.get(i).status != null && q.get(i + 1).status != null) {
                         q.remove(i); // it acts on neither: it may as well come to the later one at
                         // once
                     }
                 }
-                if (q.size() == 1 && q.get(0).stand != null && !acts && !up[g]) {
+                if (q.size() == 1 && q.get(0).status != null && !acts && !up[g]) {
                     q.clear(); // a restart begins its own queue
                 }
-                if (flight[g] != GONE && view[g].turn() != head.stand().turn()) {
-                    flight[g] = c.due.counts(1, 0) ? flight[g] : GONE;
+                if (flight[g] != GONE && view[g].turn() != head.status().turn()) {
+                    flight[g] = c.rules.counts(1, 0) ? flight[g] : GONE;
                 }
                 old.get(g).removeIf(o -> now - WINDOW >= o.until + c.apart);
             }
@@ -274,15 +275,15 @@
 
         private String form(int... order) {
             StringBuilder s = new StringBuilder(64);
-            Stand is = head.stand();
+            MoveStatus is = head.status();
             s.append((char) ('A' + is.state().ordinal()))
                     .append(is.back() ? '-' : '+')
                     .append((char) is.position())
                     .append((char) (1 + head.before()))
                     .append((char) head.halts())
                     .append((char) kills);
-            wait = c.due.waits(is.plan(), is.position(), true);
-            wait = Math.max(wait, is.back() ? 0 : c.due.waits(is.plan(), is.position(), false));
+            wait = c.rules.waits(is.plan(), is.position(), true);
+            wait = Math.max(wait, is.back() ? 0 : c.rules.waits(is.plan(), is.position(), false));
             s.append((char) (1 + key)).append((char) (key < 0 ? 0 : now - ran));
             for (int g : order) {
                 s.append(!up[g] ? 'd' : cut[g] ? 'c' : 'u')
@@ -291,25 +292,25 @@
                 time(s, seen[g] - own(g), 0, 9);
                 time(s, granted[g] - now, -WINDOW - c.apart, 9);
                 time(s, flight[g] == GONE ? -9 : flight[g] - now, -5, 0);
-                ack(s, life(g));
+                ack(s, incarnation(g));
                 for (Seen q : queue.get(g)) {
-                    if (q.stand == null) {
+                    if (q.status == null) {
                         time(s.append('g'), q.until - own(g), 0, 9);
                     } else {
-                        s.append('p').append((char) q.stand.position());
+                        s.append('p').append((char) q.status.position());
                     }
                 }
                 for (Old o : old.get(g)) {
                     time(s.append('o'), o.until - now, -WINDOW - c.apart, 9);
-                    ack(s, o.life);
+                    ack(s, o.incarnation);
                 }
                 s.append('|');
             }
             return s.toString();
         }
 
-        private void ack(StringBuilder s, Life life) {
-            Double at = head.acks().get(life);
+        private void ack(StringBuilder s, Incarnation incarnation) {
+            Double at = head.acks().get(incarnation);
             time(s, at == null ? 8 : at - now, -wait, 8);
         }
 
@@ -416,7 +417,7 @@
             }
             faults(w, g);
         }
-        Stand s = w.head.stand();
+        MoveStatus s = w.head.status();
         for (int to = s.position() - 2; to <= s.position() + 2; to++) {
             offer(w, Entry.go(w.now, s.turn(), to, 2), "a leader: to step " + to, true);
         }
@@ -433,7 +434,7 @@
         offer(w, Entry.back("o", w.now), "back", false);
         offer(
                 w,
-                Entry.report(w.life(0), s.turn(), w.own(0), 1, 0, 9, 9, 1, 0, 0, 0),
+                Entry.report(w.incarnation(0), s.turn(), w.own(0), 1, 0, 9, 9, 1, 0, 0, 0),
                 "gateway 0: bad",
                 false);
     }
@@ -445,8 +446,8 @@
     private void offer(World w, Entry e, String step, boolean good) {
         World n = new World(w);
         n.entry(e);
-        Stand a = w.head.stand();
-        Stand b = n.head.stand();
+        MoveStatus a = w.head.status();
+        MoveStatus b = n.head.status();
         if (a.state() != b.state()
                 || a.turn() != b.turn()
                 || a.position() != b.position()
@@ -461,11 +462,11 @@
             List<Seen> q = n.queue.get(g);
             int first = 0;
             for (int i = 0; c.grantFirst && i < q.size(); i++) {
-                first = q.get(i).stand == null ? i : first;
+                first = q.get(i).status == null ? i : first;
             }
             Seen s = q.remove(first);
-            if (s.stand != null) {
-                n.view[g] = s.stand;
+            if (s.status != null) {
+                n.view[g] = s.status;
                 n.flight[g] = GONE;
             } else {
                 n.seen[g] = c.countsFromAnswer ? n.own(g) + LENGTH : s.until;
@@ -474,9 +475,9 @@
                     n,
                     "gateway "
                             + g
-                            + (s.stand != null
-                                    ? " sees step " + s.stand.position()
-                                    : " sees its term"),
+                            + (s.status != null
+                                    ? " sees step " + s.status.position()
+                                    : " sees its lease"),
                     true);
         }
         Route r = w.route(g);
@@ -484,26 +485,26 @@
         if (acts
                 && !w.cut[g]
                 && w.own(g) < w.seen[g]
-                && !w.head.acked(w.life(g))
+                && !w.head.acked(w.incarnation(g))
                 && (!c.flights || w.flight[g] == GONE)) {
             World n = new World(w);
             if (c.flights) {
                 n.flight[g] = n.own(g);
             } else {
-                n.entry(Entry.ack(n.life(g), n.view[g].turn(), n.own(g)));
+                n.entry(Entry.ack(n.incarnation(g), n.view[g].turn(), n.own(g)));
             }
             next(n, "gateway " + g + " acks step " + w.view[g].position(), true);
         }
         if (w.flight[g] != GONE) {
             World n = new World(w);
-            n.entry(Entry.ack(n.life(g), n.view[g].turn(), n.flight[g]));
+            n.entry(Entry.ack(n.incarnation(g), n.view[g].turn(), n.flight[g]));
             n.flight[g] = GONE;
             next(n, "the ack of gateway " + g + " is in the log", true);
         }
         if (w.granted[g] == GONE && !w.cut[g]) {
             World n = new World(w);
             n.renew(g);
-            next(n, "gateway " + g + " is granted its first term", true);
+            next(n, "gateway " + g + " is granted its first lease", true);
         }
         if (w.cut[g]) {
             World n = new World(w);
@@ -556,13 +557,13 @@
         for (int disk = 0; !w.up[g] && disk < 2; disk++) {
             World n = new World(w);
             n.up[g] = true;
-            n.old.get(g).add(new Old(n.life(g), n.granted[g]));
+            n.old.get(g).add(new Old(n.incarnation(g), n.granted[g]));
             n.start[g]++;
             n.granted[g] = GONE;
             n.seen[g] = GONE;
-            n.view[g] = disk == 1 ? n.view[g] : new Moves(HOMES, n, c.apart, c.due).stand();
+            n.view[g] = disk == 1 ? n.view[g] : new Moves(HOMES, n, c.apart, c.rules).status();
             n.queue.get(g).clear();
-            n.queue.get(g).add(new Seen(n.head.stand(), 0));
+            n.queue.get(g).add(new Seen(n.head.status(), 0));
             next(
                     n,
                     "gateway " + g + " restarts with" + (disk == 1 ? "" : "out") + " its disk",
--- a/fleet/src/main/java/tinford/fleet/moves/Moves.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Moves.java
@@ -8,13 +8,13 @@
 import java.io.UncheckedIOException;
 import java.util.Map;
 import java.util.TreeMap;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.store.Log;
 
 /**
  * What the entries about moves have come to, on every member alike. {@link #apply} is the one place
  * that enforces the rules: an entry that is not due alters nothing. Holds one plan, and an ack and
- * a report of each life that has them in the present turn.
+ * a report of each incarnation that has them in the present turn.
  */
 public final class Moves implements Log.Reader {
     /** See the table in docs/moves.md. */
@@ -27,13 +27,13 @@
         UNDONE
     }
 
-    private static final int LIVES = 4096;
-    private final Due due;
-    private final Members members;
+    private static final int MOST_INCARNATIONS = 4096;
+    private final TransitionRules rules;
+    private final LeaseHolders leaseHolders;
     private final double apart;
     private final TreeMap<String, String> homes;
-    private TreeMap<Life, Double> acks = new TreeMap<>();
-    private TreeMap<Life, long[]> reports = new TreeMap<>();
+    private TreeMap<Incarnation, Double> acks = new TreeMap<>();
+    private TreeMap<Incarnation, long[]> reports = new TreeMap<>();
     State state = State.IDLE;
     private boolean back;
     private long turn;
@@ -50,19 +50,23 @@
     /**
      * @param apart by how many ms clocks differ at most
      */
-    public Moves(Map<String, String> homes, Members members, double apart) {
-        this(homes, members, apart, new Due());
+    public Moves(Map<String, String> homes, LeaseHolders leaseHolders, double apart) {
+        this(homes, leaseHolders, apart, new TransitionRules());
     }
 
-    Moves(Map<String, String> homes, Members members, double apart, Due due) {
+    Moves(
+            Map<String, String> homes,
+            LeaseHolders leaseHolders,
+            double apart,
+            TransitionRules rules) {
         this.homes = new TreeMap<>(homes);
-        this.members = members;
+        this.leaseHolders = leaseHolders;
         this.apart = apart;
-        this.due = due;
+        this.rules = rules;
     }
 
-    Moves copy(Members others) {
-        Moves m = new Moves(homes, others, apart, due);
+    Moves copy(LeaseHolders others) {
+        Moves m = new Moves(homes, others, apart, rules);
         m.acks = new TreeMap<>(acks);
         m.reports = new TreeMap<>(reports);
         m.state = state;
@@ -79,8 +83,8 @@
         return m;
     }
 
-    public Stand stand() {
-        return new Stand(state, back, turn, position, plan, homes);
+    public MoveStatus status() {
+        return new MoveStatus(state, back, turn, position, plan, homes);
     }
 
     /** Which halt is the present one; an operator's resume names it. */
@@ -93,11 +97,11 @@
         return told;
     }
 
-    public boolean acked(Life life) {
-        return acks.containsKey(life);
+    public boolean acked(Incarnation incarnation) {
+        return acks.containsKey(incarnation);
     }
 
-    Map<Life, Double> acks() {
+    Map<Incarnation, Double> acks() {
         return acks;
     }
 
@@ -114,8 +118,8 @@
     }
 
     /**
-     * The log's time by its other entries: a life that they have forgotten must be past for these
-     * rules too.
+     * The log's time by its other entries: an incarnation that they have forgotten must be past for
+     * these rules too.
      */
     public void seen(double logNow) {
         this.logNow = Math.max(this.logNow, logNow);
@@ -187,26 +191,26 @@
     }
 
     private String ack(Entry e) {
-        if (plan == null || !due.counts(turn, e.turn())) {
+        if (plan == null || !rules.counts(turn, e.turn())) {
             return "refused, not of this turn";
         }
-        if (acks.size() < LIVES) {
+        if (acks.size() < MOST_INCARNATIONS) {
             acks.putIfAbsent(
-                    e.life(),
+                    e.incarnation(),
                     Math.max(e.at() + apart, turned)); // guards against a clock that is behind
         }
         return "ack " + acks.size();
     }
 
     private String go(Entry e) {
-        if (!moving() || e.turn() != turn || !due.next(position, e.to(), back)) {
+        if (!moving() || e.turn() != turn || !rules.next(position, e.to(), back)) {
             return "refused, not the next one";
         }
         boolean over = e.to() < 0 || e.to() >= plan.steps.size();
-        boolean returns = due.returns(before, position, e.to());
+        boolean returns = rules.returns(before, position, e.to());
         if (!returns) {
-            double since = logNow - due.waits(plan, position, back);
-            if (!due.acked(members, acks, since)) {
+            double since = logNow - rules.waits(plan, position, back);
+            if (!rules.acked(leaseHolders, acks, since)) {
                 return "refused, not all have acknowledged, or not long enough ago";
             }
             if (!back
@@ -216,7 +220,7 @@
                 return "refused, it soaks";
             }
         }
-        if (!back && !over && !due.fits(plan, plan.steps.get(e.to()), e.warm())) {
+        if (!back && !over && !rules.fits(plan, plan.steps.get(e.to()), e.warm())) {
             return "refused, too little of the group is warm";
         }
         if (over) {
@@ -234,8 +238,8 @@
                 || e.counts().length != 4 * plan.frontends.size()) {
             return "refused, not of this turn";
         }
-        if (reports.size() < LIVES || reports.containsKey(e.life())) {
-            reports.put(e.life(), e.counts());
+        if (reports.size() < MOST_INCARNATIONS || reports.containsKey(e.incarnation())) {
+            reports.put(e.incarnation(), e.counts());
         }
         for (int i = 0; i < plan.frontends.size(); i++) {
             long[] sum = new long[4];
@@ -271,11 +275,11 @@
     }
 
     private String resume(Entry e) {
-        if (!due.lifts(state == State.HALTED, halts, e.turn())) {
+        if (!rules.lifts(state == State.HALTED, halts, e.turn())) {
             return "refused, no such halt";
         }
         state = back ? State.BACK : State.FORWARD;
-        position = due.resumed(position);
+        position = rules.resumed(position);
         return "resumed";
     }
 
@@ -307,13 +311,13 @@
                 out.writeUTF(h.getValue());
             }
             out.writeInt(acks.size());
-            for (Map.Entry<Life, Double> a : acks.entrySet()) {
-                life(out, a.getKey());
+            for (Map.Entry<Incarnation, Double> a : acks.entrySet()) {
+                incarnation(out, a.getKey());
                 out.writeDouble(a.getValue());
             }
             out.writeInt(reports.size());
-            for (Map.Entry<Life, long[]> r : reports.entrySet()) {
-                life(out, r.getKey());
+            for (Map.Entry<Incarnation, long[]> r : reports.entrySet()) {
+                incarnation(out, r.getKey());
                 out.writeInt(r.getValue().length);
                 for (long c : r.getValue()) {
                     out.writeLong(c);
@@ -332,9 +336,10 @@
         return bytes.toByteArray();
     }
 
-    private static void life(DataOutputStream out, Life life) throws IOException {
-        out.writeInt(life.gateway());
-        out.writeLong(life.start());
+    private static void incarnation(DataOutputStream out, Incarnation incarnation)
+            throws IOException {
+        out.writeInt(incarnation.gateway());
+        out.writeLong(incarnation.start());
     }
 
     @Override
@@ -362,16 +367,16 @@
             }
             acks.clear();
             for (int n = in.readInt(); n > 0; n--) {
-                acks.put(new Life(in.readInt(), in.readLong()), in.readDouble());
+                acks.put(new Incarnation(in.readInt(), in.readLong()), in.readDouble());
             }
             reports.clear();
             for (int n = in.readInt(); n > 0; n--) {
-                Life life = new Life(in.readInt(), in.readLong());
+                Incarnation incarnation = new Incarnation(in.readInt(), in.readLong());
                 long[] counts = new long[in.readInt()];
                 for (int i = 0; i < counts.length; i++) {
                     counts[i] = in.readLong();
                 }
-                reports.put(life, counts);
+                reports.put(incarnation, counts);
             }
             plan = in.readBoolean() ? Plan.read(in) : null;
             usual = new double[plan == null ? 0 : plan.frontends.size()];
--- a/fleet/src/main/java/tinford/fleet/overload/Trial.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Trial.java
@@ -17,9 +17,9 @@
 import tinford.api.Req;
 import tinford.api.Srv;
 import tinford.api.View;
-import tinford.fleet.members.Known;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.GossipRecord;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Membership;
 
 /**
  * A simulated strain in virtual time: half of the servers are lost for {@link #LOST_MS}, clients of
@@ -27,10 +27,12 @@
  * limit, line by worth, servers put aside), and what is compared is the view alone.
  */
 public final class Trial {
-    /** Alone: no view. Talk: records of 100 to 500 ms of age, one in ten lost. Cut: none heard. */
+    /**
+     * Alone: no view. Gossip: records of 100 to 500 ms of age, one in ten lost. Cut: none heard.
+     */
     public enum Mode {
         ALONE,
-        TALK,
+        GOSSIP,
         CUT
     }
 
@@ -112,11 +114,11 @@
         boolean ill;
     }
 
-    private final class Gate implements Known {
+    private final class Gate implements Membership {
         final int number;
         final Overload overload;
         final View view;
-        final Map<Integer, Sight> heard = new LinkedHashMap<>();
+        final Map<Integer, GossipRecord> heard = new LinkedHashMap<>();
         final Map<Server, Node> nodes = new LinkedHashMap<>();
         final TreeSet<Job> line =
                 new TreeSet<>(
@@ -126,15 +128,19 @@
                                         : Double.compare(b.worth, a.worth));
         double limit, mean = 60, spare, worthyAsked, worthyPassed;
         int out;
-        private List<Sight> fresh;
+        private List<GossipRecord> fresh;
         private double freshAt = -1;
 
         Gate(int number, int gateways) {
             this.number = number;
             overload =
                     new Overload(
-                            0, new Life(number, 1), window, 0.1, new Random(chance.nextLong()));
-            view = mode == Mode.TALK || mode == Mode.CUT ? overload : new View();
+                            0,
+                            new Incarnation(number, 1),
+                            window,
+                            0.1,
+                            new Random(chance.nextLong()));
+            view = mode == Mode.GOSSIP || mode == Mode.CUT ? overload : new View();
             for (Server s : servers) nodes.put(s, new Node());
             limit = 5.0 * SERVERS / gateways;
         }
@@ -143,9 +149,9 @@
             if (view == overload) {
                 overload.round(now, this);
                 if (seq % 10 == 0) {
-                    Sight s = overload.sight(seq);
+                    GossipRecord s = overload.record(seq);
                     heard.put(number, s);
-                    if (mode == Mode.TALK) tell(s);
+                    if (mode == Mode.GOSSIP) tell(s);
                 }
             }
             if (seq % 20 == 0) {
@@ -175,7 +181,7 @@
         /**
          * Each record gets to a few at once and to all within half a second; one in ten is lost.
          */
-        private void tell(Sight s) {
+        private void tell(GossipRecord s) {
             for (Gate g : gates) {
                 if (g == this
                         || chance.nextDouble() < 0.1
@@ -280,7 +286,7 @@
 
         @Override
         public int living() {
-            return mode == Mode.TALK && now > 500 ? gates.size() : 1;
+            return mode == Mode.GOSSIP && now > 500 ? gates.size() : 1;
         }
 
         @Override
@@ -294,11 +300,11 @@
         }
 
         @Override
-        public List<Sight> fresh() {
+        public List<GossipRecord> fresh() {
             return freshAt == now ? fresh : refresh();
         }
 
-        private List<Sight> refresh() {
+        private List<GossipRecord> refresh() {
             freshAt = now;
             return fresh = new ArrayList<>(heard.values());
         }
--- a/fleet/src/main/java/tinford/fleet/run/MoveOrders.java
+++ b/fleet/src/main/java/tinford/fleet/run/MoveSettings.java
@@ -15,6 +15,7 @@
 import tinford.fleet.moves.Faults;
 import tinford.fleet.moves.Plan;
 import tinford.fleet.moves.PlanReader;
+import tinford.fleet.settings.InvalidSettings;
 import tinford.handed.BadInput;
 import tinford.handed.Fields;
 
@@ -26,11 +27,11 @@
  * @param plan what {@code begin} begins, or null
  * @param coldTime ms after its start until a server counts as warm
  */
-record MoveOrders(Map<String, String> homes, Plan plan, double coldTime) {
+record MoveSettings(Map<String, String> homes, Plan plan, double coldTime) {
     /** Null where moves are off. */
-    static MoveOrders read(String file, Orders orders, String config)
-            throws Orders.Refused, IOException {
-        if (!orders.on("moves.on")) {
+    static MoveSettings read(String file, OperatorFile operatorFile, String config)
+            throws InvalidSettings, IOException {
+        if (!operatorFile.on("moves.on")) {
             return null;
         }
         try {
@@ -40,7 +41,7 @@
             Fields rules = set.part("Rules");
             return of(
                     file,
-                    orders,
+                    operatorFile,
                     tinford.handed.Handed.frontends(set),
                     rules.real("ColdFrom"),
                     rules.millis("ColdUs"));
@@ -49,18 +50,18 @@
         }
     }
 
-    static MoveOrders of(
+    static MoveSettings of(
             String file,
-            Orders orders,
+            OperatorFile operatorFile,
             Map<String, Frontend> frontends,
             double coldFrom,
             double coldTime)
-            throws Orders.Refused {
+            throws InvalidSettings {
         List<String> faults = new ArrayList<>();
         Map<String, String> homes = new TreeMap<>();
         Map<String, Frontend> may = new HashMap<>();
         double window = 0;
-        for (String home : orders.texts("moves.homes")) {
+        for (String home : operatorFile.texts("moves.homes")) {
             String[] pair = home.split("=", 2);
             Frontend f = frontends.get(pair[0]);
             if (f == null
@@ -82,8 +83,9 @@
                                         : 0);
             }
         }
-        if (orders.number("log.linger_ms") < window) {
-            // guards against a life that is forgotten while what it sent may still be repeated
+        if (operatorFile.number("log.linger_ms") < window) {
+            // guards against an incarnation that is forgotten while what it sent may still be
+            // repeated
             faults.add(
                     file
                             + ": log.linger_ms: expected "
@@ -91,7 +93,7 @@
                             + " or more: repeat window and client timeout of what may move");
         }
         Map<String, Plan.Room> rooms = new TreeMap<>();
-        for (String room : orders.texts("moves.rooms")) {
+        for (String room : operatorFile.texts("moves.rooms")) {
             String[] parts = room.split("[=,]");
             try {
                 rooms.put(
@@ -108,13 +110,13 @@
             }
         }
         Plan plan =
-                orders.text("moves.plan").isEmpty()
+                operatorFile.text("moves.plan").isEmpty()
                         ? null
-                        : plan(orders.text("moves.plan"), may, homes, rooms, faults);
+                        : plan(operatorFile.text("moves.plan"), may, homes, rooms, faults);
         if (!faults.isEmpty()) {
-            throw new Orders.Refused(faults);
+            throw new InvalidSettings(faults);
         }
-        return new MoveOrders(homes, plan, coldTime);
+        return new MoveSettings(homes, plan, coldTime);
     }
 
     private static Plan plan(
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -0,0 +1,144 @@
+package tinford.fleet.run;
+
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import tinford.fleet.config.RecordChecks;
+import tinford.fleet.settings.EndpointText;
+import tinford.fleet.settings.InvalidSettings;
+import tinford.fleet.settings.Settings;
+import tinford.fleet.settings.SettingsSchema;
+
+/**
+ * The operator file of a fleet, checked whole: every fault is told at once, with file, line, key
+ * and what was expected.
+ */
+public final class OperatorFile {
+    private static final SettingsSchema SCHEMA =
+            new SettingsSchema()
+                    .number("talk.every_ms", 250, 50, 10_000)
+                    .number("talk.fanout", 2, 1, 16)
+                    .number("talk.suspect_ms", 2000, 200, 60_000)
+                    .flag("overload.on", true)
+                    .number("overload.window_ms", 4000, 500, 60_000)
+                    .number("overload.further_part", 0.1, 0, 1)
+                    .texts("log.members", "a list of numeric host:port, one a gateway")
+                    .text("log.folder", "a folder that lasts")
+                    .number("log.term_ms", 4000, 500, 120_000)
+                    .number("log.clocks_apart_ms", 50, 0, 10_000)
+                    .number("log.linger_ms", 15_000, 0, 600_000)
+                    .flag("budgets.on", false)
+                    .number("budgets.offer", 16, 1, 100_000)
+                    .number("budgets.static_part", 0.5, 0, 1)
+                    .number("budgets.accounts", 64, 1, 4096)
+                    .number("budgets.floor", 1, 0, 1000)
+                    .number("budgets.cap", 64, 1, 100_000)
+                    .flag("moves.on", false)
+                    .text("moves.plan", "a path")
+                    .texts(
+                            "moves.homes",
+                            "a list of frontend=group, of all frontends that may ever move")
+                    .texts("moves.rooms", "a list of group=units a second,connections")
+                    .flag("configuration.on", false)
+                    .text("configuration.fleet", "the name of the fleet")
+                    .text("configuration.region", "the name of this gateway's region")
+                    .texts("configuration.servers", "a list of " + EndpointText.FORM)
+                    .text("configuration.folder", "a folder that lasts");
+
+    private final Settings settings;
+    private final List<String> faults = new ArrayList<>();
+
+    private OperatorFile(Settings settings) {
+        this.settings = settings;
+    }
+
+    public static OperatorFile read(Path file) throws InvalidSettings {
+        return checked(SCHEMA.read(file));
+    }
+
+    static OperatorFile of(String file, String text) throws InvalidSettings {
+        return checked(SCHEMA.parse(file, text));
+    }
+
+    private static OperatorFile checked(Settings settings) throws InvalidSettings {
+        OperatorFile read = new OperatorFile(settings);
+        read.checkTogether();
+        read.checkConfiguration();
+        if (!read.faults.isEmpty()) {
+            throw new InvalidSettings(read.faults);
+        }
+        return read;
+    }
+
+    private void checkTogether() {
+        if (number("talk.suspect_ms") < 3 * number("talk.every_ms")) {
+            fault("talk.suspect_ms", "three times talk.every_ms or more");
+        }
+        if ((on("budgets.on") || on("moves.on"))
+                && (texts("log.members").size() < 3 || text("log.folder").isEmpty())) {
+            fault("log.members", "three or more, and log.folder, where budgets or moves are on");
+        }
+        if (on("moves.on") && texts("moves.homes").isEmpty()) {
+            fault("moves.homes", "one or more where moves are on");
+        }
+        for (String member : texts("log.members")) {
+            if (!member.matches("[0-9.]+:[0-9]{1,5}")) {
+                fault("log.members", "numeric host:port, not " + member);
+            }
+        }
+    }
+
+    private void checkConfiguration() {
+        for (String server : texts("configuration.servers")) {
+            if (EndpointText.parse(server) == null) {
+                fault("configuration.servers", EndpointText.FORM + ", not " + server);
+            }
+        }
+        for (String key : List.of("configuration.fleet", "configuration.region")) {
+            String name = text(key);
+            if (!name.isEmpty() && !RecordChecks.isName(name)) {
+                fault(key, RecordChecks.EXPECTED_NAME + ", not " + name);
+            }
+        }
+        if (on("configuration.on")) {
+            checkConfigurationIsWhole();
+        }
+    }
+
+    private void checkConfigurationIsWhole() {
+        String place = "configuration.on";
+        for (String key :
+                List.of("configuration.fleet", "configuration.region", "configuration.folder")) {
+            if (text(key).isEmpty()) {
+                faults.add(settings.faultAt(place, key, "where configuration.on is true"));
+            }
+        }
+        if (texts("configuration.servers").isEmpty()) {
+            faults.add(
+                    settings.faultAt(
+                            place,
+                            "configuration.servers",
+                            "one or more where configuration.on is true"));
+        }
+    }
+
+    private void fault(String key, String expected) {
+        faults.add(settings.fault(key, expected));
+    }
+
+    public double number(String key) {
+        return settings.number(key);
+    }
+
+    public boolean on(String key) {
+        return settings.flag(key);
+    }
+
+    public String text(String key) {
+        return settings.text(key);
+    }
+
+    public List<String> texts(String key) {
+        return settings.texts(key);
+    }
+}
--- a/fleet/src/test/java/tinford/fleet/overload/FurtherTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Sight;
+import tinford.fleet.members.GossipRecord;
+import tinford.fleet.members.Incarnation;
 
 /** A gateway's part of the fleet's retry budget. */
-public class FurtherTest {
+public class RetryBudgetTest {
     private static final double PART = 0.1;
 
     /**
@@ -24,28 +24,28 @@
         for (int drawn = 0; drawn < 60; drawn++) {
             Random chance = new Random(drawn);
             int n = 2 + chance.nextInt(8);
-            Further[] all = new Further[n];
-            Life[] lives = new Life[n];
-            List<List<Sight>> told = new ArrayList<>();
+            RetryBudget[] all = new RetryBudget[n];
+            Incarnation[] incarnations = new Incarnation[n];
+            List<List<GossipRecord>> told = new ArrayList<>();
             double[] own = new double[n], spent = new double[n];
             for (int g = 0; g < n; g++) {
-                all[g] = new Further(PART, chance);
-                lives[g] = new Life(g, 1);
+                all[g] = new RetryBudget(PART, chance);
+                incarnations[g] = new Incarnation(g, 1);
                 told.add(new ArrayList<>());
             }
             double first = 0, further = 0;
             for (int round = 1; round < 300; round++) {
                 int g = chance.nextInt(n);
                 if (chance.nextInt(60) == 0) {
-                    lives[g] = new Life(g, round + 1);
-                    all[g] = new Further(PART, chance);
+                    incarnations[g] = new Incarnation(g, round + 1);
+                    all[g] = new RetryBudget(PART, chance);
                 }
-                Heard heard = new Heard(n);
+                FixedMembership heard = new FixedMembership(n);
                 for (int p = 0; p < n; p++) {
                     if (p != g && !told.get(p).isEmpty() && chance.nextInt(3) > 0)
                         heard.hear(told.get(p).get(chance.nextInt(told.get(p).size())));
                 }
-                all[g].round(round * 200, lives[g], heard);
+                all[g].round(round * 200, incarnations[g], heard);
                 for (int i = chance.nextInt(g == 0 ? 5 : 80); i > 0; i--) {
                     all[g].sent(false);
                     first++;
@@ -56,7 +56,7 @@
                     further++;
                     spent[g]++;
                 }
-                Sight s = new Sight(lives[g], round);
+                GossipRecord s = new GossipRecord(incarnations[g], round);
                 s.first = 100;
                 s.failed = g == 0 ? 80 : 0;
                 all[g].tell(s);
@@ -74,15 +74,15 @@
 
     @Test
     public void aLyingGiverMakesNoMoreThanTwiceAMiddlingPart() {
-        Further f = new Further(PART, new Random(1));
-        Life own = new Life(1, 1);
+        RetryBudget f = new RetryBudget(PART, new Random(1));
+        Incarnation own = new Incarnation(1, 1);
         double got = 0;
         for (int t = 0; t <= 10_000; t += 100) {
-            Sight lie = new Sight(new Life(2, 1), t);
+            GossipRecord lie = new GossipRecord(new Incarnation(2, 1), t);
             lie.first = 100;
             lie.cededTo = own;
             lie.ceded = 1e9 + t;
-            f.round(t, own, new Heard(2).hear(lie));
+            f.round(t, own, new FixedMembership(2).hear(lie));
             for (; f.level() >= 1; got++) f.sent(true);
         }
         assertTrue(got <= 10 * 2 * PART * 100 + 21 && got > 0, "got " + got);
@@ -90,7 +90,7 @@
 
     @Test
     public void whatSurelyNeverRanCostsNothing() {
-        Further f = new Further(PART, new Random(1));
+        RetryBudget f = new RetryBudget(PART, new Random(1));
         for (int i = 0; i < 10; i++) f.sent(false);
         double before = f.level();
         f.neverRan();
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -19,11 +19,12 @@
 import tinford.api.Group;
 import tinford.api.Req;
 import tinford.api.Srv;
-import tinford.fleet.budgets.Statics;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Terms;
+import tinford.fleet.budgets.StaticShares;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Leases;
+import tinford.fleet.moves.MoveStatus;
 import tinford.fleet.moves.Moves;
-import tinford.fleet.moves.Stand;
+import tinford.fleet.settings.InvalidSettings;
 import tinford.fleet.store.Log;
 import tinford.fleet.store.MemoryLogs;
 
@@ -32,7 +33,7 @@
  * each stage.
  */
 public class MoverTest {
-    private static final double TERM = 2000;
+    private static final double LEASE = 2000;
     private static final double APART = 50;
     private static final double LINGER = 6000;
     private static final String PLAN =
@@ -66,10 +67,10 @@
             units = 20.0
             connections = 10
             """;
-    private static final String ORDERS =
+    private static final String OPERATOR_FILE =
             """
             [log]
-            members = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
+            leaseHolders = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
             folder = "x"
             linger_ms = 6000
             [moves]
@@ -92,13 +93,13 @@
                 false);
     }
 
-    private static MoveOrders orders(String text, String plan) throws Exception {
+    private static MoveSettings settings(String text, String plan) throws Exception {
         Path file = Files.createTempFile("plan", ".toml");
         try {
             Files.writeString(file, plan);
-            return MoveOrders.of(
+            return MoveSettings.of(
                     "f",
-                    Orders.of("f", text.formatted(file)),
+                    OperatorFile.of("f", text.formatted(file)),
                     Map.of(
                             "web",
                             frontend("web"),
@@ -116,8 +117,8 @@
     /** One gateway's process: what is posted to its I/O thread waits while it stands still. */
     private static final class Seat {
         final ArrayDeque<Runnable> posted = new ArrayDeque<>();
-        Life life;
-        Agreed agreed;
+        Incarnation incarnation;
+        FleetStateMachine stateMachine;
         Mover mover;
         Log log;
         boolean up;
@@ -128,56 +129,61 @@
     private static final class Fleet {
         final MemoryLogs logs = new MemoryLogs(3, 10, 300, 2000, 64, 40, new Random(3));
         final List<Seat> seats = List.of(new Seat(), new Seat(), new Seat());
-        final MoveOrders orders;
+        final MoveSettings settings;
         final List<String> told = new ArrayList<>();
         double now = 1000;
         boolean bad;
 
-        Fleet(MoveOrders orders) {
-            this.orders = orders;
+        Fleet(MoveSettings settings) {
+            this.settings = settings;
             for (int g = 0; g < 3; g++) {
                 start(g);
             }
         }
 
-        private Agreed agreed() {
-            return new Agreed(
-                    3, TERM, APART, LINGER, new Statics(Map.of(), 16, 0.5, 3), orders.homes());
+        private FleetStateMachine stateMachine() {
+            return new FleetStateMachine(
+                    3,
+                    LEASE,
+                    APART,
+                    LINGER,
+                    new StaticShares(Map.of(), 16, 0.5, 3),
+                    settings.homes());
         }
 
         void start(int g) {
             Seat s = seats.get(g);
             s.posted.clear();
-            s.life = new Life(g, (long) now);
-            s.agreed = agreed();
+            s.incarnation = new Incarnation(g, (long) now);
+            s.stateMachine = stateMachine();
             s.renews = 0;
             s.up = true;
-            Agreed kept = agreed();
+            FleetStateMachine snapshotSource = stateMachine();
             s.log =
                     logs.open(
                             g + 1,
                             new Log.Reader() {
                                 @Override
                                 public void apply(long index, byte[] entry) {
-                                    kept.apply(index, entry);
+                                    snapshotSource.apply(index, entry);
                                     s.posted.add(
                                             () -> {
-                                                s.agreed.apply(index, entry);
+                                                s.stateMachine.apply(index, entry);
                                                 s.mover.applied(entry, now);
                                             });
                                 }
 
                                 @Override
                                 public byte[] snapshot() {
-                                    return kept.snapshot();
+                                    return snapshotSource.snapshot();
                                 }
 
                                 @Override
                                 public void restore(long index, byte[] snapshot) {
-                                    kept.restore(index, snapshot);
+                                    snapshotSource.restore(index, snapshot);
                                     s.posted.add(
                                             () -> {
-                                                s.agreed.restore(index, snapshot);
+                                                s.stateMachine.restore(index, snapshot);
                                                 s.mover.applied(null, now);
                                             });
                                 }
@@ -185,12 +191,12 @@
             try {
                 s.mover =
                         new Mover(
-                                s.agreed,
-                                s.life,
-                                orders,
+                                s.stateMachine,
+                                s.incarnation,
+                                settings,
                                 s.log::append,
                                 () -> false,
-                                History.at(null, s.life));
+                                History.at(null, s.incarnation));
             } catch (java.io.IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
@@ -207,8 +213,8 @@
                     r.run();
                 }
                 if (now >= s.renews) {
-                    s.renews = now + TERM / 3;
-                    s.log.append(Terms.renew(s.life, now, TERM));
+                    s.renews = now + LEASE / 3;
+                    s.log.append(Leases.renew(s.incarnation, now, LEASE));
                 }
                 s.mover.tick(now, s.log.leads());
                 load(s);
@@ -253,7 +259,7 @@
         }
 
         /**
-         * Of those whose term holds now: one stage apart at most, and nobody goes where what it
+         * Of those whose lease holds now: one stage apart at most, and nobody goes where what it
          * needs is not wholly at any of them.
          */
         private void promise() {
@@ -262,16 +268,22 @@
                             .filter(
                                     s ->
                                             s.up
-                                                    && s.agreed.terms.of(s.life) != null
-                                                    && s.agreed.terms.of(s.life).holds(now))
+                                                    && s.stateMachine.leases.of(s.incarnation)
+                                                            != null
+                                                    && s.stateMachine
+                                                            .leases
+                                                            .of(s.incarnation)
+                                                            .holds(now))
                             .toList();
             String[] chain = {"web", "mid", "base"};
             for (Seat s : acting) {
                 for (Seat o : acting) {
                     assertTrue(
-                            Math.abs(s.agreed.moves.stand().turn() - o.agreed.moves.stand().turn())
+                            Math.abs(
+                                            s.stateMachine.moves.status().turn()
+                                                    - o.stateMachine.moves.status().turn())
                                     <= 1,
-                            now + " " + s.life + " " + o.life);
+                            now + " " + s.incarnation + " " + o.incarnation);
                     for (int f = 0; f < 2; f++) {
                         int of = f;
                         boolean begun =
@@ -286,11 +298,11 @@
                                         + ": "
                                         + chain[f]
                                         + " has moved at "
-                                        + s.life
+                                        + s.incarnation
                                         + ", "
                                         + chain[f + 1]
                                         + " not at "
-                                        + o.life);
+                                        + o.incarnation);
                     }
                 }
             }
@@ -299,23 +311,23 @@
         Moves.State until(Moves.State... ends) {
             for (int i = 0; i < 4000; i++) {
                 step();
-                Moves.State state = seats.get(0).agreed.moves.stand().state();
+                Moves.State state = seats.get(0).stateMachine.moves.status().state();
                 if (List.of(ends).contains(state)) {
                     return state;
                 }
             }
             throw new AssertionError(
                     "at "
-                            + seats.get(0).agreed.moves.stand().position()
+                            + seats.get(0).stateMachine.moves.status().position()
                             + ": "
-                            + seats.get(0).agreed.moves.told());
+                            + seats.get(0).stateMachine.moves.told());
         }
 
         /** As whoever is farthest sees it. */
-        Stand head() {
+        MoveStatus head() {
             return seats.stream()
-                    .map(s -> s.agreed.moves.stand())
-                    .max(java.util.Comparator.comparingLong(Stand::turn))
+                    .map(s -> s.stateMachine.moves.status())
+                    .max(java.util.Comparator.comparingLong(MoveStatus::turn))
                     .orElseThrow();
         }
 
@@ -335,13 +347,13 @@
      */
     @Test(dataProvider = "faults")
     public void aMoveEnds(String fault) throws Exception {
-        Fleet f = new Fleet(orders(ORDERS, PLAN));
+        Fleet f = new Fleet(settings(OPERATOR_FILE, PLAN));
         for (int i = 0; i < 40; i++) {
             f.step();
         }
-        f.seats.get(0).mover.order("begin one", f.now, f.told::add);
-        f.seats.get(1).mover.order("begin two", f.now, f.told::add);
-        f.seats.get(1).mover.order("what", f.now, f.told::add);
+        f.seats.get(0).mover.command("begin one", f.now, f.told::add);
+        f.seats.get(1).mover.command("begin two", f.now, f.told::add);
+        f.seats.get(1).mover.command("what", f.now, f.told::add);
         for (int i = 0; i < 20; i++) {
             f.step();
         }
@@ -349,7 +361,7 @@
         for (int i = 0; i < 6000 && f.head().state() != Moves.State.DONE; i++) {
             f.step();
             Seat victim = f.seats.get(f.position() % 3);
-            int g = victim.life.gateway();
+            int g = victim.incarnation.gateway();
             if (f.position() != steps && !fault.equals("none")) {
                 steps = f.position();
                 switch (fault) {
@@ -363,7 +375,7 @@
                         f.logs.cut(g + 1, (g + 2) % 3 + 1);
                     }
                 }
-                for (int k = 0; k < 30 + 10 * (steps % 4); k++) { // some past the term, some not
+                for (int k = 0; k < 30 + 10 * (steps % 4); k++) { // some past the lease, some not
                     f.step();
                 }
                 if (fault.equals("kill")) {
@@ -373,7 +385,7 @@
                 f.logs.heal();
             }
         }
-        assertEquals(f.head().state(), Moves.State.DONE, f.seats.get(0).agreed.moves.told());
+        assertEquals(f.head().state(), Moves.State.DONE, f.seats.get(0).stateMachine.moves.told());
         assertEquals(
                 f.told.stream().filter(t -> t.contains("begun")).count(), 1, f.told.toString());
         assertEquals(
@@ -382,10 +394,10 @@
             f.step();
         }
         assertTrue(f.goes(f.seats.get(2), "web", 5, "b") && !f.goes(f.seats.get(2), "web", 5, "a"));
-        f.seats.get(2).mover.order("back three", f.now, f.told::add);
+        f.seats.get(2).mover.command("back three", f.now, f.told::add);
         f.until(Moves.State.UNDONE);
         f.bad = true;
-        f.seats.get(1).mover.order("begin four", f.now, f.told::add);
+        f.seats.get(1).mover.command("begin four", f.now, f.told::add);
         f.until(Moves.State.FORWARD);
         assertEquals(f.until(Moves.State.DONE, Moves.State.UNDONE), Moves.State.UNDONE);
         assertTrue(f.goes(f.seats.get(0), "base", 5, "a"));
@@ -394,26 +406,26 @@
     @DataProvider
     public Object[][] bad() {
         return new Object[][] {
-            {ORDERS.replace("web=a", "wub=a"), PLAN, "moves.homes: expected"},
-            {ORDERS.replace("a=100,100", "a=much"), PLAN, "moves.rooms: expected"},
+            {OPERATOR_FILE.replace("web=a", "wub=a"), PLAN, "moves.homes: expected"},
+            {OPERATOR_FILE.replace("a=100,100", "a=much"), PLAN, "moves.rooms: expected"},
             {
-                ORDERS.replace("linger_ms = 6000", "linger_ms = 5000"),
+                OPERATOR_FILE.replace("linger_ms = 6000", "linger_ms = 5000"),
                 PLAN,
                 "log.linger_ms: expected 5500"
             },
-            {ORDERS.replaceAll("homes.*", ""), PLAN, "moves.homes: expected one"},
-            {ORDERS, PLAN.replace("soak_ms = 1000", "soak_ms = -1"), "soak_ms"},
-            {ORDERS, "plan = ", "TOML"},
-            {ORDERS.replace("%s", "nowhere"), PLAN, "moves.plan: expected a file"},
+            {OPERATOR_FILE.replaceAll("homes.*", ""), PLAN, "moves.homes: expected one"},
+            {OPERATOR_FILE, PLAN.replace("soak_ms = 1000", "soak_ms = -1"), "soak_ms"},
+            {OPERATOR_FILE, "plan = ", "TOML"},
+            {OPERATOR_FILE.replace("%s", "nowhere"), PLAN, "moves.plan: expected a file"},
         };
     }
 
     @Test(dataProvider = "bad")
-    public void badOrdersAreTold(String orders, String plan, String told) throws Exception {
+    public void badSettingsAreTold(String operatorFile, String plan, String told) throws Exception {
         String said = "";
         try {
-            orders(orders, plan);
-        } catch (Orders.Refused e) {
+            settings(operatorFile, plan);
+        } catch (InvalidSettings e) {
             said = e.getMessage();
         }
         assertTrue(said.contains(told), said);
--- a/fleet/src/test/java/tinford/fleet/run/OrdersTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
@@ -8,14 +8,15 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import tinford.fleet.settings.InvalidSettings;
 
 /** What an operator wrote wrong is told with its place and what was expected. */
-public class OrdersTest {
+public class OperatorFileTest {
     private static List<String> faults(String text) {
         try {
-            Orders.of("f.toml", text);
+            OperatorFile.of("f.toml", text);
             return List.of();
-        } catch (Orders.Refused e) {
+        } catch (InvalidSettings e) {
             return e.getMessage().lines().toList();
         }
     }
@@ -50,6 +51,31 @@
                 "[talk]\non = 1\n[budgets]\nofer = 2",
                 "f.toml, line 4: budgets.ofer: expected no such key; there are"
             },
+            {
+                "[configuration]\non = true\nfleet = \"f\"\nregion = \"r\"\nfolder = \"d\"",
+                "f.toml, line 2: configuration.servers: expected one or more where"
+            },
+            {
+                "[configuration]\non = true\nservers = [\"r=1.2.3.4:5\"]",
+                "f.toml, line 2: configuration.fleet: expected where configuration.on is true"
+            },
+            {
+                "[configuration]\nservers = [\"r=1.2.3.4:5\", \"1.2.3.4:5\"]",
+                "f.toml, line 2: configuration.servers: expected region=numeric host:port, not"
+                        + " 1.2.3.4:5"
+            },
+            {
+                "[configuration]\nservers = [\"r=1.2.3.4:70000\"]",
+                "f.toml, line 2: configuration.servers: expected region=numeric host:port, not"
+            },
+            {
+                "[configuration]\nservers = \"r=1.2.3.4:5\"",
+                "f.toml, line 2: configuration.servers: expected a list of region=numeric"
+            },
+            {
+                "[configuration]\nfleet = \"f\"\nregion = \"a b\"",
+                "f.toml, line 3: configuration.region: expected 1 to 64 of"
+            },
             {"offer = 3", "f.toml, line 1: offer: expected to stand in a table"},
             {
                 "[budgets]\non = true",
@@ -77,7 +103,7 @@
                 faults("[talk]\nevery_ms = 1\nfanout = 0\n[log]\nterm_ms = 1\n[none]\nx = 1\n")
                         .size(),
                 4);
-        assertThrows(Orders.Refused.class, () -> Orders.read(Path.of("no", "such", "file")));
+        assertThrows(InvalidSettings.class, () -> OperatorFile.read(Path.of("no", "such", "file")));
     }
 
     /**
@@ -86,8 +112,8 @@
      */
     @Test
     public void theExampleLoads() throws Exception {
-        Orders example = Orders.read(Path.of("..", "deploy", "fleet.toml"));
-        Orders empty = Orders.of("f.toml", "");
+        OperatorFile example = OperatorFile.read(Path.of("..", "deploy", "fleet.toml"));
+        OperatorFile empty = OperatorFile.of("f.toml", "");
         for (String key :
                 List.of(
                         "talk.every_ms",
@@ -101,7 +127,7 @@
 
     @Test
     public void whatIsLeftOutIsAsUsual() throws Exception {
-        Orders o = Orders.of("f.toml", "[budgets]\noffer = 8\n");
+        OperatorFile o = OperatorFile.of("f.toml", "[budgets]\noffer = 8\n");
         assertEquals(o.number("budgets.offer"), 8.0);
         assertEquals(o.number("log.term_ms"), 4000.0);
         assertTrue(o.on("overload.on") && !o.on("budgets.on"));
