--- a/fleet/src/main/java/tinford/fleet/members/GossipCodec.java
+++ b/fleet/src/main/java/tinford/fleet/members/GossipCodec.java
@@ -107,7 +107,7 @@
                     s.goodUnits,
                     s.open,
                     s.waiting,
-                    s.bears
+                    s.capacity
                 }) {
             b.put((byte) code(rate));
         }
@@ -291,7 +291,7 @@
         s.goodUnits = value(b.get(p++));
         s.open = value(b.get(p++));
         s.waiting = value(b.get(p++));
-        s.bears = value(b.get(p++));
+        s.capacity = value(b.get(p++));
         int n = b.get(p++) & 255;
         int kinds = p;
         p += (n + 3) / 4;
--- a/fleet/src/main/java/tinford/fleet/members/GossipRecord.java
+++ b/fleet/src/main/java/tinford/fleet/members/GossipRecord.java
@@ -53,7 +53,7 @@
      * Units a second that this gateway believes the servers bear of the whole fleet; 0 where it
      * sees no strain.
      */
-    public double bears;
+    public double capacity;
 
     /**
      * Which incarnation it lately gave further dispatches of its own budget to (null: none), and
--- a/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
+++ b/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
@@ -29,7 +29,7 @@
             1.1; // borne over asked for: a line that would pass all but bursts is none
 
     private final double window;
-    private double bears = NONE,
+    private double capacity = NONE,
             strainedFor,
             strainedAt,
             at = -1,
@@ -53,13 +53,13 @@
     }
 
     /** For the own record. */
-    public double bears() {
-        return bears == NONE ? 0 : bears;
+    public double capacity() {
+        return capacity == NONE ? 0 : capacity;
     }
 
     /** Units a second asked for over those borne; 1 at most where there is no line. */
     public double overAsked() {
-        return bears == NONE ? 0 : asked / Math.max(1e-9, bears);
+        return capacity == NONE ? 0 : asked / Math.max(1e-9, capacity);
     }
 
     public void round(double now, Membership membership) {
@@ -67,7 +67,7 @@
         at = now;
         // guards a gateway that hears nobody: its own record is no fleet's, so it acts as alone
         if (membership.living() <= 1 || membership.fresh().size() < 2) {
-            bears = NONE;
+            capacity = NONE;
             draw(null);
             return;
         }
@@ -75,20 +75,20 @@
         agree(membership, passed);
         boolean strained = all.demand > 0 && (waits(all) || all.bad > BAD);
         strainedFor = Math.max(0, Math.min(LASTS_MS, strainedFor + (strained ? passed : -passed)));
-        if (strained && (bears != NONE || strainedFor >= LASTS_MS)) {
+        if (strained && (capacity != NONE || strainedFor >= LASTS_MS)) {
             strainedAt = now;
             double towards = Math.min(all.demand, all.goodUnits);
-            bears =
-                    bears == NONE
+            capacity =
+                    capacity == NONE
                             ? Math.max(towards, all.demand / 2)
-                            : bears + (towards - bears) * Math.min(1, passed / SETTLE_MS);
-        } else if (bears != NONE) {
+                            : capacity + (towards - capacity) * Math.min(1, passed / SETTLE_MS);
+        } else if (capacity != NONE) {
             double calm = now - strainedAt, before = Math.max(0, calm - passed);
-            bears =
-                    Math.max(bears, all.demand / 64)
+            capacity =
+                    Math.max(capacity, all.demand / 64)
                             * Math.pow(2, (calm * calm - before * before) / (window * window));
-            if (bears > OPENED * all.demand) {
-                bears = NONE;
+            if (capacity > OPENED * all.demand) {
+                capacity = NONE;
                 openedAt = now;
             }
         }
@@ -105,19 +105,19 @@
     private void agree(Membership membership, double passed) {
         double[] told =
                 membership.fresh().stream()
-                        .mapToDouble(s -> FleetTotals.clean(s.bears))
+                        .mapToDouble(s -> FleetTotals.clean(s.capacity))
                         .map(b -> b > 0 ? b : NONE)
                         .sorted()
                         .toArray();
         double middle = told[told.length / 2];
-        if (middle != NONE && bears == NONE) {
+        if (middle != NONE && capacity == NONE) {
             // a gateway that joins; but a line that just went does not come back by records of
             // before
-            bears = at - openedAt > window ? middle : NONE;
+            capacity = at - openedAt > window ? middle : NONE;
         } else if (middle != NONE) {
-            bears *= Math.pow(middle / bears, Math.min(1, passed / AGREE_MS));
-        } else if (bears != NONE) {
-            bears *= 1 + passed / AGREE_MS;
+            capacity *= Math.pow(middle / capacity, Math.min(1, passed / AGREE_MS));
+        } else if (capacity != NONE) {
+            capacity *= 1 + passed / AGREE_MS;
         }
     }
 
@@ -126,7 +126,7 @@
         threshold = 0;
         part = 1;
         asked = all == null ? 0 : all.demand;
-        double left = bears;
+        double left = capacity;
         if (left == NONE) return;
         for (int c = GossipRecord.CLASSES - 1; c >= 0; c--) {
             if (all.asked[c] > left) {
--- a/fleet/src/main/java/tinford/fleet/overload/Overload.java
+++ b/fleet/src/main/java/tinford/fleet/overload/Overload.java
@@ -54,7 +54,7 @@
     /** The record to tell. */
     public GossipRecord record(int seq) {
         GossipRecord s = statistics.record(incarnation, seq);
-        s.bears = admission.bears();
+        s.capacity = admission.capacity();
         retryBudget.tell(s);
         probeOwners.tell(s);
         return s;
--- a/fleet/src/test/java/tinford/fleet/members/GossipCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/members/GossipCodecTest.java
@@ -31,7 +31,7 @@
                             : r.nextInt(2) == 0 ? s.asked[c] : s.asked[c] * r.nextDouble();
         }
         s.first = r.nextDouble() * 5000;
-        s.bears = r.nextDouble() * 500;
+        s.capacity = r.nextDouble() * 500;
         s.cededTo = r.nextBoolean() ? null : new Incarnation(gateway + 1, (long) NOW - 1);
         s.ceded = s.cededTo == null ? 0 : r.nextInt(10_000_000) / 8.0;
         for (int i = r.nextInt(GossipRecord.MAX_SERVERS + 1); i > 0; i--) {
@@ -75,7 +75,7 @@
             assertEquals(t.record().cededTo, s.cededTo);
             assertEquals(t.record().ceded, s.ceded, 0.1);
             near(t.record().first, s.first);
-            near(t.record().bears, s.bears);
+            near(t.record().capacity, s.capacity);
             for (int c = 0; c < GossipRecord.CLASSES; c++) {
                 near(t.record().asked[c], s.asked[c]);
                 near(t.record().sent[c], s.sent[c]);
--- a/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
@@ -28,7 +28,7 @@
         for (double t = from; t < until; t += 100) {
             line.round(t, heard);
             for (GossipRecord s : heard.fresh()) {
-                if (s.bears < 1e3) s.bears = line.bears();
+                if (s.capacity < 1e3) s.capacity = line.capacity();
             } // the others see the same
         }
         return line.threshold();
@@ -151,7 +151,7 @@
         heard.records.remove(2);
         line.round(3000, heard);
         assertEquals(line.threshold(), 0.0);
-        assertEquals(line.bears(), 0.0);
+        assertEquals(line.capacity(), 0.0);
     }
 
     @Test
@@ -181,7 +181,7 @@
             double demand = new FleetTotals(heard).demand, good = new FleetTotals(heard).goodUnits;
             GossipRecord lie = record(10, 1e9 * chance.nextDouble(), true, 8);
             lie.asked[GossipRecord.CLASSES - 1] = Math.pow(10, chance.nextInt(12));
-            lie.bears = Math.pow(10, 3 + chance.nextInt(6));
+            lie.capacity = Math.pow(10, 3 + chance.nextInt(6));
             heard.hear(lie);
             FleetTotals with = new FleetTotals(heard);
             assertTrue(
@@ -192,7 +192,7 @@
                     "good " + with.goodUnits);
             AdmissionThreshold line = new AdmissionThreshold(WINDOW);
             assertTrue(
-                    run(line, heard, 0, 6000) <= 8.01 && line.bears() < 1e5,
+                    run(line, heard, 0, 6000) <= 8.01 && line.capacity() < 1e5,
                     "line " + line.threshold());
         }
     }
