--- a/lab/src/main/java/tinford/lab/control/ControlCommand.java
+++ b/lab/src/main/java/tinford/lab/control/ControlCommand.java
@@ -23,6 +23,10 @@
     private static final int BROKEN = 1;
     private static final int MOST_TOLD = 5;
 
+    /** For the start of all processes, the first configuration, settling and judging. */
+    private static final double SETUP_SECONDS = 240;
+
+
     @Option(
             names = "--scenario",
             defaultValue = "all",
@@ -137,6 +141,8 @@
 
     private ControlResult play(ControlScenario each, ControlOptions options, Path folder)
             throws Exception {
+        double most = each.seconds() * options.lengthFactor() + SETUP_SECONDS;
+        Watchdog watchdog = new Watchdog(each.label(), most);
         try (ControlRun run = new ControlRun(each, options, folder)) {
             ControlResult result = run.play();
             ControlReport.summary(to, result);
@@ -144,6 +150,8 @@
             ControlReport.resources(to, run);
             ControlReport.links(to, run);
             return result;
+        } finally {
+            watchdog.stop();
         }
     }
 
--- a/lab/src/main/java/tinford/lab/control/ControlFigures.java
+++ b/lab/src/main/java/tinford/lab/control/ControlFigures.java
@@ -122,6 +122,8 @@
                 serverMegabytes = Math.max(serverMegabytes, use.mostResident() / MEGABYTE);
             }
         }
+        double all = uses.values().stream().mapToDouble(use -> use.mostResident()).sum();
+        result.put("megabytes_all_processes", all / MEGABYTE);
         int hollow = run.options().size().hollow();
         result.putLimited("cores_a_follower", cores / hollow, ControlLimits.CORES_A_FOLLOWER);
         result.putLimited(
--- a/lab/src/main/java/tinford/lab/control/ControlRun.java
+++ b/lab/src/main/java/tinford/lab/control/ControlRun.java
@@ -157,6 +157,9 @@
                     "followers did not get the configuration: "
                             + held.lagging(reference.revision()));
         }
+        if (load != null) {
+            load.processes().forEach(resources::watch);
+        }
     }
 
     /** The first set by the operators' command; entered again, it has the same outcome. */
--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -6,6 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -34,6 +35,7 @@
 final class GatewayLoad implements AutoCloseable {
     private static final String SERVICE = "load";
     private static final String SCENARIO = "load.toml";
+    private static final String MAIN_CLASS = "tinford.fleet.run.Main";
     private static final int HEAP_MB = 128;
     private final int gateways;
     private final Scenario scenario;
@@ -63,7 +65,7 @@
         drawn.run();
         trace = drawn.asked();
         List<String> words =
-                program.java(Classpath.SMALL, HEAP_MB, "tinford.fleet.run.Main", "serve");
+                program.java(Classpath.SMALL, HEAP_MB, MAIN_CLASS, "serve");
         Program started =
                 new Program(
                         words,
@@ -188,6 +190,19 @@
         return figures.join();
     }
 
+    /** The gateways' processes, by a name for each in the order in which they were started. */
+    Map<String, ProcessHandle> processes() {
+        List<ProcessHandle> started =
+                ProcessHandle.current()
+                        .children()
+                        .filter(each -> each.info().commandLine().orElse("").contains(MAIN_CLASS))
+                        .sorted(Comparator.comparingLong(ProcessHandle::pid))
+                        .toList();
+        Map<String, ProcessHandle> named = new LinkedHashMap<>();
+        started.forEach(each -> named.put(name(named.size()), each));
+        return named;
+    }
+
     /** What was broken at the clients and the servers. */
     List<String> broken() throws IOException {
         return bench.broken();
