--- a/fleet/src/main/java/tinford/fleet/run/History.java
+++ b/fleet/src/main/java/tinford/fleet/run/History.java
@@ -61,7 +61,7 @@
         line.put("at", System.nanoTime() / 1e6);
         line.put("wall", now);
         line.put("gateway", incarnation.gateway());
-        line.put("@@incarnation", incarnation.start());
+        line.put("life", incarnation.start());
         line.put("kind", kind);
         for (int i = 0; i + 1 < fields.length; i += 2) {
             line.put((String) fields[i], fields[i + 1]);
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -69,7 +69,7 @@
     private static final String OPERATOR_FILE =
             """
             [log]
-            leaseHolders = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
+            members = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
             folder = "x"
             linger_ms = 6000
             [moves]
