--- a/gateway/src/main/java/tinford/Decide.java
+++ b/gateway/src/main/java/tinford/Decide.java
@@ -341,7 +341,8 @@
     private final class Fleet { // ranking and health
         final Rules rules;
         final double start = 5.0 / place.gateways; // five out at a server of middling size, over all gateways
-        final List<Node> nodes = new ArrayList<>(), ranked = new ArrayList<>(), cold = new ArrayList<>();
+        final Set<Node> nodes = new LinkedHashSet<>(); // in the order of the lists: chance is drawn in it
+        final List<Node> ranked = new ArrayList<>(), cold = new ArrayList<>();
         double meanUnits = 1, meanPart = 0.12, unitsSquared = 1, unitsTimesPart = 0.12; // of answers, by size
         double meanSize = 1, pooled = 0.12, sum, usualFailing; // strain, limits of the fleet
         int out, apart, most, slots = 1;
@@ -862,19 +863,19 @@
         private static final double BUCKET_MS = 500, SPAN = BUCKETS * BUCKET_MS;
         private final double[] sums = new double[BUCKETS];
         private final long[] turns = new long[BUCKETS];
+        private long last;
 
         void add(double at, double amount) {
             long turn = (long) (at / BUCKET_MS);
             int i = (int) (turn % BUCKETS);
-            if (turns[i] != turn) {
-                turns[i] = turn;
-                sums[i] = 0;
-            }
+            if (turns[i] != turn) sums[i] = 0;
+            turns[i] = last = turn;
             sums[i] += amount;
         }
 
         double total(double at) {
             long turn = (long) (at / BUCKET_MS);
+            if (turn - last >= BUCKETS) return 0; // most servers of a large fleet: nothing of late
             double total = 0;
             for (int i = 0; i < BUCKETS; i++) { if (turn - turns[i] < BUCKETS) total += sums[i]; }
             return total;
--- a/gateway/src/main/java/tinford/protocol/HttpLines.java
+++ b/gateway/src/main/java/tinford/protocol/HttpLines.java
@@ -11,9 +11,13 @@
  */
 public final class HttpLines {
     private static final int MOST_HEAD = 8 << 10;
-    private static final int MOST_LINE =
-            1 << 20; // some 8000 servers: reading four times as many took more than the heap
-    private byte[] line = new byte[1024];
+    private static final int FIRST_CAPACITY = 1024;
+
+    /** A buffer that has grown beyond it is let go with its line. */
+    private static final int MOST_KEPT = 64 << 10;
+
+    private final int mostLine;
+    private byte[] line = new byte[FIRST_CAPACITY];
     private int length;
     private boolean headRead;
     private long
@@ -21,7 +25,11 @@
     // closing one
     private boolean done;
 
-    public HttpLines() {
+    /**
+     * @param mostLine the bytes of the longest line that is read
+     */
+    public HttpLines(int mostLine) {
+        this.mostLine = mostLine;
         chunk = -1;
     }
 
@@ -107,18 +115,27 @@
         for (int i = from; i < to; i++) {
             if (b[i] == '\n') {
                 keep(b, start, i);
-                lines.accept(new String(line, 0, length, StandardCharsets.UTF_8).strip());
-                length = 0;
+                lines.accept(takeLine());
                 start = i + 1;
             }
         }
         keep(b, start, to);
     }
 
+    /** Lets a long buffer go first: whoever reads the line needs the memory. */
+    private String takeLine() {
+        String text = new String(line, 0, length, StandardCharsets.UTF_8).strip();
+        length = 0;
+        if (line.length > MOST_KEPT) {
+            line = new byte[FIRST_CAPACITY];
+        }
+        return text;
+    }
+
     private void keep(byte[] b, int from, int to) throws Malformed {
         int n = to - from;
-        if (length + n > MOST_LINE) {
-            throw new Malformed("a line of under " + MOST_LINE + " bytes");
+        if (length + n > mostLine) {
+            throw new Malformed("a line of under " + mostLine + " bytes");
         }
         if (length + n > line.length) {
             line = Arrays.copyOf(line, Math.max(2 * line.length, length + n));
--- a/gateway/src/main/java/tinford/protocol/JsonLines.java
+++ b/gateway/src/main/java/tinford/protocol/JsonLines.java
@@ -8,17 +8,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * JSON objects in lines of text, each in one line or over several. What it keeps of one is bounded
- * at 1 MiB.
+ * JSON objects in lines of text, each in one line or over several. What it keeps of one is bounded.
  */
 public final class JsonLines {
-    private static final int MOST = 1 << 20;
+    private static final byte[] LINE_END = {'\n'};
+    private final int most;
     private final JsonParser in;
     private final ByteArrayFeeder feeder;
-    private final StringBuilder text = new StringBuilder();
+    private StringBuilder text = new StringBuilder();
     private int depth;
 
-    public JsonLines(JsonFactory json) {
+    /**
+     * @param most the characters of the longest object that is read
+     */
+    public JsonLines(JsonFactory json, int most) {
+        this.most = most;
         try {
             in = json.createNonBlockingByteArrayParser();
         } catch (IOException e) {
@@ -35,24 +39,31 @@
         if (line.isEmpty() && text.length() == 0) {
             return line;
         }
-        text.append(line).append('\n');
-        if (text.length() > MOST) {
-            throw new Malformed("an object of under " + MOST + " bytes");
+        if (text.length() + line.length() + 1 > most) {
+            throw new Malformed("an object of under " + most + " bytes");
         }
         try {
-            byte[] b = (line + "\n").getBytes(StandardCharsets.UTF_8);
-            feeder.feedInput(b, 0, b.length);
-            for (JsonToken t = in.nextToken(); t != JsonToken.NOT_AVAILABLE; t = in.nextToken()) {
-                depth += t.isStructStart() ? 1 : t.isStructEnd() ? -1 : 0;
-            }
+            feed(line.getBytes(StandardCharsets.UTF_8));
+            feed(LINE_END);
         } catch (IOException e) {
             throw new Malformed("JSON");
         }
+        if (depth <= 0 && text.length() == 0) {
+            return line; // the usual case takes no copy
+        }
+        text.append(line).append('\n');
         if (depth > 0) {
             return null;
         }
         String whole = text.toString();
-        text.setLength(0);
+        text = new StringBuilder();
         return whole;
     }
+
+    private void feed(byte[] bytes) throws IOException {
+        feeder.feedInput(bytes, 0, bytes.length);
+        for (JsonToken t = in.nextToken(); t != JsonToken.NOT_AVAILABLE; t = in.nextToken()) {
+            depth += t.isStructStart() ? 1 : t.isStructEnd() ? -1 : 0;
+        }
+    }
 }
--- a/gateway/src/main/java/tinford/routing/Backend.java
+++ b/gateway/src/main/java/tinford/routing/Backend.java
@@ -33,7 +33,11 @@
     /** Of these, those that have ended, though the server may not have seen it yet. */
     int leaving;
 
-    Backend(String id) {
+    /** Its place in the order in which servers were first listed. */
+    final long sequence;
+
+    Backend(String id, long sequence) {
         super(id);
+        this.sequence = sequence;
     }
 }
--- a/gateway/src/main/java/tinford/routing/Servers.java
+++ b/gateway/src/main/java/tinford/routing/Servers.java
@@ -3,6 +3,8 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collections;
+import java.util.Comparator;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -17,19 +19,19 @@
 /** The servers of the list, and the connections to them. */
 public final class Servers {
     private static final double REST = 10; // what was sent in one go has come by then
-    private static final int MOST_NAMES = 4096; // of servers listed once
+    private static final int MOST_GONE = 4096; // names of servers that were listed once
     final Desk desk;
     final Resp resp = new Resp();
     private final Map<String, Backend> backends = new LinkedHashMap<>();
     private final Bans bans = new Bans();
-    private final Set<String> listed =
+    private final Set<String> gone =
             Collections.newSetFromMap(
                     new LinkedHashMap<>() {
                         private static final long serialVersionUID = 1L;
 
                         @Override
                         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-                            return size() > MOST_NAMES;
+                            return size() > MOST_GONE;
                         }
                     });
     final double connectWithin;
@@ -37,6 +39,7 @@
     private final int most;
     private final List<String> loadNames;
     private int links;
+    private long backendsMade;
 
     /**
      * @param idleMost how long a connection may stand idle before the server closes it
@@ -60,9 +63,7 @@
         boolean whole = list.flag("whole");
         hosts.forEach(Servers::check);
         for (Fields e : hosts) {
-            Backend b = backends.computeIfAbsent(e.text("host"), Backend::new);
-            listed.remove(b.id);
-            listed.add(b.id);
+            Backend b = backends.computeIfAbsent(e.text("host"), this::newBackend);
             b.listed = state(e);
             b.state = state(b);
             entries.add(b);
@@ -84,16 +85,32 @@
         }
         desk.in.listed(entries, whole);
         left.forEach(this::leave);
-        for (Backend b : new ArrayList<>(backends.values())) {
-            if (b.state != Srv.State.UP || whole && !entries.contains(b)) {
+        Set<Srv> named = new HashSet<>(entries);
+        for (Backend b : whole ? new ArrayList<>(backends.values()) : inOrder(named)) {
+            boolean absent = whole && !named.contains(b);
+            if (b.state != Srv.State.UP || absent) {
                 leave(b);
             }
-            if (b.state == Srv.State.REMOVED || whole && !entries.contains(b)) {
+            if (b.state == Srv.State.REMOVED || absent) {
                 backends.remove(b.id);
+                gone.add(b.id);
             }
         }
     }
 
+    private Backend newBackend(String id) {
+        gone.remove(id);
+        return new Backend(id, backendsMade++);
+    }
+
+    /** In the order of the table: it decides whose dispatches end first. */
+    private static List<Backend> inOrder(Set<Srv> named) {
+        List<Backend> found = new ArrayList<>();
+        named.forEach(s -> found.add((Backend) s));
+        found.sort(Comparator.comparingLong(b -> b.sequence));
+        return found;
+    }
+
     /** What the operators have taken out drains, whatever the list says. */
     private Srv.State state(Backend b) {
         return b.listed == Srv.State.UP && bans.holds(b.id) ? Srv.State.DRAINING : b.listed;
@@ -101,7 +118,7 @@
 
     /** Listed at some time, or taken out or put back before. */
     boolean knows(String id) {
-        return listed.contains(id) || bans.knows(id);
+        return backends.containsKey(id) || gone.contains(id) || bans.knows(id);
     }
 
     /** Takes a line of the operators' record. */
--- a/gateway/src/main/java/tinford/routing/Watch.java
+++ b/gateway/src/main/java/tinford/routing/Watch.java
@@ -8,6 +8,7 @@
 import tinford.handed.Fields;
 import tinford.protocol.HttpLines;
 import tinford.protocol.JsonLines;
+import tinford.protocol.ListLimit;
 import tinford.protocol.Malformed;
 import tinford.transport.Descriptors;
 import tinford.transport.Ending;
@@ -35,6 +36,7 @@
             2000; // guards against one that speaks and ends at once, each time: it turns callers
     // away
     private static final int MOST_OUT = 4096;
+    private static final int MOST_LIST = ListLimit.bytes(Runtime.getRuntime().maxMemory());
     private final Desk desk;
     private InetSocketAddress at;
     private final double connectWithin;
@@ -205,8 +207,8 @@
     }
 
     private final class Wire extends Link {
-        private final HttpLines lines = new HttpLines();
-        private final JsonLines objects = new JsonLines(json);
+        private final HttpLines lines = new HttpLines(MOST_LIST);
+        private final JsonLines objects = new JsonLines(json, MOST_LIST);
         private final boolean once;
         private boolean listed; // it has brought a list
         private Malformed bad;
--- a/gateway/src/test/java/tinford/Bed.java
+++ b/gateway/src/test/java/tinford/Bed.java
@@ -1,6 +1,7 @@
 package tinford;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -208,7 +209,7 @@
         var in = of.getType().getDeclaredField(field);
         in.setAccessible(true);
         Object all = in.get(of.get(gateway));
-        return all instanceof Map<?, ?> m ? m.size() : ((List<?>) all).size();
+        return all instanceof Map<?, ?> m ? m.size() : ((Collection<?>) all).size();
     }
 
     static long count(List<String> said, String start) {
--- a/gateway/src/test/java/tinford/protocol/ListBoundsTest.java
+++ b/gateway/src/test/java/tinford/protocol/ListBoundsTest.java
@@ -6,6 +6,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -32,8 +34,8 @@
      */
     @Test(dataProvider = "endless")
     public void whatNeverEndsIsRefused(String start) throws Malformed {
-        HttpLines lines = new HttpLines();
-        JsonLines objects = new JsonLines(new JsonFactory());
+        HttpLines lines = new HttpLines(MOST);
+        JsonLines objects = new JsonLines(new JsonFactory(), MOST);
         AtomicInteger came = new AtomicInteger();
         Malformed[] bad = new Malformed[1];
         byte[] head = (HEAD + start).getBytes(StandardCharsets.ISO_8859_1);
@@ -74,7 +76,21 @@
         }
     }
 
-    /** As many servers as are kept in mind, spread over lines: read whole. */
+    @DataProvider
+    public Object[][] heaps() {
+        return new Object[][] {
+            // MiB of heap; KiB of the longest list: never less than before, and never more than 16
+            // MiB
+            {8, 1024}, {28, 1024}, {38, 1216}, {57, 1824}, {307, 9824}, {4096, 16_384}
+        };
+    }
+
+    @Test(dataProvider = "heaps")
+    public void theLimitFollowsTheHeap(int heap, int limit) {
+        assertEquals(ListLimit.bytes((long) heap << 20), limit << 10);
+    }
+
+    /** Four thousand servers, spread over lines: read whole within the least limit. */
     @Test
     public void aLargeListIsRead() throws Malformed {
         StringBuilder list = new StringBuilder("{\"seq\":43,\"whole\":true,\"hosts\":[");
@@ -90,7 +106,7 @@
                             "\"health\": \"draining\", \"share\": 1.0, \"born_ms\":"
                                     + " 1764600000000}");
         }
-        JsonLines objects = new JsonLines(new JsonFactory());
+        JsonLines objects = new JsonLines(new JsonFactory(), MOST);
         String whole = null;
         for (String line : list.append("\n]}").toString().split("\n")) {
             assertEquals(whole, null);
@@ -98,4 +114,65 @@
         }
         assertTrue(whole.endsWith("]}\n") && whole.length() > 600_000, "of " + whole.length());
     }
+
+    /**
+     * Six thousand servers on one line, as discovery sends them, fit what a machine of 128 MB
+     * reads.
+     */
+    @Test
+    public void theLargestFleetFitsASmallHeap() throws Malformed {
+        int limit = ListLimit.bytes(38L << 20);
+        String list = listOf(6000);
+        byte[] answer = (HEAD + list + "\n").getBytes(StandardCharsets.ISO_8859_1);
+        JsonLines objects = new JsonLines(new JsonFactory(), limit);
+        String[] read = new String[1];
+        new HttpLines(limit).read(answer, 0, answer.length, line -> read[0] = whole(objects, line));
+        assertEquals(read[0], list);
+        assertTrue(list.length() > 850_000, "of " + list.length());
+    }
+
+    /** Objects in one line and over several may follow one another. */
+    @Test
+    public void objectsInOneLineAndOverSeveralTakeTurns() throws Malformed {
+        JsonLines objects = new JsonLines(new JsonFactory(), MOST);
+        for (int i = 0; i < 3; i++) {
+            assertEquals(objects.take("{\"a\":1}"), "{\"a\":1}");
+            assertEquals(objects.take(""), "");
+            assertEquals(objects.take("{\"a\":"), null);
+            assertEquals(objects.take(""), null);
+            assertEquals(objects.take("1}"), "{\"a\":\n\n1}\n");
+        }
+    }
+
+    /** A long line leaves nothing behind that shortens or spoils the next. */
+    @Test
+    public void aLongLineIsFollowedByShortOnes() throws Malformed {
+        List<String> read = new ArrayList<>();
+        String longLine = "x".repeat(200_000);
+        String text = "a\n" + longLine + "\nb\n" + longLine + "\n\n";
+        byte[] answer = (HEAD + text).getBytes(StandardCharsets.ISO_8859_1);
+        new HttpLines(MOST).read(answer, 0, answer.length, read::add);
+        assertEquals(read, List.of("a", longLine, "b", longLine, ""));
+    }
+
+    private static String whole(JsonLines objects, String line) {
+        try {
+            return objects.take(line);
+        } catch (Malformed e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    private static String listOf(int servers) {
+        StringBuilder list = new StringBuilder("{\"seq\":43,\"whole\":true,\"hosts\":[");
+        for (int i = 0; i < servers; i++) {
+            list.append(i == 0 ? "" : ",")
+                    .append("{\"host\":\"s-")
+                    .append(Integer.toHexString(0x5be2a07c + i))
+                    .append("\",\"dial\":\"10.100.100.118:16379\",\"site\":\"zone-a\",")
+                    .append("\"class\":\"m2\",\"block\":113,\"health\":\"draining\",")
+                    .append("\"share\":1.0,\"born_ms\":1764600000000}");
+        }
+        return list.append("]}").toString();
+    }
 }
--- a/gateway/src/test/java/tinford/protocol/ProtocolTest.java
+++ b/gateway/src/test/java/tinford/protocol/ProtocolTest.java
@@ -13,6 +13,8 @@
 
 /** The parsers, over every split of the bytes. */
 public class ProtocolTest {
+    private static final int MOST_LIST = 1 << 20;
+
     private static byte[] bytes(String s) {
         return s.getBytes(StandardCharsets.ISO_8859_1);
     }
@@ -224,7 +226,7 @@
             byte[] all = bytes(s + "0\r\n\r\n");
             for (int read = 1; read < all.length; read += 3) {
                 List<String> found = new ArrayList<>();
-                HttpLines lines = new HttpLines();
+                HttpLines lines = new HttpLines(MOST_LIST);
                 int from = 0;
                 for (int to = read;
                         from < all.length && !lines.done();
@@ -254,7 +256,9 @@
         Malformed m =
                 expectThrows(
                         Malformed.class,
-                        () -> new HttpLines().read(bytes(text), 0, text.length(), line -> {}));
+                        () ->
+                                new HttpLines(MOST_LIST)
+                                        .read(bytes(text), 0, text.length(), line -> {}));
         assertEquals(m.getMessage(), "expected " + expected);
     }
 
--- a/gateway/src/test/java/tinford/routing/WatchTest.java
+++ b/gateway/src/test/java/tinford/routing/WatchTest.java
@@ -440,7 +440,7 @@
         door = door();
         desk.loop.enter(
                 () -> {
-                    held.put("s0", new Backend("s0"));
+                    held.put("s0", new Backend("s0", 0));
                     try {
                         watch.move(at());
                     } catch (IOException e) {
@@ -491,7 +491,7 @@
         start(2);
         play(5000, new String[][] {before});
         takenAt = -1;
-        held.put("s0", new Backend("s0"));
+        held.put("s0", new Backend("s0", 0));
         ServerSocketChannel last = back ? door : door();
         door = door();
         InetSocketAddress between = at();
--- a/lab/src/main/java/tinford/lab/scale/DecisionMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/DecisionMeasurements.java
@@ -19,6 +19,7 @@
 import tinford.lab.scale.gateway.Traffic;
 import tinford.protocol.HttpLines;
 import tinford.protocol.JsonLines;
+import tinford.protocol.ListLimit;
 import tinford.protocol.Malformed;
 
 /**
@@ -33,7 +34,6 @@
     private static final int[] TENANTS_SMALL = {200, 400, 800, 1600};
     private static final int[] ROUTES_FULL = {150, 400, 800, 1500};
     private static final int[] ROUTES_SMALL = {100, 200, 400, 800};
-    private static final int REPETITIONS = 5;
     private static final int TENANTS_OF_TRAFFIC = 200;
 
     /** Two seconds of traffic: the records of the last four seconds hold some answers. */
@@ -44,8 +44,12 @@
     /** Times are the median of so many. */
     private static final int TIMED_ROUNDS = 15;
 
+    private static final int WARM_UP_ROUNDS = 10;
+
     private static final double ROUND_GAP_MS = 60;
 
+    private static final int MOST_LIST = ListLimit.bytes(Runtime.getRuntime().maxMemory());
+
     private DecisionMeasurements() {}
 
     /** All of this area. */
@@ -56,16 +60,20 @@
                 byServers("decisions.whole-list", Growth.N_LOG_N, DecisionMeasurements::wholeList),
                 byServers("decisions.list-text", Growth.LINEAR, DecisionMeasurements::listText),
                 byServers("decisions.request", Growth.LINEAR, DecisionMeasurements::request),
+                byServers(
+                        "decisions.request-all-cold",
+                        Growth.SQUARE,
+                        DecisionMeasurements::requestAllCold),
                 byServers("decisions.longest-turn", Growth.N_LOG_N, DecisionMeasurements::longest),
                 byServers("decisions.heap-servers", Growth.LINEAR, DecisionMeasurements::servers),
-                new Table(
+                new TableMeasurement(
                         "decisions.heap-tenants",
                         "tenants",
                         TENANTS_SMALL,
                         TENANTS_FULL,
                         Growth.LINEAR,
                         DecisionMeasurements::tenants),
-                new Table(
+                new TableMeasurement(
                         "decisions.heap-routes",
                         "routes",
                         ROUTES_SMALL,
@@ -74,33 +82,8 @@
                         DecisionMeasurements::routes));
     }
 
-    private static Measurement byServers(String name, Growth expected, Table.Play play) {
-        return new Table(name, "servers", SERVERS_SMALL, SERVERS_FULL, expected, play);
-    }
-
-    /** A measurement with a table of sizes. */
-    private record Table(
-            String name, String sizeUnit, int[] small, int[] large, Growth expected, Play play)
-            implements Measurement {
-        /** Takes one sample. */
-        interface Play {
-            Sample sample(int size, UniformRandomProvider random) throws Exception;
-        }
-
-        @Override
-        public int[] sizes(boolean full) {
-            return (full ? large : small).clone();
-        }
-
-        @Override
-        public int repetitions() {
-            return REPETITIONS;
-        }
-
-        @Override
-        public Sample measure(int size, UniformRandomProvider random) throws Exception {
-            return play.sample(size, random);
-        }
+    private static Measurement byServers(String name, Growth expected, TableMeasurement.Play play) {
+        return new TableMeasurement(name, "servers", SERVERS_SMALL, SERVERS_FULL, expected, play);
     }
 
     private static Sample ranking(int servers, UniformRandomProvider random) throws Exception {
@@ -165,14 +148,14 @@
 
     /** The whole list once more, with nothing changed. */
     private static Cost listAgain(DrivenGateway gateway, int servers) {
-        Fields list = ServerLists.read(ServerLists.whole(servers, 0));
+        Fields list = ServerLists.read(ServerLists.whole(servers));
         gateway.pass(ROUND_GAP_MS);
         return Cost.of(() -> gateway.list(list));
     }
 
     /** From the bytes of discovery's answer to the fields that the server table takes. */
     private static Sample listText(int servers, UniformRandomProvider random) {
-        String list = ServerLists.whole(servers, 0);
+        String list = ServerLists.whole(servers);
         byte[] answer = httpAnswer(list);
         Cost timed = median(() -> Cost.of(() -> readAnswer(answer)));
         return new Sample(Map.of("list_bytes", (double) list.length()), times(timed));
@@ -185,10 +168,10 @@
     }
 
     private static void readAnswer(byte[] answer) {
-        JsonLines objects = new JsonLines(new JsonFactory());
+        JsonLines objects = new JsonLines(new JsonFactory(), MOST_LIST);
         List<Fields> read = new ArrayList<>();
         try {
-            new HttpLines()
+            new HttpLines(MOST_LIST)
                     .read(
                             answer,
                             0,
@@ -210,30 +193,48 @@
         }
     }
 
+    /** Of a steady flow, with all servers warm and after the restart of one of five zones. */
     private static Sample request(int servers, UniformRandomProvider random) throws Exception {
         Map<String, Double> counted = new TreeMap<>();
         try (DrivenGateway gateway = DrivenGateways.counted(Traffic.GATEWAYS, random)) {
-            Cost warm = gateway.onIoThread(() -> requests(gateway, servers, false, random));
+            Cost warm = gateway.onIoThread(() -> requests(gateway, servers, 0, random));
             counted.put("operations", (double) warm.operations() / MEASURED_REQUESTS);
         }
         try (DrivenGateway gateway = DrivenGateways.counted(Traffic.GATEWAYS, random)) {
-            Cost cold = gateway.onIoThread(() -> requests(gateway, servers, true, random));
-            counted.put("operations_all_cold", (double) cold.operations() / MEASURED_REQUESTS);
+            int cold = servers / ServerLists.ZONES;
+            Cost zone = gateway.onIoThread(() -> requests(gateway, servers, cold, random));
+            counted.put("operations_zone_cold", (double) zone.operations() / MEASURED_REQUESTS);
         }
         try (DrivenGateway gateway = DrivenGateways.timed(Traffic.GATEWAYS, random)) {
-            Cost timed = gateway.onIoThread(() -> requests(gateway, servers, false, random));
-            double micros = timed.millis() * 1000 / MEASURED_REQUESTS;
-            return new Sample(counted, Map.of("micros", micros));
+            Cost timed = gateway.onIoThread(() -> requests(gateway, servers, 0, random));
+            return new Sample(counted, micros(timed));
         }
     }
 
-    /** Requests with their ends, within one moment and so without the timer's work. */
+    /** As if all servers had started anew at once: what can go nowhere waits in a line. */
+    private static Sample requestAllCold(int servers, UniformRandomProvider random)
+            throws Exception {
+        Map<String, Double> counted = new TreeMap<>();
+        try (DrivenGateway gateway = DrivenGateways.counted(Traffic.GATEWAYS, random)) {
+            Cost cold = gateway.onIoThread(() -> requests(gateway, servers, servers, random));
+            counted.put("operations", (double) cold.operations() / MEASURED_REQUESTS);
+        }
+        try (DrivenGateway gateway = DrivenGateways.timed(Traffic.GATEWAYS, random)) {
+            Cost timed = gateway.onIoThread(() -> requests(gateway, servers, servers, random));
+            return new Sample(counted, micros(timed));
+        }
+    }
+
+    private static Map<String, Double> micros(Cost cost) {
+        return Map.of("micros", cost.millis() * 1000 / MEASURED_REQUESTS);
+    }
+
+    /** Requests within one moment, so without the work of the timer; none of them ends in it. */
     private static Cost requests(
-            DrivenGateway gateway, int servers, boolean cold, UniformRandomProvider random) {
-        if (cold) {
-            gateway.list(ServerLists.read(ServerLists.whole(servers, gateway.now())));
-        } else {
-            underTraffic(gateway, servers, random);
+            DrivenGateway gateway, int servers, int cold, UniformRandomProvider random) {
+        underTraffic(gateway, servers, random);
+        if (cold > 0) {
+            gateway.list(ServerLists.read(ServerLists.restarted(servers, cold, gateway.now())));
         }
         Traffic traffic = new Traffic(TENANTS_OF_TRAFFIC, random);
         return Cost.of(
@@ -277,7 +278,7 @@
     private static void list(DrivenGateway gateway, int servers) throws Exception {
         gateway.onIoThread(
                 () -> {
-                    gateway.list(ServerLists.read(ServerLists.whole(servers, 0)));
+                    gateway.list(ServerLists.read(ServerLists.whole(servers)));
                     return null;
                 });
     }
@@ -340,7 +341,7 @@
 
     private static DrivenGateway underTraffic(
             DrivenGateway gateway, int servers, UniformRandomProvider random) {
-        gateway.list(ServerLists.read(ServerLists.whole(servers, 0)));
+        gateway.list(ServerLists.read(ServerLists.whole(servers)));
         new Traffic(TENANTS_OF_TRAFFIC, random).play(gateway, REQUESTS_BEFORE);
         return gateway;
     }
@@ -357,7 +358,11 @@
         return Map.of("millis", cost.millis(), "allocated_bytes", (double) cost.allocatedBytes());
     }
 
+    /** After a warm-up: the loops are interpreted until they have run long enough. */
     private static Cost median(Supplier<Cost> work) {
+        for (int i = 0; i < WARM_UP_ROUNDS; i++) {
+            work.get();
+        }
         List<Cost> costs = new ArrayList<>();
         for (int i = 0; i < TIMED_ROUNDS; i++) {
             costs.add(work.get());
--- a/lab/src/main/java/tinford/lab/scale/Growth.java
+++ b/lab/src/main/java/tinford/lab/scale/Growth.java
@@ -26,6 +26,14 @@
     /** The simplest shape wins while its residual is within this factor of the best one's. */
     private static final double RESIDUAL_TOLERANCE = 1.5;
 
+    /** With a best residual beyond this no shape fits, and the exponent alone decides. */
+    private static final double POOR_RESIDUAL = 0.2;
+
+    private static final double CONSTANT_BELOW = 0.15;
+    private static final double LOGARITHMIC_BELOW = 0.5;
+    private static final double LINEAR_BELOW = 1.15;
+    private static final double N_LOG_N_BELOW = 1.5;
+
     /** A fitted exponent below this names a falling series. */
     private static final double FALLING_EXPONENT = -0.15;
 
@@ -53,7 +61,8 @@
         if (sizes.length != values.length || sizes.length < 3) {
             throw new IllegalArgumentException("as many values as sizes, three at least");
         }
-        if (exponent(sizes, values) < FALLING_EXPONENT) {
+        double exponent = exponent(sizes, values);
+        if (exponent < FALLING_EXPONENT) {
             return DECREASING;
         }
         Map<Growth, Double> residuals = new EnumMap<>(Growth.class);
@@ -65,6 +74,9 @@
                 best = Math.min(best, residual);
             }
         }
+        if (best > POOR_RESIDUAL) {
+            return ofExponent(exponent);
+        }
         double limit = Math.max(EXACT_RESIDUAL, RESIDUAL_TOLERANCE * best);
         return residuals.entrySet().stream()
                 .filter(entry -> entry.getValue() <= limit)
@@ -73,6 +85,19 @@
                 .getKey();
     }
 
+    private static Growth ofExponent(double exponent) {
+        if (exponent < CONSTANT_BELOW) {
+            return CONSTANT;
+        }
+        if (exponent < LOGARITHMIC_BELOW) {
+            return LOGARITHMIC;
+        }
+        if (exponent < LINEAR_BELOW) {
+            return LINEAR;
+        }
+        return exponent < N_LOG_N_BELOW ? N_LOG_N : SQUARE;
+    }
+
     /**
      * The slope of the values over the sizes, both as logarithms: 0 is constant, 1 linear, 2
      * square. Points that are not above nought are left out; with fewer than two left it is 0.
--- a/lab/src/main/java/tinford/lab/scale/Measurements.java
+++ b/lab/src/main/java/tinford/lab/scale/Measurements.java
@@ -9,6 +9,8 @@
 
     /** All measurements, area by area. */
     public static List<Measurement> all() {
-        return Stream.of(DecisionMeasurements.all()).flatMap(List::stream).toList();
+        return Stream.of(DecisionMeasurements.all(), ServerChoiceMeasurements.all())
+                .flatMap(List::stream)
+                .toList();
     }
 }
--- a/lab/src/main/java/tinford/lab/scale/count/CountingVisitor.java
+++ b/lab/src/main/java/tinford/lab/scale/count/CountingVisitor.java
@@ -16,7 +16,9 @@
                     "java/util/List",
                     "java/util/ArrayList",
                     "java/util/ArrayDeque",
-                    "java/util/Set");
+                    "java/util/Set",
+                    "java/util/HashSet",
+                    "java/util/LinkedHashSet");
     private static final String ONE_OBJECT = "(Ljava/lang/Object;)Z";
 
     CountingVisitor(ClassVisitor next) {
--- a/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
+++ b/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
@@ -55,7 +55,7 @@
     private final Deque<Long> calls = new ArrayDeque<>();
     private final Map<Long, Double> totals = new HashMap<>();
     private final Map<Req, Integer> dispatchesOf = new HashMap<>();
-    private DispatchListener listener = (server, at) -> {};
+    private DispatchListener listener = new NoListener();
     private Cost largestRound = new Cost(0, 0, 0, 0);
     private double now = START;
     private double nextTick = START;
@@ -63,8 +63,17 @@
     private long requests;
     private int ticks;
 
+    private static final class NoListener implements DispatchListener {
+        @Override
+        public void dispatched(Srv server, double at) {}
+
+        @Override
+        public void answered(Srv server, double at) {}
+    }
+
     /** A dispatch whose answer is due at some time. */
-    private record Running(double due, long sequence, Req req, int number, double sentAt)
+    private record Running(
+            double due, long sequence, Req req, Srv server, int number, double sentAt)
             implements Comparable<Running> {
         @Override
         public int compareTo(Running other) {
@@ -162,6 +171,7 @@
         if (open == null) {
             return;
         }
+        listener.answered(done.server(), now);
         double took = now - done.sentAt();
         round(inbox -> inbox.ended(done.req(), done.number(), End.GOOD, took, true, 0, 0, null));
     }
@@ -205,11 +215,6 @@
         largestRound = new Cost(0, 0, 0, 0);
     }
 
-    @Override
-    public long dispatches() {
-        return dispatches;
-    }
-
     @Override
     public void onDispatch(DispatchListener to) {
         listener = to;
@@ -224,7 +229,7 @@
     public void dispatch(Req req, Srv server, double cap, double within) {
         int number = dispatchesOf.merge(req, 1, Integer::sum) - 1;
         double service = -SERVICE_MS * Math.log(1 - random.nextDouble());
-        running.add(new Running(now + service, dispatches++, req, number, now));
+        running.add(new Running(now + service, dispatches++, req, server, number, now));
         listener.dispatched(server, now);
     }
 
--- a/lab/src/main/java/tinford/lab/scale/gateway/DrivenGateway.java
+++ b/lab/src/main/java/tinford/lab/scale/gateway/DrivenGateway.java
@@ -13,9 +13,13 @@
  * #onIoThread}.
  */
 public interface DrivenGateway extends AutoCloseable {
-    /** Hears of each dispatch. */
+    /** Hears of each dispatch and of its answer, at their virtual times. */
     interface DispatchListener {
+        /** A request leaves for the server. */
         void dispatched(Srv server, double now);
+
+        /** The server's answer has come. */
+        void answered(Srv server, double now);
     }
 
     /** Runs the job on the I/O thread, waits for its end, and hands on its result or fault. */
@@ -41,8 +45,6 @@
 
     void resetRounds();
 
-    long dispatches();
-
     void onDispatch(DispatchListener listener);
 
     @Override
--- a/lab/src/main/java/tinford/lab/scale/gateway/ServerLists.java
+++ b/lab/src/main/java/tinford/lab/scale/gateway/ServerLists.java
@@ -9,17 +9,29 @@
 public final class ServerLists {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int SERVERS_A_BLOCK = 20;
-    private static final int ZONES = 5;
+
+    /** Zones of the deployment; blocks of servers go round them. */
+    public static final int ZONES = 5;
+
     private static final int FIRST_ID = 0x5be2a07c;
 
     private ServerLists() {}
 
-    /** All servers, ready; one that started at {@code bornMs} or, with 0, long ago. */
-    public static String whole(int servers, double bornMs) {
+    /** All servers, ready, started long ago. */
+    public static String whole(int servers) {
+        return restarted(servers, 0, 0);
+    }
+
+    /** All servers, ready, the first of them started at {@code bornMs}. */
+    public static String restarted(int servers, int restarted, double bornMs) {
         String hosts =
                 IntStream.range(0, servers)
-                        .mapToObj(number -> host(number, "ready", bornMs))
+                        .mapToObj(number -> host(number, "ready", number < restarted ? bornMs : 0))
                         .collect(Collectors.joining(","));
+        return whole(hosts);
+    }
+
+    private static String whole(String hosts) {
         return "{\"seq\":43,\"whole\":true,\"hosts\":[" + hosts + "]}";
     }
 
--- a/lab/src/main/java/tinford/lab/scale/gateway/Traffic.java
+++ b/lab/src/main/java/tinford/lab/scale/gateway/Traffic.java
@@ -22,19 +22,30 @@
     private static final Plan PLAN = new Plan("p", 10, 10_000, 0, 1, 0, 1, 0, 0, 1);
 
     private final UniformRandomProvider random;
+    private final double requestsASecond;
     private final List<Customer> customers;
     private final Frontend frontend =
             new Frontend(
                     "f", TARGET_MS, TIMEOUT_MS, 1, 0, Effect.IDEMPOTENT, Group.ALL, 3000, false);
 
+    /** At a gateway's part of the peak. */
     public Traffic(int customers, UniformRandomProvider random) {
+        this(customers, REQUESTS_A_SECOND, random);
+    }
+
+    public Traffic(int customers, double requestsASecond, UniformRandomProvider random) {
         this.random = random;
+        this.requestsASecond = requestsASecond;
         this.customers =
                 LongStream.range(0, customers)
                         .mapToObj(id -> new Customer(id, PLAN, GATEWAYS, 0))
                         .toList();
     }
 
+    public double requestsASecond() {
+        return requestsASecond;
+    }
+
     /** One request of a customer drawn by chance. */
     public void request(DrivenGateway gateway) {
         request(gateway, random.nextInt(customers.size()));
@@ -49,7 +60,7 @@
     public void play(DrivenGateway gateway, int requests) {
         for (int i = 0; i < requests; i++) {
             request(gateway);
-            gateway.pass(1000 / REQUESTS_A_SECOND);
+            gateway.pass(1000 / requestsASecond);
         }
     }
 }
