--- a/lab/src/test/java/tinford/lab/scale/DecisionScaleTest.java
+++ b/lab/src/test/java/tinford/lab/scale/DecisionScaleTest.java
@@ -4,17 +4,19 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
+import java.util.stream.Stream;
 import org.apache.commons.rng.simple.RandomSource;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The decisions' costs grow as expected, by counted columns at small sizes. */
+/** Costs of decisions and choice of servers grow as expected, by counted columns, small sizes. */
 public class DecisionScaleTest {
     private static final long SEED = 1;
 
     @DataProvider
     public Object[][] measurements() {
-        return DecisionMeasurements.all().stream()
+        return Stream.of(DecisionMeasurements.all(), ServerChoiceMeasurements.all())
+                .flatMap(List::stream)
                 .map(measurement -> new Object[] {measurement.name(), measurement})
                 .toArray(Object[][]::new);
     }
