--- a/lab/src/main/java/tinford/lab/scale/Measurements.java
+++ b/lab/src/main/java/tinford/lab/scale/Measurements.java
@@ -11,6 +11,7 @@
     public static List<Measurement> all() {
         return Stream.of(
                         DecisionMeasurements.all(),
+                        ServerChoiceMeasurements.all(),
                         CounterMeasurements.all(),
                         AddedTimeMeasurements.all(),
                         GossipMeasurements.all(),
