--- a/lab/src/main/java/tinford/lab/scale/ConnectionPools.java
+++ b/lab/src/main/java/tinford/lab/scale/ConnectionPools.java
@@ -3,9 +3,11 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import tinford.api.End;
 import tinford.api.Req;
 import tinford.api.Srv;
@@ -21,6 +23,7 @@
     private static final double SECOND_MS = 1000;
     private final double idleMs;
     private final Map<Integer, Map<String, ArrayDeque<Double>>> idleSince = new HashMap<>();
+    private final Set<Integer> restarted = new HashSet<>();
     private final Map<Req, List<String>> servers = new IdentityHashMap<>();
     private final List<Handshake> handshakes = new ArrayList<>();
     private final List<Double> dispatches = new ArrayList<>();
@@ -37,7 +40,9 @@
 
     @Override
     public void started(int gateway, double now) {
-        idleSince.put(gateway, new HashMap<>());
+        if (idleSince.put(gateway, new HashMap<>()) != null) {
+            restarted.add(gateway);
+        }
     }
 
     @Override
@@ -81,6 +86,13 @@
         return handshakes.stream().filter(h -> h.at >= from && h.at < to).count();
     }
 
+    /** How many of them were of gateways that have been restarted. */
+    long handshakesOfRestarted(double from, double to) {
+        return handshakes.stream()
+                .filter(h -> h.at >= from && h.at < to && restarted.contains(h.gateway))
+                .count();
+    }
+
     /** How many dispatches there were within a time. */
     long dispatches(double from, double to) {
         return dispatches.stream().filter(at -> at >= from && at < to).count();
--- a/lab/src/test/java/tinford/lab/scale/ConnectionPoolsTest.java
+++ b/lab/src/test/java/tinford/lab/scale/ConnectionPoolsTest.java
@@ -65,5 +65,7 @@
         play(0, 400, 500, End.GOOD);
         assertEquals(handshakes(), 2);
         assertEquals(pools.dispatches(0, 1000), 2);
+        assertEquals(pools.handshakesOfRestarted(300, 1000), 1);
+        assertEquals(pools.handshakesOfRestarted(0, 300), 1);
     }
 }
--- a/lab/src/test/java/tinford/lab/scale/ScaleTests.java
+++ b/lab/src/test/java/tinford/lab/scale/ScaleTests.java
@@ -26,6 +26,11 @@
         return column(result, column).means().get(result.sizes().length - 1).mean();
     }
 
+    /** The mean at the smallest size. */
+    static double smallest(ScaleResult result, String column) {
+        return column(result, column).means().get(0).mean();
+    }
+
     private static ScaleResult.Column column(ScaleResult result, String name) {
         return result.columns().stream()
                 .filter(column -> column.name().equals(name))
