--- a/fleet/src/main/java/tinford/fleet/control/Main.java
+++ b/fleet/src/main/java/tinford/fleet/control/Main.java
@@ -25,7 +25,9 @@
     }
 
     private static int exitCode(Throwable failure) {
-        return ExitCode.UNAVAILABLE;
+        return failure instanceof CommandLine.ParameterException
+                ? ExitCode.USAGE
+                : ExitCode.UNAVAILABLE;
     }
 
     @Override
--- a/fleet/src/main/java/tinford/fleet/control/WatchStream.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchStream.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
@@ -79,7 +80,7 @@
     /** On the I/O thread, once. */
     void start() {
         if (request.watch()) {
-            exchange.getConnection().addCloseListener(connection -> thread.execute(this::close));
+            exchange.getConnection().addCloseListener(connection -> onThread(this::close));
         }
         channel = exchange.getResponseChannel();
         if (channel == null || !exchange.getConnection().isOpen()) {
@@ -97,7 +98,7 @@
     /** From any thread: there may be a line to write. */
     void wake() {
         if (wakeScheduled.compareAndSet(false, true)) {
-            thread.execute(
+            onThread(
                     () -> {
                         wakeScheduled.set(false);
                         advance();
@@ -107,7 +108,19 @@
 
     /** From any thread. */
     void closeSoon() {
-        thread.execute(this::close);
+        onThread(this::close);
+    }
+
+    private void onThread(Runnable task) {
+        if (Thread.currentThread() == thread) {
+            task.run();
+            return;
+        }
+        try {
+            thread.execute(task);
+        } catch (RejectedExecutionException e) {
+            // the server is being closed, and its connections with it
+        }
     }
 
     private void advance() {
