--- a/fleet/src/main/java/tinford/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlServer.java
@@ -21,7 +21,10 @@
  * #OTHER_CONNECTIONS}.
  */
 public final class ControlServer implements AutoCloseable {
-    /** Connections beside those that watches may hold. */
+    /** Of one follower: its watch, and the connection that it reports over. */
+    static final int CONNECTIONS_OF_FOLLOWER = 2;
+
+    /** Connections beside those of followers. */
     static final int OTHER_CONNECTIONS = 128;
 
     /** Any request but a watch is answered, and its answer taken in, within this. */
@@ -115,7 +118,7 @@
     }
 
     private Undertow http() {
-        int connections = settings.followers() + OTHER_CONNECTIONS;
+        int connections = CONNECTIONS_OF_FOLLOWER * settings.followers() + OTHER_CONNECTIONS;
         return Undertow.builder()
                 .addHttpListener(
                         settings.listen().getPort(),
--- a/fleet/src/main/java/tinford/fleet/control/ProposalSender.java
+++ b/fleet/src/main/java/tinford/fleet/control/ProposalSender.java
@@ -23,6 +23,8 @@
     private final List<InetSocketAddress> servers;
     private final PrintWriter out;
     private final PrintWriter err;
+    private boolean perhapsTaken;
+    private String reason = "";
 
     ProposalSender(List<InetSocketAddress> servers, PrintWriter out, PrintWriter err) {
         this.servers = servers;
@@ -34,33 +36,49 @@
     int send(Proposal proposal, long withinMs) throws InterruptedException {
         byte[] body = ConfigurationCodec.encode(proposal);
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
-        boolean perhapsTaken = false;
-        String reason = "";
         do {
             for (InetSocketAddress server : servers) {
-                try {
-                    ControlClient.Answer answer = client.post(server, "/proposals", body);
-                    if (answer.status() != StatusCodes.SERVICE_UNAVAILABLE) {
-                        return decided(proposal, answer);
-                    }
-                    perhapsTaken |= !answer.body().path("taken").asText().equals("no");
-                    reason = server + ": " + answer.body().path("reason").asText();
-                } catch (IOException e) {
-                    perhapsTaken |= mayHaveArrived(e);
-                    reason = server + ": " + e;
+                ControlClient.Answer answer = answerOf(server, body);
+                if (answer != null) {
+                    return decided(proposal, answer);
                 }
             }
             TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
         } while (System.nanoTime() < deadline);
-        err.println(
-                (perhapsTaken ? "perhaps not taken, " : "surely not taken, ")
-                        + "proposal "
-                        + proposal.id()
-                        + ": "
-                        + reason);
+        tellUndecided(proposal);
         return ExitCode.UNAVAILABLE;
     }
 
+    /** Null where that server could not decide. */
+    private ControlClient.Answer answerOf(InetSocketAddress server, byte[] body)
+            throws InterruptedException {
+        String name = server.getHostString() + ":" + server.getPort();
+        try {
+            ControlClient.Answer answer = client.post(server, "/proposals", body);
+            if (answer.status() != StatusCodes.SERVICE_UNAVAILABLE) {
+                return answer;
+            }
+            boolean surelyNot = answer.body().path("taken").asText().equals("no");
+            note(!surelyNot, name + ": " + answer.body().path("reason").asText());
+        } catch (IOException e) {
+            note(mayHaveArrived(e), name + ": " + e);
+        }
+        return null;
+    }
+
+    /** The reason of a server that may have taken it tells more than that of one that did not. */
+    private void note(boolean perhaps, String why) {
+        if (perhaps || !perhapsTaken) {
+            reason = why;
+        }
+        perhapsTaken |= perhaps;
+    }
+
+    private void tellUndecided(Proposal proposal) {
+        String taken = perhapsTaken ? "perhaps not taken" : "surely not taken";
+        err.println(taken + ", proposal " + proposal.id() + ": " + reason);
+    }
+
     private static boolean mayHaveArrived(IOException failure) {
         return !(failure instanceof ConnectException)
                 && !(failure instanceof HttpConnectTimeoutException);
--- a/fleet/src/main/java/tinford/fleet/control/StatusCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/StatusCommand.java
@@ -86,7 +86,9 @@
 
     private static String line(FleetStatus.Server server) {
         if (server.failure() != null) {
-            return "server " + server.address() + " not reached: " + server.failure();
+            return String.format(
+                    "server %s:%d not reached: %s",
+                    server.address().getHostString(), server.address().getPort(), server.failure());
         }
         return String.format(
                 "server %s %s %s%s revision %d followers %d pending %d bytes",
