--- a/fleet/src/main/java/tinford/fleet/control/WatchStream.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchStream.java
@@ -45,7 +45,10 @@
     private boolean lineSinceTick;
     private boolean ending;
     private boolean closed;
-    private volatile long sentRevision;
+
+    /** Of the last line that was begun. */
+    private long sentRevision;
+
     private volatile int pendingBytes;
 
     WatchStream(
@@ -67,11 +70,6 @@
         return request;
     }
 
-    /** The revision of the last line that was begun. */
-    long sentRevision() {
-        return sentRevision;
-    }
-
     /** Bytes of the current line that the follower has not taken in yet. */
     int pendingBytes() {
         return pendingBytes;
@@ -79,6 +77,9 @@
 
     /** On the I/O thread, once. */
     void start() {
+        if (closed) {
+            return;
+        }
         if (request.watch()) {
             exchange.getConnection().addCloseListener(connection -> onThread(this::close));
         }
@@ -124,8 +125,8 @@
     }
 
     private void advance() {
-        if (closed) {
-            return;
+        if (closed || channel == null) {
+            return; // a wake that came before the start is made up for there
         }
         try {
             while (finishOutstanding() && beginNextLine()) {
--- a/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
@@ -4,6 +4,8 @@
 import static org.testng.Assert.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.net.SocketTimeoutException;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.AfterMethod;
@@ -139,6 +141,62 @@
         }
     }
 
+    @Test
+    public void watchesOpenedWhileChangesComeMissNone() throws Exception {
+        start(200, new WatchTiming(1000, 5000, 15_000));
+        int revisions = 600;
+        Thread changes =
+                new Thread(
+                        () -> {
+                            for (int i = 0; i < revisions; i++) {
+                                appendLarge(1);
+                            }
+                        });
+        List<WatchConnection> watches = new ArrayList<>();
+        changes.start();
+        try {
+            for (int i = 0; i < 200; i++) {
+                watches.add(WatchConnection.open(server, "gw-" + i, 0));
+            }
+            for (WatchConnection watch : watches) {
+                watch.head();
+                for (int revision = 1; revision <= revisions; revision++) {
+                    Update update = ((WatchMessage.UpdateMessage) watch.message()).update();
+                    assertEquals(update.fromRevision(), revision - 1);
+                    assertEquals(update.revision(), revision);
+                }
+            }
+        } finally {
+            changes.join();
+            for (WatchConnection watch : watches) {
+                watch.close();
+            }
+        }
+    }
+
+    @Test
+    public void aServerThatEndsEndsItsWatches() throws Exception {
+        start(10, TestServers.FAST);
+        try (WatchConnection watch = WatchConnection.open(server, "gw-1", 0)) {
+            watch.head();
+            assertEquals(watch.line(), "");
+            server.close();
+            assertEnds(watch);
+        }
+    }
+
+    private static void assertEnds(WatchConnection watch) {
+        try {
+            while (watch.line() != null) {
+                // heartbeats from before
+            }
+        } catch (SocketTimeoutException e) {
+            throw new AssertionError("the watch is still open", e);
+        } catch (IOException e) {
+            // reset by the server: an end as well
+        }
+    }
+
     @Test
     public void aThousandFollowersAllGetAChange() throws Exception {
         start(1000, new WatchTiming(1000, 5000, 15_000));
