--- a/fleet/src/main/java/tinford/fleet/control/WatchStream.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchStream.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
@@ -44,7 +45,10 @@
     private boolean lineSinceTick;
     private boolean ending;
     private boolean closed;
-    private volatile long sentRevision;
+
+    /** Of the last line that was begun. */
+    private long sentRevision;
+
     private volatile int pendingBytes;
 
     WatchStream(
@@ -66,11 +70,6 @@
         return request;
     }
 
-    /** The revision of the last line that was begun. */
-    long sentRevision() {
-        return sentRevision;
-    }
-
     /** Bytes of the current line that the follower has not taken in yet. */
     int pendingBytes() {
         return pendingBytes;
@@ -78,8 +77,11 @@
 
     /** On the I/O thread, once. */
     void start() {
+        if (closed) {
+            return;
+        }
         if (request.watch()) {
-            exchange.getConnection().addCloseListener(connection -> thread.execute(this::close));
+            exchange.getConnection().addCloseListener(connection -> onThread(this::close));
         }
         channel = exchange.getResponseChannel();
         if (channel == null || !exchange.getConnection().isOpen()) {
@@ -97,7 +99,7 @@
     /** From any thread: there may be a line to write. */
     void wake() {
         if (wakeScheduled.compareAndSet(false, true)) {
-            thread.execute(
+            onThread(
                     () -> {
                         wakeScheduled.set(false);
                         advance();
@@ -107,13 +109,25 @@
 
     /** From any thread. */
     void closeSoon() {
-        thread.execute(this::close);
+        onThread(this::close);
     }
 
-    private void advance() {
-        if (closed) {
+    private void onThread(Runnable task) {
+        if (Thread.currentThread() == thread) {
+            task.run();
             return;
         }
+        try {
+            thread.execute(task);
+        } catch (RejectedExecutionException e) {
+            // the server is being closed, and its connections with it
+        }
+    }
+
+    private void advance() {
+        if (closed || channel == null) {
+            return; // a wake that came before the start is made up for there
+        }
         try {
             while (finishOutstanding() && beginNextLine()) {
                 // one line after the other, until the follower has all or takes in no more
--- a/gateway/src/main/java/tinford/Decide.java
+++ b/gateway/src/main/java/tinford/Decide.java
@@ -556,7 +556,7 @@
                     : Math.min(MAX_WINDOW, BURSTS_A_WINDOW * plan.burst / plan.rate);
         }
 
-        /** Under another plan what was used stands as a floor under its count, at most as all it allows by now. */
+        /** Under another plan what was used stands as a floor under its count, up to all it allows by now. */
         Book under(Customer to) {
             if (to.revision <= customer.revision || to.plan == plan) return this;
             roll();
