--- a/lab/src/main/java/tinford/lab/control/ConfigurationOperator.java
+++ b/lab/src/main/java/tinford/lab/control/ConfigurationOperator.java
@@ -21,7 +21,7 @@
 
 /**
  * Enters proposals at the control servers as an operator's tool does: at one server after the other
- * with the same id, until one says what became of it.
+ * with the same id, until one says what became of it. The one that did so last is asked first.
  */
 final class ConfigurationOperator {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -32,9 +32,10 @@
     private final HttpClient http;
     private final Supplier<List<URI>> servers;
     private final History history;
+    private URI lastAnswered;
 
     /**
-     * @param servers those that the operator reaches now, the one to try first in front
+     * @param servers those that the operator reaches now
      */
     ConfigurationOperator(HttpClient http, Supplier<List<URI>> servers, History history) {
         this.http = http;
@@ -50,9 +51,10 @@
         byte[] body = ConfigurationCodec.encode(proposal);
         long deadline = System.nanoTime() + (long) (timeoutSeconds * 1e9);
         while (System.nanoTime() < deadline) {
-            for (URI server : servers.get()) {
+            for (URI server : inOrder()) {
                 Outcome outcome = tryAt(server, proposal.id(), body);
                 if (outcome != null) {
+                    lastAnswered = server;
                     return outcome;
                 }
             }
@@ -61,6 +63,14 @@
         throw new IOException("proposal " + proposal.id() + " was not decided by any server");
     }
 
+    private List<URI> inOrder() {
+        List<URI> all = new ArrayList<>(servers.get());
+        if (all.remove(lastAnswered)) {
+            all.add(0, lastAnswered);
+        }
+        return all;
+    }
+
     private Outcome tryAt(URI server, String id, byte[] body) throws InterruptedException {
         history.tell(Events.ENTERED, Events.ID, id, Events.SERVER, server.toString());
         try {
--- a/lab/src/main/java/tinford/lab/control/HollowFollower.java
+++ b/lab/src/main/java/tinford/lab/control/HollowFollower.java
@@ -5,7 +5,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.Random;
+import java.util.SplittableRandom;
 import java.util.concurrent.ScheduledExecutorService;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
@@ -45,7 +45,7 @@
                                     ControlServers.FLEET_ID,
                                     spec.endpoints(),
                                     inForce,
-                                    new Random(seed)),
+                                    new SplittableRandom(seed)),
                             this::apply,
                             http,
                             executor);
