--- a/lab/src/main/java/tinford/lab/control/ControlCommand.java
+++ b/lab/src/main/java/tinford/lab/control/ControlCommand.java
@@ -26,7 +26,6 @@
     /** For the start of all processes, the first configuration, settling and judging. */
     private static final double SETUP_SECONDS = 240;
 
-
     @Option(
             names = "--scenario",
             defaultValue = "all",
--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -64,8 +64,7 @@
         World drawn = new World(scenario, seed, Decide::new);
         drawn.run();
         trace = drawn.asked();
-        List<String> words =
-                program.java(Classpath.SMALL, HEAP_MB, MAIN_CLASS, "serve");
+        List<String> words = program.java(Classpath.SMALL, HEAP_MB, MAIN_CLASS, "serve");
         Program started =
                 new Program(
                         words,
--- a/lab/src/test/java/tinford/lab/control/ConfigurationOperatorTest.java
+++ b/lab/src/test/java/tinford/lab/control/ConfigurationOperatorTest.java
@@ -90,8 +90,7 @@
     public void aRefusalIsTold() throws Exception {
         URI server = answering(409, "{\"faults\":[{\"key\":\"a\",\"expected\":\"b\"}]}");
         Outcome outcome = operator(server).enter(SET, 10);
-        assertEquals(
-                ((Outcome.Refused) outcome).refusal().faults(), List.of(new Fault("a", "b")));
+        assertEquals(((Outcome.Refused) outcome).refusal().faults(), List.of(new Fault("a", "b")));
         assertEquals(kinds(), List.of(Events.ENTERED, Events.REFUSED));
     }
 
