--- a/lab/src/main/java/tinford/lab/Lab.java
+++ b/lab/src/main/java/tinford/lab/Lab.java
@@ -53,8 +53,8 @@
             Lab.Sockets.class,
             Lab.Fleet.class,
             ScaleCommand.class,
-            ExploreCommand.class,
-            ControlCommand.class
+            ControlCommand.class,
+            ExploreCommand.class
         })
 public final class Lab {
     static final int RULE_BROKEN = 1;
