--- a/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
@@ -14,6 +14,7 @@
 import tinford.lab.sockets.SingleGateway;
 import tinford.protocol.HttpLines;
 import tinford.protocol.JsonLines;
+import tinford.protocol.ListLimit;
 
 /** What restarts cost: of gateways (a rack, a zone, all) and of servers. */
 final class RestartMeasurements {
@@ -57,10 +58,11 @@
         String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         String chunk = Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n";
         byte[] answer = (head + chunk).getBytes(StandardCharsets.UTF_8);
+        int limit = ListLimit.bytes(Runtime.getRuntime().maxMemory());
         JsonFactory json = new JsonFactory();
-        JsonLines objects = new JsonLines(json);
+        JsonLines objects = new JsonLines(json, limit);
         String[] line = new String[1];
-        new HttpLines().read(answer, 0, answer.length, text -> line[0] = text);
+        new HttpLines(limit).read(answer, 0, answer.length, text -> line[0] = text);
         Fields read = Fields.of(json, "list", objects.take(line[0]));
         return read.parts("hosts").size();
     }
