--- a/fleet/src/main/java/tinford/fleet/control/Voter.java
+++ b/fleet/src/main/java/tinford/fleet/control/Voter.java
@@ -8,9 +8,11 @@
 import tinford.fleet.config.Configuration;
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.ConfigurationLimits;
+import tinford.fleet.config.Fault;
 import tinford.fleet.config.InvalidConfiguration;
 import tinford.fleet.config.Outcome;
 import tinford.fleet.config.Proposal;
+import tinford.fleet.config.Refusal;
 import tinford.fleet.config.RevisionHistory;
 import tinford.fleet.config.Update;
 import tinford.fleet.control.ControlSettings.VoterSettings;
@@ -59,6 +61,10 @@
 
     @Override
     public CompletableFuture<ProposalResult> propose(Proposal proposal) {
+        byte[] entry = ConfigurationCodec.encode(proposal);
+        if (entry.length > ConfigurationLimits.PROPOSAL_BYTES) {
+            return CompletableFuture.completedFuture(new Decided(tooLarge()));
+        }
         CompletableFuture<ProposalResult> result = pending.add(proposal.id());
         if (result.isDone()) {
             return result;
@@ -71,7 +77,7 @@
                                 + " ms: no quorum of voters, or a slow one"),
                 decideWithinMs,
                 TimeUnit.MILLISECONDS);
-        log.append(ConfigurationCodec.encode(proposal))
+        log.append(entry)
                 .whenComplete(
                         (index, failure) -> {
                             if (failure != null) {
@@ -82,6 +88,15 @@
         return result;
     }
 
+    /** Fields that were left out are written out, so it may be larger than what was sent. */
+    private static Outcome tooLarge() {
+        String expected =
+                "at most "
+                        + ConfigurationLimits.PROPOSAL_BYTES
+                        + " bytes with all fields written out";
+        return new Outcome.Refused(new Refusal(List.of(new Fault("changes", expected))));
+    }
+
     @Override
     public boolean leads() {
         return log.leads();
--- a/fleet/src/test/java/tinford/fleet/control/ControlHttpTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ControlHttpTest.java
@@ -210,6 +210,23 @@
         servesOn();
     }
 
+    @Test
+    public void aBodyThatIsTooLargeWithAllFieldsIsRefused() throws Exception {
+        StringBuilder body = new StringBuilder("{\"version\":1,\"id\":\"p\",\"changes\":[");
+        for (int i = 0; i < 5000; i++) {
+            body.append(i == 0 ? "" : ",")
+                    .append("{\"putRoute\":{\"name\":\"r")
+                    .append(i)
+                    .append("\",\"service\":\"s\",\"timeoutMs\":9,\"effect\":\"read_like\"}}");
+        }
+        body.append("]}");
+        assertTrue(body.length() < ConfigurationLimits.PROPOSAL_BYTES, "sent: " + body.length());
+        ControlClient.Answer answer = post("/proposals", body.toString());
+        assertEquals(answer.status(), 409, answer.toString());
+        assertEquals(answer.body().path("faults").path(0).path("key").asText(), "changes");
+        servesOn();
+    }
+
     @Test
     public void anOversizedBodyInChunksIsRefused() throws Exception {
         try (Socket socket = socket()) {
