--- a/gateway/src/main/java/tinford/Decide.java
+++ b/gateway/src/main/java/tinford/Decide.java
@@ -555,11 +555,12 @@
                     : Math.min(MAX_WINDOW, BURSTS_A_WINDOW * plan.burst / plan.rate);
         }
 
-        /** Under another plan what was used stands as a floor under its count, at most as all it allows by now. */
+        /** Under another plan: what was used is a floor under its count, at most as all it allows by now. */
         Book under(Customer to) {
             if (to.revision <= customer.revision || to.plan == plan) return this;
             roll();
-            double spent = plan.burst - room(0), used = prev.total * (1 - into() / window) + cur.total - owed;
+            double full = plan.burst, spent = full - room(0);
+            double used = prev.total * (1 - into() / window) + cur.total - owed;
             Win old = cur;
             follow(to);
             roll();
@@ -568,7 +569,7 @@
                 cur.brought = cur.lost * slice;
                 cur.total = cur.lost + owed;
             }
-            room = Math.max(0, plan.burst - spent);
+            room = Math.max(0, Math.min(full, plan.burst) - spent); // no burst at each gateway
             roomAt = now;
             return this;
         }
