--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import tinford.api.Place;
 import tinford.api.View;
@@ -94,7 +95,7 @@
                 new GatewayConfiguration(
                         settings,
                         gatewaySettings.followerId(place),
-                        new Random(gatewaySettings.seed() + incarnation.start()),
+                        new SplittableRandom(gatewaySettings.seed() + incarnation.start()),
                         catalogs,
                         useCatalog,
                         enter,
