--- a/lab/src/main/java/tinford/lab/control/ControlCommand.java
+++ b/lab/src/main/java/tinford/lab/control/ControlCommand.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
+import java.util.stream.Stream;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -29,8 +30,9 @@
     @Option(
             names = "--scenario",
             defaultValue = "all",
+            split = ",",
             description = "calm, burst, server-killed, ... or all (${DEFAULT-VALUE})")
-    String scenario;
+    List<String> names;
 
     @Option(
             names = "--followers",
@@ -101,13 +103,15 @@
 
     private List<ControlScenario> scenarios() {
         List<ControlScenario> chosen = new ArrayList<>();
-        for (ControlScenario each : ControlScenario.values()) {
-            if (scenario.equals("all") || scenario.equals(each.label())) {
-                chosen.add(each);
+        for (String name : names) {
+            List<ControlScenario> named =
+                    Stream.of(ControlScenario.values())
+                            .filter(each -> name.equals("all") || name.equals(each.label()))
+                            .toList();
+            if (named.isEmpty()) {
+                throw wrong("--scenario: expected all or a scenario's name, not " + name);
             }
-        }
-        if (chosen.isEmpty()) {
-            throw wrong("--scenario: expected all or a scenario's name, not " + scenario);
+            chosen.addAll(named);
         }
         return chosen;
     }
