--- a/gateway/src/main/java/tinford/Decide.java
+++ b/gateway/src/main/java/tinford/Decide.java
@@ -519,8 +519,7 @@
         final long index;
         double total; // as last read, with what a flush lost
         double readAt = Double.NEGATIVE_INFINITY;
-        double own, lost; // net of this gateway's adds that are surely held; what a flush took off
-        double brought; // an even share of what was used under another plan
+        double own, lost, brought; // own net adds held; what a flush took off; a share of another plan's use
         boolean read;
 
         Win(long index) { this.index = index; }
