--- a/lab/src/main/java/tinford/lab/scale/count/Cost.java
+++ b/lab/src/main/java/tinford/lab/scale/count/Cost.java
@@ -10,6 +10,9 @@
  * @param elements searched through or copied by counted code
  */
 public record Cost(long operations, long elements, long nanos, long allocatedBytes) {
+    /** Of no work at all. */
+    public static final Cost NONE = new Cost(0, 0, 0, 0);
+
     private static final double NANOS_A_MILLI = 1e6;
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
@@ -27,6 +30,15 @@
                 THREADS.getCurrentThreadAllocatedBytes() - allocated);
     }
 
+    /** What both took together. */
+    public Cost plus(Cost other) {
+        return new Cost(
+                operations + other.operations,
+                elements + other.elements,
+                nanos + other.nanos,
+                allocatedBytes + other.allocatedBytes);
+    }
+
     public double millis() {
         return nanos / NANOS_A_MILLI;
     }
--- a/lab/src/main/java/tinford/lab/scale/gateway/DrivenGateway.java
+++ b/lab/src/main/java/tinford/lab/scale/gateway/DrivenGateway.java
@@ -43,6 +43,9 @@
     /** The most that one round has taken since {@link #resetRounds}, field by field. */
     Cost largestRound();
 
+    /** The sum of all rounds since {@link #resetRounds}, those of the timer left out. */
+    Cost requestRounds();
+
     void resetRounds();
 
     void onDispatch(DispatchListener listener);
