--- a/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -233,6 +234,7 @@
         assertEquals(second.after(), 3);
         second.send(update(3, 4));
         assertEquals(nextApplied().revision(), 4);
+        near.report(4);
         assertEquals(client.inForce().revision(), 4);
     }
 
@@ -266,10 +268,13 @@
         near.answersWithoutEnd();
         follow(Configuration.EMPTY, near);
         ScriptedControlServer.Watch watch = near.watch();
+        ScheduledFuture<?> heartbeats =
+                executor.scheduleAtFixedRate(watch::heartbeat, 0, 1, TimeUnit.SECONDS);
         watch.send(update(0, 1));
         near.report(1);
         watch.send(update(1, 2));
         near.report(2);
+        heartbeats.cancel(false);
     }
 
     @Test
