--- a/lab/src/main/java/tinford/lab/scale/count/LiveHeap.java
+++ b/lab/src/main/java/tinford/lab/scale/count/LiveHeap.java
@@ -10,6 +10,12 @@
  * collection. Differences of two are exact but for what other threads do meanwhile.
  */
 public record LiveHeap(long objects, long bytes) {
+    /**
+     * The collector fills gaps that it leaves with arrays of this class; no state is held in it.
+     */
+    private static final String FILLER = "[I";
+
+    private static final int CLASS_NAME = 3;
     private static final String COMMANDS = "com.sun.management:type=DiagnosticCommand";
 
     /** Counts now. */
@@ -21,8 +27,17 @@
                 (String)
                         server.invoke(
                                 new ObjectName(COMMANDS), "gcClassHistogram", arguments, signature);
-        String[] total = text.substring(text.lastIndexOf("Total")).trim().split("\\s+");
-        return new LiveHeap(Long.parseLong(total[1]), Long.parseLong(total[2]));
+        long objects = 0;
+        long bytes = 0;
+        for (String line : text.split("\n")) {
+            String[] words = line.trim().split("\\s+");
+            boolean ofClass = words.length >= CLASS_NAME + 1 && words[0].matches("\\d+:");
+            if (ofClass && !words[CLASS_NAME].equals(FILLER)) {
+                objects += Long.parseLong(words[1]);
+                bytes += Long.parseLong(words[2]);
+            }
+        }
+        return new LiveHeap(objects, bytes);
     }
 
     /** What has come to be reachable since {@code before}. */
