--- a/lab/src/main/java/tinford/lab/scale/RaftAppendMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/RaftAppendMeasurement.java
@@ -49,7 +49,9 @@
         LongAdder applied = new LongAdder();
         byte[] entry = new byte[ENTRY_BYTES];
         long started = System.nanoTime();
-        try (RaftQuorum quorum = new RaftQuorum(voters, () -> new CountingReader(applied))) {
+        try (RaftQuorum quorum =
+                new RaftQuorum(
+                        voters, RaftQuorum.PATIENT_BOUNDS, () -> new CountingReader(applied))) {
             Log leader = quorum.awaitLeader();
             appendOne(leader, entry);
             double firstAppendMs = millisSince(started);
--- a/lab/src/main/java/tinford/lab/scale/RaftRenewalMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/RaftRenewalMeasurement.java
@@ -52,7 +52,8 @@
     @Override
     public Sample measure(int gateways, UniformRandomProvider random) throws Exception {
         LongAdder applied = new LongAdder();
-        try (RaftQuorum quorum = new RaftQuorum(VOTERS, () -> new CountingReader(applied))) {
+        try (RaftQuorum quorum =
+                new RaftQuorum(VOTERS, RaftQuorum.BOUNDS, () -> new CountingReader(applied))) {
             quorum.awaitLeader();
             return play(gateways, quorum, random);
         }
