--- a/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
+++ b/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
@@ -22,6 +22,10 @@
     private static final long LOG_MS = 5_000;
     private static final long END_MS = 20_000;
     private static final long LOOK_MS = 2;
+
+    /** The gateway takes up its handler of SIGHUP a moment after its door opens. */
+    private static final long HANDLER_MS = 500;
+
     private static final int FIRST_TARGET_MS = 1500;
     private static final String READ_AGAIN = "configuration read again";
     private final Path configuration;
@@ -140,6 +144,7 @@
 
     /** Sends SIGHUP, and gives the line in which the gateway says what it took over. */
     public String hangUp() throws IOException, InterruptedException {
+        Thread.sleep(HANDLER_MS);
         long before = lines(READ_AGAIN).size();
         new ProcessBuilder("sh", "-c", "kill -HUP \"$0\"", Long.toString(process.pid()))
                 .start()
@@ -147,7 +152,10 @@
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LOG_MS);
         while (lines(READ_AGAIN).size() == before) {
             if (System.nanoTime() > until) {
-                throw new IOException("no word of a new configuration: " + Files.readString(log));
+                throw new IOException(
+                        "no word of a new configuration, the process "
+                                + (process.isAlive() ? "lives: " : "has ended: ")
+                                + Files.readString(log));
             }
             Thread.sleep(LOOK_MS);
         }
