--- a/lab/src/test/java/tinford/lab/scale/LogMeasurementsTest.java
+++ b/lab/src/test/java/tinford/lab/scale/LogMeasurementsTest.java
@@ -3,7 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.fleet.budgets.Ledger;
@@ -12,6 +14,8 @@
 public class LogMeasurementsTest {
     private static final long SEED = 4;
 
+    private final Map<String, ScaleResult> results = new HashMap<>();
+
     @DataProvider
     public Object[][] measurements() {
         return LogMeasurements.all().stream()
@@ -22,13 +26,13 @@
     @Test(dataProvider = "measurements")
     public void noCountedColumnGrowsFasterThanExpected(String name, Measurement measurement)
             throws Exception {
-        ScaleResult result = new ScaleRunner(false, SEED).run(measurement);
+        ScaleResult result = resultOf(measurement);
         assertEquals(result.violations(), List.of(), name);
     }
 
     @Test
     public void eachVoterHasEachEntry() throws Exception {
-        ScaleResult result = new ScaleRunner(false, SEED).run(new RaftAppendMeasurement());
+        ScaleResult result = resultOf(new RaftAppendMeasurement());
         for (ScaleResult.Point point : result.points()) {
             assertEquals(point.sample().counted().get("copies_per_entry"), (double) point.size());
         }
@@ -36,7 +40,7 @@
 
     @Test
     public void renewalsGrowWithTheGatewaysAndAllOfThemHoldALease() throws Exception {
-        ScaleResult result = new ScaleRunner(false, SEED).run(new LeaseMeasurement());
+        ScaleResult result = resultOf(new LeaseMeasurement());
         assertEquals(growth(result, "entries_per_second"), Growth.LINEAR);
         for (ScaleResult.Point point : result.points()) {
             assertEquals(point.sample().counted().get("holders"), (double) point.size());
@@ -46,7 +50,7 @@
     /** The reason why gateways are no voters. */
     @Test
     public void whereEachGatewayVotesTheWorkGrowsWithTheSquare() throws Exception {
-        ScaleResult result = new ScaleRunner(false, SEED).run(new GatewayVoterMeasurement());
+        ScaleResult result = resultOf(new GatewayVoterMeasurement());
         assertEquals(growth(result, "applied_per_second"), Growth.SQUARE);
         assertEquals(growth(result, "applied_per_second_and_gateway"), Growth.LINEAR);
     }
@@ -65,10 +69,20 @@
 
     @Test
     public void theFirstGrantGrowsWithTheGateways() throws Exception {
-        ScaleResult result = new ScaleRunner(false, SEED).run(new GrantEntryMeasurement());
+        ScaleResult result = resultOf(new GrantEntryMeasurement());
         assertTrue(Growth.LINEAR.within(growth(result, "grant_bytes")));
     }
 
+    /** Each measurement is played once for all tests: a quorum takes seconds to start. */
+    private ScaleResult resultOf(Measurement measurement) throws Exception {
+        ScaleResult known = results.get(measurement.name());
+        if (known == null) {
+            known = new ScaleRunner(false, SEED).run(measurement);
+            results.put(measurement.name(), known);
+        }
+        return known;
+    }
+
     private static Growth growth(ScaleResult result, String column) {
         return result.columns().stream()
                 .filter(each -> each.name().equals(column))
