--- a/lab/src/main/java/tinford/lab/control/ControlRun.java
+++ b/lab/src/main/java/tinford/lab/control/ControlRun.java
@@ -149,8 +149,7 @@
     /** The hollow ones first: hundreds that start at once would slow down the load's clients. */
     private void startFollowers() throws IOException, InterruptedException {
         for (int i = 0; i < hollow.size(); i++) {
-            hollow.get(i)
-                    .launch(FOLLOWER_PROCESS_BASE + i, processes, Classpath.own(), resources);
+            hollow.get(i).launch(FOLLOWER_PROCESS_BASE + i, processes, Classpath.own(), resources);
             hollow.get(i).startAll();
         }
         if (!held.await(size.hollow(), reference.revision(), READY_SECONDS)) {
