--- a/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
@@ -5,13 +5,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 
-/** What whoever leads proposes: the ledger as it knows it, divided anew. Wrong or stale proposals harm nothing, the ledger
- * checks. */
+/**
+ * What whoever leads proposes: the ledger as it knows it, divided anew. Wrong or stale proposals
+ * harm nothing, the ledger checks.
+ */
 public final class Proposer {
     /** An account's terms in the division, by its plan. */
-    public record Plan(int weight, int floor, int cap) { }
+    public record Plan(int weight, int floor, int cap) {}
 
     /** Lines at servers in one entry; what is left goes into the next. */
     public static final int MOST_LINES = 20_000;
@@ -29,14 +31,17 @@
         this.every = every;
     }
 
-    /** Called by whoever leads, with its own time; the entry to append, or null where nothing is to change or it is too soon. */
+    /**
+     * Called by whoever leads, with its own time; the entry to append, or null where nothing is to
+     * change or it is too soon.
+     */
     public byte[] propose(Ledger ledger, double now) {
         if (now < next) {
             return null;
         }
-        List<Life> lives = ledger.givable();
-        int columns = ledger.servers.size();
-        int rows = lives.size();
+        List<Incarnation> incarnations = ledger.givable();
+        int columns = ledger.table.servers.size();
+        int rows = incarnations.size();
         if (rows == 0 || columns == 0) {
             return null;
         }
@@ -50,37 +55,43 @@
         TreeMap<Long, TreeMap<Integer, int[]>> wanted = new TreeMap<>();
         for (int g = 0; g < rows; g++) {
             int row = g;
-            Ledger.Holder h = ledger.holders.get(lives.get(g));
+            GrantTable.Holder h = ledger.table.holders.get(incarnations.get(g));
             for (int s = 0; s < columns; s++) {
-                own[g] += ledger.servers.get(s).offer == 0 ? 0
-                        : ledger.statics.of(ledger.servers.get(s).name, lives.get(g).gateway());
+                own[g] +=
+                        ledger.table.servers.get(s).offer == 0
+                                ? 0
+                                : ledger.staticShares.of(
+                                        ledger.table.servers.get(s).name,
+                                        incarnations.get(g).gateway());
             }
-            h.cells.forEach((s, c) -> {
-                granted[row][s] = c.granted;
-                may[row][s] = c.may;
-                pool[s] += c.may;
-            });
+            h.cells.forEach(
+                    (s, c) -> {
+                        granted[row][s] = c.granted;
+                        may[row][s] = c.may;
+                        pool[s] += c.may;
+                    });
             h.uses.forEach((a, n) -> pair(wanted, a, row)[1] = n);
             h.asked.forEach((a, n) -> pair(wanted, a, row)[0] = n);
         }
         List<Division.Account> accounts = new ArrayList<>();
         wanted.forEach((id, at) -> accounts.add(account(id, at)));
         Division d = new Division(pool, own, granted, may, accounts);
-        List<Ledger.Line> less = new ArrayList<>();
-        List<Ledger.Line> more = new ArrayList<>();
+        List<LedgerEntry.Line> less = new ArrayList<>();
+        List<LedgerEntry.Line> more = new ArrayList<>();
         for (int g = 0; g < rows; g++) {
             for (int s = 0; s < columns; s++) {
                 if (d.now[g][s] != granted[g][s]) {
-                    (d.now[g][s] < granted[g][s] ? less : more).add(new Ledger.Line(lives.get(g), s, d.now[g][s]));
+                    (d.now[g][s] < granted[g][s] ? less : more)
+                            .add(new LedgerEntry.Line(incarnations.get(g), s, d.now[g][s]));
                 }
             }
         }
         less.addAll(more);
-        List<Ledger.Line> uses = new ArrayList<>();
+        List<LedgerEntry.Line> uses = new ArrayList<>();
         for (Division.Account a : accounts) {
             for (int k = 0; k < a.rows.length; k++) {
                 if (a.given[k] != a.before[k]) {
-                    uses.add(new Ledger.Line(lives.get(a.rows[k]), a.id, a.given[k]));
+                    uses.add(new LedgerEntry.Line(incarnations.get(a.rows[k]), a.id, a.given[k]));
                 }
             }
         }
@@ -88,11 +99,18 @@
             return null;
         }
         next = now + every;
-        return Ledger.grant(ledger.last(), now, less.subList(0, Math.min(MOST_LINES, less.size())), uses);
+        return new LedgerEntry.Grant(
+                        ledger.last(),
+                        now,
+                        less.subList(0, Math.min(MOST_LINES, less.size())),
+                        uses)
+                .bytes();
     }
 
-    private static int[] pair(TreeMap<Long, TreeMap<Integer, int[]>> wanted, long account, int row) {
-        return wanted.computeIfAbsent(account, k -> new TreeMap<>()).computeIfAbsent(row, k -> new int[2]);
+    private static int[] pair(
+            TreeMap<Long, TreeMap<Integer, int[]>> wanted, long account, int row) {
+        return wanted.computeIfAbsent(account, k -> new TreeMap<>())
+                .computeIfAbsent(row, k -> new int[2]);
     }
 
     private Division.Account account(long id, Map<Integer, int[]> at) {
@@ -106,8 +124,9 @@
             wanted[k] = plan == null ? 0 : e.getValue()[0];
             before[k++] = e.getValue()[1];
         }
-        return plan == null ? new Division.Account(id, 1, 0, 0, rows, wanted, before)
-                : new Division.Account(id, plan.weight(), plan.floor(), plan.cap(), rows, wanted, before);
+        return plan == null
+                ? new Division.Account(id, 1, 0, 0, rows, wanted, before)
+                : new Division.Account(
+                        id, plan.weight(), plan.floor(), plan.cap(), rows, wanted, before);
     }
-
 }
--- a/fleet/src/main/java/tinford/fleet/budgets/Share.java
+++ b/fleet/src/main/java/tinford/fleet/budgets/Share.java
@@ -6,21 +6,23 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Term;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Lease;
+import tinford.fleet.members.Leases;
 
 /**
- * One gateway's own side: what it may hold and use now, by its own clock, and what it tells the log. Where its term has ended, or
- * ends within the margin, only its static share is left. Holds {@link Ledger#MOST_ASKED} accounts that want something and
- * {@link Ledger#MOST_SERVERS} servers at most.
+ * One gateway's own side: what it may hold and use now, by its own clock, and what it tells the
+ * log. Where its lease has ended, or ends within the margin, only its static share is left. Holds
+ * {@link Ledger#MOST_ASKED} accounts that want something and {@link Ledger#MOST_SERVERS} servers at
+ * most.
  */
 public class Share {
     /** What an account wanted at most, in the last span of time and in the one before. */
     private static final class Want {
         int now;
         int before;
-        /** What it may have out while this gateway has no term. */
+
+        /** What it may have out while this gateway has no lease. */
         int alone;
 
         int most() {
@@ -29,9 +31,9 @@
     }
 
     private final Ledger ledger;
-    private final Statics statics;
+    private final StaticShares staticShares;
     private final LongFunction<Proposer.Plan> plans;
-    private final Life life;
+    private final Incarnation incarnation;
     private final double length;
     private final double margin;
     private final double every;
@@ -39,7 +41,7 @@
     private final double staticFrom;
     private final TreeMap<Long, Want> wants = new TreeMap<>();
     private final Map<String, Integer> open = new LinkedHashMap<>();
-    private final Map<String, Long> fences = new LinkedHashMap<>();
+    private final Map<String, Long> fencingTokens = new LinkedHashMap<>();
     private double nextRound;
     private double nextSpan;
     private boolean leaves;
@@ -47,20 +49,28 @@
 
     /**
      * @param ledger this process's own, as the log is applied to it
-     * @param length of a term, ms
-     * @param margin what is granted is let go this long before the term ends, ms
+     * @param length of a lease, ms
+     * @param margin what is granted is let go this long before the lease ends, ms
      * @param every a round comes no sooner than this after the last, ms
-     * @param keep what was wanted is told on for this long, so that what comes and goes does not move grants, ms
-     * @param staticFrom from when the static share may be used: the start, where the last life of this gateway surely closed all;
-     * else
-     *     the linger after the start
+     * @param keep what was wanted is told on for this long, so that what comes and goes does not
+     *     move grants, ms
+     * @param staticFrom from when the static share may be used: the start, where the last
+     *     incarnation of this gateway surely closed all; else the linger after the start
      */
-    public Share(Ledger ledger, Statics statics, LongFunction<Proposer.Plan> plans, Life life, double length, double margin,
-            double every, double keep, double staticFrom) {
+    public Share(
+            Ledger ledger,
+            StaticShares staticShares,
+            LongFunction<Proposer.Plan> plans,
+            Incarnation incarnation,
+            double length,
+            double margin,
+            double every,
+            double keep,
+            double staticFrom) {
         this.ledger = ledger;
-        this.statics = statics;
+        this.staticShares = staticShares;
         this.plans = plans;
-        this.life = life;
+        this.incarnation = incarnation;
         this.length = length;
         this.margin = margin;
         this.every = every;
@@ -70,21 +80,25 @@
 
     /** Whether its grants count now, by its own clock. */
     public boolean holds(double now) {
-        Term term = ledger.terms().of(life);
-        return term != null && term.holds(now + margin);
+        Lease lease = ledger.leases().of(incarnation);
+        return lease != null && lease.holds(now + margin);
     }
 
-    /** Connections that this gateway may hold at the server; asked before one is opened, and before each dispatch. */
+    /**
+     * Connections that this gateway may hold at the server; asked before one is opened, and before
+     * each dispatch.
+     */
     public int mayHold(String server, double now) {
         if (left) {
             return 0;
         }
         int number = ledger.number(server);
-        return own(server, now) + (number >= 0 && holds(now) ? ledger.granted(life, number) : 0);
+        return own(server, now)
+                + (number >= 0 && holds(now) ? ledger.granted(incarnation, number) : 0);
     }
 
     private int own(String server, double now) {
-        return now >= staticFrom ? statics.of(server, life.gateway()) : 0;
+        return now >= staticFrom ? staticShares.of(server, incarnation.gateway()) : 0;
     }
 
     /** Connections to let go: idle ones at once, busy ones as they are answered. */
@@ -92,24 +106,29 @@
         return Math.max(0, open.getOrDefault(server, 0) - mayHold(server, now));
     }
 
-    /** Dispatches that an account may have out through this gateway. One that the ledger does not know yet may
-     * have one. */
+    /**
+     * Dispatches that an account may have out through this gateway. One that the ledger does not
+     * know yet may have one.
+     */
     public int mayUse(long account, double now) {
         if (holds(now)) {
-            Ledger.Holder h = ledger.holders.get(life);
+            GrantTable.Holder h = ledger.table.holders.get(incarnation);
             int least = h == null || !h.asked.containsKey(account) ? 1 : 0;
-            return Math.max(least, ledger.uses(life, account));
+            return Math.max(least, ledger.uses(incarnation, account));
         }
         Want want = wants.get(account);
         return want == null ? 1 : Math.max(1, want.alone);
     }
 
-    /** Number of the last entry that granted here; never falls. The routing opens nothing under a lower one. */
-    public long fence(String server) {
+    /**
+     * Number of the last entry that granted here; never falls. The routing opens nothing under a
+     * lower one.
+     */
+    public long fencingToken(String server) {
         int number = ledger.number(server);
-        Ledger.Holder h = ledger.holders.get(life);
-        Ledger.Cell c = h == null || number < 0 ? null : h.cells.get(number);
-        return fences.merge(server, c == null ? 0 : c.fence, Math::max);
+        GrantTable.Holder h = ledger.table.holders.get(incarnation);
+        GrantTable.Cell c = h == null || number < 0 ? null : h.cells.get(number);
+        return fencingTokens.merge(server, c == null ? 0 : c.fencingToken, Math::max);
     }
 
     public void opened(String server) {
@@ -143,74 +162,83 @@
         return left;
     }
 
-    /** What to append to the log now: two entries at most, no sooner than {@code every} after the last ones. What is lost is told
-     * again, as it is worked out from what the ledger has. */
+    /**
+     * What to append to the log now: two entries at most, no sooner than {@code every} after the
+     * last ones. What is lost is told again, as it is worked out from what the ledger has.
+     */
     public List<byte[]> round(double now) {
         if (now < nextRound || left) {
             return List.of();
         }
         nextRound = now + every;
         List<byte[]> entries = new ArrayList<>(2);
-        Term term = ledger.terms().of(life);
+        Lease lease = ledger.leases().of(incarnation);
         if (leaves && open.isEmpty()) {
             left = true;
-            entries.add(Terms.leave(life, now));
+            entries.add(Leases.leave(incarnation, now));
             return entries;
         }
-        if (term == null || now >= term.until() - length * 2 / 3) {
-            entries.add(Terms.renew(life, now, length));
+        if (lease == null || now >= lease.until() - length * 2 / 3) {
+            entries.add(Leases.renew(incarnation, now, length));
         }
         alone(now);
-        if (term != null) {
+        if (lease != null) {
             tell(now, entries);
         }
         if (now >= nextSpan) {
             nextSpan = now + keep;
-            wants.values().forEach(w -> {
-                w.before = w.now;
-                w.now = 0;
-            });
+            wants.values()
+                    .forEach(
+                            w -> {
+                                w.before = w.now;
+                                w.now = 0;
+                            });
             wants.values().removeIf(w -> w.before == 0);
         }
         return entries;
     }
 
     private void tell(double now, List<byte[]> entries) {
-        Ledger.Holder h = ledger.holders.get(life);
+        GrantTable.Holder h = ledger.table.holders.get(incarnation);
         Map<Long, Integer> wanted = new LinkedHashMap<>();
         Map<Integer, Integer> held = new LinkedHashMap<>();
         if (!leaves) {
-            wants.forEach((a, w) -> {
-                int told = h == null ? 0 : h.asked.getOrDefault(a, 0);
-                // A little less is not told, more always is.
-                if (w.most() > told || w.most() < told - told / 8) {
-                    wanted.put(a, w.most());
-                }
-            });
+            wants.forEach(
+                    (a, w) -> {
+                        int told = h == null ? 0 : h.asked.getOrDefault(a, 0);
+                        // A little less is not told, more always is.
+                        if (w.most() > told || w.most() < told - told / 8) {
+                            wanted.put(a, w.most());
+                        }
+                    });
         }
         if (h != null) {
-            h.asked.forEach((a, told) -> {
-                if ((leaves || !wants.containsKey(a)) && wanted.size() < Ledger.MOST_ASKED) {
-                    wanted.put(a, 0);
-                }
-            });
-            h.cells.forEach((s, c) -> {
-                String name = ledger.servers.get(s).name;
-                int has = Math.max(0, open.getOrDefault(name, 0) - own(name, now));
-                if (c.may > c.granted && has < c.may) {
-                    held.put(s, has);
-                }
-            });
+            h.asked.forEach(
+                    (a, told) -> {
+                        if ((leaves || !wants.containsKey(a))
+                                && wanted.size() < Ledger.MOST_ASKED) {
+                            wanted.put(a, 0);
+                        }
+                    });
+            h.cells.forEach(
+                    (s, c) -> {
+                        String name = ledger.table.servers.get(s).name;
+                        int has = Math.max(0, open.getOrDefault(name, 0) - own(name, now));
+                        if (c.may > c.granted && has < c.may) {
+                            held.put(s, has);
+                        }
+                    });
         }
         if (!wanted.isEmpty() || !held.isEmpty()) {
-            entries.add(Ledger.tell(life, now, ledger.last(), wanted, held));
+            entries.add(
+                    new LedgerEntry.Tell(incarnation, now, ledger.last(), wanted, held).bytes());
         }
     }
 
-    /** Without a term its static share is divided here, by the same rule. */
+    /** Without a lease its static share is divided here, by the same rule. */
     private void alone(double now) {
         int pool = 0;
-        for (Ledger.Server s : ledger.servers) {
+        for (GrantTable.Server s : ledger.table.servers) {
             pool += own(s.name, now);
         }
         int[][] in = new int[3][wants.size()];
--- a/fleet/src/main/java/tinford/fleet/moves/Moves.java
+++ b/fleet/src/main/java/tinford/fleet/moves/Moves.java
@@ -6,31 +6,41 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.store.Log;
 
 /**
- * What the entries about moves have come to, on every member alike. {@link #apply} is the one place that enforces the rules: an
- * entry that is not due alters nothing. Holds one plan, and an ack and a report of each life that has them in the present turn.
+ * What the entries about moves have come to, on every member alike. {@link #apply} is the one place
+ * that enforces the rules: an entry that is not due alters nothing. Holds one plan, and an ack and
+ * a report of each incarnation that has them in the present turn.
  */
 public final class Moves implements Log.Reader {
     /** See the table in docs/moves.md. */
-    public enum State { IDLE, FORWARD, HALTED, BACK, DONE, UNDONE }
+    public enum State {
+        IDLE,
+        FORWARD,
+        HALTED,
+        BACK,
+        DONE,
+        UNDONE
+    }
 
-    private static final int LIVES = 4096;
-    private final Due due;
-    private final Members members;
+    private static final int MOST_INCARNATIONS = 4096;
+    private final TransitionRules rules;
+    private final LeaseHolders leaseHolders;
     private final double apart;
     private final TreeMap<String, String> homes;
-    private TreeMap<Life, Double> acks = new TreeMap<>();
-    private TreeMap<Life, long[]> reports = new TreeMap<>();
+    private TreeMap<Incarnation, Double> acks = new TreeMap<>();
+    private TreeMap<Incarnation, long[]> reports = new TreeMap<>();
     State state = State.IDLE;
     private boolean back;
     private long turn;
     private int position;
-    private int before; // position of the turn before, where nobody can be harmed by returning at once
+    private int
+            before; // position of the turn before, where nobody can be harmed by returning at once
     private Plan plan;
     private long halts;
     private double turned;
@@ -38,20 +48,30 @@
     private double[] usual = new double[0];
     private String told = "";
 
-    /** @param apart by how many ms clocks differ at most */
-    public Moves(Map<String, String> homes, Members members, double apart) {
-        this(homes, members, apart, new Due());
+    /**
+     * @param apart by how many ms clocks differ at most
+     */
+    public Moves(Map<String, String> homes, LeaseHolders leaseHolders, double apart) {
+        this(homes, leaseHolders, apart, new TransitionRules());
     }
 
-    Moves(Map<String, String> homes, Members members, double apart, Due due) {
+    /**
+     * @param rules tests and the lab replace one at a time by a broken one
+     */
+    public Moves(
+            Map<String, String> homes,
+            LeaseHolders leaseHolders,
+            double apart,
+            TransitionRules rules) {
         this.homes = new TreeMap<>(homes);
-        this.members = members;
+        this.leaseHolders = leaseHolders;
         this.apart = apart;
-        this.due = due;
+        this.rules = rules;
     }
 
-    Moves copy(Members others) {
-        Moves m = new Moves(homes, others, apart, due);
+    /** An independent copy that asks others about leases: what the lab explores from. */
+    public Moves copy(LeaseHolders others) {
+        Moves m = new Moves(homes, others, apart, rules);
         m.acks = new TreeMap<>(acks);
         m.reports = new TreeMap<>(reports);
         m.state = state;
@@ -68,8 +88,8 @@
         return m;
     }
 
-    public Stand stand() {
-        return new Stand(state, back, turn, position, plan, homes);
+    public MoveStatus status() {
+        return new MoveStatus(state, back, turn, position, plan, homes);
     }
 
     /** Which halt is the present one; an operator's resume names it. */
@@ -82,12 +102,13 @@
         return told;
     }
 
-    public boolean acked(Life life) {
-        return acks.containsKey(life);
+    public boolean acked(Incarnation incarnation) {
+        return acks.containsKey(incarnation);
     }
 
-    Map<Life, Double> acks() {
-        return acks;
+    /** When each incarnation acknowledged the present position, by the log's time. */
+    public Map<Incarnation, Double> acks() {
+        return Collections.unmodifiableMap(acks);
     }
 
     double turned() {
@@ -98,11 +119,15 @@
         return logNow;
     }
 
-    int before() {
+    /** The position of the turn before. */
+    public int before() {
         return before;
     }
 
-    /** The log's time by its other entries: a life that they have forgotten must be past for these rules too. */
+    /**
+     * The log's time by its other entries: an incarnation that they have forgotten must be past for
+     * these rules too.
+     */
     public void seen(double logNow) {
         this.logNow = Math.max(this.logNow, logNow);
     }
@@ -112,7 +137,13 @@
         try {
             Entry e = Entry.of(entry);
             logNow = Math.max(logNow, e.at());
-            told = index + " " + e.kind() + (e.who().isEmpty() ? "" : " by " + e.who()) + ": " + apply(e);
+            told =
+                    index
+                            + " "
+                            + e.kind()
+                            + (e.who().isEmpty() ? "" : " by " + e.who())
+                            + ": "
+                            + apply(e);
         } catch (Entry.Unknown e) {
             told = index + " refused: " + e.getMessage();
         }
@@ -167,31 +198,36 @@
     }
 
     private String ack(Entry e) {
-        if (plan == null || !due.counts(turn, e.turn())) {
+        if (plan == null || !rules.counts(turn, e.turn())) {
             return "refused, not of this turn";
         }
-        if (acks.size() < LIVES) {
-            acks.putIfAbsent(e.life(), Math.max(e.at() + apart, turned)); // guards against a clock that is behind
+        if (acks.size() < MOST_INCARNATIONS) {
+            acks.putIfAbsent(
+                    e.incarnation(),
+                    Math.max(e.at() + apart, turned)); // guards against a clock that is behind
         }
         return "ack " + acks.size();
     }
 
     private String go(Entry e) {
-        if (!moving() || e.turn() != turn || !due.next(position, e.to(), back)) {
+        if (!moving() || e.turn() != turn || !rules.next(position, e.to(), back)) {
             return "refused, not the next one";
         }
         boolean over = e.to() < 0 || e.to() >= plan.steps.size();
-        boolean returns = due.returns(before, position, e.to());
+        boolean returns = rules.returns(before, position, e.to());
         if (!returns) {
-            double since = logNow - due.waits(plan, position, back);
-            if (!due.acked(members, acks, since)) {
+            double since = logNow - rules.waits(plan, position, back);
+            if (!rules.acked(leaseHolders, acks, since)) {
                 return "refused, not all have acknowledged, or not long enough ago";
             }
-            if (!back && plan.steps.get(position).last() && position > 0 && logNow - turned < plan.soak) {
+            if (!back
+                    && plan.steps.get(position).last()
+                    && position > 0
+                    && logNow - turned < plan.soak) {
                 return "refused, it soaks";
             }
         }
-        if (!back && !over && !due.fits(plan, plan.steps.get(e.to()), e.warm())) {
+        if (!back && !over && !rules.fits(plan, plan.steps.get(e.to()), e.warm())) {
             return "refused, too little of the group is warm";
         }
         if (over) {
@@ -203,11 +239,14 @@
     }
 
     private String report(Entry e) {
-        if (plan == null || e.turn() != turn || state != State.FORWARD || e.counts().length != 4 * plan.frontends.size()) {
+        if (plan == null
+                || e.turn() != turn
+                || state != State.FORWARD
+                || e.counts().length != 4 * plan.frontends.size()) {
             return "refused, not of this turn";
         }
-        if (reports.size() < LIVES || reports.containsKey(e.life())) {
-            reports.put(e.life(), e.counts());
+        if (reports.size() < MOST_INCARNATIONS || reports.containsKey(e.incarnation())) {
+            reports.put(e.incarnation(), e.counts());
         }
         for (int i = 0; i < plan.frontends.size(); i++) {
             long[] sum = new long[4];
@@ -220,8 +259,14 @@
                 usual[i] = (double) sum[1] / sum[0];
             }
             if (sum[2] >= plan.answers && (double) sum[3] / sum[2] > usual[i] + plan.margin) {
-                return back(plan.frontends.get(i).name() + " bad: " + sum[3] + " of " + sum[2] + " at the new group, usual "
-                        + Math.round(usual[i] * 1000) / 1000.0);
+                return back(
+                        plan.frontends.get(i).name()
+                                + " bad: "
+                                + sum[3]
+                                + " of "
+                                + sum[2]
+                                + " at the new group, usual "
+                                + Math.round(usual[i] * 1000) / 1000.0);
             }
         }
         return "counted";
@@ -237,11 +282,11 @@
     }
 
     private String resume(Entry e) {
-        if (!due.lifts(state == State.HALTED, halts, e.turn())) {
+        if (!rules.lifts(state == State.HALTED, halts, e.turn())) {
             return "refused, no such halt";
         }
         state = back ? State.BACK : State.FORWARD;
-        position = due.resumed(position);
+        position = rules.resumed(position);
         return "resumed";
     }
 
@@ -273,13 +318,13 @@
                 out.writeUTF(h.getValue());
             }
             out.writeInt(acks.size());
-            for (Map.Entry<Life, Double> a : acks.entrySet()) {
-                life(out, a.getKey());
+            for (Map.Entry<Incarnation, Double> a : acks.entrySet()) {
+                incarnation(out, a.getKey());
                 out.writeDouble(a.getValue());
             }
             out.writeInt(reports.size());
-            for (Map.Entry<Life, long[]> r : reports.entrySet()) {
-                life(out, r.getKey());
+            for (Map.Entry<Incarnation, long[]> r : reports.entrySet()) {
+                incarnation(out, r.getKey());
                 out.writeInt(r.getValue().length);
                 for (long c : r.getValue()) {
                     out.writeLong(c);
@@ -298,9 +343,10 @@
         return bytes.toByteArray();
     }
 
-    private static void life(DataOutputStream out, Life life) throws IOException {
-        out.writeInt(life.gateway());
-        out.writeLong(life.start());
+    private static void incarnation(DataOutputStream out, Incarnation incarnation)
+            throws IOException {
+        out.writeInt(incarnation.gateway());
+        out.writeLong(incarnation.start());
     }
 
     @Override
@@ -308,7 +354,11 @@
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(snapshot))) {
             int version = in.readByte();
             if (version != Entry.VERSION) {
-                throw new IllegalArgumentException("snapshot of moves: version: expected " + Entry.VERSION + ", not " + version);
+                throw new IllegalArgumentException(
+                        "snapshot of moves: version: expected "
+                                + Entry.VERSION
+                                + ", not "
+                                + version);
             }
             state = State.values()[in.readByte()];
             back = in.readBoolean();
@@ -324,16 +374,16 @@
             }
             acks.clear();
             for (int n = in.readInt(); n > 0; n--) {
-                acks.put(new Life(in.readInt(), in.readLong()), in.readDouble());
+                acks.put(new Incarnation(in.readInt(), in.readLong()), in.readDouble());
             }
             reports.clear();
             for (int n = in.readInt(); n > 0; n--) {
-                Life life = new Life(in.readInt(), in.readLong());
+                Incarnation incarnation = new Incarnation(in.readInt(), in.readLong());
                 long[] counts = new long[in.readInt()];
                 for (int i = 0; i < counts.length; i++) {
                     counts[i] = in.readLong();
                 }
-                reports.put(life, counts);
+                reports.put(incarnation, counts);
             }
             plan = in.readBoolean() ? Plan.read(in) : null;
             usual = new double[plan == null ? 0 : plan.frontends.size()];
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/Fleet.java
@@ -5,39 +5,47 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.Random;
+import java.util.Set;
+import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import tinford.api.Place;
 import tinford.api.View;
-import tinford.fleet.members.Life;
+import tinford.fleet.members.Incarnation;
 import tinford.fleet.members.Members;
 import tinford.fleet.overload.Overload;
-import tinford.fleet.talk.Talk;
-import tinford.fleet.talk.Udp;
+import tinford.fleet.transport.Transport;
+import tinford.fleet.transport.UdpTransport;
 import tinford.program.Companion;
+import tinford.routing.Catalog;
 import tinford.transport.Loop;
 
-/** One gateway's part in its fleet: what the operator file asks for, made once and called on the I/O thread from then on. */
+/**
+ * One gateway's part in its fleet: what the operator file asks for, made once and called on the I/O
+ * thread from then on.
+ */
 final class Fleet implements Companion {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
     private static final double TICK = 50;
     private static final double MOST_LEAVING = 700; // two rounds, and the way through the log
     private static final int MOST_BYTES = 256;
-    private static final int MOST_SOFT = 128;
-    private static final int MOST_HARD = 1024;
-    private final Orders orders;
-    private final Handed handed;
+    private static final int LOSSY_CAPACITY = 128;
+    private static final int LOSSLESS_CAPACITY = 1024;
+    private final OperatorFile operatorFile;
+    private final GatewaySettings gatewaySettings;
     private final String historyPath;
     private final double offset;
-    private Life life;
+    private Incarnation incarnation;
     private History history;
     private Mailbox mailbox;
     private Members members;
-    private Talk talk;
+    private Transport transport;
     private Overload overload;
     private FleetView view;
-    private final MoveOrders moves; // null where they are off
+    private final MoveSettings moves; // null where they are off
     private Mover mover;
-    private Hard hard; // null where nothing needs agreement
+    private ReplicatedState replicatedState; // null where nothing needs agreement
+    private Consumer<Catalog> useCatalog;
+    private GatewayConfiguration configuration; // null where it is off
     private boolean led;
     private boolean holds;
     private int mayHold = -1; // at all servers
@@ -46,12 +54,20 @@
     private int living = -1;
     private boolean strained;
 
-    Fleet(Orders orders, MoveOrders moves, Handed handed, String historyPath) {
+    Fleet(
+            OperatorFile operatorFile,
+            MoveSettings moves,
+            GatewaySettings gatewaySettings,
+            String historyPath) {
         this.moves = moves;
-        this.orders = orders;
-        this.handed = handed;
+        this.operatorFile = operatorFile;
+        this.gatewaySettings = gatewaySettings;
         this.historyPath = historyPath;
-        this.offset = Double.parseDouble(System.getProperty("tinford.clock.offset_ms", "0")); // for tests: a clock that is apart
+        this.offset =
+                Double.parseDouble(
+                        System.getProperty(
+                                "tinford.clock.offset_ms",
+                                "0")); // for tests: a clock that is apart
     }
 
     /** This machine's wall clock; never steps back. */
@@ -60,54 +76,129 @@
         return last;
     }
 
+    @Override
+    public void configures(Consumer<Catalog> use) {
+        useCatalog = use;
+    }
+
+    /** Starts from the last good configuration, and follows the control servers from then on. */
+    private void startConfiguration(Place place, Consumer<Loop.Due> enter) {
+        ConfigurationSettings settings = ConfigurationSettings.of(operatorFile);
+        if (settings == null) {
+            return;
+        }
+        CatalogBuilder catalogs =
+                new CatalogBuilder(
+                        moves == null ? Set.of() : moves.homes().keySet(),
+                        Runtime.getRuntime().maxMemory());
+        configuration =
+                new GatewayConfiguration(
+                        settings,
+                        gatewaySettings.followerId(place),
+                        new SplittableRandom(gatewaySettings.seed() + incarnation.start()),
+                        catalogs,
+                        useCatalog,
+                        enter,
+                        new ConfigurationHistory(history, this::now));
+        configuration.start();
+    }
+
     @Override
     public View join(Place place, Consumer<Loop.Due> enter) throws IOException {
         double now = now();
-        life = new Life(place.number, (long) now);
-        mailbox = new Mailbox(MOST_SOFT, MOST_HARD, what -> enter.accept(what::run));
-        double every = orders.number("talk.every_ms");
-        double suspect = orders.number("talk.suspect_ms");
-        members = new Members(life, place.gateways, every, (int) orders.number("talk.fanout"), suspect, suspect,
-                new Random(handed.seed()));
-        overload = new Overload(now, life, orders.number("overload.window_ms"), orders.number("overload.further_part"),
-                new Random(handed.seed() + 1));
-        if (orders.on("budgets.on") || orders.on("moves.on")) {
-            hard = new Hard(orders, life, place.gateways, Hard.statics(orders, place.gateways),
-                    moves == null ? Map.of() : moves.homes(), mailbox);
-        }
-        history = History.at(historyPath, life);
+        incarnation = new Incarnation(place.number, (long) now);
+        mailbox = new Mailbox(LOSSY_CAPACITY, LOSSLESS_CAPACITY, what -> enter.accept(what::run));
+        double every = operatorFile.number("talk.every_ms");
+        double suspect = operatorFile.number("talk.suspect_ms");
+        members =
+                new Members(
+                        incarnation,
+                        place.gateways,
+                        every,
+                        (int) operatorFile.number("talk.fanout"),
+                        suspect,
+                        suspect,
+                        new Random(gatewaySettings.seed()));
+        overload =
+                new Overload(
+                        now,
+                        incarnation,
+                        operatorFile.number("overload.window_ms"),
+                        operatorFile.number("overload.further_part"),
+                        new Random(gatewaySettings.seed() + 1));
+        if (operatorFile.on("budgets.on") || operatorFile.on("moves.on")) {
+            replicatedState =
+                    new ReplicatedState(
+                            operatorFile,
+                            incarnation,
+                            place.gateways,
+                            ReplicatedState.staticShares(operatorFile, place.gateways),
+                            moves == null ? Map.of() : moves.homes(),
+                            mailbox);
+        }
+        history = History.at(historyPath, incarnation);
         if (moves != null) {
-            mover = new Mover(hard.agreed, life, moves, hard::append, hard::left, history);
-            hard.applied = entry -> mover.applied(entry, now());
-            new OrderFile(Path.of(orders.text("log.folder")), mailbox, (line, then) -> mover.order(line, now(), then)).start();
+            mover =
+                    new Mover(
+                            replicatedState.stateMachine,
+                            incarnation,
+                            moves,
+                            replicatedState::append,
+                            replicatedState::left,
+                            history);
+            replicatedState.applied = entry -> mover.applied(entry, now());
+            new MoveCommandFile(
+                            Path.of(operatorFile.text("log.folder")),
+                            mailbox,
+                            (line, then) -> mover.command(line, now(), then))
+                    .start();
         }
-        view = new FleetView(orders.on("overload.on") ? overload : null, orders.on("budgets.on") ? hard : null, mover, hard, this::now,
-                srv -> history.add(now(), "try", "server", srv.id));
-        if (handed.mayTalk()) {
-            talk = new Udp(place.number, handed.listen(), handed.peers(), MOST_BYTES,
-                    (from, message) -> mailbox.soft(() -> members.heard(message, from, now())));
+        view =
+                new FleetView(
+                        operatorFile.on("overload.on") ? overload : null,
+                        operatorFile.on("budgets.on") ? replicatedState : null,
+                        mover,
+                        replicatedState,
+                        this::now,
+                        srv -> history.add(now(), "try", "server", srv.id));
+        if (gatewaySettings.mayGossip()) {
+            transport =
+                    new UdpTransport(
+                            place.number,
+                            gatewaySettings.listen(),
+                            gatewaySettings.peers(),
+                            MOST_BYTES,
+                            (from, message) ->
+                                    mailbox.offer(() -> members.heard(message, from, now())));
         }
         history.add(now, "start");
-        if (hard != null) {
+        startConfiguration(place, enter);
+        if (replicatedState != null) {
             history.add(now, "term", "holds", false);
         }
-        LOG.log(Level.INFO, "one of a fleet of " + place.gateways + (talk == null ? "; the settings allow no talk" : ""));
+        LOG.log(
+                Level.INFO,
+                "one of a fleet of "
+                        + place.gateways
+                        + (transport == null
+                                ? "; the settings allow no messages between gateways"
+                                : ""));
         return view;
     }
 
     @Override
     public void tick() {
         double now = now();
-        members.own(overload.sight(seq++), now);
-        if (talk != null) {
-            members.round(now, talk);
+        members.own(overload.record(seq++), now);
+        if (transport != null) {
+            members.round(now, transport);
         }
         overload.round(now, members);
-        if (hard != null) {
-            hard.tick(now);
+        if (replicatedState != null) {
+            replicatedState.tick(now);
         }
         if (mover != null) {
-            mover.tick(now, hard.leads());
+            mover.tick(now, replicatedState.leads());
         }
         tell(now);
     }
@@ -119,29 +210,37 @@
             LOG.log(Level.INFO, "of the fleet live " + members.all());
             history.add(now, "living", "who", members.all());
         }
-        if (hard != null && hard.leads() != led) {
-            led = hard.leads();
+        if (replicatedState != null && replicatedState.leads() != led) {
+            led = replicatedState.leads();
             history.add(now, "leads", "on", led);
         }
-        if (hard != null) {
-            if (hard.holds(now) != holds) {
+        if (replicatedState != null) {
+            if (replicatedState.holds(now) != holds) {
                 holds = !holds;
-                LOG.log(Level.INFO, holds ? "acts on its term" : "holds no term: the static share only");
+                LOG.log(
+                        Level.INFO,
+                        holds ? "acts on its lease" : "holds no lease: the static share only");
                 history.add(now, "term", "holds", holds);
             }
-            int may = hard.mayHold(now);
+            int may = replicatedState.mayHold(now);
             if (may != mayHold) {
                 mayHold = may;
                 history.add(now, "grant", "all", may);
             }
         }
-        boolean on = orders.on("overload.on") && overload.threshold() > 0;
+        boolean on = operatorFile.on("overload.on") && overload.threshold() > 0;
         if (on != strained) {
             strained = on;
             history.add(now, "strained", "on", strained);
-            LOG.log(Level.INFO, strained ? "the fleet is strained: what is worth less than " + overload.threshold() + " a unit is shed"
-                    : "the fleet is strained no more");
-            history.add(now, "line", "worth", overload.threshold(), "part", overload.partAtThreshold());
+            LOG.log(
+                    Level.INFO,
+                    strained
+                            ? "the fleet is strained: what is worth less than "
+                                    + overload.threshold()
+                                    + " a unit is shed"
+                            : "the fleet is strained no more");
+            history.add(
+                    now, "line", "worth", overload.threshold(), "part", overload.partAtThreshold());
         }
     }
 
@@ -152,20 +251,23 @@
 
     @Override
     public void leaves() {
+        if (configuration != null) {
+            configuration.close();
+        }
         history.add(now(), "leaves");
-        if (hard != null) {
-            hard.leaves();
+        if (replicatedState != null) {
+            replicatedState.leaves();
         }
     }
 
     @Override
     public void answered() {
-        if (hard == null) {
+        if (replicatedState == null) {
             return;
         }
         view.over();
         try {
-            hard.awaitLeft(MOST_LEAVING);
+            replicatedState.awaitLeft(MOST_LEAVING);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/fleet/src/main/java/tinford/fleet/run/FleetView.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetView.java
@@ -12,23 +12,34 @@
 import tinford.api.Srv;
 import tinford.api.View;
 
-/** The view that the decisions see, of those parts of the fleet that are on; what is off bounds nothing. */
+/**
+ * The view that the decisions see, of those parts of the fleet that are on; what is off bounds
+ * nothing.
+ */
 final class FleetView extends View {
     private static final int MOST_ACCOUNTS = 20_000;
     private static final int MOST_ASIDE = 2048;
     private final View overload;
-    private final Hard budgets;
+    private final ReplicatedState budgets;
     private final Mover mover;
-    private final Hard log;
+    private final ReplicatedState log;
     private final DoubleSupplier clock;
     private volatile boolean over;
     private final Map<Long, Integer> out = new HashMap<>(); // dispatches, by account
     private final Consumer<Srv> tries;
     private final Set<String> aside = new HashSet<>(); // servers that this gateway found ill
 
-    /** @param overload null where it is off; {@code budgets}, {@code mover} likewise; {@code log} null where neither is on;
-     * {@code tries} is told what goes to a server put aside */
-    FleetView(View overload, Hard budgets, Mover mover, Hard log, DoubleSupplier clock, Consumer<Srv> tries) {
+    /**
+     * @param overload null where it is off; {@code budgets}, {@code mover} likewise; {@code log}
+     *     null where neither is on; {@code tries} is told what goes to a server put aside
+     */
+    FleetView(
+            View overload,
+            ReplicatedState budgets,
+            Mover mover,
+            ReplicatedState log,
+            DoubleSupplier clock,
+            Consumer<Srv> tries) {
         this.overload = overload == null ? new View() : overload;
         this.budgets = budgets;
         this.mover = mover;
@@ -38,18 +49,20 @@
     }
 
     @Override
-    public boolean mayGo(Req req, Srv srv, Srv first) {
-        return mover == null || mover.mayGo(req, srv, first, clock.getAsDouble());
+    public boolean mayGo(Req request, Srv srv, Srv first) {
+        return mover == null || mover.mayGo(request, srv, first, clock.getAsDouble());
     }
 
     @Override
-    public boolean goes(Req req) {
-        return mover == null || mover.goes(req, clock.getAsDouble());
+    public boolean goes(Req request) {
+        return mover == null || mover.goes(request, clock.getAsDouble());
     }
 
     @Override
     public int mayHold(Srv srv) {
-        return budgets == null ? Integer.MAX_VALUE : over ? 0 : budgets.mayHold(srv, clock.getAsDouble());
+        return budgets == null
+                ? Integer.MAX_VALUE
+                : over ? 0 : budgets.mayHold(srv, clock.getAsDouble());
     }
 
     /** From any thread: nothing goes to servers any more. */
@@ -59,13 +72,15 @@
 
     @Override
     public int mayUse(Customer customer) {
-        return budgets == null ? Integer.MAX_VALUE : budgets.mayUse(budgets.key(customer), clock.getAsDouble());
+        return budgets == null
+                ? Integer.MAX_VALUE
+                : budgets.mayUse(budgets.key(customer), clock.getAsDouble());
     }
 
     @Override
-    public void lacked(Req req) {
+    public void lacked(Req request) {
         if (budgets != null) {
-            long account = budgets.key(req.customer);
+            long account = budgets.key(request.customer);
             budgets.wanted(account, out.getOrDefault(account, 0) + 1);
         }
     }
@@ -84,11 +99,11 @@
         }
     }
 
-    private void count(Req req, int more) {
+    private void count(Req request, int more) {
         if (budgets == null) {
             return;
         }
-        long account = budgets.key(req.customer);
+        long account = budgets.key(request.customer);
         if (more > 0 && out.size() < MOST_ACCOUNTS) {
             budgets.wanted(account, out.merge(account, more, Integer::sum));
         } else if (more < 0) {
@@ -117,30 +132,30 @@
     }
 
     @Override
-    public void asked(Req req, double worth) {
-        overload.asked(req, worth);
+    public void asked(Req request, double worth) {
+        overload.asked(request, worth);
     }
 
     @Override
-    public void denied(Req req, double worth) {
-        overload.denied(req, worth);
+    public void denied(Req request, double worth) {
+        overload.denied(request, worth);
     }
 
     @Override
-    public void sent(Req req, Srv srv, double worth, boolean further) {
-        count(req, 1);
+    public void sent(Req request, Srv srv, double worth, boolean further) {
+        count(request, 1);
         if (aside.contains(srv.id)) {
             tries.accept(srv);
         }
-        overload.sent(req, srv, worth, further);
+        overload.sent(request, srv, worth, further);
     }
 
     @Override
-    public void ended(Req req, Srv srv, End how, boolean late) {
-        count(req, -1);
-        overload.ended(req, srv, how, late);
+    public void ended(Req request, Srv srv, End how, boolean late) {
+        count(request, -1);
+        overload.ended(request, srv, how, late);
         if (mover != null) {
-            mover.ended(req, srv, how, late);
+            mover.ended(request, srv, how, late);
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/run/Main.java
+++ b/fleet/src/main/java/tinford/fleet/run/Main.java
@@ -3,12 +3,16 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import tinford.Decide;
+import tinford.fleet.settings.InvalidSettings;
 import tinford.logs.Lines;
 import tinford.program.Serve;
 
-/** One gateway of a fleet: the gateway's own program, with a companion made from the operator file that TINFORD_FLEET names. */
+/**
+ * One gateway of a fleet: the gateway's own program, with a companion made from the operator file
+ * that TINFORD_FLEET names.
+ */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("serve")) {
@@ -19,14 +23,19 @@
         try {
             String file = System.getenv("TINFORD_FLEET");
             if (file == null || file.isEmpty()) {
-                throw new IOException("environment, TINFORD_FLEET: expected the path of the fleet's operator file");
+                throw new IOException(
+                        "environment, TINFORD_FLEET: expected the path of the fleet's operator"
+                                + " file");
             }
-            Handed handed = Handed.read(System.getenv("ROUTER_CONFIG"));
-            Orders orders = Orders.read(Path.of(file));
-            MoveOrders moves = MoveOrders.read(file, orders, System.getenv("ROUTER_CONFIG"));
-            Fleet fleet = new Fleet(orders, moves, handed, System.getenv("TINFORD_HISTORY"));
+            GatewaySettings gatewaySettings = GatewaySettings.read(System.getenv("ROUTER_CONFIG"));
+            OperatorFile operatorFile = OperatorFile.read(Path.of(file));
+            MoveSettings moves =
+                    MoveSettings.read(file, operatorFile, System.getenv("ROUTER_CONFIG"));
+            Fleet fleet =
+                    new Fleet(
+                            operatorFile, moves, gatewaySettings, System.getenv("TINFORD_HISTORY"));
             code = Serve.start(System.getenv(), System.err, Decide::new, fleet);
-        } catch (Orders.Refused | IOException e) {
+        } catch (InvalidSettings | IOException e) {
             e.getMessage().lines().forEach(l -> System.err.println("tinford: " + l));
         }
         if (code >= 0) {
--- a/fleet/src/main/java/tinford/fleet/talk/Memory.java
+++ b/fleet/src/main/java/tinford/fleet/transport/InMemoryTransport.java
@@ -1,4 +1,4 @@
-package tinford.fleet.talk;
+package tinford.fleet.transport;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,25 +8,29 @@
 import java.util.Random;
 
 /**
- * A fleet's messages in memory and in virtual time, for tests and the lab: the same seed gives the same run. Holds at most
- * {@code room} messages a receiver, under way and waiting; what is beyond is lost, as with datagrams.
+ * A fleet's messages in memory and in virtual time, for tests and the lab: the same seed gives the
+ * same run. Holds at most {@code room} messages a receiver, under way and waiting; what is beyond
+ * is lost, as with datagrams.
  */
-public final class Memory {
+public final class InMemoryTransport {
     /**
-     * How messages fare on one way, ms and chances.
+     * How messages fare on a link in one direction, ms and chances.
      *
-     * @param jitter up to so much is added by chance to the delay, so that messages overtake each other
+     * @param jitter up to so much is added by chance to the delay, so that messages overtake each
+     *     other
      * @param late chance that a message takes {@code lateBy} longer
      */
-    public record Way(double delay, double jitter, double loss, double twice, double late, double lateBy) {
-        public static Way of(double delay, double jitter) {
-            return new Way(delay, jitter, 0, 0, 0, 0);
+    public record Link(
+            double delay, double jitter, double loss, double twice, double late, double lateBy) {
+        public static Link of(double delay, double jitter) {
+            return new Link(delay, jitter, 0, 0, 0, 0);
         }
     }
 
-    private Memory() { }
+    private InMemoryTransport() {}
 
-    private record Sent(double due, long order, int from, int to, byte[] message) implements Comparable<Sent> {
+    private record Sent(double due, long order, int from, int to, byte[] message)
+            implements Comparable<Sent> {
         @Override
         public int compareTo(Sent other) {
             int c = Double.compare(due, other.due);
@@ -37,11 +41,11 @@
     /** The network: every gateway's place in it, and what is wrong with it at the moment. */
     public static final class Network {
         private final int gateways;
-        private final int most;
+        private final int maxMessageBytes;
         private final int room;
         private final Random chance;
-        private Way way = Way.of(1, 1);
-        private final List<Way[]> ways = new ArrayList<>();
+        private Link link = Link.of(1, 1);
+        private final List<Link[]> links = new ArrayList<>();
         private final BitSet cut;
         private final End[] ends;
         private final BitSet paused;
@@ -55,9 +59,9 @@
         private long dropped;
         private long thrown;
 
-        public Network(int gateways, int most, int room, long seed) {
+        public Network(int gateways, int maxMessageBytes, int room, long seed) {
             this.gateways = gateways;
-            this.most = most;
+            this.maxMessageBytes = maxMessageBytes;
             this.room = room;
             this.chance = new Random(seed);
             this.cut = new BitSet(gateways * gateways);
@@ -65,36 +69,37 @@
             this.paused = new BitSet(gateways);
             this.held = new int[gateways];
             for (int i = 0; i < gateways; i++) {
-                ways.add(null);
+                links.add(null);
                 waiting.add(new ArrayDeque<>());
             }
         }
 
         /**
-         * A process of that gateway. An earlier process of the same number takes no more, but may send until it is closed; what
-         * was under way to or from it still arrives.
+         * A process of that gateway. An earlier process of the same number takes no more, but may
+         * send until it is closed; what was under way to or from it still arrives.
          */
-        public Talk at(int gateway, Talk.Taker taker) {
+        public Transport at(int gateway, Transport.Receiver receiver) {
             if (gateway < 0 || gateway >= gateways) {
-                throw new IllegalArgumentException("gateway " + gateway + ": expected 0 to " + (gateways - 1));
+                throw new IllegalArgumentException(
+                        "gateway " + gateway + ": expected 0 to " + (gateways - 1));
             }
-            ends[gateway] = new End(gateway, taker);
+            ends[gateway] = new End(gateway, receiver);
             return ends[gateway];
         }
 
-        /** All ways that have none of their own. */
-        public void way(Way all) {
-            way = all;
+        /** All links that have none of their own. */
+        public void link(Link all) {
+            link = all;
         }
 
-        public void way(int from, int to, Way one) {
-            if (ways.get(from) == null) {
-                ways.set(from, new Way[gateways]);
+        public void link(int from, int to, Link one) {
+            if (links.get(from) == null) {
+                links.set(from, new Link[gateways]);
             }
-            ways.get(from)[to] = one;
+            links.get(from)[to] = one;
         }
 
-        /** One way only; what is under way still arrives. */
+        /** One direction only; what is under way still arrives. */
         public void cut(int from, int to, boolean on) {
             cut.set(from * gateways + to, on);
         }
@@ -112,14 +117,14 @@
         /** What waited is taken at the next {@link #advance}. */
         public void resume(int gateway) {
             paused.clear(gateway);
-            for (Sent one; (one = waiting.get(gateway).poll()) != null;) {
+            for (Sent one; (one = waiting.get(gateway).poll()) != null; ) {
                 under.add(new Sent(now, order++, one.from, gateway, one.message));
             }
         }
 
-        /** Hands out in order of arrival what is due by then; takers may send meanwhile. */
+        /** Hands out in order of arrival what is due by then; receivers may send meanwhile. */
         public void advance(double to) {
-            for (Sent one; (one = under.peek()) != null && one.due <= to;) {
+            for (Sent one; (one = under.peek()) != null && one.due <= to; ) {
                 under.poll();
                 now = Math.max(now, one.due);
                 if (paused.get(one.to)) {
@@ -137,33 +142,39 @@
 
         private void hand(End end, Sent one) {
             try {
-                end.taker.take(one.from, one.message);
+                end.receiver.receive(one.from, one.message);
             } catch (RuntimeException e) {
                 thrown++;
             }
         }
 
-        private void carry(int from, int to, byte[] message, Way w) {
+        private void carry(int from, int to, byte[] message, Link link) {
             if (held[to] >= room) {
                 dropped++;
                 return;
             }
             held[to]++;
-            double due = now + w.delay + (w.jitter > 0 ? w.jitter * chance.nextDouble() : 0)
-                    + (w.late > 0 && chance.nextDouble() < w.late ? w.lateBy : 0);
+            double due =
+                    now
+                            + link.delay
+                            + (link.jitter > 0 ? link.jitter * chance.nextDouble() : 0)
+                            + (link.late > 0 && chance.nextDouble() < link.late ? link.lateBy : 0);
             under.add(new Sent(due, order++, from, to, message.clone()));
         }
 
         private boolean send(int from, int to, byte[] message) {
             sent++;
             bytes += message.length;
-            Way w = ways.get(from) == null || ways.get(from)[to] == null ? way : ways.get(from)[to];
-            if (cut.get(from * gateways + to) || w.loss > 0 && chance.nextDouble() < w.loss) {
+            Link here =
+                    links.get(from) == null || links.get(from)[to] == null
+                            ? link
+                            : links.get(from)[to];
+            if (cut.get(from * gateways + to) || here.loss > 0 && chance.nextDouble() < here.loss) {
                 return true;
             }
-            carry(from, to, message, w);
-            if (w.twice > 0 && chance.nextDouble() < w.twice) {
-                carry(from, to, message, w);
+            carry(from, to, message, here);
+            if (here.twice > 0 && chance.nextDouble() < here.twice) {
+                carry(from, to, message, here);
             }
             return true;
         }
@@ -185,29 +196,33 @@
             return dropped;
         }
 
-        /** How often a taker threw. */
+        /** How often a receiver threw. */
         public long thrown() {
             return thrown;
         }
 
-        private final class End implements Talk {
+        private final class End implements Transport {
             private final int number;
-            private final Taker taker;
+            private final Receiver receiver;
             private boolean closed;
 
-            End(int number, Taker taker) {
+            End(int number, Receiver receiver) {
                 this.number = number;
-                this.taker = taker;
+                this.receiver = receiver;
             }
 
             @Override
-            public int most() {
-                return most;
+            public int maxMessageBytes() {
+                return maxMessageBytes;
             }
 
             @Override
             public boolean send(int to, byte[] message) {
-                return !closed && to >= 0 && to < gateways && message.length <= most && Network.this.send(number, to, message);
+                return !closed
+                        && to >= 0
+                        && to < gateways
+                        && message.length <= maxMessageBytes
+                        && Network.this.send(number, to, message);
             }
 
             @Override
--- a/fleet/src/main/java/tinford/fleet/talk/Udp.java
+++ b/fleet/src/main/java/tinford/fleet/transport/UdpTransport.java
@@ -1,4 +1,4 @@
-package tinford.fleet.talk;
+package tinford.fleet.transport;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -19,52 +19,72 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Messages as datagrams. One thread of its own takes what comes from the listed addresses, as from the number that has the
- * address; all else is dropped and counted. Nothing is kept outside the socket's own buffers, which hold {@link #BUFFER} bytes at
- * most (the system may count double).
+ * Messages as datagrams. One thread of its own takes what comes from the listed addresses, as from
+ * the number that has the address; all else is dropped and counted. Nothing is kept outside the
+ * socket's own buffers, which hold {@link #BUFFER} bytes at most (the system may count double).
  */
-public final class Udp implements Talk {
+public final class UdpTransport implements Transport {
     private static final int BUFFER = 256 * 1024;
-    /** How long {@link #close} waits for a taker that is at it. */
+
+    /** How long {@link #close} waits for a receiver that is being called. */
     private static final long CLOSE_MS = 1000;
 
     private final List<InetSocketAddress> peers;
     private final Map<SocketAddress, Integer> numbers = new HashMap<>();
     private final int own;
-    private final int most;
-    private final Taker taker;
+    private final int maxMessageBytes;
+    private final Receiver receiver;
     private final DatagramChannel channel;
     private final Selector selector;
-    /** Held while the taker is at it, so that nothing is taken once {@link #close} is through. */
+
+    /**
+     * Held while the receiver is called, so that nothing is taken once {@link #close} is through.
+     */
     private final ReentrantLock taking = new ReentrantLock();
+
     private final LongAdder strangers = new LongAdder();
     private final LongAdder tooLong = new LongAdder();
     private final LongAdder thrown = new LongAdder();
     private volatile boolean closed;
 
-    /** @param peers by number; the own one may be anything, null too */
-    public Udp(int own, InetSocketAddress listen, List<InetSocketAddress> peers, int most, Taker taker) throws IOException {
+    /**
+     * @param peers by number; the own one may be anything, null too
+     */
+    public UdpTransport(
+            int own,
+            InetSocketAddress listen,
+            List<InetSocketAddress> peers,
+            int maxMessageBytes,
+            Receiver receiver)
+            throws IOException {
         this.own = own;
         this.peers = Collections.unmodifiableList(new ArrayList<>(peers));
-        this.most = most;
-        this.taker = taker;
+        this.maxMessageBytes = maxMessageBytes;
+        this.receiver = receiver;
         for (int i = 0; i < peers.size(); i++) {
             InetSocketAddress one = peers.get(i);
             if (i == own) {
                 continue;
             }
             if (one == null || one.isUnresolved() || one.getPort() == 0) {
-                throw new IllegalArgumentException("peers, " + i + ": expected an address that resolves, with port: " + one);
+                throw new IllegalArgumentException(
+                        "peers, " + i + ": expected an address that resolves, with port: " + one);
             }
             if (numbers.put(one, i) != null) {
-                throw new IllegalArgumentException("peers, " + i + ": expected an address of its own, found " + one + " twice");
+                throw new IllegalArgumentException(
+                        "peers, "
+                                + i
+                                + ": expected an address of its own, found "
+                                + one
+                                + " twice");
             }
         }
         selector = Selector.open();
         DatagramChannel opened = null;
         try {
             opened = DatagramChannel.open();
-            opened.setOption(StandardSocketOptions.SO_RCVBUF, BUFFER).setOption(StandardSocketOptions.SO_SNDBUF, BUFFER);
+            opened.setOption(StandardSocketOptions.SO_RCVBUF, BUFFER)
+                    .setOption(StandardSocketOptions.SO_SNDBUF, BUFFER);
             opened.bind(listen).configureBlocking(false);
             opened.register(selector, SelectionKey.OP_READ);
         } catch (IOException | RuntimeException e) {
@@ -75,23 +95,28 @@
             throw e;
         }
         channel = opened;
-        Thread thread = new Thread(this::listen, "talk-" + own);
+        Thread thread = new Thread(this::listen, "fleet-transport-" + own);
         thread.setDaemon(true);
         thread.start();
     }
 
     @Override
-    public int most() {
-        return most;
+    public int maxMessageBytes() {
+        return maxMessageBytes;
     }
 
     @Override
     public boolean send(int to, byte[] message) {
-        if (closed || to < 0 || to >= peers.size() || to == own || message.length > most) {
+        if (closed
+                || to < 0
+                || to >= peers.size()
+                || to == own
+                || message.length > maxMessageBytes) {
             return false;
         }
         try {
-            // An empty datagram that was sent counts 0 bytes as well; whether it left is not known then.
+            // An empty datagram that was sent counts 0 bytes as well; whether it left is not known
+            // then.
             return channel.send(ByteBuffer.wrap(message), peers.get(to)) == message.length;
         } catch (IOException | RuntimeException e) {
             return false;
@@ -99,7 +124,7 @@
     }
 
     private void listen() {
-        ByteBuffer buffer = ByteBuffer.allocate(most + 1);
+        ByteBuffer buffer = ByteBuffer.allocate(maxMessageBytes + 1);
         while (!closed) {
             try {
                 selector.select();
@@ -109,7 +134,8 @@
                     take(from, buffer.flip());
                 }
             } catch (IOException e) {
-                // An error that a peer's machine sent back for an earlier datagram: nothing was received, nothing is lost.
+                // An error that a peer's machine sent back for an earlier datagram: nothing was
+                // received, nothing is lost.
                 if (!channel.isOpen()) {
                     return;
                 }
@@ -125,7 +151,7 @@
             strangers.increment();
             return;
         }
-        if (received.remaining() > most) {
+        if (received.remaining() > maxMessageBytes) {
             tooLong.increment();
             return;
         }
@@ -134,7 +160,7 @@
         taking.lock();
         try {
             if (!closed) {
-                taker.take(number, message);
+                receiver.receive(number, message);
             }
         } catch (RuntimeException e) {
             thrown.increment();
@@ -151,12 +177,15 @@
         return tooLong.sum();
     }
 
-    /** How often the taker threw. */
+    /** How often the receiver threw. */
     public long thrown() {
         return thrown.sum();
     }
 
-    /** Returns once no message is taken any more, or after a second where a taker hangs in one that it has. */
+    /**
+     * Returns once no message is taken any more, or after a second where a receiver hangs in one
+     * that it has.
+     */
     @Override
     public void close() {
         closed = true;
--- a/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
@@ -8,13 +8,15 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Life;
-import tinford.fleet.members.Terms;
+import tinford.fleet.members.Incarnation;
+import tinford.fleet.members.Leases;
 
-/** A fleet in driven time: gateways with their ledgers, a log that loses, doubles and delays what is offered, servers that count.
- * */
+/**
+ * A fleet in driven time: gateways with their ledgers, a log that loses, doubles and delays what is
+ * offered, servers that count.
+ */
 final class Fleet {
-    static final double TERM = 3000;
+    static final double LEASE = 3000;
     static final double MARGIN = 300;
     static final double APART = 200;
     static final double LINGER = 1500;
@@ -55,10 +57,10 @@
         }
 
         void start(double linger) {
-            ledger = ledgers.apply(statics);
+            ledger = ledgers.apply(staticShares);
             applied = 0;
             double own = now + offset;
-            share = shares.make(ledger, new Life(number, (long) own), own + linger);
+            share = shares.make(ledger, new Incarnation(number, (long) own), own + linger);
             proposer = new Proposer(plans, EVERY);
             // Half of those that start are handed a snapshot of another's.
             Gateway other = linger > 0 ? gateways.get((number + 1) % gateways.size()) : this;
@@ -74,20 +76,22 @@
     }
 
     interface Make {
-        Share make(Ledger ledger, Life life, double staticFrom);
+        Share make(Ledger ledger, Incarnation incarnation, double staticFrom);
     }
 
     final Random random;
     final Map<String, Integer> offers = new LinkedHashMap<>();
+
     /** Highest offer lately, as what it was can't come back at once; and until when. */
     private final Map<String, double[]> lately = new LinkedHashMap<>();
+
     final List<Gateway> gateways = new ArrayList<>();
     final List<Conn> orphans = new ArrayList<>();
     final List<byte[]> log = new ArrayList<>();
     private final TreeMap<Double, List<byte[]>> coming = new TreeMap<>();
-    final Statics statics;
+    final StaticShares staticShares;
     final LongFunction<Proposer.Plan> plans;
-    Function<Statics, Ledger> ledgers;
+    Function<StaticShares, Ledger> ledgers;
     Make shares;
     boolean faults;
     double now = 1_000_000;
@@ -99,41 +103,49 @@
     double used;
     double couldUse;
 
-    Fleet(long seed, int size, Map<String, Integer> offers, double part, LongFunction<Proposer.Plan> plans,
-            Function<Statics, Ledger> ledgers, Make shares) {
+    Fleet(
+            long seed,
+            int size,
+            Map<String, Integer> offers,
+            double part,
+            LongFunction<Proposer.Plan> plans,
+            Function<StaticShares, Ledger> ledgers,
+            Make shares) {
         random = new Random(seed);
         this.offers.putAll(offers);
         this.plans = plans;
-        statics = new Statics(offers, part, size);
-        this.ledgers = ledgers != null ? ledgers : s -> new Ledger(terms(size), s);
+        staticShares = new StaticShares(offers, part, size);
+        this.ledgers = ledgers != null ? ledgers : s -> new Ledger(leases(size), s);
         this.shares = shares != null ? shares : this::share;
         for (int g = 0; g < size; g++) {
             gateways.add(new Gateway(g, size == 1 ? 0 : (g % 3 - 1) * APART / 2));
         }
-        offers.forEach((s, n) -> log.add(Ledger.offer(s, 1, n, now)));
+        offers.forEach((s, n) -> log.add(new LedgerEntry.Offer(s, 1, n, now).bytes()));
     }
 
-    static Terms terms(int size) {
-        return new Terms(size, TERM, APART, LINGER);
+    static Leases leases(int size) {
+        return new Leases(size, LEASE, APART, LINGER);
     }
 
-    Share share(Ledger ledger, Life life, double staticFrom) {
-        return new Share(ledger, statics, plans, life, TERM, MARGIN, EVERY, KEEP, staticFrom);
+    Share share(Ledger ledger, Incarnation incarnation, double staticFrom) {
+        return new Share(
+                ledger, staticShares, plans, incarnation, LEASE, MARGIN, EVERY, KEEP, staticFrom);
     }
 
     void offer(String server, int offer, long start) {
         double[] l = lately.computeIfAbsent(server, s -> new double[2]);
         if (offer < offers.get(server)) {
             l[0] = Math.max(now < l[1] ? l[0] : 0, offers.get(server));
-            l[1] = now + 4 * EVERY + 2 * (TERM + APART + LINGER);
+            l[1] = now + 4 * EVERY + 2 * (LEASE + APART + LINGER);
         }
         offers.put(server, offer);
-        log.add(Ledger.offer(server, start, offer, now));
+        log.add(new LedgerEntry.Offer(server, start, offer, now).bytes());
     }
 
     private void append(Gateway from, byte[] entry) {
         appended++;
-        boolean lost = now < noMajorityUntil || now < from.cutUntil || faults && random.nextInt(12) == 0;
+        boolean lost =
+                now < noMajorityUntil || now < from.cutUntil || faults && random.nextInt(12) == 0;
         if (!lost || faults && random.nextInt(8) == 0) {
             boolean late = faults && random.nextInt(12) == 0;
             put(entry, late || lost ? 200 + random.nextInt(4000) : 5 + random.nextInt(40));
@@ -171,12 +183,14 @@
 
     /** One that leads wrongly gives someone far too much, out of the newest state. */
     private void wrong(Gateway g) {
-        if (g.ledger != null && !g.ledger.holders.isEmpty()) {
-            List<Ledger.Line> lines = new ArrayList<>();
-            for (Life life : g.ledger.holders.keySet()) {
-                lines.add(new Ledger.Line(life, random.nextInt(offers.size()), random.nextInt(60)));
+        if (g.ledger != null && !g.ledger.table.holders.isEmpty()) {
+            List<LedgerEntry.Line> lines = new ArrayList<>();
+            for (Incarnation incarnation : g.ledger.table.holders.keySet()) {
+                lines.add(
+                        new LedgerEntry.Line(
+                                incarnation, random.nextInt(offers.size()), random.nextInt(60)));
             }
-            log.add(Ledger.grant(log.size(), now + g.offset, lines, List.of()));
+            log.add(new LedgerEntry.Grant(log.size(), now + g.offset, lines, List.of()).bytes());
         }
     }
 
@@ -207,13 +221,14 @@
             if (g.runs()) {
                 run(g);
             } else {
-                g.conns.removeIf(c -> {
-                    boolean closed = now >= c.sent + LINGER;
-                    if (closed && g.share != null) {
-                        g.share.closed(c.server);
-                    }
-                    return closed;
-                });
+                g.conns.removeIf(
+                        c -> {
+                            boolean closed = now >= c.sent + LINGER;
+                            if (closed && g.share != null) {
+                                g.share.closed(c.server);
+                            }
+                            return closed;
+                        });
             }
         }
         for (Map.Entry<String, Integer> e : offers.entrySet()) {
@@ -254,28 +269,33 @@
                 g.share.closed(c.server);
             }
         }
-        g.wants.forEach((a, want) -> {
-            g.share.wanted(a, want);
-            for (int n = out.getOrDefault(a, 0); n < want && n < g.share.mayUse(a, own); n++) {
-                Conn conn = null;
-                for (Conn c : g.conns) {
-                    conn = c.busy <= now && g.share.excess(c.server, own) == 0 ? c : conn;
-                }
-                for (String s : offers.keySet()) {
-                    if (conn == null && g.conns.stream().filter(c -> c.server.equals(s)).count() < g.share.mayHold(s, own)) {
-                        conn = new Conn(s);
-                        g.conns.add(conn);
-                        g.share.opened(s);
+        g.wants.forEach(
+                (a, want) -> {
+                    g.share.wanted(a, want);
+                    for (int n = out.getOrDefault(a, 0);
+                            n < want && n < g.share.mayUse(a, own);
+                            n++) {
+                        Conn conn = null;
+                        for (Conn c : g.conns) {
+                            conn = c.busy <= now && g.share.excess(c.server, own) == 0 ? c : conn;
+                        }
+                        for (String s : offers.keySet()) {
+                            if (conn == null
+                                    && g.conns.stream().filter(c -> c.server.equals(s)).count()
+                                            < g.share.mayHold(s, own)) {
+                                conn = new Conn(s);
+                                g.conns.add(conn);
+                                g.share.opened(s);
+                            }
+                        }
+                        if (conn == null) {
+                            return;
+                        }
+                        conn.account = a;
+                        conn.sent = now;
+                        conn.busy = now + 20 + random.nextInt((int) SERVICE - 20);
                     }
-                }
-                if (conn == null) {
-                    return;
-                }
-                conn.account = a;
-                conn.sent = now;
-                conn.busy = now + 20 + random.nextInt((int) SERVICE - 20);
-            }
-        });
+                });
         g.share.round(own).forEach(e -> append(g, e));
         if (g.number == leader || faults && g.number == otherLeader) {
             byte[] entry = g.proposer.propose(g.ledger, own);
@@ -289,7 +309,11 @@
     int out(long account) {
         int n = 0;
         for (Gateway g : gateways) {
-            n += (int) g.conns.stream().filter(c -> c.busy > now - STEP && c.account == account).count();
+            n +=
+                    (int)
+                            g.conns.stream()
+                                    .filter(c -> c.busy > now - STEP && c.account == account)
+                                    .count();
         }
         return n;
     }
@@ -297,6 +321,8 @@
     /** Granted to an account through all that run. */
     int granted(long account) {
         Ledger l = gateways.get(leader).ledger;
-        return l.holders.values().stream().mapToInt(h -> h.uses.getOrDefault(account, 0)).sum();
+        return l.table.holders.values().stream()
+                .mapToInt(h -> h.uses.getOrDefault(account, 0))
+                .sum();
     }
 }
--- a/fleet/src/test/java/tinford/fleet/talk/BrokenTalksTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/BrokenTransportsTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.talk;
+package tinford.fleet.transport;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -11,16 +11,31 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The contract catches transports that are broken on purpose, and passes the one that they are made of. */
-public class BrokenTalksTest {
-    enum Fault { NONE, ALTERS, WRONG_SENDER, BLOCKS, UNBOUNDED, DELIVERS_AFTER_CLOSE, SENDS_AFTER_CLOSE, TRUNCATES,
-            THROWS_TO_NOBODY,
-        DIES_OF_TAKER, DROPS_EMPTY, KEEPS_ARRAY, OLD_PROCESS_TAKES }
+/**
+ * The contract catches transports that are broken on purpose, and passes the one that they are made
+ * of.
+ */
+public class BrokenTransportsTest {
+    enum Fault {
+        NONE,
+        ALTERS,
+        WRONG_SENDER,
+        BLOCKS,
+        UNBOUNDED,
+        DELIVERS_AFTER_CLOSE,
+        SENDS_AFTER_CLOSE,
+        TRUNCATES,
+        THROWS_TO_NOBODY,
+        DIES_OF_TAKER,
+        DROPS_EMPTY,
+        KEEPS_ARRAY,
+        OLD_PROCESS_TAKES
+    }
 
     /** The network in memory with one fault. */
-    private static final class Broken extends MemoryTest {
+    private static final class Broken extends InMemoryTransportTest {
         private final Fault fault;
-        private final Talk.Taker[] first = new Talk.Taker[3];
+        private final Transport.Receiver[] first = new Transport.Receiver[3];
         private final boolean[] dead = new boolean[3];
 
         Broken(Fault fault) {
@@ -35,19 +50,22 @@
         }
 
         @Override
-        Talk open(int gateway, Talk.Taker taker) {
+        Transport open(int gateway, Transport.Receiver receiver) {
             if (fault == Fault.UNBOUNDED && gateway == 0) {
-                net = new Memory.Network(3, MOST, Integer.MAX_VALUE, 7);
+                net = new InMemoryTransport.Network(3, MOST, Integer.MAX_VALUE, 7);
             }
-            first[gateway] = first[gateway] == null ? taker : first[gateway];
-            Talk[] real = new Talk[1];
-            Talk.Taker taken = (from, message) -> take(gateway, taker, from, message);
-            real[0] = fault == Fault.KEEPS_ARRAY ? new Sharing(net, gateway, taken) : net.at(gateway, taken);
-            return new Talk() {
+            first[gateway] = first[gateway] == null ? receiver : first[gateway];
+            Transport[] real = new Transport[1];
+            Transport.Receiver taken = (from, message) -> take(gateway, receiver, from, message);
+            real[0] =
+                    fault == Fault.KEEPS_ARRAY
+                            ? new Sharing(net, gateway, taken)
+                            : net.at(gateway, taken);
+            return new Transport() {
                 private boolean closed;
 
                 @Override
-                public int most() {
+                public int maxMessageBytes() {
                     return MOST;
                 }
 
@@ -59,7 +77,10 @@
                     if (fault == Fault.THROWS_TO_NOBODY && (to < 0 || to > 2)) {
                         throw new ArrayIndexOutOfBoundsException(to);
                     }
-                    byte[] m = fault == Fault.TRUNCATES && message.length > MOST ? Arrays.copyOf(message, MOST) : message;
+                    byte[] m =
+                            fault == Fault.TRUNCATES && message.length > MOST
+                                    ? Arrays.copyOf(message, MOST)
+                                    : message;
                     if (fault == Fault.DROPS_EMPTY && m.length == 0) {
                         return true;
                     }
@@ -76,7 +97,7 @@
             };
         }
 
-        private void take(int gateway, Talk.Taker taker, int from, byte[] message) {
+        private void take(int gateway, Transport.Receiver receiver, int from, byte[] message) {
             if (dead[gateway]) {
                 return;
             }
@@ -85,7 +106,8 @@
             }
             int told = fault == Fault.WRONG_SENDER && message.length > 100 ? (from + 1) % 3 : from;
             try {
-                (fault == Fault.OLD_PROCESS_TAKES ? first[gateway] : taker).take(told, message);
+                (fault == Fault.OLD_PROCESS_TAKES ? first[gateway] : receiver)
+                        .receive(told, message);
             } catch (IllegalStateException e) {
                 dead[gateway] = fault == Fault.DIES_OF_TAKER;
             }
@@ -97,18 +119,25 @@
     }
 
     /** Hands on the sender's own array, at the next {@code advance}. */
-    private static final class Sharing implements Talk {
+    private static final class Sharing implements Transport {
         private static byte[] last;
-        private final Talk real;
-
-        Sharing(Memory.Network net, int gateway, Taker taker) {
-            real = net.at(gateway, (from, message) ->
-                    taker.take(from, last != null && last.length == message.length ? last : message));
+        private final Transport real;
+
+        Sharing(InMemoryTransport.Network net, int gateway, Receiver receiver) {
+            real =
+                    net.at(
+                            gateway,
+                            (from, message) ->
+                                    receiver.receive(
+                                            from,
+                                            last != null && last.length == message.length
+                                                    ? last
+                                                    : message));
         }
 
         @Override
-        public int most() {
-            return TalkContract.MOST;
+        public int maxMessageBytes() {
+            return TransportContract.MOST;
         }
 
         @Override
@@ -125,7 +154,7 @@
 
     private static Set<String> failing(Fault fault) throws IllegalAccessException {
         Set<String> failing = new TreeSet<>();
-        for (Method one : TalkContract.class.getDeclaredMethods()) {
+        for (Method one : TransportContract.class.getDeclaredMethods()) {
             if (one.isAnnotationPresent(Test.class)) {
                 Broken broken = new Broken(fault);
                 try {
--- a/gateway/src/main/java/tinford/program/Companion.java
+++ b/gateway/src/main/java/tinford/program/Companion.java
@@ -4,9 +4,13 @@
 import java.util.function.Consumer;
 import tinford.api.Place;
 import tinford.api.View;
+import tinford.routing.Catalog;
 import tinford.transport.Loop;
 
-/** What acts beside a gateway for a whole fleet, on its I/O thread. A gateway that is handed none is alone, and loads none of it. */
+/**
+ * What acts beside a gateway for a whole fleet, on its I/O thread. A gateway that is handed none is
+ * alone, and loads none of it.
+ */
 public interface Companion {
     /**
      * Called once, within the first round and before anything comes in.
@@ -15,6 +19,14 @@
      */
     View join(Place place, Consumer<Loop.Due> enter) throws IOException;
 
+    /**
+     * Called once, right before {@link #join}.
+     *
+     * @param use within a round: brings a catalog into force, in place of the settings' own or the
+     *     one before
+     */
+    default void configures(Consumer<Catalog> use) {}
+
     /** Within a round, each {@link #every} ms. */
     void tick();
 
@@ -23,6 +35,9 @@
     /** Within a round: this process is told to end, and goes on until all it took is answered. */
     void leaves();
 
-    /** On the thread that ends the process, once all that it took is answered: its last moment, which may take one. */
-    default void answered() { }
+    /**
+     * On the thread that ends the process, once all that it took is answered: its last moment,
+     * which may take one.
+     */
+    default void answered() {}
 }
--- a/gateway/src/main/java/tinford/routing/Servers.java
+++ b/gateway/src/main/java/tinford/routing/Servers.java
@@ -3,6 +3,8 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collections;
+import java.util.Comparator;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -17,30 +19,34 @@
 /** The servers of the list, and the connections to them. */
 public final class Servers {
     private static final double REST = 10; // what was sent in one go has come by then
-    private static final int MOST_NAMES = 4096; // of servers listed once
+    private static final int MOST_GONE = 4096; // names of servers that were listed once
     final Desk desk;
     final Resp resp = new Resp();
     private final Map<String, Backend> backends = new LinkedHashMap<>();
     private final Bans bans = new Bans();
-    private final Set<String> listed = Collections.newSetFromMap(new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
+    private final Set<String> gone =
+            Collections.newSetFromMap(
+                    new LinkedHashMap<>() {
+                        private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MOST_NAMES;
-        }
-    });
+                        @Override
+                        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
+                            return size() > MOST_GONE;
+                        }
+                    });
     final double connectWithin;
     private final double idleMost;
     private final int most;
     private final List<String> loadNames;
     private int links;
+    private long backendsMade;
 
     /**
      * @param idleMost how long a connection may stand idle before the server closes it
      * @param most connections to all servers together
      */
-    public Servers(Desk desk, double connectWithin, double idleMost, int most, List<String> loadNames) {
+    public Servers(
+            Desk desk, double connectWithin, double idleMost, int most, List<String> loadNames) {
         this.desk = desk;
         this.connectWithin = connectWithin;
         this.idleMost = idleMost;
@@ -57,9 +63,7 @@
         boolean whole = list.flag("whole");
         hosts.forEach(Servers::check);
         for (Fields e : hosts) {
-            Backend b = backends.computeIfAbsent(e.text("host"), Backend::new);
-            listed.remove(b.id);
-            listed.add(b.id);
+            Backend b = backends.computeIfAbsent(e.text("host"), this::newBackend);
             b.listed = state(e);
             b.state = state(b);
             entries.add(b);
@@ -81,16 +85,32 @@
         }
         desk.in.listed(entries, whole);
         left.forEach(this::leave);
-        for (Backend b : new ArrayList<>(backends.values())) {
-            if (b.state != Srv.State.UP || whole && !entries.contains(b)) {
+        Set<Srv> named = new HashSet<>(entries);
+        for (Backend b : whole ? new ArrayList<>(backends.values()) : inOrder(named)) {
+            boolean absent = whole && !named.contains(b);
+            if (b.state != Srv.State.UP || absent) {
                 leave(b);
             }
-            if (b.state == Srv.State.REMOVED || whole && !entries.contains(b)) {
+            if (b.state == Srv.State.REMOVED || absent) {
                 backends.remove(b.id);
+                gone.add(b.id);
             }
         }
     }
 
+    private Backend newBackend(String id) {
+        gone.remove(id);
+        return new Backend(id, backendsMade++);
+    }
+
+    /** In the order of the table: it decides whose dispatches end first. */
+    private static List<Backend> inOrder(Set<Srv> named) {
+        List<Backend> found = new ArrayList<>();
+        named.forEach(s -> found.add((Backend) s));
+        found.sort(Comparator.comparingLong(b -> b.sequence));
+        return found;
+    }
+
     /** What the operators have taken out drains, whatever the list says. */
     private Srv.State state(Backend b) {
         return b.listed == Srv.State.UP && bans.holds(b.id) ? Srv.State.DRAINING : b.listed;
@@ -98,7 +118,7 @@
 
     /** Listed at some time, or taken out or put back before. */
     boolean knows(String id) {
-        return listed.contains(id) || bans.knows(id);
+        return backends.containsKey(id) || gone.contains(id) || bans.knows(id);
     }
 
     /** Takes a line of the operators' record. */
@@ -146,7 +166,8 @@
             link = new ServerLink(desk, this, b);
             b.opening.add(link);
             link.carry(d, patience);
-            if (b.links >= desk.view.mayHold(b) && !b.idle.isEmpty()) { // one that has not rested gives its place
+            if (b.links >= desk.view.mayHold(b)
+                    && !b.idle.isEmpty()) { // one that has not rested gives its place
                 ServerLink old = b.idle.peekLast();
                 old.next = link;
                 old.end(Ending.RETIRED);
@@ -172,8 +193,8 @@
     }
 
     /**
-     * Guards against what comes behind an answer: a connection is used again only once it has been left alone for a
-     * moment, and is found with nothing in it when it is looked at once more.
+     * Guards against what comes behind an answer: a connection is used again only once it has been
+     * left alone for a moment, and is found with nothing in it when it is looked at once more.
      */
     private ServerLink rested(Backend b) {
         for (ServerLink link : b.idle) {
@@ -195,7 +216,8 @@
     }
 
     void free(ServerLink link) {
-        if (link.backend.state == Srv.State.UP && link.backend.links - link.backend.leaving <= desk.view.mayHold(link.backend)) {
+        if (link.backend.state == Srv.State.UP
+                && link.backend.links - link.backend.leaving <= desk.view.mayHold(link.backend)) {
             link.idleSince = desk.now;
             link.backend.idle.addFirst(link);
         } else {
@@ -207,7 +229,8 @@
         link.backend.leaving += link.counts ? 1 : 0;
         link.backend.idle.remove(link);
         link.backend.opening.remove(link);
-        // guards against connections that look idle and lead to a machine that is gone: none can be opened to it
+        // guards against connections that look idle and lead to a machine that is gone: none can be
+        // opened to it
         if (how == Ending.REFUSED || how == Ending.NEVER_UP) {
             retire(link.backend);
         }
@@ -225,7 +248,10 @@
         }
     }
 
-    /** What the fleet may hold has become less somewhere: idle connections go now, the others behind their answers. */
+    /**
+     * What the fleet may hold has become less somewhere: idle connections go now, the others behind
+     * their answers.
+     */
     public void trim() {
         for (Backend b : backends.values()) {
             while (b.links - b.leaving > desk.view.mayHold(b) && !b.idle.isEmpty()) {
@@ -234,7 +260,10 @@
         }
     }
 
-    /** Nothing new goes there: guards against a dispatch that waits for its connection and leaves when that comes up. */
+    /**
+     * Nothing new goes there: guards against a dispatch that waits for its connection and leaves
+     * when that comes up.
+     */
     private void leave(Backend b) {
         retire(b);
         for (ServerLink link : new ArrayList<>(b.opening)) {
--- a/lab/src/main/java/tinford/lab/fleet/Lives.java
+++ b/lab/src/main/java/tinford/lab/fleet/Lives.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** Which gateways live and act, by what was done to them and by what they say of their terms. */
-final class Lives {
+public final class Lives {
     private final Set<Integer> up = new HashSet<>();
     private final Set<Integer> without = new HashSet<>(); // a term
     private final Map<Integer, Double> ends = new HashMap<>(); // of terms, where it is told
@@ -35,13 +35,15 @@
                     without.add(l.gateway());
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
     /** Acts on what was granted to it. */
     boolean acts(int gateway) {
-        return up.contains(gateway) && !without.contains(gateway) && now < ends.getOrDefault(gateway, Double.POSITIVE_INFINITY);
+        return up.contains(gateway)
+                && !without.contains(gateway)
+                && now < ends.getOrDefault(gateway, Double.POSITIVE_INFINITY);
     }
 
     /** It has been up, and running, all the time from then on. */
