--- a/gateway/src/main/java/tinford/program/Serve.java
+++ b/gateway/src/main/java/tinford/program/Serve.java
@@ -256,6 +256,13 @@
                             watch.want(true);
                         }
                     });
+            // guards against the end that SIGHUP is to a JVM by itself, also right behind the
+            // opening of the door
+            onHangUp(
+                    () -> {
+                        seen.set(written(env.get("ROUTER_CONFIG")));
+                        reread(json, env.get("ROUTER_CONFIG"), given, desk, counter, watch);
+                    });
             await(tried);
             if (wrong.get() != null) {
                 desk.loop.close();
@@ -272,12 +279,6 @@
             Runtime.getRuntime().removeShutdownHook(leave); // the exit code tells of it
             throw e;
         }
-        // guards against the end that SIGHUP is to a JVM by itself
-        onHangUp(
-                () -> {
-                    seen.set(written(env.get("ROUTER_CONFIG")));
-                    reread(json, env.get("ROUTER_CONFIG"), given, desk, counter, watch);
-                });
         // guards against a signal that comes late or never: discovery leaves the address that it
         // had, and the file says where to
         watch.whenLost(
--- a/gateway/src/test/java/tinford/program/SocketTest.java
+++ b/gateway/src/test/java/tinford/program/SocketTest.java
@@ -1000,6 +1000,36 @@
                 0);
     }
 
+    /**
+     * A signal is no end of the process from the first moment in which its door is open. Slowed
+     * code and a shell that waits with the signal in hand make that moment easy to meet.
+     */
+    @Test(invocationCount = 4)
+    public void aNewConfigurationRightBehindTheStartIsRead() throws Exception {
+        Files.writeString(config, configuration());
+        gateway = start(Map.of("ROUTER_CONFIG", config.toString(), "JAVA_TOOL_OPTIONS", "-Xint"));
+        Process signal =
+                new ProcessBuilder(
+                                "sh", "-c", "read go; kill -HUP $0", Long.toString(gateway.pid()))
+                        .start();
+        boolean up = false;
+        while (!up) {
+            try {
+                client();
+                up = true;
+            } catch (IOException e) {
+                assertTrue(gateway.isAlive(), "not up: " + Files.readString(log));
+            }
+        }
+        signal.getOutputStream().write('\n');
+        signal.getOutputStream().close();
+        assertEquals(signal.waitFor(), 0);
+        while (!Files.readString(log).contains("configuration read again")) {
+            Thread.onSpinWait(); // ends with the test's own time at the latest
+            assertTrue(gateway.isAlive(), "ended by the signal");
+        }
+    }
+
     /** More than once under way: counter and discovery move, and no req is lost. */
     @Test
     public void newConfigurationMovesCounterAndDiscovery() throws Exception {
--- a/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
+++ b/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
@@ -23,9 +23,6 @@
     private static final long END_MS = 20_000;
     private static final long LOOK_MS = 2;
 
-    /** The gateway takes up its handler of SIGHUP a moment after its door opens. */
-    private static final long HANDLER_MS = 500;
-
     private static final int FIRST_TARGET_MS = 1500;
     private static final String READ_AGAIN = "configuration read again";
     private final Path configuration;
@@ -144,7 +141,6 @@
 
     /** Sends SIGHUP, and gives the line in which the gateway says what it took over. */
     public String hangUp() throws IOException, InterruptedException {
-        Thread.sleep(HANDLER_MS);
         long before = lines(READ_AGAIN).size();
         new ProcessBuilder("sh", "-c", "kill -HUP \"$0\"", Long.toString(process.pid()))
                 .start()
