--- a/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
@@ -74,7 +74,7 @@
                 "gateways restarted at once",
                 AT_ONCE,
                 AT_ONCE,
-                1,
+                2,
                 Growth.LINEAR,
                 (size, seed) -> {
                     double bytes = ServerList.whole(FleetModel.DEPLOYED_SERVERS).length();
@@ -92,7 +92,7 @@
                 "gateways restarted at once",
                 AT_ONCE,
                 AT_ONCE,
-                1,
+                2,
                 Growth.LINEAR,
                 (size, seed) -> {
                     ConfigurationState state =
