--- a/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
+++ b/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
@@ -22,6 +22,7 @@
     private static final long LOG_MS = 5_000;
     private static final long END_MS = 20_000;
     private static final long LOOK_MS = 2;
+
     private static final int FIRST_TARGET_MS = 1500;
     private static final String READ_AGAIN = "configuration read again";
     private final Path configuration;
@@ -147,7 +148,10 @@
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LOG_MS);
         while (lines(READ_AGAIN).size() == before) {
             if (System.nanoTime() > until) {
-                throw new IOException("no word of a new configuration: " + Files.readString(log));
+                throw new IOException(
+                        "no word of a new configuration, the process "
+                                + (process.isAlive() ? "lives: " : "has ended: ")
+                                + Files.readString(log));
             }
             Thread.sleep(LOOK_MS);
         }
