--- a/fleet/src/main/java/tinford/fleet/store/FileStore.java
+++ b/fleet/src/main/java/tinford/fleet/store/FileStore.java
@@ -9,8 +9,9 @@
 
 /**
  * A store in one file of a folder: written beside it, forced, renamed over it, and the folder
- * forced. One process at a time writes to a name. Holds at most twice the largest content on the
- * disk, and that once in memory while it reads or writes.
+ * forced. One process at a time writes to a name, any number read it meanwhile: a read changes
+ * nothing in the folder. Holds at most twice the largest content on the disk, and that once in
+ * memory while it reads or writes.
  */
 public final class FileStore implements Store {
     private static final String LEFTOVER = ".tmp";
@@ -49,7 +50,6 @@
 
     @Override
     public synchronized Found read(double now) {
-        clear();
         // one byte more than may be there, so that what is too long is seen without being read
         // whole
         try (InputStream from = Files.newInputStream(file)) {
@@ -87,13 +87,13 @@
             disk.rename(beside, file);
             disk.forceFolder(folder);
         } catch (IOException e) {
-            clear();
+            removeTemporaryFile();
             throw e;
         }
     }
 
-    /** What a write that was stopped left behind was never acknowledged. */
-    private void clear() {
+    /** Removes what a failed write left; it was never acknowledged. */
+    private void removeTemporaryFile() {
         try {
             disk.delete(beside);
         } catch (IOException | RuntimeException e) {
