--- a/fleet/src/main/java/tinford/fleet/control/RevisionFeed.java
+++ b/fleet/src/main/java/tinford/fleet/control/RevisionFeed.java
@@ -15,8 +15,8 @@
 
 /**
  * The current configuration as lines for followers: the latest updates, and one snapshot for
- * followers that are further behind. Lines are encoded once and shared. Thread-safe; no call waits
- * for a snapshot, which is made by the executor.
+ * followers that are further behind, or whom it costs fewer bytes. Lines are encoded once and
+ * shared. Thread-safe; no call waits for a snapshot, which is made by the executor.
  *
  * <p>Bounds: {@link #MAX_LINES} updates of {@link #MAX_LINE_BYTES} together, and one snapshot. The
  * snapshot is kept as long as updates lead on from it, so that a burst of changes makes one, and
@@ -29,17 +29,27 @@
     /** Bytes of all updates kept; a follower that lacks more gets a snapshot. */
     static final int MAX_LINE_BYTES = 2 << 20;
 
+    /** A follower that lacks fewer bytes of updates gets them, whatever a snapshot would cost. */
+    static final int SNAPSHOT_WORTH_BYTES = 128 << 10;
+
     private final SnapshotCodec snapshotCodec;
     private final Executor executor;
     private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
 
     /** By the revision that they lead on from. */
-    private final NavigableMap<Long, Line> updates = new TreeMap<>();
+    private final NavigableMap<Long, KeptUpdate> updates = new TreeMap<>();
 
     private Configuration current = Configuration.EMPTY;
+    private long appendedBytes;
     private long updateBytes;
     private Line snapshot;
     private boolean snapshotRequested;
+    private boolean snapshotFailed;
+
+    /**
+     * @param offset bytes of all updates that were appended before this one
+     */
+    private record KeptUpdate(Line line, long offset) {}
 
     RevisionFeed(String fleetId, Executor executor) {
         this.snapshotCodec = new SnapshotCodec(fleetId);
@@ -85,10 +95,11 @@
 
     private void add(Update update) {
         Line line = line(update.revision(), new WatchMessage.UpdateMessage(update));
-        updates.put(update.fromRevision(), line);
+        updates.put(update.fromRevision(), new KeptUpdate(line, appendedBytes));
+        appendedBytes += line.bytes().length;
         updateBytes += line.bytes().length;
         while (updates.size() > MAX_LINES || updateBytes > MAX_LINE_BYTES) {
-            updateBytes -= updates.pollFirstEntry().getValue().bytes().length;
+            updateBytes -= updates.pollFirstEntry().getValue().line().bytes().length;
         }
         if (snapshot != null && !isReachable(snapshot.revision())) {
             snapshot = null;
@@ -135,9 +146,9 @@
         if (isCurrent(revision)) {
             return null;
         }
-        Line update = updates.get(revision);
-        if (update != null) {
-            return update;
+        KeptUpdate update = updates.get(revision);
+        if (update != null && !snapshotIsShorter(revision)) {
+            return update.line();
         }
         if (snapshot == null) {
             requestSnapshot();
@@ -145,6 +156,24 @@
         return snapshot;
     }
 
+    /** Whether a snapshot takes a follower further for fewer bytes, as far as is known. */
+    private boolean snapshotIsShorter(long revision) {
+        long bytesBehind = bytesFrom(revision);
+        if (bytesBehind <= SNAPSHOT_WORTH_BYTES) {
+            return false;
+        }
+        if (snapshot == null) {
+            return !snapshotFailed; // it is made, and compared then
+        }
+        long updatesSpared = bytesBehind - bytesFrom(snapshot.revision());
+        return snapshot.revision() > revision && snapshot.bytes().length < updatesSpared;
+    }
+
+    /** Bytes of the updates that lead from a reachable revision to the current one. */
+    private long bytesFrom(long revision) {
+        return revision == current.revision() ? 0 : appendedBytes - updates.get(revision).offset();
+    }
+
     private void requestSnapshot() {
         if (snapshotRequested) {
             return;
@@ -153,6 +182,7 @@
             executor.execute(this::makeSnapshot);
             snapshotRequested = true;
         } catch (RejectedExecutionException e) {
+            snapshotFailed = true;
             ControlLog.snapshotFailed(e); // the server is being closed
         }
     }
@@ -169,6 +199,7 @@
         }
         synchronized (this) {
             snapshotRequested = false;
+            snapshotFailed = made == null;
             if (made == null) {
                 return; // tried again at the next heartbeat of a follower that needs it
             }
--- a/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
@@ -10,6 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Queue;
+import java.util.concurrent.RejectedExecutionException;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import tinford.fleet.config.Change;
@@ -115,6 +116,84 @@
         assertEquals(feed.next(0).revision(), 51);
     }
 
+    /** Enters the same services over and over: many bytes of updates, a small configuration. */
+    private void appendRepeated(int times) {
+        List<Change> changes = new ArrayList<>();
+        for (int i = 0; i < 100; i++) {
+            changes.add(new Change.PutService(new Service("service-" + i)));
+        }
+        for (int i = 0; i < times; i++) {
+            Configuration before = feed.current();
+            long revision = before.revision() + 1;
+            feed.append(
+                    before.with(revision, changes),
+                    new Update(before.revision(), revision, changes));
+        }
+    }
+
+    /** Plays a follower until it is current; returns the bytes that it was sent. */
+    private long follow(long from) {
+        long bytes = 0;
+        long revision = from;
+        while (!feed.isCurrent(revision)) {
+            Line line = feed.next(revision);
+            if (line == null) {
+                runTasks();
+                line = feed.next(revision);
+            }
+            assertTrue(line.revision() > revision, "the follower must get on");
+            bytes += line.bytes().length;
+            revision = line.revision();
+        }
+        return bytes;
+    }
+
+    @Test
+    public void aSnapshotThatIsShorterThanTheUpdatesIsSentInTheirPlace() {
+        appendRepeated(200);
+        long kept = feed.cachedBytes();
+        assertEquals(feed.oldestRetained(), 0, "all updates are kept");
+        long sent = follow(0);
+        assertTrue(sent < kept / 10, sent + " of " + kept + " bytes");
+    }
+
+    @Test
+    public void updatesAreSentWhereASnapshotIsLonger() {
+        for (int i = 0; i < 50; i++) {
+            append(200);
+        }
+        long kept = feed.cachedBytes();
+        assertTrue(kept > RevisionFeed.SNAPSHOT_WORTH_BYTES);
+        long fromTheLast = feed.current().revision() - 2;
+        assertTrue(follow(fromTheLast) < RevisionFeed.SNAPSHOT_WORTH_BYTES);
+        assertTrue(tasks.isEmpty(), "no snapshot is made for a few updates");
+    }
+
+    @Test
+    public void anEarlierSnapshotIsUsedAndUpdatesLeadOnFromIt() {
+        appendRepeated(200);
+        follow(0);
+        long snapshotAt = feed.next(0).revision();
+        appendRepeated(200);
+        assertEquals(feed.next(0).revision(), snapshotAt);
+        assertEquals(feed.next(snapshotAt).revision(), snapshotAt + 1);
+        assertTrue(tasks.isEmpty());
+    }
+
+    @Test
+    public void updatesAreSentWhereNoSnapshotCanBeMade() {
+        feed =
+                new RevisionFeed(
+                        "fleet",
+                        task -> {
+                            throw new RejectedExecutionException("closed");
+                        });
+        appendRepeated(200);
+        feed.next(0);
+        assertEquals(feed.next(0).revision(), 1);
+        assertEquals(feed.next(1).revision(), 2);
+    }
+
     @Test
     public void listenersHearOfChangesAndOfSnapshots() {
         int[] calls = new int[1];
