--- a/lab/src/main/java/tinford/lab/control/ControlFaults.java
+++ b/lab/src/main/java/tinford/lab/control/ControlFaults.java
@@ -11,7 +11,7 @@
 import tinford.api.Effect;
 import tinford.api.Group;
 import tinford.fleet.config.Change;
-import tinford.fleet.config.Plan;
+import tinford.fleet.config.ChangeSet;
 import tinford.fleet.config.Route;
 import tinford.fleet.config.Service;
 
@@ -81,17 +81,18 @@
                         TimeUnit.MILLISECONDS));
     }
 
-    /** Half of the quota and of the ceiling for a while. */
+    /** Half of the quotas and of the ceilings for a while. */
     private void planChanges() {
         if (run.load() != null) {
-            at(70, "the plan allows half", () -> enterPlan(QuotaPhases.HALVED, 0.5));
-            at(140, "the plan allows all again", () -> enterPlan(QuotaPhases.RESTORED, 1));
+            at(70, "the plans allow half", () -> enterPlans(QuotaPhases.HALVED, QuotaPhases.HALF));
+            at(140, "the plans allow all again", () -> enterPlans(QuotaPhases.RESTORED, 1));
         }
     }
 
-    private void enterPlan(String id, double factor) throws IOException, InterruptedException {
-        Plan plan = run.load().ceilingPlan(factor);
-        run.enter(id, new Change.PutPlan(plan));
+    private void enterPlans(String id, double factor) throws IOException, InterruptedException {
+        List<Change> changes = new ArrayList<>();
+        run.load().plansWithCeiling(factor).forEach(plan -> changes.add(new Change.PutPlan(plan)));
+        run.enter(new ChangeSet(id, null, changes));
     }
 
     private void serverKilled() {
--- a/lab/src/main/java/tinford/lab/control/ControlFigures.java
+++ b/lab/src/main/java/tinford/lab/control/ControlFigures.java
@@ -4,6 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
+import tinford.fleet.config.Plan;
 import tinford.lab.fleet.History;
 import tinford.lab.fleet.Judge;
 import tinford.lab.fleet.Promise;
@@ -153,26 +155,45 @@
         quotas();
     }
 
-    /** What was sent on for the plan that changed, by phase. */
+    /** What was sent on for the plans that changed, by plan and phase. */
     private void quotas() {
-        List<QuotaUse.Phase> phases = new QuotaPhases(lines, run.load()).all();
-        List<QuotaUse.Reading> readings = QuotaUse.of(lines, phases);
-        for (int i = 0; i < readings.size(); i++) {
-            QuotaUse.Reading reading = readings.get(i);
-            result.put("quota_phase" + i + "_units", reading.units());
-            result.put("quota_phase" + i + "_beyond_part", reading.beyond());
-            if (reading.units() > 0) {
-                result.put("quota_phase" + i + "_over_ceiling_units", reading.overCeiling());
-            }
-            if (reading.overCeiling() > 0) {
-                result.broken()
-                        .add(
-                                "quotas: a customer is "
-                                        + reading.overCeiling()
-                                        + " units over its ceiling in phase "
-                                        + i);
+        List<Plan> whole = run.load().plansWithCeiling(1);
+        List<Plan> halved = run.load().plansWithCeiling(QuotaPhases.HALF);
+        Map<Integer, Double> leastLeft = new TreeMap<>();
+        for (int i = 0; i < whole.size(); i++) {
+            List<QuotaUse.Phase> phases = new QuotaPhases(lines, whole.get(i), halved.get(i)).all();
+            List<QuotaUse.Reading> readings = QuotaUse.of(lines, phases);
+            for (int phase = 0; phase < readings.size(); phase++) {
+                putQuota(phase, readings.get(phase));
+                leastLeft.merge(phase, readings.get(phase).leastLeft(), Math::min);
             }
         }
+        if (leastLeft.size() > 1) {
+            leastLeft.forEach(this::expectCeilingReached);
+        }
+    }
+
+    private void putQuota(int phase, QuotaUse.Reading reading) {
+        String name = "quota_" + reading.plan().name() + "_phase" + phase;
+        result.put(name + "_units", reading.units());
+        result.put(name + "_beyond_part", reading.beyond());
+        if (reading.units() > 0) {
+            result.put(name + "_least_left_units", reading.leastLeft());
+            result.put(name + "_over_ceiling_units", reading.overCeiling());
+        }
+        if (reading.overCeiling() > 0) {
+            result.broken()
+                    .add(name + ": " + reading.overCeiling() + " units over a customer's ceiling");
+        }
+    }
+
+    /** A change of ceilings shows nothing where no customer comes to its own. */
+    private void expectCeilingReached(int phase, double leastLeft) {
+        double most = run.load().largestRequest();
+        if (!(leastLeft <= most)) {
+            result.missed()
+                    .add("phase " + phase + ": no customer came to its ceiling, " + leastLeft);
+        }
     }
 
     /** Delays by revision, for a file. */
--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -118,13 +118,17 @@
         return all;
     }
 
-    /** The plan with a hard ceiling, with all its rates and bursts times a factor. */
-    Plan ceilingPlan(double factor) {
+    /** The plans with a hard ceiling, with all their rates and bursts times a factor. */
+    List<Plan> plansWithCeiling(double factor) {
         return scenario.plans().stream()
-                .filter(p -> p.ceiling() > 0)
-                .findFirst()
-                .map(p -> plan(p, factor))
-                .orElseThrow();
+                .filter(plan -> plan.ceiling() > 0)
+                .map(plan -> plan(plan, factor))
+                .toList();
+    }
+
+    /** Units of the largest request that clients send. */
+    double largestRequest() {
+        return scenario.clients().largest();
     }
 
     private static Route route(Scenario.Frontend f) {
--- a/lab/src/main/java/tinford/lab/control/QuotaPhases.java
+++ b/lab/src/main/java/tinford/lab/control/QuotaPhases.java
@@ -10,16 +10,19 @@
 import tinford.lab.fleet.History;
 
 /**
- * From when which quotas hold in a run whose plan is halved and restored: the halved one once the
- * last gateway has it in force, the whole one again from when it is entered.
+ * From when which quotas hold in a run whose plans are halved and restored: the halved ones once
+ * the last gateway has them in force, the whole ones again from when they are entered.
  */
 final class QuotaPhases {
-    static final String HALVED = "plan-halved";
-    static final String RESTORED = "plan-restored";
+    static final String HALVED = "plans-halved";
+    static final String RESTORED = "plans-restored";
+    static final double HALF = 0.5;
     private final List<QuotaUse.Phase> phases = new ArrayList<>();
 
-    QuotaPhases(List<History.Line> lines, GatewayLoad load) {
-        Plan whole = load.ceilingPlan(1);
+    /**
+     * @param whole one of the plans; {@code halved} the same while it is halved
+     */
+    QuotaPhases(List<History.Line> lines, Plan whole, Plan halved) {
         phases.add(new QuotaUse.Phase(Double.NEGATIVE_INFINITY, whole));
         Map<String, Long> revisions = new HashMap<>();
         Set<String> waiting = new HashSet<>();
@@ -39,7 +42,7 @@
                     && revision >= revisions.getOrDefault(HALVED, Long.MAX_VALUE)
                     && waiting.remove(follower)
                     && waiting.isEmpty()) {
-                phases.add(new QuotaUse.Phase(line.at(), load.ceilingPlan(0.5)));
+                phases.add(new QuotaUse.Phase(line.at(), halved));
             }
         }
     }
--- a/lab/src/main/java/tinford/lab/control/QuotaUse.java
+++ b/lab/src/main/java/tinford/lab/control/QuotaUse.java
@@ -1,5 +1,6 @@
 package tinford.lab.control;
 
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -22,7 +23,7 @@
     private Plan plan;
     private double units;
     private double unitsBeyond;
-    private double worstOverCeiling;
+    private double leastLeft;
 
     /**
      * The plan is that from a moment on (monotone ms).
@@ -36,10 +37,19 @@
      * Of one phase.
      *
      * @param beyond the part of the units that was beyond the quota
-     * @param overCeiling units by which the most blatant customer was over the ceiling and its
-     *     slack; 0 or less is none
+     * @param leastLeft units that the customer nearest to its ceiling had left of it; below 0 it
+     *     was over
      */
-    record Reading(Plan plan, double units, double beyond, double overCeiling) {}
+    record Reading(Plan plan, double units, double beyond, double leastLeft) {
+        /**
+         * Units by which the most blatant customer was over the ceiling and its slack; 0 or less is
+         * none.
+         */
+        double overCeiling() {
+            double grace = plan.ceilingPerSecond() * GRACE_MS / 1000;
+            return -leastLeft - plan.ceilingSlack() - grace;
+        }
+    }
 
     /** Units that flow in at a rate, up to a depth. */
     private static final class Bucket {
@@ -66,7 +76,7 @@
      */
     static List<Reading> of(List<History.Line> lines, List<Phase> phases) {
         QuotaUse use = new QuotaUse(phases.get(0).plan().name());
-        List<Reading> readings = new java.util.ArrayList<>();
+        List<Reading> readings = new ArrayList<>();
         int next = 0;
         for (History.Line line : lines) {
             while (next < phases.size() && phases.get(next).at() <= line.at()) {
@@ -92,11 +102,11 @@
         plan = phase.plan();
         units = 0;
         unitsBeyond = 0;
-        worstOverCeiling = Double.NEGATIVE_INFINITY;
+        leastLeft = Double.POSITIVE_INFINITY;
     }
 
     private Reading reading() {
-        return new Reading(plan, units, units == 0 ? 0 : unitsBeyond / units, worstOverCeiling);
+        return new Reading(plan, units, units == 0 ? 0 : unitsBeyond / units, leastLeft);
     }
 
     private void see(History.Line line) {
@@ -123,7 +133,6 @@
                 ceilings.computeIfAbsent(customer, k -> new Bucket(plan.ceilingBurst(), now));
         ceiling.fill(now, plan.ceilingPerSecond(), plan.ceilingBurst());
         ceiling.level -= taken;
-        double grace = plan.ceilingPerSecond() * GRACE_MS / 1000;
-        worstOverCeiling = Math.max(worstOverCeiling, -ceiling.level - plan.ceilingSlack() - grace);
+        leastLeft = Math.min(leastLeft, ceiling.level);
     }
 }
