--- a/fleet/src/main/java/tinford/fleet/control/RevisionFeed.java
+++ b/fleet/src/main/java/tinford/fleet/control/RevisionFeed.java
@@ -156,10 +156,14 @@
         return snapshot;
     }
 
-    /** Whether a snapshot takes a follower further for fewer bytes, as far as is known. */
+    /**
+     * Whether a snapshot takes a follower further for fewer bytes, as far as is known. One that
+     * lacks the latest update alone keeps up, and does not wait for a snapshot.
+     */
     private boolean snapshotIsShorter(long revision) {
         long bytesBehind = bytesFrom(revision);
-        if (bytesBehind <= SNAPSHOT_WORTH_BYTES) {
+        boolean keepsUp = updates.lastKey() == revision;
+        if (keepsUp || bytesBehind <= SNAPSHOT_WORTH_BYTES) {
             return false;
         }
         if (snapshot == null) {
--- a/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
@@ -169,6 +169,15 @@
         assertTrue(tasks.isEmpty(), "no snapshot is made for a few updates");
     }
 
+    @Test
+    public void aFollowerThatKeepsUpGetsALargeUpdateAtOnce() {
+        append(1);
+        append(5_000);
+        assertTrue(feed.next(1).bytes().length > RevisionFeed.SNAPSHOT_WORTH_BYTES);
+        assertEquals(feed.next(1).revision(), 2);
+        assertTrue(tasks.isEmpty());
+    }
+
     @Test
     public void anEarlierSnapshotIsUsedAndUpdatesLeadOnFromIt() {
         appendRepeated(200);
