--- a/lab/src/test/java/tinford/lab/control/QuotaUseTest.java
+++ b/lab/src/test/java/tinford/lab/control/QuotaUseTest.java
@@ -69,6 +69,16 @@
         assertEquals(halvedAt(90, lines).get(1).overCeiling() <= 0, true);
     }
 
+    @Test
+    public void theCustomerNearestToItsCeilingIsTold() {
+        List<QuotaUse.Phase> phases = List.of(new QuotaUse.Phase(-1, WHOLE));
+        assertEquals(QuotaUse.of(sent(0, 5, 1), phases).get(0).leastLeft(), 15, 0.1);
+        assertEquals(QuotaUse.of(sent(0, 20, 1), phases).get(0).leastLeft(), 0.4, 0.1);
+        QuotaUse.Reading over = QuotaUse.of(sent(0, 25, 1), phases).get(0);
+        assertEquals(over.leastLeft(), -4.5, 0.1);
+        assertEquals(over.overCeiling(), 0.5, 0.1, "beyond a slack of 2 and 100 ms of the rate");
+    }
+
     @Test
     public void furtherDispatchesAreNotCountedAgain() {
         List<History.Line> lines = sent(0, 1, 1);
