--- a/gateway/src/test/java/tinford/routing/WatchTest.java
+++ b/gateway/src/test/java/tinford/routing/WatchTest.java
@@ -20,54 +20,190 @@
     private static final int MIDWAY = 2950; // beside one that spoke before
     private static final int TWO = 4800; // and where that one is silent too
 
-    /** When the silence begins; how soon after it the news is taken; the connections of 11 s; what each of them says. */
+    /**
+     * When the silence begins; how soon after it the news is taken; the connections of 11 s; what
+     * each of them says.
+     */
     @DataProvider
     public Object[][] cases() {
         String beat = HEAD + chunk("\n");
         String half = HEAD + Integer.toHexString(DROPS.length()) + "\r\n" + DROPS.substring(0, 40);
         String[] midway = {"0", beat, "2000", chunk("\n"), "4000", chunk("\n")};
         String many = indented(DROPS);
-        String back = list(43, true, "s1", host("s9", "ready").replace("\"born_ms\":0", "\"born_ms\":5000"));
+        String back =
+                list(
+                        43,
+                        true,
+                        "s1",
+                        host("s9", "ready").replace("\"born_ms\":0", "\"born_ms\":5000"));
         String gone = list(43, false, "{\"host\":\"s0\",\"health\":\"gone\"}");
         return new Object[][] {
             {"told at once", 0, 50, 1, new String[][] {GOOD}},
             {"first line after 2 s", 0, 2000, 2, new String[][] {after(2000, GOOD)}},
             {"silent from the start", 0, ONE, 2, new String[][] {SILENT, GOOD}},
-            {"silent from the start, the next too", 0, TWO, 3, new String[][] {SILENT, SILENT, GOOD}},
+            {
+                "silent from the start, the next too",
+                0,
+                TWO,
+                3,
+                new String[][] {SILENT, SILENT, GOOD}
+            },
             {"silent midway", 4000, MIDWAY, 2, new String[][] {midway, GOOD}},
             {"silent midway, the next too", 4000, TWO, 3, new String[][] {midway, SILENT, GOOD}},
             {"heartbeats stop after one", 0, MIDWAY, 2, new String[][] {{"0", beat}, GOOD}},
             {"half a line", 0, ONE, 2, new String[][] {{"0", half}, GOOD}},
-            {"half a line, behind a heartbeat and anew", 0, TWO, 3,
-                new String[][] {{"0", beat + half.substring(HEAD.length())}, {"0", half}, GOOD}},
-            {"half an object and empty lines", 0, ONE, 2, new String[][] {each(1000, HEAD + chunk("{\"seq\":43,\n"), chunk("\n"),
-                chunk("\n"), chunk("\n"), chunk("\n"), chunk("\n"), chunk("\n"), chunk("\n"), chunk("\n")), GOOD}},
-            {"bytes that make no line", 0, ONE, 2, new String[][] {trickle(HEAD, "{\"x\":3,"), GOOD}},
-            {"blanks that make no line", 0, TWO, 3, new String[][] {trickle(HEAD, " "), trickle(HEAD, " "), GOOD}},
+            {
+                "half a line, behind a heartbeat and anew",
+                0,
+                TWO,
+                3,
+                new String[][] {{"0", beat + half.substring(HEAD.length())}, {"0", half}, GOOD}
+            },
+            {
+                "half an object and empty lines",
+                0,
+                ONE,
+                2,
+                new String[][] {
+                    each(
+                            1000,
+                            HEAD + chunk("{\"seq\":43,\n"),
+                            chunk("\n"),
+                            chunk("\n"),
+                            chunk("\n"),
+                            chunk("\n"),
+                            chunk("\n"),
+                            chunk("\n"),
+                            chunk("\n"),
+                            chunk("\n")),
+                    GOOD
+                }
+            },
+            {
+                "bytes that make no line",
+                0,
+                ONE,
+                2,
+                new String[][] {trickle(HEAD, "{\"x\":3,"), GOOD}
+            },
+            {
+                "blanks that make no line",
+                0,
+                TWO,
+                3,
+                new String[][] {trickle(HEAD, " "), trickle(HEAD, " "), GOOD}
+            },
             {"a head", 0, ONE, 2, new String[][] {{"0", HEAD}, GOOD}},
             {"a head, twice", 0, TWO, 3, new String[][] {{"0", HEAD}, {"0", HEAD}, GOOD}},
             {"answers after 3 s, each time", 0, 3000, 2, new String[][] {after(3000, GOOD)}},
-            {"silent midway, then answers after 2.5 s", 4000, MIDWAY + 2500, 3, new String[][] {midway, after(2500, GOOD)}},
+            {
+                "silent midway, then answers after 2.5 s",
+                4000,
+                MIDWAY + 2500,
+                3,
+                new String[][] {midway, after(2500, GOOD)}
+            },
             {"503, twice", 0, 950, 3, new String[][] {FAILING, FAILING, GOOD}},
-            {"garbage, twice", 0, 950, 3, new String[][] {{"0", "what\r\n\r\n"}, {"0", HEAD + chunk("{]\n")}, GOOD}},
-            {"a list without a number", 0, 350, 2, new String[][] {{"0", HEAD + chunk("{\"seq\":\"43\"}\n")}, GOOD}},
-            {"ends at once, twice", 0, 950, 3, new String[][] {{"0", beat + "0\r\n\r\n"}, {"0", "end"}, GOOD}},
+            {
+                "garbage, twice",
+                0,
+                950,
+                3,
+                new String[][] {{"0", "what\r\n\r\n"}, {"0", HEAD + chunk("{]\n")}, GOOD}
+            },
+            {
+                "a list without a number",
+                0,
+                350,
+                2,
+                new String[][] {{"0", HEAD + chunk("{\"seq\":\"43\"}\n")}, GOOD}
+            },
+            {
+                "ends at once, twice",
+                0,
+                950,
+                3,
+                new String[][] {{"0", beat + "0\r\n\r\n"}, {"0", "end"}, GOOD}
+            },
             {"indented, in one chunk", 0, 50, 1, new String[][] {with(HEAD + chunk(many))}},
-            {"indented, in two pieces", 0, 550, 1,
-                new String[][] {with(HEAD + chunk(many.substring(0, 31)), "500", chunk(many.substring(31)))}},
+            {
+                "indented, in two pieces",
+                0,
+                550,
+                1,
+                new String[][] {
+                    with(HEAD + chunk(many.substring(0, 31)), "500", chunk(many.substring(31)))
+                }
+            },
             {"indented, a chunk a line", 0, 50, 1, new String[][] {with(HEAD + chunks(many))}},
-            {"late and older than the one held", 0, 50, 1,
-                new String[][] {with(HEAD + chunk(DROPS), "300", chunk(list(41, true, "s0", "s1", "s2")))}},
+            {
+                "late and older than the one held",
+                0,
+                50,
+                1,
+                new String[][] {
+                    with(HEAD + chunk(DROPS), "300", chunk(list(41, true, "s0", "s1", "s2")))
+                }
+            },
             {"back under another id", 0, 50, 1, new String[][] {with(HEAD + chunk(back))}},
             {"gone, told of it alone", 0, 50, 1, new String[][] {with(HEAD + chunk(gone))}},
-            {"cut, twice", 0, 950, 3, new String[][] {{"0", half, "0", "end"}, {"0", half, "0", "reset"}, GOOD}},
-            {"twice in one chunk, and again", 0, 50, 1, new String[][] {with(HEAD + chunk(gone + gone), "300", chunk(gone))}},
-            {"with fields that nobody knows", 0, 50, 1, new String[][] {with(HEAD + chunk(DROPS.replace("\"site\"",
-                "\"x\":[{\"y\":null},[]],\"site\"").replace("\"whole\"", "\"z\":{\"u\":[1e9,\"\\u00e9\"]},\"whole\"")))}},
-            {"a field nested deep", 0, 350, 2,
-                new String[][] {{"0", HEAD + chunk("{\"seq\":43,\"x\":" + "{\"a\":".repeat(950) + "1" + "}".repeat(951) + "\n")}, GOOD}},
-            {"an old one beats once while the next is out", 0, 4550, 3,
-                new String[][] {{"1600", HEAD + chunk("\n")}, after(300, GOOD), GOOD}},
+            {
+                "cut, twice",
+                0,
+                950,
+                3,
+                new String[][] {{"0", half, "0", "end"}, {"0", half, "0", "reset"}, GOOD}
+            },
+            {
+                "twice in one chunk, and again",
+                0,
+                50,
+                1,
+                new String[][] {with(HEAD + chunk(gone + gone), "300", chunk(gone))}
+            },
+            {
+                "with fields that nobody knows",
+                0,
+                50,
+                1,
+                new String[][] {
+                    with(
+                            HEAD
+                                    + chunk(
+                                            DROPS.replace(
+                                                            "\"site\"",
+                                                            "\"x\":[{\"y\":null},[]],\"site\"")
+                                                    .replace(
+                                                            "\"whole\"",
+                                                            "\"z\":{\"u\":[1e9,\"\\u00e9\"]},\"whole\"")))
+                }
+            },
+            {
+                "a field nested deep",
+                0,
+                350,
+                2,
+                new String[][] {
+                    {
+                        "0",
+                        HEAD
+                                + chunk(
+                                        "{\"seq\":43,\"x\":"
+                                                + "{\"a\":".repeat(950)
+                                                + "1"
+                                                + "}".repeat(951)
+                                                + "\n")
+                    },
+                    GOOD
+                }
+            },
+            {
+                "an old one beats once while the next is out",
+                0,
+                4550,
+                3,
+                new String[][] {{"1600", HEAD + chunk("\n")}, after(300, GOOD), GOOD}
+            },
         };
     }
 
@@ -79,9 +215,14 @@
         return all.toString();
     }
 
-    /** A watch that tells nothing whole is not believed, whatever comes of it; what the next one tells is acted on in time. */
+    /**
+     * A watch that tells nothing whole is not believed, whatever comes of it; what the next one
+     * tells is acted on in time.
+     */
     @Test(dataProvider = "cases")
-    public void whatCountsAsToldIsHeard(String name, int from, int within, int connections, String[][] scripts) throws Exception {
+    public void whatCountsAsToldIsHeard(
+            String name, int from, int within, int connections, String[][] scripts)
+            throws Exception {
         for (long seed = 1; seed <= 4; seed++) {
             clear();
             prepare();
@@ -95,17 +236,25 @@
         }
     }
 
-    /** Down for long: asked ever more rarely, on two connections at most, and what comes at the return is taken at once. */
+    /**
+     * Down for long: asked ever more rarely, on two connections at most, and what comes at the
+     * return is taken at once.
+     */
     @DataProvider
     public Object[][] outages() {
-        return new Object[][] {{FAILING, 48, 800}, {SILENT, 10, 2800}, {new String[] {"0", HEAD}, 10, 2800},
+        return new Object[][] {
+            {FAILING, 48, 800},
+            {SILENT, 10, 2800},
+            {new String[] {"0", HEAD}, 10, 2800},
             {new String[] {"0", "reset"}, 48, 800},
             {new String[] {"0", HEAD + chunk("\n"), "0", "end"}, 48, 800},
-            {new String[] {"0", HEAD + chunk("\n\n{]\n")}, 48, 800}};
+            {new String[] {"0", HEAD + chunk("\n\n{]\n")}, 48, 800}
+        };
     }
 
     @Test(dataProvider = "outages")
-    public void anOutageIsLookedAtRarelyAndItsEndSeen(String[] says, int most, int within) throws Exception {
+    public void anOutageIsLookedAtRarelyAndItsEndSeen(String[] says, int most, int within)
+            throws Exception {
         for (boolean revives : new boolean[] {false, true}) {
             clear();
             prepare();
@@ -122,11 +271,16 @@
             }
             play(24_000, new String[][] {GOOD});
             int took = takenAt - 20_000;
-            assertTrue(took >= 0 && took <= (revives && !left.isEmpty() ? 0 : within), "taken after " + took);
+            assertTrue(
+                    took >= 0 && took <= (revives && !left.isEmpty() ? 0 : within),
+                    "taken after " + took);
         }
     }
 
-    /** Room for the two that there may be and for no other: the third has the place of the first, at the same time. */
+    /**
+     * Room for the two that there may be and for no other: the third has the place of the first, at
+     * the same time.
+     */
     @Test
     public void aThirdHasThePlaceOfTheFirst() throws Exception {
         List<List<Integer>> seen = new ArrayList<>();
@@ -146,9 +300,10 @@
     @Test
     public void aFaultInWhoeverHearsOfItIsNotTheWatchs() throws Exception {
         start(1);
-        watch.whenLost(() -> {
-            throw new IllegalStateException("a fault of its own");
-        });
+        watch.whenLost(
+                () -> {
+                    throw new IllegalStateException("a fault of its own");
+                });
         play(4000, SILENT, GOOD);
         assertTrue(takenAt >= 0 && takenAt <= ONE, "taken at " + takenAt);
     }
@@ -157,22 +312,42 @@
     @DataProvider
     public Object[][] spoilt() {
         String good = host("s5", "ready");
-        List<String> bad = List.of("{}", good.replace("\"s5\"", "5"), good.replace("ready", "asleep"), good.replace("127.0.0.1", "s5"),
-            good.replace(":9\"", "\""), good.replace("born_ms\":0", "born_ms\":\"x\""), good.replace("\"a\"", "7"),
-            good.replace("block\":0", "block\":0.5"), good.replace("share\":1.0", "share\":{}"), good.replace("\"site\"", "\"class\":5,\"site\""));
+        List<String> bad =
+                List.of(
+                        "{}",
+                        good.replace("\"s5\"", "5"),
+                        good.replace("ready", "asleep"),
+                        good.replace("127.0.0.1", "s5"),
+                        good.replace(":9\"", "\""),
+                        good.replace("born_ms\":0", "born_ms\":\"x\""),
+                        good.replace("\"a\"", "7"),
+                        good.replace("block\":0", "block\":0.5"),
+                        good.replace("share\":1.0", "share\":{}"),
+                        good.replace("\"site\"", "\"class\":5,\"site\""));
         List<Object[]> all = new ArrayList<>();
         for (String entry : bad) {
             all.add(new Object[] {list(43, true, host("s0", "draining"), entry, "s1")});
         }
         String list = list(43, true, host("s0", "draining"));
-        for (String text : List.of(list.replace("43", "\"43\""), list.replace("43", "4.3"), list.replace("true", "1"), list.replace("hosts", "host"),
-            list.replace("]", ",7]"), list.replace("[", "{\"x\":[").replace("]", "]}"), "[" + list.strip() + "]\n", "null\n")) {
+        for (String text :
+                List.of(
+                        list.replace("43", "\"43\""),
+                        list.replace("43", "4.3"),
+                        list.replace("true", "1"),
+                        list.replace("hosts", "host"),
+                        list.replace("]", ",7]"),
+                        list.replace("[", "{\"x\":[").replace("]", "]}"),
+                        "[" + list.strip() + "]\n",
+                        "null\n")) {
             all.add(new Object[] {text});
         }
         return all.toArray(Object[][]::new);
     }
 
-    /** Nothing of such a list is taken, and the next watch asks from the version held, so that the change is not lost. */
+    /**
+     * Nothing of such a list is taken, and the next watch asks from the version held, so that the
+     * change is not lost.
+     */
     @Test(dataProvider = "spoilt")
     public void aListThatCantBeReadIsAskedForAgainWhole(String text) throws Exception {
         start(1);
@@ -187,23 +362,36 @@
     /** What a call for the list once comes to; how often it is told as refused. */
     @DataProvider
     public Object[][] fetches() {
-        return new Object[][] {{SILENT, 1}, {new String[] {"0", HEAD}, 1}, {trickle(HEAD, "{\"x\":3,"), 1}, {FAILING, 1},
-            {new String[] {"0", "end"}, 1}, {new String[] {"0", HEAD + chunk("\n") + "0\r\n\r\n"}, 1}, {GOOD, 0},
-            {new String[] {"0", HEAD + chunk(DROPS) + "0\r\n\r\n"}, 0}};
+        return new Object[][] {
+            {SILENT, 1},
+            {new String[] {"0", HEAD}, 1},
+            {trickle(HEAD, "{\"x\":3,"), 1},
+            {FAILING, 1},
+            {new String[] {"0", "end"}, 1},
+            {new String[] {"0", HEAD + chunk("\n") + "0\r\n\r\n"}, 1},
+            {GOOD, 0},
+            {new String[] {"0", HEAD + chunk(DROPS) + "0\r\n\r\n"}, 0}
+        };
     }
 
-    /** Each has its end within 2 s, whatever comes, told once; one at a time, and its descriptor is free for the next. */
+    /**
+     * Each has its end within 2 s, whatever comes, told once; one at a time, and its descriptor is
+     * free for the next.
+     */
     @Test(dataProvider = "fetches")
     public void aCallForTheListOnceHasItsEnd(String[] says, int refusals) throws Exception {
-        String[] lives = {"0", HEAD + chunk("\n"), "2000", chunk("\n"), "4000", chunk("\n"), "6000", chunk("\n")};
+        String[] lives = {
+            "0", HEAD + chunk("\n"), "2000", chunk("\n"), "4000", chunk("\n"), "6000", chunk("\n")
+        };
         descriptors = 4; // two of them for discovery
         start(1);
         play(1000, new String[][] {lives});
         for (int call = 1; call <= 2; call++) {
-            desk.loop.enter(() -> {
-                watch.fetch();
-                watch.fetch();
-            });
+            desk.loop.enter(
+                    () -> {
+                        watch.fetch();
+                        watch.fetch();
+                    });
             play(1000 + 2500 * call, new String[][] {says});
             assertEquals(opens.size(), 1 + call);
             assertEquals(asked.get(call), "GET /registry/instances HTTP/1.1");
@@ -228,15 +416,21 @@
         assertEquals(opens, List.of());
         accepts = true;
         play(5000, new String[][] {GOOD});
-        assertTrue(takenAt <= 4050, "taken at " + takenAt); // 250 ms of a try, 750 ms until the next
+        assertTrue(
+                takenAt <= 4050, "taken at " + takenAt); // 250 ms of a try, 750 ms until the next
     }
 
     @DataProvider
     public Object[][] moves() {
-        return new Object[][] {{GOOD, 1}, {SILENT, 1}, {FAILING, 1}, {new String[] {"0", HEAD + chunk("\n")}, 2}};
+        return new Object[][] {
+            {GOOD, 1}, {SILENT, 1}, {FAILING, 1}, {new String[] {"0", HEAD + chunk("\n")}, 2}
+        };
     }
 
-    /** Told to move while the watch is in this state, with as many silent ones where it goes: counts 4 s later. */
+    /**
+     * Told to move while the watch is in this state, with as many silent ones where it goes: counts
+     * 4 s later.
+     */
     @Test(dataProvider = "moves")
     public void aMoveIsHeardInTime(String[] before, int silent) throws Exception {
         start(1);
@@ -244,26 +438,38 @@
         List<Wire> old = wires.stream().filter(w -> w.channel.isOpen()).toList();
         takenAt = -1;
         door = door();
-        desk.loop.enter(() -> {
-            held.put("s0", new Backend("s0"));
-            try {
-                watch.move(at());
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        });
+        desk.loop.enter(
+                () -> {
+                    held.put("s0", new Backend("s0"));
+                    try {
+                        watch.move(at());
+                    } catch (IOException e) {
+                        throw new java.io.UncheckedIOException(e);
+                    }
+                });
         opens.clear();
         asked.clear();
         String[] good = with(HEAD + chunk(list(44, true, "s1")));
-        play(9000, silent == 1 ? new String[][] {SILENT, good} : new String[][] {SILENT, SILENT, good});
-        assertTrue(takenAt >= 0 && takenAt - 5000 <= (silent == 1 ? ONE : 4000), "taken at " + takenAt + ", opened at " + opens);
-        assertTrue(asked.get(0).contains(before == GOOD ? "&after=43 " : "&after=42 "), asked.toString());
+        play(
+                9000,
+                silent == 1
+                        ? new String[][] {SILENT, good}
+                        : new String[][] {SILENT, SILENT, good});
+        assertTrue(
+                takenAt >= 0 && takenAt - 5000 <= (silent == 1 ? ONE : 4000),
+                "taken at " + takenAt + ", opened at " + opens);
+        assertTrue(
+                asked.get(0).contains(before == GOOD ? "&after=43 " : "&after=42 "),
+                asked.toString());
         for (Wire w : old) {
             assertTrue(!w.channel.isOpen(), "left open");
         }
     }
 
-    /** What the watch meets before it is moved; how many ms lie between the two moves; whether the second one leads back. */
+    /**
+     * What the watch meets before it is moved; how many ms lie between the two moves; whether the
+     * second one leads back.
+     */
     @DataProvider
     public Object[][] movesTwice() {
         List<Object[]> all = new ArrayList<>();
@@ -276,7 +482,10 @@
         return all.toArray(Object[][]::new);
     }
 
-    /** Moved while a call is out, a wait runs or one speaks; again with the call to the new address out; the last one counts. */
+    /**
+     * Moved while a call is out, a wait runs or one speaks; again with the call to the new address
+     * out; the last one counts.
+     */
     @Test(dataProvider = "movesTwice")
     public void theLastOfTwoMovesCounts(String[] before, int apart, boolean back) throws Exception {
         start(2);
@@ -297,7 +506,9 @@
         assertEquals(takenAt, 5000 + apart);
         play(5000 + apart + 1000, new String[][] {SILENT});
         assertEquals(opens, List.of(5000 + apart));
-        assertTrue(asked.get(0).contains(before == GOOD ? "&after=43 " : "&after=42 "), asked.toString());
+        assertTrue(
+                asked.get(0).contains(before == GOOD ? "&after=43 " : "&after=42 "),
+                asked.toString());
         assertEquals(wires.stream().filter(w -> w.channel.isOpen()).count(), 1);
     }
 }
--- a/gateway/src/test/java/tinford/transport/BufTest.java
+++ b/gateway/src/test/java/tinford/transport/BufTest.java
@@ -16,8 +16,11 @@
 /** The one buffer of a connection, and the clock. */
 public class BufTest {
     private static <T> T conduit(Class<T> type, java.util.function.ToIntFunction<ByteBuffer> io) {
-        return type.cast(Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type},
-                (self, method, args) -> io.applyAsInt((ByteBuffer) args[0])));
+        return type.cast(
+                Proxy.newProxyInstance(
+                        type.getClassLoader(),
+                        new Class<?>[] {type},
+                        (self, method, args) -> io.applyAsInt((ByteBuffer) args[0])));
     }
 
     @DataProvider
@@ -33,20 +36,26 @@
         Buf buf = new Buf(room);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int[] next = new int[2]; // the next byte to come in, and to be put
-        StreamSourceConduit source = conduit(StreamSourceConduit.class, b -> {
-            int n = Math.min(b.remaining(), chance.nextInt(most));
-            for (int i = 0; i < n; i++) {
-                b.put((byte) next[0]++);
-            }
-            return n;
-        });
-        StreamSinkConduit sink = conduit(StreamSinkConduit.class, b -> {
-            int n = Math.min(b.remaining(), chance.nextInt(most) / 2);
-            for (int i = 0; i < n; i++) {
-                out.write(b.get());
-            }
-            return n;
-        });
+        StreamSourceConduit source =
+                conduit(
+                        StreamSourceConduit.class,
+                        b -> {
+                            int n = Math.min(b.remaining(), chance.nextInt(most));
+                            for (int i = 0; i < n; i++) {
+                                b.put((byte) next[0]++);
+                            }
+                            return n;
+                        });
+        StreamSinkConduit sink =
+                conduit(
+                        StreamSinkConduit.class,
+                        b -> {
+                            int n = Math.min(b.remaining(), chance.nextInt(most) / 2);
+                            for (int i = 0; i < n; i++) {
+                                out.write(b.get());
+                            }
+                            return n;
+                        });
         int taken = 0;
         for (int step = 0; step < 3000; step++) {
             switch (chance.nextInt(4)) {
--- a/gateway/src/test/java/tinford/transport/DescriptorsTest.java
+++ b/gateway/src/test/java/tinford/transport/DescriptorsTest.java
@@ -11,7 +11,9 @@
 public class DescriptorsTest {
     @DataProvider
     public Object[][] pools() {
-        return new Object[][] {{8, 0}, {20, 0}, {20, 4}, {24, 24}, {24, 99}, {88, 56}, {960, 480}, {(1 << 20) - 40, 0}};
+        return new Object[][] {
+            {8, 0}, {20, 0}, {20, 4}, {24, 24}, {24, 99}, {88, 56}, {960, 480}, {(1 << 20) - 40, 0}
+        };
     }
 
     @Test(dataProvider = "pools")
@@ -25,7 +27,8 @@
         int services = take(pool, Party.SERVICES);
         assertEquals(clients + servers + services, Math.max(0, all - aside));
         assertTrue(clients >= servers && servers >= clients - 1, clients + " and " + servers);
-        assertTrue(services == Math.min(12, Math.max(0, all - aside) / 2), services + " for services");
+        assertTrue(
+                services == Math.min(12, Math.max(0, all - aside) / 2), services + " for services");
         pool.setAside(0);
         int more = take(pool, Party.CLIENTS);
         assertEquals(clients + more, pool.most(Party.CLIENTS));
@@ -35,7 +38,7 @@
 
     private static int take(Descriptors pool, Party with) {
         int n = 0;
-        for (; pool.take(with); n++) { }
+        for (; pool.take(with); n++) {}
         return n;
     }
 }
--- a/gateway/src/test/java/tinford/transport/LoopTest.java
+++ b/gateway/src/test/java/tinford/transport/LoopTest.java
@@ -11,7 +11,9 @@
 public class LoopTest {
     @DataProvider
     public Object[][] faults() {
-        return new Object[][] {{new IllegalStateException()}, {new StackOverflowError()}, {new OutOfMemoryError()}};
+        return new Object[][] {
+            {new IllegalStateException()}, {new StackOverflowError()}, {new OutOfMemoryError()}
+        };
     }
 
     /** However the handling of one ends, what came in with it and behind it is played, once. */
@@ -21,18 +23,20 @@
         loop[0] = new Loop(() -> loop[0].playAll(), 4, 1 << 16, System::nanoTime);
         CountDownLatch beside = new CountDownLatch(1);
         CountDownLatch later = new CountDownLatch(1);
-        loop[0].enter(() -> {
-            loop[0].due(() -> {
-                if (fault instanceof Error e) {
-                    throw e;
-                }
-                throw (RuntimeException) fault;
-            });
-            loop[0].due(beside::countDown);
-        });
+        loop[0].enter(
+                () -> {
+                    loop[0].due(
+                            () -> {
+                                if (fault instanceof Error e) {
+                                    throw e;
+                                }
+                                throw (RuntimeException) fault;
+                            });
+                    loop[0].due(beside::countDown);
+                });
         assertTrue(beside.await(10, TimeUnit.SECONDS), "what came with it");
         loop[0].after(1, later::countDown);
-        loop[0].enter(() -> { });
+        loop[0].enter(() -> {});
         assertTrue(later.await(10, TimeUnit.SECONDS), "what came behind it");
         loop[0].close();
     }
--- a/lab/src/main/java/tinford/lab/Lab.java
+++ b/lab/src/main/java/tinford/lab/Lab.java
@@ -33,11 +33,23 @@
 import tinford.lab.study.Study;
 import tinford.lab.study.Versions;
 
-/** The laboratory's command line. Exit codes: 0 done, 1 a rule was broken, 2 wrong words, 3 bad input. */
-@Command(name = "lab", mixinStandardHelpOptions = true, version = "tinford lab 0.1",
+/**
+ * The laboratory's command line. Exit codes: 0 done, 1 a rule was broken, 2 wrong words, 3 bad
+ * input.
+ */
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        version = "tinford lab 0.1",
         description = "Tries the decisions of tinford in a model of clients, servers and counter.",
-        subcommands = {Lab.Run.class, Lab.Compare.class, Lab.Sweep.class, Lab.Record.class, Lab.Sockets.class,
-                Lab.Fleet.class})
+        subcommands = {
+            Lab.Run.class,
+            Lab.Compare.class,
+            Lab.Sweep.class,
+            Lab.Record.class,
+            Lab.Sockets.class,
+            Lab.Fleet.class
+        })
 public final class Lab {
     static final int RULE_BROKEN = 1;
     static final int BAD_INPUT = 3;
@@ -48,31 +60,46 @@
 
     static CommandLine line() {
         CommandLine line = new CommandLine(new Lab());
-        line.setExecutionExceptionHandler((e, l, parsed) -> {
-            if (e instanceof Scenario.Bad || e instanceof Versions.Bad || e instanceof IOException) {
-                l.getErr().println("lab: " + e.getMessage());
-                return BAD_INPUT;
-            }
-            throw e;
-        });
+        line.setExecutionExceptionHandler(
+                (e, l, parsed) -> {
+                    if (e instanceof Scenario.Bad
+                            || e instanceof Versions.Bad
+                            || e instanceof IOException) {
+                        l.getErr().println("lab: " + e.getMessage());
+                        return BAD_INPUT;
+                    }
+                    throw e;
+                });
         return line;
     }
 
     /** What every study is told. */
     abstract static class Tries implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "SCENARIO", description = "a scenario file (docs/lab.md)")
+        @Parameters(
+                index = "0",
+                paramLabel = "SCENARIO",
+                description = "a scenario file (docs/lab.md)")
         Path scenario;
 
-        @Option(names = "--runs", defaultValue = "10", description = "seeds to try (${DEFAULT-VALUE})")
+        @Option(
+                names = "--runs",
+                defaultValue = "10",
+                description = "seeds to try (${DEFAULT-VALUE})")
         int runs;
 
-        @Option(names = "--seed", defaultValue = "1", description = "the first of them (${DEFAULT-VALUE})")
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "the first of them (${DEFAULT-VALUE})")
         long seed;
 
         @Option(names = "--threads", description = "runs at a time (all cores)")
         int threads = Runtime.getRuntime().availableProcessors();
 
-        @Option(names = "--level", defaultValue = "0.95", description = "of the intervals (${DEFAULT-VALUE})")
+        @Option(
+                names = "--level",
+                defaultValue = "0.95",
+                description = "of the intervals (${DEFAULT-VALUE})")
         double level;
 
         @Option(names = "--csv", description = "a file for one line a run")
@@ -81,17 +108,24 @@
         @Option(names = "--json", description = "a file for the same with the means")
         Path json;
 
-        @Option(names = "--set", paramLabel = "KEY=VALUE", description = "a value in place of the scenario's, such as servers.count=12")
+        @Option(
+                names = "--set",
+                paramLabel = "KEY=VALUE",
+                description = "a value in place of the scenario's, such as servers.count=12")
         Map<String, String> set = new LinkedHashMap<>();
 
-        @Option(names = "--trace", description = "recorded traffic to replay in place of drawn reqs")
+        @Option(
+                names = "--trace",
+                description = "recorded traffic to replay in place of drawn reqs")
         Path trace;
 
-        @Option(names = "--rate", defaultValue = "1", description = "replays it so many times as quick (${DEFAULT-VALUE})")
+        @Option(
+                names = "--rate",
+                defaultValue = "1",
+                description = "replays it so many times as quick (${DEFAULT-VALUE})")
         double rate;
 
-        @Spec
-        CommandSpec spec;
+        @Spec CommandSpec spec;
 
         Study study() throws Scenario.Bad {
             return study(set);
@@ -99,7 +133,8 @@
 
         Study study(Map<String, String> changes) throws Scenario.Bad {
             if (runs < 1 || threads < 1 || !(level > 0 && level < 1)) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "--runs and --threads from 1, --level between 0 and 1");
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(), "--runs and --threads from 1, --level between 0 and 1");
             }
             if (!(rate > 0 && rate < 1e6)) {
                 throw new CommandLine.ParameterException(spec.commandLine(), "--rate above 0");
@@ -113,7 +148,15 @@
         }
 
         void tell(Map<String, Study.Mean> means) {
-            means.forEach((f, m) -> out().printf(Locale.ROOT, "%-14s %12.4f  [%.4f, %.4f]%n", f, m.mean(), m.least(), m.most()));
+            means.forEach(
+                    (f, m) ->
+                            out().printf(
+                                            Locale.ROOT,
+                                            "%-14s %12.4f  [%.4f, %.4f]%n",
+                                            f,
+                                            m.mean(),
+                                            m.least(),
+                                            m.most()));
         }
 
         /** Written beside and moved, so that what stands there is whole. */
@@ -129,7 +172,9 @@
                 for (Map.Entry<String, List<Outcome>> v : versions.entrySet()) {
                     for (Outcome o : v.getValue()) {
                         if (s.isEmpty()) {
-                            s.append("version,seed,").append(String.join(",", o.figures().keySet())).append('\n');
+                            s.append("version,seed,")
+                                    .append(String.join(",", o.figures().keySet()))
+                                    .append('\n');
                         }
                         s.append(v.getKey()).append(',').append(o.seed);
                         o.figures().values().forEach(x -> s.append(',').append(x));
@@ -142,10 +187,26 @@
                 Map<String, Object> all = new LinkedHashMap<>();
                 for (Map.Entry<String, List<Outcome>> v : versions.entrySet()) {
                     List<Object> each = new ArrayList<>();
-                    v.getValue().forEach(o -> each.add(Map.of("seed", o.seed, "figures", o.figures(), "broken", o.broken())));
-                    all.put(v.getKey(), Map.of("means", Study.means(v.getValue(), level), "runs", each));
+                    v.getValue()
+                            .forEach(
+                                    o ->
+                                            each.add(
+                                                    Map.of(
+                                                            "seed",
+                                                            o.seed,
+                                                            "figures",
+                                                            o.figures(),
+                                                            "broken",
+                                                            o.broken())));
+                    all.put(
+                            v.getKey(),
+                            Map.of("means", Study.means(v.getValue(), level), "runs", each));
                 }
-                write(json, new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(all));
+                write(
+                        json,
+                        new ObjectMapper()
+                                .enable(SerializationFeature.INDENT_OUTPUT)
+                                .writeValueAsString(all));
             }
         }
 
@@ -155,13 +216,18 @@
                 return 0;
             }
             out().println("rules broken " + broken + " times; the first of each run:");
-            all.stream().filter(o -> !o.broken().isEmpty()).limit(5)
+            all.stream()
+                    .filter(o -> !o.broken().isEmpty())
+                    .limit(5)
                     .forEach(o -> out().println("  seed " + o.seed + ": " + o.broken().get(0)));
             return RULE_BROKEN;
         }
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs a scenario over seeds: each figure with its interval.")
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description = "Runs a scenario over seeds: each figure with its interval.")
     static final class Run extends Tries {
         @Option(names = "--jar", description = "the gateway's jar of another version (this one)")
         Path jar;
@@ -175,13 +241,21 @@
             double took = (System.nanoTime() - from) / 1e9;
             tell(Study.means(all, level));
             long events = all.stream().mapToLong(Outcome::events).sum();
-            out().printf(Locale.ROOT, "%d runs, %d events, %.1f s, %.0f events a second%n", runs, events, took, events / took);
+            out().printf(
+                            Locale.ROOT,
+                            "%d runs, %d events, %.1f s, %.0f events a second%n",
+                            runs,
+                            events,
+                            took,
+                            events / took);
             files(Map.of("this", all));
             return rules(all);
         }
     }
 
-    @Command(name = "compare", mixinStandardHelpOptions = true,
+    @Command(
+            name = "compare",
+            mixinStandardHelpOptions = true,
             description = "Two versions on the same seeds: better, worse, or can't tell.")
     static final class Compare extends Tries {
         @Option(names = "--first", description = "a gateway's jar (this version)")
@@ -190,26 +264,44 @@
         @Option(names = "--second", description = "a gateway's jar (this version)")
         Path second;
 
-        @Option(names = "--figure", defaultValue = "service", description = "what is compared; more is better (${DEFAULT-VALUE})")
+        @Option(
+                names = "--figure",
+                defaultValue = "service",
+                description = "what is compared; more is better (${DEFAULT-VALUE})")
         String figure;
 
         @Override
         public Integer call() throws Exception {
             Study study = study();
-            List<Outcome> a = study.run(first == null ? Versions.here() : Versions.of(first), seed, runs);
-            List<Outcome> b = study.run(second == null ? Versions.here() : Versions.of(second), seed, runs);
+            List<Outcome> a =
+                    study.run(first == null ? Versions.here() : Versions.of(first), seed, runs);
+            List<Outcome> b =
+                    study.run(second == null ? Versions.here() : Versions.of(second), seed, runs);
             if (!a.get(0).figures().containsKey(figure)) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "--figure: expected one of " + a.get(0).figures().keySet());
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
+                        "--figure: expected one of " + a.get(0).figures().keySet());
             }
             Study.Comparison c = Study.compare(a, b, figure, level);
-            out().printf(Locale.ROOT, "first   %.4f  [%.4f, %.4f]%nsecond  %.4f  [%.4f, %.4f]%nsecond - first  %+.4f  [%+.4f, %+.4f]%n",
-                    c.first().mean(), c.first().least(), c.first().most(), c.second().mean(), c.second().least(), c.second().most(),
-                    c.difference().mean(), c.difference().least(), c.difference().most());
-            out().println(switch (c.verdict()) {
-                case BETTER -> "the second is better";
-                case WORSE -> "the second is worse";
-                case CANT_TELL -> "can't tell";
-            });
+            out().printf(
+                            Locale.ROOT,
+                            "first   %.4f  [%.4f, %.4f]%nsecond  %.4f  [%.4f, %.4f]%nsecond - first"
+                                    + "  %+.4f  [%+.4f, %+.4f]%n",
+                            c.first().mean(),
+                            c.first().least(),
+                            c.first().most(),
+                            c.second().mean(),
+                            c.second().least(),
+                            c.second().most(),
+                            c.difference().mean(),
+                            c.difference().least(),
+                            c.difference().most());
+            out().println(
+                            switch (c.verdict()) {
+                                case BETTER -> "the second is better";
+                                case WORSE -> "the second is worse";
+                                case CANT_TELL -> "can't tell";
+                            });
             Map<String, List<Outcome>> versions = new LinkedHashMap<>();
             versions.put("first", a);
             versions.put("second", b);
@@ -220,16 +312,30 @@
         }
     }
 
-    @Command(name = "sweep", mixinStandardHelpOptions = true,
-            description = "A figure over values of one key, for one version or two, as a table and a plot.")
+    @Command(
+            name = "sweep",
+            mixinStandardHelpOptions = true,
+            description =
+                    "A figure over values of one key, for one version or two, as a table and a"
+                            + " plot.")
     static final class Sweep extends Tries {
-        @Option(names = "--key", required = true, description = "such as counter.takes or plans.small.rate")
+        @Option(
+                names = "--key",
+                required = true,
+                description = "such as counter.takes or plans.small.rate")
         String key;
 
-        @Option(names = "--values", required = true, split = ",", description = "numbers, in the order of the plot")
+        @Option(
+                names = "--values",
+                required = true,
+                split = ",",
+                description = "numbers, in the order of the plot")
         List<String> values;
 
-        @Option(names = "--figure", defaultValue = "service", description = "what is plotted (${DEFAULT-VALUE})")
+        @Option(
+                names = "--figure",
+                defaultValue = "service",
+                description = "what is plotted (${DEFAULT-VALUE})")
         String figure;
 
         @Option(names = "--jar", description = "a gateway's jar; once for each version (this one)")
@@ -247,7 +353,8 @@
             if (makers.isEmpty()) {
                 makers.put("this", Versions.here());
             }
-            Map<String, Study> studies = new LinkedHashMap<>(); // all are checked before the first runs
+            Map<String, Study> studies =
+                    new LinkedHashMap<>(); // all are checked before the first runs
             for (String v : values) {
                 Map<String, String> changes = new LinkedHashMap<>(set);
                 changes.put(key, v);
@@ -262,11 +369,20 @@
                     List<Outcome> done = s.getValue().run(m.getValue(), seed, runs);
                     Study.Mean mean = Study.means(done, level).get(figure);
                     if (mean == null) {
-                        throw new CommandLine.ParameterException(spec.commandLine(),
+                        throw new CommandLine.ParameterException(
+                                spec.commandLine(),
                                 "--figure: expected one of " + done.get(0).figures().keySet());
                     }
-                    out().printf(Locale.ROOT, "%-16s %s=%-10s %s %.4f  [%.4f, %.4f]%n", m.getKey(), key, s.getKey(), figure, mean.mean(),
-                            mean.least(), mean.most());
+                    out().printf(
+                                    Locale.ROOT,
+                                    "%-16s %s=%-10s %s %.4f  [%.4f, %.4f]%n",
+                                    m.getKey(),
+                                    key,
+                                    s.getKey(),
+                                    figure,
+                                    mean.mean(),
+                                    mean.least(),
+                                    mean.most());
                     line.add(new Plot.Point(Double.parseDouble(s.getKey()), mean));
                     all.put(m.getKey() + " " + key + "=" + s.getKey(), done);
                     every.addAll(done);
@@ -275,13 +391,21 @@
             }
             files(all);
             if (plot != null) {
-                Plot.write(plot, scenario.getFileName() + ", " + runs + " runs each", key, figure, lines);
+                Plot.write(
+                        plot,
+                        scenario.getFileName() + ", " + runs + " runs each",
+                        key,
+                        figure,
+                        lines);
             }
             return rules(every);
         }
     }
 
-    @Command(name = "record", mixinStandardHelpOptions = true, description = "Writes what one seed of a scenario asks for, as a trace.")
+    @Command(
+            name = "record",
+            mixinStandardHelpOptions = true,
+            description = "Writes what one seed of a scenario asks for, as a trace.")
     static final class Record extends Tries {
         @Option(names = "--out", required = true, description = "the trace file")
         Path to;
@@ -297,13 +421,19 @@
         }
     }
 
-    @Command(name = "sockets", mixinStandardHelpOptions = true,
-            description = "One seed on loopback sockets, against real gateways, beside the model on the same traffic.")
+    @Command(
+            name = "sockets",
+            mixinStandardHelpOptions = true,
+            description =
+                    "One seed on loopback sockets, against real gateways, beside the model on the"
+                            + " same traffic.")
     static final class Sockets extends Tries {
         @Option(names = "--jar", required = true, description = "the gateway's jar")
         Path jar;
 
-        @Option(names = "--logs", description = "a folder for the gateways' configurations and logs (a new one)")
+        @Option(
+                names = "--logs",
+                description = "a folder for the gateways' configurations and logs (a new one)")
         Path logs;
 
         @Override
@@ -321,26 +451,50 @@
             Map<String, String> once = new LinkedHashMap<>(set);
             once.put("clients.retries", "0");
             once.put("clients.leave", "0");
-            List<Outcome> model = new Study(Scenario.read(scenario, once), threads, played).run(maker, seed, runs);
+            List<Outcome> model =
+                    new Study(Scenario.read(scenario, once), threads, played)
+                            .run(maker, seed, runs);
             Map<String, Double> real;
             List<String> broken;
-            try (Bench bench = new Bench(s, seed, jar, logs == null ? Files.createTempDirectory("lab") : Files.createDirectories(logs))) {
+            try (Bench bench =
+                    new Bench(
+                            s,
+                            seed,
+                            jar,
+                            logs == null
+                                    ? Files.createTempDirectory("lab")
+                                    : Files.createDirectories(logs))) {
                 real = bench.run(played);
                 broken = bench.broken();
             }
             Map<String, Study.Mean> means = Study.means(model, level);
             out().printf("%-14s %12s  %s%n", "", "sockets", "model, " + runs + " runs");
-            real.forEach((f, v) -> out().printf(Locale.ROOT, "%-14s %12.4f  %.4f  [%.4f, %.4f]%n", f, v, means.get(f).mean(),
-                    means.get(f).least(), means.get(f).most()));
+            real.forEach(
+                    (f, v) ->
+                            out().printf(
+                                            Locale.ROOT,
+                                            "%-14s %12.4f  %.4f  [%.4f, %.4f]%n",
+                                            f,
+                                            v,
+                                            means.get(f).mean(),
+                                            means.get(f).least(),
+                                            means.get(f).most()));
             broken.stream().limit(5).forEach(b -> out().println("  " + b));
             return broken.isEmpty() ? rules(model) : RULE_BROKEN;
         }
     }
 
-    @Command(name = "fleet", mixinStandardHelpOptions = true,
-            description = "Real gateways on loopback under a script of faults, with links between all; judged by their histories.")
+    @Command(
+            name = "fleet",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Real gateways on loopback under a script of faults, with links between all;"
+                            + " judged by their histories.")
     static final class Fleet implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "SCRIPT", description = "a script of faults (docs/lab.md)")
+        @Parameters(
+                index = "0",
+                paramLabel = "SCRIPT",
+                description = "a script of faults (docs/lab.md)")
         Path script;
 
         @Option(names = "--gateways", defaultValue = "5", description = "(${DEFAULT-VALUE})")
@@ -349,29 +503,44 @@
         @Option(names = "--jar", required = true, description = "the program: java -jar JAR serve")
         Path jar;
 
-        @Option(names = "--java", paramLabel = "WORD", description = "a word for java, such as -Dtinford.clock.offset_ms=300; may hold {number}")
+        @Option(
+                names = "--java",
+                paramLabel = "WORD",
+                description =
+                        "a word for java, such as -Dtinford.clock.offset_ms=300; may hold {number}")
         List<String> java = new ArrayList<>();
 
-        @Option(names = "--operator", description = "a template of the operator files; {number}, {gateways}, {disk}, {peer_listen}, "
-                + "{peers}, {member_listen} and {members} are filled in")
+        @Option(
+                names = "--operator",
+                description =
+                        "a template of the operator files; {number}, {gateways}, {disk},"
+                            + " {peer_listen}, {peers}, {member_listen} and {members} are filled"
+                            + " in")
         Path operator;
 
-        @Option(names = "--free-peers", description = "the gateway's own peer socket stays shut: the program uses the address otherwise")
+        @Option(
+                names = "--free-peers",
+                description =
+                        "the gateway's own peer socket stays shut: the program uses the address"
+                                + " otherwise")
         boolean freePeers;
 
         @Option(names = "--seed", defaultValue = "1", description = "(${DEFAULT-VALUE})")
         long seed;
 
-        @Option(names = "--out", required = true, description = "a folder for configurations, disks, logs and histories")
+        @Option(
+                names = "--out",
+                required = true,
+                description = "a folder for configurations, disks, logs and histories")
         Path to;
 
-        @Spec
-        CommandSpec spec;
+        @Spec CommandSpec spec;
 
         @Override
         public Integer call() throws Exception {
             if (gateways < 1 || gateways > 64) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "--gateways from 1 to 64");
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(), "--gateways from 1 to 64");
             }
             FleetScript read = FleetScript.read(script);
             Scenario s = read.scenario(script, gateways);
@@ -381,12 +550,21 @@
             words.addAll(java);
             words.addAll(List.of("-jar", jar.toString(), "serve"));
             String template = operator == null ? null : Files.readString(operator);
-            Program program = new Program(words, Map.of(), template == null ? null : seat -> seat.fill(template), !freePeers);
+            Program program =
+                    new Program(
+                            words,
+                            Map.of(),
+                            template == null ? null : seat -> seat.fill(template),
+                            !freePeers);
             try (FleetBench bench = new FleetBench(read, s, program, seed, to)) {
                 PrintWriter out = spec.commandLine().getOut();
-                bench.run(drawn.asked()).forEach((f, v) -> out.printf(Locale.ROOT, "%-18s %12.4f%n", f, v));
+                bench.run(drawn.asked())
+                        .forEach((f, v) -> out.printf(Locale.ROOT, "%-18s %12.4f%n", f, v));
                 List<String> broken = bench.broken();
-                out.println(broken.isEmpty() ? "no rule and no promise broken" : broken.size() + " broken; the first:");
+                out.println(
+                        broken.isEmpty()
+                                ? "no rule and no promise broken"
+                                : broken.size() + " broken; the first:");
                 broken.stream().limit(5).forEach(b -> out.println("  " + b));
                 out.flush();
                 return broken.isEmpty() ? 0 : RULE_BROKEN;
--- a/lab/src/main/java/tinford/lab/fleet/Answers.java
+++ b/lab/src/main/java/tinford/lab/fleet/Answers.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * Every req has one final answer: none twice, none lost but by a gateway that was killed, stood still or ended while it was out.
+ * Every req has one final answer: none twice, none lost but by a gateway that was killed, stood
+ * still or ended while it was out.
  */
 final class Answers implements Promise {
     private final Map<String, History.Line> asked = new HashMap<>();
@@ -21,7 +22,9 @@
             History.Line ask = asked.get(req);
             String how = l.text("how");
             if (how.equals("again")) {
-                finds.breach("gateway " + l.number("via") + " answered once more than it was asked", List.of(l));
+                finds.breach(
+                        "gateway " + l.number("via") + " answered once more than it was asked",
+                        List.of(l));
             } else if (ask == null) {
                 finds.breach("req " + req + " was answered and never asked", List.of(l));
             } else if (before != null) {
--- a/lab/src/main/java/tinford/lab/fleet/Connections.java
+++ b/lab/src/main/java/tinford/lab/fleet/Connections.java
@@ -19,7 +19,13 @@
                 List<History.Line> its = open.computeIfAbsent(server, k -> new ArrayList<>());
                 its.add(l);
                 if (l.number("held") > offers.getOrDefault(server, Integer.MAX_VALUE)) {
-                    finds.breach(server + " holds " + l.number("held") + " connections and offers " + offers.get(server), its);
+                    finds.breach(
+                            server
+                                    + " holds "
+                                    + l.number("held")
+                                    + " connections and offers "
+                                    + offers.get(server),
+                            its);
                 }
             }
             case "closed" -> {
@@ -31,7 +37,7 @@
                     }
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 }
--- a/lab/src/main/java/tinford/lab/fleet/DatagramLink.java
+++ b/lab/src/main/java/tinford/lab/fleet/DatagramLink.java
@@ -10,8 +10,9 @@
 import java.util.Random;
 
 /**
- * Datagrams between two gateways: an address of its own towards each. What one sends to its address reaches the other as from the
- * address that the other sends to. At most 10,000 are under way, more are lost.
+ * Datagrams between two gateways: an address of its own towards each. What one sends to its address
+ * reaches the other as from the address that the other sends to. At most 10,000 are under way, more
+ * are lost.
  */
 final class DatagramLink {
     private static final int MOST = 10_000;
@@ -23,7 +24,9 @@
 
     /** The address towards one side. */
     private final class End {
-        final DatagramChannel channel = DatagramChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        final DatagramChannel channel =
+                DatagramChannel.open()
+                        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         final SocketAddress gateway;
         final Way from;
         End other;
@@ -51,7 +54,9 @@
             if (i.cut() || from.happens(i.loss())) {
                 return;
             }
-            for (int copies = from.happens(i.doubled()) ? 2 : 1; copies > 0 && underWay < MOST; copies--) {
+            for (int copies = from.happens(i.doubled()) ? 2 : 1;
+                    copies > 0 && underWay < MOST;
+                    copies--) {
                 double at = from.through(loop.now(), bytes.length);
                 if (from.happens(i.reordered())) {
                     at += LATE + i.delay() + i.jitter();
@@ -78,16 +83,19 @@
         }
     }
 
-    DatagramLink(LinkLoop loop, Random draw, InetSocketAddress left, InetSocketAddress right) throws IOException {
+    DatagramLink(LinkLoop loop, Random draw, InetSocketAddress left, InetSocketAddress right)
+            throws IOException {
         this.loop = loop;
         this.left = new End(left, draw);
         this.right = new End(right, draw);
         this.left.other = this.right;
         this.right.other = this.left;
-        loop.call(() -> {
-            loop.register(this.left.channel, SelectionKey.OP_READ, k -> this.left.ready());
-            loop.register(this.right.channel, SelectionKey.OP_READ, k -> this.right.ready());
-        });
+        loop.call(
+                () -> {
+                    loop.register(this.left.channel, SelectionKey.OP_READ, k -> this.left.ready());
+                    loop.register(
+                            this.right.channel, SelectionKey.OP_READ, k -> this.right.ready());
+                });
     }
 
     private static InetSocketAddress address(End e) throws IOException {
--- a/lab/src/main/java/tinford/lab/fleet/FleetBench.java
+++ b/lab/src/main/java/tinford/lab/fleet/FleetBench.java
@@ -16,7 +16,8 @@
 import tinford.lab.sockets.Between;
 
 /**
- * A fleet of real processes on loopback under a script of faults, with a link between any two parties, and the histories of all.
+ * A fleet of real processes on loopback under a script of faults, with a link between any two
+ * parties, and the histories of all.
  */
 public final class FleetBench implements AutoCloseable {
     private final FleetScript script;
@@ -31,7 +32,10 @@
     private final Parties parties = new Parties();
     private volatile double began; // by the clock of the histories
 
-    /** What is wrong is done to links and processes; what the bench's stand-ins meet goes through them. */
+    /**
+     * What is wrong is done to links and processes; what the bench's stand-ins meet goes through
+     * them.
+     */
     private final class Parties implements Between, Troubles.Fleet {
         @Override
         public Process start(int gateway, Path config, Path log) throws IOException {
@@ -48,7 +52,8 @@
                 environment.put("TINFORD_FLEET", file.toString());
             }
             tell("started", "who", gateway);
-            return processes.start(gateway, program.words().stream().map(seat::fill).toList(), environment, log);
+            return processes.start(
+                    gateway, program.words().stream().map(seat::fill).toList(), environment, log);
         }
 
         @Override
@@ -59,7 +64,9 @@
         @Override
         public String group(String server) {
             List<String> all = script.groups();
-            return all.isEmpty() ? Between.super.group(server) : all.get(Integer.parseInt(server.substring(1)) % all.size());
+            return all.isEmpty()
+                    ? Between.super.group(server)
+                    : all.get(Integer.parseInt(server.substring(1)) % all.size());
         }
 
         @Override
@@ -68,7 +75,8 @@
         }
 
         @Override
-        public void configure(int gateway, Map<String, Object> config, Map<String, Object> limits) throws IOException {
+        public void configure(int gateway, Map<String, Object> config, Map<String, Object> limits)
+                throws IOException {
             config.put("peer_listen", links.peerListen(gateway));
             config.put("peers", links.peers(gateway));
             config.put("peers_all", links.peersAll(gateway));
@@ -117,12 +125,17 @@
         }
 
         @Override
-        public void links(FleetScript.Fault f, Collection<Integer> who, Collection<Integer> to, boolean on) {
+        public void links(
+                FleetScript.Fault f, Collection<Integer> who, Collection<Integer> to, boolean on) {
             links.between(who, to, f.impairment(), on, f.both());
         }
 
         @Override
-        public void servers(FleetScript.Fault f, Collection<Integer> who, Collection<String> which, boolean on) {
+        public void servers(
+                FleetScript.Fault f,
+                Collection<Integer> who,
+                Collection<String> which,
+                boolean on) {
             links.servers(who, which, f.impairment(), on, f.both());
         }
 
@@ -144,7 +157,8 @@
      * @param s the script's scenario, with as many gateways as there are to be
      * @param folder for configurations, disks, logs and histories
      */
-    public FleetBench(FleetScript script, Scenario s, Program program, long seed, Path folder) throws IOException {
+    public FleetBench(FleetScript script, Scenario s, Program program, long seed, Path folder)
+            throws IOException {
         this.script = script;
         this.program = program;
         this.folder = Files.createDirectories(folder);
@@ -161,14 +175,23 @@
         }
         troubles = new Troubles(bench, parties, new Streams(seed).of("fleet faults"));
         bench.retries(s.clients().retries());
-        bench.onBegin(from -> {
-            began = System.nanoTime() / 1e6 + 200;
-            parties.tell("begun");
-            if (script.offer() > 0) {
-                bench.machines().forEach(m -> parties.tell("offer", "server", m.id, "offer", script.offer()));
-            }
-            bench.post(() -> troubles.set(script, from));
-        });
+        bench.onBegin(
+                from -> {
+                    began = System.nanoTime() / 1e6 + 200;
+                    parties.tell("begun");
+                    if (script.offer() > 0) {
+                        bench.machines()
+                                .forEach(
+                                        m ->
+                                                parties.tell(
+                                                        "offer",
+                                                        "server",
+                                                        m.id,
+                                                        "offer",
+                                                        script.offer()));
+                    }
+                    bench.post(() -> troubles.set(script, from));
+                });
     }
 
     private void comes(int port) {
@@ -187,9 +210,15 @@
 
     /** Where a gateway sits: all addresses that it is told are those of links. */
     public Program.Seat seat(int gateway) throws IOException {
-        return new Program.Seat(gateway, bench.gateways(), processes.of(gateway), processes.disk(gateway),
+        return new Program.Seat(
+                gateway,
+                bench.gateways(),
+                processes.of(gateway),
+                processes.disk(gateway),
                 links.peerListen(gateway),
-                links.peers(gateway), links.memberListen(gateway), links.members(gateway));
+                links.peers(gateway),
+                links.memberListen(gateway),
+                links.members(gateway));
     }
 
     /** Plays the trace to its end; the figures of the bench, and those of the fleet. */
--- a/lab/src/main/java/tinford/lab/fleet/Further.java
+++ b/lab/src/main/java/tinford/lab/fleet/Further.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * While any gateway says that it is strained, further dispatches of all of them are at most a part of the first ones, second by
- * second.
+ * While any gateway says that it is strained, further dispatches of all of them are at most a part
+ * of the first ones, second by second.
  */
 final class Further implements Promise {
     private static final double SPAN = 1000;
@@ -41,10 +41,19 @@
             further -= recent.poll().is("further") ? 1 : 0;
         }
         int first = recent.size() - further;
-        if (!strained.isEmpty() && l.at() - since > SPAN && l.is("further") && further > part * first + FEW) {
+        if (!strained.isEmpty()
+                && l.at() - since > SPAN
+                && l.is("further")
+                && further > part * first + FEW) {
             List<History.Line> story = recent.stream().filter(r -> r.is("further")).toList();
-            finds.breach(further + " further dispatches over " + first + " first ones within a second, " + part
-                    + " of them allowed", story);
+            finds.breach(
+                    further
+                            + " further dispatches over "
+                            + first
+                            + " first ones within a second, "
+                            + part
+                            + " of them allowed",
+                    story);
         }
     }
 }
--- a/lab/src/main/java/tinford/lab/fleet/History.java
+++ b/lab/src/main/java/tinford/lab/fleet/History.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * What happened, as each process wrote it down: a JSON object a line (docs/lab.md). A file ends where its process did; half a
- * line at its end is left out.
+ * What happened, as each process wrote it down: a JSON object a line (docs/lab.md). A file ends
+ * where its process did; half a line at its end is left out.
  */
 public final class History implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -24,10 +24,12 @@
     private final BufferedWriter out;
 
     /**
-     * @param at monotone ms, one clock for all processes of the machine; {@code wall} Unix ms by its own clock
+     * @param at monotone ms, one clock for all processes of the machine; {@code wall} Unix ms by
+     *     its own clock
      * @param gateway who wrote it, -1 for a stand-in; {@code life} Unix ms of its start
      */
-    public record Line(double at, double wall, int gateway, long life, String kind, JsonNode fields) {
+    public record Line(
+            double at, double wall, int gateway, long life, String kind, JsonNode fields) {
         public String text(String field) {
             return fields.path(field).asText("");
         }
@@ -46,12 +48,18 @@
         }
     }
 
-    /** A history to be written: flushed line by line, so that what was written is there however the process ends. */
+    /**
+     * A history to be written: flushed line by line, so that what was written is there however the
+     * process ends.
+     */
     public History(Path file) throws IOException {
         out = Files.newBufferedWriter(file);
     }
 
-    /** @param fields names and values in turn; never fails: a history that can't be written is found short by its reader */
+    /**
+     * @param fields names and values in turn; never fails: a history that can't be written is found
+     *     short by its reader
+     */
     public synchronized void tell(String kind, Object... fields) {
         try {
             out.write(JSON.writeValueAsString(line(System.nanoTime() / 1e6, kind, fields)) + "\n");
@@ -78,8 +86,13 @@
     }
 
     private static Line parse(JsonNode n) {
-        return new Line(n.path("at").asDouble(), n.path("wall").asDouble(), n.path("gateway").asInt(-1), n.path("life").asLong(0),
-                n.path("kind").asText(), n);
+        return new Line(
+                n.path("at").asDouble(),
+                n.path("wall").asDouble(),
+                n.path("gateway").asInt(-1),
+                n.path("life").asLong(0),
+                n.path("kind").asText(),
+                n);
     }
 
     /** All lines of all files that are there, in the order of time. */
@@ -97,13 +110,22 @@
                     try {
                         n = JSON.readTree(text);
                     } catch (JsonProcessingException e) {
-                        // a process that was killed leaves half a line, but then a later life may follow on its own
+                        // a process that was killed leaves half a line, but then a later life may
+                        // follow on its own
                         if (in.ready()) {
-                            throw new IOException(f + ": line " + number + ": expected a JSON object");
+                            throw new IOException(
+                                    f + ": line " + number + ": expected a JSON object");
                         }
                     }
-                    if (n != null && (!n.isObject() || !n.path("at").isNumber() || !n.path("kind").isTextual())) {
-                        throw new IOException(f + ": line " + number + ": expected an object with a number at and a text kind");
+                    if (n != null
+                            && (!n.isObject()
+                                    || !n.path("at").isNumber()
+                                    || !n.path("kind").isTextual())) {
+                        throw new IOException(
+                                f
+                                        + ": line "
+                                        + number
+                                        + ": expected an object with a number at and a text kind");
                     }
                     if (n != null) {
                         all.add(parse(n));
--- a/lab/src/main/java/tinford/lab/fleet/Judge.java
+++ b/lab/src/main/java/tinford/lab/fleet/Judge.java
@@ -6,7 +6,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Judges histories against the promises of a fleet. It knows nothing of the program but what the lines say. */
+/**
+ * Judges histories against the promises of a fleet. It knows nothing of the program but what the
+ * lines say.
+ */
 public final class Judge {
     private static final int MOST_KEPT = 20; // of each promise
     private static final int MOST_TOLD = 10; // lines of a story
@@ -17,20 +20,33 @@
 
     /** A promise that was not kept, with the lines that tell it. */
     public record Breach(String promise, String what, List<History.Line> lines) {
-        /** @param began what times count from */
+        /**
+         * @param began what times count from
+         */
         public String story(double began) {
             StringBuilder s = new StringBuilder(promise + ": " + what);
-            List<History.Line> last = lines.subList(Math.max(0, lines.size() - MOST_TOLD), lines.size());
+            List<History.Line> last =
+                    lines.subList(Math.max(0, lines.size() - MOST_TOLD), lines.size());
             if (last.size() < lines.size()) {
                 s.append("\n    ... ").append(lines.size() - last.size()).append(" lines before");
             }
             for (History.Line l : last) {
-                s.append(String.format(Locale.ROOT, "%n    %10.1f ms  ", l.at() - began)).append(l.kind());
-                l.fields().fields().forEachRemaining(f -> {
-                    if (!List.of("at", "wall", "kind", "life").contains(f.getKey())) {
-                        s.append(' ').append(f.getKey()).append('=').append(f.getValue().asText(f.getValue().toString()));
-                    }
-                });
+                s.append(String.format(Locale.ROOT, "%n    %10.1f ms  ", l.at() - began))
+                        .append(l.kind());
+                l.fields()
+                        .fields()
+                        .forEachRemaining(
+                                f -> {
+                                    if (!List.of("at", "wall", "kind", "life")
+                                            .contains(f.getKey())) {
+                                        s.append(' ')
+                                                .append(f.getKey())
+                                                .append('=')
+                                                .append(
+                                                        f.getValue()
+                                                                .asText(f.getValue().toString()));
+                                    }
+                                });
             }
             return s.toString();
         }
@@ -59,11 +75,16 @@
     /** Lines come in the order of time. */
     public void see(History.Line l) {
         lives.see(l);
-        promises.forEach((name, p) -> p.see(l, lives, (what, story) -> {
-            if (counts.merge(name, 1, Integer::sum) <= MOST_KEPT) {
-                breaches.add(new Breach(name, what, List.copyOf(story)));
-            }
-        }));
+        promises.forEach(
+                (name, p) ->
+                        p.see(
+                                l,
+                                lives,
+                                (what, story) -> {
+                                    if (counts.merge(name, 1, Integer::sum) <= MOST_KEPT) {
+                                        breaches.add(new Breach(name, what, List.copyOf(story)));
+                                    }
+                                }));
     }
 
     /** The first ones of each promise. */
--- a/lab/src/main/java/tinford/lab/fleet/LinkLoop.java
+++ b/lab/src/main/java/tinford/lab/fleet/LinkLoop.java
@@ -58,22 +58,25 @@
     /** From any other thread: done when this returns. */
     void call(Step what) throws IOException {
         CompletableFuture<IOException> done = new CompletableFuture<>();
-        post(() -> {
-            try {
-                what.run();
-                done.complete(null);
-            } catch (IOException e) {
-                done.complete(e);
-            } catch (RuntimeException e) {
-                done.completeExceptionally(e);
-            }
-        });
+        post(
+                () -> {
+                    try {
+                        what.run();
+                        done.complete(null);
+                    } catch (IOException e) {
+                        done.complete(e);
+                    } catch (RuntimeException e) {
+                        done.completeExceptionally(e);
+                    }
+                });
         try {
             IOException failed = done.get(10, TimeUnit.SECONDS);
             if (failed != null) {
                 throw failed;
             }
-        } catch (InterruptedException | java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
+        } catch (InterruptedException
+                | java.util.concurrent.ExecutionException
+                | java.util.concurrent.TimeoutException e) {
             throw new IOException("the links' thread does not answer", e);
         }
     }
--- a/lab/src/main/java/tinford/lab/fleet/Links.java
+++ b/lab/src/main/java/tinford/lab/fleet/Links.java
@@ -16,7 +16,10 @@
 import java.util.function.IntConsumer;
 import tinford.lab.sockets.FreePort;
 
-/** All links of a fleet: between gateways (datagrams, and streams for a log), to each server and to the counter a gateway. */
+/**
+ * All links of a fleet: between gateways (datagrams, and streams for a log), to each server and to
+ * the counter a gateway.
+ */
 final class Links implements AutoCloseable {
     private final LinkLoop loop = new LinkLoop();
     private final Random draw;
@@ -26,14 +29,16 @@
     private final DatagramChannel[] toAll;
     private final List<Map<String, StreamLink>> servers = new ArrayList<>();
     private final StreamLink[] counters;
-    private final Map<Integer, Integer> from = new ConcurrentHashMap<>(); // gateway, by the port from which its connection comes
+    private final Map<Integer, Integer> from =
+            new ConcurrentHashMap<>(); // gateway, by the port from which its connection comes
     private final IntConsumer comes;
     private final IntConsumer left;
     private final int[] memberPorts;
     private final List<InetSocketAddress> peerListens = new ArrayList<>();
 
     /**
-     * @param comes is told the port from which a connection will come to a server or the counter, before it does
+     * @param comes is told the port from which a connection will come to a server or the counter,
+     *     before it does
      * @param left is told the port of one whose gateway has closed it
      */
     Links(int gateways, long seed, IntConsumer comes, IntConsumer left) throws IOException {
@@ -58,7 +63,8 @@
             }
             for (int j = 0; j < gateways; j++) {
                 if (i != j) {
-                    members[i][j] = new StreamLink(loop, draw, here(memberPorts[j]), p -> { }, p -> { });
+                    members[i][j] =
+                            new StreamLink(loop, draw, here(memberPorts[j]), p -> {}, p -> {});
                 }
             }
             toAll[i] = DatagramChannel.open().bind(here(0));
@@ -97,8 +103,13 @@
     List<String> peers(int gateway) throws IOException {
         List<String> all = new ArrayList<>();
         for (int j = 0; j < gateways; j++) {
-            all.add(j == gateway ? peerListen(j)
-                    : text(gateway > j ? pairs[gateway][j].forLeft() : pairs[gateway][j].forRight()));
+            all.add(
+                    j == gateway
+                            ? peerListen(j)
+                            : text(
+                                    gateway > j
+                                            ? pairs[gateway][j].forLeft()
+                                            : pairs[gateway][j].forRight()));
         }
         return all;
     }
@@ -131,10 +142,15 @@
 
     private StreamLink stream(int gateway, int port) {
         try {
-            return new StreamLink(loop, draw, here(port), p -> {
-                from.put(p, gateway);
-                comes.accept(p);
-            }, left);
+            return new StreamLink(
+                    loop,
+                    draw,
+                    here(port),
+                    p -> {
+                        from.put(p, gateway);
+                        comes.accept(p);
+                    },
+                    left);
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
@@ -147,24 +163,34 @@
 
     /** A server listens no more, or again. */
     synchronized void shut(String server, boolean on) {
-        List<StreamLink> its = servers.stream().map(m -> m.get(server)).filter(java.util.Objects::nonNull).toList();
+        List<StreamLink> its =
+                servers.stream()
+                        .map(m -> m.get(server))
+                        .filter(java.util.Objects::nonNull)
+                        .toList();
         done(() -> its.forEach(l -> l.shut(on)));
     }
 
     /** Between gateways, from each of the first to each of the others, and back if {@code both}. */
-    void between(Collection<Integer> some, Collection<Integer> others, Impairment i, boolean on, boolean both) {
-        done(() -> {
-            for (int a : some) {
-                for (int b : others) {
-                    if (a != b) {
-                        way(a, b, i, on);
-                        if (both && !(some.contains(b) && others.contains(a))) {
-                            way(b, a, i, on);
+    void between(
+            Collection<Integer> some,
+            Collection<Integer> others,
+            Impairment i,
+            boolean on,
+            boolean both) {
+        done(
+                () -> {
+                    for (int a : some) {
+                        for (int b : others) {
+                            if (a != b) {
+                                way(a, b, i, on);
+                                if (both && !(some.contains(b) && others.contains(a))) {
+                                    way(b, a, i, on);
+                                }
+                            }
                         }
                     }
-                }
-            }
-        });
+                });
     }
 
     private void way(int a, int b, Impairment i, boolean on) {
@@ -179,10 +205,17 @@
         members[b][a].impair(i, on, false, true);
     }
 
-    synchronized void servers(Collection<Integer> who, Collection<String> which, Impairment i, boolean on, boolean both) {
-        List<StreamLink> its = who.stream().flatMap(g -> which.stream().map(s -> servers.get(g).get(s)))
-                .filter(java.util.Objects::nonNull)
-                .toList();
+    synchronized void servers(
+            Collection<Integer> who,
+            Collection<String> which,
+            Impairment i,
+            boolean on,
+            boolean both) {
+        List<StreamLink> its =
+                who.stream()
+                        .flatMap(g -> which.stream().map(s -> servers.get(g).get(s)))
+                        .filter(java.util.Objects::nonNull)
+                        .toList();
         done(() -> its.forEach(l -> l.impair(i, on, true, both)));
     }
 
--- a/lab/src/main/java/tinford/lab/fleet/Lives.java
+++ b/lab/src/main/java/tinford/lab/fleet/Lives.java
@@ -35,13 +35,15 @@
                     without.add(l.gateway());
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
     /** Acts on what was granted to it. */
     boolean acts(int gateway) {
-        return up.contains(gateway) && !without.contains(gateway) && now < ends.getOrDefault(gateway, Double.POSITIVE_INFINITY);
+        return up.contains(gateway)
+                && !without.contains(gateway)
+                && now < ends.getOrDefault(gateway, Double.POSITIVE_INFINITY);
     }
 
     /** It has been up, and running, all the time from then on. */
--- a/lab/src/main/java/tinford/lab/fleet/Processes.java
+++ b/lab/src/main/java/tinford/lab/fleet/Processes.java
@@ -14,13 +14,15 @@
 import java.util.stream.Stream;
 
 /**
- * The processes of a fleet, and their disks: a folder for each gateway. Each has a file in {@code pids} while it lives; when this
- * JVM is gone, however it went, a watcher that held a pipe to it kills what is still named there, and goes too.
+ * The processes of a fleet, and their disks: a folder for each gateway. Each has a file in {@code
+ * pids} while it lives; when this JVM is gone, however it went, a watcher that held a pipe to it
+ * kills what is still named there, and goes too.
  */
 final class Processes implements AutoCloseable {
     private static final String ENTER = ": > \"$0/$$\" && exec \"$@\"";
-    private static final String WATCH = "trap '' INT TERM HUP; cat > /dev/null; "
-            + "for f in \"$0\"/*; do [ -e \"$f\" ] && kill -9 \"${f##*/}\"; rm -f \"$f\"; done";
+    private static final String WATCH =
+            "trap '' INT TERM HUP; cat > /dev/null; for f in \"$0\"/*; do [ -e \"$f\" ] && kill -9"
+                    + " \"${f##*/}\"; rm -f \"$f\"; done";
     private final Path folder;
     private final Path pids;
     private final Map<Integer, Process> now = new ConcurrentHashMap<>();
@@ -31,8 +33,11 @@
     Processes(Path folder) throws IOException {
         this.folder = folder;
         pids = Files.createDirectories(folder.resolve("pids"));
-        watcher = new ProcessBuilder("sh", "-c", WATCH, pids.toString()).redirectError(ProcessBuilder.Redirect.DISCARD)
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        watcher =
+                new ProcessBuilder("sh", "-c", WATCH, pids.toString())
+                        .redirectError(ProcessBuilder.Redirect.DISCARD)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
@@ -44,12 +49,15 @@
         return Files.createDirectories(of(gateway).resolve("disk"));
     }
 
-    synchronized Process start(int gateway, List<String> words, Map<String, String> environment, Path log) throws IOException {
+    synchronized Process start(
+            int gateway, List<String> words, Map<String, String> environment, Path log)
+            throws IOException {
         if (closed) {
             throw new IOException("the harness has ended");
         }
         Process before = now.get(gateway);
-        if (before != null) { // one that was killed may still be on its way out: two never share a disk
+        if (before != null) { // one that was killed may still be on its way out: two never share a
+            // disk
             try {
                 before.waitFor(5, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
@@ -60,7 +68,10 @@
         all.addAll(words);
         ProcessBuilder b = new ProcessBuilder(all);
         b.environment().putAll(environment);
-        Process p = b.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
+        Process p =
+                b.redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+                        .start();
         now.put(gateway, p);
         p.onExit().thenAccept(e -> forget(e.pid()));
         return p;
@@ -81,7 +92,9 @@
             return;
         }
         try {
-            new ProcessBuilder("sh", "-c", "kill -" + name + " \"$0\"", Long.toString(p.pid())).start().waitFor();
+            new ProcessBuilder("sh", "-c", "kill -" + name + " \"$0\"", Long.toString(p.pid()))
+                    .start()
+                    .waitFor();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -106,7 +119,10 @@
         try (Stream<Path> all = Files.walk(from)) {
             for (Path p : all.toList()) {
                 try {
-                    Files.copy(p, to.resolve(from.relativize(p).toString()), StandardCopyOption.COPY_ATTRIBUTES);
+                    Files.copy(
+                            p,
+                            to.resolve(from.relativize(p).toString()),
+                            StandardCopyOption.COPY_ATTRIBUTES);
                 } catch (java.nio.file.NoSuchFileException e) {
                     // its owner has just removed it
                 }
--- a/lab/src/main/java/tinford/lab/fleet/Runs.java
+++ b/lab/src/main/java/tinford/lab/fleet/Runs.java
@@ -8,28 +8,43 @@
 import tinford.api.End;
 
 /**
- * A req that may have run runs again only where that does no harm: a uniqued one in its first group and within its window, a
- * non-replayable one nowhere.
+ * A req that may have run runs again only where that does no harm: a uniqued one in its first group
+ * and within its window, a non-replayable one nowhere.
  */
 final class Runs implements Promise {
-    private final Map<String, List<History.Line>> runs = new HashMap<>(); // of reqs that are not replayable: what may have run
+    private final Map<String, List<History.Line>> runs =
+            new HashMap<>(); // of reqs that are not replayable: what may have run
 
     @Override
     public void see(History.Line l, Lives lives, Finds finds) {
         String req = l.text("req");
         if (l.kind().equals("dispatch") && !l.text("effect").equals(Effect.IDEMPOTENT.name())) {
             List<History.Line> its = runs.computeIfAbsent(req, k -> new ArrayList<>());
-            its.stream().filter(first -> harm(first, l)).findFirst().ifPresent(first -> finds.breach("req " + req + " ("
-                    + l.text("frontend") + ", " + l.text("effect") + ") runs again where it is not recognised",
-                            List.of(first, l)));
+            its.stream()
+                    .filter(first -> harm(first, l))
+                    .findFirst()
+                    .ifPresent(
+                            first ->
+                                    finds.breach(
+                                            "req "
+                                                    + req
+                                                    + " ("
+                                                    + l.text("frontend")
+                                                    + ", "
+                                                    + l.text("effect")
+                                                    + ") runs again where it is not recognised",
+                                            List.of(first, l)));
             its.add(l);
-        } else if (l.kind().equals("ended") && !End.valueOf(l.text("how")).mayHaveRun && runs.containsKey(req)) {
+        } else if (l.kind().equals("ended")
+                && !End.valueOf(l.text("how")).mayHaveRun
+                && runs.containsKey(req)) {
             runs.get(req).removeIf(run -> run.text("server").equals(l.text("server")));
         }
     }
 
     private static boolean harm(History.Line first, History.Line again) {
-        return again.text("effect").equals(Effect.NON_IDEMPOTENT.name()) || !first.text("group").equals(again.text("group"))
+        return again.text("effect").equals(Effect.NON_IDEMPOTENT.name())
+                || !first.text("group").equals(again.text("group"))
                 || again.at() - first.at() > again.fields().path("window").asDouble();
     }
 }
--- a/lab/src/main/java/tinford/lab/fleet/Stages.java
+++ b/lab/src/main/java/tinford/lab/fleet/Stages.java
@@ -9,11 +9,13 @@
 import java.util.TreeMap;
 
 /**
- * No two gateways that act are more than one stage of a move apart, and a frontend moves only when what it needs has moved at all
- * of them. One that was paused, killed or without its term counts again from the next stage that it tells.
+ * No two gateways that act are more than one stage of a move apart, and a frontend moves only when
+ * what it needs has moved at all of them. One that was paused, killed or without its term counts
+ * again from the next stage that it tells.
  */
 final class Stages implements Promise {
-    private final Map<String, Map<Integer, History.Line>> stages = new LinkedHashMap<>(); // by move and gateway, the last told
+    private final Map<String, Map<Integer, History.Line>> stages =
+            new LinkedHashMap<>(); // by move and gateway, the last told
     private final Map<String, List<String>> needs = new LinkedHashMap<>(); // by move and frontend
 
     @Override
@@ -32,8 +34,14 @@
         its.put(l.gateway(), l);
         for (History.Line other : its.values()) {
             if (Math.abs(other.number("stage") - l.number("stage")) > 1) {
-                finds.breach("gateways " + other.gateway() + " and " + l.gateway() + " are more than one stage of " + move
-                        + " apart",
+                finds.breach(
+                        "gateways "
+                                + other.gateway()
+                                + " and "
+                                + l.gateway()
+                                + " are more than one stage of "
+                                + move
+                                + " apart",
                         List.of(other, l));
             }
         }
@@ -51,9 +59,25 @@
         Set<String> all = texts(begun, "moved");
         all.addAll(texts(begun, "begun"));
         for (String f : all) {
-            needs.getOrDefault(move + " " + f, List.of()).stream().filter(n -> !moved.contains(n)).findFirst().ifPresent(n -> finds.breach(
-                    "gateway " + begun.gateway() + " moves " + f + ", which needs " + n + ", not yet moved at gateway " + other.gateway(),
-                    other == begun ? List.of(begun) : begun.at() < other.at() ? List.of(begun, other) : List.of(other, begun)));
+            needs.getOrDefault(move + " " + f, List.of()).stream()
+                    .filter(n -> !moved.contains(n))
+                    .findFirst()
+                    .ifPresent(
+                            n ->
+                                    finds.breach(
+                                            "gateway "
+                                                    + begun.gateway()
+                                                    + " moves "
+                                                    + f
+                                                    + ", which needs "
+                                                    + n
+                                                    + ", not yet moved at gateway "
+                                                    + other.gateway(),
+                                            other == begun
+                                                    ? List.of(begun)
+                                                    : begun.at() < other.at()
+                                                            ? List.of(begun, other)
+                                                            : List.of(other, begun)));
         }
     }
 
--- a/lab/src/main/java/tinford/lab/fleet/StreamLink.java
+++ b/lab/src/main/java/tinford/lab/fleet/StreamLink.java
@@ -15,8 +15,9 @@
 import java.util.function.IntConsumer;
 
 /**
- * Connections to one address, through an address of its own. Each holds 256 KiB a way and then reads no more. While a way is cut
- * bytes stay where they are and go on when it is healed; new connections hang (the line of its door is full) or are refused.
+ * Connections to one address, through an address of its own. Each holds 256 KiB a way and then
+ * reads no more. While a way is cut bytes stay where they are and go on when it is healed; new
+ * connections hang (the line of its door is full) or are refused.
  */
 final class StreamLink {
     private static final int MOST = 256 << 10;
@@ -34,7 +35,11 @@
     private Stand stand = Stand.OPEN;
 
     /** How its door stands. */
-    private enum Stand { OPEN, HANGS, SHUT }
+    private enum Stand {
+        OPEN,
+        HANGS,
+        SHUT
+    }
 
     /** One way of one connection. */
     private final class Flow {
@@ -43,7 +48,8 @@
         final Way way;
         final Runnable pump;
         double wakes = Double.POSITIVE_INFINITY;
-        final ArrayDeque<Object[]> held = new ArrayDeque<>(); // when it may leave, bytes (null: the end)
+        final ArrayDeque<Object[]> held =
+                new ArrayDeque<>(); // when it may leave, bytes (null: the end)
         double last;
         int bytes;
         boolean ended; // its end was read
@@ -84,10 +90,12 @@
             }
             if (!held.isEmpty() && !way.now().cut() && (double) held.peek()[0] < wakes) {
                 wakes = (double) held.peek()[0];
-                loop.at(wakes, () -> {
-                    wakes = Double.POSITIVE_INFINITY;
-                    pump.run();
-                });
+                loop.at(
+                        wakes,
+                        () -> {
+                            wakes = Double.POSITIVE_INFINITY;
+                            pump.run();
+                        });
             }
         }
     }
@@ -142,7 +150,8 @@
                 return;
             }
             try {
-                while (true) { // to the end, if it is there: that it was given up is told before its bytes go on
+                while (true) { // to the end, if it is there: that it was given up is told before
+                    // its bytes go on
                     ByteBuffer b = ByteBuffer.allocate(16_384);
                     int n = f.from.read(b);
                     if (n < 0) {
@@ -182,10 +191,14 @@
                 return;
             }
             try {
-                nearKey.interestOps((there.ended || there.bytes > MOST ? 0 : SelectionKey.OP_READ) | (back.mayWrite()
-                        ? SelectionKey.OP_WRITE : 0));
-                farKey.interestOps(!up ? SelectionKey.OP_CONNECT : (back.ended || back.bytes > MOST ? 0 : SelectionKey.OP_READ)
-                        | (there.mayWrite() ? SelectionKey.OP_WRITE : 0));
+                nearKey.interestOps(
+                        (there.ended || there.bytes > MOST ? 0 : SelectionKey.OP_READ)
+                                | (back.mayWrite() ? SelectionKey.OP_WRITE : 0));
+                farKey.interestOps(
+                        !up
+                                ? SelectionKey.OP_CONNECT
+                                : (back.ended || back.bytes > MOST ? 0 : SelectionKey.OP_READ)
+                                        | (there.mayWrite() ? SelectionKey.OP_WRITE : 0));
             } catch (java.nio.channels.CancelledKeyException e) {
                 close();
             }
@@ -203,17 +216,25 @@
     }
 
     /**
-     * @param opened is told the port from which a connection will come to the target, before it does; {@code left} that its near
-     * end is closed
+     * @param opened is told the port from which a connection will come to the target, before it
+     *     does; {@code left} that its near end is closed
      */
-    StreamLink(LinkLoop loop, Random draw, InetSocketAddress target, IntConsumer opened, IntConsumer left) throws IOException {
+    StreamLink(
+            LinkLoop loop,
+            Random draw,
+            InetSocketAddress target,
+            IntConsumer opened,
+            IntConsumer left)
+            throws IOException {
         this.loop = loop;
         this.target = target;
         this.opened = opened;
         this.left = left;
         there = new Way(draw);
         back = new Way(draw);
-        door = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200);
+        door =
+                ServerSocketChannel.open()
+                        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200);
         port = ((InetSocketAddress) door.getLocalAddress()).getPort();
         loop.call(this::listen);
     }
@@ -224,11 +245,14 @@
 
     private void listen() throws IOException {
         ServerSocketChannel mine = door;
-        loop.register(mine, SelectionKey.OP_ACCEPT, k -> {
-            for (SocketChannel c = mine.accept(); c != null; c = mine.accept()) {
-                pairs.add(new Pair(c));
-            }
-        });
+        loop.register(
+                mine,
+                SelectionKey.OP_ACCEPT,
+                k -> {
+                    for (SocketChannel c = mine.accept(); c != null; c = mine.accept()) {
+                        pairs.add(new Pair(c));
+                    }
+                });
     }
 
     /** Loop's thread only, as all that follows. {@code on}: from now on, else no longer. */
@@ -259,8 +283,10 @@
 
     private void door() {
         boolean cut = there.now().cut() || back.now().cut();
-        Stand wanted = shut || cut && (there.now().refused() || back.now().refused()) ? Stand.SHUT : cut ? Stand.HANGS
-                : Stand.OPEN;
+        Stand wanted =
+                shut || cut && (there.now().refused() || back.now().refused())
+                        ? Stand.SHUT
+                        : cut ? Stand.HANGS : Stand.OPEN;
         if (wanted != stand) {
             stand = wanted;
             quietly(door);
@@ -277,7 +303,9 @@
         try {
             door = ServerSocketChannel.open();
             door.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), stand == Stand.HANGS ? 1 : 200);
+            door.bind(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                    stand == Stand.HANGS ? 1 : 200);
             if (stand == Stand.OPEN) {
                 listen();
                 return;
--- a/lab/src/main/java/tinford/lab/fleet/Tries.java
+++ b/lab/src/main/java/tinford/lab/fleet/Tries.java
@@ -29,20 +29,28 @@
             }
             // a dead server sees nothing: gateways tell what they tried there
             case "dispatch", "try" -> {
-                if (l.at() - ill.getOrDefault(server, Double.POSITIVE_INFINITY) < FOUND || !ill.containsKey(server)) {
+                if (l.at() - ill.getOrDefault(server, Double.POSITIVE_INFINITY) < FOUND
+                        || !ill.containsKey(server)) {
                     return;
                 }
-                ArrayDeque<History.Line> its = recent.computeIfAbsent(server + " " + l.kind(), k -> new ArrayDeque<>());
+                ArrayDeque<History.Line> its =
+                        recent.computeIfAbsent(server + " " + l.kind(), k -> new ArrayDeque<>());
                 its.add(l);
                 while (l.at() - its.peek().at() > SPAN) {
                     its.poll();
                 }
                 if (its.size() > most) {
-                    finds.breach(its.size() + " tries within a second at " + server + ", ill for "
-                            + Math.round(l.at() - ill.get(server)) + " ms", List.copyOf(its));
+                    finds.breach(
+                            its.size()
+                                    + " tries within a second at "
+                                    + server
+                                    + ", ill for "
+                                    + Math.round(l.at() - ill.get(server))
+                                    + " ms",
+                            List.copyOf(its));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 }
--- a/lab/src/main/java/tinford/lab/fleet/Troubles.java
+++ b/lab/src/main/java/tinford/lab/fleet/Troubles.java
@@ -9,13 +9,19 @@
 import tinford.lab.model.Faults;
 import tinford.lab.model.Machine;
 
-/** Does the faults of a script to a model or to processes alike. Called on the thread of the ground's agenda. */
+/**
+ * Does the faults of a script to a model or to processes alike. Called on the thread of the
+ * ground's agenda.
+ */
 public final class Troubles {
     private final Faults.Ground ground;
     private final Fleet fleet;
     private final UniformRandomProvider draw;
 
-    /** What a model of a fleet, and a fleet of processes, can suffer beside what {@link Faults.Ground} has. */
+    /**
+     * What a model of a fleet, and a fleet of processes, can suffer beside what {@link
+     * Faults.Ground} has.
+     */
     public interface Fleet {
         void pause(int gateway, boolean on);
 
@@ -28,9 +34,11 @@
         /** While it is dead. */
         void disk(int gateway, FleetScript.Disk found);
 
-        void links(FleetScript.Fault f, Collection<Integer> who, Collection<Integer> to, boolean on);
+        void links(
+                FleetScript.Fault f, Collection<Integer> who, Collection<Integer> to, boolean on);
 
-        void servers(FleetScript.Fault f, Collection<Integer> who, Collection<String> which, boolean on);
+        void servers(
+                FleetScript.Fault f, Collection<Integer> who, Collection<String> which, boolean on);
 
         void counter(FleetScript.Fault f, Collection<Integer> who, boolean on);
 
@@ -43,12 +51,18 @@
         this.draw = draw;
     }
 
-    /** @param from when the script begins, by the agenda */
+    /**
+     * @param from when the script begins, by the agenda
+     */
     public void set(FleetScript script, double from) {
         for (FleetScript.Fault f : script.faults()) {
             double after = from - ground.agenda().now() + f.at_s() * 1000;
-            if (f.kind() == FleetScript.Kind.GATEWAY_RESTARTED && f.disk() == FleetScript.Disk.OLD) {
-                ground.agenda().after(Math.max(0, after - f.size() * 1000), () -> f.who().forEach(fleet::copyDisk));
+            if (f.kind() == FleetScript.Kind.GATEWAY_RESTARTED
+                    && f.disk() == FleetScript.Disk.OLD) {
+                ground.agenda()
+                        .after(
+                                Math.max(0, after - f.size() * 1000),
+                                () -> f.who().forEach(fleet::copyDisk));
             }
             ground.agenda().after(after, () -> begin(f));
         }
@@ -56,8 +70,12 @@
 
     private void begin(FleetScript.Fault f) {
         fleet.tell("fault", "what", f.kind().name(), "gateways", f.who(), "to", f.to());
-        Collection<Integer> who = f.who().isEmpty() ? IntStream.range(0, ground.gateways()).boxed().toList() : f.who();
-        Collection<Integer> to = f.to().isEmpty() ? IntStream.range(0, ground.gateways()).boxed().toList() : f.to();
+        Collection<Integer> who =
+                f.who().isEmpty()
+                        ? IntStream.range(0, ground.gateways()).boxed().toList()
+                        : f.who();
+        Collection<Integer> to =
+                f.to().isEmpty() ? IntStream.range(0, ground.gateways()).boxed().toList() : f.to();
         switch (f.kind()) {
             case LINK_SLOW, LINK_LOSSY, LINK_CUT -> {
                 fleet.links(f, who, to, true);
@@ -65,10 +83,14 @@
             }
             case GATEWAY_KILLED, GATEWAY_RESTARTED -> {
                 who.forEach(ground::kill);
-                later(f, () -> who.forEach(g -> {
-                    fleet.disk(g, f.disk());
-                    ground.start(g);
-                }));
+                later(
+                        f,
+                        () ->
+                                who.forEach(
+                                        g -> {
+                                            fleet.disk(g, f.disk());
+                                            ground.start(g);
+                                        }));
             }
             case GATEWAY_ENDED -> {
                 who.forEach(fleet::end);
@@ -79,10 +101,14 @@
                 later(f, () -> who.forEach(g -> fleet.pause(g, false)));
             }
             case SERVERS_CUT -> {
-                List<String> which = new ArrayList<>(ground.machines().stream().map((Machine m) -> m.id).toList());
+                List<String> which =
+                        new ArrayList<>(
+                                ground.machines().stream().map((Machine m) -> m.id).toList());
                 if (f.part() > 0) {
                     ListSampler.shuffle(draw, which);
-                    which = which.subList(0, Math.max(1, (int) Math.round(f.part() * which.size())));
+                    which =
+                            which.subList(
+                                    0, Math.max(1, (int) Math.round(f.part() * which.size())));
                 }
                 List<String> cut = List.copyOf(which);
                 fleet.servers(f, who, cut, true);
@@ -98,10 +124,20 @@
 
     private void later(FleetScript.Fault f, Runnable heal) {
         if (f.for_s() > 0) {
-            ground.agenda().after(f.for_s() * 1000, () -> {
-                fleet.tell("healed", "what", f.kind().name(), "gateways", f.who(), "to", f.to());
-                heal.run();
-            });
+            ground.agenda()
+                    .after(
+                            f.for_s() * 1000,
+                            () -> {
+                                fleet.tell(
+                                        "healed",
+                                        "what",
+                                        f.kind().name(),
+                                        "gateways",
+                                        f.who(),
+                                        "to",
+                                        f.to());
+                                heal.run();
+                            });
         }
     }
 }
--- a/lab/src/main/java/tinford/lab/fleet/Way.java
+++ b/lab/src/main/java/tinford/lab/fleet/Way.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Random;
 
-/** One way of a link, with all that is wrong with it now, and when what enters it comes out. Belongs to the loop's thread. */
+/**
+ * One way of a link, with all that is wrong with it now, and when what enters it comes out. Belongs
+ * to the loop's thread.
+ */
 final class Way {
     private final Random draw;
     private final List<Impairment> wrong = new ArrayList<>();
--- a/lab/src/main/java/tinford/lab/model/Agenda.java
+++ b/lab/src/main/java/tinford/lab/model/Agenda.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** What is to happen, in virtual time, in milliseconds. What is due at the same time happens in the order it was set. */
+/**
+ * What is to happen, in virtual time, in milliseconds. What is due at the same time happens in the
+ * order it was set.
+ */
 public final class Agenda {
     private final PriorityQueue<Item> items = new PriorityQueue<>();
     private double now;
--- a/lab/src/main/java/tinford/lab/model/ColdBudget.java
+++ b/lab/src/main/java/tinford/lab/model/ColdBudget.java
@@ -5,13 +5,17 @@
 import java.util.Map;
 
 /**
- * The operators' bound on cold servers: one falls when it gets more than N + 2 sqrt(N) + 2 reqs of mean work within the fall time,
- * from all processes together, N being what the settings allow it then. It keeps how near the run came. It holds the arrivals of
- * one fall time for each server that is cold.
+ * The operators' bound on cold servers: one falls when it gets more than N + 2 sqrt(N) + 2 reqs of
+ * mean work within the fall time, from all processes together, N being what the settings allow it
+ * then. It keeps how near the run came. It holds the arrivals of one fall time for each server that
+ * is cold.
  */
 final class ColdBudget {
-    private static final double BLAMED = 2.0 / 3; // of the reqs that come from gateways told of the start: beyond, it is their fall
-    private static final Approach NONE = new Approach(Double.NaN, 0, 0, Double.POSITIVE_INFINITY, 0);
+    private static final double BLAMED =
+            2.0 / 3; // of the reqs that come from gateways told of the start: beyond, it is
+    // their fall
+    private static final Approach NONE =
+            new Approach(Double.NaN, 0, 0, Double.POSITIVE_INFINITY, 0);
     private final double multiple;
     private final double time;
     private final double meanWork;
@@ -37,7 +41,8 @@
     /**
      * What an arrival comes to.
      *
-     * @param of what may come, more than 1 is a fall; {@code told} the share of the reqs from gateways that knew of the start
+     * @param of what may come, more than 1 is a fall; {@code told} the share of the reqs from
+     *     gateways that knew of the start
      */
     record Approach(double at, double of, double reqs, double most, double told) {
         boolean falls() {
@@ -55,12 +60,17 @@
         this.meanWork = meanWork;
     }
 
-    /** Reqs of mean work that a server falls beyond, where {@code allowed} is what the settings allow. */
+    /**
+     * Reqs of mean work that a server falls beyond, where {@code allowed} is what the settings
+     * allow.
+     */
     static double most(double allowed) {
         return allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
-    /** @param told whether the gateway that sent it knew of the server's start when it did */
+    /**
+     * @param told whether the gateway that sent it knew of the server's start when it did
+     */
     Approach arrives(Machine m, double work, double now, boolean told) {
         if (!m.cold()) {
             windows.remove(m);
@@ -98,7 +108,10 @@
         return nearest;
     }
 
-    /** The same over those arrivals alone of which over two thirds came from gateways told of the start. */
+    /**
+     * The same over those arrivals alone of which over two thirds came from gateways told of the
+     * start.
+     */
     Approach nearestBlamed() {
         return nearestBlamed;
     }
--- a/lab/src/main/java/tinford/lab/model/Dist.java
+++ b/lab/src/main/java/tinford/lab/model/Dist.java
@@ -23,11 +23,15 @@
         @Override
         public ContinuousSampler of(UniformRandomProvider chance, double mean, double cv) {
             double s2 = Math.log(1 + cv * cv);
-            return LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(chance), Math.log(mean) - s2 / 2,
+            return LogNormalSampler.of(
+                    ZigguratSampler.NormalizedGaussian.of(chance),
+                    Math.log(mean) - s2 / 2,
                     Math.max(1e-9, Math.sqrt(s2)));
         }
     };
 
-    /** @param cv standard deviation over the mean, where the form leaves it open */
+    /**
+     * @param cv standard deviation over the mean, where the form leaves it open
+     */
     public abstract ContinuousSampler of(UniformRandomProvider chance, double mean, double cv);
 }
--- a/lab/src/main/java/tinford/lab/model/Faults.java
+++ b/lab/src/main/java/tinford/lab/model/Faults.java
@@ -46,54 +46,83 @@
         double ms = f.for_s() * 1000;
         Agenda agenda = on.agenda();
         switch (f.kind()) {
-            case SERVERS_DIE -> some(on.machines(), f.part(), draw).forEach(m -> restart(m, ms, on));
-            case SERVERS_ROLL -> steps(some(on.machines(), f.part(), draw), f, agenda, m -> restart(m, DOWN, on));
-            case SERVERS_SLOW -> some(on.machines(), f.part(), draw).forEach(m -> {
-                m.slow(f.size());
-                agenda.after(ms, () -> m.slow(1));
-            });
-            case SERVERS_HANG -> some(on.machines(), f.part(), draw).forEach(m -> {
-                m.hang(true);
-                agenda.after(ms, () -> m.hang(false));
-            });
+            case SERVERS_DIE ->
+                    some(on.machines(), f.part(), draw).forEach(m -> restart(m, ms, on));
+            case SERVERS_ROLL ->
+                    steps(
+                            some(on.machines(), f.part(), draw),
+                            f,
+                            agenda,
+                            m -> restart(m, DOWN, on));
+            case SERVERS_SLOW ->
+                    some(on.machines(), f.part(), draw)
+                            .forEach(
+                                    m -> {
+                                        m.slow(f.size());
+                                        agenda.after(ms, () -> m.slow(1));
+                                    });
+            case SERVERS_HANG ->
+                    some(on.machines(), f.part(), draw)
+                            .forEach(
+                                    m -> {
+                                        m.hang(true);
+                                        agenda.after(ms, () -> m.hang(false));
+                                    });
             case FLEET_SHRINKS -> {
                 List<Machine> gone = some(on.machines(), f.part(), draw);
                 for (int i = 0; i < gone.size(); i++) {
                     Machine m = gone.get(i);
-                    agenda.after(ms * i / gone.size(), () -> {
-                        on.list(m, Srv.State.DRAINING);
-                        agenda.after(DRAINS + on.listLate(), () -> {
-                            on.list(m, Srv.State.REMOVED);
-                            m.die();
-                        });
-                    });
+                    agenda.after(
+                            ms * i / gone.size(),
+                            () -> {
+                                on.list(m, Srv.State.DRAINING);
+                                agenda.after(
+                                        DRAINS + on.listLate(),
+                                        () -> {
+                                            on.list(m, Srv.State.REMOVED);
+                                            m.die();
+                                        });
+                            });
                 }
             }
             case COUNTER_SILENT -> {
                 on.store().silence(true);
-                agenda.after(ms, () -> {
-                    on.store().silence(false);
-                    if (f.size() > 0) {
-                        on.store().empty();
-                    }
-                });
+                agenda.after(
+                        ms,
+                        () -> {
+                            on.store().silence(false);
+                            if (f.size() > 0) {
+                                on.store().empty();
+                            }
+                        });
             }
             case COUNTER_SLOW -> {
                 on.store().slow(f.size());
                 agenda.after(ms, () -> on.store().slow(1));
             }
-            case COUNTER_SPLIT -> some(numbers(on), f.part(), draw).forEach(n -> {
-                on.cutOff(n, true);
-                agenda.after(ms, () -> on.cutOff(n, false));
-            });
-            case GATEWAYS_DIE -> some(numbers(on), f.part(), draw).forEach(n -> {
-                on.kill(n);
-                agenda.after(ms, () -> on.start(n));
-            });
-            case GATEWAYS_ROLL -> steps(some(numbers(on), f.part(), draw), f, agenda, n -> {
-                on.kill(n);
-                agenda.after(DOWN, () -> on.start(n));
-            });
+            case COUNTER_SPLIT ->
+                    some(numbers(on), f.part(), draw)
+                            .forEach(
+                                    n -> {
+                                        on.cutOff(n, true);
+                                        agenda.after(ms, () -> on.cutOff(n, false));
+                                    });
+            case GATEWAYS_DIE ->
+                    some(numbers(on), f.part(), draw)
+                            .forEach(
+                                    n -> {
+                                        on.kill(n);
+                                        agenda.after(ms, () -> on.start(n));
+                                    });
+            case GATEWAYS_ROLL ->
+                    steps(
+                            some(numbers(on), f.part(), draw),
+                            f,
+                            agenda,
+                            n -> {
+                                on.kill(n);
+                                agenda.after(DOWN, () -> on.start(n));
+                            });
             case LOAD_RISES -> {
                 on.rise(f.size());
                 agenda.after(ms, () -> on.rise(1));
@@ -105,10 +134,13 @@
     /** It is down for a time, and back cold. */
     private static void restart(Machine m, double ms, Ground on) {
         m.die();
-        on.agenda().after(ms, () -> {
-            m.start();
-            on.list(m, Srv.State.UP);
-        });
+        on.agenda()
+                .after(
+                        ms,
+                        () -> {
+                            m.start();
+                            on.list(m, Srv.State.UP);
+                        });
     }
 
     private static <T> void steps(List<T> all, Scenario.Fault f, Agenda agenda, Consumer<T> each) {
--- a/lab/src/main/java/tinford/lab/model/Machine.java
+++ b/lab/src/main/java/tinford/lab/model/Machine.java
@@ -9,8 +9,8 @@
 import tinford.api.End;
 
 /**
- * A server: some cores, each with one piece of work at a time, and a waiting room; first come, first served. One that has
- * just started is cold and grows to its full speed evenly.
+ * A server: some cores, each with one piece of work at a time, and a waiting room; first come,
+ * first served. One that has just started is cold and grows to its full speed evenly.
  */
 public final class Machine {
     public final String id;
@@ -27,8 +27,10 @@
     private double slower = 1;
     private boolean up = true;
     private boolean hangs;
+
     /** When it last started, or 0 for long ago. */
     public double born;
+
     double busy; // core time spent, in milliseconds
 
     /** One piece of work and whoever waits for its end. */
@@ -44,7 +46,15 @@
         }
     }
 
-    public Machine(Agenda agenda, String id, String zone, int cell, int cores, int room, double speed, double coldFrom,
+    public Machine(
+            Agenda agenda,
+            String id,
+            String zone,
+            int cell,
+            int cores,
+            int room,
+            double speed,
+            double coldFrom,
             double coldTime) {
         this.agenda = agenda;
         this.id = id;
@@ -138,7 +148,9 @@
         born = agenda.now();
     }
 
-    /** @param times slower than before all troubles, for what begins from now on */
+    /**
+     * @param times slower than before all troubles, for what begins from now on
+     */
     public void slow(double times) {
         slower = times;
     }
--- a/lab/src/main/java/tinford/lab/model/Node.java
+++ b/lab/src/main/java/tinford/lab/model/Node.java
@@ -13,14 +13,18 @@
 import tinford.api.Srv;
 import tinford.api.Writer;
 
-/** A gateway: the decisions as they are, and a front that carries what they write over the model's wires. */
+/**
+ * A gateway: the decisions as they are, and a front that carries what they write over the model's
+ * wires.
+ */
 final class Node implements Writer {
     final int number;
     private final World world;
     private final Gateway.Maker maker;
     private final Map<String, Srv> servers = new HashMap<>();
     private final Map<String, Double> drainToldAt = new HashMap<>();
-    private final Map<Machine, Srv.State> missed = new LinkedHashMap<>(); // told while it was down: what each came to last
+    private final Map<Machine, Srv.State> missed =
+            new LinkedHashMap<>(); // told while it was down: what each came to last
     private List<Consumer<Inbox>> came = new ArrayList<>();
     private Gateway gateway;
     private long life;
@@ -39,7 +43,9 @@
         return life;
     }
 
-    /** From nothing, but for the list that it had last; what changed since it hears in its own time. */
+    /**
+     * From nothing, but for the list that it had last; what changed since it hears in its own time.
+     */
     void start(long seed) {
         life++;
         up = true;
@@ -99,11 +105,13 @@
             long mine = life;
             double tick = world.tick();
             double now = world.agenda.now();
-            world.agenda.after(Math.ceil(now / tick + 1e-9) * tick - now, () -> {
-                if (mine == life) {
-                    round();
-                }
-            });
+            world.agenda.after(
+                    Math.ceil(now / tick + 1e-9) * tick - now,
+                    () -> {
+                        if (mine == life) {
+                            round();
+                        }
+                    });
         }
     }
 
@@ -118,11 +126,13 @@
     /** Only while this very process lives. */
     private void later(double ms, Consumer<Inbox> call) {
         long mine = life;
-        world.agenda.after(ms, () -> {
-            if (mine == life && up) {
-                input(call);
-            }
-        });
+        world.agenda.after(
+                ms,
+                () -> {
+                    if (mine == life && up) {
+                        input(call);
+                    }
+                });
     }
 
     void arrive(Try t) {
@@ -165,7 +175,8 @@
         boolean told = srv.born == m.born;
         int no = t.hops.size();
         boolean first = t.hops.isEmpty();
-        world.oracle.dispatched(t, m, now, drainToldAt.getOrDefault(m.id, Double.POSITIVE_INFINITY), first);
+        world.oracle.dispatched(
+                t, m, now, drainToldAt.getOrDefault(m.id, Double.POSITIVE_INFINITY), first);
         if (first) {
             world.sentOn(t);
         }
@@ -173,23 +184,30 @@
         t.hops.add(hop);
         double left = t.expires - world.agenda.now();
         double wait = cap == 0 ? left : Math.min(cap, left);
-        hop.visit = new Machine.Visit(t.work, end -> {
-            if (end == End.GOOD) {
-                world.ran(t);
-            }
-            world.agenda.after(world.oneWay(), () -> ends(t, no, end));
-        });
-        world.agenda.after(world.oneWay(), () -> {
-            if (hop.end == null || hop.end == End.TIMED_OUT) {
-                world.reaches(m, t, hop.visit, told);
-            }
-        });
-        world.agenda.after(wait, () -> {
-            if (hop.end == null) {
-                m.withdraw(hop.visit);
-                ends(t, no, End.TIMED_OUT);
-            }
-        });
+        hop.visit =
+                new Machine.Visit(
+                        t.work,
+                        end -> {
+                            if (end == End.GOOD) {
+                                world.ran(t);
+                            }
+                            world.agenda.after(world.oneWay(), () -> ends(t, no, end));
+                        });
+        world.agenda.after(
+                world.oneWay(),
+                () -> {
+                    if (hop.end == null || hop.end == End.TIMED_OUT) {
+                        world.reaches(m, t, hop.visit, told);
+                    }
+                });
+        world.agenda.after(
+                wait,
+                () -> {
+                    if (hop.end == null) {
+                        m.withdraw(hop.visit);
+                        ends(t, no, End.TIMED_OUT);
+                    }
+                });
     }
 
     private void ends(Try t, int no, End how) {
@@ -251,56 +269,73 @@
     }
 
     @Override
-    public void closeIdle(Srv srv) { } // connections cost nothing in this model
+    public void closeIdle(Srv srv) {} // connections cost nothing in this model
 
     @Override
-    public void tell(int peer, String text) { } // gateways do not talk in this model
+    public void tell(int peer, String text) {} // gateways do not talk in this model
 
     @Override
     public void add(long name, double amount, double keep) {
         double at = world.agenda.now();
         boolean[] told = {false};
         world.counted();
-        Consumer<double[]> answer = found -> {
-            if (!told[0]) {
-                told[0] = true;
-                double took = world.agenda.now() - at;
-                End how = End.values()[(int) found[0]];
-                input(in -> in.counted(name, how, took, found[1]));
-            } else if (found[0] == End.GOOD.ordinal()) {
-                input(in -> {
-                    try {
-                        in.countedLate(name, found[1]);
-                    } catch (AbstractMethodError e) {
-                        // a version from before late totals were heard: it goes on without
+        Consumer<double[]> answer =
+                found -> {
+                    if (!told[0]) {
+                        told[0] = true;
+                        double took = world.agenda.now() - at;
+                        End how = End.values()[(int) found[0]];
+                        input(in -> in.counted(name, how, took, found[1]));
+                    } else if (found[0] == End.GOOD.ordinal()) {
+                        input(
+                                in -> {
+                                    try {
+                                        in.countedLate(name, found[1]);
+                                    } catch (AbstractMethodError e) {
+                                        // a version from before late totals were heard: it goes on
+                                        // without
+                                    }
+                                });
                     }
-                });
-            }
-        };
+                };
         long mine = life;
-        world.agenda.after(world.oneWay(), () -> {
-            if (!cutOff) {
-                world.store.add(name, amount, keep, (how, total) -> world.agenda.after(world.oneWay(), () -> {
-                    if (mine == life && up && !cutOff) {
-                        answer.accept(new double[] {how.ordinal(), total});
+        world.agenda.after(
+                world.oneWay(),
+                () -> {
+                    if (!cutOff) {
+                        world.store.add(
+                                name,
+                                amount,
+                                keep,
+                                (how, total) ->
+                                        world.agenda.after(
+                                                world.oneWay(),
+                                                () -> {
+                                                    if (mine == life && up && !cutOff) {
+                                                        answer.accept(
+                                                                new double[] {
+                                                                    how.ordinal(), total
+                                                                });
+                                                    }
+                                                }));
                     }
-                }));
-            }
-        });
-        world.agenda.after(world.counterTimeout(), () -> {
-            if (mine == life && up && !told[0]) {
-                world.unanswered();
-                answer.accept(new double[] {End.TIMED_OUT.ordinal(), 0});
-            }
-        });
+                });
+        world.agenda.after(
+                world.counterTimeout(),
+                () -> {
+                    if (mine == life && up && !told[0]) {
+                        world.unanswered();
+                        answer.accept(new double[] {End.TIMED_OUT.ordinal(), 0});
+                    }
+                });
     }
 
     @Override
-    public void watch(boolean on) { } // the list is pushed in this model
+    public void watch(boolean on) {} // the list is pushed in this model
 
     @Override
-    public void fetchList() { }
+    public void fetchList() {}
 
     @Override
-    public void log(String text) { }
+    public void log(String text) {}
 }
--- a/lab/src/main/java/tinford/lab/model/Oracle.java
+++ b/lab/src/main/java/tinford/lab/model/Oracle.java
@@ -9,7 +9,10 @@
 import tinford.api.Group;
 import tinford.api.Plan;
 
-/** The five rules, looked at from outside: it sees what crosses the wires and nothing of what the decisions think. */
+/**
+ * The five rules, looked at from outside: it sees what crosses the wires and nothing of what the
+ * decisions think.
+ */
 public final class Oracle {
     private static final int MOST_KEPT = 50;
     private static final double SLACK = 50; // for what is on its way
@@ -19,7 +22,9 @@
     private final Map<Long, double[]> ceilings = new HashMap<>(); // level, since
     private long count;
 
-    /** @param meanWork of the reqs, which what the settings allow cold servers is counted in */
+    /**
+     * @param meanWork of the reqs, which what the settings allow cold servers is counted in
+     */
     public Oracle(double grace, double fallMultiple, double fallTime, double meanWork) {
         this.grace = grace;
         this.cold = new ColdBudget(fallMultiple, fallTime, meanWork);
@@ -54,7 +59,8 @@
             breaks("lost", t, "answered after the client timeout");
         }
         if (answer.equals("denied") && t.frontend.effect != Effect.IDEMPOTENT && t.mayHaveRun()) {
-            boolean harmless = t.frontend.effect == Effect.IDEMPOTENCY_KEY && t.frontend.group == Group.ALL;
+            boolean harmless =
+                    t.frontend.effect == Effect.IDEMPOTENCY_KEY && t.frontend.group == Group.ALL;
             if (!harmless) {
                 breaks("effect", t, "denied though it may have run");
             }
@@ -75,7 +81,14 @@
             breaks("lost", t, "a dispatch after the final answer");
         }
         if (now > toldAt + grace + SLACK) {
-            breaks("drain", t, "sent " + Math.round(now - toldAt) + " ms after the drain of " + m.id + " was told");
+            breaks(
+                    "drain",
+                    t,
+                    "sent "
+                            + Math.round(now - toldAt)
+                            + " ms after the drain of "
+                            + m.id
+                            + " was told");
         }
         for (Try.Hop h : t.hops) {
             boolean may = h.end == null || h.end.mayHaveRun;
@@ -83,8 +96,10 @@
                 breaks("effect", t, "two dispatches out at once");
             } else if (may && t.frontend.effect == Effect.NON_IDEMPOTENT) {
                 breaks("effect", t, "dispatched again though it may have run");
-            } else if (may && t.frontend.effect == Effect.IDEMPOTENCY_KEY
-                    && (outside(t.frontend.group, h.to, m) || now - h.at > t.frontend.repeatWindow + SLACK)) {
+            } else if (may
+                    && t.frontend.effect == Effect.IDEMPOTENCY_KEY
+                    && (outside(t.frontend.group, h.to, m)
+                            || now - h.at > t.frontend.repeatWindow + SLACK)) {
                 breaks("effect", t, "repeated where it is not recognised");
             }
         }
@@ -94,7 +109,8 @@
     }
 
     private static boolean outside(Group group, Machine a, Machine b) {
-        return group == Group.ZONE && !a.zone.equals(b.zone) || group == Group.CELL && a.cell != b.cell;
+        return group == Group.ZONE && !a.zone.equals(b.zone)
+                || group == Group.CELL && a.cell != b.cell;
     }
 
     private void ceiling(Try t, double now) {
@@ -102,7 +118,8 @@
         if (p.ceilingRate <= 0) {
             return;
         }
-        double[] c = ceilings.computeIfAbsent(t.customer.id, id -> new double[] {p.ceilingBurst, now});
+        double[] c =
+                ceilings.computeIfAbsent(t.customer.id, id -> new double[] {p.ceilingBurst, now});
         c[0] = Math.min(p.ceilingBurst, c[0] + (now - c[1]) * p.ceilingRate) - t.units;
         c[1] = now;
         if (c[0] < -p.ceilingSlack) {
@@ -118,8 +135,18 @@
     public boolean arrives(Machine m, double work, double now, boolean told) {
         ColdBudget.Approach a = cold.arrives(m, work, now, told);
         if (a.broken()) {
-            breaks("cold", null, String.format(Locale.ROOT, "%s fell at %.1f reqs of mean work, %.1f being the most, %.2f of them from "
-                    + "gateways told of its start, %.0f ms after it", m.id, a.reqs(), a.most(), a.told(), now - m.born));
+            breaks(
+                    "cold",
+                    null,
+                    String.format(
+                            Locale.ROOT,
+                            "%s fell at %.1f reqs of mean work, %.1f being the most, %.2f of them"
+                                    + " from gateways told of its start, %.0f ms after it",
+                            m.id,
+                            a.reqs(),
+                            a.most(),
+                            a.told(),
+                            now - m.born));
         }
         return a.falls();
     }
--- a/lab/src/main/java/tinford/lab/model/Outcome.java
+++ b/lab/src/main/java/tinford/lab/model/Outcome.java
@@ -32,7 +32,10 @@
         this.seed = seed;
     }
 
-    /** Value that had its answer by its target, less what was spent beyond quotas, over what was asked inside them. */
+    /**
+     * Value that had its answer by its target, less what was spent beyond quotas, over what was
+     * asked inside them.
+     */
     public double service() {
         return offered <= 0 ? Double.NaN : (passed - beyondCost) / offered;
     }
@@ -59,7 +62,9 @@
         cold.put("cold_told", b.nearest().told());
         cold.put("cold_at_s", b.nearest().of() > 0 ? (b.nearest().at() - start) / 1000 : 0);
         cold.put("cold_blamed", b.nearestBlamed().of());
-        cold.put("cold_blamed_at_s", b.nearestBlamed().of() > 0 ? (b.nearestBlamed().at() - start) / 1000 : 0);
+        cold.put(
+                "cold_blamed_at_s",
+                b.nearestBlamed().of() > 0 ? (b.nearestBlamed().at() - start) / 1000 : 0);
         cold.put("cold_falls", (double) b.falls());
     }
 
--- a/lab/src/main/java/tinford/lab/model/Store.java
+++ b/lab/src/main/java/tinford/lab/model/Store.java
@@ -26,15 +26,19 @@
             Runnable call = line.poll();
             busy = call != null;
             if (busy) {
-                agenda.after(takes.sample() * slower, () -> {
-                    call.run();
-                    next();
-                });
+                agenda.after(
+                        takes.sample() * slower,
+                        () -> {
+                            call.run();
+                            next();
+                        });
             }
         }
     }
 
-    /** @param most calls that wait at one part */
+    /**
+     * @param most calls that wait at one part
+     */
     public Store(Agenda agenda, int parts, ContinuousSampler takes, int most) {
         this.agenda = agenda;
         this.parts = new Part[parts];
@@ -45,29 +49,36 @@
         this.most = most;
     }
 
-    /** @param then hears of the end, and the total; never, while the counter is silent */
+    /**
+     * @param then hears of the end, and the total; never, while the counter is silent
+     */
     public void add(long name, double amount, double keep, BiConsumer<End, Double> then) {
         calls++;
         if (silent) {
             return;
         }
-        Part p = parts[(int) Long.remainderUnsigned(name * 0x9E3779B97F4A7C15L >>> 17, parts.length)];
+        Part p =
+                parts[
+                        (int)
+                                Long.remainderUnsigned(
+                                        name * 0x9E3779B97F4A7C15L >>> 17, parts.length)];
         if (p.line.size() >= most) {
             then.accept(End.FULL, 0.0);
             return;
         }
-        p.line.add(() -> {
-            double[] had = p.held.get(name);
-            if (had == null || had[1] < agenda.now()) {
-                had = new double[] {0, agenda.now() + Math.min(60_000, keep)};
-                p.held.put(name, had);
-            }
-            had[0] += amount;
-            double total = had[0];
-            if (!silent) {
-                then.accept(End.GOOD, total);
-            }
-        });
+        p.line.add(
+                () -> {
+                    double[] had = p.held.get(name);
+                    if (had == null || had[1] < agenda.now()) {
+                        had = new double[] {0, agenda.now() + Math.min(60_000, keep)};
+                        p.held.put(name, had);
+                    }
+                    had[0] += amount;
+                    double total = had[0];
+                    if (!silent) {
+                        then.accept(End.GOOD, total);
+                    }
+                });
         if (!p.busy) {
             p.next();
         }
--- a/lab/src/main/java/tinford/lab/model/Streams.java
+++ b/lab/src/main/java/tinford/lab/model/Streams.java
@@ -4,8 +4,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Chance, a stream for each purpose: what one part of the world draws moves nothing in another, so that two versions of the
- * decisions see the same clients, work and faults.
+ * Chance, a stream for each purpose: what one part of the world draws moves nothing in another, so
+ * that two versions of the decisions see the same clients, work and faults.
  */
 public final class Streams {
     private final long seed;
--- a/lab/src/main/java/tinford/lab/model/Try.java
+++ b/lab/src/main/java/tinford/lab/model/Try.java
@@ -33,7 +33,8 @@
         int tries;
         boolean passed;
 
-        public Asked(Customer customer, Frontend frontend, double units, double work, boolean inside) {
+        public Asked(
+                Customer customer, Frontend frontend, double units, double work, boolean inside) {
             this.customer = customer;
             this.frontend = frontend;
             this.units = units;
@@ -56,9 +57,18 @@
         }
     }
 
-    /** @param gateway tells which life the gateway that takes it is in: one that has died owes nothing */
+    /**
+     * @param gateway tells which life the gateway that takes it is in: one that has died owes
+     *     nothing
+     */
     public Try(long id, Asked asked, LongSupplier gateway, double now, boolean resent) {
-        super(id, asked.frontend, asked.customer, now + asked.frontend.timeout, asked.units, resent);
+        super(
+                id,
+                asked.frontend,
+                asked.customer,
+                now + asked.frontend.timeout,
+                asked.units,
+                resent);
         this.asked = asked;
         this.work = asked.work;
         this.gateway = gateway;
@@ -79,6 +89,13 @@
     }
 
     String story() {
-        return "req " + id + " (" + frontend.name + ", " + customer.plan.name + "): " + String.join(", ", told);
+        return "req "
+                + id
+                + " ("
+                + frontend.name
+                + ", "
+                + customer.plan.name
+                + "): "
+                + String.join(", ", told);
     }
 }
--- a/lab/src/main/java/tinford/lab/model/World.java
+++ b/lab/src/main/java/tinford/lab/model/World.java
@@ -27,8 +27,10 @@
 /** One run: the parties of a scenario, put together, with what goes wrong, from start to end. */
 public final class World implements Faults.Ground {
     private static final double START = 1_000_000; // no party's clock begins at nought
-    private static final double SETTLES = 2; // times the longest timeout that is waited for the last answers
-    private static final double NOTICE = 2000; // reqs that would come to a dead gateway go on coming so long
+    private static final double SETTLES =
+            2; // times the longest timeout that is waited for the last answers
+    private static final double NOTICE =
+            2000; // reqs that would come to a dead gateway go on coming so long
     final Agenda agenda = new Agenda(START);
     final Oracle oracle;
     final Store store;
@@ -42,7 +44,8 @@
     private final List<Frontend> frontends = new ArrayList<>();
     private final Map<Frontend, ContinuousSampler> work = new HashMap<>();
     private final List<Customer> customers = new ArrayList<>();
-    private final double[] phases; // when a customer's spikes begin, or not a number where it has none
+    private final double[]
+            phases; // when a customer's spikes begin, or not a number where it has none
     private final double[] asks; // units a millisecond, summed up to each customer
     private final Map<Customer, Bucket> offered = new HashMap<>();
     private final Map<Customer, Bucket> used = new HashMap<>();
@@ -57,7 +60,10 @@
         this(s, seed, maker, null);
     }
 
-    /** @param trace the traffic, in place of drawn reqs; its customers' gateways and all work are drawn all the same */
+    /**
+     * @param trace the traffic, in place of drawn reqs; its customers' gateways and all work are
+     *     drawn all the same
+     */
     public World(Scenario s, long seed, Gateway.Maker maker, Trace trace) {
         this.trace = trace;
         this.s = s;
@@ -66,20 +72,49 @@
         this.wires = streams.of("wires");
         this.callers = streams.of("callers");
         this.seeds = streams.of("gateways");
-        this.oracle = new Oracle(s.rules().drain_grace(), s.rules().fall_multiple(), s.rules().fall_time(),
-                s.meanWork());
-        this.store = new Store(agenda, s.counter().parts(),
-                ZigguratSampler.Exponential.of(streams.of("counter"), s.counter().takes()), s.counter().line());
+        this.oracle =
+                new Oracle(
+                        s.rules().drain_grace(),
+                        s.rules().fall_multiple(),
+                        s.rules().fall_time(),
+                        s.meanWork());
+        this.store =
+                new Store(
+                        agenda,
+                        s.counter().parts(),
+                        ZigguratSampler.Exponential.of(streams.of("counter"), s.counter().takes()),
+                        s.counter().line());
         UniformRandomProvider speeds = streams.of("speeds");
         for (int i = 0; i < s.servers().count(); i++) {
-            double speed = s.servers().speed() * (1 + s.servers().speed_spread() * (2 * speeds.nextDouble() - 1));
+            double speed =
+                    s.servers().speed()
+                            * (1 + s.servers().speed_spread() * (2 * speeds.nextDouble() - 1));
             String id = String.format("s%04d", i);
-            machines.put(id, new Machine(agenda, id, s.servers().zones().get(i % s.servers().zones().size()), i % 8,
-                    s.servers().cores(), s.servers().room(), speed, s.servers().cold_from(), s.servers().cold_time()));
+            machines.put(
+                    id,
+                    new Machine(
+                            agenda,
+                            id,
+                            s.servers().zones().get(i % s.servers().zones().size()),
+                            i % 8,
+                            s.servers().cores(),
+                            s.servers().room(),
+                            speed,
+                            s.servers().cold_from(),
+                            s.servers().cold_time()));
         }
         for (Scenario.Frontend f : s.frontends()) {
-            Frontend made = new Frontend(f.name(), f.target(), f.timeout(), f.value(), 0, Effect.valueOf(f.effect().name()),
-                    Group.CELL, f.repeat_window(), false);
+            Frontend made =
+                    new Frontend(
+                            f.name(),
+                            f.target(),
+                            f.timeout(),
+                            f.value(),
+                            0,
+                            Effect.valueOf(f.effect().name()),
+                            Group.CELL,
+                            f.repeat_window(),
+                            false);
             frontends.add(made);
             work.put(made, f.dist().of(streams.of("work " + f.name()), f.work(), f.cv()));
         }
@@ -104,9 +139,11 @@
             }
             customers.add(new Customer(i + 1, plans.get(k), s.clients().spread(), firstOf(draw)));
             boolean heavy = draw.nextDouble() < s.clients().heavy();
-            double use = heavy ? s.clients().heavy_times() : s.clients().use() * 2 * draw.nextDouble();
+            double use =
+                    heavy ? s.clients().heavy_times() : s.clients().use() * 2 * draw.nextDouble();
             boolean spikes = draw.nextDouble() < s.clients().spiky();
-            phases[i] = spikes ? draw.nextDouble() * s.clients().spike_every_s() * 1000 : Double.NaN;
+            phases[i] =
+                    spikes ? draw.nextDouble() * s.clients().spike_every_s() * 1000 : Double.NaN;
             // drawn at the rate of its spikes; between them most are not asked
             sum += use * plans.get(k).rate * (spikes ? s.clients().spike_times() : 1);
             sums[i] = sum;
@@ -114,17 +151,30 @@
         return sums;
     }
 
-    /** The first gateway of a customer, the first ones drawn more often where clients are uneven. */
+    /**
+     * The first gateway of a customer, the first ones drawn more often where clients are uneven.
+     */
     private int firstOf(UniformRandomProvider draw) {
-        return s.clients().uneven() == 0 ? draw.nextInt(s.gateways())
+        return s.clients().uneven() == 0
+                ? draw.nextInt(s.gateways())
                 : (int) (s.gateways() * Math.pow(draw.nextDouble(), 1 + s.clients().uneven()));
     }
 
     private List<Plan> plans() {
         List<Plan> plans = new ArrayList<>();
         for (Scenario.Plan p : s.plans()) {
-            plans.add(new Plan(p.name(), p.rate() / 1000, p.burst(), p.max_out(), p.price(), p.beyond_value(), p.beyond_cost(),
-                    p.ceiling() / 1000, p.ceiling_burst(), p.slack()));
+            plans.add(
+                    new Plan(
+                            p.name(),
+                            p.rate() / 1000,
+                            p.burst(),
+                            p.max_out(),
+                            p.price(),
+                            p.beyond_value(),
+                            p.beyond_cost(),
+                            p.ceiling() / 1000,
+                            p.ceiling_burst(),
+                            p.slack()));
         }
         return plans;
     }
@@ -135,7 +185,9 @@
         }
         double end = START + s.length_s() * 1000;
         double mean = (1 + s.clients().largest()) / 2;
-        ContinuousSampler gap = ZigguratSampler.Exponential.of(streams.of("arrivals"), mean / asks[asks.length - 1]);
+        ContinuousSampler gap =
+                ZigguratSampler.Exponential.of(
+                        streams.of("arrivals"), mean / asks[asks.length - 1]);
         if (trace == null) {
             arrive(gap, streams.of("asked"), end);
         } else {
@@ -162,20 +214,25 @@
         if (agenda.now() + next > end) {
             return;
         }
-        agenda.after(next, () -> {
-            int who = pick(draw.nextDouble() * asks[asks.length - 1]);
-            Customer c = customers.get(who);
-            Frontend f = frontend(draw.nextDouble());
-            double units = 1 + draw.nextInt((int) s.clients().largest());
-            int way = way(c, draw);
-            boolean asks = Double.isNaN(phases[who])
-                    || (agenda.now() + phases[who]) % (s.clients().spike_every_s() * 1000) < s.clients().spike_s() * 1000
-                    || draw.nextDouble() * s.clients().spike_times() < 1;
-            if (asks) {
-                ask(c, f, units, way, draw);
-            }
-            arrive(gap, draw, end);
-        });
+        agenda.after(
+                next,
+                () -> {
+                    int who = pick(draw.nextDouble() * asks[asks.length - 1]);
+                    Customer c = customers.get(who);
+                    Frontend f = frontend(draw.nextDouble());
+                    double units = 1 + draw.nextInt((int) s.clients().largest());
+                    int way = way(c, draw);
+                    boolean asks =
+                            Double.isNaN(phases[who])
+                                    || (agenda.now() + phases[who])
+                                                    % (s.clients().spike_every_s() * 1000)
+                                            < s.clients().spike_s() * 1000
+                                    || draw.nextDouble() * s.clients().spike_times() < 1;
+                    if (asks) {
+                        ask(c, f, units, way, draw);
+                    }
+                    arrive(gap, draw, end);
+                });
     }
 
     private void replay(int i, UniformRandomProvider draw, double end) {
@@ -183,16 +240,44 @@
             return;
         }
         Trace.Ask a = trace.asks().get(i);
-        agenda.after(START + a.at() - agenda.now(), () -> {
-            Customer c = recorded.computeIfAbsent(a.customer(), id -> {
-                Plan plan = customers.stream().map(k -> k.plan).filter(p -> p.name.equals(a.plan())).findFirst()
-                        .orElseGet(() -> plans().stream().filter(p -> p.name.equals(a.plan())).findFirst().orElseThrow());
-                return new Customer(id, plan, s.clients().spread(), first(id, s.gateways()));
-            });
-            Frontend f = frontends.stream().filter(k -> k.name.equals(a.frontend())).findFirst().orElseThrow();
-            ask(c, f, a.units(), a.way(), draw);
-            replay(i + 1, draw, end);
-        });
+        agenda.after(
+                START + a.at() - agenda.now(),
+                () -> {
+                    Customer c =
+                            recorded.computeIfAbsent(
+                                    a.customer(),
+                                    id -> {
+                                        Plan plan =
+                                                customers.stream()
+                                                        .map(k -> k.plan)
+                                                        .filter(p -> p.name.equals(a.plan()))
+                                                        .findFirst()
+                                                        .orElseGet(
+                                                                () ->
+                                                                        plans().stream()
+                                                                                .filter(
+                                                                                        p ->
+                                                                                                p
+                                                                                                        .name
+                                                                                                        .equals(
+                                                                                                                a
+                                                                                                                        .plan()))
+                                                                                .findFirst()
+                                                                                .orElseThrow());
+                                        return new Customer(
+                                                id,
+                                                plan,
+                                                s.clients().spread(),
+                                                first(id, s.gateways()));
+                                    });
+                    Frontend f =
+                            frontends.stream()
+                                    .filter(k -> k.name.equals(a.frontend()))
+                                    .findFirst()
+                                    .orElseThrow();
+                    ask(c, f, a.units(), a.way(), draw);
+                    replay(i + 1, draw, end);
+                });
     }
 
     /** The first gateway of a customer that a trace names. */
@@ -202,8 +287,9 @@
 
     private void ask(Customer c, Frontend f, double units, int way, UniformRandomProvider draw) {
         asked.add(new Trace.Ask(agenda.now() - START, c.id, c.plan.name, f.name, units, way));
-        boolean inside = offered.computeIfAbsent(c, k -> new Bucket(c.plan.rate, c.plan.burst, agenda.now()))
-                .take(units, agenda.now());
+        boolean inside =
+                offered.computeIfAbsent(c, k -> new Bucket(c.plan.rate, c.plan.burst, agenda.now()))
+                        .take(units, agenda.now());
         Try.Asked first = new Try.Asked(c, f, units, work.get(f).sample(), inside);
         if (inside) {
             outcome.offered += first.value;
@@ -216,9 +302,15 @@
         return new Trace(List.copyOf(asked));
     }
 
-    /** The gateways of its set, in an order that changes now and then, each with less of its reqs than the one before. */
+    /**
+     * The gateways of its set, in an order that changes now and then, each with less of its reqs
+     * than the one before.
+     */
     private int way(Customer c, UniformRandomProvider draw) {
-        double left = draw.nextDouble() * (1 - Math.exp(-s.clients().skew() * c.width)) / (1 - Math.exp(-s.clients().skew() - 1e-12));
+        double left =
+                draw.nextDouble()
+                        * (1 - Math.exp(-s.clients().skew() * c.width))
+                        / (1 - Math.exp(-s.clients().skew() - 1e-12));
         int k = 0;
         for (double w = 1; k < c.width - 1 && left >= w; k++) {
             left -= w;
@@ -228,7 +320,9 @@
             k = draw.nextInt(c.width);
         }
         long turn = (long) (agenda.now() / (s.clients().shift_s() * 1000));
-        return (int) Math.floorMod(k + ((c.id * 31 + turn) * 0x9E3779B97F4A7C15L >>> 33), (long) c.width);
+        return (int)
+                Math.floorMod(
+                        k + ((c.id * 31 + turn) * 0x9E3779B97F4A7C15L >>> 33), (long) c.width);
     }
 
     private int pick(double at) {
@@ -256,7 +350,10 @@
         return frontends.get(frontends.size() - 1);
     }
 
-    /** @param way which of its customer's gateways; {@code stays} the share of its patience that the client has */
+    /**
+     * @param way which of its customer's gateways; {@code stays} the share of its patience that the
+     *     client has
+     */
     private void send(Try.Asked asked, int way, double stays) {
         int at = (asked.customer.first + way) % nodes.size();
         asked.tries++;
@@ -271,20 +368,24 @@
         Try t = new Try(++ids, asked, n::life, agenda.now(), asked.tries > 1);
         n.arrive(t);
         if (stays < 1) {
-            agenda.after(stays * t.frontend.timeout, () -> {
-                if (!t.over && !t.gatewayGone()) {
-                    outcome.unanswered++;
-                    n.left(t);
-                }
-            });
+            agenda.after(
+                    stays * t.frontend.timeout,
+                    () -> {
+                        if (!t.over && !t.gatewayGone()) {
+                            outcome.unanswered++;
+                            n.left(t);
+                        }
+                    });
         }
-        agenda.after(t.frontend.timeout + 100, () -> {
-            if (!t.over) {
-                t.over = true;
-                outcome.unanswered++;
-                oracle.expired(t, agenda.now());
-            }
-        });
+        agenda.after(
+                t.frontend.timeout + 100,
+                () -> {
+                    if (!t.over) {
+                        t.over = true;
+                        outcome.unanswered++;
+                        oracle.expired(t, agenda.now());
+                    }
+                });
     }
 
     /** The final answer of a try, as its client has it. */
@@ -318,11 +419,16 @@
         }
     }
 
-    /** The first dispatch of a try leaves: it is inside its quota, and takes its units, or beyond it. */
+    /**
+     * The first dispatch of a try leaves: it is inside its quota, and takes its units, or beyond
+     * it.
+     */
     void sentOn(Try t) {
         Customer c = t.customer;
         outcome.unitsOn += t.units;
-        t.beyond = !used.computeIfAbsent(c, k -> new Bucket(c.plan.rate, c.plan.burst, agenda.now())).take(t.units, agenda.now());
+        t.beyond =
+                !used.computeIfAbsent(c, k -> new Bucket(c.plan.rate, c.plan.burst, agenda.now()))
+                        .take(t.units, agenda.now());
         if (t.beyond) {
             outcome.unitsBeyond += t.units;
             outcome.beyondCost += t.asked.value * c.plan.beyondCost;
@@ -358,7 +464,8 @@
 
     /** How late one gateway hears of one change. */
     double lateness() {
-        return s.net().list_late() * (1 - s.net().list_spread() + s.net().list_spread() * wires.nextDouble());
+        return s.net().list_late()
+                * (1 - s.net().list_spread() + s.net().list_spread() * wires.nextDouble());
     }
 
     @Override
@@ -423,10 +530,28 @@
     }
 
     Gateway make(Gateway.Maker maker, long seed, int number) {
-        return maker.make(seed, new Place(number, s.gateways(), s.servers().zones().get(number % s.servers().zones().size()),
-                s.tick()), new Limits(s.rules().max_dispatches(), false, true, false, false, s.rules().max_retry_after()),
-                new Rules(s.servers().cold_from(), s.servers().cold_time(), s.rules().fall_multiple(), s.rules().fall_time()),
-                new CounterTerms(s.counter().present(), s.counter().timeout(), s.clients().largest(), false),
-                new Goal(0.7, 0.3), false);
+        return maker.make(
+                seed,
+                new Place(
+                        number,
+                        s.gateways(),
+                        s.servers().zones().get(number % s.servers().zones().size()),
+                        s.tick()),
+                new Limits(
+                        s.rules().max_dispatches(),
+                        false,
+                        true,
+                        false,
+                        false,
+                        s.rules().max_retry_after()),
+                new Rules(
+                        s.servers().cold_from(),
+                        s.servers().cold_time(),
+                        s.rules().fall_multiple(),
+                        s.rules().fall_time()),
+                new CounterTerms(
+                        s.counter().present(), s.counter().timeout(), s.clients().largest(), false),
+                new Goal(0.7, 0.3),
+                false);
     }
 }
--- a/lab/src/main/java/tinford/lab/scenario/Scenario.java
+++ b/lab/src/main/java/tinford/lab/scenario/Scenario.java
@@ -15,46 +15,122 @@
 import java.util.Map;
 import tinford.lab.model.Dist;
 
-/** A world to be tried: sizes, load, parties, and what goes wrong. Times are milliseconds unless the name ends in _s. */
-public record Scenario(double length_s, double tick, int gateways, Net net, Servers servers, Counter counter,
-        List<Frontend> frontends, List<Plan> plans, Clients clients, Rules rules, List<Fault> faults) {
+/**
+ * A world to be tried: sizes, load, parties, and what goes wrong. Times are milliseconds unless the
+ * name ends in _s.
+ */
+public record Scenario(
+        double length_s,
+        double tick,
+        int gateways,
+        Net net,
+        Servers servers,
+        Counter counter,
+        List<Frontend> frontends,
+        List<Plan> plans,
+        Clients clients,
+        Rules rules,
+        List<Fault> faults) {
 
-    /** @param list_spread the part of {@code list_late} over which gateways hear of a change apart */
-    public record Net(double one_way, double jitter, double list_late, double list_spread, double connect_timeout) {}
+    /**
+     * @param list_spread the part of {@code list_late} over which gateways hear of a change apart
+     */
+    public record Net(
+            double one_way,
+            double jitter,
+            double list_late,
+            double list_spread,
+            double connect_timeout) {}
 
-    /** The servers: how many, their size, speed and zones, and how they behave after a cold start. */
-    public record Servers(int count, int cores, int room, double speed, double speed_spread, List<String> zones,
-            double cold_from, double cold_time) {}
+    /**
+     * The servers: how many, their size, speed and zones, and how they behave after a cold start.
+     */
+    public record Servers(
+            int count,
+            int cores,
+            int room,
+            double speed,
+            double speed_spread,
+            List<String> zones,
+            double cold_from,
+            double cold_time) {}
 
     /** The shared counter: its capacity, queue and time-out. */
     public record Counter(boolean present, int parts, double takes, int line, double timeout) {}
 
     /** A class of requests and what it is worth. */
-    public record Frontend(String name, double share, double work, Dist dist, double cv, double target, double timeout,
-            double value, Effect effect, double repeat_window) {}
+    public record Frontend(
+            String name,
+            double share,
+            double work,
+            Dist dist,
+            double cv,
+            double target,
+            double timeout,
+            double value,
+            Effect effect,
+            double repeat_window) {}
 
     /** What a repeated request may do at a server. */
-    public enum Effect { IDEMPOTENT, IDEMPOTENCY_KEY, NON_IDEMPOTENT }
+    public enum Effect {
+        IDEMPOTENT,
+        IDEMPOTENCY_KEY,
+        NON_IDEMPOTENT
+    }
 
     /** A quota plan. */
-    public record Plan(String name, double share, double rate, double burst, int max_out, double price, double beyond_value,
-            double beyond_cost, double ceiling, double ceiling_burst, double slack) {}
+    public record Plan(
+            String name,
+            double share,
+            double rate,
+            double burst,
+            int max_out,
+            double price,
+            double beyond_value,
+            double beyond_cost,
+            double ceiling,
+            double ceiling_burst,
+            double slack) {}
 
     /**
-     * @param use of their quotas that customers make, in the mean; {@code heavy} of them ask {@code heavy_times} theirs;
-     *     {@code spiky} of them ask {@code spike_times} as much as else for {@code spike_s} out of every {@code spike_every_s}
-     * @param skew how unevenly a customer's reqs come through its gateways: each has e to the minus this of the one before;
-     *     which one is the first is drawn anew every {@code shift_s}
-     * @param uneven how unevenly customers lie over the gateways: of n the first is the first of n to the minus 1 / (1 + this) of them
+     * @param use of their quotas that customers make, in the mean; {@code heavy} of them ask {@code
+     *     heavy_times} theirs; {@code spiky} of them ask {@code spike_times} as much as else for
+     *     {@code spike_s} out of every {@code spike_every_s}
+     * @param skew how unevenly a customer's reqs come through its gateways: each has e to the minus
+     *     this of the one before; which one is the first is drawn anew every {@code shift_s}
+     * @param uneven how unevenly customers lie over the gateways: of n the first is the first of n
+     *     to the minus 1 / (1 + this) of them
      */
-    public record Clients(int customers, int spread, double skew, double shift_s, double use, double heavy, double heavy_times,
-            double spiky, double spike_times, double spike_s, double spike_every_s, int retries, double honour, double backoff,
-            double leave, double largest, double uneven) {}
+    public record Clients(
+            int customers,
+            int spread,
+            double skew,
+            double shift_s,
+            double use,
+            double heavy,
+            double heavy_times,
+            double spiky,
+            double spike_times,
+            double spike_s,
+            double spike_every_s,
+            int retries,
+            double honour,
+            double backoff,
+            double leave,
+            double largest,
+            double uneven) {}
 
     /** The limits that every gateway must keep. */
-    public record Rules(double drain_grace, double fall_multiple, double fall_time, int max_dispatches, double max_retry_after) {}
+    public record Rules(
+            double drain_grace,
+            double fall_multiple,
+            double fall_time,
+            int max_dispatches,
+            double max_retry_after) {}
 
-    /** @param part of the nodes that it takes; {@code size} what it means is with its kind */
+    /**
+     * @param part of the nodes that it takes; {@code size} what it means is with its kind
+     */
     public record Fault(Kind kind, double at_s, double for_s, double part, double size) {}
 
     /** What can go wrong. */
@@ -75,9 +151,15 @@
         COUNTER_SPLIT,
         /** Gateways are killed, and come back with nothing but their last list. */
         GATEWAYS_DIE,
-        /** Servers start anew in {@code size} steps over the time, each down 1 s, and come back cold. */
+        /**
+         * Servers start anew in {@code size} steps over the time, each down 1 s, and come back
+         * cold.
+         */
         SERVERS_ROLL,
-        /** Gateways start anew in {@code size} steps over the time, each down 1 s, with their last list. */
+        /**
+         * Gateways start anew in {@code size} steps over the time, each down 1 s, with their last
+         * list.
+         */
         GATEWAYS_ROLL,
         /** Customers ask {@code size} times as much. */
         LOAD_RISES
@@ -114,11 +196,17 @@
         return of(name, text, Map.of());
     }
 
-    /** @param changes values in place of those in the file, by key: {@code servers.count}, {@code plans.small.rate}, {@code faults.0.size} */
+    /**
+     * @param changes values in place of those in the file, by key: {@code servers.count}, {@code
+     *     plans.small.rate}, {@code faults.0.size}
+     */
     public static Scenario of(String name, String text, Map<String, String> changes) throws Bad {
-        TomlMapper toml = TomlMapper.builder().enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-                .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
-                .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES).build();
+        TomlMapper toml =
+                TomlMapper.builder()
+                        .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                        .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
+                        .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
+                        .build();
         Scenario s;
         try {
             JsonNode tree = toml.readTree(text);
@@ -127,14 +215,29 @@
             }
             s = toml.treeToValue(tree, Scenario.class);
         } catch (UnrecognizedPropertyException e) {
-            throw new Bad(name + ": " + place(e) + ": expected no such key; known are " + e.getKnownPropertyIds());
+            throw new Bad(
+                    name
+                            + ": "
+                            + place(e)
+                            + ": expected no such key; known are "
+                            + e.getKnownPropertyIds());
         } catch (JsonMappingException e) {
             String said = e.getOriginalMessage().lines().findFirst().orElse("");
-            throw new Bad(name + ": " + place(e) + ": expected " + (said.startsWith("Missing creator property") ? "a value; there is none"
-                    : "another value: " + said));
+            throw new Bad(
+                    name
+                            + ": "
+                            + place(e)
+                            + ": expected "
+                            + (said.startsWith("Missing creator property")
+                                    ? "a value; there is none"
+                                    : "another value: " + said));
         } catch (JacksonException e) {
-            throw new Bad(name + ": line " + (e.getLocation() == null ? "?" : e.getLocation().getLineNr()) + ": expected TOML: "
-                    + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new Bad(
+                    name
+                            + ": line "
+                            + (e.getLocation() == null ? "?" : e.getLocation().getLineNr())
+                            + ": expected TOML: "
+                            + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
         Check c = new Check(name);
         c.positive("length_s", s.length_s);
@@ -161,15 +264,24 @@
             c.positive("frontends." + f.name + ".share", f.share);
             c.positive("frontends." + f.name + ".work", f.work);
             c.positive("frontends." + f.name + ".target", f.target);
-            c.that("frontends." + f.name + ".timeout", f.timeout >= 1.5 * f.target, "one and a half of the target at least");
+            c.that(
+                    "frontends." + f.name + ".timeout",
+                    f.timeout >= 1.5 * f.target,
+                    "one and a half of the target at least");
         }
         c.that("plans", !s.plans.isEmpty(), "one plan at least");
         for (Plan p : s.plans) {
             c.positive("plans." + p.name + ".share", p.share);
             c.positive("plans." + p.name + ".rate", p.rate);
-            c.that("plans." + p.name + ".burst", p.burst >= s.clients.largest, "the largest req at least");
+            c.that(
+                    "plans." + p.name + ".burst",
+                    p.burst >= s.clients.largest,
+                    "the largest req at least");
             c.within("plans." + p.name + ".ceiling", p.ceiling, 0, 1e6);
-            c.that("plans." + p.name + ".slack", p.ceiling == 0 || p.slack >= s.clients.largest, "the largest req at least");
+            c.that(
+                    "plans." + p.name + ".slack",
+                    p.ceiling == 0 || p.slack >= s.clients.largest,
+                    "the largest req at least");
         }
         c.within("clients.customers", s.clients.customers, 1, 2_000_000);
         c.within("clients.spread", s.clients.spread, 1, s.gateways);
@@ -194,14 +306,29 @@
             c.within(at + ".at_s", f.at_s, 0, s.length_s);
             c.positive(at + ".for_s", f.for_s);
             c.within(at + ".part", f.part, 0, 1);
-            boolean nodes = switch (f.kind) {
-                case SERVERS_DIE, SERVERS_SLOW, SERVERS_HANG, FLEET_SHRINKS, GATEWAYS_DIE, COUNTER_SPLIT, SERVERS_ROLL, GATEWAYS_ROLL -> true;
-                default -> false;
-            };
+            boolean nodes =
+                    switch (f.kind) {
+                        case SERVERS_DIE,
+                                        SERVERS_SLOW,
+                                        SERVERS_HANG,
+                                        FLEET_SHRINKS,
+                                        GATEWAYS_DIE,
+                                        COUNTER_SPLIT,
+                                        SERVERS_ROLL,
+                                        GATEWAYS_ROLL ->
+                                true;
+                        default -> false;
+                    };
             c.that(at + ".part", !nodes || f.part > 0, "some part of the nodes: it names none");
-            boolean sized = f.kind == Kind.SERVERS_SLOW || f.kind == Kind.COUNTER_SLOW || f.kind == Kind.LOAD_RISES;
+            boolean sized =
+                    f.kind == Kind.SERVERS_SLOW
+                            || f.kind == Kind.COUNTER_SLOW
+                            || f.kind == Kind.LOAD_RISES;
             boolean steps = f.kind == Kind.SERVERS_ROLL || f.kind == Kind.GATEWAYS_ROLL;
-            c.that(at + ".size", !steps || f.size >= 1 && f.size == Math.rint(f.size), "a whole number of steps");
+            c.that(
+                    at + ".size",
+                    !steps || f.size >= 1 && f.size == Math.rint(f.size),
+                    "a whole number of steps");
             c.that(at + ".size", !sized || f.size > 0, "how many times");
         }
         return s;
@@ -215,7 +342,8 @@
         }
         String last = steps[steps.length - 1];
         if (!(at instanceof ObjectNode in) || !in.has(last) || in.get(last).isContainerNode()) {
-            throw new Bad(file + ": " + key + ": expected a key that the scenario has, with one value");
+            throw new Bad(
+                    file + ": " + key + ": expected a key that the scenario has, with one value");
         }
         try {
             if (in.get(last).isNumber()) {
@@ -245,7 +373,10 @@
     public static String place(JsonMappingException e) {
         StringBuilder s = new StringBuilder();
         for (JsonMappingException.Reference r : e.getPath()) {
-            s.append(r.getFieldName() == null ? "[" + r.getIndex() + "]" : (s.length() > 0 ? "." : "") + r.getFieldName());
+            s.append(
+                    r.getFieldName() == null
+                            ? "[" + r.getIndex() + "]"
+                            : (s.length() > 0 ? "." : "") + r.getFieldName());
         }
         return s.isEmpty() ? "top" : s.toString();
     }
@@ -262,7 +393,10 @@
         }
 
         void within(String key, double v, double least, double most) throws Bad {
-            that(key, v >= least && v <= most, "a number from " + least + " to " + most + ", not " + v);
+            that(
+                    key,
+                    v >= least && v <= most,
+                    "a number from " + least + " to " + most + ", not " + v);
         }
     }
 }
