--- a/lab/src/main/java/tinford/lab/sockets/Bench.java
+++ b/lab/src/main/java/tinford/lab/sockets/Bench.java
@@ -47,8 +47,9 @@
 import tinford.lab.scenario.Trace;
 
 /**
- * A scenario on loopback sockets: real gateways, and stand-ins of servers, counter and discovery that hold the model's own machines
- * and store, under an open load: each req leaves when the trace says, whatever became of those before, and its time counts from then.
+ * A scenario on loopback sockets: real gateways, and stand-ins of servers, counter and discovery
+ * that hold the model's own machines and store, under an open load: each req leaves when the trace
+ * says, whatever became of those before, and its time counts from then.
  */
 public final class Bench implements Faults.Ground, AutoCloseable {
     private static final int READY = 20_000;
@@ -64,23 +65,29 @@
     private final Map<String, ContinuousSampler> work = new HashMap<>();
     private final Store store;
     private final List<Gateway> gateways = new ArrayList<>();
-    private final ExecutorService pool = Executors.newCachedThreadPool(r -> {
-        Thread t = new Thread(r, "lab");
-        t.setDaemon(true);
-        return t;
-    });
+    private final ExecutorService pool =
+            Executors.newCachedThreadPool(
+                    r -> {
+                        Thread t = new Thread(r, "lab");
+                        t.setDaemon(true);
+                        return t;
+                    });
     private final Map<Long, Bucket> used = new HashMap<>();
-    private final Map<Long, Boolean> beyond = new ConcurrentHashMap<>(); // of reqs that reached a server
+    private final Map<Long, Boolean> beyond =
+            new ConcurrentHashMap<>(); // of reqs that reached a server
     private final Map<Long, Try> tries = new ConcurrentHashMap<>();
     private final Map<String, Frontend> frontends = new HashMap<>();
     private final Map<String, Plan> plans = new HashMap<>();
     private final Oracle oracle;
-    private final List<String> strange = new java.util.concurrent.CopyOnWriteArrayList<>(); // answers that are none
+    private final List<String> strange =
+            new java.util.concurrent.CopyOnWriteArrayList<>(); // answers that are none
     private final Discovery discovery;
-    private final Map<Integer, Try.Hop> hopsFrom = new HashMap<>(); // by the port of their connection
-    private final Map<Integer, Boolean> given = new HashMap<>(); // up by their gateway before their dispatch was here
+    private final Map<Integer, Try.Hop> hopsFrom =
+            new HashMap<>(); // by the port of their connection
+    private final Map<Integer, Boolean> given =
+            new HashMap<>(); // up by their gateway before their dispatch was here
     private double unitsOn;
-    private DoubleConsumer begun = from -> { };
+    private DoubleConsumer begun = from -> {};
     private double unitsBeyond;
     private int retries;
 
@@ -120,7 +127,9 @@
                 } else if (machine.up() && door == null) {
                     door = new ServerSocket();
                     door.setReuseAddress(true);
-                    door.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
+                    door.bind(
+                            new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                            200);
                     accept(door);
                     between.shut(machine.id, false);
                 }
@@ -131,21 +140,38 @@
         }
 
         private void accept(ServerSocket at) {
-            pool.execute(() -> {
-                try {
-                    while (true) {
-                        Wire w = new Wire(at.accept());
-                        w.socket.setSoTimeout((int) (between.idle() + s.frontends().stream().mapToDouble(Scenario.Frontend::timeout).max().orElse(0)));
-                        synchronized (held) { // guards the order of the lines: each has the count of its own change
-                            wires.put(w, true);
-                            between.tell("opened", "server", machine.id, "from", between.from(w.socket.getPort()), "held", held.incrementAndGet());
+            pool.execute(
+                    () -> {
+                        try {
+                            while (true) {
+                                Wire w = new Wire(at.accept());
+                                w.socket.setSoTimeout(
+                                        (int)
+                                                (between.idle()
+                                                        + s.frontends().stream()
+                                                                .mapToDouble(
+                                                                        Scenario.Frontend::timeout)
+                                                                .max()
+                                                                .orElse(0)));
+                                synchronized (
+                                        held) { // guards the order of the lines: each has the count
+                                    // of its own change
+                                    wires.put(w, true);
+                                    between.tell(
+                                            "opened",
+                                            "server",
+                                            machine.id,
+                                            "from",
+                                            between.from(w.socket.getPort()),
+                                            "held",
+                                            held.incrementAndGet());
+                                }
+                                pool.execute(() -> talk(w));
+                            }
+                        } catch (IOException e) {
+                            // the door is shut
                         }
-                        pool.execute(() -> talk(w));
-                    }
-                } catch (IOException e) {
-                    // the door is shut
-                }
-            });
+                    });
         }
 
         private void talk(Wire w) {
@@ -159,17 +185,18 @@
                 // what can't be read ends its connection
             } finally {
                 drop(w);
-                live.post(() -> {
-                    hopsFrom.remove(w.socket.getPort());
-                    given.remove(w.socket.getPort());
-                    if (visit[0] != null) {
-                        machine.withdraw(visit[0]);
-                    }
-                    Try.Hop hop = hops.remove(w);
-                    if (hop != null && hop.end == null) {
-                        hop.end = End.TIMED_OUT; // given up by its gateway; it may have run
-                    }
-                });
+                live.post(
+                        () -> {
+                            hopsFrom.remove(w.socket.getPort());
+                            given.remove(w.socket.getPort());
+                            if (visit[0] != null) {
+                                machine.withdraw(visit[0]);
+                            }
+                            Try.Hop hop = hops.remove(w);
+                            if (hop != null && hop.end == null) {
+                                hop.end = End.TIMED_OUT; // given up by its gateway; it may have run
+                            }
+                        });
             }
         }
 
@@ -177,7 +204,14 @@
         private void drop(Wire w) {
             synchronized (held) {
                 if (wires.remove(w) != null) {
-                    between.tell("closed", "server", machine.id, "from", between.from(w.socket.getPort()), "held", held.decrementAndGet());
+                    between.tell(
+                            "closed",
+                            "server",
+                            machine.id,
+                            "from",
+                            between.from(w.socket.getPort()),
+                            "held",
+                            held.decrementAndGet());
                 }
             }
             w.close();
@@ -188,45 +222,82 @@
             Try t = tries.get(Long.parseUnsignedLong(words[2], 16));
             double works = work.get(t.frontend.name).sample();
             boolean further = beyond.get(t.id) != null;
-            between.tell("dispatch", "server", machine.id, "from", between.from(w.socket.getPort()), "req", words[2], "frontend",
-                    t.frontend.name, "effect", t.frontend.effect.name(), "units", t.units, "further", further, "group", Integer.toString(machine.cell),
-                    "class", between.group(machine.id), "window", t.frontend.repeatWindow);
+            between.tell(
+                    "dispatch",
+                    "server",
+                    machine.id,
+                    "from",
+                    between.from(w.socket.getPort()),
+                    "req",
+                    words[2],
+                    "frontend",
+                    t.frontend.name,
+                    "effect",
+                    t.frontend.effect.name(),
+                    "units",
+                    t.units,
+                    "further",
+                    further,
+                    "group",
+                    Integer.toString(machine.cell),
+                    "class",
+                    between.group(machine.id),
+                    "window",
+                    t.frontend.repeatWindow);
             if (!further) {
                 Plan p = t.customer.plan;
-                boolean in = used.computeIfAbsent(t.customer.id, k -> new Bucket(p.rate, p.burst, now)).take(t.units, now);
+                boolean in =
+                        used.computeIfAbsent(t.customer.id, k -> new Bucket(p.rate, p.burst, now))
+                                .take(t.units, now);
                 beyond.put(t.id, !in);
                 unitsOn += t.units;
                 unitsBeyond += in ? 0 : t.units;
             }
             Try.Hop hop = new Try.Hop(machine, now);
             double told = drainToldAt;
-            Runnable seen = () -> {
-                oracle.dispatched(t, machine, now, told, t.hops.isEmpty());
-                t.hops.add(hop);
-            };
+            Runnable seen =
+                    () -> {
+                        oracle.dispatched(t, machine, now, told, t.hops.isEmpty());
+                        t.hops.add(hop);
+                    };
             hopsFrom.put(w.socket.getPort(), hop);
             // the end of the connection before may lie unread: then it is looked at a moment later
             if (given.containsKey(w.socket.getPort())) {
-                hop.end = End.TIMED_OUT; // it was held up on its way and comes after others: the histories judge it
+                hop.end = End.TIMED_OUT; // it was held up on its way and comes after others: the
+                // histories judge it
             } else if (t.hops.stream().anyMatch(h -> h.end == null)) {
                 live.agenda().after(UNREAD, seen);
             } else {
                 seen.run();
             }
             hops.put(w, hop);
-            Machine.Visit v = new Machine.Visit(works, end -> {
-                hop.end = hop.end == null ? end : hop.end;
-                between.tell("ended", "server", machine.id, "req", words[2], "how", end.name());
-                try {
-                    switch (end) {
-                        case GOOD -> w.say("*3\r\n$16\r\n" + words[2] + "\r\n$-1\r\n$-1\r\n");
-                        case FULL -> w.say("-BUSY\r\n");
-                        default -> drop(w);
-                    }
-                } catch (IOException e) {
-                    drop(w);
-                }
-            });
+            Machine.Visit v =
+                    new Machine.Visit(
+                            works,
+                            end -> {
+                                hop.end = hop.end == null ? end : hop.end;
+                                between.tell(
+                                        "ended",
+                                        "server",
+                                        machine.id,
+                                        "req",
+                                        words[2],
+                                        "how",
+                                        end.name());
+                                try {
+                                    switch (end) {
+                                        case GOOD ->
+                                                w.say(
+                                                        "*3\r\n$16\r\n"
+                                                                + words[2]
+                                                                + "\r\n$-1\r\n$-1\r\n");
+                                        case FULL -> w.say("-BUSY\r\n");
+                                        default -> drop(w);
+                                    }
+                                } catch (IOException e) {
+                                    drop(w);
+                                }
+                            });
             if (oracle.arrives(machine, works, now, toldBorn == machine.born)) {
                 machine.die();
             }
@@ -251,27 +322,39 @@
 
         private void open(int gateway) {
             ServerSocket door = doors.get(gateway);
-            pool.execute(() -> {
-                try {
-                    while (true) {
-                        Wire w = new Wire(door.accept());
-                        pool.execute(() -> {
-                            try {
-                                for (String line = w.line(); line != null && !line.isEmpty(); line = w.line()) { }
-                                w.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                                live.post(() -> {
-                                    watches.put(w, gateway);
-                                    tell(w, list(gateway, hosts.values(), true));
-                                });
-                            } catch (IOException e) {
-                                w.close();
+            pool.execute(
+                    () -> {
+                        try {
+                            while (true) {
+                                Wire w = new Wire(door.accept());
+                                pool.execute(
+                                        () -> {
+                                            try {
+                                                for (String line = w.line();
+                                                        line != null && !line.isEmpty();
+                                                        line = w.line()) {}
+                                                w.say(
+                                                        "HTTP/1.1 200 OK\r\n"
+                                                            + "Transfer-Encoding: chunked\r\n\r\n");
+                                                live.post(
+                                                        () -> {
+                                                            watches.put(w, gateway);
+                                                            tell(
+                                                                    w,
+                                                                    list(
+                                                                            gateway,
+                                                                            hosts.values(),
+                                                                            true));
+                                                        });
+                                            } catch (IOException e) {
+                                                w.close();
+                                            }
+                                        });
                             }
-                        });
-                    }
-                } catch (IOException e) {
-                    // the run is over
-                }
-            });
+                        } catch (IOException e) {
+                            // the run is over
+                        }
+                    });
         }
 
         private void pulse() {
@@ -296,9 +379,26 @@
         String list(int gateway, Collection<Host> some, boolean whole) {
             List<Object> all = new ArrayList<>();
             for (Host h : some) {
-                all.add(Map.of("host", h.machine.id, "dial", at(between.server(gateway, h.machine.id, h.port)), "site", h.machine.zone, "class", between.group(h.machine.id), "block", h.machine.cell, "share", 1.0,
-                        "health", h.state == Srv.State.UP ? "ready" : h.state == Srv.State.DRAINING ? "draining" : "gone",
-                        "born_ms", h.machine.born));
+                all.add(
+                        Map.of(
+                                "host",
+                                h.machine.id,
+                                "dial",
+                                at(between.server(gateway, h.machine.id, h.port)),
+                                "site",
+                                h.machine.zone,
+                                "class",
+                                between.group(h.machine.id),
+                                "block",
+                                h.machine.cell,
+                                "share",
+                                1.0,
+                                "health",
+                                h.state == Srv.State.UP
+                                        ? "ready"
+                                        : h.state == Srv.State.DRAINING ? "draining" : "gone",
+                                "born_ms",
+                                h.machine.born));
             }
             return json(Map.of("seq", seq, "whole", whole, "hosts", all));
         }
@@ -314,48 +414,64 @@
         volatile boolean cutOff;
         volatile long life;
         volatile boolean stands;
-        volatile boolean up; // it has answered since its start: before that, and dead, it owes nothing
+        volatile boolean
+                up; // it has answered since its start: before that, and dead, it owes nothing
         volatile Process process;
 
         Gateway(int number) throws IOException {
             this.number = number;
             port = FreePort.find();
             counterPort = between.counter(number, counter.getLocalPort());
-            pool.execute(() -> {
-                try {
-                    while (true) {
-                        Wire w = new Wire(counter.accept());
-                        pool.execute(() -> count(w));
-                    }
-                } catch (IOException e) {
-                    // the run is over
-                }
-            });
+            pool.execute(
+                    () -> {
+                        try {
+                            while (true) {
+                                Wire w = new Wire(counter.accept());
+                                pool.execute(() -> count(w));
+                            }
+                        } catch (IOException e) {
+                            // the run is over
+                        }
+                    });
         }
 
         private void count(Wire w) {
-            ArrayDeque<String[]> order = new ArrayDeque<>(); // of the agenda's thread: answers in the order of the calls
+            ArrayDeque<String[]> order =
+                    new ArrayDeque<>(); // of the agenda's thread: answers in the order of the calls
             try (w) {
                 for (String[] words = w.words(); words != null; words = w.words()) {
                     String[] call = words;
-                    live.post(() -> {
-                        String[] answer = new String[1];
-                        order.add(answer);
-                        if (cutOff) {
-                            return;
-                        }
-                        store.add(Long.parseLong(call[1]), Double.parseDouble(call[2]), Double.parseDouble(call[3]), (how, total) -> {
-                            String text = Double.toString(total);
-                            answer[0] = how == End.GOOD ? "$" + text.length() + "\r\n" + text + "\r\n" : "-BUSY\r\n";
-                            try {
-                                while (!order.isEmpty() && order.peek()[0] != null) {
-                                    w.say(order.poll()[0]);
+                    live.post(
+                            () -> {
+                                String[] answer = new String[1];
+                                order.add(answer);
+                                if (cutOff) {
+                                    return;
                                 }
-                            } catch (IOException e) {
-                                w.close();
-                            }
-                        });
-                    });
+                                store.add(
+                                        Long.parseLong(call[1]),
+                                        Double.parseDouble(call[2]),
+                                        Double.parseDouble(call[3]),
+                                        (how, total) -> {
+                                            String text = Double.toString(total);
+                                            answer[0] =
+                                                    how == End.GOOD
+                                                            ? "$"
+                                                                    + text.length()
+                                                                    + "\r\n"
+                                                                    + text
+                                                                    + "\r\n"
+                                                            : "-BUSY\r\n";
+                                            try {
+                                                while (!order.isEmpty()
+                                                        && order.peek()[0] != null) {
+                                                    w.say(order.poll()[0]);
+                                                }
+                                            } catch (IOException e) {
+                                                w.close();
+                                            }
+                                        });
+                            });
                 }
             } catch (IOException | RuntimeException e) {
                 // the gateway has another
@@ -383,7 +499,12 @@
                     }
                 } catch (IOException e) {
                     if (!process.isAlive() || System.nanoTime() > until) {
-                        throw new IOException("gateway " + number + " did not start: " + Files.readString(folder.resolve("gateway" + number + ".log")));
+                        throw new IOException(
+                                "gateway "
+                                        + number
+                                        + " did not start: "
+                                        + Files.readString(
+                                                folder.resolve("gateway" + number + ".log")));
                     }
                     Thread.onSpinWait();
                 }
@@ -393,36 +514,111 @@
         private String config() throws IOException {
             List<Object> classes = new ArrayList<>();
             for (Scenario.Frontend f : s.frontends()) {
-                classes.add(Map.of("Name", f.name(), "Effect", switch (f.effect()) {
-                    case IDEMPOTENT -> "read_like";
-                    case IDEMPOTENCY_KEY -> "idempotency_key";
-                    case NON_IDEMPOTENT -> "non_idempotent";
-                }, "Group", "cell", "HardLimitUs", f.timeout() * 1000, "OnTimeUs", f.target() * 1000, "Value", f.value(), "LateWorth", 0,
-                        "Stream", false, "WindowUs", f.repeat_window() * 1000));
+                classes.add(
+                        Map.of(
+                                "Name",
+                                f.name(),
+                                "Effect",
+                                switch (f.effect()) {
+                                    case IDEMPOTENT -> "read_like";
+                                    case IDEMPOTENCY_KEY -> "idempotency_key";
+                                    case NON_IDEMPOTENT -> "non_idempotent";
+                                },
+                                "Group",
+                                "cell",
+                                "HardLimitUs",
+                                f.timeout() * 1000,
+                                "OnTimeUs",
+                                f.target() * 1000,
+                                "Value",
+                                f.value(),
+                                "LateWorth",
+                                0,
+                                "Stream",
+                                false,
+                                "WindowUs",
+                                f.repeat_window() * 1000));
             }
             List<Object> plans = new ArrayList<>();
             for (Scenario.Plan p : s.plans()) {
-                plans.add(Map.of("Name", p.name(), "QuotaRate", p.rate(), "MostAtOnce", p.burst(), "MaxOut", p.max_out(), "Price", p.price(),
-                        "ExtraWorth", p.beyond_value(), "OverrunCost", p.beyond_cost(), "CapRate", p.ceiling(), "CapDepth", p.ceiling_burst(),
-                        "HardSlack", p.slack()));
+                plans.add(
+                        Map.of(
+                                "Name",
+                                p.name(),
+                                "QuotaRate",
+                                p.rate(),
+                                "MostAtOnce",
+                                p.burst(),
+                                "MaxOut",
+                                p.max_out(),
+                                "Price",
+                                p.price(),
+                                "ExtraWorth",
+                                p.beyond_value(),
+                                "OverrunCost",
+                                p.beyond_cost(),
+                                "CapRate",
+                                p.ceiling(),
+                                "CapDepth",
+                                p.ceiling_burst(),
+                                "HardSlack",
+                                p.slack()));
             }
             Map<String, Object> settings = new LinkedHashMap<>();
             settings.put("Az", s.servers().zones().get(0));
             settings.put("Azs", s.servers().zones());
             settings.put("Classes", classes);
             settings.put("Discovery", "automatic");
-            Map<String, Object> limits = new LinkedHashMap<>(Map.of("Cancel", true, "ConnectTimeoutUs", s.net().connect_timeout() * 1000, "KeepaliveUs", between.idle() * 1000,
-                    "MaxAttempts", s.rules().max_dispatches(), "MaxRetryAfterUs", s.rules().max_retry_after() * 1000, "MayDuplicate", false,
-                    "OpenCap", 20_000, "Peers", false, "Probes", false, "RetryAfter", true));
+            Map<String, Object> limits =
+                    new LinkedHashMap<>(
+                            Map.of(
+                                    "Cancel",
+                                    true,
+                                    "ConnectTimeoutUs",
+                                    s.net().connect_timeout() * 1000,
+                                    "KeepaliveUs",
+                                    between.idle() * 1000,
+                                    "MaxAttempts",
+                                    s.rules().max_dispatches(),
+                                    "MaxRetryAfterUs",
+                                    s.rules().max_retry_after() * 1000,
+                                    "MayDuplicate",
+                                    false,
+                                    "OpenCap",
+                                    20_000,
+                                    "Peers",
+                                    false,
+                                    "Probes",
+                                    false,
+                                    "RetryAfter",
+                                    true));
             settings.put("Limits", limits);
             settings.put("LoadInfo", Map.of("Fields", List.of(), "How", "silent"));
             settings.put("MyNumber", number);
             settings.put("NInstances", s.gateways());
             settings.put("ResultMix", Map.of("Whole", 0.7, "WorstTenant", 0.3));
-            settings.put("Rules", Map.of("ColdFrom", s.servers().cold_from(), "ColdUs", s.servers().cold_time() * 1000, "FallMultiple",
-                    s.rules().fall_multiple(), "FallUs", s.rules().fall_time() * 1000));
-            settings.put("Specifics", Map.of("Counter", s.counter().present(), "CountLimitUs", s.counter().timeout() * 1000, "PostPaid", false,
-                    "UnitsTop", s.clients().largest()));
+            settings.put(
+                    "Rules",
+                    Map.of(
+                            "ColdFrom",
+                            s.servers().cold_from(),
+                            "ColdUs",
+                            s.servers().cold_time() * 1000,
+                            "FallMultiple",
+                            s.rules().fall_multiple(),
+                            "FallUs",
+                            s.rules().fall_time() * 1000));
+            settings.put(
+                    "Specifics",
+                    Map.of(
+                            "Counter",
+                            s.counter().present(),
+                            "CountLimitUs",
+                            s.counter().timeout() * 1000,
+                            "PostPaid",
+                            false,
+                            "UnitsTop",
+                            s.clients().largest()));
             settings.put("Tariffs", plans);
             settings.put("TickUs", s.tick() * 1000);
             Map<String, Object> all = new LinkedHashMap<>();
@@ -438,7 +634,9 @@
             return json(all);
         }
 
-        /** One req on a connection of its own while it lasts: its answer, or null where none came. */
+        /**
+         * One req on a connection of its own while it lasts: its answer, or null where none came.
+         */
         String ask(String command, double patience) {
             Wire w = idle.poll();
             for (int i = 0; i < 2; i++) {
@@ -447,7 +645,10 @@
                     w = kept ? w : new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
                     w.socket.setSoTimeout((int) Math.max(1, patience));
                     if (kept && w.waits()) {
-                        strange.add("lost: gateway " + number + " answered once more than it was asked");
+                        strange.add(
+                                "lost: gateway "
+                                        + number
+                                        + " answered once more than it was asked");
                         between.tell("answered", "req", "", "via", number, "how", "again");
                     }
                     w.say(command);
@@ -474,47 +675,102 @@
         }
     }
 
-    /** @param jar of the gateway; {@code folder} for configurations and logs */
+    /**
+     * @param jar of the gateway; {@code folder} for configurations and logs
+     */
     public Bench(Scenario s, long seed, Path jar, Path folder) throws IOException {
         this(s, seed, List.of("-cp", jar.toString(), "tinford.Main", "serve"), folder);
     }
 
-    /** @param program what java is to run as a gateway */
+    /**
+     * @param program what java is to run as a gateway
+     */
     Bench(Scenario s, long seed, List<String> program, Path folder) throws IOException {
-        this(s, seed, (gateway, config, log) -> {
-            List<String> words = new ArrayList<>(Between.JAVA);
-            words.addAll(program);
-            ProcessBuilder b = new ProcessBuilder(words);
-            b.environment().put("ROUTER_CONFIG", config.toString());
-            return b.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
-        }, folder);
+        this(
+                s,
+                seed,
+                (gateway, config, log) -> {
+                    List<String> words = new ArrayList<>(Between.JAVA);
+                    words.addAll(program);
+                    ProcessBuilder b = new ProcessBuilder(words);
+                    b.environment().put("ROUTER_CONFIG", config.toString());
+                    return b.redirectErrorStream(true)
+                            .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+                            .start();
+                },
+                folder);
     }
 
-    /** @param between starts the gateways, and stands between them and all others */
+    /**
+     * @param between starts the gateways, and stands between them and all others
+     */
     public Bench(Scenario s, long seed, Between between, Path folder) throws IOException {
         this.s = s;
         this.between = between;
         this.folder = folder;
         Streams streams = new Streams(seed);
         faults = streams.of("faults");
-        store = new Store(live.agenda(), s.counter().parts(), ZigguratSampler.Exponential.of(streams.of("counter"), s.counter().takes()),
-                s.counter().line());
-        oracle = new Oracle(s.rules().drain_grace(), s.rules().fall_multiple(), s.rules().fall_time(), s.meanWork());
+        store =
+                new Store(
+                        live.agenda(),
+                        s.counter().parts(),
+                        ZigguratSampler.Exponential.of(streams.of("counter"), s.counter().takes()),
+                        s.counter().line());
+        oracle =
+                new Oracle(
+                        s.rules().drain_grace(),
+                        s.rules().fall_multiple(),
+                        s.rules().fall_time(),
+                        s.meanWork());
         for (Scenario.Plan p : s.plans()) {
-            plans.put(p.name(), new Plan(p.name(), p.rate() / 1000, p.burst(), p.max_out(), p.price(), p.beyond_value(), p.beyond_cost(),
-                    p.ceiling() / 1000, p.ceiling_burst(), p.slack()));
+            plans.put(
+                    p.name(),
+                    new Plan(
+                            p.name(),
+                            p.rate() / 1000,
+                            p.burst(),
+                            p.max_out(),
+                            p.price(),
+                            p.beyond_value(),
+                            p.beyond_cost(),
+                            p.ceiling() / 1000,
+                            p.ceiling_burst(),
+                            p.slack()));
         }
         for (Scenario.Frontend f : s.frontends()) {
-            frontends.put(f.name(), new Frontend(f.name(), f.target(), f.timeout(), f.value(), 0, Effect.valueOf(f.effect().name()),
-                    Group.CELL, f.repeat_window(), false));
+            frontends.put(
+                    f.name(),
+                    new Frontend(
+                            f.name(),
+                            f.target(),
+                            f.timeout(),
+                            f.value(),
+                            0,
+                            Effect.valueOf(f.effect().name()),
+                            Group.CELL,
+                            f.repeat_window(),
+                            false));
             work.put(f.name(), f.dist().of(streams.of("work " + f.name()), f.work(), f.cv()));
         }
         UniformRandomProvider speeds = streams.of("speeds");
         for (int i = 0; i < s.servers().count(); i++) {
-            double speed = s.servers().speed() * (1 + s.servers().speed_spread() * (2 * speeds.nextDouble() - 1));
+            double speed =
+                    s.servers().speed()
+                            * (1 + s.servers().speed_spread() * (2 * speeds.nextDouble() - 1));
             String id = String.format("s%04d", i);
-            hosts.put(id, new Host(new Machine(live.agenda(), id, s.servers().zones().get(i % s.servers().zones().size()), i % 8,
-                    s.servers().cores(), s.servers().room(), speed, s.servers().cold_from(), s.servers().cold_time())));
+            hosts.put(
+                    id,
+                    new Host(
+                            new Machine(
+                                    live.agenda(),
+                                    id,
+                                    s.servers().zones().get(i % s.servers().zones().size()),
+                                    i % 8,
+                                    s.servers().cores(),
+                                    s.servers().room(),
+                                    speed,
+                                    s.servers().cold_from(),
+                                    s.servers().cold_time())));
         }
         discovery = new Discovery(s.gateways());
         for (int i = 0; i < s.gateways(); i++) {
@@ -533,7 +789,12 @@
         double from = live.now() + 200;
         begun.accept(from);
         for (Scenario.Fault f : s.faults()) {
-            live.post(() -> live.agenda().after(from - live.now() + f.at_s() * 1000, () -> Faults.begin(f, this, faults)));
+            live.post(
+                    () ->
+                            live.agenda()
+                                    .after(
+                                            from - live.now() + f.at_s() * 1000,
+                                            () -> Faults.begin(f, this, faults)));
         }
         ConcurrentHistogram took = new ConcurrentHistogram(3_600_000, 3);
         double[] sums = new double[2]; // offered, passed
@@ -548,25 +809,62 @@
                 Thread.sleep(ms);
             }
             long root = ids.incrementAndGet();
-            Scenario.Plan p = s.plans().stream().filter(k -> k.name().equals(a.plan())).findFirst().orElseThrow();
-            Scenario.Frontend f = s.frontends().stream().filter(k -> k.name().equals(a.frontend())).findFirst().orElseThrow();
+            Scenario.Plan p =
+                    s.plans().stream()
+                            .filter(k -> k.name().equals(a.plan()))
+                            .findFirst()
+                            .orElseThrow();
+            Scenario.Frontend f =
+                    s.frontends().stream()
+                            .filter(k -> k.name().equals(a.frontend()))
+                            .findFirst()
+                            .orElseThrow();
             double value = f.value() * p.price() * a.units();
-            boolean inside = asked.computeIfAbsent(a.customer(), k -> new Bucket(p.rate() / 1000, p.burst(), due)).take(a.units(), due);
+            boolean inside =
+                    asked.computeIfAbsent(
+                                    a.customer(), k -> new Bucket(p.rate() / 1000, p.burst(), due))
+                            .take(a.units(), due);
             if (inside) {
                 sums[0] += value;
             }
             int first = World.first(a.customer(), s.gateways());
-            waiting.add(pool.submit(() -> {
-                java.util.Random draw = new java.util.Random(root);
-                double wait = ask(new Asking(a, p, f, root, root, first, a.way(), value, inside, due), took, sums, counts);
-                for (int again = 0; again < retries && wait >= 0; again++) {
-                    wait = wait > 0 && draw.nextDouble() < s.clients().honour() ? wait : s.clients().backoff();
-                    Thread.sleep((long) wait);
-                    wait = ask(new Asking(a, p, f, root, ids.incrementAndGet(), first, draw.nextInt(s.clients().spread()), value, inside,
-                            live.now()), took, sums, counts);
-                }
-                return null;
-            }));
+            waiting.add(
+                    pool.submit(
+                            () -> {
+                                java.util.Random draw = new java.util.Random(root);
+                                double wait =
+                                        ask(
+                                                new Asking(
+                                                        a, p, f, root, root, first, a.way(), value,
+                                                        inside, due),
+                                                took,
+                                                sums,
+                                                counts);
+                                for (int again = 0; again < retries && wait >= 0; again++) {
+                                    wait =
+                                            wait > 0 && draw.nextDouble() < s.clients().honour()
+                                                    ? wait
+                                                    : s.clients().backoff();
+                                    Thread.sleep((long) wait);
+                                    wait =
+                                            ask(
+                                                    new Asking(
+                                                            a,
+                                                            p,
+                                                            f,
+                                                            root,
+                                                            ids.incrementAndGet(),
+                                                            first,
+                                                            draw.nextInt(s.clients().spread()),
+                                                            value,
+                                                            inside,
+                                                            live.now()),
+                                                    took,
+                                                    sums,
+                                                    counts);
+                                }
+                                return null;
+                            }));
         }
         for (java.util.concurrent.Future<?> w : waiting) {
             try {
@@ -587,47 +885,121 @@
         figures.put("p99_ms", (double) took.getValueAtPercentile(99));
         figures.put("p999_ms", (double) took.getValueAtPercentile(99.9));
         java.util.concurrent.CountDownLatch read = new java.util.concurrent.CountDownLatch(1);
-        live.post(() -> {
-            figures.put("beyond_units", unitsOn == 0 ? 0 : unitsBeyond / unitsOn);
-            figures.put("calls_a_try", store.calls / n);
-            figures.put("rules_broken", (double) oracle.count() + strange.size());
-            read.countDown();
-        });
+        live.post(
+                () -> {
+                    figures.put("beyond_units", unitsOn == 0 ? 0 : unitsBeyond / unitsOn);
+                    figures.put("calls_a_try", store.calls / n);
+                    figures.put("rules_broken", (double) oracle.count() + strange.size());
+                    read.countDown();
+                });
         read.await();
         return figures;
     }
 
     /** One try of a client: {@code root} is the first try of the same wish. */
-    private record Asking(Trace.Ask a, Scenario.Plan p, Scenario.Frontend f, long root, long mine, int first, int way, double value,
-            boolean inside, double due) { }
+    private record Asking(
+            Trace.Ask a,
+            Scenario.Plan p,
+            Scenario.Frontend f,
+            long root,
+            long mine,
+            int first,
+            int way,
+            double value,
+            boolean inside,
+            double due) {}
 
-    /** @return when a denied one may come again, in ms and 0 where that was not told; -1 where it was not denied */
+    /**
+     * @return when a denied one may come again, in ms and 0 where that was not told; -1 where it
+     *     was not denied
+     */
     private double ask(Asking k, ConcurrentHistogram took, double[] sums, long[] counts) {
         Scenario.Frontend f = k.f;
         long mine = k.mine;
         double due = k.due;
-        String terms = "c=" + f.name() + ",t=" + k.p.name() + ",d=" + (long) f.timeout() + ",units=" + k.a.units() + ",spread="
-                + s.clients().spread() + ",first=" + k.first + (f.effect() == Scenario.Effect.IDEMPOTENCY_KEY ? ",k=" + hex(mine) : "");
-        String command = Wire.command(f.effect() == Scenario.Effect.IDEMPOTENT ? "Q.ASK" : "Q.DO", hex(k.a.customer()), hex(mine), terms);
+        String terms =
+                "c="
+                        + f.name()
+                        + ",t="
+                        + k.p.name()
+                        + ",d="
+                        + (long) f.timeout()
+                        + ",units="
+                        + k.a.units()
+                        + ",spread="
+                        + s.clients().spread()
+                        + ",first="
+                        + k.first
+                        + (f.effect() == Scenario.Effect.IDEMPOTENCY_KEY ? ",k=" + hex(mine) : "");
+        String command =
+                Wire.command(
+                        f.effect() == Scenario.Effect.IDEMPOTENT ? "Q.ASK" : "Q.DO",
+                        hex(k.a.customer()),
+                        hex(mine),
+                        terms);
         Gateway g = gateways.get((k.first + k.way) % gateways.size());
-        Customer customer = new Customer(k.a.customer(), plans.get(k.p.name()), s.clients().spread(), k.first);
-        Try t = new Try(mine, new Try.Asked(customer, frontends.get(f.name()), k.a.units(), 0, true), () -> g.life, due, false);
+        Customer customer =
+                new Customer(k.a.customer(), plans.get(k.p.name()), s.clients().spread(), k.first);
+        Try t =
+                new Try(
+                        mine,
+                        new Try.Asked(customer, frontends.get(f.name()), k.a.units(), 0, true),
+                        () -> g.life,
+                        due,
+                        false);
         tries.put(mine, t);
         boolean owes = g.up && !g.stands;
-        between.tell("asked", "req", hex(mine), "root", hex(k.root), "via", g.number, "frontend", f.name(), "effect", f.effect().name(),
-                "timeout", f.timeout(), "value", k.value, "worth", f.value() * k.p.price(), "inside", k.inside);
+        between.tell(
+                "asked",
+                "req",
+                hex(mine),
+                "root",
+                hex(k.root),
+                "via",
+                g.number,
+                "frontend",
+                f.name(),
+                "effect",
+                f.effect().name(),
+                "timeout",
+                f.timeout(),
+                "value",
+                k.value,
+                "worth",
+                f.value() * k.p.price(),
+                "inside",
+                k.inside);
         String said = g.ask(command, f.timeout() + 100);
         double ended = live.now();
-        between.tell("answered", "req", hex(mine), "via", g.number, "ms", ended - due, "how", said == null ? "nothing"
-                : said.equals("$" + hex(mine)) ? ended - due > f.target() ? "late" : "passed" : said.startsWith("-BUSY") ? "denied"
-                : said.startsWith("-ERR aborted") ? "aborted" : "strange");
-        live.post(() -> {
-            if (said == null && owes) {
-                oracle.expired(t, ended);
-            } else if (said != null) {
-                oracle.answered(t, said.startsWith("$") ? "passed" : said.startsWith("-BUSY") ? "denied" : "aborted", ended);
-            }
-        });
+        between.tell(
+                "answered",
+                "req",
+                hex(mine),
+                "via",
+                g.number,
+                "ms",
+                ended - due,
+                "how",
+                said == null
+                        ? "nothing"
+                        : said.equals("$" + hex(mine))
+                                ? ended - due > f.target() ? "late" : "passed"
+                                : said.startsWith("-BUSY")
+                                        ? "denied"
+                                        : said.startsWith("-ERR aborted") ? "aborted" : "strange");
+        live.post(
+                () -> {
+                    if (said == null && owes) {
+                        oracle.expired(t, ended);
+                    } else if (said != null) {
+                        oracle.answered(
+                                t,
+                                said.startsWith("$")
+                                        ? "passed"
+                                        : said.startsWith("-BUSY") ? "denied" : "aborted",
+                                ended);
+                    }
+                });
         synchronized (sums) {
             if (said == null) {
                 counts[3]++;
@@ -657,7 +1029,9 @@
         retries = most;
     }
 
-    /** @param what is told, once all gateways are ready, when (by the agenda) the first req is due */
+    /**
+     * @param what is told, once all gateways are ready, when (by the agenda) the first req is due
+     */
     public void onBegin(DoubleConsumer what) {
         begun = what;
     }
@@ -667,16 +1041,20 @@
         live.post(what);
     }
 
-    /** The gateway has closed its end of the connection that comes to a server from that port; its dispatch counts as given up. */
+    /**
+     * The gateway has closed its end of the connection that comes to a server from that port; its
+     * dispatch counts as given up.
+     */
     public void left(int port) {
-        live.post(() -> {
-            Try.Hop hop = hopsFrom.get(port);
-            if (hop != null && hop.end == null) {
-                hop.end = End.TIMED_OUT;
-            } else if (given.size() < GIVEN) {
-                given.put(port, true);
-            }
-        });
+        live.post(
+                () -> {
+                    Try.Hop hop = hopsFrom.get(port);
+                    if (hop != null && hop.end == null) {
+                        hop.end = End.TIMED_OUT;
+                    } else if (given.size() < GIVEN) {
+                        given.put(port, true);
+                    }
+                });
     }
 
     /** A new connection will come to a server from that port. */
@@ -746,13 +1124,19 @@
 
     @Override
     public void list(Machine m, Srv.State state) {
-        live.agenda().after(s.net().list_late(), () -> {
-            Host h = hosts.get(m.id);
-            h.state = state;
-            h.toldBorn = m.born;
-            h.drainToldAt = state == Srv.State.UP ? Double.POSITIVE_INFINITY : Math.min(h.drainToldAt, live.agenda().now());
-            discovery.changed(h);
-        });
+        live.agenda()
+                .after(
+                        s.net().list_late(),
+                        () -> {
+                            Host h = hosts.get(m.id);
+                            h.state = state;
+                            h.toldBorn = m.born;
+                            h.drainToldAt =
+                                    state == Srv.State.UP
+                                            ? Double.POSITIVE_INFINITY
+                                            : Math.min(h.drainToldAt, live.agenda().now());
+                            discovery.changed(h);
+                        });
     }
 
     @Override
@@ -770,14 +1154,16 @@
 
     @Override
     public void start(int gateway) {
-        pool.execute(() -> {
-            try {
-                gateways.get(gateway).start();
-                gateways.get(gateway).ready();
-            } catch (IOException e) {
-                strange.add("gateway " + gateway + " does not start again: " + e.getMessage());
-            }
-        });
+        pool.execute(
+                () -> {
+                    try {
+                        gateways.get(gateway).start();
+                        gateways.get(gateway).ready();
+                    } catch (IOException e) {
+                        strange.add(
+                                "gateway " + gateway + " does not start again: " + e.getMessage());
+                    }
+                });
     }
 
     @Override
--- a/lab/src/main/java/tinford/lab/sockets/FreePort.java
+++ b/lab/src/main/java/tinford/lab/sockets/FreePort.java
@@ -6,12 +6,15 @@
 import java.net.ServerSocket;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** A port for a program to listen at later: below those that the system gives to connections, which else take it meanwhile. */
+/**
+ * A port for a program to listen at later: below those that the system gives to connections, which
+ * else take it meanwhile.
+ */
 public final class FreePort {
     private static final int LEAST = 12_000;
     private static final int MOST = 32_000;
 
-    private FreePort() { }
+    private FreePort() {}
 
     /** Free for streams and datagrams on loopback, when it was looked at. */
     public static int find() throws IOException {
@@ -19,7 +22,8 @@
         for (int i = 0; i < 100; i++) {
             int port = ThreadLocalRandom.current().nextInt(LEAST, MOST);
             try (ServerSocket stream = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
-                    DatagramSocket datagrams = new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
+                    DatagramSocket datagrams =
+                            new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
                 return port;
             } catch (IOException e) {
                 last = e;
--- a/lab/src/main/java/tinford/lab/sockets/Live.java
+++ b/lab/src/main/java/tinford/lab/sockets/Live.java
@@ -5,7 +5,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import tinford.lab.model.Agenda;
 
-/** An agenda that keeps to the wall clock, on a thread of its own; all that the stand-ins know belongs to that thread. */
+/**
+ * An agenda that keeps to the wall clock, on a thread of its own; all that the stand-ins know
+ * belongs to that thread.
+ */
 final class Live implements AutoCloseable {
     private final Agenda agenda = new Agenda(System.currentTimeMillis());
     private final long from = System.nanoTime();
@@ -55,13 +58,17 @@
                 }
             }
             if (next != null) {
-                guarded(() -> agenda.run(now())); // guards its times: they count from now, however long ago the agenda was looked at
+                guarded(() -> agenda.run(now())); // guards its times: they count from now, however
+                // long ago the agenda was looked at
                 guarded(next);
             }
         }
     }
 
-    /** Guards a run against a stand-in's fault, which would leave it waiting for good; it is told at the end. */
+    /**
+     * Guards a run against a stand-in's fault, which would leave it waiting for good; it is told at
+     * the end.
+     */
     private void guarded(Runnable what) {
         try {
             what.run();
--- a/lab/src/main/java/tinford/lab/study/Plot.java
+++ b/lab/src/main/java/tinford/lab/study/Plot.java
@@ -21,19 +21,28 @@
     /** A value of the key, and the mean that came with it. */
     public record Point(double x, Study.Mean mean) {}
 
-    /** @param lines by their names, each in the order of its points */
-    public static void write(Path to, String title, String key, String figure, Map<String, List<Point>> lines)
+    /**
+     * @param lines by their names, each in the order of its points
+     */
+    public static void write(
+            Path to, String title, String key, String figure, Map<String, List<Point>> lines)
             throws IOException {
         XYIntervalSeriesCollection all = new XYIntervalSeriesCollection();
-        lines.forEach((name, points) -> {
-            XYIntervalSeries s = new XYIntervalSeries(name);
-            for (Point p : points) {
-                boolean one = Double.isInfinite(p.mean().least());
-                s.add(p.x(), p.x(), p.x(), p.mean().mean(), one ? p.mean().mean() : p.mean().least(),
-                        one ? p.mean().mean() : p.mean().most());
-            }
-            all.addSeries(s);
-        });
+        lines.forEach(
+                (name, points) -> {
+                    XYIntervalSeries s = new XYIntervalSeries(name);
+                    for (Point p : points) {
+                        boolean one = Double.isInfinite(p.mean().least());
+                        s.add(
+                                p.x(),
+                                p.x(),
+                                p.x(),
+                                p.mean().mean(),
+                                one ? p.mean().mean() : p.mean().least(),
+                                one ? p.mean().mean() : p.mean().most());
+                    }
+                    all.addSeries(s);
+                });
         XYErrorRenderer renderer = new XYErrorRenderer();
         renderer.setDefaultLinesVisible(true);
         renderer.setDrawXError(false);
@@ -45,10 +54,12 @@
         plot.setBackgroundPaint(Color.WHITE);
         plot.setDomainGridlinePaint(Color.LIGHT_GRAY);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
-        JFreeChart chart = new JFreeChart(title, JFreeChart.DEFAULT_TITLE_FONT, plot, lines.size() > 1);
+        JFreeChart chart =
+                new JFreeChart(title, JFreeChart.DEFAULT_TITLE_FONT, plot, lines.size() > 1);
         chart.setBackgroundPaint(Color.WHITE);
         File part = to.resolveSibling(to.getFileName() + ".part").toFile();
         ChartUtils.saveChartAsPNG(part, chart, 900, 560);
-        java.nio.file.Files.move(part.toPath(), to, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        java.nio.file.Files.move(
+                part.toPath(), to, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/lab/src/main/java/tinford/lab/study/Study.java
+++ b/lab/src/main/java/tinford/lab/study/Study.java
@@ -26,7 +26,9 @@
         this(scenario, threads, null);
     }
 
-    /** @param trace recorded traffic in place of drawn reqs, or null */
+    /**
+     * @param trace recorded traffic in place of drawn reqs, or null
+     */
     public Study(Scenario scenario, int threads, Trace trace) {
         this.scenario = scenario;
         this.threads = threads;
@@ -34,7 +36,8 @@
     }
 
     /** One outcome a seed, in the order of the seeds. */
-    public List<Outcome> run(Gateway.Maker maker, long firstSeed, int runs) throws InterruptedException {
+    public List<Outcome> run(Gateway.Maker maker, long firstSeed, int runs)
+            throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<Outcome>> all = new ArrayList<>();
@@ -48,7 +51,8 @@
             }
             return done;
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a run ended in a fault: " + e.getCause(), e.getCause());
+            throw new IllegalStateException(
+                    "a run ended in a fault: " + e.getCause(), e.getCause());
         } finally {
             pool.shutdownNow();
         }
@@ -76,17 +80,24 @@
         if (n < 2) {
             return new Mean(mean, Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, n);
         }
-        double half = Math.sqrt(squares / (n - 1) / n) * TDistribution.of(n - 1).inverseCumulativeProbability(0.5 + level / 2);
+        double half =
+                Math.sqrt(squares / (n - 1) / n)
+                        * TDistribution.of(n - 1).inverseCumulativeProbability(0.5 + level / 2);
         return new Mean(mean, mean - half, mean + half, n);
     }
 
     /** What a comparison comes to. */
-    public enum Verdict { BETTER, WORSE, CANT_TELL }
+    public enum Verdict {
+        BETTER,
+        WORSE,
+        CANT_TELL
+    }
 
     /** The second against the first, seed by seed. */
     public record Comparison(Mean first, Mean second, Mean difference, Verdict verdict) {}
 
-    public static Comparison compare(List<Outcome> first, List<Outcome> second, String figure, double level) {
+    public static Comparison compare(
+            List<Outcome> first, List<Outcome> second, String figure, double level) {
         double[] a = values(first, figure);
         double[] b = values(second, figure);
         double[] d = new double[a.length];
@@ -97,7 +108,10 @@
             d[i] = b[i] - a[i];
         }
         Mean diff = mean(d, level);
-        Verdict v = diff.least() > 0 ? Verdict.BETTER : diff.most() < 0 ? Verdict.WORSE : Verdict.CANT_TELL;
+        Verdict v =
+                diff.least() > 0
+                        ? Verdict.BETTER
+                        : diff.most() < 0 ? Verdict.WORSE : Verdict.CANT_TELL;
         return new Comparison(mean(a, level), mean(b, level), diff, v);
     }
 
--- a/lab/src/main/java/tinford/lab/study/Versions.java
+++ b/lab/src/main/java/tinford/lab/study/Versions.java
@@ -16,7 +16,10 @@
 import tinford.api.Place;
 import tinford.api.Rules;
 
-/** The decisions of another version, from its jar: its own classes of the module, behind the interface of this one. */
+/**
+ * The decisions of another version, from its jar: its own classes of the module, behind the
+ * interface of this one.
+ */
 public final class Versions {
     private static final String MODULE = "tinford.Decide";
 
@@ -35,21 +38,31 @@
         return Decide::new;
     }
 
-    /** @param jar as a build leaves it; it stays open for the life of the process */
+    /**
+     * @param jar as a build leaves it; it stays open for the life of the process
+     */
     public static Gateway.Maker of(Path jar) throws Bad {
         if (!Files.isRegularFile(jar)) {
             throw new Bad(jar + ": expected the jar of a gateway");
         }
         try {
             Class<?> module = new Own(jar).loadClass(MODULE);
-            Constructor<?> make = module.getConstructor(long.class, Place.class, Limits.class, Rules.class, CounterTerms.class,
-                    Goal.class, boolean.class);
+            Constructor<?> make =
+                    module.getConstructor(
+                            long.class,
+                            Place.class,
+                            Limits.class,
+                            Rules.class,
+                            CounterTerms.class,
+                            Goal.class,
+                            boolean.class);
             if (!Gateway.class.isAssignableFrom(module)) {
                 throw new Bad(jar + ": " + MODULE + ": expected the interface of this version");
             }
             return (seed, place, limits, rules, counter, goal, mustAsk) -> {
                 try {
-                    return (Gateway) make.newInstance(seed, place, limits, rules, counter, goal, mustAsk);
+                    return (Gateway)
+                            make.newInstance(seed, place, limits, rules, counter, goal, mustAsk);
                 } catch (InvocationTargetException e) {
                     throw new IllegalStateException(jar + ": " + e.getCause(), e.getCause());
                 } catch (ReflectiveOperationException e) {
@@ -59,7 +72,12 @@
         } catch (ClassNotFoundException e) {
             throw new Bad(jar + ": expected " + MODULE + " in it");
         } catch (NoSuchMethodException | LinkageError e) {
-            throw new Bad(jar + ": " + MODULE + ": expected the interface of this version: " + e.getMessage());
+            throw new Bad(
+                    jar
+                            + ": "
+                            + MODULE
+                            + ": expected the interface of this version: "
+                            + e.getMessage());
         } catch (IOException e) {
             throw new Bad(jar + ": expected a jar that can be read: " + e.getMessage());
         }
--- a/lab/src/test/java/tinford/lab/fleet/BudgetsTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/BudgetsTest.java
@@ -18,7 +18,8 @@
 public class BudgetsTest {
     private static final Path JAR = Path.of("..", "fleet", "target", "tinford-fleet.jar");
     private static final Path SCENARIOS = Path.of("scenarios");
-    private static final String FAULTS = """
+    private static final String FAULTS =
+            """
             scenario = "tight.toml"
             offer = 6
             idle = 1500
@@ -35,7 +36,10 @@
             who = [1]
             """;
 
-    /** One gateway is killed, one stands still past its term and wakes up: no server ever holds more than it offers. */
+    /**
+     * One gateway is killed, one stands still past its term and wakes up: no server ever holds more
+     * than it offers.
+     */
     @Test
     public void noServerHoldsMoreThanItOffers() throws Exception {
         Path folder = Files.createTempDirectory("budgets");
@@ -54,9 +58,28 @@
                 List<History.Line> lines = bench.history();
                 assertTrue(figures.get("held_most") > 12, "12 are static: " + figures);
                 assertTrue(figures.get("worth_passed") > 0.3, figures.toString());
-                assertTrue(lines.stream().anyMatch(l -> l.kind().equals("term") && l.gateway() == 1 && l.is("holds")), "it had a term");
-                double woke = lines.stream().filter(l -> l.kind().equals("continued")).findFirst().orElseThrow().at();
-                assertTrue(lines.stream().anyMatch(l -> l.kind().equals("term") && l.gateway() == 1 && !l.is("holds") && l.at() > woke),
+                assertTrue(
+                        lines.stream()
+                                .anyMatch(
+                                        l ->
+                                                l.kind().equals("term")
+                                                        && l.gateway() == 1
+                                                        && l.is("holds")),
+                        "it had a term");
+                double woke =
+                        lines.stream()
+                                .filter(l -> l.kind().equals("continued"))
+                                .findFirst()
+                                .orElseThrow()
+                                .at();
+                assertTrue(
+                        lines.stream()
+                                .anyMatch(
+                                        l ->
+                                                l.kind().equals("term")
+                                                        && l.gateway() == 1
+                                                        && !l.is("holds")
+                                                        && l.at() > woke),
                         "it sees that its term is over");
                 System.out.println("budgets, five gateways: " + figures);
             }
--- a/lab/src/test/java/tinford/lab/fleet/FleetMovesTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/FleetMovesTest.java
@@ -17,10 +17,14 @@
 import tinford.lab.scenario.Scenario;
 import tinford.lab.sockets.Between;
 
-/** Real processes move three frontends that need each other, under load, while gateways fail in each stage. */
+/**
+ * Real processes move three frontends that need each other, under load, while gateways fail in each
+ * stage.
+ */
 public class FleetMovesTest {
     private static final Path JAR = Path.of("..", "fleet", "target", "tinford-fleet.jar");
-    private static final String OPERATOR = """
+    private static final String OPERATOR =
+            """
             [log]
             members = {members}
             folder = "{disk}"
@@ -33,7 +37,8 @@
             homes = ["web=a", "mid=a", "base=a"]
             rooms = ["a=1000,1000", "b=1000,1000"]
             """;
-    private static final String FAULTS = """
+    private static final String FAULTS =
+            """
             scenario = "small"
             groups = ["a", "b"]
             [[faults]]
@@ -56,35 +61,40 @@
 
     private static String frontend(String name, Effect effect) {
         return """
-                [[frontends]]
-                name = "%s"
-                share = 1
-                work = 20
-                dist = "EXPONENTIAL"
-                cv = 1
-                target = 500
-                timeout = 1000
-                value = 1
-                effect = "%s"
-                repeat_window = 1000
-                """.formatted(name, effect);
+               [[frontends]]
+               name = "%s"
+               share = 1
+               work = 20
+               dist = "EXPONENTIAL"
+               cv = 1
+               target = 500
+               timeout = 1000
+               value = 1
+               effect = "%s"
+               repeat_window = 1000
+               """
+                .formatted(name, effect);
     }
 
     private static String mover(String name, String needs) {
         return """
-                [[frontends]]
-                name = "%s"
-                from = "a"
-                to = "b"
-                needs = [%s]
-                shares = [0.5, 1.0]
-                units = 300.0
-                connections = 300
-                """.formatted(name, needs);
+               [[frontends]]
+               name = "%s"
+               from = "a"
+               to = "b"
+               needs = [%s]
+               shares = [0.5, 1.0]
+               units = 300.0
+               connections = 300
+               """
+                .formatted(name, needs);
     }
 
-    static final String PLAN = "plan = \"p\"\nsoak_ms = 500\n[bad]\nmargin = 0.3\nanswers = 60\n" + mover("web", "\"mid\"")
-            + mover("mid", "\"base\"") + mover("base", "");
+    static final String PLAN =
+            "plan = \"p\"\nsoak_ms = 500\n[bad]\nmargin = 0.3\nanswers = 60\n"
+                    + mover("web", "\"mid\"")
+                    + mover("mid", "\"base\"")
+                    + mover("base", "");
 
     /** Gives orders as operators do, when the histories say that their time has come. */
     private static final class Operators extends Thread {
@@ -104,19 +114,36 @@
         }
 
         private void when(Predicate<List<History.Line>> what) throws Exception {
-            FleetTest.until(() -> {
-                try {
-                    return what.test(bench.history());
-                } catch (java.io.IOException | RuntimeException e) {
-                    return false; // a line has come in part
-                }
-            }, () -> "not yet");
+            FleetTest.until(
+                    () -> {
+                        try {
+                            return what.test(bench.history());
+                        } catch (java.io.IOException | RuntimeException e) {
+                            return false; // a line has come in part
+                        }
+                    },
+                    () -> "not yet");
         }
 
         @Override
         public void run() {
             try {
-                when(h -> List.of(0, 1, 2).stream().allMatch(g -> h.stream().anyMatch(l -> l.kind().equals("term") && l.is("holds") && l.gateway() == g)));
+                when(
+                        h ->
+                                List.of(0, 1, 2).stream()
+                                        .allMatch(
+                                                g ->
+                                                        h.stream()
+                                                                .anyMatch(
+                                                                        l ->
+                                                                                l.kind()
+                                                                                                .equals(
+                                                                                                        "term")
+                                                                                        && l.is(
+                                                                                                "holds")
+                                                                                        && l
+                                                                                                        .gateway()
+                                                                                                == g)));
                 when(h -> h.stream().anyMatch(l -> l.kind().equals("begun")));
                 order(0, "begin one");
                 order(1, "begin two");
@@ -126,15 +153,41 @@
         }
     }
 
-    static void play(String faults, String plan, int length, Path folder, List<String> broken, List<History.Line> lines, Map<String, Double> figures)
+    static void play(
+            String faults,
+            String plan,
+            int length,
+            Path folder,
+            List<String> broken,
+            List<History.Line> lines,
+            Map<String, Double> figures)
             throws Exception {
         FleetScript script = FleetScript.of("faults", faults);
         String text = Scenarios.text(0, "", Effect.IDEMPOTENCY_KEY);
         int from = text.indexOf("[[frontends]]");
-        text = text.substring(0, from) + frontend("web", Effect.IDEMPOTENT) + frontend("mid", Effect.IDEMPOTENCY_KEY) + frontend("base", Effect.IDEMPOTENT)
-                + text.substring(text.indexOf("[[plans]]"));
-        Scenario s = Scenario.of("small", text, Map.of("gateways", "3", "length_s", Integer.toString(length), "clients.retries", "0",
-                "clients.leave", "0", "servers.count", "16", "plans.p.rate", "2"));
+        text =
+                text.substring(0, from)
+                        + frontend("web", Effect.IDEMPOTENT)
+                        + frontend("mid", Effect.IDEMPOTENCY_KEY)
+                        + frontend("base", Effect.IDEMPOTENT)
+                        + text.substring(text.indexOf("[[plans]]"));
+        Scenario s =
+                Scenario.of(
+                        "small",
+                        text,
+                        Map.of(
+                                "gateways",
+                                "3",
+                                "length_s",
+                                Integer.toString(length),
+                                "clients.retries",
+                                "0",
+                                "clients.leave",
+                                "0",
+                                "servers.count",
+                                "16",
+                                "plans.p.rate",
+                                "2"));
         script.check("faults", s.length_s(), 3);
         World drawn = new World(s, 5, Decide::new);
         drawn.run();
@@ -143,7 +196,8 @@
         List<String> words = new ArrayList<>(Between.JAVA);
         words.remove("-Xmx64m");
         words.addAll(List.of("-Xmx160m", "-jar", JAR.toString(), "serve"));
-        Program program = new Program(words, Map.of(), seat -> seat.fill(OPERATOR.formatted(file)), true);
+        Program program =
+                new Program(words, Map.of(), seat -> seat.fill(OPERATOR.formatted(file)), true);
         try (FleetBench bench = new FleetBench(script, s, program, 5, folder)) {
             Operators operators = new Operators(bench, folder);
             operators.start();
@@ -165,7 +219,12 @@
         try {
             play(FAULTS, PLAN, 30, folder, broken, lines, figures);
             assertEquals(broken.toString(), "[]", "in " + folder);
-            assertTrue(lines.stream().anyMatch(l -> l.kind().equals("moved") && l.text("state").equals("DONE")));
+            assertTrue(
+                    lines.stream()
+                            .anyMatch(
+                                    l ->
+                                            l.kind().equals("moved")
+                                                    && l.text("state").equals("DONE")));
             good = true;
         } finally {
             if (good) {
--- a/lab/src/test/java/tinford/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/FleetTest.java
@@ -20,7 +20,8 @@
 /** Real gateways with links between all parties. */
 public class FleetTest {
     private static final Path JAR = Path.of("..", "gateway", "target", "tinford.jar");
-    private static final String FAULTS = """
+    private static final String FAULTS =
+            """
             scenario = "small"
             offer = 200
             [[faults]]
@@ -42,18 +43,30 @@
             both = true
             """;
 
-    static Map<String, Double> play(String faults, int length, Path folder, List<String> broken,
-            List<History.Line> lines) throws Exception {
+    static Map<String, Double> play(
+            String faults, int length, Path folder, List<String> broken, List<History.Line> lines)
+            throws Exception {
         FleetScript script = FleetScript.of("faults", faults);
-        Scenario s = Scenario.of("small", Scenarios.text(0, "", Effect.IDEMPOTENCY_KEY),
-                Map.of("gateways", "5", "length_s", Integer.toString(length),
-                "clients.retries", "0", "clients.leave", "0"));
+        Scenario s =
+                Scenario.of(
+                        "small",
+                        Scenarios.text(0, "", Effect.IDEMPOTENCY_KEY),
+                        Map.of(
+                                "gateways",
+                                "5",
+                                "length_s",
+                                Integer.toString(length),
+                                "clients.retries",
+                                "0",
+                                "clients.leave",
+                                "0"));
         script.check("faults", s.length_s(), 5);
         World drawn = new World(s, 5, Decide::new);
         drawn.run();
         List<String> words = new ArrayList<>(Between.JAVA);
         words.addAll(List.of("-cp", JAR.toString(), "tinford.Main", "serve"));
-        try (FleetBench bench = new FleetBench(script, s, new Program(words, Map.of(), null, true), 5, folder)) {
+        try (FleetBench bench =
+                new FleetBench(script, s, new Program(words, Map.of(), null, true), 5, folder)) {
             Map<String, Double> figures = bench.run(drawn.asked());
             broken.addAll(bench.broken());
             lines.addAll(bench.history());
@@ -67,8 +80,8 @@
     }
 
     /**
-     * One gateway stands still, one is killed, two lose the counter: no rule is broken, and every req that is owed an answer has
-     * one.
+     * One gateway stands still, one is killed, two lose the counter: no rule is broken, and every
+     * req that is owed an answer has one.
      */
     @Test
     public void aFleetUnderFaultsKeepsTheRules() throws Exception {
@@ -79,8 +92,13 @@
             Map<String, Double> figures = play(FAULTS, 6, folder, broken, lines);
             assertEquals(broken, List.of());
             assertTrue(figures.get("worth_passed") > 0.4, figures.toString());
-            assertTrue(figures.get("unanswered") > 0 && figures.get("unanswered") < 0.3, figures.toString());
-            assertTrue(lines.stream().anyMatch(l -> l.kind().equals("opened") && l.number("from") == 4), "who opens is known");
+            assertTrue(
+                    figures.get("unanswered") > 0 && figures.get("unanswered") < 0.3,
+                    figures.toString());
+            assertTrue(
+                    lines.stream()
+                            .anyMatch(l -> l.kind().equals("opened") && l.number("from") == 4),
+                    "who opens is known");
             assertEquals(lines.stream().filter(l -> l.kind().equals("healed")).count(), 3);
             assertEquals(living(folder), List.of());
             System.out.println("fleet of five: " + figures);
@@ -93,16 +111,31 @@
     @Test
     public void aKilledHarnessLeavesNothingBehind() throws Exception {
         Path folder = Files.createTempDirectory("fleet");
-        String classes = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
+        String classes =
+                System.getProperty(
+                        "surefire.test.class.path", System.getProperty("java.class.path"));
         List<String> words = new ArrayList<>(Between.JAVA);
-        words.addAll(List.of("-Xmx256m", "-cp", classes, FleetTest.class.getName(), folder.toString()));
-        Process harness = new ProcessBuilder(words).redirectErrorStream(true)
-                .redirectOutput(folder.resolve("harness.log").toFile()).start();
+        words.addAll(
+                List.of("-Xmx256m", "-cp", classes, FleetTest.class.getName(), folder.toString()));
+        Process harness =
+                new ProcessBuilder(words)
+                        .redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("harness.log").toFile())
+                        .start();
         try {
-            until(() -> living(folder).size() == 5, () -> Files.readString(folder.resolve("harness.log")));
+            until(
+                    () -> living(folder).size() == 5,
+                    () -> Files.readString(folder.resolve("harness.log")));
             List<Long> all = living(folder);
             harness.destroyForcibly().waitFor();
-            until(() -> all.stream().noneMatch(pid -> ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false)),
+            until(
+                    () ->
+                            all.stream()
+                                    .noneMatch(
+                                            pid ->
+                                                    ProcessHandle.of(pid)
+                                                            .map(ProcessHandle::isAlive)
+                                                            .orElse(false)),
                     all::toString);
             until(() -> living(folder).isEmpty(), () -> "named still: " + living(folder));
         } finally {
@@ -111,7 +144,10 @@
         }
     }
 
-    /** A process stands still and goes on; its disk is kept, lost or as it was when it was copied; at the end it is gone. */
+    /**
+     * A process stands still and goes on; its disk is kept, lost or as it was when it was copied;
+     * at the end it is gone.
+     */
     @Test
     public void processesAndTheirDisks() throws Exception {
         Path folder = Files.createTempDirectory("fleet");
@@ -120,7 +156,9 @@
             try (Processes all = new Processes(folder)) {
                 p = all.start(0, List.of("sleep", "600"), Map.of(), folder.resolve("log"));
                 Path stat = Path.of("/proc/" + p.pid() + "/stat");
-                until(() -> Files.readString(stat).contains("(sleep)"), () -> Files.readString(stat));
+                until(
+                        () -> Files.readString(stat).contains("(sleep)"),
+                        () -> Files.readString(stat));
                 assertEquals(living(folder), List.of(p.pid()));
                 all.signal(0, "STOP");
                 until(() -> Files.readString(stat).contains(") T "), () -> Files.readString(stat));
--- a/lab/src/test/java/tinford/lab/fleet/LinksTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/LinksTest.java
@@ -17,12 +17,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What links do to bytes. Silence is shown by what comes after it, or by a short wait where nothing may come. */
+/**
+ * What links do to bytes. Silence is shown by what comes after it, or by a short wait where nothing
+ * may come.
+ */
 public class LinksTest {
     private static final int SHORT = 150;
 
     private static InetSocketAddress address(String text) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(text.split(":")[1]));
+        return new InetSocketAddress(
+                InetAddress.getLoopbackAddress(), Integer.parseInt(text.split(":")[1]));
     }
 
     private static DatagramSocket gateway(Links links, int g) throws IOException {
@@ -51,12 +55,16 @@
     }
 
     /**
-     * Each hears the other as from the address that it sends to; cut one way, the other goes on; to all goes over the same links.
+     * Each hears the other as from the address that it sends to; cut one way, the other goes on; to
+     * all goes over the same links.
      */
     @Test
     public void datagramsKnowTheirSender() throws Exception {
-        try (Links links = new Links(3, 1, p -> { }, p -> { }); DatagramSocket a = gateway(links, 0); DatagramSocket b = gateway(links, 1);
-                DatagramSocket c = gateway(links, 2); DatagramSocket stranger = new DatagramSocket()) {
+        try (Links links = new Links(3, 1, p -> {}, p -> {});
+                DatagramSocket a = gateway(links, 0);
+                DatagramSocket b = gateway(links, 1);
+                DatagramSocket c = gateway(links, 2);
+                DatagramSocket stranger = new DatagramSocket()) {
             send(a, links.peers(0).get(1), 1);
             assertEquals(take(b).getSocketAddress(), address(links.peers(1).get(0)));
             send(stranger, links.peers(0).get(1), 9);
@@ -77,18 +85,21 @@
     @DataProvider
     public Object[][] impairments() {
         return new Object[][] {
-            {new Impairment(false, false, 0, 0, 0, 1, 0, 0), 0, 0}, {new Impairment(false, false, 0, 0, 0, 0.5, 0, 0), 25, 75},
+            {new Impairment(false, false, 0, 0, 0, 1, 0, 0), 0, 0},
+            {new Impairment(false, false, 0, 0, 0, 0.5, 0, 0), 25, 75},
             {new Impairment(false, false, 0, 0, 0, 0, 1, 0), 200, 200},
-                    {new Impairment(false, false, 0, 0, 0, 0, 0, 0.3), 100, 100},
+            {new Impairment(false, false, 0, 0, 0, 0, 0, 0.3), 100, 100},
             {new Impairment(false, false, 20, 5, 0, 0, 0, 0), 100, 100},
-                    {new Impairment(false, false, 0, 0, 1, 0, 0, 0), 100, 100},
+            {new Impairment(false, false, 0, 0, 1, 0, 0, 0), 100, 100},
         };
     }
 
     /** Of 100 so many come, late as they should, and out of order only where that is wanted. */
     @Test(dataProvider = "impairments")
     public void datagramsSuffer(Impairment i, int least, int most) throws Exception {
-        try (Links links = new Links(2, 3, p -> { }, p -> { }); DatagramSocket a = gateway(links, 0); DatagramSocket b = gateway(links, 1)) {
+        try (Links links = new Links(2, 3, p -> {}, p -> {});
+                DatagramSocket a = gateway(links, 0);
+                DatagramSocket b = gateway(links, 1)) {
             links.between(List.of(0), List.of(1), i, true, false);
             double from = System.nanoTime() / 1e6;
             for (int n = 0; n < 100; n++) {
@@ -115,20 +126,24 @@
             assertTrue(mixed || i.reordered() == 0, "in order");
             assertTrue(i.jitter() > 0 || i.reordered() > 0 || !mixed, "out of order");
             assertTrue(heard == 0 || first - from >= i.delay(), i + ": " + (first - from));
-            assertTrue(i.rate() == 0 || last - from >= 90, "100 bytes at one a ms in " + (last - from));
+            assertTrue(
+                    i.rate() == 0 || last - from >= 90,
+                    "100 bytes at one a ms in " + (last - from));
         }
     }
 
     /**
-     * Bytes wait while the way is cut, and come whole afterwards; new connections hang or are refused; the end of one is passed
-     * on.
+     * Bytes wait while the way is cut, and come whole afterwards; new connections hang or are
+     * refused; the end of one is passed on.
      */
     @Test
     public void streamsWaitAndHeal() throws Exception {
         List<Integer> left = new java.util.concurrent.CopyOnWriteArrayList<>();
-        try (Links links = new Links(2, 1, p -> { }, left::add); ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+        try (Links links = new Links(2, 1, p -> {}, left::add);
+                ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             InetSocketAddress door = address(":" + links.server(1, "s", server.getLocalPort()));
-            try (Socket near = new Socket(door.getAddress(), door.getPort()); Socket far = server.accept()) {
+            try (Socket near = new Socket(door.getAddress(), door.getPort());
+                    Socket far = server.accept()) {
                 assertEquals(links.from(far.getPort()), 1);
                 far.setSoTimeout(SHORT);
                 near.setSoTimeout(5000);
@@ -137,8 +152,11 @@
                 for (boolean refused : new boolean[] {false, true}) {
                     Impairment cut = Impairment.cut(refused);
                     links.servers(List.of(1), List.of("s"), cut, true, false);
-                    FleetTest.until(() -> (refused ? "ConnectException" : "SocketTimeoutException").equals(why(door)), () -> ""
-                            + why(door));
+                    FleetTest.until(
+                            () ->
+                                    (refused ? "ConnectException" : "SocketTimeoutException")
+                                            .equals(why(door)),
+                            () -> "" + why(door));
                     near.getOutputStream().write(2);
                     far.getOutputStream().write(3); // that way is whole
                     assertEquals(near.getInputStream().read(), 3);
@@ -151,7 +169,7 @@
                     links.servers(List.of(1), List.of("s"), cut, false, false);
                     assertEquals(far.getInputStream().read(), 2);
                     FleetTest.until(() -> why(door) == null, () -> "" + why(door));
-        }
+                }
                 left.clear();
                 near.close();
                 assertEquals(far.getInputStream().read(), -1);
@@ -161,7 +179,7 @@
             FleetTest.until(() -> "ConnectException".equals(why(door)), () -> "" + why(door));
             links.shut("s", false);
             FleetTest.until(() -> why(door) == null, () -> "" + why(door));
-                }
+        }
     }
 
     /** Why no connection comes up, or null where one does. */
@@ -174,23 +192,31 @@
         }
     }
 
-    /** Much goes through a slow, narrow stream whole and in order, and no more is held than the bound. */
+    /**
+     * Much goes through a slow, narrow stream whole and in order, and no more is held than the
+     * bound.
+     */
     @Test
     public void streamsKeepOrder() throws Exception {
-        try (Links links = new Links(1, 1, p -> { }, p -> { }); ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+        try (Links links = new Links(1, 1, p -> {}, p -> {});
+                ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             int port = links.counter(0, server.getLocalPort());
-            links.counter(List.of(0), new Impairment(false, false, 5, 10, 8000, 0, 0, 0), true, true);
+            links.counter(
+                    List.of(0), new Impairment(false, false, 5, 10, 8000, 0, 0, 0), true, true);
             byte[] much = new byte[3 << 20];
             new java.util.Random(1).nextBytes(much);
-            try (Socket near = new Socket(InetAddress.getLoopbackAddress(), port); Socket far = server.accept()) {
-                Thread writer = new Thread(() -> {
-                    try {
-                        near.getOutputStream().write(much);
-                        near.shutdownOutput();
-                    } catch (IOException e) {
-                        throw new IllegalStateException(e);
-                    }
-                });
+            try (Socket near = new Socket(InetAddress.getLoopbackAddress(), port);
+                    Socket far = server.accept()) {
+                Thread writer =
+                        new Thread(
+                                () -> {
+                                    try {
+                                        near.getOutputStream().write(much);
+                                        near.shutdownOutput();
+                                    } catch (IOException e) {
+                                        throw new IllegalStateException(e);
+                                    }
+                                });
                 double from = System.nanoTime() / 1e6;
                 writer.start();
                 assertEquals(far.getInputStream().readAllBytes(), much);
--- a/lab/src/test/java/tinford/lab/model/ColdBudgetTest.java
+++ b/lab/src/test/java/tinford/lab/model/ColdBudgetTest.java
@@ -15,24 +15,34 @@
 import tinford.lab.Scenarios;
 import tinford.lab.scenario.Scenario;
 
-/** The bound on cold servers: counted rightly, met by greedy decisions, and not by the real ones. */
+/**
+ * The bound on cold servers: counted rightly, met by greedy decisions, and not by the real ones.
+ */
 public class ColdBudgetTest {
     private static final double COLD = 10_000;
 
     @DataProvider
     public Object[][] arrivals() {
-        // a server of two cores at 0.2, reqs of 50 ms: the settings allow 16 in 1 s just after its start, the most is 26
+        // a server of two cores at 0.2, reqs of 50 ms: the settings allow 16 in 1 s just after its
+        // start, the most is 26
         return new Object[][] {
             // reqs, of which told, ms between them, work of each, what falls, what of it is broken
-            {26, 26, 0.0, 50.0, false, false}, {27, 27, 0.0, 50.0, true, true}, {14, 14, 0.0, 100.0, true, true},
-            {53, 53, 0.0, 25.0, true, true}, {52, 52, 0.0, 25.0, false, false}, {27, 18, 0.0, 50.0, true, false},
-            {27, 19, 0.0, 50.0, true, true}, {27, 0, 0.0, 50.0, true, false}, {60, 60, 40.0, 50.0, false, false},
+            {26, 26, 0.0, 50.0, false, false},
+            {27, 27, 0.0, 50.0, true, true},
+            {14, 14, 0.0, 100.0, true, true},
+            {53, 53, 0.0, 25.0, true, true},
+            {52, 52, 0.0, 25.0, false, false},
+            {27, 18, 0.0, 50.0, true, false},
+            {27, 19, 0.0, 50.0, true, true},
+            {27, 0, 0.0, 50.0, true, false},
+            {60, 60, 40.0, 50.0, false, false},
             {50, 50, 38.0, 50.0, true, true},
         };
     }
 
     @Test(dataProvider = "arrivals")
-    public void whatCameWithinTheTimeIsCounted(int reqs, int told, double apart, double work, boolean falls, boolean broken) {
+    public void whatCameWithinTheTimeIsCounted(
+            int reqs, int told, double apart, double work, boolean falls, boolean broken) {
         Agenda agenda = new Agenda(1000);
         Machine m = new Machine(agenda, "s", "a", 0, 2, 20, 1, 0.2, 1e9);
         ColdBudget budget = new ColdBudget(2, 1000, 50);
@@ -47,7 +57,9 @@
             blamed |= a.broken();
         }
         assertEquals(List.of(fell, blamed), List.of(falls, broken), "" + budget.nearest());
-        assertEquals(List.of(budget.nearest().falls(), budget.nearestBlamed().falls()), List.of(falls, broken));
+        assertEquals(
+                List.of(budget.nearest().falls(), budget.nearestBlamed().falls()),
+                List.of(falls, broken));
         assertEquals(budget.falls(), falls ? 1 : 0);
     }
 
@@ -67,52 +79,85 @@
     }
 
     private static Scenario cold(int gateways, Map<String, String> more) throws Scenario.Bad {
-        Map<String, String> changes = new HashMap<>(Map.of("gateways", "" + gateways, "servers.count", "20", "clients.customers", "250",
-                "clients.uneven", "1", "net.list_spread", "1", "clients.use", "0.8"));
+        Map<String, String> changes =
+                new HashMap<>(
+                        Map.of(
+                                "gateways",
+                                "" + gateways,
+                                "servers.count",
+                                "20",
+                                "clients.customers",
+                                "250",
+                                "clients.uneven",
+                                "1",
+                                "net.list_spread",
+                                "1",
+                                "clients.use",
+                                "0.8"));
         changes.putAll(more);
-        return Scenario.of("cold", Scenarios.text(0, """
-                [[faults]]
-                kind = "SERVERS_ROLL"
-                at_s = 1
-                for_s = 4
-                part = 0.5
-                size = 3
-                [[faults]]
-                kind = "GATEWAYS_ROLL"
-                at_s = 2
-                for_s = 5
-                part = 1
-                size = 5
-                [[faults]]
-                kind = "SERVERS_DIE"
-                at_s = 5
-                for_s = 1
-                part = 0.6
-                size = 0
-                """, tinford.api.Effect.IDEMPOTENT), changes);
+        return Scenario.of(
+                "cold",
+                Scenarios.text(
+                        0,
+                        """
+                        [[faults]]
+                        kind = "SERVERS_ROLL"
+                        at_s = 1
+                        for_s = 4
+                        part = 0.5
+                        size = 3
+                        [[faults]]
+                        kind = "GATEWAYS_ROLL"
+                        at_s = 2
+                        for_s = 5
+                        part = 1
+                        size = 5
+                        [[faults]]
+                        kind = "SERVERS_DIE"
+                        at_s = 5
+                        for_s = 1
+                        part = 0.6
+                        size = 0
+                        """,
+                        tinford.api.Effect.IDEMPOTENT),
+                changes);
     }
 
     /** Decisions that are told of other rules than those that hold. */
     private static Gateway.Maker told(double coldFrom, double coldTime, double multiple) {
-        return (seed, place, limits, rules, counter, goal, mustAsk) -> new Decide(seed, place, limits,
-                new Rules(coldFrom, coldTime, multiple, rules.fallTime), counter, goal, mustAsk);
+        return (seed, place, limits, rules, counter, goal, mustAsk) ->
+                new Decide(
+                        seed,
+                        place,
+                        limits,
+                        new Rules(coldFrom, coldTime, multiple, rules.fallTime),
+                        counter,
+                        goal,
+                        mustAsk);
     }
 
     @DataProvider
     public Object[][] greedy() {
-        Gateway.Maker all = (seed, place, limits, rules, counter, goal, mustAsk) -> new OracleTest.Rogue("cold");
+        Gateway.Maker all =
+                (seed, place, limits, rules, counter, goal, mustAsk) ->
+                        new OracleTest.Rogue("cold");
         return new Object[][] {
-            {"all to one cold server", 4, all}, {"all to one cold server", 20, all},
-            {"cold ones earn thirty times", 20, told(0.2, 4000, 60)}, {"cold ones earn thirty times", 40, told(0.2, 4000, 60)},
+            {"all to one cold server", 4, all},
+            {"all to one cold server", 20, all},
+            {"cold ones earn thirty times", 20, told(0.2, 4000, 60)},
+            {"cold ones earn thirty times", 40, told(0.2, 4000, 60)},
         };
     }
 
     @Test(dataProvider = "greedy")
-    public void greedyDecisionsAreCaught(String what, int gateways, Gateway.Maker maker) throws Exception {
+    public void greedyDecisionsAreCaught(String what, int gateways, Gateway.Maker maker)
+            throws Exception {
         Outcome o = new World(cold(gateways, Map.of()), 1, maker).run();
         Map<String, Double> f = o.figures();
         assertTrue(f.get("cold_blamed") > 1 && f.get("cold_falls") > 0, what + ": " + f);
-        assertTrue(o.broken().stream().anyMatch(b -> b.startsWith("cold: s")), what + ": " + o.broken());
+        assertTrue(
+                o.broken().stream().anyMatch(b -> b.startsWith("cold: s")),
+                what + ": " + o.broken());
     }
 
     @Test
@@ -142,18 +187,30 @@
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
-            // as ColdBudgetStudy has them, processes, first seed of two; N from 16, under one a process from twenty on
-            {"half, gateways at once", 20, 1}, {"half, gateways by tenths", 30, 1}, {"half, uneven", 30, 1}, {"all", 30, 1},
-            {"all, gateways at once", 20, 1}, {"all but one", 30, 1}, {"all but one", 100, 5},
-            {"all, asked again and again", 20, 3}, {"all, asked again and again", 30, 1},
+            // as ColdBudgetStudy has them, processes, first seed of two; N from 16, under one a
+            // process from twenty on
+            {"half, gateways at once", 20, 1},
+            {"half, gateways by tenths", 30, 1},
+            {"half, uneven", 30, 1},
+            {"all", 30, 1},
+            {"all, gateways at once", 20, 1},
+            {"all but one", 30, 1},
+            {"all but one", 100, 5},
+            {"all, asked again and again", 20, 3},
+            {"all, asked again and again", 30, 1},
         };
     }
 
     /** The sum over all processes, whoever was told. */
     @Test(dataProvider = "fleets")
-    public void theSumOfAllProcessesStaysUnder(String what, int gateways, int first) throws Exception {
+    public void theSumOfAllProcessesStaysUnder(String what, int gateways, int first)
+            throws Exception {
         for (int seed = first; seed < first + 2; seed++) {
-            World w = new World(ColdBudgetStudy.scenario("middle", what, gateways, Map.of()), seed, Decide::new);
+            World w =
+                    new World(
+                            ColdBudgetStudy.scenario("middle", what, gateways, Map.of()),
+                            seed,
+                            Decide::new);
             w.run();
             ColdBudget.Approach a = w.oracle.cold().nearest();
             assertTrue(a.of() > 0.2 && a.of() < 0.85, "seed " + seed + ": " + a);
@@ -173,21 +230,27 @@
 
     @Test(dataProvider = "wrong")
     public void wrongKeysAreTold(String key, String value, String told) {
-        String text = Scenarios.text(0, """
-                [[faults]]
-                kind = "SERVERS_ROLL"
-                at_s = 1
-                for_s = 4
-                part = 0.5
-                size = 3
-                [[faults]]
-                kind = "GATEWAYS_ROLL"
-                at_s = 2
-                for_s = 5
-                part = 1
-                size = 5
-                """, tinford.api.Effect.IDEMPOTENT);
-        Scenario.Bad e = expectThrows(Scenario.Bad.class, () -> Scenario.of("cold", text, Map.of(key, value)));
+        String text =
+                Scenarios.text(
+                        0,
+                        """
+                        [[faults]]
+                        kind = "SERVERS_ROLL"
+                        at_s = 1
+                        for_s = 4
+                        part = 0.5
+                        size = 3
+                        [[faults]]
+                        kind = "GATEWAYS_ROLL"
+                        at_s = 2
+                        for_s = 5
+                        part = 1
+                        size = 5
+                        """,
+                        tinford.api.Effect.IDEMPOTENT);
+        Scenario.Bad e =
+                expectThrows(
+                        Scenario.Bad.class, () -> Scenario.of("cold", text, Map.of(key, value)));
         assertTrue(e.getMessage().startsWith("cold: " + told), e.getMessage());
     }
 }
--- a/lab/src/test/java/tinford/lab/model/OracleTest.java
+++ b/lab/src/test/java/tinford/lab/model/OracleTest.java
@@ -67,7 +67,15 @@
         }
 
         @Override
-        public void ended(Req req, int hop, End how, double took, boolean closed, int seenUse, double settled, double[] load) {
+        public void ended(
+                Req req,
+                int hop,
+                End how,
+                double took,
+                boolean closed,
+                int seenUse,
+                double settled,
+                double[] load) {
             if (closed) {
                 if (fault.equals("twice") && next % 50 == 0) {
                     out.abort(req);
@@ -85,56 +93,80 @@
             }
         }
 
-        @Override public void started() { }
+        @Override
+        public void started() {}
 
-        @Override public void takesOver() { }
+        @Override
+        public void takesOver() {}
 
-        @Override public void leaves() { }
+        @Override
+        public void leaves() {}
 
-        @Override public void listRefused() { }
+        @Override
+        public void listRefused() {}
 
-        @Override public void began(Req req, int hop) { }
+        @Override
+        public void began(Req req, int hop) {}
 
-        @Override public void left(Req req) { }
+        @Override
+        public void left(Req req) {}
 
-        @Override public void alarm(long token) { }
+        @Override
+        public void alarm(long token) {}
 
-        @Override public void probed(Srv srv, End how, double took, double[] load) { }
+        @Override
+        public void probed(Srv srv, End how, double took, double[] load) {}
 
-        @Override public void heard(int peer, String text) { }
+        @Override
+        public void heard(int peer, String text) {}
 
-        @Override public void counted(long name, End how, double took, double total) { }
+        @Override
+        public void counted(long name, End how, double took, double total) {}
 
-        @Override public void countedLate(long name, double total) { }
+        @Override
+        public void countedLate(long name, double total) {}
     }
 
     @DataProvider
     public Object[][] rogues() {
         return new Object[][] {
-            {"silent", "lost: no answer by the client timeout"}, {"twice", "lost: a second final answer"},
-            {"copies", "effect: two dispatches out at once"}, {"again", "effect: dispatched again though it may have run"},
-            {"denies", "effect: denied though it may have run"}, {"drain", "drain: sent "}, {"cold", "cold: s"},
+            {"silent", "lost: no answer by the client timeout"},
+            {"twice", "lost: a second final answer"},
+            {"copies", "effect: two dispatches out at once"},
+            {"again", "effect: dispatched again though it may have run"},
+            {"denies", "effect: denied though it may have run"},
+            {"drain", "drain: sent "},
+            {"cold", "cold: s"},
             {"ceiling", "ceiling: customer "},
         };
     }
 
     @Test(dataProvider = "rogues")
     public void aBrokenRuleIsCaught(String fault, String told) throws Exception {
-        Scenario s = Scenarios.small(fault.equals("ceiling") ? 0.3 : 0, """
-                [[faults]]
-                kind = "SERVERS_DIE"
-                at_s = 3
-                for_s = 1
-                part = 0.5
-                size = 0
-                [[faults]]
-                kind = "FLEET_SHRINKS"
-                at_s = 6
-                for_s = 1
-                part = 0.3
-                size = 0
-                """);
-        Outcome o = new World(s, 3, (seed, place, limits, rules, counter, goal, mustAsk) -> new Rogue(fault)).run();
+        Scenario s =
+                Scenarios.small(
+                        fault.equals("ceiling") ? 0.3 : 0,
+                        """
+                        [[faults]]
+                        kind = "SERVERS_DIE"
+                        at_s = 3
+                        for_s = 1
+                        part = 0.5
+                        size = 0
+                        [[faults]]
+                        kind = "FLEET_SHRINKS"
+                        at_s = 6
+                        for_s = 1
+                        part = 0.3
+                        size = 0
+                        """);
+        Outcome o =
+                new World(
+                                s,
+                                3,
+                                (seed, place, limits, rules, counter, goal, mustAsk) ->
+                                        new Rogue(fault))
+                        .run();
         String found = o.broken().stream().filter(b -> b.startsWith(told)).findFirst().orElse("");
         assertTrue(!found.isEmpty(), fault + ": " + o.broken());
         assertTrue(told.startsWith("cold") || found.contains("; req "), "with its story: " + found);
@@ -145,32 +177,36 @@
     @Test
     public void theDecisionsKeepThem() throws Exception {
         for (String effect : List.of("IDEMPOTENT", "IDEMPOTENCY_KEY", "NON_IDEMPOTENT")) {
-            Scenario s = Scenarios.small(0.3, """
-                    [[faults]]
-                    kind = "SERVERS_DIE"
-                    at_s = 3
-                    for_s = 1
-                    part = 0.5
-                    size = 0
-                    [[faults]]
-                    kind = "GATEWAYS_DIE"
-                    at_s = 5
-                    for_s = 1
-                    part = 0.5
-                    size = 0
-                    [[faults]]
-                    kind = "FLEET_SHRINKS"
-                    at_s = 6
-                    for_s = 1
-                    part = 0.3
-                    size = 0
-                    [[faults]]
-                    kind = "COUNTER_SILENT"
-                    at_s = 2
-                    for_s = 5
-                    part = 0
-                    size = 1
-                    """, Effect.valueOf(effect));
+            Scenario s =
+                    Scenarios.small(
+                            0.3,
+                            """
+                            [[faults]]
+                            kind = "SERVERS_DIE"
+                            at_s = 3
+                            for_s = 1
+                            part = 0.5
+                            size = 0
+                            [[faults]]
+                            kind = "GATEWAYS_DIE"
+                            at_s = 5
+                            for_s = 1
+                            part = 0.5
+                            size = 0
+                            [[faults]]
+                            kind = "FLEET_SHRINKS"
+                            at_s = 6
+                            for_s = 1
+                            part = 0.3
+                            size = 0
+                            [[faults]]
+                            kind = "COUNTER_SILENT"
+                            at_s = 2
+                            for_s = 5
+                            part = 0
+                            size = 1
+                            """,
+                            Effect.valueOf(effect));
             for (int seed = 0; seed < 5; seed++) {
                 Outcome o = new World(s, seed, Decide::new).run();
                 assertEquals(o.broken(), List.of(), effect + ", seed " + seed);
@@ -183,7 +219,13 @@
     @Test
     public void theSameSeedIsTheSameDay() throws Exception {
         Scenario s = Scenarios.small(0.3, "");
-        assertEquals(new World(s, 9, Decide::new).run().figures(), new World(s, 9, Decide::new).run().figures());
-        assertTrue(!new World(s, 9, Decide::new).run().figures().equals(new World(s, 10, Decide::new).run().figures()));
+        assertEquals(
+                new World(s, 9, Decide::new).run().figures(),
+                new World(s, 9, Decide::new).run().figures());
+        assertTrue(
+                !new World(s, 9, Decide::new)
+                        .run()
+                        .figures()
+                        .equals(new World(s, 10, Decide::new).run().figures()));
     }
 }
--- a/lab/src/test/java/tinford/lab/model/QueueTest.java
+++ b/lab/src/test/java/tinford/lab/model/QueueTest.java
@@ -29,30 +29,39 @@
         int[] came = {0};
         Runnable[] next = new Runnable[1];
         double[] from = {0};
-        next[0] = () -> {
-            if (came[0]++ == WARM) {
-                from[0] = agenda.now();
-                sums[2] = 0;
-            }
-            boolean counts = came[0] > WARM;
-            double at = agenda.now();
-            count(sums, m, at);
-            m.come(new Machine.Visit(takes.sample(), end -> {
-                assertEquals(end, End.GOOD);
-                sums[2] += (agenda.now() - sums[3]) * (m.inside() + 1); // this one has just left
-                sums[3] = agenda.now();
-                if (counts) {
-                    sums[0] += agenda.now() - at;
-                    sums[1]++;
-                }
-            }));
-            if (came[0] < WARM + COUNTED) {
-                agenda.after(gap.sample(), next[0]);
-            }
-        };
+        next[0] =
+                () -> {
+                    if (came[0]++ == WARM) {
+                        from[0] = agenda.now();
+                        sums[2] = 0;
+                    }
+                    boolean counts = came[0] > WARM;
+                    double at = agenda.now();
+                    count(sums, m, at);
+                    m.come(
+                            new Machine.Visit(
+                                    takes.sample(),
+                                    end -> {
+                                        assertEquals(end, End.GOOD);
+                                        sums[2] +=
+                                                (agenda.now() - sums[3])
+                                                        * (m.inside()
+                                                                + 1); // this one has just left
+                                        sums[3] = agenda.now();
+                                        if (counts) {
+                                            sums[0] += agenda.now() - at;
+                                            sums[1]++;
+                                        }
+                                    }));
+                    if (came[0] < WARM + COUNTED) {
+                        agenda.after(gap.sample(), next[0]);
+                    }
+                };
         agenda.after(0, next[0]);
         agenda.run(Double.MAX_VALUE / 2);
-        return new double[] {sums[0] / sums[1], sums[2] / (sums[3] - from[0]), sums[1] / (sums[3] - from[0])};
+        return new double[] {
+            sums[0] / sums[1], sums[2] / (sums[3] - from[0]), sums[1] / (sums[3] - from[0])
+        };
     }
 
     private static void count(double[] sums, Machine m, double now) {
@@ -84,14 +93,22 @@
         return last / (sum + last);
     }
 
-    /** M/M/1, M/M/c, M/D/1 and M/G/1 (Pollaczek and Khinchine) lie in their intervals; so does Little's law. */
+    /**
+     * M/M/1, M/M/c, M/D/1 and M/G/1 (Pollaczek and Khinchine) lie in their intervals; so does
+     * Little's law.
+     */
     @Test(dataProvider = "queues")
-    public void timesInsideAreThoseOfTheory(int cores, double load, Dist dist, double cv, double theory) {
+    public void timesInsideAreThoseOfTheory(
+            int cores, double load, Dist dist, double cv, double theory) {
         double[] times = new double[RUNS];
         for (int i = 0; i < RUNS; i++) {
             double[] r = run(i, cores, load, dist, cv);
             times[i] = r[0];
-            assertEquals(r[1] / (r[0] * r[2]), 1, 0.02, "number inside is rate times time inside, seed " + i);
+            assertEquals(
+                    r[1] / (r[0] * r[2]),
+                    1,
+                    0.02,
+                    "number inside is rate times time inside, seed " + i);
         }
         Study.Mean mean = Study.mean(times, 0.999);
         assertTrue(mean.holds(theory), theory + " is not in " + mean);
--- a/lab/src/test/java/tinford/lab/sockets/Rogue.java
+++ b/lab/src/test/java/tinford/lab/sockets/Rogue.java
@@ -11,16 +11,21 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A gateway that sends each req to the next server of its first list and passes on what comes, but for one fault. */
+/**
+ * A gateway that sends each req to the next server of its first list and passes on what comes, but
+ * for one fault.
+ */
 public final class Rogue {
     private static final AtomicInteger NEXT = new AtomicInteger();
 
     private Rogue() {}
 
     public static void main(String[] args) throws Exception {
-        JsonNode config = new ObjectMapper().readTree(Path.of(System.getenv("ROUTER_CONFIG")).toFile());
+        JsonNode config =
+                new ObjectMapper().readTree(Path.of(System.getenv("ROUTER_CONFIG")).toFile());
         List<Integer> servers = new ArrayList<>();
-        try (Wire discovery = new Wire(new Socket(InetAddress.getLoopbackAddress(), port(config, "discovery")))) {
+        try (Wire discovery =
+                new Wire(new Socket(InetAddress.getLoopbackAddress(), port(config, "discovery")))) {
             discovery.say("GET /registry/instances?watch=1&after=0 HTTP/1.1\r\n\r\n");
             String line = discovery.line();
             while (!line.startsWith("{")) {
@@ -30,7 +35,8 @@
                 servers.add(Integer.parseInt(h.get("dial").asText().split(":")[1]));
             }
         }
-        try (ServerSocket door = new ServerSocket(port(config, "listen"), 200, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket door =
+                new ServerSocket(port(config, "listen"), 200, InetAddress.getLoopbackAddress())) {
             while (true) {
                 Wire client = new Wire(door.accept());
                 Thread t = new Thread(() -> talk(client, servers, args[0]));
@@ -53,7 +59,8 @@
         }
     }
 
-    private static String answer(String[] words, List<Integer> servers, String fault) throws IOException, InterruptedException {
+    private static String answer(String[] words, List<Integer> servers, String fault)
+            throws IOException, InterruptedException {
         int n = NEXT.getAndIncrement();
         if (fault.equals("silent") && n % 20 == 0) {
             Thread.sleep(60_000);
@@ -63,11 +70,19 @@
         }
         Wire copy = null;
         if (fault.equals("copies") && n % 20 == 0) {
-            copy = new Wire(new Socket(InetAddress.getLoopbackAddress(), servers.get((n + 1) % servers.size())));
+            copy =
+                    new Wire(
+                            new Socket(
+                                    InetAddress.getLoopbackAddress(),
+                                    servers.get((n + 1) % servers.size())));
             copy.say(Wire.command(words));
         }
         for (int i = 0; i < 2; i++) {
-            try (Wire server = new Wire(new Socket(InetAddress.getLoopbackAddress(), servers.get((n + i) % servers.size())))) {
+            try (Wire server =
+                    new Wire(
+                            new Socket(
+                                    InetAddress.getLoopbackAddress(),
+                                    servers.get((n + i) % servers.size())))) {
                 server.say(Wire.command(words));
                 String head = server.line();
                 if (head != null && head.startsWith("*")) {
--- a/lab/src/test/java/tinford/lab/sockets/SocketsTest.java
+++ b/lab/src/test/java/tinford/lab/sockets/SocketsTest.java
@@ -28,7 +28,8 @@
     /** As the build of the gateway, which comes before this module's, leaves it. */
     private static final Path JAR = Path.of("..", "gateway", "target", "tinford.jar");
 
-    private static Map<String, Double> play(Scenario s, Trace trace, int seed, List<String> broken) throws Exception {
+    private static Map<String, Double> play(Scenario s, Trace trace, int seed, List<String> broken)
+            throws Exception {
         Path folder = Files.createTempDirectory("lab");
         try (Bench bench = new Bench(s, seed, JAR, folder)) {
             Map<String, Double> found = bench.run(trace);
@@ -44,23 +45,33 @@
         }
     }
 
-    /** Servers die, the counter falls silent: every req has its answer, no rule is broken, and the model says much the same. */
+    /**
+     * Servers die, the counter falls silent: every req has its answer, no rule is broken, and the
+     * model says much the same.
+     */
     @Test
     public void modelAndSocketsAgree() throws Exception {
-        Scenario s = Scenario.of("small", Scenarios.text(0, """
-                [[faults]]
-                kind = "SERVERS_DIE"
-                at_s = 2
-                for_s = 1
-                part = 0.3
-                size = 0
-                [[faults]]
-                kind = "COUNTER_SILENT"
-                at_s = 1
-                for_s = 2
-                part = 0
-                size = 1
-                """, Effect.IDEMPOTENT), Map.of("length_s", "5", "clients.retries", "0", "clients.leave", "0"));
+        Scenario s =
+                Scenario.of(
+                        "small",
+                        Scenarios.text(
+                                0,
+                                """
+                                [[faults]]
+                                kind = "SERVERS_DIE"
+                                at_s = 2
+                                for_s = 1
+                                part = 0.3
+                                size = 0
+                                [[faults]]
+                                kind = "COUNTER_SILENT"
+                                at_s = 1
+                                for_s = 2
+                                part = 0
+                                size = 1
+                                """,
+                                Effect.IDEMPOTENT),
+                        Map.of("length_s", "5", "clients.retries", "0", "clients.leave", "0"));
         World drawn = new World(s, 5, Decide::new);
         drawn.run();
         Trace trace = drawn.asked();
@@ -71,61 +82,100 @@
         assertEquals(model.broken(), List.of());
         assertEquals(sockets.get("tries"), (double) trace.asks().size());
         assertEquals(sockets.get("unanswered"), 0.0);
-        assertEquals(sockets.get("service"), model.service(), 0.2, sockets + " against " + model.figures());
+        assertEquals(
+                sockets.get("service"),
+                model.service(),
+                0.2,
+                sockets + " against " + model.figures());
         assertEquals(sockets.get("denied"), model.figures().get("denied"), 0.2);
     }
 
     /** A gateway that is killed answers nothing; its successor does, and the other never stops. */
     @Test
     public void aKilledGatewayIsMissedUntilItIsBack() throws Exception {
-        Scenario s = Scenario.of("small", Scenarios.text(0, """
-                [[faults]]
-                kind = "GATEWAYS_DIE"
-                at_s = 1
-                for_s = 0.2
-                part = 0.5
-                size = 0
-                """, Effect.IDEMPOTENT), Map.of("length_s", "5", "clients.retries", "0", "clients.leave", "0"));
+        Scenario s =
+                Scenario.of(
+                        "small",
+                        Scenarios.text(
+                                0,
+                                """
+                                [[faults]]
+                                kind = "GATEWAYS_DIE"
+                                at_s = 1
+                                for_s = 0.2
+                                part = 0.5
+                                size = 0
+                                """,
+                                Effect.IDEMPOTENT),
+                        Map.of("length_s", "5", "clients.retries", "0", "clients.leave", "0"));
         World drawn = new World(s, 6, Decide::new);
         drawn.run();
         List<String> broken = new java.util.ArrayList<>();
         Map<String, Double> sockets = play(s, drawn.asked(), 6, broken);
         assertEquals(broken, List.of());
-        assertTrue(sockets.get("unanswered") > 0 && sockets.get("unanswered") < 0.5, sockets.toString());
+        assertTrue(
+                sockets.get("unanswered") > 0 && sockets.get("unanswered") < 0.5,
+                sockets.toString());
         assertTrue(sockets.get("service") > 0.4, sockets.toString());
     }
 
     @DataProvider
     public Object[][] rogues() {
         return new Object[][] {
-            {"silent", "lost: no answer by the client timeout"}, {"invents", "lost: req "},
-            {"copies", "effect: two dispatches out at once"}, {"again", "effect: dispatched again though it may have run"},
-            {"denies", "effect: denied though it may have run"}, {"drains", "drain: sent "}, {"ceilings", "ceiling: customer "},
+            {"silent", "lost: no answer by the client timeout"},
+            {"invents", "lost: req "},
+            {"copies", "effect: two dispatches out at once"},
+            {"again", "effect: dispatched again though it may have run"},
+            {"denies", "effect: denied though it may have run"},
+            {"drains", "drain: sent "},
+            {"ceilings", "ceiling: customer "},
         };
     }
 
     /** Programs that break a rule on purpose are caught on sockets as in the model. */
     @Test(dataProvider = "rogues")
     public void aBrokenRuleIsCaught(String fault, String told) throws Exception {
-        Scenario s = Scenario.of("small", Scenarios.text(fault.equals("ceilings") ? 0.1 : 0, """
-                [[faults]]
-                kind = "SERVERS_DIE"
-                at_s = 1.5
-                for_s = 0.2
-                part = 0.6
-                size = 0
-                [[faults]]
-                kind = "FLEET_SHRINKS"
-                at_s = 1.8
-                for_s = 0.1
-                part = 0.3
-                size = 0
-                """, Effect.NON_IDEMPOTENT), Map.of("length_s", "4", "clients.retries", "0", "clients.leave", "0", "servers.cold_time", "1"));
+        Scenario s =
+                Scenario.of(
+                        "small",
+                        Scenarios.text(
+                                fault.equals("ceilings") ? 0.1 : 0,
+                                """
+                                [[faults]]
+                                kind = "SERVERS_DIE"
+                                at_s = 1.5
+                                for_s = 0.2
+                                part = 0.6
+                                size = 0
+                                [[faults]]
+                                kind = "FLEET_SHRINKS"
+                                at_s = 1.8
+                                for_s = 0.1
+                                part = 0.3
+                                size = 0
+                                """,
+                                Effect.NON_IDEMPOTENT),
+                        Map.of(
+                                "length_s",
+                                "4",
+                                "clients.retries",
+                                "0",
+                                "clients.leave",
+                                "0",
+                                "servers.cold_time",
+                                "1"));
         World drawn = new World(s, 7, Decide::new);
         drawn.run();
         Path folder = Files.createTempDirectory("lab");
-        String classes = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
-        try (Bench bench = new Bench(s, 7, List.of("-cp", classes, "tinford.lab.sockets.Rogue", fault), folder)) {
+        String classes =
+                System.getProperty(
+                        "surefire.test.class.path", System.getProperty("java.class.path"));
+        try (Bench bench =
+                new Bench(
+                        s,
+                        7,
+                        List.of("-cp", classes, "tinford.lab.sockets.Rogue", fault),
+                        folder)) {
             bench.run(drawn.asked());
             List<String> broken = bench.broken();
             assertTrue(broken.stream().anyMatch(b -> b.startsWith(told)), fault + ": " + broken);
@@ -146,14 +196,22 @@
             CountDownLatch done = new CountDownLatch(3);
             double from = live.now();
             double[] at = new double[2];
-            live.post(() -> live.agenda().after(30, () -> {
-                at[0] = live.now();
-                live.agenda().after(20, () -> {
-                    at[1] = live.now();
-                    done.countDown();
-                });
-                done.countDown();
-            }));
+            live.post(
+                    () ->
+                            live.agenda()
+                                    .after(
+                                            30,
+                                            () -> {
+                                                at[0] = live.now();
+                                                live.agenda()
+                                                        .after(
+                                                                20,
+                                                                () -> {
+                                                                    at[1] = live.now();
+                                                                    done.countDown();
+                                                                });
+                                                done.countDown();
+                                            }));
             live.post(done::countDown);
             assertTrue(done.await(10, TimeUnit.SECONDS));
             assertTrue(at[0] >= from + 30 && at[1] >= from + 50, from + " " + at[0] + " " + at[1]);
@@ -165,7 +223,11 @@
     public void halfAnswersAreNone() throws Exception {
         for (String bytes : new String[] {"$5\r\nab", "$99999999\r\n", "+PO", "$x\r\n"}) {
             try (ServerSocket door = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                    Wire w = new Wire(new Socket(InetAddress.getLoopbackAddress(), door.getLocalPort()))) {
+                    Wire w =
+                            new Wire(
+                                    new Socket(
+                                            InetAddress.getLoopbackAddress(),
+                                            door.getLocalPort()))) {
                 try (Wire other = new Wire(door.accept())) {
                     other.say(bytes);
                 }
--- a/lab/src/test/java/tinford/lab/study/StudyTest.java
+++ b/lab/src/test/java/tinford/lab/study/StudyTest.java
@@ -52,29 +52,88 @@
         }
     }
 
-    /** One that denies every fourth req is known to be worse; a version is no better than itself. */
+    /**
+     * One that denies every fourth req is known to be worse; a version is no better than itself.
+     */
     @Test
     public void aKnownDifferenceIsRanked() throws Exception {
         Study study = new Study(Scenarios.small(0, ""), 4);
         List<Outcome> good = study.run(Decide::new, 1, 8);
-        List<Outcome> bad = study.run((seed, place, limits, rules, counter, goal, mustAsk) -> {
-            Decide inner = new Decide(seed, place, limits, rules, counter, goal, mustAsk);
-            return (now, feed, out) -> inner.round(now, in -> feed.replay((tinford.api.Inbox) java.lang.reflect.Proxy.newProxyInstance(
-                    StudyTest.class.getClassLoader(), new Class<?>[] {tinford.api.Inbox.class}, (p, m, args) -> {
-                        if (m.getName().equals("arrived") && ((tinford.api.Req) args[0]).id % 4 == 0) {
-                            ((Writer) out).deny((tinford.api.Req) args[0], 0);
-                            return null;
-                        }
-                        if (m.getName().equals("left") && ((tinford.api.Req) args[0]).id % 4 == 0) {
-                            return null;
-                        }
-                        return m.invoke(in, args);
-                    })), out);
-        }, 1, 8);
+        List<Outcome> bad =
+                study.run(
+                        (seed, place, limits, rules, counter, goal, mustAsk) -> {
+                            Decide inner =
+                                    new Decide(seed, place, limits, rules, counter, goal, mustAsk);
+                            return (now, feed, out) ->
+                                    inner.round(
+                                            now,
+                                            in ->
+                                                    feed.replay(
+                                                            (tinford.api.Inbox)
+                                                                    java.lang.reflect.Proxy
+                                                                            .newProxyInstance(
+                                                                                    StudyTest.class
+                                                                                            .getClassLoader(),
+                                                                                    new Class<?>[] {
+                                                                                        tinford.api
+                                                                                                .Inbox
+                                                                                                .class
+                                                                                    },
+                                                                                    (p,
+                                                                                            m,
+                                                                                            args) -> {
+                                                                                        if (m.getName()
+                                                                                                        .equals(
+                                                                                                                "arrived")
+                                                                                                && ((tinford
+                                                                                                                                        .api
+                                                                                                                                        .Req)
+                                                                                                                                args[
+                                                                                                                                        0])
+                                                                                                                        .id
+                                                                                                                % 4
+                                                                                                        == 0) {
+                                                                                            ((Writer)
+                                                                                                            out)
+                                                                                                    .deny(
+                                                                                                            (tinford
+                                                                                                                            .api
+                                                                                                                            .Req)
+                                                                                                                    args[
+                                                                                                                            0],
+                                                                                                            0);
+                                                                                            return null;
+                                                                                        }
+                                                                                        if (m.getName()
+                                                                                                        .equals(
+                                                                                                                "left")
+                                                                                                && ((tinford
+                                                                                                                                        .api
+                                                                                                                                        .Req)
+                                                                                                                                args[
+                                                                                                                                        0])
+                                                                                                                        .id
+                                                                                                                % 4
+                                                                                                        == 0) {
+                                                                                            return null;
+                                                                                        }
+                                                                                        return m
+                                                                                                .invoke(
+                                                                                                        in,
+                                                                                                        args);
+                                                                                    })),
+                                            out);
+                        },
+                        1,
+                        8);
         assertEquals(Study.compare(good, bad, "service", 0.95).verdict(), Study.Verdict.WORSE);
         assertEquals(Study.compare(bad, good, "service", 0.95).verdict(), Study.Verdict.BETTER);
-        assertEquals(Study.compare(good, study.run(Decide::new, 1, 8), "service", 0.95).verdict(), Study.Verdict.CANT_TELL);
-        expectThrows(IllegalArgumentException.class, () -> Study.compare(good, study.run(Decide::new, 2, 8), "service", 0.95));
+        assertEquals(
+                Study.compare(good, study.run(Decide::new, 1, 8), "service", 0.95).verdict(),
+                Study.Verdict.CANT_TELL);
+        expectThrows(
+                IllegalArgumentException.class,
+                () -> Study.compare(good, study.run(Decide::new, 2, 8), "service", 0.95));
     }
 
     @DataProvider
@@ -85,15 +144,31 @@
             {"length_s = 10", "length_s = -1", "length_s: expected a number above 0"},
             {"tick = 4", "tick = \"soon\"", "tick: "},
             {"count = 6\n", "", "servers.count: "},
-            {"target = 800", "target = 2400", "frontends.f.timeout: expected one and a half of the target"},
+            {
+                "target = 800",
+                "target = 2400",
+                "frontends.f.timeout: expected one and a half of the target"
+            },
             {"spread = 2", "spread = 3", "clients.spread: expected a number from 1.0 to 2.0"},
             {"use = 0.6", "use = -0.6", "clients.use: expected a number above 0"},
             {"largest = 2", "largest = 20", "plans.p.burst: expected the largest req"},
             {"dist = \"EXPONENTIAL\"", "dist = \"UNIFORM\"", "frontends[0].dist: "},
             {"faults = []", "faults = [", "expected TOML"},
-            {"faults = []", "[[faults]]\nkind = \"SERVERS_DIE\"\nat_s = 1\nfor_s = 1\npart = 0\nsize = 0", "faults[0].part: expected some part of the nodes"},
-            {"faults = []", "[[faults]]\nkind = \"SERVERS_DIE\"\nat_s = 99\nfor_s = 1\npart = 1\nsize = 0", "faults[0].at_s: expected a number from 0.0 to 10.0"},
-            {"faults = []", "[[faults]]\nkind = \"FIRE\"\nat_s = 1\nfor_s = 1\npart = 1\nsize = 0", "faults[0].kind: "},
+            {
+                "faults = []",
+                "[[faults]]\nkind = \"SERVERS_DIE\"\nat_s = 1\nfor_s = 1\npart = 0\nsize = 0",
+                "faults[0].part: expected some part of the nodes"
+            },
+            {
+                "faults = []",
+                "[[faults]]\nkind = \"SERVERS_DIE\"\nat_s = 99\nfor_s = 1\npart = 1\nsize = 0",
+                "faults[0].at_s: expected a number from 0.0 to 10.0"
+            },
+            {
+                "faults = []",
+                "[[faults]]\nkind = \"FIRE\"\nat_s = 1\nfor_s = 1\npart = 1\nsize = 0",
+                "faults[0].kind: "
+            },
         };
     }
 
@@ -110,9 +185,14 @@
         Path csv = file.resolveSibling(file.getFileName() + ".csv");
         Files.writeString(file, text);
         StringWriter err = new StringWriter();
-        int code = LabLine.of().setErr(new PrintWriter(err)).execute("run", file.toString(), "--runs", "1", "--csv", csv.toString());
+        int code =
+                LabLine.of()
+                        .setErr(new PrintWriter(err))
+                        .execute("run", file.toString(), "--runs", "1", "--csv", csv.toString());
         assertEquals(code, 3, err.toString());
-        assertTrue(err.toString().contains(file + ": ") && err.toString().contains(told), err.toString());
+        assertTrue(
+                err.toString().contains(file + ": ") && err.toString().contains(told),
+                err.toString());
         assertFalse(Files.exists(csv));
         Files.delete(file);
     }
@@ -132,14 +212,32 @@
         Path csv = Files.createTempFile("runs", ".csv");
         StringWriter said = new StringWriter();
         CommandLine line = LabLine.of().setOut(new PrintWriter(said));
-        assertEquals(line.execute("compare", scenario.toString(), "--runs", "3", "--second", jar.toString(), "--csv", csv.toString()), 0);
+        assertEquals(
+                line.execute(
+                        "compare",
+                        scenario.toString(),
+                        "--runs",
+                        "3",
+                        "--second",
+                        jar.toString(),
+                        "--csv",
+                        csv.toString()),
+                0);
         assertTrue(said.toString().contains("can't tell"), said.toString());
         assertEquals(Files.readAllLines(csv).size(), 7);
         Files.write(jar, new byte[] {1, 2, 3});
         StringWriter err = new StringWriter();
-        assertEquals(LabLine.of().setErr(new PrintWriter(err)).execute("run", scenario.toString(), "--jar", jar.toString()), 3);
+        assertEquals(
+                LabLine.of()
+                        .setErr(new PrintWriter(err))
+                        .execute("run", scenario.toString(), "--jar", jar.toString()),
+                3);
         assertTrue(err.toString().contains("expected tinford.Decide in it"), err.toString());
-        assertEquals(LabLine.of().setErr(new PrintWriter(err)).execute("run", scenario.toString(), "--runs", "0"), 2);
+        assertEquals(
+                LabLine.of()
+                        .setErr(new PrintWriter(err))
+                        .execute("run", scenario.toString(), "--runs", "0"),
+                2);
         for (Path p : List.of(scenario, jar, csv)) {
             Files.delete(p);
         }
@@ -150,15 +248,24 @@
         Path at = Path.of(top.getProtectionDomain().getCodeSource().getLocation().toURI());
         if (Files.isDirectory(at)) {
             try (var files = Files.list(at.resolve("tinford"))) {
-                for (Path p : files.filter(f -> f.getFileName().toString().matches("Decide(\\$.*)?\\.class")).toList()) {
-                    found.add(Class.forName("tinford." + p.getFileName().toString().replace(".class", "")));
+                for (Path p :
+                        files.filter(
+                                        f ->
+                                                f.getFileName()
+                                                        .toString()
+                                                        .matches("Decide(\\$.*)?\\.class"))
+                                .toList()) {
+                    found.add(
+                            Class.forName(
+                                    "tinford." + p.getFileName().toString().replace(".class", "")));
                 }
             }
         } else {
             try (var jar = new java.util.jar.JarFile(at.toFile())) {
                 for (var e : java.util.Collections.list(jar.entries())) {
                     if (e.getName().matches("tinford/Decide(\\$.*)?\\.class")) {
-                        found.add(Class.forName(e.getName().replace('/', '.').replace(".class", "")));
+                        found.add(
+                                Class.forName(e.getName().replace('/', '.').replace(".class", "")));
                     }
                 }
             }
--- a/lab/src/test/java/tinford/lab/study/TraceTest.java
+++ b/lab/src/test/java/tinford/lab/study/TraceTest.java
@@ -44,7 +44,10 @@
         Files.delete(folder);
     }
 
-    /** What was recorded is asked for again, req by req, at any rate; and what is written is what is read. */
+    /**
+     * What was recorded is asked for again, req by req, at any rate; and what is written is what is
+     * read.
+     */
     @Test
     public void aReplayAsksWhatWasAsked() throws Exception {
         Scenario s = Scenarios.small(0, "");
@@ -64,11 +67,16 @@
                 Trace.Ask a = trace.asks().get(i);
                 Trace.Ask b = again.asked().asks().get(i);
                 assertEquals(b.at(), a.at() / rate, 1e-3);
-                assertEquals(List.of(b.customer(), b.plan(), b.frontend(), b.units(), b.way()),
+                assertEquals(
+                        List.of(b.customer(), b.plan(), b.frontend(), b.units(), b.way()),
                         List.of(a.customer(), a.plan(), a.frontend(), a.units(), a.way()));
             }
             if (rate == 1) {
-                assertEquals(o.service(), drawn.service(), 0.1, "other work and gateways, the same traffic");
+                assertEquals(
+                        o.service(),
+                        drawn.service(),
+                        0.1,
+                        "other work and gateways, the same traffic");
             }
         }
     }
@@ -77,13 +85,19 @@
     public Object[][] badTraces() {
         String good = "tinford-trace 1\n1.5,7,p,f,1,0\n2,8,p,f,2,1\nend 2\n";
         return new Object[][] {
-            {good.replace("trace 1", "trace 2"), "line 1: expected tinford-trace 1, not tinford-trace 2"},
+            {
+                good.replace("trace 1", "trace 2"),
+                "line 1: expected tinford-trace 1, not tinford-trace 2"
+            },
             {"", "line 1: expected tinford-trace 1, not nothing"},
             {good.replace("end 2\n", ""), "expected end 2 as its last line: it was cut off"},
             {good.replace("end 2", "end 3"), "line 4: expected end 2 and nothing behind it"},
             {good + "3,8,p,f,2,1\n", "line 4: expected end 2 and nothing behind it"},
             {good.replace("2,8,p", "1,8,p"), "line 3: ms: expected 1.5 or later"},
-            {good.replace("7,p,f,1,0", "7,p,f,1"), "line 2: expected ms,customer,plan,frontend,units,way"},
+            {
+                good.replace("7,p,f,1,0", "7,p,f,1"),
+                "line 2: expected ms,customer,plan,frontend,units,way"
+            },
             {good.replace("8,p,f", "8,q,f"), "line 3: plan: expected one of [p], not q"},
             {good.replace("8,p,f", "8,p,g"), "line 3: frontend: expected one of [f], not g"},
             {good.replace("f,2,1", "f,-2,1"), "line 3: units: expected a number from"},
@@ -97,14 +111,20 @@
     public void badTracesAreNamed(String text, String told) throws Exception {
         Path file = folder.resolve("t");
         Files.write(file, text.getBytes(StandardCharsets.ISO_8859_1));
-        Scenario.Bad e = expectThrows(Scenario.Bad.class, () -> Trace.read(file, Scenarios.small(0, "")));
-        assertTrue(e.getMessage().startsWith(file + ": ") && e.getMessage().contains(told), e.getMessage());
+        Scenario.Bad e =
+                expectThrows(Scenario.Bad.class, () -> Trace.read(file, Scenarios.small(0, "")));
+        assertTrue(
+                e.getMessage().startsWith(file + ": ") && e.getMessage().contains(told),
+                e.getMessage());
     }
 
     @DataProvider
     public Object[][] settings() {
         return new Object[][] {
-            {"servers.count=3", 0, ""}, {"plans.p.rate=2.5", 0, ""}, {"frontends.0.work=20", 0, ""}, {"frontends.f.dist=CONSTANT", 0, ""},
+            {"servers.count=3", 0, ""},
+            {"plans.p.rate=2.5", 0, ""},
+            {"frontends.0.work=20", 0, ""},
+            {"frontends.f.dist=CONSTANT", 0, ""},
             {"servers.size=3", 3, "servers.size: expected a key that the scenario has"},
             {"plans.q.rate=3", 3, "plans.q.rate: expected a key that the scenario has"},
             {"plans=3", 3, "plans: expected a key that the scenario has"},
@@ -119,12 +139,20 @@
         Path file = folder.resolve("s.toml");
         Files.writeString(file, Scenarios.text(0, "", Effect.IDEMPOTENT));
         StringWriter err = new StringWriter();
-        assertEquals(LabLine.of().setErr(new PrintWriter(err)).setOut(new PrintWriter(new StringWriter()))
-                .execute("run", file.toString(), "--runs", "1", "--set", set), code, err.toString());
+        assertEquals(
+                LabLine.of()
+                        .setErr(new PrintWriter(err))
+                        .setOut(new PrintWriter(new StringWriter()))
+                        .execute("run", file.toString(), "--runs", "1", "--set", set),
+                code,
+                err.toString());
         assertTrue(err.toString().contains(told), err.toString());
     }
 
-    /** A table line for each value, a plot that is a picture with more than its ground, and nothing where a value is wrong. */
+    /**
+     * A table line for each value, a plot that is a picture with more than its ground, and nothing
+     * where a value is wrong.
+     */
     @Test
     public void aSweepIsToldAndPlotted() throws Exception {
         Path file = folder.resolve("s.toml");
@@ -132,12 +160,34 @@
         Files.writeString(file, Scenarios.text(0, "", Effect.IDEMPOTENT));
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
-        String[] words = {"sweep", file.toString(), "--key", "servers.count", "--values", "2,4,wrong", "--runs", "3", "--plot", plot.toString()};
-        assertEquals(LabLine.of().setErr(new PrintWriter(err)).setOut(new PrintWriter(out)).execute(words), 3);
+        String[] words = {
+            "sweep",
+            file.toString(),
+            "--key",
+            "servers.count",
+            "--values",
+            "2,4,wrong",
+            "--runs",
+            "3",
+            "--plot",
+            plot.toString()
+        };
+        assertEquals(
+                LabLine.of()
+                        .setErr(new PrintWriter(err))
+                        .setOut(new PrintWriter(out))
+                        .execute(words),
+                3);
         assertEquals(out.toString(), "");
         assertFalse(Files.exists(plot));
         words[5] = "2,4,8";
-        assertEquals(LabLine.of().setErr(new PrintWriter(err)).setOut(new PrintWriter(out)).execute(words), 0, err.toString());
+        assertEquals(
+                LabLine.of()
+                        .setErr(new PrintWriter(err))
+                        .setOut(new PrintWriter(out))
+                        .execute(words),
+                0,
+                err.toString());
         assertEquals(out.toString().lines().count(), 3);
         var picture = ImageIO.read(plot.toFile());
         long drawn = 0;
@@ -155,6 +205,7 @@
     }
 
     private static double service(String out, int line) {
-        return Double.parseDouble(out.lines().toList().get(line).split("service ")[1].trim().split(" ")[0]);
+        return Double.parseDouble(
+                out.lines().toList().get(line).split("service ")[1].trim().split(" ")[0]);
     }
 }
