--- a/lab/src/main/java/tinford/lab/Lab.java
+++ b/lab/src/main/java/tinford/lab/Lab.java
@@ -20,6 +20,7 @@
 import picocli.CommandLine.Spec;
 import tinford.Decide;
 import tinford.api.Gateway;
+import tinford.lab.control.ControlCommand;
 import tinford.lab.fleet.FleetBench;
 import tinford.lab.fleet.FleetScript;
 import tinford.lab.fleet.Program;
@@ -48,7 +49,8 @@
             Lab.Sweep.class,
             Lab.Record.class,
             Lab.Sockets.class,
-            Lab.Fleet.class
+            Lab.Fleet.class,
+            ControlCommand.class
         })
 public final class Lab {
     static final int RULE_BROKEN = 1;
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/control/ControlFigures.java
@@ -0,0 +1,183 @@
+package tinford.lab.control;
+
+import java.io.IOException;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import tinford.lab.fleet.History;
+import tinford.lab.fleet.Judge;
+import tinford.lab.fleet.Promise;
+import tinford.lab.fleet.TrafficMeter;
+
+/** Works out what came of a run, from its histories and its meters. */
+final class ControlFigures {
+    private static final double MEGABYTE = 1 << 20;
+    private static final String WATCH_LINK = "watch ";
+    private final ControlRun run;
+    private final List<History.Line> lines;
+    private final ControlResult result;
+    private final InForce inForce;
+
+    private ControlFigures(ControlRun run) throws IOException {
+        this.run = run;
+        this.lines = run.lines();
+        this.result = ControlResult.of(run.scenario());
+        this.inForce = InForce.of(lines);
+    }
+
+    static ControlResult of(ControlRun run) throws IOException {
+        ControlFigures figures = new ControlFigures(run);
+        figures.judge();
+        figures.times();
+        figures.traffic();
+        figures.resources();
+        if (run.load() != null) {
+            figures.gateways();
+        }
+        return figures.result;
+    }
+
+    /** All promises that a control run is held to. */
+    static Judge judgeOfPromises() {
+        Map<String, Promise> promises = new LinkedHashMap<>();
+        promises.put("revisions rise", new RevisionsRise());
+        promises.put("one content", new OneContent());
+        promises.put("acknowledged kept", new AcknowledgedKept());
+        return new Judge(promises);
+    }
+
+    private void judge() {
+        result.broken().addAll(run.failures());
+        Judge judge = judgeOfPromises();
+        lines.forEach(judge::see);
+        judge.breaches().forEach(breach -> result.broken().add(breach.story(run.began())));
+        inForce.missing().stream()
+                .limit(20)
+                .forEach(missing -> result.broken().add("never in force: " + missing));
+    }
+
+    private void times() {
+        InForce.Spread everywhere = inForce.everywhere(run.began());
+        InForce.Spread each = inForce.each(run.began());
+        result.put("revisions", everywhere.count());
+        result.put("everywhere_median_s", everywhere.median() / 1000);
+        result.put("everywhere_p99_s", everywhere.p99() / 1000);
+        result.putLimited(
+                "everywhere_largest_s",
+                everywhere.largest() / 1000,
+                ControlLimits.IN_FORCE_SECONDS);
+        result.put("each_median_s", each.median() / 1000);
+        result.put("each_p99_s", each.p99() / 1000);
+        InForce.Spread restarts = inForce.restarts();
+        if (restarts.count() > 0) {
+            result.put("restarted", restarts.count());
+            result.put("restart_median_s", restarts.median() / 1000);
+            result.putLimited(
+                    "restart_largest_s",
+                    restarts.largest() / 1000,
+                    ControlLimits.IN_FORCE_SECONDS);
+        }
+        result.put("attempts_not_taken", countInPlay(Events.TRIED));
+        result.put("refusals_by_followers", countInPlay(Events.NOT_APPLIED));
+    }
+
+    private double countInPlay(String kind) {
+        return lines.stream()
+                .filter(line -> line.kind().equals(kind) && line.at() >= run.began())
+                .count();
+    }
+
+    /** Watches and reports, both ways; the first snapshots were before the meters were reset. */
+    private void traffic() {
+        long total = 0;
+        long worst = 0;
+        double seconds = 1;
+        for (Map.Entry<String, TrafficMeter.Reading> link : run.links().readings().entrySet()) {
+            if (link.getKey().startsWith(WATCH_LINK)) {
+                TrafficMeter.Reading reading = link.getValue();
+                total += reading.total();
+                worst = Math.max(worst, reading.worstConnection());
+                seconds = reading.seconds();
+            }
+        }
+        int followers = run.options().size().followers();
+        result.putLimited(
+                "bytes_per_s_mean", total / seconds / followers, ControlLimits.BYTES_PER_SECOND);
+        result.put("bytes_per_s_worst_10s", worst / (double) TrafficMeter.WINDOW_SECONDS);
+    }
+
+    private void resources() {
+        Map<String, ResourceSampler.Use> uses = run.resources().uses(run.began(), run.ended());
+        double cores = 0;
+        double megabytes = 0;
+        double serverCores = 0;
+        double serverWorst = 0;
+        double serverMegabytes = 0;
+        for (Map.Entry<String, ResourceSampler.Use> each : uses.entrySet()) {
+            ResourceSampler.Use use = each.getValue();
+            if (each.getKey().startsWith("followers-")) {
+                cores += use.cores();
+                megabytes += use.mostResident() / MEGABYTE;
+            } else if (each.getKey().startsWith("server-")) {
+                serverCores = Math.max(serverCores, use.cores());
+                serverWorst = Math.max(serverWorst, use.worstCores());
+                serverMegabytes = Math.max(serverMegabytes, use.mostResident() / MEGABYTE);
+            }
+        }
+        int hollow = run.options().size().hollow();
+        result.putLimited(
+                "cores_a_follower", cores / hollow, ControlLimits.CORES_A_FOLLOWER);
+        result.putLimited(
+                "megabytes_a_follower", megabytes / hollow, ControlLimits.MEGABYTES_A_FOLLOWER);
+        result.put("cores_a_server_most", serverCores);
+        result.put("cores_a_server_worst_10s", serverWorst);
+        result.put("megabytes_a_server_most", serverMegabytes);
+    }
+
+    private void gateways() throws IOException {
+        result.broken().addAll(run.load().broken());
+        Map<String, Double> figures = run.load().await();
+        result.put("load_requests", figures.get("tries"));
+        result.put("load_unanswered_part", figures.get("unanswered"));
+        result.put("load_p50_ms", figures.get("p50_ms"));
+        result.put("load_p99_ms", figures.get("p99_ms"));
+        List<Double> turns =
+                lines.stream()
+                        .filter(line -> line.kind().equals(Events.APPLIED))
+                        .filter(line -> line.fields().has("turn_ms"))
+                        .filter(line -> line.at() >= run.began())
+                        .map(line -> line.fields().path("turn_ms").asDouble())
+                        .toList();
+        InForce.Spread turn = InForce.Spread.of(turns);
+        result.put("turn_median_ms", turn.median());
+        result.put("turn_largest_ms", turn.largest());
+        quotas();
+    }
+
+    /** What was sent on for the plan that changed, by phase. */
+    private void quotas() {
+        List<QuotaUse.Phase> phases = new QuotaPhases(lines, run.load()).all();
+        List<QuotaUse.Reading> readings = QuotaUse.of(lines, phases);
+        for (int i = 0; i < readings.size(); i++) {
+            QuotaUse.Reading reading = readings.get(i);
+            result.put("quota_phase" + i + "_units", reading.units());
+            result.put("quota_phase" + i + "_beyond_part", reading.beyond());
+            if (reading.units() > 0) {
+                result.put("quota_phase" + i + "_over_ceiling_units", reading.overCeiling());
+            }
+            if (reading.overCeiling() > 0) {
+                result.broken()
+                        .add(
+                                "quotas: a customer is "
+                                        + reading.overCeiling()
+                                        + " units over its ceiling in phase "
+                                        + i);
+            }
+        }
+    }
+
+    /** Delays by revision, for a file. */
+    static Map<Long, InForce.Spread> byRevision(ControlRun run) throws IOException {
+        return InForce.of(run.lines()).spreadByRevision(run.began());
+    }
+}
--- a/lab/src/main/java/tinford/lab/control/ControlServers.java
+++ b/lab/src/main/java/tinford/lab/control/ControlServers.java
@@ -81,6 +81,54 @@
         }
     }
 
+    private String operatorText(Server server) throws IOException {
+        StringBuilder text = new StringBuilder("[server]\n");
+        put(text, "fleet", FLEET_ID);
+        put(text, "region", server.region());
+        put(text, "name", server.name());
+        put(text, "listen", HOST + ":" + server.httpPort());
+        put(text, "role", server.voter() ? "voter" : "replica");
+        put(text, "folder", processes.disk(server.number()).toString());
+        if (server.voter()) {
+            text.append("[voters]\nnumber = ").append(server.number() + 1);
+            text.append("\nmembers = ").append(members(server)).append('\n');
+        } else {
+            text.append("[replica]\nupstream = ").append(upstream(server)).append('\n');
+        }
+        return text.toString();
+    }
+
+    private static void put(StringBuilder text, String key, String value) {
+        text.append(key).append(" = \"").append(value).append("\"\n");
+    }
+
+    /** Where a voter reaches each voter's log: itself directly, the others through links. */
+    private String members(Server from) throws IOException {
+        List<String> all = new ArrayList<>();
+        for (Server to : servers) {
+            if (to.voter()) {
+                int port =
+                        to == from
+                                ? to.logPort()
+                                : link("log " + from.name(), from.region(), to, to.logPort());
+                all.add("\"" + (to.number() + 1) + "=" + HOST + ":" + port + "\"");
+            }
+        }
+        return all.toString();
+    }
+
+    /** Where a replica reaches each voter. */
+    private String upstream(Server from) throws IOException {
+        List<String> all = new ArrayList<>();
+        for (Server to : servers) {
+            if (to.voter()) {
+                int port = link("upstream " + from.name(), from.region(), to, to.httpPort());
+                all.add("\"" + to.region() + "=" + HOST + ":" + port + "\"");
+            }
+        }
+        return all.toString();
+    }
+
     List<Server> all() {
         return servers;
     }
@@ -95,6 +143,7 @@
         Server server = servers.get(number);
         List<String> words =
                 program.java(
+                        Classpath.SMALL,
                         HEAP_MB,
                         "tinford.fleet.control.Main",
                         "serve",
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -0,0 +1,202 @@
+package tinford.lab.control;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CompletionException;
+import tinford.Decide;
+import tinford.api.Effect;
+import tinford.api.Group;
+import tinford.fleet.config.Change;
+import tinford.fleet.config.Endpoint;
+import tinford.fleet.config.Plan;
+import tinford.fleet.config.Route;
+import tinford.fleet.config.Service;
+import tinford.fleet.config.Tenant;
+import tinford.lab.fleet.FleetBench;
+import tinford.lab.fleet.FleetScript;
+import tinford.lab.fleet.History;
+import tinford.lab.fleet.Program;
+import tinford.lab.model.World;
+import tinford.lab.scenario.Scenario;
+import tinford.lab.scenario.Trace;
+
+/** Real gateways that follow the control servers while clients ask them on loopback sockets. */
+final class GatewayLoad implements AutoCloseable {
+    private static final String SERVICE = "load";
+    private static final int HEAP_MB = 128;
+    private final int gateways;
+    private final Scenario scenario;
+    private final Trace trace;
+    private final FleetBench bench;
+    private CompletableFuture<Map<String, Double>> figures;
+
+    /** Where a gateway reaches the control servers. */
+    interface Endpoints {
+        List<Endpoint> of(int gateway) throws IOException;
+    }
+
+    /**
+     * @param seconds how long clients ask
+     */
+    GatewayLoad(
+            int gateways,
+            double seconds,
+            long seed,
+            Classpath program,
+            Endpoints endpoints,
+            Path folder)
+            throws IOException {
+        this.gateways = gateways;
+        Map<String, String> set = new LinkedHashMap<>();
+        set.put("gateways", Integer.toString(gateways));
+        set.put("length_s", Double.toString(seconds));
+        scenario = Scenario.of("load.toml", loadText(), set);
+        World drawn = new World(scenario, seed, Decide::new);
+        drawn.run();
+        trace = drawn.asked();
+        List<String> words =
+                program.java(Classpath.SMALL, HEAP_MB, "tinford.fleet.run.Main", "serve");
+        Program started =
+                new Program(
+                        words,
+                        Map.of(),
+                        seat -> operatorText(seat, endpoints.of(seat.number())),
+                        true);
+        FleetScript script = FleetScript.of("load", "scenario = \"load.toml\"");
+        bench = new FleetBench(script, scenario, started, seed, folder);
+    }
+
+    private static String loadText() throws IOException {
+        try (InputStream in = GatewayLoad.class.getResourceAsStream("load.toml")) {
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    static String name(int gateway) {
+        return "gateway-" + gateway;
+    }
+
+    /** What the control servers' configuration must hold for this load. */
+    List<Change> configuration() {
+        List<Change> all = new ArrayList<>();
+        all.add(new Change.PutService(new Service(SERVICE)));
+        scenario.frontends().forEach(f -> all.add(new Change.PutRoute(route(f))));
+        scenario.plans().forEach(p -> all.add(new Change.PutPlan(plan(p, 1))));
+        Map<Long, String> tenants = new TreeMap<>();
+        trace.asks().forEach(ask -> tenants.put(ask.customer(), ask.plan()));
+        tenants.forEach((id, plan) -> all.add(new Change.PutTenant(new Tenant(id, plan))));
+        return all;
+    }
+
+    /** The plan with a hard ceiling, with all its rates and bursts times a factor. */
+    Plan ceilingPlan(double factor) {
+        return scenario.plans().stream()
+                .filter(p -> p.ceiling() > 0)
+                .findFirst()
+                .map(p -> plan(p, factor))
+                .orElseThrow();
+    }
+
+    private static Route route(Scenario.Frontend f) {
+        boolean keyed = f.effect() == Scenario.Effect.IDEMPOTENCY_KEY;
+        return new Route(
+                f.name(),
+                SERVICE,
+                f.target(),
+                f.timeout(),
+                f.value(),
+                0,
+                Effect.valueOf(f.effect().name()),
+                keyed ? Group.CELL : Group.ALL,
+                f.repeat_window(),
+                false);
+    }
+
+    private static Plan plan(Scenario.Plan p, double factor) {
+        return new Plan(
+                p.name(),
+                p.rate() * factor,
+                p.burst() * factor,
+                p.max_out(),
+                p.price(),
+                p.beyond_value(),
+                p.beyond_cost(),
+                p.ceiling() * factor,
+                p.ceiling_burst() * factor,
+                p.slack());
+    }
+
+    private static String operatorText(Program.Seat seat, List<Endpoint> servers) {
+        throw new UnsupportedOperationException(seat + " " + servers);
+    }
+
+    /** Starts the gateways and, once they are ready, the clients. */
+    void start() {
+        figures =
+                CompletableFuture.supplyAsync(
+                        () -> {
+                            try {
+                                return bench.run(trace);
+                            } catch (IOException | InterruptedException e) {
+                                throw new CompletionException(e);
+                            }
+                        },
+                        task -> new Thread(task, "load").start());
+    }
+
+    /** The figures of the bench, once the load is over. */
+    Map<String, Double> await() {
+        return figures.join();
+    }
+
+    /** What was broken at the clients and the servers. */
+    List<String> broken() throws IOException {
+        return bench.broken();
+    }
+
+    /** All lines, with those of the gateways' configurations as every follower tells them. */
+    List<History.Line> history() throws IOException {
+        List<History.Line> all = new ArrayList<>();
+        for (History.Line line : bench.history()) {
+            all.add(line);
+            switch (line.kind()) {
+                case "ready" -> all.add(started(line));
+                case "configuration" -> all.add(follower(line, Events.APPLIED));
+                case "configuration-refused" -> all.add(follower(line, Events.NOT_APPLIED));
+                default -> {}
+            }
+        }
+        return all;
+    }
+
+    private History.Line started(History.Line line) {
+        ObjectNode fields = line.fields().deepCopy();
+        int gateway = line.number("who");
+        fields.put(Events.FOLLOWER, name(gateway));
+        fields.put(Events.REGION, Regions.ofFollower(gateway, gateways));
+        fields.put(Events.DISK, Events.DISK_KEPT);
+        return new History.Line(
+                line.at(), line.wall(), gateway, line.life(), Events.STARTED, fields);
+    }
+
+    private static History.Line follower(History.Line line, String kind) {
+        ObjectNode fields = line.fields().deepCopy();
+        fields.put(Events.FOLLOWER, name(line.gateway()));
+        return new History.Line(
+                line.at(), line.wall(), line.gateway(), line.life(), kind, fields);
+    }
+
+    @Override
+    public void close() throws IOException {
+        bench.close();
+    }
+}
--- a/lab/src/main/java/tinford/lab/control/InForce.java
+++ b/lab/src/main/java/tinford/lab/control/InForce.java
@@ -156,25 +156,39 @@
         return kept ? cut[1] : entered;
     }
 
-    /** Delays in ms by revision, one for each follower that counts. */
-    Map<Long, List<Double>> byRevision() {
-        return delays;
+    /** Delays in ms of what was entered from that moment on, one for each follower that counts. */
+    private List<List<Double>> since(double from) {
+        return delays.entrySet().stream()
+                .filter(its -> enteredAt.get(its.getKey()) >= from && !its.getValue().isEmpty())
+                .map(Map.Entry::getValue)
+                .toList();
     }
 
-    /** Over all followers and revisions. */
-    Spread each() {
-        return Spread.of(delays.values().stream().flatMap(List::stream).toList());
+    /** Over all followers and all revisions entered from that moment on, ms. */
+    Spread each(double from) {
+        return Spread.of(since(from).stream().flatMap(List::stream).toList());
     }
 
-    /** Over revisions: until the last follower held it. */
-    Spread everywhere() {
+    /** Over revisions entered from that moment on: until the last follower held it, ms. */
+    Spread everywhere(double from) {
         return Spread.of(
-                delays.values().stream()
-                        .filter(its -> !its.isEmpty())
+                since(from).stream()
                         .map(its -> its.stream().max(Double::compare).orElseThrow())
                         .toList());
     }
 
+    /** Over followers, for each revision entered from that moment on, ms. */
+    Map<Long, Spread> spreadByRevision(double from) {
+        Map<Long, Spread> all = new TreeMap<>();
+        delays.forEach(
+                (revision, its) -> {
+                    if (enteredAt.get(revision) >= from) {
+                        all.put(revision, Spread.of(its));
+                    }
+                });
+        return all;
+    }
+
     /** Of followers that were started again: from their start until they held the newest. */
     Spread restarts() {
         return Spread.of(catchUps);
--- /dev/null
+++ b/lab/src/main/java/tinford/lab/control/QuotaPhases.java
@@ -0,0 +1,50 @@
+package tinford.lab.control;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import tinford.fleet.config.Plan;
+import tinford.lab.fleet.History;
+
+/**
+ * From when which quotas hold in a run whose plan is halved and restored: the halved one once the
+ * last gateway has it in force, the whole one again from when it is entered.
+ */
+final class QuotaPhases {
+    static final String HALVED = "plan-halved";
+    static final String RESTORED = "plan-restored";
+    private final List<QuotaUse.Phase> phases = new ArrayList<>();
+
+    QuotaPhases(List<History.Line> lines, GatewayLoad load) {
+        Plan whole = load.ceilingPlan(1);
+        phases.add(new QuotaUse.Phase(Double.NEGATIVE_INFINITY, whole));
+        Map<String, Long> revisions = new HashMap<>();
+        Set<String> waiting = new HashSet<>();
+        Set<String> gateways = new HashSet<>();
+        for (History.Line line : lines) {
+            String follower = line.text(Events.FOLLOWER);
+            String id = line.text(Events.ID);
+            long revision = line.fields().path(Events.REVISION).asLong();
+            if (line.kind().equals(Events.STARTED) && follower.startsWith("gateway-")) {
+                gateways.add(follower);
+            } else if (line.kind().equals(Events.ACCEPTED) && id.equals(HALVED)) {
+                revisions.put(HALVED, revision);
+                waiting.addAll(gateways);
+            } else if (line.kind().equals(Events.ENTERED) && id.equals(RESTORED)) {
+                phases.add(new QuotaUse.Phase(line.at(), whole));
+            } else if (line.kind().equals(Events.APPLIED)
+                    && revision >= revisions.getOrDefault(HALVED, Long.MAX_VALUE)
+                    && waiting.remove(follower)
+                    && waiting.isEmpty()) {
+                phases.add(new QuotaUse.Phase(line.at(), load.ceilingPlan(0.5)));
+            }
+        }
+    }
+
+    List<QuotaUse.Phase> all() {
+        return phases;
+    }
+}
