--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -32,6 +32,7 @@
 /** Real gateways that follow the control servers while clients ask them on loopback sockets. */
 final class GatewayLoad implements AutoCloseable {
     private static final String SERVICE = "load";
+    private static final String SCENARIO = "load.toml";
     private static final int HEAP_MB = 128;
     private final int gateways;
     private final Scenario scenario;
@@ -56,10 +57,7 @@
             Path folder)
             throws IOException {
         this.gateways = gateways;
-        Map<String, String> set = new LinkedHashMap<>();
-        set.put("gateways", Integer.toString(gateways));
-        set.put("length_s", Double.toString(seconds));
-        scenario = Scenario.of("load.toml", loadText(), set);
+        scenario = scenario(gateways, seconds);
         World drawn = new World(scenario, seed, Decide::new);
         drawn.run();
         trace = drawn.asked();
@@ -71,13 +69,26 @@
                         Map.of(),
                         seat -> operatorText(seat, endpoints.of(seat.number())),
                         true);
-        FleetScript script = FleetScript.of("load", "scenario = \"load.toml\"");
-        bench = new FleetBench(script, scenario, started, seed, folder);
+        bench = new FleetBench(withoutFaults(), scenario, started, seed, folder);
+    }
+
+    private static Scenario scenario(int gateways, double seconds) throws IOException {
+        Map<String, String> set = new LinkedHashMap<>();
+        set.put("gateways", Integer.toString(gateways));
+        set.put("length_s", Double.toString(seconds));
+        try (InputStream in = GatewayLoad.class.getResourceAsStream(SCENARIO)) {
+            String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+            return Scenario.of(SCENARIO, text, set);
+        } catch (Scenario.Bad e) {
+            throw new IOException(e);
+        }
     }
 
-    private static String loadText() throws IOException {
-        try (InputStream in = GatewayLoad.class.getResourceAsStream("load.toml")) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+    private static FleetScript withoutFaults() throws IOException {
+        try {
+            return FleetScript.of(SCENARIO, "scenario = \"" + SCENARIO + "\"");
+        } catch (Scenario.Bad e) {
+            throw new IOException(e);
         }
     }
 
