--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -12,6 +12,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
+import java.util.stream.Collectors;
 import tinford.Decide;
 import tinford.api.Effect;
 import tinford.api.Group;
@@ -67,7 +68,11 @@
                 new Program(
                         words,
                         Map.of(),
-                        seat -> operatorText(seat, endpoints.of(seat.number())),
+                        seat ->
+                                operatorText(
+                                        seat,
+                                        Regions.ofFollower(seat.number(), gateways),
+                                        endpoints.of(seat.number())),
                         true);
         bench = new FleetBench(withoutFaults(), scenario, started, seed, folder);
     }
@@ -146,8 +151,22 @@
                 p.slack());
     }
 
-    private static String operatorText(Program.Seat seat, List<Endpoint> servers) {
-        throw new UnsupportedOperationException(seat + " " + servers);
+    private static String operatorText(Program.Seat seat, String region, List<Endpoint> servers) {
+        String list =
+                servers.stream()
+                        .map(server -> "\"" + server.region() + "=" + server + "\"")
+                        .collect(Collectors.joining(", "));
+        return String.join(
+                "\n",
+                "[overload]",
+                "on = false",
+                "[configuration]",
+                "on = true",
+                "fleet = \"" + ControlServers.FLEET_ID + "\"",
+                "region = \"" + region + "\"",
+                "servers = [" + list + "]",
+                "folder = \"" + seat.disk() + "\"",
+                "");
     }
 
     /** Starts the gateways and, once they are ready, the clients. */
@@ -180,7 +199,7 @@
         for (History.Line line : bench.history()) {
             all.add(line);
             switch (line.kind()) {
-                case "ready" -> all.add(started(line));
+                case "started" -> all.add(started(line));
                 case "configuration" -> all.add(follower(line, Events.APPLIED));
                 case "configuration-refused" -> all.add(follower(line, Events.NOT_APPLIED));
                 default -> {}
