--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -6,12 +6,14 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
+import java.util.stream.Collectors;
 import tinford.Decide;
 import tinford.api.Effect;
 import tinford.api.Group;
@@ -33,6 +35,7 @@
 final class GatewayLoad implements AutoCloseable {
     private static final String SERVICE = "load";
     private static final String SCENARIO = "load.toml";
+    private static final String MAIN_CLASS = "tinford.fleet.run.Main";
     private static final int HEAP_MB = 128;
     private final int gateways;
     private final Scenario scenario;
@@ -62,12 +65,16 @@
         drawn.run();
         trace = drawn.asked();
         List<String> words =
-                program.java(Classpath.SMALL, HEAP_MB, "tinford.fleet.run.Main", "serve");
+                program.java(Classpath.SMALL, HEAP_MB, MAIN_CLASS, "serve");
         Program started =
                 new Program(
                         words,
                         Map.of(),
-                        seat -> operatorText(seat, endpoints.of(seat.number())),
+                        seat ->
+                                operatorText(
+                                        seat,
+                                        Regions.ofFollower(seat.number(), gateways),
+                                        endpoints.of(seat.number())),
                         true);
         bench = new FleetBench(withoutFaults(), scenario, started, seed, folder);
     }
@@ -146,8 +153,22 @@
                 p.slack());
     }
 
-    private static String operatorText(Program.Seat seat, List<Endpoint> servers) {
-        throw new UnsupportedOperationException(seat + " " + servers);
+    private static String operatorText(Program.Seat seat, String region, List<Endpoint> servers) {
+        String list =
+                servers.stream()
+                        .map(server -> "\"" + server.region() + "=" + server + "\"")
+                        .collect(Collectors.joining(", "));
+        return String.join(
+                "\n",
+                "[overload]",
+                "on = false",
+                "[configuration]",
+                "on = true",
+                "fleet = \"" + ControlServers.FLEET_ID + "\"",
+                "region = \"" + region + "\"",
+                "servers = [" + list + "]",
+                "folder = \"" + seat.disk() + "\"",
+                "");
     }
 
     /** Starts the gateways and, once they are ready, the clients. */
@@ -169,6 +190,19 @@
         return figures.join();
     }
 
+    /** The gateways' processes, by a name for each in the order in which they were started. */
+    Map<String, ProcessHandle> processes() {
+        List<ProcessHandle> started =
+                ProcessHandle.current()
+                        .children()
+                        .filter(each -> each.info().commandLine().orElse("").contains(MAIN_CLASS))
+                        .sorted(Comparator.comparingLong(ProcessHandle::pid))
+                        .toList();
+        Map<String, ProcessHandle> named = new LinkedHashMap<>();
+        started.forEach(each -> named.put(name(named.size()), each));
+        return named;
+    }
+
     /** What was broken at the clients and the servers. */
     List<String> broken() throws IOException {
         return bench.broken();
@@ -180,7 +214,7 @@
         for (History.Line line : bench.history()) {
             all.add(line);
             switch (line.kind()) {
-                case "ready" -> all.add(started(line));
+                case "started" -> all.add(started(line));
                 case "configuration" -> all.add(follower(line, Events.APPLIED));
                 case "configuration-refused" -> all.add(follower(line, Events.NOT_APPLIED));
                 default -> {}
