--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MoverTest.java
@@ -70,7 +70,7 @@
     private static final String OPERATOR_FILE =
             """
             [log]
-            leaseHolders = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
+            members = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
             folder = "x"
             linger_ms = 6000
             [moves]
@@ -229,7 +229,7 @@
                     srv.group = group;
                     srv.size = 1;
                     srv.state = Srv.State.UP;
-                    Req req =
+                    Req request =
                             new Req(
                                     1,
                                     frontend(f),
@@ -237,12 +237,15 @@
                                     0,
                                     1,
                                     false);
-                    boolean goes = s.mover.mayGo(req, srv, null, now);
-                    assertTrue(!goes || s.mover.goes(req, now), f);
+                    boolean goes = s.mover.mayGo(request, srv, null, now);
+                    assertTrue(!goes || s.mover.goes(request, now), f);
                     if (goes) {
                         s.mover.ended(
-                                req, srv, bad && group.equals("b") ? End.ERROR : End.GOOD, false);
-                        s.mover.ended(req, srv, End.CANCELLED, true);
+                                request,
+                                srv,
+                                bad && group.equals("b") ? End.ERROR : End.GOOD,
+                                false);
+                        s.mover.ended(request, srv, End.CANCELLED, true);
                     }
                 }
             }
--- a/lab/src/main/java/tinford/lab/Lab.java
+++ b/lab/src/main/java/tinford/lab/Lab.java
@@ -21,6 +21,7 @@
 import tinford.Decide;
 import tinford.api.Gateway;
 import tinford.lab.control.ControlCommand;
+import tinford.lab.explore.ExploreCommand;
 import tinford.lab.fleet.FleetBench;
 import tinford.lab.fleet.FleetScript;
 import tinford.lab.fleet.Program;
@@ -52,7 +53,8 @@
             Lab.Sockets.class,
             Lab.Fleet.class,
             ScaleCommand.class,
-            ControlCommand.class
+            ControlCommand.class,
+            ExploreCommand.class
         })
 public final class Lab {
     static final int RULE_BROKEN = 1;
