--- a/lab/src/main/java/tinford/lab/control/ChangeDraw.java
+++ b/lab/src/main/java/tinford/lab/control/ChangeDraw.java
@@ -50,10 +50,23 @@
         for (int i = 0; i < size.tenants(); i++) {
             all.add(newTenant());
         }
+        return sets("load", all);
+    }
+
+    /** Change sets that move all tenants to plans drawn anew. */
+    List<ChangeSet> moveTenants(String id) {
+        List<Change> all = new ArrayList<>();
+        for (long tenant = FIRST_TENANT; tenant < nextTenant; tenant++) {
+            all.add(new Change.PutTenant(new Tenant(tenant, drawnPlan())));
+        }
+        return sets(id, all);
+    }
+
+    private static List<ChangeSet> sets(String id, List<Change> all) {
         List<ChangeSet> sets = new ArrayList<>();
         for (int from = 0; from < all.size(); from += CHANGES_A_SET) {
             int to = Math.min(all.size(), from + CHANGES_A_SET);
-            sets.add(new ChangeSet("load-" + sets.size(), null, all.subList(from, to)));
+            sets.add(new ChangeSet(id + "-" + sets.size(), null, all.subList(from, to)));
         }
         return sets;
     }
--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -13,6 +13,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
+import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import tinford.Decide;
 import tinford.api.Effect;
@@ -37,7 +38,9 @@
     private static final String SCENARIO = "load.toml";
     private static final String MAIN_CLASS = "tinford.fleet.run.Main";
     private static final int HEAP_MB = 128;
+    private static final long LOOK_MS = 250;
     private final int gateways;
+    private final Path folder;
     private final Scenario scenario;
     private final Trace trace;
     private final FleetBench bench;
@@ -60,6 +63,7 @@
             Path folder)
             throws IOException {
         this.gateways = gateways;
+        this.folder = folder;
         scenario = scenario(gateways, seconds);
         World drawn = new World(scenario, seed, Decide::new);
         drawn.run();
@@ -202,6 +206,31 @@
         return named;
     }
 
+    /** Waits until every gateway holds the revision. */
+    void awaitRevision(long revision, double timeoutSeconds)
+            throws IOException, InterruptedException {
+        long deadline = System.nanoTime() + (long) (timeoutSeconds * 1e9);
+        while (holding(revision) < gateways) {
+            if (figures.isDone()) {
+                figures.join(); // says why the gateways did not start
+            }
+            if (System.nanoTime() > deadline) {
+                throw new IOException(
+                        "gateways did not get the configuration, see their logs in " + folder);
+            }
+            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+        }
+    }
+
+    private long holding(long revision) throws IOException {
+        return history().stream()
+                .filter(line -> line.kind().equals(Events.APPLIED))
+                .filter(line -> line.fields().path(Events.REVISION).asLong() >= revision)
+                .map(line -> line.text(Events.FOLLOWER))
+                .distinct()
+                .count();
+    }
+
     /** What was broken at the clients and the servers. */
     List<String> broken() throws IOException {
         return bench.broken();
