--- a/lab/src/test/java/tinford/lab/fleet/BudgetsTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/BudgetsTest.java
@@ -54,7 +54,7 @@
             Program program = new Program(words, Map.of(), seat -> seat.fill(operator), true);
             try (FleetBench bench = new FleetBench(script, s, program, 3, folder)) {
                 Map<String, Double> figures = bench.run(drawn.asked());
-                assertEquals(bench.broken(), List.of());
+                assertEquals(bench.broken(), List.of(), bench.broken().toString());
                 List<History.Line> lines = bench.history();
                 assertTrue(figures.get("held_most") > 12, "12 are static: " + figures);
                 assertTrue(figures.get("worth_passed") > 0.3, figures.toString());
