--- a/deploy/gateway.sh
+++ b/deploy/gateway.sh
@@ -30,6 +30,6 @@
 exec java -XX:+UseSerialGC "-Xms${heap}m" "-Xmx${heap}m" -XX:+AlwaysPreTouch -XX:MaxDirectMemorySize=8m -Xss256k \
     -XX:TieredStopAtLevel=1 -XX:CompileThresholdScaling=4 -XX:ReservedCodeCacheSize=12m -XX:MaxMetaspaceSize=24m \
     -XX:-UsePerfData \
-    -Djavax.management.builder.initial=tinford.transport.NoBeans -Duser.language=en -Duser.country=US \
+    -Djavax.management.builder.initial=tinford.transport.DisabledMBeanServerBuilder -Duser.language=en -Duser.country=US \
     "${TINFORD_CLASSES:--XX:SharedArchiveFile=gateway/target/tinford.jsa}" \
     -jar gateway/target/tinford.jar serve
--- a/fleet/src/main/java/tinford/fleet/budgets/Division.java
+++ b/fleet/src/main/java/tinford/fleet/budget/BudgetAllocation.java
@@ -1,4 +1,4 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -11,7 +11,7 @@
  * gateways, columns servers. What a gateway has of its own (static) serves its own accounts first;
  * where they don't use their part of it, others' demand there does.
  */
-public final class Division {
+public final class BudgetAllocation {
     /** An account that asks: what it wants, and had before, at each of {@code rows}. */
     public static final class Account {
         public final long id;
@@ -69,7 +69,8 @@
      * @param granted the previous division
      * @param may what may be held, at least what is granted
      */
-    public Division(int[] pool, int[] own, int[][] granted, int[][] may, List<Account> accounts) {
+    public BudgetAllocation(
+            int[] pool, int[] own, int[][] granted, int[][] may, List<Account> accounts) {
         rows = own.length;
         columns = pool.length;
         int[] capacity = new int[columns];
@@ -111,7 +112,7 @@
         // What is a gateway's own and unused by these parts can't serve accounts elsewhere: the
         // total falls until it holds.
         for (int pass = 0; pass < PASSES; pass++) {
-            int[] part = MaxMin.divide(total, weight, floor, most);
+            int[] part = MaxMinFairness.divide(total, weight, floor, most);
             Arrays.fill(need, 0);
             for (int i = 0; i < n; i++) {
                 split(accounts.get(i), part[i], need);
@@ -212,7 +213,8 @@
                                         a.wanted[k] - a.given[k],
                                         a.cap - Arrays.stream(a.given).asLongStream().sum());
             }
-            int[] more = MaxMin.divide(own[g] - need[g], weight, new int[weight.length], most);
+            int[] more =
+                    MaxMinFairness.divide(own[g] - need[g], weight, new int[weight.length], most);
             for (int j = 0; j < more.length; j++) {
                 accounts.get(here.get(j)[0]).given[here.get(j)[1]] += more[j];
                 need[g] += more[j];
--- a/fleet/src/main/java/tinford/fleet/budgets/Ledger.java
+++ b/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
@@ -1,4 +1,4 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
@@ -8,22 +8,22 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Lease;
-import tinford.fleet.members.Leases;
-import tinford.fleet.store.Log;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Lease;
+import tinford.fleet.membership.LeaseTable;
+import tinford.fleet.store.ReplicatedLog;
 
 /**
  * Who was granted what at which server, by the entries of the log; the same on every member. A
  * grant is taken only where all that is granted, may be held or lingers fits in the offer less its
  * static part: here alone that promise is kept, whoever proposes. Bounds: {@link #MOST_SERVERS}
- * servers, {@link #MOST_ASKED} accounts an incarnation, incarnations as {@link Leases} has.
+ * servers, {@link #MOST_ASKED} accounts an incarnation, incarnations as {@link LeaseTable} has.
  */
-public class Ledger implements Log.Reader {
+public class BudgetLedger implements ReplicatedLog.Reader {
     public static final int MOST_SERVERS = 4096;
     public static final int MOST_ASKED = 4096;
 
-    final Leases leases;
+    final LeaseTable leases;
     final StaticShares staticShares;
     final GrantTable table = new GrantTable();
     private double nextFree = Double.POSITIVE_INFINITY;
@@ -35,7 +35,7 @@
     private long over;
     private long grants;
 
-    public Ledger(Leases leases, StaticShares staticShares) {
+    public BudgetLedger(LeaseTable leases, StaticShares staticShares) {
         this.leases = leases;
         this.staticShares = staticShares;
     }
@@ -224,7 +224,7 @@
         return last;
     }
 
-    public Leases leases() {
+    public LeaseTable leases() {
         return leases;
     }
 
--- a/fleet/src/main/java/tinford/fleet/budgets/Proposer.java
+++ b/fleet/src/main/java/tinford/fleet/budget/GrantProposer.java
@@ -1,17 +1,17 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.Incarnation;
 
 /**
  * What whoever leads proposes: the ledger as it knows it, divided anew. Wrong or stale proposals
  * harm nothing, the ledger checks.
  */
-public final class Proposer {
+public final class GrantProposer {
     /** An account's terms in the division, by its plan. */
     public record Plan(int weight, int floor, int cap) {}
 
@@ -26,7 +26,7 @@
      * @param plans by account; null for one that is not known, which then gets nothing
      * @param every no two proposals come closer than this, ms
      */
-    public Proposer(LongFunction<Plan> plans, double every) {
+    public GrantProposer(LongFunction<Plan> plans, double every) {
         this.plans = plans;
         this.every = every;
     }
@@ -35,7 +35,7 @@
      * Called by whoever leads, with its own time; the entry to append, or null where nothing is to
      * change or it is too soon.
      */
-    public byte[] propose(Ledger ledger, double now) {
+    public byte[] propose(BudgetLedger ledger, double now) {
         if (now < next) {
             return null;
         }
@@ -73,9 +73,9 @@
             h.uses.forEach((a, n) -> pair(wanted, a, row)[1] = n);
             h.asked.forEach((a, n) -> pair(wanted, a, row)[0] = n);
         }
-        List<Division.Account> accounts = new ArrayList<>();
+        List<BudgetAllocation.Account> accounts = new ArrayList<>();
         wanted.forEach((id, at) -> accounts.add(account(id, at)));
-        Division d = new Division(pool, own, granted, may, accounts);
+        BudgetAllocation d = new BudgetAllocation(pool, own, granted, may, accounts);
         List<LedgerEntry.Line> less = new ArrayList<>();
         List<LedgerEntry.Line> more = new ArrayList<>();
         for (int g = 0; g < rows; g++) {
@@ -88,7 +88,7 @@
         }
         less.addAll(more);
         List<LedgerEntry.Line> uses = new ArrayList<>();
-        for (Division.Account a : accounts) {
+        for (BudgetAllocation.Account a : accounts) {
             for (int k = 0; k < a.rows.length; k++) {
                 if (a.given[k] != a.before[k]) {
                     uses.add(new LedgerEntry.Line(incarnations.get(a.rows[k]), a.id, a.given[k]));
@@ -113,7 +113,7 @@
                 .computeIfAbsent(row, k -> new int[2]);
     }
 
-    private Division.Account account(long id, Map<Integer, int[]> at) {
+    private BudgetAllocation.Account account(long id, Map<Integer, int[]> at) {
         Plan plan = plans.apply(id);
         int[] rows = new int[at.size()];
         int[] wanted = new int[rows.length];
@@ -125,8 +125,8 @@
             before[k++] = e.getValue()[1];
         }
         return plan == null
-                ? new Division.Account(id, 1, 0, 0, rows, wanted, before)
-                : new Division.Account(
+                ? new BudgetAllocation.Account(id, 1, 0, 0, rows, wanted, before)
+                : new BudgetAllocation.Account(
                         id, plan.weight(), plan.floor(), plan.cap(), rows, wanted, before);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budgets/GrantTable.java
+++ b/fleet/src/main/java/tinford/fleet/budget/GrantTable.java
@@ -1,4 +1,4 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.Incarnation;
 
 /**
- * The state of the {@link Ledger}: servers with their offers, and who holds what at each. Keeps the
- * sum a server; decides nothing.
+ * The state of the {@link BudgetLedger}: servers with their offers, and who holds what at each.
+ * Keeps the sum a server; decides nothing.
  */
 final class GrantTable {
     /** What one incarnation has at one server. */
@@ -165,7 +165,7 @@
     void read(DataInputStream in) throws IOException {
         servers.clear();
         numbers.clear();
-        for (int n = VarInts.count(in, Ledger.MOST_SERVERS); n > 0; n--) {
+        for (int n = VarInts.count(in, BudgetLedger.MOST_SERVERS); n > 0; n--) {
             Server server = add(in.readUTF());
             server.start = VarInts.take(in);
             server.offer = VarInts.count(in, LedgerEntry.MAX_COUNT);
@@ -179,7 +179,7 @@
     private Holder readHolder(DataInputStream in) throws IOException {
         Holder holder = new Holder();
         holder.told = in.readDouble();
-        for (int n = VarInts.count(in, Ledger.MOST_SERVERS); n > 0; n--) {
+        for (int n = VarInts.count(in, BudgetLedger.MOST_SERVERS); n > 0; n--) {
             int server = VarInts.count(in, servers.size() - 1);
             Cell cell = new Cell();
             cell.granted = VarInts.count(in, LedgerEntry.MAX_COUNT);
@@ -196,7 +196,7 @@
 
     private static void readCounts(DataInputStream in, Map<Long, Integer> counts)
             throws IOException {
-        for (int n = VarInts.count(in, Ledger.MOST_ASKED); n > 0; n--) {
+        for (int n = VarInts.count(in, BudgetLedger.MOST_ASKED); n > 0; n--) {
             counts.put(VarInts.take(in), VarInts.count(in, LedgerEntry.MAX_COUNT));
         }
     }
--- a/fleet/src/main/java/tinford/fleet/budgets/LedgerEntry.java
+++ b/fleet/src/main/java/tinford/fleet/budget/LedgerEntry.java
@@ -1,4 +1,4 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -10,7 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.Incarnation;
 
 /** An entry of the log about budgets: a kind, a form, and the body. */
 public sealed interface LedgerEntry {
@@ -74,12 +74,13 @@
             double at = time(in);
             long seen = VarInts.take(in);
             Map<Long, Integer> wanted = new LinkedHashMap<>();
-            for (int n = VarInts.count(in, Ledger.MOST_ASKED); n > 0; n--) {
+            for (int n = VarInts.count(in, BudgetLedger.MOST_ASKED); n > 0; n--) {
                 wanted.put(VarInts.take(in), VarInts.count(in, MAX_COUNT));
             }
             Map<Integer, Integer> held = new LinkedHashMap<>();
-            for (int n = VarInts.count(in, Ledger.MOST_SERVERS); n > 0; n--) {
-                held.put(VarInts.count(in, Ledger.MOST_SERVERS), VarInts.count(in, MAX_COUNT));
+            for (int n = VarInts.count(in, BudgetLedger.MOST_SERVERS); n > 0; n--) {
+                held.put(
+                        VarInts.count(in, BudgetLedger.MOST_SERVERS), VarInts.count(in, MAX_COUNT));
             }
             return new Tell(incarnation, at, seen, wanted, held);
         }
--- a/fleet/src/main/java/tinford/fleet/budgets/Share.java
+++ b/fleet/src/main/java/tinford/fleet/budget/LocalBudget.java
@@ -1,4 +1,4 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,17 +6,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Lease;
-import tinford.fleet.members.Leases;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Lease;
+import tinford.fleet.membership.LeaseTable;
 
 /**
  * One gateway's own side: what it may hold and use now, by its own clock, and what it tells the
  * log. Where its lease has ended, or ends within the margin, only its static share is left. Holds
- * {@link Ledger#MOST_ASKED} accounts that want something and {@link Ledger#MOST_SERVERS} servers at
- * most.
+ * {@link BudgetLedger#MOST_ASKED} accounts that want something and {@link
+ * BudgetLedger#MOST_SERVERS} servers at most.
  */
-public class Share {
+public class LocalBudget {
     /** What an account wanted at most, in the last span of time and in the one before. */
     private static final class Want {
         int now;
@@ -30,9 +30,9 @@
         }
     }
 
-    private final Ledger ledger;
+    private final BudgetLedger ledger;
     private final StaticShares staticShares;
-    private final LongFunction<Proposer.Plan> plans;
+    private final LongFunction<GrantProposer.Plan> plans;
     private final Incarnation incarnation;
     private final double length;
     private final double margin;
@@ -57,10 +57,10 @@
      * @param staticFrom from when the static share may be used: the start, where the last
      *     incarnation of this gateway surely closed all; else the linger after the start
      */
-    public Share(
-            Ledger ledger,
+    public LocalBudget(
+            BudgetLedger ledger,
             StaticShares staticShares,
-            LongFunction<Proposer.Plan> plans,
+            LongFunction<GrantProposer.Plan> plans,
             Incarnation incarnation,
             double length,
             double margin,
@@ -143,7 +143,7 @@
     public void wanted(long account, int dispatches) {
         Want want = wants.get(account);
         if (want == null) {
-            if (dispatches <= 0 || wants.size() >= Ledger.MOST_ASKED) {
+            if (dispatches <= 0 || wants.size() >= BudgetLedger.MOST_ASKED) {
                 return;
             }
             want = new Want();
@@ -175,11 +175,11 @@
         Lease lease = ledger.leases().of(incarnation);
         if (leaves && open.isEmpty()) {
             left = true;
-            entries.add(Leases.leave(incarnation, now));
+            entries.add(LeaseTable.leave(incarnation, now));
             return entries;
         }
         if (lease == null || now >= lease.until() - length * 2 / 3) {
-            entries.add(Leases.renew(incarnation, now, length));
+            entries.add(LeaseTable.renew(incarnation, now, length));
         }
         alone(now);
         if (lease != null) {
@@ -216,7 +216,7 @@
             h.asked.forEach(
                     (a, told) -> {
                         if ((leaves || !wants.containsKey(a))
-                                && wanted.size() < Ledger.MOST_ASKED) {
+                                && wanted.size() < BudgetLedger.MOST_ASKED) {
                             wanted.put(a, 0);
                         }
                     });
@@ -244,12 +244,12 @@
         int[][] in = new int[3][wants.size()];
         int i = 0;
         for (Map.Entry<Long, Want> e : wants.entrySet()) {
-            Proposer.Plan plan = plans.apply(e.getKey());
+            GrantProposer.Plan plan = plans.apply(e.getKey());
             in[0][i] = plan == null ? 1 : plan.weight();
             in[1][i] = plan == null ? 0 : plan.floor();
             in[2][i++] = plan == null ? 0 : Math.min(plan.cap(), e.getValue().most());
         }
-        int[] given = MaxMin.divide(pool, in[0], in[1], in[2]);
+        int[] given = MaxMinFairness.divide(pool, in[0], in[1], in[2]);
         i = 0;
         for (Want w : wants.values()) {
             w.alone = given[i++];
--- a/fleet/src/main/java/tinford/fleet/budgets/MaxMin.java
+++ b/fleet/src/main/java/tinford/fleet/budget/MaxMinFairness.java
@@ -1,4 +1,4 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import java.util.PriorityQueue;
 
@@ -8,8 +8,8 @@
  * where they don't fit) and none more than its cap. Among equals the earlier one gets the odd
  * connection. Takes n log n.
  */
-public final class MaxMin {
-    private MaxMin() {}
+public final class MaxMinFairness {
+    private MaxMinFairness() {}
 
     /**
      * @param pool connections in all
--- a/fleet/src/main/java/tinford/fleet/budgets/VarInts.java
+++ b/fleet/src/main/java/tinford/fleet/budget/VarInts.java
@@ -1,9 +1,9 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import java.io.DataInput;
 import java.io.DataOutput;
 import java.io.IOException;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.Incarnation;
 
 /** Whole numbers as variable-length integers: seven bits a byte, the lowest first. */
 final class VarInts {
--- a/fleet/src/main/java/tinford/fleet/budgets/package-info.java
+++ b/fleet/src/main/java/tinford/fleet/budget/package-info.java
@@ -2,4 +2,4 @@
  * Connections to servers divided among accounts and gateways by a replicated ledger. No I/O, no
  * threads, no clock.
  */
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
--- a/fleet/src/main/java/tinford/fleet/config/AppliedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/AppliedState.java
@@ -50,9 +50,9 @@
         return refusal;
     }
 
-    void receive(Update update) throws InvalidConfiguration {
+    void receive(Update update) throws InvalidConfigurationException {
         if (update.fromRevision() != received.revision()) {
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     "update.from",
                     "the revision held, "
                             + received.revision()
@@ -62,22 +62,23 @@
                             + update.revision());
         }
         Configuration next = received.with(update.revision(), update.changes());
-        List<Fault> faults = Validator.check(received, update.changes(), next);
+        List<ValidationError> faults = Validator.check(received, update.changes(), next);
         if (!faults.isEmpty()) {
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     "update." + faults.get(0).key(), faults.get(0).expected());
         }
         received = next;
         lastUpdate = update;
     }
 
-    void receive(long revision, byte[] snapshot, SnapshotCodec codec) throws InvalidConfiguration {
+    void receive(long revision, byte[] snapshot, SnapshotCodec codec)
+            throws InvalidConfigurationException {
         if (revision < received.revision()) { // before the work of reading it
             throw tooEarly(revision);
         }
         Configuration next = codec.decode(snapshot);
         if (next.revision() != revision) {
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     "snapshot.revision", "that of its data, " + next.revision());
         }
         if (revision == received.revision()) {
@@ -115,7 +116,7 @@
             inForce = pending;
             refusal = null;
         } else {
-            refusal = Fault.oneLine("revision " + pending.revision() + ": " + reason);
+            refusal = ValidationError.oneLine("revision " + pending.revision() + ": " + reason);
             snapshotReceived |= snapshotPending;
         }
         pending = null;
@@ -128,15 +129,15 @@
         return new Update(inForce.revision(), received.revision(), inForce.changesTo(received));
     }
 
-    private void expectSameContent(Configuration other) throws InvalidConfiguration {
+    private void expectSameContent(Configuration other) throws InvalidConfigurationException {
         if (other.contentHash() != received.contentHash()) {
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     "snapshot", "the content held at revision " + received.revision());
         }
     }
 
-    private InvalidConfiguration tooEarly(long revision) {
-        return new InvalidConfiguration(
+    private InvalidConfigurationException tooEarly(long revision) {
+        return new InvalidConfigurationException(
                 "snapshot.revision",
                 "no earlier one than the revision held, "
                         + received.revision()
--- a/fleet/src/main/java/tinford/fleet/config/SealedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
@@ -15,7 +15,7 @@
  * length of the content, length of the compressed content, the compressed content, and a SHA-256
  * over all that stands before it.
  */
-final class SealedState {
+final class ChecksummedState {
     /** What the content is; the numbers are part of the format. */
     enum Kind {
         CONFIGURATION(1),
@@ -36,7 +36,7 @@
             HEADER_BYTES + Byte.BYTES + 2 * Integer.BYTES + HASH_BYTES;
     private static final int BUFFER_BYTES = 16 << 10;
 
-    private SealedState() {}
+    private ChecksummedState() {}
 
     static byte[] seal(Kind kind, String fleetId, long revision, byte[] content) {
         byte[] fleet = fleetId.getBytes(StandardCharsets.UTF_8);
@@ -52,28 +52,29 @@
     /** What an envelope holds. */
     record Opened(long revision, byte[] content) {}
 
-    static Opened open(Kind kind, String fleetId, byte[] sealed) throws InvalidConfiguration {
+    static Opened open(Kind kind, String fleetId, byte[] sealed)
+            throws InvalidConfigurationException {
         if (sealed.length < LEAST_BYTES) {
             throw torn(sealed);
         }
         ByteBuffer from = ByteBuffer.wrap(sealed);
         if (from.getInt() != MAGIC) {
-            throw new InvalidConfiguration("snapshot", "a snapshot of a configuration");
+            throw new InvalidConfigurationException("snapshot", "a snapshot of a configuration");
         }
         byte version = from.get();
         if (version < 1 || version > FORMAT_VERSION) { // first: a later one may hash otherwise
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     "snapshot.version",
                     "a version from 1 to " + FORMAT_VERSION + ", not " + version);
         }
         checkHash(sealed);
         if (from.get() != kind.code) {
-            throw new InvalidConfiguration("snapshot.kind", kind + " (" + kind.code + ")");
+            throw new InvalidConfigurationException("snapshot.kind", kind + " (" + kind.code + ")");
         }
         long revision = from.getLong();
         String fleet = readFleet(from, sealed);
         if (!fleet.equals(fleetId)) {
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     "snapshot.fleet", "a snapshot of fleet " + fleetId + ", not " + fleet);
         }
         int contentLength = from.getInt();
@@ -82,14 +83,15 @@
             throw torn(sealed);
         }
         if (contentLength < 0 || contentLength > ConfigurationLimits.SNAPSHOT_BYTES) {
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     "snapshot.length", "at most " + ConfigurationLimits.SNAPSHOT_BYTES + " bytes");
         }
         return new Opened(
                 revision, decompress(sealed, from.position(), compressedLength, contentLength));
     }
 
-    private static String readFleet(ByteBuffer from, byte[] sealed) throws InvalidConfiguration {
+    private static String readFleet(ByteBuffer from, byte[] sealed)
+            throws InvalidConfigurationException {
         byte[] fleet = new byte[from.get() & 0xFF];
         if (from.remaining() < fleet.length + 2 * Integer.BYTES + HASH_BYTES) {
             throw torn(sealed);
@@ -98,11 +100,11 @@
         return new String(fleet, StandardCharsets.UTF_8);
     }
 
-    private static void checkHash(byte[] sealed) throws InvalidConfiguration {
+    private static void checkHash(byte[] sealed) throws InvalidConfigurationException {
         int end = sealed.length - HASH_BYTES;
         byte[] told = Arrays.copyOfRange(sealed, end, sealed.length);
         if (!MessageDigest.isEqual(told, hash(sealed, end))) {
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     "snapshot.hash", "the SHA-256 of what stands before it: torn or damaged");
         }
     }
@@ -113,8 +115,8 @@
         return digest.digest();
     }
 
-    private static InvalidConfiguration torn(byte[] sealed) {
-        return new InvalidConfiguration(
+    private static InvalidConfigurationException torn(byte[] sealed) {
+        return new InvalidConfigurationException(
                 "snapshot", "a whole snapshot; torn at " + sealed.length + " bytes");
     }
 
@@ -135,7 +137,7 @@
     }
 
     private static byte[] decompress(byte[] from, int at, int length, int contentLength)
-            throws InvalidConfiguration {
+            throws InvalidConfigurationException {
         Inflater inflater = new Inflater();
         try {
             inflater.setInput(from, at, length);
@@ -146,12 +148,12 @@
             }
             boolean ended = inflater.finished() || inflater.inflate(new byte[1]) == 0;
             if (size != contentLength || !ended) {
-                throw new InvalidConfiguration(
+                throw new InvalidConfigurationException(
                         "snapshot.length", "content of " + contentLength + " bytes");
             }
             return content;
         } catch (DataFormatException e) {
-            throw new InvalidConfiguration("snapshot.content", "deflated bytes", e);
+            throw new InvalidConfigurationException("snapshot.content", "deflated bytes", e);
         } finally {
             inflater.end();
         }
--- a/fleet/src/main/java/tinford/fleet/config/Configuration.java
+++ b/fleet/src/main/java/tinford/fleet/config/Configuration.java
@@ -26,18 +26,18 @@
                     0);
 
     private final long revision;
-    private final SortedArrayMap<String, Service> services;
-    private final SortedArrayMap<String, Route> routes;
-    private final SortedArrayMap<String, Plan> plans;
-    private final SortedArrayMap<Long, Tenant> tenants;
+    private final SortedArrayMap<String, ServiceRecord> services;
+    private final SortedArrayMap<String, RouteRecord> routes;
+    private final SortedArrayMap<String, PlanRecord> plans;
+    private final SortedArrayMap<Long, TenantRecord> tenants;
     private final long contentHash;
 
     private Configuration(
             long revision,
-            SortedArrayMap<String, Service> services,
-            SortedArrayMap<String, Route> routes,
-            SortedArrayMap<String, Plan> plans,
-            SortedArrayMap<Long, Tenant> tenants,
+            SortedArrayMap<String, ServiceRecord> services,
+            SortedArrayMap<String, RouteRecord> routes,
+            SortedArrayMap<String, PlanRecord> plans,
+            SortedArrayMap<Long, TenantRecord> tenants,
             long contentHash) {
         this.revision = revision;
         this.services = services;
@@ -50,14 +50,15 @@
     /** Of several records with one key the last is kept; nothing is validated. */
     static Configuration of(
             long revision,
-            Collection<Service> services,
-            Collection<Route> routes,
-            Collection<Plan> plans,
-            Collection<Tenant> tenants) {
-        SortedArrayMap<String, Service> serviceMap = SortedArrayMap.of(services, Service::name);
-        SortedArrayMap<String, Route> routeMap = SortedArrayMap.of(routes, Route::name);
-        SortedArrayMap<String, Plan> planMap = SortedArrayMap.of(plans, Plan::name);
-        SortedArrayMap<Long, Tenant> tenantMap = SortedArrayMap.of(tenants, Tenant::id);
+            Collection<ServiceRecord> services,
+            Collection<RouteRecord> routes,
+            Collection<PlanRecord> plans,
+            Collection<TenantRecord> tenants) {
+        SortedArrayMap<String, ServiceRecord> serviceMap =
+                SortedArrayMap.of(services, ServiceRecord::name);
+        SortedArrayMap<String, RouteRecord> routeMap = SortedArrayMap.of(routes, RouteRecord::name);
+        SortedArrayMap<String, PlanRecord> planMap = SortedArrayMap.of(plans, PlanRecord::name);
+        SortedArrayMap<Long, TenantRecord> tenantMap = SortedArrayMap.of(tenants, TenantRecord::id);
         long hash =
                 sum(serviceMap.values(), ContentHash::of)
                         + sum(routeMap.values(), ContentHash::of)
@@ -70,19 +71,19 @@
         return revision;
     }
 
-    public Map<String, Service> services() {
+    public Map<String, ServiceRecord> services() {
         return services;
     }
 
-    public Map<String, Route> routes() {
+    public Map<String, RouteRecord> routes() {
         return routes;
     }
 
-    public Map<String, Plan> plans() {
+    public Map<String, PlanRecord> plans() {
         return plans;
     }
 
-    public Map<Long, Tenant> tenants() {
+    public Map<Long, TenantRecord> tenants() {
         return tenants;
     }
 
@@ -172,10 +173,10 @@
 
     /** Changes by key; a null value removes. */
     private static final class Edits {
-        private final SortedMap<String, Service> services = new TreeMap<>();
-        private final SortedMap<String, Route> routes = new TreeMap<>();
-        private final SortedMap<String, Plan> plans = new TreeMap<>();
-        private final SortedMap<Long, Tenant> tenants = new TreeMap<>();
+        private final SortedMap<String, ServiceRecord> services = new TreeMap<>();
+        private final SortedMap<String, RouteRecord> routes = new TreeMap<>();
+        private final SortedMap<String, PlanRecord> plans = new TreeMap<>();
+        private final SortedMap<Long, TenantRecord> tenants = new TreeMap<>();
 
         private void add(Change change) {
             if (change instanceof Change.PutService put) {
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
@@ -33,7 +33,7 @@
         return Json.write(VERSION, out -> writeProposal(out, proposal));
     }
 
-    public static Proposal decodeProposal(byte[] json) throws InvalidConfiguration {
+    public static Proposal decodeProposal(byte[] json) throws InvalidConfigurationException {
         JsonObject object = Json.read(json, VERSION, ConfigurationLimits.PROPOSAL_BYTES);
         if (object.has("revertTo")) {
             object.allow(REVERT_KEYS);
@@ -50,7 +50,7 @@
         return Json.write(VERSION, out -> writeOutcome(out, outcome));
     }
 
-    public static Outcome decodeOutcome(byte[] json) throws InvalidConfiguration {
+    public static Outcome decodeOutcome(byte[] json) throws InvalidConfigurationException {
         JsonObject object = Json.read(json, VERSION, ConfigurationLimits.OUTCOME_BYTES);
         if (object.has("revision")) {
             object.allow(ACCEPTED_KEYS);
@@ -65,7 +65,8 @@
         return Json.write(VERSION, out -> writeWatchMessage(out, message));
     }
 
-    public static WatchMessage decodeWatchMessage(byte[] json) throws InvalidConfiguration {
+    public static WatchMessage decodeWatchMessage(byte[] json)
+            throws InvalidConfigurationException {
         JsonObject object = Json.readWithLongTexts(json, VERSION, ConfigurationLimits.LINE_BYTES);
         if (object.has("snapshot")) {
             object.allow(SNAPSHOT_MESSAGE_KEYS);
@@ -79,7 +80,7 @@
         return Json.write(VERSION, out -> writeReport(out, report));
     }
 
-    public static FollowerReport decodeReport(byte[] json) throws InvalidConfiguration {
+    public static FollowerReport decodeReport(byte[] json) throws InvalidConfigurationException {
         JsonObject object = Json.read(json, VERSION, ConfigurationLimits.REPORT_BYTES);
         object.allow(REPORT_KEYS);
         return new FollowerReport(
@@ -97,7 +98,7 @@
         out.writeEndObject();
     }
 
-    static Update readUpdate(JsonObject json) throws InvalidConfiguration {
+    static Update readUpdate(JsonObject json) throws InvalidConfigurationException {
         json.allow(UPDATE_KEYS);
         long from = json.count("from");
         long revision = json.count("revision");
@@ -116,15 +117,15 @@
         }
     }
 
-    static Outcome readOutcome(JsonObject json) throws InvalidConfiguration {
+    static Outcome readOutcome(JsonObject json) throws InvalidConfigurationException {
         if (json.has("revision")) {
             return new Outcome.Accepted(json.count("revision"));
         }
-        List<Fault> faults = RecordJson.readAll(json, "faults", RecordJson::readFault);
+        List<ValidationError> faults = RecordJson.readAll(json, "faults", RecordJson::readFault);
         if (faults.isEmpty()) {
             throw json.invalid("faults", "one at least");
         }
-        return new Outcome.Refused(new Refusal(faults));
+        return new Outcome.Refused(new Rejection(faults));
     }
 
     private static void writeProposal(JsonGenerator out, Proposal proposal) throws IOException {
@@ -152,7 +153,8 @@
         }
     }
 
-    private static WatchMessage readSnapshotMessage(JsonObject json) throws InvalidConfiguration {
+    private static WatchMessage readSnapshotMessage(JsonObject json)
+            throws InvalidConfigurationException {
         json.allow(SNAPSHOT_KEYS);
         try {
             return new WatchMessage.SnapshotMessage(
@@ -167,11 +169,12 @@
         out.writeStringField("region", report.region());
         out.writeNumberField("revision", report.revision());
         if (report.refusal() != null) {
-            out.writeStringField("refusal", Fault.oneLine(report.refusal()));
+            out.writeStringField("refusal", ValidationError.oneLine(report.refusal()));
         }
     }
 
-    private static String readName(JsonObject json, String key) throws InvalidConfiguration {
+    private static String readName(JsonObject json, String key)
+            throws InvalidConfigurationException {
         String name = json.text(key);
         if (!RecordChecks.isName(name)) {
             throw json.invalid(key, RecordChecks.EXPECTED_NAME);
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
@@ -19,27 +19,28 @@
                 out, "tenants", configuration.tenants().values(), RecordJson::writeTenant);
     }
 
-    static Configuration read(JsonObject json) throws InvalidConfiguration {
-        List<Service> services = RecordJson.readAll(json, "services", RecordJson::readService);
-        List<Plan> plans = RecordJson.readAll(json, "plans", RecordJson::readPlan);
-        List<Route> routes = RecordJson.readAll(json, "routes", RecordJson::readRoute);
-        List<Tenant> tenants = RecordJson.readAll(json, "tenants", RecordJson::readTenant);
+    static Configuration read(JsonObject json) throws InvalidConfigurationException {
+        List<ServiceRecord> services =
+                RecordJson.readAll(json, "services", RecordJson::readService);
+        List<PlanRecord> plans = RecordJson.readAll(json, "plans", RecordJson::readPlan);
+        List<RouteRecord> routes = RecordJson.readAll(json, "routes", RecordJson::readRoute);
+        List<TenantRecord> tenants = RecordJson.readAll(json, "tenants", RecordJson::readTenant);
         Configuration configuration =
                 Configuration.of(json.count("revision"), services, routes, plans, tenants);
         expectNoDuplicates(json, "services", services, configuration.services());
         expectNoDuplicates(json, "plans", plans, configuration.plans());
         expectNoDuplicates(json, "routes", routes, configuration.routes());
         expectNoDuplicates(json, "tenants", tenants, configuration.tenants());
-        List<Fault> faults = Validator.check(configuration);
+        List<ValidationError> faults = Validator.check(configuration);
         if (!faults.isEmpty()) {
-            throw new InvalidConfiguration(faults.get(0).key(), faults.get(0).expected());
+            throw new InvalidConfigurationException(faults.get(0).key(), faults.get(0).expected());
         }
         return configuration;
     }
 
     private static void expectNoDuplicates(
             JsonObject json, String key, List<?> listed, Map<?, ?> distinct)
-            throws InvalidConfiguration {
+            throws InvalidConfigurationException {
         if (listed.size() != distinct.size()) {
             throw json.invalid(key, "each once");
         }
--- a/fleet/src/main/java/tinford/fleet/config/ContentHash.java
+++ b/fleet/src/main/java/tinford/fleet/config/ContentHash.java
@@ -14,11 +14,11 @@
 
     private ContentHash() {}
 
-    static long of(Service service) {
+    static long of(ServiceRecord service) {
         return hash("service", service.name());
     }
 
-    static long of(Route route) {
+    static long of(RouteRecord route) {
         return hash(
                 "route",
                 route.name(),
@@ -33,7 +33,7 @@
                 route.streamed());
     }
 
-    static long of(Plan plan) {
+    static long of(PlanRecord plan) {
         return hash(
                 "plan",
                 plan.name(),
@@ -48,7 +48,7 @@
                 plan.ceilingSlack());
     }
 
-    static long of(Tenant tenant) {
+    static long of(TenantRecord tenant) {
         return hash("tenant", tenant.id(), tenant.plan());
     }
 
--- a/fleet/src/main/java/tinford/fleet/config/Follower.java
+++ b/fleet/src/main/java/tinford/fleet/config/Follower.java
@@ -145,7 +145,7 @@
         try {
             receive(ConfigurationCodec.decodeWatchMessage(line));
             applied.offer(actions);
-        } catch (InvalidConfiguration e) {
+        } catch (InvalidConfigurationException e) {
             refuse(e.getMessage(), actions, now);
         }
         return actions;
@@ -256,7 +256,7 @@
         attemptAt = now + rotation.failed();
     }
 
-    private void receive(WatchMessage message) throws InvalidConfiguration {
+    private void receive(WatchMessage message) throws InvalidConfigurationException {
         if (message instanceof WatchMessage.UpdateMessage update) {
             applied.receive(update.update());
         } else if (message instanceof WatchMessage.SnapshotMessage snapshot) {
@@ -266,7 +266,7 @@
 
     /** Told to the server and the operators; another server may do better. */
     private void refuse(String fault, List<Action> actions, double now) {
-        serverFault = Fault.oneLine(endpoint + ": " + fault);
+        serverFault = ValidationError.oneLine(endpoint + ": " + fault);
         report(actions, now);
         if (now - warnedAt >= WARN_EVERY_MS) {
             warnedAt = now;
--- a/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
@@ -42,11 +42,12 @@
                         });
         long revision =
                 updates.isEmpty() ? oldest.revision() : updates.get(updates.size() - 1).revision();
-        return SealedState.seal(SealedState.Kind.HISTORY, fleetId, revision, json);
+        return ChecksummedState.seal(ChecksummedState.Kind.HISTORY, fleetId, revision, json);
     }
 
-    State decode(byte[] snapshot) throws InvalidConfiguration {
-        byte[] content = SealedState.open(SealedState.Kind.HISTORY, fleetId, snapshot).content();
+    State decode(byte[] snapshot) throws InvalidConfigurationException {
+        byte[] content =
+                ChecksummedState.open(ChecksummedState.Kind.HISTORY, fleetId, snapshot).content();
         JsonObject json = Json.read(content, CONTENT_VERSION, ConfigurationLimits.SNAPSHOT_BYTES);
         json.allow(KEYS);
         JsonObject oldestJson = json.object("oldest");
@@ -62,7 +63,7 @@
     }
 
     private static void expectUnbroken(JsonObject json, long oldest, List<Update> updates)
-            throws InvalidConfiguration {
+            throws InvalidConfigurationException {
         long at = oldest;
         for (Update update : updates) {
             if (update.fromRevision() != at || update.revision() != at + 1) {
@@ -82,7 +83,7 @@
     }
 
     private static ProposalMemory.Remembered readProposal(JsonObject json)
-            throws InvalidConfiguration {
+            throws InvalidConfigurationException {
         json.allow(PROPOSAL_KEYS);
         return new ProposalMemory.Remembered(
                 json.text("id"), json.text("digest"), ConfigurationCodec.readOutcome(json));
--- a/fleet/src/main/java/tinford/fleet/config/InvalidConfiguration.java
+++ b/fleet/src/main/java/tinford/fleet/config/InvalidConfigurationException.java
@@ -1,20 +1,20 @@
 package tinford.fleet.config;
 
 /** Bytes or text that can't be read as what they should be. */
-public final class InvalidConfiguration extends Exception {
+public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final String key;
     private final String expected;
 
-    public InvalidConfiguration(String key, String expected) {
-        super(new Fault(key, expected).toString());
+    public InvalidConfigurationException(String key, String expected) {
+        super(new ValidationError(key, expected).toString());
         this.key = key;
         this.expected = expected;
     }
 
-    public InvalidConfiguration(String key, String expected, Throwable cause) {
-        super(new Fault(key, expected).toString(), cause);
+    public InvalidConfigurationException(String key, String expected, Throwable cause) {
+        super(new ValidationError(key, expected).toString(), cause);
         this.key = key;
         this.expected = expected;
     }
@@ -29,7 +29,7 @@
         return expected;
     }
 
-    public Fault fault() {
-        return new Fault(key, expected);
+    public ValidationError fault() {
+        return new ValidationError(key, expected);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/Json.java
+++ b/fleet/src/main/java/tinford/fleet/config/Json.java
@@ -45,37 +45,40 @@
         return bytes.toByteArray();
     }
 
-    static JsonObject read(byte[] json, int version, int limit) throws InvalidConfiguration {
+    static JsonObject read(byte[] json, int version, int limit)
+            throws InvalidConfigurationException {
         return read(SHORT_TEXTS, json, version, limit);
     }
 
     static JsonObject readWithLongTexts(byte[] json, int version, int limit)
-            throws InvalidConfiguration {
+            throws InvalidConfigurationException {
         return read(LONG_TEXTS, json, version, limit);
     }
 
     private static JsonObject read(JsonMapper mapper, byte[] json, int version, int limit)
-            throws InvalidConfiguration {
+            throws InvalidConfigurationException {
         if (json.length > limit) {
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     "json", "at most " + limit + " bytes, not " + json.length);
         }
         JsonObject object = JsonObject.root(tree(mapper, json));
         long found = object.whole(VERSION_KEY);
         if (found < 1 || found > version) {
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     VERSION_KEY, "a version from 1 to " + version + ", not " + found);
         }
         return object;
     }
 
-    private static JsonNode tree(JsonMapper mapper, byte[] json) throws InvalidConfiguration {
+    private static JsonNode tree(JsonMapper mapper, byte[] json)
+            throws InvalidConfigurationException {
         try {
             return mapper.readTree(json);
         } catch (JsonProcessingException e) {
-            throw new InvalidConfiguration("json", "JSON" + place(e) + ": " + reason(e), e);
+            throw new InvalidConfigurationException(
+                    "json", "JSON" + place(e) + ": " + reason(e), e);
         } catch (IOException e) {
-            throw new InvalidConfiguration("json", "JSON: " + e.getMessage(), e);
+            throw new InvalidConfigurationException("json", "JSON: " + e.getMessage(), e);
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/config/JsonObject.java
+++ b/fleet/src/main/java/tinford/fleet/config/JsonObject.java
@@ -18,15 +18,15 @@
         this.node = node;
     }
 
-    static JsonObject root(JsonNode node) throws InvalidConfiguration {
+    static JsonObject root(JsonNode node) throws InvalidConfigurationException {
         if (!node.isObject()) {
-            throw new InvalidConfiguration("json", "an object");
+            throw new InvalidConfigurationException("json", "an object");
         }
         return new JsonObject(null, "", node);
     }
 
-    InvalidConfiguration invalid(String key, String expected) {
-        return new InvalidConfiguration(path(key), expected);
+    InvalidConfigurationException invalid(String key, String expected) {
+        return new InvalidConfigurationException(path(key), expected);
     }
 
     boolean has(String key) {
@@ -34,7 +34,7 @@
     }
 
     /** Refuses an object with any other field. */
-    void allow(Set<String> keys) throws InvalidConfiguration {
+    void allow(Set<String> keys) throws InvalidConfigurationException {
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String key = names.next();
             if (!keys.contains(key)) {
@@ -44,14 +44,14 @@
     }
 
     /** The name of the only field. */
-    String onlyKey(String expected) throws InvalidConfiguration {
+    String onlyKey(String expected) throws InvalidConfigurationException {
         if (node.size() != 1) {
-            throw new InvalidConfiguration(path(), expected);
+            throw new InvalidConfigurationException(path(), expected);
         }
         return node.fieldNames().next();
     }
 
-    String text(String key) throws InvalidConfiguration {
+    String text(String key) throws InvalidConfigurationException {
         JsonNode value = node.path(key);
         if (!value.isTextual()) {
             throw invalid(key, "a text");
@@ -59,7 +59,7 @@
         return value.textValue();
     }
 
-    long whole(String key) throws InvalidConfiguration {
+    long whole(String key) throws InvalidConfigurationException {
         JsonNode value = node.path(key);
         if (!value.isIntegralNumber() || !value.canConvertToLong()) {
             throw invalid(key, "a whole number");
@@ -68,7 +68,7 @@
     }
 
     /** A whole number from 0 on. */
-    long count(String key) throws InvalidConfiguration {
+    long count(String key) throws InvalidConfigurationException {
         long value = whole(key);
         if (value < 0) {
             throw invalid(key, "a whole number from 0 on");
@@ -76,7 +76,7 @@
         return value;
     }
 
-    int smallCount(String key) throws InvalidConfiguration {
+    int smallCount(String key) throws InvalidConfigurationException {
         long value = count(key);
         if (value > Integer.MAX_VALUE) {
             throw invalid(key, "a whole number from 0 to " + Integer.MAX_VALUE);
@@ -84,7 +84,7 @@
         return (int) value;
     }
 
-    double number(String key) throws InvalidConfiguration {
+    double number(String key) throws InvalidConfigurationException {
         JsonNode value = node.path(key);
         if (!value.isNumber()) {
             throw invalid(key, "a number");
@@ -92,11 +92,11 @@
         return value.doubleValue();
     }
 
-    double number(String key, double absent) throws InvalidConfiguration {
+    double number(String key, double absent) throws InvalidConfigurationException {
         return has(key) ? number(key) : absent;
     }
 
-    boolean flag(String key, boolean absent) throws InvalidConfiguration {
+    boolean flag(String key, boolean absent) throws InvalidConfigurationException {
         if (!has(key)) {
             return absent;
         }
@@ -107,11 +107,11 @@
         return value.booleanValue();
     }
 
-    JsonObject object(String key) throws InvalidConfiguration {
+    JsonObject object(String key) throws InvalidConfigurationException {
         return object(key, node.path(key));
     }
 
-    List<JsonObject> objects(String key) throws InvalidConfiguration {
+    List<JsonObject> objects(String key) throws InvalidConfigurationException {
         JsonNode values = node.path(key);
         if (!values.isArray()) {
             throw invalid(key, "an array of objects");
@@ -123,7 +123,7 @@
         return objects;
     }
 
-    private JsonObject object(String key, JsonNode value) throws InvalidConfiguration {
+    private JsonObject object(String key, JsonNode value) throws InvalidConfigurationException {
         if (!value.isObject()) {
             throw invalid(key, "an object");
         }
--- a/fleet/src/main/java/tinford/fleet/config/Outcome.java
+++ b/fleet/src/main/java/tinford/fleet/config/Outcome.java
@@ -6,5 +6,5 @@
     record Accepted(long revision) implements Outcome {}
 
     /** It changed nothing. */
-    record Refused(Refusal refusal) implements Outcome {}
+    record Refused(Rejection refusal) implements Outcome {}
 }
--- a/fleet/src/main/java/tinford/fleet/config/Plan.java
+++ b/fleet/src/main/java/tinford/fleet/config/PlanRecord.java
@@ -13,7 +13,7 @@
  * @param ceilingBurst units of the ceiling that may be used at once; above 0 where there is one
  * @param ceilingSlack units by which the ceiling may be missed
  */
-public record Plan(
+public record PlanRecord(
         String name,
         double ratePerSecond,
         double burst,
--- a/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
+++ b/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
@@ -16,7 +16,7 @@
         private int characters() {
             int characters = id.length() + digest.length();
             if (outcome instanceof Outcome.Refused refused) {
-                for (Fault fault : refused.refusal().faults()) {
+                for (ValidationError fault : refused.refusal().faults()) {
                     characters += fault.key().length() + fault.expected().length();
                 }
             }
--- a/fleet/src/main/java/tinford/fleet/config/RecordChecks.java
+++ b/fleet/src/main/java/tinford/fleet/config/RecordChecks.java
@@ -1,8 +1,8 @@
 package tinford.fleet.config;
 
 import java.util.regex.Pattern;
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 
 /** Checks of single records by themselves: names and ranges of numbers. */
 public final class RecordChecks {
@@ -21,9 +21,9 @@
     private static final String EXPECTED_TIME =
             "ms from 0 to " + (long) ConfigurationLimits.LONGEST_MS;
 
-    private final FaultList faults;
+    private final ValidationErrors faults;
 
-    RecordChecks(FaultList faults) {
+    RecordChecks(ValidationErrors faults) {
         this.faults = faults;
     }
 
@@ -36,11 +36,11 @@
         faults.expect(isName(name), key, EXPECTED_NAME);
     }
 
-    void service(String prefix, Service service) {
+    void service(String prefix, ServiceRecord service) {
         name(prefix + ".name", service.name());
     }
 
-    void route(String prefix, Route route) {
+    void route(String prefix, RouteRecord route) {
         name(prefix + ".name", route.name());
         name(prefix + ".service", route.service());
         positiveTime(prefix + ".timeoutMs", route.timeoutMs());
@@ -53,12 +53,13 @@
         amount(prefix + ".lateValue", route.lateValue());
         faults.expect(isTime(route.repeatWindowMs()), prefix + ".repeatWindowMs", EXPECTED_TIME);
         faults.expect(
-                route.effect() == Effect.IDEMPOTENCY_KEY || route.group() == Group.ALL,
+                route.effect() == Idempotency.IDEMPOTENCY_KEY
+                        || route.group() == DeduplicationScope.ALL,
                 prefix + ".group",
                 "none, or all, where effect is not idempotency_key");
     }
 
-    void plan(String prefix, Plan plan) {
+    void plan(String prefix, PlanRecord plan) {
         name(prefix + ".name", plan.name());
         amount(prefix + ".ratePerSecond", plan.ratePerSecond());
         burst(prefix + ".burst", plan.burst(), plan.ratePerSecond());
@@ -71,7 +72,7 @@
         amount(prefix + ".ceilingSlack", plan.ceilingSlack());
     }
 
-    void tenant(String prefix, Tenant tenant) {
+    void tenant(String prefix, TenantRecord tenant) {
         name(prefix + ".plan", tenant.plan());
     }
 
--- a/fleet/src/main/java/tinford/fleet/config/RecordJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/RecordJson.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 
 /** The JSON of single records and changes; numbers and names are read, not yet validated. */
 final class RecordJson {
@@ -57,7 +57,7 @@
 
     /** Reads one object of an array. */
     interface ElementReader<T> {
-        T read(JsonObject json) throws InvalidConfiguration;
+        T read(JsonObject json) throws InvalidConfigurationException;
     }
 
     static <T> void writeAll(
@@ -71,7 +71,7 @@
     }
 
     static <T> List<T> readAll(JsonObject json, String key, ElementReader<T> reader)
-            throws InvalidConfiguration {
+            throws InvalidConfigurationException {
         List<T> values = new ArrayList<>();
         for (JsonObject element : json.objects(key)) {
             values.add(reader.read(element));
@@ -79,18 +79,18 @@
         return values;
     }
 
-    static void writeService(JsonGenerator out, Service service) throws IOException {
+    static void writeService(JsonGenerator out, ServiceRecord service) throws IOException {
         out.writeStartObject();
         out.writeStringField("name", service.name());
         out.writeEndObject();
     }
 
-    static Service readService(JsonObject json) throws InvalidConfiguration {
+    static ServiceRecord readService(JsonObject json) throws InvalidConfigurationException {
         json.allow(NAME_KEYS);
-        return new Service(json.text("name"));
+        return new ServiceRecord(json.text("name"));
     }
 
-    static void writeRoute(JsonGenerator out, Route route) throws IOException {
+    static void writeRoute(JsonGenerator out, RouteRecord route) throws IOException {
         out.writeStartObject();
         out.writeStringField("name", route.name());
         out.writeStringField("service", route.service());
@@ -105,11 +105,11 @@
         out.writeEndObject();
     }
 
-    static Route readRoute(JsonObject json) throws InvalidConfiguration {
+    static RouteRecord readRoute(JsonObject json) throws InvalidConfigurationException {
         json.allow(ROUTE_KEYS);
         double timeoutMs = json.number("timeoutMs");
-        Effect effect = readEffect(json);
-        return new Route(
+        Idempotency effect = readEffect(json);
+        return new RouteRecord(
                 json.text("name"),
                 json.text("service"),
                 json.number("targetMs", timeoutMs),
@@ -122,7 +122,7 @@
                 json.flag("streamed", false));
     }
 
-    static void writePlan(JsonGenerator out, Plan plan) throws IOException {
+    static void writePlan(JsonGenerator out, PlanRecord plan) throws IOException {
         out.writeStartObject();
         out.writeStringField("name", plan.name());
         out.writeNumberField("ratePerSecond", plan.ratePerSecond());
@@ -137,9 +137,9 @@
         out.writeEndObject();
     }
 
-    static Plan readPlan(JsonObject json) throws InvalidConfiguration {
+    static PlanRecord readPlan(JsonObject json) throws InvalidConfigurationException {
         json.allow(PLAN_KEYS);
-        return new Plan(
+        return new PlanRecord(
                 json.text("name"),
                 json.number("ratePerSecond", 0),
                 json.number("burst", 0),
@@ -152,28 +152,28 @@
                 json.number("ceilingSlack", 0));
     }
 
-    static void writeTenant(JsonGenerator out, Tenant tenant) throws IOException {
+    static void writeTenant(JsonGenerator out, TenantRecord tenant) throws IOException {
         out.writeStartObject();
         out.writeNumberField("id", tenant.id());
         out.writeStringField("plan", tenant.plan());
         out.writeEndObject();
     }
 
-    static Tenant readTenant(JsonObject json) throws InvalidConfiguration {
+    static TenantRecord readTenant(JsonObject json) throws InvalidConfigurationException {
         json.allow(TENANT_KEYS);
-        return new Tenant(json.whole("id"), json.text("plan"));
+        return new TenantRecord(json.whole("id"), json.text("plan"));
     }
 
-    static void writeFault(JsonGenerator out, Fault fault) throws IOException {
+    static void writeFault(JsonGenerator out, ValidationError fault) throws IOException {
         out.writeStartObject();
         out.writeStringField("key", fault.key());
         out.writeStringField("expected", fault.expected());
         out.writeEndObject();
     }
 
-    static Fault readFault(JsonObject json) throws InvalidConfiguration {
+    static ValidationError readFault(JsonObject json) throws InvalidConfigurationException {
         json.allow(FAULT_KEYS);
-        return new Fault(json.text("key"), json.text("expected"));
+        return new ValidationError(json.text("key"), json.text("expected"));
     }
 
     static void writeChange(JsonGenerator out, Change change) throws IOException {
@@ -204,7 +204,7 @@
         out.writeEndObject();
     }
 
-    static Change readChange(JsonObject json) throws InvalidConfiguration {
+    static Change readChange(JsonObject json) throws InvalidConfigurationException {
         String kind = json.onlyKey(EXPECTED_CHANGE);
         JsonObject body = json.object(kind);
         return switch (kind) {
@@ -226,17 +226,17 @@
         out.writeEndObject();
     }
 
-    private static String readName(JsonObject json) throws InvalidConfiguration {
+    private static String readName(JsonObject json) throws InvalidConfigurationException {
         json.allow(NAME_KEYS);
         return json.text("name");
     }
 
-    private static long readId(JsonObject json) throws InvalidConfiguration {
+    private static long readId(JsonObject json) throws InvalidConfigurationException {
         json.allow(ID_KEYS);
         return json.whole("id");
     }
 
-    private static String effectName(Effect effect) {
+    private static String effectName(Idempotency effect) {
         return switch (effect) {
             case IDEMPOTENT -> "read_like";
             case IDEMPOTENCY_KEY -> "idempotency_key";
@@ -244,16 +244,16 @@
         };
     }
 
-    private static Effect readEffect(JsonObject json) throws InvalidConfiguration {
+    private static Idempotency readEffect(JsonObject json) throws InvalidConfigurationException {
         return switch (json.text("effect")) {
-            case "read_like" -> Effect.IDEMPOTENT;
-            case "idempotency_key" -> Effect.IDEMPOTENCY_KEY;
-            case "non_idempotent" -> Effect.NON_IDEMPOTENT;
+            case "read_like" -> Idempotency.IDEMPOTENT;
+            case "idempotency_key" -> Idempotency.IDEMPOTENCY_KEY;
+            case "non_idempotent" -> Idempotency.NON_IDEMPOTENT;
             default -> throw json.invalid("effect", "read_like, idempotency_key or non_idempotent");
         };
     }
 
-    private static String groupName(Group group) {
+    private static String groupName(DeduplicationScope group) {
         return switch (group) {
             case ALL -> "all";
             case ZONE -> "zone";
@@ -264,14 +264,17 @@
     /**
      * Where a key counts and no group is named, the narrowest: a repeat there is dropped in any.
      */
-    private static Group readGroup(JsonObject json, Effect effect) throws InvalidConfiguration {
+    private static DeduplicationScope readGroup(JsonObject json, Idempotency effect)
+            throws InvalidConfigurationException {
         if (!json.has("group")) {
-            return effect == Effect.IDEMPOTENCY_KEY ? Group.CELL : Group.ALL;
+            return effect == Idempotency.IDEMPOTENCY_KEY
+                    ? DeduplicationScope.CELL
+                    : DeduplicationScope.ALL;
         }
         return switch (json.text("group")) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw json.invalid("group", "all, zone or cell");
         };
     }
--- a/fleet/src/main/java/tinford/fleet/config/Refusal.java
+++ b/fleet/src/main/java/tinford/fleet/config/Rejection.java
@@ -4,8 +4,8 @@
 import java.util.stream.Collectors;
 
 /** Why a proposal was refused: at least one fault, the first {@link ConfigurationLimits#FAULTS}. */
-public record Refusal(List<Fault> faults) {
-    public Refusal {
+public record Rejection(List<ValidationError> faults) {
+    public Rejection {
         if (faults.isEmpty()) {
             throw new IllegalArgumentException("a refusal needs a fault");
         }
@@ -15,6 +15,6 @@
 
     @Override
     public String toString() {
-        return faults.stream().map(Fault::toString).collect(Collectors.joining("; "));
+        return faults.stream().map(ValidationError::toString).collect(Collectors.joining("; "));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
+++ b/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
@@ -83,7 +83,7 @@
     /** Accepts the proposal as a new revision, or refuses it and changes nothing. */
     public Outcome propose(Proposal proposal) {
         if (!RecordChecks.isName(proposal.id())) {
-            return refused(new Fault("id", RecordChecks.EXPECTED_NAME));
+            return refused(new ValidationError("id", RecordChecks.EXPECTED_NAME));
         }
         String digest = ProposalMemory.digest(proposal);
         ProposalMemory.Remembered before = proposals.get(proposal.id());
@@ -94,7 +94,7 @@
         }
         return before.digest().equals(digest)
                 ? before.outcome()
-                : refused(new Fault("id", "an id that no other proposal has had"));
+                : refused(new ValidationError("id", "an id that no other proposal has had"));
     }
 
     /**
@@ -123,9 +123,9 @@
     /**
      * Replaces the whole state.
      *
-     * @throws InvalidConfiguration the state stays as it was
+     * @throws InvalidConfigurationException the state stays as it was
      */
-    public void restore(byte[] snapshot) throws InvalidConfiguration {
+    public void restore(byte[] snapshot) throws InvalidConfigurationException {
         HistoryCodec.State state = codec.decode(snapshot);
         retained.clear();
         retainedBytes = 0;
@@ -151,15 +151,16 @@
         Long expected = set.expectedRevision();
         if (expected != null && expected != current.revision()) {
             return refused(
-                    new Fault("expectedRevision", "the current revision, " + current.revision()));
+                    new ValidationError(
+                            "expectedRevision", "the current revision, " + current.revision()));
         }
         if (set.changes().isEmpty()) {
-            return refused(new Fault("changes", "one at least"));
+            return refused(new ValidationError("changes", "one at least"));
         }
         Configuration next = current.with(current.revision() + 1, set.changes());
-        List<Fault> faults = Validator.check(current, set.changes(), next);
+        List<ValidationError> faults = Validator.check(current, set.changes(), next);
         if (!faults.isEmpty()) {
-            return new Outcome.Refused(new Refusal(faults));
+            return new Outcome.Refused(new Rejection(faults));
         }
         return accept(set.changes(), next);
     }
@@ -168,7 +169,7 @@
         long to = revert.toRevision();
         if (to < oldest.revision() || to > current.revision()) {
             return refused(
-                    new Fault(
+                    new ValidationError(
                             "revertTo",
                             "a retained revision, "
                                     + oldest.revision()
@@ -208,7 +209,7 @@
         }
     }
 
-    private static Outcome refused(Fault fault) {
-        return new Outcome.Refused(new Refusal(List.of(fault)));
+    private static Outcome refused(ValidationError fault) {
+        return new Outcome.Refused(new Rejection(List.of(fault)));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/Route.java
+++ b/fleet/src/main/java/tinford/fleet/config/RouteRecord.java
@@ -1,7 +1,7 @@
 package tinford.fleet.config;
 
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 
 /**
  * A kind of request and how it is served.
@@ -12,18 +12,19 @@
  * @param value what an answer on time is worth
  * @param lateValue what a later answer is worth
  * @param effect whether a request may run again
- * @param group where an idempotency key drops a repeat; {@link Group#ALL} with any other effect
+ * @param group where an idempotency key drops a repeat; {@link DeduplicationScope#ALL} with any
+ *     other effect
  * @param repeatWindowMs for how long the key drops a repeat
  * @param streamed whether answers are passed on in parts
  */
-public record Route(
+public record RouteRecord(
         String name,
         String service,
         double targetMs,
         double timeoutMs,
         double value,
         double lateValue,
-        Effect effect,
-        Group group,
+        Idempotency effect,
+        DeduplicationScope group,
         double repeatWindowMs,
         boolean streamed) {}
--- a/fleet/src/main/java/tinford/fleet/config/Service.java
+++ b/fleet/src/main/java/tinford/fleet/config/ServiceRecord.java
@@ -1,4 +1,4 @@
 package tinford.fleet.config;
 
 /** A service: the servers that routes lead to, found by name in discovery. */
-public record Service(String name) {}
+public record ServiceRecord(String name) {}
--- a/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
@@ -25,13 +25,13 @@
         byte[] json =
                 Json.write(
                         CONTENT_VERSION, out -> ConfigurationJson.writeFields(out, configuration));
-        return SealedState.seal(
-                SealedState.Kind.CONFIGURATION, fleetId, configuration.revision(), json);
+        return ChecksummedState.seal(
+                ChecksummedState.Kind.CONFIGURATION, fleetId, configuration.revision(), json);
     }
 
-    public Configuration decode(byte[] snapshot) throws InvalidConfiguration {
-        SealedState.Opened opened =
-                SealedState.open(SealedState.Kind.CONFIGURATION, fleetId, snapshot);
+    public Configuration decode(byte[] snapshot) throws InvalidConfigurationException {
+        ChecksummedState.Opened opened =
+                ChecksummedState.open(ChecksummedState.Kind.CONFIGURATION, fleetId, snapshot);
         JsonObject object =
                 Json.read(opened.content(), CONTENT_VERSION, ConfigurationLimits.SNAPSHOT_BYTES);
         object.allow(KEYS);
--- a/fleet/src/main/java/tinford/fleet/config/Tenant.java
+++ b/fleet/src/main/java/tinford/fleet/config/TenantRecord.java
@@ -1,4 +1,4 @@
 package tinford.fleet.config;
 
 /** A tenant and the name of its plan. */
-public record Tenant(long id, String plan) {}
+public record TenantRecord(long id, String plan) {}
--- a/fleet/src/main/java/tinford/fleet/config/Fault.java
+++ b/fleet/src/main/java/tinford/fleet/config/ValidationError.java
@@ -3,10 +3,10 @@
 import java.util.regex.Pattern;
 
 /** One thing that is wrong: where, and what was expected there. One line, bounded in length. */
-public record Fault(String key, String expected) {
+public record ValidationError(String key, String expected) {
     private static final Pattern CONTROL_CHARACTERS = Pattern.compile("\\p{Cntrl}+");
 
-    public Fault {
+    public ValidationError {
         key = oneLine(key);
         expected = oneLine(expected);
     }
--- a/fleet/src/main/java/tinford/fleet/config/FaultList.java
+++ b/fleet/src/main/java/tinford/fleet/config/ValidationErrors.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** Collects faults, the first {@link ConfigurationLimits#FAULTS} of them. */
-final class FaultList {
-    private final List<Fault> faults = new ArrayList<>();
+final class ValidationErrors {
+    private final List<ValidationError> faults = new ArrayList<>();
 
     /** Notes a fault unless the condition holds. */
     void expect(boolean condition, String key, String expected) {
         if (!condition && faults.size() < ConfigurationLimits.FAULTS) {
-            faults.add(new Fault(key, expected));
+            faults.add(new ValidationError(key, expected));
         }
     }
 
@@ -18,7 +18,7 @@
         return faults.isEmpty();
     }
 
-    List<Fault> toList() {
+    List<ValidationError> toList() {
         return List.copyOf(faults);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/Validator.java
+++ b/fleet/src/main/java/tinford/fleet/config/Validator.java
@@ -7,7 +7,7 @@
 
 /** Decides whether a configuration is sound; nothing comes into force that isn't. */
 public final class Validator {
-    private final FaultList faults = new FaultList();
+    private final ValidationErrors faults = new ValidationErrors();
     private final RecordChecks records = new RecordChecks(faults);
 
     private Validator() {}
@@ -17,7 +17,7 @@
      *
      * @param before sound
      */
-    public static List<Fault> check(Configuration before, List<Change> changes) {
+    public static List<ValidationError> check(Configuration before, List<Change> changes) {
         return check(before, changes, before.with(before.revision() + 1, changes));
     }
 
@@ -26,7 +26,8 @@
      *
      * @param after {@code before} with the changes
      */
-    static List<Fault> check(Configuration before, List<Change> changes, Configuration after) {
+    static List<ValidationError> check(
+            Configuration before, List<Change> changes, Configuration after) {
         Validator validator = new Validator();
         validator.checkEach(before, changes);
         validator.checkCounts(after);
@@ -37,7 +38,7 @@
     }
 
     /** What is wrong with a whole configuration; empty where it is sound. */
-    public static List<Fault> check(Configuration whole) {
+    public static List<ValidationError> check(Configuration whole) {
         Validator validator = new Validator();
         validator.checkCounts(whole);
         validator.checkWhole(whole);
@@ -138,14 +139,14 @@
         }
     }
 
-    private void expectService(String prefix, Route route, Configuration after) {
+    private void expectService(String prefix, RouteRecord route, Configuration after) {
         faults.expect(
                 after.services().containsKey(route.service()),
                 prefix + ".service",
                 "a service that exists, not " + route.service());
     }
 
-    private void expectPlan(String prefix, Tenant tenant, Configuration after) {
+    private void expectPlan(String prefix, TenantRecord tenant, Configuration after) {
         faults.expect(
                 after.plans().containsKey(tenant.plan()),
                 prefix + ".plan",
@@ -153,7 +154,7 @@
     }
 
     private void expectServiceUnused(String key, String service, Configuration after) {
-        for (Route route : after.routes().values()) {
+        for (RouteRecord route : after.routes().values()) {
             if (route.service().equals(service)) {
                 faults.expect(
                         false, key, "a service that no route uses; " + route.name() + " does");
@@ -163,7 +164,7 @@
     }
 
     private void expectPlanUnused(String key, String plan, Configuration after) {
-        for (Tenant tenant : after.tenants().values()) {
+        for (TenantRecord tenant : after.tenants().values()) {
             if (tenant.plan().equals(plan)) {
                 faults.expect(false, key, "a plan that no tenant uses; " + tenant.id() + " does");
                 return;
@@ -172,18 +173,18 @@
     }
 
     private void checkWhole(Configuration whole) {
-        for (Service service : whole.services().values()) {
+        for (ServiceRecord service : whole.services().values()) {
             records.service("services." + service.name(), service);
         }
-        for (Plan plan : whole.plans().values()) {
+        for (PlanRecord plan : whole.plans().values()) {
             records.plan("plans." + plan.name(), plan);
         }
-        for (Route route : whole.routes().values()) {
+        for (RouteRecord route : whole.routes().values()) {
             String prefix = "routes." + route.name();
             records.route(prefix, route);
             expectService(prefix, route, whole);
         }
-        for (Tenant tenant : whole.tenants().values()) {
+        for (TenantRecord tenant : whole.tenants().values()) {
             String prefix = "tenants." + tenant.id();
             records.tenant(prefix, tenant);
             expectPlan(prefix, tenant, whole);
--- a/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
@@ -12,8 +12,8 @@
 import tinford.fleet.control.ControlSettings.VoterSettings;
 import tinford.fleet.control.ControlSettings.WatchTiming;
 import tinford.fleet.settings.EndpointText;
-import tinford.fleet.settings.InvalidSettings;
-import tinford.fleet.settings.Settings;
+import tinford.fleet.settings.InvalidOperatorFileException;
+import tinford.fleet.settings.OperatorSettings;
 import tinford.fleet.settings.SettingsSchema;
 import tinford.routing.Addresses;
 
@@ -38,22 +38,22 @@
 
     private static final Pattern NUMBER = Pattern.compile("[1-9][0-9]{0,2}");
 
-    private final Settings settings;
+    private final OperatorSettings settings;
     private final List<String> faults = new ArrayList<>();
 
-    private ControlSettingsReader(Settings settings) {
+    private ControlSettingsReader(OperatorSettings settings) {
         this.settings = settings;
     }
 
-    static ControlSettings read(Path file) throws InvalidSettings {
+    static ControlSettings read(Path file) throws InvalidOperatorFileException {
         return new ControlSettingsReader(SCHEMA.read(file)).checked();
     }
 
-    static ControlSettings parse(String file, String text) throws InvalidSettings {
+    static ControlSettings parse(String file, String text) throws InvalidOperatorFileException {
         return new ControlSettingsReader(SCHEMA.parse(file, text)).checked();
     }
 
-    private ControlSettings checked() throws InvalidSettings {
+    private ControlSettings checked() throws InvalidOperatorFileException {
         Role role = role();
         ControlSettings read =
                 new ControlSettings(
@@ -68,7 +68,7 @@
                         role == Role.VOTER ? voters() : null,
                         role == Role.REPLICA ? upstream() : List.of());
         if (!faults.isEmpty()) {
-            throw new InvalidSettings(faults);
+            throw new InvalidOperatorFileException(faults);
         }
         return read;
     }
--- a/fleet/src/main/java/tinford/fleet/control/EnterCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/EnterCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Spec;
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.ConfigurationLimits;
-import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.InvalidConfigurationException;
 import tinford.fleet.config.Proposal;
 
 /** {@code enter FILE}: proposes the changes that a file holds, as one revision. */
@@ -30,7 +30,7 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     @Spec private CommandSpec spec;
-    @Mixin private ServerList servers;
+    @Mixin private ServersOption servers;
 
     @Parameters(paramLabel = "FILE", description = "A proposal as JSON; id may be left out.")
     private Path file;
@@ -48,7 +48,7 @@
         Proposal proposal;
         try {
             proposal = ConfigurationCodec.decodeProposal(withId(content()));
-        } catch (InvalidConfiguration e) {
+        } catch (InvalidConfigurationException e) {
             err.println(file + ": " + e.getMessage());
             return ExitCode.REFUSED;
         } catch (IOException e) {
@@ -59,15 +59,15 @@
         return new ProposalSender(servers.addresses(), out, err).send(proposal, withinMs);
     }
 
-    private byte[] content() throws IOException, InvalidConfiguration {
+    private byte[] content() throws IOException, InvalidConfigurationException {
         if (Files.size(file) > ConfigurationLimits.PROPOSAL_BYTES) {
-            throw new InvalidConfiguration(
+            throw new InvalidConfigurationException(
                     "file", "at most " + ConfigurationLimits.PROPOSAL_BYTES + " bytes");
         }
         return Files.readAllBytes(file);
     }
 
-    private static byte[] withId(byte[] content) throws IOException, InvalidConfiguration {
+    private static byte[] withId(byte[] content) throws IOException, InvalidConfigurationException {
         JsonNode tree;
         try {
             tree = MAPPER.readTree(content);
--- a/fleet/src/main/java/tinford/fleet/control/JsonResponse.java
+++ b/fleet/src/main/java/tinford/fleet/control/JsonResponse.java
@@ -9,7 +9,7 @@
 import io.undertow.util.Headers;
 import java.nio.ByteBuffer;
 import java.util.List;
-import tinford.fleet.config.Fault;
+import tinford.fleet.config.ValidationError;
 
 /** Sends answers of one JSON object. */
 final class JsonResponse {
@@ -21,10 +21,10 @@
         return MAPPER.createObjectNode();
     }
 
-    static ObjectNode faults(List<Fault> faults) {
+    static ObjectNode faults(List<ValidationError> faults) {
         ObjectNode body = object();
         ArrayNode array = body.putArray("faults");
-        for (Fault fault : faults) {
+        for (ValidationError fault : faults) {
             array.addObject().put("key", fault.key()).put("expected", fault.expected());
         }
         return body;
@@ -42,7 +42,7 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(bytes));
     }
 
-    static void sendFault(HttpServerExchange exchange, int status, Fault fault) {
+    static void sendFault(HttpServerExchange exchange, int status, ValidationError fault) {
         send(exchange, status, faults(List.of(fault)));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/ProposalHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/ProposalHandler.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.ConfigurationLimits;
-import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.InvalidConfigurationException;
 import tinford.fleet.config.Outcome;
 import tinford.fleet.config.Proposal;
 import tinford.fleet.control.ProposalResult.Decided;
@@ -46,7 +46,7 @@
         Proposal proposal;
         try {
             proposal = ConfigurationCodec.decodeProposal(body);
-        } catch (InvalidConfiguration e) {
+        } catch (InvalidConfigurationException e) {
             JsonResponse.sendFault(exchange, StatusCodes.BAD_REQUEST, e.fault());
             return;
         }
--- a/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
+++ b/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
@@ -2,7 +2,7 @@
 
 import io.undertow.server.HttpServerExchange;
 import java.util.Deque;
-import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.InvalidConfigurationException;
 import tinford.fleet.config.RecordChecks;
 
 /** Reads the query of a request for a watch. */
@@ -11,9 +11,9 @@
     private QueryParameters() {}
 
     static WatchRequest watchRequest(HttpServerExchange exchange, String ownFleet)
-            throws InvalidConfiguration {
+            throws InvalidConfigurationException {
         if (!text(exchange, "fleet", "").equals(ownFleet)) {
-            throw new InvalidConfiguration("fleet", ownFleet);
+            throw new InvalidConfigurationException("fleet", ownFleet);
         }
         boolean watch = watch(exchange);
         String follower = text(exchange, "follower", "");
@@ -23,15 +23,15 @@
         return new WatchRequest(watch, revision(exchange), follower);
     }
 
-    private static boolean watch(HttpServerExchange exchange) throws InvalidConfiguration {
+    private static boolean watch(HttpServerExchange exchange) throws InvalidConfigurationException {
         return switch (text(exchange, "watch", "0")) {
             case "0" -> false;
             case "1" -> true;
-            default -> throw new InvalidConfiguration("watch", "0 or 1");
+            default -> throw new InvalidConfigurationException("watch", "0 or 1");
         };
     }
 
-    private static long revision(HttpServerExchange exchange) throws InvalidConfiguration {
+    private static long revision(HttpServerExchange exchange) throws InvalidConfigurationException {
         try {
             long revision = Long.parseLong(text(exchange, "after", "0"));
             if (revision >= 0) {
@@ -40,23 +40,23 @@
         } catch (NumberFormatException e) {
             // told below, as for a negative one
         }
-        throw new InvalidConfiguration("after", "a revision, a whole number from 0");
+        throw new InvalidConfigurationException("after", "a revision, a whole number from 0");
     }
 
-    private static void checkName(String key, String text) throws InvalidConfiguration {
+    private static void checkName(String key, String text) throws InvalidConfigurationException {
         if (!RecordChecks.isName(text)) {
-            throw new InvalidConfiguration(key, RecordChecks.EXPECTED_NAME);
+            throw new InvalidConfigurationException(key, RecordChecks.EXPECTED_NAME);
         }
     }
 
     private static String text(HttpServerExchange exchange, String key, String absent)
-            throws InvalidConfiguration {
+            throws InvalidConfigurationException {
         Deque<String> values = exchange.getQueryParameters().get(key);
         if (values == null) {
             return absent;
         }
         if (values.size() > 1) {
-            throw new InvalidConfiguration(key, "one value");
+            throw new InvalidConfigurationException(key, "one value");
         }
         return values.getFirst();
     }
--- a/fleet/src/main/java/tinford/fleet/control/Replica.java
+++ b/fleet/src/main/java/tinford/fleet/control/Replica.java
@@ -28,11 +28,11 @@
     private final RevisionFeed feed;
     private final ScheduledExecutorService executor;
     private final ConfigurationClient client;
-    private final SnapshotKeeper keeper;
+    private final SnapshotSaver keeper;
 
     Replica(ControlSettings settings, RevisionFeed feed) {
         this.feed = feed;
-        keeper = new SnapshotKeeper(new SnapshotFile(settings.folder(), settings.fleet()), feed);
+        keeper = new SnapshotSaver(new SnapshotFile(settings.folder(), settings.fleet()), feed);
         keeper.load();
         executor = Executors.newScheduledThreadPool(THREADS, Replica::thread);
         HttpClient http =
--- a/fleet/src/main/java/tinford/fleet/control/ReportHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/ReportHandler.java
@@ -6,9 +6,9 @@
 import io.undertow.util.StatusCodes;
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.ConfigurationLimits;
-import tinford.fleet.config.Fault;
 import tinford.fleet.config.FollowerReport;
-import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.InvalidConfigurationException;
+import tinford.fleet.config.ValidationError;
 
 /** {@code POST /followers/ID}: a follower tells what is in force there. */
 final class ReportHandler implements HttpHandler {
@@ -34,9 +34,10 @@
         try {
             report = ConfigurationCodec.decodeReport(body);
             if (!report.follower().equals(follower)) {
-                throw new InvalidConfiguration("follower", "the id in the path, " + follower);
+                throw new InvalidConfigurationException(
+                        "follower", "the id in the path, " + follower);
             }
-        } catch (InvalidConfiguration e) {
+        } catch (InvalidConfigurationException e) {
             JsonResponse.sendFault(exchange, StatusCodes.BAD_REQUEST, e.fault());
             return;
         }
@@ -44,7 +45,7 @@
             JsonResponse.sendFault(
                     exchange,
                     StatusCodes.SERVICE_UNAVAILABLE,
-                    new Fault("follower", "fewer followers at this server"));
+                    new ValidationError("follower", "fewer followers at this server"));
             return;
         }
         exchange.setStatusCode(StatusCodes.NO_CONTENT);
--- a/fleet/src/main/java/tinford/fleet/control/RequestBody.java
+++ b/fleet/src/main/java/tinford/fleet/control/RequestBody.java
@@ -3,7 +3,7 @@
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.StatusCodes;
 import java.util.function.Consumer;
-import tinford.fleet.config.Fault;
+import tinford.fleet.config.ValidationError;
 
 /** Reads request bodies of a bounded size without waiting. */
 final class RequestBody {
@@ -31,7 +31,7 @@
             JsonResponse.sendFault(
                     exchange,
                     StatusCodes.REQUEST_ENTITY_TOO_LARGE,
-                    new Fault("body", "at most " + limit + " bytes, complete"));
+                    new ValidationError("body", "at most " + limit + " bytes, complete"));
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/RevertCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/RevertCommand.java
@@ -17,7 +17,7 @@
         description = "Makes the content of an earlier revision current again, as a new revision.")
 final class RevertCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
-    @Mixin private ServerList servers;
+    @Mixin private ServersOption servers;
 
     @Parameters(paramLabel = "REVISION", description = "One that is retained.")
     private long revision;
--- a/fleet/src/main/java/tinford/fleet/control/RevisionFeed.java
+++ b/fleet/src/main/java/tinford/fleet/control/RevisionFeed.java
@@ -42,14 +42,14 @@
     private Configuration current = Configuration.EMPTY;
     private long appendedBytes;
     private long updateBytes;
-    private Line snapshot;
+    private WatchLine snapshot;
     private boolean snapshotRequested;
     private boolean snapshotFailed;
 
     /**
      * @param offset bytes of all updates that were appended before this one
      */
-    private record KeptUpdate(Line line, long offset) {}
+    private record KeptUpdate(WatchLine line, long offset) {}
 
     RevisionFeed(String fleetId, Executor executor) {
         this.snapshotCodec = new SnapshotCodec(fleetId);
@@ -94,7 +94,7 @@
     }
 
     private void add(Update update) {
-        Line line = line(update.revision(), new WatchMessage.UpdateMessage(update));
+        WatchLine line = line(update.revision(), new WatchMessage.UpdateMessage(update));
         updates.put(update.fromRevision(), new KeptUpdate(line, appendedBytes));
         appendedBytes += line.bytes().length;
         updateBytes += line.bytes().length;
@@ -106,11 +106,11 @@
         }
     }
 
-    private static Line line(long revision, WatchMessage message) {
+    private static WatchLine line(long revision, WatchMessage message) {
         byte[] json = ConfigurationCodec.encode(message);
         byte[] bytes = Arrays.copyOf(json, json.length + 1);
         bytes[json.length] = '\n';
-        return new Line(revision, bytes);
+        return new WatchLine(revision, bytes);
     }
 
     synchronized Configuration current() {
@@ -142,7 +142,7 @@
      * @return null where it lacks nothing, also where it is ahead of this server, and while a
      *     snapshot is being made, after which the listeners are called
      */
-    synchronized Line next(long revision) {
+    synchronized WatchLine next(long revision) {
         if (isCurrent(revision)) {
             return null;
         }
@@ -193,7 +193,7 @@
 
     private void makeSnapshot() {
         Configuration configuration = current();
-        Line made = null;
+        WatchLine made = null;
         try {
             byte[] data = snapshotCodec.encode(configuration);
             long revision = configuration.revision();
--- a/fleet/src/main/java/tinford/fleet/control/ServeCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/ServeCommand.java
@@ -9,8 +9,8 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tinford.fleet.settings.InvalidSettings;
-import tinford.logs.Lines;
+import tinford.fleet.settings.InvalidOperatorFileException;
+import tinford.logging.LineLogger;
 
 /** {@code serve FILE}: one control server, until SIGTERM. */
 @Command(
@@ -31,7 +31,7 @@
         try {
             ControlServer server = ControlServer.start(ControlSettingsReader.read(file));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> end(server), "control-end"));
-        } catch (InvalidSettings e) {
+        } catch (InvalidOperatorFileException e) {
             err.println(e.getMessage());
             return ExitCode.REFUSED;
         } catch (IOException e) {
@@ -44,7 +44,7 @@
 
     private static void end(ControlServer server) {
         server.close();
-        Lines.flush(LOG_FLUSH_MS);
+        LineLogger.flush(LOG_FLUSH_MS);
         Runtime.getRuntime().halt(ExitCode.OK);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/ServerList.java
+++ b/fleet/src/main/java/tinford/fleet/control/ServersOption.java
@@ -8,7 +8,7 @@
 import tinford.routing.Addresses;
 
 /** The option that names the control servers. */
-final class ServerList {
+final class ServersOption {
     /** One numeric host:port. */
     static final class AddressConverter implements ITypeConverter<InetSocketAddress> {
         @Override
--- a/fleet/src/main/java/tinford/fleet/control/SnapshotKeeper.java
+++ b/fleet/src/main/java/tinford/fleet/control/SnapshotSaver.java
@@ -14,15 +14,15 @@
  * Keeps what a replica serves on its disk. Writes on a thread of its own; of revisions that come
  * while it writes, only the latest is written.
  */
-final class SnapshotKeeper implements AutoCloseable {
+final class SnapshotSaver implements AutoCloseable {
     private static final long CLOSE_WITHIN_MS = 2000;
 
     private final SnapshotFile file;
     private final RevisionFeed feed;
-    private final ExecutorService writer = Executors.newSingleThreadExecutor(SnapshotKeeper::named);
+    private final ExecutorService writer = Executors.newSingleThreadExecutor(SnapshotSaver::named);
     private final AtomicBoolean scheduled = new AtomicBoolean();
 
-    SnapshotKeeper(SnapshotFile file, RevisionFeed feed) {
+    SnapshotSaver(SnapshotFile file, RevisionFeed feed) {
         this.file = file;
         this.feed = feed;
     }
--- a/fleet/src/main/java/tinford/fleet/control/StatusCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/StatusCommand.java
@@ -19,7 +19,7 @@
     private static final int LAGGING_SHOWN = 40;
 
     @Spec private CommandSpec spec;
-    @Mixin private ServerList servers;
+    @Mixin private ServersOption servers;
 
     @Option(
             names = "--expect",
--- a/fleet/src/main/java/tinford/fleet/control/Voter.java
+++ b/fleet/src/main/java/tinford/fleet/control/Voter.java
@@ -5,22 +5,13 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import tinford.fleet.config.Configuration;
-import tinford.fleet.config.ConfigurationCodec;
-import tinford.fleet.config.ConfigurationLimits;
-import tinford.fleet.config.Fault;
-import tinford.fleet.config.InvalidConfiguration;
-import tinford.fleet.config.Outcome;
-import tinford.fleet.config.Proposal;
-import tinford.fleet.config.Refusal;
-import tinford.fleet.config.RevisionHistory;
-import tinford.fleet.config.Update;
+import tinford.fleet.config.*;
 import tinford.fleet.control.ControlSettings.VoterSettings;
 import tinford.fleet.control.ProposalResult.Decided;
 import tinford.fleet.control.ProposalResult.Taken;
 import tinford.fleet.control.ProposalResult.Unavailable;
-import tinford.fleet.store.Log;
 import tinford.fleet.store.RaftLog;
+import tinford.fleet.store.ReplicatedLog;
 
 /**
  * A member of the quorum: proposals become entries of the replicated log, and each member applies
@@ -29,7 +20,7 @@
 final class Voter implements ControlRole {
     /** Opens the log with its reader. */
     interface LogOpener {
-        Log open(Log.Reader reader) throws IOException;
+        ReplicatedLog open(ReplicatedLog.Reader reader) throws IOException;
     }
 
     /** Proposals between two snapshots of the log. */
@@ -39,7 +30,7 @@
     private final RevisionHistory history;
     private final PendingProposals pending = new PendingProposals();
     private final long decideWithinMs;
-    private final Log log;
+    private final ReplicatedLog log;
 
     Voter(String fleetId, RevisionFeed feed, long decideWithinMs, LogOpener opener)
             throws IOException {
@@ -94,7 +85,8 @@
                 "at most "
                         + ConfigurationLimits.PROPOSAL_BYTES
                         + " bytes with all fields written out";
-        return new Outcome.Refused(new Refusal(List.of(new Fault("changes", expected))));
+        return new Outcome.Refused(
+                new Rejection(List.of(new ValidationError("changes", expected))));
     }
 
     @Override
@@ -113,13 +105,13 @@
     }
 
     /** On the log's thread. */
-    private final class HistoryReader implements Log.Reader {
+    private final class HistoryReader implements ReplicatedLog.Reader {
         @Override
         public void apply(long index, byte[] entry) {
             Proposal proposal;
             try {
                 proposal = ConfigurationCodec.decodeProposal(entry);
-            } catch (InvalidConfiguration e) {
+            } catch (InvalidConfigurationException e) {
                 ControlLog.entryUnreadable(index, e); // the same on every member
                 return;
             }
@@ -159,7 +151,7 @@
         public void restore(long index, byte[] snapshot) {
             try {
                 history.restore(snapshot);
-            } catch (InvalidConfiguration e) {
+            } catch (InvalidConfigurationException e) {
                 ControlLog.snapshotUnreadable(index, e);
                 throw new IllegalStateException("log snapshot at " + index, e);
             }
--- a/fleet/src/main/java/tinford/fleet/control/WatchHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchHandler.java
@@ -4,8 +4,8 @@
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
 import io.undertow.util.StatusCodes;
-import tinford.fleet.config.Fault;
-import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.InvalidConfigurationException;
+import tinford.fleet.config.ValidationError;
 import tinford.fleet.control.ControlSettings.WatchTiming;
 
 /** {@code GET /configuration}: one line, or a watch. */
@@ -27,17 +27,19 @@
         WatchRequest request;
         try {
             request = QueryParameters.watchRequest(exchange, fleet);
-        } catch (InvalidConfiguration e) {
+        } catch (InvalidConfigurationException e) {
             JsonResponse.sendFault(exchange, StatusCodes.BAD_REQUEST, e.fault());
             return;
         }
-        WatchStream stream = new WatchStream(request, exchange, feed, timing, hub::remove);
+        WatchResponseStream stream =
+                new WatchResponseStream(request, exchange, feed, timing, hub::remove);
         if (request.watch() && !hub.add(stream)) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, "1");
             JsonResponse.sendFault(
                     exchange,
                     StatusCodes.SERVICE_UNAVAILABLE,
-                    new Fault("follower", "fewer followers at this server, try another one"));
+                    new ValidationError(
+                            "follower", "fewer followers at this server, try another one"));
             return;
         }
         tellIfAhead(request);
--- a/fleet/src/main/java/tinford/fleet/control/WatchHub.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchHub.java
@@ -9,7 +9,7 @@
  * is a new revision. Thread-safe.
  */
 final class WatchHub {
-    private final Map<String, WatchStream> streams = new ConcurrentHashMap<>();
+    private final Map<String, WatchResponseStream> streams = new ConcurrentHashMap<>();
     private final int capacity;
 
     WatchHub(int capacity) {
@@ -21,9 +21,9 @@
      *
      * @return false when there are too many
      */
-    boolean add(WatchStream stream) {
+    boolean add(WatchResponseStream stream) {
         String follower = stream.request().follower();
-        WatchStream earlier;
+        WatchResponseStream earlier;
         synchronized (this) {
             if (streams.size() >= capacity && !streams.containsKey(follower)) {
                 return false;
@@ -36,16 +36,16 @@
         return true;
     }
 
-    void remove(WatchStream stream) {
+    void remove(WatchResponseStream stream) {
         streams.remove(stream.request().follower(), stream);
     }
 
     void wakeAll() {
-        streams.values().forEach(WatchStream::wake);
+        streams.values().forEach(WatchResponseStream::wake);
     }
 
     void closeAll() {
-        streams.values().forEach(WatchStream::closeSoon);
+        streams.values().forEach(WatchResponseStream::closeSoon);
     }
 
     Set<String> followers() {
@@ -60,6 +60,6 @@
      * Bytes of lines that followers have not taken in yet; lines that they share count for each.
      */
     long pendingBytes() {
-        return streams.values().stream().mapToLong(WatchStream::pendingBytes).sum();
+        return streams.values().stream().mapToLong(WatchResponseStream::pendingBytes).sum();
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/Line.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchLine.java
@@ -7,4 +7,4 @@
  * @param revision which a follower holds once it has applied the line
  * @param bytes JSON with the line feed
  */
-record Line(long revision, byte[] bytes) {}
+record WatchLine(long revision, byte[] bytes) {}
--- a/fleet/src/main/java/tinford/fleet/control/WatchStream.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchResponseStream.java
@@ -24,7 +24,7 @@
  *
  * <p>All state belongs to the exchange's I/O thread, except what is volatile.
  */
-final class WatchStream {
+final class WatchResponseStream {
     private static final byte[] HEARTBEAT = "\n".getBytes(StandardCharsets.US_ASCII);
 
     private final WatchRequest request;
@@ -32,7 +32,7 @@
     private final XnioIoThread thread;
     private final RevisionFeed feed;
     private final WatchTiming timing;
-    private final Consumer<WatchStream> whenClosed;
+    private final Consumer<WatchResponseStream> whenClosed;
     private final AtomicBoolean wakeScheduled = new AtomicBoolean();
     private StreamSinkChannel channel;
     private XnioExecutor.Key timer;
@@ -51,12 +51,12 @@
 
     private volatile int pendingBytes;
 
-    WatchStream(
+    WatchResponseStream(
             WatchRequest request,
             HttpServerExchange exchange,
             RevisionFeed feed,
             WatchTiming timing,
-            Consumer<WatchStream> whenClosed) {
+            Consumer<WatchResponseStream> whenClosed) {
         this.request = request;
         this.exchange = exchange;
         this.thread = exchange.getIoThread();
@@ -142,7 +142,7 @@
             endExchange();
             return false;
         }
-        Line line = feed.next(sentRevision);
+        WatchLine line = feed.next(sentRevision);
         if (line == null) {
             if (!request.watch() && feed.isCurrent(sentRevision)) {
                 endExchange();
--- a/fleet/src/main/java/tinford/fleet/follow/ConfigurationClient.java
+++ b/fleet/src/main/java/tinford/fleet/follow/ConfigurationClient.java
@@ -251,8 +251,8 @@
     }
 
     /** One watch, from its request to its end. Once it is not the present one it is not heard. */
-    private final class Watch implements WatchStream.Listener {
-        private WatchStream stream;
+    private final class Watch implements WatchSubscription.Listener {
+        private WatchSubscription stream;
         private CompletableFuture<HttpResponse<Void>> response;
 
         void open(URI uri) {
@@ -269,7 +269,8 @@
         }
 
         private HttpResponse.BodySubscriber<Void> body(HttpResponse.ResponseInfo head) {
-            WatchStream answer = new WatchStream(serial, this, longestLine(), bytesReceived);
+            WatchSubscription answer =
+                    new WatchSubscription(serial, this, longestLine(), bytesReceived);
             if (head.statusCode() == STATUS_OK) {
                 serial.execute(() -> opened(answer));
             } else {
@@ -280,7 +281,7 @@
             return answer;
         }
 
-        private void opened(WatchStream answer) {
+        private void opened(WatchSubscription answer) {
             if (this == watch) {
                 stream = answer;
                 perform(follower.opened(now()));
--- a/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
+++ b/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 import tinford.fleet.config.Configuration;
-import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.InvalidConfigurationException;
 import tinford.fleet.config.SnapshotCodec;
 import tinford.fleet.store.FileStore;
 import tinford.fleet.store.Store;
@@ -50,7 +50,7 @@
         }
         try {
             return new Loaded(codec.decode(found.content()), null);
-        } catch (InvalidConfiguration e) {
+        } catch (InvalidConfigurationException e) {
             return new Loaded(null, e.getMessage());
         }
     }
--- a/fleet/src/main/java/tinford/fleet/follow/WatchStream.java
+++ b/fleet/src/main/java/tinford/fleet/follow/WatchSubscription.java
@@ -13,7 +13,7 @@
  * The body of one watch, cut into lines. More is asked of the connection only once the lines that
  * came before have been handled, so that what waits is bounded.
  */
-final class WatchStream implements HttpResponse.BodySubscriber<Void> {
+final class WatchSubscription implements HttpResponse.BodySubscriber<Void> {
     /** Hears of the lines and of the end, on the executor. */
     interface Listener {
         void line(byte[] line);
@@ -36,7 +36,8 @@
      * @param longestLine in bytes; a longer one ends the watch
      * @param bytesReceived is increased by what comes
      */
-    WatchStream(Executor executor, Listener listener, int longestLine, AtomicLong bytesReceived) {
+    WatchSubscription(
+            Executor executor, Listener listener, int longestLine, AtomicLong bytesReceived) {
         this.executor = executor;
         this.listener = listener;
         this.lines = new LineSplitter(longestLine);
--- a/fleet/src/main/java/tinford/fleet/members/GossipComposer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
--- a/fleet/src/main/java/tinford/fleet/members/Members.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
  * record's time under way. Only the own clock and the owner's count of time since its start are
  * compared, never two clocks.
  */
-public final class Members implements Membership {
+public final class GossipMembership implements Membership {
     /** How far in the future another's start may lie, ms. */
     public static final double AHEAD = 5000;
 
@@ -85,7 +85,7 @@
      * @param suspectAfter ms without a record made by then
      * @param freshFor up to which age a record counts, ms
      */
-    public Members(
+    public GossipMembership(
             Incarnation self,
             int gateways,
             double every,
--- a/fleet/src/main/java/tinford/fleet/members/Incarnation.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Incarnation.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 /**
  * One incarnation of a gateway: its number, and when its process started (Unix ms). A later start
--- a/fleet/src/main/java/tinford/fleet/members/Lease.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Lease.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 /**
  * A lease: for how long one incarnation may act on what it was granted, by clocks that differ by
--- a/fleet/src/main/java/tinford/fleet/members/Leases.java
+++ b/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -19,7 +19,7 @@
  * stopped, and act when it wakes. It only renews no more. Holds {@link #MOST_INCARNATIONS}
  * incarnations a gateway at most, until nothing that they opened can be open.
  */
-public final class Leases {
+public final class LeaseTable {
     /**
      * Incarnations of one gateway that are not surely closed; a further one has no lease until one
      * of them is.
@@ -52,7 +52,7 @@
      * @param apart clocks differ by this much at most, ms
      * @param linger until nothing is open of what a stopped process opened, ms
      */
-    public Leases(int gateways, double longest, double apart, double linger) {
+    public LeaseTable(int gateways, double longest, double apart, double linger) {
         this.gateways = gateways;
         this.longest = longest;
         this.apart = apart;
--- a/fleet/src/main/java/tinford/fleet/members/Peer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Peer.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 /** What a gateway knows of another one. Times are by the own clock. */
 final class Peer {
--- a/fleet/src/main/java/tinford/fleet/members/TokenBucket.java
+++ b/fleet/src/main/java/tinford/fleet/membership/TokenBucket.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 /** Bounds how many come: so many a second, and so many at once. */
 final class TokenBucket {
--- a/fleet/src/main/java/tinford/fleet/moves/LeaseHolders.java
+++ b/fleet/src/main/java/tinford/fleet/migration/LeaseHolders.java
@@ -1,7 +1,7 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import java.util.Collection;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.Incarnation;
 
 /**
  * What the moves ask of the leases. It must follow from the entries of the same log, so that every
--- a/fleet/src/main/java/tinford/fleet/moves/Entry.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationEntry.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Arrays;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.Incarnation;
 
 /**
  * One entry of the log about moves: version, kind, time stamp of whoever wrote it, then what the
@@ -19,7 +19,7 @@
  *     the new one
  * @param warm for {@code GO}: warm units a second of each group that is gone to, by name
  */
-public record Entry(
+public record MigrationEntry(
         Kind kind,
         double at,
         Incarnation incarnation,
@@ -28,7 +28,7 @@
         String who,
         long[] counts,
         double[] warm,
-        Plan plan) {
+        MigrationPlan plan) {
     /** The kinds, in the order of their numbers in the log. */
     public enum Kind {
         BEGIN,
@@ -57,39 +57,43 @@
         }
     }
 
-    private static Entry of(
+    private static MigrationEntry of(
             Kind kind, double at, Incarnation incarnation, long turn, int to, String who) {
-        return new Entry(kind, at, incarnation, turn, to, who, new long[0], new double[0], null);
+        return new MigrationEntry(
+                kind, at, incarnation, turn, to, who, new long[0], new double[0], null);
     }
 
-    public static Entry begin(String operator, double at, Plan plan) {
-        return new Entry(Kind.BEGIN, at, NOBODY, 0, 0, operator, new long[0], new double[0], plan);
+    public static MigrationEntry begin(String operator, double at, MigrationPlan plan) {
+        return new MigrationEntry(
+                Kind.BEGIN, at, NOBODY, 0, 0, operator, new long[0], new double[0], plan);
     }
 
-    public static Entry ack(Incarnation incarnation, long turn, double at) {
+    public static MigrationEntry ack(Incarnation incarnation, long turn, double at) {
         return of(Kind.ACK, at, incarnation, turn, 0, "");
     }
 
-    public static Entry go(double at, long turn, int to, double... warm) {
-        return new Entry(Kind.GO, at, NOBODY, turn, to, "", new long[0], warm, null);
+    public static MigrationEntry go(double at, long turn, int to, double... warm) {
+        return new MigrationEntry(Kind.GO, at, NOBODY, turn, to, "", new long[0], warm, null);
     }
 
-    public static Entry report(Incarnation incarnation, long turn, double at, long... counts) {
-        return new Entry(Kind.REPORT, at, incarnation, turn, 0, "", counts, new double[0], null);
+    public static MigrationEntry report(
+            Incarnation incarnation, long turn, double at, long... counts) {
+        return new MigrationEntry(
+                Kind.REPORT, at, incarnation, turn, 0, "", counts, new double[0], null);
     }
 
-    public static Entry halt(String operator, double at) {
+    public static MigrationEntry halt(String operator, double at) {
         return of(Kind.HALT, at, NOBODY, 0, 0, operator);
     }
 
     /**
      * @param halt the number of the halt that the operator saw; a later one is not lifted by it
      */
-    public static Entry resume(String operator, double at, long halt) {
+    public static MigrationEntry resume(String operator, double at, long halt) {
         return of(Kind.RESUME, at, NOBODY, halt, 0, operator);
     }
 
-    public static Entry back(String operator, double at) {
+    public static MigrationEntry back(String operator, double at) {
         return of(Kind.BACK, at, NOBODY, 0, 0, operator);
     }
 
@@ -122,7 +126,7 @@
         return bytes.toByteArray();
     }
 
-    static Entry of(byte[] bytes) throws Unknown {
+    static MigrationEntry of(byte[] bytes) throws Unknown {
         if (bytes.length > MOST
                 || bytes.length < 3
                 || bytes[0] != MARK
@@ -149,12 +153,12 @@
             for (int i = 0; i < warm.length; i++) {
                 warm[i] = in.readDouble();
             }
-            Plan plan = kind == Kind.BEGIN ? Plan.read(in) : null;
+            MigrationPlan plan = kind == Kind.BEGIN ? MigrationPlan.read(in) : null;
             if (in.available() > 0 || !Double.isFinite(at) || who.length() > 64) {
                 throw new Unknown("a length, a time or a name out of form");
             }
-            return new Entry(kind, at, incarnation, turn, to, who, counts, warm, plan);
-        } catch (IOException | Faults.Refused e) {
+            return new MigrationEntry(kind, at, incarnation, turn, to, who, counts, warm, plan);
+        } catch (IOException | PlanErrors.Refused e) {
             throw new Unknown(e.toString());
         }
     }
--- a/fleet/src/main/java/tinford/fleet/moves/Plan.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationPlan.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -11,13 +11,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import tinford.api.Frontend;
+import tinford.api.RequestClass;
 
 /**
  * A checked plan of moves. What it holds obeys the rules of its form; at most {@link #MOST}
  * frontends of as many shares each.
  */
-public final class Plan {
+public final class MigrationPlan {
     public static final int MOST = 64;
     private static final int LONGEST = 64;
 
@@ -55,7 +55,9 @@
      * groups.
      */
     public record Known(
-            Map<String, Frontend> frontends, Map<String, String> homes, Map<String, Room> groups) {}
+            Map<String, RequestClass> frontends,
+            Map<String, String> homes,
+            Map<String, Room> groups) {}
 
     public final String name;
     public final double soak;
@@ -72,13 +74,13 @@
     /** The groups that frontends go to, by name. */
     public final TreeMap<String, Room> groups;
 
-    public final List<Step> steps;
+    public final List<MigrationStep> steps;
     private final Map<String, Integer> index = new HashMap<>();
 
     /**
-     * @throws Faults.Refused where it breaks a rule of form
+     * @throws PlanErrors.Refused where it breaks a rule of form
      */
-    public Plan(
+    public MigrationPlan(
             String name,
             double soak,
             double margin,
@@ -91,13 +93,13 @@
         this.answers = answers;
         this.frontends = List.copyOf(frontends);
         this.groups = new TreeMap<>(groups);
-        Faults faults = new Faults("plan", "");
+        PlanErrors faults = new PlanErrors("plan", "");
         check(name, soak, margin, answers, frontends, faults);
         faults.refuse();
         for (int i = 0; i < frontends.size(); i++) {
             index.put(frontends.get(i).name, i);
         }
-        steps = Stages.of(this);
+        steps = MigrationStages.of(this);
     }
 
     public int index(String frontend) {
@@ -111,7 +113,7 @@
             double margin,
             int answers,
             List<Mover> movers,
-            Faults faults) {
+            PlanErrors faults) {
         faults.unless(
                 !name.isEmpty() && name.length() <= LONGEST,
                 -1,
@@ -169,8 +171,8 @@
         }
     }
 
-    private static void order(List<Mover> movers, Faults faults) {
-        int[] earliest = Stages.begins(movers);
+    private static void order(List<Mover> movers, PlanErrors faults) {
+        int[] earliest = MigrationStages.begins(movers);
         for (int i = 0; i < earliest.length; i++) {
             int begins = movers.get(i).begins;
             faults.unless(
@@ -228,7 +230,7 @@
         }
     }
 
-    static Plan read(DataInputStream in) throws IOException {
+    static MigrationPlan read(DataInputStream in) throws IOException {
         String name = in.readUTF();
         double soak = in.readDouble();
         double margin = in.readDouble();
@@ -265,6 +267,6 @@
         for (int n = in.readUnsignedByte(); n > 0; n--) {
             groups.put(in.readUTF(), new Room(in.readDouble(), in.readInt(), in.readDouble()));
         }
-        return new Plan(name, soak, margin, answers, movers, groups);
+        return new MigrationPlan(name, soak, margin, answers, movers, groups);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/moves/PlanReader.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationPlanReader.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import tinford.api.Effect;
-import tinford.api.Frontend;
+import tinford.api.Idempotency;
+import tinford.api.RequestClass;
 
 /**
  * Reads a plan from TOML and holds it against what is known; a plan with any fault is refused
  * whole, with all of its faults.
  */
-public final class PlanReader {
+public final class MigrationPlanReader {
     private static final Set<String> TOP = Set.of("plan", "soak_ms", "bad", "frontends");
     private static final Set<String> BAD = Set.of("margin", "answers");
     private static final Set<String> EACH =
@@ -32,17 +32,17 @@
                     "connections",
                     "retries");
     private static final int LONGEST = 256 << 10;
-    private final Plan.Known known;
+    private final MigrationPlan.Known known;
 
-    public PlanReader(Plan.Known known) {
+    public MigrationPlanReader(MigrationPlan.Known known) {
         this.known = known;
     }
 
     /**
-     * @throws Faults.Refused with all faults
+     * @throws PlanErrors.Refused with all faults
      */
-    public Plan read(String file, String text) {
-        Faults faults = new Faults(file, text);
+    public MigrationPlan read(String file, String text) {
+        PlanErrors faults = new PlanErrors(file, text);
         if (text.length() > LONGEST) {
             faults.add(0, "text", "262144 characters at most");
             faults.refuse();
@@ -54,7 +54,7 @@
         names(bad, BAD, -1, faults);
         JsonNode list = top.path("frontends");
         faults.unless(list.isArray(), -1, "frontends", "tables [[frontends]]");
-        List<Plan.Mover> movers = new ArrayList<>();
+        List<MigrationPlan.Mover> movers = new ArrayList<>();
         for (int i = 0; list.isArray() && i < list.size(); i++) {
             movers.add(mover(list.get(i), i, faults));
         }
@@ -62,13 +62,13 @@
         double soak = number(top, "soak_ms", -1, faults);
         double margin = number(bad, "margin", -1, faults);
         int answers = whole(bad, "answers", -1, faults);
-        Plan.check(name, soak, margin, answers, movers, faults);
-        Map<String, Plan.Room> groups = rooms(movers, faults);
+        MigrationPlan.check(name, soak, margin, answers, movers, faults);
+        Map<String, MigrationPlan.Room> groups = rooms(movers, faults);
         faults.refuse();
-        return new Plan(name, soak, margin, answers, movers, groups);
+        return new MigrationPlan(name, soak, margin, answers, movers, groups);
     }
 
-    private static JsonNode tree(String text, Faults faults) {
+    private static JsonNode tree(String text, PlanErrors faults) {
         try {
             return new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
@@ -81,12 +81,12 @@
         }
     }
 
-    private Plan.Mover mover(JsonNode n, int i, Faults faults) {
+    private MigrationPlan.Mover mover(JsonNode n, int i, PlanErrors faults) {
         names(n, EACH, i, faults);
         String name = text(n, "name", i, faults);
-        Frontend f = known.frontends().get(name);
+        RequestClass f = known.frontends().get(name);
         faults.unless(f != null, i, "name", "one of the frontends that may move, not " + name);
-        boolean uniqued = f != null && f.effect == Effect.IDEMPOTENCY_KEY;
+        boolean uniqued = f != null && f.idempotency == Idempotency.IDEMPOTENCY_KEY;
         String from = text(n, "from", i, faults);
         faults.unless(
                 f == null || from.equals(known.homes().get(name)),
@@ -110,7 +110,7 @@
             needs.add(s.asText());
         }
         faults.unless(texts, i, "needs", "names in brackets");
-        return new Plan.Mover(
+        return new MigrationPlan.Mover(
                 name,
                 from,
                 text(n, "to", i, faults),
@@ -121,22 +121,23 @@
                 whole(n, "connections", i, faults),
                 uniqued,
                 retries.equals("told"),
-                uniqued ? f.repeatWindow + f.timeout : 0);
+                uniqued ? f.deduplicationWindowMs + f.timeoutMs : 0);
     }
 
     /** The groups that are gone to; each must have room for all that comes. */
-    private Map<String, Plan.Room> rooms(List<Plan.Mover> movers, Faults faults) {
-        Map<String, Plan.Room> found = new TreeMap<>();
+    private Map<String, MigrationPlan.Room> rooms(
+            List<MigrationPlan.Mover> movers, PlanErrors faults) {
+        Map<String, MigrationPlan.Room> found = new TreeMap<>();
         Map<String, Double> units = new HashMap<>();
         Map<String, Double> connections = new HashMap<>();
         for (int i = 0; i < movers.size(); i++) {
-            Plan.Mover m = movers.get(i);
+            MigrationPlan.Mover m = movers.get(i);
             faults.unless(
                     known.groups().containsKey(m.from()),
                     i,
                     "from",
                     "a known group, not " + m.from());
-            Plan.Room room = known.groups().get(m.to());
+            MigrationPlan.Room room = known.groups().get(m.to());
             faults.unless(room != null, i, "to", "a known group, not " + m.to());
             if (room != null) {
                 found.put(m.to(), room);
@@ -164,24 +165,24 @@
         return found;
     }
 
-    private static void names(JsonNode n, Set<String> known, int i, Faults faults) {
+    private static void names(JsonNode n, Set<String> known, int i, PlanErrors faults) {
         for (Iterator<String> at = n.fieldNames(); at.hasNext(); ) {
             String key = at.next();
             faults.unless(known.contains(key), i, key, "no such key");
         }
     }
 
-    private static String text(JsonNode n, String key, int i, Faults faults) {
+    private static String text(JsonNode n, String key, int i, PlanErrors faults) {
         faults.unless(n.path(key).isTextual(), i, key, "a text");
         return n.path(key).asText("");
     }
 
-    private static double number(JsonNode n, String key, int i, Faults faults) {
+    private static double number(JsonNode n, String key, int i, PlanErrors faults) {
         faults.unless(n.path(key).isNumber(), i, key, "a number");
         return n.path(key).asDouble();
     }
 
-    private static int whole(JsonNode n, String key, int i, Faults faults) {
+    private static int whole(JsonNode n, String key, int i, PlanErrors faults) {
         faults.unless(n.path(key).isInt(), i, key, "a whole number");
         return n.path(key).asInt();
     }
--- a/fleet/src/main/java/tinford/fleet/moves/Route.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationRouter.java
@@ -1,20 +1,20 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import java.util.HashMap;
 import java.util.Map;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Lease;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Lease;
 
 /**
  * Where the requests of frontends that may move go through one gateway, and what it tells the
  * others. Called on the I/O thread only; a status and a lease come from entries that were applied
  * in order, so a lease is never acted on with an older status than it was granted after.
  */
-public class Route {
+public class MigrationRouter {
     private final Incarnation self;
     private final double every;
     private final Map<String, Integer> salts = new HashMap<>();
-    private MoveStatus status;
+    private MigrationStatus status;
     private Lease lease;
     private boolean acked;
     private double ackOffered = Double.NEGATIVE_INFINITY;
@@ -26,7 +26,7 @@
      * @param every ms after which an ack that was not seen in the log is offered again, and between
      *     reports
      */
-    public Route(Incarnation self, MoveStatus first, double every) {
+    public MigrationRouter(Incarnation self, MigrationStatus first, double every) {
         this.self = self;
         this.every = every;
         first.homes().keySet().forEach(name -> salts.put(name, name.hashCode()));
@@ -37,7 +37,7 @@
      * After each applied entry: the status of the moves, the own lease if any, and whether the log
      * has this incarnation's ack of this turn.
      */
-    public void see(MoveStatus now, Lease own, boolean acked) {
+    public void see(MigrationStatus now, Lease own, boolean acked) {
         if (status == null || status.turn() != now.turn()) {
             counts = new long[now.plan() == null ? 0 : 4 * now.plan().frontends.size()];
             news = false;
@@ -70,11 +70,11 @@
         if (at < 0) {
             return group.equals(status.homes().get(frontend));
         }
-        Plan.Mover mover = status.plan().frontends.get(at);
+        MigrationPlan.Mover mover = status.plan().frontends.get(at);
         if (mover.uniqued() && first != null) {
             return group.equals(first);
         }
-        Step.Part part = status.step().parts().get(at);
+        MigrationStep.Part part = status.step().parts().get(at);
         return group.equals(goes(mover, part, part(customer, salt), retry));
     }
 
@@ -84,14 +84,15 @@
     }
 
     /** The group, or null for neither. */
-    protected String goes(Plan.Mover mover, Step.Part part, double at, boolean retry) {
+    protected String goes(
+            MigrationPlan.Mover mover, MigrationStep.Part part, double at, boolean retry) {
         if (at < part.share()) {
             return mover.to();
         }
         if (at >= part.until()) {
             return mover.from();
         }
-        if (part.phase() == Step.Phase.HOLD) {
+        if (part.phase() == MigrationStep.Phase.HOLD) {
             return mover.told() && !retry ? mover.from() : null;
         }
         return mover.told() && retry ? null : mover.to();
@@ -111,7 +112,7 @@
         if (at < 0) {
             return;
         }
-        Plan.Mover mover = status.plan().frontends.get(at);
+        MigrationPlan.Mover mover = status.plan().frontends.get(at);
         int side = group.equals(mover.to()) ? 2 : group.equals(mover.from()) ? 0 : -1;
         if (side >= 0) {
             counts[4 * at + side]++;
@@ -124,7 +125,7 @@
      * What this gateway has to tell now, or null: the ack of its turn until the log has it, then
      * what it counted.
      */
-    public Entry tells(double now) {
+    public MigrationEntry tells(double now) {
         if (!mayAct(now) || status.plan() == null) {
             return null;
         }
@@ -133,13 +134,13 @@
                 return null;
             }
             ackOffered = now;
-            return Entry.ack(self, status.turn(), now);
+            return MigrationEntry.ack(self, status.turn(), now);
         }
-        if (!news || now - reported < every || status.state() != Moves.State.FORWARD) {
+        if (!news || now - reported < every || status.state() != MigrationState.State.FORWARD) {
             return null;
         }
         reported = now;
         news = false;
-        return Entry.report(self, status.turn(), now, counts.clone());
+        return MigrationEntry.report(self, status.turn(), now, counts.clone());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/moves/Stages.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStages.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,25 +8,27 @@
  * that it needs has moved whole; those that don't need each other share stages. A stage in which
  * uniqued frontends move has three steps, any other one.
  */
-public final class Stages {
-    private Stages() {}
+public final class MigrationStages {
+    private MigrationStages() {}
 
-    public static List<Step> of(Plan plan) {
+    public static List<MigrationStep> of(MigrationPlan plan) {
         int[] begins = begins(plan.frontends);
         int most = 0;
         for (int i = 0; i < begins.length; i++) {
             begins[i] = Math.max(begins[i], plan.frontends.get(i).begins() - 1);
             most = Math.max(most, begins[i] + plan.frontends.get(i).shares().size());
         }
-        List<Step> steps = new ArrayList<>();
-        steps.add(step(plan, begins, 0, Step.Phase.SETTLED));
+        List<MigrationStep> steps = new ArrayList<>();
+        steps.add(step(plan, begins, 0, MigrationStep.Phase.SETTLED));
         for (int stage = 1; stage <= most; stage++) {
-            for (Step.Phase phase :
+            for (MigrationStep.Phase phase :
                     uniqued(plan, begins, stage)
-                            ? new Step.Phase[] {
-                                Step.Phase.HOLD, Step.Phase.OPEN, Step.Phase.SETTLED
+                            ? new MigrationStep.Phase[] {
+                                MigrationStep.Phase.HOLD,
+                                MigrationStep.Phase.OPEN,
+                                MigrationStep.Phase.SETTLED
                             }
-                            : new Step.Phase[] {Step.Phase.SETTLED}) {
+                            : new MigrationStep.Phase[] {MigrationStep.Phase.SETTLED}) {
                 steps.add(step(plan, begins, stage, phase));
             }
         }
@@ -37,14 +39,14 @@
      * After how many stages each may begin at the earliest, given where those that it needs begin.
      * Without circles only.
      */
-    static int[] begins(List<Plan.Mover> movers) {
+    static int[] begins(List<MigrationPlan.Mover> movers) {
         int[] begins = new int[movers.size()];
         for (int round = 0;
                 round < begins.length;
                 round++) { // as many rounds as the longest chain can have links
             for (int i = 0; i < begins.length; i++) {
                 for (int d = 0; d < begins.length; d++) {
-                    Plan.Mover needed = movers.get(d);
+                    MigrationPlan.Mover needed = movers.get(d);
                     if (movers.get(i).needs().contains(needed.name())) {
                         begins[i] =
                                 Math.max(
@@ -58,9 +60,9 @@
         return begins;
     }
 
-    private static boolean uniqued(Plan plan, int[] begins, int stage) {
+    private static boolean uniqued(MigrationPlan plan, int[] begins, int stage) {
         for (int i = 0; i < begins.length; i++) {
-            Plan.Mover m = plan.frontends.get(i);
+            MigrationPlan.Mover m = plan.frontends.get(i);
             if (m.uniqued() && share(m, begins[i], stage) != share(m, begins[i], stage - 1)) {
                 return true;
             }
@@ -68,21 +70,24 @@
         return false;
     }
 
-    private static Step step(Plan plan, int[] begins, int stage, Step.Phase phase) {
-        List<Step.Part> parts = new ArrayList<>();
+    private static MigrationStep step(
+            MigrationPlan plan, int[] begins, int stage, MigrationStep.Phase phase) {
+        List<MigrationStep.Part> parts = new ArrayList<>();
         for (int i = 0; i < begins.length; i++) {
-            Plan.Mover m = plan.frontends.get(i);
+            MigrationPlan.Mover m = plan.frontends.get(i);
             double to = share(m, begins[i], stage);
             double from =
-                    m.uniqued() && phase != Step.Phase.SETTLED
+                    m.uniqued() && phase != MigrationStep.Phase.SETTLED
                             ? share(m, begins[i], stage - 1)
                             : to;
-            parts.add(new Step.Part(from, to, from == to ? Step.Phase.SETTLED : phase));
+            parts.add(
+                    new MigrationStep.Part(
+                            from, to, from == to ? MigrationStep.Phase.SETTLED : phase));
         }
-        return new Step(stage, phase == Step.Phase.SETTLED, List.copyOf(parts));
+        return new MigrationStep(stage, phase == MigrationStep.Phase.SETTLED, List.copyOf(parts));
     }
 
-    private static double share(Plan.Mover m, int begins, int stage) {
+    private static double share(MigrationPlan.Mover m, int begins, int stage) {
         int done = Math.min(stage - begins, m.shares().size());
         return done <= 0 ? 0 : m.shares().get(done - 1);
     }
--- a/fleet/src/main/java/tinford/fleet/moves/Moves.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -9,15 +9,15 @@
 import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.store.Log;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.store.ReplicatedLog;
 
 /**
  * What the entries about moves have come to, on every member alike. {@link #apply} is the one place
  * that enforces the rules: an entry that is not due alters nothing. Holds one plan, and an ack and
  * a report of each incarnation that has them in the present turn.
  */
-public final class Moves implements Log.Reader {
+public final class MigrationState implements ReplicatedLog.Reader {
     /** See the table in docs/moves.md. */
     public enum State {
         IDLE,
@@ -41,7 +41,7 @@
     private int position;
     private int
             before; // position of the turn before, where nobody can be harmed by returning at once
-    private Plan plan;
+    private MigrationPlan plan;
     private long halts;
     private double turned;
     private double logNow;
@@ -51,14 +51,14 @@
     /**
      * @param apart by how many ms clocks differ at most
      */
-    public Moves(Map<String, String> homes, LeaseHolders leaseHolders, double apart) {
+    public MigrationState(Map<String, String> homes, LeaseHolders leaseHolders, double apart) {
         this(homes, leaseHolders, apart, new TransitionRules());
     }
 
     /**
      * @param rules tests and the lab replace one at a time by a broken one
      */
-    public Moves(
+    public MigrationState(
             Map<String, String> homes,
             LeaseHolders leaseHolders,
             double apart,
@@ -70,8 +70,8 @@
     }
 
     /** An independent copy that asks others about leases: what the lab explores from. */
-    public Moves copy(LeaseHolders others) {
-        Moves m = new Moves(homes, others, apart, rules);
+    public MigrationState copy(LeaseHolders others) {
+        MigrationState m = new MigrationState(homes, others, apart, rules);
         m.acks = new TreeMap<>(acks);
         m.reports = new TreeMap<>(reports);
         m.state = state;
@@ -88,8 +88,8 @@
         return m;
     }
 
-    public MoveStatus status() {
-        return new MoveStatus(state, back, turn, position, plan, homes);
+    public MigrationStatus status() {
+        return new MigrationStatus(state, back, turn, position, plan, homes);
     }
 
     /** Which halt is the present one; an operator's resume names it. */
@@ -135,7 +135,7 @@
     @Override
     public void apply(long index, byte[] entry) {
         try {
-            Entry e = Entry.of(entry);
+            MigrationEntry e = MigrationEntry.of(entry);
             logNow = Math.max(logNow, e.at());
             told =
                     index
@@ -144,12 +144,12 @@
                             + (e.who().isEmpty() ? "" : " by " + e.who())
                             + ": "
                             + apply(e);
-        } catch (Entry.Unknown e) {
+        } catch (MigrationEntry.Unknown e) {
             told = index + " refused: " + e.getMessage();
         }
     }
 
-    private String apply(Entry e) {
+    private String apply(MigrationEntry e) {
         return switch (e.kind()) {
             case BEGIN -> begin(e.plan());
             case ACK -> ack(e);
@@ -165,7 +165,7 @@
         return state == State.FORWARD || state == State.BACK;
     }
 
-    private String begin(Plan next) {
+    private String begin(MigrationPlan next) {
         if (moving() || state == State.HALTED) {
             return "refused, " + plan.name + " is under way";
         }
@@ -173,7 +173,7 @@
         if (state == State.DONE) {
             plan.frontends.forEach(m -> now.put(m.name(), m.to()));
         }
-        for (Plan.Mover m : next.frontends) {
+        for (MigrationPlan.Mover m : next.frontends) {
             if (!m.from().equals(now.get(m.name()))) {
                 return "refused, " + m.name() + " is at " + now.get(m.name());
             }
@@ -197,7 +197,7 @@
         reports.clear();
     }
 
-    private String ack(Entry e) {
+    private String ack(MigrationEntry e) {
         if (plan == null || !rules.counts(turn, e.turn())) {
             return "refused, not of this turn";
         }
@@ -209,7 +209,7 @@
         return "ack " + acks.size();
     }
 
-    private String go(Entry e) {
+    private String go(MigrationEntry e) {
         if (!moving() || e.turn() != turn || !rules.next(position, e.to(), back)) {
             return "refused, not the next one";
         }
@@ -238,7 +238,7 @@
         return "at step " + position;
     }
 
-    private String report(Entry e) {
+    private String report(MigrationEntry e) {
         if (plan == null
                 || e.turn() != turn
                 || state != State.FORWARD
@@ -281,7 +281,7 @@
         return "halt " + halts + " at step " + position;
     }
 
-    private String resume(Entry e) {
+    private String resume(MigrationEntry e) {
         if (!rules.lifts(state == State.HALTED, halts, e.turn())) {
             return "refused, no such halt";
         }
@@ -303,7 +303,7 @@
     public byte[] snapshot() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(Entry.VERSION);
+            out.writeByte(MigrationEntry.VERSION);
             out.writeByte(state.ordinal());
             out.writeBoolean(back);
             out.writeLong(turn);
@@ -353,10 +353,10 @@
     public void restore(long index, byte[] snapshot) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(snapshot))) {
             int version = in.readByte();
-            if (version != Entry.VERSION) {
+            if (version != MigrationEntry.VERSION) {
                 throw new IllegalArgumentException(
                         "snapshot of moves: version: expected "
-                                + Entry.VERSION
+                                + MigrationEntry.VERSION
                                 + ", not "
                                 + version);
             }
@@ -385,7 +385,7 @@
                 }
                 reports.put(incarnation, counts);
             }
-            plan = in.readBoolean() ? Plan.read(in) : null;
+            plan = in.readBoolean() ? MigrationPlan.read(in) : null;
             usual = new double[plan == null ? 0 : plan.frontends.size()];
             for (int i = 0; i < usual.length; i++) {
                 usual[i] = in.readDouble();
--- a/fleet/src/main/java/tinford/fleet/moves/MoveStatus.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStatus.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import java.util.Map;
 
@@ -8,14 +8,14 @@
  * @param turn rises with each change of position, over all plans
  * @param homes where each frontend that may move lives when no plan is about it
  */
-public record MoveStatus(
-        Moves.State state,
+public record MigrationStatus(
+        MigrationState.State state,
         boolean back,
         long turn,
         int position,
-        Plan plan,
+        MigrationPlan plan,
         Map<String, String> homes) {
-    public Step step() {
+    public MigrationStep step() {
         return plan == null ? null : plan.steps.get(position);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/moves/Step.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStep.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import java.util.List;
 
@@ -8,7 +8,7 @@
  * @param stage counted from 1; 0 is where nothing has moved
  * @param last of its stage: here it soaks
  */
-public record Step(int stage, boolean last, List<Part> parts) {
+public record MigrationStep(int stage, boolean last, List<Part> parts) {
     /** How the customers are treated who change their group in this stage. */
     public enum Phase {
         /** All have their group: below the share the new one. */
--- a/fleet/src/main/java/tinford/fleet/moves/Faults.java
+++ b/fleet/src/main/java/tinford/fleet/migration/PlanErrors.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,13 +8,13 @@
  * All that is wrong with one plan, a line each: file, line where it is found, frontend, key, and
  * what was expected.
  */
-public final class Faults {
+public final class PlanErrors {
     private static final Pattern HEAD = Pattern.compile("\\s*\\[\\[\\s*frontends\\s*]].*");
     private final String file;
     private final String[] lines;
     private final List<String> told = new ArrayList<>();
 
-    Faults(String file, String text) {
+    PlanErrors(String file, String text) {
         this.file = file;
         this.lines = text.split("\n", -1);
     }
--- a/fleet/src/main/java/tinford/fleet/moves/TransitionRules.java
+++ b/fleet/src/main/java/tinford/fleet/migration/TransitionRules.java
@@ -1,12 +1,12 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import java.util.Collection;
 import java.util.Map;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.Incarnation;
 
 /**
- * The rules about when a change of position is due. {@link Moves} asks them in one place; tests
- * replace one at a time by a broken one.
+ * The rules about when a change of position is due. {@link MigrationState} asks them in one place;
+ * tests replace one at a time by a broken one.
  */
 public class TransitionRules {
     /** One step at a time, in the direction that the moves have. */
@@ -47,14 +47,14 @@
      * retries are told, none goes anywhere in either step of a change, so the wait is due at the
      * end; where they aren't, nothing goes in HOLD, so the wait is due there.
      */
-    public double waits(Plan plan, int at, boolean back) {
+    public double waits(MigrationPlan plan, int at, boolean back) {
         double most = 0;
-        Step step = plan.steps.get(at);
+        MigrationStep step = plan.steps.get(at);
         for (int i = 0; i < plan.frontends.size(); i++) {
-            Step.Phase phase = step.parts().get(i).phase();
+            MigrationStep.Phase phase = step.parts().get(i).phase();
             boolean told = plan.frontends.get(i).told();
-            if (phase == Step.Phase.HOLD && (back || !told)
-                    || phase == Step.Phase.OPEN && told && !back) {
+            if (phase == MigrationStep.Phase.HOLD && (back || !told)
+                    || phase == MigrationStep.Phase.OPEN && told && !back) {
                 most = Math.max(most, plan.frontends.get(i).held());
             }
         }
@@ -62,16 +62,16 @@
     }
 
     /** Whether the groups that are gone to can take their share with what of them is warm now. */
-    public boolean fits(Plan plan, Step step, double[] warm) {
+    public boolean fits(MigrationPlan plan, MigrationStep step, double[] warm) {
         int g = 0;
-        for (Map.Entry<String, Plan.Room> group : plan.groups.entrySet()) {
+        for (Map.Entry<String, MigrationPlan.Room> group : plan.groups.entrySet()) {
             double load = 0;
             for (int i = 0; i < plan.frontends.size(); i++) {
                 if (plan.frontends.get(i).to().equals(group.getKey())) {
                     load += step.parts().get(i).load() * plan.frontends.get(i).units();
                 }
             }
-            Plan.Room room = group.getValue();
+            MigrationPlan.Room room = group.getValue();
             double hot = g < warm.length ? Math.max(0, Math.min(warm[g], room.units())) : 0;
             if (load > hot + room.coldPart() * (room.units() - hot) + 1e-9) {
                 return false;
--- a/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
+++ b/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
@@ -1,7 +1,7 @@
 package tinford.fleet.overload;
 
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Membership;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Membership;
 
 /**
  * The worth a unit below which nothing is passed while the servers bear less than is asked for:
--- a/fleet/src/main/java/tinford/fleet/overload/Overload.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
@@ -1,19 +1,19 @@
 package tinford.fleet.overload;
 
 import java.util.Random;
-import tinford.api.End;
-import tinford.api.Req;
-import tinford.api.Srv;
-import tinford.api.View;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Membership;
+import tinford.api.AttemptOutcome;
+import tinford.api.FleetPolicy;
+import tinford.api.Request;
+import tinford.api.Server;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Membership;
 
 /**
  * Overload handled by the fleet as one: the part of the view that bounds what is passed, sent
  * again, and tried. No I/O, one thread.
  */
-public final class Overload extends View {
+public final class FleetOverloadPolicy extends FleetPolicy {
     private static final double STEP_MS =
             100; // the line is worked out this often; records come no faster
 
@@ -30,7 +30,7 @@
      * @param window ms, of some seconds: a line is gone two of them after its cause
      * @param part of first dispatches that may be sent again where they may have run
      */
-    public Overload(
+    public FleetOverloadPolicy(
             double now, Incarnation incarnation, double window, double part, Random chance) {
         this.incarnation = incarnation;
         this.statistics = new LocalStatistics(now);
@@ -70,52 +70,52 @@
 
     /** By class of worth, so that gateways whose lines differ a little within one shed alike. */
     @Override
-    public double part(double worth) {
+    public double admittedShare(double worth) {
         int c = GossipRecord.classOf(worth);
         int at = GossipRecord.classOf(admission.threshold());
         return admission.threshold() <= 0 || c > at ? 1 : c < at ? 0 : admission.part();
     }
 
     @Override
-    public double further(double byOwn) {
+    public double retryAllowance(double byOwn) {
         return alone ? byOwn : retryBudget.level();
     }
 
     @Override
-    public boolean looksAfter(Srv srv) {
+    public boolean ownsProbing(Server srv) {
         return probeOwners.looksAfter(srv);
     }
 
     @Override
-    public double spread() {
+    public double retryAfterJitterMs() {
         return retryJitter.most(admission.overAsked());
     }
 
     @Override
-    public void asked(Req request, double worth) {
+    public void requestOffered(Request request, double worth) {
         statistics.asked(request.units, worth);
     }
 
     @Override
-    public void denied(Req request, double worth) {
+    public void requestRejected(Request request, double worth) {
         statistics.denied(request.units, worth);
     }
 
     @Override
-    public void sent(Req request, Srv srv, double worth, boolean again) {
+    public void attemptSent(Request request, Server srv, double worth, boolean again) {
         statistics.sent(again);
         retryBudget.sent(again);
         probeOwners.tried(srv);
     }
 
     @Override
-    public void ended(Req request, Srv srv, End how, boolean late) {
+    public void attemptEnded(Request request, Server srv, AttemptOutcome how, boolean late) {
         statistics.ended(request.units, how, late);
         if (!how.mayHaveRun) retryBudget.neverRan();
     }
 
     @Override
-    public void ill(Srv srv, boolean ill) {
+    public void serverHealthChanged(Server srv, boolean ill) {
         probeOwners.found(srv, ill);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Membership;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Membership;
 
 /**
  * What the fleet sees together: the mean of the records times those that live. A figure that is no
--- a/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
+++ b/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
@@ -1,9 +1,9 @@
 package tinford.fleet.overload;
 
 import java.util.Arrays;
-import tinford.api.End;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Incarnation;
+import tinford.api.AttemptOutcome;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Incarnation;
 
 /**
  * What this gateway saw itself over the last second, in five buckets used again in a ring: of one
@@ -62,15 +62,15 @@
         if (!further) waiting = Math.max(0, waiting - 1);
     }
 
-    public void ended(double units, End how, boolean late) {
+    public void ended(double units, AttemptOutcome how, boolean late) {
         open = Math.max(0, open - 1);
         switch (how) {
-            case GOOD -> {
+            case SUCCESS -> {
                 count(late ? LATE : GOOD, 1);
                 if (!late) count(GOOD_UNITS, units);
             }
             case TIMED_OUT -> count(LATE, 1);
-            case ERROR, BROKEN, FULL -> count(FAILED, 1);
+            case ERROR, CONNECTION_LOST, OVERLOADED -> count(FAILED, 1);
             default -> {} // not reached says nothing of what the others bear, and costs no further
                 // dispatch
         }
--- a/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import tinford.api.Srv;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Membership;
+import tinford.api.Server;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Membership;
 
 /**
  * Who finds out how a server does that was put aside: the one that rendezvous hashing draws among
@@ -62,7 +62,7 @@
     }
 
     /** Its name in the records. */
-    public static int nameOf(Srv srv) {
+    public static int nameOf(Server srv) {
         return mix(srv.id.hashCode());
     }
 
@@ -130,7 +130,7 @@
      * A finding of this gateway itself; that a server is well matters only where somebody said
      * otherwise.
      */
-    public void found(Srv srv, boolean ill) {
+    public void found(Server srv, boolean ill) {
         Note n = ill ? note(nameOf(srv)) : notes.get(nameOf(srv));
         if (n == null) return;
         if (ill && n.wellAt > n.foundAt && now - n.wellAt < PATIENCE_MS)
@@ -142,7 +142,7 @@
     }
 
     /** It was tried: the next look is drawn anew. */
-    public void tried(Srv srv) {
+    public void tried(Server srv) {
         Note n = notes.get(nameOf(srv));
         if (n != null && n.waited >= n.due) draw(n, n.since);
     }
@@ -151,7 +151,7 @@
      * Whether this gateway may send to it: well as far as known, told well again, its own to look
      * after, or due for a rare look.
      */
-    public boolean looksAfter(Srv srv) {
+    public boolean looksAfter(Server srv) {
         Note n = notes.get(nameOf(srv));
         if (n == null || membership == null || membership.living() <= 1) return true;
         boolean leave =
--- a/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Random;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Membership;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Membership;
 
 /**
  * One budget of further dispatches for the fleet, kept as accounts: first dispatches feed the own
--- a/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
+++ b/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import tinford.api.Frontend;
+import tinford.api.RequestClass;
 import tinford.fleet.config.Configuration;
-import tinford.fleet.config.Fault;
-import tinford.fleet.config.Plan;
-import tinford.fleet.config.Route;
+import tinford.fleet.config.PlanRecord;
+import tinford.fleet.config.RouteRecord;
+import tinford.fleet.config.ValidationError;
 import tinford.routing.Catalog;
 
 /**
@@ -22,7 +22,7 @@
         private static final long serialVersionUID = 1L;
 
         Unusable(String key, String expected) {
-            super(new Fault(key, expected).toString());
+            super(new ValidationError(key, expected).toString());
         }
     }
 
@@ -50,7 +50,7 @@
     /** The catalog of a configuration; nothing here changes where it is refused. */
     Catalog build(Configuration next) throws Unusable {
         check(next);
-        Map<String, Frontend> frontends = new LinkedHashMap<>();
+        Map<String, RequestClass> frontends = new LinkedHashMap<>();
         next.routes().forEach((name, route) -> frontends.put(name, frontend(route)));
         Map<String, tinford.api.Plan> plans = new LinkedHashMap<>();
         next.plans().forEach((name, plan) -> plans.put(name, plan(plan)));
@@ -78,11 +78,11 @@
         }
     }
 
-    private Frontend frontend(Route route) {
+    private RequestClass frontend(RouteRecord route) {
         if (route.equals(configuration.routes().get(route.name()))) {
             return catalog.frontends().get(route.name());
         }
-        return new Frontend(
+        return new RequestClass(
                 route.name(),
                 route.targetMs(),
                 route.timeoutMs(),
@@ -94,7 +94,7 @@
                 route.streamed());
     }
 
-    private tinford.api.Plan plan(Plan plan) {
+    private tinford.api.Plan plan(PlanRecord plan) {
         if (plan.equals(configuration.plans().get(plan.name()))) {
             return catalog.plans().get(plan.name());
         }
--- a/fleet/src/main/java/tinford/fleet/run/FleetView.java
+++ b/fleet/src/main/java/tinford/fleet/run/CombinedFleetPolicy.java
@@ -6,41 +6,41 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import tinford.api.Customer;
-import tinford.api.End;
-import tinford.api.Req;
-import tinford.api.Srv;
-import tinford.api.View;
+import tinford.api.AttemptOutcome;
+import tinford.api.FleetPolicy;
+import tinford.api.Request;
+import tinford.api.Server;
+import tinford.api.Tenant;
 
 /**
  * The view that the decisions see, of those parts of the fleet that are on; what is off bounds
  * nothing.
  */
-final class FleetView extends View {
+final class CombinedFleetPolicy extends FleetPolicy {
     private static final int MOST_ACCOUNTS = 20_000;
     private static final int MOST_ASIDE = 2048;
-    private final View overload;
+    private final FleetPolicy overload;
     private final ReplicatedState budgets;
-    private final Mover mover;
+    private final MigrationCoordinator mover;
     private final ReplicatedState log;
     private final DoubleSupplier clock;
     private volatile boolean over;
     private final Map<Long, Integer> out = new HashMap<>(); // dispatches, by account
-    private final Consumer<Srv> tries;
+    private final Consumer<Server> tries;
     private final Set<String> aside = new HashSet<>(); // servers that this gateway found ill
 
     /**
      * @param overload null where it is off; {@code budgets}, {@code mover} likewise; {@code log}
      *     null where neither is on; {@code tries} is told what goes to a server put aside
      */
-    FleetView(
-            View overload,
+    CombinedFleetPolicy(
+            FleetPolicy overload,
             ReplicatedState budgets,
-            Mover mover,
+            MigrationCoordinator mover,
             ReplicatedState log,
             DoubleSupplier clock,
-            Consumer<Srv> tries) {
-        this.overload = overload == null ? new View() : overload;
+            Consumer<Server> tries) {
+        this.overload = overload == null ? new FleetPolicy() : overload;
         this.budgets = budgets;
         this.mover = mover;
         this.log = log;
@@ -49,17 +49,17 @@
     }
 
     @Override
-    public boolean mayGo(Req request, Srv srv, Srv first) {
+    public boolean allowsServer(Request request, Server srv, Server first) {
         return mover == null || mover.mayGo(request, srv, first, clock.getAsDouble());
     }
 
     @Override
-    public boolean goes(Req request) {
+    public boolean isRoutable(Request request) {
         return mover == null || mover.goes(request, clock.getAsDouble());
     }
 
     @Override
-    public int mayHold(Srv srv) {
+    public int connectionLimit(Server srv) {
         return budgets == null
                 ? Integer.MAX_VALUE
                 : over ? 0 : budgets.mayHold(srv, clock.getAsDouble());
@@ -71,39 +71,39 @@
     }
 
     @Override
-    public int mayUse(Customer customer) {
+    public int tenantAttemptLimit(Tenant customer) {
         return budgets == null
                 ? Integer.MAX_VALUE
                 : budgets.mayUse(budgets.key(customer), clock.getAsDouble());
     }
 
     @Override
-    public void lacked(Req request) {
+    public void requestBlocked(Request request) {
         if (budgets != null) {
-            long account = budgets.key(request.customer);
+            long account = budgets.key(request.tenant);
             budgets.wanted(account, out.getOrDefault(account, 0) + 1);
         }
     }
 
     @Override
-    public void opened(Srv srv) {
+    public void connectionOpened(Server srv) {
         if (log != null) {
             log.opened(srv);
         }
     }
 
     @Override
-    public void closed(Srv srv) {
+    public void connectionClosed(Server srv) {
         if (log != null) {
             log.closed(srv);
         }
     }
 
-    private void count(Req request, int more) {
+    private void count(Request request, int more) {
         if (budgets == null) {
             return;
         }
-        long account = budgets.key(request.customer);
+        long account = budgets.key(request.tenant);
         if (more > 0 && out.size() < MOST_ACCOUNTS) {
             budgets.wanted(account, out.merge(account, more, Integer::sum));
         } else if (more < 0) {
@@ -112,60 +112,60 @@
     }
 
     @Override
-    public double part(double worth) {
-        return overload.part(worth);
+    public double admittedShare(double worth) {
+        return overload.admittedShare(worth);
     }
 
     @Override
-    public double further(double own) {
-        return overload.further(own);
+    public double retryAllowance(double own) {
+        return overload.retryAllowance(own);
     }
 
     @Override
-    public boolean looksAfter(Srv srv) {
-        return overload.looksAfter(srv);
+    public boolean ownsProbing(Server srv) {
+        return overload.ownsProbing(srv);
     }
 
     @Override
-    public double spread() {
-        return overload.spread();
+    public double retryAfterJitterMs() {
+        return overload.retryAfterJitterMs();
     }
 
     @Override
-    public void asked(Req request, double worth) {
-        overload.asked(request, worth);
+    public void requestOffered(Request request, double worth) {
+        overload.requestOffered(request, worth);
     }
 
     @Override
-    public void denied(Req request, double worth) {
-        overload.denied(request, worth);
+    public void requestRejected(Request request, double worth) {
+        overload.requestRejected(request, worth);
     }
 
     @Override
-    public void sent(Req request, Srv srv, double worth, boolean further) {
+    public void attemptSent(Request request, Server srv, double worth, boolean further) {
         count(request, 1);
         if (aside.contains(srv.id)) {
             tries.accept(srv);
         }
-        overload.sent(request, srv, worth, further);
+        overload.attemptSent(request, srv, worth, further);
     }
 
     @Override
-    public void ended(Req request, Srv srv, End how, boolean late) {
+    public void attemptEnded(Request request, Server srv, AttemptOutcome how, boolean late) {
         count(request, -1);
-        overload.ended(request, srv, how, late);
+        overload.attemptEnded(request, srv, how, late);
         if (mover != null) {
             mover.ended(request, srv, how, late);
         }
     }
 
     @Override
-    public void ill(Srv srv, boolean ill) {
+    public void serverHealthChanged(Server srv, boolean ill) {
         if (!ill) {
             aside.remove(srv.id);
         } else if (aside.size() < MOST_ASIDE) {
             aside.add(srv.id);
         }
-        overload.ill(srv, ill);
+        overload.serverHealthChanged(srv, ill);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/ConfigurationHistory.java
+++ b/fleet/src/main/java/tinford/fleet/run/ConfigurationHistory.java
@@ -5,11 +5,11 @@
 
 /** Writes into the history what became of configurations. On the I/O thread. */
 final class ConfigurationHistory {
-    private final History history;
+    private final HistoryWriter history;
     private final DoubleSupplier clock;
 
     /** With the wall clock of the history, in ms. */
-    ConfigurationHistory(History history, DoubleSupplier clock) {
+    ConfigurationHistory(HistoryWriter history, DoubleSupplier clock) {
         this.history = history;
         this.clock = clock;
     }
--- a/fleet/src/main/java/tinford/fleet/run/Fleet.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetMember.java
@@ -8,22 +8,22 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import tinford.api.Place;
-import tinford.api.View;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Members;
-import tinford.fleet.overload.Overload;
+import tinford.api.FleetPolicy;
+import tinford.api.GatewayIdentity;
+import tinford.fleet.membership.GossipMembership;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.overload.FleetOverloadPolicy;
 import tinford.fleet.transport.Transport;
 import tinford.fleet.transport.UdpTransport;
-import tinford.program.Companion;
+import tinford.program.FleetExtension;
 import tinford.routing.Catalog;
-import tinford.transport.Loop;
+import tinford.transport.EventLoop;
 
 /**
  * One gateway's part in its fleet: what the operator file asks for, made once and called on the I/O
  * thread from then on.
  */
-final class Fleet implements Companion {
+final class FleetMember implements FleetExtension {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
     private static final double TICK = 50;
     private static final double MOST_LEAVING = 700; // two rounds, and the way through the log
@@ -35,14 +35,14 @@
     private final String historyPath;
     private final double offset;
     private Incarnation incarnation;
-    private History history;
-    private Mailbox mailbox;
-    private Members members;
+    private HistoryWriter history;
+    private IoThreadMailbox mailbox;
+    private GossipMembership members;
     private Transport transport;
-    private Overload overload;
-    private FleetView view;
-    private final MoveSettings moves; // null where they are off
-    private Mover mover;
+    private FleetOverloadPolicy overload;
+    private CombinedFleetPolicy view;
+    private final MigrationSettings moves; // null where they are off
+    private MigrationCoordinator mover;
     private ReplicatedState replicatedState; // null where nothing needs agreement
     private Consumer<Catalog> useCatalog;
     private GatewayConfiguration configuration; // null where it is off
@@ -54,9 +54,9 @@
     private int living = -1;
     private boolean strained;
 
-    Fleet(
+    FleetMember(
             OperatorFile operatorFile,
-            MoveSettings moves,
+            MigrationSettings moves,
             GatewaySettings gatewaySettings,
             String historyPath) {
         this.moves = moves;
@@ -82,7 +82,7 @@
     }
 
     /** Starts from the last good configuration, and follows the control servers from then on. */
-    private void startConfiguration(Place place, Consumer<Loop.Due> enter) {
+    private void startConfiguration(GatewayIdentity place, Consumer<EventLoop.Task> enter) {
         ConfigurationSettings settings = ConfigurationSettings.of(operatorFile);
         if (settings == null) {
             return;
@@ -104,23 +104,26 @@
     }
 
     @Override
-    public View join(Place place, Consumer<Loop.Due> enter) throws IOException {
+    public FleetPolicy join(GatewayIdentity place, Consumer<EventLoop.Task> enter)
+            throws IOException {
         double now = now();
         incarnation = new Incarnation(place.number, (long) now);
-        mailbox = new Mailbox(LOSSY_CAPACITY, LOSSLESS_CAPACITY, what -> enter.accept(what::run));
+        mailbox =
+                new IoThreadMailbox(
+                        LOSSY_CAPACITY, LOSSLESS_CAPACITY, what -> enter.accept(what::run));
         double every = operatorFile.number("talk.every_ms");
         double suspect = operatorFile.number("talk.suspect_ms");
         members =
-                new Members(
+                new GossipMembership(
                         incarnation,
-                        place.gateways,
+                        place.gatewayCount,
                         every,
                         (int) operatorFile.number("talk.fanout"),
                         suspect,
                         suspect,
                         new Random(gatewaySettings.seed()));
         overload =
-                new Overload(
+                new FleetOverloadPolicy(
                         now,
                         incarnation,
                         operatorFile.number("overload.window_ms"),
@@ -131,15 +134,15 @@
                     new ReplicatedState(
                             operatorFile,
                             incarnation,
-                            place.gateways,
-                            ReplicatedState.staticShares(operatorFile, place.gateways),
+                            place.gatewayCount,
+                            ReplicatedState.staticShares(operatorFile, place.gatewayCount),
                             moves == null ? Map.of() : moves.homes(),
                             mailbox);
         }
-        history = History.at(historyPath, incarnation);
+        history = HistoryWriter.at(historyPath, incarnation);
         if (moves != null) {
             mover =
-                    new Mover(
+                    new MigrationCoordinator(
                             replicatedState.stateMachine,
                             incarnation,
                             moves,
@@ -147,14 +150,14 @@
                             replicatedState::left,
                             history);
             replicatedState.applied = entry -> mover.applied(entry, now());
-            new MoveCommandFile(
+            new MigrationCommandFile(
                             Path.of(operatorFile.text("log.folder")),
                             mailbox,
                             (line, then) -> mover.command(line, now(), then))
                     .start();
         }
         view =
-                new FleetView(
+                new CombinedFleetPolicy(
                         operatorFile.on("overload.on") ? overload : null,
                         operatorFile.on("budgets.on") ? replicatedState : null,
                         mover,
@@ -179,7 +182,7 @@
         LOG.log(
                 Level.INFO,
                 "one of a fleet of "
-                        + place.gateways
+                        + place.gatewayCount
                         + (transport == null
                                 ? "; the settings allow no messages between gateways"
                                 : ""));
--- a/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
@@ -7,22 +7,22 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Map;
-import tinford.fleet.budgets.Ledger;
-import tinford.fleet.budgets.StaticShares;
-import tinford.fleet.members.Leases;
-import tinford.fleet.moves.Entry;
-import tinford.fleet.moves.Moves;
-import tinford.fleet.store.Log;
+import tinford.fleet.budget.BudgetLedger;
+import tinford.fleet.budget.StaticShares;
+import tinford.fleet.membership.LeaseTable;
+import tinford.fleet.migration.MigrationEntry;
+import tinford.fleet.migration.MigrationState;
+import tinford.fleet.store.ReplicatedLog;
 
 /**
  * The state machine that reads the log: leases, budgets and moves, each taking its own entries. A
  * process has it twice: on the log's thread for snapshots, and on the I/O thread, where it is acted
  * on; both see the same entries in the same order.
  */
-final class FleetStateMachine implements Log.Reader {
-    final Leases leases;
-    final Ledger ledger;
-    final Moves moves;
+final class FleetStateMachine implements ReplicatedLog.Reader {
+    final LeaseTable leases;
+    final BudgetLedger ledger;
+    final MigrationState moves;
 
     /**
      * @param homes the group of each frontend that may move
@@ -34,14 +34,14 @@
             double linger,
             StaticShares staticShares,
             Map<String, String> homes) {
-        leases = new Leases(gateways, leaseMs, apart, linger);
-        ledger = new Ledger(leases, staticShares);
-        moves = new Moves(homes, leases::notSurelyOver, apart);
+        leases = new LeaseTable(gateways, leaseMs, apart, linger);
+        ledger = new BudgetLedger(leases, staticShares);
+        moves = new MigrationState(homes, leases::notSurelyOver, apart);
     }
 
     @Override
     public void apply(long index, byte[] entry) {
-        if (entry.length > 0 && entry[0] == Entry.MARK) {
+        if (entry.length > 0 && entry[0] == MigrationEntry.MARK) {
             moves.seen(leases.now());
             moves.apply(index, entry);
         } else {
--- a/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
@@ -19,7 +19,7 @@
 import tinford.fleet.follow.FollowerSettings;
 import tinford.fleet.follow.SnapshotFile;
 import tinford.routing.Catalog;
-import tinford.transport.Loop;
+import tinford.transport.EventLoop;
 
 /**
  * Brings configurations into force in one gateway: starts from the last good snapshot, follows the
@@ -37,7 +37,7 @@
     private final CatalogBuilder catalogs;
     private final SnapshotFile snapshots;
     private final Consumer<Catalog> use;
-    private final Consumer<Loop.Due> enter;
+    private final Consumer<EventLoop.Task> enter;
     private final ConfigurationHistory history;
     private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(GatewayConfiguration::thread);
@@ -56,7 +56,7 @@
             RandomGenerator random,
             CatalogBuilder catalogs,
             Consumer<Catalog> use,
-            Consumer<Loop.Due> enter,
+            Consumer<EventLoop.Task> enter,
             ConfigurationHistory history) {
         this.settings = settings;
         this.followerId = followerId;
--- a/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import tinford.api.Place;
+import tinford.api.GatewayIdentity;
 import tinford.fleet.config.RecordChecks;
 import tinford.routing.Addresses;
 
@@ -22,7 +22,7 @@
         long seed,
         boolean mayGossip) {
     /** Its name among the followers of the control servers. */
-    String followerId(Place place) {
+    String followerId(GatewayIdentity place) {
         return RecordChecks.isName(name) ? name : "gateway-" + place.number;
     }
 
--- a/fleet/src/main/java/tinford/fleet/run/History.java
+++ b/fleet/src/main/java/tinford/fleet/run/HistoryWriter.java
@@ -9,14 +9,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.ArrayBlockingQueue;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.Incarnation;
 
 /**
  * What this process did for the fleet, one JSON object a line: {@code at} (ms, monotone), {@code
  * wall} (ms, by its own clock), {@code gateway}, {@code incarnation}, {@code kind} and its fields.
  * Written by a thread of its own; what finds no room is counted and dropped.
  */
-public final class History implements AutoCloseable {
+public final class HistoryWriter implements AutoCloseable {
     private static final int MOST_WAITING = 4096;
     private final ArrayBlockingQueue<Map<String, Object>> waiting =
             new ArrayBlockingQueue<>(MOST_WAITING);
@@ -25,7 +25,7 @@
     private final Incarnation incarnation;
     private long dropped;
 
-    private History(BufferedWriter to, Incarnation incarnation) {
+    private HistoryWriter(BufferedWriter to, Incarnation incarnation) {
         this.to = to;
         this.incarnation = incarnation;
     }
@@ -33,12 +33,12 @@
     /**
      * @param path null or empty: nothing is written
      */
-    public static History at(String path, Incarnation incarnation) throws IOException {
+    public static HistoryWriter at(String path, Incarnation incarnation) throws IOException {
         if (path == null || path.isEmpty()) {
-            return new History(null, incarnation);
+            return new HistoryWriter(null, incarnation);
         }
-        History h =
-                new History(
+        HistoryWriter h =
+                new HistoryWriter(
                         Files.newBufferedWriter(
                                 Path.of(path),
                                 StandardOpenOption.CREATE,
--- a/fleet/src/main/java/tinford/fleet/run/Mailbox.java
+++ b/fleet/src/main/java/tinford/fleet/run/IoThreadMailbox.java
@@ -10,7 +10,7 @@
  * When the lossy one is full its oldest task is dropped, for it will come again. The lossless one
  * drops nothing: whoever adds to it waits for room.
  */
-public final class Mailbox {
+public final class IoThreadMailbox {
     private final int lossyCapacity;
     private final int losslessCapacity;
     private final Consumer<Runnable> enter;
@@ -24,7 +24,7 @@
      * @param enter runs what it is given on the I/O thread, soon; called once for all that has come
      *     by then
      */
-    public Mailbox(int lossyCapacity, int losslessCapacity, Consumer<Runnable> enter) {
+    public IoThreadMailbox(int lossyCapacity, int losslessCapacity, Consumer<Runnable> enter) {
         this.lossyCapacity = lossyCapacity;
         this.losslessCapacity = losslessCapacity;
         this.enter = enter;
--- a/fleet/src/main/java/tinford/fleet/run/Main.java
+++ b/fleet/src/main/java/tinford/fleet/run/Main.java
@@ -2,10 +2,10 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import tinford.Decide;
-import tinford.fleet.settings.InvalidSettings;
-import tinford.logs.Lines;
-import tinford.program.Serve;
+import tinford.decision.DecisionEngine;
+import tinford.fleet.settings.InvalidOperatorFileException;
+import tinford.logging.LineLogger;
+import tinford.program.GatewayProcess;
 
 /**
  * One gateway of a fleet: the gateway's own program, with a companion made from the operator file
@@ -29,17 +29,17 @@
             }
             GatewaySettings gatewaySettings = GatewaySettings.read(System.getenv("ROUTER_CONFIG"));
             OperatorFile operatorFile = OperatorFile.read(Path.of(file));
-            MoveSettings moves =
-                    MoveSettings.read(file, operatorFile, System.getenv("ROUTER_CONFIG"));
-            Fleet fleet =
-                    new Fleet(
+            MigrationSettings moves =
+                    MigrationSettings.read(file, operatorFile, System.getenv("ROUTER_CONFIG"));
+            FleetMember fleet =
+                    new FleetMember(
                             operatorFile, moves, gatewaySettings, System.getenv("TINFORD_HISTORY"));
-            code = Serve.start(System.getenv(), System.err, Decide::new, fleet);
-        } catch (InvalidSettings | IOException e) {
+            code = GatewayProcess.start(System.getenv(), System.err, DecisionEngine::new, fleet);
+        } catch (InvalidOperatorFileException | IOException e) {
             e.getMessage().lines().forEach(l -> System.err.println("tinford: " + l));
         }
         if (code >= 0) {
-            Lines.flush(100);
+            LineLogger.flush(100);
             System.exit(code);
         }
     }
--- a/fleet/src/main/java/tinford/fleet/run/MoveCommandFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/MigrationCommandFile.java
@@ -17,13 +17,13 @@
  * is taken once: the file is renamed before anything is done, and what came of it is written under
  * the line. One order at a time.
  */
-final class MoveCommandFile implements Runnable {
+final class MigrationCommandFile implements Runnable {
     private static final int LONGEST = 1024;
     private static final long EVERY = 1000;
     private static final long PATIENCE = 15_000;
     private final Path file;
     private final Path taken;
-    private final Mailbox mailbox;
+    private final IoThreadMailbox mailbox;
     private final Handler handler;
 
     /** Takes an order on the I/O thread. */
@@ -31,7 +31,7 @@
         void handle(String line, Consumer<String> then);
     }
 
-    MoveCommandFile(Path folder, Mailbox mailbox, Handler handler) {
+    MigrationCommandFile(Path folder, IoThreadMailbox mailbox, Handler handler) {
         this.file = folder.resolve("moves.order");
         this.taken = folder.resolve("moves.order.taken");
         this.mailbox = mailbox;
--- a/fleet/src/main/java/tinford/fleet/run/Mover.java
+++ b/fleet/src/main/java/tinford/fleet/run/MigrationCoordinator.java
@@ -8,24 +8,24 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import tinford.api.End;
-import tinford.api.Req;
-import tinford.api.Srv;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Lease;
-import tinford.fleet.moves.Entry;
-import tinford.fleet.moves.MoveStatus;
-import tinford.fleet.moves.Moves;
-import tinford.fleet.moves.Plan;
-import tinford.fleet.moves.Route;
-import tinford.fleet.moves.Step;
+import tinford.api.AttemptOutcome;
+import tinford.api.Request;
+import tinford.api.Server;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Lease;
+import tinford.fleet.migration.MigrationEntry;
+import tinford.fleet.migration.MigrationPlan;
+import tinford.fleet.migration.MigrationRouter;
+import tinford.fleet.migration.MigrationState;
+import tinford.fleet.migration.MigrationStatus;
+import tinford.fleet.migration.MigrationStep;
 
 /**
  * One process's part in staged moves: where its requests go, what it tells the log, and what it
  * offers while it leads. Called on the I/O thread only, after each applied entry and each tick.
  * Holds {@link #MOST_SERVERS} servers and one command of an operator at most.
  */
-final class Mover {
+final class MigrationCoordinator {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
     private static final int MOST_SERVERS = 1024;
     private static final double EVERY = 500; // acks and reports
@@ -33,14 +33,14 @@
     private static final double PATIENCE = 10_000;
     private final FleetStateMachine stateMachine;
     private final Incarnation incarnation;
-    private final MoveSettings settings;
+    private final MigrationSettings settings;
     private final Consumer<byte[]> log;
     private final BooleanSupplier left;
-    private final History history;
-    private final Route route;
-    private final Map<String, Srv> servers = new LinkedHashMap<>();
+    private final HistoryWriter history;
+    private final MigrationRouter route;
+    private final Map<String, Server> servers = new LinkedHashMap<>();
     private double offered = Double.NEGATIVE_INFINITY;
-    private MoveStatus told;
+    private MigrationStatus told;
     private double toldUntil = Double.NaN;
     private boolean holds;
     private long ackedTurn = -1;
@@ -51,20 +51,20 @@
     /**
      * @param left whether this process has left the fleet: from then on it acts on no lease
      */
-    Mover(
+    MigrationCoordinator(
             FleetStateMachine stateMachine,
             Incarnation incarnation,
-            MoveSettings settings,
+            MigrationSettings settings,
             Consumer<byte[]> log,
             BooleanSupplier left,
-            History history) {
+            HistoryWriter history) {
         this.stateMachine = stateMachine;
         this.incarnation = incarnation;
         this.settings = settings;
         this.log = log;
         this.left = left;
         this.history = history;
-        this.route = new Route(incarnation, stateMachine.moves.status(), EVERY);
+        this.route = new MigrationRouter(incarnation, stateMachine.moves.status(), EVERY);
     }
 
     private Lease lease() {
@@ -74,7 +74,7 @@
     /** After each entry, in order; {@code entry} is null after a snapshot. */
     void applied(byte[] entry, double now) {
         route.see(stateMachine.moves.status(), lease(), stateMachine.moves.acked(incarnation));
-        if (entry == null || entry.length == 0 || entry[0] == Entry.MARK) {
+        if (entry == null || entry.length == 0 || entry[0] == MigrationEntry.MARK) {
             if (pending != null && Arrays.equals(pending, entry)) {
                 over(stateMachine.moves.told());
             }
@@ -85,7 +85,7 @@
     void tick(double now, boolean leads) {
         route.see(stateMachine.moves.status(), lease(), stateMachine.moves.acked(incarnation));
         watch(now);
-        Entry tells = route.tells(now);
+        MigrationEntry tells = route.tells(now);
         if (tells != null) {
             log.accept(tells.bytes());
         }
@@ -101,15 +101,17 @@
     }
 
     private void offer(double now) {
-        MoveStatus s = stateMachine.moves.status();
+        MigrationStatus s = stateMachine.moves.status();
         if (s.plan() != null
-                && (s.state() == Moves.State.FORWARD || s.state() == Moves.State.BACK)) {
+                && (s.state() == MigrationState.State.FORWARD
+                        || s.state() == MigrationState.State.BACK)) {
             offered = now;
             log.accept(
-                    Entry.go(
+                    MigrationEntry.go(
                                     now,
                                     s.turn(),
-                                    s.position() + (s.state() == Moves.State.BACK ? -1 : 1),
+                                    s.position()
+                                            + (s.state() == MigrationState.State.BACK ? -1 : 1),
                                     warm(s.plan(), now))
                             .bytes());
         }
@@ -119,19 +121,20 @@
      * Of each group that is gone to, in order of name: the part of it that is warm, by the sizes of
      * its servers, of the units it has room for.
      */
-    private double[] warm(Plan plan, double now) {
+    private double[] warm(MigrationPlan plan, double now) {
         double[] units = new double[plan.groups.size()];
         int at = 0;
-        for (Map.Entry<String, Plan.Room> g : plan.groups.entrySet()) {
+        for (Map.Entry<String, MigrationPlan.Room> g : plan.groups.entrySet()) {
             double all = 0;
             double warm = 0;
-            for (Srv s : servers.values()) {
-                if (s.group.equals(g.getKey()) && s.state != Srv.State.REMOVED) {
-                    all += s.size;
+            for (Server s : servers.values()) {
+                if (s.group.equals(g.getKey()) && s.state != Server.State.REMOVED) {
+                    all += s.weight;
                     warm +=
-                            s.state == Srv.State.UP
-                                            && (s.born <= 0 || now - s.born >= settings.coldTime())
-                                    ? s.size
+                            s.state == Server.State.UP
+                                            && (s.startedAtMs <= 0
+                                                    || now - s.startedAtMs >= settings.coldTime())
+                                    ? s.weight
                                     : 0;
                 }
             }
@@ -151,16 +154,18 @@
         String[] words = line.strip().split("\\s+", 2);
         String who = words.length > 1 ? words[1] : "";
         boolean named = !who.isEmpty() && who.length() <= 64;
-        Entry e =
+        MigrationEntry e =
                 switch (words[0]) {
                     case "begin" ->
                             settings.plan() == null || who.length() > 64
                                     ? null
-                                    : Entry.begin(who, now, settings.plan());
-                    case "halt" -> named ? Entry.halt(who, now) : null;
+                                    : MigrationEntry.begin(who, now, settings.plan());
+                    case "halt" -> named ? MigrationEntry.halt(who, now) : null;
                     case "resume" ->
-                            named ? Entry.resume(who, now, stateMachine.moves.halts()) : null;
-                    case "back" -> named ? Entry.back(who, now) : null;
+                            named
+                                    ? MigrationEntry.resume(who, now, stateMachine.moves.halts())
+                                    : null;
+                    case "back" -> named ? MigrationEntry.back(who, now) : null;
                     default -> null;
                 };
         if (e == null || pending != null) {
@@ -193,26 +198,26 @@
         to.accept(what);
     }
 
-    boolean mayGo(Req request, Srv srv, Srv first, double now) {
+    boolean mayGo(Request request, Server srv, Server first, double now) {
         if (servers.size() < MOST_SERVERS) {
             servers.putIfAbsent(srv.id, srv);
         } else if (!servers.containsKey(srv.id)) {
-            servers.values().removeIf(s -> s.state == Srv.State.REMOVED);
+            servers.values().removeIf(s -> s.state == Server.State.REMOVED);
         }
         return !left.getAsBoolean()
                         && route.mayGo(
-                                request.frontend.name,
-                                request.customer.id,
-                                request.resent,
+                                request.requestClass.name,
+                                request.tenant.id,
+                                request.markedAsRetry,
                                 srv.group,
                                 first == null ? null : first.group,
                                 now)
-                || !settings.homes().containsKey(request.frontend.name);
+                || !settings.homes().containsKey(request.requestClass.name);
     }
 
-    boolean goes(Req request, double now) {
-        String name = request.frontend.name;
-        MoveStatus s = stateMachine.moves.status();
+    boolean goes(Request request, double now) {
+        String name = request.requestClass.name;
+        MigrationStatus s = stateMachine.moves.status();
         if (!settings.homes().containsKey(name)) {
             return true;
         }
@@ -228,17 +233,18 @@
                                 g ->
                                         route.mayGo(
                                                 name,
-                                                request.customer.id,
-                                                request.resent,
+                                                request.tenant.id,
+                                                request.markedAsRetry,
                                                 g,
                                                 null,
                                                 now));
     }
 
     /** What was given up says nothing of its server. */
-    void ended(Req request, Srv srv, End how, boolean late) {
-        if (how != End.CANCELLED && how != End.VOID) {
-            route.ended(request.frontend.name, srv.group, how == End.GOOD && !late);
+    void ended(Request request, Server srv, AttemptOutcome how, boolean late) {
+        if (how != AttemptOutcome.CANCELLED && how != AttemptOutcome.NOT_SENT) {
+            route.ended(
+                    request.requestClass.name, srv.group, how == AttemptOutcome.SUCCESS && !late);
         }
     }
 
@@ -255,7 +261,7 @@
             toldUntil = until;
             holds = has;
         }
-        MoveStatus s = stateMachine.moves.status();
+        MigrationStatus s = stateMachine.moves.status();
         boolean turned =
                 told == null
                         || told.turn() != s.turn()
@@ -272,12 +278,12 @@
         }
     }
 
-    private void stage(MoveStatus s, boolean turned, double now) {
+    private void stage(MigrationStatus s, boolean turned, double now) {
         List<String> begun = new ArrayList<>();
         List<String> moved = new ArrayList<>();
         for (int i = 0; i < s.plan().frontends.size(); i++) {
-            Plan.Mover m = s.plan().frontends.get(i);
-            Step.Part part = s.step().parts().get(i);
+            MigrationPlan.Mover m = s.plan().frontends.get(i);
+            MigrationStep.Part part = s.step().parts().get(i);
             if (told == null || told.plan() == null || !told.plan().name.equals(s.plan().name)) {
                 history.add(
                         now,
@@ -323,7 +329,9 @@
                             + "; "
                             + stateMachine.moves.told());
         }
-        if (turned && (s.state() == Moves.State.DONE || s.state() == Moves.State.UNDONE)) {
+        if (turned
+                && (s.state() == MigrationState.State.DONE
+                        || s.state() == MigrationState.State.UNDONE)) {
             history.add(
                     now, "moved", "move", s.plan().name, "state", s.state().name(), "moved", moved);
         }
--- a/fleet/src/main/java/tinford/fleet/run/MoveSettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/MigrationSettings.java
@@ -10,14 +10,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tinford.api.Effect;
-import tinford.api.Frontend;
-import tinford.fleet.moves.Faults;
-import tinford.fleet.moves.Plan;
-import tinford.fleet.moves.PlanReader;
-import tinford.fleet.settings.InvalidSettings;
-import tinford.handed.BadInput;
-import tinford.handed.Fields;
+import tinford.api.Idempotency;
+import tinford.api.RequestClass;
+import tinford.fleet.migration.MigrationPlan;
+import tinford.fleet.migration.MigrationPlanReader;
+import tinford.fleet.migration.PlanErrors;
+import tinford.fleet.settings.InvalidOperatorFileException;
+import tinford.settings.InvalidSettingsException;
+import tinford.settings.JsonFields;
+import tinford.settings.SettingsReader;
 
 /**
  * What the operator file says of moves, held against the gateway's own settings.
@@ -27,43 +28,46 @@
  * @param plan what {@code begin} begins, or null
  * @param coldTime ms after its start until a server counts as warm
  */
-record MoveSettings(Map<String, String> homes, Plan plan, double coldTime) {
+record MigrationSettings(Map<String, String> homes, MigrationPlan plan, double coldTime) {
     /** Null where moves are off. */
-    static MoveSettings read(String file, OperatorFile operatorFile, String config)
-            throws InvalidSettings, IOException {
+    static MigrationSettings read(String file, OperatorFile operatorFile, String config)
+            throws InvalidOperatorFileException, IOException {
         if (!operatorFile.on("moves.on")) {
             return null;
         }
         try {
-            Fields set =
-                    Fields.of(new JsonFactory(), "configuration", Files.readString(Path.of(config)))
-                            .part("settings");
-            Fields rules = set.part("Rules");
+            JsonFields set =
+                    JsonFields.of(
+                                    new JsonFactory(),
+                                    "configuration",
+                                    Files.readString(Path.of(config)))
+                            .object("settings");
+            JsonFields rules = set.object("Rules");
             return of(
                     file,
                     operatorFile,
-                    tinford.handed.Handed.frontends(set),
-                    rules.real("ColdFrom"),
+                    SettingsReader.requestClasses(set),
+                    rules.number("ColdFrom"),
                     rules.millis("ColdUs"));
-        } catch (BadInput e) {
+        } catch (InvalidSettingsException e) {
             throw new IOException(e.getMessage());
         }
     }
 
-    static MoveSettings of(
+    static MigrationSettings of(
             String file,
             OperatorFile operatorFile,
-            Map<String, Frontend> frontends,
+            Map<String, RequestClass> frontends,
             double coldFrom,
             double coldTime)
-            throws InvalidSettings {
+            throws InvalidOperatorFileException {
         List<String> faults = new ArrayList<>();
         Map<String, String> homes = new TreeMap<>();
-        Map<String, Frontend> may = new HashMap<>();
+        Map<String, RequestClass> may = new HashMap<>();
         double window = 0;
         for (String home : operatorFile.texts("moves.homes")) {
             String[] pair = home.split("=", 2);
-            Frontend f = frontends.get(pair[0]);
+            RequestClass f = frontends.get(pair[0]);
             if (f == null
                     || pair.length < 2
                     || pair[1].isBlank()
@@ -78,8 +82,8 @@
                 window =
                         Math.max(
                                 window,
-                                f.effect == Effect.IDEMPOTENCY_KEY
-                                        ? f.repeatWindow + f.timeout
+                                f.idempotency == Idempotency.IDEMPOTENCY_KEY
+                                        ? f.deduplicationWindowMs + f.timeoutMs
                                         : 0);
             }
         }
@@ -92,13 +96,13 @@
                             + Math.round(window)
                             + " or more: repeat window and client timeout of what may move");
         }
-        Map<String, Plan.Room> rooms = new TreeMap<>();
+        Map<String, MigrationPlan.Room> rooms = new TreeMap<>();
         for (String room : operatorFile.texts("moves.rooms")) {
             String[] parts = room.split("[=,]");
             try {
                 rooms.put(
                         parts[0],
-                        new Plan.Room(
+                        new MigrationPlan.Room(
                                 Double.parseDouble(parts[1]),
                                 Integer.parseInt(parts[2].strip()),
                                 coldFrom));
@@ -109,21 +113,21 @@
                                 + room);
             }
         }
-        Plan plan =
+        MigrationPlan plan =
                 operatorFile.text("moves.plan").isEmpty()
                         ? null
                         : plan(operatorFile.text("moves.plan"), may, homes, rooms, faults);
         if (!faults.isEmpty()) {
-            throw new InvalidSettings(faults);
+            throw new InvalidOperatorFileException(faults);
         }
-        return new MoveSettings(homes, plan, coldTime);
+        return new MigrationSettings(homes, plan, coldTime);
     }
 
-    private static Plan plan(
+    private static MigrationPlan plan(
             String path,
-            Map<String, Frontend> may,
+            Map<String, RequestClass> may,
             Map<String, String> homes,
-            Map<String, Plan.Room> rooms,
+            Map<String, MigrationPlan.Room> rooms,
             List<String> faults) {
         Map<String, String> now = new HashMap<>(homes);
         try {
@@ -134,8 +138,9 @@
                     .readTree(text)
                     .path("frontends")
                     .forEach(f -> now.replace(f.path("name").asText(), f.path("from").asText()));
-            return new PlanReader(new Plan.Known(may, now, rooms)).read(path, text);
-        } catch (Faults.Refused e) {
+            return new MigrationPlanReader(new MigrationPlan.Known(may, now, rooms))
+                    .read(path, text);
+        } catch (PlanErrors.Refused e) {
             faults.addAll(e.faults());
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
             faults.add(path + ": expected TOML: " + e.getOriginalMessage());
