--- a/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import tinford.fleet.config.RecordChecks;
 import tinford.fleet.settings.EndpointText;
-import tinford.fleet.settings.InvalidSettings;
-import tinford.fleet.settings.Settings;
+import tinford.fleet.settings.InvalidOperatorFileException;
+import tinford.fleet.settings.OperatorSettings;
 import tinford.fleet.settings.SettingsSchema;
 
 /**
@@ -45,27 +45,28 @@
                     .texts("configuration.servers", "a list of " + EndpointText.FORM)
                     .text("configuration.folder", "a folder that lasts");
 
-    private final Settings settings;
+    private final OperatorSettings settings;
     private final List<String> faults = new ArrayList<>();
 
-    private OperatorFile(Settings settings) {
+    private OperatorFile(OperatorSettings settings) {
         this.settings = settings;
     }
 
-    public static OperatorFile read(Path file) throws InvalidSettings {
+    public static OperatorFile read(Path file) throws InvalidOperatorFileException {
         return checked(SCHEMA.read(file));
     }
 
-    static OperatorFile of(String file, String text) throws InvalidSettings {
+    static OperatorFile of(String file, String text) throws InvalidOperatorFileException {
         return checked(SCHEMA.parse(file, text));
     }
 
-    private static OperatorFile checked(Settings settings) throws InvalidSettings {
+    private static OperatorFile checked(OperatorSettings settings)
+            throws InvalidOperatorFileException {
         OperatorFile read = new OperatorFile(settings);
         read.checkTogether();
         read.checkConfiguration();
         if (!read.faults.isEmpty()) {
-            throw new InvalidSettings(read.faults);
+            throw new InvalidOperatorFileException(read.faults);
         }
         return read;
     }
--- a/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
+++ b/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
@@ -15,14 +15,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import tinford.api.Srv;
-import tinford.fleet.budgets.LedgerEntry;
-import tinford.fleet.budgets.Proposer;
-import tinford.fleet.budgets.Share;
-import tinford.fleet.budgets.StaticShares;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.store.Log;
+import tinford.api.Server;
+import tinford.api.Tenant;
+import tinford.fleet.budget.GrantProposer;
+import tinford.fleet.budget.LedgerEntry;
+import tinford.fleet.budget.LocalBudget;
+import tinford.fleet.budget.StaticShares;
+import tinford.fleet.membership.Incarnation;
 import tinford.fleet.store.RaftLog;
+import tinford.fleet.store.ReplicatedLog;
 import tinford.routing.Addresses;
 
 /**
@@ -46,19 +47,19 @@
     private static final int WEIGHT_AT = 40;
 
     final FleetStateMachine stateMachine;
-    private final Share share;
-    private final Proposer proposer;
+    private final LocalBudget share;
+    private final GrantProposer proposer;
     private final int offer;
     private final int accounts;
     private double nextOffers;
 
     /** Those asked for lately. */
-    private final Map<String, Srv> servers =
+    private final Map<String, Server> servers =
             new LinkedHashMap<>(16, 0.75f, true) {
                 private static final long serialVersionUID = 1L;
 
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<String, Srv> eldest) {
+                protected boolean removeEldestEntry(Map.Entry<String, Server> eldest) {
                     return size() > MOST_SERVERS;
                 }
             };
@@ -67,7 +68,7 @@
     private final FileChannel
             lock; // held for this incarnation: one that nobody holds is closed, and its lock goes
     // with it
-    private volatile Log log;
+    private volatile ReplicatedLog log;
     private boolean led;
 
     /** Is told of each entry that was applied on the I/O thread, and of a snapshot as null. */
@@ -79,7 +80,7 @@
             int gateways,
             StaticShares staticShares,
             Map<String, String> homes,
-            Mailbox mailbox)
+            IoThreadMailbox mailbox)
             throws IOException {
         double leaseMs = operatorFile.number("log.term_ms");
         double apart = operatorFile.number("log.clocks_apart_ms");
@@ -90,7 +91,8 @@
         int floor = (int) operatorFile.number("budgets.floor");
         int cap = (int) operatorFile.number("budgets.cap");
         proposer =
-                new Proposer(key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap), ROUND);
+                new GrantProposer(
+                        key -> new GrantProposer.Plan((int) (key >> WEIGHT_AT), floor, cap), ROUND);
         Path folder = Files.createDirectories(Path.of(operatorFile.text("log.folder")));
         lock =
                 FileChannel.open(
@@ -99,10 +101,10 @@
                         StandardOpenOption.WRITE);
         boolean alone = lock.tryLock() != null;
         share =
-                new Share(
+                new LocalBudget(
                         stateMachine.ledger,
                         staticShares,
-                        key -> new Proposer.Plan((int) (key >> WEIGHT_AT), floor, cap),
+                        key -> new GrantProposer.Plan((int) (key >> WEIGHT_AT), floor, cap),
                         incarnation,
                         leaseMs,
                         2 * apart,
@@ -158,8 +160,8 @@
      * The one on the log's thread answers for snapshots; the one on the I/O thread follows it, and
      * holds it back where it can't.
      */
-    private Log.Reader reader(FleetStateMachine snapshotSource, Mailbox mailbox) {
-        return new Log.Reader() {
+    private ReplicatedLog.Reader reader(FleetStateMachine snapshotSource, IoThreadMailbox mailbox) {
+        return new ReplicatedLog.Reader() {
             @Override
             public void apply(long index, byte[] entry) {
                 snapshotSource.apply(index, entry);
@@ -200,7 +202,7 @@
      * come to.
      */
     CompletableFuture<Long> append(byte[] entry) {
-        Log to = log;
+        ReplicatedLog to = log;
         return to == null ? CompletableFuture.completedFuture(0L) : to.append(entry);
     }
 
@@ -224,10 +226,10 @@
         }
         int told = now < nextOffers ? OFFERS_A_ROUND : 0;
         nextOffers = told > 0 ? nextOffers : now + ROUND;
-        for (Srv s : servers.values()) {
+        for (Server s : servers.values()) {
             if (told < OFFERS_A_ROUND && stateMachine.ledger.number(s.id) < 0) {
                 told++;
-                append(new LedgerEntry.Offer(s.id, (long) s.born, offer, now).bytes());
+                append(new LedgerEntry.Offer(s.id, (long) s.startedAtMs, offer, now).bytes());
             }
         }
         byte[] grant = proposer.propose(stateMachine.ledger, now);
@@ -245,13 +247,13 @@
         return led;
     }
 
-    int mayHold(Srv srv, double now) {
+    int mayHold(Server srv, double now) {
         servers.put(srv.id, srv);
         return share.mayHold(srv.id, now);
     }
 
-    long key(tinford.api.Customer c) {
-        return Math.max(1, Math.min(1000, Math.round(10 * c.plan.price))) << WEIGHT_AT
+    long key(Tenant c) {
+        return Math.max(1, Math.min(1000, Math.round(10 * c.plan.priorityWeight))) << WEIGHT_AT
                 | Math.floorMod(c.id, accounts);
     }
 
@@ -267,11 +269,11 @@
         share.wanted(account, dispatches);
     }
 
-    void opened(Srv srv) {
+    void opened(Server srv) {
         share.opened(srv.id);
     }
 
-    void closed(Srv srv) {
+    void closed(Server srv) {
         share.closed(srv.id);
     }
 
--- a/fleet/src/main/java/tinford/fleet/settings/InvalidSettings.java
+++ b/fleet/src/main/java/tinford/fleet/settings/InvalidOperatorFileException.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /** A file that can't be used; its message has one line a fault. */
-public final class InvalidSettings extends Exception {
+public final class InvalidOperatorFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public InvalidSettings(List<String> faults) {
+    public InvalidOperatorFileException(List<String> faults) {
         super(String.join("\n", faults));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/settings/Settings.java
+++ b/fleet/src/main/java/tinford/fleet/settings/OperatorSettings.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /** The values of an operator file that was read, by {@code table.key}. */
-public final class Settings {
+public final class OperatorSettings {
     private static final int NOWHERE = 0;
 
     private final String file;
     private final String content;
     private final Map<String, Object> values;
 
-    Settings(String file, String content, Map<String, Object> values) {
+    OperatorSettings(String file, String content, Map<String, Object> values) {
         this.file = file;
         this.content = content;
         this.values = values;
--- a/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
@@ -46,12 +46,13 @@
     }
 
     /** Reads the file; every fault of its keys is told at once. */
-    public Settings read(Path file) throws InvalidSettings {
+    public OperatorSettings read(Path file) throws InvalidOperatorFileException {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new InvalidSettings(List.of(file + ": expected a file that can be read"));
+            throw new InvalidOperatorFileException(
+                    List.of(file + ": expected a file that can be read"));
         }
         return parse(file.toString(), text);
     }
@@ -61,9 +62,9 @@
      *
      * @param file its name, for faults
      */
-    public Settings parse(String file, String text) throws InvalidSettings {
+    public OperatorSettings parse(String file, String text) throws InvalidOperatorFileException {
         Map<String, Object> values = new LinkedHashMap<>();
-        Settings settings = new Settings(file, text, values);
+        OperatorSettings settings = new OperatorSettings(file, text, values);
         List<String> faults = new ArrayList<>();
         for (Map.Entry<String, JsonNode> table : tree(file, text).properties()) {
             if (table.getValue().isObject()) {
@@ -74,17 +75,17 @@
         }
         addAbsent(settings, values, faults);
         if (!faults.isEmpty()) {
-            throw new InvalidSettings(faults);
+            throw new InvalidOperatorFileException(faults);
         }
         return settings;
     }
 
-    private static JsonNode tree(String file, String text) throws InvalidSettings {
+    private static JsonNode tree(String file, String text) throws InvalidOperatorFileException {
         try {
             return new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
             String line = e.getLocation() == null ? "?" : "" + e.getLocation().getLineNr();
-            throw new InvalidSettings(
+            throw new InvalidOperatorFileException(
                     List.of(
                             file
                                     + ", line "
@@ -96,7 +97,7 @@
 
     private void readTable(
             Map.Entry<String, JsonNode> table,
-            Settings settings,
+            OperatorSettings settings,
             Map<String, Object> values,
             List<String> faults) {
         for (Map.Entry<String, JsonNode> entry : table.getValue().properties()) {
@@ -115,7 +116,8 @@
         }
     }
 
-    private void addAbsent(Settings settings, Map<String, Object> values, List<String> faults) {
+    private void addAbsent(
+            OperatorSettings settings, Map<String, Object> values, List<String> faults) {
         keys.forEach(
                 (name, key) -> {
                     if (key.absent() != null) {
--- a/fleet/src/main/java/tinford/fleet/store/Sealed.java
+++ b/fleet/src/main/java/tinford/fleet/store/ChecksummedFile.java
@@ -7,13 +7,13 @@
  * A content with a header that tells whether it is whole: magic, format version, written-at time,
  * length and a CRC32C over all of that and the content. Big-endian, 28 bytes before the content.
  */
-final class Sealed {
+final class ChecksummedFile {
     static final int HEAD = 28;
     private static final int MAGIC = 0x74696e66; // "tinf"
     private static final int VERSION = 1;
     private static final int SUM_AT = 24;
 
-    private Sealed() {}
+    private ChecksummedFile() {}
 
     static byte[] seal(byte[] content, double now) {
         ByteBuffer to = ByteBuffer.allocate(HEAD + content.length);
--- a/fleet/src/main/java/tinford/fleet/store/Disk.java
+++ b/fleet/src/main/java/tinford/fleet/store/DiskOperations.java
@@ -12,7 +12,7 @@
  * The steps of a write to a folder, each by itself, so that a test can stop between any two of
  * them.
  */
-interface Disk {
+interface DiskOperations {
     /** Into a new file, which may be cut short by whatever stops it. */
     void write(Path file, ByteBuffer bytes) throws IOException;
 
@@ -29,7 +29,7 @@
     void delete(Path file) throws IOException;
 
     /** The platform's own. */
-    final class Real implements Disk {
+    final class Real implements DiskOperations {
         @Override
         public void write(Path file, ByteBuffer bytes) throws IOException {
             try (FileChannel to =
--- a/fleet/src/main/java/tinford/fleet/store/FileStore.java
+++ b/fleet/src/main/java/tinford/fleet/store/FileStore.java
@@ -20,7 +20,7 @@
     private final Path beside;
     private final int largest;
     private final double aheadMs;
-    private final Disk disk;
+    private final DiskOperations disk;
     private boolean closed;
 
     /**
@@ -28,10 +28,10 @@
      * @param aheadMs how far in the future a content may be dated, for clocks that were set back
      */
     public FileStore(Path folder, String name, int largest, double aheadMs) {
-        this(folder, name, largest, aheadMs, new Disk.Real());
+        this(folder, name, largest, aheadMs, new DiskOperations.Real());
     }
 
-    FileStore(Path folder, String name, int largest, double aheadMs, Disk disk) {
+    FileStore(Path folder, String name, int largest, double aheadMs, DiskOperations disk) {
         if (name.isEmpty() || !Path.of(name).getFileName().toString().equals(name)) {
             throw new IllegalArgumentException(
                     "store name '" + name + "': expected a file name without folders");
@@ -53,12 +53,16 @@
         // one byte more than may be there, so that what is too long is seen without being read
         // whole
         try (InputStream from = Files.newInputStream(file)) {
-            byte[] bytes = from.readNBytes(Sealed.HEAD + largest + 1);
-            if (bytes.length > Sealed.HEAD + largest) {
+            byte[] bytes = from.readNBytes(ChecksummedFile.HEAD + largest + 1);
+            if (bytes.length > ChecksummedFile.HEAD + largest) {
                 return new Found(
-                        null, file + ": too long: more than " + (Sealed.HEAD + largest) + " bytes");
+                        null,
+                        file
+                                + ": too long: more than "
+                                + (ChecksummedFile.HEAD + largest)
+                                + " bytes");
             }
-            Found found = Sealed.open(bytes, now, aheadMs, largest);
+            Found found = ChecksummedFile.open(bytes, now, aheadMs, largest);
             return found.why() == null ? found : new Found(null, file + ": " + found.why());
         } catch (NoSuchFileException none) {
             return new Found(null, file + ": none");
@@ -82,7 +86,7 @@
         }
         try {
             disk.delete(beside);
-            disk.write(beside, ByteBuffer.wrap(Sealed.seal(content, now)));
+            disk.write(beside, ByteBuffer.wrap(ChecksummedFile.seal(content, now)));
             disk.force(beside);
             disk.rename(beside, file);
             disk.forceFolder(folder);
--- a/fleet/src/main/java/tinford/fleet/store/MemoryLogs.java
+++ b/fleet/src/main/java/tinford/fleet/store/InMemoryLogs.java
@@ -12,7 +12,7 @@
  * to, but are none. One thread, driven by {@link #advance}; chance is handed in. Bounds: {@code
  * inFlight} appends a member; entries since the last snapshot.
  */
-public final class MemoryLogs {
+public final class InMemoryLogs {
     /** An append under way. */
     private static final class Offer {
         private final byte[] entry;
@@ -36,7 +36,7 @@
     private final class Member {
         private final int number;
         private final List<Offer> offers = new ArrayList<>();
-        private Log.Reader reader;
+        private ReplicatedLog.Reader reader;
         private int life;
 
         /** Up to which index its disk has the entries, and the reader knows them. */
@@ -75,7 +75,7 @@
     }
 
     /** The member as one life of it sees it: after a stop this handle is closed for good. */
-    private final class Handle implements Log {
+    private final class Handle implements ReplicatedLog {
         private final Member member;
         private final int life;
 
@@ -133,7 +133,7 @@
     /**
      * @param size members, numbered from 1
      */
-    public MemoryLogs(
+    public InMemoryLogs(
             int size,
             double delayMs,
             double silenceMs,
@@ -161,7 +161,7 @@
     }
 
     /** Starts a member's life, with what its disk has. */
-    public Log open(int number, Log.Reader reader) {
+    public ReplicatedLog open(int number, ReplicatedLog.Reader reader) {
         Member member = member(number);
         if (member.reader != null) {
             throw new IllegalStateException("member " + number + " runs already");
--- a/fleet/src/main/java/tinford/fleet/store/MemoryStore.java
+++ b/fleet/src/main/java/tinford/fleet/store/InMemoryStore.java
@@ -7,7 +7,7 @@
  * {@link Platter}, which outlives the store as a disk outlives a process. Holds two contents of at
  * most {@code largest} bytes.
  */
-public final class MemoryStore implements Store {
+public final class InMemoryStore implements Store {
     /** What ails the disk. */
     public enum Fault {
         NONE,
@@ -60,7 +60,7 @@
     private final double aheadMs;
     private boolean closed;
 
-    public MemoryStore(Platter platter, int largest, double aheadMs) {
+    public InMemoryStore(Platter platter, int largest, double aheadMs) {
         this.platter = platter;
         this.largest = largest;
         this.aheadMs = aheadMs;
@@ -75,7 +75,7 @@
             if (platter.now == null) {
                 return new Found(null, "memory: none");
             }
-            Found found = Sealed.open(platter.now, now, aheadMs, largest);
+            Found found = ChecksummedFile.open(platter.now, now, aheadMs, largest);
             return found.why() == null ? found : new Found(null, "memory: " + found.why());
         }
     }
@@ -101,7 +101,7 @@
             if (platter.fault == Fault.SLOW) {
                 platter.slowMs += SLOW_MS;
             }
-            platter.bytes(Sealed.seal(content, now));
+            platter.bytes(ChecksummedFile.seal(content, now));
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/store/RaftLog.java
+++ b/fleet/src/main/java/tinford/fleet/store/RaftLog.java
@@ -55,12 +55,13 @@
  * shapes; Ratis keeps term and vote on the disk, asks before it votes, and catches up by chunks of
  * a snapshot.
  *
- * <p>A member that lost its disk would break what it voted and acknowledged; see {@link Rejoining}.
+ * <p>A member that lost its disk would break what it voted and acknowledged; see {@link
+ * ReplicaRejoin}.
  *
  * <p>Bounds: {@code inFlight} appends wait at a member, each of at most {@code entryBytes}; the
  * disk holds the entries since the last two snapshots and segments of 1 MiB.
  */
-public final class RaftLog implements Log {
+public final class RaftLog implements ReplicatedLog {
     /**
      * What an append may take and how many wait; when a snapshot is taken; how long a silent leader
      * stays one.
@@ -156,7 +157,8 @@
                         folder.resolve(GROUP.getUuid().toString())
                                 .resolve("current")
                                 .resolve("raft-meta"));
-        Rejoining rejoining = new Rejoining(GROUP, self, peers, properties, parameters, folder);
+        ReplicaRejoin rejoining =
+                new ReplicaRejoin(GROUP, self, peers, properties, parameters, folder);
         boolean again = rejoining.needed(known);
         RaftGroup group = again ? RaftGroup.valueOf(GROUP) : RaftGroup.valueOf(GROUP, peers);
         server =
@@ -165,7 +167,7 @@
                         .setGroup(group)
                         .setProperties(properties)
                         .setParameters(parameters)
-                        .setStateMachine(new Applied(reader))
+                        .setStateMachine(new RatisStateMachine(reader))
                         .setOption(known ? StartupOption.RECOVER : StartupOption.FORMAT)
                         .build();
         sender =
--- a/fleet/src/main/java/tinford/fleet/store/Applied.java
+++ b/fleet/src/main/java/tinford/fleet/store/RatisStateMachine.java
@@ -21,14 +21,14 @@
  * Hands what the library has committed to a reader, and keeps its snapshots as sealed files in the
  * library's folder.
  */
-final class Applied extends BaseStateMachine {
+final class RatisStateMachine extends BaseStateMachine {
     /** Bytes that a snapshot may have. */
     private static final int LARGEST = 64 * 1024 * 1024;
 
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
-    private final Log.Reader reader;
+    private final ReplicatedLog.Reader reader;
 
-    Applied(Log.Reader reader) {
+    RatisStateMachine(ReplicatedLog.Reader reader) {
         this.reader = reader;
     }
 
--- a/fleet/src/main/java/tinford/fleet/store/Rejoining.java
+++ b/fleet/src/main/java/tinford/fleet/store/ReplicaRejoin.java
@@ -26,7 +26,7 @@
  * entries. Where no other answers, it can't tell that from the first start of all: a member with an
  * empty folder must not be started before another one runs.
  */
-final class Rejoining {
+final class ReplicaRejoin {
     private static final TimeDuration AGAIN = TimeDuration.valueOf(200, TimeUnit.MILLISECONDS);
     private final RaftGroup group;
     private final RaftPeerId self;
@@ -37,7 +37,7 @@
     /** There from when it was found out until it counts again, over restarts. */
     private final Path mark;
 
-    Rejoining(
+    ReplicaRejoin(
             RaftGroupId id,
             RaftPeerId self,
             List<RaftPeer> peers,
--- a/fleet/src/main/java/tinford/fleet/store/Log.java
+++ b/fleet/src/main/java/tinford/fleet/store/ReplicatedLog.java
@@ -7,7 +7,7 @@
  * lost while a majority keeps its disks; without a majority nothing is acknowledged; a leader that
  * was replaced acknowledges nothing more.
  */
-public interface Log extends AutoCloseable {
+public interface ReplicatedLog extends AutoCloseable {
     /**
      * What the entries mean, on every member alike. Called by one thread, in order, each entry once
      * a life.
--- a/fleet/src/test/java/tinford/fleet/budgets/FairTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/FairTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -12,32 +12,34 @@
 
 /** Division of connections among accounts: max-min fairness and its bounds. */
 public class FairTest {
-    private static final LongFunction<Proposer.Plan> PLANS =
-            a -> new Proposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 40);
+    private static final LongFunction<GrantProposer.Plan> PLANS =
+            a -> new GrantProposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 40);
 
     /** Log: offered, taken, read. */
-    private static final double LOG = 50 + Fleet.STEP;
+    private static final double LOG = 50 + SimulatedBudgetFleet.STEP;
 
     /**
      * An ask; the proposal; the let-go, once answered; the second proposal; each with its way
      * through the log.
      */
-    static final double UP = 4 * (Fleet.EVERY + LOG) + Fleet.SERVICE;
+    static final double UP = 4 * (SimulatedBudgetFleet.EVERY + LOG) + SimulatedBudgetFleet.SERVICE;
 
     /** What is no longer wanted is told that long after. */
-    static final double DOWN = UP + 2 * (Fleet.KEEP + Fleet.EVERY);
+    static final double DOWN = UP + 2 * (SimulatedBudgetFleet.KEEP + SimulatedBudgetFleet.EVERY);
 
-    private static Fleet fleet(int seed, int size, int servers, int offer, double part) {
+    private static SimulatedBudgetFleet fleet(
+            int seed, int size, int servers, int offer, double part) {
         Map<String, Integer> offers = new LinkedHashMap<>();
         for (int s = 0; s < servers; s++) {
             offers.put("s" + s, offer);
         }
-        Fleet f = new Fleet(seed, size, offers, part, PLANS, null, null);
+        SimulatedBudgetFleet f =
+                new SimulatedBudgetFleet(seed, size, offers, part, PLANS, null, null);
         f.run(2000);
         return f;
     }
 
-    private static int[] exact(Fleet f, int accounts) {
+    private static int[] exact(SimulatedBudgetFleet f, int accounts) {
         int[][] in = new int[3][accounts];
         for (int a = 0; a < accounts; a++) {
             long id = a;
@@ -48,11 +50,11 @@
                             40,
                             f.gateways.stream().mapToInt(g -> g.wants.getOrDefault(id, 0)).sum());
         }
-        return MaxMin.divide(
+        return MaxMinFairness.divide(
                 f.offers.values().stream().mapToInt(n -> n).sum(), in[0], in[1], in[2]);
     }
 
-    private static int off(Fleet f, int[] exact) {
+    private static int off(SimulatedBudgetFleet f, int[] exact) {
         int off = 0;
         for (int a = 0; a < exact.length; a++) {
             off = Math.max(off, exact[a] - Math.min(f.granted(a), f.out(a)));
@@ -75,9 +77,10 @@
         double use = Double.MAX_VALUE;
         for (int seed = 0; seed < histories; seed++) {
             int size = 2 + random.nextInt(4);
-            Fleet f = fleet(seed, size, 1 + random.nextInt(4), 1 + random.nextInt(25), 0);
+            SimulatedBudgetFleet f =
+                    fleet(seed, size, 1 + random.nextInt(4), 1 + random.nextInt(25), 0);
             for (int change = 0; change < 5; change++) {
-                for (Fleet.Gateway g : f.gateways) {
+                for (SimulatedBudgetFleet.Gateway g : f.gateways) {
                     g.wants.clear();
                     for (long a = 0; a < 8; a++) {
                         if (random.nextInt(2) == 0) {
@@ -95,7 +98,7 @@
                 int steps = 0;
                 while (f.now < start + DOWN + 2000) {
                     f.step();
-                    f.now += Fleet.STEP;
+                    f.now += SimulatedBudgetFleet.STEP;
                     int off = off(f, exact);
                     if (off > 0) {
                         reached = f.now;
@@ -126,8 +129,8 @@
 
     @Test
     public void oneThatAsksHasItsFloorWithinTheStatedTimeThoughOthersHoldAll() {
-        Fleet f = fleet(1, 3, 2, 12, 0);
-        for (Fleet.Gateway g : f.gateways) {
+        SimulatedBudgetFleet f = fleet(1, 3, 2, 12, 0);
+        for (SimulatedBudgetFleet.Gateway g : f.gateways) {
             g.wants.put(3L, 99);
             g.wants.put(7L, 99);
         }
@@ -135,14 +138,14 @@
         f.gateways.get(0).wants.put(0L, 9);
         double start = f.now;
         while (f.out(0) < 2) {
-            f.run(Fleet.STEP);
+            f.run(SimulatedBudgetFleet.STEP);
             assertTrue(f.now - start <= UP, "no floor after " + UP + " ms");
         }
     }
 
     @Test
     public void demandThatComesAndGoesDoesNotMoveGrants() {
-        Fleet f = fleet(2, 3, 3, 10, 0.2);
+        SimulatedBudgetFleet f = fleet(2, 3, 3, 10, 0.2);
         for (int k = 0; k < 20; k++) {
             f.gateways.get(0).wants.put(1L, 9);
             f.gateways.get(1).wants.put(2L, k % 2 == 0 ? 20 : 1);
@@ -157,18 +160,22 @@
 
     @Test
     public void aGatewayThatDiesHoldingMostGivesBackAfterLeaseSpreadAndLinger() {
-        Fleet f = fleet(3, 3, 2, 10, 0);
+        SimulatedBudgetFleet f = fleet(3, 3, 2, 10, 0);
         f.gateways.get(0).wants.put(3L, 40);
         f.run(4000);
         assertEquals(f.granted(3), 20);
-        Fleet.Gateway dead = f.gateways.get(0);
+        SimulatedBudgetFleet.Gateway dead = f.gateways.get(0);
         dead.deadUntil = Double.MAX_VALUE;
         f.leader = 1;
         f.gateways.get(1).wants.put(7L, 40);
         double start = f.now;
-        double stated = Fleet.LEASE + 2 * Fleet.APART + Fleet.LINGER + UP;
+        double stated =
+                SimulatedBudgetFleet.LEASE
+                        + 2 * SimulatedBudgetFleet.APART
+                        + SimulatedBudgetFleet.LINGER
+                        + UP;
         while (f.out(7) < 18) {
-            f.run(Fleet.STEP);
+            f.run(SimulatedBudgetFleet.STEP);
             assertTrue(f.now - start <= stated, "not back after " + stated);
         }
         assertTrue(f.worst <= 0);
@@ -176,16 +183,16 @@
 
     @Test
     public void withoutAMajorityEachFallsToItsStaticShareAndNoneStarves() {
-        Fleet f = fleet(4, 4, 2, 13, 0.5);
-        for (Fleet.Gateway g : f.gateways) {
+        SimulatedBudgetFleet f = fleet(4, 4, 2, 13, 0.5);
+        for (SimulatedBudgetFleet.Gateway g : f.gateways) {
             g.wants.put(1L, 20);
             g.wants.put(2L, 20);
         }
         f.run(4000);
         f.noMajorityUntil = Double.MAX_VALUE;
-        f.run(Fleet.LEASE + Fleet.LINGER);
+        f.run(SimulatedBudgetFleet.LEASE + SimulatedBudgetFleet.LINGER);
         Map<String, Integer> sums = new TreeMap<>();
-        for (Fleet.Gateway g : f.gateways) {
+        for (SimulatedBudgetFleet.Gateway g : f.gateways) {
             f.offers
                     .keySet()
                     .forEach(
@@ -197,7 +204,7 @@
         assertEquals(sums, Map.of("s0", 6, "s1", 6));
         int out = 0;
         for (int k = 0; k < 100; k++) {
-            f.run(Fleet.STEP);
+            f.run(SimulatedBudgetFleet.STEP);
             out += f.out(1) + f.out(2);
         }
         assertTrue(out > 1100, "the static share is not used: " + out / 100.0 + " of 12");
@@ -205,7 +212,7 @@
 
     @Test
     public void manyAccountsOfWhichFewAreAwakeAndFewerConnectionsThanGateways() {
-        Fleet f = fleet(6, 5, 1, 3, 1);
+        SimulatedBudgetFleet f = fleet(6, 5, 1, 3, 1);
         f.gateways.get(0).wants.put(9_999L, 5);
         for (int g = 0; g < 5; g++) {
             f.gateways.get(g).wants.put(1L + g * 2_000L, 5);
@@ -217,7 +224,7 @@
 
     @Test
     public void anAccountSpreadOverAllHasNoMoreThanOneOnOneGateway() {
-        Fleet f = fleet(7, 4, 2, 10, 0);
+        SimulatedBudgetFleet f = fleet(7, 4, 2, 10, 0);
         f.gateways.get(0).wants.put(3L, 40);
         f.gateways.forEach(g -> g.wants.put(7L, 40));
         f.run(6000);
--- a/fleet/src/test/java/tinford/fleet/budgets/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/HistoriesTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -9,13 +9,13 @@
 import java.util.function.LongFunction;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Lease;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Lease;
 
 /** Drawn histories of connection budgets under faults. */
 public class HistoriesTest {
-    private static final LongFunction<Proposer.Plan> PLANS =
-            a -> new Proposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 60);
+    private static final LongFunction<GrantProposer.Plan> PLANS =
+            a -> new GrantProposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 60);
 
     /**
      * A drawn history; returns by how many connections an offer was exceeded at most (below 0: how
@@ -25,7 +25,7 @@
         return history(seed, broken).worst;
     }
 
-    private static Fleet history(int seed, String broken) {
+    private static SimulatedBudgetFleet history(int seed, String broken) {
         Random random = new Random(seed * 31L);
         int size = 2 + random.nextInt(4);
         Map<String, Integer> offers = new LinkedHashMap<>();
@@ -33,9 +33,9 @@
             offers.put("s" + s, 1 + random.nextInt(30));
         }
         double part = random.nextBoolean() ? 0.2 : 0;
-        Fleet[] fleet = new Fleet[1];
+        SimulatedBudgetFleet[] fleet = new SimulatedBudgetFleet[1];
         fleet[0] =
-                new Fleet(
+                new SimulatedBudgetFleet(
                         seed,
                         size,
                         offers,
@@ -45,20 +45,20 @@
                         !broken.equals("own clock ignored")
                                 ? null
                                 : (ledger, incarnation, from) ->
-                                        new Share(
+                                        new LocalBudget(
                                                 ledger,
                                                 new StaticShares(offers, part, size),
                                                 PLANS,
                                                 incarnation,
-                                                Fleet.LEASE,
+                                                SimulatedBudgetFleet.LEASE,
                                                 -1e12,
-                                                Fleet.EVERY,
-                                                Fleet.KEEP,
+                                                SimulatedBudgetFleet.EVERY,
+                                                SimulatedBudgetFleet.KEEP,
                                                 from));
-        Fleet f = fleet[0];
+        SimulatedBudgetFleet f = fleet[0];
         f.faults = true;
         for (int k = 0; k < 12; k++) {
-            for (Fleet.Gateway g : f.gateways) {
+            for (SimulatedBudgetFleet.Gateway g : f.gateways) {
                 g.wants.clear();
                 for (long a = 0; a < 6; a++) {
                     if (random.nextInt(3) == 0) {
@@ -75,8 +75,8 @@
         return f;
     }
 
-    private static Ledger ledger(int size, StaticShares staticShares, String broken) {
-        return new Ledger(Fleet.leases(size), staticShares) {
+    private static BudgetLedger ledger(int size, StaticShares staticShares, String broken) {
+        return new BudgetLedger(SimulatedBudgetFleet.leases(size), staticShares) {
             @Override
             boolean fits(Incarnation incarnation, int server, int more) {
                 return broken.equals("no check") || super.fits(incarnation, server, more);
@@ -123,21 +123,26 @@
 
     @Test
     public void aSnapshotAtAnyPointCarriesAllAndWhatCantBeReadChangesNothing() {
-        Fleet f = history(3, "");
-        Ledger whole = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
-        Ledger cut = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
+        SimulatedBudgetFleet f = history(3, "");
+        BudgetLedger whole =
+                new BudgetLedger(SimulatedBudgetFleet.leases(f.gateways.size()), f.staticShares);
+        BudgetLedger cut =
+                new BudgetLedger(SimulatedBudgetFleet.leases(f.gateways.size()), f.staticShares);
         Random random = new Random(9);
         for (int i = 0; i < f.log.size(); i++) {
             whole.apply(i + 1, f.log.get(i));
             cut.apply(i + 1, f.log.get(i));
             assertEquals(cut.snapshot(), whole.snapshot(), "entry " + i);
             if (random.nextInt(5) == 0) {
-                Ledger next = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
+                BudgetLedger next =
+                        new BudgetLedger(
+                                SimulatedBudgetFleet.leases(f.gateways.size()), f.staticShares);
                 next.restore(i + 1, cut.snapshot());
                 cut = next;
             }
         }
-        Ledger bad = new Ledger(Fleet.leases(f.gateways.size()), f.staticShares);
+        BudgetLedger bad =
+                new BudgetLedger(SimulatedBudgetFleet.leases(f.gateways.size()), f.staticShares);
         bad.restore(f.log.size(), whole.snapshot());
         byte[] cells = cells(bad);
         long index = f.log.size();
@@ -151,7 +156,7 @@
         assertTrue(bad.unread() > 0 && bad.unknown() > 0 && bad.leases().refused() > 0);
     }
 
-    private static byte[] cells(Ledger ledger) {
+    private static byte[] cells(BudgetLedger ledger) {
         StringBuilder all = new StringBuilder();
         ledger.table.holders.forEach(
                 (l, h) ->
--- a/fleet/src/test/java/tinford/fleet/budgets/MaxMinTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/MaxMinFairnessTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import static org.testng.Assert.assertEquals;
 
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 
 /** Max-min shares against cases worked out by hand. */
-public class MaxMinTest {
+public class MaxMinFairnessTest {
     @DataProvider
     public Object[][] cases() {
         return new Object[][] {
@@ -27,7 +27,7 @@
 
     @Test(dataProvider = "cases")
     public void tableOfCases(int pool, int[] weight, int[] floor, int[] cap, int[] expected) {
-        assertEquals(MaxMin.divide(pool, weight, floor, cap), expected);
+        assertEquals(MaxMinFairness.divide(pool, weight, floor, cap), expected);
     }
 
     @Test
@@ -43,7 +43,7 @@
             }
             int pool = random.nextInt(300);
             assertEquals(
-                    MaxMin.divide(pool, in[0], in[1], in[2]),
+                    MaxMinFairness.divide(pool, in[0], in[1], in[2]),
                     slow(pool, in[0], in[1], in[2]),
                     "history " + k);
         }
--- a/fleet/src/test/java/tinford/fleet/budgets/ProposalCost.java
+++ b/fleet/src/test/java/tinford/fleet/budget/ProposalCost.java
@@ -1,11 +1,11 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import java.lang.management.ManagementFactory;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Random;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Leases;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.LeaseTable;
 
 /**
  * Prints what one proposal and its entry cost in processor time as servers, gateways, accounts and
@@ -47,9 +47,9 @@
         for (int s = 0; s < size[0]; s++) {
             offers.put("server-" + s, 100);
         }
-        Ledger ledger =
-                new Ledger(
-                        new Leases(size[1], 1e6, 100, 1000),
+        BudgetLedger ledger =
+                new BudgetLedger(
+                        new LeaseTable(size[1], 1e6, 100, 1000),
                         new StaticShares(offers, 0.1, size[1]));
         long index = 0;
         for (Map.Entry<String, Integer> e : offers.entrySet()) {
@@ -71,7 +71,7 @@
             for (int g = 0; g < size[1]; g++) {
                 Incarnation incarnation = new Incarnation(g, 1);
                 if (first) {
-                    ledger.apply(++index, Leases.renew(incarnation, 1, 1e6));
+                    ledger.apply(++index, LeaseTable.renew(incarnation, 1, 1e6));
                 }
                 // All that was taken back is let go.
                 Map<Integer, Integer> held = new LinkedHashMap<>();
@@ -89,7 +89,8 @@
                                         held)
                                 .bytes());
             }
-            Proposer proposer = new Proposer(a -> new Proposer.Plan(1 + (int) (a % 4), 1, 1000), 0);
+            GrantProposer proposer =
+                    new GrantProposer(a -> new GrantProposer.Plan(1 + (int) (a % 4), 1, 1000), 0);
             long t = cpu();
             byte[] entry = proposer.propose(ledger, 2 + round);
             long u = cpu();
--- a/fleet/src/test/java/tinford/fleet/budgets/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/budget/SimulatedBudgetFleet.java
@@ -1,4 +1,4 @@
-package tinford.fleet.budgets;
+package tinford.fleet.budget;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,14 +8,14 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.function.LongFunction;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Leases;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.LeaseTable;
 
 /**
  * A fleet in driven time: gateways with their ledgers, a log that loses, doubles and delays what is
  * offered, servers that count.
  */
-final class Fleet {
+final class SimulatedBudgetFleet {
     static final double LEASE = 3000;
     static final double MARGIN = 300;
     static final double APART = 200;
@@ -40,9 +40,9 @@
     final class Gateway {
         final int number;
         final double offset;
-        Ledger ledger;
-        Share share;
-        Proposer proposer;
+        BudgetLedger ledger;
+        LocalBudget share;
+        GrantProposer proposer;
         final List<Conn> conns = new ArrayList<>();
         final Map<Long, Integer> wants = new TreeMap<>();
         int applied;
@@ -61,7 +61,7 @@
             applied = 0;
             double own = now + offset;
             share = shares.make(ledger, new Incarnation(number, (long) own), own + linger);
-            proposer = new Proposer(plans, EVERY);
+            proposer = new GrantProposer(plans, EVERY);
             // Half of those that start are handed a snapshot of another's.
             Gateway other = linger > 0 ? gateways.get((number + 1) % gateways.size()) : this;
             if (other != this && other.ledger != null && random.nextBoolean()) {
@@ -76,7 +76,7 @@
     }
 
     interface Make {
-        Share make(Ledger ledger, Incarnation incarnation, double staticFrom);
+        LocalBudget make(BudgetLedger ledger, Incarnation incarnation, double staticFrom);
     }
 
     final Random random;
@@ -90,8 +90,8 @@
     final List<byte[]> log = new ArrayList<>();
     private final TreeMap<Double, List<byte[]>> coming = new TreeMap<>();
     final StaticShares staticShares;
-    final LongFunction<Proposer.Plan> plans;
-    Function<StaticShares, Ledger> ledgers;
+    final LongFunction<GrantProposer.Plan> plans;
+    Function<StaticShares, BudgetLedger> ledgers;
     Make shares;
     boolean faults;
     double now = 1_000_000;
@@ -103,19 +103,19 @@
     double used;
     double couldUse;
 
-    Fleet(
+    SimulatedBudgetFleet(
             long seed,
             int size,
             Map<String, Integer> offers,
             double part,
-            LongFunction<Proposer.Plan> plans,
-            Function<StaticShares, Ledger> ledgers,
+            LongFunction<GrantProposer.Plan> plans,
+            Function<StaticShares, BudgetLedger> ledgers,
             Make shares) {
         random = new Random(seed);
         this.offers.putAll(offers);
         this.plans = plans;
         staticShares = new StaticShares(offers, part, size);
-        this.ledgers = ledgers != null ? ledgers : s -> new Ledger(leases(size), s);
+        this.ledgers = ledgers != null ? ledgers : s -> new BudgetLedger(leases(size), s);
         this.shares = shares != null ? shares : this::share;
         for (int g = 0; g < size; g++) {
             gateways.add(new Gateway(g, size == 1 ? 0 : (g % 3 - 1) * APART / 2));
@@ -123,12 +123,12 @@
         offers.forEach((s, n) -> log.add(new LedgerEntry.Offer(s, 1, n, now).bytes()));
     }
 
-    static Leases leases(int size) {
-        return new Leases(size, LEASE, APART, LINGER);
+    static LeaseTable leases(int size) {
+        return new LeaseTable(size, LEASE, APART, LINGER);
     }
 
-    Share share(Ledger ledger, Incarnation incarnation, double staticFrom) {
-        return new Share(
+    LocalBudget share(BudgetLedger ledger, Incarnation incarnation, double staticFrom) {
+        return new LocalBudget(
                 ledger, staticShares, plans, incarnation, LEASE, MARGIN, EVERY, KEEP, staticFrom);
     }
 
@@ -320,7 +320,7 @@
 
     /** Granted to an account through all that run. */
     int granted(long account) {
-        Ledger l = gateways.get(leader).ledger;
+        BudgetLedger l = gateways.get(leader).ledger;
         return l.table.holders.values().stream()
                 .mapToInt(h -> h.uses.getOrDefault(account, 0))
                 .sum();
--- a/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
@@ -11,8 +11,8 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 
 /** The JSON forms: whole ones come back as they were, all others are refused by key. */
 public class ConfigurationCodecTest {
@@ -21,16 +21,16 @@
 
     @DataProvider
     public Object[][] proposals() {
-        Route keyed =
-                new Route(
+        RouteRecord keyed =
+                new RouteRecord(
                         "r",
                         "s",
                         0.1,
                         1e-3 + 0.2,
                         1 / 3.0,
                         Double.MIN_VALUE,
-                        Effect.IDEMPOTENCY_KEY,
-                        Group.ZONE,
+                        Idempotency.IDEMPOTENCY_KEY,
+                        DeduplicationScope.ZONE,
                         12_345.678,
                         true);
         return new Object[][] {
@@ -83,7 +83,7 @@
         assertEquals(
                 text(ConfigurationCodec.encode(new Outcome.Accepted(6))),
                 "{\"version\":1,\"revision\":6}");
-        Refusal refusal = new Refusal(List.of(new Fault("k", "e")));
+        Rejection refusal = new Rejection(List.of(new ValidationError("k", "e")));
         assertEquals(
                 text(ConfigurationCodec.encode(new Outcome.Refused(refusal))),
                 "{\"version\":1,\"faults\":[{\"key\":\"k\",\"expected\":\"e\"}]}");
@@ -92,7 +92,8 @@
     @Test
     public void outcomesReportsAndMessagesComeBackAsTheyWere() throws Exception {
         Outcome accepted = new Outcome.Accepted(9);
-        Outcome refused = new Outcome.Refused(new Refusal(List.of(new Fault("k", "\"e\" \\"))));
+        Outcome refused =
+                new Outcome.Refused(new Rejection(List.of(new ValidationError("k", "\"e\" \\"))));
         assertEquals(
                 ConfigurationCodec.decodeOutcome(ConfigurationCodec.encode(accepted)), accepted);
         assertEquals(ConfigurationCodec.decodeOutcome(ConfigurationCodec.encode(refused)), refused);
@@ -120,20 +121,29 @@
         assertEquals(
                 decodeOne(String.format(json, "read_like")),
                 new Change.PutRoute(
-                        new Route(
-                                "r", "s", 400, 400, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false)));
+                        new RouteRecord(
+                                "r",
+                                "s",
+                                400,
+                                400,
+                                1,
+                                0,
+                                Idempotency.IDEMPOTENT,
+                                DeduplicationScope.ALL,
+                                0,
+                                false)));
         assertEquals(
                 decodeOne(String.format(json, "idempotency_key")),
                 new Change.PutRoute(
-                        new Route(
+                        new RouteRecord(
                                 "r",
                                 "s",
                                 400,
                                 400,
                                 1,
                                 0,
-                                Effect.IDEMPOTENCY_KEY,
-                                Group.CELL,
+                                Idempotency.IDEMPOTENCY_KEY,
+                                DeduplicationScope.CELL,
                                 0,
                                 false)));
     }
@@ -220,9 +230,9 @@
 
     @Test(dataProvider = "badProposals")
     public void isRefusedByKey(String json, String key) {
-        InvalidConfiguration refused =
+        InvalidConfigurationException refused =
                 expectThrows(
-                        InvalidConfiguration.class,
+                        InvalidConfigurationException.class,
                         () -> ConfigurationCodec.decodeProposal(bytes(json)));
         assertEquals(refused.key(), key, refused.getMessage());
         assertFalse(refused.expected().isBlank());
@@ -232,9 +242,10 @@
     @Test
     public void anOversizedProposalIsRefusedBeforeItIsRead() {
         byte[] large = new byte[ConfigurationLimits.PROPOSAL_BYTES + 1];
-        InvalidConfiguration refused =
+        InvalidConfigurationException refused =
                 expectThrows(
-                        InvalidConfiguration.class, () -> ConfigurationCodec.decodeProposal(large));
+                        InvalidConfigurationException.class,
+                        () -> ConfigurationCodec.decodeProposal(large));
         assertEquals(refused.expected(), "at most 500000 bytes, not 500001");
     }
 
@@ -243,7 +254,9 @@
         byte[] whole = ConfigurationCodec.encode(new ChangeSet("all", 3L, Samples.basics()));
         for (int length = 0; length < whole.length; length++) {
             byte[] cut = Arrays.copyOf(whole, length);
-            expectThrows(InvalidConfiguration.class, () -> ConfigurationCodec.decodeProposal(cut));
+            expectThrows(
+                    InvalidConfigurationException.class,
+                    () -> ConfigurationCodec.decodeProposal(cut));
         }
     }
 
@@ -268,9 +281,9 @@
 
     @Test(dataProvider = "badWatchMessages")
     public void aWatchMessageIsRefusedByKey(String json, String key) {
-        InvalidConfiguration refused =
+        InvalidConfigurationException refused =
                 expectThrows(
-                        InvalidConfiguration.class,
+                        InvalidConfigurationException.class,
                         () -> ConfigurationCodec.decodeWatchMessage(bytes(json)));
         assertEquals(refused.key(), key, refused.getMessage());
     }
@@ -285,7 +298,8 @@
                         "{\"version\":1,\"follower\":\"a\",\"region\":\"r\"}",
                         " ".repeat(5000))) {
             expectThrows(
-                    InvalidConfiguration.class, () -> ConfigurationCodec.decodeReport(bytes(bad)));
+                    InvalidConfigurationException.class,
+                    () -> ConfigurationCodec.decodeReport(bytes(bad)));
         }
     }
 
@@ -308,14 +322,14 @@
             }
             try {
                 ConfigurationCodec.decodeProposal(bytes);
-            } catch (InvalidConfiguration e) {
+            } catch (InvalidConfigurationException e) {
                 refusals++;
             }
         }
         assertTrue(refusals > 1000, "refused " + refusals);
     }
 
-    private static Change decodeOne(String change) throws InvalidConfiguration {
+    private static Change decodeOne(String change) throws InvalidConfigurationException {
         Proposal proposal = ConfigurationCodec.decodeProposal(bytes(OPEN + change + CLOSE));
         return ((ChangeSet) proposal).changes().get(0);
     }
--- a/fleet/src/test/java/tinford/fleet/config/ConfigurationTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationTest.java
@@ -44,7 +44,7 @@
                                         Samples.putTenant(1, "a"),
                                         Samples.putTenant(1, "b")));
         assertEquals(result.plans().size(), 1);
-        assertEquals(result.tenants().get(1L), new Tenant(1, "b"));
+        assertEquals(result.tenants().get(1L), new TenantRecord(1, "b"));
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/config/ReferenceHistory.java
+++ b/fleet/src/test/java/tinford/fleet/config/ReferenceHistory.java
@@ -84,10 +84,10 @@
 
     private static boolean isSound(Map<String, Object> content) {
         for (Object each : content.values()) {
-            if (each instanceof Route route && !content.containsKey("s " + route.service())) {
+            if (each instanceof RouteRecord route && !content.containsKey("s " + route.service())) {
                 return false;
             }
-            if (each instanceof Tenant tenant && !content.containsKey("p " + tenant.plan())) {
+            if (each instanceof TenantRecord tenant && !content.containsKey("p " + tenant.plan())) {
                 return false;
             }
         }
--- a/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
@@ -90,7 +90,7 @@
     }
 
     private static List<Outcome> replay(RevisionHistory history, List<byte[]> log)
-            throws InvalidConfiguration {
+            throws InvalidConfigurationException {
         List<Outcome> outcomes = new ArrayList<>();
         for (byte[] entry : log) {
             outcomes.add(history.propose(ConfigurationCodec.decodeProposal(entry)));
--- a/fleet/src/test/java/tinford/fleet/config/RevisionHistoryTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryTest.java
@@ -42,7 +42,7 @@
     public void aSetWithAnyFaultChangesNothing() {
         RevisionHistory basic = basic();
         Configuration before = basic.current();
-        Refusal refusal =
+        Rejection refusal =
                 refuse(
                         basic,
                         Samples.set(
@@ -65,7 +65,7 @@
         ChangeSet late = new ChangeSet("late", 0L, List.of(Samples.putService("s")));
         assertEquals(
                 refuse(basic, late).faults(),
-                List.of(new Fault("expectedRevision", "the current revision, 1")));
+                List.of(new ValidationError("expectedRevision", "the current revision, 1")));
         accept(basic, new ChangeSet("right", 1L, List.of(Samples.putService("s"))));
         assertEquals(basic.current().revision(), 2);
     }
@@ -87,7 +87,7 @@
     public void anIdServesOneProposal() {
         RevisionHistory basic = basic();
         accept(basic, Samples.set("one", Samples.putService("a")));
-        Refusal refusal = refuse(basic, Samples.set("one", Samples.putService("b")));
+        Rejection refusal = refuse(basic, Samples.set("one", Samples.putService("b")));
         assertEquals(refusal.faults().get(0).key(), "id");
         assertEquals(
                 basic.propose(Samples.set("one", Samples.putService("a"))),
@@ -134,7 +134,7 @@
         }
         assertEquals(
                 refuse(small, new Revert("far", 2)).faults(),
-                List.of(new Fault("revertTo", "a retained revision, 3 to 5")));
+                List.of(new ValidationError("revertTo", "a retained revision, 3 to 5")));
         assertEquals(refuse(small, new Revert("ahead", 6)).faults().get(0).key(), "revertTo");
         accept(small, new Revert("near", 3));
         assertEquals(small.current().services().size(), 3);
@@ -223,12 +223,12 @@
         byte[] foreign = new RevisionHistory("other").snapshot();
         byte[] configuration = new SnapshotCodec(Samples.FLEET).encode(Samples.basic());
         for (byte[] bad : List.of(foreign, configuration, Arrays.copyOf(whole, 60))) {
-            expectThrows(InvalidConfiguration.class, () -> basic.restore(bad));
+            expectThrows(InvalidConfigurationException.class, () -> basic.restore(bad));
             assertEquals(basic.snapshot(), whole);
         }
         for (int length = 0; length < whole.length; length++) {
             byte[] torn = Arrays.copyOf(whole, length);
-            expectThrows(InvalidConfiguration.class, () -> basic.restore(torn));
+            expectThrows(InvalidConfigurationException.class, () -> basic.restore(torn));
         }
         assertEquals(basic.snapshot(), whole);
     }
@@ -241,7 +241,7 @@
         return revision;
     }
 
-    private static Refusal refuse(RevisionHistory history, Proposal proposal) {
+    private static Rejection refuse(RevisionHistory history, Proposal proposal) {
         Configuration before = history.current();
         Outcome outcome = history.propose(proposal);
         assertTrue(outcome instanceof Outcome.Refused, outcome.toString());
--- a/fleet/src/test/java/tinford/fleet/config/Samples.java
+++ b/fleet/src/test/java/tinford/fleet/config/Samples.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 
 /** Records, change sets and drawn proposals for the tests. */
 final class Samples {
@@ -12,12 +12,22 @@
 
     private Samples() {}
 
-    static Route route(String name, String service) {
-        return new Route(name, service, 100, 400, 1, 0.25, Effect.IDEMPOTENT, Group.ALL, 0, false);
+    static RouteRecord route(String name, String service) {
+        return new RouteRecord(
+                name,
+                service,
+                100,
+                400,
+                1,
+                0.25,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                false);
     }
 
-    static Plan plan(String name, double ratePerSecond) {
-        return new Plan(name, ratePerSecond, ratePerSecond + 1, 8, 1, 0.5, 0.1, 0, 0, 0);
+    static PlanRecord plan(String name, double ratePerSecond) {
+        return new PlanRecord(name, ratePerSecond, ratePerSecond + 1, 8, 1, 0.5, 0.1, 0, 0, 0);
     }
 
     static ChangeSet set(String id, Change... changes) {
@@ -25,7 +35,7 @@
     }
 
     static Change putService(String name) {
-        return new Change.PutService(new Service(name));
+        return new Change.PutService(new ServiceRecord(name));
     }
 
     static Change putRoute(String name, String service) {
@@ -37,7 +47,7 @@
     }
 
     static Change putTenant(long id, String plan) {
-        return new Change.PutTenant(new Tenant(id, plan));
+        return new Change.PutTenant(new TenantRecord(id, plan));
     }
 
     /** One of each kind. */
--- a/fleet/src/test/java/tinford/fleet/config/SnapshotCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/SnapshotCodecTest.java
@@ -50,10 +50,10 @@
         byte[] whole = CODEC.encode(Samples.basic());
         for (int length = 0; length < whole.length; length++) {
             byte[] torn = Arrays.copyOf(whole, length);
-            expectThrows(InvalidConfiguration.class, () -> CODEC.decode(torn));
+            expectThrows(InvalidConfigurationException.class, () -> CODEC.decode(torn));
         }
         byte[] longer = Arrays.copyOf(whole, whole.length + 1);
-        expectThrows(InvalidConfiguration.class, () -> CODEC.decode(longer));
+        expectThrows(InvalidConfigurationException.class, () -> CODEC.decode(longer));
     }
 
     @Test
@@ -62,7 +62,7 @@
         for (int at = 0; at < whole.length; at++) {
             byte[] damaged = whole.clone();
             damaged[at] ^= 0x10;
-            expectThrows(InvalidConfiguration.class, () -> CODEC.decode(damaged));
+            expectThrows(InvalidConfigurationException.class, () -> CODEC.decode(damaged));
         }
     }
 
@@ -127,8 +127,8 @@
     }
 
     private static byte[] seal(String json) {
-        return SealedState.seal(
-                SealedState.Kind.CONFIGURATION,
+        return ChecksummedState.seal(
+                ChecksummedState.Kind.CONFIGURATION,
                 Samples.FLEET,
                 5,
                 json.getBytes(StandardCharsets.UTF_8));
@@ -140,7 +140,7 @@
         System.arraycopy(hash, 0, sealed, end, hash.length);
     }
 
-    private static InvalidConfiguration refusal(byte[] snapshot) {
-        return expectThrows(InvalidConfiguration.class, () -> CODEC.decode(snapshot));
+    private static InvalidConfigurationException refusal(byte[] snapshot) {
+        return expectThrows(InvalidConfigurationException.class, () -> CODEC.decode(snapshot));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 
 /** What is refused, with which key. */
 public class ValidatorTest {
@@ -35,7 +35,11 @@
             {"putRoute.targetMs", timing(Double.NaN, 100), "above 0"},
             {"putRoute.timeoutMs", timing(50, Double.POSITIVE_INFINITY), "at most 86400000"},
             {"putRoute.timeoutMs", timing(50, 86_400_001), "at most 86400000"},
-            {"putRoute.group", grouped(Effect.NON_IDEMPOTENT, Group.ZONE), "none, or all"},
+            {
+                "putRoute.group",
+                grouped(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ZONE),
+                "none, or all"
+            },
             {"putPlan.ratePerSecond", Samples.putPlan("p", -1), "from 0"},
             {"putPlan.ratePerSecond", Samples.putPlan("p", Double.NaN), "from 0"},
             {"putPlan.ratePerSecond", Samples.putPlan("p", 1e13), "from 0"},
@@ -46,7 +50,7 @@
 
     @Test(dataProvider = "faults")
     public void isRefusedWithKeyAndExpectation(String key, Change change, String expected) {
-        List<Fault> faults = Validator.check(BASIC, List.of(change));
+        List<ValidationError> faults = Validator.check(BASIC, List.of(change));
         assertEquals(faults.get(0).key(), "changes[0]." + key);
         assertTrue(faults.get(0).expected().contains(expected), faults.toString());
     }
@@ -79,13 +83,15 @@
 
     @Test
     public void aThingIsChangedOnceInASet() {
-        List<Fault> tenants =
+        List<ValidationError> tenants =
                 Validator.check(
                         BASIC, List.of(Samples.putTenant(2, "team"), Samples.putTenant(2, "team")));
         assertEquals(
                 tenants,
-                List.of(new Fault("changes[1].tenant", "one change of tenant 2 in a set")));
-        List<Fault> routes =
+                List.of(
+                        new ValidationError(
+                                "changes[1].tenant", "one change of tenant 2 in a set")));
+        List<ValidationError> routes =
                 Validator.check(
                         BASIC,
                         List.of(
@@ -100,8 +106,8 @@
         for (int i = 0; i <= ConfigurationLimits.PLANS; i++) {
             changes.add(Samples.putPlan("p" + i, 0));
         }
-        List<Fault> faults = Validator.check(Configuration.EMPTY, changes);
-        assertEquals(faults, List.of(new Fault("plans", "at most 1024, not 1025")));
+        List<ValidationError> faults = Validator.check(Configuration.EMPTY, changes);
+        assertEquals(faults, List.of(new ValidationError("plans", "at most 1024, not 1025")));
     }
 
     @Test
@@ -111,7 +117,8 @@
             changes.add(Samples.putTenant(i, "team"));
         }
         assertEquals(
-                Validator.check(BASIC, changes), List.of(new Fault("changes", "at most 16384")));
+                Validator.check(BASIC, changes),
+                List.of(new ValidationError("changes", "at most 16384")));
     }
 
     @Test
@@ -133,7 +140,7 @@
                                 new Change.RemoveService("search"),
                                 new Change.RemovePlan("team"),
                                 Samples.putPlan("bad", -1)));
-        List<String> keys = Validator.check(broken).stream().map(Fault::key).toList();
+        List<String> keys = Validator.check(broken).stream().map(ValidationError::key).toList();
         assertEquals(
                 keys,
                 List.of("plans.bad.ratePerSecond", "routes.lookup.service", "tenants.1.plan"));
@@ -141,7 +148,7 @@
 
     @Test
     public void aFaultIsOneLineOfBoundedLength() {
-        Fault fault = new Fault("a\nb", "x\r\n".repeat(1000));
+        ValidationError fault = new ValidationError("a\nb", "x\r\n".repeat(1000));
         assertEquals(fault.key(), "a b");
         assertEquals(fault.expected().lines().count(), 1);
         assertTrue(fault.expected().length() <= ConfigurationLimits.TEXT_LENGTH);
@@ -149,26 +156,27 @@
 
     private static Change timing(double targetMs, double timeoutMs) {
         return new Change.PutRoute(
-                new Route(
+                new RouteRecord(
                         "r",
                         "search",
                         targetMs,
                         timeoutMs,
                         1,
                         0,
-                        Effect.IDEMPOTENT,
-                        Group.ALL,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
                         0,
                         false));
     }
 
-    private static Change grouped(Effect effect, Group group) {
-        return new Change.PutRoute(new Route("r", "search", 1, 2, 1, 0, effect, group, 0, false));
+    private static Change grouped(Idempotency effect, DeduplicationScope group) {
+        return new Change.PutRoute(
+                new RouteRecord("r", "search", 1, 2, 1, 0, effect, group, 0, false));
     }
 
     private static Change rates(
             double rate, double burst, double ceilingRate, double ceilingBurst) {
         return new Change.PutPlan(
-                new Plan("p", rate, burst, 0, 1, 0, 0, ceilingRate, ceilingBurst, 0));
+                new PlanRecord("p", rate, burst, 0, 1, 0, 0, ceilingRate, ceilingBurst, 0));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/control/ControlSettingsReaderTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ControlSettingsReaderTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.settings.InvalidSettings;
+import tinford.fleet.settings.InvalidOperatorFileException;
 
 /** The operator file of a control server. */
 public class ControlSettingsReaderTest {
@@ -76,8 +76,10 @@
 
     @Test(dataProvider = "faults")
     public void eachFaultIsOneLineWithFileLineKeyAndExpectation(String text, String expected) {
-        InvalidSettings invalid =
-                expectThrows(InvalidSettings.class, () -> ControlSettingsReader.parse("f", text));
+        InvalidOperatorFileException invalid =
+                expectThrows(
+                        InvalidOperatorFileException.class,
+                        () -> ControlSettingsReader.parse("f", text));
         assertTrue(
                 invalid.getMessage().lines().anyMatch(line -> line.startsWith(expected)),
                 invalid.getMessage());
@@ -86,8 +88,10 @@
     @Test
     public void allFaultsAreToldAtOnce() {
         String text = VOTER.replace("east", "e st").replace("number = 2", "number = 4");
-        InvalidSettings invalid =
-                expectThrows(InvalidSettings.class, () -> ControlSettingsReader.parse("f", text));
+        InvalidOperatorFileException invalid =
+                expectThrows(
+                        InvalidOperatorFileException.class,
+                        () -> ControlSettingsReader.parse("f", text));
         assertEquals(invalid.getMessage().lines().count(), 2);
     }
 }
--- a/fleet/src/test/java/tinford/fleet/control/DrivenLogs.java
+++ b/fleet/src/test/java/tinford/fleet/control/DrivenLogs.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import tinford.fleet.store.Log;
-import tinford.fleet.store.MemoryLogs;
+import tinford.fleet.store.InMemoryLogs;
+import tinford.fleet.store.ReplicatedLog;
 
 /** Logs in memory for servers with threads: driven by a thread of their own, one call at a time. */
 final class DrivenLogs implements AutoCloseable {
@@ -16,12 +16,12 @@
     private static final int IN_FLIGHT = 64;
     private static final int SNAPSHOT_ENTRIES = 1000;
 
-    private final MemoryLogs logs;
+    private final InMemoryLogs logs;
     private final ScheduledExecutorService driver = Executors.newSingleThreadScheduledExecutor();
 
     DrivenLogs(int size) {
         logs =
-                new MemoryLogs(
+                new InMemoryLogs(
                         size,
                         DELAY_MS,
                         SILENCE_MS,
@@ -44,9 +44,9 @@
         logs.heal();
     }
 
-    synchronized Log open(int number, Log.Reader reader) {
-        Log log = logs.open(number, reader);
-        return new Log() {
+    synchronized ReplicatedLog open(int number, ReplicatedLog.Reader reader) {
+        ReplicatedLog log = logs.open(number, reader);
+        return new ReplicatedLog() {
             @Override
             public CompletableFuture<Long> append(byte[] entry) {
                 synchronized (DrivenLogs.this) {
--- a/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
-import tinford.fleet.config.Service;
+import tinford.fleet.config.ServiceRecord;
 import tinford.fleet.config.Update;
 
 /** Which line a follower gets next, and what is kept for it. */
@@ -35,7 +35,7 @@
         long revision = before.revision() + 1;
         List<Change> list = new ArrayList<>();
         for (int i = 0; i < changes; i++) {
-            list.add(new Change.PutService(new Service("service-" + revision + "-" + i)));
+            list.add(new Change.PutService(new ServiceRecord("service-" + revision + "-" + i)));
         }
         Update update = new Update(before.revision(), revision, list);
         feed.append(before.with(revision, list), update);
@@ -84,7 +84,7 @@
         assertNull(feed.next(4));
         assertEquals(tasks.size(), 1);
         runTasks();
-        Line snapshot = feed.next(3);
+        WatchLine snapshot = feed.next(3);
         append(1);
         append(1);
         assertSame(feed.next(4), snapshot);
@@ -97,7 +97,7 @@
         feed.replace(Configuration.EMPTY.with(50, List.of()), List.of());
         feed.next(0);
         runTasks();
-        Line earlier = feed.next(0);
+        WatchLine earlier = feed.next(0);
         for (int i = 0; i <= RevisionFeed.MAX_LINES; i++) {
             append(1);
         }
@@ -121,7 +121,7 @@
     private void appendRepeated(int times) {
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            changes.add(new Change.PutService(new Service("service-" + i)));
+            changes.add(new Change.PutService(new ServiceRecord("service-" + i)));
         }
         for (int i = 0; i < times; i++) {
             Configuration before = feed.current();
@@ -137,7 +137,7 @@
         long bytes = 0;
         long revision = from;
         while (!feed.isCurrent(revision)) {
-            Line line = feed.next(revision);
+            WatchLine line = feed.next(revision);
             if (line == null) {
                 runTasks();
                 line = feed.next(revision);
@@ -171,7 +171,7 @@
         List<Change> services = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String name = Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong());
-            services.add(new Change.PutService(new Service(name)));
+            services.add(new Change.PutService(new ServiceRecord(name)));
         }
         return services;
     }
--- a/fleet/src/test/java/tinford/fleet/control/TestServers.java
+++ b/fleet/src/test/java/tinford/fleet/control/TestServers.java
@@ -10,7 +10,7 @@
 import tinford.fleet.config.ChangeSet;
 import tinford.fleet.config.Endpoint;
 import tinford.fleet.config.Proposal;
-import tinford.fleet.config.Service;
+import tinford.fleet.config.ServiceRecord;
 import tinford.fleet.control.ControlSettings.VoterSettings;
 import tinford.fleet.control.ControlSettings.WatchTiming;
 
@@ -93,7 +93,7 @@
     }
 
     static Proposal putService(String id, String service) {
-        return new ChangeSet(id, null, List.of(new Change.PutService(new Service(service))));
+        return new ChangeSet(id, null, List.of(new Change.PutService(new ServiceRecord(service))));
     }
 
     /** Takes no proposals. */
--- a/fleet/src/test/java/tinford/fleet/control/WatchConnection.java
+++ b/fleet/src/test/java/tinford/fleet/control/WatchConnection.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import tinford.fleet.config.ConfigurationCodec;
-import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.InvalidConfigurationException;
 import tinford.fleet.config.WatchMessage;
 
 /** One watch as a follower sees it on the socket, chunk by chunk; reads only when it is told to. */
@@ -112,7 +112,7 @@
     }
 
     /** The next message; heartbeats are passed over. */
-    WatchMessage message() throws IOException, InvalidConfiguration {
+    WatchMessage message() throws IOException, InvalidConfigurationException {
         String line = line();
         while (line != null && line.isEmpty()) {
             line = line();
--- a/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
@@ -12,9 +12,9 @@
 import org.testng.annotations.Test;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
-import tinford.fleet.config.Plan;
+import tinford.fleet.config.PlanRecord;
 import tinford.fleet.config.SnapshotCodec;
-import tinford.fleet.config.Tenant;
+import tinford.fleet.config.TenantRecord;
 import tinford.fleet.config.Update;
 import tinford.fleet.config.WatchMessage;
 import tinford.fleet.control.ControlSettings.WatchTiming;
@@ -43,10 +43,10 @@
         Configuration before = feed[0].current();
         List<Change> changes = new ArrayList<>();
         if (before.revision() == 0) {
-            changes.add(new Change.PutPlan(new Plan("team", 5, 5, 0, 1, 0, 0, 0, 0, 0)));
+            changes.add(new Change.PutPlan(new PlanRecord("team", 5, 5, 0, 1, 0, 0, 0, 0, 0)));
         }
         for (int i = 0; i < tenants; i++) {
-            changes.add(new Change.PutTenant(new Tenant(i * 7_919L, "team")));
+            changes.add(new Change.PutTenant(new TenantRecord(i * 7_919L, "team")));
         }
         long revision = before.revision() + 1;
         feed[0].append(
@@ -82,7 +82,12 @@
     public void aFollowerThatIsTooFarBehindGetsTheSharedSnapshotAndThenUpdates() throws Exception {
         start(10, TestServers.FAST);
         Configuration far = Configuration.EMPTY;
-        far = far.with(40, List.of(new Change.PutPlan(new Plan("p", 1, 1, 0, 1, 0, 0, 0, 0, 0))));
+        far =
+                far.with(
+                        40,
+                        List.of(
+                                new Change.PutPlan(
+                                        new PlanRecord("p", 1, 1, 0, 1, 0, 0, 0, 0, 0))));
         feed[0].replace(far, List.of());
         List<WatchConnection> watches = new ArrayList<>();
         try {
--- a/fleet/src/test/java/tinford/fleet/control/WatchStreamTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/WatchStreamTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
-import tinford.fleet.config.Service;
+import tinford.fleet.config.ServiceRecord;
 import tinford.fleet.config.Update;
 import tinford.fleet.config.WatchMessage;
 
@@ -19,15 +19,15 @@
 
     private void wakeThenStart(HttpServerExchange exchange) {
         WatchRequest request = new WatchRequest(true, 0, "gw-1");
-        WatchStream stream =
-                new WatchStream(request, exchange, feed, TestServers.FAST, closed -> {});
+        WatchResponseStream stream =
+                new WatchResponseStream(request, exchange, feed, TestServers.FAST, closed -> {});
         stream.wake();
         exchange.dispatch(exchange.getIoThread(), stream::start);
     }
 
     @Test
     public void aWakeBeforeTheStartLosesNoLine() throws Exception {
-        List<Change> changes = List.of(new Change.PutService(new Service("search")));
+        List<Change> changes = List.of(new Change.PutService(new ServiceRecord("search")));
         feed.append(Configuration.EMPTY.with(1, changes), new Update(0, 1, changes));
         Undertow http =
                 Undertow.builder()
--- a/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
@@ -26,7 +26,7 @@
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.Endpoint;
 import tinford.fleet.config.FollowerReport;
-import tinford.fleet.config.Service;
+import tinford.fleet.config.ServiceRecord;
 import tinford.fleet.config.SnapshotCodec;
 import tinford.fleet.config.Update;
 import tinford.fleet.config.WatchMessage;
@@ -93,7 +93,7 @@
     }
 
     private static Change put(String service) {
-        return new Change.PutService(new Service(service));
+        return new Change.PutService(new ServiceRecord(service));
     }
 
     private static WatchMessage update(long from, long revision) {
--- a/fleet/src/test/java/tinford/fleet/follow/ScriptedControlServer.java
+++ b/fleet/src/test/java/tinford/fleet/follow/ScriptedControlServer.java
@@ -24,7 +24,7 @@
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.Endpoint;
 import tinford.fleet.config.FollowerReport;
-import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.InvalidConfigurationException;
 import tinford.fleet.config.WatchMessage;
 
 /**
@@ -198,7 +198,7 @@
                 }
                 answerReport(body, socket);
             }
-        } catch (IOException | InvalidConfiguration e) {
+        } catch (IOException | InvalidConfigurationException e) {
             closeQuietly(socket);
         }
     }
@@ -225,7 +225,8 @@
         watches.add(new Watch(parameters, socket));
     }
 
-    private void answerReport(byte[] body, Socket socket) throws IOException, InvalidConfiguration {
+    private void answerReport(byte[] body, Socket socket)
+            throws IOException, InvalidConfigurationException {
         reports.add(ConfigurationCodec.decodeReport(body));
         String head =
                 endlessAnswers
--- a/fleet/src/test/java/tinford/fleet/follow/SnapshotFileTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/SnapshotFileTest.java
@@ -17,12 +17,12 @@
 import org.testng.annotations.Test;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
-import tinford.fleet.config.Service;
+import tinford.fleet.config.ServiceRecord;
 
 /** The last good configuration on a disk, and what is found where that was damaged. */
 public class SnapshotFileTest {
     private static final Configuration GOOD =
-            Configuration.EMPTY.with(7, List.of(new Change.PutService(new Service("shop"))));
+            Configuration.EMPTY.with(7, List.of(new Change.PutService(new ServiceRecord("shop"))));
     private Path folder;
 
     @BeforeMethod
--- a/fleet/src/test/java/tinford/fleet/members/GossipCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipCodecTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -159,7 +159,8 @@
     @Test
     public void garbageIsHarmless() {
         Random r = new Random(4);
-        Members members = new Members(new Incarnation(0, 5), 10, 100, 2, 3000, 3000, r);
+        GossipMembership members =
+                new GossipMembership(new Incarnation(0, 5), 10, 100, 2, 3000, 3000, r);
         for (int i = 0; i < 20_000; i++) {
             byte[] m =
                     message(
--- a/fleet/src/test/java/tinford/fleet/members/MembersTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -12,9 +12,9 @@
 import tinford.fleet.transport.InMemoryTransport;
 
 /** Fleets of many sizes in virtual time: who is known to live, how soon, at what cost. */
-public class MembersTest {
+public class GossipMembershipTest {
     /** Whether each counts so many; of 400, one in a hundred may be missing at each. */
-    private static boolean all(Fleet f, int living) {
+    private static boolean all(SimulatedGossipFleet f, int living) {
         for (int i = 0; i < f.members.length; i++) {
             if (!f.stopped[i]
                     && Math.abs(f.members[i].living() - living)
@@ -25,13 +25,13 @@
         return true;
     }
 
-    private static double upTo(Fleet f, double most) {
+    private static double upTo(SimulatedGossipFleet f, double most) {
         double took = f.until(most, () -> all(f, f.members.length));
         assertTrue(took < most, "all known after " + took);
         return took;
     }
 
-    private static int least(Fleet f) {
+    private static int least(SimulatedGossipFleet f) {
         int least = f.members.length;
         for (int i = 0; i < f.members.length; i++) {
             least = f.stopped[i] ? least : Math.min(least, f.members[i].living());
@@ -56,7 +56,7 @@
     }
 
     private static void lostAndBack(int n, double suspectAfter, double within) {
-        Fleet f = new Fleet(n, suspectAfter, suspectAfter / 2, 5);
+        SimulatedGossipFleet f = new SimulatedGossipFleet(n, suspectAfter, suspectAfter / 2, 5);
         f.net.link(new InMemoryTransport.Link(1, 2, 0.01, 0.01, 0.01, 50));
         upTo(f, within);
         double from = f.now;
@@ -83,7 +83,9 @@
                             }
                             return true;
                         });
-        assertTrue(gone <= suspectAfter + 2 * Fleet.EVERY, "loss known by all after " + gone);
+        assertTrue(
+                gone <= suspectAfter + 2 * SimulatedGossipFleet.EVERY,
+                "loss known by all after " + gone);
         f.start(lost, (long) f.now);
         double back =
                 f.until(
@@ -103,7 +105,7 @@
 
     @Test(dataProvider = "sizes")
     public void halvesCutAndHealed(int n, double suspectAfter, double within) {
-        Fleet f = new Fleet(n, suspectAfter, suspectAfter / 2, 6);
+        SimulatedGossipFleet f = new SimulatedGossipFleet(n, suspectAfter, suspectAfter / 2, 6);
         f.run(2 * within);
         int half = n / 2;
         cut(f, half, true);
@@ -118,13 +120,14 @@
                             }
                             return true;
                         });
-        assertTrue(seen <= suspectAfter + 2 * Fleet.EVERY, "halves seen after " + seen);
+        assertTrue(
+                seen <= suspectAfter + 2 * SimulatedGossipFleet.EVERY, "halves seen after " + seen);
         assertEquals(f.members[0].size(), n);
         cut(f, half, false);
         upTo(f, within);
     }
 
-    private static void cut(Fleet f, int half, boolean on) {
+    private static void cut(SimulatedGossipFleet f, int half, boolean on) {
         for (int i = 0; i < half; i++) {
             for (int j = half; j < f.members.length; j++) {
                 f.net.cutBoth(i, j, on);
@@ -134,7 +137,7 @@
 
     @Test
     public void lossAndDoublingCostAgeOnly() {
-        Fleet f = new Fleet(14, 3000, 3000, 7);
+        SimulatedGossipFleet f = new SimulatedGossipFleet(14, 3000, 3000, 7);
         f.net.link(new InMemoryTransport.Link(1, 30, 0.3, 0.3, 0.1, 300));
         upTo(f, 5000);
         for (int i = 0; i < 200; i++) {
@@ -150,7 +153,7 @@
     @Test
     public void sumOfUnevenGateways() {
         for (int n : new int[] {5, 14, 100}) {
-            Fleet f = new Fleet(n, 6000, 5000, 8);
+            SimulatedGossipFleet f = new SimulatedGossipFleet(n, 6000, 5000, 8);
             double sum = 0;
             for (int i = 0; i < n; i++) {
                 f.sees[i] = i % 5 == 0 ? 5 : 1;
@@ -159,7 +162,7 @@
             f.run(n * 200);
             double worst = 0;
             double mean = 0;
-            for (Members m : f.members) {
+            for (GossipMembership m : f.members) {
                 double estimate =
                         m.fresh().stream().mapToDouble(s -> s.first).average().orElse(0)
                                 * m.living();
@@ -178,7 +181,7 @@
      */
     @Test
     public void wakesUpAfterALongPause() {
-        Fleet f = new Fleet(14, 3000, 1500, 9);
+        SimulatedGossipFleet f = new SimulatedGossipFleet(14, 3000, 1500, 9);
         f.run(3000);
         f.net.pause(3);
         f.stopped[3] = true;
@@ -218,7 +221,7 @@
      */
     @Test(dataProvider = "seeds")
     public void nothingIsFresherThanItIs(long seed) {
-        Fleet f = new Fleet(7, 3000, 1500, seed);
+        SimulatedGossipFleet f = new SimulatedGossipFleet(7, 3000, 1500, seed);
         Random r = new Random(seed);
         f.net.link(new InMemoryTransport.Link(1, 20, 0.2, 0.2, 0.05, 2000));
         double[][] since = new double[7][7];
@@ -229,7 +232,7 @@
             f.round();
             for (int a = 0; a < 7; a++) {
                 for (int b = 0; b < 7; b++) {
-                    Members m = f.members[a];
+                    GossipMembership m = f.members[a];
                     if (a == b || f.stopped[a] || m.of(b) == null) {
                         continue;
                     }
@@ -251,7 +254,7 @@
         assertTrue(worst < 2 * 2021 + 150, "counts as fresher than it is by " + worst);
     }
 
-    private static void disturb(Fleet f, Random r) {
+    private static void disturb(SimulatedGossipFleet f, Random r) {
         int a = r.nextInt(7);
         int b = (a + 1 + r.nextInt(6)) % 7;
         switch (r.nextInt(60)) {
@@ -277,7 +280,7 @@
 
     @Test
     public void alone() {
-        Fleet f = new Fleet(5, 1000, 1000, 10);
+        SimulatedGossipFleet f = new SimulatedGossipFleet(5, 1000, 1000, 10);
         for (int i = 1; i < 5; i++) {
             f.kill(i);
         }
@@ -297,7 +300,8 @@
 
     @Test
     public void theLaterIncarnationWins() {
-        Members m = new Members(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
+        GossipMembership m =
+                new GossipMembership(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
         m.heard(told(500, 900, 500), 1, 1000);
         m.heard(told(1000, 1, 50), 1, 1050);
         m.heard(told(500, 901, 600), 1, 1100);
@@ -319,7 +323,8 @@
 
     @Test
     public void takesABoundedNumberASecond() {
-        Members m = new Members(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
+        GossipMembership m =
+                new GossipMembership(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
         for (int i = 0; i < 10_000; i++) {
             m.heard(told(500, i, i), 1, 1000 + i / 10.0);
         }
--- a/fleet/src/test/java/tinford/fleet/members/LeasesTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/LeaseTableTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -15,19 +15,19 @@
 import org.testng.annotations.Test;
 
 /** Leases of members as the replicated log grants and ends them. */
-public class LeasesTest {
+public class LeaseTableTest {
     private static final Incarnation FIRST = new Incarnation(3, 100);
     private static final Incarnation LATER = new Incarnation(3, 900);
     private static final Incarnation OTHER = new Incarnation(5, 100);
 
-    private static Leases leases() {
-        return new Leases(8, 1000, 50, 400);
+    private static LeaseTable leases() {
+        return new LeaseTable(8, 1000, 50, 400);
     }
 
     @Test
     public void aLeaseIsOverOnlyTheSpreadLaterAndClosedTheLingerAfter() {
-        Leases t = leases();
-        t.apply(1, Leases.renew(FIRST, 1000, 1000));
+        LeaseTable t = leases();
+        t.apply(1, LeaseTable.renew(FIRST, 1000, 1000));
         assertTrue(t.of(FIRST).holds(1999) && !t.of(FIRST).holds(2000));
         t.seen(2049);
         assertTrue(t.mayAct(FIRST));
@@ -41,39 +41,39 @@
 
     @Test
     public void aLaterIncarnationEndsNoLeaseOfAnEarlierOneWhichRenewsNoMore() {
-        Leases t = leases();
-        t.apply(1, Leases.renew(FIRST, 1000, 1000));
-        t.apply(2, Leases.renew(LATER, 1100, 1000));
+        LeaseTable t = leases();
+        t.apply(1, LeaseTable.renew(FIRST, 1000, 1000));
+        t.apply(2, LeaseTable.renew(LATER, 1100, 1000));
         assertEquals(t.mayAct(), List.of(FIRST, LATER));
-        t.apply(3, Leases.renew(FIRST, 1200, 1000));
+        t.apply(3, LeaseTable.renew(FIRST, 1200, 1000));
         assertEquals(t.of(FIRST).until(), 2000.0);
         assertFalse(t.renews(FIRST));
         assertTrue(t.renews(LATER));
-        t.apply(4, Leases.leave(LATER, 1300));
+        t.apply(4, LeaseTable.leave(LATER, 1300));
         assertEquals(t.mayAct(), List.of(FIRST));
-        t.apply(5, Leases.renew(LATER, 1200, 1000));
+        t.apply(5, LeaseTable.renew(LATER, 1200, 1000));
         assertTrue(t.closed(LATER), "a late entry takes back one that left");
     }
 
     @DataProvider
     public Object[][] bad() {
-        byte[] cut = Leases.renew(FIRST, 1, 1);
+        byte[] cut = LeaseTable.renew(FIRST, 1, 1);
         byte[] newer = cut.clone();
         newer[1] = 9;
         return new Object[][] {
-            {Leases.renew(FIRST, Double.NaN, 10)},
-            {Leases.renew(FIRST, 10, 1001)},
-            {Leases.renew(FIRST, 10, -1)},
-            {Leases.renew(new Incarnation(8, 1), 10, 10)},
+            {LeaseTable.renew(FIRST, Double.NaN, 10)},
+            {LeaseTable.renew(FIRST, 10, 1001)},
+            {LeaseTable.renew(FIRST, 10, -1)},
+            {LeaseTable.renew(new Incarnation(8, 1), 10, 10)},
             {java.util.Arrays.copyOf(cut, 9)},
             {newer},
-            {Leases.leave(OTHER, 1)}
+            {LeaseTable.leave(OTHER, 1)}
         };
     }
 
     @Test(dataProvider = "bad")
     public void whatCantBeTakenChangesNothingAndIsCounted(byte[] entry) {
-        Leases t = leases();
+        LeaseTable t = leases();
         assertTrue(t.apply(1, entry));
         assertEquals(t.refused(), 1);
         assertEquals(t.mayAct(), List.of());
@@ -82,18 +82,18 @@
 
     @Test
     public void manyIncarnationsOfOneGatewayAreBoundedAndASnapshotIsTheSame() throws IOException {
-        Leases t = leases();
+        LeaseTable t = leases();
         for (int i = 0; i < 20; i++) {
-            t.apply(i + 1, Leases.renew(new Incarnation(3, i), 1000 + i, 1000));
+            t.apply(i + 1, LeaseTable.renew(new Incarnation(3, i), 1000 + i, 1000));
         }
-        assertEquals(t.of(3).size(), Leases.MOST_INCARNATIONS);
+        assertEquals(t.of(3).size(), LeaseTable.MOST_INCARNATIONS);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         t.write(new DataOutputStream(bytes));
-        Leases again = leases();
+        LeaseTable again = leases();
         again.read(new DataInputStream(new ByteArrayInputStream(bytes.toByteArray())));
         assertEquals(again.mayAct(), t.mayAct());
         assertEquals(again.now(), t.now());
-        again.apply(30, Leases.renew(new Incarnation(3, 6), 1100, 1000));
+        again.apply(30, LeaseTable.renew(new Incarnation(3, 6), 1100, 1000));
         assertNotNull(again.of(new Incarnation(3, 6)));
         assertEquals(
                 again.of(new Incarnation(3, 6)).until(),
--- a/fleet/src/test/java/tinford/fleet/members/Fleet.java
+++ b/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
@@ -1,4 +1,4 @@
-package tinford.fleet.members;
+package tinford.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,11 +12,11 @@
  * A fleet of members in virtual time, for tests: each renews its record and has its round every 100
  * ms, at a moment of its own.
  */
-final class Fleet {
+final class SimulatedGossipFleet {
     static final double EVERY = 100;
     static final int FANOUT = 2;
     final InMemoryTransport.Network net;
-    final Members[] members;
+    final GossipMembership[] members;
     final Transport[] transports;
     final boolean[] stopped;
     final int[] seq;
@@ -31,10 +31,10 @@
     /** How many times as much as others a gateway sees. */
     final double[] sees;
 
-    Fleet(int n, double suspectAfter, double freshFor, long seed) {
+    SimulatedGossipFleet(int n, double suspectAfter, double freshFor, long seed) {
         net = new InMemoryTransport.Network(n, 256, 200, seed);
         net.advance(now);
-        members = new Members[n];
+        members = new GossipMembership[n];
         transports = new Transport[n];
         stopped = new boolean[n];
         seq = new int[n];
@@ -51,8 +51,8 @@
     private final double freshFor;
 
     void start(int i, long at) {
-        Members m =
-                new Members(
+        GossipMembership m =
+                new GossipMembership(
                         new Incarnation(i, at),
                         members.length,
                         EVERY,
--- a/fleet/src/test/java/tinford/fleet/moves/PlanTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationPlanTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -7,12 +7,12 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.Effect;
-import tinford.api.Frontend;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
+import tinford.api.RequestClass;
 
 /** Validation of plans of staged moves. */
-public class PlanTest {
+public class MigrationPlanTest {
     static final String GOOD =
             """
             plan = "p"
@@ -37,27 +37,31 @@
             connections = 5
             """;
 
-    static PlanReader reader() {
-        return new PlanReader(
-                new Plan.Known(
+    static MigrationPlanReader reader() {
+        return new MigrationPlanReader(
+                new MigrationPlan.Known(
                         Map.of(
                                 "web",
-                                frontend("web", Effect.IDEMPOTENT),
+                                frontend("web", Idempotency.IDEMPOTENT),
                                 "store",
-                                frontend("store", Effect.IDEMPOTENCY_KEY)),
+                                frontend("store", Idempotency.IDEMPOTENCY_KEY)),
                         Map.of("web", "a", "store", "a"),
-                        Map.of("a", new Plan.Room(50, 50, 0.3), "b", new Plan.Room(20, 10, 0.3))));
+                        Map.of(
+                                "a",
+                                new MigrationPlan.Room(50, 50, 0.3),
+                                "b",
+                                new MigrationPlan.Room(20, 10, 0.3))));
     }
 
-    private static Frontend frontend(String name, Effect effect) {
-        return new Frontend(name, 100, 1000, 1, 0, effect, Group.ALL, 5000, false);
+    private static RequestClass frontend(String name, Idempotency effect) {
+        return new RequestClass(name, 100, 1000, 1, 0, effect, DeduplicationScope.ALL, 5000, false);
     }
 
     @Test
     public void whatIsNeededMovesWholeBefore() {
-        Plan p = reader().read("f", GOOD);
+        MigrationPlan p = reader().read("f", GOOD);
         assertEquals(p.steps.size(), 6, "start, three steps of store, two stages of web");
-        for (Step s : p.steps) {
+        for (MigrationStep s : p.steps) {
             assertTrue(
                     s.parts().get(0).until() == 0 || s.parts().get(1).share() == 1, s.toString());
         }
@@ -125,7 +129,8 @@
     public void badPlansAreRefused(String good, String instead, String expected) {
         int at = GOOD.indexOf(good);
         String text = GOOD.substring(0, at) + instead + GOOD.substring(at + good.length());
-        Faults.Refused r = expectThrows(Faults.Refused.class, () -> reader().read("f", text));
+        PlanErrors.Refused r =
+                expectThrows(PlanErrors.Refused.class, () -> reader().read("f", text));
         assertTrue(r.faults().stream().anyMatch(f -> f.startsWith(expected)), r.getMessage());
     }
 
@@ -135,8 +140,9 @@
                 GOOD.replace("margin = 0.1", "margin = 2")
                         .replace("[0.5, 1.0]", "[0.5]")
                         .replace("units = 10", "units = 30");
-        Faults.Refused r = expectThrows(Faults.Refused.class, () -> reader().read("f", text));
+        PlanErrors.Refused r =
+                expectThrows(PlanErrors.Refused.class, () -> reader().read("f", text));
         assertTrue(r.faults().size() >= 3, r.getMessage());
-        expectThrows(Faults.Refused.class, () -> reader().read("f", "plan = \"p\"\n"));
+        expectThrows(PlanErrors.Refused.class, () -> reader().read("f", "plan = \"p\"\n"));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/moves/MovesTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
@@ -1,4 +1,4 @@
-package tinford.fleet.moves;
+package tinford.fleet.migration;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -9,44 +9,47 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Lease;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Lease;
 
 /** Stages of a move: begun, acknowledged, completed and reverted. */
-public class MovesTest {
+public class MigrationStateTest {
     private static final Incarnation ONE = new Incarnation(1, 5);
     private static final Map<String, String> HOMES = Map.of("web", "a", "store", "a");
 
-    private static Moves moves() {
-        return new Moves(HOMES, since -> List.of(ONE), 0);
+    private static MigrationState moves() {
+        return new MigrationState(HOMES, since -> List.of(ONE), 0);
     }
 
-    private static Entry begin() {
-        return Entry.begin("o", 0, PlanTest.reader().read("f", PlanTest.GOOD));
+    private static MigrationEntry begin() {
+        return MigrationEntry.begin(
+                "o", 0, MigrationPlanTest.reader().read("f", MigrationPlanTest.GOOD));
     }
 
     /**
      * b begin, a ack, A ack of another turn, g go ahead, G go too far, < go back, h halt, r resume,
      * o resume of an earlier halt, x back, ! bad.
      */
-    private static void play(Moves m, String what, double[] now) {
+    private static void play(MigrationState m, String what, double[] now) {
         for (char c : what.toCharArray()) {
             now[0] += 10_000;
-            MoveStatus s = m.status();
-            Entry e =
+            MigrationStatus s = m.status();
+            MigrationEntry e =
                     switch (c) {
                         case 'b' -> begin();
-                        case 'a' -> Entry.ack(ONE, s.turn(), now[0]);
-                        case 'A' -> Entry.ack(ONE, s.turn() - 1, now[0]);
-                        case 'g' -> Entry.go(now[0], s.turn(), s.position() + 1, 20);
-                        case 'G' -> Entry.go(now[0], s.turn(), s.position() + 2, 20);
-                        case 'c' -> Entry.go(now[0], s.turn(), s.position() + 1);
-                        case '<' -> Entry.go(now[0], s.turn(), s.position() - 1);
-                        case 'h' -> Entry.halt("o", now[0]);
-                        case 'r' -> Entry.resume("o", now[0], m.halts());
-                        case 'o' -> Entry.resume("o", now[0], m.halts() - 1);
-                        case 'x' -> Entry.back("o", now[0]);
-                        default -> Entry.report(ONE, s.turn(), now[0], 100, 1, 100, 12, 0, 0, 0, 0);
+                        case 'a' -> MigrationEntry.ack(ONE, s.turn(), now[0]);
+                        case 'A' -> MigrationEntry.ack(ONE, s.turn() - 1, now[0]);
+                        case 'g' -> MigrationEntry.go(now[0], s.turn(), s.position() + 1, 20);
+                        case 'G' -> MigrationEntry.go(now[0], s.turn(), s.position() + 2, 20);
+                        case 'c' -> MigrationEntry.go(now[0], s.turn(), s.position() + 1);
+                        case '<' -> MigrationEntry.go(now[0], s.turn(), s.position() - 1);
+                        case 'h' -> MigrationEntry.halt("o", now[0]);
+                        case 'r' -> MigrationEntry.resume("o", now[0], m.halts());
+                        case 'o' -> MigrationEntry.resume("o", now[0], m.halts() - 1);
+                        case 'x' -> MigrationEntry.back("o", now[0]);
+                        default ->
+                                MigrationEntry.report(
+                                        ONE, s.turn(), now[0], 100, 1, 100, 12, 0, 0, 0, 0);
                     };
             m.apply(1, e.bytes());
         }
@@ -91,7 +94,7 @@
 
     @Test(dataProvider = "table")
     public void entriesDoWhatTheTableSays(String what, String expected) {
-        Moves m = moves();
+        MigrationState m = moves();
         play(m, what, new double[1]);
         assertEquals(m.status().state() + " " + m.status().position(), expected, m.told());
     }
@@ -100,13 +103,13 @@
     public void drawnHistoriesHoldOverSnapshotsAndRubbish() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            Moves m = moves();
-            Moves other = moves();
+            MigrationState m = moves();
+            MigrationState other = moves();
             double[] now = new double[1];
             double[] same = new double[1];
             for (int i = 0; i < 60; i++) {
                 String one = "baaAgggGc<<hrrox!".charAt(random.nextInt(17)) + "";
-                MoveStatus before = m.status();
+                MigrationStatus before = m.status();
                 play(m, one, now);
                 play(other, one, same);
                 assertTrue(
@@ -119,7 +122,7 @@
                 m.apply(1, new byte[random.nextInt(3)]);
                 assertEquals(m.snapshot(), was);
                 assertTrue(m.told().contains("refused"));
-                Moves restored = moves();
+                MigrationState restored = moves();
                 restored.restore(1, was);
                 m = restored;
             }
@@ -129,8 +132,8 @@
 
     @Test
     public void withoutATermNothingOfWhatMayMoveIsSent() {
-        Moves m = moves();
-        Route r = new Route(ONE, m.status(), 10);
+        MigrationState m = moves();
+        MigrationRouter r = new MigrationRouter(ONE, m.status(), 10);
         assertFalse(r.mayGo("web", 1, false, "a", null, 0));
         assertTrue(r.mayGo("other", 1, false, "a", null, 0));
         r.see(m.status(), new Lease(ONE, 100, 1), false);
@@ -139,7 +142,7 @@
         assertFalse(r.mayGo("web", 1, false, "a", null, 100));
         play(m, "b", new double[1]);
         r.see(m.status(), new Lease(ONE, 100, 1), false);
-        assertEquals(r.tells(50).kind(), Entry.Kind.ACK);
+        assertEquals(r.tells(50).kind(), MigrationEntry.Kind.ACK);
         assertTrue(r.mayGo("store", 1, true, "b", "b", 50), "stays with its first group");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Incarnation;
 
 /** The admission threshold that gateways work out from the same records. */
 public class AdmissionThresholdTest {
--- a/fleet/src/test/java/tinford/fleet/overload/FixedMembership.java
+++ b/fleet/src/test/java/tinford/fleet/overload/FixedMembership.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Membership;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Membership;
 
 /** Whatever a test says was heard. */
 final class FixedMembership implements Membership {
--- a/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
@@ -7,13 +7,13 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.Srv;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Incarnation;
+import tinford.api.Server;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Incarnation;
 
 /** Which gateway probes an unhealthy server. */
 public class ProbeOwnersTest {
-    private final Srv srv = new Srv("a-1");
+    private final Server srv = new Server("a-1");
 
     private static FixedMembership fleet(int from, int until) {
         FixedMembership h = new FixedMembership(until);
--- a/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Incarnation;
 
 /** A gateway's part of the fleet's retry budget. */
 public class RetryBudgetTest {
--- a/fleet/src/test/java/tinford/fleet/run/CatalogBuilderTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/CatalogBuilderTest.java
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.Set;
 import org.testng.annotations.Test;
-import tinford.api.Effect;
-import tinford.api.Frontend;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
+import tinford.api.RequestClass;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
-import tinford.fleet.config.Plan;
-import tinford.fleet.config.Route;
-import tinford.fleet.config.Service;
-import tinford.fleet.config.Tenant;
+import tinford.fleet.config.PlanRecord;
+import tinford.fleet.config.RouteRecord;
+import tinford.fleet.config.ServiceRecord;
+import tinford.fleet.config.TenantRecord;
 import tinford.routing.Catalog;
 
 /** What a gateway serves by, out of a configuration. */
@@ -27,21 +27,21 @@
 
     static Change route(String name, double targetMs) {
         return new Change.PutRoute(
-                new Route(
+                new RouteRecord(
                         name,
                         "shop",
                         targetMs,
                         8000,
                         3,
                         1,
-                        Effect.IDEMPOTENCY_KEY,
-                        Group.ZONE,
+                        Idempotency.IDEMPOTENCY_KEY,
+                        DeduplicationScope.ZONE,
                         3000,
                         true));
     }
 
     static Change plan(String name, double perSecond) {
-        return new Change.PutPlan(new Plan(name, perSecond, 40, 7, 2, 0.5, 0.25, 30, 60, 5));
+        return new Change.PutPlan(new PlanRecord(name, perSecond, 40, 7, 2, 0.5, 0.25, 30, 60, 5));
     }
 
     /** Two routes, two plans and two tenants, at revision 1. */
@@ -49,13 +49,13 @@
         return Configuration.EMPTY.with(
                 1,
                 List.of(
-                        new Change.PutService(new Service("shop")),
+                        new Change.PutService(new ServiceRecord("shop")),
                         route("read", 2000),
                         route("write", 2000),
                         plan("free", 20),
                         plan("paid", 200),
-                        new Change.PutTenant(new Tenant(5, "free")),
-                        new Change.PutTenant(new Tenant(6, "paid"))));
+                        new Change.PutTenant(new TenantRecord(5, "free")),
+                        new Change.PutTenant(new TenantRecord(6, "paid"))));
     }
 
     private static CatalogBuilder builder() {
@@ -66,26 +66,26 @@
     public void everyFieldArrivesInTheGatewaysUnits() throws Exception {
         Catalog catalog = builder().build(first());
         assertEquals(catalog.revision(), 1);
-        Frontend read = catalog.frontends().get("read");
+        RequestClass read = catalog.frontends().get("read");
         assertEquals(read.name, "read");
-        assertEquals(read.target, 2000.0);
-        assertEquals(read.timeout, 8000.0);
-        assertEquals(read.value, 3.0);
-        assertEquals(read.lateValue, 1.0);
-        assertSame(read.effect, Effect.IDEMPOTENCY_KEY);
-        assertSame(read.group, Group.ZONE);
-        assertEquals(read.repeatWindow, 3000.0);
+        assertEquals(read.latencyObjectiveMs, 2000.0);
+        assertEquals(read.timeoutMs, 8000.0);
+        assertEquals(read.priorityWeight, 3.0);
+        assertEquals(read.lateWeight, 1.0);
+        assertSame(read.idempotency, Idempotency.IDEMPOTENCY_KEY);
+        assertSame(read.deduplicationScope, DeduplicationScope.ZONE);
+        assertEquals(read.deduplicationWindowMs, 3000.0);
         assertEquals(read.streamed, true);
         tinford.api.Plan free = catalog.plans().get("free");
-        assertEquals(free.rate, 0.02);
+        assertEquals(free.quotaPerMs, 0.02);
         assertEquals(free.burst, 40.0);
-        assertEquals(free.maxOut, 7);
-        assertEquals(free.price, 2.0);
-        assertEquals(free.beyondValue, 0.5);
-        assertEquals(free.beyondCost, 0.25);
-        assertEquals(free.ceilingRate, 0.03);
-        assertEquals(free.ceilingBurst, 60.0);
-        assertEquals(free.ceilingSlack, 5.0);
+        assertEquals(free.maxOpenRequests, 7);
+        assertEquals(free.priorityWeight, 2.0);
+        assertEquals(free.overQuotaWeight, 0.5);
+        assertEquals(free.overQuotaCost, 0.25);
+        assertEquals(free.hardLimitPerMs, 0.03);
+        assertEquals(free.hardLimitBurst, 60.0);
+        assertEquals(free.hardLimitSlack, 5.0);
     }
 
     @Test
@@ -96,11 +96,11 @@
                 first().with(2, List.of(route("read", 1000), plan("paid", 300), plan("new", 1)));
         Catalog after = builder.build(next);
         assertNotSame(after.frontends().get("read"), before.frontends().get("read"));
-        assertEquals(after.frontends().get("read").target, 1000.0);
+        assertEquals(after.frontends().get("read").latencyObjectiveMs, 1000.0);
         assertSame(after.frontends().get("write"), before.frontends().get("write"));
         assertSame(after.plans().get("free"), before.plans().get("free"));
         assertNotSame(after.plans().get("paid"), before.plans().get("paid"));
-        assertEquals(before.plans().get("paid").rate, 0.2, "the one before is as it was");
+        assertEquals(before.plans().get("paid").quotaPerMs, 0.2, "the one before is as it was");
     }
 
     @Test
@@ -130,13 +130,13 @@
     public void moreTenantsThanTheHeapHoldsAreRefused() throws Exception {
         List<Change> many = new ArrayList<>();
         for (long id = 100; id < 1100; id++) {
-            many.add(new Change.PutTenant(new Tenant(id, "free")));
+            many.add(new Change.PutTenant(new TenantRecord(id, "free")));
         }
         Configuration next = first().with(2, many);
         CatalogBuilder builder = new CatalogBuilder(Set.of(), 1 << 20);
         assertEquals(builder.build(next).revision(), 2, "a thousand fit into half of a megabyte");
         for (long id = 1100; id < 2100; id++) {
-            many.add(new Change.PutTenant(new Tenant(id, "free")));
+            many.add(new Change.PutTenant(new TenantRecord(id, "free")));
         }
         Configuration more = first().with(3, many);
         CatalogBuilder.Unusable refused =
--- a/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
@@ -6,11 +6,11 @@
 
 import java.util.Map;
 import org.testng.annotations.Test;
-import tinford.fleet.budgets.LedgerEntry;
-import tinford.fleet.budgets.StaticShares;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Leases;
-import tinford.fleet.moves.Entry;
+import tinford.fleet.budget.LedgerEntry;
+import tinford.fleet.budget.StaticShares;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.LeaseTable;
+import tinford.fleet.migration.MigrationEntry;
 
 /** Leases, budgets and moves in one log. */
 public class FleetStateMachineTest {
@@ -22,7 +22,7 @@
     }
 
     private static void fill(FleetStateMachine to) {
-        to.apply(3, Leases.renew(INCARNATION, 10_000, 3000));
+        to.apply(3, LeaseTable.renew(INCARNATION, 10_000, 3000));
         to.apply(5, new LedgerEntry.Offer("s", 0, 8, 10_010).bytes());
         to.apply(6, new LedgerEntry.Tell(INCARNATION, 10_020, 5, Map.of(7L, 2), Map.of()).bytes());
     }
@@ -37,8 +37,8 @@
         assertEquals(second.ledger.number("s"), 0);
         assertEquals(second.ledger.last(), 6);
         assertNotNull(second.leases.of(INCARNATION));
-        second.apply(7, Leases.renew(INCARNATION, 12_000, 3000));
-        first.apply(7, Leases.renew(INCARNATION, 12_000, 3000));
+        second.apply(7, LeaseTable.renew(INCARNATION, 12_000, 3000));
+        first.apply(7, LeaseTable.renew(INCARNATION, 12_000, 3000));
         assertEquals(second.snapshot(), first.snapshot());
     }
 
@@ -49,10 +49,10 @@
         all.apply(
                 7,
                 new byte[] {
-                    Entry.MARK, 99, 1
+                    MigrationEntry.MARK, 99, 1
                 }); // from each of their own entries on moves have the log's time
         byte[] moves = all.moves.snapshot();
-        all.apply(8, new byte[] {Entry.MARK, 99, 1});
+        all.apply(8, new byte[] {MigrationEntry.MARK, 99, 1});
         assertEquals(all.ledger.unknown(), 0, "what belongs to moves is not the ledger's");
         assertEquals(all.ledger.last(), 6);
         all.apply(9, new byte[] {120, 1});
--- a/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
@@ -28,15 +28,15 @@
 import tinford.fleet.config.WatchMessage;
 import tinford.fleet.follow.ScriptedControlServer;
 import tinford.fleet.follow.SnapshotFile;
-import tinford.fleet.members.Incarnation;
+import tinford.fleet.membership.Incarnation;
 import tinford.routing.Catalog;
-import tinford.transport.Loop;
+import tinford.transport.EventLoop;
 
 /** A gateway's configuration from disk and server to its catalog; the test is the I/O thread. */
 public class GatewayConfigurationTest {
     private static final String FLEET = "shop";
     private static final int PATIENCE_S = 30;
-    private final BlockingQueue<Loop.Due> entered = new LinkedBlockingQueue<>();
+    private final BlockingQueue<EventLoop.Task> entered = new LinkedBlockingQueue<>();
     private final List<Catalog> used = new ArrayList<>();
     private final List<GatewayConfiguration> open = new ArrayList<>();
     private Path folder;
@@ -66,7 +66,7 @@
     }
 
     private GatewayConfiguration start(Set<String> neededRoutes) throws IOException {
-        History told = History.at(history.toString(), new Incarnation(3, 1));
+        HistoryWriter told = HistoryWriter.at(history.toString(), new Incarnation(3, 1));
         GatewayConfiguration configuration =
                 new GatewayConfiguration(
                         new ConfigurationSettings(
@@ -84,11 +84,11 @@
 
     /** Plays what comes in next, as the I/O thread does. */
     private void turn() throws InterruptedException {
-        Loop.Due next = entered.poll(PATIENCE_S, TimeUnit.SECONDS);
+        EventLoop.Task next = entered.poll(PATIENCE_S, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("nothing came in");
         }
-        next.play();
+        next.run();
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
@@ -167,7 +167,7 @@
         watch.send(new WatchMessage.UpdateMessage(new Update(1, 2, changes)));
         turn();
         assertEquals(used.get(1).revision(), 2);
-        assertEquals(used.get(1).plans().get("paid").rate, 0.3);
+        assertEquals(used.get(1).plans().get("paid").quotaPerMs, 0.3);
         server.report(2);
         JsonNode line = told("configuration");
         assertEquals(line.path("revision").asLong(), 1);
@@ -182,9 +182,9 @@
         GatewayConfiguration configuration = start(Set.of());
         ScriptedControlServer.Watch watch = server.watch();
         watch.send(snapshot(CatalogBuilderTest.first()));
-        Loop.Due swap = entered.poll(PATIENCE_S, TimeUnit.SECONDS);
+        EventLoop.Task swap = entered.poll(PATIENCE_S, TimeUnit.SECONDS);
         assertTrue(used.isEmpty());
-        swap.play();
+        swap.run();
         assertEquals(used.size(), 1);
         assertEquals(server.report(1).refusal(), null);
         configuration.close();
--- a/fleet/src/test/java/tinford/fleet/run/MailboxTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/IoThreadMailboxTest.java
@@ -14,14 +14,14 @@
  * What other threads bring is bounded; lossy entries go when there is no room, lossless ones wait
  * for it.
  */
-public class MailboxTest {
+public class IoThreadMailboxTest {
     private final List<Runnable> entered = new ArrayList<>();
     private final List<String> ran = new ArrayList<>();
 
-    private Mailbox box(int lossyCapacity, int losslessCapacity) {
+    private IoThreadMailbox box(int lossyCapacity, int losslessCapacity) {
         entered.clear();
         ran.clear();
-        return new Mailbox(lossyCapacity, losslessCapacity, entered::add);
+        return new IoThreadMailbox(lossyCapacity, losslessCapacity, entered::add);
     }
 
     private void drain() {
@@ -32,7 +32,7 @@
 
     @Test
     public void theOldestLossyOneGoesAndLosslessOnesComeFirst() throws Exception {
-        Mailbox box = box(2, 2);
+        IoThreadMailbox box = box(2, 2);
         for (String s : List.of("a", "b", "c")) {
             box.offer(() -> ran.add(s));
         }
@@ -50,7 +50,7 @@
      * Brings one thing more than there is room for, on another thread, and waits until that one
      * stands.
      */
-    private CompletableFuture<Boolean> oneTooMany(Mailbox box) throws Exception {
+    private CompletableFuture<Boolean> oneTooMany(IoThreadMailbox box) throws Exception {
         assertTrue(box.put(() -> ran.add("1")));
         CompletableFuture<Boolean> taken = new CompletableFuture<>();
         Thread brings =
@@ -76,7 +76,7 @@
 
     @Test
     public void aLosslessOneWaitsForRoom() throws Exception {
-        Mailbox box = box(1, 1);
+        IoThreadMailbox box = box(1, 1);
         CompletableFuture<Boolean> taken = oneTooMany(box);
         drain();
         assertTrue(taken.get(20, TimeUnit.SECONDS));
@@ -86,7 +86,7 @@
 
     @Test
     public void aClosedBoxLetsGoOfWhoWaitsAndTakesNothing() throws Exception {
-        Mailbox box = box(1, 1);
+        IoThreadMailbox box = box(1, 1);
         CompletableFuture<Boolean> taken = oneTooMany(box);
         box.close();
         assertFalse(taken.get(20, TimeUnit.SECONDS));
--- a/fleet/src/test/java/tinford/fleet/run/MoverTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MigrationCoordinatorTest.java
@@ -12,27 +12,27 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.Customer;
-import tinford.api.Effect;
-import tinford.api.End;
-import tinford.api.Frontend;
-import tinford.api.Group;
-import tinford.api.Req;
-import tinford.api.Srv;
-import tinford.fleet.budgets.StaticShares;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Leases;
-import tinford.fleet.moves.MoveStatus;
-import tinford.fleet.moves.Moves;
-import tinford.fleet.settings.InvalidSettings;
-import tinford.fleet.store.Log;
-import tinford.fleet.store.MemoryLogs;
+import tinford.api.AttemptOutcome;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.api.Server;
+import tinford.api.Tenant;
+import tinford.fleet.budget.StaticShares;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.LeaseTable;
+import tinford.fleet.migration.MigrationState;
+import tinford.fleet.migration.MigrationStatus;
+import tinford.fleet.settings.InvalidOperatorFileException;
+import tinford.fleet.store.InMemoryLogs;
+import tinford.fleet.store.ReplicatedLog;
 
 /**
  * Three processes' parts over logs in memory, driven; gateways are killed, stopped and cut off in
  * each stage.
  */
-public class MoverTest {
+public class MigrationCoordinatorTest {
     private static final double LEASE = 2000;
     private static final double APART = 50;
     private static final double LINGER = 6000;
@@ -80,24 +80,24 @@
             rooms = ["a=100,100", "b=100,100"]
             """;
 
-    private static Frontend frontend(String name) {
-        return new Frontend(
+    private static RequestClass frontend(String name) {
+        return new RequestClass(
                 name,
                 800,
                 2500,
                 1,
                 0,
-                name.equals("mid") ? Effect.IDEMPOTENCY_KEY : Effect.IDEMPOTENT,
-                Group.ALL,
+                name.equals("mid") ? Idempotency.IDEMPOTENCY_KEY : Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
                 3000,
                 false);
     }
 
-    private static MoveSettings settings(String text, String plan) throws Exception {
+    private static MigrationSettings settings(String text, String plan) throws Exception {
         Path file = Files.createTempFile("plan", ".toml");
         try {
             Files.writeString(file, plan);
-            return MoveSettings.of(
+            return MigrationSettings.of(
                     "f",
                     OperatorFile.of("f", text.formatted(file)),
                     Map.of(
@@ -119,22 +119,22 @@
         final ArrayDeque<Runnable> posted = new ArrayDeque<>();
         Incarnation incarnation;
         FleetStateMachine stateMachine;
-        Mover mover;
-        Log log;
+        MigrationCoordinator mover;
+        ReplicatedLog log;
         boolean up;
         boolean still;
         double renews;
     }
 
     private static final class Fleet {
-        final MemoryLogs logs = new MemoryLogs(3, 10, 300, 2000, 64, 40, new Random(3));
+        final InMemoryLogs logs = new InMemoryLogs(3, 10, 300, 2000, 64, 40, new Random(3));
         final List<Seat> seats = List.of(new Seat(), new Seat(), new Seat());
-        final MoveSettings settings;
+        final MigrationSettings settings;
         final List<String> told = new ArrayList<>();
         double now = 1000;
         boolean bad;
 
-        Fleet(MoveSettings settings) {
+        Fleet(MigrationSettings settings) {
             this.settings = settings;
             for (int g = 0; g < 3; g++) {
                 start(g);
@@ -162,7 +162,7 @@
             s.log =
                     logs.open(
                             g + 1,
-                            new Log.Reader() {
+                            new ReplicatedLog.Reader() {
                                 @Override
                                 public void apply(long index, byte[] entry) {
                                     snapshotSource.apply(index, entry);
@@ -190,13 +190,13 @@
                             });
             try {
                 s.mover =
-                        new Mover(
+                        new MigrationCoordinator(
                                 s.stateMachine,
                                 s.incarnation,
                                 settings,
                                 s.log::append,
                                 () -> false,
-                                History.at(null, s.incarnation));
+                                HistoryWriter.at(null, s.incarnation));
             } catch (java.io.IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
@@ -214,7 +214,7 @@
                 }
                 if (now >= s.renews) {
                     s.renews = now + LEASE / 3;
-                    s.log.append(Leases.renew(s.incarnation, now, LEASE));
+                    s.log.append(LeaseTable.renew(s.incarnation, now, LEASE));
                 }
                 s.mover.tick(now, s.log.leads());
                 load(s);
@@ -225,15 +225,15 @@
         private void load(Seat s) {
             for (String f : List.of("web", "mid", "base")) {
                 for (String group : List.of("a", "b")) {
-                    Srv srv = new Srv(group);
+                    Server srv = new Server(group);
                     srv.group = group;
-                    srv.size = 1;
-                    srv.state = Srv.State.UP;
-                    Req request =
-                            new Req(
+                    srv.weight = 1;
+                    srv.state = Server.State.UP;
+                    Request request =
+                            new Request(
                                     1,
                                     frontend(f),
-                                    new Customer((long) (now / 50), null, 1, 0),
+                                    new Tenant((long) (now / 50), null, 1, 0),
                                     0,
                                     1,
                                     false);
@@ -243,19 +243,22 @@
                         s.mover.ended(
                                 request,
                                 srv,
-                                bad && group.equals("b") ? End.ERROR : End.GOOD,
+                                bad && group.equals("b")
+                                        ? AttemptOutcome.ERROR
+                                        : AttemptOutcome.SUCCESS,
                                 false);
-                        s.mover.ended(request, srv, End.CANCELLED, true);
+                        s.mover.ended(request, srv, AttemptOutcome.CANCELLED, true);
                     }
                 }
             }
         }
 
         private boolean goes(Seat s, String frontend, long customer, String group) {
-            Srv srv = new Srv("promise " + group);
+            Server srv = new Server("promise " + group);
             srv.group = group;
             return s.mover.mayGo(
-                    new Req(1, frontend(frontend), new Customer(customer, null, 1, 0), 0, 1, false),
+                    new Request(
+                            1, frontend(frontend), new Tenant(customer, null, 1, 0), 0, 1, false),
                     srv,
                     null,
                     now);
@@ -311,10 +314,10 @@
             }
         }
 
-        Moves.State until(Moves.State... ends) {
+        MigrationState.State until(MigrationState.State... ends) {
             for (int i = 0; i < 4000; i++) {
                 step();
-                Moves.State state = seats.get(0).stateMachine.moves.status().state();
+                MigrationState.State state = seats.get(0).stateMachine.moves.status().state();
                 if (List.of(ends).contains(state)) {
                     return state;
                 }
@@ -327,10 +330,10 @@
         }
 
         /** As whoever is farthest sees it. */
-        MoveStatus head() {
+        MigrationStatus head() {
             return seats.stream()
                     .map(s -> s.stateMachine.moves.status())
-                    .max(java.util.Comparator.comparingLong(MoveStatus::turn))
+                    .max(java.util.Comparator.comparingLong(MigrationStatus::turn))
                     .orElseThrow();
         }
 
@@ -361,7 +364,7 @@
             f.step();
         }
         int steps = -1;
-        for (int i = 0; i < 6000 && f.head().state() != Moves.State.DONE; i++) {
+        for (int i = 0; i < 6000 && f.head().state() != MigrationState.State.DONE; i++) {
             f.step();
             Seat victim = f.seats.get(f.position() % 3);
             int g = victim.incarnation.gateway();
@@ -388,7 +391,10 @@
                 f.logs.heal();
             }
         }
-        assertEquals(f.head().state(), Moves.State.DONE, f.seats.get(0).stateMachine.moves.told());
+        assertEquals(
+                f.head().state(),
+                MigrationState.State.DONE,
+                f.seats.get(0).stateMachine.moves.told());
         assertEquals(
                 f.told.stream().filter(t -> t.contains("begun")).count(), 1, f.told.toString());
         assertEquals(
@@ -398,11 +404,13 @@
         }
         assertTrue(f.goes(f.seats.get(2), "web", 5, "b") && !f.goes(f.seats.get(2), "web", 5, "a"));
         f.seats.get(2).mover.command("back three", f.now, f.told::add);
-        f.until(Moves.State.UNDONE);
+        f.until(MigrationState.State.UNDONE);
         f.bad = true;
         f.seats.get(1).mover.command("begin four", f.now, f.told::add);
-        f.until(Moves.State.FORWARD);
-        assertEquals(f.until(Moves.State.DONE, Moves.State.UNDONE), Moves.State.UNDONE);
+        f.until(MigrationState.State.FORWARD);
+        assertEquals(
+                f.until(MigrationState.State.DONE, MigrationState.State.UNDONE),
+                MigrationState.State.UNDONE);
         assertTrue(f.goes(f.seats.get(0), "base", 5, "a"));
     }
 
@@ -428,7 +436,7 @@
         String said = "";
         try {
             settings(operatorFile, plan);
-        } catch (InvalidSettings e) {
+        } catch (InvalidOperatorFileException e) {
             said = e.getMessage();
         }
         assertTrue(said.contains(told), said);
--- a/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.settings.InvalidSettings;
+import tinford.fleet.settings.InvalidOperatorFileException;
 
 /** What an operator wrote wrong is told with its place and what was expected. */
 public class OperatorFileTest {
@@ -16,7 +16,7 @@
         try {
             OperatorFile.of("f.toml", text);
             return List.of();
-        } catch (InvalidSettings e) {
+        } catch (InvalidOperatorFileException e) {
             return e.getMessage().lines().toList();
         }
     }
@@ -103,7 +103,9 @@
                 faults("[talk]\nevery_ms = 1\nfanout = 0\n[log]\nterm_ms = 1\n[none]\nx = 1\n")
                         .size(),
                 4);
-        assertThrows(InvalidSettings.class, () -> OperatorFile.read(Path.of("no", "such", "file")));
+        assertThrows(
+                InvalidOperatorFileException.class,
+                () -> OperatorFile.read(Path.of("no", "such", "file")));
     }
 
     /**
--- a/fleet/src/test/java/tinford/fleet/store/BrokenLogsTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/BrokenLogsTest.java
@@ -30,7 +30,7 @@
         /** The right one in memory, but for what it opens. */
         @Override
         Cluster cluster() {
-            Cluster right = new MemoryLogsTest().cluster();
+            Cluster right = new InMemoryLogsTest().cluster();
             return (Cluster)
                     Proxy.newProxyInstance(
                             getClass().getClassLoader(),
@@ -38,7 +38,10 @@
                             (proxy, method, with) -> {
                                 try {
                                     return method.getName().equals("open")
-                                            ? opened(right, (int) with[0], (Log.Reader) with[1])
+                                            ? opened(
+                                                    right,
+                                                    (int) with[0],
+                                                    (ReplicatedLog.Reader) with[1])
                                             : method.invoke(right, with);
                                 } catch (InvocationTargetException e) {
                                     throw e.getCause();
@@ -46,12 +49,13 @@
                             });
         }
 
-        private Log opened(Cluster right, int number, Log.Reader reader) throws IOException {
-            Log[] log = new Log[1];
+        private ReplicatedLog opened(Cluster right, int number, ReplicatedLog.Reader reader)
+                throws IOException {
+            ReplicatedLog[] log = new ReplicatedLog[1];
             log[0] =
                     right.open(
                             number,
-                            new Log.Reader() {
+                            new ReplicatedLog.Reader() {
                                 private byte[] held;
                                 private boolean dropped;
 
@@ -86,7 +90,7 @@
                                     reader.restore(index, snapshot);
                                 }
                             });
-            return new Log() {
+            return new ReplicatedLog() {
                 @Override
                 public CompletableFuture<Long> append(byte[] entry) {
                     CompletableFuture<Long> told = log[0].append(entry);
--- a/fleet/src/test/java/tinford/fleet/store/BrokenStoresTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/BrokenStoresTest.java
@@ -30,9 +30,9 @@
 
         @Override
         Place place() {
-            return new MemoryStoreTest.InMemory() {
+            return new InMemoryStoreTest.InMemory() {
                 private final Store right =
-                        new MemoryStore(
+                        new InMemoryStore(
                                 platter,
                                 LARGEST,
                                 wrong == Wrong.TRUSTS_THE_FUTURE ? Double.MAX_VALUE : AHEAD);
@@ -47,18 +47,21 @@
                             byte[] bytes = platter.bytes();
                             if (wrong == Wrong.THROWS_WHEN_TORN
                                     && bytes != null
-                                    && bytes.length < Sealed.HEAD) {
+                                    && bytes.length < ChecksummedFile.HEAD) {
                                 throw new IllegalStateException("torn");
                             }
                             if (wrong == Wrong.NO_SUM
                                     && bytes != null
-                                    && bytes.length >= Sealed.HEAD) {
+                                    && bytes.length >= ChecksummedFile.HEAD) {
                                 ByteBuffer from = ByteBuffer.wrap(bytes);
                                 byte[] content =
-                                        Arrays.copyOfRange(bytes, Sealed.HEAD, bytes.length);
+                                        Arrays.copyOfRange(
+                                                bytes, ChecksummedFile.HEAD, bytes.length);
                                 // asks for all but the sum
                                 platter.bytes(
-                                        ByteBuffer.wrap(Sealed.seal(content, from.getDouble(8)))
+                                        ByteBuffer.wrap(
+                                                        ChecksummedFile.seal(
+                                                                content, from.getDouble(8)))
                                                 .putInt(0, from.getInt(0))
                                                 .putInt(4, from.getInt(4))
                                                 .putInt(16, from.getInt(16))
@@ -97,7 +100,7 @@
                     if (step > 0) {
                         return super.killedWrite(content, now, step);
                     }
-                    byte[] sealed = Sealed.seal(content, now);
+                    byte[] sealed = ChecksummedFile.seal(content, now);
                     byte[] old = platter.bytes();
                     if (wrong == Wrong.IN_PLACE) {
                         platter.bytes(Arrays.copyOf(sealed, sealed.length / 2));
@@ -105,11 +108,11 @@
                         byte[] mixed = content.clone();
                         System.arraycopy(
                                 old,
-                                Sealed.HEAD,
+                                ChecksummedFile.HEAD,
                                 mixed,
                                 0,
-                                Math.min(content.length, old.length - Sealed.HEAD));
-                        platter.bytes(Sealed.seal(mixed, now));
+                                Math.min(content.length, old.length - ChecksummedFile.HEAD));
+                        platter.bytes(ChecksummedFile.seal(mixed, now));
                     }
                     return true;
                 }
--- a/fleet/src/test/java/tinford/fleet/store/FileStoreTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/FileStoreTest.java
@@ -26,10 +26,10 @@
      * Does each step, stopped before one of them, or ailing. Writing takes two steps: half of the
      * bytes, all of them.
      */
-    static final class Stopped implements Disk {
-        private final Disk real = new Disk.Real();
+    static final class Stopped implements DiskOperations {
+        private final DiskOperations real = new DiskOperations.Real();
         private int left = Integer.MAX_VALUE;
-        private MemoryStore.Fault fault = MemoryStore.Fault.NONE;
+        private InMemoryStore.Fault fault = InMemoryStore.Fault.NONE;
 
         private void step() {
             if (left-- == 0) {
@@ -40,12 +40,12 @@
         @Override
         public void write(Path file, ByteBuffer bytes) throws IOException {
             step();
-            if (fault == MemoryStore.Fault.READ_ONLY) {
+            if (fault == InMemoryStore.Fault.READ_ONLY) {
                 throw new IOException("read-only");
             }
-            if (left == 0 || fault == MemoryStore.Fault.FULL) {
+            if (left == 0 || fault == InMemoryStore.Fault.FULL) {
                 real.write(file, bytes.duplicate().limit(bytes.limit() / 2));
-                if (fault == MemoryStore.Fault.FULL) {
+                if (fault == InMemoryStore.Fault.FULL) {
                     throw new IOException("full");
                 }
             }
@@ -112,9 +112,9 @@
             }
 
             @Override
-            public boolean ail(MemoryStore.Fault fault) {
+            public boolean ail(InMemoryStore.Fault fault) {
                 disk.fault = fault;
-                return fault != MemoryStore.Fault.UNREADABLE; // seen in aFolderInItsPlace
+                return fault != InMemoryStore.Fault.UNREADABLE; // seen in aFolderInItsPlace
             }
 
             @Override
@@ -153,8 +153,8 @@
     }
 
     /** Does each step, and has another process look between any two of them. */
-    private static final class ReadBetweenSteps implements Disk {
-        private final Disk real = new Disk.Real();
+    private static final class ReadBetweenSteps implements DiskOperations {
+        private final DiskOperations real = new DiskOperations.Real();
         private final Store reader;
         private final List<byte[]> found = new ArrayList<>();
 
--- a/fleet/src/test/java/tinford/fleet/store/MemoryLogsTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/InMemoryLogsTest.java
@@ -7,25 +7,25 @@
 import org.testng.annotations.Test;
 
 /** The logs in memory keep the contract, under other delays each time. */
-public class MemoryLogsTest extends LogContract {
+public class InMemoryLogsTest extends LogContract {
     private final long seed;
 
-    public MemoryLogsTest() {
+    public InMemoryLogsTest() {
         this(1);
     }
 
-    MemoryLogsTest(long seed) {
+    InMemoryLogsTest(long seed) {
         this.seed = seed;
     }
 
     @Override
     Cluster cluster() {
-        MemoryLogs logs = new MemoryLogs(3, 5, 50, 200, IN_FLIGHT, SNAPSHOT, new Random(seed));
+        InMemoryLogs logs = new InMemoryLogs(3, 5, 50, 200, IN_FLIGHT, SNAPSHOT, new Random(seed));
         return new Cluster() {
             private double now;
 
             @Override
-            public Log open(int number, Log.Reader reader) {
+            public ReplicatedLog open(int number, ReplicatedLog.Reader reader) {
                 return logs.open(number, reader);
             }
 
@@ -78,6 +78,6 @@
 
     @Test(dataProvider = "seeds")
     public void underDrawnDelays(long drawn) throws Exception {
-        new MemoryLogsTest(drawn).all();
+        new InMemoryLogsTest(drawn).all();
     }
 }
--- a/fleet/src/test/java/tinford/fleet/store/MemoryStoreTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/InMemoryStoreTest.java
@@ -6,14 +6,14 @@
 import org.testng.annotations.Test;
 
 /** The store in memory keeps the contract, and its faults show. */
-public class MemoryStoreTest extends StoreContract {
+public class InMemoryStoreTest extends StoreContract {
     /** A platter and its store. */
     static class InMemory implements Place {
-        final MemoryStore.Platter platter = new MemoryStore.Platter();
+        final InMemoryStore.Platter platter = new InMemoryStore.Platter();
 
         @Override
         public Store open() {
-            return new MemoryStore(platter, LARGEST, AHEAD);
+            return new InMemoryStore(platter, LARGEST, AHEAD);
         }
 
         @Override
@@ -27,7 +27,7 @@
         }
 
         @Override
-        public boolean ail(MemoryStore.Fault fault) {
+        public boolean ail(InMemoryStore.Fault fault) {
             platter.fault(fault);
             return true;
         }
@@ -48,10 +48,10 @@
 
     @Test
     public void contentIsLostOrOldOnDemand() throws IOException {
-        MemoryStore.Platter platter = new MemoryStore.Platter();
-        Store store = new MemoryStore(platter, LARGEST, AHEAD);
+        InMemoryStore.Platter platter = new InMemoryStore.Platter();
+        Store store = new InMemoryStore(platter, LARGEST, AHEAD);
         store.write(content(1, 10), NOW);
-        platter.fault(MemoryStore.Fault.SLOW);
+        platter.fault(InMemoryStore.Fault.SLOW);
         store.write(content(2, 10), NOW);
         assertEquals(platter.slowMs(), 1000.0);
         platter.back();
--- a/fleet/src/test/java/tinford/fleet/store/LogContract.java
+++ b/fleet/src/test/java/tinford/fleet/store/LogContract.java
@@ -21,7 +21,7 @@
     /** Three members, and what may befall them. */
     interface Cluster extends AutoCloseable {
         /** On the disk it had. */
-        Log open(int number, Log.Reader reader) throws IOException;
+        ReplicatedLog open(int number, ReplicatedLog.Reader reader) throws IOException;
 
         /** As a kill, of all of them at once. */
         void stop(int... numbers) throws IOException;
@@ -48,7 +48,7 @@
     }
 
     /** Keeps all entries, in the order they came. */
-    static final class Read implements Log.Reader {
+    static final class Read implements ReplicatedLog.Reader {
         private final List<String> all = new ArrayList<>();
         private long last;
         private int restored;
@@ -87,7 +87,7 @@
     /** A cluster with its logs and readers by number, and all that was acknowledged. */
     class Three implements AutoCloseable {
         final Cluster cluster;
-        private final Log[] logs = new Log[4];
+        private final ReplicatedLog[] logs = new ReplicatedLog[4];
         private final Read[] reads = new Read[4];
         private final List<String> acknowledged = new ArrayList<>();
         private int made;
@@ -323,7 +323,7 @@
     @Test
     public void closedIsClosed() throws IOException {
         try (Three three = three()) {
-            Log log = three.logs[2];
+            ReplicatedLog log = three.logs[2];
             three.stop(2);
             log.close();
             assertTrue(log.append(new byte[1]).isCompletedExceptionally());
--- a/fleet/src/test/java/tinford/fleet/store/RaftLogTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/RaftLogTest.java
@@ -57,10 +57,10 @@
             each.close();
         }
         Cuts.Cut cut = new Cuts.Cut();
-        Log[] logs = new Log[4];
+        ReplicatedLog[] logs = new ReplicatedLog[4];
         return new Cluster() {
             @Override
-            public Log open(int number, Log.Reader reader) throws IOException {
+            public ReplicatedLog open(int number, ReplicatedLog.Reader reader) throws IOException {
                 Parameters parameters = new Parameters();
                 parameters.put(Cuts.CUT, cut, Cuts.Cut.class);
                 logs[number] =
@@ -168,8 +168,8 @@
         }
         TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
         members.put(1, new InetSocketAddress("127.0.0.1", port));
-        Log.Reader counts =
-                new Log.Reader() {
+        ReplicatedLog.Reader counts =
+                new ReplicatedLog.Reader() {
                     @Override
                     public void apply(long index, byte[] entry) {}
 
@@ -181,7 +181,7 @@
                     @Override
                     public void restore(long index, byte[] snapshot) {}
                 };
-        try (Log log =
+        try (ReplicatedLog log =
                 new RaftLog(
                         1,
                         members,
--- a/fleet/src/test/java/tinford/fleet/store/StoreContract.java
+++ b/fleet/src/test/java/tinford/fleet/store/StoreContract.java
@@ -29,7 +29,7 @@
         void bytes(byte[] now) throws IOException;
 
         /** Whether it can ail so. */
-        boolean ail(MemoryStore.Fault fault);
+        boolean ail(InMemoryStore.Fault fault);
 
         /** Writes and is killed before the step, from 0; false where the write has no such step. */
         boolean killedWrite(byte[] content, double now, int step) throws IOException;
@@ -142,21 +142,21 @@
 
     @Test
     public void aDiskThatAilsLeavesWhatWasThere() throws IOException {
-        for (MemoryStore.Fault fault : MemoryStore.Fault.values()) {
+        for (InMemoryStore.Fault fault : InMemoryStore.Fault.values()) {
             Place place = written(8, 80);
             if (!place.ail(fault)) {
                 continue;
             }
-            boolean may = fault == MemoryStore.Fault.NONE || fault == MemoryStore.Fault.SLOW;
+            boolean may = fault == InMemoryStore.Fault.NONE || fault == InMemoryStore.Fault.SLOW;
             if (may) {
                 place.open().write(content(9, 90), NOW);
             } else {
                 assertThrows(IOException.class, () -> place.open().write(content(9, 90), NOW));
             }
-            if (fault == MemoryStore.Fault.UNREADABLE) {
+            if (fault == InMemoryStore.Fault.UNREADABLE) {
                 absent(place, "unreadable");
             }
-            place.ail(MemoryStore.Fault.NONE);
+            place.ail(InMemoryStore.Fault.NONE);
             holds(place, may ? content(9, 90) : content(8, 80));
         }
     }
--- a/gateway/src/main/java/tinford/api/End.java
+++ b/gateway/src/main/java/tinford/api/AttemptOutcome.java
@@ -1,20 +1,20 @@
 package tinford.api;
 
 /** How a dispatch, a probe or a call to the counter ended. */
-public enum End {
-    GOOD(true),
+public enum AttemptOutcome {
+    SUCCESS(true),
     ERROR(true),
-    FULL(false),
+    OVERLOADED(false),
     TIMED_OUT(true),
     UNREACHABLE(false),
-    BROKEN(true),
+    CONNECTION_LOST(true),
     CANCELLED(true),
-    VOID(false);
+    NOT_SENT(false);
 
     /** False when this end proves that nothing ran. */
     public final boolean mayHaveRun;
 
-    End(boolean mayHaveRun) {
+    AttemptOutcome(boolean mayHaveRun) {
         this.mayHaveRun = mayHaveRun;
     }
 }
--- a/gateway/src/main/java/tinford/api/Group.java
+++ b/gateway/src/main/java/tinford/api/DeduplicationScope.java
@@ -1,7 +1,7 @@
 package tinford.api;
 
 /** The servers that drop repeats of a req with an idempotency key. */
-public enum Group {
+public enum DeduplicationScope {
     ALL,
     ZONE,
     CELL
--- a/gateway/src/main/java/tinford/api/Effect.java
+++ b/gateway/src/main/java/tinford/api/Idempotency.java
@@ -4,7 +4,7 @@
  * Whether a req may run again: anywhere; where its idempotency key drops the repeat, for a time; or
  * never.
  */
-public enum Effect {
+public enum Idempotency {
     IDEMPOTENT,
     IDEMPOTENCY_KEY,
     NON_IDEMPOTENT
--- a/gateway/src/main/java/tinford/api/Plan.java
+++ b/gateway/src/main/java/tinford/api/Plan.java
@@ -6,36 +6,36 @@
  */
 public final class Plan {
     public final String name;
-    public final double rate;
+    public final double quotaPerMs;
     public final double burst;
-    public final int maxOut;
-    public final double price;
-    public final double beyondValue;
-    public final double beyondCost;
-    public final double ceilingRate;
-    public final double ceilingBurst;
-    public final double ceilingSlack;
+    public final int maxOpenRequests;
+    public final double priorityWeight;
+    public final double overQuotaWeight;
+    public final double overQuotaCost;
+    public final double hardLimitPerMs;
+    public final double hardLimitBurst;
+    public final double hardLimitSlack;
 
     public Plan(
             String name,
-            double rate,
+            double quotaPerMs,
             double burst,
-            int maxOut,
-            double price,
-            double beyondValue,
-            double beyondCost,
-            double ceilingRate,
-            double ceilingBurst,
-            double ceilingSlack) {
+            int maxOpenRequests,
+            double priorityWeight,
+            double overQuotaWeight,
+            double overQuotaCost,
+            double hardLimitPerMs,
+            double hardLimitBurst,
+            double hardLimitSlack) {
         this.name = name;
-        this.rate = rate;
+        this.quotaPerMs = quotaPerMs;
         this.burst = burst;
-        this.maxOut = maxOut;
-        this.price = price;
-        this.beyondValue = beyondValue;
-        this.beyondCost = beyondCost;
-        this.ceilingRate = ceilingRate;
-        this.ceilingBurst = ceilingBurst;
-        this.ceilingSlack = ceilingSlack;
+        this.maxOpenRequests = maxOpenRequests;
+        this.priorityWeight = priorityWeight;
+        this.overQuotaWeight = overQuotaWeight;
+        this.overQuotaCost = overQuotaCost;
+        this.hardLimitPerMs = hardLimitPerMs;
+        this.hardLimitBurst = hardLimitBurst;
+        this.hardLimitSlack = hardLimitSlack;
     }
 }
--- a/gateway/src/main/java/tinford/api/Srv.java
+++ b/gateway/src/main/java/tinford/api/Server.java
@@ -1,7 +1,7 @@
 package tinford.api;
 
 /** A server as the list last showed it to this gateway; a front may extend it. */
-public class Srv {
+public class Server {
     /** What the list says of a server. */
     public enum State {
         UP,
@@ -17,15 +17,15 @@
     public String group = "";
 
     public State state;
-    public double size;
+    public double weight;
 
     /** Its last start, or 0 for one long past. */
-    public double born;
+    public double startedAtMs;
 
     /** The decisions' own notes. */
     public Object notes;
 
-    public Srv(String id) {
+    public Server(String id) {
         this.id = id;
     }
 }
--- a/gateway/src/main/java/tinford/api/Customer.java
+++ b/gateway/src/main/java/tinford/api/Tenant.java
@@ -4,11 +4,11 @@
  * Whose quota a req draws on. Its reqs come through {@code width} gateways in a row from number
  * {@code first}.
  */
-public final class Customer {
+public final class Tenant {
     public final long id;
     public final Plan plan;
-    public final int width;
-    public final int first;
+    public final int fanIn;
+    public final int firstGateway;
 
     /**
      * Of the configuration that says its plan; where a later one says another plan, the customer
@@ -16,15 +16,15 @@
      */
     public final long revision;
 
-    public Customer(long id, Plan plan, int width, int first) {
-        this(id, plan, width, first, 0);
+    public Tenant(long id, Plan plan, int fanIn, int firstGateway) {
+        this(id, plan, fanIn, firstGateway, 0);
     }
 
-    public Customer(long id, Plan plan, int width, int first, long revision) {
+    public Tenant(long id, Plan plan, int fanIn, int firstGateway, long revision) {
         this.id = id;
         this.plan = plan;
-        this.width = width;
-        this.first = first;
+        this.fanIn = fanIn;
+        this.firstGateway = firstGateway;
         this.revision = revision;
     }
 }
--- a/gateway/src/main/java/tinford/Decide.java
+++ b/gateway/src/main/java/tinford/decision/DecisionEngine.java
@@ -1,12 +1,12 @@
-package tinford;
+package tinford.decision;
 
 import java.util.*;
 import tinford.api.*;
 
 /**
- * All decisions of one gateway. A front makes one with the settings of the day and calls {@link #round} once
- * for all that came in at one moment; the feed replays it as calls on {@link Inbox}, decisions go to
- * {@link Writer}. The interface is in tinford.api; times are milliseconds; nothing here knows a front.
+ * All decisions of one gateway. A front makes one with the settings of the day and calls {@link #handleBatch} once
+ * for all that came in at one moment; the feed replays it as calls on {@link GatewayEvents}, decisions go to
+ * {@link GatewayActions}. The interface is in tinford.api; times are milliseconds; nothing here knows a front.
  *
  * <p>Main path (docs/design.md): add to the customer's window on the shared counter, read, judge by the
  * weighted two-window estimate and the bound within the window; on silence, the posture of the plan.
@@ -20,13 +20,13 @@
  * <li>counter doubt: known silence, floors under emptied counts, quotas known to be empty.
  * </ol>
  */
-public final class Decide implements Gateway, Inbox {
+public final class DecisionEngine implements DecisionModule, GatewayEvents {
     private static final long TICK = 1, WATCH = 2;
     private static final double TICK_MS = 50; // line and waits are looked at this often; far below any target
     private static final int TICKS_A_RANK = 4; // a new order each 200 ms: some answers a server lie between
 
-    private final Place place;
-    private final Limits limits;
+    private final GatewayIdentity place;
+    private final AttemptLimits limits;
     private final double worstPlan;
     private final boolean mustAsk;
     private final Map<Plan, Tally> tallies = new LinkedHashMap<>();
@@ -39,21 +39,21 @@
     private long arrivals, ticks;
     private double now, startedAt, spare, meanWorth = 1;
     private double leftAt = Double.POSITIVE_INFINITY; // another process of this gateway takes its reqs since
-    private Writer out;
-    private View view = new View(); // of a fleet; alone it bounds nothing, and all here is as if it were not
+    private GatewayActions out;
+    private FleetPolicy view = new FleetPolicy(); // of a fleet; alone it bounds nothing, and all here is as if it were not
 
-    public Decide(long seed, Place place, Limits limits, Rules rules, CounterTerms counter, Goal goal,
+    public DecisionEngine(long seed, GatewayIdentity place, AttemptLimits limits, SlowStartRules rules, CounterSettings counter, Objectives goal,
             boolean mustAsk) {
         this.place = place;
         this.limits = limits;
-        this.worstPlan = goal.worstPlan / Math.max(0.01, goal.whole);
+        this.worstPlan = goal.worstPlanWeight / Math.max(0.01, goal.overallWeight);
         this.mustAsk = mustAsk;
         this.chance = new Random(seed);
         this.fleet = new Fleet(rules);
         this.quotas = new Quotas(counter);
     }
 
-    @Override public void round(double at, Feed feed, Writer writer) {
+    @Override public void handleBatch(double at, EventBatch feed, GatewayActions writer) {
         now = at;
         out = writer;
         feed.replay(this);
@@ -62,27 +62,27 @@
 
     @Override public void started() {
         startedAt = now;
-        if (mustAsk) out.watch(true);
-        out.alarm(TICK, TICK_MS);
+        if (mustAsk) out.watchEndpoints(true);
+        out.setTimer(TICK, TICK_MS);
     }
 
-    @Override public void sees(View fleet) { view = fleet; }
+    @Override public void fleetPolicyChanged(FleetPolicy fleet) { view = fleet; }
 
-    @Override public void plansInForce(Set<Plan> plans) { tallies.keySet().retainAll(plans); }
+    @Override public void plansChanged(Set<Plan> plans) { tallies.keySet().retainAll(plans); }
 
     /** No ceiling has filled here while another process drew on it. */
-    @Override public void takesOver() { startedAt = now; }
+    @Override public void takeoverStarted() { startedAt = now; }
 
-    @Override public void leaves() { leftAt = now; }
+    @Override public void drainingStarted() { leftAt = now; }
 
-    @Override public void listRefused() { if (mustAsk) out.alarm(WATCH, 10 * TICK_MS); }
+    @Override public void discoveryFailed() { if (mustAsk) out.setTimer(WATCH, 10 * TICK_MS); }
 
-    @Override public void listed(List<Srv> entries, boolean whole) { fleet.list(entries, whole); }
+    @Override public void endpointsUpdated(List<Server> entries, boolean whole) { fleet.list(entries, whole); }
 
-    @Override public void alarm(long token) {
-        if (token == WATCH) out.watch(true);
+    @Override public void timerFired(long token) {
+        if (token == WATCH) out.watchEndpoints(true);
         if (token != TICK) return;
-        out.alarm(TICK, TICK_MS);
+        out.setTimer(TICK, TICK_MS);
         quotas.hurry();
         if (ticks++ % TICKS_A_RANK == 0) fleet.rank();
         // guards against kept connections that break under the next req: those just used do so least
@@ -91,7 +91,7 @@
         for (Job job : new ArrayList<>(line)) { if (now >= job.reachBy) finish(job, 0); }
     }
 
-    @Override public void arrived(Req req) {
+    @Override public void requestArrived(Request req) {
         Job job = new Job(req);
         req.notes = job;
         meanWorth += 0.02 * (job.worth - meanWorth); // about the last fifty reqs
@@ -99,40 +99,40 @@
         if (now >= job.reachBy) finish(job, 0); else quotas.ask(job);
     }
 
-    @Override public void began(Req req, int no) {
+    @Override public void responseStarted(Request req, int no) {
         Job job = (Job) req.notes;
         Hop hop = job.hops.get(no);
         if (job.begun || hop.end != null) return;
         job.begun = hop.begun = true;
         // its server has answered; how long the rest takes is its client's doing
-        fleet.learn(hop, End.GOOD, now - hop.at, req.units);
+        fleet.learn(hop, AttemptOutcome.SUCCESS, now - hop.at, req.units);
         finished.add(now, 1);
     }
 
-    @Override public void left(Req req) { over((Job) req.notes); }
+    @Override public void clientDisconnected(Request req) { over((Job) req.notes); }
 
-    @Override public void counted(long name, End how, double took, double total) {
+    @Override public void counterAnswered(long name, AttemptOutcome how, double took, double total) {
         quotas.answer(name, how, took, total);
     }
 
-    @Override public void countedLate(long name, double total) { quotas.late(name, total); }
+    @Override public void counterAnsweredLate(long name, double total) { quotas.late(name, total); }
 
-    @Override public void ended(Req req, int no, End how, double took, boolean closed, int seenUse,
+    @Override public void attemptEnded(Request req, int no, AttemptOutcome how, double took, boolean closed, int seenUse,
             double settled, double[] load) {
         Job job = (Job) req.notes;
         Hop hop = job.hops.get(no);
         hop.end = how;
         job.book.open--;
-        view.ended(req, hop.node.srv, how, now > job.targetAt);
+        view.attemptEnded(req, hop.node.srv, how, now > job.targetAt);
         if (!hop.begun) fleet.learn(hop, how, took, settled > 0 ? settled : job.req.units);
-        boolean good = how == End.GOOD;
-        if (!hop.begun && (good || how == End.BROKEN)) (good ? finished : broken).add(now, 1);
+        boolean good = how == AttemptOutcome.SUCCESS;
+        if (!hop.begun && (good || how == AttemptOutcome.CONNECTION_LOST)) (good ? finished : broken).add(now, 1);
         if (good && settled > 0) quotas.settle(job, settled);
         if (closed) over(job); else if (!job.over && !job.running()) again(job, how);
     }
 
     private final class Job {
-        final Req req;
+        final Request req;
         final Book book;
         final long seq = arrivals++;
         final double askedAt = now, targetAt, lift;
@@ -142,17 +142,17 @@
         boolean begun, over, waits, decided, passed; // for the window before only; no more; on silence
         boolean inside; // its quota
 
-        Job(Req req) {
+        Job(Request req) {
             this.req = req;
-            this.book = quotas.book(req.customer);
+            this.book = quotas.book(req.tenant);
             this.lift = book.tally.lift;
-            this.worth = req.frontend.value * book.plan.price * lift; // for each unit
-            this.targetAt = now + req.frontend.target;
+            this.worth = req.requestClass.priorityWeight * book.plan.priorityWeight * lift; // for each unit
+            this.targetAt = now + req.requestClass.latencyObjectiveMs;
             reach();
         }
 
         /** Later than this a dispatch would be late, for the target or for the client. */
-        void reach() { reachBy = Math.min(targetAt, req.expires - 2 * TICK_MS) - fleet.typical(req); }
+        void reach() { reachBy = Math.min(targetAt, req.deadlineMs - 2 * TICK_MS) - fleet.typical(req); }
 
         /** Without what only this gateway lifts: the same in the whole fleet. */
         double base() { return worth / lift; }
@@ -163,7 +163,7 @@
 
         double repeatsFor() { // what goes out again is known as a repeat so long, also while it waits
             return hops.stream().filter(h -> h.end == null || h.end.mayHaveRun)
-                    .mapToDouble(h -> h.at + req.frontend.repeatWindow - place.tick - now).min().orElse(1e9);
+                    .mapToDouble(h -> h.at + req.requestClass.deduplicationWindowMs - place.tickMs - now).min().orElse(1e9);
         }
     }
 
@@ -171,7 +171,7 @@
         final Job job;
         final Node node;
         final double at = now, size;
-        End end;
+        AttemptOutcome end;
         boolean late, apart, begun; // past the target; far past what the fleet takes now; its answer flows
 
         Hop(Job job, Node node) {
@@ -202,22 +202,22 @@
         double dry = job.hops.isEmpty() ? job.book.ceilingWait(job.req.units) : 0;
         if (job.hops.isEmpty()) {
             job.book.tally.asked.add(now, job.worth * job.req.units);
-            view.asked(job.req, job.base());
+            view.requestOffered(job.req, job.base());
             job.inside = true;
             if (fleet.cold.size() == fleet.ranked.size()) fleet.warmed(); // none is warm: each req counts
             // what the whole fleet sheds now is shed wherever it enters, at once; so is what may go nowhere
-            double part = view.goes(job.req) ? view.part(job.base()) : 0;
+            double part = view.isRoutable(job.req) ? view.admittedShare(job.base()) : 0;
             if (part < 1 && chance.nextDouble() >= part) { finish(job, 0); return; }
         }
         if (send(job, fleet.pick(job))) return;
-        double one = Math.min(Ring.SPAN / finished.total(now), job.req.frontend.target); // ends as often
+        double one = Math.min(Ring.SPAN / finished.total(now), job.req.requestClass.latencyObjectiveMs); // ends as often
         double wait = line.headSet(job).size() * one;
         if (now + wait > job.reachBy || now + dry > job.reachBy) finish(job, wait); else line.add(job);
     }
 
     /** Nothing more is done for the req; units that were counted but never sent on go back. */
     private void over(Job job) {
-        if (job.inside && job.hops.isEmpty() && !job.over) view.denied(job.req, job.base());
+        if (job.inside && job.hops.isEmpty() && !job.over) view.requestRejected(job.req, job.base());
         job.over = true;
         line.remove(job);
         if (job.countedIn != null && job.hops.isEmpty()) quotas.takeBack(job);
@@ -232,71 +232,71 @@
 
     // what surely never ran goes out again while the target is in reach; what may have run draws on a budget
     // fed by value, so that failures cannot multiply load
-    private void again(Job job, End how) {
+    private void again(Job job, AttemptOutcome how) {
         job.reach();
         double costs = how.mayHaveRun ? 1 : 0;
-        boolean may = now < job.reachBy && job.hops.size() < limits.maxDispatches
-                && view.further(spare) >= costs;
+        boolean may = now < job.reachBy && job.hops.size() < limits.maxAttempts
+                && view.retryAllowance(spare) >= costs;
         if (may) spare -= costs;
-        if (may) admit(job); else finish(job, now < job.targetAt ? 0 : job.req.frontend.target);
+        if (may) admit(job); else finish(job, now < job.targetAt ? 0 : job.req.requestClass.latencyObjectiveMs);
     }
 
     /** The one place of final answers: a denial where the rules let it promise that a retry is harmless. */
     private void finish(Job job, double wait) {
         over(job);
-        Effect effect = job.req.frontend.effect;
-        boolean harmless = effect == Effect.IDEMPOTENT || !job.mayHaveRun()
-                || effect == Effect.IDEMPOTENCY_KEY && job.req.frontend.group == Group.ALL;
+        Idempotency effect = job.req.requestClass.idempotency;
+        boolean harmless = effect == Idempotency.IDEMPOTENT || !job.mayHaveRun()
+                || effect == Idempotency.IDEMPOTENCY_KEY && job.req.requestClass.deduplicationScope == DeduplicationScope.ALL;
         wait = Math.max(wait, 2 * TICK_MS);
-        if (view.spread() > 0) wait += view.spread() * chance.nextDouble(); // not all come back together
-        if (harmless) out.deny(job.req, wait); else out.abort(job.req);
+        if (view.retryAfterJitterMs() > 0) wait += view.retryAfterJitterMs() * chance.nextDouble(); // not all come back together
+        if (harmless) out.reject(job.req, wait); else out.fail(job.req);
     }
 
     /** Every rule on dispatches, asked by every dispatch. */
     private boolean allowed(Job job, Node node) {
-        Frontend f = job.req.frontend;
-        if (job.over || job.begun || now >= job.req.expires || node.srv.state != Srv.State.UP
-                || job.hops.size() >= limits.maxDispatches) { return false; }
-        Srv first = null;
+        RequestClass f = job.req.requestClass;
+        if (job.over || job.begun || now >= job.req.deadlineMs || node.srv.state != Server.State.UP
+                || job.hops.size() >= limits.maxAttempts) { return false; }
+        Server first = null;
         for (Hop h : job.hops) {
-            if (h.end == null && !limits.mayDuplicate) return false;
+            if (h.end == null && !limits.hedgingAllowed) return false;
             if (h.end == null || h.end.mayHaveRun) first = h.node.srv;
-            if (h.end != null && !h.end.mayHaveRun || f.effect == Effect.IDEMPOTENT) continue;
-            Srv was = h.node.srv;
-            boolean drops = f.group == Group.ALL || f.group == Group.ZONE && was.zone.equals(node.srv.zone)
-                    || f.group == Group.CELL && was.cell == node.srv.cell;
-            if (f.effect == Effect.NON_IDEMPOTENT || !drops || job.repeatsFor() <= 0) return false;
+            if (h.end != null && !h.end.mayHaveRun || f.idempotency == Idempotency.IDEMPOTENT) continue;
+            Server was = h.node.srv;
+            boolean drops = f.deduplicationScope == DeduplicationScope.ALL || f.deduplicationScope == DeduplicationScope.ZONE && was.zone.equals(node.srv.zone)
+                    || f.deduplicationScope == DeduplicationScope.CELL && was.cell == node.srv.cell;
+            if (f.idempotency == Idempotency.NON_IDEMPOTENT || !drops || job.repeatsFor() <= 0) return false;
         }
         if (job.hops.isEmpty() && !job.book.mayOpen(job.req.units)) return false;
-        if (!view.mayGo(job.req, node.srv, first)) return false;
-        if (node.running.size() >= view.mayHold(node.srv) || job.book.open >= view.mayUse(job.req.customer)) {
-            view.lacked(job.req);
+        if (!view.allowsServer(job.req, node.srv, first)) return false;
+        if (node.running.size() >= view.connectionLimit(node.srv) || job.book.open >= view.tenantAttemptLimit(job.req.tenant)) {
+            view.requestBlocked(job.req);
             return false;
         }
         return !node.cold() || node.tokens >= 1;
     }
 
     private boolean send(Job job, Node node) {
-        if (node == null || !allowed(job, node) || job.req.gone()) return false;
+        if (node == null || !allowed(job, node) || job.req.clientGone()) return false;
         if (job.hops.isEmpty()) {
-            if (job.book.plan.ceilingRate > 0) job.book.ceiling -= job.req.units;
+            if (job.book.plan.hardLimitPerMs > 0) job.book.ceiling -= job.req.units;
             job.book.tally.sent.add(now, job.worth * job.req.units);
             spare = Math.min(spare + 0.1 * job.worth / meanWorth, 10); // a tenth more dispatches, ten at once
         }
-        view.sent(job.req, node.srv, job.base(), !job.hops.isEmpty());
+        view.attemptSent(job.req, node.srv, job.base(), !job.hops.isEmpty());
         Hop hop = new Hop(job, node);
-        double within = job.req.frontend.effect == Effect.IDEMPOTENCY_KEY ? job.repeatsFor() : 1e9;
+        double within = job.req.requestClass.idempotency == Idempotency.IDEMPOTENCY_KEY ? job.repeatsFor() : 1e9;
         job.hops.add(hop);
         job.book.open++;
         fleet.sent(hop);
         // guards against reqs that hang wherever they go: what earns nothing keeps no server and no slot
-        double cap = job.targetAt - now + 0.25 * job.req.frontend.target;
-        out.dispatch(job.req, node.srv, job.req.frontend.lateValue > 0 ? 0 : Math.max(cap, TICK_MS), within);
+        double cap = job.targetAt - now + 0.25 * job.req.requestClass.latencyObjectiveMs;
+        out.sendAttempt(job.req, node.srv, job.req.requestClass.lateWeight > 0 ? 0 : Math.max(cap, TICK_MS), within);
         return true;
     }
 
     private final class Node {
-        final Srv srv;
+        final Server srv;
         final Ring answers = new Ring(), late = new Ring(), strain = new Ring();
         final List<Hop> running = new ArrayList<>();
         double first, limit; // own dispatches at once: at first, and as learned
@@ -307,7 +307,7 @@
         final double luck = chance.nextDouble();
         double barredUntil, order, tokens, born, meanStrain = 0.2, rel = 1; // its strain over the fleet's
 
-        Node(Srv srv) { this.srv = srv; }
+        Node(Server srv) { this.srv = srv; }
 
         /** Full, down, no connection left, or failing: asked again ever more rarely, up to 4 s. */
         void bar() { barredUntil = now + 250 * (1 << Math.min(4, unreached++)); }
@@ -315,7 +315,7 @@
         /** One that was put aside is tried by the gateway of the fleet that looks after it. */
         boolean tried() {
             return now >= barredUntil && (!sick || running.isEmpty())
-                    && (!sick && unreached == 0 || view.looksAfter(srv));
+                    && (!sick && unreached == 0 || view.ownsProbing(srv));
         }
 
         double failing() { return late.total(now) / Math.max(4, answers.total(now) + running.size()); }
@@ -323,12 +323,12 @@
         /** Against the median: when all are slow, no server is at fault and none is put aside. */
         boolean fails() { return late.total(now) >= 2 && failing() > fleet.usualFailing + 0.3; }
 
-        boolean cold() { return srv.born > 0 && now - srv.born < fleet.rules.coldTime; }
+        boolean cold() { return srv.startedAtMs > 0 && now - srv.startedAtMs < fleet.rules.warmUpMs; }
 
         /** What a cold server may be sent, as a part of what a warm one gets: under the rule's multiple. */
         double coldPart() {
-            double age = Math.max(0, now - srv.born) / fleet.rules.coldTime;
-            return COLD_MARGIN * fleet.rules.fallMultiple * (age + (1 - age) * fleet.rules.coldFrom);
+            double age = Math.max(0, now - srv.startedAtMs) / fleet.rules.warmUpMs;
+            return COLD_MARGIN * fleet.rules.overloadMultiple * (age + (1 - age) * fleet.rules.initialCapacityShare);
         }
     }
 
@@ -336,30 +336,30 @@
     private static final double COLD_MARGIN = 0.3;
 
     private final class Fleet { // ranking and health
-        final Rules rules;
-        final double start = 5.0 / place.gateways; // five out at a server of middling size, over all gateways
+        final SlowStartRules rules;
+        final double start = 5.0 / place.gatewayCount; // five out at a server of middling size, over all gateways
         final Set<Node> nodes = new LinkedHashSet<>(); // in the order of the lists: chance is drawn in it
         final List<Node> ranked = new ArrayList<>(), cold = new ArrayList<>();
         double meanUnits = 1, meanPart = 0.12, unitsSquared = 1, unitsTimesPart = 0.12; // of answers, by size
         double meanSize = 1, pooled = 0.12, sum, usualFailing; // strain, limits of the fleet
         int out, apart, most, slots = 1;
 
-        Fleet(Rules rules) { this.rules = rules; }
+        Fleet(SlowStartRules rules) { this.rules = rules; }
 
-        void list(List<Srv> entries, boolean whole) {
-            Set<Srv> named = new HashSet<>(entries);
-            for (Node n : nodes) { if (whole && !named.contains(n.srv)) n.srv.state = Srv.State.REMOVED; }
-            nodes.removeIf(n -> n.srv.state == Srv.State.REMOVED && n.running.isEmpty());
-            for (Srv s : entries) {
-                if (s.state == Srv.State.REMOVED || s.notes != null && nodes.contains(s.notes)) continue;
+        void list(List<Server> entries, boolean whole) {
+            Set<Server> named = new HashSet<>(entries);
+            for (Node n : nodes) { if (whole && !named.contains(n.srv)) n.srv.state = Server.State.REMOVED; }
+            nodes.removeIf(n -> n.srv.state == Server.State.REMOVED && n.running.isEmpty());
+            for (Server s : entries) {
+                if (s.state == Server.State.REMOVED || s.notes != null && nodes.contains(s.notes)) continue;
                 s.notes = new Node(s);
                 nodes.add((Node) s.notes);
             }
             rank();
         }
 
-        double typical(Req r) {
-            return Math.min(0.8, Math.max(0.1, 1.3 * pooled * size(r.units))) * r.frontend.target;
+        double typical(Request r) {
+            return Math.min(0.8, Math.max(0.1, 1.3 * pooled * size(r.units))) * r.requestClass.latencyObjectiveMs;
         }
 
         /** What a req of so many units takes, over one of mean size: a line through the answers of late. */
@@ -409,29 +409,29 @@
             for (Node n : cold) n.tokens = Math.min(1, n.tokens + n.coldPart() / warm);
         }
 
-        void learn(Hop hop, End how, double took, double units) {
+        void learn(Hop hop, AttemptOutcome how, double took, double units) {
             Node n = hop.node;
             n.running.remove(hop);
             if (hop.apart) apart--; else out--;
-            if (how == End.GOOD && took <= hop.job.req.frontend.target) view.ill(n.srv, false);
-            if (how == End.GOOD) n.unreached = 0;
-            double part = took / hop.job.req.frontend.target;
+            if (how == AttemptOutcome.SUCCESS && took <= hop.job.req.requestClass.latencyObjectiveMs) view.serverHealthChanged(n.srv, false);
+            if (how == AttemptOutcome.SUCCESS) n.unreached = 0;
+            double part = took / hop.job.req.requestClass.latencyObjectiveMs;
             switch (how) {
-                case GOOD -> {
+                case SUCCESS -> {
                     if (!n.cold()) warmed();
                     weigh(units, part);
                     answer(n, part / size(units), part > 1 && !hop.late);
                 }
                 case TIMED_OUT -> answer(n, Math.max(1, part / hop.size), !hop.late);
-                case ERROR, BROKEN -> {
+                case ERROR, CONNECTION_LOST -> {
                     answer(n, n.meanStrain, true);
                     // guards against what fails at once and is free at once: one at a time is many a second
                     if (n.sick = n.fails()) n.bar();
-                    if (n.sick) view.ill(n.srv, true);
+                    if (n.sick) view.serverHealthChanged(n.srv, true);
                 }
-                case FULL, UNREACHABLE -> {
+                case OVERLOADED, UNREACHABLE -> {
                     n.bar();
-                    if (how == End.UNREACHABLE) view.ill(n.srv, true); // where all are full, none is ill
+                    if (how == AttemptOutcome.UNREACHABLE) view.serverHealthChanged(n.srv, true); // where all are full, none is ill
                 }
                 default -> { }
             }
@@ -444,17 +444,17 @@
             if (late) n.late.add(now, 1);
         }
 
-        void renew() { for (Node n : nodes) Decide.this.out.closeIdle(n.srv); }
+        void renew() { for (Node n : nodes) DecisionEngine.this.out.closeIdleConnections(n.srv); }
 
         void rank() {
             ranked.clear();
             cold.clear();
             double parts = 4 * 0.12, seen = 4;
             for (Node n : nodes) {
-                if (n.srv.state != Srv.State.UP) continue;
+                if (n.srv.state != Server.State.UP) continue;
                 ranked.add(n);
-                if (n.born != n.srv.born) { // started anew: nothing that was seen of it counts
-                    n.born = n.srv.born;
+                if (n.born != n.srv.startedAtMs) { // started anew: nothing that was seen of it counts
+                    n.born = n.srv.startedAtMs;
                     n.tokens = chance.nextDouble();
                     n.barredUntil = n.unreached = 0;
                 }
@@ -464,7 +464,7 @@
             }
             Collections.shuffle(cold, chance); // guards the first of the list against all gateways at once
             pooled = parts / seen;
-            meanSize = ranked.stream().mapToDouble(n -> n.srv.size).average().orElse(1);
+            meanSize = ranked.stream().mapToDouble(n -> n.srv.weight).average().orElse(1);
             ranked.forEach(this::measure);
             sum = ranked.stream().mapToDouble(n -> n.limit).sum();
             slots = Math.max(1, (int) (sum + Math.sqrt(sum) + chance.nextDouble()));
@@ -483,7 +483,7 @@
             double seen = n.answers.total(now), sum = n.strain.total(now);
             // what is still out tells of a stalled server before its answers do
             for (Hop h : n.running) {
-                double part = (now - h.at) / h.job.req.frontend.target;
+                double part = (now - h.at) / h.job.req.requestClass.latencyObjectiveMs;
                 // guards a gateway of few slots against the few servers that keep them
                 if (part > 3 * pooled * h.size && !h.apart && apart < slots) {
                     h.apart = true;
@@ -498,7 +498,7 @@
             }
             // what is seen of few answers is weighed with what the whole fleet shows
             n.meanStrain = (sum + pooled * n.rel * 4) / (seen + 4);
-            n.first = start * (meanSize > 0 && n.srv.size > 0 ? n.srv.size / meanSize : 1);
+            n.first = start * (meanSize > 0 && n.srv.weight > 0 ? n.srv.weight / meanSize : 1);
             if (n.limit <= 0) n.limit = n.first;
             if (n.usual < 0) n.usual = n.meanStrain;
             // with a part of the first limit, what is slow is no queue: then the usual rises soon
@@ -530,7 +530,7 @@
 
     /** A customer's quota as this gateway knows it. */
     private final class Book {
-        Customer customer;
+        Tenant customer;
         Plan plan;
         Tally tally;
         double slice, window;
@@ -541,22 +541,22 @@
         double seenAt = Double.NEGATIVE_INFINITY;
         int open;
 
-        Book(Customer customer) {
+        Book(Tenant customer) {
             follow(customer);
             this.local = Math.max(plan.burst * slice, fleet.meanUnits);
         }
 
-        private void follow(Customer customer) {
+        private void follow(Tenant customer) {
             this.customer = customer;
             this.plan = customer.plan;
             this.tally = tallies.computeIfAbsent(plan, p -> new Tally());
-            this.slice = 1.0 / Math.max(1, customer.width);
-            this.window = plan.rate <= 0 ? MAX_WINDOW
-                    : Math.min(MAX_WINDOW, BURSTS_A_WINDOW * plan.burst / plan.rate);
+            this.slice = 1.0 / Math.max(1, customer.fanIn);
+            this.window = plan.quotaPerMs <= 0 ? MAX_WINDOW
+                    : Math.min(MAX_WINDOW, BURSTS_A_WINDOW * plan.burst / plan.quotaPerMs);
         }
 
         /** Under another plan what was used stands as a floor under its count, up to all it allows by now. */
-        Book under(Customer to) {
+        Book under(Tenant to) {
             if (to.revision <= customer.revision || to.plan == plan) return this;
             roll();
             double full = plan.burst, spent = full - room(0);
@@ -565,7 +565,7 @@
             follow(to);
             roll();
             if (cur != old) { // a window of another length has another name on the counter
-                cur.lost = Math.max(0, Math.min(used, plan.burst + plan.rate * into()));
+                cur.lost = Math.max(0, Math.min(used, plan.burst + plan.quotaPerMs * into()));
                 cur.brought = cur.lost * slice;
                 cur.total = cur.lost + owed;
             }
@@ -588,7 +588,7 @@
         // guards against time saved up in a calm stretch, or before a first req late in a window: the bound
         // within the window is taken from each earlier read as well
         double room(double risen) {
-            double full = room + (now - roomAt) * plan.rate, most = Math.min(plan.burst, full - risen);
+            double full = room + (now - roomAt) * plan.quotaPerMs, most = Math.min(plan.burst, full - risen);
             // guards against bursts elsewhere: what rose unseen may have come last, out of a full store
             double least = Math.max(0, Math.min(plan.burst, full) - risen);
             room = most - 0.5 * Math.max(0, most - least);
@@ -596,13 +596,13 @@
             return room;
         }
 
-        double most() { return plan.rate * window + plan.burst; } // that a window may hold
+        double most() { return plan.quotaPerMs * window + plan.burst; } // that a window may hold
 
         double into() { return Math.min(window, now - cur.index * window); }
 
         boolean fits(double total) {
             return prev.total * (1 - into() / window) + total <= most()
-                    && total <= plan.burst + plan.rate * into() && total - cur.total <= room(0) + 1e-6;
+                    && total <= plan.burst + plan.quotaPerMs * into() && total - cur.total <= room(0) + 1e-6;
         }
 
         /** Whether the window before, had it passed all it may, would deny anything now. */
@@ -613,23 +613,23 @@
         /** How long until these units will fit, if nobody else asks. */
         double fitsIn(double units) {
             double into = now - cur.index * window, total = cur.total + units;
-            double wait = Math.max((total - plan.burst) / plan.rate - into, (units - room(0)) / plan.rate);
+            double wait = Math.max((total - plan.burst) / plan.quotaPerMs - into, (units - room(0)) / plan.quotaPerMs);
             if (prev.total > 0) wait = Math.max(wait, window * (1 - (most() - total) / prev.total) - into);
             return Math.max(1, wait);
         }
 
-        boolean soft() { return plan.beyondValue > 0 && plan.beyondCost <= 0; }
+        boolean soft() { return plan.overQuotaWeight > 0 && plan.overQuotaCost <= 0; }
 
         /** Fills the slice: of many gateways each may save up one mean req, or none would ever pass. */
         double local() {
             local = Math.min(Math.max(plan.burst * slice, fleet.meanUnits),
-                    local + (now - localAt) * plan.rate * slice);
+                    local + (now - localAt) * plan.quotaPerMs * slice);
             localAt = now;
             return local;
         }
 
         // of many gateways each would take all the room that was left
-        boolean fresh() { return 4 * slice >= 1 && cur.read && now - cur.readAt < plan.burst / plan.rate; }
+        boolean fresh() { return 4 * slice >= 1 && cur.read && now - cur.readAt < plan.burst / plan.quotaPerMs; }
 
         // where calls are short those tell most whose room is not known, or small; and none that pass either
         // way: guards plans whose excess costs against others that take the calls they are judged by
@@ -639,7 +639,7 @@
         // own slice; one smaller than the req is drawn for: over all gateways the slices pass what they hold
         boolean take(double units) {
             boolean fresh = fresh(), takes = fresh
-                    ? fits(cur.total + units) && units <= known + slice * plan.rate * (now - cur.readAt)
+                    ? fits(cur.total + units) && units <= known + slice * plan.quotaPerMs * (now - cur.readAt)
                     : local() >= units * chance.nextDouble();
             if (takes || !fresh) local = Math.max(0, local() - units);
             return takes;
@@ -647,7 +647,7 @@
 
         // guards a ceiling drawn on by two processes of this gateway: what one fills the other lets go
         private void fill() {
-            double full = plan.ceilingBurst * slice, rate = plan.ceilingRate * slice;
+            double full = plan.hardLimitBurst * slice, rate = plan.hardLimitPerMs * slice;
             ceiling = Math.min(full, ceiling + Math.max(0, Math.min(now, leftAt) - ceilingAt) * rate);
             ceiling = Math.max(0, ceiling - Math.max(0, now - Math.max(leftAt, ceilingAt)) * rate);
             ceilingAt = now;
@@ -655,7 +655,7 @@
 
         /** Ceiling and cap on open reqs, for a first dispatch. */
         boolean mayOpen(double units) {
-            return ceilingWait(units) <= 0 && (plan.maxOut <= 0 || open + 0.5 < openSlice());
+            return ceilingWait(units) <= 0 && (plan.maxOpenRequests <= 0 || open + 0.5 < openSlice());
         }
 
         /** The cap on open reqs is shared as the counter shows the traffic to be, at first evenly. */
@@ -663,12 +663,12 @@
             double own = Math.max(0, cur.own) + Math.max(0, prev.own) + cur.brought + prev.brought;
             double all = cur.total + prev.total;
             double part = (own + plan.burst * slice) / (all + plan.burst + 1e-9);
-            return Math.max(1, plan.maxOut * Math.min(1, part));
+            return Math.max(1, plan.maxOpenRequests * Math.min(1, part));
         }
 
         double ceilingWait(double units) {
             fill();
-            return plan.ceilingRate <= 0 ? 0 : (units - ceiling) / (plan.ceilingRate * slice);
+            return plan.hardLimitPerMs <= 0 ? 0 : (units - ceiling) / (plan.hardLimitPerMs * slice);
         }
     }
 
@@ -683,7 +683,7 @@
 
     /** The main path and counter doubt. */
     private final class Quotas {
-        final CounterTerms terms;
+        final CounterSettings terms;
         final Map<Long, ArrayDeque<Call>> calls = new HashMap<>();
         final ArrayDeque<Job> asking = new ArrayDeque<>();
         final Map<Long, Book> books = new HashMap<>();
@@ -692,14 +692,14 @@
         double gap; // between calls; none under 1 ms
         double least = Double.POSITIVE_INFINITY, leastBefore = least, leastSince; // that calls took, of late
 
-        Quotas(CounterTerms terms) { this.terms = terms; }
+        Quotas(CounterSettings terms) { this.terms = terms; }
 
-        Book book(Customer c) { return books.computeIfAbsent(c.id, id -> new Book(c)).under(c); }
+        Book book(Tenant c) { return books.computeIfAbsent(c.id, id -> new Book(c)).under(c); }
 
         /** Keeps memory bounded: of a customer not seen for two windows no count matters any more. */
         void forget() {
             books.values().removeIf(b -> now - b.seenAt > 2 * MAX_WINDOW && b.open == 0
-                    && b.ceilingWait(b.plan.ceilingBurst * b.slice) <= 0);
+                    && b.ceilingWait(b.plan.hardLimitBurst * b.slice) <= 0);
         }
 
         void ask(Job job) {
@@ -707,11 +707,11 @@
             b.roll();
             b.seenAt = now;
             double units = job.req.units;
-            if (b.plan.rate <= 0 || !terms.present) { posture(job); return; }
+            if (b.plan.quotaPerMs <= 0 || !terms.present) { posture(job); return; }
             boolean empty = b.cur.read && now - b.cur.readAt < TRUST_MS && !b.fits(b.cur.total + units);
             if (empty) { finish(job, b.fitsIn(units)); return; }
             boolean silent = unanswered >= SILENT_AFTER;
-            double pause = silent ? Math.min(4000, ASK_SILENT_MS * place.gateways) : gap * b.patience();
+            double pause = silent ? Math.min(4000, ASK_SILENT_MS * place.gatewayCount) : gap * b.patience();
             if (now - askedAt < pause) { if (posture(job)) b.owed += units; return; }
             askedAt = now;
             call(b, b.cur, job, units);
@@ -724,14 +724,14 @@
             Call call = new Call(b, win, job, units + owed, owed, job != null && units == 0);
             long name = name(b, win);
             calls.computeIfAbsent(name, n -> new ArrayDeque<>(2)).add(call);
-            out.add(name, call.amount(), 2 * b.window + 1000);
+            out.incrementCounter(name, call.amount(), 2 * b.window + 1000);
         }
 
         /** Bounds every wait, whichever answer is missing: of this window's name or of the one before. */
         void hurry() {
             while (!asking.isEmpty()) {
                 Job job = asking.peek();
-                if ((!job.decided || job.waits) && now - job.askedAt < 0.05 * job.req.frontend.target) return;
+                if ((!job.decided || job.waits) && now - job.askedAt < 0.05 * job.req.requestClass.latencyObjectiveMs) return;
                 asking.poll();
                 settleSilence(job);
                 if (job.waits) judge(job);
@@ -744,17 +744,17 @@
             job.passed = !job.over && posture(job);
         }
 
-        void answer(long name, End how, double took, double total) {
+        void answer(long name, AttemptOutcome how, double took, double total) {
             ArrayDeque<Call> queue = calls.get(name);
             if (queue == null) return;
             Call call = queue.poll();
             if (queue.isEmpty()) calls.remove(name);
             Book b = call.book();
             Job job = call.job();
-            boolean good = how == End.GOOD;
-            unanswered = good || how == End.BROKEN ? 0 : unanswered + 1; // resets are no silence
+            boolean good = how == AttemptOutcome.SUCCESS;
+            unanswered = good || how == AttemptOutcome.CONNECTION_LOST ? 0 : unanswered + 1; // resets are no silence
             boolean slow = unanswered < SILENT_AFTER || now - lateAt < LATE_MS;
-            if (how != End.BROKEN) pace(good, took);
+            if (how != AttemptOutcome.CONNECTION_LOST) pace(good, took);
             if (good) read(call, total);
             if (call.reads()) { if (job.waits) judge(job); return; }
             if (!good) {
@@ -784,11 +784,11 @@
                 leastSince = now;
             }
             if (answered) least = Math.min(least, took);
-            boolean queued = gap > terms.timeout / 8
-                    && took > Math.min(least, leastBefore) + QUEUED * terms.timeout;
+            boolean queued = gap > terms.timeoutMs / 8
+                    && took > Math.min(least, leastBefore) + QUEUED * terms.timeoutMs;
             if (answered && !queued) gap *= 1 - Math.min(0.3, gap / CALM_MS);
-            else if (now - slowedAt >= terms.timeout) {
-                gap = Math.min(ASK_SILENT_MS * place.gateways, Math.max(1, gap) * SLOWER);
+            else if (now - slowedAt >= terms.timeoutMs) {
+                gap = Math.min(ASK_SILENT_MS * place.gatewayCount, Math.max(1, gap) * SLOWER);
                 slowedAt = now;
             }
         }
@@ -797,7 +797,7 @@
         private void read(Call call, double total) {
             Win w = call.win();
             w.own += call.amount();
-            if (total < w.own - terms.largest) {
+            if (total < w.own - terms.maxRequestUnits) {
                 w.lost = Math.max(w.lost, w.total - Math.max(0, total - call.amount()));
                 w.own = total;
             }
@@ -845,13 +845,13 @@
         /** When the counter says nothing: soft plans pass, others live on its last word or an even slice. */
         private boolean posture(Job job) {
             Plan p = job.book.plan;
-            boolean inside = p.rate <= 0 || job.book.take(job.req.units);
-            if (!inside) job.worth *= p.beyondValue;
-            if (inside && p.rate > 0 && terms.present) { // it is owed, or was added: as if it had been read
+            boolean inside = p.quotaPerMs <= 0 || job.book.take(job.req.units);
+            if (!inside) job.worth *= p.overQuotaWeight;
+            if (inside && p.quotaPerMs > 0 && terms.present) { // it is owed, or was added: as if it had been read
                 job.countedIn = job.book.cur;
                 job.book.spend(job.countedIn, job.req.units);
             }
-            if (inside || job.book.soft()) admit(job); else finish(job, job.req.units / p.rate);
+            if (inside || job.book.soft()) admit(job); else finish(job, job.req.units / p.quotaPerMs);
             return inside;
         }
 
--- a/gateway/src/main/java/tinford/logs/LibraryLines.java
+++ b/gateway/src/main/java/tinford/logging/JBossLogBridge.java
@@ -1,4 +1,4 @@
-package tinford.logs;
+package tinford.logging;
 
 import java.text.MessageFormat;
 import java.util.Collections;
@@ -10,7 +10,7 @@
  * What XNIO and its threads say goes into the same lines. Contexts of threads, which nobody here
  * sets, are not kept.
  */
-public final class LibraryLines implements LoggerProvider {
+public final class JBossLogBridge implements LoggerProvider {
     @Override
     public Logger getLogger(String name) {
         return new Line(name);
@@ -41,7 +41,7 @@
 
         @Override
         public boolean isEnabled(Level level) {
-            return Lines.told(getName(), of(level));
+            return LineLogger.told(getName(), of(level));
         }
 
         @Override
@@ -49,7 +49,7 @@
                 Level level, String by, Object message, Object[] parameters, Throwable thrown) {
             if (isEnabled(level)) {
                 String text = String.valueOf(message);
-                Lines.write(
+                LineLogger.write(
                         getName(),
                         of(level),
                         parameters == null || parameters.length == 0
@@ -63,7 +63,7 @@
         protected void doLogf(
                 Level level, String by, String format, Object[] parameters, Throwable thrown) {
             if (isEnabled(level)) {
-                Lines.write(getName(), of(level), String.format(format, parameters), thrown);
+                LineLogger.write(getName(), of(level), String.format(format, parameters), thrown);
             }
         }
     }
--- a/gateway/src/main/java/tinford/logs/Lines.java
+++ b/gateway/src/main/java/tinford/logging/LineLogger.java
@@ -1,4 +1,4 @@
-package tinford.logs;
+package tinford.logging;
 
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -14,7 +14,7 @@
  * part, written by a thread of its own. It stands in for the JDK's own, whose set-up and formats
  * take a quarter of the processor time of a start.
  */
-public final class Lines extends System.LoggerFinder {
+public final class LineLogger extends System.LoggerFinder {
     /**
      * Libraries tell of their versions at each start; of them, only what may need somebody is told.
      */
@@ -96,7 +96,7 @@
                     if (dropped > 0) {
                         System.err.println(
                                 Instant.now()
-                                        + " WARNING tinford.logs: "
+                                        + " WARNING tinford.logging: "
                                         + dropped
                                         + " lines found no place");
                     }
