--- a/gateway/src/main/java/tinford/program/Companion.java
+++ b/gateway/src/main/java/tinford/program/FleetExtension.java
@@ -2,22 +2,22 @@
 
 import java.io.IOException;
 import java.util.function.Consumer;
-import tinford.api.Place;
-import tinford.api.View;
+import tinford.api.FleetPolicy;
+import tinford.api.GatewayIdentity;
 import tinford.routing.Catalog;
-import tinford.transport.Loop;
+import tinford.transport.EventLoop;
 
 /**
  * What acts beside a gateway for a whole fleet, on its I/O thread. A gateway that is handed none is
  * alone, and loads none of it.
  */
-public interface Companion {
+public interface FleetExtension {
     /**
      * Called once, within the first round and before anything comes in.
      *
      * @param enter from any thread: runs what it is given within a round, soon
      */
-    View join(Place place, Consumer<Loop.Due> enter) throws IOException;
+    FleetPolicy join(GatewayIdentity place, Consumer<EventLoop.Task> enter) throws IOException;
 
     /**
      * Called once, right before {@link #join}.
--- a/gateway/src/main/java/tinford/program/Serve.java
+++ b/gateway/src/main/java/tinford/program/GatewayProcess.java
@@ -17,26 +17,26 @@
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicReference;
-import tinford.api.Gateway;
-import tinford.api.Limits;
-import tinford.handed.BadInput;
-import tinford.handed.Fields;
-import tinford.handed.Handed;
+import tinford.api.AttemptLimits;
+import tinford.api.DecisionModule;
 import tinford.routing.Addresses;
+import tinford.routing.AdminApi;
 import tinford.routing.Catalog;
-import tinford.routing.Clients;
-import tinford.routing.Counter;
-import tinford.routing.Desk;
-import tinford.routing.Operators;
-import tinford.routing.Peers;
-import tinford.routing.Record;
-import tinford.routing.Servers;
-import tinford.routing.Watch;
-import tinford.transport.Descriptors;
-import tinford.transport.Turn;
+import tinford.routing.ClientPool;
+import tinford.routing.CounterClient;
+import tinford.routing.DiscoveryWatch;
+import tinford.routing.HandoverLog;
+import tinford.routing.PeerMessenger;
+import tinford.routing.RequestDispatcher;
+import tinford.routing.ServerPool;
+import tinford.settings.InvalidSettingsException;
+import tinford.settings.JsonFields;
+import tinford.settings.SettingsReader;
+import tinford.transport.DescriptorBudget;
+import tinford.transport.HandoverLock;
 
 /** The gateway as a program: what it is handed, start, new configurations, and its end. */
-public final class Serve {
+public final class GatewayProcess {
     private static final System.Logger LOG = System.getLogger("tinford.program");
 
     /** What a new configuration does not change in a gateway that runs. */
@@ -87,13 +87,14 @@
      */
     private static final double FIRST_LIST = 400;
 
-    private Serve() {}
+    private GatewayProcess() {}
 
     /**
      * Starts a gateway, which then lives in its I/O thread; the result is an exit code, or -1 when
      * it runs.
      */
-    public static int start(Map<String, String> env, PrintStream err, Gateway.Maker maker) {
+    public static int start(
+            Map<String, String> env, PrintStream err, DecisionModule.Factory maker) {
         return start(env, err, maker, null);
     }
 
@@ -102,11 +103,14 @@
      *     gateways; null for a gateway alone
      */
     public static int start(
-            Map<String, String> env, PrintStream err, Gateway.Maker maker, Companion companion) {
+            Map<String, String> env,
+            PrintStream err,
+            DecisionModule.Factory maker,
+            FleetExtension companion) {
         try {
             run(env, maker, companion);
             return -1;
-        } catch (BadInput e) {
+        } catch (InvalidSettingsException e) {
             err.println("tinford: " + e.getMessage());
         } catch (BindException e) {
             err.println("tinford: an address to listen on is not free: " + e.getMessage());
@@ -116,73 +120,82 @@
         return 1;
     }
 
-    private static void run(Map<String, String> env, Gateway.Maker maker, Companion companion)
+    private static void run(
+            Map<String, String> env, DecisionModule.Factory maker, FleetExtension companion)
             throws IOException {
         JsonFactory json = new JsonFactory();
         AtomicReference<FileTime> seen = new AtomicReference<>(written(env.get("ROUTER_CONFIG")));
-        Fields given = read(json, env.get("ROUTER_CONFIG"));
-        Fields set = given.part("settings");
-        Limits limits = Handed.limits(set);
+        JsonFields given = read(json, env.get("ROUTER_CONFIG"));
+        JsonFields set = given.object("settings");
+        AttemptLimits limits = SettingsReader.attemptLimits(set);
         int sockets =
-                (int) Math.max(0, Math.min(MOST_SOCKETS, given.part("limits").whole("sockets")));
+                (int)
+                        Math.max(
+                                0,
+                                Math.min(MOST_SOCKETS, given.object("limits").integer("sockets")));
         boolean managed = given.has("management");
         int operated = managed ? Math.min(TO_OPERATORS, Math.max(4, sockets / 16)) : 0;
         int most = sockets - OWN_DESCRIPTORS - operated;
         if (most < LEAST_CONNECTIONS) {
-            throw given.part("limits")
-                    .bad("sockets", OWN_DESCRIPTORS + operated + LEAST_CONNECTIONS + " or more");
+            throw given.object("limits")
+                    .invalid(
+                            "sockets", OWN_DESCRIPTORS + operated + LEAST_CONNECTIONS + " or more");
         }
         long bytes =
                 Runtime.getRuntime().maxMemory()
                         / 4; // for buffers, and as much for reqs: half is left
-        Desk desk =
-                new Desk(Handed.make(maker, seed(given), set), limits.maxDispatches, most, bytes);
-        double connectWithin = Handed.connectWithin(set);
-        double idleMost = Handed.idleMost(set);
-        Servers servers = new Servers(desk, connectWithin, idleMost, most, loadNames(set));
-        Clients clients =
-                new Clients(
+        RequestDispatcher desk =
+                new RequestDispatcher(
+                        SettingsReader.createModule(maker, seed(given), set),
+                        limits.maxAttempts,
+                        most,
+                        bytes);
+        double connectWithin = SettingsReader.connectTimeoutMs(set);
+        double idleMost = SettingsReader.idleTimeoutMs(set);
+        ServerPool servers = new ServerPool(desk, connectWithin, idleMost, most, loadNames(set));
+        ClientPool clients =
+                new ClientPool(
                         desk,
-                        new Catalog(Handed.frontends(set), Handed.plans(set)),
-                        Handed.place(set).gateways,
-                        Handed.mostUnits(set),
+                        new Catalog(SettingsReader.requestClasses(set), SettingsReader.plans(set)),
+                        SettingsReader.gatewayIdentity(set).gatewayCount,
+                        SettingsReader.maxRequestUnits(set),
                         idleMost,
-                        Handed.mostOpen(set),
+                        SettingsReader.maxOpenRequests(set),
                         bytes,
-                        desk.loop.descriptors().most(Descriptors.Party.CLIENTS),
+                        desk.loop.descriptorBudget().limit(DescriptorBudget.Party.CLIENTS),
                         sockets / IDLE_PART);
-        Counter counter =
-                Handed.counter(set).present
-                        ? new Counter(
+        CounterClient counter =
+                SettingsReader.counterSettings(set).present
+                        ? new CounterClient(
                                 desk,
                                 Addresses.of(given, "counter"),
                                 connectWithin,
-                                Handed.counter(set).timeout,
+                                SettingsReader.counterSettings(set).timeoutMs,
                                 TO_COUNTER)
                         : null;
-        Fields known = given.optional("known");
-        Watch watch =
-                new Watch(
+        JsonFields known = given.objectOrEmpty("known");
+        DiscoveryWatch watch =
+                new DiscoveryWatch(
                         desk,
                         Addresses.of(given, "discovery"),
                         connectWithin,
                         servers,
                         json,
-                        known.whole("seq", 0),
+                        known.integer("seq", 0),
                         new Random(seed(given)));
-        Peers peers =
-                limits.peers && companion == null
-                        ? new Peers(
+        PeerMessenger peers =
+                limits.gossipAllowed && companion == null
+                        ? new PeerMessenger(
                                 desk,
                                 Addresses.of(given, "peer_listen"),
                                 addresses(given, "peers"),
                                 Addresses.of(given, "peers_all"))
                         : null;
         desk.seat(clients, servers, counter, watch, peers);
-        Turn turn = managed ? turn(env.get("TMPDIR"), given.text("name")) : null;
-        Operators operators =
+        HandoverLock turn = managed ? turn(env.get("TMPDIR"), given.text("name")) : null;
+        AdminApi operators =
                 managed
-                        ? new Operators(desk, servers, turn == null ? null : record(turn), operated)
+                        ? new AdminApi(desk, servers, turn == null ? null : record(turn), operated)
                         : null;
         Handover handover =
                 new Handover(
@@ -196,7 +209,7 @@
                 new Thread(
                         () -> {
                             if (companion != null) {
-                                desk.loop.enter(companion::leaves);
+                                desk.loop.execute(companion::leaves);
                             }
                             handover.leave(companion == null ? () -> {} : companion::answered);
                         },
@@ -208,8 +221,8 @@
         try {
             CountDownLatch tried = new CountDownLatch(1);
             AtomicReference<IOException> shut = new AtomicReference<>();
-            AtomicReference<BadInput> wrong = new AtomicReference<>();
-            desk.loop.enter(
+            AtomicReference<InvalidSettingsException> wrong = new AtomicReference<>();
+            desk.loop.execute(
                     () -> {
                         desk.begin();
                         if (managed) {
@@ -218,7 +231,10 @@
                         if (companion != null) {
                             try {
                                 companion.configures(desk::use);
-                                desk.sees(companion.join(Handed.place(set), desk.loop::enter));
+                                desk.sees(
+                                        companion.join(
+                                                SettingsReader.gatewayIdentity(set),
+                                                desk.loop::execute));
                             } catch (IOException e) {
                                 shut.set(e);
                                 tried.countDown();
@@ -230,7 +246,9 @@
                             if (given.has("known")) {
                                 servers.list(known);
                             }
-                        } catch (BadInput e) { // guards a start that would wait for good behind it
+                        } catch (
+                                InvalidSettingsException
+                                        e) { // guards a start that would wait for good behind it
                             wrong.set(e);
                             tried.countDown();
                             return;
@@ -241,7 +259,7 @@
                         // guards against a list out of date: what is pushed counts as told from
                         // this process's first moment on
                         watch.whenFirst(
-                                Handed.mustAsk(set) ? 0 : FIRST_LIST,
+                                SettingsReader.watchRequired(set) ? 0 : FIRST_LIST,
                                 () -> {
                                     try {
                                         if (!handover.first()) {
@@ -252,7 +270,7 @@
                                     }
                                     tried.countDown();
                                 });
-                        if (!Handed.mustAsk(set)) {
+                        if (!SettingsReader.watchRequired(set)) {
                             watch.want(true);
                         }
                     });
@@ -275,7 +293,7 @@
             if (managed) {
                 operators.listen(Addresses.of(given, "management"));
             }
-        } catch (IOException | BadInput e) {
+        } catch (IOException | InvalidSettingsException e) {
             Runtime.getRuntime().removeShutdownHook(leave); // the exit code tells of it
             throw e;
         }
@@ -290,8 +308,9 @@
                 });
     }
 
-    private static void accompany(Desk desk, Servers servers, Companion companion) {
-        desk.loop.after(
+    private static void accompany(
+            RequestDispatcher desk, ServerPool servers, FleetExtension companion) {
+        desk.loop.schedule(
                 companion.every(),
                 () -> {
                     companion.tick();
@@ -336,19 +355,24 @@
      * read changes nothing.
      */
     private static void reread(
-            JsonFactory json, String path, Fields before, Desk desk, Counter counter, Watch watch) {
+            JsonFactory json,
+            String path,
+            JsonFields before,
+            RequestDispatcher desk,
+            CounterClient counter,
+            DiscoveryWatch watch) {
         try {
-            Fields given = read(json, path);
+            JsonFields given = read(json, path);
             InetSocketAddress discovery = Addresses.of(given, "discovery");
             InetSocketAddress count = counter == null ? null : Addresses.of(given, "counter");
-            desk.loop.enter(
+            desk.loop.execute(
                     () -> {
                         watch.move(discovery);
                         if (counter != null) {
                             counter.move(count);
                         }
                     });
-            List<String> kept = FIXED.stream().filter(f -> !before.same(given, f)).toList();
+            List<String> kept = FIXED.stream().filter(f -> !before.sameValue(given, f)).toList();
             LOG.log(
                     Level.INFO,
                     "configuration read again: discovery "
@@ -356,7 +380,7 @@
                             + ", counter "
                             + count
                             + (kept.isEmpty() ? "" : "; takes a restart: " + kept));
-        } catch (BadInput e) {
+        } catch (InvalidSettingsException e) {
             LOG.log(Level.WARNING, "configuration not taken: " + e.getMessage());
         }
     }
@@ -365,25 +389,27 @@
      * Null where no folder is handed that a successor would see: then this process is the only one
      * of its gateway.
      */
-    private static Turn turn(String folder, String name) {
+    private static HandoverLock turn(String folder, String name) {
         try {
-            return folder == null || folder.isEmpty() ? null : new Turn(Path.of(folder), name);
+            return folder == null || folder.isEmpty()
+                    ? null
+                    : new HandoverLock(Path.of(folder), name);
         } catch (IOException e) {
             LOG.log(Level.WARNING, "nothing is shared with another process of this gateway: " + e);
             return null;
         }
     }
 
-    private static Record record(Turn turn) {
-        return new Record() {
+    private static HandoverLog record(HandoverLock turn) {
+        return new HandoverLog() {
             @Override
             public void add(String line) throws IOException {
-                turn.add(line);
+                turn.appendLine(line);
             }
 
             @Override
             public List<String> news() throws IOException {
-                return turn.news();
+                return turn.readNewLines();
             }
         };
     }
@@ -397,40 +423,41 @@
         }
     }
 
-    private static Fields read(JsonFactory json, String path) {
+    private static JsonFields read(JsonFactory json, String path) {
         if (path == null) {
-            throw new BadInput("environment", "ROUTER_CONFIG", "the path of the configuration");
+            throw new InvalidSettingsException(
+                    "environment", "ROUTER_CONFIG", "the path of the configuration");
         }
         try {
-            return Fields.of(
+            return JsonFields.of(
                     json, "configuration", Files.readString(Path.of(path), StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new BadInput(
+            throw new InvalidSettingsException(
                     "environment", "ROUTER_CONFIG", "a file that can be read, not " + path);
         }
     }
 
-    private static long seed(Fields given) {
+    private static long seed(JsonFields given) {
         try {
             return Long.parseUnsignedLong(given.text("seed"), 16);
         } catch (NumberFormatException e) {
-            throw given.bad("seed", "a number in hex digits");
+            throw given.invalid("seed", "a number in hex digits");
         }
     }
 
-    private static List<String> loadNames(Fields set) {
-        Fields load = set.optional("LoadInfo");
+    private static List<String> loadNames(JsonFields set) {
+        JsonFields load = set.objectOrEmpty("LoadInfo");
         boolean silent =
                 !load.has("How") || load.text("How").equals("silent") || !load.has("Fields");
         return silent ? List.of() : load.texts("Fields");
     }
 
-    private static List<InetSocketAddress> addresses(Fields given, String field) {
+    private static List<InetSocketAddress> addresses(JsonFields given, String field) {
         List<InetSocketAddress> found = new ArrayList<>();
         for (String text : given.texts(field)) {
             InetSocketAddress a = Addresses.of(text);
             if (a == null) {
-                throw given.bad(field, "numeric host:port, not " + text);
+                throw given.invalid(field, "numeric host:port, not " + text);
             }
             found.add(a);
         }
--- a/gateway/src/main/java/tinford/program/Handover.java
+++ b/gateway/src/main/java/tinford/program/Handover.java
@@ -4,11 +4,11 @@
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
 import java.util.concurrent.CountDownLatch;
-import tinford.logs.Lines;
-import tinford.routing.Clients;
-import tinford.routing.Desk;
-import tinford.routing.Operators;
-import tinford.transport.Turn;
+import tinford.logging.LineLogger;
+import tinford.routing.AdminApi;
+import tinford.routing.ClientPool;
+import tinford.routing.RequestDispatcher;
+import tinford.transport.HandoverLock;
 
 /**
  * Which process of this gateway takes the clients. One that starts beside another waits, ready,
@@ -37,10 +37,10 @@
     private static final double LAST_LINES = 100; // for the log, at the end
     private static final double LAST_LOOK =
             100; // for the I/O threads, which end at once where nothing holds them up
-    private final Desk desk;
-    private final Clients clients;
-    private final Operators operators;
-    private final Turn turn;
+    private final RequestDispatcher desk;
+    private final ClientPool clients;
+    private final AdminApi operators;
+    private final HandoverLock turn;
     private final InetSocketAddress at;
     private final int aside;
     private double leftAt;
@@ -54,10 +54,10 @@
      * @param aside descriptors that are not this process's while there are two
      */
     Handover(
-            Desk desk,
-            Clients clients,
-            Operators operators,
-            Turn turn,
+            RequestDispatcher desk,
+            ClientPool clients,
+            AdminApi operators,
+            HandoverLock turn,
             InetSocketAddress at,
             int aside) {
         this.desk = desk;
@@ -71,8 +71,8 @@
     /** Opens the door if no other process has the turn. */
     synchronized boolean first() throws IOException {
         begun = true;
-        if (turn != null && !turn.take()) {
-            desk.loop.descriptors().setAside(aside);
+        if (turn != null && !turn.tryAcquire()) {
+            desk.loop.descriptorBudget().reserve(aside);
             LOG.log(
                     Level.INFO,
                     "another process of this gateway takes the clients; ready to follow it");
@@ -83,9 +83,9 @@
         if (turn != null) {
             boolean alone = turn.alone();
             if (!alone) {
-                desk.loop.descriptors().setAside(aside);
+                desk.loop.descriptorBudget().reserve(aside);
             }
-            desk.loop.enter(
+            desk.loop.execute(
                     () -> {
                         opened();
                         if (!alone) {
@@ -102,7 +102,7 @@
             return;
         }
         try {
-            if (turn.take()) {
+            if (turn.tryAcquire()) {
                 desk.takesOver();
                 clients.listen(at, true);
                 taken = true;
@@ -114,7 +114,7 @@
         } catch (IOException e) {
             LOG.log(Level.ERROR, "the clients' address can't be taken over: " + e);
         }
-        desk.loop.after(LOOK, this::await);
+        desk.loop.schedule(LOOK, this::await);
     }
 
     private void opened() {
@@ -127,7 +127,7 @@
                     Level.WARNING,
                     "the other process is not told that this one's door is open: " + e);
         }
-        desk.loop.after(LOOK / 2, this::opened);
+        desk.loop.schedule(LOOK / 2, this::opened);
     }
 
     /** Once the other process is gone, its descriptors are free. */
@@ -135,14 +135,14 @@
         try {
             if (turn.alone()) {
                 desk.loop
-                        .descriptors()
-                        .setAside(ending ? aside : 0); // one that ends may have a successor by now
+                        .descriptorBudget()
+                        .reserve(ending ? aside : 0); // one that ends may have a successor by now
                 return;
             }
         } catch (IOException e) {
             LOG.log(Level.WARNING, "not seen whether the other process has gone: " + e);
         }
-        desk.loop.after(10 * LOOK, this::alone);
+        desk.loop.schedule(10 * LOOK, this::alone);
     }
 
     /**
@@ -156,14 +156,14 @@
             }
         }
         CountDownLatch left = new CountDownLatch(1);
-        desk.loop.enter(
+        desk.loop.execute(
                 () -> {
                     ending = true;
                     leftAt = System.nanoTime() / 1e6;
                     if (!taken) {
                         left.countDown(); // it waited for its turn, and goes without one
                     } else if (turn == null) {
-                        desk.loop.after(CLIENTS_COME, () -> close(left));
+                        desk.loop.schedule(CLIENTS_COME, () -> close(left));
                     } else {
                         give(left);
                     }
@@ -174,7 +174,7 @@
             Thread.currentThread().interrupt();
         }
         last.run();
-        Lines.flush(LAST_LINES);
+        LineLogger.flush(LAST_LINES);
         halt();
     }
 
@@ -185,11 +185,11 @@
 
     private void give(CountDownLatch left) {
         try {
-            turn.give();
+            turn.release();
             if (turn.succeeded()) {
                 desk.leaves();
                 operators.leaving();
-                desk.loop.descriptors().setAside(aside);
+                desk.loop.descriptorBudget().reserve(aside);
                 LOG.log(Level.INFO, "another process takes the clients");
                 clients.leave(CLIENTS_STAY - since(), left::countDown);
                 return;
@@ -198,7 +198,7 @@
             LOG.log(Level.WARNING, "not seen whether another process follows: " + e);
         }
         if (since() < CLIENTS_COME) {
-            desk.loop.after(LOOK, () -> give(left));
+            desk.loop.schedule(LOOK, () -> give(left));
         } else {
             close(left);
         }
@@ -209,7 +209,8 @@
             operators.leaving();
         }
         clients.letGo();
-        desk.loop.after(DOOR_STAYS, () -> clients.close(CLIENTS_STAY - since(), left::countDown));
+        desk.loop.schedule(
+                DOOR_STAYS, () -> clients.close(CLIENTS_STAY - since(), left::countDown));
     }
 
     private double since() {
--- a/gateway/src/main/java/tinford/protocol/HttpLines.java
+++ b/gateway/src/main/java/tinford/protocol/ChunkedLineReader.java
@@ -9,7 +9,7 @@
  * An HTTP/1.1 answer that is sent in chunks and holds lines of text; line ends and chunk ends need
  * not meet.
  */
-public final class HttpLines {
+public final class ChunkedLineReader {
     private static final int MOST_HEAD = 8 << 10;
     private static final int FIRST_CAPACITY = 1024;
 
@@ -28,7 +28,7 @@
     /**
      * @param mostLine the bytes of the longest line that is read
      */
-    public HttpLines(int mostLine) {
+    public ChunkedLineReader(int mostLine) {
         this.mostLine = mostLine;
         chunk = -1;
     }
@@ -38,7 +38,7 @@
     }
 
     /** Reads what it can; the result is how many bytes are not needed any more. */
-    public int read(byte[] b, int from, int to, Consumer<String> lines) throws Malformed {
+    public int read(byte[] b, int from, int to, Consumer<String> lines) throws ProtocolException {
         int at = from;
         while (!done && at < to) {
             if (chunk > 0) {
@@ -54,7 +54,7 @@
             int stop = headRead ? end(b, at, to, 1) : end(b, at, to, 2);
             if (stop < 0) {
                 if (to - at > MOST_HEAD) {
-                    throw new Malformed("a head of under " + MOST_HEAD + " bytes");
+                    throw new ProtocolException("a head of under " + MOST_HEAD + " bytes");
                 }
                 break;
             }
@@ -64,7 +64,7 @@
                 head(head);
             } else if (chunk == -2) {
                 if (!head.equals("\r\n")) {
-                    throw new Malformed("the end of a line behind a chunk");
+                    throw new ProtocolException("the end of a line behind a chunk");
                 }
                 chunk = -1;
             } else {
@@ -74,26 +74,26 @@
         return at - from;
     }
 
-    private void head(String head) throws Malformed {
+    private void head(String head) throws ProtocolException {
         if (!head.startsWith("HTTP/1.1 200 ")) {
-            throw new Malformed("HTTP/1.1 200");
+            throw new ProtocolException("HTTP/1.1 200");
         }
         if (!head.toLowerCase(Locale.ROOT).contains("\r\ntransfer-encoding: chunked\r\n")) {
-            throw new Malformed("an answer in chunks");
+            throw new ProtocolException("an answer in chunks");
         }
         headRead = true;
     }
 
-    private void size(String head) throws Malformed {
+    private void size(String head) throws ProtocolException {
         int stop = head.indexOf(';');
         String digits = head.substring(0, stop < 0 ? head.length() - 2 : stop).trim();
         try {
             chunk = Long.parseLong(digits, 16);
         } catch (NumberFormatException e) {
-            throw new Malformed("the size of a chunk in hex digits");
+            throw new ProtocolException("the size of a chunk in hex digits");
         }
         if (chunk < 0) {
-            throw new Malformed("the size of a chunk");
+            throw new ProtocolException("the size of a chunk");
         }
         done = chunk == 0;
     }
@@ -110,7 +110,7 @@
         return -1;
     }
 
-    private void text(byte[] b, int from, int to, Consumer<String> lines) throws Malformed {
+    private void text(byte[] b, int from, int to, Consumer<String> lines) throws ProtocolException {
         int start = from;
         for (int i = from; i < to; i++) {
             if (b[i] == '\n') {
@@ -132,10 +132,10 @@
         return text;
     }
 
-    private void keep(byte[] b, int from, int to) throws Malformed {
+    private void keep(byte[] b, int from, int to) throws ProtocolException {
         int n = to - from;
         if (length + n > mostLine) {
-            throw new Malformed("a line of under " + mostLine + " bytes");
+            throw new ProtocolException("a line of under " + mostLine + " bytes");
         }
         if (length + n > line.length) {
             line = Arrays.copyOf(line, Math.max(2 * line.length, length + n));
--- a/gateway/src/main/java/tinford/protocol/ListLimit.java
+++ b/gateway/src/main/java/tinford/protocol/EndpointListLimit.java
@@ -5,15 +5,15 @@
  * is read it takes some eight times its text: a limit of a thirty-second of the heap leaves three
  * quarters for everything else.
  */
-public final class ListLimit {
+public final class EndpointListLimit {
     private static final long PART_OF_HEAP = 32;
     private static final long LEAST_BYTES = 1 << 20;
     private static final long MOST_BYTES = 16 << 20;
 
-    private ListLimit() {}
+    private EndpointListLimit() {}
 
     /** For a heap of so many bytes: between 1 and 16 MiB. */
-    public static int bytes(long heapBytes) {
+    public static int maxBytes(long heapBytes) {
         return (int) Math.max(LEAST_BYTES, Math.min(MOST_BYTES, heapBytes / PART_OF_HEAP));
     }
 }
--- a/gateway/src/main/java/tinford/protocol/JsonLines.java
+++ b/gateway/src/main/java/tinford/protocol/JsonObjectSplitter.java
@@ -10,7 +10,7 @@
 /**
  * JSON objects in lines of text, each in one line or over several. What it keeps of one is bounded.
  */
-public final class JsonLines {
+public final class JsonObjectSplitter {
     private static final byte[] LINE_END = {'\n'};
     private final int most;
     private final JsonParser in;
@@ -21,7 +21,7 @@
     /**
      * @param most the characters of the longest object that is read
      */
-    public JsonLines(JsonFactory json, int most) {
+    public JsonObjectSplitter(JsonFactory json, int most) {
         this.most = most;
         try {
             in = json.createNonBlockingByteArrayParser();
@@ -35,18 +35,18 @@
      * What is whole with this line: an object, or an empty text for an empty line between objects;
      * null: more has to come.
      */
-    public String take(String line) throws Malformed {
+    public String addLine(String line) throws ProtocolException {
         if (line.isEmpty() && text.length() == 0) {
             return line;
         }
         if (text.length() + line.length() + 1 > most) {
-            throw new Malformed("an object of under " + most + " bytes");
+            throw new ProtocolException("an object of under " + most + " bytes");
         }
         try {
             feed(line.getBytes(StandardCharsets.UTF_8));
             feed(LINE_END);
         } catch (IOException e) {
-            throw new Malformed("JSON");
+            throw new ProtocolException("JSON");
         }
         if (depth <= 0 && text.length() == 0) {
             return line; // the usual case takes no copy
--- a/gateway/src/main/java/tinford/protocol/Numbers.java
+++ b/gateway/src/main/java/tinford/protocol/NumberParser.java
@@ -4,16 +4,16 @@
  * Numbers as they are written on every wire here: digits, and a sign, a point or an exponent at
  * most.
  */
-public final class Numbers {
+public final class NumberParser {
     private static final int LONGEST = 32;
 
-    private Numbers() {}
+    private NumberParser() {}
 
     /**
      * Not a number where the text is none, or none that is finite: Java itself would take "NaN",
      * "0x1p3" and "5d".
      */
-    public static double real(String text) {
+    public static double parse(String text) {
         boolean digit = false;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
--- a/gateway/src/main/java/tinford/protocol/Resp.java
+++ b/gateway/src/main/java/tinford/protocol/RespReader.java
@@ -6,7 +6,7 @@
  * One RESP2 value at a time, found where it lies: a simple one, or an array of simple ones. Nothing
  * is copied.
  */
-public final class Resp {
+public final class RespReader {
     private static final int MOST_PARTS = 16;
     private static final int MOST_LINE = 1024;
     private static final int MOST_BULK = 64 << 10;
@@ -14,10 +14,10 @@
     private static final int BODY = 4; // a command's last part
 
     /** A whole value that is read here is never longer than this. */
-    public static final int MOST = MOST_BULK + MOST_PARTS * 1100;
+    public static final int MAX_VALUE_BYTES = MOST_BULK + MOST_PARTS * 1100;
 
     /** Nor a command with a long body. */
-    public static final int MOST_COMMAND = MOST_LONG + MOST_BULK + MOST_PARTS * 1100;
+    public static final int MAX_COMMAND_BYTES = MOST_LONG + MOST_BULK + MOST_PARTS * 1100;
 
     private final int[] from = new int[MOST_PARTS];
     private final int[] to = new int[MOST_PARTS];
@@ -32,14 +32,14 @@
     private int needs;
     private final boolean longBody;
 
-    public Resp() {
+    public RespReader() {
         this(false);
     }
 
     /**
      * @param longBody whether the body of a command may be as long as a long value
      */
-    public Resp(boolean longBody) {
+    public RespReader(boolean longBody) {
         this.longBody = longBody;
     }
 
@@ -48,7 +48,7 @@
      *
      * @return its length, or 0 when more has to come
      */
-    public int parse(byte[] in, int start, int stop) throws Malformed {
+    public int parse(byte[] in, int start, int stop) throws ProtocolException {
         bytes = in;
         begun = start;
         at = start;
@@ -62,7 +62,7 @@
                 return 0;
             }
             if (n == 0 || n > MOST_PARTS) {
-                throw new Malformed("an array of 1 to " + MOST_PARTS + " parts");
+                throw new ProtocolException("an array of 1 to " + MOST_PARTS + " parts");
             }
             parts = (int) n;
         }
@@ -74,7 +74,7 @@
         return at - start;
     }
 
-    private boolean part(int i) throws Malformed {
+    private boolean part(int i) throws ProtocolException {
         if (at >= end) {
             return false;
         }
@@ -90,7 +90,7 @@
                 }
                 int most = longBody && i == BODY ? MOST_LONG : MOST_BULK;
                 if (n > most) {
-                    throw new Malformed("a value of at most " + most + " bytes");
+                    throw new ProtocolException("a value of at most " + most + " bytes");
                 }
                 if (end - at < n + 2) {
                     needs = n > MOST_BULK ? at - begun + (int) n + 2 : 0;
@@ -99,7 +99,7 @@
                 from[i] = at;
                 to[i] = at + (int) n;
                 if (bytes[to[i]] != '\r' || bytes[to[i] + 1] != '\n') {
-                    throw new Malformed("the end of a line behind a value");
+                    throw new ProtocolException("the end of a line behind a value");
                 }
                 at = to[i] + 2;
                 return true;
@@ -114,17 +114,17 @@
                 at = stop + 2;
                 return true;
             }
-            default -> throw new Malformed("a RESP2 value");
+            default -> throw new ProtocolException("a RESP2 value");
         }
     }
 
-    private boolean none(int i) throws Malformed {
+    private boolean none(int i) throws ProtocolException {
         int stop = line();
         if (stop < 0) {
             return false;
         }
         if (stop - at != 3 || bytes[at + 2] != '1') {
-            throw new Malformed("$-1 for no value");
+            throw new ProtocolException("$-1 for no value");
         }
         kind[i] = 0;
         from[i] = to[i] = stop;
@@ -136,19 +136,19 @@
      * The length behind the sign at the present place, or -1 when more has to come; goes on behind
      * the line.
      */
-    private long number(int skip) throws Malformed {
+    private long number(int skip) throws ProtocolException {
         int stop = line();
         if (stop < 0) {
             return -1;
         }
         int first = at + skip;
         if (stop == first || stop - first > 9) {
-            throw new Malformed("a length of 1 to 9 digits");
+            throw new ProtocolException("a length of 1 to 9 digits");
         }
         long n = 0;
         for (int i = first; i < stop; i++) {
             if (bytes[i] < '0' || bytes[i] > '9') {
-                throw new Malformed("a length in digits");
+                throw new ProtocolException("a length in digits");
             }
             n = n * 10 + bytes[i] - '0';
         }
@@ -156,7 +156,7 @@
         return n;
     }
 
-    private int line() throws Malformed {
+    private int line() throws ProtocolException {
         int most = Math.min(end, at + MOST_LINE);
         for (int i = at; i + 1 < most; i++) {
             if (bytes[i] == '\r' && bytes[i + 1] == '\n') {
@@ -164,7 +164,7 @@
             }
         }
         if (end - at >= MOST_LINE) {
-            throw new Malformed("a line of under " + MOST_LINE + " bytes");
+            throw new ProtocolException("a line of under " + MOST_LINE + " bytes");
         }
         return -1;
     }
@@ -174,7 +174,7 @@
      * such a value. Its length is then {@link #longValue}, and the result is where its bytes begin,
      * counted from the start; else 0.
      */
-    public int parseLong(byte[] in, int start, int stop) throws Malformed {
+    public int parseLong(byte[] in, int start, int stop) throws ProtocolException {
         bytes = in;
         at = start;
         end = stop;
@@ -191,7 +191,7 @@
             return 0;
         }
         if (longValue > MOST_LONG) {
-            throw new Malformed("a value of at most " + MOST_LONG + " bytes");
+            throw new ProtocolException("a value of at most " + MOST_LONG + " bytes");
         }
         return at - start;
     }
@@ -212,14 +212,14 @@
      * What stands behind the first value of an array of so many parts: the line end, and the parts
      * that follow.
      */
-    public int parseRest(int parts, byte[] in, int start, int stop) throws Malformed {
+    public int parseRest(int parts, byte[] in, int start, int stop) throws ProtocolException {
         bytes = in;
         at = start;
         end = stop;
         this.parts = parts;
         array = true;
         if (end - at >= 1 && bytes[at] != '\r' || end - at >= 2 && bytes[at + 1] != '\n') {
-            throw new Malformed("the end of a line behind a value");
+            throw new ProtocolException("the end of a line behind a value");
         }
         kind[0] = '$';
         from[0] = to[0] = at;
--- a/gateway/src/main/java/tinford/routing/Addresses.java
+++ b/gateway/src/main/java/tinford/routing/Addresses.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 import java.util.regex.Pattern;
-import tinford.handed.Fields;
+import tinford.settings.JsonFields;
 
 /** Addresses as they are written everywhere here: a numeric host and a port. */
 public final class Addresses {
@@ -18,11 +18,11 @@
 
     private Addresses() {}
 
-    public static InetSocketAddress of(Fields in, String field) {
+    public static InetSocketAddress of(JsonFields in, String field) {
         String text = in.text(field);
         InetSocketAddress found = of(text);
         if (found == null) {
-            throw in.bad(
+            throw in.invalid(
                     field,
                     "a numeric host:port, not "
                             + text.substring(0, Math.min(SHOWN, text.length())));
--- a/gateway/src/main/java/tinford/routing/Operators.java
+++ b/gateway/src/main/java/tinford/routing/AdminApi.java
@@ -4,26 +4,26 @@
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
-import tinford.protocol.HttpCall;
-import tinford.protocol.Malformed;
-import tinford.transport.Descriptors;
-import tinford.transport.Door;
-import tinford.transport.Ending;
-import tinford.transport.Link;
+import tinford.protocol.HttpRequestHead;
+import tinford.protocol.ProtocolException;
+import tinford.transport.CloseReason;
+import tinford.transport.Connection;
+import tinford.transport.DescriptorBudget;
+import tinford.transport.Listener;
 
 /**
  * The operators' door: HTTP/1.1, one call to a connection. It has descriptors of its own, so that
  * no crowd shuts it.
  */
-public final class Operators {
+public final class AdminApi {
     private static final int SPARE = 4; // the oldest call that does not end gives way in time
     private static final double PATIENCE = 10_000;
     private static final int MOST_HEAD = 16 << 10;
     private static final double LOOK =
             50; // calls come through the other process as well; they hold within a second
-    private final Desk desk;
-    private final Servers servers;
-    private final Record record;
+    private final RequestDispatcher desk;
+    private final ServerPool servers;
+    private final HandoverLog record;
     private final int most;
     private final ArrayDeque<Call> calls = new ArrayDeque<>();
     private boolean ready = true;
@@ -32,7 +32,7 @@
      * @param record that the gateway's other process reads as well, or null
      * @param most connections at once, four at least
      */
-    public Operators(Desk desk, Servers servers, Record record, int most) {
+    public AdminApi(RequestDispatcher desk, ServerPool servers, HandoverLog record, int most) {
         this.desk = desk;
         this.servers = servers;
         this.record = record;
@@ -46,14 +46,14 @@
     }
 
     public void listen(InetSocketAddress at) throws IOException {
-        new Door(
+        new Listener(
                 desk.loop,
                 at,
                 false,
                 most,
                 () -> {
                     if (calls.size() >= most - Math.min(SPARE, most / 4)) {
-                        calls.peek().end(Ending.RETIRED);
+                        calls.peek().close(CloseReason.RETIRED);
                     }
                     return new Call();
                 });
@@ -66,7 +66,7 @@
 
     private void look() {
         follow();
-        desk.loop.after(LOOK, this::look);
+        desk.loop.schedule(LOOK, this::look);
     }
 
     private void follow() {
@@ -80,7 +80,7 @@
     }
 
     /** What is said of it: a status line without the version. */
-    private String answer(HttpCall call) {
+    private String answer(HttpRequestHead call) {
         String[] parts = call.path.split("/");
         if (call.path.equals("/v1/readyz")) {
             return !call.method.equals("GET")
@@ -98,7 +98,7 @@
         if (!servers.knows(parts[3])) {
             return "404 Not Found";
         }
-        String line = Bans.line(parts[3], parts[4].equals("suspend"), desk.now);
+        String line = ServerExclusions.line(parts[3], parts[4].equals("suspend"), desk.now);
         try {
             if (record != null) {
                 record.add(line);
@@ -113,41 +113,42 @@
         return "200 OK";
     }
 
-    private final class Call extends Link {
+    private final class Call extends Connection {
         private boolean answered;
 
         Call() {
             super(desk.loop, MOST_HEAD, MOST_HEAD);
             calls.add(this);
-            desk.loop.after(PATIENCE, () -> end(Ending.SILENT));
+            desk.loop.schedule(PATIENCE, () -> close(CloseReason.SILENT));
         }
 
         @Override
-        protected Descriptors.Party party() {
-            return Descriptors.Party.OPERATORS;
+        protected DescriptorBudget.Party party() {
+            return DescriptorBudget.Party.OPERATORS;
         }
 
         @Override
-        protected void opened() {}
+        protected void onOpened() {}
 
         @Override
-        protected void received() {
+        protected void onReceived() {
             if (answered) {
                 return;
             }
             try {
-                HttpCall call = HttpCall.read(buf.bytes(), buf.from(), buf.to());
+                HttpRequestHead call =
+                        HttpRequestHead.read(buf.bytes(), buf.readIndex(), buf.readLimit());
                 if (call != null) {
                     say(answer(call));
                 }
-            } catch (Malformed e) {
+            } catch (ProtocolException e) {
                 say("400 Bad Request");
             }
         }
 
         private void say(String status) {
             answered = true;
-            buf.take(buf.unread());
+            buf.consume(buf.unread());
             buf.put(
                     "HTTP/1.1 "
                             + status
@@ -159,11 +160,11 @@
                             + "\r\n\r\n"
                             + status
                             + "\n");
-            finish(Ending.RETIRED);
+            finish(CloseReason.RETIRED);
         }
 
         @Override
-        protected void ended(Ending how) {
+        protected void onEnded(CloseReason how) {
             calls.remove(this);
         }
     }
--- a/gateway/src/main/java/tinford/routing/Again.java
+++ b/gateway/src/main/java/tinford/routing/Backoff.java
@@ -6,7 +6,7 @@
  * How long to wait before a party that turned us away is asked again: longer each time, and by
  * chance, so that a whole fleet that was turned away together does not come back together.
  */
-final class Again {
+final class Backoff {
     private final double first;
     private final double most;
     private final RandomGenerator chance;
@@ -16,7 +16,7 @@
      * @param first the mean wait after the first refusal; twice as long after each further one, up
      *     to {@code most}
      */
-    Again(double first, double most, RandomGenerator chance) {
+    Backoff(double first, double most, RandomGenerator chance) {
         this.first = first;
         this.most = most;
         this.chance = chance;
--- a/gateway/src/main/java/tinford/routing/Catalog.java
+++ b/gateway/src/main/java/tinford/routing/Catalog.java
@@ -4,9 +4,9 @@
 import java.util.Collections;
 import java.util.Map;
 import java.util.Set;
-import tinford.api.Frontend;
 import tinford.api.Plan;
-import tinford.protocol.Malformed;
+import tinford.api.RequestClass;
+import tinford.protocol.ProtocolException;
 
 /**
  * What clients may ask for at one revision of the configuration: frontends and plans by name, and
@@ -17,14 +17,14 @@
     private static final int MOST_NAMED = 20;
 
     private final long revision;
-    private final Map<String, Frontend> frontends;
+    private final Map<String, RequestClass> frontends;
     private final Map<String, Plan> plans;
     private final Map<Long, Plan> customers;
     private final Set<Plan> inForce;
     private final double longestTimeout;
 
     /** As a gateway is handed it at its start, without any configuration. */
-    public Catalog(Map<String, Frontend> frontends, Map<String, Plan> plans) {
+    public Catalog(Map<String, RequestClass> frontends, Map<String, Plan> plans) {
         this(0, frontends, plans, Map.of());
     }
 
@@ -34,7 +34,7 @@
      */
     public Catalog(
             long revision,
-            Map<String, Frontend> frontends,
+            Map<String, RequestClass> frontends,
             Map<String, Plan> plans,
             Map<Long, Plan> customers) {
         this.revision = revision;
@@ -43,14 +43,14 @@
         this.customers = Collections.unmodifiableMap(customers);
         this.inForce = Set.copyOf(plans.values());
         this.longestTimeout =
-                frontends.values().stream().mapToDouble(f -> f.timeout).max().orElse(0);
+                frontends.values().stream().mapToDouble(f -> f.timeoutMs).max().orElse(0);
     }
 
     public long revision() {
         return revision;
     }
 
-    public Map<String, Frontend> frontends() {
+    public Map<String, RequestClass> frontends() {
         return frontends;
     }
 
@@ -68,21 +68,22 @@
         return longestTimeout;
     }
 
-    Frontend frontend(String name) throws Malformed {
+    RequestClass frontend(String name) throws ProtocolException {
         return known(frontends.get(name), "c", frontends.keySet());
     }
 
     /** The configuration's plan for the customer, else the one named. */
-    Plan plan(long customer, String name) throws Malformed {
+    Plan plan(long customer, String name) throws ProtocolException {
         Plan own = customers.isEmpty() ? null : customers.get(customer);
         return own != null ? own : known(plans.get(name), "t", plans.keySet());
     }
 
-    private static <T> T known(T found, String term, Collection<String> names) throws Malformed {
+    private static <T> T known(T found, String term, Collection<String> names)
+            throws ProtocolException {
         if (found != null) {
             return found;
         }
-        throw new Malformed(
+        throw new ProtocolException(
                 term
                         + " to be one of "
                         + (names.size() <= MOST_NAMED ? names : names.size() + " names"));
--- a/gateway/src/main/java/tinford/routing/ClientLink.java
+++ b/gateway/src/main/java/tinford/routing/ClientConnection.java
@@ -2,15 +2,15 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import tinford.protocol.Ask;
-import tinford.protocol.Malformed;
-import tinford.protocol.Resp;
-import tinford.transport.Descriptors;
-import tinford.transport.Ending;
-import tinford.transport.Link;
+import tinford.protocol.ClientCommand;
+import tinford.protocol.ProtocolException;
+import tinford.protocol.RespReader;
+import tinford.transport.CloseReason;
+import tinford.transport.Connection;
+import tinford.transport.DescriptorBudget;
 
 /** One client connection: commands in, answers out in the order of the commands. */
-final class ClientLink extends Link {
+final class ClientConnection extends Connection {
     static final int JUST_COME = 4;
     static final int BUSY = 5;
     private static final double LATELY = 250;
@@ -21,10 +21,10 @@
     private static final int LEAST_FLOWING = 8 << 10;
     private static final int MOST_WAITING =
             64; // commands of one connection; a client opens another when all are busy
-    private final Clients clients;
-    private Slot first;
-    private Slot last;
-    private Ending closing; // once everything is answered
+    private final ClientPool clients;
+    private ResponseSlot first;
+    private ResponseSlot last;
+    private CloseReason closing; // once everything is answered
     private int awaited; // bytes of a command for which there is no room yet
     private int passing; // bytes of a command that is denied, still to come
     private int room; // bytes that are kept for a long command
@@ -33,8 +33,8 @@
     private boolean asked; // a whole command has come
     double lastUse;
 
-    ClientLink(Clients clients) {
-        super(clients.desk.loop, Resp.MOST_COMMAND, MOST_OUT);
+    ClientConnection(ClientPool clients) {
+        super(clients.desk.loop, RespReader.MAX_COMMAND_BYTES, MOST_OUT);
         this.clients = clients;
     }
 
@@ -60,12 +60,12 @@
     }
 
     @Override
-    protected Descriptors.Party party() {
-        return Descriptors.Party.CLIENTS;
+    protected DescriptorBudget.Party party() {
+        return DescriptorBudget.Party.CLIENTS;
     }
 
     @Override
-    protected void opened() {}
+    protected void onOpened() {}
 
     /**
      * Guards servers against work for nobody: an end is looked for before each dispatch, also
@@ -76,18 +76,18 @@
     }
 
     @Override
-    protected void received() {
+    protected void onReceived() {
         if (endSeen()) {
             return; // nobody waits for what came right before the end
         }
-        Resp resp = clients.resp;
+        RespReader resp = clients.resp;
         try {
-            while (!over() && closing != Ending.MALFORMED) {
+            while (!isClosed() && closing != CloseReason.MALFORMED) {
                 pass();
                 if (passing > 0) {
                     return;
                 }
-                int n = resp.parse(buf.bytes(), buf.from(), buf.to());
+                int n = resp.parse(buf.bytes(), buf.readIndex(), buf.readLimit());
                 if (n == 0) {
                     halfSince =
                             buf.unread() == 0
@@ -101,13 +101,13 @@
                 halfSince = 0;
                 giveRoom();
                 if (!resp.command()) {
-                    throw new Malformed("an array of bulk strings");
+                    throw new ProtocolException("an array of bulk strings");
                 }
                 asked = true;
                 lastUse = clients.desk.now;
                 command(resp, n);
             }
-        } catch (Malformed e) {
+        } catch (ProtocolException e) {
             refuse(e);
         }
     }
@@ -132,14 +132,14 @@
         // has gone
         giveRoom();
         passing = bytes;
-        say(add(new Slot()), "-BUSY");
+        say(add(new ResponseSlot()), "-BUSY");
         pass();
     }
 
     private void pass() {
         int n = Math.min(passing, buf.unread());
         passing -= n;
-        buf.take(n);
+        buf.consume(n);
     }
 
     int awaited() {
@@ -166,7 +166,7 @@
      * Behind this the stream can't be followed: one line, after the answers still owed, and the
      * end.
      */
-    private void refuse(Malformed e) {
+    private void refuse(ProtocolException e) {
         lastWord("-ERR " + e.getMessage());
     }
 
@@ -179,9 +179,9 @@
 
     private void lastWord(String line) {
         giveRoom();
-        say(add(new Slot()), line);
+        say(add(new ResponseSlot()), line);
         deaf();
-        close(Ending.MALFORMED);
+        closeWhenIdle(CloseReason.MALFORMED);
     }
 
     /**
@@ -189,12 +189,12 @@
      * error line or a close.
      */
     void look(double now, double silence, double half, double idleMost) {
-        if (closing != Ending.MALFORMED && awaited > 0 && now - halfSince >= half) {
+        if (closing != CloseReason.MALFORMED && awaited > 0 && now - halfSince >= half) {
             turnAway();
-        } else if (closing != Ending.MALFORMED && halfSince > 0 && now - halfSince >= half) {
-            refuse(new Malformed("a whole command within " + (long) half + " ms"));
+        } else if (closing != CloseReason.MALFORMED && halfSince > 0 && now - halfSince >= half) {
+            refuse(new ProtocolException("a whole command within " + (long) half + " ms"));
         } else if (idle() && buf.unwritten() > 0 && now - lastUse >= UNREAD) {
-            end(Ending.OVERFULL);
+            close(CloseReason.OVERFULL);
         } else if (closing == null && idle() && now - lastUse >= (asked ? idleMost : silence)) {
             giveWay();
         }
@@ -205,36 +205,36 @@
      * client as answered.
      */
     boolean giveWay() {
-        if ((closing != null || quiet() || idle()) && buf.unwritten() == 0) {
-            end(Ending.RETIRED);
+        if ((closing != null || isQuiet() || idle()) && buf.unwritten() == 0) {
+            close(CloseReason.RETIRED);
         }
-        return over();
+        return isClosed();
     }
 
-    private void command(Resp resp, int n) {
-        int from = buf.from();
+    private void command(RespReader resp, int n) {
+        int from = buf.readIndex();
         if (resp.parts() == 1 && resp.text(0).equals("PING")) {
-            buf.take(n);
-            say(add(new Slot()), "+PONG");
+            buf.consume(n);
+            say(add(new ResponseSlot()), "+PONG");
             return;
         }
-        Exchange e = null;
+        ClientRequest e = null;
         String wrong = null;
         try {
-            e = clients.exchange(this, new Ask(resp, buf.bytes(), from, n));
-        } catch (Malformed m) {
+            e = clients.exchange(this, new ClientCommand(resp, buf.bytes(), from, n));
+        } catch (ProtocolException m) {
             wrong = m.getMessage();
         }
-        buf.take(n);
+        buf.consume(n);
         if (e == null) {
-            say(add(new Slot()), "-ERR " + wrong);
+            say(add(new ResponseSlot()), "-ERR " + wrong);
             return;
         }
         add(e.slot);
         clients.take(e, waiting > MOST_WAITING);
     }
 
-    private Slot add(Slot s) {
+    private ResponseSlot add(ResponseSlot s) {
         waiting++;
         if (first == null) {
             first = s;
@@ -245,18 +245,18 @@
         return s;
     }
 
-    void say(Slot s, String line) {
+    void say(ResponseSlot s, String line) {
         if (s == first) {
-            buf.put(line).line();
+            buf.put(line).putLineEnd();
             next();
         } else {
             keep(s, (line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
-    void value(Slot s, byte[] b, int from, int n) {
+    void value(ResponseSlot s, byte[] b, int from, int n) {
         if (s == first) {
-            buf.put("$").put(n).line().put(b, from, n).line();
+            buf.put("$").put(n).putLineEnd().put(b, from, n).putLineEnd();
             next();
         } else {
             byte[] head = ("$" + n + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
@@ -269,21 +269,21 @@
     }
 
     /** Whether what is put now is this one's answer: those before it are out. */
-    boolean front(Slot s) {
+    boolean front(ResponseSlot s) {
         return s == first;
     }
 
     /** A value too long to be kept begins to flow from there; its client's slot is at the front. */
-    void flow(Slot s, long n, ServerLink from) {
+    void flow(ResponseSlot s, long n, ServerConnection from) {
         s.source = from;
-        buf.put("$").put(n).line();
+        buf.put("$").put(n).putLineEnd();
     }
 
     /** A piece of it. False when enough waits to be written: the source hears when to go on. */
     boolean piece(byte[] b, int from, int n) {
         buf.put(b, from, n);
         send();
-        if (buf.unwritten() <= (loop.room().tight() ? 0 : MOST_FLOWING)) {
+        if (buf.unwritten() <= (loop.bufferBudget().isNearlyExhausted() ? 0 : MOST_FLOWING)) {
             return true;
         }
         awaitDrain(LEAST_FLOWING);
@@ -293,18 +293,18 @@
     /** It has flown whole. */
     void flown() {
         first.source = null;
-        buf.line();
+        buf.putLineEnd();
         next();
     }
 
     @Override
-    protected void drained() {
+    protected void onDrained() {
         if (first != null && first.source != null) {
             first.source.goOn();
         }
     }
 
-    private void keep(Slot s, byte[] answer) {
+    private void keep(ResponseSlot s, byte[] answer) {
         s.answer = answer;
         clients.held(answer.length);
     }
@@ -322,7 +322,9 @@
             first.source.goOn(); // what came from there waited for those before it
         }
         if (clients.leaving && closing == null) {
-            closing = Ending.RETIRED; // the client has just read an answer and is not writing yet
+            closing =
+                    CloseReason
+                            .RETIRED; // the client has just read an answer and is not writing yet
         }
         last();
     }
@@ -331,9 +333,9 @@
         if (closing == null || first != null) {
             return;
         }
-        if (closing == Ending.MALFORMED) {
+        if (closing == CloseReason.MALFORMED) {
             dismiss(closing);
-        } else if (quiet() || idle()) { // what has come by now is answered first
+        } else if (isQuiet() || idle()) { // what has come by now is answered first
             finishIfQuiet(closing);
         }
     }
@@ -344,7 +346,7 @@
     }
 
     /** Between reqs: a client sends once more what crosses this. */
-    void close(Ending how) {
+    void closeWhenIdle(CloseReason how) {
         closing =
                 closing == null
                         ? how
@@ -359,25 +361,25 @@
      * nothing of it was heard.
      */
     void cutShort() {
-        for (Slot s = first; s != null; s = s.next) {
+        for (ResponseSlot s = first; s != null; s = s.next) {
             if (s.exchange != null && !s.exchange.over) {
                 clients.cutShort(s.exchange);
             }
         }
-        if (!over() && closing != Ending.MALFORMED && halfSince > 0) {
+        if (!isClosed() && closing != CloseReason.MALFORMED && halfSince > 0) {
             turnAway();
         }
     }
 
     @Override
-    protected void ended(Ending how) {
+    protected void onEnded(CloseReason how) {
         clients.gone(this);
         giveRoom();
-        for (Slot s = first; s != null; s = s.next) {
+        for (ResponseSlot s = first; s != null; s = s.next) {
             if (s.answer != null) {
                 clients.held(-s.answer.length);
             } else if (s.source != null) {
-                s.source.end(Ending.DROPPED);
+                s.source.close(CloseReason.DROPPED);
             } else if (s.exchange != null && !s.exchange.over) {
                 clients.left(s.exchange);
             }
--- a/gateway/src/main/java/tinford/routing/Clients.java
+++ b/gateway/src/main/java/tinford/routing/ClientPool.java
@@ -7,20 +7,20 @@
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import tinford.api.Customer;
-import tinford.api.Effect;
-import tinford.api.Frontend;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
-import tinford.protocol.Ask;
-import tinford.protocol.Malformed;
-import tinford.protocol.Resp;
-import tinford.transport.Descriptors;
-import tinford.transport.Door;
-import tinford.transport.Ending;
-import tinford.transport.Loop;
+import tinford.api.RequestClass;
+import tinford.api.Tenant;
+import tinford.protocol.ClientCommand;
+import tinford.protocol.ProtocolException;
+import tinford.protocol.RespReader;
+import tinford.transport.CloseReason;
+import tinford.transport.DescriptorBudget;
+import tinford.transport.EventLoop;
+import tinford.transport.Listener;
 
 /** The clients' side: their connections, and the reqs that are open. */
-public final class Clients {
+public final class ClientPool {
     private static final int SPARE =
             16; // for those that come while room is made by ends that take their time
     private static final double SILENCE =
@@ -33,8 +33,8 @@
     private static final double LAST_ANSWERS =
             20; // after the longest client timeout nobody waits for one any more
     private static final double LAST_READ = 20; // and so long what was said then has to be read
-    final Desk desk;
-    final Resp resp = new Resp(true);
+    final RequestDispatcher desk;
+    final RespReader resp = new RespReader(true);
     private final int gateways;
     private final double mostUnits;
     private final double idleMost;
@@ -42,14 +42,14 @@
     private final int mostLinks;
     private final int ease;
     private final long mostHeld;
-    private final Set<ClientLink> links = new LinkedHashSet<>();
+    private final Set<ClientConnection> links = new LinkedHashSet<>();
     private final Set<Long> ids = new HashSet<>(); // of the reqs that are open
-    private final ArrayDeque<ClientLink> unread =
+    private final ArrayDeque<ClientConnection> unread =
             new ArrayDeque<>(); // with a command that there is no room for yet
     private long kept; // for commands under way
     private Catalog catalog;
     private double longest; // that a client waits, under any catalog so far
-    private Door door;
+    private Listener door;
     private Runnable closed;
 
     /** Another process takes the clients: each connection ends behind its next answer. */
@@ -69,8 +69,8 @@
      * @param ease connections from which on those between reqs go for new ones, or from where few
      *     more fit
      */
-    public Clients(
-            Desk desk,
+    public ClientPool(
+            RequestDispatcher desk,
             Catalog catalog,
             int gateways,
             double mostUnits,
@@ -104,7 +104,7 @@
     public void listen(InetSocketAddress at, boolean shared) throws IOException {
         look();
         door =
-                new Door(
+                new Listener(
                         desk.loop,
                         at,
                         shared,
@@ -115,14 +115,14 @@
                             if (links.size() >= Math.min(ease, full())) {
                                 makeRoom(
                                         links.size() >= full()
-                                                ? ClientLink.BUSY
-                                                : ClientLink.JUST_COME);
+                                                ? ClientConnection.BUSY
+                                                : ClientConnection.JUST_COME);
                             }
                             // what is not taken is closed unread, so that its client goes elsewhere
                             if (links.size() >= most()) {
                                 return null;
                             }
-                            ClientLink link = new ClientLink(this);
+                            ClientConnection link = new ClientConnection(this);
                             link.lastUse = desk.now;
                             links.add(link);
                             return link;
@@ -130,7 +130,8 @@
     }
 
     private int most() {
-        return Math.min(mostLinks, desk.loop.descriptors().most(Descriptors.Party.CLIENTS));
+        return Math.min(
+                mostLinks, desk.loop.descriptorBudget().limit(DescriptorBudget.Party.CLIENTS));
     }
 
     /** As many as leave places for those that come while room is made for them. */
@@ -139,13 +140,13 @@
     }
 
     private void look() {
-        for (ClientLink l : new ArrayList<>(links)) {
+        for (ClientConnection l : new ArrayList<>(links)) {
             l.look(desk.now, SILENCE, HALF, idleMost);
         }
         // guards those in the backlog, whom nobody sees: all were at work when they came, and some
         // rest now
         while (links.size() > full() && shut()) {}
-        desk.loop.after(LOOK, this::look);
+        desk.loop.schedule(LOOK, this::look);
     }
 
     /**
@@ -154,13 +155,13 @@
      * at once.
      */
     void makeRoom(int most) {
-        for (ClientLink l = least(most); l != null && !l.giveWay(); l = least(most)) {}
+        for (ClientConnection l = least(most); l != null && !l.giveWay(); l = least(most)) {}
     }
 
-    private ClientLink least(int most) {
-        ClientLink least = null;
+    private ClientConnection least(int most) {
+        ClientConnection least = null;
         int lowest = most;
-        for (ClientLink l : links) {
+        for (ClientConnection l : links) {
             int claim = l.claim(desk.now, SILENCE);
             if (claim < lowest || claim == lowest && claim < most && l.lastUse < least.lastUse) {
                 lowest = claim;
@@ -174,7 +175,7 @@
      * Room for the command that this link waits to read: at once, or when others have theirs whole,
      * in turn.
      */
-    boolean grant(ClientLink link) {
+    boolean grant(ClientConnection link) {
         // half of what reqs may hold: what has come whole needs its place too
         if (!unread.isEmpty() && unread.peek() != link
                 || kept > 0 && kept + link.awaited() > mostHeld / 2
@@ -190,58 +191,58 @@
         return true;
     }
 
-    void ungrant(ClientLink link, int bytes) {
+    void ungrant(ClientConnection link, int bytes) {
         kept -= bytes;
         unread.remove(link);
         while (!unread.isEmpty() && grant(unread.peek())) {}
     }
 
-    Exchange exchange(ClientLink from, Ask ask) throws Malformed {
-        Frontend frontend = catalog.frontend(ask.frontend);
-        Plan plan = catalog.plan(ask.customer, ask.plan);
-        if (ask.units > mostUnits || ask.width > gateways || ask.first >= gateways) {
-            throw new Malformed(
+    ClientRequest exchange(ClientConnection from, ClientCommand ask) throws ProtocolException {
+        RequestClass frontend = catalog.frontend(ask.requestClass);
+        Plan plan = catalog.plan(ask.tenant, ask.plan);
+        if (ask.units > mostUnits || ask.fanIn > gateways || ask.firstGateway >= gateways) {
+            throw new ProtocolException(
                     "units up to " + mostUnits + ", spread up to " + gateways + ", first below it");
         }
-        if (ask.resendable != (frontend.effect == Effect.IDEMPOTENT)) {
-            throw new Malformed("Q.ASK for what may run again, Q.DO for the rest");
+        if (ask.retryable != (frontend.idempotency == Idempotency.IDEMPOTENT)) {
+            throw new ProtocolException("Q.ASK for what may run again, Q.DO for the rest");
         }
-        if (frontend.effect == Effect.IDEMPOTENCY_KEY && !ask.keyed) {
-            throw new Malformed("k, the mark against repeats");
+        if (frontend.idempotency == Idempotency.IDEMPOTENCY_KEY && !ask.hasIdempotencyKey) {
+            throw new ProtocolException("k, the mark against repeats");
         }
         if (ids.contains(ask.id)) {
-            throw new Malformed(
+            throw new ProtocolException(
                     "an id of its own"); // else servers and client would take one req for the other
         }
-        return new Exchange(
+        return new ClientRequest(
                 from,
                 ask,
                 frontend,
-                new Customer(ask.customer, plan, ask.width, ask.first, catalog.revision()),
-                desk.looked + Math.min(ask.patience, frontend.timeout));
+                new Tenant(ask.tenant, plan, ask.fanIn, ask.firstGateway, catalog.revision()),
+                desk.looked + Math.min(ask.timeoutMs, frontend.timeoutMs));
     }
 
     /**
      * @param tooMany wait on its connection already
      */
-    void take(Exchange e, boolean tooMany) {
+    void take(ClientRequest e, boolean tooMany) {
         open++;
         held += e.ask.length();
         ids.add(e.id);
         if (cut || tooMany || open > mostOpen || held > mostHeld) {
             deny(e, 0);
         } else {
-            desk.in.arrived(e);
+            desk.in.requestArrived(e);
         }
     }
 
-    void deny(Exchange e, long ms) {
+    void deny(ClientRequest e, long ms) {
         if (over(e)) {
             e.client.say(e.slot, ms > 0 ? "-BUSY " + ms : "-BUSY");
         }
     }
 
-    void abort(Exchange e) {
+    void abort(ClientRequest e) {
         if (over(e)) {
             e.client.say(e.slot, "-ERR aborted");
         }
@@ -251,14 +252,14 @@
      * Its client has gone: what waits for a connection, or has not left whole, goes nowhere any
      * more.
      */
-    void left(Exchange e) {
+    void left(ClientRequest e) {
         over(e);
-        desk.in.left(e);
+        desk.in.clientDisconnected(e);
         e.dispatches.forEach(desk::withdraw);
     }
 
     /** False when it was over before. */
-    boolean over(Exchange e) {
+    boolean over(ClientRequest e) {
         if (e.over) {
             return false;
         }
@@ -274,10 +275,10 @@
         held += bytes;
     }
 
-    void gone(ClientLink link) {
+    void gone(ClientConnection link) {
         links.remove(link);
         if (closed != null && links.isEmpty()) {
-            desk.loop.due(
+            desk.loop.submit(
                     closed::run); // what this end caused, such as units given back, leaves before
             // that
         }
@@ -301,15 +302,15 @@
      */
     public void letGo() {
         leaving = true;
-        for (ClientLink l : new ArrayList<>(links)) {
+        for (ClientConnection l : new ArrayList<>(links)) {
             if (l.rests()) {
-                l.close(Ending.RETIRED);
+                l.closeWhenIdle(CloseReason.RETIRED);
             }
         }
     }
 
     private boolean shut() {
-        ClientLink l = least(ClientLink.BUSY);
+        ClientConnection l = least(ClientConnection.BUSY);
         return l != null && l.giveWay();
     }
 
@@ -318,12 +319,12 @@
      * once all on it is answered.
      */
     public void close(double stay, Runnable then) {
-        Loop.Due both =
-                new Loop.Due() {
+        EventLoop.Task both =
+                new EventLoop.Task() {
                     private int heard;
 
                     @Override
-                    public void play() {
+                    public void run() {
                         if (++heard
                                 == 2) { // guards those let in last, where the time was over before
                             // they were taken
@@ -332,19 +333,19 @@
                     }
                 };
         door.close(both);
-        desk.loop.after(stay, both);
+        desk.loop.schedule(stay, both);
     }
 
     /** Each connection ends once all on it is answered. */
     void end(Runnable then) {
         closed = then;
-        for (ClientLink l : new ArrayList<>(links)) {
-            l.close(Ending.RETIRED);
+        for (ClientConnection l : new ArrayList<>(links)) {
+            l.closeWhenIdle(CloseReason.RETIRED);
         }
         if (links.isEmpty()) {
-            desk.loop.due(then::run);
+            desk.loop.submit(then::run);
         }
-        desk.loop.after(Math.min(longest, MOST_WAIT) + LAST_ANSWERS, () -> cutShort(then));
+        desk.loop.schedule(Math.min(longest, MOST_WAIT) + LAST_ANSWERS, () -> cutShort(then));
     }
 
     /**
@@ -354,17 +355,17 @@
      */
     private void cutShort(Runnable then) {
         cut = true;
-        for (ClientLink l : new ArrayList<>(links)) {
+        for (ClientConnection l : new ArrayList<>(links)) {
             l.cutShort();
         }
-        desk.loop.after(LAST_READ, then::run);
+        desk.loop.schedule(LAST_READ, then::run);
     }
 
     /**
      * Its final answer comes from here, not from the decisions, which hear that nobody waits any
      * more.
      */
-    void cutShort(Exchange e) {
+    void cutShort(ClientRequest e) {
         if (e.dispatches.isEmpty()) {
             deny(e, 0);
         } else {
--- a/gateway/src/main/java/tinford/routing/Counter.java
+++ b/gateway/src/main/java/tinford/routing/CounterClient.java
@@ -5,14 +5,14 @@
 import java.math.RoundingMode;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
-import tinford.api.End;
-import tinford.protocol.Malformed;
-import tinford.protocol.Numbers;
-import tinford.protocol.Resp;
-import tinford.transport.Descriptors;
-import tinford.transport.Ending;
-import tinford.transport.Link;
-import tinford.transport.Loop;
+import tinford.api.AttemptOutcome;
+import tinford.protocol.NumberParser;
+import tinford.protocol.ProtocolException;
+import tinford.protocol.RespReader;
+import tinford.transport.CloseReason;
+import tinford.transport.Connection;
+import tinford.transport.DescriptorBudget;
+import tinford.transport.EventLoop;
 
 /**
  * The calls on the counter, on a few connections side by side. Calls on one name go one behind
@@ -20,20 +20,20 @@
  * hangs, the others' calls know nothing. A call that was given up stays in its place until its
  * answer has come or the connection has ended.
  */
-public final class Counter {
+public final class CounterClient {
     private static final double MOST_KEPT = 60_000;
     private static final int MOST_ANSWER = 64; // a total has a few digits, an error few words
     private static final double HALF = 10; // milliseconds for the rest of an answer that has begun
-    private final Desk desk;
+    private final RequestDispatcher desk;
     private InetSocketAddress at;
     private final double connectWithin;
     private final double timeout;
-    private final Resp resp = new Resp();
+    private final RespReader resp = new RespReader();
     private final ArrayDeque<Call> waiting = new ArrayDeque<>(); // not told of, oldest first
     private final Lane[] lanes;
     private double answeredFrom =
             Double.NEGATIVE_INFINITY; // the latest call answered in its time was made then
-    private Loop.Timer watch;
+    private EventLoop.Timer watch;
 
     private static final class Call {
         final Lane lane;
@@ -55,8 +55,12 @@
     /**
      * @param abreast how many connections stand side by side
      */
-    public Counter(
-            Desk desk, InetSocketAddress at, double connectWithin, double timeout, int abreast) {
+    public CounterClient(
+            RequestDispatcher desk,
+            InetSocketAddress at,
+            double connectWithin,
+            double timeout,
+            int abreast) {
         this.desk = desk;
         this.at = at;
         this.connectWithin = connectWithin;
@@ -111,7 +115,7 @@
         watch =
                 next == Double.POSITIVE_INFINITY
                         ? null
-                        : desk.loop.after(next - desk.now, this::giveUp);
+                        : desk.loop.schedule(next - desk.now, this::giveUp);
     }
 
     /** The oldest call has waited long enough. */
@@ -123,15 +127,18 @@
         }
         while (!waiting.isEmpty() && desk.now - waiting.peek().at >= timeout - 0.5) {
             Call c = waiting.peek();
-            tell(c, Ends.ofCall(Ending.SILENT, !c.lane.unsent.remove(c)), 0); // it leaves no more
+            tell(
+                    c,
+                    OutcomeMapping.ofCall(CloseReason.SILENT, !c.lane.unsent.remove(c)),
+                    0); // it leaves no more
         }
         watch();
     }
 
-    private void tell(Call c, End how, double total) {
+    private void tell(Call c, AttemptOutcome how, double total) {
         if (c.told) {
-            if (how == End.GOOD) {
-                desk.in.countedLate(c.name, total);
+            if (how == AttemptOutcome.SUCCESS) {
+                desk.in.counterAnsweredLate(c.name, total);
             }
             return;
         }
@@ -141,7 +148,7 @@
             watch();
         }
         c.lane.left();
-        desk.in.counted(c.name, how, desk.now - c.at, total);
+        desk.in.counterAnswered(c.name, how, desk.now - c.at, total);
     }
 
     /** A part of the names, and their connection. */
@@ -159,14 +166,14 @@
         void add(Call c) {
             unsent.add(c);
             connect();
-            if (wire.up()) {
+            if (wire.isOpen()) {
                 wire.pass();
             }
         }
 
         void move() {
             if (leaving != null) {
-                leaving.end(Ending.DROPPED); // two moves within the time of a call
+                leaving.close(CloseReason.DROPPED); // two moves within the time of a call
             }
             leaving = wire;
             wire = null;
@@ -180,11 +187,11 @@
          */
         void left() {
             if (leaving != null && !leaving.owes()) {
-                leaving.end(Ending.RETIRED);
+                leaving.close(CloseReason.RETIRED);
             }
         }
 
-        void ended(Wire ended, Ending how) {
+        void ended(Wire ended, CloseReason how) {
             boolean replaced = ended == leaving;
             if (replaced) {
                 leaving = null;
@@ -192,38 +199,39 @@
                 wire = null;
             }
             boolean refused =
-                    how == Ending.REFUSED || how == Ending.NO_ROOM; // else each has its time still
+                    how == CloseReason.REFUSED
+                            || how == CloseReason.NO_ROOM; // else each has its time still
             for (Call c : ended.sent) {
-                tell(c, Ends.ofCall(how, true), 0);
+                tell(c, OutcomeMapping.ofCall(how, true), 0);
             }
             if (replaced) {
-                if (wire != null && wire.up()) {
+                if (wire != null && wire.isOpen()) {
                     wire.pass();
                 }
                 return;
             }
             for (Call c = refused ? unsent.poll() : null; c != null; c = unsent.poll()) {
-                tell(c, Ends.ofCall(how, false), 0);
+                tell(c, OutcomeMapping.ofCall(how, false), 0);
             }
             // another is ready before the next call needs it; what ends at once is not tried faster
             // than what is silent
-            if (how == Ending.NEVER_UP
-                    || how == Ending.SILENT
-                    || how == Ending.PASSED_BY
-                    || how == Ending.MALFORMED
+            if (how == CloseReason.NEVER_UP
+                    || how == CloseReason.SILENT
+                    || how == CloseReason.PASSED_BY
+                    || how == CloseReason.MALFORMED
                     || !unsent.isEmpty()) {
                 connect();
             } else {
-                desk.loop.after(connectWithin, this::connect);
+                desk.loop.schedule(connectWithin, this::connect);
             }
         }
     }
 
-    private final class Wire extends Link {
+    private final class Wire extends Connection {
         private final Lane lane;
         private final ArrayDeque<Call> sent = new ArrayDeque<>();
         private double heardAt = Double.NEGATIVE_INFINITY;
-        private Loop.Timer whole; // runs while an answer has come in part
+        private EventLoop.Timer whole; // runs while an answer has come in part
 
         Wire(Lane lane) {
             super(desk.loop, 1 << 14, 1 << 18);
@@ -232,8 +240,8 @@
         }
 
         @Override
-        protected Descriptors.Party party() {
-            return Descriptors.Party.SERVICES;
+        protected DescriptorBudget.Party party() {
+            return DescriptorBudget.Party.SERVICES;
         }
 
         void look() {
@@ -241,11 +249,11 @@
             // guards the calls behind one whose answer never comes: the counter answers what was
             // asked later elsewhere
             if (desk.now - since >= timeout - 0.5 && answeredFrom > since) {
-                end(Ending.PASSED_BY);
+                close(CloseReason.PASSED_BY);
             } else if (desk.now >= deadAt() - 0.5) {
                 // guards against a connection whose other machine is gone without a word: a new one
                 // finds out
-                end(Ending.SILENT);
+                close(CloseReason.SILENT);
             }
         }
 
@@ -260,19 +268,19 @@
                         Long.toString((long) Math.min(MOST_KEPT, Math.max(1, Math.ceil(c.keep))));
                 buf.put("*4\r\n$7\r\nCNT.ADD\r\n$")
                         .put(name.length())
-                        .line()
+                        .putLineEnd()
                         .put(name)
-                        .line()
+                        .putLineEnd()
                         .put("$")
                         .put(amount.length())
-                        .line()
+                        .putLineEnd()
                         .put(amount)
-                        .line()
+                        .putLineEnd()
                         .put("$")
                         .put(keep.length())
-                        .line()
+                        .putLineEnd()
                         .put(keep)
-                        .line();
+                        .putLineEnd();
                 sent.add(c);
             }
             send();
@@ -290,26 +298,27 @@
         }
 
         @Override
-        protected void opened() {
+        protected void onOpened() {
             pass();
         }
 
         @Override
-        protected void received() {
+        protected void onReceived() {
             heardAt = desk.now;
             try {
-                while (!over()) {
-                    int n = resp.parse(buf.bytes(), buf.from(), buf.to());
+                while (!isClosed()) {
+                    int n = resp.parse(buf.bytes(), buf.readIndex(), buf.readLimit());
                     if (n == 0) {
                         half();
                         return;
                     }
                     if (sent.isEmpty()) {
-                        throw new Malformed("an answer to a call only");
+                        throw new ProtocolException("an answer to a call only");
                     }
-                    End how = kind();
-                    double total = how == End.GOOD ? Numbers.real(resp.text(0)) : 0;
-                    buf.take(n);
+                    AttemptOutcome how = kind();
+                    double total =
+                            how == AttemptOutcome.SUCCESS ? NumberParser.parse(resp.text(0)) : 0;
+                    buf.consume(n);
                     if (whole != null) {
                         whole.cancel();
                         whole = null;
@@ -318,9 +327,9 @@
                     answeredFrom = c.told ? answeredFrom : Math.max(answeredFrom, c.at);
                     tell(c, how, total);
                 }
-            } catch (Malformed e) {
+            } catch (ProtocolException e) {
                 desk.complain(Level.WARNING, "counter", "", e);
-                end(Ending.MALFORMED);
+                close(CloseReason.MALFORMED);
             }
         }
 
@@ -328,12 +337,12 @@
          * Guards all calls behind it against an answer that begins and does not end: these come in
          * one piece.
          */
-        private void half() throws Malformed {
+        private void half() throws ProtocolException {
             if (buf.unread() > MOST_ANSWER) {
-                throw new Malformed("an answer of under " + MOST_ANSWER + " bytes");
+                throw new ProtocolException("an answer of under " + MOST_ANSWER + " bytes");
             }
             if (buf.unread() > 0 && whole == null) {
-                whole = loop.after(HALF, () -> end(Ending.MALFORMED));
+                whole = loop.schedule(HALF, () -> close(CloseReason.MALFORMED));
             }
         }
 
@@ -341,27 +350,29 @@
          * A total that can be read is true, in whatever form; what is neither that nor known says
          * nothing.
          */
-        private End kind() throws Malformed {
-            if (!resp.array() && resp.kind(0) == '$' && !Double.isNaN(Numbers.real(resp.text(0)))) {
-                return End.GOOD;
+        private AttemptOutcome kind() throws ProtocolException {
+            if (!resp.array()
+                    && resp.kind(0) == '$'
+                    && !Double.isNaN(NumberParser.parse(resp.text(0)))) {
+                return AttemptOutcome.SUCCESS;
             }
             String line = resp.kind(0) == '-' ? resp.text(0) : "";
             if (line.equals("BUSY") || line.startsWith("BUSY ")) {
-                return End.FULL;
+                return AttemptOutcome.OVERLOADED;
             }
             if (line.startsWith("ERR ")) {
                 desk.complain(
                         Level.WARNING,
                         "counter",
                         "",
-                        new Malformed("a total or -BUSY, not -" + line));
-                return End.FULL;
+                        new ProtocolException("a total or -BUSY, not -" + line));
+                return AttemptOutcome.OVERLOADED;
             }
-            throw new Malformed("a total, -BUSY or -ERR");
+            throw new ProtocolException("a total, -BUSY or -ERR");
         }
 
         @Override
-        protected void ended(Ending how) {
+        protected void onEnded(CloseReason how) {
             if (whole != null) {
                 whole.cancel();
             }
--- a/gateway/src/main/java/tinford/routing/Watch.java
+++ b/gateway/src/main/java/tinford/routing/DiscoveryWatch.java
@@ -4,22 +4,22 @@
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
 import java.util.random.RandomGenerator;
-import tinford.handed.BadInput;
-import tinford.handed.Fields;
-import tinford.protocol.HttpLines;
-import tinford.protocol.JsonLines;
-import tinford.protocol.ListLimit;
-import tinford.protocol.Malformed;
-import tinford.transport.Descriptors;
-import tinford.transport.Ending;
-import tinford.transport.Link;
-import tinford.transport.Loop;
+import tinford.protocol.ChunkedLineReader;
+import tinford.protocol.EndpointListLimit;
+import tinford.protocol.JsonObjectSplitter;
+import tinford.protocol.ProtocolException;
+import tinford.settings.InvalidSettingsException;
+import tinford.settings.JsonFields;
+import tinford.transport.CloseReason;
+import tinford.transport.Connection;
+import tinford.transport.DescriptorBudget;
+import tinford.transport.EventLoop;
 
 /**
  * The watch on discovery. A line comes every two seconds at least; where none comes another watch
  * is opened beside the silent one, and the first to bring a line stays. Bounded: two connections.
  */
-public final class Watch {
+public final class DiscoveryWatch {
     private static final double SILENT =
             2600; // a line is due every 2 s: what is asked anew may well come within 6 s
     private static final double UNHEARD =
@@ -36,33 +36,34 @@
             2000; // guards against one that speaks and ends at once, each time: it turns callers
     // away
     private static final int MOST_OUT = 4096;
-    private static final int MOST_LIST = ListLimit.bytes(Runtime.getRuntime().maxMemory());
-    private final Desk desk;
+    private static final int MOST_LIST =
+            EndpointListLimit.maxBytes(Runtime.getRuntime().maxMemory());
+    private final RequestDispatcher desk;
     private InetSocketAddress at;
     private final double connectWithin;
-    private final Servers servers;
+    private final ServerPool servers;
     private final JsonFactory json;
-    private final Again again;
+    private final Backoff again;
     private long version;
     private boolean wanted;
     private Wire wire; // the newest, or the one that speaks
     private Wire before; // silent, but it may only be slow
     private Wire fetching; // beside them, for the whole list once
     private double unheard = UNHEARD;
-    private Loop.Timer silence;
-    private Loop.Timer opening;
-    private Loop.Timer steady;
+    private EventLoop.Timer silence;
+    private EventLoop.Timer opening;
+    private EventLoop.Timer steady;
     private Runnable lost = () -> {};
     private Runnable first = () -> {};
 
     /**
      * @param version of the list already known
      */
-    public Watch(
-            Desk desk,
+    public DiscoveryWatch(
+            RequestDispatcher desk,
             InetSocketAddress at,
             double connectWithin,
-            Servers servers,
+            ServerPool servers,
             JsonFactory json,
             long version,
             RandomGenerator chance) {
@@ -72,7 +73,7 @@
         this.servers = servers;
         this.json = json;
         this.version = version;
-        this.again = new Again(AGAIN, MOST_AGAIN, chance);
+        this.again = new Backoff(AGAIN, MOST_AGAIN, chance);
     }
 
     public void want(boolean on) {
@@ -92,7 +93,7 @@
     /** Called once: when the first line has come, or after {@code most} without one. */
     public void whenFirst(double most, Runnable then) {
         first = then;
-        desk.loop.after(most, this::first);
+        desk.loop.schedule(most, this::first);
     }
 
     private void first() {
@@ -116,7 +117,7 @@
         if (fetching == null) {
             Wire asked = new Wire(true);
             fetching = asked;
-            desk.loop.after(MOST_UNHEARD, () -> asked.end(Ending.SILENT));
+            desk.loop.schedule(MOST_UNHEARD, () -> asked.close(CloseReason.SILENT));
         }
     }
 
@@ -125,7 +126,7 @@
         Wire oldest = before;
         before = wire;
         if (oldest != null) {
-            oldest.end(Ending.RETIRED); // first: the new one may need its descriptor
+            oldest.close(CloseReason.RETIRED); // first: the new one may need its descriptor
         }
         wire = new Wire(false);
         listen(unheard);
@@ -135,7 +136,7 @@
     // guards against a watch that is open and dead: only what is whole shows that it is not
     private void listen(double most) {
         stop(silence);
-        silence = desk.loop.after(most, this::anew);
+        silence = desk.loop.schedule(most, this::anew);
     }
 
     private void anew() {
@@ -143,7 +144,7 @@
         stop(steady);
         steady = null;
         if (wanted && opening == null) {
-            opening = desk.loop.after(again.next(), this::open); // not all gateways at once
+            opening = desk.loop.schedule(again.next(), this::open); // not all gateways at once
         }
         lost.run(); // last: whatever becomes of it, the next call is set
     }
@@ -153,12 +154,12 @@
         wire = one;
         before = null;
         if (other != null) {
-            other.end(Ending.RETIRED);
+            other.close(CloseReason.RETIRED);
         }
         stop(opening);
         opening = null;
         if (steady == null) {
-            steady = desk.loop.after(STEADY, again::heard);
+            steady = desk.loop.schedule(STEADY, again::heard);
         }
         unheard = UNHEARD;
         listen(SILENT);
@@ -176,42 +177,42 @@
         wire = before = null;
         for (Wire w : had) {
             if (w != null) {
-                w.end(Ending.RETIRED);
+                w.close(CloseReason.RETIRED);
             }
         }
     }
 
-    private static void stop(Loop.Timer timer) {
+    private static void stop(EventLoop.Timer timer) {
         if (timer != null) {
             timer.cancel();
         }
     }
 
-    private void list(String text) throws Malformed {
+    private void list(String text) throws ProtocolException {
         try {
-            Fields list = Fields.of(json, "discovery", text);
-            long seq = list.whole("seq");
+            JsonFields list = JsonFields.of(json, "discovery", text);
+            long seq = list.integer("seq");
             if (seq < version) { // guards against a late one that puts back what was taken out
                 desk.complain(
                         Level.WARNING,
                         "discovery",
                         "",
-                        new Malformed("no list older than the one held"));
+                        new ProtocolException("no list older than the one held"));
                 return;
             }
             servers.list(list);
             version = seq;
-        } catch (BadInput e) {
-            throw new Malformed(e.getMessage());
+        } catch (InvalidSettingsException e) {
+            throw new ProtocolException(e.getMessage());
         }
     }
 
-    private final class Wire extends Link {
-        private final HttpLines lines = new HttpLines(MOST_LIST);
-        private final JsonLines objects = new JsonLines(json, MOST_LIST);
+    private final class Wire extends Connection {
+        private final ChunkedLineReader lines = new ChunkedLineReader(MOST_LIST);
+        private final JsonObjectSplitter objects = new JsonObjectSplitter(json, MOST_LIST);
         private final boolean once;
         private boolean listed; // it has brought a list
-        private Malformed bad;
+        private ProtocolException bad;
 
         Wire(boolean once) {
             super(desk.loop, 64 << 10, MOST_OUT);
@@ -226,32 +227,32 @@
         }
 
         @Override
-        protected Descriptors.Party party() {
-            return Descriptors.Party.SERVICES;
+        protected DescriptorBudget.Party party() {
+            return DescriptorBudget.Party.SERVICES;
         }
 
         @Override
-        protected void opened() {}
+        protected void onOpened() {}
 
         @Override
-        protected void received() {
+        protected void onReceived() {
             try {
-                buf.take(lines.read(buf.bytes(), buf.from(), buf.to(), this::line));
+                buf.consume(lines.read(buf.bytes(), buf.readIndex(), buf.readLimit(), this::line));
                 if (bad != null) {
                     throw bad;
                 }
                 if (lines.done()) {
-                    end(Ending.ENDED);
+                    close(CloseReason.ENDED);
                 }
-            } catch (Malformed e) {
+            } catch (ProtocolException e) {
                 desk.complain(Level.WARNING, "discovery", "", e);
-                end(Ending.MALFORMED);
+                close(CloseReason.MALFORMED);
             }
         }
 
         private void line(String text) {
             try {
-                String whole = bad == null && !over() ? objects.take(text) : null;
+                String whole = bad == null && !isClosed() ? objects.addLine(text) : null;
                 if (whole == null) {
                     return;
                 }
@@ -262,17 +263,17 @@
                 if (!once) {
                     speaks(this);
                 }
-            } catch (Malformed e) {
+            } catch (ProtocolException e) {
                 bad = e;
             }
         }
 
         @Override
-        protected void ended(Ending how) {
+        protected void onEnded(CloseReason how) {
             if (once) {
                 fetching = null;
                 if (!listed) {
-                    desk.in.listRefused();
+                    desk.in.discoveryFailed();
                 }
             } else if (before == this) {
                 before = null;
--- a/gateway/src/main/java/tinford/routing/Ends.java
+++ b/gateway/src/main/java/tinford/routing/OutcomeMapping.java
@@ -1,22 +1,22 @@
 package tinford.routing;
 
-import tinford.api.End;
-import tinford.transport.Ending;
+import tinford.api.AttemptOutcome;
+import tinford.transport.CloseReason;
 
 /** What the end of a connection means to what was in it; the one place that says so. */
-final class Ends {
-    private Ends() {}
+final class OutcomeMapping {
+    private OutcomeMapping() {}
 
     /**
      * @param left the command had left to its last byte: only then can it have run
      */
-    static End ofDispatch(Ending how, boolean left) {
+    static AttemptOutcome ofDispatch(CloseReason how, boolean left) {
         return switch (how) {
-            case REFUSED, NEVER_UP, NO_ROOM -> End.UNREACHABLE;
+            case REFUSED, NEVER_UP, NO_ROOM -> AttemptOutcome.UNREACHABLE;
             case BROKEN, ENDED, MALFORMED, OVERFULL, PASSED_BY, RETIRED ->
-                    left ? End.BROKEN : End.UNREACHABLE;
-            case SILENT -> left ? End.TIMED_OUT : End.UNREACHABLE;
-            case DROPPED -> left ? End.CANCELLED : End.VOID;
+                    left ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.UNREACHABLE;
+            case SILENT -> left ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE;
+            case DROPPED -> left ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
         };
     }
 
@@ -27,9 +27,11 @@
      * who have room again. A connection that ended under a call, hung while others answered, or
      * brought what is no answer, is told apart: it says nothing of how much the counter bears.
      */
-    static End ofCall(Ending how, boolean left) {
-        return how == Ending.SILENT
-                ? End.TIMED_OUT
-                : ofDispatch(how, left).mayHaveRun ? End.BROKEN : End.UNREACHABLE;
+    static AttemptOutcome ofCall(CloseReason how, boolean left) {
+        return how == CloseReason.SILENT
+                ? AttemptOutcome.TIMED_OUT
+                : ofDispatch(how, left).mayHaveRun
+                        ? AttemptOutcome.CONNECTION_LOST
+                        : AttemptOutcome.UNREACHABLE;
     }
 }
--- a/gateway/src/main/java/tinford/routing/Peers.java
+++ b/gateway/src/main/java/tinford/routing/PeerMessenger.java
@@ -4,20 +4,20 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import tinford.transport.Datagrams;
+import tinford.transport.UdpSocket;
 
 /** Short messages to and from the other gateways. */
-public final class Peers {
+public final class PeerMessenger {
     private static final int MOST_BYTES = 256;
     private final List<InetSocketAddress> peers;
     private final InetSocketAddress all;
-    private final Datagrams datagrams;
+    private final UdpSocket datagrams;
 
     /**
      * @param peers by their numbers; only what comes from one of them is heard
      */
-    public Peers(
-            Desk desk,
+    public PeerMessenger(
+            RequestDispatcher desk,
             InetSocketAddress listen,
             List<InetSocketAddress> peers,
             InetSocketAddress all)
@@ -25,14 +25,15 @@
         this.peers = peers;
         this.all = all;
         this.datagrams =
-                new Datagrams(
+                new UdpSocket(
                         desk.loop,
                         listen,
                         MOST_BYTES,
                         (from, bytes) -> {
                             int peer = peers.indexOf(from);
                             if (peer >= 0) {
-                                desk.in.heard(peer, new String(bytes, StandardCharsets.UTF_8));
+                                desk.in.gossipReceived(
+                                        peer, new String(bytes, StandardCharsets.UTF_8));
                             }
                         });
     }
--- a/gateway/src/main/java/tinford/routing/Backend.java
+++ b/gateway/src/main/java/tinford/routing/PooledServer.java
@@ -4,25 +4,25 @@
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import tinford.api.Srv;
+import tinford.api.Server;
 
 /** A server as the list shows it, with the connections to it. */
-final class Backend extends Srv {
+final class PooledServer extends Server {
     InetSocketAddress dial;
 
     /**
      * As the list has it; {@code state} and {@code born} are what holds, after the operators'
      * calls.
      */
-    Srv.State listed;
+    Server.State listed;
 
     double listedBorn;
 
     /** Connections with nothing in them, the last used first. */
-    final ArrayDeque<ServerLink> idle = new ArrayDeque<>();
+    final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
 
     /** Connections that are not up yet, and carry a dispatch of which nothing has left. */
-    final Set<ServerLink> opening = new LinkedHashSet<>();
+    final Set<ServerConnection> opening = new LinkedHashSet<>();
 
     /**
      * All connections to it, those that are still opening, and those that it has not seen closed,
@@ -36,7 +36,7 @@
     /** Its place in the order in which servers were first listed. */
     final long sequence;
 
-    Backend(String id, long sequence) {
+    PooledServer(String id, long sequence) {
         super(id);
         this.sequence = sequence;
     }
--- a/gateway/src/main/java/tinford/routing/Desk.java
+++ b/gateway/src/main/java/tinford/routing/RequestDispatcher.java
@@ -5,42 +5,42 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import tinford.api.End;
-import tinford.api.Gateway;
-import tinford.api.Inbox;
-import tinford.api.Req;
-import tinford.api.Srv;
-import tinford.api.View;
-import tinford.api.Writer;
+import tinford.api.AttemptOutcome;
+import tinford.api.DecisionModule;
+import tinford.api.FleetPolicy;
+import tinford.api.GatewayActions;
+import tinford.api.GatewayEvents;
+import tinford.api.Request;
+import tinford.api.Server;
 import tinford.transport.Clock;
-import tinford.transport.Ending;
-import tinford.transport.Loop;
+import tinford.transport.CloseReason;
+import tinford.transport.EventLoop;
 
 /**
  * Where the decisions sit: each wake-up's input becomes calls on them, and what they write goes its
  * way.
  */
-public final class Desk implements Writer {
+public final class RequestDispatcher implements GatewayActions {
     private static final System.Logger LOG = System.getLogger("tinford.routing");
     private static final int MOST_COMPLAINTS = 100;
     private static final double COMPLAIN_AGAIN = 60_000;
-    public final Loop loop;
+    public final EventLoop loop;
     private final Clock clock = new Clock();
-    private final Gateway gateway;
+    private final DecisionModule gateway;
     private final int mostDispatches;
     private final Set<String> complaints = new HashSet<>();
     private double complaintsSince;
-    private Clients clients;
-    private Servers servers;
-    private Counter counter;
-    private Watch watch;
-    private Peers peers;
+    private ClientPool clients;
+    private ServerPool servers;
+    private CounterClient counter;
+    private DiscoveryWatch watch;
+    private PeerMessenger peers;
 
     /** What a fleet has settled; alone, it bounds nothing. */
-    View view = new View();
+    FleetPolicy view = new FleetPolicy();
 
     /** Of the present round. */
-    Inbox in;
+    GatewayEvents in;
 
     double now = clock.now();
 
@@ -50,7 +50,8 @@
     /**
      * @param bytes what the buffers of all connections may take
      */
-    public Desk(Gateway gateway, int mostDispatches, int descriptors, long bytes)
+    public RequestDispatcher(
+            DecisionModule gateway, int mostDispatches, int descriptors, long bytes)
             throws IOException {
         this(gateway, mostDispatches, descriptors, bytes, System::nanoTime);
     }
@@ -58,14 +59,24 @@
     /**
      * @param nanos the time that timers go by
      */
-    Desk(Gateway gateway, int mostDispatches, int descriptors, long bytes, LongSupplier nanos)
+    RequestDispatcher(
+            DecisionModule gateway,
+            int mostDispatches,
+            int descriptors,
+            long bytes,
+            LongSupplier nanos)
             throws IOException {
         this.gateway = gateway;
         this.mostDispatches = mostDispatches;
-        this.loop = new Loop(this::turn, descriptors, bytes, nanos);
+        this.loop = new EventLoop(this::turn, descriptors, bytes, nanos);
     }
 
-    public void seat(Clients clients, Servers servers, Counter counter, Watch watch, Peers peers) {
+    public void seat(
+            ClientPool clients,
+            ServerPool servers,
+            CounterClient counter,
+            DiscoveryWatch watch,
+            PeerMessenger peers) {
         this.clients = clients;
         this.servers = servers;
         this.counter = counter;
@@ -79,15 +90,15 @@
     }
 
     /** Within a round: the gateway is one of a fleet from now on. */
-    public void sees(View fleet) {
+    public void sees(FleetPolicy fleet) {
         view = fleet;
-        in.sees(fleet);
+        in.fleetPolicyChanged(fleet);
     }
 
     /** Within a round: what clients may ask for from now on. */
     public void use(Catalog catalog) {
         clients.use(catalog);
-        in.plansInForce(catalog.plansInForce());
+        in.plansChanged(catalog.plansInForce());
     }
 
     /**
@@ -95,17 +106,17 @@
      * one.
      */
     public void takesOver() {
-        in.takesOver();
+        in.takeoverStarted();
     }
 
     public void leaves() {
-        in.leaves();
+        in.drainingStarted();
     }
 
     private void turn() {
         looked = now;
         now = clock.now();
-        gateway.round(
+        gateway.handleBatch(
                 now,
                 inbox -> {
                     in = inbox;
@@ -132,112 +143,114 @@
      * A long answer begins to flow to its client: that is the req's final answer, and no time
      * counts any more.
      */
-    void began(Dispatch d) {
+    void began(ServerAttempt d) {
         d.stop();
         clients.over(d.exchange);
-        in.began(d.exchange, d.no);
+        in.responseStarted(d.exchange, d.no);
     }
 
-    void ended(Dispatch d, End how, int seenUse, double settled, double[] load) {
+    void ended(ServerAttempt d, AttemptOutcome how, int seenUse, double settled, double[] load) {
         if (d.ended) {
             return;
         }
         d.ended = true;
         d.stop();
-        Exchange e = d.exchange;
-        if (how == End.GOOD) {
+        ClientRequest e = d.exchange;
+        if (how == AttemptOutcome.SUCCESS) {
             clients.over(e);
         }
-        in.ended(e, d.no, how, now - d.at, e.over, seenUse, settled, load);
+        in.attemptEnded(e, d.no, how, now - d.at, e.over, seenUse, settled, load);
     }
 
     @Override
-    public void dispatch(Req req, Srv srv, double cap, double within) {
-        Exchange e = (Exchange) req;
-        Dispatch d = new Dispatch(e, e.dispatches.size(), now);
+    public void sendAttempt(Request req, Server srv, double cap, double within) {
+        ClientRequest e = (ClientRequest) req;
+        ServerAttempt d = new ServerAttempt(e, e.dispatches.size(), now);
         e.dispatches.add(d);
-        double left = e.expires - now;
+        double left = e.deadlineMs - now;
         double wait = cap == 0 ? left : Math.min(cap, left);
         if (e.over || wait <= 0 || d.no >= mostDispatches) {
-            loop.due(
+            loop.submit(
                     () ->
                             ended(
                                     d,
-                                    e.over || d.no >= mostDispatches ? End.VOID : End.TIMED_OUT,
+                                    e.over || d.no >= mostDispatches
+                                            ? AttemptOutcome.NOT_SENT
+                                            : AttemptOutcome.TIMED_OUT,
                                     0,
                                     0,
                                     null));
             return;
         }
-        servers.carry(d, (Backend) srv, (long) Math.ceil(wait));
-        d.cap = loop.after(wait, () -> stop(d, Ending.SILENT));
+        servers.carry(d, (PooledServer) srv, (long) Math.ceil(wait));
+        d.cap = loop.schedule(wait, () -> stop(d, CloseReason.SILENT));
         if (within < wait) {
-            d.leaving = loop.after(within, () -> withdraw(d));
+            d.leaving = loop.schedule(within, () -> withdraw(d));
         }
     }
 
     /** Gives up what its server can't have whole yet: it stays void. */
-    void withdraw(Dispatch d) {
+    void withdraw(ServerAttempt d) {
         if (!d.ended && d.link != null && !d.link.left()) {
-            d.link.end(Ending.DROPPED);
+            d.link.close(CloseReason.DROPPED);
         }
     }
 
     @Override
-    public void cancel(Req req, int hop) {
-        Dispatch d = ((Exchange) req).dispatches.get(hop);
-        loop.due(() -> stop(d, Ending.DROPPED));
+    public void cancelAttempt(Request req, int hop) {
+        ServerAttempt d = ((ClientRequest) req).dispatches.get(hop);
+        loop.submit(() -> stop(d, CloseReason.DROPPED));
     }
 
-    private void stop(Dispatch d, Ending how) {
+    private void stop(ServerAttempt d, CloseReason how) {
         if (!d.ended && d.link != null) {
-            d.link.end(how);
+            d.link.close(how);
         }
     }
 
     @Override
-    public void deny(Req req, double retryAfter) {
-        clients.deny((Exchange) req, (long) Math.ceil(retryAfter));
+    public void reject(Request req, double retryAfter) {
+        clients.deny((ClientRequest) req, (long) Math.ceil(retryAfter));
     }
 
     @Override
-    public void abort(Req req) {
-        clients.abort((Exchange) req);
+    public void fail(Request req) {
+        clients.abort((ClientRequest) req);
     }
 
     @Override
-    public void alarm(long token, double wait) {
-        loop.after(wait, () -> in.alarm(token));
+    public void setTimer(long token, double wait) {
+        loop.schedule(wait, () -> in.timerFired(token));
     }
 
     @Override
-    public void probe(Srv srv) {
+    public void sendHealthCheck(Server srv) {
         // no probe stands in this protocol
-        loop.due(() -> in.probed(srv, End.VOID, 0, null));
+        loop.submit(() -> in.healthCheckEnded(srv, AttemptOutcome.NOT_SENT, 0, null));
     }
 
     @Override
-    public void closeIdle(Srv srv) {
-        servers.retire((Backend) srv);
+    public void closeIdleConnections(Server srv) {
+        servers.retire((PooledServer) srv);
     }
 
     @Override
-    public void tell(int peer, String text) {
+    public void sendGossip(int peer, String text) {
         peers.tell(peer, text);
     }
 
     @Override
-    public void add(long name, double amount, double keep) {
+    public void incrementCounter(long name, double amount, double keep) {
         counter.add(name, amount, keep);
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpoints(boolean on) {
         watch.want(on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         watch.fetch();
     }
 
--- a/gateway/src/main/java/tinford/routing/Slot.java
+++ b/gateway/src/main/java/tinford/routing/ResponseSlot.java
@@ -4,13 +4,13 @@
  * A place in a client's order of answers; the answer is kept here while those before it are
  * missing.
  */
-final class Slot {
-    Slot next;
+final class ResponseSlot {
+    ResponseSlot next;
     byte[] answer;
 
     /** Null for what needs no decision. */
-    Exchange exchange;
+    ClientRequest exchange;
 
     /** Where its answer comes from while that flows, or waits to. */
-    ServerLink source;
+    ServerConnection source;
 }
--- a/gateway/src/main/java/tinford/routing/Dispatch.java
+++ b/gateway/src/main/java/tinford/routing/ServerAttempt.java
@@ -1,18 +1,18 @@
 package tinford.routing;
 
-import tinford.transport.Loop;
+import tinford.transport.EventLoop;
 
 /** One sending of a req to a server. */
-final class Dispatch {
-    final Exchange exchange;
+final class ServerAttempt {
+    final ClientRequest exchange;
     final int no;
     final double at;
-    ServerLink link;
-    Loop.Timer cap;
-    Loop.Timer leaving; // its last byte is to have left by then
+    ServerConnection link;
+    EventLoop.Timer cap;
+    EventLoop.Timer leaving; // its last byte is to have left by then
     boolean ended;
 
-    Dispatch(Exchange exchange, int no, double at) {
+    ServerAttempt(ClientRequest exchange, int no, double at) {
         this.exchange = exchange;
         this.no = no;
         this.at = at;
--- a/gateway/src/main/java/tinford/routing/ServerLink.java
+++ b/gateway/src/main/java/tinford/routing/ServerConnection.java
@@ -1,40 +1,40 @@
 package tinford.routing;
 
 import java.lang.System.Logger.Level;
-import tinford.api.End;
-import tinford.protocol.Malformed;
-import tinford.protocol.Resp;
-import tinford.protocol.Usage;
-import tinford.transport.Descriptors;
-import tinford.transport.Ending;
-import tinford.transport.Link;
-import tinford.transport.Loop;
+import tinford.api.AttemptOutcome;
+import tinford.protocol.ProtocolException;
+import tinford.protocol.RespReader;
+import tinford.protocol.UsageReport;
+import tinford.transport.CloseReason;
+import tinford.transport.Connection;
+import tinford.transport.DescriptorBudget;
+import tinford.transport.EventLoop;
 
 /**
  * One connection to a server. It carries one dispatch at a time, so that giving one up costs no
  * other.
  */
-final class ServerLink extends Link {
-    private static final int MOST_OUT = 2 * Resp.MOST;
+final class ServerConnection extends Connection {
+    private static final int MOST_OUT = 2 * RespReader.MAX_VALUE_BYTES;
     private static final int LEAST_OUT = 8 << 10;
     private static final int LEAST_LONG = 16; // bytes that tell the length of a long value
     private static final int PIECE = 16 << 10;
     private static final double STILL = 10_000;
-    final Backend backend;
-    private final Servers servers;
-    private Dispatch dispatch;
+    final PooledServer backend;
+    private final ServerPool servers;
+    private ServerAttempt dispatch;
     private int put; // of the command, for writing
-    private Loop.Timer whole; // runs while an answer has come in part
+    private EventLoop.Timer whole; // runs while an answer has come in part
     private long toFlow = -1; // bytes of a long value still to be passed on; -1 when none flows
     private int partsToCome; // of that answer, with the value
     private boolean flows; // its client has had the beginning
     private double movedAt; // when some of it last came or left
     double idleSince;
     boolean counts; // among its server's connections
-    ServerLink next; // is opened in its place
+    ServerConnection next; // is opened in its place
 
-    ServerLink(Desk desk, Servers servers, Backend backend) {
-        super(desk.loop, Resp.MOST, MOST_OUT);
+    ServerConnection(RequestDispatcher desk, ServerPool servers, PooledServer backend) {
+        super(desk.loop, RespReader.MAX_VALUE_BYTES, MOST_OUT);
         this.servers = servers;
         this.backend = backend;
     }
@@ -43,7 +43,7 @@
         open(backend.dial, within);
     }
 
-    void carry(Dispatch d, long patience) {
+    void carry(ServerAttempt d, long patience) {
         dispatch = d;
         d.link = this;
         put = d.exchange.ask.write(buf, patience);
@@ -64,7 +64,7 @@
     }
 
     @Override
-    protected void drained() {
+    protected void onDrained() {
         if (dispatch != null) {
             put = dispatch.exchange.ask.write(buf, put);
             more();
@@ -73,45 +73,45 @@
     }
 
     @Override
-    protected Descriptors.Party party() {
-        return Descriptors.Party.SERVERS;
+    protected DescriptorBudget.Party party() {
+        return DescriptorBudget.Party.SERVERS;
     }
 
     @Override
-    protected void opened() {
+    protected void onOpened() {
         backend.opening.remove(this);
     }
 
     @Override
-    protected void received() {
-        Resp resp = servers.resp;
+    protected void onReceived() {
+        RespReader resp = servers.resp;
         try {
             if (toFlow >= 0) {
                 flow();
                 return;
             }
             if (dispatch != null && buf.unread() > LEAST_LONG) {
-                int head = resp.parseLong(buf.bytes(), buf.from(), buf.to());
+                int head = resp.parseLong(buf.bytes(), buf.readIndex(), buf.readLimit());
                 if (head > 0) {
                     begin(head, resp.longValue(), resp.parts());
                     return;
                 }
             }
-            int n = resp.parse(buf.bytes(), buf.from(), buf.to());
+            int n = resp.parse(buf.bytes(), buf.readIndex(), buf.readLimit());
             if (dispatch == null) {
-                throw new Malformed("an answer to a command only");
+                throw new ProtocolException("an answer to a command only");
             }
             if (n == 0) {
                 // guards against lengths that promise more than comes: the rest of an answer is on
                 // its way with it
                 stop(whole);
-                whole = loop.after(servers.connectWithin, () -> end(Ending.MALFORMED));
+                whole = loop.schedule(servers.connectWithin, () -> close(CloseReason.MALFORMED));
                 return;
             }
             answer(resp, n);
-        } catch (Malformed e) {
+        } catch (ProtocolException e) {
             servers.desk.complain(Level.WARNING, "server", backend.id, e);
-            end(Ending.MALFORMED);
+            close(CloseReason.MALFORMED);
         }
     }
 
@@ -120,15 +120,15 @@
      * with the first bytes. What follows is slow or quick as its client reads, and nobody's
      * patience counts for it any more.
      */
-    private void begin(int head, long value, int parts) throws Malformed {
-        Dispatch d = dispatch;
+    private void begin(int head, long value, int parts) throws ProtocolException {
+        ServerAttempt d = dispatch;
         stop(whole);
         whole = null;
         if (d.exchange.over) { // nobody waits for it
-            end(Ending.DROPPED);
+            close(CloseReason.DROPPED);
             return;
         }
-        buf.take(head);
+        buf.consume(head);
         buf.readUpTo(PIECE);
         toFlow = value;
         partsToCome = parts;
@@ -145,14 +145,14 @@
         release();
         try {
             flow();
-        } catch (Malformed e) {
+        } catch (ProtocolException e) {
             servers.desk.complain(Level.WARNING, "server", backend.id, e);
-            end(Ending.MALFORMED);
+            close(CloseReason.MALFORMED);
         }
     }
 
-    private void flow() throws Malformed {
-        Exchange e = dispatch.exchange;
+    private void flow() throws ProtocolException {
+        ClientRequest e = dispatch.exchange;
         if (!e.client.front(e.slot)) {
             hold();
             return;
@@ -165,8 +165,8 @@
         if (n > 0) {
             movedAt = servers.desk.now;
             toFlow -= n;
-            boolean more = e.client.piece(buf.bytes(), buf.from(), n);
-            buf.take(n);
+            boolean more = e.client.piece(buf.bytes(), buf.readIndex(), n);
+            buf.consume(n);
             if (!more && toFlow > 0) {
                 hold();
                 return;
@@ -175,8 +175,8 @@
         if (toFlow > 0) {
             return;
         }
-        Resp resp = servers.resp;
-        int rest = resp.parseRest(partsToCome, buf.bytes(), buf.from(), buf.to());
+        RespReader resp = servers.resp;
+        int rest = resp.parseRest(partsToCome, buf.bytes(), buf.readIndex(), buf.readLimit());
         if (rest > 0) {
             toFlow = -1;
             e.slot.source = null;
@@ -188,25 +188,25 @@
 
     /** Guards both sides' connections against a flow that stands still for good. */
     private void lookAtFlow() {
-        if (over() || toFlow < 0) {
+        if (isClosed() || toFlow < 0) {
             return;
         }
         if (servers.desk.now - movedAt > STILL) {
-            end(Ending.SILENT);
+            close(CloseReason.SILENT);
         } else {
-            loop.after(STILL / 4, this::lookAtFlow);
+            loop.schedule(STILL / 4, this::lookAtFlow);
         }
     }
 
-    private static void stop(Loop.Timer timer) {
+    private static void stop(EventLoop.Timer timer) {
         if (timer != null) {
             timer.cancel();
         }
     }
 
-    private void answer(Resp resp, int n) throws Malformed {
-        Dispatch d = dispatch;
-        if (kind(resp) == End.GOOD) {
+    private void answer(RespReader resp, int n) throws ProtocolException {
+        ServerAttempt d = dispatch;
+        if (kind(resp) == AttemptOutcome.SUCCESS) {
             // the first good answer goes to the client as it lies here
             if (!d.exchange.over) {
                 d.exchange.client.value(
@@ -220,10 +220,10 @@
      * The figures beside an answer, which fills so many bytes of the buffer; the connection may be
      * free again.
      */
-    private void answered(Resp resp, int n) throws Malformed {
-        Dispatch d = dispatch;
-        Desk desk = servers.desk;
-        End how = kind(resp);
+    private void answered(RespReader resp, int n) throws ProtocolException {
+        ServerAttempt d = dispatch;
+        RequestDispatcher desk = servers.desk;
+        AttemptOutcome how = kind(resp);
         // guards against a second copy or noise behind a good answer: it must not become the answer
         // of the next command
         boolean clean =
@@ -231,7 +231,7 @@
                         && left(); // nor may the rest of a command that was answered early
         String used;
         String load;
-        if (how == End.GOOD) {
+        if (how == AttemptOutcome.SUCCESS) {
             used = resp.parts() > 1 ? resp.text(1) : "";
             load = resp.parts() > 2 ? resp.text(2) : "";
         } else {
@@ -239,37 +239,37 @@
             load = words[words.length - 1];
             used = words.length > 2 ? words[2] : "";
         }
-        buf.take(n);
+        buf.consume(n);
         settle();
         if (clean) {
             servers.free(this);
         } else {
-            end(Ending.RETIRED);
+            close(CloseReason.RETIRED);
         }
         desk.ended(
                 d,
                 how,
-                1 + (int) Usage.of(used, "used", -1),
-                how == End.GOOD ? Usage.of(used, "cost", 0) : 0,
+                1 + (int) UsageReport.value(used, "used", -1),
+                how == AttemptOutcome.SUCCESS ? UsageReport.value(used, "cost", 0) : 0,
                 servers.report(load));
     }
 
     /** Only what the protocol knows is an answer; any other error line may stand for anything. */
-    private static End kind(Resp resp) throws Malformed {
+    private static AttemptOutcome kind(RespReader resp) throws ProtocolException {
         if (resp.array()) {
             if (resp.kind(0) == '$') {
-                return End.GOOD;
+                return AttemptOutcome.SUCCESS;
             }
-            throw new Malformed("a value first");
+            throw new ProtocolException("a value first");
         }
         String line = resp.kind(0) == '-' ? resp.text(0) : "";
         if (line.equals("BUSY") || line.startsWith("BUSY ")) {
-            return End.FULL;
+            return AttemptOutcome.OVERLOADED;
         }
         if (line.equals("ERR failed") || line.startsWith("ERR failed ")) {
-            return End.ERROR;
+            return AttemptOutcome.ERROR;
         }
-        throw new Malformed("an array, -ERR failed or -BUSY");
+        throw new ProtocolException("an array, -ERR failed or -BUSY");
     }
 
     private void settle() {
@@ -285,28 +285,28 @@
      */
     @Override
     protected boolean waits() {
-        return servers.desk.view.mayHold(backend) < Integer.MAX_VALUE;
+        return servers.desk.view.connectionLimit(backend) < Integer.MAX_VALUE;
     }
 
     @Override
-    protected void closed() {
+    protected void onDescriptorReleased() {
         servers.closed(this);
     }
 
     @Override
-    protected void ended(Ending how) {
+    protected void onEnded(CloseReason how) {
         servers.gone(this, how);
-        Dispatch d = dispatch;
+        ServerAttempt d = dispatch;
         boolean cut = flows;
         boolean left = left();
         settle();
         if (d != null) {
             d.exchange.slot.source = null;
             if (cut) {
-                d.exchange.client.end(
+                d.exchange.client.close(
                         how); // it has had a part: only an end tells it that no more comes
             }
-            servers.desk.ended(d, Ends.ofDispatch(how, left), 0, 0, null);
+            servers.desk.ended(d, OutcomeMapping.ofDispatch(how, left), 0, 0, null);
         }
     }
 }
--- a/gateway/src/main/java/tinford/routing/Bans.java
+++ b/gateway/src/main/java/tinford/routing/ServerExclusions.java
@@ -7,7 +7,7 @@
  * Which servers the operators have taken out, as a record tells that two processes of one gateway
  * read alike: one line a call, the later one counts. It does no I/O.
  */
-final class Bans {
+final class ServerExclusions {
     private static final int MOST = 4096; // those put back longest ago are forgotten beyond it
     private static final double KEPT =
             600_000; // a start before the ban is told by discovery long before this is over
--- a/gateway/src/main/java/tinford/routing/Servers.java
+++ b/gateway/src/main/java/tinford/routing/ServerPool.java
@@ -9,21 +9,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tinford.api.Srv;
-import tinford.handed.Fields;
-import tinford.protocol.Resp;
-import tinford.protocol.Usage;
-import tinford.transport.Descriptors;
-import tinford.transport.Ending;
+import tinford.api.Server;
+import tinford.protocol.RespReader;
+import tinford.protocol.UsageReport;
+import tinford.settings.JsonFields;
+import tinford.transport.CloseReason;
+import tinford.transport.DescriptorBudget;
 
 /** The servers of the list, and the connections to them. */
-public final class Servers {
+public final class ServerPool {
     private static final double REST = 10; // what was sent in one go has come by then
     private static final int MOST_GONE = 4096; // names of servers that were listed once
-    final Desk desk;
-    final Resp resp = new Resp();
-    private final Map<String, Backend> backends = new LinkedHashMap<>();
-    private final Bans bans = new Bans();
+    final RequestDispatcher desk;
+    final RespReader resp = new RespReader();
+    private final Map<String, PooledServer> backends = new LinkedHashMap<>();
+    private final ServerExclusions bans = new ServerExclusions();
     private final Set<String> gone =
             Collections.newSetFromMap(
                     new LinkedHashMap<>() {
@@ -45,8 +45,12 @@
      * @param idleMost how long a connection may stand idle before the server closes it
      * @param most connections to all servers together
      */
-    public Servers(
-            Desk desk, double connectWithin, double idleMost, int most, List<String> loadNames) {
+    public ServerPool(
+            RequestDispatcher desk,
+            double connectWithin,
+            double idleMost,
+            int most,
+            List<String> loadNames) {
         this.desk = desk;
         this.connectWithin = connectWithin;
         this.idleMost = idleMost;
@@ -56,64 +60,64 @@
     }
 
     /** A list in discovery's form, as the decisions take it. */
-    public void list(Fields list) {
-        List<Srv> entries = new ArrayList<>();
-        List<Backend> left = new ArrayList<>();
-        List<Fields> hosts = list.parts("hosts");
+    public void list(JsonFields list) {
+        List<Server> entries = new ArrayList<>();
+        List<PooledServer> left = new ArrayList<>();
+        List<JsonFields> hosts = list.objects("hosts");
         boolean whole = list.flag("whole");
-        hosts.forEach(Servers::check);
-        for (Fields e : hosts) {
-            Backend b = backends.computeIfAbsent(e.text("host"), this::newBackend);
+        hosts.forEach(ServerPool::check);
+        for (JsonFields e : hosts) {
+            PooledServer b = backends.computeIfAbsent(e.text("host"), this::newBackend);
             b.listed = state(e);
             b.state = state(b);
             entries.add(b);
-            if (b.state == Srv.State.REMOVED) {
+            if (b.state == Server.State.REMOVED) {
                 continue; // of what is gone nothing else needs to be told
             }
             InetSocketAddress dial = Addresses.of(e, "dial");
-            double born = e.real("born_ms", 0);
+            double born = e.number("born_ms", 0);
             if (!dial.equals(b.dial) || born != b.listedBorn) {
                 left.add(b); // its connections lead to what was there before
             }
             b.dial = dial;
             b.listedBorn = born;
-            b.born = bans.born(b.id, born);
+            b.startedAtMs = bans.born(b.id, born);
             b.zone = e.text("site");
-            b.cell = (int) e.whole("block", 0);
+            b.cell = (int) e.integer("block", 0);
             b.group = e.has("class") ? e.text("class") : "";
-            b.size = e.real("share", 1);
+            b.weight = e.number("share", 1);
         }
-        desk.in.listed(entries, whole);
+        desk.in.endpointsUpdated(entries, whole);
         left.forEach(this::leave);
-        Set<Srv> named = new HashSet<>(entries);
-        for (Backend b : whole ? new ArrayList<>(backends.values()) : inOrder(named)) {
+        Set<Server> named = new HashSet<>(entries);
+        for (PooledServer b : whole ? new ArrayList<>(backends.values()) : inOrder(named)) {
             boolean absent = whole && !named.contains(b);
-            if (b.state != Srv.State.UP || absent) {
+            if (b.state != Server.State.UP || absent) {
                 leave(b);
             }
-            if (b.state == Srv.State.REMOVED || absent) {
+            if (b.state == Server.State.REMOVED || absent) {
                 backends.remove(b.id);
                 gone.add(b.id);
             }
         }
     }
 
-    private Backend newBackend(String id) {
+    private PooledServer newBackend(String id) {
         gone.remove(id);
-        return new Backend(id, backendsMade++);
+        return new PooledServer(id, backendsMade++);
     }
 
     /** In the order of the table: it decides whose dispatches end first. */
-    private static List<Backend> inOrder(Set<Srv> named) {
-        List<Backend> found = new ArrayList<>();
-        named.forEach(s -> found.add((Backend) s));
+    private static List<PooledServer> inOrder(Set<Server> named) {
+        List<PooledServer> found = new ArrayList<>();
+        named.forEach(s -> found.add((PooledServer) s));
         found.sort(Comparator.comparingLong(b -> b.sequence));
         return found;
     }
 
     /** What the operators have taken out drains, whatever the list says. */
-    private Srv.State state(Backend b) {
-        return b.listed == Srv.State.UP && bans.holds(b.id) ? Srv.State.DRAINING : b.listed;
+    private Server.State state(PooledServer b) {
+        return b.listed == Server.State.UP && bans.holds(b.id) ? Server.State.DRAINING : b.listed;
     }
 
     /** Listed at some time, or taken out or put back before. */
@@ -123,54 +127,56 @@
 
     /** Takes a line of the operators' record. */
     void ban(String line) {
-        Backend b = backends.get(bans.take(line));
+        PooledServer b = backends.get(bans.take(line));
         if (b == null || b.state == state(b)) {
             return;
         }
         b.state = state(b);
-        b.born = bans.born(b.id, b.listedBorn);
+        b.startedAtMs = bans.born(b.id, b.listedBorn);
         leave(b);
-        desk.in.listed(List.of(b), false);
+        desk.in.endpointsUpdated(List.of(b), false);
     }
 
-    private static Srv.State state(Fields e) {
+    private static Server.State state(JsonFields e) {
         return switch (e.text("health")) {
-            case "ready" -> Srv.State.UP;
-            case "draining" -> Srv.State.DRAINING;
-            case "gone" -> Srv.State.REMOVED;
-            default -> throw e.bad("health", "ready, draining or gone");
+            case "ready" -> Server.State.UP;
+            case "draining" -> Server.State.DRAINING;
+            case "gone" -> Server.State.REMOVED;
+            default -> throw e.invalid("health", "ready, draining or gone");
         };
     }
 
     // guards the list in force: one entry that can't be read must not leave another half taken over
-    private static void check(Fields e) {
+    private static void check(JsonFields e) {
         e.text("host");
-        if (state(e) != Srv.State.REMOVED) {
+        if (state(e) != Server.State.REMOVED) {
             Addresses.of(e, "dial");
-            e.real("born_ms", 0);
+            e.number("born_ms", 0);
             e.text("site");
-            e.whole("block", 0);
+            e.integer("block", 0);
             if (e.has("class")) {
                 e.text("class");
             }
-            e.real("share", 1);
+            e.number("share", 1);
         }
     }
 
-    void carry(Dispatch d, Backend b, long patience) {
-        ServerLink link = rested(b);
+    void carry(ServerAttempt d, PooledServer b, long patience) {
+        ServerConnection link = rested(b);
         if (link == null) {
-            for (int n = desk.loop.descriptors().lacking(Descriptors.Party.SERVERS); n > 0; n--) {
+            for (int n = desk.loop.descriptorBudget().shortage(DescriptorBudget.Party.SERVERS);
+                    n > 0;
+                    n--) {
                 makeRoom();
             }
-            link = new ServerLink(desk, this, b);
+            link = new ServerConnection(desk, this, b);
             b.opening.add(link);
             link.carry(d, patience);
-            if (b.links >= desk.view.mayHold(b)
+            if (b.links >= desk.view.connectionLimit(b)
                     && !b.idle.isEmpty()) { // one that has not rested gives its place
-                ServerLink old = b.idle.peekLast();
+                ServerConnection old = b.idle.peekLast();
                 old.next = link;
-                old.end(Ending.RETIRED);
+                old.close(CloseReason.RETIRED);
             } else {
                 open(link);
             }
@@ -180,14 +186,14 @@
     }
 
     /** The one place that holds what the fleet may hold at a server. */
-    private void open(ServerLink link) {
-        Backend b = link.backend;
-        boolean room = b.links < desk.view.mayHold(b) && links < most;
+    private void open(ServerConnection link) {
+        PooledServer b = link.backend;
+        boolean room = b.links < desk.view.connectionLimit(b) && links < most;
         if (room) {
             link.counts = true;
             links++;
             b.links++;
-            desk.view.opened(b);
+            desk.view.connectionOpened(b);
         }
         link.connect(room ? connectWithin : 0);
     }
@@ -196,9 +202,9 @@
      * Guards against what comes behind an answer: a connection is used again only once it has been
      * left alone for a moment, and is found with nothing in it when it is looked at once more.
      */
-    private ServerLink rested(Backend b) {
-        for (ServerLink link : b.idle) {
-            if (desk.now - link.idleSince >= REST && link.quiet()) {
+    private ServerConnection rested(PooledServer b) {
+        for (ServerConnection link : b.idle) {
+            if (desk.now - link.idleSince >= REST && link.isQuiet()) {
                 b.idle.remove(link);
                 return link;
             }
@@ -207,43 +213,44 @@
     }
 
     private void makeRoom() {
-        for (Backend b : backends.values()) {
+        for (PooledServer b : backends.values()) {
             if (!b.idle.isEmpty()) {
-                b.idle.peekLast().end(Ending.RETIRED);
+                b.idle.peekLast().close(CloseReason.RETIRED);
                 return;
             }
         }
     }
 
-    void free(ServerLink link) {
-        if (link.backend.state == Srv.State.UP
-                && link.backend.links - link.backend.leaving <= desk.view.mayHold(link.backend)) {
+    void free(ServerConnection link) {
+        if (link.backend.state == Server.State.UP
+                && link.backend.links - link.backend.leaving
+                        <= desk.view.connectionLimit(link.backend)) {
             link.idleSince = desk.now;
             link.backend.idle.addFirst(link);
         } else {
-            link.end(Ending.RETIRED);
+            link.close(CloseReason.RETIRED);
         }
     }
 
-    void gone(ServerLink link, Ending how) {
+    void gone(ServerConnection link, CloseReason how) {
         link.backend.leaving += link.counts ? 1 : 0;
         link.backend.idle.remove(link);
         link.backend.opening.remove(link);
         // guards against connections that look idle and lead to a machine that is gone: none can be
         // opened to it
-        if (how == Ending.REFUSED || how == Ending.NEVER_UP) {
+        if (how == CloseReason.REFUSED || how == CloseReason.NEVER_UP) {
             retire(link.backend);
         }
     }
 
-    void closed(ServerLink link) {
+    void closed(ServerConnection link) {
         if (link.counts) {
             links--;
             link.backend.links--;
             link.backend.leaving--;
-            desk.view.closed(link.backend);
+            desk.view.connectionClosed(link.backend);
         }
-        if (link.next != null && !link.next.over()) {
+        if (link.next != null && !link.next.isClosed()) {
             open(link.next);
         }
     }
@@ -253,9 +260,9 @@
      * their answers.
      */
     public void trim() {
-        for (Backend b : backends.values()) {
-            while (b.links - b.leaving > desk.view.mayHold(b) && !b.idle.isEmpty()) {
-                b.idle.peekLast().end(Ending.RETIRED);
+        for (PooledServer b : backends.values()) {
+            while (b.links - b.leaving > desk.view.connectionLimit(b) && !b.idle.isEmpty()) {
+                b.idle.peekLast().close(CloseReason.RETIRED);
             }
         }
     }
@@ -264,30 +271,30 @@
      * Nothing new goes there: guards against a dispatch that waits for its connection and leaves
      * when that comes up.
      */
-    private void leave(Backend b) {
+    private void leave(PooledServer b) {
         retire(b);
-        for (ServerLink link : new ArrayList<>(b.opening)) {
-            link.end(Ending.DROPPED);
+        for (ServerConnection link : new ArrayList<>(b.opening)) {
+            link.close(CloseReason.DROPPED);
         }
     }
 
-    void retire(Backend b) {
+    void retire(PooledServer b) {
         while (!b.idle.isEmpty()) {
-            b.idle.peekFirst().end(Ending.RETIRED);
+            b.idle.peekFirst().close(CloseReason.RETIRED);
         }
     }
 
     // guards against a command that crosses the server's own close of an idle connection
     private void sweep() {
-        for (Backend b : backends.values()) {
+        for (PooledServer b : backends.values()) {
             while (!b.idle.isEmpty() && desk.now - b.idle.peekLast().idleSince > 0.75 * idleMost) {
-                b.idle.peekLast().end(Ending.RETIRED);
+                b.idle.peekLast().close(CloseReason.RETIRED);
             }
         }
-        desk.loop.after(idleMost / 16, this::sweep);
+        desk.loop.schedule(idleMost / 16, this::sweep);
     }
 
     double[] report(String load) {
-        return loadNames.isEmpty() ? null : Usage.report(load, loadNames);
+        return loadNames.isEmpty() ? null : UsageReport.values(load, loadNames);
     }
 }
--- a/gateway/src/main/java/tinford/handed/BadInput.java
+++ b/gateway/src/main/java/tinford/settings/InvalidSettingsException.java
@@ -1,10 +1,10 @@
-package tinford.handed;
+package tinford.settings;
 
 /** Input that is not allowed; the message names the place, the field and what was expected. */
-public final class BadInput extends RuntimeException {
+public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public BadInput(String where, String field, String expected) {
+    public InvalidSettingsException(String where, String field, String expected) {
         super(where + ": " + field + ": expected " + expected);
     }
 }
--- a/gateway/src/main/java/tinford/handed/Fields.java
+++ b/gateway/src/main/java/tinford/settings/JsonFields.java
@@ -1,4 +1,4 @@
-package tinford.handed;
+package tinford.settings;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -13,7 +13,7 @@
 /**
  * An object of named values, read with checks; what is not as expected is named by place and field.
  */
-public class Fields {
+public class JsonFields {
     private static final int DEEPEST =
             64; // guards the stack of the I/O thread: each level takes two calls of it
     private final String where;
@@ -24,51 +24,52 @@
         private static final long serialVersionUID = 1L;
     }
 
-    protected Fields(String where, String name, Map<String, Object> fields) {
+    protected JsonFields(String where, String name, Map<String, Object> fields) {
         this.where = where;
         this.name = name;
         this.fields = fields;
     }
 
     /** A text that holds one object. */
-    public static Fields of(JsonFactory json, String where, String text) {
+    public static JsonFields of(JsonFactory json, String where, String text) {
         try (JsonParser in = json.createParser(text)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadInput(where, "text", "a JSON object");
+                throw new InvalidSettingsException(where, "text", "a JSON object");
             }
-            Fields found = new Fields(where, "", object(in));
+            JsonFields found = new JsonFields(where, "", parseObject(in));
             if (in.nextToken() != null) {
-                throw new BadInput(where, "text", "nothing after the object");
+                throw new InvalidSettingsException(where, "text", "nothing after the object");
             }
             return found;
         } catch (TooDeep e) {
-            throw new BadInput(where, "text", "JSON of at most " + DEEPEST + " levels");
+            throw new InvalidSettingsException(
+                    where, "text", "JSON of at most " + DEEPEST + " levels");
         } catch (IOException e) {
-            throw new BadInput(where, "text", "JSON");
+            throw new InvalidSettingsException(where, "text", "JSON");
         }
     }
 
-    protected static Map<String, Object> object(JsonParser in) throws IOException {
+    protected static Map<String, Object> parseObject(JsonParser in) throws IOException {
         Map<String, Object> found = new LinkedHashMap<>();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String key = in.currentName();
             in.nextToken();
-            found.put(key, value(in));
+            found.put(key, parseValue(in));
         }
         return found;
     }
 
-    private static Object value(JsonParser in) throws IOException {
+    private static Object parseValue(JsonParser in) throws IOException {
         if (in.getParsingContext().getNestingDepth() > DEEPEST) {
             throw new TooDeep();
         }
         switch (in.currentToken()) {
             case START_OBJECT:
-                return object(in);
+                return parseObject(in);
             case START_ARRAY:
                 List<Object> all = new ArrayList<>();
                 while (in.nextToken() != JsonToken.END_ARRAY) {
-                    all.add(value(in));
+                    all.add(parseValue(in));
                 }
                 return all;
             case VALUE_NUMBER_INT:
@@ -88,15 +89,16 @@
         }
     }
 
-    public BadInput bad(String field, String expected) {
-        return new BadInput(where, name.isEmpty() ? field : name + "." + field, expected);
+    public InvalidSettingsException invalid(String field, String expected) {
+        return new InvalidSettingsException(
+                where, name.isEmpty() ? field : name + "." + field, expected);
     }
 
     public String text(String field) {
         if (fields.get(field) instanceof String s) {
             return s;
         }
-        throw bad(field, "a text");
+        throw invalid(field, "a text");
     }
 
     public boolean has(String field) {
@@ -108,25 +110,25 @@
         if (v == null || v instanceof Boolean) {
             return Boolean.TRUE.equals(v);
         }
-        throw bad(field, "true or false");
+        throw invalid(field, "true or false");
     }
 
-    public long whole(String field) {
+    public long integer(String field) {
         if (fields.get(field) instanceof Long n) {
             return n;
         }
-        throw bad(field, "a whole number");
+        throw invalid(field, "a whole number");
     }
 
-    public long whole(String field, long absent) {
-        return fields.get(field) == null ? absent : whole(field);
+    public long integer(String field, long absent) {
+        return fields.get(field) == null ? absent : integer(field);
     }
 
     /** A whole number that counts something. */
     public int count(String field, int least) {
-        long n = whole(field);
+        long n = integer(field);
         if (n < least || n > Integer.MAX_VALUE) {
-            throw bad(field, "a whole number from " + least + " to " + Integer.MAX_VALUE);
+            throw invalid(field, "a whole number from " + least + " to " + Integer.MAX_VALUE);
         }
         return (int) n;
     }
@@ -135,38 +137,38 @@
         return fields.get(field) == null ? absent : count(field, least);
     }
 
-    public double real(String field) {
+    public double number(String field) {
         if (fields.get(field) instanceof Number n) {
             return n.doubleValue();
         }
-        throw bad(field, "a number");
+        throw invalid(field, "a number");
     }
 
-    public double real(String field, double absent) {
-        return fields.get(field) == null ? absent : real(field);
+    public double number(String field, double absent) {
+        return fields.get(field) == null ? absent : number(field);
     }
 
     /** A finite number from 0 on. */
-    public double amount(String field, double absent) {
-        double n = real(field, absent);
+    public double nonNegative(String field, double absent) {
+        double n = number(field, absent);
         if (n >= 0 && n < Double.POSITIVE_INFINITY) {
             return n;
         }
-        throw bad(field, "a number from 0 on");
+        throw invalid(field, "a number from 0 on");
     }
 
     /** A finite number above 0. */
     public double positive(String field) {
-        double n = real(field);
+        double n = number(field);
         if (n > 0 && n < Double.POSITIVE_INFINITY) {
             return n;
         }
-        throw bad(field, "a number above 0");
+        throw invalid(field, "a number above 0");
     }
 
     /** A time, given in microseconds, as milliseconds; 0 when absent. */
     public double millis(String field) {
-        return amount(field, 0) / 1000;
+        return nonNegative(field, 0) / 1000;
     }
 
     /** The same; so many milliseconds when absent or 0, where that stands for no such time. */
@@ -176,22 +178,22 @@
     }
 
     /** An object, or one without fields when absent. */
-    public Fields optional(String field) {
-        return has(field) ? part(field) : within(field, Map.of());
+    public JsonFields objectOrEmpty(String field) {
+        return has(field) ? object(field) : child(field, Map.of());
     }
 
-    public double[] reals(String field) {
+    public double[] numbers(String field) {
         Object v = fields.get(field);
         if (v == null) {
             return null;
         }
         if (!(v instanceof List<?> all)) {
-            throw bad(field, "an array of numbers");
+            throw invalid(field, "an array of numbers");
         }
         double[] found = new double[all.size()];
         for (int i = 0; i < found.length; i++) {
             if (!(all.get(i) instanceof Number n)) {
-                throw bad(field, "an array of numbers");
+                throw invalid(field, "an array of numbers");
             }
             found[i] = n.doubleValue();
         }
@@ -200,12 +202,12 @@
 
     public List<String> texts(String field) {
         if (!(fields.get(field) instanceof List<?> all)) {
-            throw bad(field, "an array of texts");
+            throw invalid(field, "an array of texts");
         }
         List<String> found = new ArrayList<>();
         for (Object o : all) {
             if (!(o instanceof String s)) {
-                throw bad(field, "an array of texts");
+                throw invalid(field, "an array of texts");
             }
             found.add(s);
         }
@@ -213,34 +215,34 @@
     }
 
     /** Whether the other object says the same of that field. */
-    public boolean same(Fields other, String field) {
+    public boolean sameValue(JsonFields other, String field) {
         return Objects.equals(fields.get(field), other.fields.get(field));
     }
 
-    public Fields part(String field) {
+    public JsonFields object(String field) {
         if (fields.get(field) instanceof Map<?, ?> m) {
-            return within(field, m);
+            return child(field, m);
         }
-        throw bad(field, "an object");
+        throw invalid(field, "an object");
     }
 
-    public List<Fields> parts(String field) {
+    public List<JsonFields> objects(String field) {
         if (!(fields.get(field) instanceof List<?> all)) {
-            throw bad(field, "an array of objects");
+            throw invalid(field, "an array of objects");
         }
-        List<Fields> found = new ArrayList<>();
+        List<JsonFields> found = new ArrayList<>();
         for (Object o : all) {
             if (!(o instanceof Map<?, ?> m)) {
-                throw bad(field, "an array of objects");
+                throw invalid(field, "an array of objects");
             }
-            found.add(within(field, m));
+            found.add(child(field, m));
         }
         return found;
     }
 
-    private Fields within(String field, Map<?, ?> m) {
+    private JsonFields child(String field, Map<?, ?> m) {
         Map<String, Object> copy = new LinkedHashMap<>();
         m.forEach((k, v) -> copy.put((String) k, v));
-        return new Fields(where, name.isEmpty() ? field : name + "." + field, copy);
+        return new JsonFields(where, name.isEmpty() ? field : name + "." + field, copy);
     }
 }
--- a/gateway/src/main/java/tinford/benchlink/Reply.java
+++ b/gateway/src/main/java/tinford/simulator/ReplyWriter.java
@@ -1,4 +1,4 @@
-package tinford.benchlink;
+package tinford.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -7,23 +7,23 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import java.io.UncheckedIOException;
-import tinford.api.Req;
-import tinford.api.Srv;
-import tinford.api.Writer;
+import tinford.api.GatewayActions;
+import tinford.api.Request;
+import tinford.api.Server;
 
 /** Writes decisions as lines of the reply. */
-final class Reply implements Writer {
+final class ReplyWriter implements GatewayActions {
     private final OutputStream out;
     private final JsonGenerator json;
-    private Instance instance;
+    private SimulatedGateway instance;
 
-    Reply(JsonFactory factory, OutputStream out) throws IOException {
+    ReplyWriter(JsonFactory factory, OutputStream out) throws IOException {
         this.out = new BufferedOutputStream(out, 1 << 16);
         this.json = factory.createGenerator(this.out);
         json.setRootValueSeparator(new SerializedString(""));
     }
 
-    Writer of(Instance i) {
+    GatewayActions of(SimulatedGateway i) {
         instance = i;
         return this;
     }
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void dispatch(Req req, Srv srv, double cap, double within) {
+    public void sendAttempt(Request req, Server srv, double cap, double within) {
         instance.sent(req);
         line(
                 "PassOn",
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void cancel(Req req, int hop) {
+    public void cancelAttempt(Request req, int hop) {
         line(
                 "StopAttempt",
                 () -> {
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void deny(Req req, double retryAfter) {
+    public void reject(Request req, double retryAfter) {
         instance.answered(req);
         line(
                 "Reject",
@@ -97,13 +97,13 @@
     }
 
     @Override
-    public void abort(Req req) {
+    public void fail(Request req) {
         instance.answered(req);
         line("ReportFailure", () -> json.writeNumberField("RequestId", req.id));
     }
 
     @Override
-    public void alarm(long token, double wait) {
+    public void setTimer(long token, double wait) {
         line(
                 "Schedule",
                 () -> {
@@ -113,17 +113,17 @@
     }
 
     @Override
-    public void probe(Srv srv) {
+    public void sendHealthCheck(Server srv) {
         line("Poll", () -> json.writeStringField("Server", srv.id));
     }
 
     @Override
-    public void closeIdle(Srv srv) {
+    public void closeIdleConnections(Server srv) {
         line("ShutIdle", () -> json.writeStringField("Server", srv.id));
     }
 
     @Override
-    public void tell(int peer, String text) {
+    public void sendGossip(int peer, String text) {
         line(
                 "Publish",
                 () -> {
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void add(long name, double amount, double keep) {
+    public void incrementCounter(long name, double amount, double keep) {
         line(
                 "Incr",
                 () -> {
@@ -148,12 +148,12 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpoints(boolean on) {
         line("Watch", () -> json.writeBooleanField("Enable", on));
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         line("Resolve", () -> {});
     }
 
--- a/gateway/src/main/java/tinford/benchlink/Bench.java
+++ b/gateway/src/main/java/tinford/simulator/SimulatorSession.java
@@ -1,4 +1,4 @@
-package tinford.benchlink;
+package tinford.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import java.io.BufferedReader;
@@ -13,96 +13,99 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tinford.api.Gateway;
-import tinford.handed.BadInput;
-import tinford.handed.Fields;
+import tinford.api.DecisionModule;
+import tinford.settings.InvalidSettingsException;
+import tinford.settings.JsonFields;
 
 /**
  * The simulator's wire: batches of lines in, a reply of lines out, many gateways in one process.
  */
-public final class Bench {
+public final class SimulatorSession {
     private final JsonFactory json = new JsonFactory();
-    private final Gateway.Maker maker;
-    private final Map<String, Instance> up = new HashMap<>();
-    private final Map<Long, List<Fields>> sheets = new HashMap<>();
+    private final DecisionModule.Factory maker;
+    private final Map<String, SimulatedGateway> up = new HashMap<>();
+    private final Map<Long, List<JsonFields>> sheets = new HashMap<>();
     private int number;
 
-    private Bench(Gateway.Maker maker) {
+    private SimulatorSession(DecisionModule.Factory maker) {
         this.maker = maker;
     }
 
     /** Serves until the input ends; the result is the exit code. */
-    public static int serve(InputStream in, OutputStream out, PrintStream err, Gateway.Maker maker)
+    public static int serve(
+            InputStream in, OutputStream out, PrintStream err, DecisionModule.Factory maker)
             throws IOException {
-        Bench bench = new Bench(maker);
+        SimulatorSession bench = new SimulatorSession(maker);
         try {
             bench.run(
                     new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16),
                     out);
             return 0;
-        } catch (BadInput e) {
+        } catch (InvalidSettingsException e) {
             err.println("benchlink: " + e.getMessage());
             return 1;
         }
     }
 
     private void run(BufferedReader in, OutputStream out) throws IOException {
-        Reply reply = new Reply(json, out);
-        Line mark = null;
-        Set<Instance> touched = new LinkedHashSet<>();
+        ReplyWriter reply = new ReplyWriter(json, out);
+        WireMessage mark = null;
+        Set<SimulatedGateway> touched = new LinkedHashSet<>();
         for (String text = in.readLine(); text != null; text = in.readLine()) {
             number++;
             if (text.isEmpty()) {
                 continue;
             }
-            Line line = Line.parse(json, number, text);
+            WireMessage line = WireMessage.parse(json, number, text);
             if (mark == null) {
                 if (!line.name.equals("Mark")) {
-                    throw new BadInput("line " + number, line.name, "Mark at the start of a batch");
+                    throw new InvalidSettingsException(
+                            "line " + number, line.name, "Mark at the start of a batch");
                 }
                 mark = line;
                 continue;
             }
             switch (line.name) {
                 case "Eob" -> {
-                    double now = mark.real("TUs") / 1000;
-                    for (Instance i : touched) {
+                    double now = mark.number("TUs") / 1000;
+                    for (SimulatedGateway i : touched) {
                         i.round(now, reply.of(i));
                     }
                     touched.clear();
-                    reply.done(mark.whole("n"));
+                    reply.done(mark.integer("n"));
                     mark = null;
                 }
-                case "Table" -> sheets.put(line.whole("Sheet", 0), line.parts("Records"));
+                case "Table" -> sheets.put(line.integer("Sheet", 0), line.objects("Records"));
                 default -> event(line, touched);
             }
         }
         if (mark != null) {
-            throw new BadInput("line " + number, "end of input", "Eob at the end of a batch");
+            throw new InvalidSettingsException(
+                    "line " + number, "end of input", "Eob at the end of a batch");
         }
     }
 
-    private void event(Line line, Set<Instance> touched) {
+    private void event(WireMessage line, Set<SimulatedGateway> touched) {
         String name = line.text("I");
         if (line.name.equals("Up")) {
-            Instance fresh = new Instance(name, maker, line);
-            Instance old = up.put(name, fresh);
+            SimulatedGateway fresh = new SimulatedGateway(name, maker, line);
+            SimulatedGateway old = up.put(name, fresh);
             touched.remove(old);
             touched.add(fresh);
             return;
         }
-        Instance to = up.get(name);
+        SimulatedGateway to = up.get(name);
         if (to == null) {
-            throw line.bad("I", "an instance that is up, not " + name);
+            throw line.invalid("I", "an instance that is up, not " + name);
         }
         if (line.name.equals("Killed")) {
             touched.remove(up.remove(name));
             return;
         }
         if (line.name.equals("View") && !line.text("Scope").equals("refused")) {
-            line.sheet = sheets.get(line.whole("Sheet", 0));
+            line.sheet = sheets.get(line.integer("Sheet", 0));
             if (line.sheet == null) {
-                throw line.bad("Sheet", "the number of a Table sent before");
+                throw line.invalid("Sheet", "the number of a Table sent before");
             }
         }
         to.take(line);
--- a/gateway/src/main/java/tinford/transport/Ending.java
+++ b/gateway/src/main/java/tinford/transport/CloseReason.java
@@ -1,7 +1,7 @@
 package tinford.transport;
 
 /** Every way in which a connection can end. */
-public enum Ending {
+public enum CloseReason {
     /** Refused, or the address could not be tried. */
     REFUSED,
     /** Not up within the time given to it. */
--- a/gateway/src/main/java/tinford/transport/Link.java
+++ b/gateway/src/main/java/tinford/transport/Connection.java
@@ -13,7 +13,7 @@
  * One TCP connection, accepted or opened from here. Its owner extends it; all callbacks come within
  * a turn.
  */
-public abstract class Link implements Loop.Due {
+public abstract class Connection implements EventLoop.Task {
     private static final double LAST_BYTES =
             1000; // how long the other side may take to end its sending too
     private static final double LAST_READ = 20_000; // or to read what was written before that
@@ -24,15 +24,15 @@
     private static final double LAST_LINE =
             50; // or, where it is not listened to any more, to read what was written
     private static final OptionMap PLAIN = OptionMap.create(Options.TCP_NODELAY, true);
-    protected final Loop loop;
-    protected final Buf buf;
+    protected final EventLoop loop;
+    protected final ConnectionBuffer buf;
     private final int mostUnread;
     private final int mostUnwritten;
     private StreamConnection connection;
     private IoFuture<StreamConnection> opening;
-    private Loop.Timer patience;
-    private Ending failing;
-    private Ending finishing;
+    private EventLoop.Timer patience;
+    private CloseReason failing;
+    private CloseReason finishing;
     private int awaited = -1; // unwritten bytes at which its owner wants to hear of it
     private boolean noted,
             opened,
@@ -52,27 +52,27 @@
      * @param mostUnread bytes that may wait to be read whole; a link whose buffer holds more is
      *     overfull
      */
-    protected Link(Loop loop, int mostUnread, int mostUnwritten) {
+    protected Connection(EventLoop loop, int mostUnread, int mostUnwritten) {
         this.loop = loop;
-        this.buf = new Buf(loop.room);
+        this.buf = new ConnectionBuffer(loop.bufferBudget);
         this.mostUnread = mostUnread;
         this.mostUnwritten = mostUnwritten;
     }
 
     /** Whose descriptors it counts among. */
-    protected abstract Descriptors.Party party();
+    protected abstract DescriptorBudget.Party party();
 
     /** The connection that was opened from here is up. */
-    protected abstract void opened();
+    protected abstract void onOpened();
 
     /** Bytes came; what is not taken is kept. */
-    protected abstract void received();
+    protected abstract void onReceived();
 
     /** No more is unwritten than was asked for with {@link #awaitDrain}. */
-    protected void drained() {}
+    protected void onDrained() {}
 
-    /** The last callback of every link, but for {@link #closed}. */
-    protected abstract void ended(Ending how);
+    /** The last callback of every link, but for {@link #onDescriptorReleased}. */
+    protected abstract void onEnded(CloseReason how);
 
     /** Whether the other side is to have seen the end before it counts as closed. */
     protected boolean waits() {
@@ -83,13 +83,13 @@
      * It is closed, and where {@link #waits} says so the other side has seen that, or had its time
      * to.
      */
-    protected void closed() {}
+    protected void onDescriptorReleased() {}
 
-    public final boolean up() {
+    public final boolean isOpen() {
         return connection != null && !over;
     }
 
-    public final boolean over() {
+    public final boolean isClosed() {
         return over;
     }
 
@@ -102,23 +102,23 @@
      * @param within 0 where there is no room for it: then none is opened
      */
     protected final void open(InetSocketAddress to, double within) {
-        holds = within > 0 && loop.descriptors.take(party());
+        holds = within > 0 && loop.descriptorBudget.take(party());
         if (!holds) {
-            fail(Ending.NO_ROOM);
+            fail(CloseReason.NO_ROOM);
             return;
         }
-        patience = loop.after(within, () -> end(Ending.NEVER_UP));
-        opening = loop.thread.openStreamConnection(to, this::up, PLAIN);
+        patience = loop.schedule(within, () -> close(CloseReason.NEVER_UP));
+        opening = loop.thread.openStreamConnection(to, this::isOpen, PLAIN);
         opening.addNotifier(
                 (future, nothing) -> {
                     if (future.getStatus() == IoFuture.Status.FAILED) {
-                        fail(Ending.REFUSED);
+                        fail(CloseReason.REFUSED);
                     }
                 },
                 null);
     }
 
-    private void up(StreamConnection c) {
+    private void isOpen(StreamConnection c) {
         if (over) {
             IoUtils.safeClose(c);
             return;
@@ -147,12 +147,12 @@
                 came = true;
                 note();
             } else if (n < 0) {
-                fail(Ending.ENDED);
+                fail(CloseReason.ENDED);
             }
             return n > 0;
         } catch (IOException e) {
             connection.getSourceChannel().suspendReads();
-            fail(Ending.BROKEN);
+            fail(CloseReason.BROKEN);
             return false;
         }
     }
@@ -161,7 +161,7 @@
      * Looks once more whether anything has come, or the connection has ended, since the sockets
      * were last read.
      */
-    public final boolean quiet() {
+    public final boolean isQuiet() {
         if (connection != null && !over && failing == null && !came) {
             readable();
         }
@@ -179,7 +179,7 @@
                         && more
                         && !endSeen()
                         && buf.unread() <= MOST_AHEAD
-                        && !loop.room.tight();
+                        && !loop.bufferBudget.isNearlyExhausted();
                 i++) {
             more = readable();
             if (deaf) {
@@ -221,20 +221,21 @@
                 drained = true;
                 note();
             }
-            if (buf.unwritten() > mostUnwritten || loop.room.overdrawn() && buf.unwritten() > 0) {
-                fail(Ending.OVERFULL);
+            if (buf.unwritten() > mostUnwritten
+                    || loop.bufferBudget.isExceeded() && buf.unwritten() > 0) {
+                fail(CloseReason.OVERFULL);
             } else if (buf.unwritten() > 0) {
                 connection.getSinkChannel().resumeWrites();
             } else if (finishing != null && !shut) {
                 shut();
             }
         } catch (IOException e) {
-            fail(Ending.BROKEN);
+            fail(CloseReason.BROKEN);
         }
     }
 
     private void shut() throws IOException {
-        if (looks && !quiet()) { // guards what has come since: it is heard first
+        if (looks && !isQuiet()) { // guards what has come since: it is heard first
             goOn();
             return;
         }
@@ -243,7 +244,7 @@
         if (!brief) { // its time counts from now: until here the other side may have been busy
             // reading
             patience.cancel();
-            patience = loop.after(LAST_BYTES, () -> end(finishing));
+            patience = loop.schedule(LAST_BYTES, () -> close(finishing));
         }
     }
 
@@ -252,7 +253,7 @@
         patience.cancel();
     }
 
-    private void fail(Ending how) {
+    private void fail(CloseReason how) {
         if (failing == null) {
             failing = how;
         }
@@ -262,16 +263,16 @@
     private void note() {
         if (!noted && !over) {
             noted = true;
-            loop.due(this);
+            loop.submit(this);
         }
     }
 
     @Override
-    public final void play() {
+    public final void run() {
         noted = false;
         if (opened && !over) {
             opened = false;
-            opened();
+            onOpened();
             send();
         }
         if (came && !over) {
@@ -282,25 +283,27 @@
                 goOn();
             }
             if (finishing != null) {
-                buf.take(buf.unread());
+                buf.consume(buf.unread());
             } else {
-                received();
+                onReceived();
             }
-            if (!over && (buf.unread() > mostUnread || loop.room.overdrawn() && buf.unread() > 0)) {
-                end(Ending.OVERFULL);
+            if (!over
+                    && (buf.unread() > mostUnread
+                            || loop.bufferBudget.isExceeded() && buf.unread() > 0)) {
+                close(CloseReason.OVERFULL);
             }
         }
         if (drained && !over) {
             drained = false;
-            drained();
+            onDrained();
         }
         if (failing != null) {
-            end(finishing != null ? finishing : failing);
+            close(finishing != null ? finishing : failing);
         }
     }
 
     /**
-     * {@link #drained} comes once so few bytes are unwritten, after the end of this turn at the
+     * {@link #onDrained} comes once so few bytes are unwritten, after the end of this turn at the
      * earliest.
      */
     public final void awaitDrain(int unwritten) {
@@ -327,10 +330,10 @@
      * Ends the sending once all is written, and the connection when the other side has done the
      * same. A close at once could be a reset, before which the last answer would be lost.
      */
-    protected final void finish(Ending how) {
+    protected final void finish(CloseReason how) {
         if (!over && finishing == null) {
             finishing = how;
-            patience = loop.after(LAST_READ, () -> end(how));
+            patience = loop.schedule(LAST_READ, () -> close(how));
             send();
         }
     }
@@ -339,7 +342,7 @@
      * As {@link #finish}, but not where something has come until right before it: its owner hears
      * of that, and asks again.
      */
-    protected final void finishIfQuiet(Ending how) {
+    protected final void finishIfQuiet(CloseReason how) {
         looks = true;
         finish(how);
     }
@@ -348,14 +351,14 @@
      * Guards against what is sent without end: nothing more is read, and the connection ends soon
      * after its last line.
      */
-    protected final void dismiss(Ending how) {
+    protected final void dismiss(CloseReason how) {
         looks = false;
         brief = true;
         deaf();
         finish(how);
         if (!over && patience != null) {
             patience.cancel();
-            patience = loop.after(LAST_LINE, () -> end(how));
+            patience = loop.schedule(LAST_LINE, () -> close(how));
         }
     }
 
@@ -371,17 +374,17 @@
 
     private void listen() {
         if (!ends()) {
-            loop.after(LOOK, this::listen);
+            loop.schedule(LOOK, this::listen);
         }
     }
 
     private void passOver() {
-        buf.take(buf.unread());
+        buf.consume(buf.unread());
         came = false;
     }
 
     /** Closes it, whatever state it is in; the first call counts. */
-    public final void end(Ending how) {
+    public final void close(CloseReason how) {
         if (over) {
             return;
         }
@@ -390,7 +393,10 @@
             patience.cancel();
         }
         boolean seen =
-                connection == null || how == Ending.ENDED || how == Ending.BROKEN || !waits();
+                connection == null
+                        || how == CloseReason.ENDED
+                        || how == CloseReason.BROKEN
+                        || !waits();
         if (!seen) {
             bid();
         } else if (connection != null) {
@@ -401,16 +407,16 @@
         if (seen) {
             giveDescriptor(); // what is opened in its place may need it
         }
-        ended(how);
+        onEnded(how);
         buf.free();
         if (seen) {
-            closed();
+            onDescriptorReleased();
         }
     }
 
     private void giveDescriptor() {
         if (holds) {
-            loop.descriptors.give(party());
+            loop.descriptorBudget.give(party());
         }
     }
 
@@ -419,17 +425,17 @@
      * end.
      */
     private void bid() {
-        Loop.Due last =
+        EventLoop.Task last =
                 () -> {
                     if (!gone) {
                         gone = true;
                         patience.cancel();
                         IoUtils.safeClose(connection);
                         giveDescriptor();
-                        closed();
+                        onDescriptorReleased();
                     }
                 };
-        patience = loop.after(LAST_BYTES, () -> loop.due(last));
+        patience = loop.schedule(LAST_BYTES, () -> loop.submit(last));
         ByteBuffer rest = ByteBuffer.allocate(1024);
         connection
                 .getSourceChannel()
@@ -447,13 +453,13 @@
                                 // reset: it has seen it
                             }
                             ch.suspendReads();
-                            loop.due(last);
+                            loop.submit(last);
                         });
         connection.getSourceChannel().resumeReads();
         try {
             connection.getSinkChannel().shutdownWrites();
         } catch (IOException e) {
-            loop.due(last);
+            loop.submit(last);
         }
     }
 }
--- a/gateway/src/main/java/tinford/transport/Buf.java
+++ b/gateway/src/main/java/tinford/transport/ConnectionBuffer.java
@@ -11,34 +11,35 @@
  * to be written lies on the right of it; both are moved within the array as room is needed, and the
  * array grows when that does not help.
  */
-public final class Buf {
+public final class ConnectionBuffer {
     private static final int LEAST = 512;
     private static final int READ = 4096; // room made for one read
     private static final int DOUBLED =
             256 << 10; // beyond it an array is made as long as it has to be
     private static final int KEPT = 16 << 10; // an empty array above this goes back
-    private final Room room;
+    private final BufferBudget room;
     private byte[] bytes = new byte[0];
     private ByteBuffer view = ByteBuffer.wrap(bytes);
     private int inFrom, inTo, outFrom, outTo;
     private int atRead = READ;
 
-    public Buf(Room room) {
+    public ConnectionBuffer(BufferBudget room) {
         this.room = room;
     }
 
     /**
-     * What came in lies in here, from {@link #from} to {@link #to}; any write or read may move it.
+     * What came in lies in here, from {@link #readIndex} to {@link #readLimit}; any write or read
+     * may move it.
      */
     public byte[] bytes() {
         return bytes;
     }
 
-    public int from() {
+    public int readIndex() {
         return inFrom;
     }
 
-    public int to() {
+    public int readLimit() {
         return inTo;
     }
 
@@ -50,7 +51,7 @@
         return outTo - outFrom;
     }
 
-    public void take(int n) {
+    public void consume(int n) {
         inFrom += n;
         if (inFrom == inTo) {
             inFrom = inTo = 0;
@@ -88,7 +89,7 @@
         shrink();
     }
 
-    public Buf put(byte[] src, int from, int n) {
+    public ConnectionBuffer put(byte[] src, int from, int n) {
         fit(n);
         System.arraycopy(src, from, bytes, outTo, n);
         outTo += n;
@@ -96,15 +97,15 @@
     }
 
     /** Text of ASCII characters. */
-    public Buf put(String text) {
+    public ConnectionBuffer put(String text) {
         return put(text.getBytes(StandardCharsets.ISO_8859_1), 0, text.length());
     }
 
-    public Buf put(long number) {
+    public ConnectionBuffer put(long number) {
         return put(Long.toString(number));
     }
 
-    public Buf line() {
+    public ConnectionBuffer putLineEnd() {
         fit(2);
         bytes[outTo++] = '\r';
         bytes[outTo++] = '\n';
@@ -166,8 +167,8 @@
 
     private void adopt(byte[] to) {
         if (to != bytes) {
-            room.give(bytes.length);
-            room.take(to.length);
+            room.release(bytes.length);
+            room.reserve(to.length);
             bytes = to;
             view = ByteBuffer.wrap(to);
         }
--- a/gateway/src/main/java/tinford/transport/Descriptors.java
+++ b/gateway/src/main/java/tinford/transport/DescriptorBudget.java
@@ -5,7 +5,7 @@
  * few by which the gateway learns where servers are and what is counted against clients and
  * servers, and what servers need against idle clients, however many there are at the moment.
  */
-public final class Descriptors {
+public final class DescriptorBudget {
     /** Whom a connection is with. */
     public enum Party {
         /** Discovery and the counter. */
@@ -23,7 +23,7 @@
     private final int[] held = new int[Party.values().length];
     private int aside;
 
-    Descriptors(int all) {
+    DescriptorBudget(int all) {
         this.all = all;
     }
 
@@ -31,7 +31,7 @@
      * How many connections of that kind there may be now; half of what is left when services have
      * theirs.
      */
-    public int most(Party with) {
+    public int limit(Party with) {
         int now = Math.max(0, all - aside);
         int services = Math.min(TO_SERVICES, now / 2);
         return switch (with) {
@@ -45,17 +45,17 @@
     /**
      * How many of that kind have to end before one more can be opened; 0 when it can be at once.
      */
-    public int lacking(Party with) {
-        return Math.max(0, held[with.ordinal()] + 1 - most(with));
+    public int shortage(Party with) {
+        return Math.max(0, held[with.ordinal()] + 1 - limit(with));
     }
 
     /** So many are another process's for now; connections that are open stay. */
-    public void setAside(int descriptors) {
+    public void reserve(int descriptors) {
         aside = descriptors;
     }
 
     boolean take(Party with) {
-        boolean free = lacking(with) == 0;
+        boolean free = shortage(with) == 0;
         held[with.ordinal()] += free ? 1 : 0;
         return free;
     }
--- a/gateway/src/main/java/tinford/transport/Loop.java
+++ b/gateway/src/main/java/tinford/transport/EventLoop.java
@@ -19,19 +19,19 @@
  * in, one turn plays it to its owners in order of arrival, and then everything that was written
  * meanwhile leaves.
  */
-public final class Loop {
+public final class EventLoop {
     private static final System.Logger LOG = System.getLogger("tinford.transport");
 
     private static final double FAR =
             1e12; // some decades: guards against times handed that no clock can hold
 
     /** Something that came in and waits to be played. */
-    public interface Due {
-        void play();
+    public interface Task {
+        void run();
     }
 
     /** One turn: plays all that is due by calling {@link #playAll}. */
-    public interface Turn {
+    public interface BatchHandler {
         void run();
     }
 
@@ -39,15 +39,15 @@
     final XnioIoThread thread;
 
     /** For the buffers of all connections. */
-    final Room room;
+    final BufferBudget bufferBudget;
 
-    final Descriptors descriptors;
-    private final Turn turn;
+    final DescriptorBudget descriptorBudget;
+    private final BatchHandler turn;
     private final LongSupplier nanos;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private List<Due> due = new ArrayList<>();
-    private List<Due> playing = new ArrayList<>();
-    private final List<Link> unflushed = new ArrayList<>();
+    private List<Task> due = new ArrayList<>();
+    private List<Task> playing = new ArrayList<>();
+    private final List<Connection> unflushed = new ArrayList<>();
     private XnioExecutor.Key armed;
     private long armedFor = Long.MAX_VALUE;
     private boolean called;
@@ -56,9 +56,9 @@
     /** A call at a time to come. */
     public static final class Timer implements Comparable<Timer> {
         private final long at;
-        private Due then;
+        private Task then;
 
-        private Timer(long at, Due then) {
+        private Timer(long at, Task then) {
             this.at = at;
             this.then = then;
         }
@@ -74,16 +74,17 @@
     }
 
     /**
-     * @param descriptors how many connections there may be, over all parties but operators
+     * @param descriptorBudget how many connections there may be, over all parties but operators
      * @param bytes what all their buffers may take
      * @param nanos the time that timers go by; where it is driven, whoever drives it wakes the loop
-     *     with {@link #enter}
+     *     with {@link #execute}
      */
-    public Loop(Turn turn, int descriptors, long bytes, LongSupplier nanos) throws IOException {
+    public EventLoop(BatchHandler turn, int descriptors, long bytes, LongSupplier nanos)
+            throws IOException {
         this.turn = turn;
         this.nanos = nanos;
-        this.room = new Room(bytes);
-        this.descriptors = new Descriptors(descriptors);
+        this.bufferBudget = new BufferBudget(bytes);
+        this.descriptorBudget = new DescriptorBudget(descriptors);
         worker =
                 Xnio.getInstance("nio")
                         .createWorker(
@@ -98,16 +99,16 @@
     }
 
     /** From any thread: runs this on the I/O thread. */
-    public void enter(Due first) {
-        thread.execute(() -> due(first));
+    public void execute(Task first) {
+        thread.execute(() -> submit(first));
     }
 
-    public void due(Due what) {
+    public void submit(Task what) {
         due.add(what);
         call();
     }
 
-    public Timer after(double ms, Due then) {
+    public Timer schedule(double ms, Task then) {
         Timer t =
                 new Timer(nanos.getAsLong() + (long) (Math.min(FAR, Math.max(0, ms)) * 1e6), then);
         timers.add(t);
@@ -119,7 +120,7 @@
     public void playAll() {
         long now = nanos.getAsLong();
         while (!timers.isEmpty() && (timers.peek().then == null || timers.peek().at <= now)) {
-            Due then = timers.poll().then;
+            Task then = timers.poll().then;
             if (then != null) {
                 playing.add(then);
             }
@@ -128,7 +129,7 @@
         due.clear();
         for (int i = 0; i < playing.size(); i++) {
             try {
-                playing.get(i).play();
+                playing.get(i).run();
             } catch (RuntimeException | Error e) {
                 // guards all others against a fault in the handling of one, also one that ran out
                 // of stack or of memory
@@ -161,15 +162,15 @@
         }
     }
 
-    public Room room() {
-        return room;
+    public BufferBudget bufferBudget() {
+        return bufferBudget;
     }
 
-    public Descriptors descriptors() {
-        return descriptors;
+    public DescriptorBudget descriptorBudget() {
+        return descriptorBudget;
     }
 
-    void unflushed(Link link) {
+    void unflushed(Connection link) {
         unflushed.add(link);
         call();
     }
--- a/gateway/src/main/java/tinford/transport/Turn.java
+++ b/gateway/src/main/java/tinford/transport/HandoverLock.java
@@ -14,7 +14,7 @@
  * What two processes of one gateway share in a folder: whose turn it is to take clients, told by
  * locks that the machine takes back from a process that dies, and a record of lines. No call waits.
  */
-public final class Turn {
+public final class HandoverLock {
     private static final int TAKING = 0;
     private static final int OPEN = 1;
     private static final int ALIVE = 2;
@@ -28,7 +28,7 @@
     /**
      * @param name of the gateway, so that several may share the folder
      */
-    public Turn(Path folder, String name) throws IOException {
+    public HandoverLock(Path folder, String name) throws IOException {
         String stem = "tinford-" + name.replaceAll("[^A-Za-z0-9_.-]", "_");
         locks =
                 FileChannel.open(
@@ -43,14 +43,14 @@
         record = FileChannel.open(folder.resolve(stem + ".record"), StandardOpenOption.READ);
     }
 
-    private boolean take(int place) throws IOException {
+    private boolean tryAcquire(int place) throws IOException {
         if (held[place] == null) {
             held[place] = locks.tryLock(place, 1, false);
         }
         return held[place] != null;
     }
 
-    private void give(int place) throws IOException {
+    private void release(int place) throws IOException {
         if (held[place] != null) {
             held[place].release();
             held[place] = null;
@@ -58,8 +58,8 @@
     }
 
     /** Whether the turn is this process's now. */
-    public boolean take() throws IOException {
-        return take(TAKING);
+    public boolean tryAcquire() throws IOException {
+        return tryAcquire(TAKING);
     }
 
     /**
@@ -67,33 +67,33 @@
      * be said again.
      */
     public boolean opened() throws IOException {
-        return take(OPEN);
+        return tryAcquire(OPEN);
     }
 
     /** Whether the one before this process is gone. */
     public boolean alone() throws IOException {
-        return take(ALIVE);
+        return tryAcquire(ALIVE);
     }
 
     /** Gives the turn to a successor, if there is one. */
-    public void give() throws IOException {
-        give(TAKING);
-        give(OPEN);
+    public void release() throws IOException {
+        release(TAKING);
+        release(OPEN);
     }
 
     /** Whether a successor's door is open; asked by the one that gave the turn. */
     public boolean succeeded() throws IOException {
-        boolean free = take(OPEN);
-        give(OPEN);
+        boolean free = tryAcquire(OPEN);
+        release(OPEN);
         return !free;
     }
 
     /** One write, which also ends what a process that was killed may have left of a line. */
-    public void add(String line) throws IOException {
+    public void appendLine(String line) throws IOException {
         behind.write(ByteBuffer.wrap(("\n" + line + "\n").getBytes(StandardCharsets.UTF_8)));
     }
 
-    public List<String> news() throws IOException {
+    public List<String> readNewLines() throws IOException {
         List<String> found = new ArrayList<>();
         while (record.size() > read) {
             ByteBuffer b = ByteBuffer.allocate((int) Math.min(MOST_READ, record.size() - read));
--- a/gateway/src/main/java/tinford/transport/Door.java
+++ b/gateway/src/main/java/tinford/transport/Listener.java
@@ -13,8 +13,8 @@
  * A listening address; each connection that comes in is taken over by a link, or closed where there
  * is none.
  */
-public final class Door {
-    private final Loop loop;
+public final class Listener {
+    private final EventLoop loop;
     private final SharedPort port;
 
     /**
@@ -22,12 +22,12 @@
      * @param most connections that may be open through it at once; more wait in the backlog until
      *     one has ended
      */
-    public Door(
-            Loop loop,
+    public Listener(
+            EventLoop loop,
             InetSocketAddress at,
             boolean shared,
             int most,
-            Supplier<? extends Link> links)
+            Supplier<? extends Connection> links)
             throws IOException {
         this.loop = loop;
         // the low water is compared with the count before an end: one lower, and a full door would
@@ -47,7 +47,7 @@
                             try {
                                 for (StreamConnection c = ch.accept(); c != null; c = ch.accept()) {
                                     StreamConnection taken = c;
-                                    loop.due(() -> take(loop, taken, links));
+                                    loop.submit(() -> take(loop, taken, links));
                                 }
                             } catch (IOException e) {
                                 // closed meanwhile: nothing more comes in
@@ -56,15 +56,16 @@
         port.resumeAccepts();
     }
 
-    private static void take(Loop loop, StreamConnection c, Supplier<? extends Link> links) {
-        Link link = links.get();
-        if (link != null && loop.descriptors.take(link.party())) {
+    private static void take(
+            EventLoop loop, StreamConnection c, Supplier<? extends Connection> links) {
+        Connection link = links.get();
+        if (link != null && loop.descriptorBudget.take(link.party())) {
             link.holdsDescriptor();
             link.adopt(c);
         } else {
             IoUtils.safeClose(c);
             if (link != null) {
-                link.end(Ending.NO_ROOM);
+                link.close(CloseReason.NO_ROOM);
             }
         }
     }
@@ -73,7 +74,7 @@
      * Nobody new comes in; those whom the machine has let in by now are taken before {@code then},
      * which is a turn's.
      */
-    public void close(Loop.Due then) {
-        port.close(() -> loop.enter(() -> loop.due(then)));
+    public void close(EventLoop.Task then) {
+        port.close(() -> loop.execute(() -> loop.submit(then)));
     }
 }
--- a/gateway/src/main/java/tinford/transport/Datagrams.java
+++ b/gateway/src/main/java/tinford/transport/UdpSocket.java
@@ -9,7 +9,7 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /** One UDP socket: datagrams in and out, none kept. */
-public final class Datagrams {
+public final class UdpSocket {
     private static final int MOST_A_WAKE_UP = 64;
 
     /** Takes a datagram, within a turn. */
@@ -24,14 +24,15 @@
     /**
      * @param most bytes of one; longer ones are dropped
      */
-    public Datagrams(Loop loop, InetSocketAddress at, int most, Taker taker) throws IOException {
+    public UdpSocket(EventLoop loop, InetSocketAddress at, int most, Taker taker)
+            throws IOException {
         buffer = ByteBuffer.allocate(most + 1);
         channel = loop.worker.createUdpServer(at, OptionMap.EMPTY);
         channel.getReadSetter().set(ch -> receive(loop, most, taker));
         channel.resumeReads();
     }
 
-    private void receive(Loop loop, int most, Taker taker) {
+    private void receive(EventLoop loop, int most, Taker taker) {
         try {
             for (int i = 0; i < MOST_A_WAKE_UP; i++) {
                 buffer.clear();
@@ -45,7 +46,7 @@
                 InetSocketAddress from = addresses.getSourceAddress(InetSocketAddress.class);
                 if (n <= most) {
                     byte[] bytes = Arrays.copyOf(buffer.array(), n);
-                    loop.due(() -> taker.take(from, bytes));
+                    loop.submit(() -> taker.take(from, bytes));
                 }
             }
         } catch (IOException e) {
