--- a/lab/src/test/java/tinford/lab/study/StudyTest.java
+++ b/lab/src/test/java/tinford/lab/study/StudyTest.java
@@ -16,9 +16,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import picocli.CommandLine;
-import tinford.Decide;
-import tinford.api.Effect;
-import tinford.api.Writer;
+import tinford.api.GatewayActions;
+import tinford.api.GatewayEvents;
+import tinford.api.Idempotency;
+import tinford.api.Request;
+import tinford.decision.DecisionEngine;
 import tinford.lab.LabLine;
 import tinford.lab.Scenarios;
 import tinford.lab.model.Outcome;
@@ -45,8 +47,8 @@
     @Test
     public void threadsChangeNothing() throws Exception {
         Scenario s = Scenarios.small(0, "");
-        List<Outcome> one = new Study(s, 1).run(Decide::new, 1, 6);
-        List<Outcome> four = new Study(s, 4).run(Decide::new, 1, 6);
+        List<Outcome> one = new Study(s, 1).run(DecisionEngine::new, 1, 6);
+        List<Outcome> four = new Study(s, 4).run(DecisionEngine::new, 1, 6);
         for (int i = 0; i < 6; i++) {
             assertEquals(one.get(i).figures(), four.get(i).figures());
         }
@@ -59,25 +61,25 @@
     @Test
     public void aKnownDifferenceIsRanked() throws Exception {
         Study study = new Study(Scenarios.small(0, ""), 4);
-        List<Outcome> good = study.run(Decide::new, 1, 8);
+        List<Outcome> good = study.run(DecisionEngine::new, 1, 8);
         List<Outcome> bad =
                 study.run(
                         (seed, place, limits, rules, counter, goal, mustAsk) -> {
-                            Decide inner =
-                                    new Decide(seed, place, limits, rules, counter, goal, mustAsk);
+                            DecisionEngine inner =
+                                    new DecisionEngine(
+                                            seed, place, limits, rules, counter, goal, mustAsk);
                             return (now, feed, out) ->
-                                    inner.round(
+                                    inner.handleBatch(
                                             now,
                                             in ->
                                                     feed.replay(
-                                                            (tinford.api.Inbox)
+                                                            (GatewayEvents)
                                                                     java.lang.reflect.Proxy
                                                                             .newProxyInstance(
                                                                                     StudyTest.class
                                                                                             .getClassLoader(),
                                                                                     new Class<?>[] {
-                                                                                        tinford.api
-                                                                                                .Inbox
+                                                                                        GatewayEvents
                                                                                                 .class
                                                                                     },
                                                                                     (p,
@@ -86,20 +88,16 @@
                                                                                         if (m.getName()
                                                                                                         .equals(
                                                                                                                 "arrived")
-                                                                                                && ((tinford
-                                                                                                                                        .api
-                                                                                                                                        .Req)
+                                                                                                && ((Request)
                                                                                                                                 args[
                                                                                                                                         0])
                                                                                                                         .id
                                                                                                                 % 4
                                                                                                         == 0) {
-                                                                                            ((Writer)
+                                                                                            ((GatewayActions)
                                                                                                             out)
-                                                                                                    .deny(
-                                                                                                            (tinford
-                                                                                                                            .api
-                                                                                                                            .Req)
+                                                                                                    .reject(
+                                                                                                            (Request)
                                                                                                                     args[
                                                                                                                             0],
                                                                                                             0);
@@ -108,9 +106,7 @@
                                                                                         if (m.getName()
                                                                                                         .equals(
                                                                                                                 "left")
-                                                                                                && ((tinford
-                                                                                                                                        .api
-                                                                                                                                        .Req)
+                                                                                                && ((Request)
                                                                                                                                 args[
                                                                                                                                         0])
                                                                                                                         .id
@@ -130,11 +126,12 @@
         assertEquals(Study.compare(good, bad, "service", 0.95).verdict(), Study.Verdict.WORSE);
         assertEquals(Study.compare(bad, good, "service", 0.95).verdict(), Study.Verdict.BETTER);
         assertEquals(
-                Study.compare(good, study.run(Decide::new, 1, 8), "service", 0.95).verdict(),
+                Study.compare(good, study.run(DecisionEngine::new, 1, 8), "service", 0.95)
+                        .verdict(),
                 Study.Verdict.CANT_TELL);
         expectThrows(
                 IllegalArgumentException.class,
-                () -> Study.compare(good, study.run(Decide::new, 2, 8), "service", 0.95));
+                () -> Study.compare(good, study.run(DecisionEngine::new, 2, 8), "service", 0.95));
     }
 
     @DataProvider
@@ -176,7 +173,7 @@
     /** File, key and what was expected; exit code 3, and no result is left behind. */
     @Test(dataProvider = "wrong")
     public void badScenariosAreNamed(String part, String instead, String told) throws Exception {
-        String text = Scenarios.text(0, "", Effect.IDEMPOTENT);
+        String text = Scenarios.text(0, "", Idempotency.IDEMPOTENT);
         assertTrue(text.contains(part));
         text = text.replace(part, instead);
         if (instead.startsWith("[[faults]]")) {
@@ -201,13 +198,17 @@
     @Test
     public void otherVersionsComeFromTheirJars() throws Exception {
         Path scenario = Files.createTempFile("scenario", ".toml");
-        Files.writeString(scenario, Scenarios.text(0, "", Effect.IDEMPOTENT));
+        Files.writeString(scenario, Scenarios.text(0, "", Idempotency.IDEMPOTENT));
         Path jar = Files.createTempFile("module", ".jar");
         try (var out = new java.util.jar.JarOutputStream(Files.newOutputStream(jar))) {
-            for (Class<?> c : all(Decide.class)) {
+            for (Class<?> c : all(DecisionEngine.class)) {
                 String name = c.getName().replace('.', '/') + ".class";
                 out.putNextEntry(new java.util.zip.ZipEntry(name));
-                out.write(Decide.class.getClassLoader().getResourceAsStream(name).readAllBytes());
+                out.write(
+                        DecisionEngine.class
+                                .getClassLoader()
+                                .getResourceAsStream(name)
+                                .readAllBytes());
             }
         }
         Path csv = Files.createTempFile("runs", ".csv");
@@ -233,7 +234,9 @@
                         .setErr(new PrintWriter(err))
                         .execute("run", scenario.toString(), "--jar", jar.toString()),
                 3);
-        assertTrue(err.toString().contains("expected tinford.Decide in it"), err.toString());
+        assertTrue(
+                err.toString().contains("expected tinford.decision.DecisionEngine in it"),
+                err.toString());
         assertEquals(
                 LabLine.of()
                         .setErr(new PrintWriter(err))
@@ -248,23 +251,19 @@
         List<Class<?>> found = new java.util.ArrayList<>();
         Path at = Path.of(top.getProtectionDomain().getCodeSource().getLocation().toURI());
         if (Files.isDirectory(at)) {
-            try (var files = Files.list(at.resolve("tinford"))) {
+            try (var files = Files.list(at.resolve("tinford").resolve("decision"))) {
                 for (Path p :
-                        files.filter(
-                                        f ->
-                                                f.getFileName()
-                                                        .toString()
-                                                        .matches("Decide(\\$.*)?\\.class"))
-                                .toList()) {
+                        files.filter(f -> f.getFileName().toString().endsWith(".class")).toList()) {
                     found.add(
                             Class.forName(
-                                    "tinford." + p.getFileName().toString().replace(".class", "")));
+                                    "tinford.decision."
+                                            + p.getFileName().toString().replace(".class", "")));
                 }
             }
         } else {
             try (var jar = new java.util.jar.JarFile(at.toFile())) {
                 for (var e : java.util.Collections.list(jar.entries())) {
-                    if (e.getName().matches("tinford/Decide(\\$.*)?\\.class")) {
+                    if (e.getName().matches("tinford/decision/[^/]+\\.class")) {
                         found.add(
                                 Class.forName(e.getName().replace('/', '.').replace(".class", "")));
                     }
--- a/lab/src/test/java/tinford/lab/study/TraceTest.java
+++ b/lab/src/test/java/tinford/lab/study/TraceTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.Decide;
-import tinford.api.Effect;
+import tinford.api.Idempotency;
+import tinford.decision.DecisionEngine;
 import tinford.lab.LabLine;
 import tinford.lab.Scenarios;
 import tinford.lab.model.Outcome;
@@ -51,14 +51,14 @@
     @Test
     public void aReplayAsksWhatWasAsked() throws Exception {
         Scenario s = Scenarios.small(0, "");
-        World first = new World(s, 4, Decide::new);
+        World first = new World(s, 4, DecisionEngine::new);
         Outcome drawn = first.run();
         Trace trace = first.asked();
         Path file = folder.resolve("t");
         trace.write(file);
         assertEquals(Trace.read(file, s), trace);
         for (double rate : new double[] {1, 4}) {
-            World again = new World(s, 99, Decide::new, trace.atRate(rate));
+            World again = new World(s, 99, DecisionEngine::new, trace.atRate(rate));
             Outcome o = again.run();
             assertTrue(o.conserved());
             assertEquals(o.broken(), List.of());
@@ -137,7 +137,7 @@
     @Test(dataProvider = "settings")
     public void valuesAreSetFromOutside(String set, int code, String told) throws Exception {
         Path file = folder.resolve("s.toml");
-        Files.writeString(file, Scenarios.text(0, "", Effect.IDEMPOTENT));
+        Files.writeString(file, Scenarios.text(0, "", Idempotency.IDEMPOTENT));
         StringWriter err = new StringWriter();
         assertEquals(
                 LabLine.of()
@@ -157,7 +157,7 @@
     public void aSweepIsToldAndPlotted() throws Exception {
         Path file = folder.resolve("s.toml");
         Path plot = folder.resolve("p.png");
-        Files.writeString(file, Scenarios.text(0, "", Effect.IDEMPOTENT));
+        Files.writeString(file, Scenarios.text(0, "", Idempotency.IDEMPOTENT));
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         String[] words = {
