--- a/gateway/src/main/java/tinford/api/Request.java
+++ b/gateway/src/main/java/tinford/api/Request.java
@@ -1,6 +1,6 @@
 package tinford.api;
 
-/** One client try; a front may add what it needs by extending it. */
+/** One request of a client; whoever receives it may add what it needs by extending it. */
 public class Request {
     public final long id;
     public final RequestClass requestClass;
@@ -9,8 +9,7 @@
     public final double units;
     public final boolean markedAsRetry;
 
-    /** The decisions' own notes. */
-    public Object notes;
+    private DecisionState decisionState;
 
     public Request(
             long id,
@@ -27,6 +26,16 @@
         this.markedAsRetry = markedAsRetry;
     }
 
+    /** What the decision module keeps of it, or null. */
+    public final DecisionState decisionState() {
+        return decisionState;
+    }
+
+    /** Called by the decision module only. */
+    public final void attach(DecisionState state) {
+        decisionState = state;
+    }
+
     /**
      * Whether its client has gone, as far as can be seen at this moment; {@link
      * GatewayEvents#clientDisconnected} then follows.
--- a/gateway/src/main/java/tinford/api/Server.java
+++ b/gateway/src/main/java/tinford/api/Server.java
@@ -22,10 +22,19 @@
     /** Its last start, or 0 for one long past. */
     public double startedAtMs;
 
-    /** The decisions' own notes. */
-    public Object notes;
+    private DecisionState decisionState;
 
     public Server(String id) {
         this.id = id;
     }
+
+    /** What the decision module keeps of it, or null. */
+    public final DecisionState decisionState() {
+        return decisionState;
+    }
+
+    /** Called by the decision module only. */
+    public final void attach(DecisionState state) {
+        decisionState = state;
+    }
 }
--- /dev/null
+++ b/gateway/src/main/java/tinford/decision/AttemptGuard.java
@@ -0,0 +1,100 @@
+package tinford.decision;
+
+import tinford.api.AttemptLimits;
+import tinford.api.FleetPolicy;
+import tinford.api.Idempotency;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.api.Server;
+
+/** Every rule on attempts in one place; every attempt passes it. */
+final class AttemptGuard {
+    private final AttemptLimits limits;
+    private final SlowStart slowStart;
+    private final double tickMs;
+
+    /**
+     * @param tickMs how late this gateway may hear and act
+     */
+    AttemptGuard(AttemptLimits limits, SlowStart slowStart, double tickMs) {
+        this.limits = limits;
+        this.slowStart = slowStart;
+        this.tickMs = tickMs;
+    }
+
+    /** Whether the request may be sent to the server now. */
+    boolean allows(Batch batch, PendingRequest pending, ServerStats server) {
+        double nowMs = batch.nowMs;
+        if (pending.over
+                || pending.responseStarted
+                || nowMs >= pending.request.deadlineMs
+                || server.server.state != Server.State.UP
+                || hasNoAttemptLeft(pending)) {
+            return false;
+        }
+        if (pending.isFirstAttempt()) {
+            if (!pending.quota.mayOpen(pending.request.units, nowMs)) {
+                return false;
+            }
+        } else if (!mayBeRepeatedAt(pending, server.server, nowMs)) {
+            return false;
+        }
+        return fleetAllows(batch.policy, pending, server)
+                && (!slowStart.isWarmingUp(server.server, nowMs) || server.slowStartCredit >= 1);
+    }
+
+    boolean hasNoAttemptLeft(PendingRequest pending) {
+        return pending.attempts.size() >= limits.maxAttempts;
+    }
+
+    private boolean mayBeRepeatedAt(PendingRequest pending, Server server, double nowMs) {
+        RequestClass requestClass = pending.request.requestClass;
+        for (Attempt earlier : pending.attempts) {
+            if (earlier.outcome == null && !limits.hedgingAllowed) {
+                return false;
+            }
+            if (!earlier.mayHaveRun() || requestClass.idempotency == Idempotency.IDEMPOTENT) {
+                continue;
+            }
+            if (requestClass.idempotency == Idempotency.NON_IDEMPOTENT
+                    || !isDeduplicated(requestClass, earlier.server.server, server)
+                    || pending.deduplicationLeftMs(nowMs, tickMs) <= 0) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private static boolean isDeduplicated(
+            RequestClass requestClass, Server earlier, Server server) {
+        return switch (requestClass.deduplicationScope) {
+            case ALL -> true;
+            case ZONE -> earlier.zone.equals(server.zone);
+            case CELL -> earlier.cell == server.cell;
+        };
+    }
+
+    private static boolean fleetAllows(
+            FleetPolicy policy, PendingRequest pending, ServerStats server) {
+        Request request = pending.request;
+        if (!policy.allowsServer(request, server.server, lastServerThatMayHaveRun(pending))) {
+            return false;
+        }
+        if (server.running.size() >= policy.connectionLimit(server.server)
+                || pending.quota.openAttempts() >= policy.tenantAttemptLimit(request.tenant)) {
+            policy.requestBlocked(request);
+            return false;
+        }
+        return true;
+    }
+
+    private static Server lastServerThatMayHaveRun(PendingRequest pending) {
+        Server last = null;
+        for (Attempt earlier : pending.attempts) {
+            if (earlier.mayHaveRun()) {
+                last = earlier.server.server;
+            }
+        }
+        return last;
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/tinford/decision/Batch.java
@@ -0,0 +1,24 @@
+package tinford.decision;
+
+import tinford.api.FleetPolicy;
+import tinford.api.GatewayActions;
+
+/**
+ * The batch of events that is being handled: when it came, what the fleet allows, and where
+ * decisions go.
+ */
+final class Batch {
+    final double nowMs;
+    final GatewayActions actions;
+    final FleetPolicy policy;
+
+    Batch(double nowMs, GatewayActions actions, FleetPolicy policy) {
+        this.nowMs = nowMs;
+        this.actions = actions;
+        this.policy = policy;
+    }
+
+    Batch withPolicy(FleetPolicy changed) {
+        return new Batch(nowMs, actions, changed);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/tinford/decision/LoadBalancer.java
@@ -0,0 +1,241 @@
+package tinford.decision;
+
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import tinford.api.AttemptOutcome;
+import tinford.api.Request;
+import tinford.api.Server;
+
+/** Picks a server for each attempt, and learns from how attempts end. */
+final class LoadBalancer {
+    /**
+     * Servers are filled to a third of their limits first, then to two thirds, then to the limits.
+     */
+    private static final int FILL_PASSES = 3;
+
+    /**
+     * The usual time of an attempt, as a multiple of the fleet's mean latency, and its bounds
+     * relative to the objective.
+     */
+    private static final double TYPICAL_MULTIPLE = 1.3;
+
+    private static final double MIN_TYPICAL = 0.1;
+    private static final double MAX_TYPICAL = 0.8;
+
+    private final AttemptGuard guard;
+    private final SlowStart slowStart;
+    private final RequestSizeModel sizes;
+    private final Random random;
+    private final OpenAttempts openAttempts = new OpenAttempts();
+    private final OutlierDetector outliers = new OutlierDetector();
+    private final ServerRanking ranking;
+
+    /** In the order of the lists: random numbers are drawn in it. */
+    private final Set<ServerStats> servers = new LinkedHashSet<>();
+
+    LoadBalancer(
+            AttemptGuard guard,
+            SlowStart slowStart,
+            RequestSizeModel sizes,
+            int gatewayCount,
+            Random random) {
+        this.guard = guard;
+        this.slowStart = slowStart;
+        this.sizes = sizes;
+        this.random = random;
+        this.ranking = new ServerRanking(slowStart, outliers, openAttempts, gatewayCount, random);
+    }
+
+    /**
+     * @param complete whether servers that are not named are gone
+     */
+    void updateEndpoints(List<Server> entries, boolean complete, double nowMs) {
+        Set<Server> named = new HashSet<>(entries);
+        for (ServerStats known : servers) {
+            if (complete && !named.contains(known.server)) {
+                known.server.state = Server.State.REMOVED;
+            }
+        }
+        servers.removeIf(
+                known -> known.server.state == Server.State.REMOVED && known.running.isEmpty());
+        for (Server entry : entries) {
+            if (entry.state != Server.State.REMOVED && !isKnown(entry)) {
+                ServerStats added = new ServerStats(entry, random.nextDouble());
+                entry.attach(added);
+                servers.add(added);
+            }
+        }
+        updateRanking(nowMs);
+    }
+
+    private boolean isKnown(Server entry) {
+        return entry.decisionState() != null && servers.contains(ServerStats.of(entry));
+    }
+
+    int serverCount() {
+        return servers.size();
+    }
+
+    void updateRanking(double nowMs) {
+        ranking.update(servers, nowMs);
+    }
+
+    /**
+     * Connections that were just opened or used are the least likely to break under the next
+     * request.
+     */
+    void closeIdleConnections(Batch batch) {
+        for (ServerStats known : servers) {
+            batch.actions.closeIdleConnections(known.server);
+        }
+    }
+
+    /** What an attempt for the request usually takes. */
+    double typicalMs(Request request) {
+        double relative =
+                TYPICAL_MULTIPLE * ranking.fleetLatency() * sizes.relativeSize(request.units);
+        return Math.min(MAX_TYPICAL, Math.max(MIN_TYPICAL, relative))
+                * request.requestClass.latencyObjectiveMs;
+    }
+
+    /**
+     * Whether any server has a free slot; a gateway among many has part of a slot at each server.
+     */
+    boolean hasFreeSlot() {
+        return !openAttempts.isFull()
+                && ranking.ranked().stream()
+                        .anyMatch(server -> server.running.size() < server.limiter.slots);
+    }
+
+    /** The server for the next attempt of the request, or null where it has to wait. */
+    ServerStats pick(Batch batch, PendingRequest pending) {
+        if (openAttempts.isFull()) {
+            return null;
+        }
+        // what holds the request back at every server alike is asked once: the queue may be waiting
+        // for it
+        if (pending.isFirstAttempt()
+                && !pending.quota.mayOpen(pending.request.units, batch.nowMs)) {
+            return null;
+        }
+        ServerStats earned = pickWarmingUp(batch, pending);
+        return earned != null ? earned : pickRanked(batch, pending);
+    }
+
+    private ServerStats pickWarmingUp(Batch batch, PendingRequest pending) {
+        for (ServerStats server : ranking.warmingUp()) {
+            if (batch.nowMs >= server.ejectedUntilMs && guard.allows(batch, pending, server)) {
+                return server;
+            }
+        }
+        return null;
+    }
+
+    private ServerStats pickRanked(Batch batch, PendingRequest pending) {
+        for (int pass = 1; pass <= FILL_PASSES; pass++) {
+            for (ServerStats server : ranking.ranked()) {
+                if (server.running.size()
+                                < Math.ceil(server.limiter.slots * pass / (double) FILL_PASSES)
+                        && server.mayBeTried(batch.nowMs, batch.policy)
+                        && guard.allows(batch, pending, server)) {
+                    return server;
+                }
+            }
+        }
+        return null;
+    }
+
+    /** Notes that an attempt leaves for the server. */
+    Attempt startAttempt(PendingRequest pending, ServerStats server, double nowMs) {
+        double units = pending.request.units;
+        Attempt attempt = new Attempt(pending, server, nowMs, sizes.relativeSize(units));
+        server.running.add(attempt);
+        openAttempts.attemptSent();
+        if (slowStart.isWarmingUp(server.server, nowMs)) {
+            server.slowStartCredit -= units / sizes.meanUnits();
+        }
+        return attempt;
+    }
+
+    /**
+     * Where no server is warm, each request within its quota counts as the answer of a warm one.
+     */
+    void requestOffered(double nowMs) {
+        if (ranking.warmingUp().size() == ranking.ranked().size()) {
+            earnSlowStartCredit(nowMs);
+        }
+    }
+
+    private void earnSlowStartCredit(double nowMs) {
+        slowStart.earn(ranking.warmingUp(), ranking.ranked().size(), nowMs);
+    }
+
+    /**
+     * Learns from an attempt that has ended, or whose streamed response has started: how long the
+     * rest takes is up to its client.
+     */
+    void finishAttempt(
+            Batch batch, Attempt attempt, AttemptOutcome outcome, double tookMs, double units) {
+        ServerStats server = attempt.server;
+        double objectiveMs = attempt.pending.request.requestClass.latencyObjectiveMs;
+        server.running.remove(attempt);
+        openAttempts.attemptEnded(attempt);
+        if (outcome == AttemptOutcome.SUCCESS) {
+            if (tookMs <= objectiveMs) {
+                batch.policy.serverHealthChanged(server.server, false);
+            }
+            server.consecutiveRefusals = 0;
+        }
+        double latency = tookMs / objectiveMs;
+        switch (outcome) {
+            case SUCCESS -> recordSuccess(attempt, latency, units, batch.nowMs);
+            case TIMED_OUT ->
+                    recordAnswer(
+                            attempt,
+                            Math.max(1, latency / attempt.relativeSize),
+                            !attempt.countedLate,
+                            batch.nowMs);
+            case ERROR, CONNECTION_LOST -> recordError(batch, attempt);
+            case OVERLOADED, UNREACHABLE -> recordRefusal(batch, server, outcome);
+            default -> {}
+        }
+    }
+
+    private void recordSuccess(Attempt attempt, double latency, double units, double nowMs) {
+        if (!slowStart.isWarmingUp(attempt.server.server, nowMs)) {
+            earnSlowStartCredit(nowMs);
+        }
+        sizes.observe(units, latency);
+        boolean failure = latency > 1 && !attempt.countedLate;
+        recordAnswer(attempt, latency / sizes.relativeSize(units), failure, nowMs);
+    }
+
+    /**
+     * What fails at once is free at once: an outlier is left alone, or it would get many attempts a
+     * second.
+     */
+    private void recordError(Batch batch, Attempt attempt) {
+        ServerStats server = attempt.server;
+        recordAnswer(attempt, server.meanLatency, true, batch.nowMs);
+        server.outlier = outliers.isOutlier(server, batch.nowMs);
+        if (server.outlier) {
+            server.eject(batch.nowMs);
+            batch.policy.serverHealthChanged(server.server, true);
+        }
+    }
+
+    /** An overloaded server is not unhealthy: all of them may be full. */
+    private static void recordRefusal(Batch batch, ServerStats server, AttemptOutcome outcome) {
+        server.eject(batch.nowMs);
+        if (outcome == AttemptOutcome.UNREACHABLE) {
+            batch.policy.serverHealthChanged(server.server, true);
+        }
+    }
+
+    private void recordAnswer(Attempt attempt, double latency, boolean failure, double nowMs) {
+        attempt.server.recordAnswer(nowMs, latency, ranking.fleetLatency(), failure);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/tinford/decision/ServerRanking.java
@@ -0,0 +1,106 @@
+package tinford.decision;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.List;
+import java.util.Random;
+import tinford.api.Server;
+
+/** The order in which servers are filled, renewed by a timer from what was measured since. */
+final class ServerRanking {
+    /** Attempts at a server of middling weight at first, over all gateways together. */
+    private static final double INITIAL_LIMIT_OVER_ALL_GATEWAYS = 5;
+
+    /** Answers that the initial latency counts for. */
+    private static final double PRIOR_ANSWERS = 4;
+
+    private final SlowStart slowStart;
+    private final OutlierDetector outliers;
+    private final OpenAttempts openAttempts;
+    private final Random random;
+    private final double initialLimit;
+    private final List<ServerStats> ranked = new ArrayList<>();
+    private final List<ServerStats> warmingUp = new ArrayList<>();
+    private double fleetLatency = RequestSizeModel.INITIAL_RELATIVE_LATENCY;
+
+    ServerRanking(
+            SlowStart slowStart,
+            OutlierDetector outliers,
+            OpenAttempts openAttempts,
+            int gatewayCount,
+            Random random) {
+        this.slowStart = slowStart;
+        this.outliers = outliers;
+        this.openAttempts = openAttempts;
+        this.random = random;
+        this.initialLimit = INITIAL_LIMIT_OVER_ALL_GATEWAYS / gatewayCount;
+    }
+
+    /** Servers that are up, the best first. */
+    List<ServerStats> ranked() {
+        return ranked;
+    }
+
+    /** Of these, the servers that are warming up, in random order. */
+    List<ServerStats> warmingUp() {
+        return warmingUp;
+    }
+
+    /** Mean relative latency over all servers. */
+    double fleetLatency() {
+        return fleetLatency;
+    }
+
+    void update(Collection<ServerStats> servers, double nowMs) {
+        collect(servers, nowMs);
+        // all gateways have the same list: none of its servers is to be the first at all of them
+        Collections.shuffle(warmingUp, random);
+        updateLimits(nowMs);
+        outliers.updateMedian(ranked, nowMs);
+        for (ServerStats server : ranked) {
+            server.outlier = outliers.isOutlier(server, nowMs);
+            server.updateRank();
+        }
+        ranked.sort((a, b) -> Double.compare(a.rank, b.rank));
+    }
+
+    private void collect(Collection<ServerStats> servers, double nowMs) {
+        ranked.clear();
+        warmingUp.clear();
+        double latencySum = PRIOR_ANSWERS * RequestSizeModel.INITIAL_RELATIVE_LATENCY;
+        double answers = PRIOR_ANSWERS;
+        for (ServerStats server : servers) {
+            if (server.server.state != Server.State.UP) {
+                continue;
+            }
+            ranked.add(server);
+            if (server.hasRestarted()) {
+                server.reset(random.nextDouble());
+            }
+            if (slowStart.isWarmingUp(server.server, nowMs)) {
+                warmingUp.add(server);
+            }
+            server.updateTotals(nowMs);
+            latencySum += server.recentLatencySum;
+            answers += server.recentAnswers;
+        }
+        fleetLatency = latencySum / answers;
+    }
+
+    private void updateLimits(double nowMs) {
+        double meanWeight =
+                ranked.stream().mapToDouble(server -> server.server.weight).average().orElse(1);
+        int peakOpen = openAttempts.peak();
+        double limitSum = openAttempts.limitSum();
+        for (ServerStats server : ranked) {
+            server.updateMeanLatency(nowMs, fleetLatency, openAttempts);
+            double weight = server.server.weight;
+            double relativeWeight = meanWeight > 0 && weight > 0 ? weight / meanWeight : 1;
+            server.limiter.update(
+                    initialLimit * relativeWeight, server.meanLatency, peakOpen, limitSum, random);
+        }
+        openAttempts.updateLimit(
+                ranked.stream().mapToDouble(server -> server.limiter.limit).sum(), random);
+    }
+}
--- a/gateway/src/test/java/tinford/DecisionFixture.java
+++ b/gateway/src/test/java/tinford/decision/DecisionFixture.java
@@ -1,13 +1,11 @@
-package tinford;
+package tinford.decision;
 
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 import tinford.api.*;
-import tinford.decision.DecisionEngine;
 
 /** A gateway with its decisions written down as text, one line each; time moves only when told. */
 public final class DecisionFixture implements GatewayActions {
@@ -200,31 +198,12 @@
 
     /** How many customers, servers and calls the gateway keeps notes of. */
     int kept() {
-        try {
-            return size("quotas", "books") + size("quotas", "calls") + size("fleet", "nodes");
-        } catch (ReflectiveOperationException e) {
-            throw new AssertionError(e);
-        }
+        return gateway.trackedEntries();
     }
 
     /** How many plans the gateway keeps notes of. */
     int plansKept() {
-        try {
-            var tallies = DecisionEngine.class.getDeclaredField("tallies");
-            tallies.setAccessible(true);
-            return ((Map<?, ?>) tallies.get(gateway)).size();
-        } catch (ReflectiveOperationException e) {
-            throw new AssertionError(e);
-        }
-    }
-
-    private int size(String part, String field) throws ReflectiveOperationException {
-        var of = DecisionEngine.class.getDeclaredField(part);
-        of.setAccessible(true);
-        var in = of.getType().getDeclaredField(field);
-        in.setAccessible(true);
-        Object all = in.get(of.get(gateway));
-        return all instanceof Map<?, ?> m ? m.size() : ((Collection<?>) all).size();
+        return gateway.trackedPlans();
     }
 
     static long count(List<String> said, String start) {
--- a/gateway/src/test/java/tinford/PlanChangeTest.java
+++ b/gateway/src/test/java/tinford/decision/PlanChangeTest.java
@@ -1,4 +1,4 @@
-package tinford;
+package tinford.decision;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/gateway/src/test/java/tinford/routing/RoutingTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingTest.java
@@ -18,7 +18,6 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.DecisionFixture;
 import tinford.api.AttemptOutcome;
 import tinford.api.DecisionModule;
 import tinford.api.DeduplicationScope;
@@ -26,6 +25,7 @@
 import tinford.api.Plan;
 import tinford.api.Request;
 import tinford.api.RequestClass;
+import tinford.decision.DecisionFixture;
 import tinford.transport.CloseReason;
 import tinford.transport.EventLoop;
 
--- a/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
+++ b/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
@@ -23,7 +23,6 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.DecisionFixture;
 import tinford.api.AttemptOutcome;
 import tinford.api.DeduplicationScope;
 import tinford.api.Idempotency;
@@ -31,6 +30,7 @@
 import tinford.api.Request;
 import tinford.api.RequestClass;
 import tinford.api.Server;
+import tinford.decision.DecisionFixture;
 import tinford.settings.JsonFields;
 
 /**
--- a/gateway/src/test/java/tinford/routing/ServersListTest.java
+++ b/gateway/src/test/java/tinford/routing/ServersListTest.java
@@ -20,9 +20,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.DecisionFixture;
 import tinford.api.FleetPolicy;
 import tinford.api.Server;
+import tinford.decision.DecisionFixture;
 import tinford.settings.JsonFields;
 
 /** The table of servers under lists: what is left and in which order, and whose names are known. */
--- a/gateway/src/test/java/tinford/routing/WatchBed.java
+++ b/gateway/src/test/java/tinford/routing/WatchBed.java
@@ -24,8 +24,8 @@
 import java.util.function.IntFunction;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
-import tinford.DecisionFixture;
 import tinford.api.Server;
+import tinford.decision.DecisionFixture;
 import tinford.settings.JsonFields;
 import tinford.transport.UdpSocket;
 
