--- a/gateway/src/test/java/tinford/routing/LeavingTest.java
+++ b/gateway/src/test/java/tinford/routing/LeavingTest.java
@@ -276,7 +276,7 @@
         assertEquals(hear(), "arrived");
         go(s, how);
         assertEquals(hear(), "left");
-        assertEquals(hear(), "ended VOID");
+        assertEquals(hear(), "ended NOT_SENT");
     }
 
     /** Answered at the process's end, it must not leave in the moments that are left. */
@@ -294,7 +294,7 @@
                         StandardCharsets.ISO_8859_1),
                 answer);
         assertEquals(hear(), "left");
-        assertEquals(hear(), "ended VOID");
+        assertEquals(hear(), "ended NOT_SENT");
     }
 
     @DataProvider
@@ -323,7 +323,7 @@
                         default -> list(false, entry("s0", full, how, 0));
                     }
                 });
-        assertEquals(hear(), "ended VOID");
+        assertEquals(hear(), "ended NOT_SENT");
     }
 
     /**
@@ -336,7 +336,7 @@
         within = 50;
         say(client(), ask(1));
         assertEquals(hear(), "arrived");
-        assertEquals(hear(), "ended VOID");
+        assertEquals(hear(), "ended NOT_SENT");
         first = null;
         turn(() -> list(true, entry("s1", other, "ready", 0)));
         within = PATIENCE;
@@ -351,7 +351,7 @@
                         .startsWith("*4"));
         assertEquals(hear(), "arrived");
         say(server, "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
-        assertEquals(hear(), "ended GOOD");
+        assertEquals(hear(), "ended SUCCESS");
     }
 
     /** A command that its server does not read has not left whole: the rest of it stays here. */
@@ -368,7 +368,7 @@
         assertEquals(hear(), "arrived");
         go(s, "closes");
         assertEquals(hear(), "left");
-        assertEquals(hear(), "ended VOID");
+        assertEquals(hear(), "ended NOT_SENT");
     }
 
     /**
--- a/gateway/src/test/java/tinford/routing/RoutingTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingTest.java
@@ -371,7 +371,7 @@
                 s.getInputStream().readNBytes(41);
                 s.getOutputStream().write("$1\r\n7\r\n".getBytes(StandardCharsets.US_ASCII));
                 assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 late 4.0");
-                assertEquals(counted.poll(10, TimeUnit.SECONDS), "2 GOOD 7.0");
+                assertEquals(counted.poll(10, TimeUnit.SECONDS), "2 SUCCESS 7.0");
             }
             desk.loop.close();
         }
@@ -417,12 +417,12 @@
                 try (Socket after = next.accept()) {
                     before.getOutputStream()
                             .write("$1\r\n4\r\n".getBytes(StandardCharsets.US_ASCII));
-                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 GOOD 4.0");
+                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 SUCCESS 4.0");
                     assertEquals(before.getInputStream().read(), -1);
                     after.getInputStream().readNBytes(41);
                     after.getOutputStream()
                             .write("$1\r\n6\r\n".getBytes(StandardCharsets.US_ASCII));
-                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 GOOD 6.0");
+                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 SUCCESS 6.0");
                 }
             }
             desk.loop.close();
@@ -481,15 +481,15 @@
                 s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
                 assertEquals(
                         counted.poll(10, TimeUnit.SECONDS),
-                        answers == 2 ? "1 GOOD 5.0" : "1 BROKEN 0.0");
+                        answers == 2 ? "1 SUCCESS 5.0" : "1 CONNECTION_LOST 0.0");
                 assertEquals(
                         counted.poll(10, TimeUnit.SECONDS),
-                        answers == 2 ? "2 GOOD 6.0" : "2 BROKEN 0.0");
+                        answers == 2 ? "2 SUCCESS 6.0" : "2 CONNECTION_LOST 0.0");
                 try (Socket next = door.accept()) {
                     desk.loop.execute(() -> counter.add(3, 1, 1000));
                     next.getInputStream().readNBytes(41);
                     next.getOutputStream().write("$1\r\n8\r\n".getBytes(StandardCharsets.US_ASCII));
-                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "3 GOOD 8.0");
+                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "3 SUCCESS 8.0");
                 }
             }
             desk.loop.close();
--- a/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
+++ b/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
@@ -227,7 +227,7 @@
             return; // it flows, and no time counts
         }
         ping();
-        assertEquals(ended, List.of(inTime ? "GOOD closed" : "TIMED_OUT"));
+        assertEquals(ended, List.of(inTime ? "SUCCESS closed" : "TIMED_OUT"));
         if (!inTime) {
             assertEquals(server.getInputStream().read(), -1);
         }
@@ -258,6 +258,6 @@
         assertEquals(hear(client, 9), "$3\r\ntwo\r\n");
         assertEquals(server.getInputStream().read(), -1);
         ping();
-        assertEquals(ended, List.of("GOOD closed", "GOOD closed"));
+        assertEquals(ended, List.of("SUCCESS closed", "SUCCESS closed"));
     }
 }
--- a/lab/src/main/java/tinford/lab/fleet/Runs.java
+++ b/lab/src/main/java/tinford/lab/fleet/Runs.java
@@ -4,7 +4,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import tinford.api.AttemptOutcome;
 import tinford.api.Idempotency;
 
 /**
@@ -37,7 +36,7 @@
                                             List.of(first, l)));
             its.add(l);
         } else if (l.kind().equals("ended")
-                && !AttemptOutcome.valueOf(l.text("how")).mayHaveRun
+                && !HistoryOutcome.parse(l.text("how")).mayHaveRun
                 && runs.containsKey(request)) {
             runs.get(request).removeIf(run -> run.text("server").equals(l.text("server")));
         }
--- a/lab/src/main/java/tinford/lab/sockets/ServerStandIn.java
+++ b/lab/src/main/java/tinford/lab/sockets/ServerStandIn.java
@@ -11,6 +11,7 @@
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 import tinford.api.AttemptOutcome;
 import tinford.api.Server;
+import tinford.lab.fleet.HistoryOutcome;
 import tinford.lab.model.Machine;
 import tinford.lab.model.Try;
 import tinford.lab.scenario.Scenario;
@@ -234,7 +235,8 @@
 
     private void finish(Wire wire, String id, Try.Hop dispatch, AttemptOutcome end) {
         dispatch.end = dispatch.end == null ? end : dispatch.end;
-        context.between.tell("ended", "server", machine.id, "req", id, "how", end.name());
+        context.between.tell(
+                "ended", "server", machine.id, "req", id, "how", HistoryOutcome.nameOf(end));
         try {
             switch (end) {
                 case SUCCESS -> wire.say("*3\r\n$16\r\n" + id + "\r\n$-1\r\n$-1\r\n");
