--- a/fleet/src/main/java/tinford/fleet/run/MigrationCoordinator.java
+++ b/fleet/src/main/java/tinford/fleet/run/MigrationCoordinator.java
@@ -128,13 +128,13 @@
             double all = 0;
             double warm = 0;
             for (Server s : servers.values()) {
-                if (s.group.equals(g.getKey()) && s.state != Server.State.REMOVED) {
-                    all += s.weight;
+                if (s.group().equals(g.getKey()) && s.state() != Server.State.REMOVED) {
+                    all += s.weight();
                     warm +=
-                            s.state == Server.State.UP
-                                            && (s.startedAtMs <= 0
-                                                    || now - s.startedAtMs >= settings.coldTime())
-                                    ? s.weight
+                            s.state() == Server.State.UP
+                                            && (s.startedAtMs() <= 0
+                                                    || now - s.startedAtMs() >= settings.coldTime())
+                                    ? s.weight()
                                     : 0;
                 }
             }
@@ -202,15 +202,15 @@
         if (servers.size() < MOST_SERVERS) {
             servers.putIfAbsent(srv.id, srv);
         } else if (!servers.containsKey(srv.id)) {
-            servers.values().removeIf(s -> s.state == Server.State.REMOVED);
+            servers.values().removeIf(s -> s.state() == Server.State.REMOVED);
         }
         return !left.getAsBoolean()
                         && route.mayGo(
                                 request.requestClass.name,
                                 request.tenant.id,
                                 request.markedAsRetry,
-                                srv.group,
-                                first == null ? null : first.group,
+                                srv.group(),
+                                first == null ? null : first.group(),
                                 now)
                 || !settings.homes().containsKey(request.requestClass.name);
     }
@@ -244,7 +244,7 @@
     void ended(Request request, Server srv, AttemptOutcome how, boolean late) {
         if (how != AttemptOutcome.CANCELLED && how != AttemptOutcome.NOT_SENT) {
             route.ended(
-                    request.requestClass.name, srv.group, how == AttemptOutcome.SUCCESS && !late);
+                    request.requestClass.name, srv.group(), how == AttemptOutcome.SUCCESS && !late);
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
+++ b/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
@@ -229,7 +229,7 @@
         for (Server s : servers.values()) {
             if (told < OFFERS_A_ROUND && stateMachine.ledger.number(s.id) < 0) {
                 told++;
-                append(new LedgerEntry.Offer(s.id, (long) s.startedAtMs, offer, now).bytes());
+                append(new LedgerEntry.Offer(s.id, (long) s.startedAtMs(), offer, now).bytes());
             }
         }
         byte[] grant = proposer.propose(stateMachine.ledger, now);
--- a/fleet/src/test/java/tinford/fleet/run/MigrationCoordinatorTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MigrationCoordinatorTest.java
@@ -226,9 +226,8 @@
             for (String f : List.of("web", "mid", "base")) {
                 for (String group : List.of("a", "b")) {
                     Server srv = new Server(group);
-                    srv.group = group;
-                    srv.weight = 1;
-                    srv.state = Server.State.UP;
+                    srv.updateAttributes("", 0, group, 1);
+                    srv.updateState(Server.State.UP);
                     Request request =
                             new Request(
                                     1,
@@ -255,7 +254,7 @@
 
         private boolean goes(Seat s, String frontend, long customer, String group) {
             Server srv = new Server("promise " + group);
-            srv.group = group;
+            srv.updateAttributes("", 0, group, 0);
             return s.mover.mayGo(
                     new Request(
                             1, frontend(frontend), new Tenant(customer, null, 1, 0), 0, 1, false),
--- a/gateway/src/main/java/tinford/decision/AttemptGuard.java
+++ b/gateway/src/main/java/tinford/decision/AttemptGuard.java
@@ -28,7 +28,7 @@
         if (pending.over
                 || pending.responseStarted
                 || nowMs >= pending.request.deadlineMs
-                || server.server.state != Server.State.UP
+                || server.server.state() != Server.State.UP
                 || hasNoAttemptLeft(pending)) {
             return false;
         }
@@ -69,8 +69,8 @@
             RequestClass requestClass, Server earlier, Server server) {
         return switch (requestClass.deduplicationScope) {
             case ALL -> true;
-            case ZONE -> earlier.zone.equals(server.zone);
-            case CELL -> earlier.cell == server.cell;
+            case ZONE -> earlier.zone().equals(server.zone());
+            case CELL -> earlier.cell() == server.cell();
         };
     }
 
--- a/gateway/src/main/java/tinford/decision/LoadBalancer.java
+++ b/gateway/src/main/java/tinford/decision/LoadBalancer.java
@@ -56,13 +56,13 @@
         Set<Server> named = new HashSet<>(entries);
         for (ServerStats known : servers) {
             if (complete && !named.contains(known.server)) {
-                known.server.state = Server.State.REMOVED;
+                known.server.updateState(Server.State.REMOVED);
             }
         }
         servers.removeIf(
-                known -> known.server.state == Server.State.REMOVED && known.running.isEmpty());
+                known -> known.server.state() == Server.State.REMOVED && known.running.isEmpty());
         for (Server entry : entries) {
-            if (entry.state != Server.State.REMOVED && !isKnown(entry)) {
+            if (entry.state() != Server.State.REMOVED && !isKnown(entry)) {
                 ServerStats added = new ServerStats(entry, random.nextDouble());
                 entry.attach(added);
                 servers.add(added);
--- a/gateway/src/main/java/tinford/decision/ServerRanking.java
+++ b/gateway/src/main/java/tinford/decision/ServerRanking.java
@@ -71,7 +71,7 @@
         double latencySum = PRIOR_ANSWERS * RequestSizeModel.INITIAL_RELATIVE_LATENCY;
         double answers = PRIOR_ANSWERS;
         for (ServerStats server : servers) {
-            if (server.server.state != Server.State.UP) {
+            if (server.server.state() != Server.State.UP) {
                 continue;
             }
             ranked.add(server);
@@ -90,12 +90,12 @@
 
     private void updateLimits(double nowMs) {
         double meanWeight =
-                ranked.stream().mapToDouble(server -> server.server.weight).average().orElse(1);
+                ranked.stream().mapToDouble(server -> server.server.weight()).average().orElse(1);
         int peakOpen = openAttempts.peak();
         double limitSum = openAttempts.limitSum();
         for (ServerStats server : ranked) {
             server.updateMeanLatency(nowMs, fleetLatency, openAttempts);
-            double weight = server.server.weight;
+            double weight = server.server.weight();
             double relativeWeight = meanWeight > 0 && weight > 0 ? weight / meanWeight : 1;
             server.limiter.update(
                     initialLimit * relativeWeight, server.meanLatency, peakOpen, limitSum, random);
--- a/gateway/src/main/java/tinford/decision/ServerStats.java
+++ b/gateway/src/main/java/tinford/decision/ServerStats.java
@@ -92,10 +92,10 @@
 
     /** Whether the server was started again since this was last asked. */
     boolean hasRestarted() {
-        if (knownStartMs == server.startedAtMs) {
+        if (knownStartMs == server.startedAtMs()) {
             return false;
         }
-        knownStartMs = server.startedAtMs;
+        knownStartMs = server.startedAtMs();
         return true;
     }
 
--- a/gateway/src/main/java/tinford/routing/ServerPool.java
+++ b/gateway/src/main/java/tinford/routing/ServerPool.java
@@ -69,9 +69,9 @@
         for (JsonFields e : hosts) {
             PooledServer b = backends.computeIfAbsent(e.text("host"), this::newBackend);
             b.listed = state(e);
-            b.state = state(b);
+            b.updateState(state(b));
             entries.add(b);
-            if (b.state == Server.State.REMOVED) {
+            if (b.state() == Server.State.REMOVED) {
                 continue; // of what is gone nothing else needs to be told
             }
             InetSocketAddress dial = Addresses.of(e, "dial");
@@ -81,21 +81,22 @@
             }
             b.dial = dial;
             b.listedBorn = born;
-            b.startedAtMs = bans.born(b.id, born);
-            b.zone = e.text("site");
-            b.cell = (int) e.integer("block", 0);
-            b.group = e.has("class") ? e.text("class") : "";
-            b.weight = e.number("share", 1);
+            b.updateStartTime(bans.born(b.id, born));
+            b.updateAttributes(
+                    e.text("site"),
+                    (int) e.integer("block", 0),
+                    e.has("class") ? e.text("class") : "",
+                    e.number("share", 1));
         }
         desk.in.endpointsUpdated(entries, whole);
         left.forEach(this::leave);
         Set<Server> named = new HashSet<>(entries);
         for (PooledServer b : whole ? new ArrayList<>(backends.values()) : inOrder(named)) {
             boolean absent = whole && !named.contains(b);
-            if (b.state != Server.State.UP || absent) {
+            if (b.state() != Server.State.UP || absent) {
                 leave(b);
             }
-            if (b.state == Server.State.REMOVED || absent) {
+            if (b.state() == Server.State.REMOVED || absent) {
                 backends.remove(b.id);
                 gone.add(b.id);
             }
@@ -128,11 +129,11 @@
     /** Takes a line of the operators' record. */
     void ban(String line) {
         PooledServer b = backends.get(bans.take(line));
-        if (b == null || b.state == state(b)) {
+        if (b == null || b.state() == state(b)) {
             return;
         }
-        b.state = state(b);
-        b.startedAtMs = bans.born(b.id, b.listedBorn);
+        b.updateState(state(b));
+        b.updateStartTime(bans.born(b.id, b.listedBorn));
         leave(b);
         desk.in.endpointsUpdated(List.of(b), false);
     }
@@ -222,7 +223,7 @@
     }
 
     void free(ServerConnection link) {
-        if (link.backend.state == Server.State.UP
+        if (link.backend.state() == Server.State.UP
                 && link.backend.links - link.backend.leaving
                         <= desk.view.connectionLimit(link.backend)) {
             link.idleSince = desk.now;
--- a/gateway/src/main/java/tinford/simulator/SimulatedGateway.java
+++ b/gateway/src/main/java/tinford/simulator/SimulatedGateway.java
@@ -128,21 +128,23 @@
         List<Server> entries = new ArrayList<>();
         for (JsonFields e : l.sheet) {
             Server srv = servers.computeIfAbsent(e.text("Server"), Server::new);
-            srv.zone = e.text("FailureDomain");
-            srv.cell = (int) e.integer("Bay", 0);
-            srv.weight = e.number("Size", 1);
-            srv.startedAtMs = e.millis("BornUs");
-            srv.state =
-                    switch (e.text("Condition")) {
-                        case "up" -> Server.State.UP;
-                        case "draining" -> Server.State.DRAINING;
-                        case "removed" -> Server.State.REMOVED;
-                        default -> throw e.invalid("Condition", "up, draining or removed");
-                    };
+            srv.updateAttributes(
+                    e.text("FailureDomain"), (int) e.integer("Bay", 0), "", e.number("Size", 1));
+            srv.updateStartTime(e.millis("BornUs"));
+            srv.updateState(serverState(e));
             entries.add(srv);
         }
         in.endpointsUpdated(entries, !scope.equals("changes"));
-        servers.values().removeIf(srv -> srv.state == Server.State.REMOVED);
+        servers.values().removeIf(srv -> srv.state() == Server.State.REMOVED);
+    }
+
+    private static Server.State serverState(JsonFields entry) {
+        return switch (entry.text("Condition")) {
+            case "up" -> Server.State.UP;
+            case "draining" -> Server.State.DRAINING;
+            case "removed" -> Server.State.REMOVED;
+            default -> throw entry.invalid("Condition", "up, draining or removed");
+        };
     }
 
     private void request(WireMessage l, GatewayEvents in) {
--- a/gateway/src/test/java/tinford/decision/DecisionEngineTest.java
+++ b/gateway/src/test/java/tinford/decision/DecisionEngineTest.java
@@ -286,7 +286,7 @@
             for (String s : said) {
                 if (!s.startsWith("dispatch")) continue;
                 again++;
-                assertEquals(bed.srv(s.split(" ")[2]).cell, bed.srv(first.split(" ")[2]).cell);
+                assertEquals(bed.srv(s.split(" ")[2]).cell(), bed.srv(first.split(" ")[2]).cell());
                 bed.ends(req, 1, AttemptOutcome.SUCCESS, true);
             }
             bed.pass(200);
@@ -364,7 +364,7 @@
     public void nothingNewGoesToAServerThatLeaves(Server.State state, boolean listed) {
         DecisionFixture bed = new DecisionFixture();
         bed.list("s1", "s2");
-        bed.srv("s2").state = state;
+        bed.srv("s2").updateState(state);
         List<Server> entries =
                 listed ? List.of(bed.srv("s1"), bed.srv("s2")) : List.of(bed.srv("s1"));
         bed.play(in -> in.endpointsUpdated(entries, true));
@@ -392,7 +392,7 @@
         double[] units = new double[2];
         for (int i = 0; i < 700; i++) {
             if (i == 500) {
-                bed.srv("cold").startedAtMs = bed.now;
+                bed.srv("cold").updateStartTime(bed.now);
                 bed.list("s1", "s2", "s3", "cold");
             }
             Request req = bed.req(c, READ, i % 10 == 0 ? large : small);
@@ -423,7 +423,7 @@
     @Test(dataProvider = "warmEnds")
     public void aColdServerEarnsByAnswersOfWarmOnes(AttemptOutcome how, boolean earns) {
         DecisionFixture bed = new DecisionFixture();
-        bed.srv("cold").startedAtMs = bed.now;
+        bed.srv("cold").updateStartTime(bed.now);
         bed.list("s1", "s2", "s3", "cold");
         Tenant c = DecisionFixture.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
         long sent = 0, toCold = 0;
@@ -455,7 +455,7 @@
     public void whereNoneIsWarmWhatItsQuotaDeniesEarnsNothing() {
         DecisionFixture bed = new DecisionFixture();
         String[] ids = {"c1", "c2", "c3", "c4", "c5"};
-        for (String id : ids) bed.srv(id).startedAtMs = bed.now;
+        for (String id : ids) bed.srv(id).updateStartTime(bed.now);
         bed.list(ids);
         Tenant over = DecisionFixture.customer(HARD), within = new Tenant(6, HARD, 2, 0);
         for (int i = 0; i < 60; i++)
@@ -475,15 +475,15 @@
         Map<String, Integer> firsts = new HashMap<>();
         for (int round = 0; round < 12; round++) {
             List<Request> out = new ArrayList<>();
-            for (Server s : cold) s.state = Server.State.DRAINING;
+            for (Server s : cold) s.updateState(Server.State.DRAINING);
             bed.play(in -> in.endpointsUpdated(cold, false));
             for (int i = 0; i < 6; i++) {
                 out.add(bed.req(c, READ, 1));
                 assertEquals(DecisionFixture.count(bed.ask(out.get(i), 0, 1), "dispatch"), 1);
             }
             for (Server s : cold) {
-                s.state = Server.State.UP;
-                s.startedAtMs = bed.now - 8000;
+                s.updateState(Server.State.UP);
+                s.updateStartTime(bed.now - 8000);
             }
             bed.play(in -> in.endpointsUpdated(cold, false));
             for (Request r : out)
--- a/gateway/src/test/java/tinford/decision/DecisionFixture.java
+++ b/gateway/src/test/java/tinford/decision/DecisionFixture.java
@@ -137,9 +137,9 @@
                 id,
                 k -> {
                     Server s = new Server(k);
-                    s.zone = k.startsWith("z") ? "b" : "a";
-                    s.cell = k.startsWith("s1") ? 1 : 2;
-                    s.state = Server.State.UP;
+                    s.updateAttributes(
+                            k.startsWith("z") ? "b" : "a", k.startsWith("s1") ? 1 : 2, "", 0);
+                    s.updateState(Server.State.UP);
                     return s;
                 });
     }
--- a/gateway/src/test/java/tinford/decision/ModuleTranscript.java
+++ b/gateway/src/test/java/tinford/decision/ModuleTranscript.java
@@ -85,7 +85,7 @@
 
         @Override
         public boolean ownsProbing(Server server) {
-            return server.cell % 2 == 0;
+            return server.cell() % 2 == 0;
         }
 
         @Override
@@ -100,7 +100,7 @@
 
         @Override
         public boolean allowsServer(Request request, Server server, Server earlierServer) {
-            return request.id % 7 != 0 || server.cell != 1;
+            return request.id % 7 != 0 || server.cell() != 1;
         }
 
         @Override
@@ -194,11 +194,9 @@
     List<String> play() {
         for (int i = 0; i < 7; i++) {
             Server server = new Server("s" + i);
-            server.zone = i % 2 == 0 ? "a" : "b";
-            server.cell = i / 2;
-            server.weight = 1 + i % 2;
-            server.state = Server.State.UP;
-            server.startedAtMs = i == 3 ? START_MS - 500 : 0;
+            server.updateAttributes(i % 2 == 0 ? "a" : "b", i / 2, "", 1 + i % 2);
+            server.updateState(Server.State.UP);
+            server.updateStartTime(i == 3 ? START_MS - 500 : 0);
             servers.add(server);
         }
         after(0, GatewayEvents::started);
@@ -246,12 +244,12 @@
     }
 
     private void restart(GatewayEvents events, Server server) {
-        server.startedAtMs = nowMs;
+        server.updateStartTime(nowMs);
         events.endpointsUpdated(List.of(server), false);
     }
 
     private void drain(GatewayEvents events, Server server) {
-        server.state = Server.State.DRAINING;
+        server.updateState(Server.State.DRAINING);
         events.endpointsUpdated(List.of(server), false);
     }
 
@@ -289,7 +287,7 @@
         line("attempt %d %s %s %s", request.id, server.id, timeoutMs, sendWithinMs);
         Progress progress = requests.get(request);
         int attempt = progress.attempts++;
-        boolean faulty = server.cell == 2 && nowMs > START_MS + 1200 && nowMs < START_MS + 3000;
+        boolean faulty = server.cell() == 2 && nowMs > START_MS + 1200 && nowMs < START_MS + 3000;
         AttemptOutcome outcome = AttemptOutcome.SUCCESS;
         double tookMs = 4 - Math.log(1 - random.nextDouble()) * 20 * request.units;
         if (faulty && random.nextInt(3) == 0) {
--- a/gateway/src/test/java/tinford/routing/WatchBed.java
+++ b/gateway/src/test/java/tinford/routing/WatchBed.java
@@ -231,7 +231,7 @@
                             held.clear();
                         }
                         entries.forEach(s -> held.put(((PooledServer) s).id, s));
-                        held.values().removeIf(s -> s.state == Server.State.REMOVED);
+                        held.values().removeIf(s -> s.state() == Server.State.REMOVED);
                         takenAt = takenAt < 0 && !held.containsKey("s0") ? now : takenAt;
                     }
 
--- a/gateway/src/test/java/tinford/routing/WatchTest.java
+++ b/gateway/src/test/java/tinford/routing/WatchTest.java
@@ -353,7 +353,7 @@
         start(1);
         play(100, new String[] {"0", HEAD + chunk(text)}, GOOD);
         assertEquals(held.keySet(), Set.of("s0", "s1"));
-        assertEquals(held.get("s0").state, Server.State.UP);
+        assertEquals(held.get("s0").state(), Server.State.UP);
         play(1000, new String[][] {GOOD});
         assertTrue(takenAt >= 0 && takenAt <= 350, "taken at " + takenAt);
         assertTrue(asked.size() == 2 && asked.get(1).contains("&after=42 "), asked.toString());
--- a/lab/src/main/java/tinford/lab/model/Node.java
+++ b/lab/src/main/java/tinford/lab/model/Node.java
@@ -74,21 +74,17 @@
 
     private static Server copy(Server old) {
         Server s = new Server(old.id);
-        s.zone = old.zone;
-        s.cell = old.cell;
-        s.state = old.state;
-        s.weight = old.weight;
-        s.startedAtMs = old.startedAtMs;
+        s.updateAttributes(old.zone(), old.cell(), old.group(), old.weight());
+        s.updateState(old.state());
+        s.updateStartTime(old.startedAtMs());
         return s;
     }
 
     private static Server entry(Machine m, Server.State state) {
         Server s = new Server(m.id);
-        s.zone = m.zone;
-        s.cell = m.cell;
-        s.weight = 1;
-        s.state = state;
-        s.startedAtMs = m.born;
+        s.updateAttributes(m.zone, m.cell, "", 1);
+        s.updateState(state);
+        s.updateStartTime(m.born);
         return s;
     }
 
@@ -155,8 +151,8 @@
             return;
         }
         Server s = servers.computeIfAbsent(m.id, id -> entry(m, state));
-        s.state = state;
-        s.startedAtMs = m.born;
+        s.updateState(state);
+        s.updateStartTime(m.born);
         if (state == Server.State.UP) {
             drainToldAt.remove(m.id);
         } else {
@@ -173,7 +169,7 @@
         Try t = (Try) request;
         double now = world.agenda.now();
         Machine m = world.machine(srv.id);
-        boolean told = srv.startedAtMs == m.born;
+        boolean told = srv.startedAtMs() == m.born;
         int no = t.hops.size();
         boolean first = t.hops.isEmpty();
         world.oracle.dispatched(
--- a/lab/src/test/java/tinford/lab/model/OracleTest.java
+++ b/lab/src/test/java/tinford/lab/model/OracleTest.java
@@ -41,7 +41,7 @@
         public void endpointsUpdated(List<Server> entries, boolean whole) {
             for (Server s : entries) {
                 servers.remove(s);
-                if (s.state == Server.State.UP || fault.equals("drain")) {
+                if (s.state() == Server.State.UP || fault.equals("drain")) {
                     servers.add(s);
                 }
             }
@@ -50,7 +50,7 @@
         private void send(Request request) {
             Server s = servers.get(next++ % servers.size());
             if (fault.equals("cold")) {
-                s = servers.stream().filter(x -> x.startedAtMs > 0).findFirst().orElse(s);
+                s = servers.stream().filter(x -> x.startedAtMs() > 0).findFirst().orElse(s);
             }
             out.sendAttempt(request, s, 0, Double.POSITIVE_INFINITY);
         }
