--- a/fleet/src/main/java/tinford/fleet/run/FleetMember.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetMember.java
@@ -107,7 +107,7 @@
     public FleetPolicy join(GatewayIdentity place, Consumer<EventLoop.Task> enter)
             throws IOException {
         double now = now();
-        incarnation = new Incarnation(place.number, (long) now);
+        incarnation = new Incarnation(place.number(), (long) now);
         mailbox =
                 new IoThreadMailbox(
                         LOSSY_CAPACITY, LOSSLESS_CAPACITY, what -> enter.accept(what::run));
@@ -116,7 +116,7 @@
         members =
                 new GossipMembership(
                         incarnation,
-                        place.gatewayCount,
+                        place.gatewayCount(),
                         every,
                         (int) operatorFile.number("talk.fanout"),
                         suspect,
@@ -134,8 +134,8 @@
                     new ReplicatedState(
                             operatorFile,
                             incarnation,
-                            place.gatewayCount,
-                            ReplicatedState.staticShares(operatorFile, place.gatewayCount),
+                            place.gatewayCount(),
+                            ReplicatedState.staticShares(operatorFile, place.gatewayCount()),
                             moves == null ? Map.of() : moves.homes(),
                             mailbox);
         }
@@ -167,7 +167,7 @@
         if (gatewaySettings.mayGossip()) {
             transport =
                     new UdpTransport(
-                            place.number,
+                            place.number(),
                             gatewaySettings.listen(),
                             gatewaySettings.peers(),
                             MOST_BYTES,
@@ -182,7 +182,7 @@
         LOG.log(
                 Level.INFO,
                 "one of a fleet of "
-                        + place.gatewayCount
+                        + place.gatewayCount()
                         + (transport == null
                                 ? "; the settings allow no messages between gateways"
                                 : ""));
--- a/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
@@ -23,7 +23,7 @@
         boolean mayGossip) {
     /** Its name among the followers of the control servers. */
     String followerId(GatewayIdentity place) {
-        return RecordChecks.isName(name) ? name : "gateway-" + place.number;
+        return RecordChecks.isName(name) ? name : "gateway-" + place.number();
     }
 
     static GatewaySettings read(String path) throws IOException {
--- a/gateway/src/main/java/tinford/api/AttemptLimits.java
+++ b/gateway/src/main/java/tinford/api/AttemptLimits.java
@@ -1,26 +1,19 @@
 package tinford.api;
 
-/** What the operators allow a gateway. */
-public final class AttemptLimits {
-    public final int maxAttempts;
-    public final boolean hedgingAllowed;
-    public final boolean cancellationAllowed;
-    public final boolean gossipAllowed;
-    public final boolean healthChecksAllowed;
-    public final double maxRetryAfterMs;
-
-    public AttemptLimits(
-            int maxAttempts,
-            boolean hedgingAllowed,
-            boolean cancellationAllowed,
-            boolean gossipAllowed,
-            boolean healthChecksAllowed,
-            double maxRetryAfterMs) {
-        this.maxAttempts = maxAttempts;
-        this.hedgingAllowed = hedgingAllowed;
-        this.cancellationAllowed = cancellationAllowed;
-        this.gossipAllowed = gossipAllowed;
-        this.healthChecksAllowed = healthChecksAllowed;
-        this.maxRetryAfterMs = maxRetryAfterMs;
-    }
-}
+/**
+ * Limits that the operators put on what a gateway sends.
+ *
+ * @param maxAttempts attempts that one request may have, the first one included
+ * @param hedgingAllowed whether a request may have several attempts in flight at once
+ * @param cancellationAllowed whether an attempt in flight may be cancelled
+ * @param gossipAllowed whether the gateway may exchange messages with its peers
+ * @param healthChecksAllowed whether the gateway may send health checks to servers
+ * @param maxRetryAfterMs longest Retry-After of a rejection in ms, or 0 where rejections carry none
+ */
+public record AttemptLimits(
+        int maxAttempts,
+        boolean hedgingAllowed,
+        boolean cancellationAllowed,
+        boolean gossipAllowed,
+        boolean healthChecksAllowed,
+        double maxRetryAfterMs) {}
--- a/gateway/src/main/java/tinford/api/AttemptOutcome.java
+++ b/gateway/src/main/java/tinford/api/AttemptOutcome.java
@@ -1,17 +1,25 @@
 package tinford.api;
 
-/** How a dispatch, a probe or a call to the counter ended. */
+/** The outcome of an attempt, a health check or a call to the shared counter. */
 public enum AttemptOutcome {
+    /** A complete, successful response. */
     SUCCESS(true),
+    /** A response that reports an error of the server. */
     ERROR(true),
+    /** The server rejected the attempt without running it, as it is overloaded. */
     OVERLOADED(false),
+    /** No complete response within the timeout. */
     TIMED_OUT(true),
+    /** No connection came up, so nothing was sent. */
     UNREACHABLE(false),
+    /** The connection broke, or its data could not be read, before the response was complete. */
     CONNECTION_LOST(true),
+    /** The gateway cancelled the attempt. */
     CANCELLED(true),
+    /** The attempt was withdrawn before its last byte was sent. */
     NOT_SENT(false);
 
-    /** False when this end proves that nothing ran. */
+    /** False where the outcome proves that the server did not run the request. */
     public final boolean mayHaveRun;
 
     AttemptOutcome(boolean mayHaveRun) {
--- a/gateway/src/main/java/tinford/api/CounterSettings.java
+++ b/gateway/src/main/java/tinford/api/CounterSettings.java
@@ -1,20 +1,13 @@
 package tinford.api;
 
 /**
- * The quota counter: whether there is one, when a call is given up, the units of the largest req,
- * late settling.
+ * Settings of the shared counter that holds the usage of all gateways.
+ *
+ * @param present whether the gateway has a shared counter
+ * @param timeoutMs time in ms after which a call to the counter counts as unanswered
+ * @param maxRequestUnits units of the largest request
+ * @param postPaid whether the actual units of a request are known only after its first successful
+ *     response
  */
-public final class CounterSettings {
-    public final boolean present;
-    public final double timeoutMs;
-    public final double maxRequestUnits;
-    public final boolean postPaid;
-
-    public CounterSettings(
-            boolean present, double timeoutMs, double maxRequestUnits, boolean postPaid) {
-        this.present = present;
-        this.timeoutMs = timeoutMs;
-        this.maxRequestUnits = maxRequestUnits;
-        this.postPaid = postPaid;
-    }
-}
+public record CounterSettings(
+        boolean present, double timeoutMs, double maxRequestUnits, boolean postPaid) {}
--- a/gateway/src/main/java/tinford/api/DecisionModule.java
+++ b/gateway/src/main/java/tinford/api/DecisionModule.java
@@ -1,24 +1,39 @@
 package tinford.api;
 
 /**
- * One gateway's decisions. A front calls {@link #handleBatch} once for all that came in at one
- * moment. The feed replays that input as calls on the inbox it is given, in order of arrival; the
- * decisions go straight to the writer. Times are milliseconds, with fractions, on a clock that all
- * gateways share.
+ * The decisions of one gateway: which requests are admitted, where their attempts go and which are
+ * retried. The front calls {@link #handleBatch} once for all events of one moment. The module does
+ * no I/O, reads no clock and starts no thread.
  */
 public interface DecisionModule {
-    void handleBatch(double nowMs, EventBatch feed, GatewayActions actions);
+    /**
+     * Handles a batch of events and writes the resulting actions.
+     *
+     * @param nowMs current time in ms, with fractions, on a clock that all gateways share
+     * @param batch the events, replayed in the order of their arrival
+     * @param actions receives the actions, in order, before this call returns
+     */
+    void handleBatch(double nowMs, EventBatch batch, GatewayActions actions);
 
-    /** What came in, ready to be replayed. */
+    /** The events of one moment. */
     interface EventBatch {
+        /** Makes one call on {@code events} for each event, in the order of arrival. */
         void replay(GatewayEvents events);
     }
 
-    /**
-     * Makes the decisions of one gateway from the settings it is handed at its start, group by
-     * group.
-     */
+    /** Creates the decision module of a gateway. */
     interface Factory {
+        /**
+         * Creates a decision module from the settings that the gateway starts with.
+         *
+         * @param seed seed of the module's random numbers
+         * @param identity number, zone and clock tick of the gateway
+         * @param limits limits on attempts
+         * @param slowStart rules on servers that are warming up
+         * @param counter settings of the shared counter
+         * @param objectives the operators' objectives
+         * @param watchRequired whether changes of the endpoint list arrive only while watched
+         */
         DecisionModule create(
                 long seed,
                 GatewayIdentity identity,
--- a/gateway/src/main/java/tinford/api/FleetPolicy.java
+++ b/gateway/src/main/java/tinford/api/FleetPolicy.java
@@ -1,85 +1,114 @@
 package tinford.api;
 
 /**
- * What a fleet has settled, as the decisions of one gateway see it, and what that gateway tells of
- * itself. As it stands here it is the view of a gateway that is alone: nothing is bounded, nothing
- * is told. All calls come on the I/O thread, within a round.
+ * What a fleet of gateways has agreed on, as the decision module of one gateway consults it, and
+ * the events that this gateway reports to the fleet. The methods of this class are the policy of a
+ * gateway without a fleet: nothing is limited and events are ignored. All calls come on the I/O
+ * thread, while a batch is handled.
  */
 public class FleetPolicy {
     /**
-     * Of the units worth so much each, the part that passes now; 1 where the fleet is not strained.
+     * Returns the share of the units that is admitted at present, from 0 to 1.
+     *
+     * @param weight priority weight of the units
      */
     public double admittedShare(double weight) {
         return 1;
     }
 
     /**
-     * Further dispatches that this gateway may send now, given those that its own budget allows.
+     * Returns the number of retries that this gateway may send now.
+     *
+     * @param ownBudget retries that the gateway's own retry budget allows
      */
     public double retryAllowance(double ownBudget) {
         return ownBudget;
     }
 
-    /** Whether this gateway is to find out how a server does that was put aside. */
+    /** Returns whether this gateway sends the health checks to an ejected server. */
     public boolean ownsProbing(Server server) {
         return true;
     }
 
-    /** Connections that this gateway may hold at the server, idle ones included. */
+    /** Returns the connections that this gateway may hold to the server, idle ones included. */
     public int connectionLimit(Server server) {
         return Integer.MAX_VALUE;
     }
 
-    /** Dispatches that a customer may have out through this gateway at once. */
+    /** Returns the attempts that a tenant may have in flight through this gateway. */
     public int tenantAttemptLimit(Tenant tenant) {
         return Integer.MAX_VALUE;
     }
 
     /**
-     * Whether the req may go to the server now; {@code first} is where an earlier dispatch of it
-     * may have run, or null.
+     * Returns whether the request may be sent to the server now.
+     *
+     * @param earlierServer where an earlier attempt of the request may have run, or null
      */
     public boolean allowsServer(Request request, Server server, Server earlierServer) {
         return true;
     }
 
-    /** Whether it may go anywhere at all. */
+    /** Returns whether the request may be sent to any server now. */
     public boolean isRoutable(Request request) {
         return true;
     }
 
     /**
-     * By how much at most a time to come back is put off by chance, so that those denied together
-     * do not return together.
+     * Returns the upper bound, in ms, of the random time that is added to a Retry-After, so that
+     * requests rejected together do not return together.
      */
     public double retryAfterJitterMs() {
         return 0;
     }
 
-    /** A req within its quota was asked for, worth so much a unit. */
+    /**
+     * Called when a request within its quota has arrived.
+     *
+     * @param weight priority weight of each of its units
+     */
     public void requestOffered(Request request, double weight) {}
 
     /**
-     * Of those that were asked for, one is over that was never sent: shed, denied, or left by its
+     * Called when an offered request ends without any attempt: shed, rejected, or abandoned by its
      * client.
+     *
+     * @param weight priority weight of each of its units
      */
     public void requestRejected(Request request, double weight) {}
 
-    /** It went to a server, for the first time or again. */
+    /**
+     * Called when an attempt is sent.
+     *
+     * @param weight priority weight of each unit of the request
+     * @param retry whether an earlier attempt of the request was sent before
+     */
     public void attemptSent(Request request, Server server, double weight, boolean retry) {}
 
-    /** What went to a server has ended. */
+    /**
+     * Called when an attempt has ended.
+     *
+     * @param late whether it ended after the latency objective of its request class
+     */
     public void attemptEnded(
             Request request, Server server, AttemptOutcome outcome, boolean late) {}
 
-    /** It could not go where it wanted, as no connection or share of its customer was free. */
+    /**
+     * Called when a request could not be sent because no connection, or no attempt within its
+     * tenant's limit, was available.
+     */
     public void requestBlocked(Request request) {}
 
-    /** A connection to the server is opened, or is gone. */
+    /** Called when a connection to the server is opened. */
     public void connectionOpened(Server server) {}
 
+    /** Called when a connection to the server is closed. */
     public void connectionClosed(Server server) {}
 
-    /** A server was put aside, or is as others again. */
+    /**
+     * Called when a server was ejected or has recovered.
+     *
+     * @param unhealthy true when it was ejected
+     */
     public void serverHealthChanged(Server server, boolean unhealthy) {}
 }
--- a/gateway/src/main/java/tinford/api/GatewayActions.java
+++ b/gateway/src/main/java/tinford/api/GatewayActions.java
@@ -1,35 +1,66 @@
 package tinford.api;
 
-/** Where decisions are written; each call is one message of the front. */
+/** Receives the actions that a decision module decides on; the front carries them out in order. */
 public interface GatewayActions {
     /**
-     * Dispatches of a req are numbered 0, 1, 2 ... in the order of these calls.
+     * Sends an attempt of a request. The attempts of a request are numbered 0, 1, 2 ... in the
+     * order of these calls.
      *
-     * @param timeoutMs its own time-out, or 0
-     * @param sendWithinMs its last byte leaves by then, or it is withdrawn as void
+     * @param timeoutMs timeout of this attempt in ms, or 0 where only the request's deadline holds
+     * @param sendWithinMs time in ms within which the attempt's last byte has to be sent; after it
+     *     the attempt ends as {@link AttemptOutcome#NOT_SENT}
      */
     void sendAttempt(Request request, Server server, double timeoutMs, double sendWithinMs);
 
+    /** Cancels an attempt in flight, named by its number. */
     void cancelAttempt(Request request, int attempt);
 
+    /**
+     * Answers the client that the request is rejected.
+     *
+     * @param retryAfterMs time in ms after which the client may send it again
+     */
     void reject(Request request, double retryAfterMs);
 
+    /** Answers the client that the request has failed. */
     void fail(Request request);
 
+    /**
+     * Sets a timer that ends with {@link GatewayEvents#timerFired}.
+     *
+     * @param token names the timer; setting it again moves it
+     * @param delayMs time in ms until it fires
+     */
     void setTimer(long token, double delayMs);
 
+    /** Sends a health check to a server. */
     void sendHealthCheck(Server server);
 
+    /** Closes the idle connections to a server. */
     void closeIdleConnections(Server server);
 
-    /** To one peer, or to all of them when {@code peer} is below 0. */
+    /**
+     * Sends a gossip message.
+     *
+     * @param peer number of the receiving gateway, or a negative number for all peers
+     */
     void sendGossip(int peer, String text);
 
+    /**
+     * Adds to a total on the shared counter and reads it.
+     *
+     * @param counterKey key of the total
+     * @param amount units to add; 0 only reads and a negative amount takes units back
+     * @param ttlMs time in ms for which the counter has to keep the total
+     */
     void incrementCounter(long counterKey, double amount, double ttlMs);
 
+    /** Subscribes to changes of the endpoint list, or ends the subscription. */
     void watchEndpoints(boolean enabled);
 
+    /** Fetches the full endpoint list once. */
     void fetchEndpoints();
 
+    /** Writes a line to the log. */
     void log(String text);
 }
--- a/gateway/src/main/java/tinford/api/GatewayIdentity.java
+++ b/gateway/src/main/java/tinford/api/GatewayIdentity.java
@@ -1,16 +1,11 @@
 package tinford.api;
 
-/** Where this gateway stands among its like. */
-public final class GatewayIdentity {
-    public final int number;
-    public final int gatewayCount;
-    public final String zone;
-    public final double tickMs;
-
-    public GatewayIdentity(int number, int gatewayCount, String zone, double tickMs) {
-        this.number = number;
-        this.gatewayCount = gatewayCount;
-        this.zone = zone;
-        this.tickMs = tickMs;
-    }
-}
+/**
+ * Identity of a gateway among the gateways that share the quotas and the servers.
+ *
+ * @param number number of this gateway, counted from 0
+ * @param gatewayCount number of gateways
+ * @param zone availability zone of this gateway; empty if unknown
+ * @param tickMs shortest interval between batches of events in ms
+ */
+public record GatewayIdentity(int number, int gatewayCount, String zone, double tickMs) {}
--- a/gateway/src/main/java/tinford/api/Objectives.java
+++ b/gateway/src/main/java/tinford/api/Objectives.java
@@ -1,12 +1,9 @@
 package tinford.api;
 
-/** What the operators weigh: all value together, and what the worst-served plan gets of its own. */
-public final class Objectives {
-    public final double overallWeight;
-    public final double worstPlanWeight;
-
-    public Objectives(double overallWeight, double worstPlanWeight) {
-        this.overallWeight = overallWeight;
-        this.worstPlanWeight = worstPlanWeight;
-    }
-}
+/**
+ * The operators' objectives and their weights relative to each other.
+ *
+ * @param overallWeight weight of the priority-weighted units served over all plans
+ * @param worstPlanWeight weight of the share that the worst-served plan gets of its demand
+ */
+public record Objectives(double overallWeight, double worstPlanWeight) {}
--- a/gateway/src/main/java/tinford/api/Plan.java
+++ b/gateway/src/main/java/tinford/api/Plan.java
@@ -1,21 +1,44 @@
 package tinford.api;
 
 /**
- * A plan: the quota of each of its customers over all gateways together. Rates are units a
- * millisecond; 0 is none.
+ * A plan: the limits that each of its tenants has over all gateways together. Plans are compared by
+ * identity, so two plans with equal values stay distinct map keys.
  */
 public final class Plan {
+    /** Name of the plan. */
     public final String name;
+
+    /** Quota in units per ms, or 0 without a quota. */
     public final double quotaPerMs;
+
+    /** Units that may be used at once beyond the steady quota. */
     public final double burst;
+
+    /**
+     * Requests that a tenant may have in flight before a further one counts as beyond the quota, or
+     * 0 without a limit.
+     */
     public final int maxOpenRequests;
+
+    /** Priority weight of a unit within the quota. */
     public final double priorityWeight;
+
+    /** Fraction of its priority weight that a unit earns when it is forwarded beyond the quota. */
     public final double overQuotaWeight;
+
+    /** Fraction of its priority weight that a unit costs when it is forwarded beyond the quota. */
     public final double overQuotaCost;
+
+    /** Hard rate limit in units per ms, or 0 without one. */
     public final double hardLimitPerMs;
+
+    /** Size of the hard rate limit's token bucket in units. */
     public final double hardLimitBurst;
+
+    /** Units by which that token bucket may fall below 0. */
     public final double hardLimitSlack;
 
+    /** Creates a plan; the parameters are described with the fields of the same names. */
     public Plan(
             String name,
             double quotaPerMs,
--- a/gateway/src/main/java/tinford/api/Request.java
+++ b/gateway/src/main/java/tinford/api/Request.java
@@ -1,16 +1,28 @@
 package tinford.api;
 
-/** One request of a client; whoever receives it may add what it needs by extending it. */
+/** A client's request; a front may extend the class with what it needs. */
 public class Request {
+    /** Identifier of the request, unique within a gateway. */
     public final long id;
+
+    /** Class of the request. */
     public final RequestClass requestClass;
+
+    /** Tenant that the request counts against. */
     public final Tenant tenant;
+
+    /** Time in ms at which the client stops waiting for a response. */
     public final double deadlineMs;
+
+    /** Units that the request takes of the quota; an estimate where actual units are settled. */
     public final double units;
+
+    /** Whether the client marked the request as a retry of its own. */
     public final boolean markedAsRetry;
 
     private DecisionState decisionState;
 
+    /** Creates a request; the parameters are described with the fields of the same names. */
     public Request(
             long id,
             RequestClass requestClass,
@@ -26,18 +38,18 @@
         this.markedAsRetry = markedAsRetry;
     }
 
-    /** What the decision module keeps of it, or null. */
+    /** Returns what the decision module stores with this request, or null. */
     public final DecisionState decisionState() {
         return decisionState;
     }
 
-    /** Called by the decision module only. */
+    /** Stores the decision module's state with this request; only that module calls this. */
     public final void attach(DecisionState state) {
         decisionState = state;
     }
 
     /**
-     * Whether its client has gone, as far as can be seen at this moment; {@link
+     * Returns whether the client is known to have disconnected; {@link
      * GatewayEvents#clientDisconnected} then follows.
      */
     public boolean clientGone() {
--- a/gateway/src/main/java/tinford/api/RequestClass.java
+++ b/gateway/src/main/java/tinford/api/RequestClass.java
@@ -1,17 +1,35 @@
 package tinford.api;
 
-/** A kind of req, as the operators set it up. */
+/** A class of requests, as the operators configured it. */
 public final class RequestClass {
+    /** Name of the class. */
     public final String name;
+
+    /** Latency objective in ms: responses within it count as on time. */
     public final double latencyObjectiveMs;
+
+    /** Time in ms after which a client no longer waits. */
     public final double timeoutMs;
+
+    /** Priority weight of a unit whose response is on time. */
     public final double priorityWeight;
+
+    /** Fraction of the priority weight that a late response still earns. */
     public final double lateWeight;
+
+    /** Whether a request may run more than once. */
     public final Idempotency idempotency;
+
+    /** Servers that drop repeats with the same idempotency key. */
     public final DeduplicationScope deduplicationScope;
+
+    /** Time in ms for which servers drop such repeats. */
     public final double deduplicationWindowMs;
+
+    /** Whether responses are streamed to the client as they arrive. */
     public final boolean streamed;
 
+    /** Creates a class; the parameters are described with the fields of the same names. */
     public RequestClass(
             String name,
             double latencyObjectiveMs,
--- a/gateway/src/main/java/tinford/api/Tenant.java
+++ b/gateway/src/main/java/tinford/api/Tenant.java
@@ -1,25 +1,34 @@
 package tinford.api;
 
 /**
- * Whose quota a req draws on. Its reqs come through {@code width} gateways in a row from number
- * {@code first}.
+ * The tenant of a request. Its requests come through {@code fanIn} gateways with consecutive
+ * numbers, from {@code firstGateway} on; the last gateway is followed by number 0.
  */
 public final class Tenant {
+    /** Identifier of the tenant. */
     public final long id;
+
+    /** The tenant's plan. */
     public final Plan plan;
+
+    /** Number of gateways that the tenant's requests come through. */
     public final int fanIn;
+
+    /** Number of the first of these gateways. */
     public final int firstGateway;
 
     /**
-     * Of the configuration that says its plan; where a later one says another plan, the customer
-     * moves to that. 0 without a configuration.
+     * Revision of the configuration that gives the tenant its plan; a later revision with another
+     * plan moves the tenant to that plan. 0 without a configuration.
      */
     public final long revision;
 
+    /** Creates a tenant whose plan comes from no configuration. */
     public Tenant(long id, Plan plan, int fanIn, int firstGateway) {
         this(id, plan, fanIn, firstGateway, 0);
     }
 
+    /** Creates a tenant; the parameters are described with the fields of the same names. */
     public Tenant(long id, Plan plan, int fanIn, int firstGateway, long revision) {
         this.id = id;
         this.plan = plan;
--- a/gateway/src/main/java/tinford/decision/AttemptGuard.java
+++ b/gateway/src/main/java/tinford/decision/AttemptGuard.java
@@ -44,13 +44,13 @@
     }
 
     boolean hasNoAttemptLeft(PendingRequest pending) {
-        return pending.attempts.size() >= limits.maxAttempts;
+        return pending.attempts.size() >= limits.maxAttempts();
     }
 
     private boolean mayBeRepeatedAt(PendingRequest pending, Server server, double nowMs) {
         RequestClass requestClass = pending.request.requestClass;
         for (Attempt earlier : pending.attempts) {
-            if (earlier.outcome == null && !limits.hedgingAllowed) {
+            if (earlier.outcome == null && !limits.hedgingAllowed()) {
                 return false;
             }
             if (!earlier.mayHaveRun() || requestClass.idempotency == Idempotency.IDEMPOTENT) {
--- a/gateway/src/main/java/tinford/decision/CounterPacer.java
+++ b/gateway/src/main/java/tinford/decision/CounterPacer.java
@@ -112,7 +112,7 @@
         }
         if (answered && !hasQueued(tookMs)) {
             gapMs *= 1 - Math.min(MAX_GAP_DECREASE, gapMs / GAP_DECAY_MS);
-        } else if (nowMs - lastIncreaseMs >= settings.timeoutMs) {
+        } else if (nowMs - lastIncreaseMs >= settings.timeoutMs()) {
             gapMs =
                     Math.min(
                             PROBE_INTERVAL_MS * gatewayCount,
@@ -126,9 +126,9 @@
      * is missed.
      */
     private boolean hasQueued(double tookMs) {
-        return gapMs > settings.timeoutMs * QUEUEING_GAP_SHARE_OF_TIMEOUT
+        return gapMs > settings.timeoutMs() * QUEUEING_GAP_SHARE_OF_TIMEOUT
                 && tookMs
                         > Math.min(quickestMs, quickestBeforeMs)
-                                + QUEUED_SHARE_OF_TIMEOUT * settings.timeoutMs;
+                                + QUEUED_SHARE_OF_TIMEOUT * settings.timeoutMs();
     }
 }
--- a/gateway/src/main/java/tinford/decision/DecisionEngine.java
+++ b/gateway/src/main/java/tinford/decision/DecisionEngine.java
@@ -67,14 +67,14 @@
         Random random = new Random(seed);
         RequestSizeModel sizes = new RequestSizeModel();
         SlowStart slowStart = new SlowStart(slowStartRules);
-        AttemptGuard guard = new AttemptGuard(limits, slowStart, identity.tickMs);
-        this.balancer = new LoadBalancer(guard, slowStart, sizes, identity.gatewayCount, random);
+        AttemptGuard guard = new AttemptGuard(limits, slowStart, identity.tickMs());
+        this.balancer = new LoadBalancer(guard, slowStart, sizes, identity.gatewayCount(), random);
         this.quotas =
                 new QuotaLimiter(
-                        counter, identity.gatewayCount, this, fairness, sizes, lifecycle, random);
+                        counter, identity.gatewayCount(), this, fairness, sizes, lifecycle, random);
         AdmissionQueue queue = new AdmissionQueue();
         this.answers = new FinalAnswers(queue, quotas, random);
-        AttemptSender sender = new AttemptSender(guard, balancer, retries, identity.tickMs);
+        AttemptSender sender = new AttemptSender(guard, balancer, retries, identity.tickMs());
         this.admission =
                 new AdmissionController(
                         queue, balancer, sender, guard, retries, answers, completed, random);
--- a/gateway/src/main/java/tinford/decision/PlanFairness.java
+++ b/gateway/src/main/java/tinford/decision/PlanFairness.java
@@ -21,7 +21,8 @@
 
     PlanFairness(Objectives objectives) {
         this.worstPlanWeight =
-                objectives.worstPlanWeight / Math.max(MIN_OVERALL_WEIGHT, objectives.overallWeight);
+                objectives.worstPlanWeight()
+                        / Math.max(MIN_OVERALL_WEIGHT, objectives.overallWeight());
     }
 
     PlanUsage usageOf(Plan plan) {
--- a/gateway/src/main/java/tinford/decision/QuotaLimiter.java
+++ b/gateway/src/main/java/tinford/decision/QuotaLimiter.java
@@ -80,7 +80,7 @@
         double units = pending.request.units;
         quota.roll(nowMs);
         quota.touch(nowMs);
-        if (quota.plan().quotaPerMs <= 0 || !settings.present) {
+        if (quota.plan().quotaPerMs <= 0 || !settings.present()) {
             decideWithoutCounter(batch, pending);
             return;
         }
@@ -163,7 +163,7 @@
 
     private void readTotal(CounterCall call, double total, double nowMs) {
         CounterWindow window = call.window();
-        window.detectReset(total, call.amount(), settings.maxRequestUnits);
+        window.detectReset(total, call.amount(), settings.maxRequestUnits());
         boolean addsRequest = !call.readsOnly() && call.pending() != null;
         double units = addsRequest ? call.pending().request.units : 0;
         call.quota().updateTotal(window, total + window.lostUnits, units, nowMs);
@@ -277,7 +277,7 @@
             pending.weight *= plan.overQuotaWeight;
         }
         // it is unreported, or was added without an answer: as if it had been read
-        if (within && metered && settings.present) {
+        if (within && metered && settings.present()) {
             pending.countedIn = quota.current();
             quota.spend(quota.current(), request.units);
         }
--- a/gateway/src/main/java/tinford/decision/SlowStart.java
+++ b/gateway/src/main/java/tinford/decision/SlowStart.java
@@ -25,7 +25,7 @@
     }
 
     boolean isWarmingUp(Server server, double nowMs) {
-        return server.startedAtMs() > 0 && nowMs - server.startedAtMs() < rules.warmUpMs;
+        return server.startedAtMs() > 0 && nowMs - server.startedAtMs() < rules.warmUpMs();
     }
 
     /**
@@ -48,9 +48,9 @@
      * multiple.
      */
     private double share(Server server, double nowMs) {
-        double age = Math.max(0, nowMs - server.startedAtMs()) / rules.warmUpMs;
+        double age = Math.max(0, nowMs - server.startedAtMs()) / rules.warmUpMs();
         return CAPACITY_MARGIN
-                * rules.overloadMultiple
-                * (age + (1 - age) * rules.initialCapacityShare);
+                * rules.overloadMultiple()
+                * (age + (1 - age) * rules.initialCapacityShare());
     }
 }
--- a/gateway/src/main/java/tinford/program/GatewayProcess.java
+++ b/gateway/src/main/java/tinford/program/GatewayProcess.java
@@ -147,7 +147,7 @@
         RequestDispatcher desk =
                 new RequestDispatcher(
                         SettingsReader.createModule(maker, seed(given), set),
-                        limits.maxAttempts,
+                        limits.maxAttempts(),
                         most,
                         bytes);
         double connectWithin = SettingsReader.connectTimeoutMs(set);
@@ -157,7 +157,7 @@
                 new ClientPool(
                         desk,
                         new Catalog(SettingsReader.requestClasses(set), SettingsReader.plans(set)),
-                        SettingsReader.gatewayIdentity(set).gatewayCount,
+                        SettingsReader.gatewayIdentity(set).gatewayCount(),
                         SettingsReader.maxRequestUnits(set),
                         idleMost,
                         SettingsReader.maxOpenRequests(set),
@@ -165,12 +165,12 @@
                         desk.loop.descriptorBudget().limit(DescriptorBudget.Party.CLIENTS),
                         sockets / IDLE_PART);
         CounterClient counter =
-                SettingsReader.counterSettings(set).present
+                SettingsReader.counterSettings(set).present()
                         ? new CounterClient(
                                 desk,
                                 Addresses.of(given, "counter"),
                                 connectWithin,
-                                SettingsReader.counterSettings(set).timeoutMs,
+                                SettingsReader.counterSettings(set).timeoutMs(),
                                 TO_COUNTER)
                         : null;
         JsonFields known = given.objectOrEmpty("known");
@@ -184,7 +184,7 @@
                         known.integer("seq", 0),
                         new Random(seed(given)));
         PeerMessenger peers =
-                limits.gossipAllowed && companion == null
+                limits.gossipAllowed() && companion == null
                         ? new PeerMessenger(
                                 desk,
                                 Addresses.of(given, "peer_listen"),
--- a/gateway/src/test/java/tinford/settings/SettingsReaderTest.java
+++ b/gateway/src/test/java/tinford/settings/SettingsReaderTest.java
@@ -81,14 +81,14 @@
                 new double[] {0, 0, 0, 1, 0, 0});
         AttemptLimits limits = SettingsReader.attemptLimits(set);
         assertTrue(
-                !limits.hedgingAllowed
-                        && !limits.cancellationAllowed
-                        && !limits.gossipAllowed
-                        && !limits.healthChecksAllowed
-                        && limits.maxRetryAfterMs == 0);
+                !limits.hedgingAllowed()
+                        && !limits.cancellationAllowed()
+                        && !limits.gossipAllowed()
+                        && !limits.healthChecksAllowed()
+                        && limits.maxRetryAfterMs() == 0);
         CounterSettings counter = SettingsReader.counterSettings(set);
-        assertTrue(!counter.present && !counter.postPaid && !SettingsReader.watchRequired(set));
-        assertEquals(SettingsReader.gatewayIdentity(set).zone, "");
+        assertTrue(!counter.present() && !counter.postPaid() && !SettingsReader.watchRequired(set));
+        assertEquals(SettingsReader.gatewayIdentity(set).zone(), "");
         assertEquals(
                 new double[] {
                     SettingsReader.connectTimeoutMs(set),
@@ -99,11 +99,11 @@
                 new double[] {1000, 600_000, 20_000, 1e9});
         assertEquals(
                 new double[] {
-                    rules.initialCapacityShare,
-                    rules.warmUpMs,
-                    rules.overloadMultiple,
-                    goal.overallWeight,
-                    goal.worstPlanWeight
+                    rules.initialCapacityShare(),
+                    rules.warmUpMs(),
+                    rules.overloadMultiple(),
+                    goal.overallWeight(),
+                    goal.worstPlanWeight()
                 },
                 new double[] {0, 30_000, 2, 1, 0});
     }
--- a/lab/src/main/java/tinford/lab/scale/ObservedDecisions.java
+++ b/lab/src/main/java/tinford/lab/scale/ObservedDecisions.java
@@ -26,7 +26,7 @@
             Objectives goal,
             boolean mustAsk) {
         DecisionModule decisions = maker.create(seed, place, limits, rules, counter, goal, mustAsk);
-        return new ObservedGateway(place.number, decisions);
+        return new ObservedGateway(place.number(), decisions);
     }
 
     private final class ObservedGateway implements DecisionModule {
--- a/lab/src/test/java/tinford/lab/model/ColdBudgetTest.java
+++ b/lab/src/test/java/tinford/lab/model/ColdBudgetTest.java
@@ -133,7 +133,7 @@
                         seed,
                         place,
                         limits,
-                        new SlowStartRules(coldFrom, coldTime, multiple, rules.overloadWindowMs),
+                        new SlowStartRules(coldFrom, coldTime, multiple, rules.overloadWindowMs()),
                         counter,
                         goal,
                         mustAsk);
