--- a/gateway/src/main/java/tinford/decision/AttemptGuard.java
+++ b/gateway/src/main/java/tinford/decision/AttemptGuard.java
@@ -29,17 +29,21 @@
                 || pending.responseStarted
                 || nowMs >= pending.request.deadlineMs
                 || server.server.state != Server.State.UP
-                || hasNoAttemptLeft(pending)) {
+                || pending.attempts.size() >= limits.maxAttempts) {
             return false;
         }
-        if (pending.isFirstAttempt()) {
+        Server earlier = null;
+        if (pending.attempts.isEmpty()) {
             if (!pending.quota.mayOpen(pending.request.units, nowMs)) {
                 return false;
             }
-        } else if (!mayBeRepeatedAt(pending, server.server, nowMs)) {
-            return false;
+        } else {
+            if (!mayBeRepeatedAt(pending, server.server, nowMs)) {
+                return false;
+            }
+            earlier = lastServerThatMayHaveRun(pending);
         }
-        return fleetAllows(batch.policy, pending, server)
+        return fleetAllows(batch.policy, pending, server, earlier)
                 && (!slowStart.isWarmingUp(server.server, nowMs) || server.slowStartCredit >= 1);
     }
 
@@ -75,9 +79,9 @@
     }
 
     private static boolean fleetAllows(
-            FleetPolicy policy, PendingRequest pending, ServerStats server) {
+            FleetPolicy policy, PendingRequest pending, ServerStats server, Server earlier) {
         Request request = pending.request;
-        if (!policy.allowsServer(request, server.server, lastServerThatMayHaveRun(pending))) {
+        if (!policy.allowsServer(request, server.server, earlier)) {
             return false;
         }
         if (server.running.size() >= policy.connectionLimit(server.server)
--- a/gateway/src/main/java/tinford/decision/HardLimitBucket.java
+++ b/gateway/src/main/java/tinford/decision/HardLimitBucket.java
@@ -29,8 +29,13 @@
 
     /** How long until the units are there; 0 or less where they are, or where there is no limit. */
     double waitMs(double units, double nowMs) {
+        if (ratePerMs <= 0) {
+            level = 0;
+            updatedAtMs = nowMs;
+            return 0;
+        }
         refill(nowMs);
-        return ratePerMs <= 0 ? 0 : (units - level) / ratePerMs;
+        return (units - level) / ratePerMs;
     }
 
     boolean isFull(double nowMs) {
--- a/gateway/src/main/java/tinford/decision/OutlierDetector.java
+++ b/gateway/src/main/java/tinford/decision/OutlierDetector.java
@@ -1,5 +1,6 @@
 package tinford.decision;
 
+import java.util.Arrays;
 import java.util.List;
 
 /**
@@ -15,20 +16,32 @@
 
     private double medianFailureShare;
 
+    /** Whether the server fails more than the others, by what is known of it now. */
     boolean isOutlier(ServerStats server, double nowMs) {
+        double answers = server.answers.total(nowMs);
         return server.failures.total(nowMs) >= MIN_FAILURES
-                && failureShare(server, server.answers.total(nowMs), nowMs)
-                        > medianFailureShare + MARGIN;
+                && failureShare(server, answers, nowMs) > medianFailureShare + MARGIN;
     }
 
-    /** Expects the servers' totals to be up to date. */
-    void updateMedian(List<ServerStats> servers, double nowMs) {
-        double[] shares =
-                servers.stream()
-                        .mapToDouble(server -> failureShare(server, server.recentAnswers, nowMs))
-                        .sorted()
-                        .toArray();
-        medianFailureShare = shares.length == 0 ? 0 : shares[(shares.length - 1) / 2];
+    /** Finds the outliers anew; expects the servers' totals to be up to date. */
+    void update(List<ServerStats> servers, double nowMs) {
+        double[] shares = new double[servers.size()];
+        for (int i = 0; i < shares.length; i++) {
+            ServerStats server = servers.get(i);
+            shares[i] = failureShare(server, server.recentAnswers, nowMs);
+        }
+        medianFailureShare = median(shares);
+        double maxShare = medianFailureShare + MARGIN;
+        for (int i = 0; i < shares.length; i++) {
+            ServerStats server = servers.get(i);
+            server.outlier = shares[i] > maxShare && server.failures.total(nowMs) >= MIN_FAILURES;
+        }
+    }
+
+    private static double median(double[] values) {
+        double[] sorted = values.clone();
+        Arrays.sort(sorted);
+        return sorted.length == 0 ? 0 : sorted[(sorted.length - 1) / 2];
     }
 
     private static double failureShare(ServerStats server, double answers, double nowMs) {
--- a/gateway/src/main/java/tinford/decision/ServerRanking.java
+++ b/gateway/src/main/java/tinford/decision/ServerRanking.java
@@ -57,11 +57,8 @@
         // all gateways have the same list: none of its servers is to be the first at all of them
         Collections.shuffle(warmingUp, random);
         updateLimits(nowMs);
-        outliers.updateMedian(ranked, nowMs);
-        for (ServerStats server : ranked) {
-            server.outlier = outliers.isOutlier(server, nowMs);
-            server.updateRank();
-        }
+        outliers.update(ranked, nowMs);
+        ranked.forEach(ServerStats::updateRank);
         ranked.sort((a, b) -> Double.compare(a.rank, b.rank));
     }
 
