--- a/fleet/src/main/java/tinford/fleet/run/FleetMember.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetMember.java
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void configures(Consumer<Catalog> use) {
+    public void setCatalogConsumer(Consumer<Catalog> use) {
         useCatalog = use;
     }
 
@@ -248,12 +248,12 @@
     }
 
     @Override
-    public double every() {
+    public double tickIntervalMs() {
         return TICK;
     }
 
     @Override
-    public void leaves() {
+    public void onDrainStarted() {
         if (configuration != null) {
             configuration.close();
         }
@@ -264,7 +264,7 @@
     }
 
     @Override
-    public void answered() {
+    public void onDrained() {
         if (replicatedState == null) {
             return;
         }
--- a/gateway/src/main/java/org/xnio/nio/SharedPort.java
+++ b/gateway/src/main/java/org/xnio/nio/SharedPort.java
@@ -13,25 +13,25 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * A listening socket of XNIO's own that shares its address with another process. XNIO has no option
- * for SO_REUSEPORT and binds where it opens, so this stands in its package and does what its worker
- * does, with that one option set.
+ * A listening socket of XNIO that may share its address with another process. XNIO has no option
+ * for SO_REUSEPORT, so this class opens the socket as XNIO's worker does, with that option set; it
+ * is in XNIO's package because the classes it needs are package-private.
  */
 public final class SharedPort {
-    private final NioTcpServer real;
-    private final QueuedNioTcpServer2 server;
+    private final NioTcpServer tcpServer;
+    private final QueuedNioTcpServer2 queuedServer;
 
-    private SharedPort(NioTcpServer real, QueuedNioTcpServer2 server) {
-        this.real = real;
-        this.server = server;
+    private SharedPort(NioTcpServer tcpServer, QueuedNioTcpServer2 queuedServer) {
+        this.tcpServer = tcpServer;
+        this.queuedServer = queuedServer;
     }
 
     /**
-     * @param shared another process may listen there at the same time
+     * @param shared whether another process may listen at the address at the same time
      */
     public static SharedPort open(
             XnioWorker worker,
-            InetSocketAddress at,
+            InetSocketAddress address,
             boolean shared,
             OptionMap options,
             ChannelListener<? super AcceptingChannel<StreamConnection>> listener)
@@ -44,12 +44,13 @@
                 channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
             channel.configureBlocking(false);
-            channel.bind(at, options.get(Options.BACKLOG, 0));
-            NioTcpServer real = new NioTcpServer((NioXnioWorker) worker, channel, options, false);
-            QueuedNioTcpServer2 server = new QueuedNioTcpServer2(real);
-            server.setAcceptListener(listener);
+            channel.bind(address, options.get(Options.BACKLOG, 0));
+            NioTcpServer tcpServer =
+                    new NioTcpServer((NioXnioWorker) worker, channel, options, false);
+            QueuedNioTcpServer2 queuedServer = new QueuedNioTcpServer2(tcpServer);
+            queuedServer.setAcceptListener(listener);
             opened = true;
-            return new SharedPort(real, server);
+            return new SharedPort(tcpServer, queuedServer);
         } finally {
             if (!opened) {
                 IoUtils.safeClose(channel);
@@ -58,28 +59,33 @@
     }
 
     public void resumeAccepts() {
-        server.resumeAccepts();
+        queuedServer.resumeAccepts();
     }
 
     /**
-     * Guards those in the backlog, which a close would reset: they are taken first, right before
-     * it. A channel that stands with a selector is closed only when that looks again, and lets in
-     * more until then; hence it leaves the selector first.
+     * Accepts what is in the backlog, closes the socket, and then runs the task; a close alone
+     * would reset the connections in the backlog. A channel that is registered with a selector
+     * stays open, and goes on accepting, until the next select; hence it is deregistered first.
      */
     public void close(Runnable then) {
-        server.getAcceptThread()
+        queuedServer
+                .getAcceptThread()
                 .execute(
                         () -> {
-                            NioTcpServerHandle handle = real.getHandle(0);
-                            handle.getSelectionKey().cancel();
-                            try {
-                                handle.getWorkerThread().getSelector().selectNow();
-                            } catch (IOException e) {
-                                // then it is closed a moment later
-                            }
-                            server.handleReady();
-                            IoUtils.safeClose(server);
+                            deregister();
+                            queuedServer.handleReady();
+                            IoUtils.safeClose(queuedServer);
                             then.run();
                         });
     }
+
+    private void deregister() {
+        NioTcpServerHandle handle = tcpServer.getHandle(0);
+        handle.getSelectionKey().cancel();
+        try {
+            handle.getWorkerThread().getSelector().selectNow();
+        } catch (IOException e) {
+            // the socket is then closed with the next select
+        }
+    }
 }
--- a/gateway/src/main/java/tinford/logging/JBossLogBridge.java
+++ b/gateway/src/main/java/tinford/logging/JBossLogBridge.java
@@ -7,65 +7,67 @@
 import org.jboss.logging.LoggerProvider;
 
 /**
- * What XNIO and its threads say goes into the same lines. Contexts of threads, which nobody here
- * sets, are not kept.
+ * Sends the log entries of XNIO and JBoss Threads to the {@link LineLogger}. Diagnostic contexts
+ * (MDC, NDC), which this program does not use, are ignored.
  */
 public final class JBossLogBridge implements LoggerProvider {
     @Override
     public Logger getLogger(String name) {
-        return new Line(name);
+        return new BridgedLogger(name);
     }
 
-    private static final class Line extends Logger {
+    private static final class BridgedLogger extends Logger {
         private static final long serialVersionUID = 1;
 
-        private Line(String name) {
+        private BridgedLogger(String name) {
             super(name);
         }
 
-        private static System.Logger.Level of(Level level) {
-            switch (level) {
-                case FATAL:
-                case ERROR:
-                    return System.Logger.Level.ERROR;
-                case WARN:
-                    return System.Logger.Level.WARNING;
-                case INFO:
-                    return System.Logger.Level.INFO;
-                case DEBUG:
-                    return System.Logger.Level.DEBUG;
-                default:
-                    return System.Logger.Level.TRACE;
-            }
+        private static System.Logger.Level toSystemLevel(Level level) {
+            return switch (level) {
+                case FATAL, ERROR -> System.Logger.Level.ERROR;
+                case WARN -> System.Logger.Level.WARNING;
+                case INFO -> System.Logger.Level.INFO;
+                case DEBUG -> System.Logger.Level.DEBUG;
+                default -> System.Logger.Level.TRACE;
+            };
         }
 
         @Override
         public boolean isEnabled(Level level) {
-            return LineLogger.told(getName(), of(level));
+            return LineLogger.isLoggable(getName(), toSystemLevel(level));
         }
 
         @Override
         protected void doLog(
-                Level level, String by, Object message, Object[] parameters, Throwable thrown) {
-            if (isEnabled(level)) {
-                String text = String.valueOf(message);
-                LineLogger.write(
-                        getName(),
-                        of(level),
-                        parameters == null || parameters.length == 0
-                                ? text
-                                : MessageFormat.format(text, parameters),
-                        thrown);
+                Level level,
+                String callerClass,
+                Object message,
+                Object[] parameters,
+                Throwable thrown) {
+            if (!isEnabled(level)) {
+                return;
             }
+            String text = String.valueOf(message);
+            boolean hasParameters = parameters != null && parameters.length > 0;
+            write(level, hasParameters ? MessageFormat.format(text, parameters) : text, thrown);
         }
 
         @Override
         protected void doLogf(
-                Level level, String by, String format, Object[] parameters, Throwable thrown) {
+                Level level,
+                String callerClass,
+                String format,
+                Object[] parameters,
+                Throwable thrown) {
             if (isEnabled(level)) {
-                LineLogger.write(getName(), of(level), String.format(format, parameters), thrown);
+                write(level, String.format(format, parameters), thrown);
             }
         }
+
+        private void write(Level level, String text, Throwable thrown) {
+            LineLogger.write(getName(), toSystemLevel(level), text, thrown);
+        }
     }
 
     @Override
--- /dev/null
+++ b/gateway/src/main/java/tinford/logging/LogWriter.java
@@ -0,0 +1,64 @@
+package tinford.logging;
+
+import java.time.Instant;
+import java.util.concurrent.ArrayBlockingQueue;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.concurrent.locks.LockSupport;
+
+/**
+ * Writes log lines to standard error from a thread of its own. Standard error may be a pipe that is
+ * not read, and the I/O thread must not wait for it: lines that do not fit into the queue are
+ * dropped, and their number is logged before the next line that is written.
+ */
+final class LogWriter {
+    private static final int QUEUE_CAPACITY = 256;
+    private static final long THREAD_STACK_BYTES = 128 << 10;
+    private static final long FLUSH_POLL_NANOS = 1_000_000;
+    private static final ArrayBlockingQueue<String> QUEUE =
+            new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private static final AtomicLong DROPPED = new AtomicLong();
+
+    /** Lines that were queued and are not written yet. */
+    private static final AtomicLong UNWRITTEN = new AtomicLong();
+
+    static {
+        Thread writer = new Thread(null, LogWriter::writeLines, "log", THREAD_STACK_BYTES);
+        writer.setDaemon(true);
+        writer.start();
+    }
+
+    private LogWriter() {}
+
+    static void offer(String line) {
+        UNWRITTEN.incrementAndGet();
+        if (!QUEUE.offer(line)) {
+            UNWRITTEN.decrementAndGet();
+            DROPPED.incrementAndGet();
+        }
+    }
+
+    static void flush(double timeoutMs) {
+        long deadlineNanos = System.nanoTime() + (long) (timeoutMs * 1e6);
+        while (UNWRITTEN.get() > 0 && System.nanoTime() < deadlineNanos) {
+            LockSupport.parkNanos(FLUSH_POLL_NANOS);
+        }
+    }
+
+    private static void writeLines() {
+        while (true) {
+            String line;
+            try {
+                line = QUEUE.take();
+            } catch (InterruptedException e) {
+                return; // the JVM does not interrupt this thread
+            }
+            long dropped = DROPPED.getAndSet(0);
+            if (dropped > 0) {
+                System.err.println(
+                        Instant.now() + " WARNING tinford.logging: lines dropped count=" + dropped);
+            }
+            System.err.println(line);
+            UNWRITTEN.decrementAndGet();
+        }
+    }
+}
--- a/gateway/src/main/java/tinford/program/FleetExtension.java
+++ b/gateway/src/main/java/tinford/program/FleetExtension.java
@@ -8,36 +8,39 @@
 import tinford.transport.EventLoop;
 
 /**
- * What acts beside a gateway for a whole fleet, on its I/O thread. A gateway that is handed none is
- * alone, and loads none of it.
+ * What a gateway runs on its I/O thread when it is part of a fleet. Unless stated otherwise, all
+ * methods are called within a batch of the event loop. A gateway without an extension loads none of
+ * its classes.
  */
 public interface FleetExtension {
     /**
-     * Called once, within the first round and before anything comes in.
+     * Called once, right before {@link #join}.
      *
-     * @param enter from any thread: runs what it is given within a round, soon
+     * @param useCatalog puts a catalog into force, in place of the settings' own or an earlier one;
+     *     to be called within a batch
      */
-    FleetPolicy join(GatewayIdentity place, Consumer<EventLoop.Task> enter) throws IOException;
+    default void setCatalogConsumer(Consumer<Catalog> useCatalog) {}
 
     /**
-     * Called once, right before {@link #join}.
+     * Called once, within the first batch and before any input.
      *
-     * @param use within a round: brings a catalog into force, in place of the settings' own or the
-     *     one before
+     * @param ioThreadExecutor runs tasks within a batch soon; may be called from any thread
+     * @return the policy under which the gateway decides
      */
-    default void configures(Consumer<Catalog> use) {}
+    FleetPolicy join(GatewayIdentity identity, Consumer<EventLoop.Task> ioThreadExecutor)
+            throws IOException;
 
-    /** Within a round, each {@link #every} ms. */
+    /** Called every {@link #tickIntervalMs}. */
     void tick();
 
-    double every();
+    double tickIntervalMs();
 
-    /** Within a round: this process is told to end, and goes on until all it took is answered. */
-    void leaves();
+    /** The process drains: it goes on until every request that it has read is answered. */
+    void onDrainStarted();
 
     /**
-     * On the thread that ends the process, once all that it took is answered: its last moment,
-     * which may take one.
+     * Every request is answered, and the process exits when this returns. Called on the shutdown
+     * thread; it may block for a moment.
      */
-    default void answered() {}
+    default void onDrained() {}
 }
--- a/gateway/src/main/java/tinford/program/Handover.java
+++ b/gateway/src/main/java/tinford/program/Handover.java
@@ -11,209 +11,240 @@
 import tinford.transport.HandoverLock;
 
 /**
- * Which process of this gateway takes the clients. One that starts beside another waits, ready,
- * until that one is told to end and gives its turn away; then it opens its door, and only then the
- * other closes its own. A process that dies gives its turn away as well.
+ * Decides which process of this gateway accepts clients, and drains the process at its end. A
+ * process that starts beside another one stands by until that one is told to exit and releases the
+ * {@link HandoverLock}, or dies. Then it listens, and only after that the other one closes its
+ * listener.
  */
 final class Handover {
     private static final System.Logger LOG = System.getLogger("tinford.program");
 
-    /**
-     * Clients and connections that come this long after SIGTERM, to one without a successor, are
-     * none the wiser.
-     */
-    private static final double CLIENTS_COME = 450;
+    /** From SIGTERM on, a process without a successor serves as before for so long. */
+    private static final double SERVE_AFTER_SIGTERM_MS = 450;
 
-    /** The door stays open so much longer, for what crosses the end of a connection. */
-    private static final double DOOR_STAYS = 100;
+    /** The listener outlives the idle connections, for clients that connect again. */
+    private static final double LISTEN_AFTER_CLOSE_MS = 100;
 
-    /**
-     * Connections that bring no req meanwhile end this long after SIGTERM: their last req has its
-     * full time.
-     */
-    private static final double CLIENTS_STAY = 650;
+    /** From SIGTERM on, connections that bring no request are kept for so long. */
+    private static final double KEEP_IDLE_AFTER_SIGTERM_MS = 650;
 
-    private static final double LOOK = 10;
-    private static final double LAST_LINES = 100; // for the log, at the end
-    private static final double LAST_LOOK =
-            100; // for the I/O threads, which end at once where nothing holds them up
-    private final RequestDispatcher desk;
+    private static final double TAKEOVER_POLL_MS = 10;
+    private static final double ANNOUNCE_POLL_MS = 5;
+    private static final double EXIT_POLL_MS = 100;
+    private static final double LOG_FLUSH_TIMEOUT_MS = 100;
+    private static final double LOOP_CLOSE_TIMEOUT_MS = 100;
+    private static final double NANOS_PER_MS = 1e6;
+    private final RequestDispatcher dispatcher;
     private final ClientPool clients;
-    private final AdminApi operators;
-    private final HandoverLock turn;
-    private final InetSocketAddress at;
-    private final int aside;
-    private double leftAt;
-    private boolean begun; // at the start, whichever process has the turn
-    private boolean taken; // the clients, at some time
-    private boolean ending;
+    private final AdminApi adminApi;
+    private final HandoverLock lock;
+    private final InetSocketAddress listenAddress;
+    private final int reservedForOtherProcess;
+    private double drainStartedMs;
+
+    /** The start has come to the listener, or to standing by. */
+    private boolean isStarted;
+
+    /** This process has accepted clients at some time. */
+    private boolean hasListened;
+
+    private boolean isDraining;
 
     /**
-     * @param operators their door, or null
-     * @param turn shared with the gateway's other process, or null where there is none
-     * @param aside descriptors that are not this process's while there are two
+     * @param adminApi or null
+     * @param lock shared with the gateway's other process, or null where there is none
+     * @param reservedForOtherProcess descriptors that belong to the other process while there is
+     *     one
      */
     Handover(
-            RequestDispatcher desk,
+            RequestDispatcher dispatcher,
             ClientPool clients,
-            AdminApi operators,
-            HandoverLock turn,
-            InetSocketAddress at,
-            int aside) {
-        this.desk = desk;
+            AdminApi adminApi,
+            HandoverLock lock,
+            InetSocketAddress listenAddress,
+            int reservedForOtherProcess) {
+        this.dispatcher = dispatcher;
         this.clients = clients;
-        this.operators = operators;
-        this.turn = turn;
-        this.at = at;
-        this.aside = aside;
+        this.adminApi = adminApi;
+        this.lock = lock;
+        this.listenAddress = listenAddress;
+        this.reservedForOtherProcess = reservedForOtherProcess;
     }
 
-    /** Opens the door if no other process has the turn. */
-    synchronized boolean first() throws IOException {
-        begun = true;
-        if (turn != null && !turn.tryAcquire()) {
-            desk.loop.descriptorBudget().reserve(aside);
+    /** Listens for clients, unless another process does; false then. */
+    synchronized boolean tryListenAtStart() throws IOException {
+        isStarted = true;
+        if (lock != null && !lock.tryAcquire()) {
+            reserveDescriptors(reservedForOtherProcess);
             LOG.log(
                     Level.INFO,
-                    "another process of this gateway takes the clients; ready to follow it");
+                    "standing by: another process accepts client connections listen="
+                            + listenAddress);
             return false;
         }
-        clients.listen(at, turn != null);
-        taken = true;
-        if (turn != null) {
-            boolean alone = turn.alone();
-            if (!alone) {
-                desk.loop.descriptorBudget().reserve(aside);
+        clients.listen(listenAddress, lock != null);
+        hasListened = true;
+        if (lock != null) {
+            boolean isOnlyProcess = lock.isOnlyProcess();
+            if (!isOnlyProcess) {
+                reserveDescriptors(reservedForOtherProcess);
             }
-            desk.loop.execute(
-                    () -> {
-                        opened();
-                        if (!alone) {
-                            alone();
-                        }
-                    });
+            dispatcher.loop.execute(() -> listeningAtStart(isOnlyProcess));
         }
         return true;
     }
 
-    /** Within a turn of the loop: looks for the end of the other process's turn. */
-    void await() {
-        if (ending) {
+    private void listeningAtStart(boolean isOnlyProcess) {
+        announceListening();
+        if (!isOnlyProcess) {
+            pollForExitOfOther();
+        }
+    }
+
+    private void reserveDescriptors(int descriptors) {
+        dispatcher.loop.descriptorBudget().setReservedForOtherProcess(descriptors);
+    }
+
+    /** Within a batch: tries to take over the clients, until that is done. */
+    void pollForTakeover() {
+        if (isDraining) {
             return;
         }
         try {
-            if (turn.tryAcquire()) {
-                desk.takesOver();
-                clients.listen(at, true);
-                taken = true;
-                LOG.log(Level.INFO, "the clients come here now");
-                opened();
-                alone();
+            if (lock.tryAcquire()) {
+                takeOver();
                 return;
             }
         } catch (IOException e) {
-            LOG.log(Level.ERROR, "the clients' address can't be taken over: " + e);
+            LOG.log(
+                    Level.ERROR,
+                    "handover failed, trying again listen=" + listenAddress + " error=" + e);
         }
-        desk.loop.schedule(LOOK, this::await);
+        dispatcher.loop.schedule(TAKEOVER_POLL_MS, this::pollForTakeover);
     }
 
-    private void opened() {
+    private void takeOver() throws IOException {
+        dispatcher.takesOver();
+        clients.listen(listenAddress, true);
+        hasListened = true;
+        LOG.log(
+                Level.INFO,
+                "handover complete: accepting client connections listen=" + listenAddress);
+        announceListening();
+        pollForExitOfOther();
+    }
+
+    private void announceListening() {
         try {
-            if (ending || turn.opened()) {
+            if (isDraining || lock.tryAnnounceListening()) {
                 return;
             }
         } catch (IOException e) {
-            LOG.log(
-                    Level.WARNING,
-                    "the other process is not told that this one's door is open: " + e);
+            LOG.log(Level.WARNING, "handover: announcing the listener failed error=" + e);
         }
-        desk.loop.schedule(LOOK / 2, this::opened);
+        dispatcher.loop.schedule(ANNOUNCE_POLL_MS, this::announceListening);
     }
 
-    /** Once the other process is gone, its descriptors are free. */
-    private void alone() {
+    /** Takes the other process's descriptors back once it has exited. */
+    private void pollForExitOfOther() {
         try {
-            if (turn.alone()) {
-                desk.loop
-                        .descriptorBudget()
-                        .reserve(ending ? aside : 0); // one that ends may have a successor by now
+            if (lock.isOnlyProcess()) {
+                // a draining process may have a successor by now
+                reserveDescriptors(isDraining ? reservedForOtherProcess : 0);
                 return;
             }
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "not seen whether the other process has gone: " + e);
+            LOG.log(
+                    Level.WARNING,
+                    "handover: checking whether the other process has exited failed error=" + e);
         }
-        desk.loop.schedule(10 * LOOK, this::alone);
+        dispatcher.loop.schedule(EXIT_POLL_MS, this::pollForExitOfOther);
     }
 
     /**
-     * At SIGTERM: goes on as before while clients still come, then lets them go, and ends when all
-     * is answered.
+     * Called at SIGTERM, on the shutdown thread: serves as before while clients still connect, then
+     * closes their connections between requests, and exits when every request is answered.
+     *
+     * @param onDrained called right before the exit
      */
-    void leave(Runnable last) {
-        synchronized (this) { // guards a door that is being opened
-            if (!begun) {
-                halt();
+    void drainAndExit(Runnable onDrained) {
+        // waits for a listener that is being opened
+        synchronized (this) {
+            if (!isStarted) {
+                exit();
             }
         }
-        CountDownLatch left = new CountDownLatch(1);
-        desk.loop.execute(
-                () -> {
-                    ending = true;
-                    leftAt = System.nanoTime() / 1e6;
-                    if (!taken) {
-                        left.countDown(); // it waited for its turn, and goes without one
-                    } else if (turn == null) {
-                        desk.loop.schedule(CLIENTS_COME, () -> close(left));
-                    } else {
-                        give(left);
-                    }
-                });
+        CountDownLatch drained = new CountDownLatch(1);
+        dispatcher.loop.execute(() -> startDraining(drained));
         try {
-            left.await();
+            drained.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        last.run();
-        LineLogger.flush(LAST_LINES);
-        halt();
+        onDrained.run();
+        LineLogger.flush(LOG_FLUSH_TIMEOUT_MS);
+        exit();
     }
 
-    private void halt() {
-        desk.loop.end(LAST_LOOK); // guards the time that is left, see there
+    private void exit() {
+        dispatcher.loop.closeAndAwait(LOOP_CLOSE_TIMEOUT_MS);
         Runtime.getRuntime().halt(0);
     }
 
-    private void give(CountDownLatch left) {
+    private void startDraining(CountDownLatch drained) {
+        isDraining = true;
+        drainStartedMs = System.nanoTime() / NANOS_PER_MS;
+        if (!hasListened) {
+            drained.countDown(); // it was standing by and has no clients
+        } else if (lock == null) {
+            dispatcher.loop.schedule(SERVE_AFTER_SIGTERM_MS, () -> closeClients(drained));
+        } else {
+            handOver(drained);
+        }
+    }
+
+    /** Hands the clients over to a successor, if one listens in time. */
+    private void handOver(CountDownLatch drained) {
         try {
-            turn.release();
-            if (turn.succeeded()) {
-                desk.leaves();
-                operators.leaving();
-                desk.loop.descriptorBudget().reserve(aside);
-                LOG.log(Level.INFO, "another process takes the clients");
-                clients.leave(CLIENTS_STAY - since(), left::countDown);
+            lock.release();
+            if (lock.isSuccessorListening()) {
+                drainAfterHandover(drained);
                 return;
             }
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "not seen whether another process follows: " + e);
+            LOG.log(Level.WARNING, "handover: checking for a successor failed error=" + e);
         }
-        if (since() < CLIENTS_COME) {
-            desk.loop.schedule(LOOK, () -> give(left));
+        if (sinceDrainStartedMs() < SERVE_AFTER_SIGTERM_MS) {
+            dispatcher.loop.schedule(TAKEOVER_POLL_MS, () -> handOver(drained));
         } else {
-            close(left);
+            closeClients(drained);
         }
     }
 
-    private void close(CountDownLatch left) {
-        if (operators != null) {
-            operators.leaving();
+    private void drainAfterHandover(CountDownLatch drained) {
+        dispatcher.leaves();
+        adminApi.leaving();
+        reserveDescriptors(reservedForOtherProcess);
+        LOG.log(
+                Level.INFO,
+                "draining: another process accepts client connections listen=" + listenAddress);
+        clients.leave(remainingIdleMs(), drained::countDown);
+    }
+
+    private void closeClients(CountDownLatch drained) {
+        if (adminApi != null) {
+            adminApi.leaving();
         }
         clients.letGo();
-        desk.loop.schedule(
-                DOOR_STAYS, () -> clients.close(CLIENTS_STAY - since(), left::countDown));
+        dispatcher.loop.schedule(
+                LISTEN_AFTER_CLOSE_MS, () -> clients.close(remainingIdleMs(), drained::countDown));
+    }
+
+    private double remainingIdleMs() {
+        return KEEP_IDLE_AFTER_SIGTERM_MS - sinceDrainStartedMs();
     }
 
-    private double since() {
-        return System.nanoTime() / 1e6 - leftAt;
+    private double sinceDrainStartedMs() {
+        return System.nanoTime() / NANOS_PER_MS - drainStartedMs;
     }
 }
--- a/gateway/src/main/java/tinford/protocol/ChunkedLineReader.java
+++ b/gateway/src/main/java/tinford/protocol/ChunkedLineReader.java
@@ -6,141 +6,187 @@
 import java.util.function.Consumer;
 
 /**
- * An HTTP/1.1 answer that is sent in chunks and holds lines of text; line ends and chunk ends need
- * not meet.
+ * Reads the lines of text in an HTTP/1.1 response with chunked transfer encoding. Lines may extend
+ * over several chunks, and chunks over several reads.
  */
 public final class ChunkedLineReader {
-    private static final int MOST_HEAD = 8 << 10;
-    private static final int FIRST_CAPACITY = 1024;
+    private static final int MAX_HEAD_BYTES = 8 << 10;
+    private static final int INITIAL_LINE_BYTES = 1024;
 
-    /** A buffer that has grown beyond it is let go with its line. */
-    private static final int MOST_KEPT = 64 << 10;
+    /** A longer line's buffer is released together with the line. */
+    private static final int MAX_KEPT_LINE_BYTES = 64 << 10;
 
-    private final int mostLine;
-    private byte[] line = new byte[FIRST_CAPACITY];
-    private int length;
-    private boolean headRead;
-    private long
-            chunk; // bytes still to come of the present one; -1 before its size line, -2 before its
-    // closing one
-    private boolean done;
+    private static final int HEX = 16;
+
+    private enum State {
+        RESPONSE_HEAD,
+        CHUNK_SIZE,
+        CHUNK_DATA,
+        CHUNK_END,
+        COMPLETE
+    }
+
+    private final int maxLineBytes;
+    private State state = State.RESPONSE_HEAD;
+    private byte[] line = new byte[INITIAL_LINE_BYTES];
+    private int lineLength;
+    private long remainingChunkBytes;
 
     /**
-     * @param mostLine the bytes of the longest line that is read
+     * @param maxLineBytes the length of the longest line that is accepted
      */
-    public ChunkedLineReader(int mostLine) {
-        this.mostLine = mostLine;
-        chunk = -1;
+    public ChunkedLineReader(int maxLineBytes) {
+        this.maxLineBytes = maxLineBytes;
     }
 
-    public boolean done() {
-        return done;
+    /** Whether the response's last chunk has been read. */
+    public boolean isComplete() {
+        return state == State.COMPLETE;
     }
 
-    /** Reads what it can; the result is how many bytes are not needed any more. */
-    public int read(byte[] b, int from, int to, Consumer<String> lines) throws ProtocolException {
-        int at = from;
-        while (!done && at < to) {
-            if (chunk > 0) {
-                int n = (int) Math.min(chunk, to - at);
-                text(b, at, at + n, lines);
-                chunk -= n;
-                at += n;
-                if (chunk == 0) {
-                    chunk = -2;
-                }
-                continue;
-            }
-            int stop = headRead ? end(b, at, to, 1) : end(b, at, to, 2);
-            if (stop < 0) {
-                if (to - at > MOST_HEAD) {
-                    throw new ProtocolException("a head of under " + MOST_HEAD + " bytes");
-                }
+    /**
+     * Reads as much as it can.
+     *
+     * @param lines called with each complete line, without the white space around it
+     * @return how many bytes were consumed; the others are to be passed again, with more behind
+     *     them
+     */
+    public int read(byte[] bytes, int from, int to, Consumer<String> lines)
+            throws ProtocolException {
+        int position = from;
+        while (state != State.COMPLETE && position < to) {
+            int consumed =
+                    state == State.CHUNK_DATA
+                            ? readChunkData(bytes, position, to, lines)
+                            : readControlLine(bytes, position, to);
+            if (consumed == 0) {
                 break;
             }
-            String head = new String(b, at, stop - at, StandardCharsets.ISO_8859_1);
-            at = stop;
-            if (!headRead) {
-                head(head);
-            } else if (chunk == -2) {
-                if (!head.equals("\r\n")) {
-                    throw new ProtocolException("the end of a line behind a chunk");
-                }
-                chunk = -1;
-            } else {
-                size(head);
+            position += consumed;
+        }
+        return position - from;
+    }
+
+    private int readChunkData(byte[] bytes, int from, int to, Consumer<String> lines)
+            throws ProtocolException {
+        int count = (int) Math.min(remainingChunkBytes, to - from);
+        readText(bytes, from, from + count, lines);
+        remainingChunkBytes -= count;
+        if (remainingChunkBytes == 0) {
+            state = State.CHUNK_END;
+        }
+        return count;
+    }
+
+    /** The response's head, a chunk's size, or the line end behind a chunk; 0 if incomplete. */
+    private int readControlLine(byte[] bytes, int from, int to) throws ProtocolException {
+        int end =
+                state == State.RESPONSE_HEAD
+                        ? endOfEmptyLine(bytes, from, to)
+                        : endOfLine(bytes, from, to);
+        if (end < 0) {
+            if (to - from > MAX_HEAD_BYTES) {
+                throw new ProtocolException("a head of under " + MAX_HEAD_BYTES + " bytes");
             }
+            return 0;
         }
-        return at - from;
+        String text = new String(bytes, from, end - from, StandardCharsets.ISO_8859_1);
+        switch (state) {
+            case RESPONSE_HEAD -> readResponseHead(text);
+            case CHUNK_SIZE -> readChunkSize(text);
+            default -> readChunkEnd(text);
+        }
+        return end - from;
     }
 
-    private void head(String head) throws ProtocolException {
+    private void readResponseHead(String head) throws ProtocolException {
         if (!head.startsWith("HTTP/1.1 200 ")) {
             throw new ProtocolException("HTTP/1.1 200");
         }
         if (!head.toLowerCase(Locale.ROOT).contains("\r\ntransfer-encoding: chunked\r\n")) {
             throw new ProtocolException("an answer in chunks");
         }
-        headRead = true;
+        state = State.CHUNK_SIZE;
     }
 
-    private void size(String head) throws ProtocolException {
-        int stop = head.indexOf(';');
-        String digits = head.substring(0, stop < 0 ? head.length() - 2 : stop).trim();
+    private void readChunkSize(String text) throws ProtocolException {
+        int extension = text.indexOf(';');
+        int digitsEnd = extension < 0 ? text.length() - 2 : extension;
         try {
-            chunk = Long.parseLong(digits, 16);
+            remainingChunkBytes = Long.parseLong(text.substring(0, digitsEnd).trim(), HEX);
         } catch (NumberFormatException e) {
             throw new ProtocolException("the size of a chunk in hex digits");
         }
-        if (chunk < 0) {
+        if (remainingChunkBytes < 0) {
             throw new ProtocolException("the size of a chunk");
         }
-        done = chunk == 0;
+        state = remainingChunkBytes == 0 ? State.COMPLETE : State.CHUNK_DATA;
+    }
+
+    private void readChunkEnd(String text) throws ProtocolException {
+        if (!text.equals("\r\n")) {
+            throw new ProtocolException("the end of a line behind a chunk");
+        }
+        state = State.CHUNK_SIZE;
     }
 
-    /** Where the first empty line ends (two line ends in a row), or the first line. */
-    private static int end(byte[] b, int from, int to, int ends) {
-        for (int i = from; i + 2 * ends <= to; i++) {
-            if (b[i] == '\r'
-                    && b[i + 1] == '\n'
-                    && (ends == 1 || b[i + 2] == '\r' && b[i + 3] == '\n')) {
-                return i + 2 * ends;
+    /** The index behind the first CR LF, or -1. */
+    private static int endOfLine(byte[] bytes, int from, int to) {
+        for (int i = from; i + 2 <= to; i++) {
+            if (isLineEnd(bytes, i)) {
+                return i + 2;
             }
         }
         return -1;
     }
 
-    private void text(byte[] b, int from, int to, Consumer<String> lines) throws ProtocolException {
+    /** The index behind the first two CR LF in a row, or -1. */
+    private static int endOfEmptyLine(byte[] bytes, int from, int to) {
+        for (int i = from; i + 4 <= to; i++) {
+            if (isLineEnd(bytes, i) && isLineEnd(bytes, i + 2)) {
+                return i + 4;
+            }
+        }
+        return -1;
+    }
+
+    private static boolean isLineEnd(byte[] bytes, int index) {
+        return bytes[index] == '\r' && bytes[index + 1] == '\n';
+    }
+
+    private void readText(byte[] bytes, int from, int to, Consumer<String> lines)
+            throws ProtocolException {
         int start = from;
         for (int i = from; i < to; i++) {
-            if (b[i] == '\n') {
-                keep(b, start, i);
+            if (bytes[i] == '\n') {
+                appendToLine(bytes, start, i);
                 lines.accept(takeLine());
                 start = i + 1;
             }
         }
-        keep(b, start, to);
+        appendToLine(bytes, start, to);
     }
 
-    /** Lets a long buffer go first: whoever reads the line needs the memory. */
+    /** Releases a long buffer before the line is handled: its handler needs the memory. */
     private String takeLine() {
-        String text = new String(line, 0, length, StandardCharsets.UTF_8).strip();
-        length = 0;
-        if (line.length > MOST_KEPT) {
-            line = new byte[FIRST_CAPACITY];
+        String text = new String(line, 0, lineLength, StandardCharsets.UTF_8).strip();
+        lineLength = 0;
+        if (line.length > MAX_KEPT_LINE_BYTES) {
+            line = new byte[INITIAL_LINE_BYTES];
         }
         return text;
     }
 
-    private void keep(byte[] b, int from, int to) throws ProtocolException {
-        int n = to - from;
-        if (length + n > mostLine) {
-            throw new ProtocolException("a line of under " + mostLine + " bytes");
+    private void appendToLine(byte[] bytes, int from, int to) throws ProtocolException {
+        int count = to - from;
+        int newLength = lineLength + count;
+        if (newLength > maxLineBytes) {
+            throw new ProtocolException("a line of under " + maxLineBytes + " bytes");
         }
-        if (length + n > line.length) {
-            line = Arrays.copyOf(line, Math.max(2 * line.length, length + n));
+        if (newLength > line.length) {
+            line = Arrays.copyOf(line, Math.max(2 * line.length, newLength));
         }
-        System.arraycopy(b, from, line, length, n);
-        length += n;
+        System.arraycopy(bytes, from, line, lineLength, count);
+        lineLength = newLength;
     }
 }
--- a/gateway/src/main/java/tinford/protocol/ClientCommand.java
+++ b/gateway/src/main/java/tinford/protocol/ClientCommand.java
@@ -6,12 +6,28 @@
 import java.util.regex.Pattern;
 import tinford.transport.ConnectionBuffer;
 
-/** A client's command: its fields, and its bytes, from which the command to a server is made. */
+/**
+ * A client's request command: its fields, and its bytes, from which the command to a server is
+ * made. On the wire the fields follow the verb as customer, id and terms (name=value, separated by
+ * commas); a body may follow them.
+ */
 public final class ClientCommand {
-    private static final int TERMS = 3;
-    private static final int WHOLE = RespReader.MAX_VALUE_BYTES;
-    private static final int PIECE = 32 << 10;
-    private static final Pattern HEX = Pattern.compile("[0-9a-f]{16}");
+    private static final String READ_VERB = "Q.ASK";
+    private static final String WRITE_VERB = "Q.DO";
+    private static final int PARTS = 4;
+    private static final int PARTS_WITH_BODY = 5;
+    private static final int TERMS_PART = 3;
+    private static final int TENANT_BITS = 33;
+    private static final double MAX_TIMEOUT_MS = 1e9;
+    private static final double MIN_UNITS = 1e-6;
+    private static final double MAX_UNITS = 1e9;
+    private static final double MAX_GATEWAYS = 1e6;
+
+    /** A longer rest of a command is written in pieces. */
+    private static final int MAX_WHOLE_WRITE_BYTES = RespReader.MAX_VALUE_BYTES;
+
+    private static final int PIECE_BYTES = 32 << 10;
+    private static final Pattern HEX_ID = Pattern.compile("[0-9a-f]{16}");
     public final boolean retryable;
     public final long tenant;
     public final long id;
@@ -24,134 +40,175 @@
     public boolean markedAsRetry;
     public boolean hasIdempotencyKey;
     private final byte[] raw;
-    private int termsHead;
-    private int termsFrom;
-    private int termsTo;
-    private int timeFrom = -1;
-    private int timeTo;
+
+    /** Where the length line of the terms begins, and the terms themselves. */
+    private final int termsHead;
+
+    private final int termsStart;
+    private final int termsEnd;
+    private int timeoutStart = -1;
+    private int timeoutEnd;
 
     /**
-     * @param from where the command begins in the bytes, {@code n} how long it is
+     * @param parsed the command's parts
+     * @param from where the command begins in the bytes
+     * @param length of the command in bytes
+     * @throws ProtocolException if a field is missing or out of its range
      */
-    public ClientCommand(RespReader in, byte[] bytes, int from, int n) throws ProtocolException {
-        String verb = in.text(0);
-        retryable = verb.equals("Q.ASK");
-        if (!retryable && !verb.equals("Q.DO")) {
-            throw new ProtocolException("Q.ASK, Q.DO or PING");
+    public ClientCommand(RespReader parsed, byte[] bytes, int from, int length)
+            throws ProtocolException {
+        retryable = isRetryable(parsed.text(0));
+        checkPartCount(parsed.partCount());
+        tenant = parseTenant(parsed.text(1));
+        id = parseId(parsed.text(2), "id");
+        raw = new byte[length];
+        System.arraycopy(bytes, from, raw, 0, length);
+        termsStart = parsed.offset(TERMS_PART) - from;
+        termsEnd = termsStart + parsed.length(TERMS_PART);
+        termsHead = lastIndexOf('$', termsStart - "$\r\n".length());
+        parseTerms();
+        if (requestClass == null || plan == null || timeoutMs < 0) {
+            throw new ProtocolException("the terms c, t and d");
         }
-        int parts = in.parts();
-        if (parts != 4 && (retryable || parts != 5)) {
+    }
+
+    private static boolean isRetryable(String verb) throws ProtocolException {
+        return switch (verb) {
+            case READ_VERB -> true;
+            case WRITE_VERB -> false;
+            default -> throw new ProtocolException("Q.ASK, Q.DO or PING");
+        };
+    }
+
+    private void checkPartCount(int parts) throws ProtocolException {
+        if (parts != PARTS && (retryable || parts != PARTS_WITH_BODY)) {
             throw new ProtocolException(
                     "customer, id and terms" + (retryable ? "" : ", and a body at most"));
         }
-        tenant = hex(in.text(1), "customer");
-        if (tenant >>> 33 != 0) {
+    }
+
+    private static long parseTenant(String text) throws ProtocolException {
+        long number = parseId(text, "customer");
+        if (number >>> TENANT_BITS != 0) {
             throw new ProtocolException("a customer below 2^33");
         }
-        id = hex(in.text(2), "id");
-        raw = new byte[n];
-        System.arraycopy(bytes, from, raw, 0, n);
-        termsFrom = in.from(TERMS) - from;
-        termsTo = termsFrom + in.length(TERMS);
-        termsHead = termsFrom - 3;
-        while (raw[termsHead] != '$') {
-            termsHead--;
+        return number;
+    }
+
+    private static long parseId(String text, String field) throws ProtocolException {
+        if (!HEX_ID.matcher(text).matches()) {
+            throw new ProtocolException(field + " of 16 hex digits");
         }
-        terms();
-        if (requestClass == null || plan == null || timeoutMs < 0) {
-            throw new ProtocolException("the terms c, t and d");
+        return Long.parseUnsignedLong(text, 16);
+    }
+
+    private int lastIndexOf(char character, int last) {
+        int index = last;
+        while (raw[index] != character) {
+            index--;
+        }
+        return index;
+    }
+
+    /** The first index of the character in the terms, from {@code from} on, or {@code to}. */
+    private int indexOf(char character, int from, int to) {
+        int index = from;
+        while (index < to && raw[index] != character) {
+            index++;
         }
+        return index;
     }
 
-    private void terms() throws ProtocolException {
+    private void parseTerms() throws ProtocolException {
         Set<String> names = new HashSet<>();
-        for (int at = termsFrom; at < termsTo; ) {
-            int stop = at;
-            while (stop < termsTo && raw[stop] != ',') {
-                stop++;
-            }
-            int is = at;
-            while (is < stop && raw[is] != '=') {
-                is++;
-            }
-            if (is == stop) {
+        int start = termsStart;
+        while (start < termsEnd) {
+            int end = indexOf(',', start, termsEnd);
+            int equals = indexOf('=', start, end);
+            if (equals == end) {
                 throw new ProtocolException("terms as name=value,name=value");
             }
-            String value = new String(raw, is + 1, stop - is - 1, StandardCharsets.ISO_8859_1);
-            String name = new String(raw, at, is - at, StandardCharsets.ISO_8859_1);
+            String name = text(start, equals);
+            // a server might use the other one of two terms than the one that was checked
             if (!names.add(name)) {
-                throw new ProtocolException(
-                        "each term once"); // else a server could read another one than was judged
-                // here
+                throw new ProtocolException("each term once");
             }
-            switch (name) {
-                case "c" -> requestClass = value;
-                case "t" -> plan = value;
-                case "d" -> {
-                    timeoutMs = real(value, "d", 0, 1e9);
-                    timeFrom = is + 1;
-                    timeTo = stop;
-                }
-                case "units" -> units = real(value, "units", 1e-6, 1e9);
-                case "spread" -> fanIn = whole(value, "spread", 1);
-                case "first" -> firstGateway = whole(value, "first", 0);
-                case "k" -> hasIdempotencyKey = !value.isEmpty();
-                case "r" -> markedAsRetry = value.equals("1");
-                default -> {}
-            }
-            at = stop + 1;
+            setTerm(name, equals + 1, end);
+            start = end + 1;
         }
     }
 
-    private static double real(String value, String name, double least, double most)
-            throws ProtocolException {
-        double v = NumberParser.parse(value);
-        if (v >= least && v <= most) {
-            return v;
+    private void setTerm(String name, int valueStart, int valueEnd) throws ProtocolException {
+        String value = text(valueStart, valueEnd);
+        switch (name) {
+            case "c" -> requestClass = value;
+            case "t" -> plan = value;
+            case "d" -> {
+                timeoutMs = parseNumber(value, name, 0, MAX_TIMEOUT_MS);
+                timeoutStart = valueStart;
+                timeoutEnd = valueEnd;
+            }
+            case "units" -> units = parseNumber(value, name, MIN_UNITS, MAX_UNITS);
+            case "spread" -> fanIn = parseWholeNumber(value, name, 1);
+            case "first" -> firstGateway = parseWholeNumber(value, name, 0);
+            case "k" -> hasIdempotencyKey = !value.isEmpty();
+            case "r" -> markedAsRetry = value.equals("1");
+            default -> {
+                // left to the server
+            }
         }
-        throw new ProtocolException(name + " from " + (long) least + " to " + (long) most);
     }
 
-    private static int whole(String value, String name, int least) throws ProtocolException {
-        double v = real(value, name, least, 1e6);
-        if (v != Math.rint(v)) {
-            throw new ProtocolException(name + " to be a whole number");
+    private String text(int start, int end) {
+        return new String(raw, start, end - start, StandardCharsets.ISO_8859_1);
+    }
+
+    private static double parseNumber(String value, String name, double min, double max)
+            throws ProtocolException {
+        double number = NumberParser.parse(value);
+        if (number >= min && number <= max) {
+            return number;
         }
-        return (int) v;
+        throw new ProtocolException(name + " from " + (long) min + " to " + (long) max);
     }
 
-    private static long hex(String text, String name) throws ProtocolException {
-        if (!HEX.matcher(text).matches()) {
-            throw new ProtocolException(name + " of 16 hex digits");
+    private static int parseWholeNumber(String value, String name, int min)
+            throws ProtocolException {
+        double number = parseNumber(value, name, min, MAX_GATEWAYS);
+        if (number != Math.rint(number)) {
+            throw new ProtocolException(name + " to be a whole number");
         }
-        return Long.parseUnsignedLong(text, 16);
+        return (int) number;
     }
 
+    /** The length of the command in bytes, as it came from the client. */
     public int length() {
         return raw.length;
     }
 
     /**
-     * The same command, but for how long its sender will wait, in whole milliseconds.
+     * Puts the command for a server: the same bytes, with another timeout.
      *
-     * @return how much of it has been put, counted as {@link #length} counts: the rest of a long
-     *     one follows in pieces
+     * @return how many of the {@link #length} bytes are put; the rest of a long command follows
+     *     with {@link #write(ConnectionBuffer, int)}
      */
-    public int write(ConnectionBuffer to, long patience) {
-        String time = Long.toString(patience);
-        to.put(raw, 0, termsHead)
+    public int write(ConnectionBuffer target, long timeoutMsForServer) {
+        String timeout = Long.toString(timeoutMsForServer);
+        int oldTimeoutLength = timeoutEnd - timeoutStart;
+        target.put(raw, 0, termsHead)
                 .put("$")
-                .put(termsTo - termsFrom - (timeTo - timeFrom) + time.length())
+                .put(termsEnd - termsStart - oldTimeoutLength + timeout.length())
                 .putLineEnd()
-                .put(raw, termsFrom, timeFrom - termsFrom)
-                .put(time);
-        return write(to, timeTo);
+                .put(raw, termsStart, timeoutStart - termsStart)
+                .put(timeout);
+        return write(target, timeoutEnd);
     }
 
-    /** The next piece, from there on. */
-    public int write(ConnectionBuffer to, int at) {
-        int n = raw.length - at <= WHOLE ? raw.length - at : PIECE;
-        to.put(raw, at, n);
-        return at + n;
+    /** Puts the next piece, from that byte on; the result is as above. */
+    public int write(ConnectionBuffer target, int from) {
+        int rest = raw.length - from;
+        int count = rest <= MAX_WHOLE_WRITE_BYTES ? rest : PIECE_BYTES;
+        target.put(raw, from, count);
+        return from + count;
     }
 }
--- a/gateway/src/main/java/tinford/protocol/EndpointListLimit.java
+++ b/gateway/src/main/java/tinford/protocol/EndpointListLimit.java
@@ -1,19 +1,19 @@
 package tinford.protocol;
 
 /**
- * How long the text of one list of servers may be, from the heap that the process has. While a list
- * is read it takes some eight times its text: a limit of a thirty-second of the heap leaves three
- * quarters for everything else.
+ * The length limit of one endpoint list, derived from the heap. Reading a list takes about eight
+ * times its text: a limit of a thirty-second of the heap leaves three quarters for all else.
  */
 public final class EndpointListLimit {
-    private static final long PART_OF_HEAP = 32;
-    private static final long LEAST_BYTES = 1 << 20;
-    private static final long MOST_BYTES = 16 << 20;
+    private static final long HEAP_DIVISOR = 32;
+    private static final long MIN_LIMIT_BYTES = 1 << 20;
+    private static final long MAX_LIMIT_BYTES = 16 << 20;
 
     private EndpointListLimit() {}
 
-    /** For a heap of so many bytes: between 1 and 16 MiB. */
+    /** The limit for a heap of that size: from 1 to 16 MiB. */
     public static int maxBytes(long heapBytes) {
-        return (int) Math.max(LEAST_BYTES, Math.min(MOST_BYTES, heapBytes / PART_OF_HEAP));
+        long limit = heapBytes / HEAP_DIVISOR;
+        return (int) Math.max(MIN_LIMIT_BYTES, Math.min(MAX_LIMIT_BYTES, limit));
     }
 }
--- a/gateway/src/main/java/tinford/protocol/HttpRequestHead.java
+++ b/gateway/src/main/java/tinford/protocol/HttpRequestHead.java
@@ -2,13 +2,13 @@
 
 import java.nio.charset.StandardCharsets;
 
-/**
- * The head of one HTTP/1.1 call: method and path. What a call carries beside these is not looked
- * at.
- */
+/** Method and path of an HTTP/1.1 request. Query, header fields and body are ignored. */
 public final class HttpRequestHead {
-    private static final int MOST_HEAD = 8 << 10;
+    private static final int MAX_HEAD_BYTES = 8 << 10;
+    private static final int REQUEST_LINE_PARTS = 3;
     public final String method;
+
+    /** Without the query. */
     public final String path;
 
     private HttpRequestHead(String method, String path) {
@@ -16,33 +16,42 @@
         this.path = path;
     }
 
-    /** Null when more has to come. */
-    public static HttpRequestHead read(byte[] b, int from, int to) throws ProtocolException {
-        int stop = end(b, from, to);
-        if (stop < 0) {
-            if (to - from > MOST_HEAD) {
-                throw new ProtocolException("a head of under " + MOST_HEAD + " bytes");
-            }
-            return null;
+    /** The head at the start of the bytes, or null when it is not complete yet. */
+    public static HttpRequestHead parse(byte[] bytes, int from, int to) throws ProtocolException {
+        int end = endOfHead(bytes, from, to);
+        if (end >= 0) {
+            return parseHead(new String(bytes, from, end - from, StandardCharsets.ISO_8859_1));
         }
-        String head = new String(b, from, stop - from, StandardCharsets.ISO_8859_1);
-        String[] words = head.substring(0, head.indexOf('\n')).strip().split(" ");
-        if (words.length != 3 || !words[2].startsWith("HTTP/1.") || !words[1].startsWith("/")) {
+        if (to - from > MAX_HEAD_BYTES) {
+            throw new ProtocolException("a head of under " + MAX_HEAD_BYTES + " bytes");
+        }
+        return null;
+    }
+
+    private static HttpRequestHead parseHead(String head) throws ProtocolException {
+        String[] parts = head.substring(0, head.indexOf('\n')).strip().split(" ");
+        if (parts.length != REQUEST_LINE_PARTS
+                || !parts[2].startsWith("HTTP/1.")
+                || !parts[1].startsWith("/")) {
             throw new ProtocolException("METHOD /path HTTP/1.1");
         }
-        int query = words[1].indexOf('?');
-        return new HttpRequestHead(words[0], query < 0 ? words[1] : words[1].substring(0, query));
+        String target = parts[1];
+        int query = target.indexOf('?');
+        return new HttpRequestHead(parts[0], query < 0 ? target : target.substring(0, query));
     }
 
-    /** Behind the first empty line; lines may end with or without the carriage return. */
-    private static int end(byte[] b, int from, int to) {
+    /** The index behind the last header line, or -1; lines may end with LF or CR LF. */
+    private static int endOfHead(byte[] bytes, int from, int to) {
         for (int i = from; i < to; i++) {
-            if (b[i] == '\n'
-                    && (i + 1 < to && b[i + 1] == '\n'
-                            || i + 2 < to && b[i + 1] == '\r' && b[i + 2] == '\n')) {
+            if (bytes[i] == '\n' && isEmptyLine(bytes, i + 1, to)) {
                 return i + 1;
             }
         }
         return -1;
     }
+
+    private static boolean isEmptyLine(byte[] bytes, int from, int to) {
+        return from < to && bytes[from] == '\n'
+                || from + 1 < to && bytes[from] == '\r' && bytes[from + 1] == '\n';
+    }
 }
--- a/gateway/src/main/java/tinford/protocol/JsonObjectSplitter.java
+++ b/gateway/src/main/java/tinford/protocol/JsonObjectSplitter.java
@@ -5,42 +5,49 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.async.ByteArrayFeeder;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
 /**
- * JSON objects in lines of text, each in one line or over several. What it keeps of one is bounded.
+ * Finds JSON objects in lines of text. An object may take one line or several; its length is
+ * bounded.
  */
 public final class JsonObjectSplitter {
     private static final byte[] LINE_END = {'\n'};
-    private final int most;
-    private final JsonParser in;
+    private final int maxObjectChars;
+    private final JsonParser parser;
     private final ByteArrayFeeder feeder;
-    private StringBuilder text = new StringBuilder();
+
+    /** The lines of the object that is not complete yet. */
+    private StringBuilder incomplete = new StringBuilder();
+
     private int depth;
 
     /**
-     * @param most the characters of the longest object that is read
+     * @param maxObjectChars the length of the longest object that is accepted
      */
-    public JsonObjectSplitter(JsonFactory json, int most) {
-        this.most = most;
+    public JsonObjectSplitter(JsonFactory json, int maxObjectChars) {
+        this.maxObjectChars = maxObjectChars;
         try {
-            in = json.createNonBlockingByteArrayParser();
+            parser = json.createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // nothing is read yet
+            throw new UncheckedIOException(e); // declared only: no input is read here
         }
-        feeder = (ByteArrayFeeder) in.getNonBlockingInputFeeder();
+        feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
     /**
-     * What is whole with this line: an object, or an empty text for an empty line between objects;
-     * null: more has to come.
+     * Adds a line, without its line end.
+     *
+     * @return the object that it completes; an empty text for an empty line between objects; null
+     *     when the object is not complete yet
      */
     public String addLine(String line) throws ProtocolException {
-        if (line.isEmpty() && text.length() == 0) {
+        if (line.isEmpty() && incomplete.length() == 0) {
             return line;
         }
-        if (text.length() + line.length() + 1 > most) {
-            throw new ProtocolException("an object of under " + most + " bytes");
+        if (incomplete.length() + line.length() + 1 > maxObjectChars) {
+            throw new ProtocolException("an object of under " + maxObjectChars + " bytes");
         }
         try {
             feed(line.getBytes(StandardCharsets.UTF_8));
@@ -48,22 +55,28 @@
         } catch (IOException e) {
             throw new ProtocolException("JSON");
         }
-        if (depth <= 0 && text.length() == 0) {
-            return line; // the usual case takes no copy
+        if (depth <= 0 && incomplete.length() == 0) {
+            return line; // the usual case, without a copy
         }
-        text.append(line).append('\n');
+        incomplete.append(line).append('\n');
         if (depth > 0) {
             return null;
         }
-        String whole = text.toString();
-        text = new StringBuilder();
-        return whole;
+        String object = incomplete.toString();
+        incomplete = new StringBuilder();
+        return object;
     }
 
     private void feed(byte[] bytes) throws IOException {
         feeder.feedInput(bytes, 0, bytes.length);
-        for (JsonToken t = in.nextToken(); t != JsonToken.NOT_AVAILABLE; t = in.nextToken()) {
-            depth += t.isStructStart() ? 1 : t.isStructEnd() ? -1 : 0;
+        JsonToken token = parser.nextToken();
+        while (token != JsonToken.NOT_AVAILABLE) {
+            if (token.isStructStart()) {
+                depth++;
+            } else if (token.isStructEnd()) {
+                depth--;
+            }
+            token = parser.nextToken();
         }
     }
 }
--- a/gateway/src/main/java/tinford/protocol/NumberParser.java
+++ b/gateway/src/main/java/tinford/protocol/NumberParser.java
@@ -1,35 +1,38 @@
 package tinford.protocol;
 
 /**
- * Numbers as they are written on every wire here: digits, and a sign, a point or an exponent at
- * most.
+ * Parses decimal numbers as all protocols of the gateway write them. {@link Double#parseDouble}
+ * alone would accept "NaN", "0x1p3" and "5d" as well.
  */
 public final class NumberParser {
-    private static final int LONGEST = 32;
+    private static final int MAX_LENGTH = 32;
+    private static final String OTHER_CHARACTERS = "+-.eE";
 
     private NumberParser() {}
 
-    /**
-     * Not a number where the text is none, or none that is finite: Java itself would take "NaN",
-     * "0x1p3" and "5d".
-     */
+    /** The number, or NaN when the text is no finite decimal number. */
     public static double parse(String text) {
-        boolean digit = false;
-        for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            digit |= c >= '0' && c <= '9';
-            if ((c < '0' || c > '9') && "+-.eE".indexOf(c) < 0) {
-                return Double.NaN;
-            }
-        }
-        if (!digit || text.length() > LONGEST) {
+        if (text.length() > MAX_LENGTH || !isDecimal(text)) {
             return Double.NaN;
         }
         try {
-            double found = Double.parseDouble(text);
-            return Double.isInfinite(found) ? Double.NaN : found;
+            double number = Double.parseDouble(text);
+            return Double.isInfinite(number) ? Double.NaN : number;
         } catch (NumberFormatException e) {
             return Double.NaN;
         }
     }
+
+    private static boolean isDecimal(String text) {
+        boolean hasDigit = false;
+        for (int i = 0; i < text.length(); i++) {
+            char c = text.charAt(i);
+            boolean isDigit = c >= '0' && c <= '9';
+            if (!isDigit && OTHER_CHARACTERS.indexOf(c) < 0) {
+                return false;
+            }
+            hasDigit |= isDigit;
+        }
+        return hasDigit;
+    }
 }
--- a/gateway/src/main/java/tinford/protocol/RespReader.java
+++ b/gateway/src/main/java/tinford/protocol/RespReader.java
@@ -3,274 +3,305 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One RESP2 value at a time, found where it lies: a simple one, or an array of simple ones. Nothing
- * is copied.
+ * Parses one RESP2 value at a time where it lies in a byte array, without copying: a simple value,
+ * or an array of simple values. After a parse its parts are read by index; a simple value has one.
  */
 public final class RespReader {
-    private static final int MOST_PARTS = 16;
-    private static final int MOST_LINE = 1024;
-    private static final int MOST_BULK = 64 << 10;
-    private static final int MOST_LONG = 4 << 20;
-    private static final int BODY = 4; // a command's last part
+    private static final int MAX_PARTS = 16;
+    private static final int MAX_LINE_BYTES = 1024;
+    private static final int MAX_BULK_BYTES = 64 << 10;
+    private static final int MAX_LONG_BULK_BYTES = 4 << 20;
+    private static final int MAX_LENGTH_DIGITS = 9;
+    private static final int LINE_END_BYTES = 2;
 
-    /** A whole value that is read here is never longer than this. */
-    public static final int MAX_VALUE_BYTES = MOST_BULK + MOST_PARTS * 1100;
+    /** The part of a command that may be a long body. */
+    private static final int BODY_PART = 4;
 
-    /** Nor a command with a long body. */
-    public static final int MAX_COMMAND_BYTES = MOST_LONG + MOST_BULK + MOST_PARTS * 1100;
+    /** A part that is no long body, with its prefix and line ends. */
+    private static final int MAX_PART_OVERHEAD_BYTES = 1100;
 
-    private final int[] from = new int[MOST_PARTS];
-    private final int[] to = new int[MOST_PARTS];
-    private final byte[] kind = new byte[MOST_PARTS];
+    /** The longest value that is parsed whole, but for commands with a long body. */
+    public static final int MAX_VALUE_BYTES =
+            MAX_BULK_BYTES + MAX_PARTS * MAX_PART_OVERHEAD_BYTES;
+
+    /** The longest command with a long body. */
+    public static final int MAX_COMMAND_BYTES = MAX_LONG_BULK_BYTES + MAX_VALUE_BYTES;
+
+    /** The kind of a null bulk string. */
+    private static final byte NULL_KIND = 0;
+
+    private final boolean allowsLongBody;
+    private final int[] partStart = new int[MAX_PARTS];
+    private final int[] partEnd = new int[MAX_PARTS];
+    private final byte[] partKind = new byte[MAX_PARTS];
     private byte[] bytes;
-    private boolean array;
-    private int parts;
-    private int at;
-    private int end;
-    private long longValue;
-    private int begun;
-    private int needs;
-    private final boolean longBody;
+    private int valueStart;
+    private int position;
+    private int limit;
+    private boolean isArray;
+    private int partCount;
+    private int requiredBytes;
+    private long longValueBytes;
 
     public RespReader() {
         this(false);
     }
 
     /**
-     * @param longBody whether the body of a command may be as long as a long value
+     * @param allowsLongBody whether the body of a command may be as long as a long value
      */
-    public RespReader(boolean longBody) {
-        this.longBody = longBody;
+    public RespReader(boolean allowsLongBody) {
+        this.allowsLongBody = allowsLongBody;
     }
 
     /**
-     * Looks for a whole value at the start of the bytes given.
+     * Parses the value at the start of the range.
      *
-     * @return its length, or 0 when more has to come
+     * @return its length, or 0 when it is not complete yet
      */
-    public int parse(byte[] in, int start, int stop) throws ProtocolException {
-        bytes = in;
-        begun = start;
-        at = start;
-        end = stop;
-        needs = 0;
-        parts = 1;
-        array = at < end && bytes[at] == '*';
-        if (array) {
-            long n = number(1);
-            if (n < 0) {
+    public int parse(byte[] source, int from, int to) throws ProtocolException {
+        setSource(source, from, to);
+        valueStart = from;
+        requiredBytes = 0;
+        partCount = 1;
+        isArray = position < limit && bytes[position] == '*';
+        if (isArray) {
+            long count = parseLength();
+            if (count < 0) {
                 return 0;
             }
-            if (n == 0 || n > MOST_PARTS) {
-                throw new ProtocolException("an array of 1 to " + MOST_PARTS + " parts");
+            if (count == 0 || count > MAX_PARTS) {
+                throw new ProtocolException("an array of 1 to " + MAX_PARTS + " parts");
             }
-            parts = (int) n;
+            partCount = (int) count;
         }
-        for (int i = 0; i < parts; i++) {
-            if (!part(i)) {
-                return 0;
+        return parseParts(0) ? position - from : 0;
+    }
+
+    private void setSource(byte[] source, int from, int to) {
+        bytes = source;
+        position = from;
+        limit = to;
+    }
+
+    private boolean parseParts(int first) throws ProtocolException {
+        for (int i = first; i < partCount; i++) {
+            if (!parsePart(i)) {
+                return false;
             }
         }
-        return at - start;
+        return true;
     }
 
-    private boolean part(int i) throws ProtocolException {
-        if (at >= end) {
+    /** False when the part is not complete yet. */
+    private boolean parsePart(int i) throws ProtocolException {
+        if (position >= limit) {
             return false;
         }
-        kind[i] = bytes[at];
-        switch (kind[i]) {
-            case '$' -> {
-                if (at + 1 < end && bytes[at + 1] == '-') {
-                    return none(i);
-                }
-                long n = number(1);
-                if (n < 0) {
-                    return false;
-                }
-                int most = longBody && i == BODY ? MOST_LONG : MOST_BULK;
-                if (n > most) {
-                    throw new ProtocolException("a value of at most " + most + " bytes");
-                }
-                if (end - at < n + 2) {
-                    needs = n > MOST_BULK ? at - begun + (int) n + 2 : 0;
-                    return false;
-                }
-                from[i] = at;
-                to[i] = at + (int) n;
-                if (bytes[to[i]] != '\r' || bytes[to[i] + 1] != '\n') {
-                    throw new ProtocolException("the end of a line behind a value");
-                }
-                at = to[i] + 2;
-                return true;
-            }
-            case '+', '-', ':' -> {
-                int stop = line();
-                if (stop < 0) {
-                    return false;
-                }
-                from[i] = at + 1;
-                to[i] = stop;
-                at = stop + 2;
-                return true;
-            }
+        partKind[i] = bytes[position];
+        return switch (partKind[i]) {
+            case '$' -> isNegativeLength() ? parseNullBulk(i) : parseBulk(i);
+            case '+', '-', ':' -> parseLinePart(i);
             default -> throw new ProtocolException("a RESP2 value");
+        };
+    }
+
+    private boolean isNegativeLength() {
+        return position + 1 < limit && bytes[position + 1] == '-';
+    }
+
+    private boolean parseBulk(int i) throws ProtocolException {
+        long length = parseLength();
+        if (length < 0) {
+            return false;
         }
+        int maxLength = allowsLongBody && i == BODY_PART ? MAX_LONG_BULK_BYTES : MAX_BULK_BYTES;
+        if (length > maxLength) {
+            throw new ProtocolException("a value of at most " + maxLength + " bytes");
+        }
+        int withLineEnd = (int) length + LINE_END_BYTES;
+        if (limit - position < withLineEnd) {
+            requiredBytes = length > MAX_BULK_BYTES ? position - valueStart + withLineEnd : 0;
+            return false;
+        }
+        setPart(i, position, position + (int) length);
+        if (!isLineEnd(partEnd[i])) {
+            throw new ProtocolException("the end of a line behind a value");
+        }
+        return true;
+    }
+
+    private boolean parseLinePart(int i) throws ProtocolException {
+        int lineEnd = findLineEnd();
+        if (lineEnd < 0) {
+            return false;
+        }
+        setPart(i, position + 1, lineEnd);
+        return true;
     }
 
-    private boolean none(int i) throws ProtocolException {
-        int stop = line();
-        if (stop < 0) {
+    private boolean parseNullBulk(int i) throws ProtocolException {
+        int lineEnd = findLineEnd();
+        if (lineEnd < 0) {
             return false;
         }
-        if (stop - at != 3 || bytes[at + 2] != '1') {
+        if (lineEnd - position != "$-1".length() || bytes[position + 2] != '1') {
             throw new ProtocolException("$-1 for no value");
         }
-        kind[i] = 0;
-        from[i] = to[i] = stop;
-        at = stop + 2;
+        partKind[i] = NULL_KIND;
+        setPart(i, lineEnd, lineEnd);
         return true;
     }
 
+    /** Records the part, and goes on behind the line end that follows it. */
+    private void setPart(int i, int start, int end) {
+        partStart[i] = start;
+        partEnd[i] = end;
+        position = end + LINE_END_BYTES;
+    }
+
+    private boolean isLineEnd(int index) {
+        return bytes[index] == '\r' && bytes[index + 1] == '\n';
+    }
+
     /**
-     * The length behind the sign at the present place, or -1 when more has to come; goes on behind
-     * the line.
+     * The length behind the type character at the present position, or -1 when its line is not
+     * complete; goes on behind the line.
      */
-    private long number(int skip) throws ProtocolException {
-        int stop = line();
-        if (stop < 0) {
+    private long parseLength() throws ProtocolException {
+        int lineEnd = findLineEnd();
+        if (lineEnd < 0) {
             return -1;
         }
-        int first = at + skip;
-        if (stop == first || stop - first > 9) {
-            throw new ProtocolException("a length of 1 to 9 digits");
+        int first = position + 1;
+        if (lineEnd == first || lineEnd - first > MAX_LENGTH_DIGITS) {
+            throw new ProtocolException("a length of 1 to " + MAX_LENGTH_DIGITS + " digits");
         }
-        long n = 0;
-        for (int i = first; i < stop; i++) {
+        long length = 0;
+        for (int i = first; i < lineEnd; i++) {
             if (bytes[i] < '0' || bytes[i] > '9') {
                 throw new ProtocolException("a length in digits");
             }
-            n = n * 10 + bytes[i] - '0';
+            length = length * 10 + bytes[i] - '0';
         }
-        at = stop + 2;
-        return n;
+        position = lineEnd + LINE_END_BYTES;
+        return length;
     }
 
-    private int line() throws ProtocolException {
-        int most = Math.min(end, at + MOST_LINE);
-        for (int i = at; i + 1 < most; i++) {
-            if (bytes[i] == '\r' && bytes[i + 1] == '\n') {
+    private int findLineEnd() throws ProtocolException {
+        int searchEnd = Math.min(limit, position + MAX_LINE_BYTES);
+        for (int i = position; i + 1 < searchEnd; i++) {
+            if (isLineEnd(i)) {
                 return i;
             }
         }
-        if (end - at >= MOST_LINE) {
-            throw new ProtocolException("a line of under " + MOST_LINE + " bytes");
+        if (limit - position >= MAX_LINE_BYTES) {
+            throw new ProtocolException("a line of under " + MAX_LINE_BYTES + " bytes");
         }
         return -1;
     }
 
     /**
-     * Looks for the beginning of a longer answer than is read whole: an array whose first part is
-     * such a value. Its length is then {@link #longValue}, and the result is where its bytes begin,
-     * counted from the start; else 0.
+     * Parses the head of an answer with a long value: an array whose first part is a bulk string of
+     * more bytes than are read whole. {@link #longValueBytes} is then its length.
+     *
+     * @return the length of the head, behind which the value's bytes begin, or 0 when there is no
+     *     such head
      */
-    public int parseLong(byte[] in, int start, int stop) throws ProtocolException {
-        bytes = in;
-        at = start;
-        end = stop;
-        if (at >= end || bytes[at] != '*') {
+    public int parseLongValueHead(byte[] source, int from, int to) throws ProtocolException {
+        setSource(source, from, to);
+        if (position >= limit || bytes[position] != '*') {
             return 0;
         }
-        long n = number(1);
-        if (n < 1 || n > MOST_PARTS || at >= end || bytes[at] != '$') {
+        long count = parseLength();
+        if (count < 1 || count > MAX_PARTS || position >= limit || bytes[position] != '$') {
             return 0;
         }
-        parts = (int) n;
-        longValue = at + 1 < end && bytes[at + 1] == '-' ? 0 : number(1);
-        if (longValue <= MOST_BULK) {
+        partCount = (int) count;
+        longValueBytes = isNegativeLength() ? 0 : parseLength();
+        if (longValueBytes <= MAX_BULK_BYTES) {
             return 0;
         }
-        if (longValue > MOST_LONG) {
-            throw new ProtocolException("a value of at most " + MOST_LONG + " bytes");
+        if (longValueBytes > MAX_LONG_BULK_BYTES) {
+            throw new ProtocolException("a value of at most " + MAX_LONG_BULK_BYTES + " bytes");
         }
-        return at - start;
+        return position - from;
     }
 
     /**
-     * After a parse that wants more: how many bytes the whole will have, where a long body is under
-     * way; else 0.
+     * After an incomplete {@link #parse}: the length of the whole command when it has a long body,
+     * else 0.
      */
-    public int needs() {
-        return needs;
+    public int requiredBytes() {
+        return requiredBytes;
     }
 
-    public long longValue() {
-        return longValue;
+    public long longValueBytes() {
+        return longValueBytes;
     }
 
     /**
-     * What stands behind the first value of an array of so many parts: the line end, and the parts
-     * that follow.
+     * Parses what follows a long value in an array of so many parts: its line end and the other
+     * parts. The long value itself is then an empty part.
+     *
+     * @return the length of what follows, or 0 when it is not complete yet
      */
-    public int parseRest(int parts, byte[] in, int start, int stop) throws ProtocolException {
-        bytes = in;
-        at = start;
-        end = stop;
-        this.parts = parts;
-        array = true;
-        if (end - at >= 1 && bytes[at] != '\r' || end - at >= 2 && bytes[at + 1] != '\n') {
+    public int parseAfterLongValue(int parts, byte[] source, int from, int to)
+            throws ProtocolException {
+        setSource(source, from, to);
+        partCount = parts;
+        isArray = true;
+        int available = limit - position;
+        if (available >= 1 && bytes[position] != '\r'
+                || available >= 2 && bytes[position + 1] != '\n') {
             throw new ProtocolException("the end of a line behind a value");
         }
-        kind[0] = '$';
-        from[0] = to[0] = at;
-        at += 2;
-        if (at > end) {
+        partKind[0] = '$';
+        setPart(0, position, position);
+        if (position > limit) {
             return 0;
         }
-        for (int i = 1; i < parts; i++) {
-            if (!part(i)) {
-                return 0;
-            }
-        }
-        return at - start;
+        return parseParts(1) ? position - from : 0;
     }
 
+    /** The array that was parsed last. */
     public byte[] bytes() {
         return bytes;
     }
 
-    public boolean array() {
-        return array;
+    public boolean isArray() {
+        return isArray;
     }
 
-    public int parts() {
-        return parts;
+    public int partCount() {
+        return partCount;
     }
 
-    /** '$' for a bulk string, 0 for a null one, else the sign that the part begins with. */
-    public byte kind(int i) {
-        return kind[i];
+    /** The type character of a part: '$', '+', '-' or ':', or 0 for a null bulk string. */
+    public byte kind(int part) {
+        return partKind[part];
     }
 
-    public int from(int i) {
-        return from[i];
+    /** Where the content of a part begins in {@link #bytes}. */
+    public int offset(int part) {
+        return partStart[part];
     }
 
-    public int length(int i) {
-        return to[i] - from[i];
+    public int length(int part) {
+        return partEnd[part] - partStart[part];
     }
 
-    public String text(int i) {
-        return new String(bytes, from[i], to[i] - from[i], StandardCharsets.ISO_8859_1);
+    public String text(int part) {
+        return new String(bytes, partStart[part], length(part), StandardCharsets.ISO_8859_1);
     }
 
-    /** A command is an array of bulk strings. */
-    public boolean command() {
-        for (int i = 0; i < parts; i++) {
-            if (kind[i] != '$') {
+    /** Whether the value is an array of bulk strings. */
+    public boolean isCommand() {
+        for (int i = 0; i < partCount; i++) {
+            if (partKind[i] != '$') {
                 return false;
             }
         }
-        return array;
+        return isArray;
     }
 }
--- a/gateway/src/main/java/tinford/protocol/UsageReport.java
+++ b/gateway/src/main/java/tinford/protocol/UsageReport.java
@@ -2,38 +2,40 @@
 
 import java.util.List;
 
-/** The figures that a server sends beside an answer, as name=value,name=value. */
+/** The figures that a server reports with its answer, as name=value,name=value. */
 public final class UsageReport {
     private UsageReport() {}
 
-    /** The value of that name in the text, or {@code absent}. */
+    /** The value with that name; {@code absent} when there is none, or no number from 0 on. */
     public static double value(String text, String name, double absent) {
-        for (int at = 0; at < text.length(); ) {
-            int stop = text.indexOf(',', at);
-            stop = stop < 0 ? text.length() : stop;
-            if (text.startsWith(name, at)
-                    && at + name.length() < stop
-                    && text.charAt(at + name.length()) == '=') {
-                double found = NumberParser.parse(text.substring(at + name.length() + 1, stop));
-                return found >= 0 ? found : absent;
+        int position = 0;
+        while (position < text.length()) {
+            int comma = text.indexOf(',', position);
+            int end = comma < 0 ? text.length() : comma;
+            int equals = position + name.length();
+            if (text.startsWith(name, position) && equals < end && text.charAt(equals) == '=') {
+                double value = NumberParser.parse(text.substring(equals + 1, end));
+                return value >= 0 ? value : absent;
             }
-            at = stop + 1;
+            position = end + 1;
         }
         return absent;
     }
 
     /**
-     * A load report: the values of the names given, in their order, or null when the text has none
-     * of them.
+     * A load report: the values with those names, in their order and 0 for absent ones, or null
+     * when the text has none of them.
      */
-    public static double[] values(String text, List<String> names) {
-        double[] found = new double[names.size()];
-        boolean any = false;
-        for (int i = 0; i < found.length; i++) {
-            found[i] = value(text, names.get(i), Double.NaN);
-            any |= !Double.isNaN(found[i]);
-            found[i] = Double.isNaN(found[i]) ? 0 : found[i];
+    public static double[] loadReport(String text, List<String> names) {
+        double[] values = new double[names.size()];
+        boolean hasAny = false;
+        for (int i = 0; i < values.length; i++) {
+            double value = value(text, names.get(i), Double.NaN);
+            if (!Double.isNaN(value)) {
+                values[i] = value;
+                hasAny = true;
+            }
         }
-        return any ? found : null;
+        return hasAny ? values : null;
     }
 }
--- a/gateway/src/main/java/tinford/routing/AdminApi.java
+++ b/gateway/src/main/java/tinford/routing/AdminApi.java
@@ -53,7 +53,7 @@
                 most,
                 () -> {
                     if (calls.size() >= most - Math.min(SPARE, most / 4)) {
-                        calls.peek().close(CloseReason.RETIRED);
+                        calls.peek().close(CloseReason.CLOSED_IDLE);
                     }
                     return new Call();
                 });
@@ -119,12 +119,12 @@
         Call() {
             super(desk.loop, MOST_HEAD, MOST_HEAD);
             calls.add(this);
-            desk.loop.schedule(PATIENCE, () -> close(CloseReason.SILENT));
+            desk.loop.schedule(PATIENCE, () -> close(CloseReason.RESPONSE_TIMEOUT));
         }
 
         @Override
-        protected DescriptorBudget.Party party() {
-            return DescriptorBudget.Party.OPERATORS;
+        protected DescriptorBudget.PeerKind party() {
+            return DescriptorBudget.PeerKind.ADMINS;
         }
 
         @Override
@@ -137,7 +137,7 @@
             }
             try {
                 HttpRequestHead call =
-                        HttpRequestHead.read(buf.bytes(), buf.readIndex(), buf.readLimit());
+                        HttpRequestHead.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
                 if (call != null) {
                     say(answer(call));
                 }
@@ -148,8 +148,8 @@
 
         private void say(String status) {
             answered = true;
-            buf.consume(buf.unread());
-            buf.put(
+            buffer.consume(buffer.unreadBytes());
+            buffer.put(
                     "HTTP/1.1 "
                             + status
                             + "\r\n"
@@ -160,11 +160,11 @@
                             + "\r\n\r\n"
                             + status
                             + "\n");
-            finish(CloseReason.RETIRED);
+            closeGracefully(CloseReason.CLOSED_IDLE);
         }
 
         @Override
-        protected void onEnded(CloseReason how) {
+        protected void onClosed(CloseReason how) {
             calls.remove(this);
         }
     }
--- a/gateway/src/main/java/tinford/routing/ClientConnection.java
+++ b/gateway/src/main/java/tinford/routing/ClientConnection.java
@@ -39,7 +39,7 @@
     }
 
     private boolean idle() {
-        return first == null && buf.unread() == 0;
+        return first == null && buffer.unreadBytes() == 0;
     }
 
     /**
@@ -50,7 +50,7 @@
     int claim(double now, double silence) {
         double quiet = now - lastUse;
         if (!idle()
-                || buf.unwritten()
+                || buffer.unwrittenBytes()
                         > 0) { // guards an answer of this very turn, which has not left yet
             return BUSY;
         }
@@ -60,8 +60,8 @@
     }
 
     @Override
-    protected DescriptorBudget.Party party() {
-        return DescriptorBudget.Party.CLIENTS;
+    protected DescriptorBudget.PeerKind party() {
+        return DescriptorBudget.PeerKind.CLIENTS;
     }
 
     @Override
@@ -72,35 +72,35 @@
      * behind what is not read yet.
      */
     boolean gone() {
-        return ends();
+        return pollPeerClosed();
     }
 
     @Override
     protected void onReceived() {
-        if (endSeen()) {
+        if (isPeerCloseSeen()) {
             return; // nobody waits for what came right before the end
         }
         RespReader resp = clients.resp;
         try {
-            while (!isClosed() && closing != CloseReason.MALFORMED) {
+            while (!isClosed() && closing != CloseReason.PROTOCOL_ERROR) {
                 pass();
                 if (passing > 0) {
                     return;
                 }
-                int n = resp.parse(buf.bytes(), buf.readIndex(), buf.readLimit());
+                int n = resp.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
                 if (n == 0) {
                     halfSince =
-                            buf.unread() == 0
+                            buffer.unreadBytes() == 0
                                     ? 0
                                     : halfSince == 0 || room > 0 ? clients.desk.now : halfSince;
-                    if (resp.needs() > 0) {
-                        expect(resp.needs());
+                    if (resp.requiredBytes() > 0) {
+                        expect(resp.requiredBytes());
                     }
                     return;
                 }
                 halfSince = 0;
                 giveRoom();
-                if (!resp.command()) {
+                if (!resp.isCommand()) {
                     throw new ProtocolException("an array of bulk strings");
                 }
                 asked = true;
@@ -125,7 +125,7 @@
             return;
         }
         if (first == null) {
-            hold();
+            suspendReads();
             return;
         }
         // guards the reqs before it: on a connection that is not read nobody sees that their client
@@ -137,9 +137,9 @@
     }
 
     private void pass() {
-        int n = Math.min(passing, buf.unread());
+        int n = Math.min(passing, buffer.unreadBytes());
         passing -= n;
-        buf.consume(n);
+        buffer.consume(n);
     }
 
     int awaited() {
@@ -150,8 +150,8 @@
         room = awaited;
         awaited = 0;
         halfSince = clients.desk.now;
-        buf.expect(room);
-        release();
+        buffer.reserveForRead(room);
+        resumeReads();
     }
 
     private void giveRoom() {
@@ -180,8 +180,8 @@
     private void lastWord(String line) {
         giveRoom();
         say(add(new ResponseSlot()), line);
-        deaf();
-        closeWhenIdle(CloseReason.MALFORMED);
+        discardInput();
+        closeWhenIdle(CloseReason.PROTOCOL_ERROR);
     }
 
     /**
@@ -189,12 +189,12 @@
      * error line or a close.
      */
     void look(double now, double silence, double half, double idleMost) {
-        if (closing != CloseReason.MALFORMED && awaited > 0 && now - halfSince >= half) {
+        if (closing != CloseReason.PROTOCOL_ERROR && awaited > 0 && now - halfSince >= half) {
             turnAway();
-        } else if (closing != CloseReason.MALFORMED && halfSince > 0 && now - halfSince >= half) {
+        } else if (closing != CloseReason.PROTOCOL_ERROR && halfSince > 0 && now - halfSince >= half) {
             refuse(new ProtocolException("a whole command within " + (long) half + " ms"));
-        } else if (idle() && buf.unwritten() > 0 && now - lastUse >= UNREAD) {
-            close(CloseReason.OVERFULL);
+        } else if (idle() && buffer.unwrittenBytes() > 0 && now - lastUse >= UNREAD) {
+            close(CloseReason.BUFFER_LIMIT_EXCEEDED);
         } else if (closing == null && idle() && now - lastUse >= (asked ? idleMost : silence)) {
             giveWay();
         }
@@ -205,27 +205,27 @@
      * client as answered.
      */
     boolean giveWay() {
-        if ((closing != null || isQuiet() || idle()) && buf.unwritten() == 0) {
-            close(CloseReason.RETIRED);
+        if ((closing != null || isQuiet() || idle()) && buffer.unwrittenBytes() == 0) {
+            close(CloseReason.CLOSED_IDLE);
         }
         return isClosed();
     }
 
     private void command(RespReader resp, int n) {
-        int from = buf.readIndex();
-        if (resp.parts() == 1 && resp.text(0).equals("PING")) {
-            buf.consume(n);
+        int from = buffer.readIndex();
+        if (resp.partCount() == 1 && resp.text(0).equals("PING")) {
+            buffer.consume(n);
             say(add(new ResponseSlot()), "+PONG");
             return;
         }
         ClientRequest e = null;
         String wrong = null;
         try {
-            e = clients.exchange(this, new ClientCommand(resp, buf.bytes(), from, n));
+            e = clients.exchange(this, new ClientCommand(resp, buffer.bytes(), from, n));
         } catch (ProtocolException m) {
             wrong = m.getMessage();
         }
-        buf.consume(n);
+        buffer.consume(n);
         if (e == null) {
             say(add(new ResponseSlot()), "-ERR " + wrong);
             return;
@@ -247,7 +247,7 @@
 
     void say(ResponseSlot s, String line) {
         if (s == first) {
-            buf.put(line).putLineEnd();
+            buffer.put(line).putLineEnd();
             next();
         } else {
             keep(s, (line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
@@ -256,7 +256,7 @@
 
     void value(ResponseSlot s, byte[] b, int from, int n) {
         if (s == first) {
-            buf.put("$").put(n).putLineEnd().put(b, from, n).putLineEnd();
+            buffer.put("$").put(n).putLineEnd().put(b, from, n).putLineEnd();
             next();
         } else {
             byte[] head = ("$" + n + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
@@ -276,14 +276,14 @@
     /** A value too long to be kept begins to flow from there; its client's slot is at the front. */
     void flow(ResponseSlot s, long n, ServerConnection from) {
         s.source = from;
-        buf.put("$").put(n).putLineEnd();
+        buffer.put("$").put(n).putLineEnd();
     }
 
     /** A piece of it. False when enough waits to be written: the source hears when to go on. */
     boolean piece(byte[] b, int from, int n) {
-        buf.put(b, from, n);
-        send();
-        if (buf.unwritten() <= (loop.bufferBudget().isNearlyExhausted() ? 0 : MOST_FLOWING)) {
+        buffer.put(b, from, n);
+        scheduleFlush();
+        if (buffer.unwrittenBytes() <= (loop.bufferBudget().isNearlyExhausted() ? 0 : MOST_FLOWING)) {
             return true;
         }
         awaitDrain(LEAST_FLOWING);
@@ -293,7 +293,7 @@
     /** It has flown whole. */
     void flown() {
         first.source = null;
-        buf.putLineEnd();
+        buffer.putLineEnd();
         next();
     }
 
@@ -312,19 +312,19 @@
     private void next() {
         waiting--;
         for (first = first.next; first != null && first.answer != null; first = first.next) {
-            buf.put(first.answer, 0, first.answer.length);
+            buffer.put(first.answer, 0, first.answer.length);
             clients.held(-first.answer.length);
             waiting--;
         }
         lastUse = clients.desk.now;
-        send();
+        scheduleFlush();
         if (first != null && first.source != null) {
             first.source.goOn(); // what came from there waited for those before it
         }
         if (clients.leaving && closing == null) {
             closing =
                     CloseReason
-                            .RETIRED; // the client has just read an answer and is not writing yet
+                            .CLOSED_IDLE; // the client has just read an answer and is not writing yet
         }
         last();
     }
@@ -333,10 +333,10 @@
         if (closing == null || first != null) {
             return;
         }
-        if (closing == CloseReason.MALFORMED) {
-            dismiss(closing);
+        if (closing == CloseReason.PROTOCOL_ERROR) {
+            closeDiscardingInput(closing);
         } else if (isQuiet() || idle()) { // what has come by now is answered first
-            finishIfQuiet(closing);
+            closeGracefullyIfQuiet(closing);
         }
     }
 
@@ -366,20 +366,20 @@
                 clients.cutShort(s.exchange);
             }
         }
-        if (!isClosed() && closing != CloseReason.MALFORMED && halfSince > 0) {
+        if (!isClosed() && closing != CloseReason.PROTOCOL_ERROR && halfSince > 0) {
             turnAway();
         }
     }
 
     @Override
-    protected void onEnded(CloseReason how) {
+    protected void onClosed(CloseReason how) {
         clients.gone(this);
         giveRoom();
         for (ResponseSlot s = first; s != null; s = s.next) {
             if (s.answer != null) {
                 clients.held(-s.answer.length);
             } else if (s.source != null) {
-                s.source.close(CloseReason.DROPPED);
+                s.source.close(CloseReason.CANCELLED);
             } else if (s.exchange != null && !s.exchange.over) {
                 clients.left(s.exchange);
             }
--- a/gateway/src/main/java/tinford/routing/ClientPool.java
+++ b/gateway/src/main/java/tinford/routing/ClientPool.java
@@ -131,7 +131,7 @@
 
     private int most() {
         return Math.min(
-                mostLinks, desk.loop.descriptorBudget().limit(DescriptorBudget.Party.CLIENTS));
+                mostLinks, desk.loop.descriptorBudget().limit(DescriptorBudget.PeerKind.CLIENTS));
     }
 
     /** As many as leave places for those that come while room is made for them. */
@@ -304,7 +304,7 @@
         leaving = true;
         for (ClientConnection l : new ArrayList<>(links)) {
             if (l.rests()) {
-                l.closeWhenIdle(CloseReason.RETIRED);
+                l.closeWhenIdle(CloseReason.CLOSED_IDLE);
             }
         }
     }
@@ -332,7 +332,7 @@
                         }
                     }
                 };
-        door.close(both);
+        door.closeAfterAccepting(both);
         desk.loop.schedule(stay, both);
     }
 
@@ -340,7 +340,7 @@
     void end(Runnable then) {
         closed = then;
         for (ClientConnection l : new ArrayList<>(links)) {
-            l.closeWhenIdle(CloseReason.RETIRED);
+            l.closeWhenIdle(CloseReason.CLOSED_IDLE);
         }
         if (links.isEmpty()) {
             desk.loop.submit(then::run);
--- a/gateway/src/main/java/tinford/routing/CounterClient.java
+++ b/gateway/src/main/java/tinford/routing/CounterClient.java
@@ -129,7 +129,7 @@
             Call c = waiting.peek();
             tell(
                     c,
-                    OutcomeMapping.ofCall(CloseReason.SILENT, !c.lane.unsent.remove(c)),
+                    OutcomeMapping.ofCall(CloseReason.RESPONSE_TIMEOUT, !c.lane.unsent.remove(c)),
                     0); // it leaves no more
         }
         watch();
@@ -173,7 +173,7 @@
 
         void move() {
             if (leaving != null) {
-                leaving.close(CloseReason.DROPPED); // two moves within the time of a call
+                leaving.close(CloseReason.CANCELLED); // two moves within the time of a call
             }
             leaving = wire;
             wire = null;
@@ -187,7 +187,7 @@
          */
         void left() {
             if (leaving != null && !leaving.owes()) {
-                leaving.close(CloseReason.RETIRED);
+                leaving.close(CloseReason.CLOSED_IDLE);
             }
         }
 
@@ -199,8 +199,8 @@
                 wire = null;
             }
             boolean refused =
-                    how == CloseReason.REFUSED
-                            || how == CloseReason.NO_ROOM; // else each has its time still
+                    how == CloseReason.CONNECT_REFUSED
+                            || how == CloseReason.NO_DESCRIPTOR; // else each has its time still
             for (Call c : ended.sent) {
                 tell(c, OutcomeMapping.ofCall(how, true), 0);
             }
@@ -215,10 +215,10 @@
             }
             // another is ready before the next call needs it; what ends at once is not tried faster
             // than what is silent
-            if (how == CloseReason.NEVER_UP
-                    || how == CloseReason.SILENT
-                    || how == CloseReason.PASSED_BY
-                    || how == CloseReason.MALFORMED
+            if (how == CloseReason.CONNECT_TIMEOUT
+                    || how == CloseReason.RESPONSE_TIMEOUT
+                    || how == CloseReason.STALLED
+                    || how == CloseReason.PROTOCOL_ERROR
                     || !unsent.isEmpty()) {
                 connect();
             } else {
@@ -240,8 +240,8 @@
         }
 
         @Override
-        protected DescriptorBudget.Party party() {
-            return DescriptorBudget.Party.SERVICES;
+        protected DescriptorBudget.PeerKind party() {
+            return DescriptorBudget.PeerKind.SERVICES;
         }
 
         void look() {
@@ -249,11 +249,11 @@
             // guards the calls behind one whose answer never comes: the counter answers what was
             // asked later elsewhere
             if (desk.now - since >= timeout - 0.5 && answeredFrom > since) {
-                close(CloseReason.PASSED_BY);
+                close(CloseReason.STALLED);
             } else if (desk.now >= deadAt() - 0.5) {
                 // guards against a connection whose other machine is gone without a word: a new one
                 // finds out
-                close(CloseReason.SILENT);
+                close(CloseReason.RESPONSE_TIMEOUT);
             }
         }
 
@@ -266,7 +266,7 @@
                 String amount = number(c.amount);
                 String keep =
                         Long.toString((long) Math.min(MOST_KEPT, Math.max(1, Math.ceil(c.keep))));
-                buf.put("*4\r\n$7\r\nCNT.ADD\r\n$")
+                buffer.put("*4\r\n$7\r\nCNT.ADD\r\n$")
                         .put(name.length())
                         .putLineEnd()
                         .put(name)
@@ -283,7 +283,7 @@
                         .putLineEnd();
                 sent.add(c);
             }
-            send();
+            scheduleFlush();
         }
 
         boolean owes() {
@@ -307,7 +307,7 @@
             heardAt = desk.now;
             try {
                 while (!isClosed()) {
-                    int n = resp.parse(buf.bytes(), buf.readIndex(), buf.readLimit());
+                    int n = resp.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
                     if (n == 0) {
                         half();
                         return;
@@ -318,7 +318,7 @@
                     AttemptOutcome how = kind();
                     double total =
                             how == AttemptOutcome.SUCCESS ? NumberParser.parse(resp.text(0)) : 0;
-                    buf.consume(n);
+                    buffer.consume(n);
                     if (whole != null) {
                         whole.cancel();
                         whole = null;
@@ -329,7 +329,7 @@
                 }
             } catch (ProtocolException e) {
                 desk.complain(Level.WARNING, "counter", "", e);
-                close(CloseReason.MALFORMED);
+                close(CloseReason.PROTOCOL_ERROR);
             }
         }
 
@@ -338,11 +338,11 @@
          * one piece.
          */
         private void half() throws ProtocolException {
-            if (buf.unread() > MOST_ANSWER) {
+            if (buffer.unreadBytes() > MOST_ANSWER) {
                 throw new ProtocolException("an answer of under " + MOST_ANSWER + " bytes");
             }
-            if (buf.unread() > 0 && whole == null) {
-                whole = loop.schedule(HALF, () -> close(CloseReason.MALFORMED));
+            if (buffer.unreadBytes() > 0 && whole == null) {
+                whole = loop.schedule(HALF, () -> close(CloseReason.PROTOCOL_ERROR));
             }
         }
 
@@ -351,7 +351,7 @@
          * nothing.
          */
         private AttemptOutcome kind() throws ProtocolException {
-            if (!resp.array()
+            if (!resp.isArray()
                     && resp.kind(0) == '$'
                     && !Double.isNaN(NumberParser.parse(resp.text(0)))) {
                 return AttemptOutcome.SUCCESS;
@@ -372,7 +372,7 @@
         }
 
         @Override
-        protected void onEnded(CloseReason how) {
+        protected void onClosed(CloseReason how) {
             if (whole != null) {
                 whole.cancel();
             }
--- a/gateway/src/main/java/tinford/routing/DiscoveryWatch.java
+++ b/gateway/src/main/java/tinford/routing/DiscoveryWatch.java
@@ -117,7 +117,7 @@
         if (fetching == null) {
             Wire asked = new Wire(true);
             fetching = asked;
-            desk.loop.schedule(MOST_UNHEARD, () -> asked.close(CloseReason.SILENT));
+            desk.loop.schedule(MOST_UNHEARD, () -> asked.close(CloseReason.RESPONSE_TIMEOUT));
         }
     }
 
@@ -126,7 +126,7 @@
         Wire oldest = before;
         before = wire;
         if (oldest != null) {
-            oldest.close(CloseReason.RETIRED); // first: the new one may need its descriptor
+            oldest.close(CloseReason.CLOSED_IDLE); // first: the new one may need its descriptor
         }
         wire = new Wire(false);
         listen(unheard);
@@ -154,7 +154,7 @@
         wire = one;
         before = null;
         if (other != null) {
-            other.close(CloseReason.RETIRED);
+            other.close(CloseReason.CLOSED_IDLE);
         }
         stop(opening);
         opening = null;
@@ -177,7 +177,7 @@
         wire = before = null;
         for (Wire w : had) {
             if (w != null) {
-                w.close(CloseReason.RETIRED);
+                w.close(CloseReason.CLOSED_IDLE);
             }
         }
     }
@@ -217,7 +217,7 @@
         Wire(boolean once) {
             super(desk.loop, 64 << 10, MOST_OUT);
             this.once = once;
-            buf.put(
+            buffer.put(
                             "GET /registry/instances"
                                     + (once ? "" : "?watch=1&after=" + version)
                                     + " HTTP/1.1\r\nHost: ")
@@ -227,8 +227,8 @@
         }
 
         @Override
-        protected DescriptorBudget.Party party() {
-            return DescriptorBudget.Party.SERVICES;
+        protected DescriptorBudget.PeerKind party() {
+            return DescriptorBudget.PeerKind.SERVICES;
         }
 
         @Override
@@ -237,16 +237,16 @@
         @Override
         protected void onReceived() {
             try {
-                buf.consume(lines.read(buf.bytes(), buf.readIndex(), buf.readLimit(), this::line));
+                buffer.consume(lines.read(buffer.bytes(), buffer.readIndex(), buffer.readLimit(), this::line));
                 if (bad != null) {
                     throw bad;
                 }
-                if (lines.done()) {
-                    close(CloseReason.ENDED);
+                if (lines.isComplete()) {
+                    close(CloseReason.CLOSED_BY_PEER);
                 }
             } catch (ProtocolException e) {
                 desk.complain(Level.WARNING, "discovery", "", e);
-                close(CloseReason.MALFORMED);
+                close(CloseReason.PROTOCOL_ERROR);
             }
         }
 
@@ -269,7 +269,7 @@
         }
 
         @Override
-        protected void onEnded(CloseReason how) {
+        protected void onClosed(CloseReason how) {
             if (once) {
                 fetching = null;
                 if (!listed) {
--- a/gateway/src/main/java/tinford/routing/OutcomeMapping.java
+++ b/gateway/src/main/java/tinford/routing/OutcomeMapping.java
@@ -12,11 +12,11 @@
      */
     static AttemptOutcome ofDispatch(CloseReason how, boolean left) {
         return switch (how) {
-            case REFUSED, NEVER_UP, NO_ROOM -> AttemptOutcome.UNREACHABLE;
-            case BROKEN, ENDED, MALFORMED, OVERFULL, PASSED_BY, RETIRED ->
+            case CONNECT_REFUSED, CONNECT_TIMEOUT, NO_DESCRIPTOR -> AttemptOutcome.UNREACHABLE;
+            case IO_ERROR, CLOSED_BY_PEER, PROTOCOL_ERROR, BUFFER_LIMIT_EXCEEDED, STALLED, CLOSED_IDLE ->
                     left ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.UNREACHABLE;
-            case SILENT -> left ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE;
-            case DROPPED -> left ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
+            case RESPONSE_TIMEOUT -> left ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE;
+            case CANCELLED -> left ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
         };
     }
 
@@ -28,7 +28,7 @@
      * brought what is no answer, is told apart: it says nothing of how much the counter bears.
      */
     static AttemptOutcome ofCall(CloseReason how, boolean left) {
-        return how == CloseReason.SILENT
+        return how == CloseReason.RESPONSE_TIMEOUT
                 ? AttemptOutcome.TIMED_OUT
                 : ofDispatch(how, left).mayHaveRun
                         ? AttemptOutcome.CONNECTION_LOST
--- a/gateway/src/main/java/tinford/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/tinford/routing/RequestDispatcher.java
@@ -42,7 +42,7 @@
     /** Of the present round. */
     GatewayEvents in;
 
-    double now = clock.now();
+    double now = clock.nowMs();
 
     /** When the sockets were last looked at: what came in since was sent no earlier. */
     double looked = now;
@@ -115,12 +115,12 @@
 
     private void turn() {
         looked = now;
-        now = clock.now();
+        now = clock.nowMs();
         gateway.handleBatch(
                 now,
                 inbox -> {
                     in = inbox;
-                    loop.playAll();
+                    loop.runDueTasks();
                 },
                 this);
     }
@@ -183,7 +183,7 @@
             return;
         }
         servers.carry(d, (PooledServer) srv, (long) Math.ceil(wait));
-        d.cap = loop.schedule(wait, () -> stop(d, CloseReason.SILENT));
+        d.cap = loop.schedule(wait, () -> stop(d, CloseReason.RESPONSE_TIMEOUT));
         if (within < wait) {
             d.leaving = loop.schedule(within, () -> withdraw(d));
         }
@@ -192,14 +192,14 @@
     /** Gives up what its server can't have whole yet: it stays void. */
     void withdraw(ServerAttempt d) {
         if (!d.ended && d.link != null && !d.link.left()) {
-            d.link.close(CloseReason.DROPPED);
+            d.link.close(CloseReason.CANCELLED);
         }
     }
 
     @Override
     public void cancelAttempt(Request req, int hop) {
         ServerAttempt d = ((ClientRequest) req).dispatches.get(hop);
-        loop.submit(() -> stop(d, CloseReason.DROPPED));
+        loop.submit(() -> stop(d, CloseReason.CANCELLED));
     }
 
     private void stop(ServerAttempt d, CloseReason how) {
--- a/gateway/src/main/java/tinford/routing/ServerConnection.java
+++ b/gateway/src/main/java/tinford/routing/ServerConnection.java
@@ -46,9 +46,9 @@
     void carry(ServerAttempt d, long patience) {
         dispatch = d;
         d.link = this;
-        put = d.exchange.ask.write(buf, patience);
+        put = d.exchange.ask.write(buffer, patience);
         more();
-        send();
+        scheduleFlush();
     }
 
     /** A long command leaves in pieces, as its server reads them. */
@@ -60,21 +60,21 @@
 
     /** Its command has left to the last byte. */
     boolean left() {
-        return dispatch != null && put >= dispatch.exchange.ask.length() && allWritten();
+        return dispatch != null && put >= dispatch.exchange.ask.length() && isAllWritten();
     }
 
     @Override
     protected void onDrained() {
         if (dispatch != null) {
-            put = dispatch.exchange.ask.write(buf, put);
+            put = dispatch.exchange.ask.write(buffer, put);
             more();
-            send();
+            scheduleFlush();
         }
     }
 
     @Override
-    protected DescriptorBudget.Party party() {
-        return DescriptorBudget.Party.SERVERS;
+    protected DescriptorBudget.PeerKind party() {
+        return DescriptorBudget.PeerKind.SERVERS;
     }
 
     @Override
@@ -90,14 +90,14 @@
                 flow();
                 return;
             }
-            if (dispatch != null && buf.unread() > LEAST_LONG) {
-                int head = resp.parseLong(buf.bytes(), buf.readIndex(), buf.readLimit());
+            if (dispatch != null && buffer.unreadBytes() > LEAST_LONG) {
+                int head = resp.parseLongValueHead(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
                 if (head > 0) {
-                    begin(head, resp.longValue(), resp.parts());
+                    begin(head, resp.longValueBytes(), resp.partCount());
                     return;
                 }
             }
-            int n = resp.parse(buf.bytes(), buf.readIndex(), buf.readLimit());
+            int n = resp.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
             if (dispatch == null) {
                 throw new ProtocolException("an answer to a command only");
             }
@@ -105,13 +105,13 @@
                 // guards against lengths that promise more than comes: the rest of an answer is on
                 // its way with it
                 stop(whole);
-                whole = loop.schedule(servers.connectWithin, () -> close(CloseReason.MALFORMED));
+                whole = loop.schedule(servers.connectWithin, () -> close(CloseReason.PROTOCOL_ERROR));
                 return;
             }
             answer(resp, n);
         } catch (ProtocolException e) {
             servers.desk.complain(Level.WARNING, "server", backend.id, e);
-            close(CloseReason.MALFORMED);
+            close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
@@ -125,11 +125,11 @@
         stop(whole);
         whole = null;
         if (d.exchange.over) { // nobody waits for it
-            close(CloseReason.DROPPED);
+            close(CloseReason.CANCELLED);
             return;
         }
-        buf.consume(head);
-        buf.readUpTo(PIECE);
+        buffer.consume(head);
+        buffer.setMaxReadBytes(PIECE);
         toFlow = value;
         partsToCome = parts;
         movedAt = servers.desk.now;
@@ -142,33 +142,33 @@
     /** Its client has room again, or the answers before it are out. */
     void goOn() {
         movedAt = servers.desk.now;
-        release();
+        resumeReads();
         try {
             flow();
         } catch (ProtocolException e) {
             servers.desk.complain(Level.WARNING, "server", backend.id, e);
-            close(CloseReason.MALFORMED);
+            close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
     private void flow() throws ProtocolException {
         ClientRequest e = dispatch.exchange;
         if (!e.client.front(e.slot)) {
-            hold();
+            suspendReads();
             return;
         }
         if (!flows) {
             flows = true;
             e.client.flow(e.slot, toFlow, this);
         }
-        int n = (int) Math.min(toFlow, buf.unread());
+        int n = (int) Math.min(toFlow, buffer.unreadBytes());
         if (n > 0) {
             movedAt = servers.desk.now;
             toFlow -= n;
-            boolean more = e.client.piece(buf.bytes(), buf.readIndex(), n);
-            buf.consume(n);
+            boolean more = e.client.piece(buffer.bytes(), buffer.readIndex(), n);
+            buffer.consume(n);
             if (!more && toFlow > 0) {
-                hold();
+                suspendReads();
                 return;
             }
         }
@@ -176,11 +176,11 @@
             return;
         }
         RespReader resp = servers.resp;
-        int rest = resp.parseRest(partsToCome, buf.bytes(), buf.readIndex(), buf.readLimit());
+        int rest = resp.parseAfterLongValue(partsToCome, buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (rest > 0) {
             toFlow = -1;
             e.slot.source = null;
-            buf.readUpTo(0);
+            buffer.setMaxReadBytes(0);
             e.client.flown();
             answered(resp, rest);
         }
@@ -192,7 +192,7 @@
             return;
         }
         if (servers.desk.now - movedAt > STILL) {
-            close(CloseReason.SILENT);
+            close(CloseReason.RESPONSE_TIMEOUT);
         } else {
             loop.schedule(STILL / 4, this::lookAtFlow);
         }
@@ -210,7 +210,7 @@
             // the first good answer goes to the client as it lies here
             if (!d.exchange.over) {
                 d.exchange.client.value(
-                        d.exchange.slot, resp.bytes(), resp.from(0), resp.length(0));
+                        d.exchange.slot, resp.bytes(), resp.offset(0), resp.length(0));
             }
         }
         answered(resp, n);
@@ -227,24 +227,24 @@
         // guards against a second copy or noise behind a good answer: it must not become the answer
         // of the next command
         boolean clean =
-                buf.unread() == n
+                buffer.unreadBytes() == n
                         && left(); // nor may the rest of a command that was answered early
         String used;
         String load;
         if (how == AttemptOutcome.SUCCESS) {
-            used = resp.parts() > 1 ? resp.text(1) : "";
-            load = resp.parts() > 2 ? resp.text(2) : "";
+            used = resp.partCount() > 1 ? resp.text(1) : "";
+            load = resp.partCount() > 2 ? resp.text(2) : "";
         } else {
             String[] words = resp.text(0).split(" ");
             load = words[words.length - 1];
             used = words.length > 2 ? words[2] : "";
         }
-        buf.consume(n);
+        buffer.consume(n);
         settle();
         if (clean) {
             servers.free(this);
         } else {
-            close(CloseReason.RETIRED);
+            close(CloseReason.CLOSED_IDLE);
         }
         desk.ended(
                 d,
@@ -256,7 +256,7 @@
 
     /** Only what the protocol knows is an answer; any other error line may stand for anything. */
     private static AttemptOutcome kind(RespReader resp) throws ProtocolException {
-        if (resp.array()) {
+        if (resp.isArray()) {
             if (resp.kind(0) == '$') {
                 return AttemptOutcome.SUCCESS;
             }
@@ -284,7 +284,7 @@
      * Where a fleet shares a server's connections, one that it still counts must not be given on.
      */
     @Override
-    protected boolean waits() {
+    protected boolean waitsForPeerClose() {
         return servers.desk.view.connectionLimit(backend) < Integer.MAX_VALUE;
     }
 
@@ -294,7 +294,7 @@
     }
 
     @Override
-    protected void onEnded(CloseReason how) {
+    protected void onClosed(CloseReason how) {
         servers.gone(this, how);
         ServerAttempt d = dispatch;
         boolean cut = flows;
--- a/gateway/src/main/java/tinford/routing/ServerPool.java
+++ b/gateway/src/main/java/tinford/routing/ServerPool.java
@@ -164,7 +164,7 @@
     void carry(ServerAttempt d, PooledServer b, long patience) {
         ServerConnection link = rested(b);
         if (link == null) {
-            for (int n = desk.loop.descriptorBudget().shortage(DescriptorBudget.Party.SERVERS);
+            for (int n = desk.loop.descriptorBudget().shortage(DescriptorBudget.PeerKind.SERVERS);
                     n > 0;
                     n--) {
                 makeRoom();
@@ -176,7 +176,7 @@
                     && !b.idle.isEmpty()) { // one that has not rested gives its place
                 ServerConnection old = b.idle.peekLast();
                 old.next = link;
-                old.close(CloseReason.RETIRED);
+                old.close(CloseReason.CLOSED_IDLE);
             } else {
                 open(link);
             }
@@ -215,7 +215,7 @@
     private void makeRoom() {
         for (PooledServer b : backends.values()) {
             if (!b.idle.isEmpty()) {
-                b.idle.peekLast().close(CloseReason.RETIRED);
+                b.idle.peekLast().close(CloseReason.CLOSED_IDLE);
                 return;
             }
         }
@@ -228,7 +228,7 @@
             link.idleSince = desk.now;
             link.backend.idle.addFirst(link);
         } else {
-            link.close(CloseReason.RETIRED);
+            link.close(CloseReason.CLOSED_IDLE);
         }
     }
 
@@ -238,7 +238,7 @@
         link.backend.opening.remove(link);
         // guards against connections that look idle and lead to a machine that is gone: none can be
         // opened to it
-        if (how == CloseReason.REFUSED || how == CloseReason.NEVER_UP) {
+        if (how == CloseReason.CONNECT_REFUSED || how == CloseReason.CONNECT_TIMEOUT) {
             retire(link.backend);
         }
     }
@@ -262,7 +262,7 @@
     public void trim() {
         for (PooledServer b : backends.values()) {
             while (b.links - b.leaving > desk.view.connectionLimit(b) && !b.idle.isEmpty()) {
-                b.idle.peekLast().close(CloseReason.RETIRED);
+                b.idle.peekLast().close(CloseReason.CLOSED_IDLE);
             }
         }
     }
@@ -274,13 +274,13 @@
     private void leave(PooledServer b) {
         retire(b);
         for (ServerConnection link : new ArrayList<>(b.opening)) {
-            link.close(CloseReason.DROPPED);
+            link.close(CloseReason.CANCELLED);
         }
     }
 
     void retire(PooledServer b) {
         while (!b.idle.isEmpty()) {
-            b.idle.peekFirst().close(CloseReason.RETIRED);
+            b.idle.peekFirst().close(CloseReason.CLOSED_IDLE);
         }
     }
 
@@ -288,13 +288,13 @@
     private void sweep() {
         for (PooledServer b : backends.values()) {
             while (!b.idle.isEmpty() && desk.now - b.idle.peekLast().idleSince > 0.75 * idleMost) {
-                b.idle.peekLast().close(CloseReason.RETIRED);
+                b.idle.peekLast().close(CloseReason.CLOSED_IDLE);
             }
         }
         desk.loop.schedule(idleMost / 16, this::sweep);
     }
 
     double[] report(String load) {
-        return loadNames.isEmpty() ? null : UsageReport.values(load, loadNames);
+        return loadNames.isEmpty() ? null : UsageReport.loadReport(load, loadNames);
     }
 }
--- a/gateway/src/main/java/tinford/transport/BufferBudget.java
+++ b/gateway/src/main/java/tinford/transport/BufferBudget.java
@@ -1,36 +1,39 @@
 package tinford.transport;
 
 /**
- * The bytes that all buffers together may take. It may be overdrawn for a moment: who did so gives
- * all back.
+ * The bytes that the buffers of all connections may take together. A reservation never fails: a
+ * connection that finds the budget exceeded closes itself and so releases its part.
  */
 public final class BufferBudget {
-    private final long all;
-    private long left;
+    /** Below this part of the limit the budget counts as nearly exhausted. */
+    private static final int NEARLY_EXHAUSTED_DIVISOR = 4;
 
-    public BufferBudget(long bytes) {
-        all = bytes;
-        left = bytes;
+    private final long limitBytes;
+    private long availableBytes;
+
+    public BufferBudget(long limitBytes) {
+        this.limitBytes = limitBytes;
+        this.availableBytes = limitBytes;
     }
 
     public void reserve(long bytes) {
-        left -= bytes;
+        availableBytes -= bytes;
     }
 
     public void release(long bytes) {
-        left += bytes;
+        availableBytes += bytes;
     }
 
     public boolean isExceeded() {
-        return left < 0;
+        return availableBytes < 0;
     }
 
-    /** Little is left: whoever can leave bytes where they come from does. */
+    /** Whether input should be left in the sockets wherever that is possible. */
     public boolean isNearlyExhausted() {
-        return left < all / 4;
+        return availableBytes < limitBytes / NEARLY_EXHAUSTED_DIVISOR;
     }
 
-    long left() {
-        return left;
+    long availableBytes() {
+        return availableBytes;
     }
 }
--- a/gateway/src/main/java/tinford/transport/CloseReason.java
+++ b/gateway/src/main/java/tinford/transport/CloseReason.java
@@ -1,27 +1,27 @@
 package tinford.transport;
 
-/** Every way in which a connection can end. */
+/** Why a connection was closed. */
 public enum CloseReason {
-    /** Refused, or the address could not be tried. */
-    REFUSED,
-    /** Not up within the time given to it. */
-    NEVER_UP,
-    /** No descriptor was left for it. */
-    NO_ROOM,
-    /** Reset, or failed under a read or a write. */
-    BROKEN,
-    /** The other side has ended its sending. */
-    ENDED,
-    /** What came can't be followed any more. */
-    MALFORMED,
-    /** More waits in it than its bounds allow. */
-    OVERFULL,
-    /** Open, but nothing came for as long as was waited. */
-    SILENT,
-    /** Open and silent, while others to the same party brought answers to what was sent later. */
-    PASSED_BY,
-    /** Given up from here while it was in use. */
-    DROPPED,
-    /** Closed from here while nothing was in it. */
-    RETIRED
+    /** The connect was refused, or the address could not be reached. */
+    CONNECT_REFUSED,
+    /** The connect was not completed within its timeout. */
+    CONNECT_TIMEOUT,
+    /** The descriptor budget allowed no connection more. */
+    NO_DESCRIPTOR,
+    /** Reset by the peer, or a read or write failed. */
+    IO_ERROR,
+    /** The peer has shut down its sending. */
+    CLOSED_BY_PEER,
+    /** The peer sent what its protocol does not allow. */
+    PROTOCOL_ERROR,
+    /** More bytes are unread or unwritten than the connection's limits allow. */
+    BUFFER_LIMIT_EXCEEDED,
+    /** The connection stayed open, but the answer did not come in time. */
+    RESPONSE_TIMEOUT,
+    /** No answer, while parallel connections to the same peer had answers to later requests. */
+    STALLED,
+    /** Given up by this process while a request was in flight on it. */
+    CANCELLED,
+    /** Closed by this process while no request was in flight on it. */
+    CLOSED_IDLE
 }
--- /dev/null
+++ b/gateway/src/main/java/tinford/transport/ConnectAttempt.java
@@ -0,0 +1,40 @@
+package tinford.transport;
+
+import java.net.InetSocketAddress;
+import org.xnio.IoFuture;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.StreamConnection;
+
+/** One attempt to connect, which reports to its connection how it ended. */
+final class ConnectAttempt {
+    private static final OptionMap SOCKET_OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
+    private final Connection connection;
+    private final EventLoop.Timer timeout;
+    private final IoFuture<StreamConnection> future;
+
+    ConnectAttempt(
+            EventLoop loop, InetSocketAddress address, double timeoutMs, Connection connection) {
+        this.connection = connection;
+        timeout = loop.schedule(timeoutMs, () -> connection.close(CloseReason.CONNECT_TIMEOUT));
+        future = loop.thread.openStreamConnection(address, this::connected, SOCKET_OPTIONS);
+        future.addNotifier(
+                (result, attachment) -> {
+                    if (result.getStatus() == IoFuture.Status.FAILED) {
+                        connection.fail(CloseReason.CONNECT_REFUSED);
+                    }
+                },
+                null);
+    }
+
+    private void connected(StreamConnection established) {
+        timeout.cancel();
+        connection.connected(established);
+    }
+
+    /** Gives it up; without effect once it has ended. */
+    void cancel() {
+        timeout.cancel();
+        future.cancel();
+    }
+}
--- a/gateway/src/main/java/tinford/transport/Connection.java
+++ b/gateway/src/main/java/tinford/transport/Connection.java
@@ -2,196 +2,178 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import org.xnio.IoFuture;
+import java.util.EnumSet;
 import org.xnio.IoUtils;
-import org.xnio.OptionMap;
-import org.xnio.Options;
 import org.xnio.StreamConnection;
 
 /**
- * One TCP connection, accepted or opened from here. Its owner extends it; all callbacks come within
- * a turn.
+ * One TCP connection, accepted or opened by this process. Its owner extends it; all callbacks come
+ * on the I/O thread, within a batch of the event loop.
  */
 public abstract class Connection implements EventLoop.Task {
-    private static final double LAST_BYTES =
-            1000; // how long the other side may take to end its sending too
-    private static final double LAST_READ = 20_000; // or to read what was written before that
-    private static final int MOST_LOOKED =
-            64; // reads in one go, for an end that lies behind what was sent before
-    private static final int MOST_AHEAD = 256 << 10; // bytes kept unread on that account
-    private static final double LOOK = 50; // for the end of one that is not listened to
-    private static final double LAST_LINE =
-            50; // or, where it is not listened to any more, to read what was written
-    private static final OptionMap PLAIN = OptionMap.create(Options.TCP_NODELAY, true);
+    private static final int NOT_AWAITED = -1;
+
+    /** What the next call of {@link #run} passes on to the owner. */
+    private enum Event {
+        OPENED,
+        RECEIVED,
+        DRAINED
+    }
+
     protected final EventLoop loop;
-    protected final ConnectionBuffer buf;
-    private final int mostUnread;
-    private final int mostUnwritten;
+    protected final ConnectionBuffer buffer;
+    private final int maxUnreadBytes;
+    private final int maxUnwrittenBytes;
+    private final GracefulClose gracefulClose;
+    private final ReadAhead readAhead;
+    private final EnumSet<Event> pendingEvents = EnumSet.noneOf(Event.class);
+    private ConnectionState state = ConnectionState.CONNECTING;
     private StreamConnection connection;
-    private IoFuture<StreamConnection> opening;
-    private EventLoop.Timer patience;
-    private CloseReason failing;
-    private CloseReason finishing;
-    private int awaited = -1; // unwritten bytes at which its owner wants to hear of it
-    private boolean noted,
-            opened,
-            came,
-            drained,
-            dirty,
-            holds,
-            over,
-            held,
-            deaf,
-            looks,
-            brief,
-            shut,
-            gone;
+    private ConnectAttempt connectAttempt;
+
+    /** Why it is to be closed with the next call of {@link #run}, or null. */
+    private CloseReason failure;
+
+    /** The owner is to be called once no more bytes than these are unwritten. */
+    private int awaitedUnwrittenBytes = NOT_AWAITED;
+
+    private boolean isSubmitted;
+    private boolean isFlushScheduled;
+    private boolean holdsDescriptor;
+    private boolean isReadSuspended;
 
     /**
-     * @param mostUnread bytes that may wait to be read whole; a link whose buffer holds more is
-     *     overfull
+     * @param maxUnreadBytes received and not consumed; a connection that exceeds it is closed
+     * @param maxUnwrittenBytes the same for bytes that the peer does not take
      */
-    protected Connection(EventLoop loop, int mostUnread, int mostUnwritten) {
+    protected Connection(EventLoop loop, int maxUnreadBytes, int maxUnwrittenBytes) {
         this.loop = loop;
-        this.buf = new ConnectionBuffer(loop.bufferBudget);
-        this.mostUnread = mostUnread;
-        this.mostUnwritten = mostUnwritten;
+        this.buffer = new ConnectionBuffer(loop.bufferBudget);
+        this.gracefulClose = new GracefulClose(loop, this::close);
+        this.readAhead = new ReadAhead(loop, this);
+        this.maxUnreadBytes = maxUnreadBytes;
+        this.maxUnwrittenBytes = maxUnwrittenBytes;
     }
 
-    /** Whose descriptors it counts among. */
-    protected abstract DescriptorBudget.Party party();
+    /** The part of the descriptor budget that it counts against. */
+    protected abstract DescriptorBudget.PeerKind party();
 
-    /** The connection that was opened from here is up. */
+    /** The connection opened with {@link #open} is established. */
     protected abstract void onOpened();
 
-    /** Bytes came; what is not taken is kept. */
+    /** Bytes were received; those that are not consumed stay in the buffer. */
     protected abstract void onReceived();
 
-    /** No more is unwritten than was asked for with {@link #awaitDrain}. */
+    /** No more bytes are unwritten than {@link #awaitDrain} asked for. */
     protected void onDrained() {}
 
-    /** The last callback of every link, but for {@link #onDescriptorReleased}. */
-    protected abstract void onEnded(CloseReason how);
+    /** The last callback of every connection, but for {@link #onDescriptorReleased}. */
+    protected abstract void onClosed(CloseReason reason);
 
-    /** Whether the other side is to have seen the end before it counts as closed. */
-    protected boolean waits() {
+    /** Whether its descriptor is kept until the peer has seen the close. */
+    protected boolean waitsForPeerClose() {
         return false;
     }
 
     /**
-     * It is closed, and where {@link #waits} says so the other side has seen that, or had its time
-     * to.
+     * The socket is closed; where {@link #waitsForPeerClose} holds, the peer has seen the close or
+     * its time for that is over.
      */
     protected void onDescriptorReleased() {}
 
     public final boolean isOpen() {
-        return connection != null && !over;
+        return state == ConnectionState.OPEN || state == ConnectionState.WRITES_SHUT_DOWN;
     }
 
     public final boolean isClosed() {
-        return over;
+        return state == ConnectionState.CLOSED;
     }
 
-    /** What was put for writing has left for the other side, to the last byte. */
-    public final boolean allWritten() {
-        return connection != null && buf.unwritten() == 0;
+    /** Whether the operating system has taken every byte that was put for writing. */
+    public final boolean isAllWritten() {
+        return connection != null && buffer.unwrittenBytes() == 0;
     }
 
     /**
-     * @param within 0 where there is no room for it: then none is opened
+     * Connects.
+     *
+     * @param timeoutMs 0 closes the connection at once with {@link CloseReason#NO_DESCRIPTOR}
      */
-    protected final void open(InetSocketAddress to, double within) {
-        holds = within > 0 && loop.descriptorBudget.take(party());
-        if (!holds) {
-            fail(CloseReason.NO_ROOM);
+    protected final void open(InetSocketAddress address, double timeoutMs) {
+        holdsDescriptor = timeoutMs > 0 && loop.descriptorBudget.tryAcquire(party());
+        if (!holdsDescriptor) {
+            fail(CloseReason.NO_DESCRIPTOR);
             return;
         }
-        patience = loop.schedule(within, () -> close(CloseReason.NEVER_UP));
-        opening = loop.thread.openStreamConnection(to, this::isOpen, PLAIN);
-        opening.addNotifier(
-                (future, nothing) -> {
-                    if (future.getStatus() == IoFuture.Status.FAILED) {
-                        fail(CloseReason.REFUSED);
-                    }
-                },
-                null);
-    }
-
-    private void isOpen(StreamConnection c) {
-        if (over) {
-            IoUtils.safeClose(c);
+        connectAttempt = new ConnectAttempt(loop, address, timeoutMs, this);
+    }
+
+    final void connected(StreamConnection established) {
+        if (isClosed()) {
+            IoUtils.safeClose(established);
             return;
         }
-        patience.cancel();
-        opened = true;
-        adopt(c);
-        note();
+        pendingEvents.add(Event.OPENED);
+        adopt(established);
+        submitEvents();
     }
 
-    final void adopt(StreamConnection c) {
-        connection = c;
-        c.getSourceChannel().setReadListener(ch -> readable());
-        c.getSinkChannel().setWriteListener(ch -> writable());
-        c.getSourceChannel().resumeReads();
+    final void adopt(StreamConnection established) {
+        connection = established;
+        state = ConnectionState.OPEN;
+        established.getSourceChannel().setReadListener(channel -> read());
+        established.getSinkChannel().setWriteListener(channel -> writable());
+        established.getSourceChannel().resumeReads();
     }
 
-    final void holdsDescriptor() {
-        holds = true;
+    final void markDescriptorAcquired() {
+        holdsDescriptor = true;
     }
 
-    private boolean readable() {
+    /** Reads once; true when bytes were received. */
+    final boolean read() {
         try {
-            int n = buf.read(connection.getSourceChannel().getConduit());
-            if (n > 0) {
-                came = true;
-                note();
-            } else if (n < 0) {
-                fail(CloseReason.ENDED);
+            int received = buffer.read(connection.getSourceChannel().getConduit());
+            if (received > 0) {
+                pendingEvents.add(Event.RECEIVED);
+                submitEvents();
+            } else if (received < 0) {
+                fail(CloseReason.CLOSED_BY_PEER);
             }
-            return n > 0;
+            return received > 0;
         } catch (IOException e) {
             connection.getSourceChannel().suspendReads();
-            fail(CloseReason.BROKEN);
+            fail(CloseReason.IO_ERROR);
             return false;
         }
     }
 
-    /**
-     * Looks once more whether anything has come, or the connection has ended, since the sockets
-     * were last read.
-     */
+    /** Reads the socket once more; true when nothing was received and the peer has not closed. */
     public final boolean isQuiet() {
-        if (connection != null && !over && failing == null && !came) {
-            readable();
+        if (isOpen() && failure == null && !pendingEvents.contains(Event.RECEIVED)) {
+            read();
         }
-        return !over && failing == null && !came && buf.unread() == 0;
+        return !isPeerCloseSeen()
+                && !pendingEvents.contains(Event.RECEIVED)
+                && buffer.unreadBytes() == 0;
     }
 
     /**
-     * Whether the other side has ended its sending, or broken it, by now: also where that lies
+     * Reads ahead, within bounds, to find out whether the peer has closed or reset the connection
      * behind what it sent before.
      */
-    protected final boolean ends() {
-        boolean more = connection != null && !held;
-        for (int i = 0;
-                i < MOST_LOOKED
-                        && more
-                        && !endSeen()
-                        && buf.unread() <= MOST_AHEAD
-                        && !loop.bufferBudget.isNearlyExhausted();
-                i++) {
-            more = readable();
-            if (deaf) {
-                passOver();
-            }
-        }
-        return endSeen();
+    protected final boolean pollPeerClosed() {
+        readAhead.poll();
+        return isPeerCloseSeen();
+    }
+
+    final boolean isReadable() {
+        return connection != null && !isReadSuspended;
     }
 
-    /** Whether it has ended, or is about to: the other side's end has been read. */
-    protected final boolean endSeen() {
-        return over || failing != null;
+    /** Whether it is closed, or is about to be: the peer's close or a failure was read. */
+    protected final boolean isPeerCloseSeen() {
+        return isClosed() || failure != null;
     }
 
     private void writable() {
@@ -199,267 +181,221 @@
         flush();
     }
 
-    /** What was put into the buffer leaves at the end of this turn. */
-    protected final void send() {
-        if (!dirty && !over) {
-            dirty = true;
-            loop.unflushed(this);
+    /** What was put into the buffer is written at the end of this batch. */
+    protected final void scheduleFlush() {
+        if (!isFlushScheduled && !isClosed()) {
+            isFlushScheduled = true;
+            loop.flushAfterBatch(this);
         }
     }
 
     final void flush() {
-        dirty = false;
-        if (connection == null
-                || over
-                || buf.unwritten() == 0 && finishing == null && awaited < 0) {
+        isFlushScheduled = false;
+        if (!isOpen() || !hasFlushWork()) {
             return;
         }
         try {
-            buf.write(connection.getSinkChannel().getConduit());
-            if (buf.unwritten() <= awaited) {
-                awaited = -1;
-                drained = true;
-                note();
+            buffer.write(connection.getSinkChannel().getConduit());
+            if (buffer.unwrittenBytes() <= awaitedUnwrittenBytes) {
+                awaitedUnwrittenBytes = NOT_AWAITED;
+                pendingEvents.add(Event.DRAINED);
+                submitEvents();
             }
-            if (buf.unwritten() > mostUnwritten
-                    || loop.bufferBudget.isExceeded() && buf.unwritten() > 0) {
-                fail(CloseReason.OVERFULL);
-            } else if (buf.unwritten() > 0) {
+            if (exceedsLimit(buffer.unwrittenBytes(), maxUnwrittenBytes)) {
+                fail(CloseReason.BUFFER_LIMIT_EXCEEDED);
+            } else if (buffer.unwrittenBytes() > 0) {
                 connection.getSinkChannel().resumeWrites();
-            } else if (finishing != null && !shut) {
-                shut();
+            } else if (gracefulClose.isUnderWay() && state == ConnectionState.OPEN) {
+                shutDownWrites();
             }
         } catch (IOException e) {
-            fail(CloseReason.BROKEN);
+            fail(CloseReason.IO_ERROR);
         }
     }
 
-    private void shut() throws IOException {
-        if (looks && !isQuiet()) { // guards what has come since: it is heard first
-            goOn();
+    private boolean hasFlushWork() {
+        return buffer.unwrittenBytes() > 0
+                || gracefulClose.isUnderWay()
+                || awaitedUnwrittenBytes != NOT_AWAITED;
+    }
+
+    private boolean exceedsLimit(int bytes, int limit) {
+        return bytes > limit || loop.bufferBudget.isExceeded() && bytes > 0;
+    }
+
+    private void shutDownWrites() throws IOException {
+        if (gracefulClose.yieldsToInput() && !isQuiet()) {
+            gracefulClose.callOff();
             return;
         }
-        shut = true;
+        state = ConnectionState.WRITES_SHUT_DOWN;
         connection.getSinkChannel().shutdownWrites();
-        if (!brief) { // its time counts from now: until here the other side may have been busy
-            // reading
-            patience.cancel();
-            patience = loop.schedule(LAST_BYTES, () -> close(finishing));
-        }
+        gracefulClose.writesShutDown();
     }
 
-    private void goOn() {
-        finishing = null;
-        patience.cancel();
-    }
-
-    private void fail(CloseReason how) {
-        if (failing == null) {
-            failing = how;
+    final void fail(CloseReason reason) {
+        if (failure == null) {
+            failure = reason;
         }
-        note();
+        submitEvents();
     }
 
-    private void note() {
-        if (!noted && !over) {
-            noted = true;
+    private void submitEvents() {
+        if (!isSubmitted && !isClosed()) {
+            isSubmitted = true;
             loop.submit(this);
         }
     }
 
+    /** Passes the pending events on to the owner; called by the event loop. */
     @Override
     public final void run() {
-        noted = false;
-        if (opened && !over) {
-            opened = false;
+        isSubmitted = false;
+        if (takeEvent(Event.OPENED)) {
             onOpened();
-            send();
+            scheduleFlush();
         }
-        if (came && !over) {
-            came = false;
-            if (finishing != null
-                    && looks
-                    && !shut) { // what was written is not all read yet, and more has come meanwhile
-                goOn();
-            }
-            if (finishing != null) {
-                buf.consume(buf.unread());
-            } else {
-                onReceived();
-            }
-            if (!over
-                    && (buf.unread() > mostUnread
-                            || loop.bufferBudget.isExceeded() && buf.unread() > 0)) {
-                close(CloseReason.OVERFULL);
-            }
+        if (takeEvent(Event.RECEIVED)) {
+            received();
         }
-        if (drained && !over) {
-            drained = false;
+        if (takeEvent(Event.DRAINED)) {
             onDrained();
         }
-        if (failing != null) {
-            close(finishing != null ? finishing : failing);
+        if (failure != null) {
+            close(gracefulClose.reasonOr(failure));
+        }
+    }
+
+    private boolean takeEvent(Event event) {
+        return !isClosed() && pendingEvents.remove(event);
+    }
+
+    private void received() {
+        if (gracefulClose.yieldsToInput() && state == ConnectionState.OPEN) {
+            gracefulClose.callOff();
+        }
+        if (gracefulClose.isUnderWay()) {
+            buffer.consume(buffer.unreadBytes());
+        } else {
+            onReceived();
+        }
+        if (!isClosed() && exceedsLimit(buffer.unreadBytes(), maxUnreadBytes)) {
+            close(CloseReason.BUFFER_LIMIT_EXCEEDED);
         }
     }
 
     /**
-     * {@link #onDrained} comes once so few bytes are unwritten, after the end of this turn at the
-     * earliest.
+     * {@link #onDrained} is called once when no more bytes than these are unwritten, after the end
+     * of this batch at the earliest.
      */
-    public final void awaitDrain(int unwritten) {
-        awaited = unwritten;
-        send();
+    public final void awaitDrain(int unwrittenBytes) {
+        awaitedUnwrittenBytes = unwrittenBytes;
+        scheduleFlush();
     }
 
-    /** Reads no more for now: what is sent meanwhile waits in the machine. */
-    protected final void hold() {
-        if (connection != null && !over) {
-            held = true;
+    /** Stops reading: what the peer sends stays in the socket's buffer. */
+    protected final void suspendReads() {
+        if (isOpen()) {
+            isReadSuspended = true;
             connection.getSourceChannel().suspendReads();
         }
     }
 
-    protected final void release() {
-        if (held && !over) {
-            held = false;
+    protected final void resumeReads() {
+        if (isReadSuspended && !isClosed()) {
+            isReadSuspended = false;
             connection.getSourceChannel().resumeReads();
         }
     }
 
     /**
-     * Ends the sending once all is written, and the connection when the other side has done the
-     * same. A close at once could be a reset, before which the last answer would be lost.
+     * Shuts down the sending once all is written, and closes the connection when the peer has shut
+     * down its own. An immediate close could become a reset, by which the peer would lose the last
+     * answer.
      */
-    protected final void finish(CloseReason how) {
-        if (!over && finishing == null) {
-            finishing = how;
-            patience = loop.schedule(LAST_READ, () -> close(how));
-            send();
+    protected final void closeGracefully(CloseReason reason) {
+        if (!isClosed() && !gracefulClose.isUnderWay()) {
+            gracefulClose.start(reason);
+            scheduleFlush();
         }
     }
 
     /**
-     * As {@link #finish}, but not where something has come until right before it: its owner hears
-     * of that, and asks again.
+     * As {@link #closeGracefully}, but called off when input comes before the sending is shut down:
+     * the owner receives it, and may call again.
      */
-    protected final void finishIfQuiet(CloseReason how) {
-        looks = true;
-        finish(how);
+    protected final void closeGracefullyIfQuiet(CloseReason reason) {
+        gracefulClose.setYieldsToInput();
+        closeGracefully(reason);
     }
 
     /**
-     * Guards against what is sent without end: nothing more is read, and the connection ends soon
-     * after its last line.
+     * As {@link #closeGracefully} for a peer that may send without end: no more input is passed on,
+     * and the connection is closed soon after its last line.
      */
-    protected final void dismiss(CloseReason how) {
-        looks = false;
-        brief = true;
-        deaf();
-        finish(how);
-        if (!over && patience != null) {
-            patience.cancel();
-            patience = loop.schedule(LAST_LINE, () -> close(how));
+    protected final void closeDiscardingInput(CloseReason reason) {
+        gracefulClose.setDiscardsInput();
+        discardInput();
+        closeGracefully(reason);
+        if (!isClosed()) {
+            gracefulClose.shortenTimeout(reason);
         }
     }
 
-    /** Follows it no more: what is still sent is passed over at leisure, until it ends. */
-    protected final void deaf() {
-        if (connection != null && !over && !deaf) {
-            deaf = true;
+    /** Drops all further input, read at a slow pace, until the peer closes. */
+    protected final void discardInput() {
+        if (isOpen() && !readAhead.isDiscarding()) {
             connection.getSourceChannel().suspendReads();
-            passOver();
-            listen();
-        }
-    }
-
-    private void listen() {
-        if (!ends()) {
-            loop.schedule(LOOK, this::listen);
+            readAhead.startDiscarding();
         }
     }
 
-    private void passOver() {
-        buf.consume(buf.unread());
-        came = false;
+    final void discardReceived() {
+        buffer.consume(buffer.unreadBytes());
+        pendingEvents.remove(Event.RECEIVED);
     }
 
-    /** Closes it, whatever state it is in; the first call counts. */
-    public final void close(CloseReason how) {
-        if (over) {
+    /** Closes the connection, whatever state it is in; only the first call has an effect. */
+    public final void close(CloseReason reason) {
+        if (isClosed()) {
             return;
         }
-        over = true;
-        if (patience != null) {
-            patience.cancel();
-        }
-        boolean seen =
+        state = ConnectionState.CLOSED;
+        gracefulClose.cancelTimeout();
+        boolean closesAtOnce =
                 connection == null
-                        || how == CloseReason.ENDED
-                        || how == CloseReason.BROKEN
-                        || !waits();
-        if (!seen) {
-            bid();
-        } else if (connection != null) {
-            IoUtils.safeClose(connection);
-        } else if (opening != null) {
-            opening.cancel();
+                        || reason == CloseReason.CLOSED_BY_PEER
+                        || reason == CloseReason.IO_ERROR
+                        || !waitsForPeerClose();
+        if (closesAtOnce) {
+            closeSocket();
+            releaseDescriptor(); // before onClosed, which may open another connection
+        } else {
+            new LingeringClose(loop, connection, this::lingeringCloseEnded).start();
         }
-        if (seen) {
-            giveDescriptor(); // what is opened in its place may need it
-        }
-        onEnded(how);
-        buf.free();
-        if (seen) {
+        onClosed(reason);
+        buffer.release();
+        if (closesAtOnce) {
             onDescriptorReleased();
         }
     }
 
-    private void giveDescriptor() {
-        if (holds) {
-            loop.descriptorBudget.give(party());
+    private void closeSocket() {
+        if (connection != null) {
+            IoUtils.safeClose(connection);
+        } else if (connectAttempt != null) {
+            connectAttempt.cancel();
         }
     }
 
-    /**
-     * Ends the sending only, and closes when the other side has done so too: then it has seen the
-     * end.
-     */
-    private void bid() {
-        EventLoop.Task last =
-                () -> {
-                    if (!gone) {
-                        gone = true;
-                        patience.cancel();
-                        IoUtils.safeClose(connection);
-                        giveDescriptor();
-                        onDescriptorReleased();
-                    }
-                };
-        patience = loop.schedule(LAST_BYTES, () -> loop.submit(last));
-        ByteBuffer rest = ByteBuffer.allocate(1024);
-        connection
-                .getSourceChannel()
-                .setReadListener(
-                        ch -> {
-                            try {
-                                int n;
-                                do {
-                                    n = ch.read(rest.clear());
-                                } while (n > 0);
-                                if (n == 0) {
-                                    return;
-                                }
-                            } catch (IOException e) {
-                                // reset: it has seen it
-                            }
-                            ch.suspendReads();
-                            loop.submit(last);
-                        });
-        connection.getSourceChannel().resumeReads();
-        try {
-            connection.getSinkChannel().shutdownWrites();
-        } catch (IOException e) {
-            loop.submit(last);
+    private void lingeringCloseEnded() {
+        releaseDescriptor();
+        onDescriptorReleased();
+    }
+
+    private void releaseDescriptor() {
+        if (holdsDescriptor) {
+            loop.descriptorBudget.release(party());
         }
     }
 }
--- a/gateway/src/main/java/tinford/transport/ConnectionBuffer.java
+++ b/gateway/src/main/java/tinford/transport/ConnectionBuffer.java
@@ -7,96 +7,117 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * The one buffer of a connection. What came in and was not yet taken lies on the left, what waits
- * to be written lies on the right of it; both are moved within the array as room is needed, and the
- * array grows when that does not help.
+ * The one buffer of a connection, for both directions. Received bytes that are not consumed yet lie
+ * to the left of the bytes that are to be written. Both parts are moved within the array as space
+ * is needed, and the array grows when moving is not enough.
  */
 public final class ConnectionBuffer {
-    private static final int LEAST = 512;
-    private static final int READ = 4096; // room made for one read
-    private static final int DOUBLED =
-            256 << 10; // beyond it an array is made as long as it has to be
-    private static final int KEPT = 16 << 10; // an empty array above this goes back
-    private final BufferBudget room;
+    private static final int MIN_CAPACITY_BYTES = 512;
+
+    /** Free space ensured before each read. */
+    private static final int READ_BYTES = 4096;
+
+    /** Up to this capacity the array is doubled; beyond it, made exactly as long as needed. */
+    private static final int MAX_DOUBLED_BYTES = 256 << 10;
+
+    /** A larger array is released as soon as it is empty. */
+    private static final int MAX_EMPTY_CAPACITY_BYTES = 16 << 10;
+
+    private final BufferBudget budget;
     private byte[] bytes = new byte[0];
     private ByteBuffer view = ByteBuffer.wrap(bytes);
-    private int inFrom, inTo, outFrom, outTo;
-    private int atRead = READ;
+    private int readIndex;
+    private int readLimit;
+    private int writeIndex;
+    private int writeLimit;
+    private int maxReadBytes = READ_BYTES;
 
-    public ConnectionBuffer(BufferBudget room) {
-        this.room = room;
+    public ConnectionBuffer(BufferBudget budget) {
+        this.budget = budget;
     }
 
     /**
-     * What came in lies in here, from {@link #readIndex} to {@link #readLimit}; any write or read
-     * may move it.
+     * The array that holds the received bytes, from {@link #readIndex} to {@link #readLimit}. Any
+     * put, read or consume may move them.
      */
     public byte[] bytes() {
         return bytes;
     }
 
     public int readIndex() {
-        return inFrom;
+        return readIndex;
     }
 
     public int readLimit() {
-        return inTo;
+        return readLimit;
     }
 
-    public int unread() {
-        return inTo - inFrom;
+    /** How many received bytes are not consumed yet. */
+    public int unreadBytes() {
+        return readLimit - readIndex;
     }
 
-    public int unwritten() {
-        return outTo - outFrom;
+    public int unwrittenBytes() {
+        return writeLimit - writeIndex;
     }
 
-    public void consume(int n) {
-        inFrom += n;
-        if (inFrom == inTo) {
-            inFrom = inTo = 0;
-            shrink();
+    public void consume(int count) {
+        readIndex += count;
+        if (readIndex == readLimit) {
+            readIndex = 0;
+            readLimit = 0;
+            releaseIfLargeAndEmpty();
         }
     }
 
-    /** How much one read may bring from now on. */
-    public void readUpTo(int bytes) {
-        atRead = Math.max(READ, bytes);
+    /** Sets how much space is made for a read when the array has to be rearranged. */
+    public void setMaxReadBytes(int maxBytes) {
+        maxReadBytes = Math.max(READ_BYTES, maxBytes);
     }
 
-    /** What one read brings: its number of bytes, or -1 at the end. */
-    int read(StreamSourceConduit from) throws IOException {
-        if ((unwritten() == 0 ? bytes.length : outFrom) - inTo < READ) {
-            arrange(atRead, 0);
+    /** Reads once: the number of bytes received, or -1 at the end of the stream. */
+    int read(StreamSourceConduit source) throws IOException {
+        if (readEnd() - readLimit < READ_BYTES) {
+            rearrange(maxReadBytes, 0);
         }
-        view.limit(unwritten() == 0 ? bytes.length : outFrom).position(inTo);
-        int n = from.read(view);
-        inTo += Math.max(0, n);
-        return n;
-    }
-
-    /** Writes until all is written or no more is taken. */
-    void write(StreamSinkConduit to) throws IOException {
-        while (outFrom < outTo) {
-            view.limit(outTo).position(outFrom);
-            int n = to.write(view);
-            if (n <= 0) {
+        view.limit(readEnd()).position(readLimit);
+        int received = source.read(view);
+        readLimit += Math.max(0, received);
+        return received;
+    }
+
+    /** Where the space for received bytes ends. */
+    private int readEnd() {
+        return unwrittenBytes() == 0 ? bytes.length : writeIndex;
+    }
+
+    /** Writes until nothing is left or the socket takes no more. */
+    void write(StreamSinkConduit sink) throws IOException {
+        while (writeIndex < writeLimit) {
+            view.limit(writeLimit).position(writeIndex);
+            int written = sink.write(view);
+            if (written <= 0) {
                 return;
             }
-            outFrom += n;
+            writeIndex += written;
         }
-        outFrom = outTo = inTo;
-        shrink();
+        resetWritePart();
+        releaseIfLargeAndEmpty();
     }
 
-    public ConnectionBuffer put(byte[] src, int from, int n) {
-        fit(n);
-        System.arraycopy(src, from, bytes, outTo, n);
-        outTo += n;
+    private void resetWritePart() {
+        writeIndex = readLimit;
+        writeLimit = readLimit;
+    }
+
+    public ConnectionBuffer put(byte[] source, int offset, int count) {
+        ensureWritable(count);
+        System.arraycopy(source, offset, bytes, writeLimit, count);
+        writeLimit += count;
         return this;
     }
 
-    /** Text of ASCII characters. */
+    /** Puts text that consists of ASCII characters. */
     public ConnectionBuffer put(String text) {
         return put(text.getBytes(StandardCharsets.ISO_8859_1), 0, text.length());
     }
@@ -106,71 +127,84 @@
     }
 
     public ConnectionBuffer putLineEnd() {
-        fit(2);
-        bytes[outTo++] = '\r';
-        bytes[outTo++] = '\n';
+        ensureWritable(2);
+        bytes[writeLimit++] = '\r';
+        bytes[writeLimit++] = '\n';
         return this;
     }
 
-    private void fit(int n) {
-        if (unwritten() == 0) {
-            outFrom = outTo = inTo;
+    private void ensureWritable(int count) {
+        if (unwrittenBytes() == 0) {
+            resetWritePart();
         }
-        if (bytes.length - outTo < n) {
-            arrange(0, n);
+        if (bytes.length - writeLimit < count) {
+            rearrange(0, count);
         }
     }
 
-    /**
-     * So many bytes will lie here unread: room for them, and for a read behind them, is made once.
-     */
-    public void expect(int unread) {
-        if (unread > unread() && bytes.length < unread + 2 * READ + unwritten()) {
-            arrange(unread - unread() + 2 * READ, 0);
+    /** Makes room at once for so many unread bytes, and for a read behind them. */
+    public void reserveForRead(int unreadBytes) {
+        if (unreadBytes > unreadBytes()
+                && bytes.length < unreadBytes + 2 * READ_BYTES + unwrittenBytes()) {
+            rearrange(unreadBytes - unreadBytes() + 2 * READ_BYTES, 0);
         }
     }
 
-    private void arrange(int forIn, int forOut) {
-        int in = unread();
-        int out = unwritten();
-        int size = Math.max(LEAST, bytes.length);
-        int needed = in + forIn + out + forOut;
-        while (size < needed) {
-            size = needed > DOUBLED ? needed : 2 * size;
+    /**
+     * Makes room for more received bytes, or for more bytes to write. The write part is placed at
+     * the end of the array in the first case, and right behind the read part in the second.
+     */
+    private void rearrange(int moreToRead, int moreToWrite) {
+        int unread = unreadBytes();
+        int unwritten = unwrittenBytes();
+        int capacity = capacityFor(unread + moreToRead + unwritten + moreToWrite);
+        byte[] target = capacity == bytes.length ? bytes : new byte[capacity];
+        int writeStart = moreToRead > 0 ? capacity - unwritten : unread;
+        // the part that moves to the right goes first, so that neither overwrites the other
+        if (writeStart > writeIndex) {
+            System.arraycopy(bytes, writeIndex, target, writeStart, unwritten);
         }
-        byte[] to = size == bytes.length ? bytes : new byte[size];
-        int at = forIn > 0 ? size - out : in;
-        if (at > outFrom) { // to the right first, so that neither part runs over the other
-            System.arraycopy(bytes, outFrom, to, at, out);
+        System.arraycopy(bytes, readIndex, target, 0, unread);
+        if (writeStart <= writeIndex) {
+            System.arraycopy(bytes, writeIndex, target, writeStart, unwritten);
         }
-        System.arraycopy(bytes, inFrom, to, 0, in);
-        if (at <= outFrom) {
-            System.arraycopy(bytes, outFrom, to, at, out);
+        setArray(target);
+        readIndex = 0;
+        readLimit = unread;
+        writeIndex = writeStart;
+        writeLimit = writeStart + unwritten;
+    }
+
+    private int capacityFor(int neededBytes) {
+        int capacity = Math.max(MIN_CAPACITY_BYTES, bytes.length);
+        while (capacity < neededBytes) {
+            capacity = neededBytes > MAX_DOUBLED_BYTES ? neededBytes : 2 * capacity;
         }
-        adopt(to);
-        inFrom = 0;
-        inTo = in;
-        outFrom = at;
-        outTo = at + out;
+        return capacity;
     }
 
-    private void shrink() {
-        if (bytes.length > Math.max(KEPT, 2 * atRead) && unread() == 0 && unwritten() == 0) {
-            free();
+    private void releaseIfLargeAndEmpty() {
+        boolean isLarge = bytes.length > Math.max(MAX_EMPTY_CAPACITY_BYTES, 2 * maxReadBytes);
+        if (isLarge && unreadBytes() == 0 && unwrittenBytes() == 0) {
+            release();
         }
     }
 
-    void free() {
-        adopt(new byte[0]);
-        inFrom = inTo = outFrom = outTo = 0;
+    /** Drops the content, and gives the array back to the budget. */
+    void release() {
+        setArray(new byte[0]);
+        readIndex = 0;
+        readLimit = 0;
+        writeIndex = 0;
+        writeLimit = 0;
     }
 
-    private void adopt(byte[] to) {
-        if (to != bytes) {
-            room.release(bytes.length);
-            room.reserve(to.length);
-            bytes = to;
-            view = ByteBuffer.wrap(to);
+    private void setArray(byte[] array) {
+        if (array != bytes) {
+            budget.release(bytes.length);
+            budget.reserve(array.length);
+            bytes = array;
+            view = ByteBuffer.wrap(array);
         }
     }
 }
--- a/gateway/src/main/java/tinford/transport/DescriptorBudget.java
+++ b/gateway/src/main/java/tinford/transport/DescriptorBudget.java
@@ -1,66 +1,69 @@
 package tinford.transport;
 
 /**
- * The descriptors that all connections together may hold, a part for each kind of party. Guards the
- * few by which the gateway learns where servers are and what is counted against clients and
- * servers, and what servers need against idle clients, however many there are at the moment.
+ * The file descriptors that all connections together may hold, with a limit for each kind of peer.
+ * The limits keep descriptors for discovery and the counter, and for servers, however many clients
+ * are connected.
  */
 public final class DescriptorBudget {
-    /** Whom a connection is with. */
-    public enum Party {
+    /** What a connection's other side is. */
+    public enum PeerKind {
         /** Discovery and the counter. */
         SERVICES,
         SERVERS,
         CLIENTS,
-        /** Kept besides, as many as their door lets in. */
-        OPERATORS
+        /** Counted outside the budget; their listener limits them. */
+        ADMINS
     }
 
-    /** Two watches and a list fetched once; the counter's, where it was and where it moves to. */
-    private static final int TO_SERVICES = 12;
+    /** Two watches and a list fetch; the counter's, at its old and its new address. */
+    private static final int MAX_SERVICES = 12;
 
-    private final int all;
-    private final int[] held = new int[Party.values().length];
-    private int aside;
+    private final int total;
+    private final int[] acquired = new int[PeerKind.values().length];
+    private int reservedForOtherProcess;
 
-    DescriptorBudget(int all) {
-        this.all = all;
+    DescriptorBudget(int total) {
+        this.total = total;
     }
 
     /**
-     * How many connections of that kind there may be now; half of what is left when services have
-     * theirs.
+     * How many connections of that kind may be open now. Servers and clients have half each of what
+     * the services leave.
      */
-    public int limit(Party with) {
-        int now = Math.max(0, all - aside);
-        int services = Math.min(TO_SERVICES, now / 2);
-        return switch (with) {
+    public int limit(PeerKind kind) {
+        int available = Math.max(0, total - reservedForOtherProcess);
+        int services = Math.min(MAX_SERVICES, available / 2);
+        return switch (kind) {
             case SERVICES -> services;
-            case SERVERS -> (now - services) / 2;
-            case CLIENTS -> (now - services + 1) / 2;
-            case OPERATORS -> Integer.MAX_VALUE;
+            case SERVERS -> (available - services) / 2;
+            case CLIENTS -> (available - services + 1) / 2;
+            case ADMINS -> Integer.MAX_VALUE;
         };
     }
 
-    /**
-     * How many of that kind have to end before one more can be opened; 0 when it can be at once.
-     */
-    public int shortage(Party with) {
-        return Math.max(0, held[with.ordinal()] + 1 - limit(with));
+    /** How many connections of that kind have to be closed before one more can be opened. */
+    public int shortage(PeerKind kind) {
+        return Math.max(0, acquired[kind.ordinal()] + 1 - limit(kind));
     }
 
-    /** So many are another process's for now; connections that are open stay. */
-    public void reserve(int descriptors) {
-        aside = descriptors;
+    /**
+     * Sets how many descriptors belong to another process of this gateway. Connections that are
+     * open already stay open.
+     */
+    public void setReservedForOtherProcess(int descriptors) {
+        reservedForOtherProcess = descriptors;
     }
 
-    boolean take(Party with) {
-        boolean free = shortage(with) == 0;
-        held[with.ordinal()] += free ? 1 : 0;
-        return free;
+    boolean tryAcquire(PeerKind kind) {
+        boolean available = shortage(kind) == 0;
+        if (available) {
+            acquired[kind.ordinal()]++;
+        }
+        return available;
     }
 
-    void give(Party with) {
-        held[with.ordinal()]--;
+    void release(PeerKind kind) {
+        acquired[kind.ordinal()]--;
     }
 }
--- a/gateway/src/main/java/tinford/transport/DisabledMBeanServerBuilder.java
+++ b/gateway/src/main/java/tinford/transport/DisabledMBeanServerBuilder.java
@@ -4,8 +4,8 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * Named at the start as the maker of management beans: XNIO, which asks for some, does without when
- * there is none.
+ * Keeps the JVM from making an MBean server, which XNIO would otherwise start and register with.
+ * Named by the system property {@code javax.management.builder.initial}.
  */
 public final class DisabledMBeanServerBuilder extends MBeanServerBuilder {
     @Override
--- a/gateway/src/main/java/tinford/transport/EventLoop.java
+++ b/gateway/src/main/java/tinford/transport/EventLoop.java
@@ -15,148 +15,162 @@
 import org.xnio.XnioWorker;
 
 /**
- * The one I/O thread and its wake-ups. What comes in at a wake-up is only noted; once all of it is
- * in, one turn plays it to its owners in order of arrival, and then everything that was written
- * meanwhile leaves.
+ * The I/O thread. Its sockets' events are only queued as tasks when the thread wakes up; then one
+ * batch runs them in the order of their arrival, and the connections that have something to write
+ * are flushed after the batch.
  */
 public final class EventLoop {
     private static final System.Logger LOG = System.getLogger("tinford.transport");
+    private static final double NANOS_PER_MS = 1e6;
 
-    private static final double FAR =
-            1e12; // some decades: guards against times handed that no clock can hold
+    /** Some decades; longer delays from settings would overflow the clock. */
+    private static final double MAX_DELAY_MS = 1e12;
 
-    /** Something that came in and waits to be played. */
+    private static final long IO_THREAD_STACK_BYTES = 256L << 10;
+    private static final long NO_ALARM = Long.MAX_VALUE;
+
+    /** Work for the I/O thread, run once within a batch. */
     public interface Task {
         void run();
     }
 
-    /** One turn: plays all that is due by calling {@link #playAll}. */
+    /** Runs one batch, by calling {@link #runDueTasks}. */
     public interface BatchHandler {
         void run();
     }
 
     final XnioWorker worker;
     final XnioIoThread thread;
-
-    /** For the buffers of all connections. */
     final BufferBudget bufferBudget;
-
     final DescriptorBudget descriptorBudget;
-    private final BatchHandler turn;
-    private final LongSupplier nanos;
+    private final BatchHandler batchHandler;
+    private final LongSupplier nanoClock;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private List<Task> due = new ArrayList<>();
-    private List<Task> playing = new ArrayList<>();
+    private final List<Task> submitted = new ArrayList<>();
+    private final List<Task> running = new ArrayList<>();
     private final List<Connection> unflushed = new ArrayList<>();
-    private XnioExecutor.Key armed;
-    private long armedFor = Long.MAX_VALUE;
-    private boolean called;
-    private boolean closed;
+    private XnioExecutor.Key alarm;
+    private long alarmNanos = NO_ALARM;
+    private boolean isBatchScheduled;
+    private boolean isClosed;
 
-    /** A call at a time to come. */
+    /** A scheduled task. */
     public static final class Timer implements Comparable<Timer> {
-        private final long at;
-        private Task then;
+        private final long dueNanos;
 
-        private Timer(long at, Task then) {
-            this.at = at;
-            this.then = then;
+        /** Null once cancelled. */
+        private Task task;
+
+        private Timer(long dueNanos, Task task) {
+            this.dueNanos = dueNanos;
+            this.task = task;
         }
 
         public void cancel() {
-            then = null;
+            task = null;
         }
 
         @Override
         public int compareTo(Timer other) {
-            return Long.compare(at, other.at);
+            return Long.compare(dueNanos, other.dueNanos);
         }
     }
 
     /**
-     * @param descriptorBudget how many connections there may be, over all parties but operators
-     * @param bytes what all their buffers may take
-     * @param nanos the time that timers go by; where it is driven, whoever drives it wakes the loop
-     *     with {@link #execute}
+     * @param descriptors how many connections may be open, to all kinds of peers but admins
+     * @param bufferBytes that the buffers of all connections may take
+     * @param nanoClock the clock of the timers; whoever sets it by hand wakes the loop up with
+     *     {@link #execute}
      */
-    public EventLoop(BatchHandler turn, int descriptors, long bytes, LongSupplier nanos)
+    public EventLoop(
+            BatchHandler batchHandler, int descriptors, long bufferBytes, LongSupplier nanoClock)
             throws IOException {
-        this.turn = turn;
-        this.nanos = nanos;
-        this.bufferBudget = new BufferBudget(bytes);
+        this.batchHandler = batchHandler;
+        this.nanoClock = nanoClock;
+        this.bufferBudget = new BufferBudget(bufferBytes);
         this.descriptorBudget = new DescriptorBudget(descriptors);
-        worker =
-                Xnio.getInstance("nio")
-                        .createWorker(
-                                OptionMap.builder()
-                                        .set(Options.WORKER_NAME, "gateway")
-                                        .set(Options.WORKER_IO_THREADS, 1)
-                                        .set(Options.WORKER_TASK_CORE_THREADS, 0)
-                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                                        .set(Options.STACK_SIZE, 256L << 10)
-                                        .getMap());
+        worker = Xnio.getInstance("nio").createWorker(workerOptions());
         thread = worker.getIoThread();
     }
 
-    /** From any thread: runs this on the I/O thread. */
-    public void execute(Task first) {
-        thread.execute(() -> submit(first));
+    private static OptionMap workerOptions() {
+        return OptionMap.builder()
+                .set(Options.WORKER_NAME, "gateway")
+                .set(Options.WORKER_IO_THREADS, 1)
+                .set(Options.WORKER_TASK_CORE_THREADS, 0)
+                .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                .set(Options.STACK_SIZE, IO_THREAD_STACK_BYTES)
+                .getMap();
     }
 
-    public void submit(Task what) {
-        due.add(what);
-        call();
+    /** From any thread: submits the task on the I/O thread. */
+    public void execute(Task task) {
+        thread.execute(() -> submit(task));
     }
 
-    public Timer schedule(double ms, Task then) {
-        Timer t =
-                new Timer(nanos.getAsLong() + (long) (Math.min(FAR, Math.max(0, ms)) * 1e6), then);
-        timers.add(t);
-        call(); // only the end of a turn sets the alarm
-        return t;
+    /** On the I/O thread: runs the task with the next batch. */
+    public void submit(Task task) {
+        submitted.add(task);
+        scheduleBatch();
     }
 
-    /** Plays the timers that have run out, then what came in, each once. */
-    public void playAll() {
-        long now = nanos.getAsLong();
-        while (!timers.isEmpty() && (timers.peek().then == null || timers.peek().at <= now)) {
-            Task then = timers.poll().then;
-            if (then != null) {
-                playing.add(then);
-            }
+    /** On the I/O thread: runs the task with the first batch after the delay. */
+    public Timer schedule(double delayMs, Task task) {
+        double boundedMs = Math.min(MAX_DELAY_MS, Math.max(0, delayMs));
+        Timer timer = new Timer(nanoClock.getAsLong() + (long) (boundedMs * NANOS_PER_MS), task);
+        timers.add(timer);
+        scheduleBatch(); // only the end of a batch sets the alarm
+        return timer;
+    }
+
+    /** Runs the timers that are due, then the submitted tasks, each once. */
+    public void runDueTasks() {
+        takeDueTimers();
+        running.addAll(submitted);
+        submitted.clear();
+        for (int i = 0; i < running.size(); i++) {
+            runIsolated(running.get(i));
         }
-        playing.addAll(due);
-        due.clear();
-        for (int i = 0; i < playing.size(); i++) {
-            try {
-                playing.get(i).run();
-            } catch (RuntimeException | Error e) {
-                // guards all others against a fault in the handling of one, also one that ran out
-                // of stack or of memory
-                LOG.log(Level.ERROR, "one thing that came in was not handled to its end", e);
+        running.clear();
+    }
+
+    private void takeDueTimers() {
+        long now = nanoClock.getAsLong();
+        while (!timers.isEmpty()
+                && (timers.peek().task == null || timers.peek().dueNanos <= now)) {
+            Task task = timers.poll().task;
+            if (task != null) {
+                running.add(task);
             }
         }
-        playing.clear();
     }
 
-    /** From any thread: nothing is played any more. */
+    /** A failing task, also one that ran out of stack or memory, must not stop the others. */
+    private static void runIsolated(Task task) {
+        try {
+            task.run();
+        } catch (RuntimeException | Error e) {
+            LOG.log(Level.ERROR, "task failed on the I/O thread", e);
+        }
+    }
+
+    /** From any thread: stops the I/O thread; no task runs any more. */
     public void close() {
         thread.execute(
                 () -> {
-                    closed = true;
+                    isClosed = true;
                     worker.shutdownNow();
                 });
     }
 
     /**
-     * As {@link #close}, and waits until its threads are gone, so long at most. Guards the
-     * process's end, which takes a JVM 0.3 s more while any thread waits within the machine, as
-     * those here do.
+     * As {@link #close}, and waits until the threads are gone or the time is over. The JVM exits
+     * 0.3 s later while a thread still waits in the operating system.
      */
-    public void end(double ms) {
+    public void closeAndAwait(double timeoutMs) {
         close();
         try {
-            worker.awaitTermination((long) ms, TimeUnit.MILLISECONDS);
+            worker.awaitTermination((long) timeoutMs, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -170,64 +184,65 @@
         return descriptorBudget;
     }
 
-    void unflushed(Connection link) {
-        unflushed.add(link);
-        call();
+    void flushAfterBatch(Connection connection) {
+        unflushed.add(connection);
+        scheduleBatch();
     }
 
-    private void call() {
-        if (!called && !closed) {
-            called = true;
-            thread.execute(this::turn);
+    private void scheduleBatch() {
+        if (!isBatchScheduled && !isClosed) {
+            isBatchScheduled = true;
+            thread.execute(this::runBatch);
         }
     }
 
-    private void turn() {
-        if (closed) {
+    private void runBatch() {
+        if (isClosed) {
             return;
         }
         try {
-            turn.run();
+            batchHandler.run();
         } catch (RuntimeException | Error e) {
-            LOG.log(Level.ERROR, "a turn was cut short", e);
+            LOG.log(Level.ERROR, "batch failed on the I/O thread", e);
         }
         for (int i = 0; i < unflushed.size(); i++) {
             unflushed.get(i).flush();
         }
         unflushed.clear();
-        called = false;
-        if (!due.isEmpty()) {
-            call();
+        isBatchScheduled = false;
+        if (!submitted.isEmpty()) {
+            scheduleBatch();
         }
-        arm();
+        setAlarm();
     }
 
-    private void arm() {
-        while (!timers.isEmpty() && timers.peek().then == null) {
+    /** Wakes the thread up for the next timer; needless wake-ups are avoided, as they cost time. */
+    private void setAlarm() {
+        while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
-        long next = timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
-        if (armedFor == next) {
+        long nextNanos = timers.isEmpty() ? NO_ALARM : timers.peek().dueNanos;
+        if (alarmNanos == nextNanos) {
             return;
         }
-        if (armed != null) {
-            armed.remove(); // also when it would come too soon: a wake-up for nothing costs as
-            // much as any other
-            armed = null;
+        if (alarm != null) {
+            alarm.remove();
+            alarm = null;
         }
-        armedFor = next;
-        if (timers.isEmpty()) {
-            return;
+        alarmNanos = nextNanos;
+        if (!timers.isEmpty()) {
+            alarm = thread.executeAfter(this::alarmFired, delayMs(), TimeUnit.MILLISECONDS);
         }
-        long ms = Math.max(0, (armedFor - nanos.getAsLong() + 999_999) / 1_000_000);
-        armed =
-                thread.executeAfter(
-                        () -> {
-                            armed = null;
-                            armedFor = Long.MAX_VALUE;
-                            call();
-                        },
-                        ms,
-                        TimeUnit.MILLISECONDS);
+    }
+
+    /** Rounded up: an alarm that fires early would find no timer due. */
+    private long delayMs() {
+        return Math.max(0, (alarmNanos - nanoClock.getAsLong() + 999_999) / 1_000_000);
+    }
+
+    private void alarmFired() {
+        alarm = null;
+        alarmNanos = NO_ALARM;
+        scheduleBatch();
     }
 }
--- a/gateway/src/main/java/tinford/transport/HandoverLock.java
+++ b/gateway/src/main/java/tinford/transport/HandoverLock.java
@@ -11,103 +11,110 @@
 import java.util.List;
 
 /**
- * What two processes of one gateway share in a folder: whose turn it is to take clients, told by
- * locks that the machine takes back from a process that dies, and a record of lines. No call waits.
+ * What two processes of one gateway share in a folder: file locks, which say which of them accepts
+ * clients, and a log of lines. The operating system releases the locks of a process that dies. No
+ * call blocks.
  */
 public final class HandoverLock {
-    private static final int TAKING = 0;
-    private static final int OPEN = 1;
+    private static final int ACCEPTING = 0;
+    private static final int LISTENING = 1;
     private static final int ALIVE = 2;
-    private static final int MOST_READ = 64 << 10;
-    private final FileChannel locks;
-    private final FileChannel record;
-    private final FileChannel behind; // writes at the end of the record, whoever wrote there last
-    private final FileLock[] held = new FileLock[3];
-    private long read;
+    private static final int LOCK_COUNT = 3;
+    private static final int MAX_READ_BYTES = 64 << 10;
+    private final FileChannel lockFile;
+    private final FileChannel logReader;
+
+    /** Appends, whichever process wrote last. */
+    private final FileChannel logWriter;
+
+    private final FileLock[] locks = new FileLock[LOCK_COUNT];
+    private long readBytes;
 
     /**
-     * @param name of the gateway, so that several may share the folder
+     * @param gatewayName so that several gateways may share the folder
      */
-    public HandoverLock(Path folder, String name) throws IOException {
-        String stem = "tinford-" + name.replaceAll("[^A-Za-z0-9_.-]", "_");
-        locks =
+    public HandoverLock(Path folder, String gatewayName) throws IOException {
+        String stem = "tinford-" + gatewayName.replaceAll("[^A-Za-z0-9_.-]", "_");
+        lockFile =
                 FileChannel.open(
                         folder.resolve(stem + ".turn"),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE);
-        behind =
-                FileChannel.open(
-                        folder.resolve(stem + ".record"),
-                        StandardOpenOption.CREATE,
-                        StandardOpenOption.APPEND);
-        record = FileChannel.open(folder.resolve(stem + ".record"), StandardOpenOption.READ);
+        Path log = folder.resolve(stem + ".record");
+        logWriter = FileChannel.open(log, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        logReader = FileChannel.open(log, StandardOpenOption.READ);
     }
 
-    private boolean tryAcquire(int place) throws IOException {
-        if (held[place] == null) {
-            held[place] = locks.tryLock(place, 1, false);
+    private boolean tryAcquire(int lock) throws IOException {
+        if (locks[lock] == null) {
+            locks[lock] = lockFile.tryLock(lock, 1, false);
         }
-        return held[place] != null;
+        return locks[lock] != null;
     }
 
-    private void release(int place) throws IOException {
-        if (held[place] != null) {
-            held[place].release();
-            held[place] = null;
+    private void release(int lock) throws IOException {
+        if (locks[lock] != null) {
+            locks[lock].release();
+            locks[lock] = null;
         }
     }
 
-    /** Whether the turn is this process's now. */
+    /** Whether this process is the one that accepts clients. */
     public boolean tryAcquire() throws IOException {
-        return tryAcquire(TAKING);
+        return tryAcquire(ACCEPTING);
     }
 
     /**
-     * Said by the one whose turn it is: its door is open. False while the one before it looks: to
-     * be said again.
+     * Tells the predecessor that this process is listening.
+     *
+     * @return false while the predecessor is checking for it: to be called again
      */
-    public boolean opened() throws IOException {
-        return tryAcquire(OPEN);
+    public boolean tryAnnounceListening() throws IOException {
+        return tryAcquire(LISTENING);
     }
 
-    /** Whether the one before this process is gone. */
-    public boolean alone() throws IOException {
+    /** Whether the predecessor has exited, or there was none. */
+    public boolean isOnlyProcess() throws IOException {
         return tryAcquire(ALIVE);
     }
 
-    /** Gives the turn to a successor, if there is one. */
+    /** Lets a successor, if there is one, accept clients. */
     public void release() throws IOException {
-        release(TAKING);
-        release(OPEN);
+        release(ACCEPTING);
+        release(LISTENING);
     }
 
-    /** Whether a successor's door is open; asked by the one that gave the turn. */
-    public boolean succeeded() throws IOException {
-        boolean free = tryAcquire(OPEN);
-        release(OPEN);
-        return !free;
+    /** Whether a successor is listening; called after {@link #release()}. */
+    public boolean isSuccessorListening() throws IOException {
+        boolean isFree = tryAcquire(LISTENING);
+        release(LISTENING);
+        return !isFree;
     }
 
-    /** One write, which also ends what a process that was killed may have left of a line. */
+    /**
+     * Appends a line to the shared log, in one write. The line end before it closes a line that a
+     * killed process may have left incomplete.
+     */
     public void appendLine(String line) throws IOException {
-        behind.write(ByteBuffer.wrap(("\n" + line + "\n").getBytes(StandardCharsets.UTF_8)));
+        logWriter.write(ByteBuffer.wrap(("\n" + line + "\n").getBytes(StandardCharsets.UTF_8)));
     }
 
+    /** The complete lines of the shared log that were appended since the last call. */
     public List<String> readNewLines() throws IOException {
-        List<String> found = new ArrayList<>();
-        while (record.size() > read) {
-            ByteBuffer b = ByteBuffer.allocate((int) Math.min(MOST_READ, record.size() - read));
-            int n = record.read(b, read);
-            int stop = n;
-            while (stop > 0 && b.array()[stop - 1] != '\n') {
-                stop--;
+        List<String> lines = new ArrayList<>();
+        while (logReader.size() > readBytes) {
+            int size = (int) Math.min(MAX_READ_BYTES, logReader.size() - readBytes);
+            ByteBuffer chunk = ByteBuffer.allocate(size);
+            int end = logReader.read(chunk, readBytes);
+            while (end > 0 && chunk.array()[end - 1] != '\n') {
+                end--;
             }
-            if (stop <= 0) {
-                return found; // a line has come in part
+            if (end <= 0) {
+                return lines; // the last line is not complete yet
             }
-            found.addAll(new String(b.array(), 0, stop, StandardCharsets.UTF_8).lines().toList());
-            read += stop;
+            lines.addAll(new String(chunk.array(), 0, end, StandardCharsets.UTF_8).lines().toList());
+            readBytes += end;
         }
-        return found;
+        return lines;
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/tinford/transport/LingeringClose.java
@@ -0,0 +1,77 @@
+package tinford.transport;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.ReadableByteChannel;
+import org.xnio.IoUtils;
+import org.xnio.StreamConnection;
+
+/**
+ * Closes a connection in two steps: shuts down the sending, and closes the socket once the peer has
+ * done the same or {@value #PEER_CLOSE_TIMEOUT_MS} ms have passed. What still comes in is dropped.
+ */
+final class LingeringClose {
+    static final double PEER_CLOSE_TIMEOUT_MS = 1000;
+    private static final int DISCARD_BUFFER_BYTES = 1024;
+    private final EventLoop loop;
+    private final StreamConnection connection;
+    private final Runnable onClosed;
+    private final ByteBuffer discarded = ByteBuffer.allocate(DISCARD_BUFFER_BYTES);
+    private EventLoop.Timer timeout;
+    private boolean closed;
+
+    /**
+     * @param onClosed called once, within a batch, after the socket is closed
+     */
+    LingeringClose(EventLoop loop, StreamConnection connection, Runnable onClosed) {
+        this.loop = loop;
+        this.connection = connection;
+        this.onClosed = onClosed;
+    }
+
+    void start() {
+        timeout = loop.schedule(PEER_CLOSE_TIMEOUT_MS, this::submitClose);
+        connection
+                .getSourceChannel()
+                .setReadListener(
+                        channel -> {
+                            if (isAtEnd(channel)) {
+                                channel.suspendReads();
+                                submitClose();
+                            }
+                        });
+        connection.getSourceChannel().resumeReads();
+        try {
+            connection.getSinkChannel().shutdownWrites();
+        } catch (IOException e) {
+            submitClose();
+        }
+    }
+
+    /** Drops what has come in; true when the peer has shut down its sending or reset. */
+    private boolean isAtEnd(ReadableByteChannel channel) {
+        try {
+            int read;
+            do {
+                read = channel.read(discarded.clear());
+            } while (read > 0);
+            return read < 0;
+        } catch (IOException e) {
+            return true;
+        }
+    }
+
+    private void submitClose() {
+        loop.submit(this::close);
+    }
+
+    private void close() {
+        if (closed) {
+            return;
+        }
+        closed = true;
+        timeout.cancel();
+        IoUtils.safeClose(connection);
+        onClosed.run();
+    }
+}
--- a/gateway/src/main/java/tinford/transport/Listener.java
+++ b/gateway/src/main/java/tinford/transport/Listener.java
@@ -7,74 +7,78 @@
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
+import org.xnio.channels.AcceptingChannel;
 import org.xnio.nio.SharedPort;
 
-/**
- * A listening address; each connection that comes in is taken over by a link, or closed where there
- * is none.
- */
+/** A listening address, whose accepted connections are taken over by {@link Connection}s. */
 public final class Listener {
+    private static final int BACKLOG = 512;
     private final EventLoop loop;
+    private final Supplier<? extends Connection> connections;
     private final SharedPort port;
 
     /**
-     * @param shared another process may listen at the same address
-     * @param most connections that may be open through it at once; more wait in the backlog until
-     *     one has ended
+     * @param shared whether another process may listen at the same address
+     * @param maxConnections that may be open through it at once; more wait in the backlog
+     * @param connections makes the owner of an accepted connection, or null to have it closed
      */
     public Listener(
             EventLoop loop,
-            InetSocketAddress at,
+            InetSocketAddress address,
             boolean shared,
-            int most,
-            Supplier<? extends Connection> links)
+            int maxConnections,
+            Supplier<? extends Connection> connections)
             throws IOException {
         this.loop = loop;
-        // the low water is compared with the count before an end: one lower, and a full door would
-        // stay shut behind a single one
+        this.connections = connections;
         port =
                 SharedPort.open(
-                        loop.worker,
-                        at,
-                        shared,
-                        OptionMap.builder()
-                                .set(Options.TCP_NODELAY, true)
-                                .set(Options.BACKLOG, 512)
-                                .set(Options.CONNECTION_HIGH_WATER, most)
-                                .set(Options.CONNECTION_LOW_WATER, most)
-                                .getMap(),
-                        ch -> {
-                            try {
-                                for (StreamConnection c = ch.accept(); c != null; c = ch.accept()) {
-                                    StreamConnection taken = c;
-                                    loop.submit(() -> take(loop, taken, links));
-                                }
-                            } catch (IOException e) {
-                                // closed meanwhile: nothing more comes in
-                            }
-                        });
+                        loop.worker, address, shared, options(maxConnections), this::acceptAll);
         port.resumeAccepts();
     }
 
-    private static void take(
-            EventLoop loop, StreamConnection c, Supplier<? extends Connection> links) {
-        Connection link = links.get();
-        if (link != null && loop.descriptorBudget.take(link.party())) {
-            link.holdsDescriptor();
-            link.adopt(c);
-        } else {
-            IoUtils.safeClose(c);
-            if (link != null) {
-                link.close(CloseReason.NO_ROOM);
+    /**
+     * XNIO compares the low water mark with the count before a close: with a lower mark than the
+     * high one, a full listener would not accept again after a single close.
+     */
+    private static OptionMap options(int maxConnections) {
+        return OptionMap.builder()
+                .set(Options.TCP_NODELAY, true)
+                .set(Options.BACKLOG, BACKLOG)
+                .set(Options.CONNECTION_HIGH_WATER, maxConnections)
+                .set(Options.CONNECTION_LOW_WATER, maxConnections)
+                .getMap();
+    }
+
+    private void acceptAll(AcceptingChannel<StreamConnection> channel) {
+        try {
+            for (StreamConnection c = channel.accept(); c != null; c = channel.accept()) {
+                StreamConnection accepted = c;
+                loop.submit(() -> handOver(accepted));
             }
+        } catch (IOException e) {
+            // the listener was closed meanwhile
+        }
+    }
+
+    private void handOver(StreamConnection accepted) {
+        Connection connection = connections.get();
+        if (connection == null) {
+            IoUtils.safeClose(accepted);
+        } else if (loop.descriptorBudget.tryAcquire(connection.party())) {
+            connection.markDescriptorAcquired();
+            connection.adopt(accepted);
+        } else {
+            IoUtils.safeClose(accepted);
+            connection.close(CloseReason.NO_DESCRIPTOR);
         }
     }
 
     /**
-     * Nobody new comes in; those whom the machine has let in by now are taken before {@code then},
-     * which is a turn's.
+     * Accepts what is in the backlog, then closes the listener. The task runs within a batch, after
+     * the connections accepted last were handed over.
      */
-    public void close(EventLoop.Task then) {
-        port.close(() -> loop.execute(() -> loop.submit(then)));
+    public void closeAfterAccepting(EventLoop.Task task) {
+        port.close(() -> loop.execute(() -> loop.submit(task)));
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/tinford/transport/ReadAhead.java
@@ -0,0 +1,54 @@
+package tinford.transport;
+
+/**
+ * Reads one connection beyond what its owner has consumed: to find the peer's close behind unread
+ * input, and to drop the input of a peer whose connection is about to be closed.
+ */
+final class ReadAhead {
+    private static final int MAX_READS_PER_POLL = 64;
+    private static final int MAX_UNREAD_BYTES = 256 << 10;
+    private static final double DISCARD_INTERVAL_MS = 50;
+    private final EventLoop loop;
+    private final Connection connection;
+    private boolean isDiscarding;
+
+    ReadAhead(EventLoop loop, Connection connection) {
+        this.loop = loop;
+        this.connection = connection;
+    }
+
+    /** Reads, within bounds, until nothing more has come in or the peer's close is seen. */
+    void poll() {
+        boolean mayHaveMore = connection.isReadable();
+        for (int i = 0; i < MAX_READS_PER_POLL && mayHaveMore && mayReadMore(); i++) {
+            mayHaveMore = connection.read();
+            if (isDiscarding) {
+                connection.discardReceived();
+            }
+        }
+    }
+
+    private boolean mayReadMore() {
+        return !connection.isPeerCloseSeen()
+                && connection.buffer.unreadBytes() <= MAX_UNREAD_BYTES
+                && !loop.bufferBudget.isNearlyExhausted();
+    }
+
+    boolean isDiscarding() {
+        return isDiscarding;
+    }
+
+    /** From now on drops all input, read at a slow pace, until the peer closes. */
+    void startDiscarding() {
+        isDiscarding = true;
+        connection.discardReceived();
+        discardPeriodically();
+    }
+
+    private void discardPeriodically() {
+        poll();
+        if (!connection.isPeerCloseSeen()) {
+            loop.schedule(DISCARD_INTERVAL_MS, this::discardPeriodically);
+        }
+    }
+}
