--- a/gateway/src/main/java/tinford/transport/UdpSocket.java
+++ b/gateway/src/main/java/tinford/transport/UdpSocket.java
@@ -8,58 +8,73 @@
 import org.xnio.channels.MulticastMessageChannel;
 import org.xnio.channels.SocketAddressBuffer;
 
-/** One UDP socket: datagrams in and out, none kept. */
+/** A UDP socket on the I/O thread. Datagrams that can't be read or sent at once are lost. */
 public final class UdpSocket {
-    private static final int MOST_A_WAKE_UP = 64;
+    private static final int MAX_DATAGRAMS_PER_WAKEUP = 64;
 
-    /** Takes a datagram, within a turn. */
-    public interface Taker {
-        void take(InetSocketAddress from, byte[] bytes);
+    /** Handles one datagram, within a batch. */
+    public interface DatagramHandler {
+        void handle(InetSocketAddress sender, byte[] bytes);
     }
 
+    private final EventLoop loop;
+    private final int maxBytes;
+    private final DatagramHandler handler;
     private final MulticastMessageChannel channel;
     private final ByteBuffer buffer;
     private final SocketAddressBuffer addresses = new SocketAddressBuffer();
 
     /**
-     * @param most bytes of one; longer ones are dropped
+     * @param maxBytes of one datagram; longer ones are dropped
      */
-    public UdpSocket(EventLoop loop, InetSocketAddress at, int most, Taker taker)
+    public UdpSocket(
+            EventLoop loop, InetSocketAddress address, int maxBytes, DatagramHandler handler)
             throws IOException {
-        buffer = ByteBuffer.allocate(most + 1);
-        channel = loop.worker.createUdpServer(at, OptionMap.EMPTY);
-        channel.getReadSetter().set(ch -> receive(loop, most, taker));
+        this.loop = loop;
+        this.maxBytes = maxBytes;
+        this.handler = handler;
+        buffer = ByteBuffer.allocate(maxBytes + 1);
+        channel = loop.worker.createUdpServer(address, OptionMap.EMPTY);
+        channel.getReadSetter().set(ready -> receiveAll());
         channel.resumeReads();
     }
 
-    private void receive(EventLoop loop, int most, Taker taker) {
+    private void receiveAll() {
         try {
-            for (int i = 0; i < MOST_A_WAKE_UP; i++) {
-                buffer.clear();
-                int n = channel.receiveFrom(addresses, buffer);
-                if (n < 0) {
-                    channel.suspendReads();
-                }
-                if (n <= 0) {
+            for (int i = 0; i < MAX_DATAGRAMS_PER_WAKEUP; i++) {
+                if (!receive()) {
                     return;
                 }
-                InetSocketAddress from = addresses.getSourceAddress(InetSocketAddress.class);
-                if (n <= most) {
-                    byte[] bytes = Arrays.copyOf(buffer.array(), n);
-                    loop.submit(() -> taker.take(from, bytes));
-                }
             }
         } catch (IOException e) {
-            // one datagram less: they may be lost in any case
+            // one datagram less: the protocol above allows for losses
+        }
+    }
+
+    /** False when nothing is left to read. */
+    private boolean receive() throws IOException {
+        buffer.clear();
+        int length = channel.receiveFrom(addresses, buffer);
+        if (length < 0) {
+            channel.suspendReads();
+        }
+        if (length <= 0) {
+            return false;
+        }
+        InetSocketAddress sender = addresses.getSourceAddress(InetSocketAddress.class);
+        if (length <= maxBytes) {
+            byte[] bytes = Arrays.copyOf(buffer.array(), length);
+            loop.submit(() -> handler.handle(sender, bytes));
         }
+        return true;
     }
 
-    /** Sent now, or lost. */
-    public void send(InetSocketAddress to, byte[] bytes) {
+    /** Sends the datagram at once, or drops it. */
+    public void send(InetSocketAddress receiver, byte[] bytes) {
         try {
-            channel.sendTo(to, ByteBuffer.wrap(bytes));
+            channel.sendTo(receiver, ByteBuffer.wrap(bytes));
         } catch (IOException e) {
-            // lost, as any of them may be
+            // lost, as any datagram may be
         }
     }
 }
--- a/gateway/src/test/java/tinford/logging/LineLoggerTest.java
+++ b/gateway/src/test/java/tinford/logging/LineLoggerTest.java
@@ -135,8 +135,8 @@
         long told = said.lines().filter(l -> l.contains(" a long line ")).count();
         long dropped =
                 said.lines()
-                        .filter(l -> l.endsWith(" lines found no place"))
-                        .mapToLong(l -> Long.parseLong(l.split(" ")[3]))
+                        .filter(l -> l.contains("lines dropped count="))
+                        .mapToLong(l -> Long.parseLong(l.substring(l.indexOf('=') + 1)))
                         .sum();
         assertTrue(
                 dropped > 0 && told + dropped == Talks.LINES + 1,
--- a/gateway/src/test/java/tinford/program/SocketTest.java
+++ b/gateway/src/test/java/tinford/program/SocketTest.java
@@ -1024,7 +1024,7 @@
         signal.getOutputStream().write('\n');
         signal.getOutputStream().close();
         assertEquals(signal.waitFor(), 0);
-        while (!Files.readString(log).contains("configuration read again")) {
+        while (!Files.readString(log).contains("configuration reloaded")) {
             Thread.onSpinWait(); // ends with the test's own time at the latest
             assertTrue(gateway.isAlive(), "ended by the signal");
         }
@@ -1102,7 +1102,7 @@
         counter = door();
         String good = configuration();
         hangUp(part.isEmpty() ? instead : good.replace(part, instead));
-        while (!Files.readString(log).contains("configuration not taken: " + line)) {
+        while (!Files.readString(log).contains("configuration reload rejected: " + line)) {
             Thread.onSpinWait(); // ends with the test's own time at the latest
             assertTrue(gateway.isAlive());
         }
@@ -1326,7 +1326,7 @@
         assertTrue(
                 unheard <= 2,
                 unheard + " turned away"); // what comes between the last look and the close
-        says(otherLog, "the clients come here now");
+        says(otherLog, "handover complete: accepting client connections");
         Talk late = client();
         assertTrue(late.say(ask(2)).hear().startsWith("-BUSY")); // the only server is still out
         assertEquals(call(other, "POST /v1/servers/s0/resume"), "200");
@@ -1349,9 +1349,9 @@
         Path otherLog = Files.createTempFile("tinford", ".log");
         open.add(() -> Files.delete(otherLog));
         managed(free(), otherLog);
-        says(otherLog, "ready to follow it");
+        says(otherLog, "standing by: another process accepts client connections");
         gateway.destroyForcibly().waitFor();
-        while (!Files.readString(otherLog).contains("the clients come here now")) {
+        while (!Files.readString(otherLog).contains("handover complete: accepting client connections")) {
             Thread.onSpinWait(); // ends with the test's own time at the latest
         }
         assertEquals(client().say(command("PING")).hear(), "+PONG");
@@ -1435,7 +1435,7 @@
             open.add(() -> Files.delete(nextLog));
             Process next = managed(free(), nextLog);
             old.toHandle().destroy();
-            while (!Files.readString(nextLog).contains("the clients come here now")) {
+            while (!Files.readString(nextLog).contains("handover complete: accepting client connections")) {
                 Thread.onSpinWait(); // ends with the test's own time at the latest
             }
             old = next;
@@ -1512,6 +1512,6 @@
         Files.delete(shared.resolve("tinford-n0.record"));
         Files.createDirectory(shared.resolve("tinford-n0.record"));
         gateway = managed(free(), log);
-        says(log, "nothing is shared with another process of this gateway");
+        says(log, "handover not available folder=");
     }
 }
--- a/gateway/src/test/java/tinford/protocol/ProtocolTest.java
+++ b/gateway/src/test/java/tinford/protocol/ProtocolTest.java
@@ -20,8 +20,8 @@
     }
 
     private static String shown(RespReader r) {
-        StringBuilder s = new StringBuilder(r.array() ? "*" : "");
-        for (int i = 0; i < r.parts(); i++) {
+        StringBuilder s = new StringBuilder(r.isArray() ? "*" : "");
+        for (int i = 0; i < r.partCount(); i++) {
             s.append(i > 0 ? " " : "")
                     .append(r.kind(i) == 0 ? "null" : (char) r.kind(i) + r.text(i));
         }
@@ -205,9 +205,9 @@
     @Test
     public void reportFollowsTheNamesGiven() {
         assertEquals(
-                UsageReport.values("queue=2,x=9,util=0.61", List.of("util", "queue", "qps")),
+                UsageReport.loadReport("queue=2,x=9,util=0.61", List.of("util", "queue", "qps")),
                 new double[] {0.61, 2, 0});
-        assertEquals(UsageReport.values("cost=4", List.of("util")), null);
+        assertEquals(UsageReport.loadReport("cost=4", List.of("util")), null);
     }
 
     private static final String HEAD =
@@ -232,11 +232,11 @@
                 ChunkedLineReader lines = new ChunkedLineReader(MOST_LIST);
                 int from = 0;
                 for (int to = read;
-                        from < all.length && !lines.done();
+                        from < all.length && !lines.isComplete();
                         to = Math.min(all.length, to + read)) {
                     from += lines.read(all, from, to, found::add);
                 }
-                assertTrue(lines.done());
+                assertTrue(lines.isComplete());
                 assertEquals(found, List.of("{\"a\":1}", "", "{\"b\":\"\u00e9\"}"));
             }
         }
@@ -288,10 +288,10 @@
         byte[] all = bytes(text);
         int head = Math.max(text.indexOf("\r\n\r\n"), text.indexOf("\n\n"));
         for (int n = 0; head > 0 && n < head; n++) {
-            assertEquals(HttpRequestHead.read(all, 0, n), null);
+            assertEquals(HttpRequestHead.parse(all, 0, n), null);
         }
         try {
-            HttpRequestHead call = HttpRequestHead.read(all, 0, all.length);
+            HttpRequestHead call = HttpRequestHead.parse(all, 0, all.length);
             assertEquals(call == null ? null : call.method + " " + call.path, shown);
         } catch (ProtocolException e) {
             assertEquals(e.getMessage(), shown);
--- a/gateway/src/test/java/tinford/routing/ClosingTest.java
+++ b/gateway/src/test/java/tinford/routing/ClosingTest.java
@@ -250,7 +250,7 @@
                         e.client.piece(new byte[PIECE], 0, PIECE);
                         put[0] += PIECE;
                     });
-        } while (e.client.allWritten());
+        } while (e.client.isAllWritten());
         answers = true;
         turn(
                 () -> {
@@ -259,7 +259,7 @@
                     clients.leaving = true;
                     e.client.flown();
                 });
-        assertTrue(!e.client.allWritten() && !e.client.isClosed());
+        assertTrue(!e.client.isAllWritten() && !e.client.isClosed());
         return put[0] + 8 * PIECE + 2;
     }
 
@@ -480,8 +480,8 @@
             }
 
             @Override
-            protected DescriptorBudget.Party party() {
-                return DescriptorBudget.Party.SERVERS;
+            protected DescriptorBudget.PeerKind party() {
+                return DescriptorBudget.PeerKind.SERVERS;
             }
 
             @Override
@@ -493,7 +493,7 @@
             protected void onReceived() {}
 
             @Override
-            protected void onEnded(CloseReason how) {}
+            protected void onClosed(CloseReason how) {}
         }
 
         Opened[] link = new Opened[1];
--- a/gateway/src/test/java/tinford/routing/RoutingTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingTest.java
@@ -34,17 +34,17 @@
     @DataProvider
     public Object[][] ends() {
         return new Object[][] {
-            {CloseReason.REFUSED, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
-            {CloseReason.NEVER_UP, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
-            {CloseReason.NO_ROOM, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
-            {CloseReason.BROKEN, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.ENDED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.MALFORMED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.OVERFULL, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.RETIRED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.SILENT, AttemptOutcome.UNREACHABLE, AttemptOutcome.TIMED_OUT},
-            {CloseReason.PASSED_BY, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.DROPPED, AttemptOutcome.NOT_SENT, AttemptOutcome.CANCELLED},
+            {CloseReason.CONNECT_REFUSED, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
+            {CloseReason.CONNECT_TIMEOUT, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
+            {CloseReason.NO_DESCRIPTOR, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
+            {CloseReason.IO_ERROR, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.CLOSED_BY_PEER, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.PROTOCOL_ERROR, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.BUFFER_LIMIT_EXCEEDED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.CLOSED_IDLE, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.RESPONSE_TIMEOUT, AttemptOutcome.UNREACHABLE, AttemptOutcome.TIMED_OUT},
+            {CloseReason.STALLED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.CANCELLED, AttemptOutcome.NOT_SENT, AttemptOutcome.CANCELLED},
         };
     }
 
@@ -55,11 +55,11 @@
         assertEquals(OutcomeMapping.ofDispatch(how, true), after);
         assertEquals(
                 OutcomeMapping.ofCall(how, false),
-                how == CloseReason.SILENT ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE);
+                how == CloseReason.RESPONSE_TIMEOUT ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE);
         // only silence in the whole of a call's time tells of what the counter bears
         assertEquals(
                 OutcomeMapping.ofCall(how, true),
-                how == CloseReason.SILENT
+                how == CloseReason.RESPONSE_TIMEOUT
                         ? AttemptOutcome.TIMED_OUT
                         : after.mayHaveRun
                                 ? AttemptOutcome.CONNECTION_LOST
--- a/gateway/src/test/java/tinford/routing/WatchOutageTest.java
+++ b/gateway/src/test/java/tinford/routing/WatchOutageTest.java
@@ -285,6 +285,6 @@
     }
 
     private void setAside(int connections) {
-        desk.loop.execute(() -> desk.loop.descriptorBudget().reserve(connections));
+        desk.loop.execute(() -> desk.loop.descriptorBudget().setReservedForOtherProcess(connections));
     }
 }
--- a/gateway/src/test/java/tinford/transport/ConnectionBufferTest.java
+++ b/gateway/src/test/java/tinford/transport/ConnectionBufferTest.java
@@ -69,20 +69,20 @@
                 }
                 case 2 -> buf.write(sink);
                 default -> {
-                    int n = chance.nextInt(buf.unread() + 1);
+                    int n = chance.nextInt(buf.unreadBytes() + 1);
                     for (int i = 0; i < n; i++) {
                         assertEquals(buf.bytes()[buf.readIndex() + i], (byte) taken++);
                     }
                     buf.consume(n);
                 }
             }
-            if (buf.unread() + buf.unwritten() > 4 * most) {
+            if (buf.unreadBytes() + buf.unwrittenBytes() > 4 * most) {
                 buf.write(sink);
-                taken += buf.unread();
-                buf.consume(buf.unread());
+                taken += buf.unreadBytes();
+                buf.consume(buf.unreadBytes());
             }
         }
-        while (buf.unwritten() > 0) {
+        while (buf.unwrittenBytes() > 0) {
             buf.write(sink);
         }
         byte[] written = out.toByteArray();
@@ -90,8 +90,8 @@
         for (int i = 0; i < written.length; i++) {
             assertEquals(written[i], (byte) i);
         }
-        buf.free();
-        assertEquals(room.left(), 1 << 22, "all that was taken has come back");
+        buf.release();
+        assertEquals(room.availableBytes(), 1 << 22, "all that was taken has come back");
     }
 
     @Test
@@ -103,7 +103,7 @@
         ConnectionBuffer two = new ConnectionBuffer(room);
         two.put(new byte[5000], 0, 5000);
         assertTrue(room.isExceeded());
-        two.free();
+        two.release();
         assertTrue(!room.isExceeded());
     }
 
@@ -112,7 +112,7 @@
         Clock clock = new Clock();
         double last = 0;
         for (int i = 0; i < 100_000; i++) {
-            double now = clock.now();
+            double now = clock.nowMs();
             assertTrue(now >= last);
             last = now;
         }
--- a/gateway/src/test/java/tinford/transport/DescriptorBudgetTest.java
+++ b/gateway/src/test/java/tinford/transport/DescriptorBudgetTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.transport.DescriptorBudget.Party;
+import tinford.transport.DescriptorBudget.PeerKind;
 
 /** Each party's part of the descriptors, also while another process has some. */
 public class DescriptorBudgetTest {
@@ -20,25 +20,25 @@
     public void nobodyTakesWhatAnotherNeeds(int all, int aside) {
         DescriptorBudget pool = new DescriptorBudget(all);
         for (int i = 0; i < 2; i++) {
-            pool.reserve(aside); // said twice it is taken away once
+            pool.setReservedForOtherProcess(aside); // said twice it is taken away once
         }
-        int clients = take(pool, Party.CLIENTS);
-        int servers = take(pool, Party.SERVERS);
-        int services = take(pool, Party.SERVICES);
+        int clients = take(pool, PeerKind.CLIENTS);
+        int servers = take(pool, PeerKind.SERVERS);
+        int services = take(pool, PeerKind.SERVICES);
         assertEquals(clients + servers + services, Math.max(0, all - aside));
         assertTrue(clients >= servers && servers >= clients - 1, clients + " and " + servers);
         assertTrue(
                 services == Math.min(12, Math.max(0, all - aside) / 2), services + " for services");
-        pool.reserve(0);
-        int more = take(pool, Party.CLIENTS);
-        assertEquals(clients + more, pool.limit(Party.CLIENTS));
-        pool.reserve(aside);
-        assertEquals(pool.shortage(Party.CLIENTS), more + 1); // those that are open stay
+        pool.setReservedForOtherProcess(0);
+        int more = take(pool, PeerKind.CLIENTS);
+        assertEquals(clients + more, pool.limit(PeerKind.CLIENTS));
+        pool.setReservedForOtherProcess(aside);
+        assertEquals(pool.shortage(PeerKind.CLIENTS), more + 1); // those that are open stay
     }
 
-    private static int take(DescriptorBudget pool, Party with) {
+    private static int take(DescriptorBudget pool, PeerKind with) {
         int n = 0;
-        for (; pool.take(with); n++) {}
+        for (; pool.tryAcquire(with); n++) {}
         return n;
     }
 }
--- a/gateway/src/test/java/tinford/transport/EventLoopTest.java
+++ b/gateway/src/test/java/tinford/transport/EventLoopTest.java
@@ -20,7 +20,7 @@
     @Test(dataProvider = "faults")
     public void aFaultInOneHoldsUpNoOther(Throwable fault) throws Exception {
         EventLoop[] loop = new EventLoop[1];
-        loop[0] = new EventLoop(() -> loop[0].playAll(), 4, 1 << 16, System::nanoTime);
+        loop[0] = new EventLoop(() -> loop[0].runDueTasks(), 4, 1 << 16, System::nanoTime);
         CountDownLatch beside = new CountDownLatch(1);
         CountDownLatch later = new CountDownLatch(1);
         loop[0].execute(
--- a/lab/src/main/java/tinford/lab/scale/ConfigurationMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/ConfigurationMeasurements.java
@@ -18,7 +18,7 @@
 
     private static final int SERVERS = 60;
     private static final int NEW_TARGET_MS = 1400;
-    private static final String NEEDS_RESTART = "takes a restart";
+    private static final String NEEDS_RESTART = "requires_restart=";
 
     private ConfigurationMeasurements() {}
 
--- a/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
+++ b/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
@@ -246,7 +246,7 @@
 
     @Override
     public void close() {
-        desk.loop.end(1000);
+        desk.loop.closeAndAwait(1000);
     }
 
     @Override
--- a/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
+++ b/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
@@ -24,7 +24,7 @@
     private static final long LOOK_MS = 2;
 
     private static final int FIRST_TARGET_MS = 1500;
-    private static final String READ_AGAIN = "configuration read again";
+    private static final String READ_AGAIN = "configuration reloaded";
     private final Path configuration;
     private final Path log;
     private final int port = FreePort.find();
