--- a/fleet/src/main/java/tinford/fleet/control/WatchResponseStream.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchResponseStream.java
@@ -25,7 +25,8 @@
  * <p>All state belongs to the exchange's I/O thread, except what is volatile.
  */
 final class WatchResponseStream {
-    private static final byte[] HEARTBEAT = "\n".getBytes(StandardCharsets.US_ASCII);
+    /** An empty line; shows that the watch is alive while no revision is sent. */
+    static final byte[] HEARTBEAT = "\n".getBytes(StandardCharsets.US_ASCII);
 
     private final WatchRequest request;
     private final HttpServerExchange exchange;
