--- a/fleet/src/main/java/tinford/fleet/config/AppliedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/AppliedState.java
@@ -7,7 +7,7 @@
  * applied at a time; what is received meanwhile is offered as one step from the revision in force.
  */
 final class AppliedState {
-    private Configuration inForce;
+    private Configuration active;
     private Configuration received;
 
     /** Being applied; null where nothing is. */
@@ -25,16 +25,16 @@
     /** The update that led to what was received last; null after a snapshot. */
     private Update lastUpdate;
 
-    private String refusal;
+    private String rejectionReason;
 
-    AppliedState(Configuration inForce) {
-        this.inForce = inForce;
-        this.received = inForce;
-        this.offeredRevision = inForce.revision();
+    AppliedState(Configuration active) {
+        this.active = active;
+        this.received = active;
+        this.offeredRevision = active.revision();
     }
 
-    Configuration inForce() {
-        return inForce;
+    Configuration active() {
+        return active;
     }
 
     Configuration received() {
@@ -46,8 +46,8 @@
     }
 
     /** Why the last revision offered is not in force; null where it is. */
-    String refusal() {
-        return refusal;
+    String rejectionReason() {
+        return rejectionReason;
     }
 
     void receive(Update update) throws InvalidConfigurationException {
@@ -62,10 +62,10 @@
                             + update.revision());
         }
         Configuration next = received.with(update.revision(), update.changes());
-        List<ValidationError> faults = Validator.check(received, update.changes(), next);
-        if (!faults.isEmpty()) {
+        List<ValidationError> errors = Validator.check(received, update.changes(), next);
+        if (!errors.isEmpty()) {
             throw new InvalidConfigurationException(
-                    "update." + faults.get(0).key(), faults.get(0).expected());
+                    "update." + errors.get(0).key(), errors.get(0).expected());
         }
         received = next;
         lastUpdate = update;
@@ -74,7 +74,7 @@
     void receive(long revision, byte[] snapshot, SnapshotCodec codec)
             throws InvalidConfigurationException {
         if (revision < received.revision()) { // before the work of reading it
-            throw tooEarly(revision);
+            throw outdatedSnapshot(revision);
         }
         Configuration next = codec.decode(snapshot);
         if (next.revision() != revision) {
@@ -102,31 +102,29 @@
         if (snapshotPending) {
             actions.add(new Follower.Action.ApplySnapshot(received));
         } else {
-            actions.add(new Follower.Action.Apply(updateFromInForce(), received));
+            actions.add(new Follower.Action.Apply(updateFromActive(), received));
         }
     }
 
-    /**
-     * What was offered is in force or was refused.
-     *
-     * @param reason why it was refused; null where it is in force
-     */
-    void settle(String reason) {
-        if (reason == null) {
-            inForce = pending;
-            refusal = null;
-        } else {
-            refusal = ValidationError.oneLine("revision " + pending.revision() + ": " + reason);
-            snapshotReceived |= snapshotPending;
-        }
+    /** The configuration that was being applied is active. */
+    void activate() {
+        active = pending;
+        rejectionReason = null;
+        pending = null;
+    }
+
+    /** The configuration that was being applied can't be; the active one stays. */
+    void reject(String reason) {
+        rejectionReason = ValidationError.oneLine("revision " + pending.revision() + ": " + reason);
+        snapshotReceived |= snapshotPending;
         pending = null;
     }
 
-    private Update updateFromInForce() {
-        if (lastUpdate != null && lastUpdate.fromRevision() == inForce.revision()) {
+    private Update updateFromActive() {
+        if (lastUpdate != null && lastUpdate.fromRevision() == active.revision()) {
             return lastUpdate;
         }
-        return new Update(inForce.revision(), received.revision(), inForce.changesTo(received));
+        return new Update(active.revision(), received.revision(), active.changesTo(received));
     }
 
     private void expectSameContent(Configuration other) throws InvalidConfigurationException {
@@ -136,7 +134,7 @@
         }
     }
 
-    private InvalidConfigurationException tooEarly(long revision) {
+    private InvalidConfigurationException outdatedSnapshot(long revision) {
         return new InvalidConfigurationException(
                 "snapshot.revision",
                 "no earlier one than the revision held, "
--- a/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
@@ -32,32 +32,31 @@
     private static final byte FORMAT_VERSION = 1;
     private static final int HASH_BYTES = 32;
     private static final int HEADER_BYTES = Integer.BYTES + 2 * Byte.BYTES + Long.BYTES;
-    private static final int LEAST_BYTES =
-            HEADER_BYTES + Byte.BYTES + 2 * Integer.BYTES + HASH_BYTES;
+    private static final int MIN_BYTES = HEADER_BYTES + Byte.BYTES + 2 * Integer.BYTES + HASH_BYTES;
     private static final int BUFFER_BYTES = 16 << 10;
 
     private ChecksummedState() {}
 
-    static byte[] seal(Kind kind, String fleetId, long revision, byte[] content) {
+    static byte[] encode(Kind kind, String fleetId, long revision, byte[] content) {
         byte[] fleet = fleetId.getBytes(StandardCharsets.UTF_8);
         byte[] compressed = compress(content);
-        ByteBuffer to = ByteBuffer.allocate(LEAST_BYTES + fleet.length + compressed.length);
-        to.putInt(MAGIC).put(FORMAT_VERSION).put(kind.code).putLong(revision);
-        to.put((byte) fleet.length).put(fleet);
-        to.putInt(content.length).putInt(compressed.length).put(compressed);
-        to.put(hash(to.array(), to.position()));
-        return to.array();
+        ByteBuffer buffer = ByteBuffer.allocate(MIN_BYTES + fleet.length + compressed.length);
+        buffer.putInt(MAGIC).put(FORMAT_VERSION).put(kind.code).putLong(revision);
+        buffer.put((byte) fleet.length).put(fleet);
+        buffer.putInt(content.length).putInt(compressed.length).put(compressed);
+        buffer.put(hash(buffer.array(), buffer.position()));
+        return buffer.array();
     }
 
     /** What an envelope holds. */
-    record Opened(long revision, byte[] content) {}
+    record Decoded(long revision, byte[] content) {}
 
-    static Opened open(Kind kind, String fleetId, byte[] sealed)
+    static Decoded decode(Kind kind, String fleetId, byte[] encoded)
             throws InvalidConfigurationException {
-        if (sealed.length < LEAST_BYTES) {
-            throw torn(sealed);
+        if (encoded.length < MIN_BYTES) {
+            throw truncated(encoded);
         }
-        ByteBuffer from = ByteBuffer.wrap(sealed);
+        ByteBuffer from = ByteBuffer.wrap(encoded);
         if (from.getInt() != MAGIC) {
             throw new InvalidConfigurationException("snapshot", "a snapshot of a configuration");
         }
@@ -67,12 +66,12 @@
                     "snapshot.version",
                     "a version from 1 to " + FORMAT_VERSION + ", not " + version);
         }
-        checkHash(sealed);
+        checkHash(encoded);
         if (from.get() != kind.code) {
             throw new InvalidConfigurationException("snapshot.kind", kind + " (" + kind.code + ")");
         }
         long revision = from.getLong();
-        String fleet = readFleet(from, sealed);
+        String fleet = readFleet(from, encoded);
         if (!fleet.equals(fleetId)) {
             throw new InvalidConfigurationException(
                     "snapshot.fleet", "a snapshot of fleet " + fleetId + ", not " + fleet);
@@ -80,30 +79,31 @@
         int contentLength = from.getInt();
         int compressedLength = from.getInt();
         if (compressedLength != from.remaining() - HASH_BYTES) {
-            throw torn(sealed);
+            throw truncated(encoded);
         }
-        if (contentLength < 0 || contentLength > ConfigurationLimits.SNAPSHOT_BYTES) {
+        if (contentLength < 0 || contentLength > ConfigurationLimits.MAX_SNAPSHOT_BYTES) {
             throw new InvalidConfigurationException(
-                    "snapshot.length", "at most " + ConfigurationLimits.SNAPSHOT_BYTES + " bytes");
+                    "snapshot.length",
+                    "at most " + ConfigurationLimits.MAX_SNAPSHOT_BYTES + " bytes");
         }
-        return new Opened(
-                revision, decompress(sealed, from.position(), compressedLength, contentLength));
+        return new Decoded(
+                revision, decompress(encoded, from.position(), compressedLength, contentLength));
     }
 
-    private static String readFleet(ByteBuffer from, byte[] sealed)
+    private static String readFleet(ByteBuffer from, byte[] encoded)
             throws InvalidConfigurationException {
         byte[] fleet = new byte[from.get() & 0xFF];
         if (from.remaining() < fleet.length + 2 * Integer.BYTES + HASH_BYTES) {
-            throw torn(sealed);
+            throw truncated(encoded);
         }
         from.get(fleet);
         return new String(fleet, StandardCharsets.UTF_8);
     }
 
-    private static void checkHash(byte[] sealed) throws InvalidConfigurationException {
-        int end = sealed.length - HASH_BYTES;
-        byte[] told = Arrays.copyOfRange(sealed, end, sealed.length);
-        if (!MessageDigest.isEqual(told, hash(sealed, end))) {
+    private static void checkHash(byte[] encoded) throws InvalidConfigurationException {
+        int end = encoded.length - HASH_BYTES;
+        byte[] storedHash = Arrays.copyOfRange(encoded, end, encoded.length);
+        if (!MessageDigest.isEqual(storedHash, hash(encoded, end))) {
             throw new InvalidConfigurationException(
                     "snapshot.hash", "the SHA-256 of what stands before it: torn or damaged");
         }
@@ -115,9 +115,9 @@
         return digest.digest();
     }
 
-    private static InvalidConfigurationException torn(byte[] sealed) {
+    private static InvalidConfigurationException truncated(byte[] encoded) {
         return new InvalidConfigurationException(
-                "snapshot", "a whole snapshot; torn at " + sealed.length + " bytes");
+                "snapshot", "a whole snapshot; torn at " + encoded.length + " bytes");
     }
 
     private static byte[] compress(byte[] content) {
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
@@ -19,7 +19,7 @@
             RecordJson.keys("version", "id", "expectedRevision", "changes");
     private static final Set<String> REVERT_KEYS = RecordJson.keys("version", "id", "revertTo");
     private static final Set<String> ACCEPTED_KEYS = RecordJson.keys("version", "revision");
-    private static final Set<String> REFUSED_KEYS = RecordJson.keys("version", "faults");
+    private static final Set<String> REJECTED_KEYS = RecordJson.keys("version", "faults");
     private static final Set<String> UPDATE_MESSAGE_KEYS = RecordJson.keys("version", "update");
     private static final Set<String> SNAPSHOT_MESSAGE_KEYS = RecordJson.keys("version", "snapshot");
     private static final Set<String> UPDATE_KEYS = RecordJson.keys("from", "revision", "changes");
@@ -34,15 +34,17 @@
     }
 
     public static Proposal decodeProposal(byte[] json) throws InvalidConfigurationException {
-        JsonObject object = Json.read(json, VERSION, ConfigurationLimits.PROPOSAL_BYTES);
+        JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_PROPOSAL_BYTES);
         if (object.has("revertTo")) {
-            object.allow(REVERT_KEYS);
-            return new Revert(object.text("id"), object.count("revertTo"));
+            object.allowOnly(REVERT_KEYS);
+            return new Revert(object.text("id"), object.nonNegativeLong("revertTo"));
         }
-        object.allow(CHANGE_SET_KEYS);
+        object.allowOnly(CHANGE_SET_KEYS);
         return new ChangeSet(
                 object.text("id"),
-                object.has("expectedRevision") ? (Long) object.count("expectedRevision") : null,
+                object.has("expectedRevision")
+                        ? (Long) object.nonNegativeLong("expectedRevision")
+                        : null,
                 RecordJson.readAll(object, "changes", RecordJson::readChange));
     }
 
@@ -51,11 +53,11 @@
     }
 
     public static Outcome decodeOutcome(byte[] json) throws InvalidConfigurationException {
-        JsonObject object = Json.read(json, VERSION, ConfigurationLimits.OUTCOME_BYTES);
+        JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_OUTCOME_BYTES);
         if (object.has("revision")) {
-            object.allow(ACCEPTED_KEYS);
+            object.allowOnly(ACCEPTED_KEYS);
         } else {
-            object.allow(REFUSED_KEYS);
+            object.allowOnly(REJECTED_KEYS);
         }
         return readOutcome(object);
     }
@@ -67,12 +69,13 @@
 
     public static WatchMessage decodeWatchMessage(byte[] json)
             throws InvalidConfigurationException {
-        JsonObject object = Json.readWithLongTexts(json, VERSION, ConfigurationLimits.LINE_BYTES);
+        JsonObjectReader object =
+                Json.readWithLongTexts(json, VERSION, ConfigurationLimits.MAX_LINE_BYTES);
         if (object.has("snapshot")) {
-            object.allow(SNAPSHOT_MESSAGE_KEYS);
+            object.allowOnly(SNAPSHOT_MESSAGE_KEYS);
             return readSnapshotMessage(object.object("snapshot"));
         }
-        object.allow(UPDATE_MESSAGE_KEYS);
+        object.allowOnly(UPDATE_MESSAGE_KEYS);
         return new WatchMessage.UpdateMessage(readUpdate(object.object("update")));
     }
 
@@ -81,12 +84,12 @@
     }
 
     public static FollowerReport decodeReport(byte[] json) throws InvalidConfigurationException {
-        JsonObject object = Json.read(json, VERSION, ConfigurationLimits.REPORT_BYTES);
-        object.allow(REPORT_KEYS);
+        JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_REPORT_BYTES);
+        object.allowOnly(REPORT_KEYS);
         return new FollowerReport(
                 readName(object, "follower"),
                 readName(object, "region"),
-                object.count("revision"),
+                object.nonNegativeLong("revision"),
                 object.has("refusal") ? object.text("refusal") : null);
     }
 
@@ -98,10 +101,10 @@
         out.writeEndObject();
     }
 
-    static Update readUpdate(JsonObject json) throws InvalidConfigurationException {
-        json.allow(UPDATE_KEYS);
-        long from = json.count("from");
-        long revision = json.count("revision");
+    static Update readUpdate(JsonObjectReader json) throws InvalidConfigurationException {
+        json.allowOnly(UPDATE_KEYS);
+        long from = json.nonNegativeLong("from");
+        long revision = json.nonNegativeLong("revision");
         if (revision <= from) {
             throw json.invalid("revision", "one above from, " + from);
         }
@@ -112,20 +115,21 @@
     static void writeOutcome(JsonGenerator out, Outcome outcome) throws IOException {
         if (outcome instanceof Outcome.Accepted accepted) {
             out.writeNumberField("revision", accepted.revision());
-        } else if (outcome instanceof Outcome.Refused refused) {
-            RecordJson.writeAll(out, "faults", refused.refusal().faults(), RecordJson::writeFault);
+        } else if (outcome instanceof Outcome.Rejected rejected) {
+            RecordJson.writeAll(
+                    out, "faults", rejected.rejection().errors(), RecordJson::writeError);
         }
     }
 
-    static Outcome readOutcome(JsonObject json) throws InvalidConfigurationException {
+    static Outcome readOutcome(JsonObjectReader json) throws InvalidConfigurationException {
         if (json.has("revision")) {
-            return new Outcome.Accepted(json.count("revision"));
+            return new Outcome.Accepted(json.nonNegativeLong("revision"));
         }
-        List<ValidationError> faults = RecordJson.readAll(json, "faults", RecordJson::readFault);
-        if (faults.isEmpty()) {
+        List<ValidationError> errors = RecordJson.readAll(json, "faults", RecordJson::readError);
+        if (errors.isEmpty()) {
             throw json.invalid("faults", "one at least");
         }
-        return new Outcome.Refused(new Rejection(faults));
+        return new Outcome.Rejected(new Rejection(errors));
     }
 
     private static void writeProposal(JsonGenerator out, Proposal proposal) throws IOException {
@@ -153,12 +157,13 @@
         }
     }
 
-    private static WatchMessage readSnapshotMessage(JsonObject json)
+    private static WatchMessage readSnapshotMessage(JsonObjectReader json)
             throws InvalidConfigurationException {
-        json.allow(SNAPSHOT_KEYS);
+        json.allowOnly(SNAPSHOT_KEYS);
         try {
             return new WatchMessage.SnapshotMessage(
-                    json.count("revision"), Base64.getDecoder().decode(json.text("data")));
+                    json.nonNegativeLong("revision"),
+                    Base64.getDecoder().decode(json.text("data")));
         } catch (IllegalArgumentException e) {
             throw json.invalid("data", "Base64");
         }
@@ -168,12 +173,12 @@
         out.writeStringField("follower", report.follower());
         out.writeStringField("region", report.region());
         out.writeNumberField("revision", report.revision());
-        if (report.refusal() != null) {
-            out.writeStringField("refusal", ValidationError.oneLine(report.refusal()));
+        if (report.rejectionReason() != null) {
+            out.writeStringField("refusal", ValidationError.oneLine(report.rejectionReason()));
         }
     }
 
-    private static String readName(JsonObject json, String key)
+    private static String readName(JsonObjectReader json, String key)
             throws InvalidConfigurationException {
         String name = json.text(key);
         if (!RecordChecks.isName(name)) {
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
@@ -19,27 +19,28 @@
                 out, "tenants", configuration.tenants().values(), RecordJson::writeTenant);
     }
 
-    static Configuration read(JsonObject json) throws InvalidConfigurationException {
+    static Configuration read(JsonObjectReader json) throws InvalidConfigurationException {
         List<ServiceRecord> services =
                 RecordJson.readAll(json, "services", RecordJson::readService);
         List<PlanRecord> plans = RecordJson.readAll(json, "plans", RecordJson::readPlan);
         List<RouteRecord> routes = RecordJson.readAll(json, "routes", RecordJson::readRoute);
         List<TenantRecord> tenants = RecordJson.readAll(json, "tenants", RecordJson::readTenant);
         Configuration configuration =
-                Configuration.of(json.count("revision"), services, routes, plans, tenants);
+                Configuration.of(
+                        json.nonNegativeLong("revision"), services, routes, plans, tenants);
         expectNoDuplicates(json, "services", services, configuration.services());
         expectNoDuplicates(json, "plans", plans, configuration.plans());
         expectNoDuplicates(json, "routes", routes, configuration.routes());
         expectNoDuplicates(json, "tenants", tenants, configuration.tenants());
-        List<ValidationError> faults = Validator.check(configuration);
-        if (!faults.isEmpty()) {
-            throw new InvalidConfigurationException(faults.get(0).key(), faults.get(0).expected());
+        List<ValidationError> errors = Validator.check(configuration);
+        if (!errors.isEmpty()) {
+            throw new InvalidConfigurationException(errors.get(0).key(), errors.get(0).expected());
         }
         return configuration;
     }
 
     private static void expectNoDuplicates(
-            JsonObject json, String key, List<?> listed, Map<?, ?> distinct)
+            JsonObjectReader json, String key, List<?> listed, Map<?, ?> distinct)
             throws InvalidConfigurationException {
         if (listed.size() != distinct.size()) {
             throw json.invalid(key, "each once");
--- a/fleet/src/main/java/tinford/fleet/config/ContentHash.java
+++ b/fleet/src/main/java/tinford/fleet/config/ContentHash.java
@@ -23,13 +23,13 @@
                 "route",
                 route.name(),
                 route.service(),
-                route.targetMs(),
+                route.latencyObjectiveMs(),
                 route.timeoutMs(),
-                route.value(),
-                route.lateValue(),
-                route.effect(),
-                route.group(),
-                route.repeatWindowMs(),
+                route.priorityWeight(),
+                route.lateWeight(),
+                route.idempotency(),
+                route.deduplicationScope(),
+                route.deduplicationWindowMs(),
                 route.streamed());
     }
 
@@ -37,15 +37,15 @@
         return hash(
                 "plan",
                 plan.name(),
-                plan.ratePerSecond(),
+                plan.quotaPerSecond(),
                 plan.burst(),
-                plan.maxOpen(),
-                plan.price(),
-                plan.beyondValue(),
-                plan.beyondCost(),
-                plan.ceilingPerSecond(),
-                plan.ceilingBurst(),
-                plan.ceilingSlack());
+                plan.maxOpenRequests(),
+                plan.priorityWeight(),
+                plan.overQuotaWeight(),
+                plan.overQuotaCost(),
+                plan.hardLimitPerSecond(),
+                plan.hardLimitBurst(),
+                plan.hardLimitSlack());
     }
 
     static long of(TenantRecord tenant) {
--- a/fleet/src/main/java/tinford/fleet/config/EndpointRotation.java
+++ b/fleet/src/main/java/tinford/fleet/config/EndpointRotation.java
@@ -12,12 +12,12 @@
  */
 final class EndpointRotation {
     /** How long the first round waits between attempts at most, ms; it doubles each round. */
-    static final double FIRST_DELAY_MS = 250;
+    static final double INITIAL_BACKOFF_MS = 250;
 
-    static final double LONGEST_DELAY_MS = 4_000;
+    static final double MAX_BACKOFF_MS = 4_000;
 
     /** Of a delay, the least that is waited. */
-    private static final double LEAST_PART = 0.5;
+    private static final double MIN_JITTER_FACTOR = 0.5;
 
     private final String region;
     private final List<Endpoint> endpoints;
@@ -64,8 +64,8 @@
     double failed() {
         int round = failures / endpoints.size();
         failures++;
-        double longest = Math.min(LONGEST_DELAY_MS, FIRST_DELAY_MS * Math.pow(2, round));
-        return longest * (LEAST_PART + (1 - LEAST_PART) * random.nextDouble());
+        double backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * Math.pow(2, round));
+        return backoffMs * (MIN_JITTER_FACTOR + (1 - MIN_JITTER_FACTOR) * random.nextDouble());
     }
 
     private void shuffle() {
--- a/fleet/src/main/java/tinford/fleet/config/Follower.java
+++ b/fleet/src/main/java/tinford/fleet/config/Follower.java
@@ -35,7 +35,7 @@
     }
 
     /** How often {@link #tick} should come, ms. */
-    public static final double TICK_MS = 100;
+    public static final double TICK_INTERVAL_MS = 100;
 
     /** How long an attempt to connect may take, ms. */
     public static final double CONNECT_TIMEOUT_MS = 2_500;
@@ -47,19 +47,19 @@
     public static final double LINE_TIMEOUT_MS = 10_000;
 
     /** How often a report is sent where nothing changes, ms. */
-    public static final double REPORT_EVERY_MS = 10_000;
+    public static final double REPORT_INTERVAL_MS = 10_000;
 
     /** The least time between two reports, ms. */
-    public static final double REPORT_GAP_MS = 250;
+    public static final double MIN_REPORT_GAP_MS = 250;
 
     /** Attempts are not slowed down any more once a watch has lived so long, ms. */
-    static final double STEADY_MS = 5_000;
+    static final double STEADY_WATCH_MS = 5_000;
 
     /** How long another region's server is followed at least before the own one's is tried, ms. */
-    static final double RETURN_MS = 60_000;
+    static final double OWN_REGION_RETRY_MS = 60_000;
 
     /** How often a control server's faults are told, ms. */
-    static final double WARN_EVERY_MS = 60_000;
+    static final double WARNING_INTERVAL_MS = 60_000;
 
     private enum State {
         /** Nothing is open; an attempt is due. */
@@ -87,22 +87,22 @@
     private double warnedAt = Double.NEGATIVE_INFINITY;
 
     /** What a control server sent that can't be taken; null once another has served steadily. */
-    private String serverFault;
+    private String serverError;
 
     /**
      * Nothing is connected before the first {@link #tick}.
      *
      * @param id of the follower, the same over restarts
      * @param endpoints all control servers; those of the own region are preferred
-     * @param inForce what is in force at the start, from the last good snapshot or {@link
-     *     Configuration#EMPTY}
+     * @param initialConfiguration what is in force at the start, from the last good snapshot or
+     *     {@link Configuration#EMPTY}
      */
     public Follower(
             String id,
             String region,
             String fleetId,
             List<Endpoint> endpoints,
-            Configuration inForce,
+            Configuration initialConfiguration,
             RandomGenerator random) {
         if (!RecordChecks.isName(id) || !RecordChecks.isName(region)) {
             throw new IllegalArgumentException(
@@ -113,7 +113,7 @@
         this.snapshots = new SnapshotCodec(fleetId);
         this.rotation = new EndpointRotation(region, endpoints, random);
         this.random = random;
-        this.applied = new AppliedState(inForce);
+        this.applied = new AppliedState(initialConfiguration);
     }
 
     /** The watch asked for last is open. */
@@ -125,7 +125,7 @@
         openedAt = now;
         heardAt = now;
         lineAt = now;
-        returnAt = now + RETURN_MS * (1 + random.nextDouble());
+        returnAt = now + OWN_REGION_RETRY_MS * (1 + random.nextDouble());
         List<Action> actions = new ArrayList<>();
         report(actions, now);
         return actions;
@@ -146,7 +146,7 @@
             receive(ConfigurationCodec.decodeWatchMessage(line));
             applied.offer(actions);
         } catch (InvalidConfigurationException e) {
-            refuse(e.getMessage(), actions, now);
+            rejectMessage(e.getMessage(), actions, now);
         }
         return actions;
     }
@@ -176,9 +176,11 @@
         if (!applied.isPending()) {
             return actions;
         }
-        applied.settle(refusal);
-        if (refusal != null) {
-            actions.add(new Action.Warn(applied.refusal()));
+        if (refusal == null) {
+            applied.activate();
+        } else {
+            applied.reject(refusal);
+            actions.add(new Action.Warn(applied.rejectionReason()));
         }
         applied.offer(actions);
         reportSoon(actions, now);
@@ -202,12 +204,12 @@
     }
 
     /** The configuration in force. */
-    public Configuration inForce() {
-        return applied.inForce();
+    public Configuration activeConfiguration() {
+        return applied.active();
     }
 
     /** The latest configuration received; in force unless it is being applied or was refused. */
-    public Configuration received() {
+    public Configuration receivedConfiguration() {
         return applied.received();
     }
 
@@ -226,9 +228,9 @@
             disconnect("silent for " + HEARTBEAT_TIMEOUT_MS + " ms", actions, now);
             return;
         }
-        if (now - openedAt >= STEADY_MS) {
+        if (now - openedAt >= STEADY_WATCH_MS) {
             rotation.succeeded();
-            serverFault = null;
+            serverError = null;
         }
         if (now >= returnAt && !rotation.isOwnRegion(endpoint) && rotation.hasOwnRegion()) {
             actions.add(new Action.Disconnect("to return to the own region"));
@@ -265,33 +267,34 @@
     }
 
     /** Told to the server and the operators; another server may do better. */
-    private void refuse(String fault, List<Action> actions, double now) {
-        serverFault = ValidationError.oneLine(endpoint + ": " + fault);
+    private void rejectMessage(String error, List<Action> actions, double now) {
+        serverError = ValidationError.oneLine(endpoint + ": " + error);
         report(actions, now);
-        if (now - warnedAt >= WARN_EVERY_MS) {
+        if (now - warnedAt >= WARNING_INTERVAL_MS) {
             warnedAt = now;
-            actions.add(new Action.Warn(serverFault));
+            actions.add(new Action.Warn(serverError));
         }
-        disconnect(fault, actions, now);
+        disconnect(error, actions, now);
     }
 
     private void reportSoon(List<Action> actions, double now) {
         if (state != State.WATCHING) {
             return;
         }
-        if (now - reportedAt >= REPORT_GAP_MS) {
+        if (now - reportedAt >= MIN_REPORT_GAP_MS) {
             report(actions, now);
         } else {
-            reportAt = Math.min(reportAt, reportedAt + REPORT_GAP_MS);
+            reportAt = Math.min(reportAt, reportedAt + MIN_REPORT_GAP_MS);
         }
     }
 
     private void report(List<Action> actions, double now) {
         reportedAt = now;
-        reportAt = now + REPORT_EVERY_MS * (0.9 + 0.1 * random.nextDouble());
-        String refusal = applied.refusal() != null ? applied.refusal() : serverFault;
+        reportAt = now + REPORT_INTERVAL_MS * (0.9 + 0.1 * random.nextDouble());
+        String refusal =
+                applied.rejectionReason() != null ? applied.rejectionReason() : serverError;
         FollowerReport report =
-                new FollowerReport(id, region, applied.inForce().revision(), refusal);
+                new FollowerReport(id, region, applied.active().revision(), refusal);
         actions.add(new Action.Report(endpoint, report));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/FollowerReport.java
+++ b/fleet/src/main/java/tinford/fleet/config/FollowerReport.java
@@ -6,6 +6,8 @@
  * @param follower its id
  * @param region the region it runs in
  * @param revision the revision in force there
- * @param refusal why the last revision that it was offered is not in force; null where it is
+ * @param rejectionReason why the last revision that it was offered is not in force; null where it
+ *     is
  */
-public record FollowerReport(String follower, String region, long revision, String refusal) {}
+public record FollowerReport(
+        String follower, String region, long revision, String rejectionReason) {}
--- a/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
@@ -42,27 +42,28 @@
                         });
         long revision =
                 updates.isEmpty() ? oldest.revision() : updates.get(updates.size() - 1).revision();
-        return ChecksummedState.seal(ChecksummedState.Kind.HISTORY, fleetId, revision, json);
+        return ChecksummedState.encode(ChecksummedState.Kind.HISTORY, fleetId, revision, json);
     }
 
     State decode(byte[] snapshot) throws InvalidConfigurationException {
         byte[] content =
-                ChecksummedState.open(ChecksummedState.Kind.HISTORY, fleetId, snapshot).content();
-        JsonObject json = Json.read(content, CONTENT_VERSION, ConfigurationLimits.SNAPSHOT_BYTES);
-        json.allow(KEYS);
-        JsonObject oldestJson = json.object("oldest");
-        oldestJson.allow(CONFIGURATION_KEYS);
+                ChecksummedState.decode(ChecksummedState.Kind.HISTORY, fleetId, snapshot).content();
+        JsonObjectReader json =
+                Json.read(content, CONTENT_VERSION, ConfigurationLimits.MAX_SNAPSHOT_BYTES);
+        json.allowOnly(KEYS);
+        JsonObjectReader oldestJson = json.object("oldest");
+        oldestJson.allowOnly(CONFIGURATION_KEYS);
         Configuration oldest = ConfigurationJson.read(oldestJson);
         List<Update> updates = RecordJson.readAll(json, "updates", ConfigurationCodec::readUpdate);
         expectUnbroken(json, oldest.revision(), updates);
         ProposalMemory proposals = new ProposalMemory();
-        for (JsonObject each : json.objects("proposals")) {
+        for (JsonObjectReader each : json.objects("proposals")) {
             proposals.add(readProposal(each));
         }
         return new State(oldest, updates, proposals);
     }
 
-    private static void expectUnbroken(JsonObject json, long oldest, List<Update> updates)
+    private static void expectUnbroken(JsonObjectReader json, long oldest, List<Update> updates)
             throws InvalidConfigurationException {
         long at = oldest;
         for (Update update : updates) {
@@ -82,9 +83,9 @@
         out.writeEndObject();
     }
 
-    private static ProposalMemory.Remembered readProposal(JsonObject json)
+    private static ProposalMemory.Remembered readProposal(JsonObjectReader json)
             throws InvalidConfigurationException {
-        json.allow(PROPOSAL_KEYS);
+        json.allowOnly(PROPOSAL_KEYS);
         return new ProposalMemory.Remembered(
                 json.text("id"), json.text("digest"), ConfigurationCodec.readOutcome(json));
     }
--- a/fleet/src/main/java/tinford/fleet/config/InvalidConfigurationException.java
+++ b/fleet/src/main/java/tinford/fleet/config/InvalidConfigurationException.java
@@ -29,7 +29,7 @@
         return expected;
     }
 
-    public ValidationError fault() {
+    public ValidationError error() {
         return new ValidationError(key, expected);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/Json.java
+++ b/fleet/src/main/java/tinford/fleet/config/Json.java
@@ -16,13 +16,13 @@
 /** Reads and writes one JSON object with a version, within bounds. */
 final class Json {
     private static final String VERSION_KEY = "version";
-    private static final int KEY_LENGTH = 64;
-    private static final int NUMBER_LENGTH = 64;
+    private static final int MAX_KEY_LENGTH = 64;
+    private static final int MAX_NUMBER_LENGTH = 64;
 
     /** For all but watch messages, whose snapshots are one long text. */
-    private static final JsonMapper SHORT_TEXTS = mapper(ConfigurationLimits.TEXT_LENGTH);
+    private static final JsonMapper SHORT_TEXT_MAPPER = mapper(ConfigurationLimits.MAX_TEXT_LENGTH);
 
-    private static final JsonMapper LONG_TEXTS = mapper(ConfigurationLimits.LINE_BYTES);
+    private static final JsonMapper LONG_TEXT_MAPPER = mapper(ConfigurationLimits.MAX_LINE_BYTES);
 
     private Json() {}
 
@@ -32,11 +32,11 @@
     }
 
     /** An object with the version and these fields, on one line without a line end. */
-    static byte[] write(int version, Body body) {
+    static byte[] write(int latestVersion, Body body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = SHORT_TEXTS.createGenerator(bytes, JsonEncoding.UTF8)) {
+        try (JsonGenerator out = SHORT_TEXT_MAPPER.createGenerator(bytes, JsonEncoding.UTF8)) {
             out.writeStartObject();
-            out.writeNumberField(VERSION_KEY, version);
+            out.writeNumberField(VERSION_KEY, latestVersion);
             body.write(out);
             out.writeEndObject();
         } catch (IOException e) {
@@ -45,27 +45,28 @@
         return bytes.toByteArray();
     }
 
-    static JsonObject read(byte[] json, int version, int limit)
+    static JsonObjectReader read(byte[] json, int latestVersion, int maxBytes)
             throws InvalidConfigurationException {
-        return read(SHORT_TEXTS, json, version, limit);
+        return read(SHORT_TEXT_MAPPER, json, latestVersion, maxBytes);
     }
 
-    static JsonObject readWithLongTexts(byte[] json, int version, int limit)
+    static JsonObjectReader readWithLongTexts(byte[] json, int latestVersion, int maxBytes)
             throws InvalidConfigurationException {
-        return read(LONG_TEXTS, json, version, limit);
+        return read(LONG_TEXT_MAPPER, json, latestVersion, maxBytes);
     }
 
-    private static JsonObject read(JsonMapper mapper, byte[] json, int version, int limit)
+    private static JsonObjectReader read(
+            JsonMapper mapper, byte[] json, int latestVersion, int maxBytes)
             throws InvalidConfigurationException {
-        if (json.length > limit) {
+        if (json.length > maxBytes) {
             throw new InvalidConfigurationException(
-                    "json", "at most " + limit + " bytes, not " + json.length);
+                    "json", "at most " + maxBytes + " bytes, not " + json.length);
         }
-        JsonObject object = JsonObject.root(tree(mapper, json));
-        long found = object.whole(VERSION_KEY);
-        if (found < 1 || found > version) {
+        JsonObjectReader object = JsonObjectReader.root(tree(mapper, json));
+        long found = object.integer(VERSION_KEY);
+        if (found < 1 || found > latestVersion) {
             throw new InvalidConfigurationException(
-                    VERSION_KEY, "a version from 1 to " + version + ", not " + found);
+                    VERSION_KEY, "a version from 1 to " + latestVersion + ", not " + found);
         }
         return object;
     }
@@ -76,13 +77,13 @@
             return mapper.readTree(json);
         } catch (JsonProcessingException e) {
             throw new InvalidConfigurationException(
-                    "json", "JSON" + place(e) + ": " + reason(e), e);
+                    "json", "JSON" + location(e) + ": " + reason(e), e);
         } catch (IOException e) {
             throw new InvalidConfigurationException("json", "JSON: " + e.getMessage(), e);
         }
     }
 
-    private static String place(JsonProcessingException e) {
+    private static String location(JsonProcessingException e) {
         return e.getLocation() == null
                 ? ""
                 : " at line "
@@ -95,13 +96,13 @@
         return e.getOriginalMessage().lines().findFirst().orElse("");
     }
 
-    private static JsonMapper mapper(int longestText) {
+    private static JsonMapper mapper(int maxTextLength) {
         StreamReadConstraints constraints =
                 StreamReadConstraints.builder()
-                        .maxNestingDepth(ConfigurationLimits.NESTING)
-                        .maxStringLength(longestText)
-                        .maxNameLength(KEY_LENGTH)
-                        .maxNumberLength(NUMBER_LENGTH)
+                        .maxNestingDepth(ConfigurationLimits.MAX_NESTING_DEPTH)
+                        .maxStringLength(maxTextLength)
+                        .maxNameLength(MAX_KEY_LENGTH)
+                        .maxNumberLength(MAX_NUMBER_LENGTH)
                         .build();
         JsonFactory factory =
                 JsonFactory.builder()
--- a/fleet/src/main/java/tinford/fleet/config/JsonObject.java
+++ b/fleet/src/main/java/tinford/fleet/config/JsonObjectReader.java
@@ -7,22 +7,22 @@
 import java.util.Set;
 
 /** An object of a JSON tree whose fields are read with checks; a fault is named by its path. */
-final class JsonObject {
-    private final JsonObject parent;
+final class JsonObjectReader {
+    private final JsonObjectReader parent;
     private final String name;
     private final JsonNode node;
 
-    private JsonObject(JsonObject parent, String name, JsonNode node) {
+    private JsonObjectReader(JsonObjectReader parent, String name, JsonNode node) {
         this.parent = parent;
         this.name = name;
         this.node = node;
     }
 
-    static JsonObject root(JsonNode node) throws InvalidConfigurationException {
+    static JsonObjectReader root(JsonNode node) throws InvalidConfigurationException {
         if (!node.isObject()) {
             throw new InvalidConfigurationException("json", "an object");
         }
-        return new JsonObject(null, "", node);
+        return new JsonObjectReader(null, "", node);
     }
 
     InvalidConfigurationException invalid(String key, String expected) {
@@ -34,7 +34,7 @@
     }
 
     /** Refuses an object with any other field. */
-    void allow(Set<String> keys) throws InvalidConfigurationException {
+    void allowOnly(Set<String> keys) throws InvalidConfigurationException {
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String key = names.next();
             if (!keys.contains(key)) {
@@ -59,7 +59,7 @@
         return value.textValue();
     }
 
-    long whole(String key) throws InvalidConfigurationException {
+    long integer(String key) throws InvalidConfigurationException {
         JsonNode value = node.path(key);
         if (!value.isIntegralNumber() || !value.canConvertToLong()) {
             throw invalid(key, "a whole number");
@@ -68,16 +68,16 @@
     }
 
     /** A whole number from 0 on. */
-    long count(String key) throws InvalidConfigurationException {
-        long value = whole(key);
+    long nonNegativeLong(String key) throws InvalidConfigurationException {
+        long value = integer(key);
         if (value < 0) {
             throw invalid(key, "a whole number from 0 on");
         }
         return value;
     }
 
-    int smallCount(String key) throws InvalidConfigurationException {
-        long value = count(key);
+    int nonNegativeInt(String key) throws InvalidConfigurationException {
+        long value = nonNegativeLong(key);
         if (value > Integer.MAX_VALUE) {
             throw invalid(key, "a whole number from 0 to " + Integer.MAX_VALUE);
         }
@@ -92,13 +92,13 @@
         return value.doubleValue();
     }
 
-    double number(String key, double absent) throws InvalidConfigurationException {
-        return has(key) ? number(key) : absent;
+    double number(String key, double defaultValue) throws InvalidConfigurationException {
+        return has(key) ? number(key) : defaultValue;
     }
 
-    boolean flag(String key, boolean absent) throws InvalidConfigurationException {
+    boolean flag(String key, boolean defaultValue) throws InvalidConfigurationException {
         if (!has(key)) {
-            return absent;
+            return defaultValue;
         }
         JsonNode value = node.path(key);
         if (!value.isBoolean()) {
@@ -107,27 +107,28 @@
         return value.booleanValue();
     }
 
-    JsonObject object(String key) throws InvalidConfigurationException {
+    JsonObjectReader object(String key) throws InvalidConfigurationException {
         return object(key, node.path(key));
     }
 
-    List<JsonObject> objects(String key) throws InvalidConfigurationException {
+    List<JsonObjectReader> objects(String key) throws InvalidConfigurationException {
         JsonNode values = node.path(key);
         if (!values.isArray()) {
             throw invalid(key, "an array of objects");
         }
-        List<JsonObject> objects = new ArrayList<>(values.size());
+        List<JsonObjectReader> objects = new ArrayList<>(values.size());
         for (int i = 0; i < values.size(); i++) {
             objects.add(object(key + "[" + i + "]", values.get(i)));
         }
         return objects;
     }
 
-    private JsonObject object(String key, JsonNode value) throws InvalidConfigurationException {
+    private JsonObjectReader object(String key, JsonNode value)
+            throws InvalidConfigurationException {
         if (!value.isObject()) {
             throw invalid(key, "an object");
         }
-        return new JsonObject(this, key, value);
+        return new JsonObjectReader(this, key, value);
     }
 
     private String path() {
--- a/fleet/src/main/java/tinford/fleet/config/Outcome.java
+++ b/fleet/src/main/java/tinford/fleet/config/Outcome.java
@@ -6,5 +6,5 @@
     record Accepted(long revision) implements Outcome {}
 
     /** It changed nothing. */
-    record Refused(Rejection refusal) implements Outcome {}
+    record Rejected(Rejection rejection) implements Outcome {}
 }
--- a/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
+++ b/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
@@ -15,9 +15,9 @@
         /** About how many characters it takes. */
         private int characters() {
             int characters = id.length() + digest.length();
-            if (outcome instanceof Outcome.Refused refused) {
-                for (ValidationError fault : refused.refusal().faults()) {
-                    characters += fault.key().length() + fault.expected().length();
+            if (outcome instanceof Outcome.Rejected rejected) {
+                for (ValidationError error : rejected.rejection().errors()) {
+                    characters += error.key().length() + error.expected().length();
                 }
             }
             return characters;
@@ -41,8 +41,8 @@
     void add(Remembered proposal) {
         byId.put(proposal.id(), proposal);
         characters += proposal.characters();
-        while (byId.size() > ConfigurationLimits.REMEMBERED_PROPOSALS
-                || characters > ConfigurationLimits.REMEMBERED_CHARACTERS) {
+        while (byId.size() > ConfigurationLimits.MAX_REMEMBERED_PROPOSALS
+                || characters > ConfigurationLimits.MAX_REMEMBERED_CHARACTERS) {
             Remembered oldest = byId.values().iterator().next();
             byId.remove(oldest.id());
             characters -= oldest.characters();
--- a/fleet/src/main/java/tinford/fleet/config/RecordJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/RecordJson.java
@@ -15,7 +15,7 @@
     private static final Set<String> NAME_KEYS = keys("name");
     private static final Set<String> ID_KEYS = keys("id");
     private static final Set<String> TENANT_KEYS = keys("id", "plan");
-    private static final Set<String> FAULT_KEYS = keys("key", "expected");
+    private static final Set<String> ERROR_KEYS = keys("key", "expected");
     private static final Set<String> ROUTE_KEYS =
             keys(
                     "name",
@@ -57,7 +57,7 @@
 
     /** Reads one object of an array. */
     interface ElementReader<T> {
-        T read(JsonObject json) throws InvalidConfigurationException;
+        T read(JsonObjectReader json) throws InvalidConfigurationException;
     }
 
     static <T> void writeAll(
@@ -70,10 +70,10 @@
         out.writeEndArray();
     }
 
-    static <T> List<T> readAll(JsonObject json, String key, ElementReader<T> reader)
+    static <T> List<T> readAll(JsonObjectReader json, String key, ElementReader<T> reader)
             throws InvalidConfigurationException {
         List<T> values = new ArrayList<>();
-        for (JsonObject element : json.objects(key)) {
+        for (JsonObjectReader element : json.objects(key)) {
             values.add(reader.read(element));
         }
         return values;
@@ -85,8 +85,8 @@
         out.writeEndObject();
     }
 
-    static ServiceRecord readService(JsonObject json) throws InvalidConfigurationException {
-        json.allow(NAME_KEYS);
+    static ServiceRecord readService(JsonObjectReader json) throws InvalidConfigurationException {
+        json.allowOnly(NAME_KEYS);
         return new ServiceRecord(json.text("name"));
     }
 
@@ -94,21 +94,21 @@
         out.writeStartObject();
         out.writeStringField("name", route.name());
         out.writeStringField("service", route.service());
-        out.writeNumberField("targetMs", route.targetMs());
+        out.writeNumberField("targetMs", route.latencyObjectiveMs());
         out.writeNumberField("timeoutMs", route.timeoutMs());
-        out.writeNumberField("value", route.value());
-        out.writeNumberField("lateValue", route.lateValue());
-        out.writeStringField("effect", effectName(route.effect()));
-        out.writeStringField("group", groupName(route.group()));
-        out.writeNumberField("repeatWindowMs", route.repeatWindowMs());
+        out.writeNumberField("value", route.priorityWeight());
+        out.writeNumberField("lateValue", route.lateWeight());
+        out.writeStringField("effect", idempotencyName(route.idempotency()));
+        out.writeStringField("group", scopeName(route.deduplicationScope()));
+        out.writeNumberField("repeatWindowMs", route.deduplicationWindowMs());
         out.writeBooleanField("streamed", route.streamed());
         out.writeEndObject();
     }
 
-    static RouteRecord readRoute(JsonObject json) throws InvalidConfigurationException {
-        json.allow(ROUTE_KEYS);
+    static RouteRecord readRoute(JsonObjectReader json) throws InvalidConfigurationException {
+        json.allowOnly(ROUTE_KEYS);
         double timeoutMs = json.number("timeoutMs");
-        Idempotency effect = readEffect(json);
+        Idempotency idempotency = readIdempotency(json);
         return new RouteRecord(
                 json.text("name"),
                 json.text("service"),
@@ -116,8 +116,8 @@
                 timeoutMs,
                 json.number("value", 1),
                 json.number("lateValue", 0),
-                effect,
-                readGroup(json, effect),
+                idempotency,
+                readScope(json, idempotency),
                 json.number("repeatWindowMs", 0),
                 json.flag("streamed", false));
     }
@@ -125,25 +125,25 @@
     static void writePlan(JsonGenerator out, PlanRecord plan) throws IOException {
         out.writeStartObject();
         out.writeStringField("name", plan.name());
-        out.writeNumberField("ratePerSecond", plan.ratePerSecond());
+        out.writeNumberField("ratePerSecond", plan.quotaPerSecond());
         out.writeNumberField("burst", plan.burst());
-        out.writeNumberField("maxOpen", plan.maxOpen());
-        out.writeNumberField("price", plan.price());
-        out.writeNumberField("beyondValue", plan.beyondValue());
-        out.writeNumberField("beyondCost", plan.beyondCost());
-        out.writeNumberField("ceilingPerSecond", plan.ceilingPerSecond());
-        out.writeNumberField("ceilingBurst", plan.ceilingBurst());
-        out.writeNumberField("ceilingSlack", plan.ceilingSlack());
+        out.writeNumberField("maxOpen", plan.maxOpenRequests());
+        out.writeNumberField("price", plan.priorityWeight());
+        out.writeNumberField("beyondValue", plan.overQuotaWeight());
+        out.writeNumberField("beyondCost", plan.overQuotaCost());
+        out.writeNumberField("ceilingPerSecond", plan.hardLimitPerSecond());
+        out.writeNumberField("ceilingBurst", plan.hardLimitBurst());
+        out.writeNumberField("ceilingSlack", plan.hardLimitSlack());
         out.writeEndObject();
     }
 
-    static PlanRecord readPlan(JsonObject json) throws InvalidConfigurationException {
-        json.allow(PLAN_KEYS);
+    static PlanRecord readPlan(JsonObjectReader json) throws InvalidConfigurationException {
+        json.allowOnly(PLAN_KEYS);
         return new PlanRecord(
                 json.text("name"),
                 json.number("ratePerSecond", 0),
                 json.number("burst", 0),
-                json.has("maxOpen") ? json.smallCount("maxOpen") : 0,
+                json.has("maxOpen") ? json.nonNegativeInt("maxOpen") : 0,
                 json.number("price", 1),
                 json.number("beyondValue", 0),
                 json.number("beyondCost", 0),
@@ -159,20 +159,20 @@
         out.writeEndObject();
     }
 
-    static TenantRecord readTenant(JsonObject json) throws InvalidConfigurationException {
-        json.allow(TENANT_KEYS);
-        return new TenantRecord(json.whole("id"), json.text("plan"));
+    static TenantRecord readTenant(JsonObjectReader json) throws InvalidConfigurationException {
+        json.allowOnly(TENANT_KEYS);
+        return new TenantRecord(json.integer("id"), json.text("plan"));
     }
 
-    static void writeFault(JsonGenerator out, ValidationError fault) throws IOException {
+    static void writeError(JsonGenerator out, ValidationError error) throws IOException {
         out.writeStartObject();
-        out.writeStringField("key", fault.key());
-        out.writeStringField("expected", fault.expected());
+        out.writeStringField("key", error.key());
+        out.writeStringField("expected", error.expected());
         out.writeEndObject();
     }
 
-    static ValidationError readFault(JsonObject json) throws InvalidConfigurationException {
-        json.allow(FAULT_KEYS);
+    static ValidationError readError(JsonObjectReader json) throws InvalidConfigurationException {
+        json.allowOnly(ERROR_KEYS);
         return new ValidationError(json.text("key"), json.text("expected"));
     }
 
@@ -204,9 +204,9 @@
         out.writeEndObject();
     }
 
-    static Change readChange(JsonObject json) throws InvalidConfigurationException {
+    static Change readChange(JsonObjectReader json) throws InvalidConfigurationException {
         String kind = json.onlyKey(EXPECTED_CHANGE);
-        JsonObject body = json.object(kind);
+        JsonObjectReader body = json.object(kind);
         return switch (kind) {
             case "putService" -> new Change.PutService(readService(body));
             case "removeService" -> new Change.RemoveService(readName(body));
@@ -226,25 +226,26 @@
         out.writeEndObject();
     }
 
-    private static String readName(JsonObject json) throws InvalidConfigurationException {
-        json.allow(NAME_KEYS);
+    private static String readName(JsonObjectReader json) throws InvalidConfigurationException {
+        json.allowOnly(NAME_KEYS);
         return json.text("name");
     }
 
-    private static long readId(JsonObject json) throws InvalidConfigurationException {
-        json.allow(ID_KEYS);
-        return json.whole("id");
+    private static long readId(JsonObjectReader json) throws InvalidConfigurationException {
+        json.allowOnly(ID_KEYS);
+        return json.integer("id");
     }
 
-    private static String effectName(Idempotency effect) {
-        return switch (effect) {
+    private static String idempotencyName(Idempotency idempotency) {
+        return switch (idempotency) {
             case IDEMPOTENT -> "read_like";
             case IDEMPOTENCY_KEY -> "idempotency_key";
             case NON_IDEMPOTENT -> "non_idempotent";
         };
     }
 
-    private static Idempotency readEffect(JsonObject json) throws InvalidConfigurationException {
+    private static Idempotency readIdempotency(JsonObjectReader json)
+            throws InvalidConfigurationException {
         return switch (json.text("effect")) {
             case "read_like" -> Idempotency.IDEMPOTENT;
             case "idempotency_key" -> Idempotency.IDEMPOTENCY_KEY;
@@ -253,8 +254,8 @@
         };
     }
 
-    private static String groupName(DeduplicationScope group) {
-        return switch (group) {
+    private static String scopeName(DeduplicationScope scope) {
+        return switch (scope) {
             case ALL -> "all";
             case ZONE -> "zone";
             case CELL -> "cell";
@@ -264,10 +265,10 @@
     /**
      * Where a key counts and no group is named, the narrowest: a repeat there is dropped in any.
      */
-    private static DeduplicationScope readGroup(JsonObject json, Idempotency effect)
+    private static DeduplicationScope readScope(JsonObjectReader json, Idempotency idempotency)
             throws InvalidConfigurationException {
         if (!json.has("group")) {
-            return effect == Idempotency.IDEMPOTENCY_KEY
+            return idempotency == Idempotency.IDEMPOTENCY_KEY
                     ? DeduplicationScope.CELL
                     : DeduplicationScope.ALL;
         }
--- a/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
+++ b/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
@@ -16,18 +16,19 @@
     public record Retention(int updates, int bytes) {
         public static final Retention DEFAULT =
                 new Retention(
-                        ConfigurationLimits.RETAINED_UPDATES, ConfigurationLimits.RETAINED_BYTES);
+                        ConfigurationLimits.MAX_RETAINED_UPDATES,
+                        ConfigurationLimits.MAX_RETAINED_BYTES);
 
         public Retention {
             if (updates < 0
-                    || updates > ConfigurationLimits.RETAINED_UPDATES
+                    || updates > ConfigurationLimits.MAX_RETAINED_UPDATES
                     || bytes < 0
-                    || bytes > ConfigurationLimits.RETAINED_BYTES) {
+                    || bytes > ConfigurationLimits.MAX_RETAINED_BYTES) {
                 throw new IllegalArgumentException(
                         "retention: expected at most "
-                                + ConfigurationLimits.RETAINED_UPDATES
+                                + ConfigurationLimits.MAX_RETAINED_UPDATES
                                 + " updates of "
-                                + ConfigurationLimits.RETAINED_BYTES
+                                + ConfigurationLimits.MAX_RETAINED_BYTES
                                 + " bytes");
             }
         }
@@ -61,7 +62,7 @@
         return current;
     }
 
-    /** The oldest revision that {@link #since} and a revert can go from. */
+    /** The oldest revision that {@link #updatesSince} and a revert can go from. */
     public long oldestRetained() {
         return oldest.revision();
     }
@@ -83,25 +84,25 @@
     /** Accepts the proposal as a new revision, or refuses it and changes nothing. */
     public Outcome propose(Proposal proposal) {
         if (!RecordChecks.isName(proposal.id())) {
-            return refused(new ValidationError("id", RecordChecks.EXPECTED_NAME));
+            return rejected(new ValidationError("id", RecordChecks.EXPECTED_NAME));
         }
         String digest = ProposalMemory.digest(proposal);
-        ProposalMemory.Remembered before = proposals.get(proposal.id());
-        if (before == null) {
+        ProposalMemory.Remembered remembered = proposals.get(proposal.id());
+        if (remembered == null) {
             Outcome outcome = decide(proposal);
             proposals.add(new ProposalMemory.Remembered(proposal.id(), digest, outcome));
             return outcome;
         }
-        return before.digest().equals(digest)
-                ? before.outcome()
-                : refused(new ValidationError("id", "an id that no other proposal has had"));
+        return remembered.digest().equals(digest)
+                ? remembered.outcome()
+                : rejected(new ValidationError("id", "an id that no other proposal has had"));
     }
 
     /**
      * The updates behind a revision, oldest first, each by one revision; empty when there are none,
      * also for a revision that is yet to come; absent when they are no longer retained.
      */
-    public Optional<List<Update>> since(long revision) {
+    public Optional<List<Update>> updatesSince(long revision) {
         if (revision < oldest.revision()) {
             return Optional.empty();
         }
@@ -150,17 +151,17 @@
     private Outcome decide(ChangeSet set) {
         Long expected = set.expectedRevision();
         if (expected != null && expected != current.revision()) {
-            return refused(
+            return rejected(
                     new ValidationError(
                             "expectedRevision", "the current revision, " + current.revision()));
         }
         if (set.changes().isEmpty()) {
-            return refused(new ValidationError("changes", "one at least"));
+            return rejected(new ValidationError("changes", "one at least"));
         }
         Configuration next = current.with(current.revision() + 1, set.changes());
-        List<ValidationError> faults = Validator.check(current, set.changes(), next);
-        if (!faults.isEmpty()) {
-            return new Outcome.Refused(new Rejection(faults));
+        List<ValidationError> errors = Validator.check(current, set.changes(), next);
+        if (!errors.isEmpty()) {
+            return new Outcome.Rejected(new Rejection(errors));
         }
         return accept(set.changes(), next);
     }
@@ -168,7 +169,7 @@
     private Outcome decide(Revert revert) {
         long to = revert.toRevision();
         if (to < oldest.revision() || to > current.revision()) {
-            return refused(
+            return rejected(
                     new ValidationError(
                             "revertTo",
                             "a retained revision, "
@@ -176,11 +177,11 @@
                                     + " to "
                                     + current.revision()));
         }
-        List<Change> changes = current.changesTo(at(to));
+        List<Change> changes = current.changesTo(configurationAt(to));
         return accept(changes, current.with(current.revision() + 1, changes));
     }
 
-    private Configuration at(long revision) {
+    private Configuration configurationAt(long revision) {
         Configuration configuration = oldest;
         for (RetainedUpdate each : retained) {
             if (each.update().revision() > revision) {
@@ -209,7 +210,7 @@
         }
     }
 
-    private static Outcome refused(ValidationError fault) {
-        return new Outcome.Refused(new Rejection(List.of(fault)));
+    private static Outcome rejected(ValidationError error) {
+        return new Outcome.Rejected(new Rejection(List.of(error)));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
@@ -25,19 +25,20 @@
         byte[] json =
                 Json.write(
                         CONTENT_VERSION, out -> ConfigurationJson.writeFields(out, configuration));
-        return ChecksummedState.seal(
+        return ChecksummedState.encode(
                 ChecksummedState.Kind.CONFIGURATION, fleetId, configuration.revision(), json);
     }
 
     public Configuration decode(byte[] snapshot) throws InvalidConfigurationException {
-        ChecksummedState.Opened opened =
-                ChecksummedState.open(ChecksummedState.Kind.CONFIGURATION, fleetId, snapshot);
-        JsonObject object =
-                Json.read(opened.content(), CONTENT_VERSION, ConfigurationLimits.SNAPSHOT_BYTES);
-        object.allow(KEYS);
+        ChecksummedState.Decoded decoded =
+                ChecksummedState.decode(ChecksummedState.Kind.CONFIGURATION, fleetId, snapshot);
+        JsonObjectReader object =
+                Json.read(
+                        decoded.content(), CONTENT_VERSION, ConfigurationLimits.MAX_SNAPSHOT_BYTES);
+        object.allowOnly(KEYS);
         Configuration configuration = ConfigurationJson.read(object);
-        if (configuration.revision() != opened.revision()) {
-            throw object.invalid("revision", "that of the envelope, " + opened.revision());
+        if (configuration.revision() != decoded.revision()) {
+            throw object.invalid("revision", "that of the envelope, " + decoded.revision());
         }
         return configuration;
     }
--- a/fleet/src/main/java/tinford/fleet/config/ValidationError.java
+++ b/fleet/src/main/java/tinford/fleet/config/ValidationError.java
@@ -16,9 +16,10 @@
         return key + ": expected " + expected;
     }
 
-    /** The text without control characters, cut to {@link ConfigurationLimits#TEXT_LENGTH}. */
+    /** The text without control characters, cut to {@link ConfigurationLimits#MAX_TEXT_LENGTH}. */
     static String oneLine(String text) {
-        String cut = text.substring(0, Math.min(text.length(), ConfigurationLimits.TEXT_LENGTH));
+        String cut =
+                text.substring(0, Math.min(text.length(), ConfigurationLimits.MAX_TEXT_LENGTH));
         return CONTROL_CHARACTERS.matcher(cut).replaceAll(" ");
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/Validator.java
+++ b/fleet/src/main/java/tinford/fleet/config/Validator.java
@@ -7,8 +7,8 @@
 
 /** Decides whether a configuration is sound; nothing comes into force that isn't. */
 public final class Validator {
-    private final ValidationErrors faults = new ValidationErrors();
-    private final RecordChecks records = new RecordChecks(faults);
+    private final ValidationErrors errors = new ValidationErrors();
+    private final RecordChecks recordChecks = new RecordChecks(errors);
 
     private Validator() {}
 
@@ -29,52 +29,52 @@
     static List<ValidationError> check(
             Configuration before, List<Change> changes, Configuration after) {
         Validator validator = new Validator();
-        validator.checkEach(before, changes);
+        validator.checkChanges(before, changes);
         validator.checkCounts(after);
-        if (validator.faults.isEmpty()) {
+        if (validator.errors.isEmpty()) {
             validator.checkReferences(changes, after);
         }
-        return validator.faults.toList();
+        return validator.errors.toList();
     }
 
     /** What is wrong with a whole configuration; empty where it is sound. */
-    public static List<ValidationError> check(Configuration whole) {
+    public static List<ValidationError> check(Configuration configuration) {
         Validator validator = new Validator();
-        validator.checkCounts(whole);
-        validator.checkWhole(whole);
-        return validator.faults.toList();
+        validator.checkCounts(configuration);
+        validator.checkRecords(configuration);
+        return validator.errors.toList();
     }
 
     /** What a change touches; a set touches each thing once. */
     private record Target(String kind, Object key) {}
 
-    private void checkEach(Configuration before, List<Change> changes) {
-        faults.expect(
-                changes.size() <= ConfigurationLimits.CHANGES,
+    private void checkChanges(Configuration before, List<Change> changes) {
+        errors.expect(
+                changes.size() <= ConfigurationLimits.MAX_CHANGES,
                 "changes",
-                "at most " + ConfigurationLimits.CHANGES);
+                "at most " + ConfigurationLimits.MAX_CHANGES);
         Set<Target> targets = new HashSet<>();
         for (int i = 0; i < changes.size(); i++) {
             String prefix = "changes[" + i + "].";
             Change change = changes.get(i);
-            checkOne(prefix, change, before);
+            checkChange(prefix, change, before);
             Target target = target(change);
-            faults.expect(
+            errors.expect(
                     targets.add(target),
                     prefix + target.kind(),
                     "one change of " + target.kind() + " " + target.key() + " in a set");
         }
     }
 
-    private void checkOne(String prefix, Change change, Configuration before) {
+    private void checkChange(String prefix, Change change, Configuration before) {
         if (change instanceof Change.PutService put) {
-            records.service(prefix + "putService", put.service());
+            recordChecks.checkService(prefix + "putService", put.service());
         } else if (change instanceof Change.PutRoute put) {
-            records.route(prefix + "putRoute", put.route());
+            recordChecks.checkRoute(prefix + "putRoute", put.route());
         } else if (change instanceof Change.PutPlan put) {
-            records.plan(prefix + "putPlan", put.plan());
+            recordChecks.checkPlan(prefix + "putPlan", put.plan());
         } else if (change instanceof Change.PutTenant put) {
-            records.tenant(prefix + "putTenant", put.tenant());
+            recordChecks.checkTenant(prefix + "putTenant", put.tenant());
         } else if (change instanceof Change.RemoveService remove) {
             expectPresent(before.services(), remove.name(), prefix + "removeService.name");
         } else if (change instanceof Change.RemoveRoute remove) {
@@ -87,7 +87,7 @@
     }
 
     private void expectPresent(Map<?, ?> map, Object key, String where) {
-        faults.expect(map.containsKey(key), where, "one that exists, not " + key);
+        errors.expect(map.containsKey(key), where, "one that exists, not " + key);
     }
 
     private static Target target(Change change) {
@@ -112,14 +112,14 @@
     }
 
     private void checkCounts(Configuration after) {
-        expectAtMost("services", after.services().size(), ConfigurationLimits.SERVICES);
-        expectAtMost("routes", after.routes().size(), ConfigurationLimits.ROUTES);
-        expectAtMost("plans", after.plans().size(), ConfigurationLimits.PLANS);
-        expectAtMost("tenants", after.tenants().size(), ConfigurationLimits.TENANTS);
+        checkCount("services", after.services().size(), ConfigurationLimits.MAX_SERVICES);
+        checkCount("routes", after.routes().size(), ConfigurationLimits.MAX_ROUTES);
+        checkCount("plans", after.plans().size(), ConfigurationLimits.MAX_PLANS);
+        checkCount("tenants", after.tenants().size(), ConfigurationLimits.MAX_TENANTS);
     }
 
-    private void expectAtMost(String key, int count, int limit) {
-        faults.expect(count <= limit, key, "at most " + limit + ", not " + count);
+    private void checkCount(String key, int count, int limit) {
+        errors.expect(count <= limit, key, "at most " + limit + ", not " + count);
     }
 
     /** Only what the changes can have broken. */
@@ -140,14 +140,14 @@
     }
 
     private void expectService(String prefix, RouteRecord route, Configuration after) {
-        faults.expect(
+        errors.expect(
                 after.services().containsKey(route.service()),
                 prefix + ".service",
                 "a service that exists, not " + route.service());
     }
 
     private void expectPlan(String prefix, TenantRecord tenant, Configuration after) {
-        faults.expect(
+        errors.expect(
                 after.plans().containsKey(tenant.plan()),
                 prefix + ".plan",
                 "a plan that exists, not " + tenant.plan());
@@ -156,7 +156,7 @@
     private void expectServiceUnused(String key, String service, Configuration after) {
         for (RouteRecord route : after.routes().values()) {
             if (route.service().equals(service)) {
-                faults.expect(
+                errors.expect(
                         false, key, "a service that no route uses; " + route.name() + " does");
                 return;
             }
@@ -166,28 +166,28 @@
     private void expectPlanUnused(String key, String plan, Configuration after) {
         for (TenantRecord tenant : after.tenants().values()) {
             if (tenant.plan().equals(plan)) {
-                faults.expect(false, key, "a plan that no tenant uses; " + tenant.id() + " does");
+                errors.expect(false, key, "a plan that no tenant uses; " + tenant.id() + " does");
                 return;
             }
         }
     }
 
-    private void checkWhole(Configuration whole) {
-        for (ServiceRecord service : whole.services().values()) {
-            records.service("services." + service.name(), service);
+    private void checkRecords(Configuration configuration) {
+        for (ServiceRecord service : configuration.services().values()) {
+            recordChecks.checkService("services." + service.name(), service);
         }
-        for (PlanRecord plan : whole.plans().values()) {
-            records.plan("plans." + plan.name(), plan);
+        for (PlanRecord plan : configuration.plans().values()) {
+            recordChecks.checkPlan("plans." + plan.name(), plan);
         }
-        for (RouteRecord route : whole.routes().values()) {
+        for (RouteRecord route : configuration.routes().values()) {
             String prefix = "routes." + route.name();
-            records.route(prefix, route);
-            expectService(prefix, route, whole);
+            recordChecks.checkRoute(prefix, route);
+            expectService(prefix, route, configuration);
         }
-        for (TenantRecord tenant : whole.tenants().values()) {
+        for (TenantRecord tenant : configuration.tenants().values()) {
             String prefix = "tenants." + tenant.id();
-            records.tenant(prefix, tenant);
-            expectPlan(prefix, tenant, whole);
+            recordChecks.checkTenant(prefix, tenant);
+            expectPlan(prefix, tenant, configuration);
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/ControlClient.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlClient.java
@@ -13,47 +13,47 @@
 
 /** Asks one control server after the other, for the operator's commands. */
 final class ControlClient {
-    private static final Duration CONNECT_WITHIN = Duration.ofSeconds(2);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
     /** Longer than a voter waits for a decision. */
-    private static final Duration ANSWER_WITHIN = Duration.ofSeconds(12);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(12);
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     /** An answer: its status code, and its body as JSON, which is missing where it is none. */
-    record Answer(int status, JsonNode body) {}
+    record Response(int status, JsonNode body) {}
 
     private final HttpClient http =
             HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
-                    .connectTimeout(CONNECT_WITHIN)
+                    .connectTimeout(CONNECT_TIMEOUT)
                     .build();
 
-    Answer get(InetSocketAddress server, String path) throws IOException, InterruptedException {
-        return send(request(server, path).GET().build());
+    Response get(InetSocketAddress server, String path) throws IOException, InterruptedException {
+        return send(newRequest(server, path).GET().build());
     }
 
-    Answer post(InetSocketAddress server, String path, byte[] body)
+    Response post(InetSocketAddress server, String path, byte[] body)
             throws IOException, InterruptedException {
         return send(
-                request(server, path)
+                newRequest(server, path)
                         .header("Content-Type", "application/json")
                         .POST(HttpRequest.BodyPublishers.ofByteArray(body))
                         .build());
     }
 
-    private static HttpRequest.Builder request(InetSocketAddress server, String path) {
+    private static HttpRequest.Builder newRequest(InetSocketAddress server, String path) {
         String authority = server.getHostString() + ":" + server.getPort();
         return HttpRequest.newBuilder(URI.create("http://" + authority + path))
-                .timeout(ANSWER_WITHIN);
+                .timeout(RESPONSE_TIMEOUT);
     }
 
-    private Answer send(HttpRequest request) throws IOException, InterruptedException {
+    private Response send(HttpRequest request) throws IOException, InterruptedException {
         HttpResponse<byte[]> response = http.send(request, HttpResponse.BodyHandlers.ofByteArray());
-        return new Answer(response.statusCode(), json(response.body()));
+        return new Response(response.statusCode(), parseBody(response.body()));
     }
 
-    private static JsonNode json(byte[] body) throws IOException {
+    private static JsonNode parseBody(byte[] body) throws IOException {
         if (body.length == 0) {
             return MAPPER.missingNode();
         }
--- a/fleet/src/main/java/tinford/fleet/control/ControlLog.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlLog.java
@@ -27,19 +27,19 @@
         LOG.log(Level.INFO, name + " has ended");
     }
 
-    static void revision(long revision) {
+    static void revisionApplied(long revision) {
         LOG.log(Level.INFO, "revision " + revision);
     }
 
-    static void proposalRefused(String id, Object refusal) {
+    static void proposalRejected(String id, Object refusal) {
         LOG.log(Level.INFO, "proposal " + id + " refused: " + refusal);
     }
 
-    static void entryUnreadable(long index, Throwable cause) {
+    static void logEntryUnreadable(long index, Throwable cause) {
         LOG.log(Level.ERROR, "log entry " + index + " left out: " + cause.getMessage());
     }
 
-    static void snapshotUnreadable(long index, Throwable cause) {
+    static void logSnapshotUnreadable(long index, Throwable cause) {
         LOG.log(Level.ERROR, "log snapshot at " + index + " can't be used: " + cause.getMessage());
     }
 
@@ -47,11 +47,11 @@
         LOG.log(Level.WARNING, "snapshot for followers not made: " + cause);
     }
 
-    static void snapshotNotRead(String problem) {
+    static void snapshotNotLoaded(String problem) {
         LOG.log(Level.INFO, "starts without a snapshot of its own: " + problem);
     }
 
-    static void snapshotNotKept(Throwable cause) {
+    static void snapshotNotSaved(Throwable cause) {
         LOG.log(Level.WARNING, "snapshot not kept on the disk: " + cause);
     }
 
--- a/fleet/src/main/java/tinford/fleet/control/ControlRole.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlRole.java
@@ -9,7 +9,7 @@
     CompletableFuture<ProposalResult> propose(Proposal proposal);
 
     /** Whether this server leads the voters, as far as it knows. */
-    boolean leads();
+    boolean isLeader();
 
     /** The leader's term as this server knows it; 0 for a replica. */
     long term();
--- a/fleet/src/main/java/tinford/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlServer.java
@@ -16,40 +16,40 @@
  * One control server: its role, the feed of revisions, and the HTTP service.
  *
  * <p>Memory is bounded: the state by {@link tinford.fleet.config.ConfigurationLimits}, the lines
- * kept for followers by {@link RevisionFeed}, watches by {@link ControlSettings#followers()} with
- * one line each, proposals by {@link PendingProposals#CAPACITY}, other connections by {@link
+ * kept for followers by {@link RevisionFeed}, watches by {@link ControlSettings#maxFollowers()}
+ * with one line each, proposals by {@link PendingProposals#CAPACITY}, other connections by {@link
  * #OTHER_CONNECTIONS}.
  */
 public final class ControlServer implements AutoCloseable {
     /** Of one follower: its watch, and the connection that it reports over. */
-    static final int CONNECTIONS_OF_FOLLOWER = 2;
+    static final int CONNECTIONS_PER_FOLLOWER = 2;
 
     /** Connections beside those of followers. */
     static final int OTHER_CONNECTIONS = 128;
 
     /** Any request but a watch is answered, and its answer taken in, within this. */
-    static final int EXCHANGE_MS = 15_000;
+    static final int EXCHANGE_TIMEOUT_MS = 15_000;
 
     private static final int IO_THREADS = 2;
     private static final int WORKER_THREADS = 4;
-    private static final int HEADER_BYTES = 8192;
-    private static final int HEADERS = 32;
-    private static final int PARAMETERS = 8;
+    private static final int MAX_HEADER_BYTES = 8192;
+    private static final int MAX_HEADERS = 32;
+    private static final int MAX_PARAMETERS = 8;
 
     /** Of one connection, in the operating system. */
     private static final int SEND_BUFFER_BYTES = 64 << 10;
 
-    private static final int HEAD_WITHIN_MS = 5000;
-    private static final int IDLE_CONNECTION_MS = 60_000;
-    private static final int CLOSE_WITHIN_MS = 2000;
+    private static final int REQUEST_HEAD_TIMEOUT_MS = 5000;
+    private static final int IDLE_CONNECTION_TIMEOUT_MS = 60_000;
+    private static final int SHUTDOWN_TIMEOUT_MS = 2000;
 
     /** Makes the role that feeds the server. */
-    interface RoleOpener {
-        ControlRole open(RevisionFeed feed) throws IOException;
+    interface RoleFactory {
+        ControlRole create(RevisionFeed feed) throws IOException;
     }
 
     private final ControlSettings settings;
-    private final ExecutorService snapshotMaker;
+    private final ExecutorService snapshotExecutor;
     private final RevisionFeed feed;
     private final WatchHub hub;
     private final FollowerReports reports;
@@ -58,25 +58,25 @@
     private final InetSocketAddress address;
     private boolean closed;
 
-    private ControlServer(ControlSettings settings, RoleOpener opener) throws IOException {
+    private ControlServer(ControlSettings settings, RoleFactory roleFactory) throws IOException {
         this.settings = settings;
-        snapshotMaker = Executors.newSingleThreadExecutor(ControlServer::snapshotThread);
-        feed = new RevisionFeed(settings.fleet(), snapshotMaker);
-        hub = new WatchHub(settings.followers());
-        reports = new FollowerReports(2 * settings.followers());
+        snapshotExecutor = Executors.newSingleThreadExecutor(ControlServer::newSnapshotThread);
+        feed = new RevisionFeed(settings.fleet(), snapshotExecutor);
+        hub = new WatchHub(settings.maxFollowers());
+        reports = new FollowerReports(2 * settings.maxFollowers());
         feed.addListener(hub::wakeAll);
         try {
-            role = opener.open(feed);
+            role = roleFactory.create(feed);
         } catch (IOException | RuntimeException e) {
-            snapshotMaker.shutdownNow();
+            snapshotExecutor.shutdownNow();
             throw e;
         }
-        http = http();
+        http = newHttpServer();
         try {
             http.start();
         } catch (RuntimeException e) {
             role.close();
-            snapshotMaker.shutdownNow();
+            snapshotExecutor.shutdownNow();
             throw new IOException("HTTP not served at " + settings.listen() + ": " + e, e);
         }
         address = (InetSocketAddress) http.getListenerInfo().get(0).getAddress();
@@ -85,14 +85,15 @@
 
     /** Starts a server; whether there is a quorum shows later. */
     public static ControlServer start(ControlSettings settings) throws IOException {
-        return start(settings, feed -> open(settings, feed));
+        return start(settings, feed -> newRole(settings, feed));
     }
 
-    static ControlServer start(ControlSettings settings, RoleOpener opener) throws IOException {
-        return new ControlServer(settings, opener);
+    static ControlServer start(ControlSettings settings, RoleFactory roleFactory)
+            throws IOException {
+        return new ControlServer(settings, roleFactory);
     }
 
-    private static ControlRole open(ControlSettings settings, RevisionFeed feed)
+    private static ControlRole newRole(ControlSettings settings, RevisionFeed feed)
             throws IOException {
         if (settings.role() == Role.REPLICA) {
             return new Replica(settings, feed);
@@ -101,7 +102,7 @@
         return new Voter(
                 settings.fleet(),
                 feed,
-                voter.decideWithinMs(),
+                voter.decisionTimeoutMs(),
                 reader ->
                         new RaftLog(
                                 voter.number(),
@@ -111,46 +112,48 @@
                                 Voter.logBounds(voter)));
     }
 
-    private static Thread snapshotThread(Runnable task) {
+    private static Thread newSnapshotThread(Runnable task) {
         Thread thread = new Thread(task, "control-snapshots");
         thread.setDaemon(true);
         return thread;
     }
 
-    private Undertow http() {
-        int connections = CONNECTIONS_OF_FOLLOWER * settings.followers() + OTHER_CONNECTIONS;
+    private Undertow newHttpServer() {
+        int connections = CONNECTIONS_PER_FOLLOWER * settings.maxFollowers() + OTHER_CONNECTIONS;
         return Undertow.builder()
                 .addHttpListener(
                         settings.listen().getPort(),
                         settings.listen().getAddress().getHostAddress())
                 .setIoThreads(IO_THREADS)
                 .setWorkerThreads(WORKER_THREADS)
-                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, HEADER_BYTES)
-                .setServerOption(UndertowOptions.MAX_HEADERS, HEADERS)
-                .setServerOption(UndertowOptions.MAX_PARAMETERS, PARAMETERS)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEAD_WITHIN_MS)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_CONNECTION_MS)
-                .setServerOption(UndertowOptions.SHUTDOWN_TIMEOUT, CLOSE_WITHIN_MS)
+                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
+                .setServerOption(UndertowOptions.MAX_HEADERS, MAX_HEADERS)
+                .setServerOption(UndertowOptions.MAX_PARAMETERS, MAX_PARAMETERS)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_HEAD_TIMEOUT_MS)
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_CONNECTION_TIMEOUT_MS)
+                .setServerOption(UndertowOptions.SHUTDOWN_TIMEOUT, SHUTDOWN_TIMEOUT_MS)
                 .setSocketOption(Options.SEND_BUFFER, SEND_BUFFER_BYTES)
                 .setSocketOption(Options.CONNECTION_HIGH_WATER, connections)
                 .setSocketOption(Options.CONNECTION_LOW_WATER, connections)
-                .setHandler(routes())
+                .setHandler(newRouter())
                 .build();
     }
 
-    private HttpHandler routes() {
+    private HttpHandler newRouter() {
         return new RoutingHandler()
                 .get(
                         "/configuration",
                         new WatchHandler(settings.fleet(), feed, hub, settings.timing()))
-                .get("/followers", timed(new FollowersHandler(feed, hub, reports)))
-                .post("/followers/{" + ReportHandler.ID + "}", timed(new ReportHandler(reports)))
-                .post("/proposals", timed(ProposalHandler.limited(role)))
-                .get("/status", timed(new StatusHandler(settings, role, feed, hub)));
+                .get("/followers", withDeadline(new FollowersHandler(feed, hub, reports)))
+                .post(
+                        "/followers/{" + ReportHandler.FOLLOWER_PARAMETER + "}",
+                        withDeadline(new ReportHandler(reports)))
+                .post("/proposals", withDeadline(ProposalHandler.limited(role)))
+                .get("/status", withDeadline(new StatusHandler(settings, role, feed, hub)));
     }
 
-    private static HttpHandler timed(HttpHandler handler) {
-        return new ExchangeDeadline(EXCHANGE_MS, handler);
+    private static HttpHandler withDeadline(HttpHandler handler) {
+        return new ExchangeDeadline(EXCHANGE_TIMEOUT_MS, handler);
     }
 
     /** Where HTTP is served. */
@@ -168,7 +171,7 @@
         hub.closeAll();
         http.stop();
         role.close();
-        snapshotMaker.shutdownNow();
+        snapshotExecutor.shutdownNow();
         ControlLog.stopped(settings.name());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
@@ -28,8 +28,8 @@
                     .requiredText("server.role", "\"voter\" or \"replica\"")
                     .requiredText("server.folder", "a folder that lasts")
                     .number("server.followers", 1024, 1, 16_384)
-                    .number("server.stall_ms", WatchTiming.STANDARD.stallMs(), 1000, 60_000)
-                    .number("server.line_ms", WatchTiming.STANDARD.lineMs(), 1000, 600_000)
+                    .number("server.stall_ms", WatchTiming.DEFAULT.stallTimeoutMs(), 1000, 60_000)
+                    .number("server.line_ms", WatchTiming.DEFAULT.lineTimeoutMs(), 1000, 600_000)
                     .number("voters.number", 0, 1, 1000)
                     .texts("voters.members", "a list of number=host:port, all voters")
                     .number("voters.silence_ms", 1000, 100, 30_000)
@@ -39,21 +39,21 @@
     private static final Pattern NUMBER = Pattern.compile("[1-9][0-9]{0,2}");
 
     private final OperatorSettings settings;
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
     private ControlSettingsReader(OperatorSettings settings) {
         this.settings = settings;
     }
 
     static ControlSettings read(Path file) throws InvalidOperatorFileException {
-        return new ControlSettingsReader(SCHEMA.read(file)).checked();
+        return new ControlSettingsReader(SCHEMA.read(file)).validated();
     }
 
     static ControlSettings parse(String file, String text) throws InvalidOperatorFileException {
-        return new ControlSettingsReader(SCHEMA.parse(file, text)).checked();
+        return new ControlSettingsReader(SCHEMA.parse(file, text)).validated();
     }
 
-    private ControlSettings checked() throws InvalidOperatorFileException {
+    private ControlSettings validated() throws InvalidOperatorFileException {
         Role role = role();
         ControlSettings read =
                 new ControlSettings(
@@ -67,20 +67,20 @@
                         timing(),
                         role == Role.VOTER ? voters() : null,
                         role == Role.REPLICA ? upstream() : List.of());
-        if (!faults.isEmpty()) {
-            throw new InvalidOperatorFileException(faults);
+        if (!errors.isEmpty()) {
+            throw new InvalidOperatorFileException(errors);
         }
         return read;
     }
 
-    private void fault(String key, String expected) {
-        faults.add(settings.fault(key, expected));
+    private void addError(String key, String expected) {
+        errors.add(settings.error(key, expected));
     }
 
     private String name(String key) {
         String text = settings.text(key);
         if (!RecordChecks.isName(text)) {
-            fault(key, RecordChecks.EXPECTED_NAME);
+            addError(key, RecordChecks.EXPECTED_NAME);
         }
         return text;
     }
@@ -88,7 +88,7 @@
     private InetSocketAddress listen() {
         InetSocketAddress address = Addresses.of(settings.text("server.listen"));
         if (address == null) {
-            fault("server.listen", "a numeric host:port");
+            addError("server.listen", "a numeric host:port");
         }
         return address;
     }
@@ -98,7 +98,7 @@
             case "voter" -> Role.VOTER;
             case "replica" -> Role.REPLICA;
             default -> {
-                fault("server.role", "\"voter\" or \"replica\"");
+                addError("server.role", "\"voter\" or \"replica\"");
                 yield null;
             }
         };
@@ -106,7 +106,7 @@
 
     private WatchTiming timing() {
         return new WatchTiming(
-                WatchTiming.STANDARD.heartbeatMs(),
+                WatchTiming.DEFAULT.heartbeatIntervalMs(),
                 (long) settings.number("server.stall_ms"),
                 (long) settings.number("server.line_ms"));
     }
@@ -118,7 +118,7 @@
         }
         int number = (int) settings.number("voters.number");
         if (!members.containsKey(number)) {
-            fault("voters.number", "the number of this server in voters.members");
+            addError("voters.number", "the number of this server in voters.members");
         }
         return new VoterSettings(
                 number,
@@ -132,11 +132,11 @@
         InetSocketAddress address = Addresses.of(text.substring(equals + 1));
         boolean numbered = equals > 0 && NUMBER.matcher(text.substring(0, equals)).matches();
         if (address == null || !numbered) {
-            fault("voters.members", "number=host:port, not " + text);
+            addError("voters.members", "number=host:port, not " + text);
             return;
         }
         if (members.put(Integer.parseInt(text.substring(0, equals)), address) != null) {
-            fault("voters.members", "each number once, not again " + text);
+            addError("voters.members", "each number once, not again " + text);
         }
     }
 
@@ -145,13 +145,13 @@
         for (String text : settings.texts("replica.upstream")) {
             Endpoint endpoint = EndpointText.parse(text);
             if (endpoint == null) {
-                fault("replica.upstream", EndpointText.FORM + ", not " + text);
+                addError("replica.upstream", EndpointText.FORM + ", not " + text);
             } else {
                 endpoints.add(endpoint);
             }
         }
         if (endpoints.isEmpty()) {
-            fault("replica.upstream", "one or more " + EndpointText.FORM + " for a replica");
+            addError("replica.upstream", "one or more " + EndpointText.FORM + " for a replica");
         }
         return endpoints;
     }
--- a/fleet/src/main/java/tinford/fleet/control/EnterCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/EnterCommand.java
@@ -40,7 +40,7 @@
             paramLabel = "MS",
             defaultValue = "15000",
             description = "Tries for as long, ms (${DEFAULT-VALUE}).")
-    private long withinMs;
+    private long timeoutMs;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -50,19 +50,19 @@
             proposal = ConfigurationCodec.decodeProposal(withId(content()));
         } catch (InvalidConfigurationException e) {
             err.println(file + ": " + e.getMessage());
-            return ExitCode.REFUSED;
+            return ExitCode.REJECTED;
         } catch (IOException e) {
             err.println(file + ": expected a file that can be read, of JSON: " + e.getMessage());
-            return ExitCode.REFUSED;
+            return ExitCode.REJECTED;
         }
         PrintWriter out = spec.commandLine().getOut();
-        return new ProposalSender(servers.addresses(), out, err).send(proposal, withinMs);
+        return new ProposalSender(servers.addresses(), out, err).send(proposal, timeoutMs);
     }
 
     private byte[] content() throws IOException, InvalidConfigurationException {
-        if (Files.size(file) > ConfigurationLimits.PROPOSAL_BYTES) {
+        if (Files.size(file) > ConfigurationLimits.MAX_PROPOSAL_BYTES) {
             throw new InvalidConfigurationException(
-                    "file", "at most " + ConfigurationLimits.PROPOSAL_BYTES + " bytes");
+                    "file", "at most " + ConfigurationLimits.MAX_PROPOSAL_BYTES + " bytes");
         }
         return Files.readAllBytes(file);
     }
--- a/fleet/src/main/java/tinford/fleet/control/ExchangeDeadline.java
+++ b/fleet/src/main/java/tinford/fleet/control/ExchangeDeadline.java
@@ -8,11 +8,11 @@
 
 /** Closes the connection of a request that is not read, answered and written within a time. */
 final class ExchangeDeadline implements HttpHandler {
-    private final long withinMs;
+    private final long timeoutMs;
     private final HttpHandler next;
 
-    ExchangeDeadline(long withinMs, HttpHandler next) {
-        this.withinMs = withinMs;
+    ExchangeDeadline(long timeoutMs, HttpHandler next) {
+        this.timeoutMs = timeoutMs;
         this.next = next;
     }
 
@@ -22,7 +22,7 @@
                 exchange.getIoThread()
                         .executeAfter(
                                 () -> IoUtils.safeClose(exchange.getConnection()),
-                                withinMs,
+                                timeoutMs,
                                 TimeUnit.MILLISECONDS);
         exchange.addExchangeCompleteListener(
                 (completed, following) -> {
--- a/fleet/src/main/java/tinford/fleet/control/ExitCode.java
+++ b/fleet/src/main/java/tinford/fleet/control/ExitCode.java
@@ -6,7 +6,7 @@
     static final int OK = 0;
 
     /** Refused, or the file can't be used; for {@code status}: some lag. */
-    static final int REFUSED = 1;
+    static final int REJECTED = 1;
 
     /** The command line is not as expected. */
     static final int USAGE = 2;
--- a/fleet/src/main/java/tinford/fleet/control/FleetStatus.java
+++ b/fleet/src/main/java/tinford/fleet/control/FleetStatus.java
@@ -22,18 +22,19 @@
             String name,
             String region,
             String role,
-            boolean leads,
+            boolean isLeader,
             long revision,
             int followers,
             long pendingBytes) {}
 
     /** One follower's latest report. */
-    record Follower(String name, String region, long revision, String refusal, long ageMs) {}
+    record Follower(
+            String name, String region, long revision, String rejectionReason, long ageMs) {}
 
     private final List<Server> servers = new ArrayList<>();
     private final SortedMap<String, Follower> followers = new TreeMap<>();
 
-    static FleetStatus ask(List<InetSocketAddress> addresses) throws InterruptedException {
+    static FleetStatus fetch(List<InetSocketAddress> addresses) throws InterruptedException {
         ControlClient client = new ControlClient();
         FleetStatus status = new FleetStatus();
         for (InetSocketAddress address : addresses) {
@@ -67,19 +68,19 @@
 
     private void addFollowers(JsonNode body) {
         for (JsonNode each : body.path("followers")) {
-            JsonNode refusal = each.path("refusal");
+            JsonNode rejectionReason = each.path("refusal");
             Follower follower =
                     new Follower(
                             each.path("follower").asText(),
                             each.path("region").asText(),
                             each.path("revision").asLong(),
-                            refusal.isTextual() ? refusal.asText() : null,
+                            rejectionReason.isTextual() ? rejectionReason.asText() : null,
                             each.path("ageMs").asLong());
-            followers.merge(follower.name(), follower, FleetStatus::later);
+            followers.merge(follower.name(), follower, FleetStatus::mostRecent);
         }
     }
 
-    private static Follower later(Follower one, Follower other) {
+    private static Follower mostRecent(Follower one, Follower other) {
         return one.ageMs() <= other.ageMs() ? one : other;
     }
 
@@ -91,12 +92,12 @@
         return List.copyOf(followers.values());
     }
 
-    boolean answered() {
+    boolean anyServerReached() {
         return servers.stream().anyMatch(server -> server.failure() == null);
     }
 
     boolean hasLeader() {
-        return servers.stream().anyMatch(Server::leads);
+        return servers.stream().anyMatch(Server::isLeader);
     }
 
     /** The latest revision that any server holds. */
@@ -114,7 +115,7 @@
     /** Followers at an earlier revision or with a refusal, the furthest behind first. */
     List<Follower> laggingFollowers() {
         return followers.values().stream()
-                .filter(each -> each.revision() < revision() || each.refusal() != null)
+                .filter(each -> each.revision() < revision() || each.rejectionReason() != null)
                 .sorted(Comparator.comparingLong(Follower::revision))
                 .toList();
     }
--- a/fleet/src/main/java/tinford/fleet/control/FollowersHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/FollowersHandler.java
@@ -25,7 +25,7 @@
     public void handleRequest(HttpServerExchange exchange) {
         double now = FollowerReports.now();
         Set<String> connected = hub.followers();
-        ObjectNode body = JsonResponse.object().put("revision", feed.current().revision());
+        ObjectNode body = JsonResponse.newObject().put("revision", feed.current().revision());
         ArrayNode followers = body.putArray("followers");
         for (FollowerTable.Entry entry : reports.entries()) {
             FollowerReport report = entry.report();
@@ -34,7 +34,7 @@
                     .put("follower", report.follower())
                     .put("region", report.region())
                     .put("revision", report.revision())
-                    .put("refusal", report.refusal())
+                    .put("refusal", report.rejectionReason())
                     .put("ageMs", Math.max(0, Math.round(now - entry.reportedAt())))
                     .put("connected", connected.contains(report.follower()));
         }
--- a/fleet/src/main/java/tinford/fleet/control/JsonResponse.java
+++ b/fleet/src/main/java/tinford/fleet/control/JsonResponse.java
@@ -17,15 +17,15 @@
 
     private JsonResponse() {}
 
-    static ObjectNode object() {
+    static ObjectNode newObject() {
         return MAPPER.createObjectNode();
     }
 
-    static ObjectNode faults(List<ValidationError> faults) {
-        ObjectNode body = object();
+    static ObjectNode errorBody(List<ValidationError> errors) {
+        ObjectNode body = newObject();
         ArrayNode array = body.putArray("faults");
-        for (ValidationError fault : faults) {
-            array.addObject().put("key", fault.key()).put("expected", fault.expected());
+        for (ValidationError error : errors) {
+            array.addObject().put("key", error.key()).put("expected", error.expected());
         }
         return body;
     }
@@ -42,7 +42,7 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(bytes));
     }
 
-    static void sendFault(HttpServerExchange exchange, int status, ValidationError fault) {
-        send(exchange, status, faults(List.of(fault)));
+    static void sendError(HttpServerExchange exchange, int status, ValidationError error) {
+        send(exchange, status, errorBody(List.of(error)));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/PendingProposals.java
+++ b/fleet/src/main/java/tinford/fleet/control/PendingProposals.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import tinford.fleet.control.ProposalResult.Taken;
+import tinford.fleet.control.ProposalResult.CommitStatus;
 import tinford.fleet.control.ProposalResult.Unavailable;
 
 /** Proposals that were made here and are not decided yet, by id. Thread-safe. */
@@ -22,12 +22,15 @@
         synchronized (this) {
             if (waiting.size() >= CAPACITY) {
                 result.complete(
-                        new Unavailable(Taken.NO, CAPACITY + " proposals wait here already"));
+                        new Unavailable(
+                                CommitStatus.NOT_COMMITTED,
+                                CAPACITY + " proposals wait here already"));
                 return result;
             }
             if (waiting.putIfAbsent(id, result) != null) {
                 result.complete(
-                        new Unavailable(Taken.PERHAPS, "a proposal with this id waits already"));
+                        new Unavailable(
+                                CommitStatus.UNKNOWN, "a proposal with this id waits already"));
                 return result;
             }
         }
@@ -40,7 +43,7 @@
     }
 
     /** Completes the one with that id, if it waits here. */
-    void decided(String id, ProposalResult decision) {
+    void complete(String id, ProposalResult decision) {
         CompletableFuture<ProposalResult> result;
         synchronized (this) {
             result = waiting.get(id);
--- a/fleet/src/main/java/tinford/fleet/control/ProposalHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/ProposalHandler.java
@@ -7,14 +7,13 @@
 import io.undertow.server.handlers.RequestLimitingHandler;
 import io.undertow.util.SameThreadExecutor;
 import io.undertow.util.StatusCodes;
-import java.util.Locale;
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.ConfigurationLimits;
 import tinford.fleet.config.InvalidConfigurationException;
 import tinford.fleet.config.Outcome;
 import tinford.fleet.config.Proposal;
+import tinford.fleet.control.ProposalResult.CommitStatus;
 import tinford.fleet.control.ProposalResult.Decided;
-import tinford.fleet.control.ProposalResult.Taken;
 import tinford.fleet.control.ProposalResult.Unavailable;
 
 /** {@code POST /proposals}: changes of the configuration. */
@@ -29,7 +28,10 @@
     static HttpHandler limited(ControlRole role) {
         RequestLimit limit = new RequestLimit(PendingProposals.CAPACITY, PendingProposals.CAPACITY);
         limit.setFailureHandler(
-                exchange -> answer(exchange, new Unavailable(Taken.NO, "too many proposals")));
+                exchange ->
+                        respond(
+                                exchange,
+                                new Unavailable(CommitStatus.NOT_COMMITTED, "too many proposals")));
         return new RequestLimitingHandler(limit, new ProposalHandler(role));
     }
 
@@ -37,7 +39,7 @@
     public void handleRequest(HttpServerExchange exchange) {
         RequestBody.read(
                 exchange,
-                ConfigurationLimits.PROPOSAL_BYTES,
+                ConfigurationLimits.MAX_PROPOSAL_BYTES,
                 body -> exchange.dispatch(() -> propose(exchange, body)));
     }
 
@@ -47,28 +49,28 @@
         try {
             proposal = ConfigurationCodec.decodeProposal(body);
         } catch (InvalidConfigurationException e) {
-            JsonResponse.sendFault(exchange, StatusCodes.BAD_REQUEST, e.fault());
+            JsonResponse.sendError(exchange, StatusCodes.BAD_REQUEST, e.error());
             return;
         }
         exchange.dispatch(
                 SameThreadExecutor.INSTANCE,
-                () -> role.propose(proposal).thenAccept(result -> answer(exchange, result)));
+                () -> role.propose(proposal).thenAccept(result -> respond(exchange, result)));
     }
 
-    private static void answer(HttpServerExchange exchange, ProposalResult result) {
+    private static void respond(HttpServerExchange exchange, ProposalResult result) {
         if (result instanceof Unavailable unavailable) {
-            ObjectNode body = JsonResponse.object();
-            body.put("taken", unavailable.taken().name().toLowerCase(Locale.ROOT));
+            ObjectNode body = JsonResponse.newObject();
+            body.put("taken", unavailable.commitStatus().wireName());
             body.put("reason", unavailable.reason());
             JsonResponse.send(exchange, StatusCodes.SERVICE_UNAVAILABLE, body);
             return;
         }
         Outcome outcome = ((Decided) result).outcome();
         if (outcome instanceof Outcome.Accepted accepted) {
-            ObjectNode body = JsonResponse.object().put("revision", accepted.revision());
+            ObjectNode body = JsonResponse.newObject().put("revision", accepted.revision());
             JsonResponse.send(exchange, StatusCodes.OK, body);
-        } else if (outcome instanceof Outcome.Refused refused) {
-            ObjectNode body = JsonResponse.faults(refused.refusal().faults());
+        } else if (outcome instanceof Outcome.Rejected rejected) {
+            ObjectNode body = JsonResponse.errorBody(rejected.rejection().errors());
             JsonResponse.send(exchange, StatusCodes.CONFLICT, body);
         }
     }
--- a/fleet/src/main/java/tinford/fleet/control/ProposalSender.java
+++ b/fleet/src/main/java/tinford/fleet/control/ProposalSender.java
@@ -17,13 +17,13 @@
  * time, so it comes into force once at most.
  */
 final class ProposalSender {
-    private static final long PAUSE_MS = 200;
+    private static final long RETRY_INTERVAL_MS = 200;
 
     private final ControlClient client = new ControlClient();
     private final List<InetSocketAddress> servers;
     private final PrintWriter out;
     private final PrintWriter err;
-    private boolean perhapsTaken;
+    private boolean maybeCommitted;
     private String reason = "";
 
     ProposalSender(List<InetSocketAddress> servers, PrintWriter out, PrintWriter err) {
@@ -33,49 +33,49 @@
     }
 
     /** Returns an {@link ExitCode}. */
-    int send(Proposal proposal, long withinMs) throws InterruptedException {
+    int send(Proposal proposal, long timeoutMs) throws InterruptedException {
         byte[] body = ConfigurationCodec.encode(proposal);
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         do {
             for (InetSocketAddress server : servers) {
-                ControlClient.Answer answer = answerOf(server, body);
-                if (answer != null) {
-                    return decided(proposal, answer);
+                ControlClient.Response response = sendTo(server, body);
+                if (response != null) {
+                    return reportDecision(proposal, response);
                 }
             }
-            TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MS);
         } while (System.nanoTime() < deadline);
-        tellUndecided(proposal);
+        reportUndecided(proposal);
         return ExitCode.UNAVAILABLE;
     }
 
     /** Null where that server could not decide. */
-    private ControlClient.Answer answerOf(InetSocketAddress server, byte[] body)
+    private ControlClient.Response sendTo(InetSocketAddress server, byte[] body)
             throws InterruptedException {
         String name = server.getHostString() + ":" + server.getPort();
         try {
-            ControlClient.Answer answer = client.post(server, "/proposals", body);
-            if (answer.status() != StatusCodes.SERVICE_UNAVAILABLE) {
-                return answer;
+            ControlClient.Response response = client.post(server, "/proposals", body);
+            if (response.status() != StatusCodes.SERVICE_UNAVAILABLE) {
+                return response;
             }
-            boolean surelyNot = answer.body().path("taken").asText().equals("no");
-            note(!surelyNot, name + ": " + answer.body().path("reason").asText());
+            boolean surelyNot = response.body().path("taken").asText().equals("no");
+            recordFailure(!surelyNot, name + ": " + response.body().path("reason").asText());
         } catch (IOException e) {
-            note(mayHaveArrived(e), name + ": " + e);
+            recordFailure(mayHaveArrived(e), name + ": " + e);
         }
         return null;
     }
 
     /** The reason of a server that may have taken it tells more than that of one that did not. */
-    private void note(boolean perhaps, String why) {
-        if (perhaps || !perhapsTaken) {
-            reason = why;
+    private void recordFailure(boolean maybe, String failure) {
+        if (maybe || !maybeCommitted) {
+            reason = failure;
         }
-        perhapsTaken |= perhaps;
+        maybeCommitted |= maybe;
     }
 
-    private void tellUndecided(Proposal proposal) {
-        String taken = perhapsTaken ? "perhaps not taken" : "surely not taken";
+    private void reportUndecided(Proposal proposal) {
+        String taken = maybeCommitted ? "perhaps not taken" : "surely not taken";
         err.println(taken + ", proposal " + proposal.id() + ": " + reason);
     }
 
@@ -84,20 +84,20 @@
                 && !(failure instanceof HttpConnectTimeoutException);
     }
 
-    private int decided(Proposal proposal, ControlClient.Answer answer) {
-        if (answer.status() == StatusCodes.OK) {
-            out.println("revision " + answer.body().path("revision").asLong());
+    private int reportDecision(Proposal proposal, ControlClient.Response response) {
+        if (response.status() == StatusCodes.OK) {
+            out.println("revision " + response.body().path("revision").asLong());
             return ExitCode.OK;
         }
-        JsonNode faults = answer.body().path("faults");
-        if (faults.isEmpty()) {
-            err.println("proposal " + proposal.id() + ": answered with " + answer.status());
+        JsonNode errors = response.body().path("faults");
+        if (errors.isEmpty()) {
+            err.println("proposal " + proposal.id() + ": answered with " + response.status());
             return ExitCode.UNAVAILABLE;
         }
-        for (JsonNode fault : faults) {
+        for (JsonNode error : errors) {
             err.println(
-                    fault.path("key").asText() + ": expected " + fault.path("expected").asText());
+                    error.path("key").asText() + ": expected " + error.path("expected").asText());
         }
-        return ExitCode.REFUSED;
+        return ExitCode.REJECTED;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
+++ b/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
@@ -49,11 +49,11 @@
         }
     }
 
-    private static String text(HttpServerExchange exchange, String key, String absent)
+    private static String text(HttpServerExchange exchange, String key, String defaultValue)
             throws InvalidConfigurationException {
         Deque<String> values = exchange.getQueryParameters().get(key);
         if (values == null) {
-            return absent;
+            return defaultValue;
         }
         if (values.size() > 1) {
             throw new InvalidConfigurationException(key, "one value");
--- a/fleet/src/main/java/tinford/fleet/control/Replica.java
+++ b/fleet/src/main/java/tinford/fleet/control/Replica.java
@@ -11,7 +11,7 @@
 import tinford.fleet.config.Configuration;
 import tinford.fleet.config.Proposal;
 import tinford.fleet.config.Update;
-import tinford.fleet.control.ProposalResult.Taken;
+import tinford.fleet.control.ProposalResult.CommitStatus;
 import tinford.fleet.control.ProposalResult.Unavailable;
 import tinford.fleet.follow.ConfigurationClient;
 import tinford.fleet.follow.FollowerSettings;
@@ -22,23 +22,24 @@
  * restart from its last good snapshot on.
  */
 final class Replica implements ControlRole {
-    private static final Duration CONNECT_WITHIN = Duration.ofSeconds(2);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final int THREADS = 2;
 
     private final RevisionFeed feed;
     private final ScheduledExecutorService executor;
     private final ConfigurationClient client;
-    private final SnapshotSaver keeper;
+    private final SnapshotSaver snapshotSaver;
 
     Replica(ControlSettings settings, RevisionFeed feed) {
         this.feed = feed;
-        keeper = new SnapshotSaver(new SnapshotFile(settings.folder(), settings.fleet()), feed);
-        keeper.load();
-        executor = Executors.newScheduledThreadPool(THREADS, Replica::thread);
+        snapshotSaver =
+                new SnapshotSaver(new SnapshotFile(settings.folder(), settings.fleet()), feed);
+        snapshotSaver.load();
+        executor = Executors.newScheduledThreadPool(THREADS, Replica::newThread);
         HttpClient http =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
-                        .connectTimeout(CONNECT_WITHIN)
+                        .connectTimeout(CONNECT_TIMEOUT)
                         .executor(executor)
                         .build();
         FollowerSettings follower =
@@ -53,7 +54,7 @@
         client.start();
     }
 
-    private static Thread thread(Runnable task) {
+    private static Thread newThread(Runnable task) {
         Thread thread = new Thread(task, "control-replica");
         thread.setDaemon(true);
         return thread;
@@ -66,8 +67,8 @@
         } else {
             feed.append(configuration, new Update(before, configuration.revision(), changes));
         }
-        keeper.saveSoon();
-        ControlLog.revision(configuration.revision());
+        snapshotSaver.scheduleSave();
+        ControlLog.revisionApplied(configuration.revision());
         return null;
     }
 
@@ -75,11 +76,12 @@
     @Override
     public CompletableFuture<ProposalResult> propose(Proposal proposal) {
         return CompletableFuture.completedFuture(
-                new Unavailable(Taken.NO, "a replica takes no proposals, ask a voter"));
+                new Unavailable(
+                        CommitStatus.NOT_COMMITTED, "a replica takes no proposals, ask a voter"));
     }
 
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         return false;
     }
 
@@ -92,6 +94,6 @@
     public void close() {
         client.close();
         executor.shutdown();
-        keeper.close();
+        snapshotSaver.close();
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/ReportHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/ReportHandler.java
@@ -13,7 +13,7 @@
 /** {@code POST /followers/ID}: a follower tells what is in force there. */
 final class ReportHandler implements HttpHandler {
     /** Of the path. */
-    static final String ID = "id";
+    static final String FOLLOWER_PARAMETER = "id";
 
     private final FollowerReports reports;
 
@@ -24,12 +24,16 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         String follower =
-                exchange.getAttachment(PathTemplateMatch.ATTACHMENT_KEY).getParameters().get(ID);
+                exchange.getAttachment(PathTemplateMatch.ATTACHMENT_KEY)
+                        .getParameters()
+                        .get(FOLLOWER_PARAMETER);
         RequestBody.read(
-                exchange, ConfigurationLimits.REPORT_BYTES, body -> take(exchange, follower, body));
+                exchange,
+                ConfigurationLimits.MAX_REPORT_BYTES,
+                body -> acceptReport(exchange, follower, body));
     }
 
-    private void take(HttpServerExchange exchange, String follower, byte[] body) {
+    private void acceptReport(HttpServerExchange exchange, String follower, byte[] body) {
         FollowerReport report;
         try {
             report = ConfigurationCodec.decodeReport(body);
@@ -38,11 +42,11 @@
                         "follower", "the id in the path, " + follower);
             }
         } catch (InvalidConfigurationException e) {
-            JsonResponse.sendFault(exchange, StatusCodes.BAD_REQUEST, e.fault());
+            JsonResponse.sendError(exchange, StatusCodes.BAD_REQUEST, e.error());
             return;
         }
         if (!reports.report(report)) {
-            JsonResponse.sendFault(
+            JsonResponse.sendError(
                     exchange,
                     StatusCodes.SERVICE_UNAVAILABLE,
                     new ValidationError("follower", "fewer followers at this server"));
--- a/fleet/src/main/java/tinford/fleet/control/RequestBody.java
+++ b/fleet/src/main/java/tinford/fleet/control/RequestBody.java
@@ -13,25 +13,25 @@
      * Passes the whole body on, on an I/O thread; a larger one is answered with 413, one that is
      * cut ends the connection.
      */
-    static void read(HttpServerExchange exchange, int limit, Consumer<byte[]> then) {
-        if (exchange.getRequestContentLength() > limit) {
-            refuse(exchange, limit);
+    static void read(HttpServerExchange exchange, int maxBytes, Consumer<byte[]> consumer) {
+        if (exchange.getRequestContentLength() > maxBytes) {
+            rejectTooLarge(exchange, maxBytes);
             return;
         }
-        exchange.getRequestReceiver().setMaxBufferSize(limit);
+        exchange.getRequestReceiver().setMaxBufferSize(maxBytes);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (received, body) -> then.accept(body),
-                        (failed, cause) -> refuse(failed, limit));
+                        (received, body) -> consumer.accept(body),
+                        (failed, cause) -> rejectTooLarge(failed, maxBytes));
     }
 
-    private static void refuse(HttpServerExchange exchange, int limit) {
+    private static void rejectTooLarge(HttpServerExchange exchange, int maxBytes) {
         if (!exchange.isResponseStarted()) {
             exchange.setPersistent(false);
-            JsonResponse.sendFault(
+            JsonResponse.sendError(
                     exchange,
                     StatusCodes.REQUEST_ENTITY_TOO_LARGE,
-                    new ValidationError("body", "at most " + limit + " bytes, complete"));
+                    new ValidationError("body", "at most " + maxBytes + " bytes, complete"));
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/RevertCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/RevertCommand.java
@@ -27,7 +27,7 @@
             paramLabel = "MS",
             defaultValue = "15000",
             description = "Tries for as long, ms (${DEFAULT-VALUE}).")
-    private long withinMs;
+    private long timeoutMs;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -36,6 +36,6 @@
                         servers.addresses(),
                         spec.commandLine().getOut(),
                         spec.commandLine().getErr())
-                .send(proposal, withinMs);
+                .send(proposal, timeoutMs);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/RevisionFeed.java
+++ b/fleet/src/main/java/tinford/fleet/control/RevisionFeed.java
@@ -30,14 +30,14 @@
     static final int MAX_LINE_BYTES = 2 << 20;
 
     /** A follower that lacks fewer bytes of updates gets them, whatever a snapshot would cost. */
-    static final int SNAPSHOT_WORTH_BYTES = 128 << 10;
+    static final int MIN_SNAPSHOT_SAVING_BYTES = 128 << 10;
 
     private final SnapshotCodec snapshotCodec;
     private final Executor executor;
     private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
 
     /** By the revision that they lead on from. */
-    private final NavigableMap<Long, KeptUpdate> updates = new TreeMap<>();
+    private final NavigableMap<Long, RetainedLine> updates = new TreeMap<>();
 
     private Configuration current = Configuration.EMPTY;
     private long appendedBytes;
@@ -49,7 +49,7 @@
     /**
      * @param offset bytes of all updates that were appended before this one
      */
-    private record KeptUpdate(WatchLine line, long offset) {}
+    private record RetainedLine(WatchLine line, long offset) {}
 
     RevisionFeed(String fleetId, Executor executor) {
         this.snapshotCodec = new SnapshotCodec(fleetId);
@@ -95,7 +95,7 @@
 
     private void add(Update update) {
         WatchLine line = line(update.revision(), new WatchMessage.UpdateMessage(update));
-        updates.put(update.fromRevision(), new KeptUpdate(line, appendedBytes));
+        updates.put(update.fromRevision(), new RetainedLine(line, appendedBytes));
         appendedBytes += line.bytes().length;
         updateBytes += line.bytes().length;
         while (updates.size() > MAX_LINES || updateBytes > MAX_LINE_BYTES) {
@@ -146,7 +146,7 @@
         if (isCurrent(revision)) {
             return null;
         }
-        KeptUpdate update = updates.get(revision);
+        RetainedLine update = updates.get(revision);
         if (update != null && !snapshotIsShorter(revision)) {
             return update.line();
         }
@@ -163,14 +163,14 @@
     private boolean snapshotIsShorter(long revision) {
         long bytesBehind = bytesFrom(revision);
         boolean keepsUp = updates.lastKey() == revision;
-        if (keepsUp || bytesBehind <= SNAPSHOT_WORTH_BYTES) {
+        if (keepsUp || bytesBehind <= MIN_SNAPSHOT_SAVING_BYTES) {
             return false;
         }
         if (snapshot == null) {
             return !snapshotFailed; // it is made, and compared then
         }
-        long updatesSpared = bytesBehind - bytesFrom(snapshot.revision());
-        return snapshot.revision() > revision && snapshot.bytes().length < updatesSpared;
+        long savedBytes = bytesBehind - bytesFrom(snapshot.revision());
+        return snapshot.revision() > revision && snapshot.bytes().length < savedBytes;
     }
 
     /** Bytes of the updates that lead from a reachable revision to the current one. */
@@ -193,22 +193,22 @@
 
     private void makeSnapshot() {
         Configuration configuration = current();
-        WatchLine made = null;
+        WatchLine line = null;
         try {
             byte[] data = snapshotCodec.encode(configuration);
             long revision = configuration.revision();
-            made = line(revision, new WatchMessage.SnapshotMessage(revision, data));
+            line = line(revision, new WatchMessage.SnapshotMessage(revision, data));
         } catch (RuntimeException e) {
             ControlLog.snapshotFailed(e);
         }
         synchronized (this) {
             snapshotRequested = false;
-            snapshotFailed = made == null;
-            if (made == null) {
+            snapshotFailed = line == null;
+            if (line == null) {
                 return; // tried again at the next heartbeat of a follower that needs it
             }
-            if (isReachable(made.revision())) {
-                snapshot = made;
+            if (isReachable(line.revision())) {
+                snapshot = line;
             }
         }
         listeners.forEach(Runnable::run);
--- a/fleet/src/main/java/tinford/fleet/control/ServeCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/ServeCommand.java
@@ -33,10 +33,10 @@
             Runtime.getRuntime().addShutdownHook(new Thread(() -> end(server), "control-end"));
         } catch (InvalidOperatorFileException e) {
             err.println(e.getMessage());
-            return ExitCode.REFUSED;
+            return ExitCode.REJECTED;
         } catch (IOException e) {
             err.println("control server not started: " + e.getMessage());
-            return ExitCode.REFUSED;
+            return ExitCode.REJECTED;
         }
         new CountDownLatch(1).await(); // a signal ends the process
         return ExitCode.OK;
--- a/fleet/src/main/java/tinford/fleet/control/SnapshotSaver.java
+++ b/fleet/src/main/java/tinford/fleet/control/SnapshotSaver.java
@@ -15,11 +15,12 @@
  * while it writes, only the latest is written.
  */
 final class SnapshotSaver implements AutoCloseable {
-    private static final long CLOSE_WITHIN_MS = 2000;
+    private static final long CLOSE_TIMEOUT_MS = 2000;
 
     private final SnapshotFile file;
     private final RevisionFeed feed;
-    private final ExecutorService writer = Executors.newSingleThreadExecutor(SnapshotSaver::named);
+    private final ExecutorService writer =
+            Executors.newSingleThreadExecutor(SnapshotSaver::newThread);
     private final AtomicBoolean scheduled = new AtomicBoolean();
 
     SnapshotSaver(SnapshotFile file, RevisionFeed feed) {
@@ -27,7 +28,7 @@
         this.feed = feed;
     }
 
-    private static Thread named(Runnable task) {
+    private static Thread newThread(Runnable task) {
         Thread thread = new Thread(task, "control-snapshot-file");
         thread.setDaemon(true);
         return thread;
@@ -37,20 +38,20 @@
     void load() {
         SnapshotFile.Loaded loaded = file.read();
         if (loaded.configuration() == null) {
-            ControlLog.snapshotNotRead(loaded.problem());
+            ControlLog.snapshotNotLoaded(loaded.problem());
         } else {
             feed.replace(loaded.configuration(), List.of());
         }
     }
 
-    void saveSoon() {
+    void scheduleSave() {
         if (!scheduled.compareAndSet(false, true)) {
             return;
         }
         try {
             writer.execute(this::save);
         } catch (RejectedExecutionException e) {
-            ControlLog.snapshotNotKept(e); // it is being closed
+            ControlLog.snapshotNotSaved(e); // it is being closed
         }
     }
 
@@ -60,7 +61,7 @@
         try {
             file.write(configuration);
         } catch (IOException e) {
-            ControlLog.snapshotNotKept(e);
+            ControlLog.snapshotNotSaved(e);
         }
     }
 
@@ -69,14 +70,14 @@
     public void close() {
         writer.shutdown();
         try {
-            writer.awaitTermination(CLOSE_WITHIN_MS, TimeUnit.MILLISECONDS);
+            writer.awaitTermination(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         try {
             file.close();
         } catch (IOException e) {
-            ControlLog.snapshotNotKept(e);
+            ControlLog.snapshotNotSaved(e);
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/StatusCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/StatusCommand.java
@@ -15,8 +15,8 @@
         mixinStandardHelpOptions = true,
         description = "Tells which revision holds where, and who lags.")
 final class StatusCommand implements Callable<Integer> {
-    private static final long PAUSE_MS = 200;
-    private static final int LAGGING_SHOWN = 40;
+    private static final long POLL_INTERVAL_MS = 200;
+    private static final int MAX_LAGGING_SHOWN = 40;
 
     @Spec private CommandSpec spec;
     @Mixin private ServersOption servers;
@@ -42,17 +42,17 @@
     @Override
     public Integer call() throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
-        FleetStatus status = FleetStatus.ask(servers.addresses());
+        FleetStatus status = FleetStatus.fetch(servers.addresses());
         while (exitCode(status) != ExitCode.OK && System.nanoTime() < deadline) {
-            TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
-            status = FleetStatus.ask(servers.addresses());
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
+            status = FleetStatus.fetch(servers.addresses());
         }
         print(status, spec.commandLine().getOut());
         return exitCode(status);
     }
 
     private int exitCode(FleetStatus status) {
-        if (!status.answered() || !status.hasLeader()) {
+        if (!status.anyServerReached() || !status.hasLeader()) {
             return ExitCode.UNAVAILABLE;
         }
         boolean inForce =
@@ -60,7 +60,7 @@
                         && status.laggingFollowers().isEmpty()
                         && status.followers().size() >= expectedFollowers
                         && status.revision() >= expectedRevision;
-        return inForce ? ExitCode.OK : ExitCode.REFUSED;
+        return inForce ? ExitCode.OK : ExitCode.REJECTED;
     }
 
     private void print(FleetStatus status, PrintWriter out) {
@@ -76,9 +76,9 @@
             out.println("missing " + (expectedFollowers - status.followers().size()));
         }
         status.laggingFollowers().stream()
-                .limit(LAGGING_SHOWN)
+                .limit(MAX_LAGGING_SHOWN)
                 .forEach(follower -> out.println(line(follower)));
-        int more = status.laggingFollowers().size() - LAGGING_SHOWN;
+        int more = status.laggingFollowers().size() - MAX_LAGGING_SHOWN;
         if (more > 0) {
             out.println("lagging: " + more + " more");
         }
@@ -95,7 +95,7 @@
                 server.name(),
                 server.region(),
                 server.role(),
-                server.leads() ? " leads" : "",
+                server.isLeader() ? " leads" : "",
                 server.revision(),
                 server.followers(),
                 server.pendingBytes());
@@ -108,6 +108,8 @@
                 follower.region(),
                 follower.revision(),
                 follower.ageMs() / 1000.0,
-                follower.refusal() == null ? "" : ", refused: " + follower.refusal());
+                follower.rejectionReason() == null
+                        ? ""
+                        : ", refused: " + follower.rejectionReason());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/StatusHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/StatusHandler.java
@@ -23,12 +23,12 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         ObjectNode body =
-                JsonResponse.object()
+                JsonResponse.newObject()
                         .put("server", settings.name())
                         .put("fleet", settings.fleet())
                         .put("region", settings.region())
                         .put("role", settings.role().name().toLowerCase(Locale.ROOT))
-                        .put("leads", role.leads())
+                        .put("leads", role.isLeader())
                         .put("term", role.term())
                         .put("revision", feed.current().revision())
                         .put("oldestRetained", feed.oldestRetained())
--- a/fleet/src/main/java/tinford/fleet/control/Voter.java
+++ b/fleet/src/main/java/tinford/fleet/control/Voter.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 import tinford.fleet.config.*;
 import tinford.fleet.control.ControlSettings.VoterSettings;
+import tinford.fleet.control.ProposalResult.CommitStatus;
 import tinford.fleet.control.ProposalResult.Decided;
-import tinford.fleet.control.ProposalResult.Taken;
 import tinford.fleet.control.ProposalResult.Unavailable;
 import tinford.fleet.store.RaftLog;
 import tinford.fleet.store.ReplicatedLog;
@@ -19,41 +19,41 @@
  */
 final class Voter implements ControlRole {
     /** Opens the log with its reader. */
-    interface LogOpener {
-        ReplicatedLog open(ReplicatedLog.Reader reader) throws IOException;
+    interface LogFactory {
+        ReplicatedLog create(ReplicatedLog.Reader reader) throws IOException;
     }
 
     /** Proposals between two snapshots of the log. */
-    private static final long SNAPSHOT_ENTRIES = 256;
+    private static final long SNAPSHOT_INTERVAL_ENTRIES = 256;
 
     private final RevisionFeed feed;
     private final RevisionHistory history;
     private final PendingProposals pending = new PendingProposals();
-    private final long decideWithinMs;
+    private final long decisionTimeoutMs;
     private final ReplicatedLog log;
 
-    Voter(String fleetId, RevisionFeed feed, long decideWithinMs, LogOpener opener)
+    Voter(String fleetId, RevisionFeed feed, long decisionTimeoutMs, LogFactory logFactory)
             throws IOException {
         this.feed = feed;
         this.history = new RevisionHistory(fleetId);
-        this.decideWithinMs = decideWithinMs;
-        this.log = opener.open(new HistoryReader());
+        this.decisionTimeoutMs = decisionTimeoutMs;
+        this.log = logFactory.create(new HistoryReader());
     }
 
     /** What the log of a voter holds and how long it waits. */
     static RaftLog.Bounds logBounds(VoterSettings settings) {
         return new RaftLog.Bounds(
-                settings.decideWithinMs(),
+                settings.decisionTimeoutMs(),
                 PendingProposals.CAPACITY,
-                ConfigurationLimits.PROPOSAL_BYTES,
-                SNAPSHOT_ENTRIES,
-                settings.silenceMs());
+                ConfigurationLimits.MAX_PROPOSAL_BYTES,
+                SNAPSHOT_INTERVAL_ENTRIES,
+                settings.leaderTimeoutMs());
     }
 
     @Override
     public CompletableFuture<ProposalResult> propose(Proposal proposal) {
         byte[] entry = ConfigurationCodec.encode(proposal);
-        if (entry.length > ConfigurationLimits.PROPOSAL_BYTES) {
+        if (entry.length > ConfigurationLimits.MAX_PROPOSAL_BYTES) {
             return CompletableFuture.completedFuture(new Decided(tooLarge()));
         }
         CompletableFuture<ProposalResult> result = pending.add(proposal.id());
@@ -62,18 +62,19 @@
         }
         result.completeOnTimeout(
                 new Unavailable(
-                        Taken.PERHAPS,
+                        CommitStatus.UNKNOWN,
                         "not decided within "
-                                + decideWithinMs
+                                + decisionTimeoutMs
                                 + " ms: no quorum of voters, or a slow one"),
-                decideWithinMs,
+                decisionTimeoutMs,
                 TimeUnit.MILLISECONDS);
         log.append(entry)
                 .whenComplete(
                         (index, failure) -> {
                             if (failure != null) {
                                 result.complete(
-                                        new Unavailable(Taken.PERHAPS, failure.getMessage()));
+                                        new Unavailable(
+                                                CommitStatus.UNKNOWN, failure.getMessage()));
                             }
                         });
         return result;
@@ -83,14 +84,14 @@
     private static Outcome tooLarge() {
         String expected =
                 "at most "
-                        + ConfigurationLimits.PROPOSAL_BYTES
+                        + ConfigurationLimits.MAX_PROPOSAL_BYTES
                         + " bytes with all fields written out";
-        return new Outcome.Refused(
+        return new Outcome.Rejected(
                 new Rejection(List.of(new ValidationError("changes", expected))));
     }
 
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         return log.leads();
     }
 
@@ -112,13 +113,13 @@
             try {
                 proposal = ConfigurationCodec.decodeProposal(entry);
             } catch (InvalidConfigurationException e) {
-                ControlLog.entryUnreadable(index, e); // the same on every member
+                ControlLog.logEntryUnreadable(index, e); // the same on every member
                 return;
             }
             long before = history.current().revision();
             Outcome outcome = history.propose(proposal);
             publishFrom(before);
-            tell(proposal, outcome);
+            reportOutcome(proposal, outcome);
         }
 
         private void publishFrom(long before) {
@@ -126,20 +127,20 @@
             if (current.revision() == before) {
                 return;
             }
-            Optional<List<Update>> updates = history.since(before);
+            Optional<List<Update>> updates = history.updatesSince(before);
             if (updates.isPresent()) {
                 updates.get().forEach(update -> feed.append(current, update));
             } else {
                 feed.replace(current, List.of()); // it was too large to be retained
             }
-            ControlLog.revision(current.revision());
+            ControlLog.revisionApplied(current.revision());
         }
 
-        private void tell(Proposal proposal, Outcome outcome) {
-            if (outcome instanceof Outcome.Refused refused) {
-                ControlLog.proposalRefused(proposal.id(), refused.refusal());
+        private void reportOutcome(Proposal proposal, Outcome outcome) {
+            if (outcome instanceof Outcome.Rejected rejected) {
+                ControlLog.proposalRejected(proposal.id(), rejected.rejection());
             }
-            pending.decided(proposal.id(), new Decided(outcome));
+            pending.complete(proposal.id(), new Decided(outcome));
         }
 
         @Override
@@ -152,10 +153,11 @@
             try {
                 history.restore(snapshot);
             } catch (InvalidConfigurationException e) {
-                ControlLog.snapshotUnreadable(index, e);
+                ControlLog.logSnapshotUnreadable(index, e);
                 throw new IllegalStateException("log snapshot at " + index, e);
             }
-            List<Update> retained = history.since(history.oldestRetained()).orElse(List.of());
+            List<Update> retained =
+                    history.updatesSince(history.oldestRetained()).orElse(List.of());
             feed.replace(history.current(), retained);
         }
     }
--- a/fleet/src/main/java/tinford/fleet/control/WatchHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchHandler.java
@@ -28,29 +28,29 @@
         try {
             request = QueryParameters.watchRequest(exchange, fleet);
         } catch (InvalidConfigurationException e) {
-            JsonResponse.sendFault(exchange, StatusCodes.BAD_REQUEST, e.fault());
+            JsonResponse.sendError(exchange, StatusCodes.BAD_REQUEST, e.error());
             return;
         }
         WatchResponseStream stream =
                 new WatchResponseStream(request, exchange, feed, timing, hub::remove);
         if (request.watch() && !hub.add(stream)) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, "1");
-            JsonResponse.sendFault(
+            JsonResponse.sendError(
                     exchange,
                     StatusCodes.SERVICE_UNAVAILABLE,
                     new ValidationError(
                             "follower", "fewer followers at this server, try another one"));
             return;
         }
-        tellIfAhead(request);
+        warnIfAhead(request);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/x-ndjson");
         exchange.dispatch(exchange.getIoThread(), stream::start);
     }
 
-    private void tellIfAhead(WatchRequest request) {
+    private void warnIfAhead(WatchRequest request) {
         long own = feed.current().revision();
-        if (request.after() > own) {
-            ControlLog.followerAhead(request.follower(), request.after(), own);
+        if (request.afterRevision() > own) {
+            ControlLog.followerAhead(request.follower(), request.afterRevision(), own);
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/WatchHub.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchHub.java
@@ -31,7 +31,7 @@
             earlier = streams.put(follower, stream);
         }
         if (earlier != null) {
-            earlier.closeSoon();
+            earlier.closeAsync();
         }
         return true;
     }
@@ -45,7 +45,7 @@
     }
 
     void closeAll() {
-        streams.values().forEach(WatchResponseStream::closeSoon);
+        streams.values().forEach(WatchResponseStream::closeAsync);
     }
 
     Set<String> followers() {
--- a/fleet/src/main/java/tinford/fleet/control/WatchRequest.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchRequest.java
@@ -4,7 +4,7 @@
  * What a follower asks for.
  *
  * @param watch whether the lines go on, or one is enough
- * @param after the revision that it holds
+ * @param afterRevision the revision that it holds
  * @param follower its id; may be empty where one line is enough
  */
-record WatchRequest(boolean watch, long after, String follower) {}
+record WatchRequest(boolean watch, long afterRevision, String follower) {}
--- a/fleet/src/main/java/tinford/fleet/control/WatchResponseStream.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchResponseStream.java
@@ -30,21 +30,21 @@
 
     private final WatchRequest request;
     private final HttpServerExchange exchange;
-    private final XnioIoThread thread;
+    private final XnioIoThread ioThread;
     private final RevisionFeed feed;
     private final WatchTiming timing;
-    private final Consumer<WatchResponseStream> whenClosed;
+    private final Consumer<WatchResponseStream> onClosed;
     private final AtomicBoolean wakeScheduled = new AtomicBoolean();
     private StreamSinkChannel channel;
     private XnioExecutor.Key timer;
 
     /** What is being written; null when all was written and flushed. */
-    private ByteBuffer outstanding;
+    private ByteBuffer pending;
 
     private long lineStartedAt;
-    private long progressAt;
+    private long lastProgressAt;
     private boolean lineSinceTick;
-    private boolean ending;
+    private boolean lastLineStarted;
     private boolean closed;
 
     /** Of the last line that was begun. */
@@ -57,14 +57,14 @@
             HttpServerExchange exchange,
             RevisionFeed feed,
             WatchTiming timing,
-            Consumer<WatchResponseStream> whenClosed) {
+            Consumer<WatchResponseStream> onClosed) {
         this.request = request;
         this.exchange = exchange;
-        this.thread = exchange.getIoThread();
+        this.ioThread = exchange.getIoThread();
         this.feed = feed;
         this.timing = timing;
-        this.whenClosed = whenClosed;
-        this.sentRevision = request.after();
+        this.onClosed = onClosed;
+        this.sentRevision = request.afterRevision();
     }
 
     WatchRequest request() {
@@ -82,7 +82,7 @@
             return;
         }
         if (request.watch()) {
-            exchange.getConnection().addCloseListener(connection -> onThread(this::close));
+            exchange.getConnection().addCloseListener(connection -> runOnIoThread(this::close));
         }
         channel = exchange.getResponseChannel();
         if (channel == null || !exchange.getConnection().isOpen()) {
@@ -90,9 +90,11 @@
             return;
         }
         channel.getWriteSetter().set(sink -> advance());
-        timer = thread.executeAtInterval(this::tick, timing.heartbeatMs(), TimeUnit.MILLISECONDS);
+        timer =
+                ioThread.executeAtInterval(
+                        this::tick, timing.heartbeatIntervalMs(), TimeUnit.MILLISECONDS);
         if (request.watch()) {
-            begin(HEARTBEAT); // the response's head goes out at once
+            startWriting(HEARTBEAT); // the response's head goes out at once
         }
         advance();
     }
@@ -100,7 +102,7 @@
     /** From any thread: there may be a line to write. */
     void wake() {
         if (wakeScheduled.compareAndSet(false, true)) {
-            onThread(
+            runOnIoThread(
                     () -> {
                         wakeScheduled.set(false);
                         advance();
@@ -109,17 +111,17 @@
     }
 
     /** From any thread. */
-    void closeSoon() {
-        onThread(this::close);
+    void closeAsync() {
+        runOnIoThread(this::close);
     }
 
-    private void onThread(Runnable task) {
-        if (Thread.currentThread() == thread) {
+    private void runOnIoThread(Runnable task) {
+        if (Thread.currentThread() == ioThread) {
             task.run();
             return;
         }
         try {
-            thread.execute(task);
+            ioThread.execute(task);
         } catch (RejectedExecutionException e) {
             // the server is being closed, and its connections with it
         }
@@ -130,7 +132,7 @@
             return; // a wake that came before the start is made up for there
         }
         try {
-            while (finishOutstanding() && beginNextLine()) {
+            while (writePending() && startNextLine()) {
                 // one line after the other, until the follower has all or takes in no more
             }
         } catch (IOException e) {
@@ -138,8 +140,8 @@
         }
     }
 
-    private boolean beginNextLine() throws IOException {
-        if (ending) {
+    private boolean startNextLine() throws IOException {
+        if (lastLineStarted) {
             endExchange();
             return false;
         }
@@ -152,38 +154,38 @@
         }
         sentRevision = line.revision();
         lineSinceTick = true;
-        begin(line.bytes());
-        ending = !request.watch();
+        startWriting(line.bytes());
+        lastLineStarted = !request.watch();
         return true;
     }
 
-    private void begin(byte[] bytes) {
-        outstanding = ByteBuffer.wrap(bytes).asReadOnlyBuffer();
+    private void startWriting(byte[] bytes) {
+        pending = ByteBuffer.wrap(bytes).asReadOnlyBuffer();
         pendingBytes = bytes.length;
         lineStartedAt = System.nanoTime();
-        progressAt = lineStartedAt;
+        lastProgressAt = lineStartedAt;
     }
 
     /** Returns whether nothing is left to write. */
-    private boolean finishOutstanding() throws IOException {
-        if (outstanding == null) {
+    private boolean writePending() throws IOException {
+        if (pending == null) {
             return true;
         }
-        while (outstanding.hasRemaining()) {
-            int written = channel.write(outstanding);
+        while (pending.hasRemaining()) {
+            int written = channel.write(pending);
             if (written <= 0) {
                 channel.resumeWrites();
                 return false;
             }
-            pendingBytes = outstanding.remaining();
-            progressAt = System.nanoTime();
+            pendingBytes = pending.remaining();
+            lastProgressAt = System.nanoTime();
         }
         if (!channel.flush()) {
             channel.resumeWrites();
             return false;
         }
         channel.suspendWrites();
-        outstanding = null;
+        pending = null;
         return true;
     }
 
@@ -191,7 +193,7 @@
         stopTimer();
         closed = true;
         exchange.endExchange();
-        whenClosed.accept(this);
+        onClosed.accept(this);
     }
 
     private void tick() {
@@ -199,9 +201,11 @@
             return;
         }
         long now = System.nanoTime();
-        if (outstanding != null) {
-            boolean stalled = now - progressAt > TimeUnit.MILLISECONDS.toNanos(timing.stallMs());
-            boolean late = now - lineStartedAt > TimeUnit.MILLISECONDS.toNanos(timing.lineMs());
+        if (pending != null) {
+            boolean stalled =
+                    now - lastProgressAt > TimeUnit.MILLISECONDS.toNanos(timing.stallTimeoutMs());
+            boolean late =
+                    now - lineStartedAt > TimeUnit.MILLISECONDS.toNanos(timing.lineTimeoutMs());
             if (stalled || late) {
                 ControlLog.followerStalled(request.follower(), pendingBytes);
                 close();
@@ -209,7 +213,7 @@
             return;
         }
         if (request.watch() && !lineSinceTick) {
-            begin(HEARTBEAT);
+            startWriting(HEARTBEAT);
         }
         lineSinceTick = false;
         advance();
@@ -227,9 +231,9 @@
         }
         closed = true;
         stopTimer();
-        outstanding = null;
+        pending = null;
         pendingBytes = 0;
         IoUtils.safeClose(exchange.getConnection());
-        whenClosed.accept(this);
+        onClosed.accept(this);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/follow/ConfigurationClient.java
+++ b/fleet/src/main/java/tinford/fleet/follow/ConfigurationClient.java
@@ -32,11 +32,11 @@
 public final class ConfigurationClient implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger("tinford.fleet.configuration");
     private static final long REPORT_TIMEOUT_S = 5;
-    private static final double WARN_AGAIN_MS = 60_000;
+    private static final double WARNING_INTERVAL_MS = 60_000;
     private static final int STATUS_OK = 200;
 
     /** Of the heap, what one line may take: a line is held up to three times while it is read. */
-    private static final int HEAP_PART_OF_A_LINE = 16;
+    private static final int HEAP_DIVISOR_PER_LINE = 16;
 
     private final FollowerSettings settings;
     private final ConfigurationListener listener;
@@ -44,11 +44,11 @@
     private final ScheduledExecutorService executor;
     private final SerialExecutor serial;
     private final Follower follower;
-    private final WarningLimiter warnings = new WarningLimiter(WARN_AGAIN_MS);
+    private final WarningLimiter warnings = new WarningLimiter(WARNING_INTERVAL_MS);
     private final AtomicLong bytesReceived = new AtomicLong();
     private final AtomicLong bytesSent = new AtomicLong();
     private final AtomicLong connects = new AtomicLong();
-    private volatile Configuration inForce;
+    private volatile Configuration activeConfiguration;
     private Watch watch;
     private Action.Report waitingReport;
     private boolean reporting;
@@ -66,21 +66,21 @@
         this.http = http;
         this.executor = executor;
         this.serial = new SerialExecutor(executor);
-        this.inForce = settings.inForce();
+        this.activeConfiguration = settings.initialConfiguration();
         this.follower =
                 new Follower(
                         settings.id(),
                         settings.region(),
                         settings.fleetId(),
                         settings.endpoints(),
-                        settings.inForce(),
+                        settings.initialConfiguration(),
                         settings.random());
     }
 
     /** Begins to follow; returns at once. */
     public synchronized void start() {
         if (ticks == null && !closed) {
-            long every = Math.round(Follower.TICK_MS);
+            long every = Math.round(Follower.TICK_INTERVAL_MS);
             ticks =
                     executor.scheduleWithFixedDelay(
                             () -> serial.execute(this::tick), 0, every, TimeUnit.MILLISECONDS);
@@ -98,8 +98,8 @@
     }
 
     /** The configuration in force; from any thread. */
-    public Configuration inForce() {
-        return inForce;
+    public Configuration activeConfiguration() {
+        return activeConfiguration;
     }
 
     /** Bytes of bodies received so far; from any thread. */
@@ -166,12 +166,12 @@
             refusal = "configuration: expected one that can be applied, not " + e;
         }
         List<Action> next = follower.applied(refusal, now());
-        inForce = follower.inForce();
+        activeConfiguration = follower.activeConfiguration();
         return next;
     }
 
     private void warn(String message) {
-        if (warnings.mayTell(message, now())) {
+        if (warnings.tryAcquire(message, now())) {
             LOG.log(Level.WARNING, "configuration, follower " + settings.id() + ": " + message);
         }
     }
@@ -321,8 +321,8 @@
     }
 
     private static int longestLine() {
-        long part = Runtime.getRuntime().maxMemory() / HEAP_PART_OF_A_LINE;
-        return (int) Math.min(ConfigurationLimits.LINE_BYTES, part);
+        long part = Runtime.getRuntime().maxMemory() / HEAP_DIVISOR_PER_LINE;
+        return (int) Math.min(ConfigurationLimits.MAX_LINE_BYTES, part);
     }
 
     private static String cause(Throwable failure) {
--- a/fleet/src/main/java/tinford/fleet/follow/FollowerSettings.java
+++ b/fleet/src/main/java/tinford/fleet/follow/FollowerSettings.java
@@ -12,7 +12,7 @@
  * @param region where it runs; control servers there are preferred
  * @param fleetId the fleet whose configuration it takes, and no other's
  * @param endpoints all control servers
- * @param inForce what is in force at the start: the last good snapshot, or {@link
+ * @param initialConfiguration what is in force at the start: the last good snapshot, or {@link
  *     Configuration#EMPTY}
  * @param random for the jitter of reconnects
  */
@@ -21,7 +21,7 @@
         String region,
         String fleetId,
         List<Endpoint> endpoints,
-        Configuration inForce,
+        Configuration initialConfiguration,
         RandomGenerator random) {
     public FollowerSettings {
         endpoints = List.copyOf(endpoints);
--- a/fleet/src/main/java/tinford/fleet/follow/LineSplitter.java
+++ b/fleet/src/main/java/tinford/fleet/follow/LineSplitter.java
@@ -8,37 +8,37 @@
 /** Cuts a stream of bytes into lines of bounded length. Not thread-safe. */
 final class LineSplitter {
     /** A line is longer than it may be. */
-    static final class LineTooLong extends Exception {
+    static final class LineTooLongException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        LineTooLong(int longest) {
-            super("line: expected at most " + longest + " bytes");
+        LineTooLongException(int maxLineBytes) {
+            super("line: expected at most " + maxLineBytes + " bytes");
         }
     }
 
     private static final byte LINE_END = '\n';
-    private final int longest;
-    private ByteArrayOutputStream begun = new ByteArrayOutputStream();
+    private final int maxLineBytes;
+    private ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
 
     /** For lines of at most so many bytes. */
-    LineSplitter(int longest) {
-        this.longest = longest;
+    LineSplitter(int maxLineBytes) {
+        this.maxLineBytes = maxLineBytes;
     }
 
     /**
      * The lines that end in these bytes, without their ends; the rest is kept for the next call.
      */
-    List<byte[]> split(List<ByteBuffer> buffers) throws LineTooLong {
+    List<byte[]> split(List<ByteBuffer> buffers) throws LineTooLongException {
         List<byte[]> lines = new ArrayList<>();
         for (ByteBuffer buffer : buffers) {
             while (buffer.hasRemaining()) {
                 int length = lengthToLineEnd(buffer);
-                boolean ends = length < buffer.remaining();
+                boolean endsLine = length < buffer.remaining();
                 take(buffer, length);
-                if (ends) {
+                if (endsLine) {
                     buffer.get();
-                    lines.add(begun.toByteArray());
-                    begun = new ByteArrayOutputStream();
+                    lines.add(partialLine.toByteArray());
+                    partialLine = new ByteArrayOutputStream();
                 }
             }
         }
@@ -54,12 +54,12 @@
         return buffer.remaining();
     }
 
-    private void take(ByteBuffer buffer, int length) throws LineTooLong {
-        if (begun.size() + length > longest) {
-            throw new LineTooLong(longest);
+    private void take(ByteBuffer buffer, int length) throws LineTooLongException {
+        if (partialLine.size() + length > maxLineBytes) {
+            throw new LineTooLongException(maxLineBytes);
         }
         byte[] bytes = new byte[length];
         buffer.get(bytes);
-        begun.writeBytes(bytes);
+        partialLine.writeBytes(bytes);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
+++ b/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
@@ -25,10 +25,10 @@
     public record Loaded(Configuration configuration, String problem) {}
 
     private static final String NAME = "configuration";
-    private static final int LARGEST_BYTES = 8 << 20;
+    private static final int MAX_CONTENT_BYTES = 8 << 20;
 
     /** Revisions order the contents; how a clock was set since does not matter. */
-    private static final double ANY_DATE = Double.POSITIVE_INFINITY;
+    private static final double UNLIMITED_CLOCK_SKEW_MS = Double.POSITIVE_INFINITY;
 
     private final Path lockFile;
     private final Store store;
@@ -38,7 +38,7 @@
     /** In a folder that lasts, for the configuration of one fleet. */
     public SnapshotFile(Path folder, String fleetId) {
         this.lockFile = folder.resolve(NAME + ".lock");
-        this.store = new FileStore(folder, NAME, LARGEST_BYTES, ANY_DATE);
+        this.store = new FileStore(folder, NAME, MAX_CONTENT_BYTES, UNLIMITED_CLOCK_SKEW_MS);
         this.codec = new SnapshotCodec(fleetId);
     }
 
--- a/fleet/src/main/java/tinford/fleet/follow/WarningLimiter.java
+++ b/fleet/src/main/java/tinford/fleet/follow/WarningLimiter.java
@@ -5,22 +5,22 @@
 
 /** Lets each warning pass once in a while; remembers a bounded number of them. Not thread-safe. */
 final class WarningLimiter {
-    private static final int REMEMBERED = 100;
-    private final double againMs;
-    private final Map<String, Double> toldAt = new LinkedHashMap<>();
+    private static final int MAX_REMEMBERED = 100;
+    private final double intervalMs;
+    private final Map<String, Double> loggedAtMs = new LinkedHashMap<>();
 
     /** Tells the same warning again after so long. */
-    WarningLimiter(double againMs) {
-        this.againMs = againMs;
+    WarningLimiter(double intervalMs) {
+        this.intervalMs = intervalMs;
     }
 
     /** Whether this one is to be told now; where more than are remembered come, it is not. */
-    boolean mayTell(String message, double now) {
-        toldAt.values().removeIf(at -> now - at >= againMs);
-        if (toldAt.containsKey(message) || toldAt.size() >= REMEMBERED) {
+    boolean tryAcquire(String message, double nowMs) {
+        loggedAtMs.values().removeIf(at -> nowMs - at >= intervalMs);
+        if (loggedAtMs.containsKey(message) || loggedAtMs.size() >= MAX_REMEMBERED) {
             return false;
         }
-        toldAt.put(message, now);
+        loggedAtMs.put(message, nowMs);
         return true;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/follow/WatchSubscription.java
+++ b/fleet/src/main/java/tinford/fleet/follow/WatchSubscription.java
@@ -33,14 +33,14 @@
     private boolean cancelled;
 
     /**
-     * @param longestLine in bytes; a longer one ends the watch
+     * @param maxLineBytes in bytes; a longer one ends the watch
      * @param bytesReceived is increased by what comes
      */
     WatchSubscription(
-            Executor executor, Listener listener, int longestLine, AtomicLong bytesReceived) {
+            Executor executor, Listener listener, int maxLineBytes, AtomicLong bytesReceived) {
         this.executor = executor;
         this.listener = listener;
-        this.lines = new LineSplitter(longestLine);
+        this.lines = new LineSplitter(maxLineBytes);
         this.bytesReceived = bytesReceived;
     }
 
@@ -67,13 +67,13 @@
     private void handle(List<ByteBuffer> buffers) {
         bytesReceived.addAndGet(buffers.stream().mapToLong(ByteBuffer::remaining).sum());
         try {
-            List<byte[]> whole = lines.split(buffers);
-            whole.forEach(listener::line);
-            if (whole.isEmpty()) {
+            List<byte[]> completeLines = lines.split(buffers);
+            completeLines.forEach(listener::line);
+            if (completeLines.isEmpty()) {
                 listener.partialLine();
             }
             requestMore();
-        } catch (LineSplitter.LineTooLong e) {
+        } catch (LineSplitter.LineTooLongException e) {
             cancel();
             listener.ended(e.getMessage());
         }
--- a/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
+++ b/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
@@ -84,13 +84,13 @@
         }
         return new RequestClass(
                 route.name(),
-                route.targetMs(),
+                route.latencyObjectiveMs(),
                 route.timeoutMs(),
-                route.value(),
-                route.lateValue(),
-                route.effect(),
-                route.group(),
-                route.repeatWindowMs(),
+                route.priorityWeight(),
+                route.lateWeight(),
+                route.idempotency(),
+                route.deduplicationScope(),
+                route.deduplicationWindowMs(),
                 route.streamed());
     }
 
@@ -100,14 +100,14 @@
         }
         return new tinford.api.Plan(
                 plan.name(),
-                plan.ratePerSecond() / SECOND_MS,
+                plan.quotaPerSecond() / SECOND_MS,
                 plan.burst(),
-                plan.maxOpen(),
-                plan.price(),
-                plan.beyondValue(),
-                plan.beyondCost(),
-                plan.ceilingPerSecond() / SECOND_MS,
-                plan.ceilingBurst(),
-                plan.ceilingSlack());
+                plan.maxOpenRequests(),
+                plan.priorityWeight(),
+                plan.overQuotaWeight(),
+                plan.overQuotaCost(),
+                plan.hardLimitPerSecond() / SECOND_MS,
+                plan.hardLimitBurst(),
+                plan.hardLimitSlack());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
@@ -177,7 +177,7 @@
         }
         writing = false;
         try {
-            snapshots.write(client.inForce());
+            snapshots.write(client.activeConfiguration());
         } catch (IOException e) {
             LOG.log(Level.WARNING, "the configuration is not kept on the disk yet: " + e);
             writeSoon(WRITE_AGAIN_MS);
--- a/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -111,12 +111,12 @@
         for (String key :
                 List.of("configuration.fleet", "configuration.region", "configuration.folder")) {
             if (text(key).isEmpty()) {
-                faults.add(settings.faultAt(place, key, "where configuration.on is true"));
+                faults.add(settings.errorAt(place, key, "where configuration.on is true"));
             }
         }
         if (texts("configuration.servers").isEmpty()) {
             faults.add(
-                    settings.faultAt(
+                    settings.errorAt(
                             place,
                             "configuration.servers",
                             "one or more where configuration.on is true"));
@@ -124,7 +124,7 @@
     }
 
     private void fault(String key, String expected) {
-        faults.add(settings.fault(key, expected));
+        faults.add(settings.error(key, expected));
     }
 
     public double number(String key) {
--- a/fleet/src/main/java/tinford/fleet/settings/EndpointText.java
+++ b/fleet/src/main/java/tinford/fleet/settings/EndpointText.java
@@ -11,7 +11,7 @@
     public static final String FORM = "region=numeric host:port";
 
     private static final Pattern ENDPOINT = Pattern.compile("([^=\\s]+)=([0-9.]+):([0-9]{1,5})");
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     private EndpointText() {}
 
@@ -22,7 +22,7 @@
             return null;
         }
         int port = Integer.parseInt(form.group(3));
-        return port < 1 || port > MOST_PORT || !RecordChecks.isName(form.group(1))
+        return port < 1 || port > MAX_PORT || !RecordChecks.isName(form.group(1))
                 ? null
                 : new Endpoint(form.group(1), form.group(2), port);
     }
--- a/fleet/src/main/java/tinford/fleet/settings/InvalidOperatorFileException.java
+++ b/fleet/src/main/java/tinford/fleet/settings/InvalidOperatorFileException.java
@@ -6,7 +6,7 @@
 public final class InvalidOperatorFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public InvalidOperatorFileException(List<String> faults) {
-        super(String.join("\n", faults));
+    public InvalidOperatorFileException(List<String> errors) {
+        super(String.join("\n", errors));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/settings/OperatorSettings.java
+++ b/fleet/src/main/java/tinford/fleet/settings/OperatorSettings.java
@@ -5,7 +5,7 @@
 
 /** The values of an operator file that was read, by {@code table.key}. */
 public final class OperatorSettings {
-    private static final int NOWHERE = 0;
+    private static final int NOT_WRITTEN = 0;
 
     private final String file;
     private final String content;
@@ -36,19 +36,19 @@
     }
 
     /** One line that tells of a fault: file, line of the key where it is written, key. */
-    public String fault(String key, String expected) {
-        return faultAt(key, key, expected);
+    public String error(String key, String expected) {
+        return errorAt(key, key, expected);
     }
 
     /** The same, with the line of another key, as where that one makes this one needed. */
-    public String faultAt(String place, String key, String expected) {
-        int line = lineOf(place);
-        String where = line == NOWHERE ? file : file + ", line " + line;
+    public String errorAt(String lineKey, String key, String expected) {
+        int line = lineOf(lineKey);
+        String where = line == NOT_WRITTEN ? file : file + ", line " + line;
         return where + ": " + key + ": expected " + expected;
     }
 
     boolean isWritten(String key) {
-        return lineOf(key) != NOWHERE;
+        return lineOf(key) != NOT_WRITTEN;
     }
 
     /** The parser keeps no places of values; the key's first line in its table is one. */
@@ -56,17 +56,17 @@
         int dot = key.indexOf('.');
         String table = dot < 0 ? "" : key.substring(0, dot);
         String name = key.substring(dot + 1);
-        int number = 0;
-        String current = "";
+        int lineNumber = 0;
+        String currentTable = "";
         for (String line : content.lines().toList()) {
-            number++;
+            lineNumber++;
             String stripped = line.strip();
             if (stripped.startsWith("[")) {
-                current = stripped.replaceAll("[\\[\\]\\s]|#.*", "");
-            } else if (current.equals(table) && stripped.split("=")[0].strip().equals(name)) {
-                return number;
+                currentTable = stripped.replaceAll("[\\[\\]\\s]|#.*", "");
+            } else if (currentTable.equals(table) && stripped.split("=")[0].strip().equals(name)) {
+                return lineNumber;
             }
         }
-        return NOWHERE;
+        return NOT_WRITTEN;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/settings/SettingsKey.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsKey.java
@@ -7,9 +7,9 @@
 /**
  * One key of a schema: its type, and the value it has where it is left out.
  *
- * @param absent null where the key is required
+ * @param defaultValue null where the key is required
  */
-record SettingsKey(Type type, String expected, double least, double most, Object absent) {
+record SettingsKey(Type type, String expected, double min, double max, Object defaultValue) {
     /** The types of values. */
     enum Type {
         NUMBER,
@@ -18,13 +18,13 @@
         TEXTS
     }
 
-    static SettingsKey number(double least, double most, Double absent) {
-        String expected = "a number from " + plain(least) + " to " + plain(most);
-        return new SettingsKey(Type.NUMBER, expected, least, most, absent);
+    static SettingsKey number(double min, double max, Double defaultValue) {
+        String expected = "a number from " + plain(min) + " to " + plain(max);
+        return new SettingsKey(Type.NUMBER, expected, min, max, defaultValue);
     }
 
-    static SettingsKey of(Type type, String expected, Object absent) {
-        return new SettingsKey(type, expected, 0, 0, absent);
+    static SettingsKey of(Type type, String expected, Object defaultValue) {
+        return new SettingsKey(type, expected, 0, 0, defaultValue);
     }
 
     /** The value, or null where it is not as expected. */
@@ -39,7 +39,7 @@
 
     private Double number(JsonNode node) {
         double number = node.isNumber() ? node.doubleValue() : Double.NaN;
-        return number >= least && number <= most ? (Double) number : null;
+        return number >= min && number <= max ? (Double) number : null;
     }
 
     private static List<String> texts(JsonNode node) {
--- a/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
@@ -16,14 +16,14 @@
     private final Map<String, SettingsKey> keys = new LinkedHashMap<>();
 
     /** A number that may be left out. */
-    public SettingsSchema number(String key, double absent, double least, double most) {
-        keys.put(key, SettingsKey.number(least, most, absent));
+    public SettingsSchema number(String key, double defaultValue, double min, double max) {
+        keys.put(key, SettingsKey.number(min, max, defaultValue));
         return this;
     }
 
     /** True or false; may be left out. */
-    public SettingsSchema flag(String key, boolean absent) {
-        keys.put(key, SettingsKey.of(SettingsKey.Type.FLAG, "true or false", absent));
+    public SettingsSchema flag(String key, boolean defaultValue) {
+        keys.put(key, SettingsKey.of(SettingsKey.Type.FLAG, "true or false", defaultValue));
         return this;
     }
 
@@ -65,17 +65,17 @@
     public OperatorSettings parse(String file, String text) throws InvalidOperatorFileException {
         Map<String, Object> values = new LinkedHashMap<>();
         OperatorSettings settings = new OperatorSettings(file, text, values);
-        List<String> faults = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         for (Map.Entry<String, JsonNode> table : tree(file, text).properties()) {
             if (table.getValue().isObject()) {
-                readTable(table, settings, values, faults);
+                readTable(table, settings, values, errors);
             } else {
-                faults.add(settings.fault(table.getKey(), "to stand in a table"));
+                errors.add(settings.error(table.getKey(), "to stand in a table"));
             }
         }
-        addAbsent(settings, values, faults);
-        if (!faults.isEmpty()) {
-            throw new InvalidOperatorFileException(faults);
+        addDefaults(settings, values, errors);
+        if (!errors.isEmpty()) {
+            throw new InvalidOperatorFileException(errors);
         }
         return settings;
     }
@@ -99,31 +99,31 @@
             Map.Entry<String, JsonNode> table,
             OperatorSettings settings,
             Map<String, Object> values,
-            List<String> faults) {
+            List<String> errors) {
         for (Map.Entry<String, JsonNode> entry : table.getValue().properties()) {
             String name = table.getKey() + "." + entry.getKey();
             SettingsKey key = keys.get(name);
             if (key == null) {
-                faults.add(settings.fault(name, "no such key; there are " + keys.keySet()));
+                errors.add(settings.error(name, "no such key; there are " + keys.keySet()));
                 continue;
             }
             Object value = key.value(entry.getValue());
             if (value == null) {
-                faults.add(settings.fault(name, key.expected()));
+                errors.add(settings.error(name, key.expected()));
             } else {
                 values.put(name, value);
             }
         }
     }
 
-    private void addAbsent(
-            OperatorSettings settings, Map<String, Object> values, List<String> faults) {
+    private void addDefaults(
+            OperatorSettings settings, Map<String, Object> values, List<String> errors) {
         keys.forEach(
                 (name, key) -> {
-                    if (key.absent() != null) {
-                        values.putIfAbsent(name, key.absent());
+                    if (key.defaultValue() != null) {
+                        values.putIfAbsent(name, key.defaultValue());
                     } else if (!values.containsKey(name) && !settings.isWritten(name)) {
-                        faults.add(settings.fault(name, key.expected()));
+                        errors.add(settings.error(name, key.expected()));
                     }
                 });
     }
--- a/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
@@ -85,7 +85,7 @@
                 "{\"version\":1,\"revision\":6}");
         Rejection refusal = new Rejection(List.of(new ValidationError("k", "e")));
         assertEquals(
-                text(ConfigurationCodec.encode(new Outcome.Refused(refusal))),
+                text(ConfigurationCodec.encode(new Outcome.Rejected(refusal))),
                 "{\"version\":1,\"faults\":[{\"key\":\"k\",\"expected\":\"e\"}]}");
     }
 
@@ -93,7 +93,7 @@
     public void outcomesReportsAndMessagesComeBackAsTheyWere() throws Exception {
         Outcome accepted = new Outcome.Accepted(9);
         Outcome refused =
-                new Outcome.Refused(new Rejection(List.of(new ValidationError("k", "\"e\" \\"))));
+                new Outcome.Rejected(new Rejection(List.of(new ValidationError("k", "\"e\" \\"))));
         assertEquals(
                 ConfigurationCodec.decodeOutcome(ConfigurationCodec.encode(accepted)), accepted);
         assertEquals(ConfigurationCodec.decodeOutcome(ConfigurationCodec.encode(refused)), refused);
@@ -236,12 +236,12 @@
                         () -> ConfigurationCodec.decodeProposal(bytes(json)));
         assertEquals(refused.key(), key, refused.getMessage());
         assertFalse(refused.expected().isBlank());
-        assertEquals(refused.fault().toString().lines().count(), 1);
+        assertEquals(refused.error().toString().lines().count(), 1);
     }
 
     @Test
     public void anOversizedProposalIsRefusedBeforeItIsRead() {
-        byte[] large = new byte[ConfigurationLimits.PROPOSAL_BYTES + 1];
+        byte[] large = new byte[ConfigurationLimits.MAX_PROPOSAL_BYTES + 1];
         InvalidConfigurationException refused =
                 expectThrows(
                         InvalidConfigurationException.class,
@@ -307,7 +307,7 @@
     public void aLongRefusalIsCutInAReport() throws Exception {
         FollowerReport report = new FollowerReport("g", "east", 1, "x\n".repeat(2000));
         FollowerReport read = ConfigurationCodec.decodeReport(ConfigurationCodec.encode(report));
-        assertEquals(read.refusal().length(), ConfigurationLimits.TEXT_LENGTH);
+        assertEquals(read.rejectionReason().length(), ConfigurationLimits.MAX_TEXT_LENGTH);
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/config/FollowerHistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerHistoriesTest.java
@@ -88,7 +88,7 @@
             for (int step = 0; step < QUIET_STEPS; step++) {
                 step();
             }
-            assertEquals(follower.inForce().revision(), last(), "seed " + seed);
+            assertEquals(follower.activeConfiguration().revision(), last(), "seed " + seed);
         }
 
         private long last() {
@@ -121,7 +121,7 @@
                 case 10 -> {
                     if (random.nextInt(10) == 0) {
                         restart(random.nextBoolean() ? disk : Configuration.EMPTY);
-                        disk = follower.inForce();
+                        disk = follower.activeConfiguration();
                     }
                 }
                 default -> one.revision = last();
@@ -171,7 +171,7 @@
             if (sent >= followed.revision) {
                 return new byte[0];
             }
-            List<Update> updates = history.since(sent).orElse(null);
+            List<Update> updates = history.updatesSince(sent).orElse(null);
             if (updates == null) {
                 sent = followed.revision;
                 return snapshotOf(sent);
@@ -204,11 +204,11 @@
 
         private void settle() {
             applying = false;
-            long before = follower.inForce().revision();
+            long before = follower.activeConfiguration().revision();
             boolean refuse = troubled && random.nextInt(6) == 0;
             refusals += refuse ? 1 : 0;
             List<Action> actions = follower.applied(refuse ? "not here" : null, now);
-            Configuration inForce = follower.inForce();
+            Configuration inForce = follower.activeConfiguration();
             assertTrue(inForce.revision() >= before, "seed " + seed + ": went back");
             assertEquals(
                     inForce.contentHash(),
@@ -229,7 +229,7 @@
                     opening = false;
                 } else if (action instanceof Action.Apply apply) {
                     assertEquals(
-                            follower.inForce()
+                            follower.activeConfiguration()
                                     .with(apply.update().revision(), apply.update().changes())
                                     .contentHash(),
                             apply.result().contentHash(),
@@ -239,14 +239,16 @@
                     snapshots++;
                     begin(apply.configuration());
                 } else if (action instanceof Action.Report report) {
-                    assertEquals(report.report().revision(), follower.inForce().revision());
+                    assertEquals(
+                            report.report().revision(), follower.activeConfiguration().revision());
                 }
             }
         }
 
         private void begin(Configuration offered) {
             assertTrue(!applying, "seed " + seed + ": two at once");
-            assertTrue(offered.revision() > follower.inForce().revision(), "seed " + seed);
+            assertTrue(
+                    offered.revision() > follower.activeConfiguration().revision(), "seed " + seed);
             applying = true;
         }
     }
--- a/fleet/src/test/java/tinford/fleet/config/FollowerTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerTest.java
@@ -76,13 +76,13 @@
         Action.Apply apply = only(line(update(0, 1, Samples.basics())), Action.Apply.class);
         assertEquals(apply.update(), new Update(0, 1, Samples.basics()));
         assertEquals(apply.result().contentHash(), Samples.basic().contentHash());
-        assertSame(follower.inForce(), Configuration.EMPTY, "until it is applied");
-        assertSame(follower.received(), apply.result());
+        assertSame(follower.activeConfiguration(), Configuration.EMPTY, "until it is applied");
+        assertSame(follower.receivedConfiguration(), apply.result());
         now += 1000;
         Action.Report report = only(follower.applied(null, now), Action.Report.class);
         assertEquals(report.report().revision(), 1);
-        assertNull(report.report().refusal());
-        assertSame(follower.inForce(), apply.result());
+        assertNull(report.report().rejectionReason());
+        assertSame(follower.activeConfiguration(), apply.result());
     }
 
     @Test
@@ -92,7 +92,7 @@
                 only(line(snapshot(Samples.basic())), Action.ApplySnapshot.class);
         assertEquals(apply.configuration().contentHash(), Samples.basic().contentHash());
         follower.applied(null, now);
-        assertEquals(follower.inForce().revision(), 1);
+        assertEquals(follower.activeConfiguration().revision(), 1);
     }
 
     @Test
@@ -105,7 +105,7 @@
         Action.Apply apply = first(follower.applied(null, now), Action.Apply.class);
         assertEquals(apply.update(), new Update(1, 4, List.of(Samples.putService("b"))));
         assertEquals(apply.result().revision(), 4);
-        assertEquals(follower.inForce().revision(), 1);
+        assertEquals(follower.activeConfiguration().revision(), 1);
     }
 
     @Test
@@ -134,8 +134,8 @@
         assertEquals(warn.message(), "revision 2: services.a: no such address");
         Action.Report report = first(actions, Action.Report.class);
         assertEquals(report.report().revision(), 1);
-        assertEquals(report.report().refusal(), warn.message());
-        assertEquals(follower.inForce().revision(), 1);
+        assertEquals(report.report().rejectionReason(), warn.message());
+        assertEquals(follower.activeConfiguration().revision(), 1);
         assertEquals(line(HEARTBEAT), List.of(), "it is not offered again");
         Action.Apply next =
                 only(
@@ -152,7 +152,7 @@
         open();
         line(snapshot(Samples.basic()));
         follower.applied("no", now);
-        assertEquals(follower.inForce().revision(), 0);
+        assertEquals(follower.activeConfiguration().revision(), 0);
         Action.ApplySnapshot next =
                 only(
                         line(update(1, 2, List.of(Samples.putService("a")))),
@@ -165,7 +165,7 @@
         follower = follower(Samples.basic().with(9, List.of()), 1);
         open();
         refusedBy(line(snapshot(Samples.basic())), "no earlier one than the revision held, 9");
-        assertEquals(follower.inForce().revision(), 9);
+        assertEquals(follower.activeConfiguration().revision(), 9);
     }
 
     @Test
@@ -173,21 +173,21 @@
         follower = follower(Samples.basic().with(9, List.of()), 1);
         open();
         refusedBy(line(update(7, 8, List.of())), "the revision held, 9, not 7 to 8");
-        assertEquals(follower.received().revision(), 9);
+        assertEquals(follower.receivedConfiguration().revision(), 9);
     }
 
     @Test
     public void aGapIsRefused() {
         open();
         refusedBy(line(update(1, 2, List.of())), "the revision held, 0, not 1 to 2");
-        assertEquals(follower.received().revision(), 0);
+        assertEquals(follower.receivedConfiguration().revision(), 0);
     }
 
     @Test
     public void anUnsoundUpdateIsRefused() {
         open();
         refusedBy(line(update(0, 1, List.of(Samples.putRoute("r", "s")))), "putRoute.service");
-        assertEquals(follower.received().revision(), 0);
+        assertEquals(follower.receivedConfiguration().revision(), 0);
     }
 
     @Test
@@ -211,7 +211,7 @@
                         "{\"version\":1,".getBytes(StandardCharsets.UTF_8),
                         "{\"version\":2,\"update\":{}}".getBytes(StandardCharsets.UTF_8),
                         "x".repeat(100).getBytes(StandardCharsets.UTF_8),
-                        new byte[ConfigurationLimits.LINE_BYTES + 1],
+                        new byte[ConfigurationLimits.MAX_LINE_BYTES + 1],
                         snapshotLine(1, foreign),
                         snapshotLine(1, torn),
                         snapshotLine(2, other));
@@ -219,7 +219,7 @@
             start();
             open();
             refusedBy(line(each), "expected");
-            assertEquals(follower.received().revision(), 0);
+            assertEquals(follower.receivedConfiguration().revision(), 0);
         }
     }
 
@@ -231,7 +231,7 @@
         open();
         List<Action> again = line(new byte[] {'x'});
         assertTrue(!has(again, Action.Warn.class) && has(again, Action.Report.class));
-        now += Follower.WARN_EVERY_MS;
+        now += Follower.WARNING_INTERVAL_MS;
         open();
         assertTrue(has(line(new byte[] {'x'}), Action.Warn.class));
     }
@@ -242,10 +242,11 @@
         line(new byte[] {'x'});
         now += 1000;
         Action.Report report = open();
-        assertTrue(report.report().refusal().contains("json"));
-        serveFor(Follower.STEADY_MS + 1000);
+        assertTrue(report.report().rejectionReason().contains("json"));
+        serveFor(Follower.STEADY_WATCH_MS + 1000);
         line(update(0, 1, Samples.basics()));
-        assertNull(first(follower.applied(null, now), Action.Report.class).report().refusal());
+        assertNull(
+                first(follower.applied(null, now), Action.Report.class).report().rejectionReason());
     }
 
     @Test
@@ -256,7 +257,7 @@
         now += 1;
         only(follower.tick(now), Action.Disconnect.class);
         assertEquals(follower.tick(now), List.of(), "not at once");
-        now += EndpointRotation.FIRST_DELAY_MS;
+        now += EndpointRotation.INITIAL_BACKOFF_MS;
         Action.Connect next = only(follower.tick(now), Action.Connect.class);
         assertNotEquals(next.endpoint(), first);
         assertEquals(next.endpoint().region(), "east");
@@ -316,37 +317,37 @@
                 List.of("east", "east", "west", "west"));
         assertEquals(new HashSet<>(tried.subList(0, 4)).size(), 4);
         assertEquals(tried.subList(4, 8), tried.subList(0, 4));
-        double first = EndpointRotation.FIRST_DELAY_MS;
+        double first = EndpointRotation.INITIAL_BACKOFF_MS;
         assertTrue(waits.get(1) >= first / 2 && waits.get(1) <= first + 1, waits.toString());
         double last = waits.get(waits.size() - 1);
-        double longest = EndpointRotation.LONGEST_DELAY_MS;
+        double longest = EndpointRotation.MAX_BACKOFF_MS;
         assertTrue(last >= longest / 2 && last <= longest + 1, waits.toString());
     }
 
     @Test
     public void aSteadyWatchEndsTheSlowness() {
         for (int i = 0; i < 30; i++) {
-            now += EndpointRotation.LONGEST_DELAY_MS;
+            now += EndpointRotation.MAX_BACKOFF_MS;
             follower.tick(now);
             follower.closed("refused", now);
         }
-        now += EndpointRotation.LONGEST_DELAY_MS;
+        now += EndpointRotation.MAX_BACKOFF_MS;
         open();
-        serveFor(Follower.STEADY_MS + 1000);
+        serveFor(Follower.STEADY_WATCH_MS + 1000);
         follower.closed("ended", now);
-        now += EndpointRotation.FIRST_DELAY_MS;
+        now += EndpointRotation.INITIAL_BACKOFF_MS;
         only(follower.tick(now), Action.Connect.class);
     }
 
     @Test
     public void aServerThatEndsEachWatchAtOnceIsTriedEverMoreSlowly() {
         for (int i = 0; i < 30; i++) {
-            now += EndpointRotation.LONGEST_DELAY_MS;
+            now += EndpointRotation.MAX_BACKOFF_MS;
             open();
             line(HEARTBEAT);
             follower.closed("ended", now);
         }
-        now += EndpointRotation.LONGEST_DELAY_MS / 2 - 1;
+        now += EndpointRotation.MAX_BACKOFF_MS / 2 - 1;
         assertEquals(follower.tick(now), List.of());
     }
 
@@ -359,7 +360,7 @@
         follower.closed("refused", now);
         now += 1000;
         assertEquals(open().endpoint().region(), "west");
-        List<Action> actions = serveFor(2 * Follower.RETURN_MS);
+        List<Action> actions = serveFor(2 * Follower.OWN_REGION_RETRY_MS);
         assertTrue(has(actions, Action.Disconnect.class));
         assertEquals(first(actions, Action.Connect.class).endpoint().region(), "east");
     }
@@ -381,7 +382,7 @@
             actions.addAll(follower.applied(null, now));
             actions.addAll(follower.tick(now));
         }
-        now += Follower.REPORT_GAP_MS;
+        now += Follower.MIN_REPORT_GAP_MS;
         actions.addAll(follower.tick(now));
         assertTrue(actions.size() <= 6, actions.size() + " reports in 1.25 s");
         Action.Report last = (Action.Report) actions.get(actions.size() - 1);
@@ -442,7 +443,7 @@
         List<Action> actions = new ArrayList<>();
         double until = now + ms;
         for (int i = 1; now < until; i++) {
-            now += Follower.TICK_MS;
+            now += Follower.TICK_INTERVAL_MS;
             if (i % 10 == 0) {
                 actions.addAll(line(HEARTBEAT));
             }
@@ -457,7 +458,7 @@
 
     private void refusedBy(List<Action> actions, String expected) {
         assertEquals(actions.size(), 3, actions.toString());
-        String refusal = ((Action.Report) actions.get(0)).report().refusal();
+        String refusal = ((Action.Report) actions.get(0)).report().rejectionReason();
         assertTrue(refusal.contains(expected), refusal);
         assertEquals(((Action.Warn) actions.get(1)).message(), refusal);
         assertTrue(actions.get(2) instanceof Action.Disconnect);
--- a/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
@@ -102,7 +102,7 @@
     private static void followersReachTheCurrentRevision(
             RevisionHistory history, ReferenceHistory reference) {
         Configuration configuration = Configuration.EMPTY;
-        for (Update update : history.since(0).orElseThrow()) {
+        for (Update update : history.updatesSince(0).orElseThrow()) {
             assertEquals(update.fromRevision(), configuration.revision());
             assertEquals(Validator.check(configuration, update.changes()), List.of());
             configuration = configuration.with(update.revision(), update.changes());
