--- a/fleet/src/test/java/tinford/fleet/config/RevisionHistoryTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryTest.java
@@ -25,7 +25,7 @@
     public void beginsEmptyAtRevisionZero() {
         assertSame(history.current(), Configuration.EMPTY);
         assertEquals(history.oldestRetained(), 0);
-        assertEquals(history.since(0), Optional.of(List.of()));
+        assertEquals(history.updatesSince(0), Optional.of(List.of()));
     }
 
     @Test
@@ -33,9 +33,10 @@
         RevisionHistory basic = basic();
         assertEquals(basic.current().revision(), 1);
         assertEquals(basic.current().contentHash(), Samples.basic().contentHash());
-        assertEquals(basic.since(0).orElseThrow(), List.of(new Update(0, 1, Samples.basics())));
-        assertEquals(basic.since(1).orElseThrow(), List.of());
-        assertEquals(basic.since(99).orElseThrow(), List.of(), "yet to come");
+        assertEquals(
+                basic.updatesSince(0).orElseThrow(), List.of(new Update(0, 1, Samples.basics())));
+        assertEquals(basic.updatesSince(1).orElseThrow(), List.of());
+        assertEquals(basic.updatesSince(99).orElseThrow(), List.of(), "yet to come");
     }
 
     @Test
@@ -49,14 +50,14 @@
                                 "half",
                                 Samples.putService("fine"),
                                 new Change.RemoveService("search")));
-        assertEquals(refusal.faults().get(0).key(), "changes[1].removeService.name");
+        assertEquals(refusal.errors().get(0).key(), "changes[1].removeService.name");
         assertSame(basic.current(), before);
-        assertEquals(basic.since(1).orElseThrow(), List.of());
+        assertEquals(basic.updatesSince(1).orElseThrow(), List.of());
     }
 
     @Test
     public void anEmptySetIsRefused() {
-        assertEquals(refuse(history, Samples.set("nothing")).faults().get(0).key(), "changes");
+        assertEquals(refuse(history, Samples.set("nothing")).errors().get(0).key(), "changes");
     }
 
     @Test
@@ -64,7 +65,7 @@
         RevisionHistory basic = basic();
         ChangeSet late = new ChangeSet("late", 0L, List.of(Samples.putService("s")));
         assertEquals(
-                refuse(basic, late).faults(),
+                refuse(basic, late).errors(),
                 List.of(new ValidationError("expectedRevision", "the current revision, 1")));
         accept(basic, new ChangeSet("right", 1L, List.of(Samples.putService("s"))));
         assertEquals(basic.current().revision(), 2);
@@ -88,13 +89,13 @@
         RevisionHistory basic = basic();
         accept(basic, Samples.set("one", Samples.putService("a")));
         Rejection refusal = refuse(basic, Samples.set("one", Samples.putService("b")));
-        assertEquals(refusal.faults().get(0).key(), "id");
+        assertEquals(refusal.errors().get(0).key(), "id");
         assertEquals(
                 basic.propose(Samples.set("one", Samples.putService("a"))),
                 new Outcome.Accepted(2),
                 "the first one's outcome is still known");
-        assertEquals(refuse(basic, Samples.set("no name")).faults().get(0).key(), "id");
-        assertEquals(refuse(basic, Samples.set("no\nname")).faults().get(0).key(), "id");
+        assertEquals(refuse(basic, Samples.set("no name")).errors().get(0).key(), "id");
+        assertEquals(refuse(basic, Samples.set("no\nname")).errors().get(0).key(), "id");
     }
 
     @Test
@@ -110,7 +111,7 @@
         accept(basic, Samples.set("less", new Change.RemoveRoute("lookup")));
         assertEquals(accept(basic, new Revert("back", 1)), 4);
         assertEquals(basic.current().contentHash(), Samples.basic().contentHash());
-        Update update = basic.since(3).orElseThrow().get(0);
+        Update update = basic.updatesSince(3).orElseThrow().get(0);
         assertEquals(
                 Samples.basic().with(2, List.of()).contentHash(), basic.current().contentHash());
         assertEquals(update.fromRevision(), 3);
@@ -122,7 +123,7 @@
     public void aRevertToTheCurrentContentIsARevisionToo() {
         RevisionHistory basic = basic();
         assertEquals(accept(basic, new Revert("same", 1)), 2);
-        assertEquals(basic.since(1).orElseThrow(), List.of(new Update(1, 2, List.of())));
+        assertEquals(basic.updatesSince(1).orElseThrow(), List.of(new Update(1, 2, List.of())));
     }
 
     @Test
@@ -133,9 +134,9 @@
             accept(small, Samples.set("s" + i, Samples.putService("s" + i)));
         }
         assertEquals(
-                refuse(small, new Revert("far", 2)).faults(),
+                refuse(small, new Revert("far", 2)).errors(),
                 List.of(new ValidationError("revertTo", "a retained revision, 3 to 5")));
-        assertEquals(refuse(small, new Revert("ahead", 6)).faults().get(0).key(), "revertTo");
+        assertEquals(refuse(small, new Revert("ahead", 6)).errors().get(0).key(), "revertTo");
         accept(small, new Revert("near", 3));
         assertEquals(small.current().services().size(), 3);
     }
@@ -149,8 +150,8 @@
             assertTrue(small.retainedUpdates() <= 3);
         }
         assertEquals(small.oldestRetained(), 7);
-        assertEquals(small.since(6), Optional.empty());
-        assertEquals(small.since(7).orElseThrow().size(), 3);
+        assertEquals(small.updatesSince(6), Optional.empty());
+        assertEquals(small.updatesSince(7).orElseThrow().size(), 3);
         assertEquals(small.current().services().size(), 10);
     }
 
@@ -170,17 +171,17 @@
         accept(small, new ChangeSet("large", null, large));
         assertEquals(small.retainedUpdates(), 0, "a single one may be too large");
         assertEquals(small.oldestRetained(), 51);
-        assertEquals(small.since(50), Optional.empty());
+        assertEquals(small.updatesSince(50), Optional.empty());
     }
 
     @Test
     public void rememberedProposalsAreBounded() {
         RevisionHistory basic = basic();
-        int beyond = ConfigurationLimits.REMEMBERED_PROPOSALS + 100;
+        int beyond = ConfigurationLimits.MAX_REMEMBERED_PROPOSALS + 100;
         for (int i = 0; i < beyond; i++) {
             basic.propose(Samples.set("id" + i, new Change.RemoveRoute("absent")));
         }
-        assertEquals(basic.rememberedProposals(), ConfigurationLimits.REMEMBERED_PROPOSALS);
+        assertEquals(basic.rememberedProposals(), ConfigurationLimits.MAX_REMEMBERED_PROPOSALS);
         accept(basic, Samples.set("basics", Samples.putService("s")));
     }
 
@@ -188,16 +189,16 @@
     public void rememberedFaultsAreBounded() {
         RevisionHistory basic = basic();
         List<Change> faulty = new ArrayList<>();
-        for (int i = 0; i < ConfigurationLimits.FAULTS; i++) {
+        for (int i = 0; i < ConfigurationLimits.MAX_ERRORS; i++) {
             faulty.add(new Change.RemoveRoute("x".repeat(500) + i));
         }
         for (int i = 0; i < 1000; i++) {
             basic.propose(new ChangeSet("id" + i, null, faulty));
         }
-        int characters = ConfigurationLimits.FAULTS * 500;
+        int characters = ConfigurationLimits.MAX_ERRORS * 500;
         assertTrue(
                 basic.rememberedProposals()
-                        <= ConfigurationLimits.REMEMBERED_CHARACTERS / characters,
+                        <= ConfigurationLimits.MAX_REMEMBERED_CHARACTERS / characters,
                 basic.rememberedProposals() + " remembered");
     }
 
@@ -209,7 +210,7 @@
         accept(copy, Samples.set("forgotten", Samples.putService("elsewhere")));
         copy.restore(original.snapshot());
         assertEquals(copy.snapshot(), original.snapshot());
-        assertEquals(copy.since(0), original.since(0));
+        assertEquals(copy.updatesSince(0), original.updatesSince(0));
         assertEquals(
                 copy.propose(Samples.set("one", Samples.putService("s"))), new Outcome.Accepted(2));
         assertEquals(accept(copy, new Revert("back", 1)), 3);
@@ -244,8 +245,8 @@
     private static Rejection refuse(RevisionHistory history, Proposal proposal) {
         Configuration before = history.current();
         Outcome outcome = history.propose(proposal);
-        assertTrue(outcome instanceof Outcome.Refused, outcome.toString());
+        assertTrue(outcome instanceof Outcome.Rejected, outcome.toString());
         assertSame(history.current(), before);
-        return ((Outcome.Refused) outcome).refusal();
+        return ((Outcome.Rejected) outcome).rejection();
     }
 }
--- a/fleet/src/test/java/tinford/fleet/config/SnapshotCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/SnapshotCodecTest.java
@@ -127,7 +127,7 @@
     }
 
     private static byte[] seal(String json) {
-        return ChecksummedState.seal(
+        return ChecksummedState.encode(
                 ChecksummedState.Kind.CONFIGURATION,
                 Samples.FLEET,
                 5,
--- a/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
@@ -103,7 +103,7 @@
     @Test
     public void countsAreBounded() {
         List<Change> changes = new ArrayList<>();
-        for (int i = 0; i <= ConfigurationLimits.PLANS; i++) {
+        for (int i = 0; i <= ConfigurationLimits.MAX_PLANS; i++) {
             changes.add(Samples.putPlan("p" + i, 0));
         }
         List<ValidationError> faults = Validator.check(Configuration.EMPTY, changes);
@@ -113,7 +113,7 @@
     @Test
     public void aSetIsBounded() {
         List<Change> changes = new ArrayList<>();
-        for (int i = 0; i <= ConfigurationLimits.CHANGES; i++) {
+        for (int i = 0; i <= ConfigurationLimits.MAX_CHANGES; i++) {
             changes.add(Samples.putTenant(i, "team"));
         }
         assertEquals(
@@ -127,7 +127,7 @@
         for (int i = 0; i < 1000; i++) {
             changes.add(new Change.RemoveTenant(1000 + i));
         }
-        assertEquals(Validator.check(BASIC, changes).size(), ConfigurationLimits.FAULTS);
+        assertEquals(Validator.check(BASIC, changes).size(), ConfigurationLimits.MAX_ERRORS);
     }
 
     @Test
@@ -151,7 +151,7 @@
         ValidationError fault = new ValidationError("a\nb", "x\r\n".repeat(1000));
         assertEquals(fault.key(), "a b");
         assertEquals(fault.expected().lines().count(), 1);
-        assertTrue(fault.expected().length() <= ConfigurationLimits.TEXT_LENGTH);
+        assertTrue(fault.expected().length() <= ConfigurationLimits.MAX_TEXT_LENGTH);
     }
 
     private static Change timing(double targetMs, double timeoutMs) {
--- a/fleet/src/test/java/tinford/fleet/control/CommandsTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/CommandsTest.java
@@ -85,19 +85,19 @@
                 enter(
                         "{\"version\":1,\"id\":\"p\",\"changes\":[{\"putTenant\":"
                                 + "{\"id\":1,\"plan\":\"missing\"}}]}");
-        assertEquals(code, ExitCode.REFUSED);
+        assertEquals(code, ExitCode.REJECTED);
         assertTrue(err.toString().contains("plan: expected "), err.toString());
-        assertEquals(run("revert", "9", "--servers", address), ExitCode.REFUSED);
+        assertEquals(run("revert", "9", "--servers", address), ExitCode.REJECTED);
         assertTrue(err.toString().startsWith("revertTo: expected "), err.toString());
     }
 
     @Test
     public void aFileThatCannotBeUsedIsRefused() throws Exception {
-        assertEquals(enter("{"), ExitCode.REFUSED);
+        assertEquals(enter("{"), ExitCode.REJECTED);
         assertTrue(err.toString().startsWith(file + ": "), err.toString());
-        assertEquals(enter("{\"version\":1,\"changes\":7}"), ExitCode.REFUSED);
-        assertEquals(enter(" ".repeat(600_000)), ExitCode.REFUSED);
-        assertEquals(run("enter", "/no/such", "--servers", address), ExitCode.REFUSED);
+        assertEquals(enter("{\"version\":1,\"changes\":7}"), ExitCode.REJECTED);
+        assertEquals(enter(" ".repeat(600_000)), ExitCode.REJECTED);
+        assertEquals(run("enter", "/no/such", "--servers", address), ExitCode.REJECTED);
     }
 
     @Test
@@ -125,7 +125,7 @@
         Files.writeString(file, content);
         String both = freeAddress() + "," + address;
         assertEquals(run("enter", file.toString(), "--servers", both), ExitCode.OK);
-        assertEquals(run("status", "--servers", both), ExitCode.REFUSED, "one is down");
+        assertEquals(run("status", "--servers", both), ExitCode.REJECTED, "one is down");
         assertTrue(out.toString().contains("not reached"), out.toString());
     }
 
@@ -136,10 +136,10 @@
         report("gw-2", 1, null);
         assertEquals(run("status", "--servers", address, "--expect", "2"), ExitCode.OK);
         assertTrue(out.toString().contains("at 1: 2"), out.toString());
-        assertEquals(run("status", "--servers", address, "--expect", "3"), ExitCode.REFUSED);
-        assertEquals(run("status", "--servers", address, "--revision", "2"), ExitCode.REFUSED);
+        assertEquals(run("status", "--servers", address, "--expect", "3"), ExitCode.REJECTED);
+        assertEquals(run("status", "--servers", address, "--revision", "2"), ExitCode.REJECTED);
         report("gw-2", 0, "routes.a: expected more");
-        assertEquals(run("status", "--servers", address), ExitCode.REFUSED);
+        assertEquals(run("status", "--servers", address), ExitCode.REJECTED);
         assertTrue(out.toString().contains("lagging gw-2 east revision 0"), out.toString());
         assertTrue(out.toString().contains("refused: routes.a"), out.toString());
     }
@@ -147,7 +147,7 @@
     @Test
     public void serveTellsEveryFaultOfItsFile() throws Exception {
         Files.writeString(file, "[server]\nfleet = \"f\"\nrole = \"boss\"\nlisten = 7\n");
-        assertEquals(run("serve", file.toString()), ExitCode.REFUSED);
+        assertEquals(run("serve", file.toString()), ExitCode.REJECTED);
         assertTrue(err.toString().contains(file + ", line 4: server.listen: expected "));
         assertTrue(err.toString().contains("server.name: expected "), err.toString());
     }
--- a/fleet/src/test/java/tinford/fleet/control/ControlHttpTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ControlHttpTest.java
@@ -40,13 +40,13 @@
         logs.close();
     }
 
-    private ControlClient.Answer post(String path, String body) throws Exception {
+    private ControlClient.Response post(String path, String body) throws Exception {
         return client.post(server.address(), path, body.getBytes(StandardCharsets.UTF_8));
     }
 
     private long accepted(String id, String service) throws Exception {
         byte[] body = ConfigurationCodec.encode(TestServers.putService(id, service));
-        ControlClient.Answer answer = client.post(server.address(), "/proposals", body);
+        ControlClient.Response answer = client.post(server.address(), "/proposals", body);
         assertEquals(answer.status(), 200, answer.toString());
         return answer.body().path("revision").asLong();
     }
@@ -110,7 +110,7 @@
             assertEquals(update(one.message()).revision(), 1);
             assertNull(one.line());
         }
-        ControlClient.Answer none =
+        ControlClient.Response none =
                 client.get(server.address(), "/configuration?" + query.formatted(1));
         assertEquals(none.status(), 200);
         assertTrue(none.body().isMissingNode(), none.toString());
@@ -138,7 +138,7 @@
 
     @Test
     public void aRefusedProposalIsToldWithKeyAndExpectationAndChangesNothing() throws Exception {
-        ControlClient.Answer answer =
+        ControlClient.Response answer =
                 post(
                         "/proposals",
                         "{\"version\":1,\"id\":\"p\",\"changes\":[{\"putService\":{\"name\":\"a\"}},"
@@ -148,7 +148,7 @@
         assertTrue(fault.path("key").asText().contains("plan"), fault.toString());
         assertFalse(fault.path("expected").asText().isEmpty());
         assertEquals(status().path("revision").asLong(), 0);
-        ControlClient.Answer revert =
+        ControlClient.Response revert =
                 client.post(
                         server.address(),
                         "/proposals",
@@ -163,7 +163,7 @@
         accepted("p1", "search");
         accepted("p2", "mail");
         byte[] revert = ConfigurationCodec.encode(new Revert("r", 1));
-        ControlClient.Answer answer = client.post(server.address(), "/proposals", revert);
+        ControlClient.Response answer = client.post(server.address(), "/proposals", revert);
         assertEquals(answer.body().path("revision").asLong(), 3);
         try (WatchConnection watch = WatchConnection.open(server, "gw-1", 2)) {
             watch.head();
@@ -195,7 +195,7 @@
 
     @Test(dataProvider = "unreadableBodies")
     public void aBodyThatCannotBeReadIsRefused(String body) throws Exception {
-        ControlClient.Answer answer = post("/proposals", body);
+        ControlClient.Response answer = post("/proposals", body);
         assertEquals(answer.status(), 400, answer.toString());
         JsonNode fault = answer.body().path("faults").path(0);
         assertFalse(fault.path("expected").asText().isEmpty(), answer.toString());
@@ -205,7 +205,7 @@
 
     @Test
     public void anOversizedBodyIsRefused() throws Exception {
-        String body = " ".repeat(ConfigurationLimits.PROPOSAL_BYTES + 1);
+        String body = " ".repeat(ConfigurationLimits.MAX_PROPOSAL_BYTES + 1);
         assertEquals(post("/proposals", body).status(), 413);
         servesOn();
     }
@@ -220,8 +220,9 @@
                     .append("\",\"service\":\"s\",\"timeoutMs\":9,\"effect\":\"read_like\"}}");
         }
         body.append("]}");
-        assertTrue(body.length() < ConfigurationLimits.PROPOSAL_BYTES, "sent: " + body.length());
-        ControlClient.Answer answer = post("/proposals", body.toString());
+        assertTrue(
+                body.length() < ConfigurationLimits.MAX_PROPOSAL_BYTES, "sent: " + body.length());
+        ControlClient.Response answer = post("/proposals", body.toString());
         assertEquals(answer.status(), 409, answer.toString());
         assertEquals(answer.body().path("faults").path(0).path("key").asText(), "changes");
         servesOn();
@@ -289,7 +290,7 @@
 
     @Test(dataProvider = "wrongQueries")
     public void aWrongQueryIsRefused(String query, String key) throws Exception {
-        ControlClient.Answer answer = client.get(server.address(), "/configuration?" + query);
+        ControlClient.Response answer = client.get(server.address(), "/configuration?" + query);
         assertEquals(answer.status(), 400);
         assertEquals(answer.body().path("faults").path(0).path("key").asText(), key);
         assertEquals(status().path("followers").asInt(), 0);
--- a/fleet/src/test/java/tinford/fleet/control/ControlSettingsReaderTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ControlSettingsReaderTest.java
@@ -41,7 +41,7 @@
         ControlSettings read = ControlSettingsReader.read(Path.of("../deploy/control.toml"));
         assertEquals(read.role(), Role.VOTER);
         assertEquals(read.voters().members().size(), 5);
-        assertEquals(read.timing(), ControlSettings.WatchTiming.STANDARD);
+        assertEquals(read.timing(), ControlSettings.WatchTiming.DEFAULT);
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/control/QuorumTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/QuorumTest.java
@@ -32,7 +32,7 @@
         logs.close();
     }
 
-    private ControlClient.Answer propose(int voter, Proposal proposal) throws Exception {
+    private ControlClient.Response propose(int voter, Proposal proposal) throws Exception {
         return client.post(
                 servers.get(voter).address(), "/proposals", ConfigurationCodec.encode(proposal));
     }
@@ -73,7 +73,7 @@
         logs.cut(3, 2);
         Proposal proposal = TestServers.putService("p1", "mail");
         long start = System.nanoTime();
-        ControlClient.Answer answer = propose(2, proposal);
+        ControlClient.Response answer = propose(2, proposal);
         double tookMs = (System.nanoTime() - start) / 1e6;
         assertEquals(answer.status(), 503);
         assertEquals(answer.body().path("taken").asText(), "perhaps");
--- a/fleet/src/test/java/tinford/fleet/control/RaftVoterTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/RaftVoterTest.java
@@ -68,7 +68,7 @@
         }
     }
 
-    private ControlClient.Answer propose(int number, Proposal proposal) throws Exception {
+    private ControlClient.Response propose(int number, Proposal proposal) throws Exception {
         return client.post(
                 servers[number].address(), "/proposals", ConfigurationCodec.encode(proposal));
     }
--- a/fleet/src/test/java/tinford/fleet/control/ReplicaTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ReplicaTest.java
@@ -50,7 +50,7 @@
         }
     }
 
-    private ControlClient.Answer propose(ControlServer server, String name) throws Exception {
+    private ControlClient.Response propose(ControlServer server, String name) throws Exception {
         byte[] body = ConfigurationCodec.encode(TestServers.putService(name, name));
         return client.post(server.address(), "/proposals", body);
     }
@@ -83,7 +83,7 @@
 
     @Test
     public void takesNoProposals() throws Exception {
-        ControlClient.Answer answer = propose(replica, "search");
+        ControlClient.Response answer = propose(replica, "search");
         assertEquals(answer.status(), 503);
         assertEquals(answer.body().path("taken").asText(), "no");
         assertEquals(revision(voter), 0);
--- a/fleet/src/test/java/tinford/fleet/control/StoredConfigurationDataTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/StoredConfigurationDataTest.java
@@ -192,7 +192,7 @@
         assertEquals(ConfigurationCodec.encode(accepted), stored("outcome-accepted.json"));
         Outcome refused = ConfigurationCodec.decodeOutcome(stored("outcome-refused.json"));
         assertEquals(
-                ((Outcome.Refused) refused).refusal().toString(),
+                ((Outcome.Rejected) refused).rejection().toString(),
                 "expectedRevision: expected the current revision, 3");
         assertEquals(ConfigurationCodec.encode(refused), stored("outcome-refused.json"));
     }
@@ -203,7 +203,7 @@
         history.restore(stored("voter-snapshot.bin"));
         assertSameConfiguration(history.current(), configurationAt(3));
         assertEquals(history.oldestRetained(), 0);
-        List<Update> updates = history.since(0).orElseThrow();
+        List<Update> updates = history.updatesSince(0).orElseThrow();
         assertEquals(updates.size(), 3);
         assertEquals(updates.get(0).changes(), ADDITIONS.changes());
         assertEquals(updates.get(1).changes(), REMOVALS.changes());
--- a/fleet/src/test/java/tinford/fleet/control/TestServers.java
+++ b/fleet/src/test/java/tinford/fleet/control/TestServers.java
@@ -101,11 +101,12 @@
         @Override
         public CompletableFuture<ProposalResult> propose(Proposal proposal) {
             return CompletableFuture.completedFuture(
-                    new ProposalResult.Unavailable(ProposalResult.Taken.NO, "none"));
+                    new ProposalResult.Unavailable(
+                            ProposalResult.CommitStatus.NOT_COMMITTED, "none"));
         }
 
         @Override
-        public boolean leads() {
+        public boolean isLeader() {
             return false;
         }
 
--- a/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
@@ -129,8 +129,8 @@
         assertEquals(latest.revision(), 5);
         assertEquals(latest.services().keySet(), at(5).services().keySet());
         FollowerReport report = near.report(5);
-        assertNull(report.refusal());
-        assertEquals(client.inForce().revision(), 5);
+        assertNull(report.rejectionReason());
+        assertEquals(client.activeConfiguration().revision(), 5);
         assertTrue(client.bytesReceived() > 0 && client.bytesSent() > 0);
     }
 
@@ -190,7 +190,7 @@
         first.awaitEnd();
         ScriptedControlServer.Watch second = near.watch();
         assertEquals(second.after(), 3);
-        assertEquals(client.inForce().revision(), 3);
+        assertEquals(client.activeConfiguration().revision(), 3);
         assertTrue(applied.isEmpty());
     }
 
@@ -235,7 +235,7 @@
         second.send(update(3, 4));
         assertEquals(nextApplied().revision(), 4);
         near.report(4);
-        assertEquals(client.inForce().revision(), 4);
+        assertEquals(client.activeConfiguration().revision(), 4);
     }
 
     @Test
@@ -246,12 +246,12 @@
         watch.send(update(3, 4));
         FollowerReport report = near.refusal();
         assertEquals(report.revision(), 3);
-        assertTrue(report.refusal().contains("routes.read"), report.refusal());
-        assertEquals(client.inForce().revision(), 3);
+        assertTrue(report.rejectionReason().contains("routes.read"), report.rejectionReason());
+        assertEquals(client.activeConfiguration().revision(), 3);
         refusal = null;
         watch.send(update(4, 5));
         assertEquals(nextApplied().revision(), 5);
-        assertNull(near.report(5).refusal());
+        assertNull(near.report(5).rejectionReason());
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/follow/LineSplitterTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/LineSplitterTest.java
@@ -36,6 +36,7 @@
         LineSplitter splitter = new LineSplitter(5);
         assertEquals(splitter.split(List.of(bytes("12345\n123"))).size(), 1);
         splitter.split(List.of(bytes("45")));
-        assertThrows(LineSplitter.LineTooLong.class, () -> splitter.split(List.of(bytes("6"))));
+        assertThrows(
+                LineSplitter.LineTooLongException.class, () -> splitter.split(List.of(bytes("6"))));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/follow/ScriptedControlServer.java
+++ b/fleet/src/test/java/tinford/fleet/follow/ScriptedControlServer.java
@@ -152,7 +152,7 @@
             if (report == null) {
                 throw new AssertionError("no report of a refusal");
             }
-            if (report.refusal() != null) {
+            if (report.rejectionReason() != null) {
                 return report;
             }
         }
--- a/fleet/src/test/java/tinford/fleet/follow/WarningLimiterTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/WarningLimiterTest.java
@@ -11,10 +11,10 @@
     @Test
     public void theSameIsToldOnceAMinute() {
         WarningLimiter limiter = new WarningLimiter(60_000);
-        assertTrue(limiter.mayTell("a", 0));
-        assertFalse(limiter.mayTell("a", 59_999));
-        assertTrue(limiter.mayTell("b", 59_999));
-        assertTrue(limiter.mayTell("a", 60_000));
+        assertTrue(limiter.tryAcquire("a", 0));
+        assertFalse(limiter.tryAcquire("a", 59_999));
+        assertTrue(limiter.tryAcquire("b", 59_999));
+        assertTrue(limiter.tryAcquire("a", 60_000));
     }
 
     @Test
@@ -22,7 +22,7 @@
         WarningLimiter limiter = new WarningLimiter(60_000);
         int told = 0;
         for (int i = 0; i < 10_000; i++) {
-            told += limiter.mayTell("warning " + i, 0) ? 1 : 0;
+            told += limiter.tryAcquire("warning " + i, 0) ? 1 : 0;
         }
         assertEquals(told, 100);
     }
--- a/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
@@ -186,7 +186,7 @@
         assertTrue(used.isEmpty());
         swap.run();
         assertEquals(used.size(), 1);
-        assertEquals(server.report(1).refusal(), null);
+        assertEquals(server.report(1).rejectionReason(), null);
         configuration.close();
         watch.awaitEnd();
     }
@@ -199,7 +199,7 @@
         List<Change> changes = List.of(new Change.RemoveRoute("read"));
         watch.send(new WatchMessage.UpdateMessage(new Update(1, 2, changes)));
         turn();
-        String reported = server.refusal().refusal();
+        String reported = server.refusal().rejectionReason();
         assertTrue(reported.contains("routes.read: expected"), reported);
         assertEquals(used.size(), 1, "the last one stays");
         JsonNode line = told("configuration-refused");
--- a/lab/src/main/java/tinford/lab/control/ConfigurationOperator.java
+++ b/lab/src/main/java/tinford/lab/control/ConfigurationOperator.java
@@ -102,14 +102,14 @@
                     new ValidationError(
                             fault.path("key").asText(), fault.path("expected").asText()));
         }
-        return new Outcome.Refused(new Rejection(faults));
+        return new Outcome.Rejected(new Rejection(faults));
     }
 
     private Outcome told(String id, Outcome outcome) {
         if (outcome instanceof Outcome.Accepted accepted) {
             history.tell(Events.ACCEPTED, Events.ID, id, Events.REVISION, accepted.revision());
-        } else if (outcome instanceof Outcome.Refused refused) {
-            history.tell(Events.REFUSED, Events.ID, id, Events.WHY, refused.refusal().toString());
+        } else if (outcome instanceof Outcome.Rejected refused) {
+            history.tell(Events.REFUSED, Events.ID, id, Events.WHY, refused.rejection().toString());
         }
         return outcome;
     }
--- a/lab/src/main/java/tinford/lab/control/HollowFollower.java
+++ b/lab/src/main/java/tinford/lab/control/HollowFollower.java
@@ -70,7 +70,7 @@
         synchronized Configuration end() {
             over = true;
             client.close();
-            return client.inForce();
+            return client.activeConfiguration();
         }
     }
 
@@ -137,7 +137,7 @@
     /** Tells what it holds, read entry by entry. */
     synchronized void digest() {
         if (life != null) {
-            Configuration held = life.client.inForce();
+            Configuration held = life.client.activeConfiguration();
             tell(Events.CONTENT, held, Events.DIGEST, ContentDigest.of(held));
         }
     }
--- a/lab/src/main/java/tinford/lab/control/QuotaUse.java
+++ b/lab/src/main/java/tinford/lab/control/QuotaUse.java
@@ -46,8 +46,8 @@
          * none.
          */
         double overCeiling() {
-            double grace = plan.ceilingPerSecond() * GRACE_MS / 1000;
-            return -leastLeft - plan.ceilingSlack() - grace;
+            double grace = plan.hardLimitPerSecond() * GRACE_MS / 1000;
+            return -leastLeft - plan.hardLimitSlack() - grace;
         }
     }
 
@@ -95,9 +95,14 @@
 
     private void change(Phase phase) {
         if (plan != null) {
-            quotas.values().forEach(b -> b.fill(phase.at(), plan.ratePerSecond(), plan.burst()));
+            quotas.values().forEach(b -> b.fill(phase.at(), plan.quotaPerSecond(), plan.burst()));
             ceilings.values()
-                    .forEach(b -> b.fill(phase.at(), plan.ceilingPerSecond(), plan.ceilingBurst()));
+                    .forEach(
+                            b ->
+                                    b.fill(
+                                            phase.at(),
+                                            plan.hardLimitPerSecond(),
+                                            plan.hardLimitBurst()));
         }
         plan = phase.plan();
         units = 0;
@@ -123,15 +128,15 @@
     private void count(String customer, double taken, double now) {
         units += taken;
         Bucket quota = quotas.computeIfAbsent(customer, k -> new Bucket(plan.burst(), now));
-        quota.fill(now, plan.ratePerSecond(), plan.burst());
-        if (quota.level + plan.ratePerSecond() * GRACE_MS / 1000 < taken) {
+        quota.fill(now, plan.quotaPerSecond(), plan.burst());
+        if (quota.level + plan.quotaPerSecond() * GRACE_MS / 1000 < taken) {
             unitsBeyond += taken;
         } else {
             quota.level -= taken;
         }
         Bucket ceiling =
-                ceilings.computeIfAbsent(customer, k -> new Bucket(plan.ceilingBurst(), now));
-        ceiling.fill(now, plan.ceilingPerSecond(), plan.ceilingBurst());
+                ceilings.computeIfAbsent(customer, k -> new Bucket(plan.hardLimitBurst(), now));
+        ceiling.fill(now, plan.hardLimitPerSecond(), plan.hardLimitBurst());
         ceiling.level -= taken;
         leastLeft = Math.min(leastLeft, ceiling.level);
     }
--- a/lab/src/test/java/tinford/lab/control/ConfigurationOperatorTest.java
+++ b/lab/src/test/java/tinford/lab/control/ConfigurationOperatorTest.java
@@ -91,7 +91,7 @@
         URI server = answering(409, "{\"faults\":[{\"key\":\"a\",\"expected\":\"b\"}]}");
         Outcome outcome = operator(server).enter(SET, 10);
         assertEquals(
-                ((Outcome.Refused) outcome).refusal().faults(),
+                ((Outcome.Rejected) outcome).rejection().errors(),
                 List.of(new ValidationError("a", "b")));
         assertEquals(kinds(), List.of(Events.ENTERED, Events.REFUSED));
     }
