--- /dev/null
+++ b/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
@@ -0,0 +1,296 @@
+package tinford.fleet.run;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertThrows;
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.URISyntaxException;
+import java.nio.ByteBuffer;
+import java.nio.channels.FileChannel;
+import java.nio.channels.OverlappingFileLockException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Stream;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import tinford.fleet.budget.LedgerEntry;
+import tinford.fleet.budget.StaticShares;
+import tinford.fleet.membership.GossipCodec;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.LeaseTable;
+import tinford.fleet.migration.MigrationEntry;
+import tinford.fleet.migration.MigrationPlan;
+import tinford.fleet.migration.MigrationStatus;
+import tinford.fleet.store.FileStore;
+import tinford.fleet.store.RaftLog;
+import tinford.fleet.store.ReplicatedLog;
+import tinford.fleet.store.Store;
+
+/**
+ * Data that an earlier version of the program wrote is read, and written again with the same bytes.
+ * The files under {@code stored/} were written by the program of commit 2e8c0f1; they must never be
+ * written anew to make a test pass.
+ */
+public class StoredFleetDataTest {
+    private static final Incarnation FIRST = new Incarnation(1, 5000);
+    private static final Incarnation SECOND = new Incarnation(2, 6000);
+    private static final double STORED_AT_MS = 12_345.5;
+    private static final int FIRST_INDEX = 3;
+    private static final long WAIT_MS = 20_000;
+    private static final long POLL_INTERVAL_MS = 5;
+
+    private Path folder;
+
+    @BeforeMethod
+    public void createFolder() throws IOException {
+        folder = Files.createTempDirectory("stored");
+    }
+
+    @AfterMethod(alwaysRun = true)
+    public void deleteFolder() throws IOException {
+        try (Stream<Path> all = Files.walk(folder)) {
+            for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(path);
+            }
+        }
+    }
+
+    private static Path stored(String name) {
+        try {
+            return Path.of(StoredFleetDataTest.class.getResource("/stored/" + name).toURI());
+        } catch (URISyntaxException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    private static byte[] storedBytes(String name) throws IOException {
+        return Files.readAllBytes(stored(name));
+    }
+
+    private static void copy(Path from, Path to) throws IOException {
+        try (Stream<Path> all = Files.walk(from)) {
+            for (Path path : all.toList()) {
+                Path target = to.resolve(from.relativize(path).toString());
+                if (Files.isDirectory(path)) {
+                    Files.createDirectories(target);
+                } else {
+                    Files.copy(path, target);
+                }
+            }
+        }
+    }
+
+    private static FleetStateMachine stateMachine() {
+        return new FleetStateMachine(
+                3, 3000, 100, 1000, new StaticShares(Map.of("s", 8), 0.5, 3), Map.of("web", "a"));
+    }
+
+    private static MigrationPlan plan() {
+        return new MigrationPlan(
+                "p",
+                10,
+                0.1,
+                10,
+                List.of(
+                        new MigrationPlan.Mover(
+                                "web",
+                                "a",
+                                "b",
+                                List.of(),
+                                0,
+                                List.of(0.5, 1.0),
+                                10,
+                                5,
+                                false,
+                                true,
+                                0)),
+                Map.of("b", new MigrationPlan.Room(20, 10, 0.3)));
+    }
+
+    /** In the order of the log, from {@link #FIRST_INDEX} on. */
+    @DataProvider
+    public Object[][] entries() {
+        return new Object[][] {
+            {"01-lease-renew", LeaseTable.renew(FIRST, 10_000, 3000)},
+            {"02-lease-renew-second", LeaseTable.renew(SECOND, 10_005, 3000)},
+            {"03-budget-offer", new LedgerEntry.Offer("s", 0, 8, 10_010).bytes()},
+            {
+                "04-budget-tell",
+                new LedgerEntry.Tell(FIRST, 10_020, 5, Map.of(7L, 2), Map.of(0, 1)).bytes()
+            },
+            {
+                "05-budget-grant",
+                new LedgerEntry.Grant(
+                                2,
+                                10_030,
+                                List.of(new LedgerEntry.Line(FIRST, 0, 2)),
+                                List.of(new LedgerEntry.Line(FIRST, 7, 2)))
+                        .bytes()
+            },
+            {"06-lease-leave", LeaseTable.leave(SECOND, 10_040)},
+            {"07-migration-begin", MigrationEntry.begin("ann", 10_050, plan()).bytes()},
+            {"08-migration-ack", MigrationEntry.ack(FIRST, 1, 10_060).bytes()},
+            {"09-migration-go", MigrationEntry.go(10_500, 1, 1, 20).bytes()},
+            {"10-migration-report", MigrationEntry.report(FIRST, 2, 10_510, 20, 1, 5, 0).bytes()},
+            {"11-migration-halt", MigrationEntry.halt("ann", 10_520).bytes()},
+            {"12-migration-resume", MigrationEntry.resume("ann", 10_530, 1).bytes()},
+            {"13-migration-back", MigrationEntry.back("ann", 10_540).bytes()},
+        };
+    }
+
+    @Test(dataProvider = "entries")
+    public void eachKindOfEntryIsWrittenWithTheSameBytes(String name, byte[] written)
+            throws IOException {
+        assertEquals(written, storedBytes("entries/" + name + ".bin"), name);
+    }
+
+    private FleetStateMachine afterAllEntries() throws IOException {
+        FleetStateMachine machine = stateMachine();
+        long index = FIRST_INDEX;
+        for (Object[] entry : entries()) {
+            machine.apply(index++, storedBytes("entries/" + entry[0] + ".bin"));
+        }
+        return machine;
+    }
+
+    @Test
+    public void theStoredEntriesLeadToTheStoredSnapshot() throws IOException {
+        FleetStateMachine machine = afterAllEntries();
+        assertEquals(machine.leases.refused(), 0);
+        assertEquals(machine.ledger.unknown(), 0);
+        assertEquals(machine.ledger.unread(), 0);
+        assertEquals(machine.ledger.stale(), 0);
+        assertEquals(machine.ledger.grants(), 1);
+        assertEquals(machine.snapshot(), storedBytes("fleet-state-machine.snapshot"));
+    }
+
+    @Test
+    public void theStoredSnapshotIsRestoredAndWrittenWithTheSameBytes() throws IOException {
+        byte[] snapshot = storedBytes("fleet-state-machine.snapshot");
+        FleetStateMachine machine = stateMachine();
+        machine.restore(FIRST_INDEX, snapshot);
+        assertEquals(machine.snapshot(), snapshot);
+        assertTrue(machine.leases.mayAct(FIRST));
+        assertEquals(machine.ledger.granted(FIRST, machine.ledger.number("s")), 2);
+        assertEquals(machine.ledger.uses(FIRST, 7), 2);
+        MigrationStatus status = machine.moves.status();
+        assertEquals(status.plan().name, "p");
+        assertEquals(machine.moves.halts(), 1);
+    }
+
+    @Test
+    public void aStoredFileIsReadAndWrittenWithTheSameBytes() throws IOException {
+        try (Store read = new FileStore(stored(""), "file-store", 1000, 0);
+                Store written = new FileStore(folder, "file-store", 1000, 0)) {
+            byte[] content = read.read(STORED_AT_MS).content();
+            assertEquals(new String(content, StandardCharsets.UTF_8), "kept over restarts");
+            written.write(content, STORED_AT_MS);
+        }
+        assertEquals(Files.readAllBytes(folder.resolve("file-store")), storedBytes("file-store"));
+    }
+
+    @Test
+    public void aStoredGossipMessageIsReadAndWrittenWithTheSameBytes() throws IOException {
+        byte[] message = storedBytes("gossip-message.bin");
+        List<GossipCodec.Received> received = new GossipCodec(3, 5000).read(message, 70_000);
+        assertEquals(received.size(), 1);
+        GossipRecord record = received.get(0).record();
+        assertEquals(record.incarnation, FIRST);
+        assertEquals(record.seq, 7);
+        assertEquals(record.cededTo, SECOND);
+        assertEquals(record.serverHealth.size(), 1);
+        ByteBuffer again = GossipCodec.message(GossipCodec.MAX_MESSAGE_BYTES);
+        byte[] encoded = GossipCodec.encode(record, received.get(0).made());
+        assertTrue(GossipCodec.addRecord(again, encoded, received.get(0).age()));
+        assertEquals(GossipCodec.toBytes(again), message);
+    }
+
+    /** A snapshot and the entries after it, as a member finds them when it starts again. */
+    @Test
+    public void aStoredLogFolderIsRecovered() throws Exception {
+        copy(stored("member/log"), folder.resolve("log"));
+        TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
+        try (ServerSocket port = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            members.put(1, new InetSocketAddress("127.0.0.1", port.getLocalPort()));
+        }
+        FleetStateMachine machine = stateMachine();
+        byte[] expected = storedBytes("fleet-state-machine.recovered");
+        try (ReplicatedLog log =
+                new RaftLog(
+                        1,
+                        members,
+                        folder.resolve("log"),
+                        machine,
+                        new RaftLog.Bounds(5000, 256, 64 << 10, 8, 200))) {
+            long deadline = System.nanoTime() + WAIT_MS * 1_000_000;
+            while (!log.leads() && System.nanoTime() < deadline) {
+                Thread.sleep(POLL_INTERVAL_MS);
+            }
+            assertTrue(log.leads(), "the only member leads within " + WAIT_MS + " ms");
+            assertEquals(machine.snapshot(), expected);
+        }
+    }
+
+    /**
+     * The lock of an incarnation is held on the stored file, so that two processes of different
+     * versions exclude each other. The operator file names no address for gateway 1, so that no log
+     * starts.
+     */
+    @Test
+    public void theStoredLockFileIsLocked() throws Exception {
+        copy(stored("member"), folder);
+        OperatorFile operatorFile =
+                OperatorFile.of(
+                        "f.toml",
+                        "[log]\nfolder = \"" + folder + "\"\nmembers = [\"127.0.0.1:1\"]\n");
+        try (FileChannel lock =
+                FileChannel.open(folder.resolve("life.lock"), StandardOpenOption.WRITE)) {
+            lock.tryLock().release();
+            ReplicatedState state =
+                    new ReplicatedState(
+                            operatorFile,
+                            FIRST,
+                            3,
+                            ReplicatedState.staticShares(operatorFile, 3),
+                            Map.of(),
+                            new IoThreadMailbox(8, 8, Runnable::run));
+            assertThrows(OverlappingFileLockException.class, lock::tryLock);
+            assertTrue(!state.left());
+        }
+    }
+
+    @Test
+    public void aHistoryLineHasTheStoredForm() throws Exception {
+        Path path = folder.resolve("history.jsonl");
+        try (HistoryWriter history = HistoryWriter.at(path.toString(), FIRST)) {
+            history.add(12_345, "start");
+            history.add(12_346, "grant", "all", 4);
+            history.add(12_347, "term", "holds", false);
+            long deadline = System.nanoTime() + WAIT_MS * 1_000_000;
+            while (Files.readAllLines(path).size() < 3 && System.nanoTime() < deadline) {
+                Thread.sleep(POLL_INTERVAL_MS);
+            }
+        }
+        assertEquals(
+                withoutTime(Files.readString(path)),
+                withoutTime(Files.readString(stored("history.jsonl"))));
+    }
+
+    /** The time since the machine started differs from run to run. */
+    private static String withoutTime(String lines) {
+        return lines.replaceAll("\\{\"at\":[0-9.E]+,", "{\"at\":T,");
+    }
+}
