--- a/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
+++ b/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
@@ -19,7 +19,7 @@
  * static part: here alone that promise is kept, whoever proposes. Bounds: {@link #MOST_SERVERS}
  * servers, {@link #MOST_ASKED} accounts an incarnation, incarnations as {@link LeaseTable} has.
  */
-public class BudgetLedger implements ReplicatedLog.Reader {
+public class BudgetLedger implements ReplicatedLog.StateMachine {
     public static final int MOST_SERVERS = 4096;
     public static final int MOST_ASKED = 4096;
 
--- a/fleet/src/main/java/tinford/fleet/control/Voter.java
+++ b/fleet/src/main/java/tinford/fleet/control/Voter.java
@@ -20,7 +20,7 @@
 final class Voter implements ControlRole {
     /** Opens the log with its reader. */
     interface LogOpener {
-        ReplicatedLog open(ReplicatedLog.Reader reader) throws IOException;
+        ReplicatedLog open(ReplicatedLog.StateMachine reader) throws IOException;
     }
 
     /** Proposals between two snapshots of the log. */
@@ -91,7 +91,7 @@
 
     @Override
     public boolean leads() {
-        return log.leads();
+        return log.isLeader();
     }
 
     @Override
@@ -105,7 +105,7 @@
     }
 
     /** On the log's thread. */
-    private final class HistoryReader implements ReplicatedLog.Reader {
+    private final class HistoryReader implements ReplicatedLog.StateMachine {
         @Override
         public void apply(long index, byte[] entry) {
             Proposal proposal;
--- a/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
+++ b/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
@@ -44,9 +44,9 @@
 
     /** Never fails: what is torn, damaged, of another fleet or of a later version is told. */
     public Loaded read() {
-        Store.Found found = store.read(System.currentTimeMillis());
+        Store.ReadResult found = store.read(System.currentTimeMillis());
         if (found.content() == null) {
-            return new Loaded(null, found.why());
+            return new Loaded(null, found.absenceReason());
         }
         try {
             return new Loaded(codec.decode(found.content()), null);
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
@@ -17,7 +17,7 @@
  * that enforces the rules: an entry that is not due alters nothing. Holds one plan, and an ack and
  * a report of each incarnation that has them in the present turn.
  */
-public final class MigrationState implements ReplicatedLog.Reader {
+public final class MigrationState implements ReplicatedLog.StateMachine {
     /** See the table in docs/moves.md. */
     public enum State {
         IDLE,
--- a/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
@@ -19,7 +19,7 @@
  * process has it twice: on the log's thread for snapshots, and on the I/O thread, where it is acted
  * on; both see the same entries in the same order.
  */
-final class FleetStateMachine implements ReplicatedLog.Reader {
+final class FleetStateMachine implements ReplicatedLog.StateMachine {
     final LeaseTable leases;
     final BudgetLedger ledger;
     final MigrationState moves;
--- a/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
+++ b/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
@@ -160,8 +160,9 @@
      * The one on the log's thread answers for snapshots; the one on the I/O thread follows it, and
      * holds it back where it can't.
      */
-    private ReplicatedLog.Reader reader(FleetStateMachine snapshotSource, IoThreadMailbox mailbox) {
-        return new ReplicatedLog.Reader() {
+    private ReplicatedLog.StateMachine reader(
+            FleetStateMachine snapshotSource, IoThreadMailbox mailbox) {
+        return new ReplicatedLog.StateMachine() {
             @Override
             public void apply(long index, byte[] entry) {
                 snapshotSource.apply(index, entry);
@@ -216,7 +217,7 @@
                 taken.whenComplete((index, e) -> left.countDown());
             }
         }
-        boolean leads = log != null && log.leads();
+        boolean leads = log != null && log.isLeader();
         if (leads != led) {
             led = leads;
             LOG.log(Level.INFO, leads ? "leads the fleet's log" : "leads the fleet's log no more");
--- a/fleet/src/main/java/tinford/fleet/store/DiskOperations.java
+++ b/fleet/src/main/java/tinford/fleet/store/DiskOperations.java
@@ -8,43 +8,40 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/**
- * The steps of a write to a folder, each by itself, so that a test can stop between any two of
- * them.
- */
+/** The single steps of a durable write, so that a test can interrupt it between any two of them. */
 interface DiskOperations {
-    /** Into a new file, which may be cut short by whatever stops it. */
+    /** Writes a new file, which an interruption may leave cut short. */
     void write(Path file, ByteBuffer bytes) throws IOException;
 
-    /** Returns once what the file holds lasts. */
+    /** Returns once the content of the file is durable. */
     void force(Path file) throws IOException;
 
-    /** In one step, in place of what had that name. */
+    /** Atomically replaces the file of the new name, if there is one. */
     void rename(Path from, Path to) throws IOException;
 
-    /** Returns once the names in the folder last, where the platform can do that. */
+    /** Returns once the names in the folder are durable, where the platform can force a folder. */
     void forceFolder(Path folder) throws IOException;
 
-    /** No harm where there is none. */
+    /** Deletes the file if it exists. */
     void delete(Path file) throws IOException;
 
-    /** The platform's own. */
+    /** The operations of the file system. */
     final class Real implements DiskOperations {
         @Override
         public void write(Path file, ByteBuffer bytes) throws IOException {
-            try (FileChannel to =
+            try (FileChannel channel =
                     FileChannel.open(
                             file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
                 while (bytes.hasRemaining()) {
-                    to.write(bytes);
+                    channel.write(bytes);
                 }
             }
         }
 
         @Override
         public void force(Path file) throws IOException {
-            try (FileChannel of = FileChannel.open(file, StandardOpenOption.WRITE)) {
-                of.force(true);
+            try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
+                channel.force(true);
             }
         }
 
@@ -55,15 +52,14 @@
 
         @Override
         public void forceFolder(Path folder) throws IOException {
-            FileChannel of;
+            FileChannel channel;
             try {
-                of = FileChannel.open(folder, StandardOpenOption.READ);
-            } catch (IOException none) {
-                return; // a platform that opens no folders, such as Windows, keeps its names by
-                // itself
+                channel = FileChannel.open(folder, StandardOpenOption.READ);
+            } catch (IOException unsupported) {
+                return; // Windows opens no folders, and makes names durable by itself
             }
-            try (of) {
-                of.force(true);
+            try (channel) {
+                channel.force(true);
             }
         }
 
--- a/fleet/src/main/java/tinford/fleet/store/FileStore.java
+++ b/fleet/src/main/java/tinford/fleet/store/FileStore.java
@@ -8,100 +8,107 @@
 import java.nio.file.Path;
 
 /**
- * A store in one file of a folder: written beside it, forced, renamed over it, and the folder
- * forced. One process at a time writes to a name, any number read it meanwhile: a read changes
- * nothing in the folder. Holds at most twice the largest content on the disk, and that once in
- * memory while it reads or writes.
+ * A store in one file of a folder. A write goes to a temporary file, which is forced and renamed
+ * over the old one; then the folder is forced. One process at a time may write; any number may read
+ * meanwhile, as a read changes nothing in the folder. Takes at most twice the largest content on
+ * the disk, and once in memory during a read or write.
  */
 public final class FileStore implements Store {
-    private static final String LEFTOVER = ".tmp";
+    private static final String TEMPORARY_SUFFIX = ".tmp";
+    private static final int MAX_ARRAY_BYTES = Integer.MAX_VALUE - 64;
+
     private final Path folder;
     private final Path file;
-    private final Path beside;
-    private final int largest;
-    private final double aheadMs;
+    private final Path temporaryFile;
+    private final int maxContentBytes;
+    private final double maxFutureMs;
     private final DiskOperations disk;
     private boolean closed;
 
     /**
-     * @param largest bytes that a content may have
-     * @param aheadMs how far in the future a content may be dated, for clocks that were set back
+     * @param name of the file, without a folder
+     * @param maxFutureMs how far in the future a content may be dated, for clocks that were set
+     *     back
      */
-    public FileStore(Path folder, String name, int largest, double aheadMs) {
-        this(folder, name, largest, aheadMs, new DiskOperations.Real());
+    public FileStore(Path folder, String name, int maxContentBytes, double maxFutureMs) {
+        this(folder, name, maxContentBytes, maxFutureMs, new DiskOperations.Real());
     }
 
-    FileStore(Path folder, String name, int largest, double aheadMs, DiskOperations disk) {
+    FileStore(
+            Path folder,
+            String name,
+            int maxContentBytes,
+            double maxFutureMs,
+            DiskOperations disk) {
         if (name.isEmpty() || !Path.of(name).getFileName().toString().equals(name)) {
             throw new IllegalArgumentException(
                     "store name '" + name + "': expected a file name without folders");
         }
-        if (largest < 0 || largest > Integer.MAX_VALUE - 64 || !(aheadMs >= 0)) {
+        if (maxContentBytes < 0 || maxContentBytes > MAX_ARRAY_BYTES || !(maxFutureMs >= 0)) {
             throw new IllegalArgumentException(
                     "store " + name + ": largest and ahead expected not negative");
         }
         this.folder = folder;
         this.file = folder.resolve(name);
-        this.beside = folder.resolve(name + LEFTOVER);
-        this.largest = largest;
-        this.aheadMs = aheadMs;
+        this.temporaryFile = folder.resolve(name + TEMPORARY_SUFFIX);
+        this.maxContentBytes = maxContentBytes;
+        this.maxFutureMs = maxFutureMs;
         this.disk = disk;
     }
 
     @Override
-    public synchronized Found read(double now) {
-        // one byte more than may be there, so that what is too long is seen without being read
-        // whole
-        try (InputStream from = Files.newInputStream(file)) {
-            byte[] bytes = from.readNBytes(ChecksummedFile.HEAD + largest + 1);
-            if (bytes.length > ChecksummedFile.HEAD + largest) {
-                return new Found(
-                        null,
-                        file
-                                + ": too long: more than "
-                                + (ChecksummedFile.HEAD + largest)
-                                + " bytes");
+    public synchronized ReadResult read(double nowMs) {
+        int maxFileBytes = ChecksummedFile.HEADER_BYTES + maxContentBytes;
+        try (InputStream input = Files.newInputStream(file)) {
+            // one byte more than allowed, to recognize a larger file without reading all of it
+            byte[] bytes = input.readNBytes(maxFileBytes + 1);
+            if (bytes.length > maxFileBytes) {
+                return absent("too long: more than " + maxFileBytes + " bytes");
             }
-            Found found = ChecksummedFile.open(bytes, now, aheadMs, largest);
-            return found.why() == null ? found : new Found(null, file + ": " + found.why());
-        } catch (NoSuchFileException none) {
-            return new Found(null, file + ": none");
+            ReadResult result = ChecksummedFile.decode(bytes, nowMs, maxFutureMs, maxContentBytes);
+            return result.content() != null ? result : absent(result.absenceReason());
+        } catch (NoSuchFileException e) {
+            return absent("none");
         } catch (IOException | SecurityException e) {
-            return new Found(null, file + ": can't be read: " + e.getClass().getSimpleName());
+            return absent("can't be read: " + e.getClass().getSimpleName());
         }
     }
 
+    private ReadResult absent(String reason) {
+        return ReadResult.absent(file + ": " + reason);
+    }
+
     @Override
-    public synchronized void write(byte[] content, double now) throws IOException {
+    public synchronized void write(byte[] content, double nowMs) throws IOException {
         if (closed) {
             throw new IOException(file + ": closed");
         }
-        if (content.length > largest) {
+        if (content.length > maxContentBytes) {
             throw new IOException(
                     file
                             + ": content of "
                             + content.length
                             + " bytes, expected at most "
-                            + largest);
+                            + maxContentBytes);
         }
         try {
-            disk.delete(beside);
-            disk.write(beside, ByteBuffer.wrap(ChecksummedFile.seal(content, now)));
-            disk.force(beside);
-            disk.rename(beside, file);
+            disk.delete(temporaryFile);
+            disk.write(temporaryFile, ByteBuffer.wrap(ChecksummedFile.encode(content, nowMs)));
+            disk.force(temporaryFile);
+            disk.rename(temporaryFile, file);
             disk.forceFolder(folder);
         } catch (IOException e) {
-            removeTemporaryFile();
+            deleteTemporaryFile();
             throw e;
         }
     }
 
-    /** Removes what a failed write left; it was never acknowledged. */
-    private void removeTemporaryFile() {
+    /** After a failed write, which was not acknowledged. */
+    private void deleteTemporaryFile() {
         try {
-            disk.delete(beside);
+            disk.delete(temporaryFile);
         } catch (IOException | RuntimeException e) {
-            return; // it only takes room, and the next write removes it or fails
+            return; // the next write deletes the file or fails itself
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/store/InMemoryLogs.java
+++ b/fleet/src/main/java/tinford/fleet/store/InMemoryLogs.java
@@ -1,332 +1,263 @@
 package tinford.fleet.store;
 
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeSet;
-import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 
 /**
- * The logs of all members in one place, for tests and the lab: they come to what a consensus comes
- * to, but are none. One thread, driven by {@link #advance}; chance is handed in. Bounds: {@code
- * inFlight} appends a member; entries since the last snapshot.
+ * Simulates the logs of all members in one place, for tests and the lab: the outcomes of a
+ * consensus without its protocol. Single-threaded, driven by {@link #advance}; times are in ms of
+ * that driven clock, and random draws come from the generator handed in. Bounds: {@code
+ * maxInFlight} appends a member; entries since the last snapshot.
  */
 public final class InMemoryLogs {
-    /** An append under way. */
-    private static final class Offer {
-        private final byte[] entry;
-        private final CompletableFuture<Long> told = new CompletableFuture<>();
-        private final double until;
-        private double due;
-
-        /** In which term a leader took it; 0 while none has. */
-        private long taken;
-
-        Offer(byte[] entry, double due, double until) {
-            this.entry = entry;
-            this.due = due;
-            this.until = until;
-        }
-    }
-
-    /** An entry that a majority has. */
+    /** A committed entry. */
     private record Entry(long index, byte[] bytes) {}
 
-    private final class Member {
-        private final int number;
-        private final List<Offer> offers = new ArrayList<>();
-        private ReplicatedLog.Reader reader;
-        private int life;
-
-        /** Up to which index its disk has the entries, and the reader knows them. */
-        private long has;
-
-        private long knows;
-        private double appliesAt;
-        private long term;
-        private boolean leads;
+    private static final int MAX_MEMBERS = 1000;
 
-        Member(int number) {
-            this.number = number;
-        }
-
-        private void fail(String why) {
-            List<Offer> all = new ArrayList<>(offers);
-            offers.clear();
-            all.forEach(each -> each.told.completeExceptionally(new IOException("log: " + why)));
-        }
-
-        CompletableFuture<Long> offer(byte[] entry) {
-            if (offers.size() >= inFlight) {
-                return CompletableFuture.failedFuture(
-                        new IOException("log: " + inFlight + " appends wait already"));
-            }
-            Offer made = new Offer(entry.clone(), now + delay(), now + appendMs);
-            offers.add(made);
-            return made.told;
-        }
-
-        void close() {
-            reader = null;
-            leads = false;
-            fail("closed");
-        }
-    }
-
-    /** The member as one life of it sees it: after a stop this handle is closed for good. */
-    private final class Handle implements ReplicatedLog {
-        private final Member member;
-        private final int life;
-
-        Handle(Member member) {
-            this.member = member;
-            this.life = member.life;
-        }
-
-        private boolean open() {
-            return member.life == life && member.reader != null;
-        }
-
-        @Override
-        public CompletableFuture<Long> append(byte[] entry) {
-            return open()
-                    ? member.offer(entry)
-                    : CompletableFuture.failedFuture(new IOException("log: closed"));
-        }
-
-        @Override
-        public boolean leads() {
-            return open() && member.leads;
-        }
-
-        @Override
-        public long term() {
-            return member.term;
-        }
-
-        @Override
-        public void close() {
-            if (open()) {
-                member.close();
-            }
-        }
-    }
-
-    private final List<Member> members = new ArrayList<>();
+    private final List<InMemoryLogMember> members = new ArrayList<>();
     private final List<Entry> entries = new ArrayList<>();
-    private final TreeSet<Integer> cuts = new TreeSet<>();
-    private final RandomGenerator chance;
-    private final double delayMs;
-    private final double silenceMs;
-    private final double appendMs;
-    private final int inFlight;
-    private final int snapshotEntries;
-    private double now;
-    private Member leader;
-    private double heardAt;
+    private final TreeSet<Integer> cutLinks = new TreeSet<>();
+    private final RandomGenerator random;
+    private final double maxDelayMs;
+    private final double electionTimeoutMs;
+    private final double appendTimeoutMs;
+    private final int maxInFlight;
+    private final int snapshotThreshold;
+    private double nowMs;
+    private InMemoryLogMember leader;
+    private double leaderSeenMs;
     private long term;
-    private long last;
-    private long base;
+    private long lastIndex;
+    private long snapshotIndex;
     private byte[] snapshot = new byte[0];
 
     /**
-     * @param size members, numbered from 1
+     * @param size number of members, which are numbered from 1
+     * @param maxDelayMs of each step of an append and of each batch of applied entries
      */
     public InMemoryLogs(
             int size,
-            double delayMs,
-            double silenceMs,
-            double appendMs,
-            int inFlight,
-            int snapshotEntries,
-            RandomGenerator chance) {
-        for (int i = 1; i <= size; i++) {
-            members.add(new Member(i));
+            double maxDelayMs,
+            double electionTimeoutMs,
+            double appendTimeoutMs,
+            int maxInFlight,
+            int snapshotThreshold,
+            RandomGenerator random) {
+        for (int number = 1; number <= size; number++) {
+            members.add(new InMemoryLogMember(number));
         }
-        this.delayMs = delayMs;
-        this.silenceMs = silenceMs;
-        this.appendMs = appendMs;
-        this.inFlight = inFlight;
-        this.snapshotEntries = snapshotEntries;
-        this.chance = chance;
+        this.maxDelayMs = maxDelayMs;
+        this.electionTimeoutMs = electionTimeoutMs;
+        this.appendTimeoutMs = appendTimeoutMs;
+        this.maxInFlight = maxInFlight;
+        this.snapshotThreshold = snapshotThreshold;
+        this.random = random;
     }
 
-    private double delay() {
-        return delayMs * chance.nextDouble();
+    private double drawDelayMs() {
+        return maxDelayMs * random.nextDouble();
     }
 
-    private Member member(int number) {
+    private InMemoryLogMember member(int number) {
         return members.get(number - 1);
     }
 
-    /** Starts a member's life, with what its disk has. */
-    public ReplicatedLog open(int number, ReplicatedLog.Reader reader) {
-        Member member = member(number);
-        if (member.reader != null) {
-            throw new IllegalStateException("member " + number + " runs already");
+    /**
+     * Starts an incarnation of a member, with the entries on its disk.
+     *
+     * @throws IllegalStateException the member runs already
+     */
+    public ReplicatedLog open(int number, ReplicatedLog.StateMachine stateMachine) {
+        InMemoryLogMember member = member(number);
+        member.start(stateMachine);
+        return member.handle(entry -> append(member, entry));
+    }
+
+    private InMemoryLogMember.Append append(InMemoryLogMember member, byte[] entry) {
+        if (member.appends.size() >= maxInFlight) {
+            return InMemoryLogMember.Append.rejected(
+                    LogAppendException.tooManyInFlight(maxInFlight));
         }
-        member.life++;
-        member.reader = reader;
-        member.knows = 0;
-        return new Handle(member);
+        InMemoryLogMember.Append append =
+                new InMemoryLogMember.Append(
+                        entry.clone(), nowMs + drawDelayMs(), nowMs + appendTimeoutMs);
+        member.appends.add(append);
+        return append;
     }
 
-    /** As a kill: nothing is told to the reader. */
+    /** Stops a member as a kill does: its state machine is not notified. */
     public void stop(int number) {
         member(number).close();
     }
 
-    /** Of a member that is stopped. */
+    /** Erases the disk of a stopped member. */
     public void loseDisk(int number) {
-        member(number).has = 0;
+        member(number).storedIndex = 0;
     }
 
-    /** Both ways, until healed. */
-    public void cut(int a, int b) {
-        cuts.add(Math.min(a, b) * 1000 + Math.max(a, b));
+    /** Cuts the link between two members in both directions, until {@link #heal}. */
+    public void cut(int number, int otherNumber) {
+        cutLinks.add(link(number, otherNumber));
     }
 
+    /** Restores all links. */
     public void heal() {
-        cuts.clear();
+        cutLinks.clear();
+    }
+
+    private static int link(int number, int otherNumber) {
+        return Math.min(number, otherNumber) * MAX_MEMBERS + Math.max(number, otherNumber);
     }
 
-    private boolean reaches(Member a, Member b) {
-        return a.reader != null
-                && b.reader != null
-                && (a == b
-                        || !cuts.contains(
-                                Math.min(a.number, b.number) * 1000
-                                        + Math.max(a.number, b.number)));
+    private boolean reaches(InMemoryLogMember from, InMemoryLogMember to) {
+        return from.isRunning()
+                && to.isRunning()
+                && (from == to || !cutLinks.contains(link(from.number, to.number)));
     }
 
-    /** Whether a majority answers it, and one of them has all that was committed. */
-    private boolean canLead(Member candidate) {
+    /** Whether it reaches a majority, one of which stores all committed entries. */
+    private boolean canLead(InMemoryLogMember candidate) {
         int reached = 0;
-        long most = -1;
-        for (Member each : members) {
-            if (reaches(candidate, each)) {
+        long maxStoredIndex = -1;
+        for (InMemoryLogMember member : members) {
+            if (reaches(candidate, member)) {
                 reached++;
-                most = Math.max(most, each.has);
+                maxStoredIndex = Math.max(maxStoredIndex, member.storedIndex);
             }
         }
-        return 2 * reached > members.size() && most >= last;
+        return 2 * reached > members.size() && maxStoredIndex >= lastIndex;
+    }
+
+    private boolean hasLeader() {
+        return leader != null && canLead(leader);
     }
 
-    /** Time goes on; entries are committed, handed to readers and acknowledged within this call. */
-    public void advance(double to) {
-        now = Math.max(now, to);
+    /** Advances the clock: due entries are committed, applied and acknowledged within the call. */
+    public void advance(double toMs) {
+        nowMs = Math.max(nowMs, toMs);
         elect();
-        for (Member each : members) {
-            commit(each);
+        for (InMemoryLogMember member : members) {
+            processAppends(member);
         }
-        for (Member each : members) {
-            apply(each);
+        for (InMemoryLogMember member : members) {
+            applyEntries(member);
         }
-        trim();
+        takeSnapshot();
     }
 
     private void elect() {
-        if (leader != null && canLead(leader)) {
-            heardAt = now;
-            members.stream()
-                    .filter(each -> reaches(leader, each))
-                    .forEach(
-                            each -> {
-                                each.term = term;
-                                each.leads = each == leader;
-                            });
+        if (hasLeader()) {
+            leaderSeenMs = nowMs;
+            announceLeader();
             return;
         }
-        if (now - heardAt < silenceMs) {
+        if (nowMs - leaderSeenMs < electionTimeoutMs) {
             return;
         }
-        Member old = leader;
+        InMemoryLogMember oldLeader = leader;
         leader = members.stream().filter(this::canLead).findFirst().orElse(null);
         if (leader != null) {
             term++;
-            last++; // a new leader writes an entry of its own
-            heardAt = now;
-            spread(null);
+            lastIndex++; // a new leader appends an entry of its own
+            leaderSeenMs = nowMs;
+            replicateAll();
         }
-        // one that was cut off believes for as long again that it leads
-        if (old != null && old != leader && now - heardAt >= 2 * silenceMs) {
-            old.leads = false;
+        // a leader that was cut off believes for one more timeout that it leads
+        if (oldLeader != null
+                && oldLeader != leader
+                && nowMs - leaderSeenMs >= 2 * electionTimeoutMs) {
+            oldLeader.isLeader = false;
         }
     }
 
-    /** To all that the leader reaches. */
-    private void spread(byte[] entry) {
-        if (entry != null) {
-            entries.add(new Entry(++last, entry));
+    private void announceLeader() {
+        for (InMemoryLogMember member : members) {
+            if (reaches(leader, member)) {
+                member.term = term;
+                member.isLeader = member == leader;
+            }
         }
-        for (Member each : members) {
-            if (reaches(leader, each)) {
-                each.has = last;
-                each.term = term;
-                each.leads = each == leader;
+    }
+
+    /** Stores all entries on each member that the leader reaches. */
+    private void replicateAll() {
+        announceLeader();
+        for (InMemoryLogMember member : members) {
+            if (reaches(leader, member)) {
+                member.storedIndex = lastIndex;
             }
         }
     }
 
-    private void commit(Member from) {
-        for (Offer each : new ArrayList<>(from.offers)) {
-            boolean can = leader != null && canLead(leader) && reaches(leader, from);
-            if (each.due <= now && can && each.taken == 0) {
-                each.taken = term;
-                each.due = now + delay();
-            } else if (each.due <= now && each.taken != 0 && can) {
-                from.offers.remove(each);
-                boolean same = each.taken == term;
-                // taken by a leader that was replaced: it may have come to the next one or not, and
-                // nobody says so
-                if (same || chance.nextBoolean()) {
-                    spread(each.entry);
-                }
-                if (same) {
-                    each.told.complete(last);
-                } else {
-                    each.told.completeExceptionally(new IOException("log: leader replaced"));
-                }
-            } else if (now >= each.until) {
-                from.offers.remove(each);
-                each.told.completeExceptionally(
-                        new IOException("log: not within " + appendMs + " ms"));
+    private void commit(byte[] bytes) {
+        entries.add(new Entry(++lastIndex, bytes));
+        replicateAll();
+    }
+
+    private void processAppends(InMemoryLogMember member) {
+        for (InMemoryLogMember.Append append : new ArrayList<>(member.appends)) {
+            boolean reachesLeader = hasLeader() && reaches(leader, member);
+            boolean isDue = append.dueMs <= nowMs && reachesLeader;
+            if (isDue && append.receivedInTerm == 0) {
+                append.receivedInTerm = term;
+                append.dueMs = nowMs + drawDelayMs();
+            } else if (isDue) {
+                member.appends.remove(append);
+                finish(append);
+            } else if (nowMs >= append.deadlineMs) {
+                member.appends.remove(append);
+                append.result.completeExceptionally(LogAppendException.timedOut(appendTimeoutMs));
             }
         }
     }
 
-    private void apply(Member to) {
-        if (to.reader == null || now < to.appliesAt) {
+    /** An append that a replaced leader received is committed or lost, and never acknowledged. */
+    private void finish(InMemoryLogMember.Append append) {
+        boolean sameLeader = append.receivedInTerm == term;
+        if (sameLeader || random.nextBoolean()) {
+            commit(append.entry);
+        }
+        if (sameLeader) {
+            append.result.complete(lastIndex);
+        } else {
+            append.result.completeExceptionally(LogAppendException.leaderReplaced());
+        }
+    }
+
+    private void applyEntries(InMemoryLogMember member) {
+        if (!member.isRunning() || nowMs < member.nextApplyMs) {
             return;
         }
-        to.appliesAt = now + delay();
-        if (leader != null && reaches(leader, to) && canLead(leader)) {
-            to.has = last;
+        member.nextApplyMs = nowMs + drawDelayMs();
+        if (leader != null && reaches(leader, member) && canLead(leader)) {
+            member.storedIndex = lastIndex;
         }
-        if (to.knows < base && to.has >= base) {
-            to.knows = base;
-            to.reader.restore(base, snapshot.clone());
+        if (member.appliedIndex < snapshotIndex && member.storedIndex >= snapshotIndex) {
+            member.appliedIndex = snapshotIndex;
+            member.stateMachine.restore(snapshotIndex, snapshot.clone());
         }
-        for (Entry each : new ArrayList<>(entries)) {
-            if (each.index() > to.knows
-                    && each.index() <= to.has
-                    && to.knows >= base
-                    && to.reader != null) {
-                to.knows = each.index();
-                to.reader.apply(each.index(), each.bytes().clone());
+        for (Entry entry : new ArrayList<>(entries)) {
+            if (entry.index() > member.appliedIndex
+                    && entry.index() <= member.storedIndex
+                    && member.appliedIndex >= snapshotIndex
+                    && member.isRunning()) {
+                member.appliedIndex = entry.index();
+                member.stateMachine.apply(entry.index(), entry.bytes().clone());
             }
         }
     }
 
-    private void trim() {
-        if (entries.size() > snapshotEntries
+    private void takeSnapshot() {
+        if (entries.size() > snapshotThreshold
                 && leader != null
-                && leader.reader != null
-                && leader.knows > base) {
-            snapshot = leader.reader.snapshot();
-            base = leader.knows;
-            entries.removeIf(each -> each.index() <= base);
+                && leader.isRunning()
+                && leader.appliedIndex > snapshotIndex) {
+            snapshot = leader.stateMachine.snapshot();
+            snapshotIndex = leader.appliedIndex;
+            entries.removeIf(entry -> entry.index() <= snapshotIndex);
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/store/InMemoryStore.java
+++ b/fleet/src/main/java/tinford/fleet/store/InMemoryStore.java
@@ -3,12 +3,11 @@
 import java.io.IOException;
 
 /**
- * A store in memory for tests and the lab, with the faults of a disk on demand. What lasts is in a
- * {@link Platter}, which outlives the store as a disk outlives a process. Holds two contents of at
- * most {@code largest} bytes.
+ * A store in memory for tests and the lab, with disk faults on demand. The stored bytes are in a
+ * {@link Disk}, which outlives the store as a disk outlives a process.
  */
 public final class InMemoryStore implements Store {
-    /** What ails the disk. */
+    /** State of the simulated disk. */
     public enum Fault {
         NONE,
         FULL,
@@ -17,97 +16,103 @@
         UNREADABLE
     }
 
-    /** What lasts: the sealed content of now, and the one before. */
-    public static final class Platter {
-        private byte[] now;
-        private byte[] before;
+    /** A simulated disk: the checksummed file of the last write, and the one before. */
+    public static final class Disk {
+        private byte[] current;
+        private byte[] previous;
         private Fault fault = Fault.NONE;
-        private double slowMs;
+        private double slowWriteMs;
 
-        public synchronized void fault(Fault which) {
-            fault = which;
+        public synchronized void setFault(Fault fault) {
+            this.fault = fault;
         }
 
-        /** Time that slow writes have taken so far, in driven time: nothing waits. */
-        public synchronized double slowMs() {
-            return slowMs;
+        /** Time that slow writes would have taken so far, in ms; no call waits. */
+        public synchronized double slowWriteMs() {
+            return slowWriteMs;
         }
 
-        /** As a disk that was replaced. */
-        public synchronized void lose() {
-            now = null;
-            before = null;
+        /** As a disk that was replaced by an empty one. */
+        public synchronized void erase() {
+            current = null;
+            previous = null;
         }
 
-        /** As a disk restored from an older copy. */
-        public synchronized void back() {
-            now = before;
+        /** As a disk that was restored from an older copy. */
+        public synchronized void revertToPrevious() {
+            current = previous;
         }
 
-        synchronized void bytes(byte[] sealed) {
-            before = now;
-            now = sealed;
+        synchronized void setFile(byte[] file) {
+            previous = current;
+            current = file;
         }
 
-        synchronized byte[] bytes() {
-            return now;
+        synchronized byte[] file() {
+            return current;
         }
     }
 
-    private static final double SLOW_MS = 1000;
-    private final Platter platter;
-    private final int largest;
-    private final double aheadMs;
+    private static final double SLOW_WRITE_MS = 1000;
+    private final Disk disk;
+    private final int maxContentBytes;
+    private final double maxFutureMs;
     private boolean closed;
 
-    public InMemoryStore(Platter platter, int largest, double aheadMs) {
-        this.platter = platter;
-        this.largest = largest;
-        this.aheadMs = aheadMs;
+    /**
+     * @param maxFutureMs how far in the future a content may be dated
+     */
+    public InMemoryStore(Disk disk, int maxContentBytes, double maxFutureMs) {
+        this.disk = disk;
+        this.maxContentBytes = maxContentBytes;
+        this.maxFutureMs = maxFutureMs;
     }
 
     @Override
-    public Found read(double now) {
-        synchronized (platter) {
-            if (platter.fault == Fault.UNREADABLE) {
-                return new Found(null, "memory: can't be read");
+    public ReadResult read(double nowMs) {
+        synchronized (disk) {
+            if (disk.fault == Fault.UNREADABLE) {
+                return absent("can't be read");
             }
-            if (platter.now == null) {
-                return new Found(null, "memory: none");
+            if (disk.current == null) {
+                return absent("none");
             }
-            Found found = ChecksummedFile.open(platter.now, now, aheadMs, largest);
-            return found.why() == null ? found : new Found(null, "memory: " + found.why());
+            ReadResult result =
+                    ChecksummedFile.decode(disk.current, nowMs, maxFutureMs, maxContentBytes);
+            return result.content() != null ? result : absent(result.absenceReason());
         }
     }
 
+    private static ReadResult absent(String reason) {
+        return ReadResult.absent("memory: " + reason);
+    }
+
     @Override
-    public void write(byte[] content, double now) throws IOException {
-        synchronized (platter) {
+    public void write(byte[] content, double nowMs) throws IOException {
+        synchronized (disk) {
             if (closed) {
                 throw new IOException("memory: closed");
             }
-            if (content.length > largest) {
+            if (content.length > maxContentBytes) {
                 throw new IOException(
                         "memory: content of "
                                 + content.length
                                 + " bytes, expected at most "
-                                + largest);
-            }
-            if (platter.fault == Fault.FULL
-                    || platter.fault == Fault.READ_ONLY
-                    || platter.fault == Fault.UNREADABLE) {
-                throw new IOException("memory: disk is " + platter.fault);
+                                + maxContentBytes);
             }
-            if (platter.fault == Fault.SLOW) {
-                platter.slowMs += SLOW_MS;
+            switch (disk.fault) {
+                case FULL, READ_ONLY, UNREADABLE ->
+                        throw new IOException("memory: disk is " + disk.fault);
+                case SLOW -> disk.slowWriteMs += SLOW_WRITE_MS;
+                default -> {}
             }
-            platter.bytes(ChecksummedFile.seal(content, now));
+            disk.setFile(ChecksummedFile.encode(content, nowMs));
         }
     }
 
     @Override
     public void close() {
-        synchronized (platter) {
+        synchronized (disk) {
             closed = true;
         }
     }
--- a/fleet/src/main/java/tinford/fleet/store/RatisStateMachine.java
+++ b/fleet/src/main/java/tinford/fleet/store/RatisStateMachine.java
@@ -3,6 +3,7 @@
 import java.io.File;
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
+import org.apache.ratis.proto.RaftProtos.LogEntryProto;
 import org.apache.ratis.protocol.Message;
 import org.apache.ratis.protocol.RaftGroupId;
 import org.apache.ratis.server.RaftServer;
@@ -18,38 +19,37 @@
 import org.apache.ratis.util.MD5FileUtil;
 
 /**
- * Hands what the library has committed to a reader, and keeps its snapshots as sealed files in the
- * library's folder.
+ * Adapts a {@link ReplicatedLog.StateMachine} to Ratis, and keeps its snapshots as checksummed
+ * files in the library's folder.
  */
 final class RatisStateMachine extends BaseStateMachine {
-    /** Bytes that a snapshot may have. */
-    private static final int LARGEST = 64 * 1024 * 1024;
+    private static final int MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024;
+
+    /** All snapshots carry the same time, as the library orders them by index. */
+    private static final double SNAPSHOT_TIME_MS = 0;
 
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
-    private final ReplicatedLog.Reader reader;
+    private final ReplicatedLog.StateMachine stateMachine;
 
-    RatisStateMachine(ReplicatedLog.Reader reader) {
-        this.reader = reader;
+    RatisStateMachine(ReplicatedLog.StateMachine stateMachine) {
+        this.stateMachine = stateMachine;
     }
 
     @Override
-    public void initialize(RaftServer server, RaftGroupId group, RaftStorage disk)
+    public void initialize(RaftServer server, RaftGroupId groupId, RaftStorage raftStorage)
             throws IOException {
-        super.initialize(server, group, disk);
+        super.initialize(server, groupId, raftStorage);
         getLifeCycle().transition(LifeCycle.State.STARTING);
-        storage.init(disk);
-        restore();
-        getLifeCycle()
-                .transition(
-                        LifeCycle.State
-                                .RUNNING); // the library puts a snapshot only in place of what ran
-        // and paused
+        storage.init(raftStorage);
+        restoreLatestSnapshot();
+        // the library installs a leader's snapshot only in a state machine that ran and was paused
+        getLifeCycle().transition(LifeCycle.State.RUNNING);
     }
 
-    /** After the library put another's snapshot in place. */
+    /** Called after the library installed a snapshot of the leader. */
     @Override
     public void reinitialize() throws IOException {
-        restore();
+        restoreLatestSnapshot();
         if (getLifeCycleState() == LifeCycle.State.PAUSED) {
             getLifeCycle().transition(LifeCycle.State.STARTING);
             getLifeCycle().transition(LifeCycle.State.RUNNING);
@@ -64,48 +64,46 @@
         }
     }
 
-    private void restore() throws IOException {
+    private void restoreLatestSnapshot() throws IOException {
         SingleFileSnapshotInfo latest = storage.loadLatestSnapshot();
         if (latest == null) {
             return;
         }
-        File file = latest.getFile().getPath().toFile();
-        try (Store kept = kept(file)) {
-            Store.Found found = kept.read(0);
-            if (found.content() == null) {
-                throw new IOException("log: snapshot " + found.why());
+        try (Store store = snapshotStore(latest.getFile().getPath().toFile())) {
+            Store.ReadResult result = store.read(SNAPSHOT_TIME_MS);
+            if (result.content() == null) {
+                throw new IOException("log: snapshot " + result.absenceReason());
             }
-            reader.restore(latest.getIndex(), found.content());
+            stateMachine.restore(latest.getIndex(), result.content());
         }
         setLastAppliedTermIndex(latest.getTermIndex());
     }
 
     @Override
     public long takeSnapshot() throws IOException {
-        TermIndex last = getLastAppliedTermIndex();
-        if (last == null || last.getIndex() < 0) {
+        TermIndex lastApplied = getLastAppliedTermIndex();
+        if (lastApplied == null || lastApplied.getIndex() < 0) {
             return -1;
         }
-        File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
-        try (Store kept = kept(file)) {
-            kept.write(reader.snapshot(), 0);
+        File file = storage.getSnapshotFile(lastApplied.getTerm(), lastApplied.getIndex());
+        try (Store store = snapshotStore(file)) {
+            store.write(stateMachine.snapshot(), SNAPSHOT_TIME_MS);
         }
         FileInfo info = new FileInfo(file.toPath(), MD5FileUtil.computeAndSaveMd5ForFile(file));
-        storage.updateLatestSnapshot(new SingleFileSnapshotInfo(info, last));
-        return last.getIndex();
+        storage.updateLatestSnapshot(new SingleFileSnapshotInfo(info, lastApplied));
+        return lastApplied.getIndex();
     }
 
-    /** All dated 0: the library orders snapshots by index. */
-    private static Store kept(File file) {
-        return new FileStore(file.toPath().getParent(), file.getName(), LARGEST, 0);
+    private static Store snapshotStore(File file) {
+        return new FileStore(file.toPath().getParent(), file.getName(), MAX_SNAPSHOT_BYTES, 0);
     }
 
     @Override
-    public CompletableFuture<Message> applyTransaction(TransactionContext entry) {
-        long index = entry.getLogEntry().getIndex();
-        reader.apply(
-                index, entry.getLogEntry().getStateMachineLogEntry().getLogData().toByteArray());
-        updateLastAppliedTermIndex(entry.getLogEntry().getTerm(), index);
+    public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
+        LogEntryProto entry = transaction.getLogEntry();
+        stateMachine.apply(
+                entry.getIndex(), entry.getStateMachineLogEntry().getLogData().toByteArray());
+        updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
         return CompletableFuture.completedFuture(Message.EMPTY);
     }
 
--- a/fleet/src/main/java/tinford/fleet/store/ReplicaRejoin.java
+++ b/fleet/src/main/java/tinford/fleet/store/ReplicaRejoin.java
@@ -1,6 +1,7 @@
 package tinford.fleet.store;
 
 import java.io.IOException;
+import java.lang.System.Logger.Level;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -9,61 +10,72 @@
 import org.apache.ratis.conf.Parameters;
 import org.apache.ratis.conf.RaftProperties;
 import org.apache.ratis.protocol.GroupInfoReply;
-import org.apache.ratis.protocol.RaftClientReply;
 import org.apache.ratis.protocol.RaftGroup;
 import org.apache.ratis.protocol.RaftGroupId;
 import org.apache.ratis.protocol.RaftPeer;
 import org.apache.ratis.protocol.RaftPeerId;
 import org.apache.ratis.retry.RetryPolicies;
+import org.apache.ratis.retry.RetryPolicy;
 import org.apache.ratis.util.TimeDuration;
 
 /**
- * How a member without its disk comes back: it votes for nothing and counts for nothing until the
- * leader has taken it out, in again, and brought it up to date. As a voter at once it could outvote
- * what it had acknowledged before.
+ * Brings back a member that lost its disk. It neither votes nor counts towards a majority until the
+ * leader has removed it from the group, added it again and brought it up to date: as a voter at
+ * once, it could outvote entries that it had acknowledged before.
  *
- * <p>It knows that it lost its disk when its folder is empty and another member tells of committed
- * entries. Where no other answers, it can't tell that from the first start of all: a member with an
- * empty folder must not be started before another one runs.
+ * <p>A member concludes that it lost its disk when its folder is empty and another member reports
+ * committed entries. Where no other member answers, this can't be told from the first start of the
+ * group, so a member with an empty folder must not be started before another one runs.
  */
 final class ReplicaRejoin {
-    private static final TimeDuration AGAIN = TimeDuration.valueOf(200, TimeUnit.MILLISECONDS);
+    private static final System.Logger LOG = System.getLogger("tinford.fleet");
+    private static final TimeDuration RETRY_INTERVAL =
+            TimeDuration.valueOf(200, TimeUnit.MILLISECONDS);
+    private static final int MAX_RETRIES = 25;
+    private static final RetryPolicy RETRIES =
+            RetryPolicies.retryUpToMaximumCountWithFixedSleep(MAX_RETRIES, RETRY_INTERVAL);
+
     private final RaftGroup group;
     private final RaftPeerId self;
     private final List<RaftPeer> others;
     private final RaftProperties properties;
     private final Parameters parameters;
 
-    /** There from when it was found out until it counts again, over restarts. */
-    private final Path mark;
+    /** Exists, over restarts, from the discovery of the loss until the member counts again. */
+    private final Path markerFile;
 
     ReplicaRejoin(
-            RaftGroupId id,
+            RaftGroupId groupId,
             RaftPeerId self,
             List<RaftPeer> peers,
             RaftProperties properties,
             Parameters parameters,
             Path folder) {
-        this.group = RaftGroup.valueOf(id, peers);
+        this.group = RaftGroup.valueOf(groupId, peers);
         this.self = self;
-        this.others = peers.stream().filter(each -> !each.getId().equals(self)).toList();
+        this.others = peers.stream().filter(peer -> !peer.getId().equals(self)).toList();
         this.properties = properties;
         this.parameters = parameters;
-        this.mark = folder.resolve("rejoining");
+        this.markerFile = folder.resolve("rejoining");
     }
 
-    /** Asks the others, one after the other, for some seconds each at most. */
-    boolean needed(boolean diskKnown) throws IOException {
-        if (Files.exists(mark)) {
+    /**
+     * Whether this member has to rejoin. Queries the other members one after the other, for some
+     * seconds each at most.
+     *
+     * @param hasStoredState whether the folder holds this member's term and vote
+     */
+    boolean isNeeded(boolean hasStoredState) throws IOException {
+        if (Files.exists(markerFile)) {
             return true;
         }
-        if (diskKnown || others.isEmpty()) {
+        if (hasStoredState || others.isEmpty()) {
             return false;
         }
-        try (RaftClient client = client(0)) {
-            for (RaftPeer each : others) {
-                if (committed(client, each.getId())) {
-                    Files.createFile(mark);
+        try (RaftClient client = client(RetryPolicies.noRetry())) {
+            for (RaftPeer peer : others) {
+                if (hasCommittedEntries(client, peer.getId())) {
+                    Files.createFile(markerFile);
                     return true;
                 }
             }
@@ -71,69 +83,55 @@
         return false;
     }
 
-    private boolean committed(RaftClient client, RaftPeerId at) {
+    private boolean hasCommittedEntries(RaftClient client, RaftPeerId peer) {
         try {
-            GroupInfoReply reply = client.getGroupManagementApi(at).info(group.getGroupId());
-            return reply.getCommitInfos().stream().anyMatch(each -> each.getCommitIndex() > 0);
-        } catch (IOException | RuntimeException none) {
-            return false; // not up, or itself without the group
+            GroupInfoReply reply = client.getGroupManagementApi(peer).info(group.getGroupId());
+            return reply.getCommitInfos().stream().anyMatch(info -> info.getCommitIndex() > 0);
+        } catch (IOException | RuntimeException e) {
+            return false; // not running, or itself outside the group
         }
     }
 
-    private RaftClient client(int tries) {
+    private RaftClient client(RetryPolicy retryPolicy) {
         return RaftClient.newBuilder()
                 .setRaftGroup(group)
                 .setProperties(properties)
                 .setParameters(parameters)
-                .setRetryPolicy(
-                        tries == 0
-                                ? RetryPolicies.noRetry()
-                                : RetryPolicies.retryUpToMaximumCountWithFixedSleep(tries, AGAIN))
+                .setRetryPolicy(retryPolicy)
                 .build();
     }
 
-    /** Tries until it counts again; an interrupt ends it. */
+    /** Retries on a thread of its own until the member counts again; an interrupt ends it. */
     Thread start() {
-        Thread thread =
-                new Thread(
-                        () -> {
-                            while (!Thread.currentThread().isInterrupted()) {
-                                try (RaftClient client = client(25)) {
-                                    RaftClientReply out = client.admin().setConfiguration(others);
-                                    if (out.isSuccess()
-                                            && client.admin()
-                                                    .setConfiguration(List.copyOf(group.getPeers()))
-                                                    .isSuccess()) {
-                                        Files.deleteIfExists(mark);
-                                        return;
-                                    }
-                                    AGAIN.sleep();
-                                } catch (InterruptedException e) {
-                                    return;
-                                } catch (IOException | RuntimeException e) {
-                                    System.getLogger("tinford.fleet")
-                                            .log(
-                                                    System.Logger.Level.INFO,
-                                                    "log: {0} not back yet: {1}",
-                                                    self,
-                                                    e.toString());
-                                    if (!rest()) {
-                                        return;
-                                    }
-                                }
-                            }
-                        },
-                        "tinford-log-rejoins-" + self);
+        Thread thread = new Thread(this::rejoin, "tinford-log-rejoins-" + self);
         thread.setDaemon(true);
         thread.start();
         return thread;
     }
 
-    private static boolean rest() {
+    private void rejoin() {
         try {
-            AGAIN.sleep();
-            return true;
+            while (!Thread.currentThread().isInterrupted() && !tryRejoin()) {
+                RETRY_INTERVAL.sleep();
+            }
         } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private boolean tryRejoin() {
+        try (RaftClient client = client(RETRIES)) {
+            boolean rejoined =
+                    client.admin().setConfiguration(others).isSuccess()
+                            && client.admin()
+                                    .setConfiguration(List.copyOf(group.getPeers()))
+                                    .isSuccess();
+            if (rejoined) {
+                Files.deleteIfExists(markerFile);
+            }
+            return rejoined;
+        } catch (IOException | RuntimeException e) {
+            LOG.log(Level.INFO, "log: rejoin failed, retrying member={0} error={1}", self, e);
             return false;
         }
     }
--- a/fleet/src/main/java/tinford/fleet/store/ReplicatedLog.java
+++ b/fleet/src/main/java/tinford/fleet/store/ReplicatedLog.java
@@ -3,38 +3,42 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Entries in one order, kept by a majority of the members. An entry that was acknowledged is never
- * lost while a majority keeps its disks; without a majority nothing is acknowledged; a leader that
- * was replaced acknowledges nothing more.
+ * A totally ordered log replicated on a majority of its members. An acknowledged entry is never
+ * lost while a majority keeps its disks. Without a majority no entry is acknowledged, and a leader
+ * that was replaced acknowledges none.
  */
 public interface ReplicatedLog extends AutoCloseable {
     /**
-     * What the entries mean, on every member alike. Called by one thread, in order, each entry once
-     * a life.
+     * Interprets the entries, deterministically and alike on every member. Called by one thread, in
+     * log order, once for each entry within one incarnation of the member.
      */
-    interface Reader {
-        /** Indexes rise; some may be left out (the library's own). */
+    interface StateMachine {
+        /**
+         * Applies a committed entry. Indexes rise but may skip values, which are entries of the
+         * consensus library itself.
+         */
         void apply(long index, byte[] entry);
 
-        /** Everything that the entries so far have come to; must not wait. */
+        /** Returns the state after all entries applied so far; must not block. */
         byte[] snapshot();
 
-        /** In place of all entries up to that index. */
+        /** Replaces the state by a snapshot that stands for all entries up to {@code index}. */
         void restore(long index, byte[] snapshot);
     }
 
     /**
-     * Offers an entry, from any member. No call waits.
+     * Proposes an entry, on any member. Never blocks.
      *
-     * @return completes with the entry's index once a majority has it; fails when it surely or
-     *     perhaps was not taken (it may still come)
+     * @return completes with the entry's index once a majority stores it; fails, mostly with a
+     *     {@link LogAppendException}, when the entry was not appended or its fate is unknown (it
+     *     may still be appended later)
      */
     CompletableFuture<Long> append(byte[] entry);
 
-    /** Whether this member leads, as far as it knows. */
-    boolean leads();
+    /** Whether this member believes that it is the leader. */
+    boolean isLeader();
 
-    /** The leader's term as this member knows it; never falls within a life. */
+    /** The highest term that this member knows; never falls within one incarnation. */
     long term();
 
     @Override
--- a/fleet/src/main/java/tinford/fleet/store/Store.java
+++ b/fleet/src/main/java/tinford/fleet/store/Store.java
@@ -3,25 +3,36 @@
 import java.io.IOException;
 
 /**
- * One content of one process that lasts over its restarts. Whatever stops a write at whichever
- * step, a later read finds the old content or the new one whole, never a mixture; what was written
- * and acknowledged is found, unless the disk itself was replaced.
+ * One content of one process that outlives its restarts. Wherever a write is interrupted, a later
+ * read finds either the old or the new content whole, never a mixture. An acknowledged content is
+ * found unless the disk itself was replaced. Times are wall-clock times in Unix ms.
  */
 public interface Store extends AutoCloseable {
-    /** What was found, and why there is nothing where it is null: in one line, for the log. */
-    record Found(byte[] content, String why) {}
+    /**
+     * Result of a read.
+     *
+     * @param content null where there is none that can be used
+     * @param absenceReason one line for the log, why {@code content} is null; else null
+     */
+    record ReadResult(byte[] content, String absenceReason) {
+        static ReadResult absent(String reason) {
+            return new ReadResult(null, reason);
+        }
+    }
 
     /**
-     * Never fails: what can't be read, is torn, foreign, of a later version or dated in the future
-     * counts as absent, and is told.
+     * Reads the content. Never throws: content that can't be read, or is torn, foreign, of a later
+     * format version or dated in the future, counts as absent, with the reason.
      */
-    Found read(double now);
+    ReadResult read(double nowMs);
 
     /**
-     * Returns once the content lasts. Fails whole, and leaves what was there, when the disk is
-     * full, read-only or gone.
+     * Replaces the content, and returns once the new one is durable.
+     *
+     * @throws IOException the disk is full, read-only or gone, or the store is closed; the previous
+     *     content stays
      */
-    void write(byte[] content, double now) throws IOException;
+    void write(byte[] content, double nowMs) throws IOException;
 
     @Override
     void close();
--- a/fleet/src/test/java/tinford/fleet/control/ControlHttpTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ControlHttpTest.java
@@ -21,6 +21,7 @@
 import tinford.fleet.config.Revert;
 import tinford.fleet.config.Update;
 import tinford.fleet.config.WatchMessage;
+import tinford.fleet.testing.Eventually;
 
 /** The HTTP service of a voter, on a log in memory. */
 public class ControlHttpTest {
--- a/fleet/src/test/java/tinford/fleet/control/DrivenLogs.java
+++ b/fleet/src/test/java/tinford/fleet/control/DrivenLogs.java
@@ -44,7 +44,7 @@
         logs.heal();
     }
 
-    synchronized ReplicatedLog open(int number, ReplicatedLog.Reader reader) {
+    synchronized ReplicatedLog open(int number, ReplicatedLog.StateMachine reader) {
         ReplicatedLog log = logs.open(number, reader);
         return new ReplicatedLog() {
             @Override
@@ -55,9 +55,9 @@
             }
 
             @Override
-            public boolean leads() {
+            public boolean isLeader() {
                 synchronized (DrivenLogs.this) {
-                    return log.leads();
+                    return log.isLeader();
                 }
             }
 
--- a/fleet/src/test/java/tinford/fleet/control/QuorumTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/QuorumTest.java
@@ -10,6 +10,7 @@
 import org.testng.annotations.Test;
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.Proposal;
+import tinford.fleet.testing.Eventually;
 
 /** Three voters whose log loses its majority and its leader; logs in memory. */
 public class QuorumTest {
--- a/fleet/src/test/java/tinford/fleet/control/RaftVoterTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/RaftVoterTest.java
@@ -18,6 +18,7 @@
 import org.testng.annotations.Test;
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.Proposal;
+import tinford.fleet.testing.Eventually;
 
 /** Three voters on the library's log: a leader that ends, and members that start again. */
 public class RaftVoterTest {
--- a/fleet/src/test/java/tinford/fleet/control/ReplicaTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ReplicaTest.java
@@ -14,6 +14,7 @@
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.Endpoint;
 import tinford.fleet.config.WatchMessage;
+import tinford.fleet.testing.Eventually;
 
 /** A replica behind a voter. */
 public class ReplicaTest {
--- a/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
@@ -18,6 +18,7 @@
 import tinford.fleet.config.Update;
 import tinford.fleet.config.WatchMessage;
 import tinford.fleet.control.ControlSettings.WatchTiming;
+import tinford.fleet.testing.Eventually;
 
 /** What followers cost a server: those that stall, those that are many or far behind. */
 public class WatchLoadTest {
--- a/fleet/src/test/java/tinford/fleet/run/MigrationCoordinatorTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MigrationCoordinatorTest.java
@@ -162,7 +162,7 @@
             s.log =
                     logs.open(
                             g + 1,
-                            new ReplicatedLog.Reader() {
+                            new ReplicatedLog.StateMachine() {
                                 @Override
                                 public void apply(long index, byte[] entry) {
                                     snapshotSource.apply(index, entry);
@@ -216,7 +216,7 @@
                     s.renews = now + LEASE / 3;
                     s.log.append(LeaseTable.renew(s.incarnation, now, LEASE));
                 }
-                s.mover.tick(now, s.log.leads());
+                s.mover.tick(now, s.log.isLeader());
                 load(s);
             }
             promise();
--- a/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
@@ -38,6 +38,7 @@
 import tinford.fleet.store.RaftLog;
 import tinford.fleet.store.ReplicatedLog;
 import tinford.fleet.store.Store;
+import tinford.fleet.testing.Eventually;
 
 /**
  * Data that an earlier version of the program wrote is read, and written again with the same bytes.
@@ -49,8 +50,6 @@
     private static final Incarnation SECOND = new Incarnation(2, 6000);
     private static final double STORED_AT_MS = 12_345.5;
     private static final int FIRST_INDEX = 3;
-    private static final long WAIT_MS = 20_000;
-    private static final long POLL_INTERVAL_MS = 5;
 
     private Path folder;
 
@@ -235,11 +234,7 @@
                         folder.resolve("log"),
                         machine,
                         new RaftLog.Bounds(5000, 256, 64 << 10, 8, 200))) {
-            long deadline = System.nanoTime() + WAIT_MS * 1_000_000;
-            while (!log.leads() && System.nanoTime() < deadline) {
-                Thread.sleep(POLL_INTERVAL_MS);
-            }
-            assertTrue(log.leads(), "the only member leads within " + WAIT_MS + " ms");
+            Eventually.holds("the only member leads", log::isLeader);
             assertEquals(machine.snapshot(), expected);
         }
     }
@@ -279,10 +274,7 @@
             history.add(12_345, "start");
             history.add(12_346, "grant", "all", 4);
             history.add(12_347, "term", "holds", false);
-            long deadline = System.nanoTime() + WAIT_MS * 1_000_000;
-            while (Files.readAllLines(path).size() < 3 && System.nanoTime() < deadline) {
-                Thread.sleep(POLL_INTERVAL_MS);
-            }
+            Eventually.holds("three lines", () -> Files.readAllLines(path).size() == 3);
         }
         assertEquals(
                 withoutTime(Files.readString(path)),
--- a/fleet/src/test/java/tinford/fleet/store/BrokenLogsTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/BrokenLogsTest.java
@@ -10,9 +10,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Logs that are wrong on purpose: the contract must catch each. */
+/** The contract of a log detects each log with a deliberate defect. */
 public class BrokenLogsTest {
-    enum Wrong {
+    enum Defect {
         NONE,
         ACKNOWLEDGES_ALONE,
         LOSES_ON_LEADER_CHANGE,
@@ -20,60 +20,61 @@
         STALE_LEADER_ACKNOWLEDGES
     }
 
-    private static final class Broken extends LogContract {
-        private final Wrong wrong;
+    private static final class DefectiveLogContract extends ReplicatedLogContract {
+        private final Defect defect;
 
-        Broken(Wrong wrong) {
-            this.wrong = wrong;
+        DefectiveLogContract(Defect defect) {
+            this.defect = defect;
         }
 
-        /** The right one in memory, but for what it opens. */
+        /** The cluster in memory, whose logs are wrapped as they are opened. */
         @Override
-        Cluster cluster() {
-            Cluster right = new InMemoryLogsTest().cluster();
+        Cluster newCluster() {
+            Cluster correctCluster = new InMemoryLogsTest().newCluster();
             return (Cluster)
                     Proxy.newProxyInstance(
                             getClass().getClassLoader(),
                             new Class<?>[] {Cluster.class},
-                            (proxy, method, with) -> {
+                            (proxy, method, arguments) -> {
                                 try {
                                     return method.getName().equals("open")
-                                            ? opened(
-                                                    right,
-                                                    (int) with[0],
-                                                    (ReplicatedLog.Reader) with[1])
-                                            : method.invoke(right, with);
+                                            ? openDefective(
+                                                    correctCluster,
+                                                    (int) arguments[0],
+                                                    (ReplicatedLog.StateMachine) arguments[1])
+                                            : method.invoke(correctCluster, arguments);
                                 } catch (InvocationTargetException e) {
                                     throw e.getCause();
                                 }
                             });
         }
 
-        private ReplicatedLog opened(Cluster right, int number, ReplicatedLog.Reader reader)
+        private ReplicatedLog openDefective(
+                Cluster correctCluster, int number, ReplicatedLog.StateMachine reader)
                 throws IOException {
             ReplicatedLog[] log = new ReplicatedLog[1];
             log[0] =
-                    right.open(
+                    correctCluster.open(
                             number,
-                            new ReplicatedLog.Reader() {
-                                private byte[] held;
-                                private boolean dropped;
+                            new ReplicatedLog.StateMachine() {
+                                private byte[] delayed;
+                                private boolean hasDropped;
 
                                 @Override
                                 public void apply(long index, byte[] entry) {
-                                    if (wrong == Wrong.LOSES_ON_LEADER_CHANGE
+                                    if (defect == Defect.LOSES_ON_LEADER_CHANGE
                                             && log[0].term() > 1
-                                            && !dropped) {
-                                        dropped = true;
-                                    } else if (wrong == Wrong.REORDERS_ON_ONE && number == 2) {
-                                        if (held == null && index % 4 == 0) {
-                                            held = entry;
+                                            && !hasDropped) {
+                                        hasDropped = true;
+                                    } else if (defect == Defect.REORDERS_ON_ONE && number == 2) {
+                                        if (delayed == null && index % 4 == 0) {
+                                            delayed = entry;
                                             return;
                                         }
                                         reader.apply(index, entry);
-                                        if (held != null) {
-                                            reader.apply(index + 1, held);
-                                            held = null;
+                                        if (delayed != null) {
+                                            reader.apply(index + 1, delayed);
+                                            delayed = null;
                                         }
                                     } else {
                                         reader.apply(index, entry);
@@ -93,16 +94,18 @@
             return new ReplicatedLog() {
                 @Override
                 public CompletableFuture<Long> append(byte[] entry) {
-                    CompletableFuture<Long> told = log[0].append(entry);
-                    boolean early =
-                            wrong == Wrong.ACKNOWLEDGES_ALONE
-                                    || wrong == Wrong.STALE_LEADER_ACKNOWLEDGES && leads();
-                    return early && !told.isDone() ? CompletableFuture.completedFuture(1L) : told;
+                    CompletableFuture<Long> result = log[0].append(entry);
+                    boolean acknowledgesEarly =
+                            defect == Defect.ACKNOWLEDGES_ALONE
+                                    || defect == Defect.STALE_LEADER_ACKNOWLEDGES && isLeader();
+                    return acknowledgesEarly && !result.isDone()
+                            ? CompletableFuture.completedFuture(1L)
+                            : result;
                 }
 
                 @Override
-                public boolean leads() {
-                    return log[0].leads();
+                public boolean isLeader() {
+                    return log[0].isLeader();
                 }
 
                 @Override
@@ -119,16 +122,16 @@
     }
 
     @DataProvider
-    public Object[][] wrongs() {
-        return Arrays.stream(Wrong.values())
-                .filter(w -> w != Wrong.NONE)
+    public Object[][] defects() {
+        return Arrays.stream(Defect.values())
+                .filter(w -> w != Defect.NONE)
                 .map(w -> new Object[] {w})
                 .toArray(Object[][]::new);
     }
 
-    @Test(dataProvider = "wrongs")
-    public void isCaught(Wrong wrong) throws IOException {
-        new Broken(Wrong.NONE).all(); // right but for the one thing
-        assertThrows(Throwable.class, () -> new Broken(wrong).all());
+    @Test(dataProvider = "defects")
+    public void isDetected(Defect defect) throws IOException {
+        new DefectiveLogContract(Defect.NONE).runAllCases(); // the wrapper itself is correct
+        assertThrows(Throwable.class, () -> new DefectiveLogContract(defect).runAllCases());
     }
 }
--- a/fleet/src/test/java/tinford/fleet/store/BrokenStoresTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/BrokenStoresTest.java
@@ -8,9 +8,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Stores that are wrong on purpose: the contract must catch each. */
+/** The contract of a store detects each store with a deliberate defect. */
 public class BrokenStoresTest {
-    enum Wrong {
+    enum Defect {
         NONE,
         IN_PLACE,
         NO_SUM,
@@ -20,22 +20,24 @@
         TRUSTS_THE_FUTURE
     }
 
-    /** Over the store in memory, so that each is right but for one thing. */
-    private static final class Broken extends StoreContract {
-        private final Wrong wrong;
+    /** Wraps the store in memory, so that the defect is the only difference. */
+    private static final class DefectiveStoreContract extends StoreContract {
+        private final Defect defect;
 
-        Broken(Wrong wrong) {
-            this.wrong = wrong;
+        DefectiveStoreContract(Defect defect) {
+            this.defect = defect;
         }
 
         @Override
-        Place place() {
-            return new InMemoryStoreTest.InMemory() {
-                private final Store right =
+        StoreFixture newFixture() {
+            return new InMemoryStoreTest.InMemoryFixture() {
+                private final Store correctStore =
                         new InMemoryStore(
-                                platter,
-                                LARGEST,
-                                wrong == Wrong.TRUSTS_THE_FUTURE ? Double.MAX_VALUE : AHEAD);
+                                disk,
+                                MAX_CONTENT_BYTES,
+                                defect == Defect.TRUSTS_THE_FUTURE
+                                        ? Double.MAX_VALUE
+                                        : MAX_FUTURE_MS);
 
                 @Override
                 public Store open() {
@@ -43,24 +45,24 @@
                         private boolean closed;
 
                         @Override
-                        public Found read(double now) {
-                            byte[] bytes = platter.bytes();
-                            if (wrong == Wrong.THROWS_WHEN_TORN
+                        public ReadResult read(double nowMs) {
+                            byte[] bytes = disk.file();
+                            if (defect == Defect.THROWS_WHEN_TORN
                                     && bytes != null
-                                    && bytes.length < ChecksummedFile.HEAD) {
+                                    && bytes.length < ChecksummedFile.HEADER_BYTES) {
                                 throw new IllegalStateException("torn");
                             }
-                            if (wrong == Wrong.NO_SUM
+                            if (defect == Defect.NO_SUM
                                     && bytes != null
-                                    && bytes.length >= ChecksummedFile.HEAD) {
+                                    && bytes.length >= ChecksummedFile.HEADER_BYTES) {
                                 ByteBuffer from = ByteBuffer.wrap(bytes);
                                 byte[] content =
                                         Arrays.copyOfRange(
-                                                bytes, ChecksummedFile.HEAD, bytes.length);
-                                // asks for all but the sum
-                                platter.bytes(
+                                                bytes, ChecksummedFile.HEADER_BYTES, bytes.length);
+                                // checks all of the header but the checksum
+                                disk.setFile(
                                         ByteBuffer.wrap(
-                                                        ChecksummedFile.seal(
+                                                        ChecksummedFile.encode(
                                                                 content, from.getDouble(8)))
                                                 .putInt(0, from.getInt(0))
                                                 .putInt(4, from.getInt(4))
@@ -68,22 +70,22 @@
                                                 .putInt(20, from.getInt(20))
                                                 .array());
                             }
-                            return right.read(now);
+                            return correctStore.read(nowMs);
                         }
 
                         @Override
-                        public void write(byte[] content, double now) throws IOException {
+                        public void write(byte[] content, double nowMs) throws IOException {
                             if (closed) {
                                 throw new IOException("closed");
                             }
-                            if (wrong != Wrong.ACKNOWLEDGES_EARLY) {
-                                right.write(content, now);
+                            if (defect != Defect.ACKNOWLEDGES_EARLY) {
+                                correctStore.write(content, nowMs);
                                 return;
                             }
                             try {
-                                right.write(content, now);
+                                correctStore.write(content, nowMs);
                             } catch (IOException e) {
-                                return; // told as written
+                                return; // acknowledged although it failed
                             }
                         }
 
@@ -95,52 +97,53 @@
                 }
 
                 @Override
-                public boolean killedWrite(byte[] content, double now, int step)
+                public boolean writeInterrupted(byte[] content, double nowMs, int step)
                         throws IOException {
                     if (step > 0) {
-                        return super.killedWrite(content, now, step);
+                        return super.writeInterrupted(content, nowMs, step);
                     }
-                    byte[] sealed = ChecksummedFile.seal(content, now);
-                    byte[] old = platter.bytes();
-                    if (wrong == Wrong.IN_PLACE) {
-                        platter.bytes(Arrays.copyOf(sealed, sealed.length / 2));
-                    } else if (wrong == Wrong.MIXES) {
+                    byte[] file = ChecksummedFile.encode(content, nowMs);
+                    byte[] old = disk.file();
+                    if (defect == Defect.IN_PLACE) {
+                        disk.setFile(Arrays.copyOf(file, file.length / 2));
+                    } else if (defect == Defect.MIXES) {
                         byte[] mixed = content.clone();
                         System.arraycopy(
                                 old,
-                                ChecksummedFile.HEAD,
+                                ChecksummedFile.HEADER_BYTES,
                                 mixed,
                                 0,
-                                Math.min(content.length, old.length - ChecksummedFile.HEAD));
-                        platter.bytes(ChecksummedFile.seal(mixed, now));
+                                Math.min(
+                                        content.length, old.length - ChecksummedFile.HEADER_BYTES));
+                        disk.setFile(ChecksummedFile.encode(mixed, nowMs));
                     }
                     return true;
                 }
             };
         }
 
-        void all() throws IOException {
-            nothingThenEachSizeThenMany();
-            oldOrNewAfterAKillAtEachStep();
-            tornOrDamagedIsAbsent();
-            foreignLaterFutureTooLong();
-            aDiskThatAilsLeavesWhatWasThere();
-            lostOrOldContentIsNoHarm();
-            closedTwice();
+        void runAllCases() throws IOException {
+            readsWhatWasWrittenOfEachSize();
+            findsOldOrNewContentAfterAnInterruptionAtEachStep();
+            treatsTornOrDamagedContentAsAbsent();
+            treatsForeignLaterFutureOrOversizedContentAsAbsent();
+            keepsTheOldContentOnADiskFault();
+            acceptsLostOrOlderContent();
+            rejectsWritesOnceClosed();
         }
     }
 
     @DataProvider
-    public Object[][] wrongs() {
-        return Arrays.stream(Wrong.values())
-                .filter(w -> w != Wrong.NONE)
+    public Object[][] defects() {
+        return Arrays.stream(Defect.values())
+                .filter(w -> w != Defect.NONE)
                 .map(w -> new Object[] {w})
                 .toArray(Object[][]::new);
     }
 
-    @Test(dataProvider = "wrongs")
-    public void isCaught(Wrong wrong) throws IOException {
-        new Broken(Wrong.NONE).all(); // right but for the one thing
-        assertThrows(Throwable.class, () -> new Broken(wrong).all());
+    @Test(dataProvider = "defects")
+    public void isDetected(Defect defect) throws IOException {
+        new DefectiveStoreContract(Defect.NONE).runAllCases(); // the wrapper itself is correct
+        assertThrows(Throwable.class, () -> new DefectiveStoreContract(defect).runAllCases());
     }
 }
--- a/fleet/src/test/java/tinford/fleet/store/FileStoreTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/FileStoreTest.java
@@ -16,23 +16,23 @@
 import org.testng.annotations.Test;
 
 /**
- * The store in a file keeps the contract, stopped at each step of its write and by a kill of a real
- * process.
+ * The store in a file keeps the contract, interrupted at each step of its write, and over the kill
+ * of a real process.
  */
 public class FileStoreTest extends StoreContract {
     private final List<Path> folders = new ArrayList<>();
 
     /**
-     * Does each step, stopped before one of them, or ailing. Writing takes two steps: half of the
-     * bytes, all of them.
+     * Interrupts the write before one of its steps, or simulates a fault of the disk. Writing the
+     * bytes takes two steps: half of them, all of them.
      */
-    static final class Stopped implements DiskOperations {
+    static final class InterruptedDisk implements DiskOperations {
         private final DiskOperations real = new DiskOperations.Real();
-        private int left = Integer.MAX_VALUE;
+        private int stepsLeft = Integer.MAX_VALUE;
         private InMemoryStore.Fault fault = InMemoryStore.Fault.NONE;
 
         private void step() {
-            if (left-- == 0) {
+            if (stepsLeft-- == 0) {
                 throw new Killed();
             }
         }
@@ -43,7 +43,7 @@
             if (fault == InMemoryStore.Fault.READ_ONLY) {
                 throw new IOException("read-only");
             }
-            if (left == 0 || fault == InMemoryStore.Fault.FULL) {
+            if (stepsLeft == 0 || fault == InMemoryStore.Fault.FULL) {
                 real.write(file, bytes.duplicate().limit(bytes.limit() / 2));
                 if (fault == InMemoryStore.Fault.FULL) {
                     throw new IOException("full");
@@ -88,45 +88,48 @@
     }
 
     @Override
-    Place place() throws IOException {
+    StoreFixture newFixture() throws IOException {
         Path folder = folder();
         Path file = folder.resolve("content");
-        Stopped disk = new Stopped();
-        return new Place() {
+        InterruptedDisk disk = new InterruptedDisk();
+        return new StoreFixture() {
             @Override
             public Store open() {
-                return new FileStore(folder, "content", LARGEST, AHEAD, disk);
+                return new FileStore(folder, "content", MAX_CONTENT_BYTES, MAX_FUTURE_MS, disk);
             }
 
             @Override
-            public byte[] bytes() throws IOException {
+            public byte[] file() throws IOException {
                 return Files.readAllBytes(file);
             }
 
             @Override
-            public void bytes(byte[] now) throws IOException {
+            public void setFile(byte[] newFile) throws IOException {
                 Files.delete(file);
-                if (now != null) {
-                    Files.write(file, now);
+                if (newFile != null) {
+                    Files.write(file, newFile);
                 }
             }
 
             @Override
-            public boolean ail(InMemoryStore.Fault fault) {
+            public boolean setFault(InMemoryStore.Fault fault) {
                 disk.fault = fault;
-                return fault != InMemoryStore.Fault.UNREADABLE; // seen in aFolderInItsPlace
+                return fault
+                        != InMemoryStore.Fault
+                                .UNREADABLE; // see treatsAFolderInPlaceOfTheFileAsUnreadable
             }
 
             @Override
-            public boolean killedWrite(byte[] content, double now, int step) throws IOException {
-                disk.left = step;
+            public boolean writeInterrupted(byte[] content, double nowMs, int step)
+                    throws IOException {
+                disk.stepsLeft = step;
                 try {
-                    open().write(content, now);
+                    open().write(content, nowMs);
                     return false;
                 } catch (Killed e) {
                     return true;
                 } finally {
-                    disk.left = Integer.MAX_VALUE;
+                    disk.stepsLeft = Integer.MAX_VALUE;
                 }
             }
         };
@@ -138,75 +141,76 @@
         }
     }
 
-    /** A reader can't tell a stopped write from one under way, so only the next write cleans up. */
+    /** A reader can't distinguish an interrupted write from one in progress. */
     @Test
-    public void leftoversOfAStoppedWriteGoWithTheNextWriteAndNothingElseDoes() throws IOException {
+    public void onlyTheNextWriteDeletesTheTemporaryFileOfAnInterruptedOne() throws IOException {
         Path folder = folder();
         Files.write(folder.resolve("content.tmp"), new byte[7]);
         Files.write(folder.resolve("other.tmp"), new byte[7]);
-        FileStore store = new FileStore(folder, "content", LARGEST, AHEAD);
-        assertTrue(store.read(NOW).why().endsWith("none"));
+        FileStore store = new FileStore(folder, "content", MAX_CONTENT_BYTES, MAX_FUTURE_MS);
+        assertTrue(store.read(NOW_MS).absenceReason().endsWith("none"));
         assertEquals(names(folder), List.of("content.tmp", "other.tmp"));
-        store.write(new byte[] {1}, NOW);
-        assertEquals(store.read(NOW).content(), new byte[] {1});
+        store.write(new byte[] {1}, NOW_MS);
+        assertEquals(store.read(NOW_MS).content(), new byte[] {1});
         assertEquals(names(folder), List.of("content", "other.tmp"));
     }
 
-    /** Does each step, and has another process look between any two of them. */
-    private static final class ReadBetweenSteps implements DiskOperations {
+    /** Reads through another store after each step of a write. */
+    private static final class ReadingDisk implements DiskOperations {
         private final DiskOperations real = new DiskOperations.Real();
         private final Store reader;
         private final List<byte[]> found = new ArrayList<>();
 
-        ReadBetweenSteps(Store reader) {
+        ReadingDisk(Store reader) {
             this.reader = reader;
         }
 
-        private void look() {
-            found.add(reader.read(NOW).content());
+        private void recordRead() {
+            found.add(reader.read(NOW_MS).content());
         }
 
         @Override
         public void write(Path file, ByteBuffer bytes) throws IOException {
             real.write(file, bytes);
-            look();
+            recordRead();
         }
 
         @Override
         public void force(Path file) throws IOException {
             real.force(file);
-            look();
+            recordRead();
         }
 
         @Override
         public void rename(Path from, Path to) throws IOException {
             real.rename(from, to);
-            look();
+            recordRead();
         }
 
         @Override
         public void forceFolder(Path folder) throws IOException {
             real.forceFolder(folder);
-            look();
+            recordRead();
         }
 
         @Override
         public void delete(Path file) throws IOException {
             real.delete(file);
-            look();
+            recordRead();
         }
     }
 
-    /** As a process that replaces another one reads what that one is still writing. */
+    /** As a new process reads while the one that it replaces still writes. */
     @Test
-    public void aReadByAnotherProcessDisturbsNoWrite() throws IOException {
+    public void aReadByAnotherProcessDoesNotDisturbAWrite() throws IOException {
         Path folder = folder();
         byte[] first = {1};
         byte[] second = {2};
-        new FileStore(folder, "content", LARGEST, AHEAD).write(first, NOW);
-        ReadBetweenSteps disk =
-                new ReadBetweenSteps(new FileStore(folder, "content", LARGEST, AHEAD));
-        new FileStore(folder, "content", LARGEST, AHEAD, disk).write(second, NOW);
+        new FileStore(folder, "content", MAX_CONTENT_BYTES, MAX_FUTURE_MS).write(first, NOW_MS);
+        ReadingDisk disk =
+                new ReadingDisk(new FileStore(folder, "content", MAX_CONTENT_BYTES, MAX_FUTURE_MS));
+        new FileStore(folder, "content", MAX_CONTENT_BYTES, MAX_FUTURE_MS, disk)
+                .write(second, NOW_MS);
         assertEquals(
                 disk.found.toArray(byte[][]::new),
                 new byte[][] {first, first, first, second, second});
@@ -214,26 +218,26 @@
     }
 
     @Test
-    public void aFolderInItsPlace() throws IOException {
+    public void treatsAFolderInPlaceOfTheFileAsUnreadable() throws IOException {
         Path folder = folder();
         Files.createDirectory(folder.resolve("content"));
         assertTrue(
-                new FileStore(folder, "content", LARGEST, AHEAD)
-                        .read(NOW)
-                        .why()
+                new FileStore(folder, "content", MAX_CONTENT_BYTES, MAX_FUTURE_MS)
+                        .read(NOW_MS)
+                        .absenceReason()
                         .contains("can't be read"));
         assertTrue(
-                new FileStore(folder.resolve("gone"), "content", LARGEST, AHEAD)
-                        .read(NOW)
-                        .why()
+                new FileStore(folder.resolve("gone"), "content", MAX_CONTENT_BYTES, MAX_FUTURE_MS)
+                        .read(NOW_MS)
+                        .absenceReason()
                         .endsWith("none"));
     }
 
-    /** Each content is one number over and over; the child tells it after it was acknowledged. */
+    /** Each content repeats one number, which the child prints once the write is acknowledged. */
     @Test
-    public void killedProcessLeavesTheLastToldOrTheNext() throws Exception {
+    public void aKilledProcessLeavesTheLastAcknowledgedContentOrTheNext() throws Exception {
         Path folder = folder();
-        for (int life = 0; life < 2; life++) {
+        for (int incarnation = 0; incarnation < 2; incarnation++) {
             Process child =
                     new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
@@ -242,42 +246,46 @@
                                     "-XX:TieredStopAtLevel=1",
                                     "-cp",
                                     System.getProperty("java.class.path"),
-                                    Writes.class.getName(),
+                                    WritingProcess.class.getName(),
                                     folder.toString())
                             .redirectError(ProcessBuilder.Redirect.DISCARD)
                             .start();
-            int told = 0;
+            int acknowledged = 0;
             try (var from = child.inputReader()) {
-                for (int i = 0; i < 15 + 7 * life; i++) {
-                    told = Integer.parseInt(from.readLine());
+                for (int i = 0; i < 15 + 7 * incarnation; i++) {
+                    acknowledged = Integer.parseInt(from.readLine());
                 }
-                child.toHandle().destroyForcibly(); // leaves what it told to be read
+                child.toHandle().destroyForcibly(); // its output can still be read
                 for (String line = from.readLine(); line != null; line = from.readLine()) {
-                    told = Integer.parseInt(line);
+                    acknowledged = Integer.parseInt(line);
                 }
             }
-            Store.Found found = new FileStore(folder, "content", LARGEST, AHEAD).read(NOW);
-            assertTrue(found.content() != null, found.why());
+            Store.ReadResult found =
+                    new FileStore(folder, "content", MAX_CONTENT_BYTES, MAX_FUTURE_MS).read(NOW_MS);
+            assertTrue(found.content() != null, found.absenceReason());
             int got = ByteBuffer.wrap(found.content()).getInt();
-            assertTrue(got >= told && got <= told + 2, "told " + told + ", found " + got);
-            assertEquals(found.content(), Writes.content(got));
+            assertTrue(
+                    got >= acknowledged && got <= acknowledged + 2,
+                    "acknowledged " + acknowledged + ", found " + got);
+            assertEquals(found.content(), WritingProcess.content(got));
         }
     }
 
-    /** The child. */
-    public static final class Writes {
+    /** The child process: writes until it is killed. */
+    public static final class WritingProcess {
         static byte[] content(int number) {
-            ByteBuffer made = ByteBuffer.allocate(LARGEST);
-            while (made.hasRemaining()) {
-                made.putInt(number);
+            ByteBuffer content = ByteBuffer.allocate(MAX_CONTENT_BYTES);
+            while (content.hasRemaining()) {
+                content.putInt(number);
             }
-            return made.array();
+            return content.array();
         }
 
         public static void main(String[] args) throws IOException {
-            Store store = new FileStore(Path.of(args[0]), "content", LARGEST, AHEAD);
+            Store store =
+                    new FileStore(Path.of(args[0]), "content", MAX_CONTENT_BYTES, MAX_FUTURE_MS);
             for (int i = 1; ; i++) {
-                store.write(content(i), NOW);
+                store.write(content(i), NOW_MS);
                 System.out.println(i);
             }
         }
--- a/fleet/src/test/java/tinford/fleet/store/InMemoryLogsTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/InMemoryLogsTest.java
@@ -6,8 +6,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The logs in memory keep the contract, under other delays each time. */
-public class InMemoryLogsTest extends LogContract {
+/** The logs in memory keep the contract, for many seeds of their delays. */
+public class InMemoryLogsTest extends ReplicatedLogContract {
+    private static final int MAX_STEPS = 2000;
     private final long seed;
 
     public InMemoryLogsTest() {
@@ -19,13 +20,15 @@
     }
 
     @Override
-    Cluster cluster() {
-        InMemoryLogs logs = new InMemoryLogs(3, 5, 50, 200, IN_FLIGHT, SNAPSHOT, new Random(seed));
+    Cluster newCluster() {
+        InMemoryLogs logs =
+                new InMemoryLogs(
+                        3, 5, 50, 200, MAX_IN_FLIGHT, SNAPSHOT_THRESHOLD, new Random(seed));
         return new Cluster() {
-            private double now;
+            private double nowMs;
 
             @Override
-            public ReplicatedLog open(int number, ReplicatedLog.Reader reader) {
+            public ReplicatedLog open(int number, ReplicatedLog.StateMachine reader) {
                 return logs.open(number, reader);
             }
 
@@ -51,12 +54,12 @@
             }
 
             @Override
-            public boolean until(BooleanSupplier what) {
-                for (int i = 0; i < 2000; i++) {
-                    if (what.getAsBoolean()) {
+            public boolean waitUntil(BooleanSupplier condition) {
+                for (int step = 0; step < MAX_STEPS; step++) {
+                    if (condition.getAsBoolean()) {
                         return true;
                     }
-                    logs.advance(++now);
+                    logs.advance(++nowMs);
                 }
                 return false;
             }
@@ -72,12 +75,12 @@
     public Object[][] seeds() {
         return new Random(7)
                 .longs(50)
-                .mapToObj(each -> new Object[] {each})
+                .mapToObj(drawnSeed -> new Object[] {drawnSeed})
                 .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "seeds")
-    public void underDrawnDelays(long drawn) throws Exception {
-        new InMemoryLogsTest(drawn).all();
+    public void keepsTheContractForEachSeed(long drawnSeed) throws Exception {
+        new InMemoryLogsTest(drawnSeed).runAllCases();
     }
 }
--- a/fleet/src/test/java/tinford/fleet/store/RaftLogTest.java
+++ b/fleet/src/test/java/tinford/fleet/store/RaftLogTest.java
@@ -3,6 +3,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -12,200 +13,210 @@
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
+import java.util.SortedMap;
 import java.util.TreeMap;
+import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
 import org.apache.ratis.conf.Parameters;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.Test;
+import tinford.fleet.testing.Eventually;
 
-/** The log of the library keeps the contract: three members in one process, on loopback. */
-public class RaftLogTest extends LogContract {
-    private Three kept;
+/** The log by Ratis keeps the contract, with three members in one process, on loopback. */
+public class RaftLogTest extends ReplicatedLogContract {
+    private static final long WAIT_MS = 30_000;
+    private static final int SIZE = 3;
+    private ClusterFixture sharedFixture;
 
-    /** The same members for all cases: starts and stops take most of the time. */
+    /** One cluster for all cases, as starts and stops take most of the time. */
     @Override
-    Three three() throws IOException {
-        if (kept == null) {
-            kept =
-                    new Three() {
+    ClusterFixture fixture() throws IOException {
+        if (sharedFixture == null) {
+            sharedFixture =
+                    new ClusterFixture() {
                         @Override
                         public void close() {}
                     };
         }
-        kept.mend();
-        return kept;
+        sharedFixture.repair();
+        return sharedFixture;
     }
 
     @AfterClass(alwaysRun = true)
-    public void end() throws IOException {
-        if (kept != null) {
-            kept.cluster.close();
+    public void closeSharedFixture() throws IOException {
+        if (sharedFixture != null) {
+            sharedFixture.cluster.close();
         }
     }
 
     @Override
-    Cluster cluster() throws IOException {
-        Path folder = Files.createTempDirectory("log");
-        TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
-        List<ServerSocket> held = new ArrayList<>();
-        for (int i = 1; i <= 3; i++) {
-            held.add(new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")));
-            members.put(i, new InetSocketAddress("127.0.0.1", held.get(i - 1).getLocalPort()));
-        }
-        for (ServerSocket each : held) {
-            each.close();
-        }
-        Cuts.Cut cut = new Cuts.Cut();
-        ReplicatedLog[] logs = new ReplicatedLog[4];
-        return new Cluster() {
-            @Override
-            public ReplicatedLog open(int number, ReplicatedLog.Reader reader) throws IOException {
-                Parameters parameters = new Parameters();
-                parameters.put(Cuts.CUT, cut, Cuts.Cut.class);
-                logs[number] =
-                        new RaftLog(
-                                number,
-                                members,
-                                folder.resolve("" + number),
-                                reader,
-                                new RaftLog.Bounds(1500, IN_FLIGHT, 1000, SNAPSHOT, 250),
-                                new Cuts(),
-                                parameters);
-                return logs[number];
-            }
+    Cluster newCluster() throws IOException {
+        return new RaftCluster();
+    }
 
-            @Override
-            public void stop(int... numbers) {
-                Arrays.stream(numbers)
-                        .parallel()
-                        .filter(each -> logs[each] != null)
-                        .forEach(each -> logs[each].close());
-            }
+    /** Three members with their folders. */
+    private static final class RaftCluster implements Cluster {
+        private final Path folder = Files.createTempDirectory("log");
+        private final SortedMap<Integer, InetSocketAddress> members = freeAddresses(SIZE);
+        private final PartitionableRpcType.Partition partition =
+                new PartitionableRpcType.Partition();
+        private final ReplicatedLog[] logs = new ReplicatedLog[SIZE + 1];
+
+        RaftCluster() throws IOException {}
+
+        @Override
+        public ReplicatedLog open(int number, ReplicatedLog.StateMachine stateMachine)
+                throws IOException {
+            Parameters parameters = new Parameters();
+            parameters.put(
+                    PartitionableRpcType.PARTITION_PARAMETER,
+                    partition,
+                    PartitionableRpcType.Partition.class);
+            logs[number] =
+                    new RaftLog(
+                            number,
+                            members,
+                            folder.resolve("" + number),
+                            stateMachine,
+                            new RaftLog.Bounds(1500, MAX_IN_FLIGHT, 1000, SNAPSHOT_THRESHOLD, 250),
+                            new PartitionableRpcType(),
+                            parameters);
+            return logs[number];
+        }
 
-            @Override
-            public void loseDisk(int number) throws IOException {
-                clear(folder.resolve("" + number));
-            }
+        @Override
+        public void stop(int... numbers) {
+            Arrays.stream(numbers)
+                    .parallel()
+                    .filter(number -> logs[number] != null)
+                    .forEach(number -> logs[number].close());
+        }
 
-            @Override
-            public void cutOff(int number) {
-                cut.off = number;
-            }
+        @Override
+        public void loseDisk(int number) throws IOException {
+            delete(folder.resolve("" + number));
+        }
 
-            @Override
-            public void heal() {
-                cut.off = 0;
-            }
+        @Override
+        public void cutOff(int number) {
+            partition.isolatedMember = number;
+        }
 
-            @Override
-            public boolean until(BooleanSupplier what) {
-                return waited(what);
-            }
+        @Override
+        public void heal() {
+            partition.isolatedMember = 0;
+        }
 
-            @Override
-            public void close() throws IOException {
-                stop(1, 2, 3);
-                for (InetSocketAddress each : members.values()) {
-                    assertTrue(until(() -> free(each)), "port still taken: " + each);
-                }
-                assertTrue(
-                        until(
-                                () ->
-                                        Thread.getAllStackTraces().keySet().stream()
-                                                .map(Thread::getName)
-                                                .noneMatch(
-                                                        t ->
-                                                                t.startsWith("tinford-log")
-                                                                        || t.matches(
-                                                                                "m\\d[@-].*"))),
-                        "threads left");
-                clear(folder);
+        @Override
+        public boolean waitUntil(BooleanSupplier condition) {
+            return RaftLogTest.waitUntil(condition);
+        }
+
+        @Override
+        public void close() throws IOException {
+            stop(1, 2, 3);
+            for (InetSocketAddress address : members.values()) {
+                assertTrue(waitUntil(() -> isFree(address)), "port still taken: " + address);
             }
-        };
+            assertTrue(waitUntil(() -> !hasLogThreads()), "threads left");
+            delete(folder);
+        }
+
+        private static boolean hasLogThreads() {
+            return Thread.getAllStackTraces().keySet().stream()
+                    .map(Thread::getName)
+                    .anyMatch(name -> name.startsWith("tinford-log") || name.matches("m\\d[@-].*"));
+        }
     }
 
-    private static boolean waited(BooleanSupplier what) {
-        long end = System.nanoTime() + 30_000_000_000L;
-        while (!what.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                return false;
-            }
-            try {
-                Thread.sleep(5);
-            } catch (InterruptedException e) {
-                return false;
-            }
+    private static SortedMap<Integer, InetSocketAddress> freeAddresses(int count)
+            throws IOException {
+        SortedMap<Integer, InetSocketAddress> addresses = new TreeMap<>();
+        List<ServerSocket> sockets = new ArrayList<>();
+        for (int number = 1; number <= count; number++) {
+            ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+            sockets.add(socket);
+            addresses.put(number, new InetSocketAddress("127.0.0.1", socket.getLocalPort()));
+        }
+        for (ServerSocket socket : sockets) {
+            socket.close();
         }
-        return true;
+        return addresses;
     }
 
-    private static boolean free(InetSocketAddress at) {
+    private static boolean waitUntil(BooleanSupplier condition) {
+        try {
+            return Eventually.holdsWithin(WAIT_MS, condition::getAsBoolean);
+        } catch (InterruptedException e) {
+            return false;
+        } catch (Exception e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    private static boolean isFree(InetSocketAddress address) {
         try (ServerSocket socket = new ServerSocket()) {
             socket.setReuseAddress(true);
-            socket.bind(at);
+            socket.bind(address);
             return true;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private static void clear(Path folder) throws IOException {
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path each : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(each);
+    private static void delete(Path folder) throws IOException {
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(path);
             }
         }
     }
 
-    /** However many entries came, the disk holds the segments since the last two snapshots. */
+    private static final class FixedSnapshot implements ReplicatedLog.StateMachine {
+        @Override
+        public void apply(long index, byte[] entry) {}
+
+        @Override
+        public byte[] snapshot() {
+            return new byte[8];
+        }
+
+        @Override
+        public void restore(long index, byte[] snapshot) {}
+    }
+
+    /** However many entries are appended, the segments since the last two snapshots remain. */
     @Test
-    public void theDiskStaysBounded() throws IOException {
+    public void theDiskUsageStaysBounded() throws IOException {
         Path folder = Files.createTempDirectory("log");
-        int port;
-        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            port = socket.getLocalPort();
-        }
-        TreeMap<Integer, InetSocketAddress> members = new TreeMap<>();
-        members.put(1, new InetSocketAddress("127.0.0.1", port));
-        ReplicatedLog.Reader counts =
-                new ReplicatedLog.Reader() {
-                    @Override
-                    public void apply(long index, byte[] entry) {}
-
-                    @Override
-                    public byte[] snapshot() {
-                        return new byte[8];
-                    }
-
-                    @Override
-                    public void restore(long index, byte[] snapshot) {}
-                };
         try (ReplicatedLog log =
                 new RaftLog(
                         1,
-                        members,
+                        freeAddresses(1),
                         folder,
-                        counts,
+                        new FixedSnapshot(),
                         new RaftLog.Bounds(5000, 100, 100_000, 50, 100))) {
-            for (int i = 0; i < 8; i++) {
-                List<java.util.concurrent.CompletableFuture<Long>> told = new ArrayList<>();
-                for (int j = 0; j < 25; j++) {
-                    told.add(log.append(new byte[100_000]));
+            for (int batch = 0; batch < 8; batch++) {
+                List<CompletableFuture<Long>> results = new ArrayList<>();
+                for (int i = 0; i < 25; i++) {
+                    results.add(log.append(new byte[100_000]));
                 }
-                assertTrue(waited(() -> told.stream().allMatch(t -> t.isDone())));
-                assertTrue(told.stream().noneMatch(t -> t.isCompletedExceptionally()));
+                assertTrue(waitUntil(() -> results.stream().allMatch(CompletableFuture::isDone)));
+                assertTrue(results.stream().noneMatch(CompletableFuture::isCompletedExceptionally));
             }
-            assertTrue(waited(() -> size(folder) < 12_000_000), "of 20 MB: " + size(folder));
+            assertTrue(
+                    waitUntil(() -> sizeBytes(folder) < 12_000_000),
+                    "of 20 MB: " + sizeBytes(folder));
         }
-        clear(folder);
+        delete(folder);
     }
 
-    private static long size(Path folder) {
-        try (Stream<Path> all = Files.walk(folder)) {
-            return all.mapToLong(each -> each.toFile().length()).sum();
-        } catch (IOException | java.io.UncheckedIOException e) {
-            return Long.MAX_VALUE; // one went while it was counted
+    private static long sizeBytes(Path folder) {
+        try (Stream<Path> paths = Files.walk(folder)) {
+            return paths.mapToLong(path -> path.toFile().length()).sum();
+        } catch (IOException | UncheckedIOException e) {
+            return Long.MAX_VALUE; // a file was deleted during the walk
         }
     }
 }
--- a/lab/src/main/java/tinford/lab/scale/AppliedLedger.java
+++ b/lab/src/main/java/tinford/lab/scale/AppliedLedger.java
@@ -4,7 +4,7 @@
 import tinford.fleet.store.ReplicatedLog;
 
 /** A member's ledger that counts what it was handed, and the time that it took. */
-final class AppliedLedger implements ReplicatedLog.Reader {
+final class AppliedLedger implements ReplicatedLog.StateMachine {
     private final BudgetLedger ledger;
     private long entries;
     private long nanos;
--- a/lab/src/main/java/tinford/lab/scale/CountingReader.java
+++ b/lab/src/main/java/tinford/lab/scale/CountingReader.java
@@ -4,7 +4,7 @@
 import tinford.fleet.store.ReplicatedLog;
 
 /** A replicated state of no content: it only counts what it was handed. */
-final class CountingReader implements ReplicatedLog.Reader {
+final class CountingReader implements ReplicatedLog.StateMachine {
     private final LongAdder applied;
 
     /**
--- a/lab/src/main/java/tinford/lab/scale/GrantEntryMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GrantEntryMeasurement.java
@@ -60,7 +60,7 @@
                 Map.of("grant_bytes", bytes),
                 Map.of(
                         "grant_bytes_of_bound",
-                        bytes / RaftQuorum.BOUNDS.entryBytes(),
+                        bytes / RaftQuorum.BOUNDS.maxEntryBytes(),
                         "propose_ms",
                         processorMs,
                         "propose_allocated_mb",
--- a/lab/src/main/java/tinford/lab/scale/RaftQuorum.java
+++ b/lab/src/main/java/tinford/lab/scale/RaftQuorum.java
@@ -40,7 +40,7 @@
     private final List<RaftLog> members = new ArrayList<>();
 
     /** Starts all voters side by side; each has a reader of its own. */
-    RaftQuorum(int voters, RaftLog.Bounds bounds, Supplier<ReplicatedLog.Reader> readers)
+    RaftQuorum(int voters, RaftLog.Bounds bounds, Supplier<ReplicatedLog.StateMachine> readers)
             throws IOException {
         folder = Files.createTempDirectory("raft-quorum");
         TreeMap<Integer, InetSocketAddress> addresses = addresses(voters);
@@ -73,7 +73,7 @@
         long deadline = System.currentTimeMillis() + LEADER_WAIT_MS;
         while (System.currentTimeMillis() < deadline) {
             for (ReplicatedLog member : members) {
-                if (member.leads()) {
+                if (member.isLeader()) {
                     return member;
                 }
             }
