--- a/fleet/src/test/java/tinford/fleet/control/RaftVoterTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/RaftVoterTest.java
@@ -18,6 +18,7 @@
 import org.testng.annotations.Test;
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.Proposal;
+import tinford.fleet.testing.Eventually;
 
 /** Three voters on the library's log: a leader that ends, and members that start again. */
 public class RaftVoterTest {
@@ -68,7 +69,7 @@
         }
     }
 
-    private ControlClient.Answer propose(int number, Proposal proposal) throws Exception {
+    private ControlClient.Response propose(int number, Proposal proposal) throws Exception {
         return client.post(
                 servers[number].address(), "/proposals", ConfigurationCodec.encode(proposal));
     }
