--- a/gateway/src/main/java/tinford/settings/JsonFields.java
+++ b/gateway/src/main/java/tinford/settings/JsonFields.java
@@ -11,238 +11,234 @@
 import java.util.Objects;
 
 /**
- * An object of named values, read with checks; what is not as expected is named by place and field.
+ * The fields of a JSON object, read with checks of their types and ranges. Each reading method
+ * throws an {@link InvalidSettingsException} that names the field where its value is not as
+ * expected. A field whose value is null counts as absent.
  */
 public class JsonFields {
-    private static final int DEEPEST =
-            64; // guards the stack of the I/O thread: each level takes two calls of it
-    private final String where;
-    private final String name;
-    private final Map<String, Object> fields;
+    /** Microseconds in a millisecond. */
+    private static final double US_PER_MS = 1000;
 
-    private static final class TooDeep extends IOException {
-        private static final long serialVersionUID = 1L;
-    }
+    private final String source;
+    private final String path;
+    private final Map<String, Object> fields;
 
-    protected JsonFields(String where, String name, Map<String, Object> fields) {
-        this.where = where;
-        this.name = name;
+    /**
+     * Creates a view of the fields of an object.
+     *
+     * @param source the input, for error messages
+     * @param path path of the object within the input; empty for the outermost object
+     * @param fields values as {@link JsonValueParser} makes them
+     */
+    protected JsonFields(String source, String path, Map<String, Object> fields) {
+        this.source = source;
+        this.path = path;
         this.fields = fields;
     }
 
-    /** A text that holds one object. */
-    public static JsonFields of(JsonFactory json, String where, String text) {
-        try (JsonParser in = json.createParser(text)) {
-            if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new InvalidSettingsException(where, "text", "a JSON object");
+    /**
+     * Parses a text that holds one JSON object.
+     *
+     * @param source the input, for error messages
+     * @throws InvalidSettingsException if the text is anything else, or is nested too deep
+     */
+    public static JsonFields of(JsonFactory json, String source, String text) {
+        try (JsonParser parser = json.createParser(text)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new InvalidSettingsException(source, "text", "a JSON object");
             }
-            JsonFields found = new JsonFields(where, "", parseObject(in));
-            if (in.nextToken() != null) {
-                throw new InvalidSettingsException(where, "text", "nothing after the object");
+            JsonFields object = new JsonFields(source, "", JsonValueParser.parseObject(parser));
+            if (parser.nextToken() != null) {
+                throw new InvalidSettingsException(source, "text", "nothing after the object");
             }
-            return found;
-        } catch (TooDeep e) {
+            return object;
+        } catch (JsonValueParser.NestingTooDeepException e) {
             throw new InvalidSettingsException(
-                    where, "text", "JSON of at most " + DEEPEST + " levels");
+                    source,
+                    "text",
+                    "JSON of at most " + JsonValueParser.MAX_NESTING_DEPTH + " levels");
         } catch (IOException e) {
-            throw new InvalidSettingsException(where, "text", "JSON");
+            throw new InvalidSettingsException(source, "text", "JSON");
         }
     }
 
-    protected static Map<String, Object> parseObject(JsonParser in) throws IOException {
-        Map<String, Object> found = new LinkedHashMap<>();
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String key = in.currentName();
-            in.nextToken();
-            found.put(key, parseValue(in));
-        }
-        return found;
+    /** Returns the exception for a field whose value is not as expected. */
+    public InvalidSettingsException invalid(String field, String expected) {
+        return new InvalidSettingsException(source, pathOf(field), expected);
     }
 
-    private static Object parseValue(JsonParser in) throws IOException {
-        if (in.getParsingContext().getNestingDepth() > DEEPEST) {
-            throw new TooDeep();
-        }
-        switch (in.currentToken()) {
-            case START_OBJECT:
-                return parseObject(in);
-            case START_ARRAY:
-                List<Object> all = new ArrayList<>();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    all.add(parseValue(in));
-                }
-                return all;
-            case VALUE_NUMBER_INT:
-                return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? in.getDoubleValue()
-                        : (Number) in.getLongValue();
-            case VALUE_NUMBER_FLOAT:
-                return in.getDoubleValue();
-            case VALUE_TRUE:
-                return Boolean.TRUE;
-            case VALUE_FALSE:
-                return Boolean.FALSE;
-            case VALUE_NULL:
-                return null;
-            default:
-                return in.getText();
-        }
+    private String pathOf(String field) {
+        return path.isEmpty() ? field : path + "." + field;
     }
 
-    public InvalidSettingsException invalid(String field, String expected) {
-        return new InvalidSettingsException(
-                where, name.isEmpty() ? field : name + "." + field, expected);
+    /** Returns whether the field is present. */
+    public boolean has(String field) {
+        return fields.get(field) != null;
     }
 
+    /** Returns a text. */
     public String text(String field) {
-        if (fields.get(field) instanceof String s) {
-            return s;
+        if (fields.get(field) instanceof String text) {
+            return text;
         }
         throw invalid(field, "a text");
     }
 
-    public boolean has(String field) {
-        return fields.get(field) != null;
-    }
-
+    /** Returns a boolean; false when absent. */
     public boolean flag(String field) {
-        Object v = fields.get(field);
-        if (v == null || v instanceof Boolean) {
-            return Boolean.TRUE.equals(v);
+        Object value = fields.get(field);
+        if (value == null || value instanceof Boolean) {
+            return Boolean.TRUE.equals(value);
         }
         throw invalid(field, "true or false");
     }
 
+    /** Returns a whole number. */
     public long integer(String field) {
-        if (fields.get(field) instanceof Long n) {
-            return n;
+        if (fields.get(field) instanceof Long number) {
+            return number;
         }
         throw invalid(field, "a whole number");
     }
 
-    public long integer(String field, long absent) {
-        return fields.get(field) == null ? absent : integer(field);
+    /** Returns a whole number, or the default when absent. */
+    public long integer(String field, long defaultValue) {
+        return has(field) ? integer(field) : defaultValue;
     }
 
-    /** A whole number that counts something. */
-    public int count(String field, int least) {
-        long n = integer(field);
-        if (n < least || n > Integer.MAX_VALUE) {
-            throw invalid(field, "a whole number from " + least + " to " + Integer.MAX_VALUE);
+    /** Returns a whole number from {@code min} to {@link Integer#MAX_VALUE}. */
+    public int count(String field, int min) {
+        long number = integer(field);
+        if (number < min || number > Integer.MAX_VALUE) {
+            throw invalid(field, "a whole number from " + min + " to " + Integer.MAX_VALUE);
         }
-        return (int) n;
+        return (int) number;
     }
 
-    public int count(String field, int least, int absent) {
-        return fields.get(field) == null ? absent : count(field, least);
+    /** Returns a whole number from {@code min} on, or the default when absent. */
+    public int count(String field, int min, int defaultValue) {
+        return has(field) ? count(field, min) : defaultValue;
     }
 
+    /** Returns a number, which may be infinite where the text is beyond the range of a double. */
     public double number(String field) {
-        if (fields.get(field) instanceof Number n) {
-            return n.doubleValue();
+        if (fields.get(field) instanceof Number number) {
+            return number.doubleValue();
         }
         throw invalid(field, "a number");
     }
 
-    public double number(String field, double absent) {
-        return fields.get(field) == null ? absent : number(field);
+    /** Returns a number, or the default when absent. */
+    public double number(String field, double defaultValue) {
+        return has(field) ? number(field) : defaultValue;
     }
 
-    /** A finite number from 0 on. */
-    public double nonNegative(String field, double absent) {
-        double n = number(field, absent);
-        if (n >= 0 && n < Double.POSITIVE_INFINITY) {
-            return n;
+    /** Returns a finite number from 0 on, or the default when absent. */
+    public double nonNegative(String field, double defaultValue) {
+        double number = number(field, defaultValue);
+        if (number >= 0 && number < Double.POSITIVE_INFINITY) {
+            return number;
         }
         throw invalid(field, "a number from 0 on");
     }
 
-    /** A finite number above 0. */
+    /** Returns a finite number above 0. */
     public double positive(String field) {
-        double n = number(field);
-        if (n > 0 && n < Double.POSITIVE_INFINITY) {
-            return n;
+        double number = number(field);
+        if (number > 0 && number < Double.POSITIVE_INFINITY) {
+            return number;
         }
         throw invalid(field, "a number above 0");
     }
 
-    /** A time, given in microseconds, as milliseconds; 0 when absent. */
+    /** Returns a time in ms that the field gives in microseconds; 0 when absent. */
     public double millis(String field) {
-        return nonNegative(field, 0) / 1000;
+        return nonNegative(field, 0) / US_PER_MS;
     }
 
-    /** The same; so many milliseconds when absent or 0, where that stands for no such time. */
-    public double millis(String field, double absent) {
-        double n = millis(field);
-        return n > 0 ? n : absent;
+    /**
+     * Returns a time in ms that the field gives in microseconds.
+     *
+     * @param defaultMs time in ms when the field is absent or 0
+     */
+    public double millis(String field, double defaultMs) {
+        double timeMs = millis(field);
+        return timeMs > 0 ? timeMs : defaultMs;
     }
 
-    /** An object, or one without fields when absent. */
-    public JsonFields objectOrEmpty(String field) {
-        return has(field) ? object(field) : child(field, Map.of());
+    /** Returns a time above 0 in ms that the field gives in microseconds. */
+    public double positiveMillis(String field) {
+        return positive(field) / US_PER_MS;
     }
 
+    /** Returns an array of numbers, or null when absent. */
     public double[] numbers(String field) {
-        Object v = fields.get(field);
-        if (v == null) {
+        if (!has(field)) {
             return null;
         }
-        if (!(v instanceof List<?> all)) {
-            throw invalid(field, "an array of numbers");
-        }
-        double[] found = new double[all.size()];
-        for (int i = 0; i < found.length; i++) {
-            if (!(all.get(i) instanceof Number n)) {
+        List<?> values = array(field, "an array of numbers");
+        double[] numbers = new double[values.size()];
+        for (int i = 0; i < numbers.length; i++) {
+            if (!(values.get(i) instanceof Number number)) {
                 throw invalid(field, "an array of numbers");
             }
-            found[i] = n.doubleValue();
+            numbers[i] = number.doubleValue();
         }
-        return found;
+        return numbers;
     }
 
+    /** Returns an array of texts. */
     public List<String> texts(String field) {
-        if (!(fields.get(field) instanceof List<?> all)) {
-            throw invalid(field, "an array of texts");
-        }
-        List<String> found = new ArrayList<>();
-        for (Object o : all) {
-            if (!(o instanceof String s)) {
+        List<String> texts = new ArrayList<>();
+        for (Object value : array(field, "an array of texts")) {
+            if (!(value instanceof String text)) {
                 throw invalid(field, "an array of texts");
             }
-            found.add(s);
+            texts.add(text);
         }
-        return found;
-    }
-
-    /** Whether the other object says the same of that field. */
-    public boolean sameValue(JsonFields other, String field) {
-        return Objects.equals(fields.get(field), other.fields.get(field));
+        return texts;
     }
 
+    /** Returns an object. */
     public JsonFields object(String field) {
-        if (fields.get(field) instanceof Map<?, ?> m) {
-            return child(field, m);
+        if (fields.get(field) instanceof Map<?, ?> map) {
+            return child(field, map);
         }
         throw invalid(field, "an object");
     }
 
+    /** Returns an object, or one without fields when absent. */
+    public JsonFields objectOrEmpty(String field) {
+        return has(field) ? object(field) : child(field, Map.of());
+    }
+
+    /** Returns an array of objects. */
     public List<JsonFields> objects(String field) {
-        if (!(fields.get(field) instanceof List<?> all)) {
-            throw invalid(field, "an array of objects");
-        }
-        List<JsonFields> found = new ArrayList<>();
-        for (Object o : all) {
-            if (!(o instanceof Map<?, ?> m)) {
+        List<JsonFields> objects = new ArrayList<>();
+        for (Object value : array(field, "an array of objects")) {
+            if (!(value instanceof Map<?, ?> map)) {
                 throw invalid(field, "an array of objects");
             }
-            found.add(child(field, m));
+            objects.add(child(field, map));
+        }
+        return objects;
+    }
+
+    /** Returns whether both objects have the same value in the field, or both none. */
+    public boolean sameValue(JsonFields other, String field) {
+        return Objects.equals(fields.get(field), other.fields.get(field));
+    }
+
+    private List<?> array(String field, String expected) {
+        if (fields.get(field) instanceof List<?> values) {
+            return values;
         }
-        return found;
+        throw invalid(field, expected);
     }
 
-    private JsonFields child(String field, Map<?, ?> m) {
+    private JsonFields child(String field, Map<?, ?> values) {
         Map<String, Object> copy = new LinkedHashMap<>();
-        m.forEach((k, v) -> copy.put((String) k, v));
-        return new JsonFields(where, name.isEmpty() ? field : name + "." + field, copy);
+        values.forEach((name, value) -> copy.put((String) name, value));
+        return new JsonFields(source, pathOf(field), copy);
     }
 }
--- a/gateway/src/main/java/tinford/settings/SettingsReader.java
+++ b/gateway/src/main/java/tinford/settings/SettingsReader.java
@@ -2,164 +2,207 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import tinford.api.*;
-
-/** The one reader of the settings object that a gateway is handed at its start, for every front. */
+import tinford.api.AttemptLimits;
+import tinford.api.CounterSettings;
+import tinford.api.DecisionModule;
+import tinford.api.DeduplicationScope;
+import tinford.api.GatewayIdentity;
+import tinford.api.Idempotency;
+import tinford.api.Objectives;
+import tinford.api.Plan;
+import tinford.api.RequestClass;
+import tinford.api.SlowStartRules;
+
+/**
+ * Reads the settings object that a gateway starts with, for the process and for the simulator. The
+ * names of its fields are the operators'; they are mapped to the gateway's terms only in this
+ * class. Each method throws an {@link InvalidSettingsException} for a field that is not valid.
+ */
 public final class SettingsReader {
-    private static final double CONNECT =
-            1000; // where no time is handed for it; none that is handed is longer
-    private static final double KEPT = 600_000; // idle connections, where none are closed
-    private static final double COLD =
-            30_000; // where it is not handed how long servers are: longer than any known
-    private static final double LEAST_KEPT =
-            16; // who closes them sooner has none that is used again
-    private static final int OPEN = 20_000; // reqs, where no bound is handed
-    private static final double MOST_UNITS = 1e9; // of one call on the counter
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 1000;
+    private static final double DEFAULT_IDLE_TIMEOUT_MS = 600_000;
+
+    /** A shorter idle timeout would close nearly every connection before it is used again. */
+    private static final double MIN_IDLE_TIMEOUT_MS = 16;
+
+    private static final double DEFAULT_WARM_UP_MS = 30_000;
+    private static final int DEFAULT_MAX_OPEN_REQUESTS = 20_000;
+    private static final double DEFAULT_MAX_REQUEST_UNITS = 1e9;
+
+    private static final double MS_PER_SECOND = 1000;
 
     private SettingsReader() {}
 
-    public static Map<String, RequestClass> requestClasses(JsonFields set) {
-        Map<String, RequestClass> found = new LinkedHashMap<>();
-        for (JsonFields c : set.objects("Classes")) {
-            double timeout = c.positive("HardLimitUs") / 1000;
-            found.put(
-                    c.text("Name"),
-                    new RequestClass(
-                            c.text("Name"),
-                            c.millis("OnTimeUs", timeout),
-                            timeout,
-                            c.nonNegative("Value", 1),
-                            c.nonNegative("LateWorth", 0),
-                            idempotency(c),
-                            deduplicationScope(c),
-                            c.millis("WindowUs"),
-                            c.flag("Stream")));
+    /** Reads the request classes by name, in the order of the settings. */
+    public static Map<String, RequestClass> requestClasses(JsonFields settings) {
+        Map<String, RequestClass> classes = new LinkedHashMap<>();
+        for (JsonFields entry : settings.objects("Classes")) {
+            double timeoutMs = entry.positiveMillis("HardLimitUs");
+            classes.put(entry.text("Name"), requestClass(entry, timeoutMs));
         }
-        return found;
-    }
-
-    public static Map<String, Plan> plans(JsonFields set) {
-        Map<String, Plan> found = new LinkedHashMap<>();
-        for (JsonFields t : set.objects("Tariffs")) {
-            double rate = t.nonNegative("QuotaRate", 0) / 1000;
-            double ceilingRate = t.nonNegative("CapRate", 0) / 1000;
-            found.put(
-                    t.text("Name"),
-                    new Plan(
-                            t.text("Name"),
-                            rate,
-                            bucketSize(t, "MostAtOnce", rate),
-                            (int) t.nonNegative("MaxOut", 0),
-                            t.nonNegative("Price", 1),
-                            t.nonNegative("ExtraWorth", 0),
-                            t.nonNegative("OverrunCost", 0),
-                            ceilingRate,
-                            bucketSize(t, "CapDepth", ceilingRate),
-                            t.nonNegative("HardSlack", 0)));
+        return classes;
+    }
+
+    private static RequestClass requestClass(JsonFields entry, double timeoutMs) {
+        return new RequestClass(
+                entry.text("Name"),
+                entry.millis("OnTimeUs", timeoutMs),
+                timeoutMs,
+                entry.nonNegative("Value", 1),
+                entry.nonNegative("LateWorth", 0),
+                idempotency(entry),
+                deduplicationScope(entry),
+                entry.millis("WindowUs"),
+                entry.flag("Stream"));
+    }
+
+    /** Reads the plans by name, in the order of the settings. */
+    public static Map<String, Plan> plans(JsonFields settings) {
+        Map<String, Plan> plans = new LinkedHashMap<>();
+        for (JsonFields entry : settings.objects("Tariffs")) {
+            double quotaPerMs = ratePerMs(entry, "QuotaRate");
+            double hardLimitPerMs = ratePerMs(entry, "CapRate");
+            plans.put(entry.text("Name"), plan(entry, quotaPerMs, hardLimitPerMs));
         }
-        return found;
+        return plans;
     }
 
-    /** Of what a rate fills: without it nothing would ever fit. */
-    private static double bucketSize(JsonFields t, String field, double rate) {
-        return rate > 0 ? t.positive(field) : t.nonNegative(field, 0);
+    private static Plan plan(JsonFields entry, double quotaPerMs, double hardLimitPerMs) {
+        return new Plan(
+                entry.text("Name"),
+                quotaPerMs,
+                burst(entry, "MostAtOnce", quotaPerMs),
+                (int) entry.nonNegative("MaxOut", 0),
+                entry.nonNegative("Price", 1),
+                entry.nonNegative("ExtraWorth", 0),
+                entry.nonNegative("OverrunCost", 0),
+                hardLimitPerMs,
+                burst(entry, "CapDepth", hardLimitPerMs),
+                entry.nonNegative("HardSlack", 0));
     }
 
-    public static GatewayIdentity gatewayIdentity(JsonFields set) {
+    /** Reads a rate in units per second as units per ms; 0 when absent. */
+    private static double ratePerMs(JsonFields entry, String field) {
+        return entry.nonNegative(field, 0) / MS_PER_SECOND;
+    }
+
+    /** Reads a burst in units. A rate limit without one would never admit a request. */
+    private static double burst(JsonFields entry, String field, double ratePerMs) {
+        return ratePerMs > 0 ? entry.positive(field) : entry.nonNegative(field, 0);
+    }
+
+    /** Reads the identity of the gateway. */
+    public static GatewayIdentity gatewayIdentity(JsonFields settings) {
         return new GatewayIdentity(
-                set.count("MyNumber", 0, 0),
-                set.count("NInstances", 1),
-                set.has("Az") ? set.text("Az") : "",
-                set.millis("TickUs"));
+                settings.count("MyNumber", 0, 0),
+                settings.count("NInstances", 1),
+                settings.has("Az") ? settings.text("Az") : "",
+                settings.millis("TickUs"));
     }
 
-    public static AttemptLimits attemptLimits(JsonFields set) {
-        JsonFields lim = set.object("Limits");
+    /** Reads the limits on attempts. */
+    public static AttemptLimits attemptLimits(JsonFields settings) {
+        JsonFields limits = settings.object("Limits");
         return new AttemptLimits(
-                lim.count("MaxAttempts", 1),
-                lim.flag("MayDuplicate"),
-                lim.flag("Cancel"),
-                lim.flag("Peers"),
-                lim.flag("Probes"),
-                lim.flag("RetryAfter") ? lim.millis("MaxRetryAfterUs") : 0);
+                limits.count("MaxAttempts", 1),
+                limits.flag("MayDuplicate"),
+                limits.flag("Cancel"),
+                limits.flag("Peers"),
+                limits.flag("Probes"),
+                limits.flag("RetryAfter") ? limits.millis("MaxRetryAfterUs") : 0);
     }
 
-    public static CounterSettings counterSettings(JsonFields set) {
-        JsonFields fam = set.objectOrEmpty("Specifics");
-        boolean present = fam.flag("Counter");
+    /** Reads the settings of the shared counter. */
+    public static CounterSettings counterSettings(JsonFields settings) {
+        JsonFields specifics = settings.objectOrEmpty("Specifics");
+        boolean present = specifics.flag("Counter");
         return new CounterSettings(
                 present,
-                present ? fam.positive("CountLimitUs") / 1000 : 0,
-                fam.nonNegative("UnitsTop", 1),
-                fam.flag("PostPaid"));
+                present ? specifics.positiveMillis("CountLimitUs") : 0,
+                specifics.nonNegative("UnitsTop", 1),
+                specifics.flag("PostPaid"));
     }
 
-    /** Units of one req: where no bound is handed, none that is asked for is refused. */
-    public static double maxRequestUnits(JsonFields set) {
-        return set.objectOrEmpty("Specifics").nonNegative("UnitsTop", MOST_UNITS);
+    /**
+     * Reads the most units that a request may have at the process's request interface, where an
+     * absent bound admits nearly any number.
+     */
+    public static double maxRequestUnits(JsonFields settings) {
+        return settings.objectOrEmpty("Specifics")
+                .nonNegative("UnitsTop", DEFAULT_MAX_REQUEST_UNITS);
     }
 
-    /** How long a connection may take to come up. */
-    public static double connectTimeoutMs(JsonFields set) {
-        return set.object("Limits").millis("ConnectTimeoutUs", CONNECT);
+    /** Reads the time in ms within which a connection to a server has to be open. */
+    public static double connectTimeoutMs(JsonFields settings) {
+        return settings.object("Limits").millis("ConnectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_MS);
     }
 
-    /** How long a connection may stand idle. */
-    public static double idleTimeoutMs(JsonFields set) {
-        return Math.max(LEAST_KEPT, set.object("Limits").millis("KeepaliveUs", KEPT));
+    /** Reads the time in ms after which an idle connection is closed. */
+    public static double idleTimeoutMs(JsonFields settings) {
+        JsonFields limits = settings.object("Limits");
+        return Math.max(MIN_IDLE_TIMEOUT_MS, limits.millis("KeepaliveUs", DEFAULT_IDLE_TIMEOUT_MS));
     }
 
-    /** Reqs that may be open. */
-    public static int maxOpenRequests(JsonFields set) {
-        int most = set.object("Limits").count("OpenCap", 0, 0);
-        return most > 0 ? most : OPEN;
+    /** Reads the number of requests that the gateway may have in flight. */
+    public static int maxOpenRequests(JsonFields settings) {
+        int configured = settings.object("Limits").count("OpenCap", 0, 0);
+        return configured > 0 ? configured : DEFAULT_MAX_OPEN_REQUESTS;
     }
 
-    /** Changes of the server list come only to a gateway that asks for them. */
-    public static boolean watchRequired(JsonFields set) {
-        return set.has("Discovery") && set.text("Discovery").equals("subscribe");
+    /** Returns whether changes of the endpoint list arrive only while they are watched. */
+    public static boolean watchRequired(JsonFields settings) {
+        return settings.has("Discovery") && settings.text("Discovery").equals("subscribe");
     }
 
+    /** Creates the decision module that the settings describe. */
     public static DecisionModule createModule(
-            DecisionModule.Factory maker, long seed, JsonFields set) {
-        JsonFields rule = set.object("Rules");
-        JsonFields mix = set.objectOrEmpty("ResultMix");
-        return maker.create(
+            DecisionModule.Factory factory, long seed, JsonFields settings) {
+        JsonFields rules = settings.object("Rules");
+        JsonFields objectives = settings.objectOrEmpty("ResultMix");
+        return factory.create(
                 seed,
-                gatewayIdentity(set),
-                attemptLimits(set),
-                new SlowStartRules(
-                        rule.nonNegative("ColdFrom", 0),
-                        rule.has("ColdUs") ? rule.millis("ColdUs") : COLD,
-                        rule.positive("FallMultiple"),
-                        rule.millis("FallUs")),
-                counterSettings(set),
-                new Objectives(mix.nonNegative("Whole", 1), mix.nonNegative("WorstTenant", 0)),
-                watchRequired(set));
-    }
-
-    private static Idempotency idempotency(JsonFields c) {
-        return switch (c.text("Effect")) {
+                gatewayIdentity(settings),
+                attemptLimits(settings),
+                slowStartRules(rules),
+                counterSettings(settings),
+                new Objectives(
+                        objectives.nonNegative("Whole", 1),
+                        objectives.nonNegative("WorstTenant", 0)),
+                watchRequired(settings));
+    }
+
+    private static SlowStartRules slowStartRules(JsonFields rules) {
+        return new SlowStartRules(
+                rules.nonNegative("ColdFrom", 0),
+                rules.has("ColdUs") ? rules.millis("ColdUs") : DEFAULT_WARM_UP_MS,
+                rules.positive("FallMultiple"),
+                rules.millis("FallUs"));
+    }
+
+    private static Idempotency idempotency(JsonFields requestClass) {
+        return switch (requestClass.text("Effect")) {
             case "read_like" -> Idempotency.IDEMPOTENT;
             case "idempotency_key" -> Idempotency.IDEMPOTENCY_KEY;
             case "non_idempotent" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw c.invalid("Effect", "read_like, idempotency_key or non_idempotent");
+            default ->
+                    throw requestClass.invalid(
+                            "Effect", "read_like, idempotency_key or non_idempotent");
         };
     }
 
-    private static DeduplicationScope deduplicationScope(JsonFields c) {
-        if (idempotency(c) != Idempotency.IDEMPOTENCY_KEY) {
+    /** Without a scope the smallest one is assumed: a cell lies within the scope that is meant. */
+    private static DeduplicationScope deduplicationScope(JsonFields requestClass) {
+        if (idempotency(requestClass) != Idempotency.IDEMPOTENCY_KEY) {
             return DeduplicationScope.ALL;
         }
-        if (!c.has("Group")) {
-            return DeduplicationScope
-                    .CELL; // lies within any: a repeat there is dropped whatever the group is
+        if (!requestClass.has("Group")) {
+            return DeduplicationScope.CELL;
         }
-        return switch (c.text("Group")) {
+        return switch (requestClass.text("Group")) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw c.invalid("Group", "all, zone or cell");
+            default -> throw requestClass.invalid("Group", "all, zone or cell");
         };
     }
 }
--- a/gateway/src/main/java/tinford/simulator/WireMessage.java
+++ b/gateway/src/main/java/tinford/simulator/WireMessage.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import tinford.settings.InvalidSettingsException;
 import tinford.settings.JsonFields;
+import tinford.settings.JsonValueParser;
 
 /** One line of the wire: a message's name and its fields. */
 final class WireMessage extends JsonFields {
@@ -34,7 +35,7 @@
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new InvalidSettingsException(where, name, "an object of fields");
             }
-            WireMessage line = new WireMessage(number, name, parseObject(in));
+            WireMessage line = new WireMessage(number, name, JsonValueParser.parseObject(in));
             if (in.nextToken() != JsonToken.END_OBJECT || in.nextToken() != null) {
                 throw new InvalidSettingsException(where, name, "nothing after the message");
             }
--- a/gateway/src/test/java/tinford/settings/SettingsReaderTest.java
+++ b/gateway/src/test/java/tinford/settings/SettingsReaderTest.java
@@ -1,116 +1,124 @@
 package tinford.settings;
 
 import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
 import com.fasterxml.jackson.core.JsonFactory;
+import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.*;
+import tinford.api.AttemptLimits;
+import tinford.api.CounterSettings;
+import tinford.api.DecisionModule;
+import tinford.api.DeduplicationScope;
+import tinford.api.GatewayIdentity;
+import tinford.api.Idempotency;
+import tinford.api.Objectives;
+import tinford.api.Plan;
+import tinford.api.RequestClass;
+import tinford.api.SlowStartRules;
 
-/**
- * Settings unlike those known: what may be missing, what it stands for then, and what is an error.
- */
+/** Reads settings objects with absent, unknown, unusual and invalid fields. */
 public class SettingsReaderTest {
-    private static final String LEAST =
+    /** The settings with the fewest fields that a gateway starts with. */
+    private static final String MINIMAL_SETTINGS =
             "{\"Classes\":[{\"Name\":\"a\",\"HardLimitUs\":4000000,\"Effect\":\"read_like\"},"
-                + "{\"Name\":\"k\",\"HardLimitUs\":5000000,\"Effect\":\"idempotency_key\"}],\"Limits\":{\"MaxAttempts\":3},"
+                + "{\"Name\":\"k\",\"HardLimitUs\":5000000,\"Effect\":\"idempotency_key\"}],"
+                + "\"Limits\":{\"MaxAttempts\":3},"
                 + "\"NInstances\":2,\"Rules\":{\"FallMultiple\":2},\"Tariffs\":[{\"Name\":\"p\"}]}";
 
-    private SlowStartRules rules;
-    private Objectives goal;
+    private SlowStartRules createdWithSlowStart;
+    private Objectives createdWithObjectives;
 
-    private DecisionModule make(
+    /** Records what a decision module would be created with. */
+    private DecisionModule recordCreation(
             long seed,
-            GatewayIdentity place,
+            GatewayIdentity identity,
             AttemptLimits limits,
-            SlowStartRules cold,
+            SlowStartRules slowStart,
             CounterSettings counter,
-            Objectives weighs,
-            boolean mustAsk) {
-        rules = cold;
-        goal = weighs;
+            Objectives objectives,
+            boolean watchRequired) {
+        createdWithSlowStart = slowStart;
+        createdWithObjectives = objectives;
         return null;
     }
 
-    private static JsonFields read(String text) {
+    private static JsonFields parse(String text) {
         return JsonFields.of(new JsonFactory(), "configuration", "{\"settings\":" + text + "}")
                 .object("settings");
     }
 
-    /** All that a start takes of them. */
-    private void take(JsonFields set) {
-        SettingsReader.requestClasses(set);
-        SettingsReader.plans(set);
-        SettingsReader.connectTimeoutMs(set);
-        SettingsReader.idleTimeoutMs(set);
-        SettingsReader.maxOpenRequests(set);
-        SettingsReader.maxRequestUnits(set);
-        SettingsReader.createModule(this::make, 1, set);
+    /** Reads everything that a gateway reads at its start. */
+    private void readAll(JsonFields settings) {
+        SettingsReader.requestClasses(settings);
+        SettingsReader.plans(settings);
+        SettingsReader.connectTimeoutMs(settings);
+        SettingsReader.idleTimeoutMs(settings);
+        SettingsReader.maxOpenRequests(settings);
+        SettingsReader.maxRequestUnits(settings);
+        SettingsReader.createModule(this::recordCreation, 1, settings);
     }
 
     @Test
-    public void whatIsMissingHarmsNobody() {
-        JsonFields set = read(LEAST);
-        take(set);
-        RequestClass a = SettingsReader.requestClasses(set).get("a");
-        RequestClass k = SettingsReader.requestClasses(set).get("k");
-        assertEquals(
-                new double[] {
-                    a.latencyObjectiveMs,
-                    a.timeoutMs,
-                    a.priorityWeight,
-                    a.lateWeight,
-                    k.latencyObjectiveMs
-                },
-                new double[] {4000, 4000, 1, 0, 5000});
-        assertEquals(a.idempotency, Idempotency.IDEMPOTENT);
-        assertEquals(k.deduplicationWindowMs, 0.0); // none known: never again where it may have run
-        assertEquals(k.deduplicationScope, DeduplicationScope.CELL); // within any group
-        Plan p = SettingsReader.plans(set).get("p");
-        assertEquals(
-                new double[] {
-                    p.quotaPerMs,
-                    p.maxOpenRequests,
-                    p.hardLimitPerMs,
-                    p.priorityWeight,
-                    p.overQuotaWeight,
-                    p.overQuotaCost
-                },
-                new double[] {0, 0, 0, 1, 0, 0});
-        AttemptLimits limits = SettingsReader.attemptLimits(set);
-        assertTrue(
-                !limits.hedgingAllowed()
-                        && !limits.cancellationAllowed()
-                        && !limits.gossipAllowed()
-                        && !limits.healthChecksAllowed()
-                        && limits.maxRetryAfterMs() == 0);
-        CounterSettings counter = SettingsReader.counterSettings(set);
-        assertTrue(!counter.present() && !counter.postPaid() && !SettingsReader.watchRequired(set));
-        assertEquals(SettingsReader.gatewayIdentity(set).zone(), "");
-        assertEquals(
-                new double[] {
-                    SettingsReader.connectTimeoutMs(set),
-                    SettingsReader.idleTimeoutMs(set),
-                    SettingsReader.maxOpenRequests(set),
-                    SettingsReader.maxRequestUnits(set)
-                },
-                new double[] {1000, 600_000, 20_000, 1e9});
+    public void absentFieldsHaveDefaults() {
+        JsonFields settings = parse(MINIMAL_SETTINGS);
+        readAll(settings);
+        assertRequestClassDefaults(SettingsReader.requestClasses(settings));
+        assertPlanDefaults(SettingsReader.plans(settings).get("p"));
+        assertLimitDefaults(settings);
+        assertModuleDefaults();
+    }
+
+    private static void assertRequestClassDefaults(Map<String, RequestClass> classes) {
+        RequestClass idempotent = classes.get("a");
+        RequestClass keyed = classes.get("k");
+        assertEquals(idempotent.latencyObjectiveMs, 4000.0);
+        assertEquals(idempotent.timeoutMs, 4000.0);
+        assertEquals(idempotent.priorityWeight, 1.0);
+        assertEquals(idempotent.lateWeight, 0.0);
+        assertEquals(idempotent.idempotency, Idempotency.IDEMPOTENT);
+        assertEquals(keyed.latencyObjectiveMs, 5000.0);
+        assertEquals(keyed.deduplicationWindowMs, 0.0, "no retry where it may have run");
+        assertEquals(keyed.deduplicationScope, DeduplicationScope.CELL);
+    }
+
+    private static void assertPlanDefaults(Plan plan) {
+        assertEquals(plan.quotaPerMs, 0.0);
+        assertEquals(plan.maxOpenRequests, 0);
+        assertEquals(plan.hardLimitPerMs, 0.0);
+        assertEquals(plan.priorityWeight, 1.0);
+        assertEquals(plan.overQuotaWeight, 0.0);
+        assertEquals(plan.overQuotaCost, 0.0);
+    }
+
+    private static void assertLimitDefaults(JsonFields settings) {
         assertEquals(
-                new double[] {
-                    rules.initialCapacityShare(),
-                    rules.warmUpMs(),
-                    rules.overloadMultiple(),
-                    goal.overallWeight(),
-                    goal.worstPlanWeight()
-                },
-                new double[] {0, 30_000, 2, 1, 0});
+                SettingsReader.attemptLimits(settings),
+                new AttemptLimits(3, false, false, false, false, 0));
+        CounterSettings counter = SettingsReader.counterSettings(settings);
+        assertFalse(counter.present());
+        assertFalse(counter.postPaid());
+        assertFalse(SettingsReader.watchRequired(settings));
+        assertEquals(SettingsReader.gatewayIdentity(settings).zone(), "");
+        assertEquals(SettingsReader.connectTimeoutMs(settings), 1000.0);
+        assertEquals(SettingsReader.idleTimeoutMs(settings), 600_000.0);
+        assertEquals(SettingsReader.maxOpenRequests(settings), 20_000);
+        assertEquals(SettingsReader.maxRequestUnits(settings), 1e9);
+    }
+
+    private void assertModuleDefaults() {
+        assertEquals(createdWithSlowStart.initialCapacityShare(), 0.0);
+        assertEquals(createdWithSlowStart.warmUpMs(), 30_000.0);
+        assertEquals(createdWithSlowStart.overloadMultiple(), 2.0);
+        assertEquals(createdWithObjectives, new Objectives(1, 0));
     }
 
-    /** In place of the first, the second. */
+    /** A part of the minimal settings, and what replaces it. */
     @DataProvider
-    public Object[][] unlikeOnes() {
+    public Object[][] unusualSettings() {
         return new Object[][] {
             {
                 "\"NInstances\":2",
@@ -136,14 +144,14 @@
         };
     }
 
-    @Test(dataProvider = "unlikeOnes")
-    public void newKeysAndOddFiguresAreTaken(String part, String instead) {
-        assertTrue(LEAST.contains(part));
-        take(read(LEAST.replace(part, instead)));
+    @Test(dataProvider = "unusualSettings")
+    public void unknownFieldsAndUnusualValuesAreAccepted(String part, String replacement) {
+        assertTrue(MINIMAL_SETTINGS.contains(part));
+        readAll(parse(MINIMAL_SETTINGS.replace(part, replacement)));
     }
 
     @DataProvider
-    public Object[][] wrongOnes() {
+    public Object[][] invalidSettings() {
         return new Object[][] {
             {"\"HardLimitUs\":4000000,", "", "Classes.HardLimitUs: expected a number"},
             {
@@ -230,14 +238,14 @@
         };
     }
 
-    /** One line that names the field and what was expected. */
-    @Test(dataProvider = "wrongOnes")
-    public void whatIsWrongIsNamed(String part, String instead, String line) {
-        assertTrue(LEAST.contains(part));
-        InvalidSettingsException wrong =
+    /** The message is one line that names the field and what was expected. */
+    @Test(dataProvider = "invalidSettings")
+    public void invalidFieldIsNamedInTheMessage(String part, String replacement, String message) {
+        assertTrue(MINIMAL_SETTINGS.contains(part));
+        InvalidSettingsException exception =
                 expectThrows(
                         InvalidSettingsException.class,
-                        () -> take(read(LEAST.replace(part, instead))));
-        assertEquals(wrong.getMessage(), "configuration: settings." + line);
+                        () -> readAll(parse(MINIMAL_SETTINGS.replace(part, replacement))));
+        assertEquals(exception.getMessage(), "configuration: settings." + message);
     }
 }
