--- a/gateway/src/main/java/tinford/simulator/ReplyWriter.java
+++ b/gateway/src/main/java/tinford/simulator/ReplyWriter.java
@@ -11,120 +11,130 @@
 import tinford.api.Request;
 import tinford.api.Server;
 
-/** Writes decisions as lines of the reply. */
+/** Writes the actions of decision modules as messages of the simulator's wire, one a line. */
 final class ReplyWriter implements GatewayActions {
+    private static final int WRITE_BUFFER_BYTES = 1 << 16;
+    private static final double US_PER_MS = 1000;
+
     private final OutputStream out;
     private final JsonGenerator json;
-    private SimulatedGateway instance;
+    private SimulatedGateway gateway;
 
+    /** Creates a writer; the stream stays the caller's to close. */
     ReplyWriter(JsonFactory factory, OutputStream out) throws IOException {
-        this.out = new BufferedOutputStream(out, 1 << 16);
+        this.out = new BufferedOutputStream(out, WRITE_BUFFER_BYTES);
         this.json = factory.createGenerator(this.out);
         json.setRootValueSeparator(new SerializedString(""));
     }
 
-    GatewayActions of(SimulatedGateway i) {
-        instance = i;
+    /** Returns this writer, for the actions of the gateway until the next call. */
+    GatewayActions actionsOf(SimulatedGateway actingGateway) {
+        gateway = actingGateway;
         return this;
     }
 
-    void done(long n) throws IOException {
-        json.writeStartObject();
-        json.writeObjectFieldStart("Done");
-        json.writeNumberField("n", n);
-        close();
+    /** Ends the reply to a batch and flushes it. */
+    void endBatch(long batchNumber) throws IOException {
+        startMessage("Done");
+        json.writeNumberField("n", batchNumber);
+        endMessage();
         json.flush();
         out.flush();
     }
 
-    private interface Fields {
+    /** Writes the fields of a message. */
+    private interface FieldsWriter {
         void write() throws IOException;
     }
 
-    private void line(String name, Fields fields) {
+    private void writeAction(String type, FieldsWriter fields) {
         try {
-            json.writeStartObject();
-            json.writeObjectFieldStart(name);
-            json.writeStringField("I", instance.name);
+            startMessage(type);
+            json.writeStringField("I", gateway.name());
             fields.write();
-            close();
+            endMessage();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private void close() throws IOException {
+    private void startMessage(String type) throws IOException {
+        json.writeStartObject();
+        json.writeObjectFieldStart(type);
+    }
+
+    private void endMessage() throws IOException {
         json.writeEndObject();
         json.writeEndObject();
         json.writeRaw('\n');
     }
 
-    private static long us(double ms) {
-        return Math.round(ms * 1000);
+    private void writeTime(String field, double timeMs) throws IOException {
+        json.writeNumberField(field, Math.round(timeMs * US_PER_MS));
     }
 
     @Override
-    public void sendAttempt(Request req, Server srv, double cap, double within) {
-        instance.sent(req);
-        line(
+    public void sendAttempt(Request request, Server server, double timeoutMs, double sendWithinMs) {
+        gateway.attemptSent(request);
+        writeAction(
                 "PassOn",
                 () -> {
-                    json.writeNumberField("RequestId", req.id);
-                    json.writeStringField("Server", srv.id);
-                    json.writeNumberField("CapUs", us(cap));
+                    json.writeNumberField("RequestId", request.id);
+                    json.writeStringField("Server", server.id);
+                    writeTime("CapUs", timeoutMs);
                 });
     }
 
     @Override
-    public void cancelAttempt(Request req, int hop) {
-        line(
+    public void cancelAttempt(Request request, int attempt) {
+        writeAction(
                 "StopAttempt",
                 () -> {
-                    json.writeNumberField("RequestId", req.id);
-                    json.writeNumberField("Hop", hop);
+                    json.writeNumberField("RequestId", request.id);
+                    json.writeNumberField("Hop", attempt);
                 });
     }
 
     @Override
-    public void reject(Request req, double retryAfter) {
-        instance.answered(req);
-        line(
+    public void reject(Request request, double retryAfterMs) {
+        gateway.answered(request);
+        writeAction(
                 "Reject",
                 () -> {
-                    json.writeNumberField("RequestId", req.id);
-                    json.writeNumberField("StayAwayUs", us(retryAfter));
+                    json.writeNumberField("RequestId", request.id);
+                    writeTime("StayAwayUs", retryAfterMs);
                 });
     }
 
     @Override
-    public void fail(Request req) {
-        instance.answered(req);
-        line("ReportFailure", () -> json.writeNumberField("RequestId", req.id));
+    public void fail(Request request) {
+        gateway.answered(request);
+        writeAction("ReportFailure", () -> json.writeNumberField("RequestId", request.id));
     }
 
     @Override
-    public void setTimer(long token, double wait) {
-        line(
+    public void setTimer(long token, double delayMs) {
+        writeAction(
                 "Schedule",
                 () -> {
                     json.writeNumberField("Name", token);
-                    json.writeNumberField("WaitUs", us(wait));
+                    writeTime("WaitUs", delayMs);
                 });
     }
 
     @Override
-    public void sendHealthCheck(Server srv) {
-        line("Poll", () -> json.writeStringField("Server", srv.id));
+    public void sendHealthCheck(Server server) {
+        writeAction("Poll", () -> json.writeStringField("Server", server.id));
     }
 
     @Override
-    public void closeIdleConnections(Server srv) {
-        line("ShutIdle", () -> json.writeStringField("Server", srv.id));
+    public void closeIdleConnections(Server server) {
+        writeAction("ShutIdle", () -> json.writeStringField("Server", server.id));
     }
 
     @Override
     public void sendGossip(int peer, String text) {
-        line(
+        writeAction(
                 "Publish",
                 () -> {
                     if (peer < 0) {
@@ -137,28 +147,28 @@
     }
 
     @Override
-    public void incrementCounter(long name, double amount, double keep) {
-        line(
+    public void incrementCounter(long counterKey, double amount, double ttlMs) {
+        writeAction(
                 "Incr",
                 () -> {
-                    json.writeNumberField("Name", name);
+                    json.writeNumberField("Name", counterKey);
                     json.writeNumberField("N", amount);
-                    json.writeNumberField("KeepForUs", us(keep));
+                    writeTime("KeepForUs", ttlMs);
                 });
     }
 
     @Override
-    public void watchEndpoints(boolean on) {
-        line("Watch", () -> json.writeBooleanField("Enable", on));
+    public void watchEndpoints(boolean enabled) {
+        writeAction("Watch", () -> json.writeBooleanField("Enable", enabled));
     }
 
     @Override
     public void fetchEndpoints() {
-        line("Resolve", () -> {});
+        writeAction("Resolve", () -> {});
     }
 
     @Override
     public void log(String text) {
-        line("Debug", () -> json.writeStringField("BodyText", text));
+        writeAction("Debug", () -> json.writeStringField("BodyText", text));
     }
 }
--- a/gateway/src/main/java/tinford/simulator/SimulatedGateway.java
+++ b/gateway/src/main/java/tinford/simulator/SimulatedGateway.java
@@ -13,129 +13,117 @@
 import tinford.api.RequestClass;
 import tinford.api.Server;
 import tinford.api.Tenant;
-import tinford.settings.InvalidSettingsException;
 import tinford.settings.JsonFields;
 import tinford.settings.SettingsReader;
 
-/** One gateway on the wire: its ids, and its input as calls on the decisions. */
+/**
+ * A gateway of the simulation: translates the messages of its wire into events of its decision
+ * module. The names of the wire are mapped to the gateway's terms in this class and in {@link
+ * ReplyWriter}.
+ */
 final class SimulatedGateway implements DecisionModule.EventBatch {
-    final String name;
-    private final DecisionModule gateway;
-    private final Map<String, RequestClass> frontends;
+    private final String name;
+    private final DecisionModule module;
+    private final Map<String, RequestClass> requestClasses;
     private final Map<String, Plan> plans;
     private final Map<String, Server> servers = new HashMap<>();
-    private final Map<Long, Door> reqs = new HashMap<>();
-    private final List<WireMessage> lines = new ArrayList<>();
-
-    /** A req that the wire may still name. */
-    private static final class Door {
-        final Request req;
-        int out;
-        boolean over;
+    private final OpenRequests requests = new OpenRequests();
+    private final List<WireMessage> batch = new ArrayList<>();
+
+    /**
+     * Creates a gateway whose first event is its start.
+     *
+     * @param up the message that carries its settings and its seed
+     */
+    SimulatedGateway(String name, DecisionModule.Factory moduleFactory, WireMessage up) {
+        this.name = name;
+        JsonFields settings = up.object("Options");
+        this.requestClasses = SettingsReader.requestClasses(settings);
+        this.plans = SettingsReader.plans(settings);
+        this.module = SettingsReader.createModule(moduleFactory, up.integer("Prng"), settings);
+        batch.add(up);
+    }
 
-        Door(Request req) {
-            this.req = req;
-        }
+    /** Returns the gateway's name on the wire. */
+    String name() {
+        return name;
     }
 
-    SimulatedGateway(String name, DecisionModule.Factory maker, WireMessage up) {
-        this.name = name;
-        JsonFields set = up.object("Options");
-        frontends = SettingsReader.requestClasses(set);
-        plans = SettingsReader.plans(set);
-        this.gateway = SettingsReader.createModule(maker, up.integer("Prng"), set);
-        lines.add(up);
+    /** Adds an event to the current batch. */
+    void add(WireMessage event) {
+        batch.add(event);
     }
 
-    private static AttemptOutcome end(WireMessage l) {
-        return switch (l.text("How")) {
-            case "success" -> AttemptOutcome.SUCCESS;
-            case "failure" -> AttemptOutcome.ERROR;
-            case "overloaded" -> AttemptOutcome.OVERLOADED;
-            case "timed_out" -> AttemptOutcome.TIMED_OUT;
-            case "unreachable" -> AttemptOutcome.UNREACHABLE;
-            case "broken" -> AttemptOutcome.CONNECTION_LOST;
-            case "withdrawn" -> AttemptOutcome.CANCELLED;
-            case "void" -> AttemptOutcome.NOT_SENT;
-            default -> throw l.invalid("How", "one of the outcomes of the wire");
-        };
+    /** Hands the current batch to the decision module and starts a new one. */
+    void handleBatch(double nowMs, GatewayActions actions) {
+        module.handleBatch(nowMs, this, actions);
+        batch.clear();
     }
 
-    void take(WireMessage line) {
-        lines.add(line);
+    /** Records that the module has sent an attempt of the request. */
+    void attemptSent(Request request) {
+        requests.attemptSent(request);
     }
 
-    void round(double now, GatewayActions out) {
-        gateway.handleBatch(now, this, out);
-        lines.clear();
+    /** Records that the module has given the request its final answer. */
+    void answered(Request request) {
+        requests.answered(request);
     }
 
     @Override
-    public void replay(GatewayEvents in) {
-        for (WireMessage l : lines) {
-            switch (l.name) {
-                case "Up" -> in.started();
-                case "View" -> view(l, in);
-                case "Request" -> request(l, in);
-                case "Begun" -> {
-                    Door door = reqs.get(l.integer("RequestId"));
-                    if (door != null && !door.over) {
-                        in.responseStarted(door.req, (int) l.integer("Hop", 0));
-                    }
-                }
-                case "Finished" -> finished(l, in);
-                case "ClientLeft" -> {
-                    Door door = reqs.get(l.integer("RequestId"));
-                    if (door != null && !door.over) {
-                        over(door);
-                        in.clientDisconnected(door.req);
-                    }
-                }
-                case "Alarm" -> in.timerFired(l.integer("Name"));
-                case "Pong" -> probed(l, in);
-                case "Whisper" -> in.gossipReceived((int) l.integer("SrcPeer", 0), l.text("Blob"));
-                case "Added" ->
-                        in.counterAnswered(
-                                l.integer("Name"),
-                                end(l),
-                                l.millis("TookUs"),
-                                l.number("NowAt", 0));
-                default ->
-                        throw new InvalidSettingsException(
-                                "line " + l.number, l.name, "a message of the wire");
-            }
+    public void replay(GatewayEvents events) {
+        for (WireMessage message : batch) {
+            replay(message, events);
         }
     }
 
-    /** An answer from a server that is gone by now tells nothing. */
-    private void probed(WireMessage l, GatewayEvents in) {
-        Server srv = servers.get(l.text("Server"));
-        if (srv != null) {
-            in.healthCheckEnded(srv, end(l), l.millis("TookUs"), l.numbers("Feedback"));
+    private void replay(WireMessage message, GatewayEvents events) {
+        switch (message.type()) {
+            case "Up" -> events.started();
+            case "View" -> endpointsUpdated(message, events);
+            case "Request" -> requestArrived(message, events);
+            case "Begun" -> responseStarted(message, events);
+            case "Finished" -> attemptEnded(message, events);
+            case "ClientLeft" -> clientDisconnected(message, events);
+            case "Alarm" -> events.timerFired(message.integer("Name"));
+            case "Pong" -> healthCheckEnded(message, events);
+            case "Whisper" ->
+                    events.gossipReceived(
+                            (int) message.integer("SrcPeer", 0), message.text("Blob"));
+            case "Added" -> counterAnswered(message, events);
+            default -> throw message.unexpected("a message of the wire");
         }
     }
 
-    private void view(WireMessage l, GatewayEvents in) {
-        String scope = l.text("Scope");
+    private void endpointsUpdated(WireMessage message, GatewayEvents events) {
+        String scope = message.text("Scope");
         switch (scope) {
-            case "refused" -> {
-                in.discoveryFailed();
-                return;
-            }
-            case "changes", "all", "remembered" -> {}
-            default -> throw l.invalid("Scope", "changes, all, remembered or refused");
+            case "refused" -> events.discoveryFailed();
+            case "changes" -> updateEndpoints(message, events, false);
+            case "all", "remembered" -> updateEndpoints(message, events, true);
+            default -> throw message.invalid("Scope", "changes, all, remembered or refused");
         }
-        List<Server> entries = new ArrayList<>();
-        for (JsonFields e : l.sheet) {
-            Server srv = servers.computeIfAbsent(e.text("Server"), Server::new);
-            srv.updateAttributes(
-                    e.text("FailureDomain"), (int) e.integer("Bay", 0), "", e.number("Size", 1));
-            srv.updateStartTime(e.millis("BornUs"));
-            srv.updateState(serverState(e));
-            entries.add(srv);
+    }
+
+    private void updateEndpoints(WireMessage message, GatewayEvents events, boolean complete) {
+        List<Server> updated = new ArrayList<>();
+        for (JsonFields entry : message.endpointEntries()) {
+            updated.add(updateServer(entry));
         }
-        in.endpointsUpdated(entries, !scope.equals("changes"));
-        servers.values().removeIf(srv -> srv.state() == Server.State.REMOVED);
+        events.endpointsUpdated(updated, complete);
+        servers.values().removeIf(server -> server.state() == Server.State.REMOVED);
+    }
+
+    private Server updateServer(JsonFields entry) {
+        Server server = servers.computeIfAbsent(entry.text("Server"), Server::new);
+        server.updateAttributes(
+                entry.text("FailureDomain"),
+                (int) entry.integer("Bay", 0),
+                "",
+                entry.number("Size", 1));
+        server.updateStartTime(entry.millis("BornUs"));
+        server.updateState(serverState(entry));
+        return server;
     }
 
     private static Server.State serverState(JsonFields entry) {
@@ -147,73 +135,99 @@
         };
     }
 
-    private void request(WireMessage l, GatewayEvents in) {
-        RequestClass frontend = frontends.get(l.text("Service"));
-        if (frontend == null) {
-            throw l.invalid("Service", "a class of the settings");
+    private void requestArrived(WireMessage message, GatewayEvents events) {
+        RequestClass requestClass = requestClasses.get(message.text("Service"));
+        if (requestClass == null) {
+            throw message.invalid("Service", "a class of the settings");
         }
-        Plan plan = plans.get(l.text("Terms"));
+        Plan plan = plans.get(message.text("Terms"));
         if (plan == null) {
-            throw l.invalid("Terms", "a plan of the settings");
+            throw message.invalid("Terms", "a plan of the settings");
         }
-        Tenant c =
+        Tenant tenant =
                 new Tenant(
-                        l.integer("Customer"),
+                        message.integer("Customer"),
                         plan,
-                        (int) l.integer("Width", 1),
-                        (int) l.integer("FromNo", 0));
-        Request req =
+                        (int) message.integer("Width", 1),
+                        (int) message.integer("FromNo", 0));
+        Request request =
                 new Request(
-                        l.integer("RequestId"),
-                        frontend,
-                        c,
-                        l.millis("ValidUntilUs"),
-                        l.number("Weight", 1),
-                        l.flag("Resent"));
-        reqs.put(req.id, new Door(req));
-        in.requestArrived(req);
-    }
-
-    private void finished(WireMessage l, GatewayEvents in) {
-        Door door = reqs.get(l.integer("RequestId"));
-        if (door == null) {
-            return;
+                        message.integer("RequestId"),
+                        requestClass,
+                        tenant,
+                        message.millis("ValidUntilUs"),
+                        message.number("Weight", 1),
+                        message.flag("Resent"));
+        requests.add(request);
+        events.requestArrived(request);
+    }
+
+    private void responseStarted(WireMessage message, GatewayEvents events) {
+        Request request = requests.findUnanswered(message.integer("RequestId"));
+        if (request != null) {
+            events.responseStarted(request, (int) message.integer("Hop", 0));
         }
-        door.out--;
-        boolean ended = l.flag("Ended");
-        if (ended) {
-            door.over = true;
+    }
+
+    private void attemptEnded(WireMessage message, GatewayEvents events) {
+        Request request = requests.find(message.integer("RequestId"));
+        if (request == null) {
+            return;
         }
-        l.text("Server");
-        in.attemptEnded(
-                door.req,
-                (int) l.integer("Hop", 0),
-                end(l),
-                l.millis("TookUs"),
-                ended,
-                (int) l.integer("SeenUse", 0),
-                l.number("Settled", 0),
-                l.numbers("Feedback"));
-        if (door.over) {
-            over(door);
+        boolean requestEnded = message.flag("Ended");
+        requests.attemptEnded(request, requestEnded);
+        message.text("Server");
+        events.attemptEnded(
+                request,
+                (int) message.integer("Hop", 0),
+                outcome(message),
+                message.millis("TookUs"),
+                requestEnded,
+                (int) message.integer("SeenUse", 0),
+                message.number("Settled", 0),
+                message.numbers("Feedback"));
+        requests.removeIfDone(request);
+    }
+
+    private void clientDisconnected(WireMessage message, GatewayEvents events) {
+        Request request = requests.findUnanswered(message.integer("RequestId"));
+        if (request != null) {
+            requests.answered(request);
+            events.clientDisconnected(request);
         }
     }
 
-    private void over(Door door) {
-        door.over = true;
-        if (door.out <= 0) {
-            reqs.remove(door.req.id);
+    /** The answer of a server that has been removed in the meantime is ignored. */
+    private void healthCheckEnded(WireMessage message, GatewayEvents events) {
+        Server server = servers.get(message.text("Server"));
+        if (server != null) {
+            events.healthCheckEnded(
+                    server,
+                    outcome(message),
+                    message.millis("TookUs"),
+                    message.numbers("Feedback"));
         }
     }
 
-    void sent(Request req) {
-        reqs.get(req.id).out++;
+    private static void counterAnswered(WireMessage message, GatewayEvents events) {
+        events.counterAnswered(
+                message.integer("Name"),
+                outcome(message),
+                message.millis("TookUs"),
+                message.number("NowAt", 0));
     }
 
-    void answered(Request req) {
-        Door door = reqs.get(req.id);
-        if (door != null) {
-            over(door);
-        }
+    private static AttemptOutcome outcome(WireMessage message) {
+        return switch (message.text("How")) {
+            case "success" -> AttemptOutcome.SUCCESS;
+            case "failure" -> AttemptOutcome.ERROR;
+            case "overloaded" -> AttemptOutcome.OVERLOADED;
+            case "timed_out" -> AttemptOutcome.TIMED_OUT;
+            case "unreachable" -> AttemptOutcome.UNREACHABLE;
+            case "broken" -> AttemptOutcome.CONNECTION_LOST;
+            case "withdrawn" -> AttemptOutcome.CANCELLED;
+            case "void" -> AttemptOutcome.NOT_SENT;
+            default -> throw message.invalid("How", "one of the outcomes of the wire");
+        };
     }
 }
--- a/gateway/src/main/java/tinford/simulator/SimulatorSession.java
+++ b/gateway/src/main/java/tinford/simulator/SimulatorSession.java
@@ -18,28 +18,50 @@
 import tinford.settings.JsonFields;
 
 /**
- * The simulator's wire: batches of lines in, a reply of lines out, many gateways in one process.
+ * Serves the simulator's wire: reads batches of events for many gateways, one message a line, and
+ * writes the actions of each batch as one reply.
  */
 public final class SimulatorSession {
+    private static final int READ_BUFFER_CHARS = 1 << 16;
+    private static final double US_PER_MS = 1000;
+
     private final JsonFactory json = new JsonFactory();
-    private final DecisionModule.Factory maker;
-    private final Map<String, SimulatedGateway> up = new HashMap<>();
-    private final Map<Long, List<JsonFields>> sheets = new HashMap<>();
-    private int number;
+    private final DecisionModule.Factory moduleFactory;
+    private final ReplyWriter reply;
+    private final Map<String, SimulatedGateway> gateways = new HashMap<>();
+
+    /** Endpoint lists by number; a number may be reused. */
+    private final Map<Long, List<JsonFields>> endpointLists = new HashMap<>();
+
+    /** The gateways with events in the current batch, in the order of their first one. */
+    private final Set<SimulatedGateway> gatewaysInBatch = new LinkedHashSet<>();
 
-    private SimulatorSession(DecisionModule.Factory maker) {
-        this.maker = maker;
+    /** The message that opened the current batch, or null between batches. */
+    private WireMessage batchStart;
+
+    private int lineNumber;
+
+    private SimulatorSession(DecisionModule.Factory moduleFactory, OutputStream out)
+            throws IOException {
+        this.moduleFactory = moduleFactory;
+        this.reply = new ReplyWriter(json, out);
     }
 
-    /** Serves until the input ends; the result is the exit code. */
+    /**
+     * Serves until the input ends.
+     *
+     * @param err receives a line that says what was wrong with the input
+     * @return the exit code: 0, or 1 where the input was not valid
+     * @throws IOException if the input can't be read or the reply can't be written
+     */
     public static int serve(
-            InputStream in, OutputStream out, PrintStream err, DecisionModule.Factory maker)
+            InputStream in, OutputStream out, PrintStream err, DecisionModule.Factory moduleFactory)
             throws IOException {
-        SimulatorSession bench = new SimulatorSession(maker);
+        SimulatorSession session = new SimulatorSession(moduleFactory, out);
         try {
-            bench.run(
-                    new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16),
-                    out);
+            session.run(
+                    new BufferedReader(
+                            new InputStreamReader(in, StandardCharsets.UTF_8), READ_BUFFER_CHARS));
             return 0;
         } catch (InvalidSettingsException e) {
             err.println("benchlink: " + e.getMessage());
@@ -47,68 +69,78 @@
         }
     }
 
-    private void run(BufferedReader in, OutputStream out) throws IOException {
-        ReplyWriter reply = new ReplyWriter(json, out);
-        WireMessage mark = null;
-        Set<SimulatedGateway> touched = new LinkedHashSet<>();
-        for (String text = in.readLine(); text != null; text = in.readLine()) {
-            number++;
-            if (text.isEmpty()) {
-                continue;
-            }
-            WireMessage line = WireMessage.parse(json, number, text);
-            if (mark == null) {
-                if (!line.name.equals("Mark")) {
-                    throw new InvalidSettingsException(
-                            "line " + number, line.name, "Mark at the start of a batch");
-                }
-                mark = line;
-                continue;
-            }
-            switch (line.name) {
-                case "Eob" -> {
-                    double now = mark.number("TUs") / 1000;
-                    for (SimulatedGateway i : touched) {
-                        i.round(now, reply.of(i));
-                    }
-                    touched.clear();
-                    reply.done(mark.integer("n"));
-                    mark = null;
-                }
-                case "Table" -> sheets.put(line.integer("Sheet", 0), line.objects("Records"));
-                default -> event(line, touched);
+    private void run(BufferedReader in) throws IOException {
+        for (String line = in.readLine(); line != null; line = in.readLine()) {
+            lineNumber++;
+            if (!line.isEmpty()) {
+                handle(WireMessage.parse(json, lineNumber, line));
             }
         }
-        if (mark != null) {
+        if (batchStart != null) {
             throw new InvalidSettingsException(
-                    "line " + number, "end of input", "Eob at the end of a batch");
+                    WireMessage.source(lineNumber), "end of input", "Eob at the end of a batch");
         }
     }
 
-    private void event(WireMessage line, Set<SimulatedGateway> touched) {
-        String name = line.text("I");
-        if (line.name.equals("Up")) {
-            SimulatedGateway fresh = new SimulatedGateway(name, maker, line);
-            SimulatedGateway old = up.put(name, fresh);
-            touched.remove(old);
-            touched.add(fresh);
+    private void handle(WireMessage message) throws IOException {
+        if (batchStart == null) {
+            if (!message.type().equals("Mark")) {
+                throw message.unexpected("Mark at the start of a batch");
+            }
+            batchStart = message;
             return;
         }
-        SimulatedGateway to = up.get(name);
-        if (to == null) {
-            throw line.invalid("I", "an instance that is up, not " + name);
+        switch (message.type()) {
+            case "Eob" -> endBatch();
+            case "Table" ->
+                    endpointLists.put(message.integer("Sheet", 0), message.objects("Records"));
+            default -> handleEvent(message);
+        }
+    }
+
+    private void endBatch() throws IOException {
+        double nowMs = batchStart.number("TUs") / US_PER_MS;
+        for (SimulatedGateway gateway : gatewaysInBatch) {
+            gateway.handleBatch(nowMs, reply.actionsOf(gateway));
         }
-        if (line.name.equals("Killed")) {
-            touched.remove(up.remove(name));
+        gatewaysInBatch.clear();
+        reply.endBatch(batchStart.integer("n"));
+        batchStart = null;
+    }
+
+    private void handleEvent(WireMessage event) {
+        String name = event.text("I");
+        if (event.type().equals("Up")) {
+            start(name, event);
             return;
         }
-        if (line.name.equals("View") && !line.text("Scope").equals("refused")) {
-            line.sheet = sheets.get(line.integer("Sheet", 0));
-            if (line.sheet == null) {
-                throw line.invalid("Sheet", "the number of a Table sent before");
-            }
+        SimulatedGateway gateway = gateways.get(name);
+        if (gateway == null) {
+            throw event.invalid("I", "an instance that is up, not " + name);
+        }
+        if (event.type().equals("Killed")) {
+            gatewaysInBatch.remove(gateways.remove(name));
+            return;
+        }
+        if (event.type().equals("View") && !event.text("Scope").equals("refused")) {
+            attachEndpointList(event);
+        }
+        gateway.add(event);
+        gatewaysInBatch.add(gateway);
+    }
+
+    private void start(String name, WireMessage event) {
+        SimulatedGateway started = new SimulatedGateway(name, moduleFactory, event);
+        SimulatedGateway replaced = gateways.put(name, started);
+        gatewaysInBatch.remove(replaced);
+        gatewaysInBatch.add(started);
+    }
+
+    private void attachEndpointList(WireMessage event) {
+        List<JsonFields> entries = endpointLists.get(event.integer("Sheet", 0));
+        if (entries == null) {
+            throw event.invalid("Sheet", "the number of a Table sent before");
         }
-        to.take(line);
-        touched.add(to);
+        event.attachEndpointEntries(entries);
     }
 }
--- a/gateway/src/main/java/tinford/simulator/WireMessage.java
+++ b/gateway/src/main/java/tinford/simulator/WireMessage.java
@@ -10,38 +10,71 @@
 import tinford.settings.JsonFields;
 import tinford.settings.JsonValueParser;
 
-/** One line of the wire: a message's name and its fields. */
+/** A message of the simulator: one line of its wire, with a type and fields. */
 final class WireMessage extends JsonFields {
-    final int number;
-    final String name;
+    private final String source;
+    private final String type;
+    private List<JsonFields> endpointEntries;
 
-    /** The server list that a message refers to, as it stood when the message came. */
-    List<JsonFields> sheet;
-
-    private WireMessage(int number, String name, Map<String, Object> fields) {
-        super("line " + number, name, fields);
-        this.number = number;
-        this.name = name;
+    private WireMessage(String source, String type, Map<String, Object> fields) {
+        super(source, type, fields);
+        this.source = source;
+        this.type = type;
     }
 
-    static WireMessage parse(JsonFactory json, int number, String text) {
-        String where = "line " + number;
-        try (JsonParser in = json.createParser(text)) {
-            if (in.nextToken() != JsonToken.START_OBJECT
-                    || in.nextToken() != JsonToken.FIELD_NAME) {
-                throw new InvalidSettingsException(where, "message", "an object with one key");
+    /**
+     * Parses a line.
+     *
+     * @param lineNumber number of the line for error messages, counted from 1
+     * @throws InvalidSettingsException if the line is not one message
+     */
+    static WireMessage parse(JsonFactory json, int lineNumber, String line) {
+        String source = source(lineNumber);
+        try (JsonParser parser = json.createParser(line)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT
+                    || parser.nextToken() != JsonToken.FIELD_NAME) {
+                throw new InvalidSettingsException(source, "message", "an object with one key");
             }
-            String name = in.currentName();
-            if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new InvalidSettingsException(where, name, "an object of fields");
+            String type = parser.currentName();
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new InvalidSettingsException(source, type, "an object of fields");
             }
-            WireMessage line = new WireMessage(number, name, JsonValueParser.parseObject(in));
-            if (in.nextToken() != JsonToken.END_OBJECT || in.nextToken() != null) {
-                throw new InvalidSettingsException(where, name, "nothing after the message");
+            WireMessage message =
+                    new WireMessage(source, type, JsonValueParser.parseObject(parser));
+            if (parser.nextToken() != JsonToken.END_OBJECT || parser.nextToken() != null) {
+                throw new InvalidSettingsException(source, type, "nothing after the message");
             }
-            return line;
+            return message;
         } catch (IOException e) {
-            throw new InvalidSettingsException(where, "message", "JSON on one line");
+            throw new InvalidSettingsException(source, "message", "JSON on one line");
         }
     }
+
+    /** Returns how error messages name a line of the input. */
+    static String source(int lineNumber) {
+        return "line " + lineNumber;
+    }
+
+    /** Returns the message's type, as the wire names it. */
+    String type() {
+        return type;
+    }
+
+    /** Returns the exception for a message of a type that is not expected. */
+    InvalidSettingsException unexpected(String expected) {
+        return new InvalidSettingsException(source, type, expected);
+    }
+
+    /**
+     * Attaches the entries of the endpoint list that the message refers to by number. The number
+     * may be reused later in the same batch, so it is resolved when the message arrives.
+     */
+    void attachEndpointEntries(List<JsonFields> entries) {
+        endpointEntries = entries;
+    }
+
+    /** Returns the attached entries, or null where the message refers to no endpoint list. */
+    List<JsonFields> endpointEntries() {
+        return endpointEntries;
+    }
 }
