--- a/lab/src/main/java/tinford/lab/study/Versions.java
+++ b/lab/src/main/java/tinford/lab/study/Versions.java
@@ -8,6 +8,7 @@
 import java.net.URLClassLoader;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.jar.JarFile;
 import tinford.api.AttemptLimits;
 import tinford.api.CounterSettings;
 import tinford.api.DecisionModule;
@@ -24,6 +25,9 @@
     private static final String PACKAGE = "tinford.decision.";
     private static final String MODULE = PACKAGE + "DecisionEngine";
 
+    /** The module's name before its interface was renamed. */
+    private static final String EARLIER_MODULE = "tinford.Decide";
+
     private Versions() {}
 
     /** What is wrong with a jar. */
@@ -78,7 +82,7 @@
                 }
             };
         } catch (ClassNotFoundException e) {
-            throw new Bad(jar + ": expected " + MODULE + " in it");
+            throw new Bad(missingModule(jar));
         } catch (NoSuchMethodException | LinkageError e) {
             throw new Bad(
                     jar
@@ -91,6 +95,26 @@
         }
     }
 
+    /**
+     * Versions are compared through the module's interface, whose types have to have the same
+     * names.
+     */
+    private static String missingModule(Path jar) {
+        String expected = jar + ": expected " + MODULE + " in it";
+        try (JarFile file = new JarFile(jar.toFile())) {
+            boolean earlier = file.getEntry(EARLIER_MODULE.replace('.', '/') + ".class") != null;
+            return earlier
+                    ? expected
+                            + ", not "
+                            + EARLIER_MODULE
+                            + ": versions from before the module's interface was renamed can't be"
+                            + " compared with this one"
+                    : expected;
+        } catch (IOException e) {
+            return expected;
+        }
+    }
+
     /** The module's classes from the jar, all else from here. */
     private static final class Own extends URLClassLoader {
         Own(Path jar) throws IOException {
--- a/lab/src/test/java/tinford/lab/study/StudyTest.java
+++ b/lab/src/test/java/tinford/lab/study/StudyTest.java
@@ -247,6 +247,27 @@
         }
     }
 
+    /** A build from before the renames is told as such, not as some broken file. */
+    @Test
+    public void anEarlierInterfaceIsToldFromAMissingModule() throws Exception {
+        Path scenario = Files.createTempFile("scenario", ".toml");
+        Files.writeString(scenario, Scenarios.text(0, "", Idempotency.IDEMPOTENT));
+        Path jar = Files.createTempFile("earlier", ".jar");
+        try (var out = new java.util.zip.ZipOutputStream(Files.newOutputStream(jar))) {
+            out.putNextEntry(new java.util.zip.ZipEntry("tinford/Decide.class"));
+        }
+        StringWriter err = new StringWriter();
+        int exitCode =
+                LabLine.of()
+                        .setErr(new PrintWriter(err))
+                        .execute("run", scenario.toString(), "--jar", jar.toString());
+        assertEquals(exitCode, 3);
+        assertTrue(err.toString().contains("not tinford.Decide"), err.toString());
+        for (Path file : List.of(scenario, jar)) {
+            Files.delete(file);
+        }
+    }
+
     private static List<Class<?>> all(Class<?> top) throws Exception {
         List<Class<?>> found = new java.util.ArrayList<>();
         Path at = Path.of(top.getProtectionDomain().getCodeSource().getLocation().toURI());
