--- a/lab/src/test/java/tinford/lab/study/StudyTest.java
+++ b/lab/src/test/java/tinford/lab/study/StudyTest.java
@@ -87,7 +87,7 @@
                                                                                             args) -> {
                                                                                         if (m.getName()
                                                                                                         .equals(
-                                                                                                                "arrived")
+                                                                                                                "requestArrived")
                                                                                                 && ((Request)
                                                                                                                                 args[
                                                                                                                                         0])
@@ -105,7 +105,7 @@
                                                                                         }
                                                                                         if (m.getName()
                                                                                                         .equals(
-                                                                                                                "left")
+                                                                                                                "clientDisconnected")
                                                                                                 && ((Request)
                                                                                                                                 args[
                                                                                                                                         0])
