--- a/fleet/src/main/java/tinford/fleet/config/AppliedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/AppliedState.java
@@ -3,26 +3,27 @@
 import java.util.List;
 
 /**
- * What a follower has received, what of it is in force, and what is being applied. One revision is
- * applied at a time; what is received meanwhile is offered as one step from the revision in force.
+ * The configurations of a follower: the active one, the one being applied, and the last one
+ * received. One revision is applied at a time; updates that are received meanwhile are combined
+ * into one step from the active revision. Not thread-safe.
  */
 final class AppliedState {
     private Configuration active;
     private Configuration received;
 
-    /** Being applied; null where nothing is. */
+    /** The configuration being applied; null if none is. */
     private Configuration pending;
 
-    /** The last revision offered, so that a refused one is not offered again. */
+    /** The last revision offered, so that a rejected one is not offered again. */
     private long offeredRevision;
 
     /** Whether a snapshot is among what has been received since the last offer. */
     private boolean snapshotReceived;
 
-    /** Whether one is among what is being applied. */
+    /** Whether a snapshot is among what is being applied. */
     private boolean snapshotPending;
 
-    /** The update that led to what was received last; null after a snapshot. */
+    /** The update that led to the received configuration; null after a snapshot. */
     private Update lastUpdate;
 
     private String rejectionReason;
@@ -45,11 +46,17 @@
         return pending != null;
     }
 
-    /** Why the last revision offered is not in force; null where it is. */
+    /** Why the last revision offered is not active; null if it is. */
     String rejectionReason() {
         return rejectionReason;
     }
 
+    /**
+     * Takes an update that leads on from the received configuration.
+     *
+     * @throws InvalidConfigurationException if it does not, or its result is invalid; nothing
+     *     changes
+     */
     void receive(Update update) throws InvalidConfigurationException {
         if (update.fromRevision() != received.revision()) {
             throw new InvalidConfigurationException(
@@ -71,9 +78,16 @@
         lastUpdate = update;
     }
 
+    /**
+     * Takes a whole configuration.
+     *
+     * @throws InvalidConfigurationException if the snapshot can't be read, is older than the
+     *     received configuration, or differs from it at the same revision; nothing changes
+     */
     void receive(long revision, byte[] snapshot, SnapshotCodec codec)
             throws InvalidConfigurationException {
-        if (revision < received.revision()) { // before the work of reading it
+        // checked before the work of decoding
+        if (revision < received.revision()) {
             throw outdatedSnapshot(revision);
         }
         Configuration next = codec.decode(snapshot);
@@ -90,7 +104,7 @@
         snapshotReceived = true;
     }
 
-    /** Adds the action that brings into force what was received, if it is due. */
+    /** Adds the action that applies the received configuration, unless one is being applied. */
     void offer(List<Follower.Action> actions) {
         if (pending != null || received.revision() <= offeredRevision) {
             return;
@@ -106,14 +120,14 @@
         }
     }
 
-    /** The configuration that was being applied is active. */
+    /** The pending configuration is in force. */
     void activate() {
         active = pending;
         rejectionReason = null;
         pending = null;
     }
 
-    /** The configuration that was being applied can't be; the active one stays. */
+    /** The pending configuration can't be brought into force; the active one stays. */
     void reject(String reason) {
         rejectionReason = ValidationError.oneLine("revision " + pending.revision() + ": " + reason);
         snapshotReceived |= snapshotPending;
--- a/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
@@ -10,13 +10,13 @@
 import java.util.zip.Inflater;
 
 /**
- * Bytes in an envelope that tells what they are, of which fleet and revision, and whether they are
- * whole. Big-endian: magic, format version, kind, revision, length of the fleet id, the fleet id,
- * length of the content, length of the compressed content, the compressed content, and a SHA-256
- * over all that stands before it.
+ * An envelope around stored configuration data: it names the kind of content, the fleet and the
+ * revision, and detects damage. Big-endian: magic, format version, kind, revision, length of the
+ * fleet id, the fleet id, length of the content, length of the compressed content, the compressed
+ * content (deflated), and a SHA-256 over all bytes before it.
  */
 final class ChecksummedState {
-    /** What the content is; the numbers are part of the format. */
+    /** The kind of content; the codes and, in error messages, the names are fixed. */
     enum Kind {
         CONFIGURATION(1),
         HISTORY(2);
@@ -48,65 +48,88 @@
         return buffer.array();
     }
 
-    /** What an envelope holds. */
+    /** The revision and the content of an envelope whose checksum matches. */
     record Decoded(long revision, byte[] content) {}
 
+    /**
+     * Checks an envelope and unpacks its content.
+     *
+     * @throws InvalidConfigurationException if it is truncated, damaged, or of another kind, fleet
+     *     or later format
+     */
     static Decoded decode(Kind kind, String fleetId, byte[] encoded)
             throws InvalidConfigurationException {
         if (encoded.length < MIN_BYTES) {
             throw truncated(encoded);
         }
-        ByteBuffer from = ByteBuffer.wrap(encoded);
-        if (from.getInt() != MAGIC) {
+        ByteBuffer buffer = ByteBuffer.wrap(encoded);
+        checkMagic(buffer);
+        checkVersion(buffer); // before the hash: a later version may hash differently
+        checkHash(encoded);
+        checkKind(buffer, kind);
+        long revision = buffer.getLong();
+        checkFleet(buffer, encoded, fleetId);
+        return new Decoded(revision, readContent(buffer, encoded));
+    }
+
+    private static void checkMagic(ByteBuffer buffer) throws InvalidConfigurationException {
+        if (buffer.getInt() != MAGIC) {
             throw new InvalidConfigurationException("snapshot", "a snapshot of a configuration");
         }
-        byte version = from.get();
-        if (version < 1 || version > FORMAT_VERSION) { // first: a later one may hash otherwise
+    }
+
+    private static void checkVersion(ByteBuffer buffer) throws InvalidConfigurationException {
+        byte version = buffer.get();
+        if (version < 1 || version > FORMAT_VERSION) {
             throw new InvalidConfigurationException(
                     "snapshot.version",
                     "a version from 1 to " + FORMAT_VERSION + ", not " + version);
         }
-        checkHash(encoded);
-        if (from.get() != kind.code) {
-            throw new InvalidConfigurationException("snapshot.kind", kind + " (" + kind.code + ")");
-        }
-        long revision = from.getLong();
-        String fleet = readFleet(from, encoded);
-        if (!fleet.equals(fleetId)) {
+    }
+
+    private static void checkHash(byte[] encoded) throws InvalidConfigurationException {
+        int end = encoded.length - HASH_BYTES;
+        byte[] storedHash = Arrays.copyOfRange(encoded, end, encoded.length);
+        if (!MessageDigest.isEqual(storedHash, hash(encoded, end))) {
             throw new InvalidConfigurationException(
-                    "snapshot.fleet", "a snapshot of fleet " + fleetId + ", not " + fleet);
+                    "snapshot.hash", "the SHA-256 of what stands before it: torn or damaged");
+        }
+    }
+
+    private static void checkKind(ByteBuffer buffer, Kind kind)
+            throws InvalidConfigurationException {
+        if (buffer.get() != kind.code) {
+            throw new InvalidConfigurationException("snapshot.kind", kind + " (" + kind.code + ")");
         }
-        int contentLength = from.getInt();
-        int compressedLength = from.getInt();
-        if (compressedLength != from.remaining() - HASH_BYTES) {
+    }
+
+    private static void checkFleet(ByteBuffer buffer, byte[] encoded, String fleetId)
+            throws InvalidConfigurationException {
+        byte[] fleet = new byte[buffer.get() & 0xFF];
+        if (buffer.remaining() < fleet.length + 2 * Integer.BYTES + HASH_BYTES) {
             throw truncated(encoded);
         }
-        if (contentLength < 0 || contentLength > ConfigurationLimits.MAX_SNAPSHOT_BYTES) {
+        buffer.get(fleet);
+        String storedFleet = new String(fleet, StandardCharsets.UTF_8);
+        if (!storedFleet.equals(fleetId)) {
             throw new InvalidConfigurationException(
-                    "snapshot.length",
-                    "at most " + ConfigurationLimits.MAX_SNAPSHOT_BYTES + " bytes");
+                    "snapshot.fleet", "a snapshot of fleet " + fleetId + ", not " + storedFleet);
         }
-        return new Decoded(
-                revision, decompress(encoded, from.position(), compressedLength, contentLength));
     }
 
-    private static String readFleet(ByteBuffer from, byte[] encoded)
+    private static byte[] readContent(ByteBuffer buffer, byte[] encoded)
             throws InvalidConfigurationException {
-        byte[] fleet = new byte[from.get() & 0xFF];
-        if (from.remaining() < fleet.length + 2 * Integer.BYTES + HASH_BYTES) {
+        int contentLength = buffer.getInt();
+        int compressedLength = buffer.getInt();
+        if (compressedLength != buffer.remaining() - HASH_BYTES) {
             throw truncated(encoded);
         }
-        from.get(fleet);
-        return new String(fleet, StandardCharsets.UTF_8);
-    }
-
-    private static void checkHash(byte[] encoded) throws InvalidConfigurationException {
-        int end = encoded.length - HASH_BYTES;
-        byte[] storedHash = Arrays.copyOfRange(encoded, end, encoded.length);
-        if (!MessageDigest.isEqual(storedHash, hash(encoded, end))) {
+        if (contentLength < 0 || contentLength > ConfigurationLimits.MAX_SNAPSHOT_BYTES) {
             throw new InvalidConfigurationException(
-                    "snapshot.hash", "the SHA-256 of what stands before it: torn or damaged");
+                    "snapshot.length",
+                    "at most " + ConfigurationLimits.MAX_SNAPSHOT_BYTES + " bytes");
         }
+        return decompress(encoded, buffer.position(), compressedLength, contentLength);
     }
 
     private static byte[] hash(byte[] bytes, int length) {
@@ -136,11 +159,12 @@
         }
     }
 
-    private static byte[] decompress(byte[] from, int at, int length, int contentLength)
+    private static byte[] decompress(
+            byte[] encoded, int offset, int compressedLength, int contentLength)
             throws InvalidConfigurationException {
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(from, at, length);
+            inflater.setInput(encoded, offset, compressedLength);
             byte[] content = new byte[contentLength];
             int size = 0;
             while (size < contentLength && !inflater.finished() && !inflater.needsInput()) {
--- a/fleet/src/main/java/tinford/fleet/config/Configuration.java
+++ b/fleet/src/main/java/tinford/fleet/config/Configuration.java
@@ -47,7 +47,7 @@
         this.contentHash = contentHash;
     }
 
-    /** Of several records with one key the last is kept; nothing is validated. */
+    /** Of several records with the same key the last is kept; nothing is validated. */
     static Configuration of(
             long revision,
             Collection<ServiceRecord> services,
@@ -67,35 +67,40 @@
         return new Configuration(revision, serviceMap, routeMap, planMap, tenantMap, hash);
     }
 
+    /** The number of this revision; 0 for {@link #EMPTY}. */
     public long revision() {
         return revision;
     }
 
+    /** The services by name. */
     public Map<String, ServiceRecord> services() {
         return services;
     }
 
+    /** The routes by name. */
     public Map<String, RouteRecord> routes() {
         return routes;
     }
 
+    /** The plans by name. */
     public Map<String, PlanRecord> plans() {
         return plans;
     }
 
+    /** The tenants by id. */
     public Map<Long, TenantRecord> tenants() {
         return tenants;
     }
 
     /**
-     * The same number for the same content (whatever the revision), another one for other content,
-     * as far as 64 bits tell them apart; the same in every process. Costs nothing to ask.
+     * A 64-bit hash of the content without the revision, the same in every process. It is computed
+     * once.
      */
     public long contentHash() {
         return contentHash;
     }
 
-    /** With these changes made, in their order, at a later revision; nothing is validated. */
+    /** A copy with these changes, in their order, at a later revision; nothing is validated. */
     public Configuration with(long laterRevision, List<Change> changes) {
         Edits edits = new Edits();
         for (Change change : changes) {
@@ -116,7 +121,7 @@
                 hash);
     }
 
-    /** The changes that make this content into that of another configuration. */
+    /** The changes that lead from this content to that of another configuration. */
     public List<Change> changesTo(Configuration other) {
         List<Change> changes = new ArrayList<>();
         addPuts(changes, services, other.services, Change.PutService::new);
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
@@ -8,31 +8,38 @@
 
 /**
  * Proposals, outcomes, watch messages and reports as JSON, one object each with a field {@code
- * version}. Unknown fields, a later version and whatever exceeds {@link ConfigurationLimits} are
- * refused.
+ * version}. The forms are used on the wire and in the replicated log. Each decoder throws {@link
+ * InvalidConfigurationException} for JSON that can't be read, unknown fields, a later version and
+ * whatever exceeds {@link ConfigurationLimits}.
  */
 public final class ConfigurationCodec {
     /** The version of the JSON forms. */
     public static final int VERSION = 1;
 
     private static final Set<String> CHANGE_SET_KEYS =
-            RecordJson.keys("version", "id", "expectedRevision", "changes");
-    private static final Set<String> REVERT_KEYS = RecordJson.keys("version", "id", "revertTo");
-    private static final Set<String> ACCEPTED_KEYS = RecordJson.keys("version", "revision");
-    private static final Set<String> REJECTED_KEYS = RecordJson.keys("version", "faults");
-    private static final Set<String> UPDATE_MESSAGE_KEYS = RecordJson.keys("version", "update");
-    private static final Set<String> SNAPSHOT_MESSAGE_KEYS = RecordJson.keys("version", "snapshot");
-    private static final Set<String> UPDATE_KEYS = RecordJson.keys("from", "revision", "changes");
-    private static final Set<String> SNAPSHOT_KEYS = RecordJson.keys("revision", "data");
+            JsonObjectReader.keys("version", "id", "expectedRevision", "changes");
+    private static final Set<String> REVERT_KEYS =
+            JsonObjectReader.keys("version", "id", "revertTo");
+    private static final Set<String> ACCEPTED_KEYS = JsonObjectReader.keys("version", "revision");
+    private static final Set<String> REJECTED_KEYS = JsonObjectReader.keys("version", "faults");
+    private static final Set<String> UPDATE_MESSAGE_KEYS =
+            JsonObjectReader.keys("version", "update");
+    private static final Set<String> SNAPSHOT_MESSAGE_KEYS =
+            JsonObjectReader.keys("version", "snapshot");
+    private static final Set<String> UPDATE_KEYS =
+            JsonObjectReader.keys("from", "revision", "changes");
+    private static final Set<String> SNAPSHOT_KEYS = JsonObjectReader.keys("revision", "data");
     private static final Set<String> REPORT_KEYS =
-            RecordJson.keys("version", "follower", "region", "revision", "refusal");
+            JsonObjectReader.keys("version", "follower", "region", "revision", "refusal");
 
     private ConfigurationCodec() {}
 
+    /** A proposal as an entry of the log and as the body of a request. */
     public static byte[] encode(Proposal proposal) {
         return Json.write(VERSION, out -> writeProposal(out, proposal));
     }
 
+    /** Reads a proposal; its changes are not yet validated. */
     public static Proposal decodeProposal(byte[] json) throws InvalidConfigurationException {
         JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_PROPOSAL_BYTES);
         if (object.has("revertTo")) {
@@ -45,13 +52,15 @@
                 object.has("expectedRevision")
                         ? (Long) object.nonNegativeLong("expectedRevision")
                         : null,
-                RecordJson.readAll(object, "changes", RecordJson::readChange));
+                JsonArrays.read(object, "changes", ChangeJson::read));
     }
 
+    /** An outcome as the body of a response. */
     public static byte[] encode(Outcome outcome) {
         return Json.write(VERSION, out -> writeOutcome(out, outcome));
     }
 
+    /** Reads an outcome. */
     public static Outcome decodeOutcome(byte[] json) throws InvalidConfigurationException {
         JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_OUTCOME_BYTES);
         if (object.has("revision")) {
@@ -62,11 +71,12 @@
         return readOutcome(object);
     }
 
-    /** Without a line end. */
+    /** A watch message as one line, without the line feed. */
     public static byte[] encode(WatchMessage message) {
         return Json.write(VERSION, out -> writeWatchMessage(out, message));
     }
 
+    /** Reads a line without its line feed; the changes are not yet validated. */
     public static WatchMessage decodeWatchMessage(byte[] json)
             throws InvalidConfigurationException {
         JsonObjectReader object =
@@ -79,10 +89,12 @@
         return new WatchMessage.UpdateMessage(readUpdate(object.object("update")));
     }
 
+    /** A report as the body of a request. */
     public static byte[] encode(FollowerReport report) {
         return Json.write(VERSION, out -> writeReport(out, report));
     }
 
+    /** Reads a report. */
     public static FollowerReport decodeReport(byte[] json) throws InvalidConfigurationException {
         JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_REPORT_BYTES);
         object.allowOnly(REPORT_KEYS);
@@ -97,7 +109,7 @@
         out.writeStartObject();
         out.writeNumberField("from", update.fromRevision());
         out.writeNumberField("revision", update.revision());
-        RecordJson.writeAll(out, "changes", update.changes(), RecordJson::writeChange);
+        JsonArrays.write(out, "changes", update.changes(), ChangeJson::write);
         out.writeEndObject();
     }
 
@@ -108,16 +120,14 @@
         if (revision <= from) {
             throw json.invalid("revision", "one above from, " + from);
         }
-        return new Update(
-                from, revision, RecordJson.readAll(json, "changes", RecordJson::readChange));
+        return new Update(from, revision, JsonArrays.read(json, "changes", ChangeJson::read));
     }
 
     static void writeOutcome(JsonGenerator out, Outcome outcome) throws IOException {
         if (outcome instanceof Outcome.Accepted accepted) {
             out.writeNumberField("revision", accepted.revision());
         } else if (outcome instanceof Outcome.Rejected rejected) {
-            RecordJson.writeAll(
-                    out, "faults", rejected.rejection().errors(), RecordJson::writeError);
+            JsonArrays.write(out, "faults", rejected.rejection().errors(), RecordJson::writeError);
         }
     }
 
@@ -125,7 +135,7 @@
         if (json.has("revision")) {
             return new Outcome.Accepted(json.nonNegativeLong("revision"));
         }
-        List<ValidationError> errors = RecordJson.readAll(json, "faults", RecordJson::readError);
+        List<ValidationError> errors = JsonArrays.read(json, "faults", RecordJson::readError);
         if (errors.isEmpty()) {
             throw json.invalid("faults", "one at least");
         }
@@ -140,7 +150,7 @@
             if (set.expectedRevision() != null) {
                 out.writeNumberField("expectedRevision", set.expectedRevision());
             }
-            RecordJson.writeAll(out, "changes", set.changes(), RecordJson::writeChange);
+            JsonArrays.write(out, "changes", set.changes(), ChangeJson::write);
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
@@ -5,26 +5,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** The JSON of a whole configuration. What is read is validated. */
+/** The JSON of a whole configuration, which is validated when it is read. */
 final class ConfigurationJson {
     private ConfigurationJson() {}
 
     static void writeFields(JsonGenerator out, Configuration configuration) throws IOException {
         out.writeNumberField("revision", configuration.revision());
-        RecordJson.writeAll(
+        JsonArrays.write(
                 out, "services", configuration.services().values(), RecordJson::writeService);
-        RecordJson.writeAll(out, "plans", configuration.plans().values(), RecordJson::writePlan);
-        RecordJson.writeAll(out, "routes", configuration.routes().values(), RecordJson::writeRoute);
-        RecordJson.writeAll(
-                out, "tenants", configuration.tenants().values(), RecordJson::writeTenant);
+        JsonArrays.write(out, "plans", configuration.plans().values(), RecordJson::writePlan);
+        JsonArrays.write(out, "routes", configuration.routes().values(), RecordJson::writeRoute);
+        JsonArrays.write(out, "tenants", configuration.tenants().values(), RecordJson::writeTenant);
     }
 
     static Configuration read(JsonObjectReader json) throws InvalidConfigurationException {
-        List<ServiceRecord> services =
-                RecordJson.readAll(json, "services", RecordJson::readService);
-        List<PlanRecord> plans = RecordJson.readAll(json, "plans", RecordJson::readPlan);
-        List<RouteRecord> routes = RecordJson.readAll(json, "routes", RecordJson::readRoute);
-        List<TenantRecord> tenants = RecordJson.readAll(json, "tenants", RecordJson::readTenant);
+        List<ServiceRecord> services = JsonArrays.read(json, "services", RecordJson::readService);
+        List<PlanRecord> plans = JsonArrays.read(json, "plans", RecordJson::readPlan);
+        List<RouteRecord> routes = JsonArrays.read(json, "routes", RecordJson::readRoute);
+        List<TenantRecord> tenants = JsonArrays.read(json, "tenants", RecordJson::readTenant);
         Configuration configuration =
                 Configuration.of(
                         json.nonNegativeLong("revision"), services, routes, plans, tenants);
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationLimits.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationLimits.java
@@ -1,6 +1,6 @@
 package tinford.fleet.config;
 
-/** Bounds on sizes and counts; whatever exceeds one is refused. */
+/** Bounds on sizes and counts; whatever exceeds one is rejected. */
 public final class ConfigurationLimits {
     public static final int MAX_SERVICES = 4_096;
     public static final int MAX_ROUTES = 16_384;
@@ -10,7 +10,7 @@
     /** Characters of a name or an id. */
     public static final int MAX_NAME_LENGTH = 64;
 
-    /** Characters of a text that explains, such as a follower's refusal. */
+    /** Characters of an explanation, such as a follower's rejection reason. */
     public static final int MAX_TEXT_LENGTH = 512;
 
     /** Changes in one set. */
@@ -31,10 +31,10 @@
     /** Bytes of one encoded follower's report. */
     public static final int MAX_REPORT_BYTES = 4_096;
 
-    /** Levels of nested JSON. */
+    /** Levels of nested JSON objects and arrays. */
     public static final int MAX_NESTING_DEPTH = 16;
 
-    /** Faults told of one proposal. */
+    /** Validation errors that are reported of one proposal. */
     public static final int MAX_ERRORS = 20;
 
     /** Updates that a history retains. */
@@ -49,10 +49,10 @@
     /** Characters, about, of the remembered outcomes. */
     public static final int MAX_REMEMBERED_CHARACTERS = 4 << 20;
 
-    /** The largest number that a field takes. */
+    /** The largest number that a field may have. */
     public static final double MAX_NUMBER = 1e12;
 
-    /** The longest time that a field takes, ms: a day. */
+    /** The longest duration that a field may have: a day. */
     public static final double MAX_DURATION_MS = 86_400_000;
 
     private ConfigurationLimits() {}
--- a/fleet/src/main/java/tinford/fleet/config/ContentHash.java
+++ b/fleet/src/main/java/tinford/fleet/config/ContentHash.java
@@ -6,8 +6,8 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Hashes of single records, the same in every process. The hash of a configuration is their sum, so
- * that a change costs the hashes of what it changes.
+ * Hashes of single records, the same in every process. The hash of a configuration is the sum of
+ * its records' hashes, so that a change only costs the hashes of the records it touches.
  */
 final class ContentHash {
     private static final char SEPARATOR = '\n';
--- a/fleet/src/main/java/tinford/fleet/config/EndpointRotation.java
+++ b/fleet/src/main/java/tinford/fleet/config/EndpointRotation.java
@@ -6,17 +6,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * In which order control servers are tried: those of the own region first, each region's in random
- * order, so that followers spread over them; and how long to wait before the next attempt, longer
- * after each round in which none served.
+ * The order in which control servers are tried, and the backoff between attempts. Servers of the
+ * own region come first; within a region the order is random, so that followers spread over the
+ * servers. The backoff doubles after each round in which no server succeeded. Not thread-safe.
  */
 final class EndpointRotation {
-    /** How long the first round waits between attempts at most, ms; it doubles each round. */
+    /** The longest backoff of the first round. */
     static final double INITIAL_BACKOFF_MS = 250;
 
     static final double MAX_BACKOFF_MS = 4_000;
 
-    /** Of a delay, the least that is waited. */
+    /** A backoff is drawn between this part of its longest value and all of it. */
     private static final double MIN_JITTER_FACTOR = 0.5;
 
     private final String region;
@@ -43,24 +43,25 @@
         return isOwnRegion(endpoints.get(0));
     }
 
+    /** The server to try next. */
     Endpoint next() {
         Endpoint endpoint = endpoints.get(next);
         next = (next + 1) % endpoints.size();
         return endpoint;
     }
 
-    /** From the own region's first again. */
+    /** Starts again with the servers of the own region, in a new random order. */
     void restart() {
         shuffle();
         next = 0;
     }
 
-    /** The last one that {@link #next} gave served well. */
+    /** The server that {@link #next} returned last serves steadily; resets the backoff. */
     void succeeded() {
         failures = 0;
     }
 
-    /** It did not; how long to wait before the next, ms. */
+    /** The server that {@link #next} returned last failed; returns the backoff in ms. */
     double failed() {
         int round = failures / endpoints.size();
         failures++;
--- a/fleet/src/main/java/tinford/fleet/config/Follower.java
+++ b/fleet/src/main/java/tinford/fleet/config/Follower.java
@@ -6,11 +6,14 @@
 
 /**
  * Follows one control server at a time and decides what its owner does: connect, disconnect, apply,
- * report. The owner passes in what happened, with its time in ms on any steady clock, performs the
- * actions returned in their order, and passes in what became of them; what an earlier watch still
- * brings after a {@link Action.Disconnect} or a new {@link Action.Connect} is not passed in. After
- * {@link Action.Apply} or {@link Action.ApplySnapshot} comes no further one until {@link #applied};
- * what arrives meanwhile is combined. The revision in force never falls. Not thread-safe.
+ * report.
+ *
+ * <p>The owner passes in each event with its time in ms on any steady clock, performs the returned
+ * actions in their order, and passes in what became of them. Events of an earlier watch are not
+ * passed in after a {@link Action.Disconnect} or a new {@link Action.Connect}. After {@link
+ * Action.Apply} or {@link Action.ApplySnapshot} no further one is returned until {@link #applied};
+ * updates that arrive meanwhile are combined. The revision in force never decreases. Not
+ * thread-safe.
  */
 public final class Follower {
     /** What the owner is to do. */
@@ -21,48 +24,48 @@
         /** End the watch or the attempt; no {@link Follower#closed} is expected for it. */
         record Disconnect(String reason) implements Action {}
 
-        /** Bring this into force; then {@link Follower#applied}. */
+        /** Bring this update into force; then {@link Follower#applied}. */
         record Apply(Update update, Configuration result) implements Action {}
 
         /** Bring this into force, whatever was before; then {@link Follower#applied}. */
         record ApplySnapshot(Configuration configuration) implements Action {}
 
-        /** Send this to the control server that is followed; no answer is expected. */
+        /** Send this to the control server that is followed; no response is expected. */
         record Report(Endpoint endpoint, FollowerReport report) implements Action {}
 
-        /** Tell the operators of something wrong, in one line. */
+        /** Log a warning of one line for the operators. */
         record Warn(String message) implements Action {}
     }
 
-    /** How often {@link #tick} should come, ms. */
+    /** How often {@link #tick} should be called. */
     public static final double TICK_INTERVAL_MS = 100;
 
-    /** How long an attempt to connect may take, ms. */
+    /** How long an attempt to connect may take. */
     public static final double CONNECT_TIMEOUT_MS = 2_500;
 
-    /** How long a watch may be silent, ms; a heartbeat is due each second. */
+    /** How long a watch may be silent; a heartbeat is due each second. */
     public static final double HEARTBEAT_TIMEOUT_MS = 3_500;
 
-    /** How long a line may take from its first bytes to its end, ms. */
+    /** How long a line may take from its first bytes to its end. */
     public static final double LINE_TIMEOUT_MS = 10_000;
 
-    /** How often a report is sent where nothing changes, ms. */
+    /** How often a report is sent while nothing changes. */
     public static final double REPORT_INTERVAL_MS = 10_000;
 
-    /** The least time between two reports, ms. */
+    /** The shortest time between two reports. */
     public static final double MIN_REPORT_GAP_MS = 250;
 
-    /** Attempts are not slowed down any more once a watch has lived so long, ms. */
+    /** A watch that has lived so long resets the backoff. */
     static final double STEADY_WATCH_MS = 5_000;
 
-    /** How long another region's server is followed at least before the own one's is tried, ms. */
+    /** How long a server of another region is followed at least before the own region is tried. */
     static final double OWN_REGION_RETRY_MS = 60_000;
 
-    /** How often a control server's faults are told, ms. */
+    /** How often errors of control servers are logged. */
     static final double WARNING_INTERVAL_MS = 60_000;
 
     private enum State {
-        /** Nothing is open; an attempt is due. */
+        /** Nothing is open; the next attempt is due at {@code attemptAtMs}. */
         WAITING,
         CONNECTING,
         WATCHING
@@ -74,19 +77,16 @@
     private final EndpointRotation rotation;
     private final RandomGenerator random;
     private final AppliedState applied;
+    private final ReportSchedule reports;
+    private final WatchLiveness liveness = new WatchLiveness();
 
     private State state = State.WAITING;
     private Endpoint endpoint;
-    private double attemptAt = Double.NEGATIVE_INFINITY;
-    private double openedAt;
-    private double heardAt;
-    private double lineAt;
-    private double returnAt;
-    private double reportAt = Double.POSITIVE_INFINITY;
-    private double reportedAt = Double.NEGATIVE_INFINITY;
-    private double warnedAt = Double.NEGATIVE_INFINITY;
-
-    /** What a control server sent that can't be taken; null once another has served steadily. */
+    private double attemptAtMs = Double.NEGATIVE_INFINITY;
+    private double ownRegionRetryAtMs;
+    private double warnedAtMs = Double.NEGATIVE_INFINITY;
+
+    /** The last invalid message of a control server; null once another has served steadily. */
     private String serverError;
 
     /**
@@ -96,6 +96,7 @@
      * @param endpoints all control servers; those of the own region are preferred
      * @param initialConfiguration what is in force at the start, from the last good snapshot or
      *     {@link Configuration#EMPTY}
+     * @throws IllegalArgumentException for an id or region that is no name, or no endpoints
      */
     public Follower(
             String id,
@@ -114,91 +115,80 @@
         this.rotation = new EndpointRotation(region, endpoints, random);
         this.random = random;
         this.applied = new AppliedState(initialConfiguration);
+        this.reports = new ReportSchedule(random);
     }
 
-    /** The watch asked for last is open. */
-    public List<Action> opened(double now) {
+    /** The watch of the last {@link Action.Connect} is open. */
+    public List<Action> opened(double nowMs) {
         if (state != State.CONNECTING) {
             return List.of();
         }
         state = State.WATCHING;
-        openedAt = now;
-        heardAt = now;
-        lineAt = now;
-        returnAt = now + OWN_REGION_RETRY_MS * (1 + random.nextDouble());
-        List<Action> actions = new ArrayList<>();
-        report(actions, now);
-        return actions;
+        liveness.opened(nowMs);
+        ownRegionRetryAtMs = nowMs + OWN_REGION_RETRY_MS * (1 + random.nextDouble());
+        return List.of(report(nowMs));
     }
 
-    /** A line came without its line end; an empty one is a heartbeat. */
-    public List<Action> line(byte[] line, double now) {
+    /** A line was received, without its line feed; an empty one is a heartbeat. */
+    public List<Action> line(byte[] line, double nowMs) {
         if (state != State.WATCHING) {
             return List.of();
         }
-        heardAt = now;
-        lineAt = now;
-        List<Action> actions = new ArrayList<>();
+        liveness.lineReceived(nowMs);
         if (line.length == 0) {
-            return actions;
+            return List.of();
         }
+        List<Action> actions = new ArrayList<>();
         try {
             receive(ConfigurationCodec.decodeWatchMessage(line));
             applied.offer(actions);
         } catch (InvalidConfigurationException e) {
-            rejectMessage(e.getMessage(), actions, now);
+            rejectMessage(e.getMessage(), actions, nowMs);
         }
         return actions;
     }
 
-    /** Bytes of a line came that isn't whole yet: a long one on a slow link is no silence. */
-    public void partialLine(double now) {
-        if (state == State.WATCHING && now - lineAt < LINE_TIMEOUT_MS) {
-            heardAt = now;
+    /** Bytes of an unfinished line were received: a long line on a slow link is no silence. */
+    public void partialLine(double nowMs) {
+        if (state == State.WATCHING) {
+            liveness.partialLineReceived(nowMs);
         }
     }
 
     /** The watch could not be opened, or ended. */
-    public List<Action> closed(String reason, double now) {
+    public List<Action> closed(String reason, double nowMs) {
         if (state != State.WAITING) {
-            waitForNext(now);
+            waitForNext(nowMs);
         }
         return List.of();
     }
 
-    /**
-     * What was to be applied last is in force, or was refused.
-     *
-     * @param refusal why not; null where it is in force
-     */
-    public List<Action> applied(String refusal, double now) {
-        List<Action> actions = new ArrayList<>();
+    /** What became of the last {@link Action.Apply} or {@link Action.ApplySnapshot}. */
+    public List<Action> applied(ApplyResult result, double nowMs) {
         if (!applied.isPending()) {
-            return actions;
+            return List.of();
         }
-        if (refusal == null) {
-            applied.activate();
-        } else {
-            applied.reject(refusal);
+        List<Action> actions = new ArrayList<>();
+        if (result instanceof ApplyResult.Rejected rejected) {
+            applied.reject(rejected.reason());
             actions.add(new Action.Warn(applied.rejectionReason()));
+        } else {
+            applied.activate();
         }
         applied.offer(actions);
-        reportSoon(actions, now);
+        reportSoon(actions, nowMs);
         return actions;
     }
 
-    /** Time has passed. */
-    public List<Action> tick(double now) {
+    /** Time has passed; see {@link #TICK_INTERVAL_MS}. */
+    public List<Action> tick(double nowMs) {
         List<Action> actions = new ArrayList<>();
-        switch (state) {
-            case WAITING -> connectWhenDue(actions, now);
-            case CONNECTING -> {
-                if (now - attemptAt >= CONNECT_TIMEOUT_MS) {
-                    disconnect("no watch within " + CONNECT_TIMEOUT_MS + " ms", actions, now);
-                }
-            }
-            case WATCHING -> watch(actions, now);
-            default -> throw new IllegalStateException(state.toString());
+        if (state == State.WAITING) {
+            connectWhenDue(actions, nowMs);
+        } else if (state == State.CONNECTING) {
+            checkConnectTimeout(actions, nowMs);
+        } else {
+            checkWatch(actions, nowMs);
         }
         return actions;
     }
@@ -208,54 +198,62 @@
         return applied.active();
     }
 
-    /** The latest configuration received; in force unless it is being applied or was refused. */
+    /** The latest configuration received; in force unless it is being applied or was rejected. */
     public Configuration receivedConfiguration() {
         return applied.received();
     }
 
-    private void connectWhenDue(List<Action> actions, double now) {
-        if (now < attemptAt) {
-            return;
+    private void connectWhenDue(List<Action> actions, double nowMs) {
+        if (nowMs >= attemptAtMs) {
+            connect(actions, nowMs);
         }
+    }
+
+    private void connect(List<Action> actions, double nowMs) {
         endpoint = rotation.next();
-        attemptAt = now;
+        attemptAtMs = nowMs;
         state = State.CONNECTING;
         actions.add(new Action.Connect(endpoint, applied.received().revision()));
     }
 
-    private void watch(List<Action> actions, double now) {
-        if (now - heardAt >= HEARTBEAT_TIMEOUT_MS) {
-            disconnect("silent for " + HEARTBEAT_TIMEOUT_MS + " ms", actions, now);
+    private void checkConnectTimeout(List<Action> actions, double nowMs) {
+        if (nowMs - attemptAtMs >= CONNECT_TIMEOUT_MS) {
+            disconnect("no watch within " + CONNECT_TIMEOUT_MS + " ms", actions, nowMs);
+        }
+    }
+
+    private void checkWatch(List<Action> actions, double nowMs) {
+        if (liveness.isSilent(nowMs)) {
+            disconnect("silent for " + HEARTBEAT_TIMEOUT_MS + " ms", actions, nowMs);
             return;
         }
-        if (now - openedAt >= STEADY_WATCH_MS) {
+        if (liveness.isSteady(nowMs)) {
             rotation.succeeded();
             serverError = null;
         }
-        if (now >= returnAt && !rotation.isOwnRegion(endpoint) && rotation.hasOwnRegion()) {
+        if (isReturnToOwnRegionDue(nowMs)) {
             actions.add(new Action.Disconnect("to return to the own region"));
             rotation.restart();
-            connectNow(actions, now);
-            return;
-        }
-        if (now >= reportAt) {
-            report(actions, now);
+            connect(actions, nowMs);
+        } else if (reports.isDue(nowMs)) {
+            actions.add(report(nowMs));
         }
     }
 
-    private void connectNow(List<Action> actions, double now) {
-        attemptAt = now;
-        connectWhenDue(actions, now);
+    private boolean isReturnToOwnRegionDue(double nowMs) {
+        return nowMs >= ownRegionRetryAtMs
+                && !rotation.isOwnRegion(endpoint)
+                && rotation.hasOwnRegion();
     }
 
-    private void disconnect(String reason, List<Action> actions, double now) {
+    private void disconnect(String reason, List<Action> actions, double nowMs) {
         actions.add(new Action.Disconnect(reason));
-        waitForNext(now);
+        waitForNext(nowMs);
     }
 
-    private void waitForNext(double now) {
+    private void waitForNext(double nowMs) {
         state = State.WAITING;
-        attemptAt = now + rotation.failed();
+        attemptAtMs = nowMs + rotation.failed();
     }
 
     private void receive(WatchMessage message) throws InvalidConfigurationException {
@@ -266,35 +264,32 @@
         }
     }
 
-    /** Told to the server and the operators; another server may do better. */
-    private void rejectMessage(String error, List<Action> actions, double now) {
+    /** Reports the error to the server, warns the operators and goes on to another server. */
+    private void rejectMessage(String error, List<Action> actions, double nowMs) {
         serverError = ValidationError.oneLine(endpoint + ": " + error);
-        report(actions, now);
-        if (now - warnedAt >= WARNING_INTERVAL_MS) {
-            warnedAt = now;
+        actions.add(report(nowMs));
+        if (nowMs - warnedAtMs >= WARNING_INTERVAL_MS) {
+            warnedAtMs = nowMs;
             actions.add(new Action.Warn(serverError));
         }
-        disconnect(error, actions, now);
+        disconnect(error, actions, nowMs);
     }
 
-    private void reportSoon(List<Action> actions, double now) {
+    private void reportSoon(List<Action> actions, double nowMs) {
         if (state != State.WATCHING) {
             return;
         }
-        if (now - reportedAt >= MIN_REPORT_GAP_MS) {
-            report(actions, now);
+        if (reports.isGapOver(nowMs)) {
+            actions.add(report(nowMs));
         } else {
-            reportAt = Math.min(reportAt, reportedAt + MIN_REPORT_GAP_MS);
+            reports.bringForward();
         }
     }
 
-    private void report(List<Action> actions, double now) {
-        reportedAt = now;
-        reportAt = now + REPORT_INTERVAL_MS * (0.9 + 0.1 * random.nextDouble());
-        String refusal =
-                applied.rejectionReason() != null ? applied.rejectionReason() : serverError;
-        FollowerReport report =
-                new FollowerReport(id, region, applied.active().revision(), refusal);
-        actions.add(new Action.Report(endpoint, report));
+    private Action.Report report(double nowMs) {
+        reports.sent(nowMs);
+        String reason = applied.rejectionReason() != null ? applied.rejectionReason() : serverError;
+        long revision = applied.active().revision();
+        return new Action.Report(endpoint, new FollowerReport(id, region, revision, reason));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/FollowerReport.java
+++ b/fleet/src/main/java/tinford/fleet/config/FollowerReport.java
@@ -1,7 +1,7 @@
 package tinford.fleet.config;
 
 /**
- * What a follower tells its control server.
+ * A follower's report to its control server.
  *
  * @param follower its id
  * @param region the region it runs in
--- a/fleet/src/main/java/tinford/fleet/config/FollowerTable.java
+++ b/fleet/src/main/java/tinford/fleet/config/FollowerTable.java
@@ -5,9 +5,12 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Which follower holds which revision, as last reported. Bounded; entries expire. */
+/**
+ * The latest report of each follower. Bounded; entries expire. Times are in ms on any steady clock.
+ * Not thread-safe.
+ */
 public final class FollowerTable {
-    /** A report and when it came, ms. */
+    /** A report and the time when it was received, in ms. */
     public record Entry(FollowerReport report, double reportedAt) {}
 
     private final int capacity;
@@ -15,8 +18,8 @@
     private final SortedMap<String, Entry> byFollower = new TreeMap<>();
 
     /**
-     * @param capacity followers held at most
-     * @param expiryMs how long a follower is held without a report
+     * @param capacity the largest number of followers
+     * @param expiryMs how long a report is kept unless a later one replaces it
      */
     public FollowerTable(int capacity, double expiryMs) {
         if (capacity < 1 || !(expiryMs > 0)) {
@@ -26,7 +29,7 @@
         this.expiryMs = expiryMs;
     }
 
-    /** Takes a report; false when the table is full of others. */
+    /** Stores a report; false if the table is full of other followers. */
     public boolean report(FollowerReport report, double now) {
         if (byFollower.size() >= capacity && !byFollower.containsKey(report.follower())) {
             expire(now);
@@ -38,13 +41,13 @@
         return true;
     }
 
-    /** All that have not expired, by follower. */
+    /** All entries that have not expired, by follower. */
     public List<Entry> entries(double now) {
         expire(now);
         return List.copyOf(byFollower.values());
     }
 
-    /** Those that hold an earlier revision, by follower. */
+    /** The entries with an earlier revision, by follower. */
     public List<Entry> lagging(long revision, double now) {
         List<Entry> lagging = new ArrayList<>();
         for (Entry entry : entries(now)) {
--- a/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** The whole state of a {@link RevisionHistory} as sealed bytes. */
+/** Encodes the whole state of a {@link RevisionHistory}, with a checksum. */
 final class HistoryCodec {
     private static final int CONTENT_VERSION = 1;
     private static final Set<String> KEYS =
-            RecordJson.keys("version", "oldest", "updates", "proposals");
+            JsonObjectReader.keys("version", "oldest", "updates", "proposals");
     private static final Set<String> CONFIGURATION_KEYS =
-            RecordJson.keys("revision", "services", "plans", "routes", "tenants");
+            JsonObjectReader.keys("revision", "services", "plans", "routes", "tenants");
     private static final Set<String> PROPOSAL_KEYS =
-            RecordJson.keys("id", "digest", "revision", "faults");
+            JsonObjectReader.keys("id", "digest", "revision", "faults");
 
     private final String fleetId;
 
@@ -24,7 +24,7 @@
         this.fleetId = fleetId;
     }
 
-    /** What is decoded. */
+    /** The state of a history. */
     record State(Configuration oldest, List<Update> updates, ProposalMemory proposals) {}
 
     byte[] encode(Configuration oldest, List<Update> updates, ProposalMemory proposals) {
@@ -35,9 +35,9 @@
                             out.writeObjectFieldStart("oldest");
                             ConfigurationJson.writeFields(out, oldest);
                             out.writeEndObject();
-                            RecordJson.writeAll(
+                            JsonArrays.write(
                                     out, "updates", updates, ConfigurationCodec::writeUpdate);
-                            RecordJson.writeAll(
+                            JsonArrays.write(
                                     out, "proposals", proposals.all(), HistoryCodec::writeProposal);
                         });
         long revision =
@@ -54,7 +54,7 @@
         JsonObjectReader oldestJson = json.object("oldest");
         oldestJson.allowOnly(CONFIGURATION_KEYS);
         Configuration oldest = ConfigurationJson.read(oldestJson);
-        List<Update> updates = RecordJson.readAll(json, "updates", ConfigurationCodec::readUpdate);
+        List<Update> updates = JsonArrays.read(json, "updates", ConfigurationCodec::readUpdate);
         expectUnbroken(json, oldest.revision(), updates);
         ProposalMemory proposals = new ProposalMemory();
         for (JsonObjectReader each : json.objects("proposals")) {
--- a/fleet/src/main/java/tinford/fleet/config/Json.java
+++ b/fleet/src/main/java/tinford/fleet/config/Json.java
@@ -13,13 +13,13 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Reads and writes one JSON object with a version, within bounds. */
+/** Reads and writes versioned JSON objects; depth and lengths of what is read are bounded. */
 final class Json {
     private static final String VERSION_KEY = "version";
     private static final int MAX_KEY_LENGTH = 64;
     private static final int MAX_NUMBER_LENGTH = 64;
 
-    /** For all but watch messages, whose snapshots are one long text. */
+    /** For everything but watch messages, whose snapshots are one long text. */
     private static final JsonMapper SHORT_TEXT_MAPPER = mapper(ConfigurationLimits.MAX_TEXT_LENGTH);
 
     private static final JsonMapper LONG_TEXT_MAPPER = mapper(ConfigurationLimits.MAX_LINE_BYTES);
@@ -31,7 +31,7 @@
         void write(JsonGenerator out) throws IOException;
     }
 
-    /** An object with the version and these fields, on one line without a line end. */
+    /** An object with the version and the fields of a body, on one line without a line feed. */
     static byte[] write(int latestVersion, Body body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = SHORT_TEXT_MAPPER.createGenerator(bytes, JsonEncoding.UTF8)) {
@@ -45,11 +45,18 @@
         return bytes.toByteArray();
     }
 
+    /**
+     * Reads one object.
+     *
+     * @param latestVersion the latest version that is understood
+     * @param maxBytes the largest size of the JSON
+     */
     static JsonObjectReader read(byte[] json, int latestVersion, int maxBytes)
             throws InvalidConfigurationException {
         return read(SHORT_TEXT_MAPPER, json, latestVersion, maxBytes);
     }
 
+    /** Reads one object whose texts may be as long as a line of a watch. */
     static JsonObjectReader readWithLongTexts(byte[] json, int latestVersion, int maxBytes)
             throws InvalidConfigurationException {
         return read(LONG_TEXT_MAPPER, json, latestVersion, maxBytes);
--- a/fleet/src/main/java/tinford/fleet/config/JsonObjectReader.java
+++ b/fleet/src/main/java/tinford/fleet/config/JsonObjectReader.java
@@ -5,8 +5,16 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Set;
-
-/** An object of a JSON tree whose fields are read with checks; a fault is named by its path. */
+import java.util.TreeSet;
+
+/**
+ * Reads the fields of one object of a JSON tree; an error names the field by its path from the
+ * root, such as {@code changes[2].putRoute.name}.
+ *
+ * <p>Unlike {@code tinford.settings.JsonFields}, which reads the settings that a gateway is started
+ * with, it throws a checked exception with such a path, and reads a tree whose depth and lengths
+ * {@link Json} has bounded.
+ */
 final class JsonObjectReader {
     private final JsonObjectReader parent;
     private final String name;
@@ -18,6 +26,11 @@
         this.node = node;
     }
 
+    /** The field names of an object, in alphabetical order. */
+    static Set<String> keys(String... keys) {
+        return new TreeSet<>(List.of(keys));
+    }
+
     static JsonObjectReader root(JsonNode node) throws InvalidConfigurationException {
         if (!node.isObject()) {
             throw new InvalidConfigurationException("json", "an object");
@@ -25,15 +38,17 @@
         return new JsonObjectReader(null, "", node);
     }
 
+    /** The exception for a field of this object that is not as expected. */
     InvalidConfigurationException invalid(String key, String expected) {
         return new InvalidConfigurationException(path(key), expected);
     }
 
+    /** Whether there is such a field, and it is not null. */
     boolean has(String key) {
         return node.hasNonNull(key);
     }
 
-    /** Refuses an object with any other field. */
+    /** Rejects an object with any other field. */
     void allowOnly(Set<String> keys) throws InvalidConfigurationException {
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String key = names.next();
@@ -67,7 +82,6 @@
         return value.longValue();
     }
 
-    /** A whole number from 0 on. */
     long nonNegativeLong(String key) throws InvalidConfigurationException {
         long value = integer(key);
         if (value < 0) {
--- a/fleet/src/main/java/tinford/fleet/config/Outcome.java
+++ b/fleet/src/main/java/tinford/fleet/config/Outcome.java
@@ -1,10 +1,10 @@
 package tinford.fleet.config;
 
-/** What became of a proposal. */
+/** The decision on a proposal, the same on every voter. */
 public sealed interface Outcome {
-    /** It is in force as this revision. */
+    /** The proposal became this revision. */
     record Accepted(long revision) implements Outcome {}
 
-    /** It changed nothing. */
+    /** The proposal changed nothing. */
     record Rejected(Rejection rejection) implements Outcome {}
 }
--- a/fleet/src/main/java/tinford/fleet/config/Proposal.java
+++ b/fleet/src/main/java/tinford/fleet/config/Proposal.java
@@ -1,6 +1,6 @@
 package tinford.fleet.config;
 
-/** What an operator asks of the control servers. */
+/** A change of the configuration that an operator proposes to the control servers. */
 public sealed interface Proposal permits ChangeSet, Revert {
     /**
      * Chosen by the proposer; the same proposal sent again with the same id has the outcome of the
--- a/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
+++ b/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
@@ -4,15 +4,16 @@
 import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * The outcomes of the latest proposals by id, so that one that is sent again is not made twice. The
- * oldest are forgotten once there are too many or they are too long.
+ * The outcomes of the latest proposals by id, so that a proposal that is sent again does not take
+ * effect twice. The oldest are evicted when there are too many or they are too long.
  */
 final class ProposalMemory {
     /** A proposal's id, the SHA-256 of its content in hex, and its outcome. */
     record Remembered(String id, String digest, Outcome outcome) {
-        /** About how many characters it takes. */
+        /** The approximate size. */
         private int characters() {
             int characters = id.length() + digest.length();
             if (outcome instanceof Outcome.Rejected rejected) {
@@ -27,17 +28,18 @@
     private final Map<String, Remembered> byId = new LinkedHashMap<>();
     private long characters;
 
+    /** The SHA-256 of the proposal's content, in hex. */
     static String digest(Proposal proposal) {
         byte[] json = ConfigurationCodec.encode(proposal);
         return HexFormat.of().formatHex(ContentHash.sha256().digest(json));
     }
 
-    /** Null where there is none, or no more. */
-    Remembered get(String id) {
-        return byId.get(id);
+    /** The proposal with this id, unless it was evicted. */
+    Optional<Remembered> get(String id) {
+        return Optional.ofNullable(byId.get(id));
     }
 
-    /** Takes one whose id is not remembered. */
+    /** Adds a proposal whose id is not remembered. */
     void add(Remembered proposal) {
         byId.put(proposal.id(), proposal);
         characters += proposal.characters();
@@ -53,7 +55,7 @@
         return byId.size();
     }
 
-    /** All, the oldest first. */
+    /** All remembered proposals, the oldest first. */
     Collection<Remembered> all() {
         return byId.values();
     }
--- a/fleet/src/main/java/tinford/fleet/config/RecordChecks.java
+++ b/fleet/src/main/java/tinford/fleet/config/RecordChecks.java
@@ -4,7 +4,7 @@
 import tinford.api.DeduplicationScope;
 import tinford.api.Idempotency;
 
-/** Checks of single records by themselves: names and ranges of numbers. */
+/** Validates single records: names and ranges of numbers, but no references. */
 public final class RecordChecks {
     private static final Pattern NAME =
             Pattern.compile(
@@ -12,7 +12,7 @@
                             + (ConfigurationLimits.MAX_NAME_LENGTH - 1)
                             + "}");
 
-    /** What a name is, for a line that tells of one that is none. */
+    /** The form of a name, for error messages. */
     public static final String EXPECTED_NAME =
             "1 to "
                     + ConfigurationLimits.MAX_NAME_LENGTH
@@ -29,7 +29,7 @@
         this.errors = errors;
     }
 
-    /** Whether a text is a name: of a service, a route, a plan, a follower, a region or a fleet. */
+    /** Whether a text is a valid name of a service, route, plan, follower, region or fleet. */
     public static boolean isName(String text) {
         return text != null && NAME.matcher(text).matches();
     }
@@ -85,7 +85,7 @@
         errors.expect(isAmount(number), key, EXPECTED_AMOUNT);
     }
 
-    /** A bucket that a rate fills; without room in it nothing would ever pass. */
+    /** A rate needs a burst: a token bucket without capacity would admit nothing. */
     private void checkBurst(String key, double burst, double rate) {
         checkAmount(key, burst);
         errors.expect(!(rate > 0) || burst > 0, key, "above 0 where there is a rate");
--- a/fleet/src/main/java/tinford/fleet/config/RecordJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/RecordJson.java
@@ -2,22 +2,20 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.List;
 import java.util.Set;
-import java.util.TreeSet;
 import tinford.api.DeduplicationScope;
 import tinford.api.Idempotency;
 
-/** The JSON of single records and changes; numbers and names are read, not yet validated. */
+/**
+ * The JSON of single records and validation errors. Types are checked; names and ranges of numbers
+ * are left to {@link Validator}. The field names are part of the protocol and of stored data.
+ */
 final class RecordJson {
-    private static final Set<String> NAME_KEYS = keys("name");
-    private static final Set<String> ID_KEYS = keys("id");
-    private static final Set<String> TENANT_KEYS = keys("id", "plan");
-    private static final Set<String> ERROR_KEYS = keys("key", "expected");
+    private static final Set<String> NAME_KEYS = JsonObjectReader.keys("name");
+    private static final Set<String> TENANT_KEYS = JsonObjectReader.keys("id", "plan");
+    private static final Set<String> ERROR_KEYS = JsonObjectReader.keys("key", "expected");
     private static final Set<String> ROUTE_KEYS =
-            keys(
+            JsonObjectReader.keys(
                     "name",
                     "service",
                     "targetMs",
@@ -29,7 +27,7 @@
                     "repeatWindowMs",
                     "streamed");
     private static final Set<String> PLAN_KEYS =
-            keys(
+            JsonObjectReader.keys(
                     "name",
                     "ratePerSecond",
                     "burst",
@@ -40,45 +38,9 @@
                     "ceilingPerSecond",
                     "ceilingBurst",
                     "ceilingSlack");
-    private static final String EXPECTED_CHANGE =
-            "one of putService, removeService, putRoute, removeRoute, putPlan, removePlan, "
-                    + "putTenant, removeTenant";
 
     private RecordJson() {}
 
-    static Set<String> keys(String... keys) {
-        return new TreeSet<>(List.of(keys));
-    }
-
-    /** Writes one value of an array. */
-    interface ElementWriter<T> {
-        void write(JsonGenerator out, T value) throws IOException;
-    }
-
-    /** Reads one object of an array. */
-    interface ElementReader<T> {
-        T read(JsonObjectReader json) throws InvalidConfigurationException;
-    }
-
-    static <T> void writeAll(
-            JsonGenerator out, String key, Collection<T> values, ElementWriter<T> writer)
-            throws IOException {
-        out.writeArrayFieldStart(key);
-        for (T value : values) {
-            writer.write(out, value);
-        }
-        out.writeEndArray();
-    }
-
-    static <T> List<T> readAll(JsonObjectReader json, String key, ElementReader<T> reader)
-            throws InvalidConfigurationException {
-        List<T> values = new ArrayList<>();
-        for (JsonObjectReader element : json.objects(key)) {
-            values.add(reader.read(element));
-        }
-        return values;
-    }
-
     static void writeService(JsonGenerator out, ServiceRecord service) throws IOException {
         out.writeStartObject();
         out.writeStringField("name", service.name());
@@ -176,66 +138,6 @@
         return new ValidationError(json.text("key"), json.text("expected"));
     }
 
-    static void writeChange(JsonGenerator out, Change change) throws IOException {
-        out.writeStartObject();
-        if (change instanceof Change.PutService put) {
-            out.writeFieldName("putService");
-            writeService(out, put.service());
-        } else if (change instanceof Change.RemoveService remove) {
-            writeName(out, "removeService", remove.name());
-        } else if (change instanceof Change.PutRoute put) {
-            out.writeFieldName("putRoute");
-            writeRoute(out, put.route());
-        } else if (change instanceof Change.RemoveRoute remove) {
-            writeName(out, "removeRoute", remove.name());
-        } else if (change instanceof Change.PutPlan put) {
-            out.writeFieldName("putPlan");
-            writePlan(out, put.plan());
-        } else if (change instanceof Change.RemovePlan remove) {
-            writeName(out, "removePlan", remove.name());
-        } else if (change instanceof Change.PutTenant put) {
-            out.writeFieldName("putTenant");
-            writeTenant(out, put.tenant());
-        } else if (change instanceof Change.RemoveTenant remove) {
-            out.writeObjectFieldStart("removeTenant");
-            out.writeNumberField("id", remove.id());
-            out.writeEndObject();
-        }
-        out.writeEndObject();
-    }
-
-    static Change readChange(JsonObjectReader json) throws InvalidConfigurationException {
-        String kind = json.onlyKey(EXPECTED_CHANGE);
-        JsonObjectReader body = json.object(kind);
-        return switch (kind) {
-            case "putService" -> new Change.PutService(readService(body));
-            case "removeService" -> new Change.RemoveService(readName(body));
-            case "putRoute" -> new Change.PutRoute(readRoute(body));
-            case "removeRoute" -> new Change.RemoveRoute(readName(body));
-            case "putPlan" -> new Change.PutPlan(readPlan(body));
-            case "removePlan" -> new Change.RemovePlan(readName(body));
-            case "putTenant" -> new Change.PutTenant(readTenant(body));
-            case "removeTenant" -> new Change.RemoveTenant(readId(body));
-            default -> throw json.invalid(kind, EXPECTED_CHANGE);
-        };
-    }
-
-    private static void writeName(JsonGenerator out, String kind, String name) throws IOException {
-        out.writeObjectFieldStart(kind);
-        out.writeStringField("name", name);
-        out.writeEndObject();
-    }
-
-    private static String readName(JsonObjectReader json) throws InvalidConfigurationException {
-        json.allowOnly(NAME_KEYS);
-        return json.text("name");
-    }
-
-    private static long readId(JsonObjectReader json) throws InvalidConfigurationException {
-        json.allowOnly(ID_KEYS);
-        return json.integer("id");
-    }
-
     private static String idempotencyName(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "read_like";
@@ -263,7 +165,8 @@
     }
 
     /**
-     * Where a key counts and no group is named, the narrowest: a repeat there is dropped in any.
+     * The scope that is named, or the narrowest for routes with an idempotency key: a repeat within
+     * a cell is dropped in any scope.
      */
     private static DeduplicationScope readScope(JsonObjectReader json, Idempotency idempotency)
             throws InvalidConfigurationException {
--- a/fleet/src/main/java/tinford/fleet/config/Rejection.java
+++ b/fleet/src/main/java/tinford/fleet/config/Rejection.java
@@ -4,12 +4,15 @@
 import java.util.stream.Collectors;
 
 /**
- * Why a proposal was refused: at least one fault, the first {@link ConfigurationLimits#MAX_ERRORS}.
+ * Why a proposal was rejected.
+ *
+ * @param errors at least one; of more than {@link ConfigurationLimits#MAX_ERRORS} the first are
+ *     kept
  */
 public record Rejection(List<ValidationError> errors) {
     public Rejection {
         if (errors.isEmpty()) {
-            throw new IllegalArgumentException("a refusal needs a fault");
+            throw new IllegalArgumentException("a rejection needs an error");
         }
         errors =
                 List.copyOf(
--- a/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
+++ b/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
@@ -7,13 +7,19 @@
 import java.util.Optional;
 
 /**
- * The replicated state machine: proposals in, revisions out. The same proposals in the same order
- * give the same state and the same outcomes everywhere. Memory is bounded by {@link
- * ConfigurationLimits}. Not thread-safe.
+ * The replicated state machine of the configuration: it decides proposals and keeps the revisions.
+ * The same proposals in the same order give the same state and the same outcomes on every voter.
+ * Memory is bounded by {@link ConfigurationLimits}. Not thread-safe.
  */
 public final class RevisionHistory {
-    /** How many updates are retained: at most so many, with at most so many encoded bytes. */
+    /**
+     * How many updates are retained.
+     *
+     * @param updates the largest number of updates
+     * @param bytes the largest size of all of them when encoded
+     */
     public record Retention(int updates, int bytes) {
+        /** The largest retention. */
         public static final Retention DEFAULT =
                 new Retention(
                         ConfigurationLimits.MAX_RETAINED_UPDATES,
@@ -42,7 +48,7 @@
     private final Deque<RetainedUpdate> retained = new ArrayDeque<>();
     private ProposalMemory proposals = new ProposalMemory();
 
-    /** What the retained updates begin from. */
+    /** The configuration that the retained updates start from. */
     private Configuration oldest = Configuration.EMPTY;
 
     private Configuration current = Configuration.EMPTY;
@@ -53,11 +59,13 @@
         this(fleetId, Retention.DEFAULT);
     }
 
+    /** An empty history with another retention than the default. */
     public RevisionHistory(String fleetId, Retention retention) {
         this.codec = new HistoryCodec(fleetId);
         this.retention = retention;
     }
 
+    /** The configuration at the latest revision. */
     public Configuration current() {
         return current;
     }
@@ -67,6 +75,7 @@
         return oldest.revision();
     }
 
+    /** How many updates are retained. */
     public int retainedUpdates() {
         return retained.size();
     }
@@ -81,26 +90,27 @@
         return proposals.size();
     }
 
-    /** Accepts the proposal as a new revision, or refuses it and changes nothing. */
+    /**
+     * Accepts the proposal as a new revision, or rejects it and changes nothing. A proposal that
+     * was decided before gets the same outcome again.
+     */
     public Outcome propose(Proposal proposal) {
         if (!RecordChecks.isName(proposal.id())) {
             return rejected(new ValidationError("id", RecordChecks.EXPECTED_NAME));
         }
         String digest = ProposalMemory.digest(proposal);
-        ProposalMemory.Remembered remembered = proposals.get(proposal.id());
-        if (remembered == null) {
-            Outcome outcome = decide(proposal);
-            proposals.add(new ProposalMemory.Remembered(proposal.id(), digest, outcome));
-            return outcome;
+        Optional<ProposalMemory.Remembered> remembered = proposals.get(proposal.id());
+        if (remembered.isPresent()) {
+            return outcomeAgain(remembered.get(), digest);
         }
-        return remembered.digest().equals(digest)
-                ? remembered.outcome()
-                : rejected(new ValidationError("id", "an id that no other proposal has had"));
+        Outcome outcome = decide(proposal);
+        proposals.add(new ProposalMemory.Remembered(proposal.id(), digest, outcome));
+        return outcome;
     }
 
     /**
-     * The updates behind a revision, oldest first, each by one revision; empty when there are none,
-     * also for a revision that is yet to come; absent when they are no longer retained.
+     * The updates after a revision, oldest first, each by one revision. The list is empty for the
+     * current revision and for future ones; it is absent if the updates are no longer retained.
      */
     public Optional<List<Update>> updatesSince(long revision) {
         if (revision < oldest.revision()) {
@@ -115,7 +125,7 @@
         return Optional.of(updates);
     }
 
-    /** The whole state, for {@link #restore} on any replica. */
+    /** The whole state, for {@link #restore} on any voter. */
     public byte[] snapshot() {
         return codec.encode(
                 oldest, retained.stream().map(RetainedUpdate::update).toList(), proposals);
@@ -124,7 +134,7 @@
     /**
      * Replaces the whole state.
      *
-     * @throws InvalidConfigurationException the state stays as it was
+     * @throws InvalidConfigurationException if the snapshot is invalid; the state is unchanged
      */
     public void restore(byte[] snapshot) throws InvalidConfigurationException {
         HistoryCodec.State state = codec.decode(snapshot);
@@ -139,6 +149,12 @@
         }
     }
 
+    private static Outcome outcomeAgain(ProposalMemory.Remembered remembered, String digest) {
+        return remembered.digest().equals(digest)
+                ? remembered.outcome()
+                : rejected(new ValidationError("id", "an id that no other proposal has had"));
+    }
+
     private Outcome decide(Proposal proposal) {
         if (proposal instanceof ChangeSet set) {
             return decide(set);
--- a/fleet/src/main/java/tinford/fleet/config/RouteRecord.java
+++ b/fleet/src/main/java/tinford/fleet/config/RouteRecord.java
@@ -4,18 +4,18 @@
 import tinford.api.Idempotency;
 
 /**
- * A kind of request and how it is served.
+ * A class of requests and how it is served.
  *
  * @param service name of the service that serves it
- * @param latencyObjectiveMs an answer within this time is on time
- * @param timeoutMs after this time the client has given up
- * @param priorityWeight what an answer on time is worth
- * @param lateWeight what a later answer is worth
- * @param idempotency whether a request may run again
- * @param deduplicationScope where an idempotency key drops a repeat; {@link DeduplicationScope#ALL}
- *     with any other effect
- * @param deduplicationWindowMs for how long the key drops a repeat
- * @param streamed whether answers are passed on in parts
+ * @param latencyObjectiveMs a response within this time is on time
+ * @param timeoutMs the client gives up after this time
+ * @param priorityWeight weight of a response on time
+ * @param lateWeight weight of a later response
+ * @param idempotency whether a request may be executed more than once
+ * @param deduplicationScope the servers that drop a repeat with the same idempotency key; {@link
+ *     DeduplicationScope#ALL} without keys
+ * @param deduplicationWindowMs how long a key is remembered
+ * @param streamed whether responses are forwarded in parts
  */
 public record RouteRecord(
         String name,
--- a/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
@@ -3,17 +3,21 @@
 import java.util.Set;
 
 /**
- * A whole configuration as compressed bytes that tell the fleet, the revision and a SHA-256 over
- * all of it. Bytes that are torn, damaged, of another fleet or of a later format are refused.
+ * Encodes a whole configuration as compressed JSON in a {@link ChecksummedState}, which names the
+ * fleet and the revision.
  */
 public final class SnapshotCodec {
     private static final int CONTENT_VERSION = 1;
     private static final Set<String> KEYS =
-            RecordJson.keys("version", "revision", "services", "plans", "routes", "tenants");
+            JsonObjectReader.keys("version", "revision", "services", "plans", "routes", "tenants");
 
     private final String fleetId;
 
-    /** For the snapshots of one fleet. */
+    /**
+     * For the snapshots of one fleet.
+     *
+     * @throws IllegalArgumentException if the id is no name
+     */
     public SnapshotCodec(String fleetId) {
         if (!RecordChecks.isName(fleetId)) {
             throw new IllegalArgumentException("fleet id: expected " + RecordChecks.EXPECTED_NAME);
@@ -21,6 +25,7 @@
         this.fleetId = fleetId;
     }
 
+    /** The snapshot of a configuration. */
     public byte[] encode(Configuration configuration) {
         byte[] json =
                 Json.write(
@@ -29,6 +34,12 @@
                 ChecksummedState.Kind.CONFIGURATION, fleetId, configuration.revision(), json);
     }
 
+    /**
+     * Reads and validates a snapshot.
+     *
+     * @throws InvalidConfigurationException if it is truncated, damaged, of another fleet or of a
+     *     later format, or its configuration is invalid
+     */
     public Configuration decode(byte[] snapshot) throws InvalidConfigurationException {
         ChecksummedState.Decoded decoded =
                 ChecksummedState.decode(ChecksummedState.Kind.CONFIGURATION, fleetId, snapshot);
--- a/fleet/src/main/java/tinford/fleet/config/SortedArrayMap.java
+++ b/fleet/src/main/java/tinford/fleet/config/SortedArrayMap.java
@@ -13,8 +13,8 @@
 import java.util.function.Function;
 
 /**
- * An immutable map that iterates in ascending order of its keys, held in two arrays: two references
- * an entry, and a changed copy costs one pass over the arrays.
+ * An immutable map that iterates in ascending order of its keys. It is held in two arrays, which
+ * cost two references per entry; a changed copy costs one pass over them.
  */
 final class SortedArrayMap<K extends Comparable<K>, V> extends AbstractMap<K, V> {
     private final Object[] keys;
--- a/fleet/src/main/java/tinford/fleet/config/ValidationError.java
+++ b/fleet/src/main/java/tinford/fleet/config/ValidationError.java
@@ -2,7 +2,12 @@
 
 import java.util.regex.Pattern;
 
-/** One thing that is wrong: where, and what was expected there. One line, bounded in length. */
+/**
+ * One thing that is wrong in a proposal or a configuration, in one line of bounded length.
+ *
+ * @param key the path of the field, such as {@code changes[0].putRoute.timeoutMs}
+ * @param expected what was expected there
+ */
 public record ValidationError(String key, String expected) {
     private static final Pattern CONTROL_CHARACTERS = Pattern.compile("\\p{Cntrl}+");
 
--- a/fleet/src/main/java/tinford/fleet/config/ValidationErrors.java
+++ b/fleet/src/main/java/tinford/fleet/config/ValidationErrors.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects faults, the first {@link ConfigurationLimits#MAX_ERRORS} of them. */
+/** Collects validation errors, at most {@link ConfigurationLimits#MAX_ERRORS}. */
 final class ValidationErrors {
     private final List<ValidationError> errors = new ArrayList<>();
 
-    /** Notes a fault unless the condition holds. */
+    /** Adds an error unless the condition holds. */
     void expect(boolean condition, String key, String expected) {
         if (!condition && errors.size() < ConfigurationLimits.MAX_ERRORS) {
             errors.add(new ValidationError(key, expected));
--- a/fleet/src/main/java/tinford/fleet/config/Validator.java
+++ b/fleet/src/main/java/tinford/fleet/config/Validator.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Decides whether a configuration is sound; nothing comes into force that isn't. */
+/** Validates configurations and changes; an invalid one never comes into force. */
 public final class Validator {
     private final ValidationErrors errors = new ValidationErrors();
     private final RecordChecks recordChecks = new RecordChecks(errors);
@@ -13,16 +13,16 @@
     private Validator() {}
 
     /**
-     * What is wrong with changes to a sound configuration; empty where the result is sound.
+     * The errors of changes to a configuration; empty if the result is valid.
      *
-     * @param before sound
+     * @param before a valid configuration
      */
     public static List<ValidationError> check(Configuration before, List<Change> changes) {
         return check(before, changes, before.with(before.revision() + 1, changes));
     }
 
     /**
-     * The same, where the result is at hand.
+     * The same for a result that was computed already.
      *
      * @param after {@code before} with the changes
      */
@@ -37,7 +37,7 @@
         return validator.errors.toList();
     }
 
-    /** What is wrong with a whole configuration; empty where it is sound. */
+    /** The errors of a whole configuration; empty if it is valid. */
     public static List<ValidationError> check(Configuration configuration) {
         Validator validator = new Validator();
         validator.checkCounts(configuration);
@@ -45,7 +45,7 @@
         return validator.errors.toList();
     }
 
-    /** What a change touches; a set touches each thing once. */
+    /** The record that a change adds, replaces or removes; a change set may name each once. */
     private record Target(String kind, Object key) {}
 
     private void checkChanges(Configuration before, List<Change> changes) {
@@ -122,7 +122,7 @@
         errors.expect(count <= limit, key, "at most " + limit + ", not " + count);
     }
 
-    /** Only what the changes can have broken. */
+    /** Checks only references that the changes can have broken. */
     private void checkReferences(List<Change> changes, Configuration after) {
         for (int i = 0; i < changes.size(); i++) {
             String prefix = "changes[" + i + "].";
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/config/WatchLiveness.java
@@ -0,0 +1,34 @@
+package tinford.fleet.config;
+
+/** When a follower last received something over its watch. Not thread-safe. */
+final class WatchLiveness {
+    private double openedAtMs;
+    private double receivedAtMs;
+    private double lineEndedAtMs;
+
+    void opened(double nowMs) {
+        openedAtMs = nowMs;
+        lineReceived(nowMs);
+    }
+
+    void lineReceived(double nowMs) {
+        receivedAtMs = nowMs;
+        lineEndedAtMs = nowMs;
+    }
+
+    /** Counts as a sign of life until the line has taken {@link Follower#LINE_TIMEOUT_MS}. */
+    void partialLineReceived(double nowMs) {
+        if (nowMs - lineEndedAtMs < Follower.LINE_TIMEOUT_MS) {
+            receivedAtMs = nowMs;
+        }
+    }
+
+    boolean isSilent(double nowMs) {
+        return nowMs - receivedAtMs >= Follower.HEARTBEAT_TIMEOUT_MS;
+    }
+
+    /** Whether the watch has been open long enough to call its server healthy. */
+    boolean isSteady(double nowMs) {
+        return nowMs - openedAtMs >= Follower.STEADY_WATCH_MS;
+    }
+}
--- a/fleet/src/main/java/tinford/fleet/config/WatchMessage.java
+++ b/fleet/src/main/java/tinford/fleet/config/WatchMessage.java
@@ -1,10 +1,14 @@
 package tinford.fleet.config;
 
-/** A line of a watch; an empty line is a heartbeat and no message. */
+/** A line of a watch; an empty line is a heartbeat and not a message. */
 public sealed interface WatchMessage {
-    /** Leads on from the revision that the follower holds. */
+    /** An update from the revision that the follower has. */
     record UpdateMessage(Update update) implements WatchMessage {}
 
-    /** For a follower that is too far behind: a whole configuration by {@link SnapshotCodec}. */
+    /**
+     * A whole configuration, for a follower that is too far behind.
+     *
+     * @param data encoded by {@link SnapshotCodec}
+     */
     record SnapshotMessage(long revision, byte[] data) implements WatchMessage {}
 }
--- a/fleet/src/main/java/tinford/fleet/control/Replica.java
+++ b/fleet/src/main/java/tinford/fleet/control/Replica.java
@@ -7,6 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
+import tinford.fleet.config.ApplyResult;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
 import tinford.fleet.config.Proposal;
@@ -60,7 +61,7 @@
         return thread;
     }
 
-    private String apply(Configuration configuration, List<Change> changes) {
+    private ApplyResult apply(Configuration configuration, List<Change> changes) {
         long before = feed.current().revision();
         if (changes == null) {
             feed.replace(configuration, List.of());
@@ -69,7 +70,7 @@
         }
         snapshotSaver.scheduleSave();
         ControlLog.revisionApplied(configuration.revision());
-        return null;
+        return new ApplyResult.Applied();
     }
 
     /** Replicas take none and forward none. */
--- a/fleet/src/main/java/tinford/fleet/follow/ConfigurationListener.java
+++ b/fleet/src/main/java/tinford/fleet/follow/ConfigurationListener.java
@@ -1,6 +1,7 @@
 package tinford.fleet.follow;
 
 import java.util.List;
+import tinford.fleet.config.ApplyResult;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
 
@@ -8,13 +9,11 @@
 @FunctionalInterface
 public interface ConfigurationListener {
     /**
-     * Called on the client's executor, never twice at once. It returns once the configuration is in
-     * force or is refused; until then the client does nothing else.
+     * Called on the client's executor, never concurrently. Returns when the configuration is in
+     * force or is rejected; until then the client does nothing else.
      *
-     * @param changes what makes the configuration in force into this one; null where that is not
-     *     known, and everything may differ
-     * @return why it can't be brought into force, with key and expectation, while the one before
-     *     stays; null where it is in force
+     * @param changes lead from the configuration in force to this one; null if they are not known
+     *     and everything may differ
      */
-    String apply(Configuration configuration, List<Change> changes);
+    ApplyResult apply(Configuration configuration, List<Change> changes);
 }
--- a/fleet/src/main/java/tinford/fleet/follow/FollowerSettings.java
+++ b/fleet/src/main/java/tinford/fleet/follow/FollowerSettings.java
@@ -6,11 +6,11 @@
 import tinford.fleet.config.Endpoint;
 
 /**
- * Who follows, and whom.
+ * The identity of a follower and the control servers that it follows.
  *
  * @param id of the follower, the same over restarts
  * @param region where it runs; control servers there are preferred
- * @param fleetId the fleet whose configuration it takes, and no other's
+ * @param fleetId snapshots of any other fleet are rejected
  * @param endpoints all control servers
  * @param initialConfiguration what is in force at the start: the last good snapshot, or {@link
  *     Configuration#EMPTY}
--- a/fleet/src/main/java/tinford/fleet/follow/LineSplitter.java
+++ b/fleet/src/main/java/tinford/fleet/follow/LineSplitter.java
@@ -5,9 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts a stream of bytes into lines of bounded length. Not thread-safe. */
+/** Splits a stream of bytes into lines of bounded length. Not thread-safe. */
 final class LineSplitter {
-    /** A line is longer than it may be. */
+    /** A line is longer than allowed. */
     static final class LineTooLongException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -16,25 +16,29 @@
         }
     }
 
-    private static final byte LINE_END = '\n';
+    private static final byte LINE_FEED = '\n';
+
     private final int maxLineBytes;
     private ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
 
-    /** For lines of at most so many bytes. */
+    /**
+     * @param maxLineBytes the longest line, without its line feed
+     */
     LineSplitter(int maxLineBytes) {
         this.maxLineBytes = maxLineBytes;
     }
 
     /**
-     * The lines that end in these bytes, without their ends; the rest is kept for the next call.
+     * The lines that end within these bytes, without their line feeds. An unfinished line is kept
+     * for the next call.
      */
     List<byte[]> split(List<ByteBuffer> buffers) throws LineTooLongException {
         List<byte[]> lines = new ArrayList<>();
         for (ByteBuffer buffer : buffers) {
             while (buffer.hasRemaining()) {
-                int length = lengthToLineEnd(buffer);
+                int length = lengthToLineFeed(buffer);
                 boolean endsLine = length < buffer.remaining();
-                take(buffer, length);
+                append(buffer, length);
                 if (endsLine) {
                     buffer.get();
                     lines.add(partialLine.toByteArray());
@@ -45,16 +49,16 @@
         return lines;
     }
 
-    private static int lengthToLineEnd(ByteBuffer buffer) {
+    private static int lengthToLineFeed(ByteBuffer buffer) {
         for (int at = buffer.position(); at < buffer.limit(); at++) {
-            if (buffer.get(at) == LINE_END) {
+            if (buffer.get(at) == LINE_FEED) {
                 return at - buffer.position();
             }
         }
         return buffer.remaining();
     }
 
-    private void take(ByteBuffer buffer, int length) throws LineTooLongException {
+    private void append(ByteBuffer buffer, int length) throws LineTooLongException {
         if (partialLine.size() + length > maxLineBytes) {
             throw new LineTooLongException(maxLineBytes);
         }
--- a/fleet/src/main/java/tinford/fleet/follow/SerialExecutor.java
+++ b/fleet/src/main/java/tinford/fleet/follow/SerialExecutor.java
@@ -6,11 +6,12 @@
 import java.util.concurrent.Executor;
 
 /**
- * Runs tasks one after another, in the order in which they came, on an executor that may have
- * several threads. The queue is as long as its users make it.
+ * Runs tasks one after another, in the order of their submission, on an executor that may have
+ * several threads. The queue is not bounded: its users bound what they submit.
  */
 final class SerialExecutor implements Executor {
     private static final System.Logger LOG = System.getLogger("tinford.fleet.configuration");
+
     private final Executor executor;
     private final Queue<Runnable> waiting = new ArrayDeque<>();
     private boolean running;
@@ -36,13 +37,13 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.ERROR, "a task of a configuration client failed", e);
+            LOG.log(Level.ERROR, "configuration client task failed", e);
         } finally {
-            proceed();
+            scheduleNext();
         }
     }
 
-    private synchronized void proceed() {
+    private synchronized void scheduleNext() {
         running = !waiting.isEmpty();
         if (running) {
             executor.execute(this::runNext);
--- a/fleet/src/main/java/tinford/fleet/follow/WarningLimiter.java
+++ b/fleet/src/main/java/tinford/fleet/follow/WarningLimiter.java
@@ -3,20 +3,24 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Lets each warning pass once in a while; remembers a bounded number of them. Not thread-safe. */
+/**
+ * Limits how often the same warning is logged. Remembers a bounded number of warnings; while there
+ * are more different ones, further ones are suppressed. Not thread-safe.
+ */
 final class WarningLimiter {
     private static final int MAX_REMEMBERED = 100;
+
     private final double intervalMs;
     private final Map<String, Double> loggedAtMs = new LinkedHashMap<>();
 
-    /** Tells the same warning again after so long. */
+    /** Allows the same warning again after this interval. */
     WarningLimiter(double intervalMs) {
         this.intervalMs = intervalMs;
     }
 
-    /** Whether this one is to be told now; where more than are remembered come, it is not. */
+    /** Whether to log this warning now; if so, it counts as logged. */
     boolean tryAcquire(String message, double nowMs) {
-        loggedAtMs.values().removeIf(at -> nowMs - at >= intervalMs);
+        loggedAtMs.values().removeIf(loggedAt -> nowMs - loggedAt >= intervalMs);
         if (loggedAtMs.containsKey(message) || loggedAtMs.size() >= MAX_REMEMBERED) {
             return false;
         }
--- a/fleet/src/main/java/tinford/fleet/follow/WatchSubscription.java
+++ b/fleet/src/main/java/tinford/fleet/follow/WatchSubscription.java
@@ -7,41 +7,41 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 import java.util.concurrent.Flow;
-import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The body of one watch, cut into lines. More is asked of the connection only once the lines that
- * came before have been handled, so that what waits is bounded.
+ * The body of one watch, cut into lines. More bytes are requested from the connection only after
+ * the lines of the previous ones have been handled, so that at most one batch is buffered.
  */
 final class WatchSubscription implements HttpResponse.BodySubscriber<Void> {
-    /** Hears of the lines and of the end, on the executor. */
+    /** Receives the lines and the end of a watch, on the executor. */
     interface Listener {
+        /** A whole line, without its line feed. */
         void line(byte[] line);
 
-        /** Bytes came that don't end a line. */
+        /** Bytes were received that don't end a line. */
         void partialLine();
 
+        /** No more lines follow. */
         void ended(String reason);
     }
 
     private final Executor executor;
     private final Listener listener;
     private final LineSplitter lines;
-    private final AtomicLong bytesReceived;
+    private final TrafficCounters traffic;
     private final CompletableFuture<Void> body = new CompletableFuture<>();
     private Flow.Subscription subscription;
     private boolean cancelled;
 
     /**
-     * @param maxLineBytes in bytes; a longer one ends the watch
-     * @param bytesReceived is increased by what comes
+     * @param maxLineBytes a longer line ends the watch
      */
     WatchSubscription(
-            Executor executor, Listener listener, int maxLineBytes, AtomicLong bytesReceived) {
+            Executor executor, Listener listener, int maxLineBytes, TrafficCounters traffic) {
         this.executor = executor;
         this.listener = listener;
         this.lines = new LineSplitter(maxLineBytes);
-        this.bytesReceived = bytesReceived;
+        this.traffic = traffic;
     }
 
     @Override
@@ -65,7 +65,7 @@
     }
 
     private void handle(List<ByteBuffer> buffers) {
-        bytesReceived.addAndGet(buffers.stream().mapToLong(ByteBuffer::remaining).sum());
+        traffic.addReceived(buffers.stream().mapToLong(ByteBuffer::remaining).sum());
         try {
             List<byte[]> completeLines = lines.split(buffers);
             completeLines.forEach(listener::line);
@@ -100,7 +100,7 @@
         listener.ended(reason);
     }
 
-    /** Ends the connection, or keeps it from beginning. */
+    /** Ends the connection, or keeps it from being opened. */
     synchronized void cancel() {
         cancelled = true;
         if (subscription != null) {
--- a/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import tinford.fleet.config.ApplyResult;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
 import tinford.fleet.follow.ConfigurationClient;
@@ -120,7 +121,7 @@
 
     /** On the configuration's thread. */
     @Override
-    public String apply(Configuration configuration, List<Change> changes) {
+    public ApplyResult apply(Configuration configuration, List<Change> changes) {
         Catalog catalog;
         try {
             catalog = catalogs.build(configuration);
@@ -129,7 +130,7 @@
                     Level.WARNING,
                     "configuration " + configuration.revision() + " refused: " + e.getMessage());
             enter.accept(() -> history.refused(configuration.revision(), e.getMessage()));
-            return e.getMessage();
+            return new ApplyResult.Rejected(e.getMessage());
         }
         CompletableFuture<Void> swapped = new CompletableFuture<>();
         enter.accept(
@@ -139,7 +140,7 @@
                 });
         await(swapped);
         writeSoon(WRITE_AFTER_MS);
-        return null;
+        return new ApplyResult.Applied();
     }
 
     /** Within a round: the one bounded step by which a configuration comes into force. */
--- a/fleet/src/test/java/tinford/fleet/config/FollowerHistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerHistoriesTest.java
@@ -207,7 +207,9 @@
             long before = follower.activeConfiguration().revision();
             boolean refuse = troubled && random.nextInt(6) == 0;
             refusals += refuse ? 1 : 0;
-            List<Action> actions = follower.applied(refuse ? "not here" : null, now);
+            ApplyResult result =
+                    refuse ? new ApplyResult.Rejected("not here") : new ApplyResult.Applied();
+            List<Action> actions = follower.applied(result, now);
             Configuration inForce = follower.activeConfiguration();
             assertTrue(inForce.revision() >= before, "seed " + seed + ": went back");
             assertEquals(
--- a/fleet/src/test/java/tinford/fleet/config/FollowerTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerTest.java
@@ -26,6 +26,7 @@
                     new Endpoint("east", "e1", 1),
                     new Endpoint("west", "w2", 1),
                     new Endpoint("east", "e2", 1));
+    private static final ApplyResult APPLIED = new ApplyResult.Applied();
     private static final byte[] HEARTBEAT = {};
     private static final SnapshotCodec SNAPSHOTS = new SnapshotCodec(Samples.FLEET);
 
@@ -79,7 +80,7 @@
         assertSame(follower.activeConfiguration(), Configuration.EMPTY, "until it is applied");
         assertSame(follower.receivedConfiguration(), apply.result());
         now += 1000;
-        Action.Report report = only(follower.applied(null, now), Action.Report.class);
+        Action.Report report = only(follower.applied(APPLIED, now), Action.Report.class);
         assertEquals(report.report().revision(), 1);
         assertNull(report.report().rejectionReason());
         assertSame(follower.activeConfiguration(), apply.result());
@@ -91,7 +92,7 @@
         Action.ApplySnapshot apply =
                 only(line(snapshot(Samples.basic())), Action.ApplySnapshot.class);
         assertEquals(apply.configuration().contentHash(), Samples.basic().contentHash());
-        follower.applied(null, now);
+        follower.applied(APPLIED, now);
         assertEquals(follower.activeConfiguration().revision(), 1);
     }
 
@@ -102,7 +103,7 @@
         assertEquals(line(update(1, 2, List.of(Samples.putService("a")))), List.of());
         assertEquals(line(update(2, 3, List.of(Samples.putService("b")))), List.of());
         assertEquals(line(update(3, 4, List.of(new Change.RemoveService("a")))), List.of());
-        Action.Apply apply = first(follower.applied(null, now), Action.Apply.class);
+        Action.Apply apply = first(follower.applied(APPLIED, now), Action.Apply.class);
         assertEquals(apply.update(), new Update(1, 4, List.of(Samples.putService("b"))));
         assertEquals(apply.result().revision(), 4);
         assertEquals(follower.activeConfiguration().revision(), 1);
@@ -115,10 +116,11 @@
         Configuration second = Samples.basic().with(2, List.of(Samples.putService("a")));
         assertEquals(line(snapshot(second)), List.of());
         assertEquals(line(update(2, 3, List.of(Samples.putService("b")))), List.of());
-        Action.ApplySnapshot apply = first(follower.applied(null, now), Action.ApplySnapshot.class);
+        Action.ApplySnapshot apply =
+                first(follower.applied(APPLIED, now), Action.ApplySnapshot.class);
         assertEquals(apply.configuration().revision(), 3);
         line(update(3, 4, List.of(Samples.putService("c"))));
-        Action.Apply next = first(follower.applied(null, now), Action.Apply.class);
+        Action.Apply next = first(follower.applied(APPLIED, now), Action.Apply.class);
         assertEquals(next.update(), new Update(3, 4, List.of(Samples.putService("c"))));
     }
 
@@ -126,10 +128,11 @@
     public void aRefusedRevisionLeavesTheLastInForceAndIsReported() {
         open();
         line(update(0, 1, Samples.basics()));
-        follower.applied(null, now);
+        follower.applied(APPLIED, now);
         line(update(1, 2, List.of(Samples.putService("a"))));
         now += 1000;
-        List<Action> actions = follower.applied("services.a: no such address", now);
+        List<Action> actions =
+                follower.applied(new ApplyResult.Rejected("services.a: no such address"), now);
         Action.Warn warn = first(actions, Action.Warn.class);
         assertEquals(warn.message(), "revision 2: services.a: no such address");
         Action.Report report = first(actions, Action.Report.class);
@@ -143,7 +146,7 @@
                         Action.Apply.class);
         assertEquals(next.update(), new Update(1, 3, List.of()));
         now += 1000;
-        Action.Report healed = only(follower.applied(null, now), Action.Report.class);
+        Action.Report healed = only(follower.applied(APPLIED, now), Action.Report.class);
         assertEquals(healed.report(), new FollowerReport("gateway-1", "east", 3, null));
     }
 
@@ -151,7 +154,7 @@
     public void afterARefusedSnapshotTheNextIsWhole() {
         open();
         line(snapshot(Samples.basic()));
-        follower.applied("no", now);
+        follower.applied(new ApplyResult.Rejected("no"), now);
         assertEquals(follower.activeConfiguration().revision(), 0);
         Action.ApplySnapshot next =
                 only(
@@ -246,7 +249,9 @@
         serveFor(Follower.STEADY_WATCH_MS + 1000);
         line(update(0, 1, Samples.basics()));
         assertNull(
-                first(follower.applied(null, now), Action.Report.class).report().rejectionReason());
+                first(follower.applied(APPLIED, now), Action.Report.class)
+                        .report()
+                        .rejectionReason());
     }
 
     @Test
@@ -379,7 +384,7 @@
         for (int i = 0; i < 100; i++) {
             now += 10;
             line(update(i, i + 1, List.of()));
-            actions.addAll(follower.applied(null, now));
+            actions.addAll(follower.applied(APPLIED, now));
             actions.addAll(follower.tick(now));
         }
         now += Follower.MIN_REPORT_GAP_MS;
@@ -394,7 +399,7 @@
         open();
         line(update(0, 1, Samples.basics()));
         follower.closed("ended", now);
-        assertEquals(follower.applied(null, now), List.of());
+        assertEquals(follower.applied(APPLIED, now), List.of());
         now += 1000;
         assertEquals(open().report().revision(), 1);
     }
@@ -404,7 +409,7 @@
         assertEquals(follower.opened(now), List.of());
         assertEquals(follower.line(new byte[] {'x'}, now), List.of());
         assertEquals(follower.closed("ended", now), List.of());
-        assertEquals(follower.applied(null, now), List.of());
+        assertEquals(follower.applied(APPLIED, now), List.of());
         follower.partialLine(now);
         only(follower.tick(now), Action.Connect.class);
     }
--- a/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
@@ -21,6 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import tinford.fleet.config.ApplyResult;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
 import tinford.fleet.config.ConfigurationCodec;
@@ -40,12 +41,12 @@
     private ScheduledExecutorService executor;
     private ScriptedControlServer near;
     private ScriptedControlServer far;
-    private volatile String refusal;
+    private volatile ApplyResult applyResult;
 
     @BeforeMethod
     public void prepare() throws Exception {
         applied.clear();
-        refusal = null;
+        applyResult = new ApplyResult.Applied();
         executor = Executors.newScheduledThreadPool(2);
         near = new ScriptedControlServer("near");
         far = new ScriptedControlServer("far");
@@ -77,11 +78,11 @@
         return client;
     }
 
-    private String apply(Configuration configuration, List<Change> changes) {
-        if (refusal == null) {
+    private ApplyResult apply(Configuration configuration, List<Change> changes) {
+        if (applyResult instanceof ApplyResult.Applied) {
             applied.add(configuration);
         }
-        return refusal;
+        return applyResult;
     }
 
     private Configuration nextApplied() throws InterruptedException {
@@ -242,13 +243,13 @@
     public void aRefusalIsReportedAndTheLastStays() throws Exception {
         ConfigurationClient client = follow(at(3), near);
         ScriptedControlServer.Watch watch = near.watch();
-        refusal = "routes.read: expected to be there";
+        applyResult = new ApplyResult.Rejected("routes.read: expected to be there");
         watch.send(update(3, 4));
         FollowerReport report = near.refusal();
         assertEquals(report.revision(), 3);
         assertTrue(report.rejectionReason().contains("routes.read"), report.rejectionReason());
         assertEquals(client.activeConfiguration().revision(), 3);
-        refusal = null;
+        applyResult = new ApplyResult.Applied();
         watch.send(update(4, 5));
         assertEquals(nextApplied().revision(), 5);
         assertNull(near.report(5).rejectionReason());
--- a/lab/src/main/java/tinford/lab/control/HollowFollower.java
+++ b/lab/src/main/java/tinford/lab/control/HollowFollower.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.ScheduledExecutorService;
+import tinford.fleet.config.ApplyResult;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
 import tinford.fleet.config.InvalidConfigurationException;
@@ -51,19 +52,19 @@
                             executor);
         }
 
-        private synchronized String apply(Configuration configuration, List<Change> changes) {
+        private synchronized ApplyResult apply(Configuration configuration, List<Change> changes) {
             if (over) {
-                return "process: expected one that is not stopped";
+                return new ApplyResult.Rejected("process: expected one that is not stopped");
             }
             String refused = refusedRoute;
             if (refused != null && configuration.routes().containsKey(refused)) {
                 String why =
                         "routes." + refused + ": expected a route that this follower can apply";
                 tell(Events.NOT_APPLIED, configuration, Events.WHY, why);
-                return why;
+                return new ApplyResult.Rejected(why);
             }
             tellApplied(configuration);
-            return null;
+            return new ApplyResult.Applied();
         }
 
         /** Nothing is applied afterwards. */
