--- a/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
+++ b/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
@@ -160,8 +160,9 @@
      * The one on the log's thread answers for snapshots; the one on the I/O thread follows it, and
      * holds it back where it can't.
      */
-    private ReplicatedLog.Reader reader(FleetStateMachine snapshotSource, IoThreadMailbox mailbox) {
-        return new ReplicatedLog.Reader() {
+    private ReplicatedLog.StateMachine reader(
+            FleetStateMachine snapshotSource, IoThreadMailbox mailbox) {
+        return new ReplicatedLog.StateMachine() {
             @Override
             public void apply(long index, byte[] entry) {
                 snapshotSource.apply(index, entry);
@@ -216,7 +217,7 @@
                 taken.whenComplete((index, e) -> left.countDown());
             }
         }
-        boolean leads = log != null && log.leads();
+        boolean leads = log != null && log.isLeader();
         if (leads != led) {
             led = leads;
             LOG.log(Level.INFO, leads ? "leads the fleet's log" : "leads the fleet's log no more");
@@ -229,7 +230,7 @@
         for (Server s : servers.values()) {
             if (told < OFFERS_A_ROUND && stateMachine.ledger.number(s.id) < 0) {
                 told++;
-                append(new LedgerEntry.Offer(s.id, (long) s.startedAtMs, offer, now).bytes());
+                append(new LedgerEntry.Offer(s.id, (long) s.startedAtMs(), offer, now).bytes());
             }
         }
         byte[] grant = proposer.propose(stateMachine.ledger, now);
--- a/fleet/src/test/java/tinford/fleet/run/MigrationCoordinatorTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MigrationCoordinatorTest.java
@@ -162,7 +162,7 @@
             s.log =
                     logs.open(
                             g + 1,
-                            new ReplicatedLog.Reader() {
+                            new ReplicatedLog.StateMachine() {
                                 @Override
                                 public void apply(long index, byte[] entry) {
                                     snapshotSource.apply(index, entry);
@@ -216,7 +216,7 @@
                     s.renews = now + LEASE / 3;
                     s.log.append(LeaseTable.renew(s.incarnation, now, LEASE));
                 }
-                s.mover.tick(now, s.log.leads());
+                s.mover.tick(now, s.log.isLeader());
                 load(s);
             }
             promise();
@@ -226,9 +226,8 @@
             for (String f : List.of("web", "mid", "base")) {
                 for (String group : List.of("a", "b")) {
                     Server srv = new Server(group);
-                    srv.group = group;
-                    srv.weight = 1;
-                    srv.state = Server.State.UP;
+                    srv.updateAttributes("", 0, group, 1);
+                    srv.updateState(Server.State.UP);
                     Request request =
                             new Request(
                                     1,
@@ -255,7 +254,7 @@
 
         private boolean goes(Seat s, String frontend, long customer, String group) {
             Server srv = new Server("promise " + group);
-            srv.group = group;
+            srv.updateAttributes("", 0, group, 0);
             return s.mover.mayGo(
                     new Request(
                             1, frontend(frontend), new Tenant(customer, null, 1, 0), 0, 1, false),
--- a/gateway/src/main/java/tinford/routing/ServerPool.java
+++ b/gateway/src/main/java/tinford/routing/ServerPool.java
@@ -69,9 +69,9 @@
         for (JsonFields e : hosts) {
             PooledServer b = backends.computeIfAbsent(e.text("host"), this::newBackend);
             b.listed = state(e);
-            b.state = state(b);
+            b.updateState(state(b));
             entries.add(b);
-            if (b.state == Server.State.REMOVED) {
+            if (b.state() == Server.State.REMOVED) {
                 continue; // of what is gone nothing else needs to be told
             }
             InetSocketAddress dial = Addresses.of(e, "dial");
@@ -81,21 +81,22 @@
             }
             b.dial = dial;
             b.listedBorn = born;
-            b.startedAtMs = bans.born(b.id, born);
-            b.zone = e.text("site");
-            b.cell = (int) e.integer("block", 0);
-            b.group = e.has("class") ? e.text("class") : "";
-            b.weight = e.number("share", 1);
+            b.updateStartTime(bans.born(b.id, born));
+            b.updateAttributes(
+                    e.text("site"),
+                    (int) e.integer("block", 0),
+                    e.has("class") ? e.text("class") : "",
+                    e.number("share", 1));
         }
         desk.in.endpointsUpdated(entries, whole);
         left.forEach(this::leave);
         Set<Server> named = new HashSet<>(entries);
         for (PooledServer b : whole ? new ArrayList<>(backends.values()) : inOrder(named)) {
             boolean absent = whole && !named.contains(b);
-            if (b.state != Server.State.UP || absent) {
+            if (b.state() != Server.State.UP || absent) {
                 leave(b);
             }
-            if (b.state == Server.State.REMOVED || absent) {
+            if (b.state() == Server.State.REMOVED || absent) {
                 backends.remove(b.id);
                 gone.add(b.id);
             }
@@ -128,11 +129,11 @@
     /** Takes a line of the operators' record. */
     void ban(String line) {
         PooledServer b = backends.get(bans.take(line));
-        if (b == null || b.state == state(b)) {
+        if (b == null || b.state() == state(b)) {
             return;
         }
-        b.state = state(b);
-        b.startedAtMs = bans.born(b.id, b.listedBorn);
+        b.updateState(state(b));
+        b.updateStartTime(bans.born(b.id, b.listedBorn));
         leave(b);
         desk.in.endpointsUpdated(List.of(b), false);
     }
@@ -164,7 +165,7 @@
     void carry(ServerAttempt d, PooledServer b, long patience) {
         ServerConnection link = rested(b);
         if (link == null) {
-            for (int n = desk.loop.descriptorBudget().shortage(DescriptorBudget.Party.SERVERS);
+            for (int n = desk.loop.descriptorBudget().shortage(DescriptorBudget.PeerKind.SERVERS);
                     n > 0;
                     n--) {
                 makeRoom();
@@ -176,7 +177,7 @@
                     && !b.idle.isEmpty()) { // one that has not rested gives its place
                 ServerConnection old = b.idle.peekLast();
                 old.next = link;
-                old.close(CloseReason.RETIRED);
+                old.close(CloseReason.CLOSED_IDLE);
             } else {
                 open(link);
             }
@@ -215,20 +216,20 @@
     private void makeRoom() {
         for (PooledServer b : backends.values()) {
             if (!b.idle.isEmpty()) {
-                b.idle.peekLast().close(CloseReason.RETIRED);
+                b.idle.peekLast().close(CloseReason.CLOSED_IDLE);
                 return;
             }
         }
     }
 
     void free(ServerConnection link) {
-        if (link.backend.state == Server.State.UP
+        if (link.backend.state() == Server.State.UP
                 && link.backend.links - link.backend.leaving
                         <= desk.view.connectionLimit(link.backend)) {
             link.idleSince = desk.now;
             link.backend.idle.addFirst(link);
         } else {
-            link.close(CloseReason.RETIRED);
+            link.close(CloseReason.CLOSED_IDLE);
         }
     }
 
@@ -238,7 +239,7 @@
         link.backend.opening.remove(link);
         // guards against connections that look idle and lead to a machine that is gone: none can be
         // opened to it
-        if (how == CloseReason.REFUSED || how == CloseReason.NEVER_UP) {
+        if (how == CloseReason.CONNECT_REFUSED || how == CloseReason.CONNECT_TIMEOUT) {
             retire(link.backend);
         }
     }
@@ -262,7 +263,7 @@
     public void trim() {
         for (PooledServer b : backends.values()) {
             while (b.links - b.leaving > desk.view.connectionLimit(b) && !b.idle.isEmpty()) {
-                b.idle.peekLast().close(CloseReason.RETIRED);
+                b.idle.peekLast().close(CloseReason.CLOSED_IDLE);
             }
         }
     }
@@ -274,13 +275,13 @@
     private void leave(PooledServer b) {
         retire(b);
         for (ServerConnection link : new ArrayList<>(b.opening)) {
-            link.close(CloseReason.DROPPED);
+            link.close(CloseReason.CANCELLED);
         }
     }
 
     void retire(PooledServer b) {
         while (!b.idle.isEmpty()) {
-            b.idle.peekFirst().close(CloseReason.RETIRED);
+            b.idle.peekFirst().close(CloseReason.CLOSED_IDLE);
         }
     }
 
@@ -288,13 +289,13 @@
     private void sweep() {
         for (PooledServer b : backends.values()) {
             while (!b.idle.isEmpty() && desk.now - b.idle.peekLast().idleSince > 0.75 * idleMost) {
-                b.idle.peekLast().close(CloseReason.RETIRED);
+                b.idle.peekLast().close(CloseReason.CLOSED_IDLE);
             }
         }
         desk.loop.schedule(idleMost / 16, this::sweep);
     }
 
     double[] report(String load) {
-        return loadNames.isEmpty() ? null : UsageReport.values(load, loadNames);
+        return loadNames.isEmpty() ? null : UsageReport.loadReport(load, loadNames);
     }
 }
--- a/gateway/src/test/java/tinford/routing/RoutingTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingTest.java
@@ -34,17 +34,17 @@
     @DataProvider
     public Object[][] ends() {
         return new Object[][] {
-            {CloseReason.REFUSED, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
-            {CloseReason.NEVER_UP, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
-            {CloseReason.NO_ROOM, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
-            {CloseReason.BROKEN, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.ENDED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.MALFORMED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.OVERFULL, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.RETIRED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.SILENT, AttemptOutcome.UNREACHABLE, AttemptOutcome.TIMED_OUT},
-            {CloseReason.PASSED_BY, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.DROPPED, AttemptOutcome.NOT_SENT, AttemptOutcome.CANCELLED},
+            {CloseReason.CONNECT_REFUSED, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
+            {CloseReason.CONNECT_TIMEOUT, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
+            {CloseReason.NO_DESCRIPTOR, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
+            {CloseReason.IO_ERROR, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.CLOSED_BY_PEER, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.PROTOCOL_ERROR, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.BUFFER_LIMIT_EXCEEDED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.CLOSED_IDLE, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.RESPONSE_TIMEOUT, AttemptOutcome.UNREACHABLE, AttemptOutcome.TIMED_OUT},
+            {CloseReason.STALLED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.CANCELLED, AttemptOutcome.NOT_SENT, AttemptOutcome.CANCELLED},
         };
     }
 
@@ -55,11 +55,11 @@
         assertEquals(OutcomeMapping.ofDispatch(how, true), after);
         assertEquals(
                 OutcomeMapping.ofCall(how, false),
-                how == CloseReason.SILENT ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE);
+                how == CloseReason.RESPONSE_TIMEOUT ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE);
         // only silence in the whole of a call's time tells of what the counter bears
         assertEquals(
                 OutcomeMapping.ofCall(how, true),
-                how == CloseReason.SILENT
+                how == CloseReason.RESPONSE_TIMEOUT
                         ? AttemptOutcome.TIMED_OUT
                         : after.mayHaveRun
                                 ? AttemptOutcome.CONNECTION_LOST
@@ -371,7 +371,7 @@
                 s.getInputStream().readNBytes(41);
                 s.getOutputStream().write("$1\r\n7\r\n".getBytes(StandardCharsets.US_ASCII));
                 assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 late 4.0");
-                assertEquals(counted.poll(10, TimeUnit.SECONDS), "2 GOOD 7.0");
+                assertEquals(counted.poll(10, TimeUnit.SECONDS), "2 SUCCESS 7.0");
             }
             desk.loop.close();
         }
@@ -417,12 +417,12 @@
                 try (Socket after = next.accept()) {
                     before.getOutputStream()
                             .write("$1\r\n4\r\n".getBytes(StandardCharsets.US_ASCII));
-                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 GOOD 4.0");
+                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 SUCCESS 4.0");
                     assertEquals(before.getInputStream().read(), -1);
                     after.getInputStream().readNBytes(41);
                     after.getOutputStream()
                             .write("$1\r\n6\r\n".getBytes(StandardCharsets.US_ASCII));
-                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 GOOD 6.0");
+                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 SUCCESS 6.0");
                 }
             }
             desk.loop.close();
@@ -481,15 +481,15 @@
                 s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
                 assertEquals(
                         counted.poll(10, TimeUnit.SECONDS),
-                        answers == 2 ? "1 GOOD 5.0" : "1 BROKEN 0.0");
+                        answers == 2 ? "1 SUCCESS 5.0" : "1 CONNECTION_LOST 0.0");
                 assertEquals(
                         counted.poll(10, TimeUnit.SECONDS),
-                        answers == 2 ? "2 GOOD 6.0" : "2 BROKEN 0.0");
+                        answers == 2 ? "2 SUCCESS 6.0" : "2 CONNECTION_LOST 0.0");
                 try (Socket next = door.accept()) {
                     desk.loop.execute(() -> counter.add(3, 1, 1000));
                     next.getInputStream().readNBytes(41);
                     next.getOutputStream().write("$1\r\n8\r\n".getBytes(StandardCharsets.US_ASCII));
-                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "3 GOOD 8.0");
+                    assertEquals(counted.poll(10, TimeUnit.SECONDS), "3 SUCCESS 8.0");
                 }
             }
             desk.loop.close();
