--- a/gateway/src/test/java/tinford/decision/DecisionFixture.java
+++ b/gateway/src/test/java/tinford/decision/DecisionFixture.java
@@ -9,59 +9,6 @@
 
 /** A gateway with its decisions written down as text, one line each; time moves only when told. */
 public final class DecisionFixture implements GatewayActions {
-    /** Hears everything and does nothing. */
-    public static class Deaf implements GatewayEvents {
-        @Override
-        public void started() {}
-
-        @Override
-        public void takeoverStarted() {}
-
-        @Override
-        public void drainingStarted() {}
-
-        @Override
-        public void endpointsUpdated(List<Server> entries, boolean whole) {}
-
-        @Override
-        public void discoveryFailed() {}
-
-        @Override
-        public void requestArrived(Request req) {}
-
-        @Override
-        public void responseStarted(Request req, int hop) {}
-
-        @Override
-        public void attemptEnded(
-                Request req,
-                int hop,
-                AttemptOutcome how,
-                double took,
-                boolean closed,
-                int seenUse,
-                double settled,
-                double[] load) {}
-
-        @Override
-        public void clientDisconnected(Request req) {}
-
-        @Override
-        public void timerFired(long token) {}
-
-        @Override
-        public void healthCheckEnded(Server srv, AttemptOutcome how, double took, double[] load) {}
-
-        @Override
-        public void gossipReceived(int peer, String text) {}
-
-        @Override
-        public void counterAnswered(long name, AttemptOutcome how, double took, double total) {}
-
-        @Override
-        public void counterAnsweredLate(long name, double total) {}
-    }
-
     static final SlowStartRules RULES = new SlowStartRules(0.3, 10_000, 2, 1000);
     final List<String> said = new ArrayList<>();
     final Map<String, Server> servers = new HashMap<>();
--- a/gateway/src/test/java/tinford/routing/CatalogTest.java
+++ b/gateway/src/test/java/tinford/routing/CatalogTest.java
@@ -18,10 +18,10 @@
 import tinford.api.Idempotency;
 import tinford.api.Plan;
 import tinford.api.RequestClass;
-import tinford.decision.DecisionFixture;
 import tinford.protocol.ClientCommand;
 import tinford.protocol.ProtocolException;
 import tinford.protocol.RespReader;
+import tinford.testing.IgnoredEvents;
 
 /** What clients may ask for, and how another catalog comes into force. No connection is opened. */
 public class CatalogTest {
@@ -57,7 +57,7 @@
                 new RequestDispatcher(
                         (now, feed, out) ->
                                 feed.replay(
-                                        new DecisionFixture.Deaf() {
+                                        new IgnoredEvents() {
                                             @Override
                                             public void plansChanged(Set<Plan> plans) {
                                                 told.addAll(plans);
--- a/gateway/src/test/java/tinford/routing/ClosingTest.java
+++ b/gateway/src/test/java/tinford/routing/ClosingTest.java
@@ -33,7 +33,7 @@
 import tinford.api.Plan;
 import tinford.api.Request;
 import tinford.api.RequestClass;
-import tinford.decision.DecisionFixture;
+import tinford.testing.IgnoredEvents;
 import tinford.transport.CloseReason;
 import tinford.transport.Connection;
 import tinford.transport.DescriptorBudget;
@@ -70,7 +70,7 @@
                 (now, feed, to) -> {
                     out = to;
                     feed.replay(
-                            new DecisionFixture.Deaf() {
+                            new IgnoredEvents() {
                                 @Override
                                 public void requestArrived(Request req) {
                                     heard.add(req.id);
--- a/gateway/src/test/java/tinford/routing/LeavingTest.java
+++ b/gateway/src/test/java/tinford/routing/LeavingTest.java
@@ -32,8 +32,8 @@
 import tinford.api.Request;
 import tinford.api.RequestClass;
 import tinford.api.Server;
-import tinford.decision.DecisionFixture;
 import tinford.settings.JsonFields;
+import tinford.testing.IgnoredEvents;
 
 /**
  * Clients that go and servers that leave while something still waits: what is heard of it, and what
@@ -77,7 +77,7 @@
                 (now, feed, out) -> {
                     writer = out;
                     feed.replay(
-                            new DecisionFixture.Deaf() {
+                            new IgnoredEvents() {
                                 @Override
                                 public void endpointsUpdated(List<Server> entries, boolean whole) {
                                     first = first == null ? entries.get(0) : first;
--- a/gateway/src/test/java/tinford/routing/RoutingTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingTest.java
@@ -25,7 +25,7 @@
 import tinford.api.Plan;
 import tinford.api.Request;
 import tinford.api.RequestClass;
-import tinford.decision.DecisionFixture;
+import tinford.testing.IgnoredEvents;
 import tinford.transport.CloseReason;
 import tinford.transport.EventLoop;
 
@@ -132,7 +132,7 @@
         DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new DecisionFixture.Deaf() {
+                                new IgnoredEvents() {
                                     @Override
                                     public void gossipReceived(int peer, String text) {
                                         heard.add(peer + " " + text);
@@ -181,7 +181,7 @@
         DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new DecisionFixture.Deaf() {
+                                new IgnoredEvents() {
                                     @Override
                                     public void requestArrived(Request req) {
                                         out.fail(req);
@@ -280,7 +280,7 @@
         DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new DecisionFixture.Deaf() {
+                                new IgnoredEvents() {
                                     @Override
                                     public void requestArrived(Request req) {
                                         out.fail(req);
@@ -350,7 +350,7 @@
         DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new DecisionFixture.Deaf() {
+                                new IgnoredEvents() {
                                     @Override
                                     public void counterAnswered(
                                             long name,
@@ -401,7 +401,7 @@
         DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new DecisionFixture.Deaf() {
+                                new IgnoredEvents() {
                                     @Override
                                     public void counterAnswered(
                                             long name,
@@ -469,7 +469,7 @@
         DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new DecisionFixture.Deaf() {
+                                new IgnoredEvents() {
                                     @Override
                                     public void counterAnswered(
                                             long name,
@@ -519,10 +519,7 @@
         }
         RequestDispatcher desk =
                 new RequestDispatcher(
-                        (now, feed, out) -> feed.replay(new DecisionFixture.Deaf()),
-                        3,
-                        10,
-                        1 << 20);
+                        (now, feed, out) -> feed.replay(new IgnoredEvents()), 3, 10, 1 << 20);
         CounterClient counter =
                 new CounterClient(
                         desk,
--- a/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
+++ b/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
@@ -30,8 +30,8 @@
 import tinford.api.Request;
 import tinford.api.RequestClass;
 import tinford.api.Server;
-import tinford.decision.DecisionFixture;
 import tinford.settings.JsonFields;
+import tinford.testing.IgnoredEvents;
 
 /**
  * What comes from a server in the very turn in which something ends, or begins, here; dispatches
@@ -57,8 +57,8 @@
         door = new ServerSocket(0, 5, here);
         door.setSoTimeout(10_000);
         open.add(door);
-        DecisionFixture.Deaf inbox =
-                new DecisionFixture.Deaf() {
+        IgnoredEvents inbox =
+                new IgnoredEvents() {
                     @Override
                     public void endpointsUpdated(List<Server> entries, boolean whole) {
                         srv = entries.get(0);
--- a/gateway/src/test/java/tinford/routing/ServersListTest.java
+++ b/gateway/src/test/java/tinford/routing/ServersListTest.java
@@ -22,8 +22,8 @@
 import org.testng.annotations.Test;
 import tinford.api.FleetPolicy;
 import tinford.api.Server;
-import tinford.decision.DecisionFixture;
 import tinford.settings.JsonFields;
+import tinford.testing.IgnoredEvents;
 
 /** The table of servers under lists: what is left and in which order, and whose names are known. */
 public class ServersListTest {
@@ -45,8 +45,8 @@
         for (int i = 0; i < 2; i++) {
             open.add(new Socket(full.getInetAddress(), full.getLocalPort()));
         }
-        DecisionFixture.Deaf inbox =
-                new DecisionFixture.Deaf() {
+        IgnoredEvents inbox =
+                new IgnoredEvents() {
                     @Override
                     public void endpointsUpdated(List<Server> entries, boolean whole) {
                         entries.forEach(entry -> held.put(entry.id, (PooledServer) entry));
--- a/gateway/src/test/java/tinford/routing/WatchBed.java
+++ b/gateway/src/test/java/tinford/routing/WatchBed.java
@@ -25,8 +25,8 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import tinford.api.Server;
-import tinford.decision.DecisionFixture;
 import tinford.settings.JsonFields;
+import tinford.testing.IgnoredEvents;
 import tinford.transport.UdpSocket;
 
 /** A watch and a discovery that is played step by step, on real connections and in driven time. */
@@ -223,8 +223,8 @@
     }
 
     void start(long seed) throws Exception {
-        DecisionFixture.Deaf inbox =
-                new DecisionFixture.Deaf() {
+        IgnoredEvents inbox =
+                new IgnoredEvents() {
                     @Override
                     public void endpointsUpdated(List<Server> entries, boolean whole) {
                         if (whole) {
