--- /dev/null
+++ b/gateway/src/test/java/tinford/decision/AttemptGuardTest.java
@@ -0,0 +1,83 @@
+package tinford.decision;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+import static tinford.decision.DecisionFixture.FAIL_CLOSED_PLAN;
+import static tinford.decision.DecisionFixture.READ;
+import static tinford.decision.DecisionFixture.attemptedServers;
+import static tinford.decision.DecisionFixture.attempts;
+import static tinford.decision.DecisionFixture.plan;
+import static tinford.decision.DecisionFixture.takesBack;
+import static tinford.decision.DecisionFixture.tenant;
+
+import java.util.List;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import tinford.api.Request;
+import tinford.api.Server;
+import tinford.api.Tenant;
+
+/** Attempts that the rules do not allow are not sent. */
+public class AttemptGuardTest {
+    /** A request whose client is known to have disconnected, or not. */
+    private static Request request(DecisionFixture gateway, boolean clientGone) {
+        Tenant tenant = tenant(FAIL_CLOSED_PLAN);
+        return new Request(7, READ, tenant, gateway.nowMs + 8000, 1, false) {
+            @Override
+            public boolean clientGone() {
+                return clientGone;
+            }
+        };
+    }
+
+    /** The front may know that the client is gone before it reports the event. */
+    @Test
+    public void nothingIsSentForADisconnectedClient() {
+        for (boolean clientGone : new boolean[] {true, false}) {
+            DecisionFixture gateway = new DecisionFixture();
+            Request request = request(gateway, clientGone);
+            List<String> actions = gateway.arrive(request, 0, 1);
+            assertEquals(attempts(actions), clientGone ? 0 : 1);
+            actions.addAll(gateway.handle(events -> events.clientDisconnected(request)));
+            assertEquals(takesBack(actions, 1), clientGone, actions.toString());
+        }
+    }
+
+    /** State of the server, whether the full endpoint list still has it. */
+    @DataProvider
+    Object[][] leavingServers() {
+        return new Object[][] {
+            {Server.State.DRAINING, true},
+            {Server.State.REMOVED, true},
+            {Server.State.UP, false}
+        };
+    }
+
+    @Test(dataProvider = "leavingServers")
+    public void noAttemptIsSentToALeavingServer(Server.State state, boolean listed) {
+        DecisionFixture gateway = new DecisionFixture();
+        gateway.listServers("s1", "s2");
+        Server remaining = gateway.server("s1");
+        Server leaving = gateway.server("s2");
+        leaving.updateState(state);
+        List<Server> entries = listed ? List.of(remaining, leaving) : List.of(remaining);
+        gateway.handle(events -> events.endpointsUpdated(entries, true));
+        for (int i = 1; i <= 10; i++) {
+            Request request = gateway.request(tenant(FAIL_CLOSED_PLAN), READ, 1);
+            List<String> actions = gateway.arrive(request, 0, 1);
+            assertFalse(attemptedServers(actions).contains("s2"), actions.toString());
+        }
+    }
+
+    @Test
+    public void openRequestsStayWithinThePlansLimit() {
+        DecisionFixture gateway = new DecisionFixture();
+        Tenant tenant = tenant(plan(0, 1, 2, 0));
+        long admitted = 0;
+        for (int i = 1; i <= 6; i++) {
+            admitted += attempts(gateway.arrive(gateway.request(tenant, READ, 1), 0, i));
+        }
+        assertTrue(admitted >= 1 && admitted <= 2, "admitted: " + admitted);
+    }
+}
--- a/gateway/src/test/java/tinford/decision/DecisionFixture.java
+++ b/gateway/src/test/java/tinford/decision/DecisionFixture.java
@@ -5,217 +5,380 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import tinford.api.*;
-
-/** A gateway with its decisions written down as text, one line each; time moves only when told. */
+import tinford.api.AttemptLimits;
+import tinford.api.AttemptOutcome;
+import tinford.api.CounterSettings;
+import tinford.api.DeduplicationScope;
+import tinford.api.GatewayActions;
+import tinford.api.GatewayEvents;
+import tinford.api.GatewayIdentity;
+import tinford.api.Idempotency;
+import tinford.api.Objectives;
+import tinford.api.Plan;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.api.Server;
+import tinford.api.SlowStartRules;
+import tinford.api.Tenant;
+
+/**
+ * A decision engine whose actions are recorded as text, one line each: the kind of action and its
+ * arguments. Time passes only when a test advances it.
+ */
 public final class DecisionFixture implements GatewayActions {
-    static final SlowStartRules RULES = new SlowStartRules(0.3, 10_000, 2, 1000);
-    final List<String> said = new ArrayList<>();
-    final Map<String, Server> servers = new HashMap<>();
-    final DecisionEngine gateway;
-    double now = 100_000;
-    double cap;
-    double within;
-    private long ids;
+    static final String ATTEMPT = "attempt ";
+    static final String REJECT = "reject ";
+    static final String FAIL = "fail ";
+    static final String SET_TIMER = "set-timer";
+    static final String CLOSE_IDLE = "close-idle";
+    static final String WATCH = "watch ";
+
+    /** A fail-closed plan: units beyond its quota earn nothing and cost their weight. */
+    static final Plan FAIL_CLOSED_PLAN = plan(0, 1, 0, 0);
+
+    /** A fail-open plan: units beyond its quota earn something and cost nothing. */
+    static final Plan FAIL_OPEN_PLAN = plan(0.2, 0, 0, 0);
+
+    /** A plan with a quota that the tests do not exhaust. */
+    static final Plan LARGE_PLAN = new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0);
+
+    static final RequestClass READ = requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+
+    /** Timer of the engine's periodic work, and the interval at which the fixture fires it. */
+    private static final int PERIODIC_TIMER = 1;
+
+    private static final double TIMER_INTERVAL_MS = 50;
 
-    DecisionFixture(AttemptLimits limits, boolean counter, boolean mustAsk) {
-        this(limits, counter, mustAsk, 2);
+    private static final String INCREMENT = "increment ";
+    private static final String[] THREE_SERVERS = {"s1", "s2", "s3"};
+
+    /** The actions of the last batch. */
+    final List<String> actions = new ArrayList<>();
+
+    double nowMs = 100_000;
+
+    /** Arguments of the last attempt. */
+    double lastTimeoutMs;
+
+    double lastSendWithinMs;
+
+    private final Map<String, Server> servers = new HashMap<>();
+    private final DecisionEngine engine;
+    private long nextRequestId;
+
+    /** A call to the shared counter. */
+    record CounterIncrement(long counterKey, double amount) {
+        /** Whether the call only reads the total. */
+        boolean isRead() {
+            return amount == 0;
+        }
+
+        private static CounterIncrement parse(String action) {
+            String[] words = action.split(" ");
+            return new CounterIncrement(Long.parseLong(words[1]), Double.parseDouble(words[2]));
+        }
+    }
+
+    DecisionFixture(AttemptLimits limits, boolean counterPresent, boolean watchRequired) {
+        this(limits, counterPresent, watchRequired, 2);
     }
 
-    DecisionFixture(AttemptLimits limits, boolean counter, boolean mustAsk, int gateways) {
-        gateway =
+    DecisionFixture(
+            AttemptLimits limits, boolean counterPresent, boolean watchRequired, int gatewayCount) {
+        engine =
                 new DecisionEngine(
                         7,
-                        new GatewayIdentity(0, gateways, "a", 1),
+                        new GatewayIdentity(0, gatewayCount, "a", 1),
                         limits,
-                        RULES,
-                        new CounterSettings(counter, 50, 6, true),
+                        new SlowStartRules(0.3, 10_000, 2, 1000),
+                        new CounterSettings(counterPresent, 50, 6, true),
                         new Objectives(0.7, 0.3),
-                        mustAsk);
-        play(GatewayEvents::started);
+                        watchRequired);
+        handle(GatewayEvents::started);
     }
 
+    /** A gateway of two, with a shared counter and three servers. */
     DecisionFixture() {
         this(limits(false), true, false);
-        list("s1", "s2", "s3");
+        listServers(THREE_SERVERS);
     }
 
-    static AttemptLimits limits(boolean duplicate) {
-        return new AttemptLimits(3, duplicate, true, true, true, 1000);
+    /** A gateway of two without a shared counter, with three servers. */
+    static DecisionFixture withoutCounter() {
+        DecisionFixture fixture = new DecisionFixture(limits(false), false, false);
+        fixture.listServers(THREE_SERVERS);
+        return fixture;
     }
 
-    static Plan plan(double beyondValue, double beyondCost, int maxOut, double ceiling) {
+    static AttemptLimits limits(boolean hedgingAllowed) {
+        return new AttemptLimits(3, hedgingAllowed, true, true, true, 1000);
+    }
+
+    /**
+     * A plan with a quota of 2 units per second and a burst of 10 units.
+     *
+     * @param hardLimitPerS hard rate limit in units per second, or 0; it holds 5 s of that
+     */
+    static Plan plan(
+            double overQuotaWeight,
+            double overQuotaCost,
+            int maxOpenRequests,
+            double hardLimitPerS) {
         return new Plan(
-                "p", 0.002, 10, maxOut, 1, beyondValue, beyondCost, ceiling / 1000, 5 * ceiling, 1);
+                "p",
+                0.002,
+                10,
+                maxOpenRequests,
+                1,
+                overQuotaWeight,
+                overQuotaCost,
+                hardLimitPerS / 1000,
+                5 * hardLimitPerS,
+                1);
     }
 
-    static RequestClass frontend(Idempotency effect, DeduplicationScope group) {
-        return new RequestClass("f", 2000, 8000, 1, 0, effect, group, 3000, false);
+    /** A class with a latency objective of 2 s, a timeout of 8 s and a deduplication of 3 s. */
+    static RequestClass requestClass(Idempotency idempotency, DeduplicationScope scope) {
+        return new RequestClass("f", 2000, 8000, 1, 0, idempotency, scope, 3000, false);
     }
 
-    static Tenant customer(Plan plan) {
+    /** A tenant of the plan with requests at two gateways. */
+    static Tenant tenant(Plan plan) {
         return new Tenant(5, plan, 2, 0);
     }
 
-    List<String> play(Consumer<GatewayEvents> input) {
-        said.clear();
-        gateway.handleBatch(now, input::accept, this);
-        return said;
+    /** Handles a batch of events and returns its actions. */
+    List<String> handle(Consumer<GatewayEvents> events) {
+        actions.clear();
+        engine.handleBatch(nowMs, events::accept, this);
+        return new ArrayList<>(actions);
     }
 
-    /** Lets time pass with the gateway's timer running. */
-    List<String> pass(double ms) {
+    /** Lets time pass while the engine's periodic timer fires. */
+    List<String> advance(double durationMs) {
         List<String> all = new ArrayList<>();
-        for (double end = now + ms; now < end; ) {
-            now = Math.min(end, now + 50);
-            all.addAll(play(in -> in.timerFired(1)));
+        double endMs = nowMs + durationMs;
+        while (nowMs < endMs) {
+            nowMs = Math.min(endMs, nowMs + TIMER_INTERVAL_MS);
+            all.addAll(handle(events -> events.timerFired(PERIODIC_TIMER)));
         }
         return all;
     }
 
-    void list(String... ids) {
+    /** Makes these servers the full endpoint list. */
+    void listServers(String... ids) {
         List<Server> entries = new ArrayList<>();
-        for (String id : ids) entries.add(srv(id));
-        play(in -> in.endpointsUpdated(entries, true));
-    }
-
-    Server srv(String id) {
-        return servers.computeIfAbsent(
-                id,
-                k -> {
-                    Server s = new Server(k);
-                    s.updateAttributes(
-                            k.startsWith("z") ? "b" : "a", k.startsWith("s1") ? 1 : 2, "", 0);
-                    s.updateState(Server.State.UP);
-                    return s;
-                });
+        for (String id : ids) {
+            entries.add(server(id));
+        }
+        handle(events -> events.endpointsUpdated(entries, true));
     }
 
-    Request req(Tenant c, RequestClass f, double units) {
-        return new Request(ids++, f, c, now + f.timeoutMs, units, false);
+    /**
+     * Returns the server with this id. The first letter decides its zone ("z" differs), "s1" at the
+     * start its cell.
+     */
+    Server server(String id) {
+        return servers.computeIfAbsent(id, DecisionFixture::newServer);
+    }
+
+    private static Server newServer(String id) {
+        Server server = new Server(id);
+        String zone = id.startsWith("z") ? "b" : "a";
+        int cell = id.startsWith("s1") ? 1 : 2;
+        server.updateAttributes(zone, cell, "", 0);
+        server.updateState(Server.State.UP);
+        return server;
+    }
+
+    /** Returns a new request that has not arrived yet. */
+    Request request(Tenant tenant, RequestClass requestClass, double units) {
+        double deadlineMs = nowMs + requestClass.timeoutMs;
+        return new Request(nextRequestId++, requestClass, tenant, deadlineMs, units, false);
+    }
+
+    /** Lets a request arrive and returns the actions; calls to the counter stay open. */
+    List<String> arrive(Request request) {
+        return handle(events -> events.requestArrived(request));
     }
 
     /**
-     * Brings a req and answers its calls to the counter with the given totals: of the window
-     * before, of this one.
+     * Lets a request arrive and answers its calls to the counter.
+     *
+     * @param previousTotal total of the previous window
+     * @param currentTotal total of the current window
+     * @return the actions of all batches
      */
-    List<String> ask(Request req, double before, double total) {
-        List<String> all = new ArrayList<>(play(in -> in.requestArrived(req)));
-        for (List<String> calls = all; count(calls, "add ") > 0; all.addAll(calls))
-            calls = answers(calls, before, total);
+    List<String> arrive(Request request, double previousTotal, double currentTotal) {
+        List<String> all = arrive(request);
+        List<String> batch = all;
+        while (!increments(batch).isEmpty()) {
+            batch = answerCounter(batch, previousTotal, currentTotal);
+            all.addAll(batch);
+        }
         return all;
     }
 
     /**
-     * Answers calls with totals; taking back and reading the window before are told by the amount.
+     * Answers the calls to the counter among the actions; reads get the previous window's total.
      */
-    List<String> answers(List<String> calls, double before, double total) {
-        List<String> asked = new ArrayList<>(calls);
-        return new ArrayList<>(
-                play(
-                        in -> {
-                            for (String s : asked) {
-                                if (!s.startsWith("add ")) continue;
-                                String[] w = s.split(" ");
-                                boolean reads = Double.parseDouble(w[2]) == 0;
-                                in.counterAnswered(
-                                        Long.parseLong(w[1]),
-                                        AttemptOutcome.SUCCESS,
-                                        1,
-                                        reads ? before : total);
-                            }
-                        }));
-    }
-
-    /** Ends each call of the last round on the counter this way. */
-    List<String> counterEnds(AttemptOutcome how) {
-        List<String> asked = new ArrayList<>(said);
-        return play(
-                in -> {
-                    for (String s : asked) {
-                        if (s.startsWith("add "))
-                            in.counterAnswered(Long.parseLong(s.split(" ")[1]), how, 50, 0);
+    List<String> answerCounter(List<String> calls, double previousTotal, double currentTotal) {
+        List<CounterIncrement> increments = increments(calls);
+        return handle(
+                events -> {
+                    for (CounterIncrement call : increments) {
+                        events.counterAnswered(
+                                call.counterKey(),
+                                AttemptOutcome.SUCCESS,
+                                1,
+                                call.isRead() ? previousTotal : currentTotal);
                     }
                 });
     }
 
-    List<String> ends(Request req, int hop, AttemptOutcome how, boolean closed) {
-        return play(in -> in.attemptEnded(req, hop, how, 100, closed, 0, 0, null));
+    /** Ends the last batch's calls to the counter without a total. */
+    List<String> failCounterCalls(AttemptOutcome outcome) {
+        List<CounterIncrement> increments = increments(actions);
+        return handle(
+                events -> {
+                    for (CounterIncrement call : increments) {
+                        events.counterAnswered(call.counterKey(), outcome, 50, 0);
+                    }
+                });
+    }
+
+    /** Ends an attempt after 100 ms. */
+    List<String> endAttempt(
+            Request request, int attempt, AttemptOutcome outcome, boolean requestEnded) {
+        return endAttempt(request, attempt, outcome, 100, requestEnded);
+    }
+
+    List<String> endAttempt(
+            Request request,
+            int attempt,
+            AttemptOutcome outcome,
+            double tookMs,
+            boolean requestEnded) {
+        return handle(
+                events ->
+                        events.attemptEnded(
+                                request, attempt, outcome, tookMs, requestEnded, 0, 0, null));
+    }
+
+    /** Ends a request with the success of its first attempt after 100 ms. */
+    void succeed(Request request) {
+        endAttempt(request, 0, AttemptOutcome.SUCCESS, true);
+    }
+
+    /** Ends a request with the success of its first attempt. */
+    void succeed(Request request, double tookMs) {
+        endAttempt(request, 0, AttemptOutcome.SUCCESS, tookMs, true);
+    }
+
+    /** Number of tenants, servers and counter calls that the engine keeps state of. */
+    int trackedEntries() {
+        return engine.trackedEntries();
+    }
+
+    /** Number of plans that the engine keeps state of. */
+    int trackedPlans() {
+        return engine.trackedPlans();
+    }
+
+    static long count(List<String> actions, String kind) {
+        return actions.stream().filter(action -> action.startsWith(kind)).count();
+    }
+
+    /** Number of attempts among the actions. */
+    static long attempts(List<String> actions) {
+        return count(actions, ATTEMPT);
+    }
+
+    /** Number of rejections among the actions. */
+    static long rejections(List<String> actions) {
+        return count(actions, REJECT);
     }
 
-    /** How many customers, servers and calls the gateway keeps notes of. */
-    int kept() {
-        return gateway.trackedEntries();
+    /** The servers of the attempts among the actions, in their order. */
+    static List<String> attemptedServers(List<String> actions) {
+        return actions.stream()
+                .filter(action -> action.startsWith(ATTEMPT))
+                .map(action -> action.split(" ")[2])
+                .toList();
     }
 
-    /** How many plans the gateway keeps notes of. */
-    int plansKept() {
-        return gateway.trackedPlans();
+    /** The calls to the counter among the actions, in their order. */
+    static List<CounterIncrement> increments(List<String> actions) {
+        return actions.stream()
+                .filter(action -> action.startsWith(INCREMENT))
+                .map(CounterIncrement::parse)
+                .toList();
     }
 
-    static long count(List<String> said, String start) {
-        return said.stream().filter(s -> s.startsWith(start)).count();
+    /** Whether a call to the counter takes so many units back. */
+    static boolean takesBack(List<String> actions, double units) {
+        return increments(actions).stream().anyMatch(call -> call.amount() == -units);
     }
 
     @Override
-    public void sendAttempt(Request req, Server srv, double cap, double within) {
-        this.cap = cap;
-        this.within = within;
-        said.add("dispatch " + req.id + " " + srv.id);
+    public void sendAttempt(Request request, Server server, double timeoutMs, double sendWithinMs) {
+        lastTimeoutMs = timeoutMs;
+        lastSendWithinMs = sendWithinMs;
+        actions.add(ATTEMPT + request.id + " " + server.id);
     }
 
     @Override
-    public void cancelAttempt(Request req, int hop) {
-        said.add("cancel " + req.id + " " + hop);
+    public void cancelAttempt(Request request, int attempt) {
+        actions.add("cancel " + request.id + " " + attempt);
     }
 
     @Override
-    public void reject(Request req, double retryAfter) {
-        said.add("deny " + req.id + " " + Math.round(retryAfter));
+    public void reject(Request request, double retryAfterMs) {
+        actions.add(REJECT + request.id + " " + Math.round(retryAfterMs));
     }
 
     @Override
-    public void fail(Request req) {
-        said.add("abort " + req.id);
+    public void fail(Request request) {
+        actions.add(FAIL + request.id);
     }
 
     @Override
-    public void setTimer(long token, double wait) {
-        said.add("alarm");
+    public void setTimer(long token, double delayMs) {
+        actions.add(SET_TIMER);
     }
 
     @Override
-    public void sendHealthCheck(Server srv) {
-        said.add("probe");
+    public void sendHealthCheck(Server server) {
+        actions.add("health-check");
     }
 
     @Override
-    public void closeIdleConnections(Server srv) {
-        said.add("close");
+    public void closeIdleConnections(Server server) {
+        actions.add(CLOSE_IDLE);
     }
 
     @Override
     public void sendGossip(int peer, String text) {
-        said.add("tell " + peer + " " + text);
+        actions.add("gossip " + peer + " " + text);
     }
 
     @Override
-    public void incrementCounter(long name, double amount, double keep) {
-        said.add("add " + name + " " + amount);
+    public void incrementCounter(long counterKey, double amount, double ttlMs) {
+        actions.add(INCREMENT + counterKey + " " + amount);
     }
 
     @Override
-    public void watchEndpoints(boolean on) {
-        said.add("watch " + on);
+    public void watchEndpoints(boolean enabled) {
+        actions.add(WATCH + enabled);
     }
 
     @Override
     public void fetchEndpoints() {
-        said.add("fetch");
+        actions.add("fetch-endpoints");
     }
 
     @Override
     public void log(String text) {
-        said.add("log");
+        actions.add("log");
     }
 }
--- a/gateway/src/test/java/tinford/decision/FleetPolicyTest.java
+++ b/gateway/src/test/java/tinford/decision/FleetPolicyTest.java
@@ -2,210 +2,248 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
+import static tinford.decision.DecisionFixture.ATTEMPT;
+import static tinford.decision.DecisionFixture.READ;
+import static tinford.decision.DecisionFixture.REJECT;
+import static tinford.decision.DecisionFixture.attemptedServers;
+import static tinford.decision.DecisionFixture.attempts;
+import static tinford.decision.DecisionFixture.count;
+import static tinford.decision.DecisionFixture.limits;
+import static tinford.decision.DecisionFixture.rejections;
+import static tinford.decision.DecisionFixture.tenant;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.*;
-
-/** What a fleet has settled binds the decisions, and they tell it what it needs to settle more. */
+import tinford.api.AttemptOutcome;
+import tinford.api.FleetPolicy;
+import tinford.api.Plan;
+import tinford.api.Request;
+import tinford.api.Server;
+import tinford.api.Tenant;
+
+/** Decisions keep to the fleet's policy, and the fleet is notified of what it decides by. */
 public class FleetPolicyTest {
-    private static final RequestClass READ =
-            DecisionFixture.frontend(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-    private static final Plan FREE = new Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0);
+    private static final Plan UNLIMITED_PLAN = new Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0);
+
+    /** The one thing that a policy restricts. */
+    private enum Restriction {
+        NOTHING,
+        ADMITTED_SHARE,
+        RETRY_ALLOWANCE,
+        PROBING,
+        CONNECTIONS,
+        TENANT_ATTEMPTS,
+        SERVERS,
+        OTHER_SERVERS_ON_RETRY,
+        ROUTING
+    }
 
-    /** A view that bounds one thing, and notes what it is told. */
-    private static final class Bound extends FleetPolicy {
-        final String what;
-        final List<String> told = new ArrayList<>();
+    /** A policy with one restriction, which records its notifications. */
+    private static final class RestrictingPolicy extends FleetPolicy {
+        private final Restriction restriction;
+        private final List<String> notifications = new ArrayList<>();
 
-        Bound(String what) {
-            this.what = what;
+        RestrictingPolicy(Restriction restriction) {
+            this.restriction = restriction;
         }
 
         @Override
-        public double admittedShare(double worth) {
-            return what.equals("part") ? 0 : 1;
+        public double admittedShare(double weight) {
+            return restriction == Restriction.ADMITTED_SHARE ? 0 : 1;
         }
 
         @Override
-        public double retryAllowance(double own) {
-            return what.equals("further") ? 0 : own;
+        public double retryAllowance(double ownBudget) {
+            return restriction == Restriction.RETRY_ALLOWANCE ? 0 : ownBudget;
         }
 
         @Override
-        public boolean ownsProbing(Server srv) {
-            return !what.equals("looksAfter");
+        public boolean ownsProbing(Server server) {
+            return restriction != Restriction.PROBING;
         }
 
         @Override
-        public int connectionLimit(Server srv) {
-            return what.equals("hold") ? 0 : 9;
+        public int connectionLimit(Server server) {
+            return restriction == Restriction.CONNECTIONS ? 0 : 9;
         }
 
         @Override
-        public int tenantAttemptLimit(Tenant c) {
-            return what.equals("use") ? 0 : 9;
+        public int tenantAttemptLimit(Tenant tenant) {
+            return restriction == Restriction.TENANT_ATTEMPTS ? 0 : 9;
         }
 
         @Override
-        public boolean allowsServer(Request req, Server srv, Server first) {
-            told.add("go " + (first == null ? "-" : first.id));
-            return !what.equals("go") && (!what.equals("first") || first == null || first == srv);
+        public boolean allowsServer(Request request, Server server, Server earlierServer) {
+            notifications.add("asked " + (earlierServer == null ? "-" : earlierServer.id));
+            return switch (restriction) {
+                case SERVERS -> false;
+                case OTHER_SERVERS_ON_RETRY -> earlierServer == null || earlierServer == server;
+                default -> true;
+            };
         }
 
         @Override
-        public boolean isRoutable(Request req) {
-            return !what.equals("goes");
+        public boolean isRoutable(Request request) {
+            return restriction != Restriction.ROUTING;
         }
 
         @Override
         public double retryAfterJitterMs() {
-            return what.equals("part") ? 400 : 0;
+            return restriction == Restriction.ADMITTED_SHARE ? 400 : 0;
         }
 
         @Override
-        public void requestOffered(Request req, double worth) {
-            told.add("asked");
+        public void requestOffered(Request request, double weight) {
+            notifications.add("offered");
         }
 
         @Override
-        public void attemptSent(Request req, Server srv, double worth, boolean further) {
-            told.add(further ? "again" : "sent");
+        public void attemptSent(Request request, Server server, double weight, boolean retry) {
+            notifications.add(retry ? "retried" : "sent");
         }
 
         @Override
-        public void attemptEnded(Request req, Server srv, AttemptOutcome how, boolean late) {
-            told.add("ended " + how);
+        public void attemptEnded(
+                Request request, Server server, AttemptOutcome outcome, boolean late) {
+            notifications.add("ended " + outcome);
         }
 
         @Override
-        public void requestBlocked(Request req) {
-            told.add("lacked");
+        public void requestBlocked(Request request) {
+            notifications.add("blocked");
         }
 
         @Override
-        public void serverHealthChanged(Server srv, boolean ill) {
-            told.add(ill ? "ill" : "well");
+        public void serverHealthChanged(Server server, boolean unhealthy) {
+            notifications.add(unhealthy ? "ejected" : "recovered");
         }
     }
 
-    private static DecisionFixture bed(FleetPolicy view) {
-        DecisionFixture bed = new DecisionFixture(DecisionFixture.limits(false), false, false);
-        bed.list("s1", "s2", "s3");
-        bed.play(in -> in.fleetPolicyChanged(view));
-        return bed;
+    private static DecisionFixture gateway(FleetPolicy policy, String... servers) {
+        DecisionFixture gateway = new DecisionFixture(limits(false), false, false);
+        gateway.listServers(servers);
+        gateway.handle(events -> events.fleetPolicyChanged(policy));
+        return gateway;
+    }
+
+    private static DecisionFixture gateway(FleetPolicy policy) {
+        return gateway(policy, "s1", "s2", "s3");
     }
 
-    private static Request one(DecisionFixture bed) {
-        Request req = bed.req(DecisionFixture.customer(FREE), READ, 1);
-        bed.play(in -> in.requestArrived(req));
-        return req;
+    private static Request arrive(DecisionFixture gateway) {
+        Request request = gateway.request(tenant(UNLIMITED_PLAN), READ, 1);
+        gateway.arrive(request);
+        return request;
+    }
+
+    /** Succeeds with as many requests as fill the gateway's own retry budget. */
+    private static void fillRetryBudget(DecisionFixture gateway) {
+        for (int i = 0; i < 12; i++) {
+            gateway.succeed(arrive(gateway));
+        }
     }
 
+    /** Restriction, the one action at a request's arrival or none, a notification. */
     @DataProvider
-    public Object[][] bounds() {
+    Object[][] restrictions() {
         return new Object[][] {
-            {"nothing", "dispatch", "sent"}, {"part", "deny", "asked"}, {"goes", "deny", "asked"},
-            {"hold", "", "lacked"}, {"use", "", "lacked"}, {"go", "", "go -"},
+            {Restriction.NOTHING, ATTEMPT, "sent"},
+            {Restriction.ADMITTED_SHARE, REJECT, "offered"},
+            {Restriction.ROUTING, REJECT, "offered"},
+            {Restriction.CONNECTIONS, "", "blocked"},
+            {Restriction.TENANT_ATTEMPTS, "", "blocked"},
+            {Restriction.SERVERS, "", "asked -"},
         };
     }
 
     /**
-     * What is shed, or may go nowhere, is answered at once; what lacks a connection waits while its
-     * target is in reach.
+     * What is shed or not routable is rejected at once; what lacks a connection waits while it can
+     * meet its latency objective.
      */
-    @Test(dataProvider = "bounds")
-    public void aFirstDispatchIsBound(String what, String said, String told) {
-        Bound view = new Bound(what);
-        DecisionFixture bed = bed(view);
-        one(bed);
-        assertEquals(
-                bed.said.stream().map(s -> s.split(" ")[0]).reduce("", String::concat),
-                said,
-                bed.said.toString());
-        assertTrue(view.told.contains(told), view.told.toString());
-        assertEquals(
-                DecisionFixture.count(bed.pass(3000), "deny"),
-                said.isEmpty() ? 1 : 0,
-                "the one final answer");
+    @Test(dataProvider = "restrictions")
+    public void firstAttemptKeepsToThePolicy(
+            Restriction restriction, String action, String notification) {
+        RestrictingPolicy policy = new RestrictingPolicy(restriction);
+        DecisionFixture gateway = gateway(policy);
+        arrive(gateway);
+        boolean waits = action.isEmpty();
+        assertEquals(gateway.actions.size(), waits ? 0 : 1, gateway.actions.toString());
+        assertEquals(count(gateway.actions, action), waits ? 0 : 1, gateway.actions.toString());
+        assertTrue(policy.notifications.contains(notification), policy.notifications.toString());
+        assertEquals(rejections(gateway.advance(3000)), waits ? 1 : 0, "the one final answer");
     }
 
-    /** Those denied together are told to come back at times apart. */
     @Test
-    public void timesToComeBackAreSpread() {
-        DecisionFixture bed = bed(new Bound("part"));
-        List<Integer> waits = new ArrayList<>();
+    public void retryAfterTimesOfShedRequestsAreSpread() {
+        DecisionFixture gateway = gateway(new RestrictingPolicy(Restriction.ADMITTED_SHARE));
+        List<Integer> retryAfterMs = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            one(bed);
-            waits.add(Integer.parseInt(bed.said.get(0).split(" ")[2]));
+            arrive(gateway);
+            retryAfterMs.add(Integer.parseInt(gateway.actions.get(0).split(" ")[2]));
         }
-        assertTrue(waits.stream().allMatch(w -> w >= 100 && w <= 500), waits.toString());
-        assertTrue(waits.stream().distinct().count() > 15, waits.toString());
+        assertTrue(
+                retryAfterMs.stream().allMatch(ms -> ms >= 100 && ms <= 500),
+                retryAfterMs.toString());
+        assertTrue(retryAfterMs.stream().distinct().count() > 15, retryAfterMs.toString());
     }
 
+    /** Restriction, outcome of the first attempt, the action that follows. */
     @DataProvider
-    public Object[][] furthers() {
+    Object[][] retries() {
         return new Object[][] {
-            {"nothing", AttemptOutcome.ERROR, "dispatch"},
-            {"further", AttemptOutcome.ERROR, "deny"},
-            {"further", AttemptOutcome.OVERLOADED, "dispatch"},
+            {Restriction.NOTHING, AttemptOutcome.ERROR, ATTEMPT},
+            {Restriction.RETRY_ALLOWANCE, AttemptOutcome.ERROR, REJECT},
+            {Restriction.RETRY_ALLOWANCE, AttemptOutcome.OVERLOADED, ATTEMPT},
         };
     }
 
     /**
-     * What may have run goes out again only from the fleet's budget; what surely never ran needs
-     * none.
+     * The fleet's retry budget holds for attempts that may have run, not for those that did not.
      */
-    @Test(dataProvider = "furthers")
-    public void furtherDispatchesAreTheFleets(String what, AttemptOutcome how, String said) {
-        Bound view = new Bound(what);
-        DecisionFixture bed = bed(view);
-        for (int i = 0; i < 12; i++) bed.ends(one(bed), 0, AttemptOutcome.SUCCESS, true);
-        Request req = one(bed);
-        assertEquals(
-                DecisionFixture.count(bed.ends(req, 0, how, false), said), 1, bed.said.toString());
-        assertEquals(view.told.contains("again"), said.equals("dispatch"));
+    @Test(dataProvider = "retries")
+    public void retriesKeepToTheFleetsBudget(
+            Restriction restriction, AttemptOutcome outcome, String action) {
+        RestrictingPolicy policy = new RestrictingPolicy(restriction);
+        DecisionFixture gateway = gateway(policy);
+        fillRetryBudget(gateway);
+        Request request = arrive(gateway);
+        List<String> actions = gateway.endAttempt(request, 0, outcome, false);
+        assertEquals(count(actions, action), 1, actions.toString());
+        assertEquals(policy.notifications.contains("retried"), action.equals(ATTEMPT));
     }
 
-    /**
-     * Where an earlier dispatch may have run is told, and no dispatch leaves the group that it went
-     * to.
-     */
+    /** The policy learns where an earlier attempt may have run, and keeps retries there. */
     @Test
-    public void aFurtherDispatchKeepsToTheFirstGroup() {
-        Bound view = new Bound("first");
-        DecisionFixture bed = bed(view);
-        for (int i = 0; i < 12; i++) bed.ends(one(bed), 0, AttemptOutcome.SUCCESS, true);
-        Request req = one(bed);
-        String first = bed.said.get(0).split(" ")[2];
+    public void retryGoesWhereThePolicyAllowsIt() {
+        RestrictingPolicy policy = new RestrictingPolicy(Restriction.OTHER_SERVERS_ON_RETRY);
+        DecisionFixture gateway = gateway(policy);
+        fillRetryBudget(gateway);
+        Request request = arrive(gateway);
+        String first = attemptedServers(gateway.actions).get(0);
         assertEquals(
-                bed.ends(req, 0, AttemptOutcome.ERROR, false),
-                List.of("dispatch " + req.id + " " + first));
-        assertTrue(view.told.contains("go " + first));
+                gateway.endAttempt(request, 0, AttemptOutcome.ERROR, false),
+                List.of(ATTEMPT + request.id + " " + first));
+        assertTrue(policy.notifications.contains("asked " + first));
     }
 
-    /**
-     * A server that was put aside is left to the gateway that looks after it, and its end is told.
-     */
     @Test
-    public void anIllServerIsLeftToItsOwner() {
-        for (String what : List.of("nothing", "looksAfter")) {
-            Bound view = new Bound(what);
-            DecisionFixture bed = new DecisionFixture(DecisionFixture.limits(false), false, false);
-            bed.list("s1");
-            bed.play(in -> in.fleetPolicyChanged(view));
-            bed.ends(one(bed), 0, AttemptOutcome.UNREACHABLE, true);
-            assertTrue(view.told.contains("ill"));
-            bed.pass(1000);
-            Request req = one(bed);
+    public void ejectedServerIsLeftToItsProbeOwner() {
+        for (Restriction restriction : List.of(Restriction.NOTHING, Restriction.PROBING)) {
+            boolean ownsProbing = restriction == Restriction.NOTHING;
+            RestrictingPolicy policy = new RestrictingPolicy(restriction);
+            DecisionFixture gateway = gateway(policy, "s1");
+            gateway.endAttempt(arrive(gateway), 0, AttemptOutcome.UNREACHABLE, true);
+            assertTrue(policy.notifications.contains("ejected"));
+            gateway.advance(1000);
+            Request request = arrive(gateway);
             assertEquals(
-                    DecisionFixture.count(bed.said, "dispatch"),
-                    what.equals("nothing") ? 1 : 0,
-                    bed.said.toString());
-            if (what.equals("nothing")) bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
-            assertEquals(view.told.contains("well"), what.equals("nothing"));
+                    attempts(gateway.actions), ownsProbing ? 1 : 0, gateway.actions.toString());
+            if (ownsProbing) {
+                gateway.succeed(request);
+            }
+            assertEquals(policy.notifications.contains("recovered"), ownsProbing);
         }
     }
 }
--- a/gateway/src/test/java/tinford/decision/PlanChangeTest.java
+++ b/gateway/src/test/java/tinford/decision/PlanChangeTest.java
@@ -2,6 +2,11 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
+import static tinford.decision.DecisionFixture.READ;
+import static tinford.decision.DecisionFixture.attempts;
+import static tinford.decision.DecisionFixture.increments;
+import static tinford.decision.DecisionFixture.limits;
+import static tinford.decision.DecisionFixture.rejections;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,307 +16,322 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.api.AttemptOutcome;
-import tinford.api.DeduplicationScope;
-import tinford.api.Idempotency;
 import tinford.api.Plan;
 import tinford.api.Request;
-import tinford.api.RequestClass;
 import tinford.api.Tenant;
+import tinford.decision.DecisionFixture.CounterIncrement;
 
 /**
- * A customer moves to another plan in mid-window: what it has used counts under the new one, at one
- * gateway and at several that learn of the change at different moments.
+ * A tenant moves to another plan within a window: what it has used counts under the new plan, at
+ * one gateway and at several that learn of the change at different times.
  */
 public class PlanChangeTest {
-    private static final RequestClass READ =
-            DecisionFixture.frontend(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-    private static final double START = 1_700_000_000_000.0;
-    private static final double STEP = 20;
-    private static final long CUSTOMER = 5;
+    private static final double START_MS = 1_700_000_000_000.0;
+    private static final double STEP_MS = 20;
+    private static final long TENANT_ID = 5;
 
-    /** Requests that are judged at one moment may each pass by less than a unit. */
-    private static final double ROUNDING = 1;
+    /** Requests that are decided in one batch may each exceed the quota by less than a unit. */
+    private static final double ROUNDING_UNITS = 1;
 
-    /** Gateways on one counter, whose customer asks for a unit at each of them at every step. */
-    private static final class Site {
-        final List<DecisionFixture> gateways = new ArrayList<>();
-        final Tenant[] customers;
-        final Map<Long, Double> counter = new HashMap<>();
-        double now = START;
-        int passed;
+    /** Gateways that share a counter, and a tenant with requests at each of them. */
+    private static final class Deployment {
+        private final List<DecisionFixture> gateways = new ArrayList<>();
+        private final Tenant[] tenants;
+        private final Map<Long, Double> counter = new HashMap<>();
+        private double nowMs = START_MS;
+        private int admitted;
 
-        Site(int size, Plan plan) {
-            customers = new Tenant[size];
-            for (int g = 0; g < size; g++) {
-                DecisionFixture bed =
-                        new DecisionFixture(DecisionFixture.limits(false), true, false, size);
-                bed.now = now;
-                bed.list("s1", "s2", "s3");
-                gateways.add(bed);
-                customers[g] = new Tenant(CUSTOMER, plan, size, 0, 1);
+        Deployment(int gatewayCount, Plan plan) {
+            tenants = new Tenant[gatewayCount];
+            for (int i = 0; i < gatewayCount; i++) {
+                DecisionFixture gateway =
+                        new DecisionFixture(limits(false), true, false, gatewayCount);
+                gateway.nowMs = nowMs;
+                gateway.listServers("s1", "s2", "s3");
+                gateways.add(gateway);
+                tenants[i] = new Tenant(TENANT_ID, plan, gatewayCount, 0, 1);
             }
         }
 
-        void move(int gateway, Plan to) {
-            long next = customers[gateway].revision + 1;
-            customers[gateway] = new Tenant(CUSTOMER, to, gateways.size(), 0, next);
-            gateways.get(gateway).play(in -> in.plansChanged(Set.of(to)));
+        /** Lets one gateway learn that the tenant has another plan. */
+        void changePlan(int gateway, Plan plan) {
+            long nextRevision = tenants[gateway].revision + 1;
+            tenants[gateway] = new Tenant(TENANT_ID, plan, gateways.size(), 0, nextRevision);
+            gateways.get(gateway).handle(events -> events.plansChanged(Set.of(plan)));
         }
 
-        void moveAll(Plan to) {
-            for (int g = 0; g < customers.length; g++) {
-                move(g, to);
+        void changePlanEverywhere(Plan plan) {
+            for (int i = 0; i < tenants.length; i++) {
+                changePlan(i, plan);
             }
         }
 
-        void step(boolean asks) {
-            now += STEP;
-            for (int g = 0; g < customers.length; g++) {
-                DecisionFixture bed = gateways.get(g);
-                bed.now = now;
-                settle(bed, bed.play(in -> in.timerFired(1)));
-                if (asks) {
-                    ask(g, 1);
+        /** Lets a step's time pass, with a request of one unit at each gateway or with none. */
+        void step(boolean withRequests) {
+            nowMs += STEP_MS;
+            for (int i = 0; i < tenants.length; i++) {
+                DecisionFixture gateway = gateways.get(i);
+                gateway.nowMs = nowMs;
+                answerCounter(gateway, gateway.handle(events -> events.timerFired(1)));
+                if (withRequests) {
+                    request(i);
                 }
             }
         }
 
-        void run(double ms, boolean asks) {
-            for (double end = now + ms; now < end; ) {
-                step(asks);
+        void run(double durationMs, boolean withRequests) {
+            double endMs = nowMs + durationMs;
+            while (nowMs < endMs) {
+                step(withRequests);
             }
         }
 
-        boolean ask(int gateway, double units) {
-            DecisionFixture bed = gateways.get(gateway);
-            Request req = bed.req(customers[gateway], READ, units);
-            boolean passes = settle(bed, bed.play(in -> in.requestArrived(req))) > 0;
-            if (passes) {
-                passed++;
-                settle(bed, bed.ends(req, 0, AttemptOutcome.SUCCESS, true));
+        /** Sends a request of one unit; an admitted one succeeds at once. */
+        boolean request(int gatewayIndex) {
+            DecisionFixture gateway = gateways.get(gatewayIndex);
+            Request request = newRequest(gatewayIndex);
+            boolean isAdmitted = arrive(gateway, request) > 0;
+            if (isAdmitted) {
+                admitted++;
+                succeed(gateway, request);
             }
-            return passes;
+            return isAdmitted;
         }
 
-        /** The counter answers at once; returns the dispatches. */
-        private int settle(DecisionFixture bed, List<String> said) {
-            int dispatches = 0;
-            for (List<String> now = new ArrayList<>(said); !now.isEmpty(); ) {
-                dispatches += (int) DecisionFixture.count(now, "dispatch");
-                now = new ArrayList<>(answer(bed, now));
+        /** Sends requests until one is not admitted; returns how many were. */
+        int requestUntilRejected() {
+            int requests = 0;
+            while (request(0)) {
+                requests++;
             }
-            return dispatches;
+            return requests;
         }
 
-        private List<String> answer(DecisionFixture bed, List<String> said) {
-            List<String> calls = said.stream().filter(s -> s.startsWith("add ")).toList();
-            if (calls.isEmpty()) {
-                return List.of();
+        Request newRequest(int gatewayIndex) {
+            return gateways.get(gatewayIndex).request(tenants[gatewayIndex], READ, 1);
+        }
+
+        /** Lets a request arrive; returns the number of attempts. */
+        int arrive(DecisionFixture gateway, Request request) {
+            return answerCounter(gateway, gateway.arrive(request));
+        }
+
+        void succeed(DecisionFixture gateway, Request request) {
+            answerCounter(gateway, gateway.endAttempt(request, 0, AttemptOutcome.SUCCESS, true));
+        }
+
+        /** Answers the calls to the counter at once; returns the attempts of all batches. */
+        int answerCounter(DecisionFixture gateway, List<String> actions) {
+            int attempts = (int) attempts(actions);
+            List<CounterIncrement> calls = increments(actions);
+            while (!calls.isEmpty()) {
+                List<String> batch = answer(gateway, calls);
+                attempts += (int) attempts(batch);
+                calls = increments(batch);
             }
-            return bed.play(
-                    in -> {
-                        for (String call : calls) {
-                            String[] words = call.split(" ");
-                            long name = Long.parseLong(words[1]);
-                            double amount = Double.parseDouble(words[2]);
-                            double total = counter.merge(name, amount, Double::sum);
-                            in.counterAnswered(name, AttemptOutcome.SUCCESS, 1, total);
+            return attempts;
+        }
+
+        private List<String> answer(DecisionFixture gateway, List<CounterIncrement> calls) {
+            return gateway.handle(
+                    events -> {
+                        for (CounterIncrement call : calls) {
+                            long key = call.counterKey();
+                            double total = counter.merge(key, call.amount(), Double::sum);
+                            events.counterAnswered(key, AttemptOutcome.SUCCESS, 1, total);
                         }
                     });
         }
     }
 
-    private static Plan plan(double perSecond, double burst) {
-        return new Plan("p", perSecond / 1000, burst, 0, 1, 0, 1, 0, 0, 0);
+    /** A plan with a quota in units per second and a burst in units. */
+    private static Plan plan(double quotaPerS, double burst) {
+        return new Plan("p", quotaPerS / 1000, burst, 0, 1, 0, 1, 0, 0, 0);
     }
 
-    /** Old rate and burst, new rate and burst: windows of the same and of other lengths. */
+    /** Old quota per second and burst, new ones: windows of equal and of other lengths. */
     @DataProvider
-    Object[][] changes() {
+    Object[][] planChanges() {
         return new Object[][] {
-            {20.0, 40.0, 10.0, 20.0}, // 12 s and 12 s: the same names on the counter
+            // windows of 12 s and 12 s: the same keys on the counter
+            {20.0, 40.0, 10.0, 20.0},
             {10.0, 20.0, 20.0, 40.0},
-            {20.0, 40.0, 2.0, 8.0}, // 12 s and 24 s
+            // 12 s and 24 s
+            {20.0, 40.0, 2.0, 8.0},
             {2.0, 8.0, 20.0, 40.0},
-            {20.0, 80.0, 20.0, 10.0}, // 24 s and 3 s
+            // 24 s and 3 s
+            {20.0, 80.0, 20.0, 10.0},
             {20.0, 10.0, 20.0, 80.0},
-            {5.0, 10.0, 5.0, 60.0}, // 12 s and 29 s
+            // 12 s and 29 s
+            {5.0, 10.0, 5.0, 60.0},
         };
     }
 
-    /**
-     * Wherever in its windows the change falls, nothing passes but what comes free from then on.
-     */
-    @Test(dataProvider = "changes")
-    public void whoHasUsedAllStartsWithNothing(
-            double oldRate, double oldBurst, double newRate, double newBurst) {
+    /** Wherever in its windows the change falls, only what the new quota adds is admitted. */
+    @Test(dataProvider = "planChanges")
+    public void exhaustedTenantStartsTheNewPlanWithoutABurst(
+            double oldQuotaPerS, double oldBurst, double newQuotaPerS, double newBurst) {
         for (int offset = 0; offset < 12; offset++) {
-            Site site = new Site(1, plan(oldRate, oldBurst));
-            site.run(13_000 + 2370 * offset, true);
-            site.moveAll(plan(newRate, newBurst));
-            holds(site, 40_000, 0, newRate, "moved " + offset);
+            Deployment deployment = new Deployment(1, plan(oldQuotaPerS, oldBurst));
+            deployment.run(13_000 + 2370 * offset, true);
+            deployment.changePlanEverywhere(plan(newQuotaPerS, newBurst));
+            assertAdmitsAtMost(deployment, 40_000, 0, newQuotaPerS, "offset " + offset);
         }
     }
 
-    /** From now on no more passes than so much at once and so much a second. */
-    private static void holds(Site site, double ms, double room, double perSecond, String where) {
-        double from = site.now;
-        int before = site.passed;
-        while (site.now < from + ms) {
-            site.step(true);
-            double may = room + perSecond * (site.now - from) / 1000 + ROUNDING;
-            int passed = site.passed - before;
+    /** Asserts that from now on only so many units at once and so many per second are admitted. */
+    private static void assertAdmitsAtMost(
+            Deployment deployment,
+            double durationMs,
+            double burst,
+            double quotaPerS,
+            String context) {
+        double fromMs = deployment.nowMs;
+        int before = deployment.admitted;
+        while (deployment.nowMs < fromMs + durationMs) {
+            deployment.step(true);
+            double sinceMs = deployment.nowMs - fromMs;
+            double max = burst + quotaPerS * sinceMs / 1000 + ROUNDING_UNITS;
+            int admitted = deployment.admitted - before;
             assertTrue(
-                    passed <= may,
-                    where + ", " + (site.now - from) + " ms after: " + passed + " of " + may);
+                    admitted <= max,
+                    context + ", " + sinceMs + " ms after: " + admitted + " of " + max);
         }
     }
 
-    /** What was used of a burst is used of the new one. */
     @Test
-    public void partOfABurstIsCarriedOver() {
-        for (double[] to : new double[][] {{10, 20}, {20, 20}, {1, 20}}) {
-            Site site = new Site(1, plan(20, 40));
-            site.run(200, false);
+    public void usedPartOfABurstIsCarriedOver() {
+        for (double newQuotaPerS : new double[] {10, 20, 1}) {
+            Deployment deployment = new Deployment(1, plan(20, 40));
+            deployment.run(200, false);
             for (int i = 0; i < 15; i++) {
-                assertTrue(site.ask(0, 1));
-            }
-            site.moveAll(plan(to[0], to[1]));
-            int passed = 0;
-            while (site.ask(0, 1)) {
-                passed++;
+                assertTrue(deployment.request(0));
             }
-            assertEquals(passed, 5, "rate " + to[0]);
+            deployment.changePlanEverywhere(plan(newQuotaPerS, 20));
+            assertEquals(deployment.requestUntilRejected(), 5, "quota " + newQuotaPerS);
         }
     }
 
     @DataProvider
-    Object[][] unused() {
+    Object[][] plansWithAndWithoutALargerBurst() {
         return new Object[][] {
-            {plan(20, 40), plan(2, 10)}, {plan(2, 10), plan(20, 40)},
+            {plan(20, 40), plan(2, 10)},
+            {plan(2, 10), plan(20, 40)},
         };
     }
 
-    /** A customer that has used nothing has the smaller burst at once; a larger one fills. */
-    @Test(dataProvider = "unused")
-    public void whoHasUsedNothingHasTheSmallerBurst(Plan from, Plan to) {
-        Site site = new Site(1, from);
-        assertTrue(site.ask(0, 1));
-        site.run(40_000, false);
-        site.moveAll(to);
-        int passed = 0;
-        while (site.ask(0, 1)) {
-            passed++;
-        }
-        assertEquals(passed, 10);
+    /** The smaller of both bursts is available at once; a larger one fills. */
+    @Test(dataProvider = "plansWithAndWithoutALargerBurst")
+    public void idleTenantHasTheSmallerBurst(Plan oldPlan, Plan newPlan) {
+        Deployment deployment = new Deployment(1, oldPlan);
+        assertTrue(deployment.request(0));
+        deployment.run(40_000, false);
+        deployment.changePlanEverywhere(newPlan);
+        assertEquals(deployment.requestUntilRejected(), 10);
     }
 
     /**
-     * Gateways that learn of the change at different moments, up to the 13 s within which a
-     * configuration is in force everywhere, count under two names meanwhile. All together pass no
-     * more than the old rate until the last has learnt of it, the new rate from the first on, and
-     * once the new burst.
+     * Gateways that learn of the change at different times, up to the 13 s within which a
+     * configuration is in force everywhere, count under two keys meanwhile. Together they admit at
+     * most the old quota until the last one has learned of it, the new quota from the first one on,
+     * and one new burst.
      */
-    @Test(dataProvider = "changes")
-    public void gatewaysThatChangeApartAreBoundByBothPlans(
-            double oldRate, double oldBurst, double newRate, double newBurst) {
-        double apart = 13_000;
+    @Test(dataProvider = "planChanges")
+    public void gatewaysThatChangeAtDifferentTimesKeepToBothPlans(
+            double oldQuotaPerS, double oldBurst, double newQuotaPerS, double newBurst) {
+        double spreadMs = 13_000;
         for (int offset = 0; offset < 4; offset++) {
-            Site site = new Site(4, plan(oldRate, oldBurst));
-            site.run(13_000 + 7370 * offset, true);
-            Plan next = plan(newRate, newBurst);
-            double from = site.now;
-            int before = site.passed;
-            int moved = 0;
-            while (site.now < from + 3 * apart) {
-                if (moved < 4 && site.now >= from + moved * apart / 3) {
-                    site.move(moved++, next);
+            Deployment deployment = new Deployment(4, plan(oldQuotaPerS, oldBurst));
+            deployment.run(13_000 + 7370 * offset, true);
+            Plan newPlan = plan(newQuotaPerS, newBurst);
+            double fromMs = deployment.nowMs;
+            int before = deployment.admitted;
+            int changed = 0;
+            while (deployment.nowMs < fromMs + 3 * spreadMs) {
+                if (changed < 4 && deployment.nowMs >= fromMs + changed * spreadMs / 3) {
+                    deployment.changePlan(changed, newPlan);
+                    changed++;
                 }
-                site.step(true);
-                double since = site.now - from;
-                double may =
-                        oldRate / 1000 * Math.min(since, apart + STEP)
-                                + newRate / 1000 * since
+                deployment.step(true);
+                double sinceMs = deployment.nowMs - fromMs;
+                double max =
+                        oldQuotaPerS / 1000 * Math.min(sinceMs, spreadMs + STEP_MS)
+                                + newQuotaPerS / 1000 * sinceMs
                                 + newBurst
-                                + 4 * ROUNDING;
-                int passed = site.passed - before;
-                assertTrue(passed <= may, since + " ms after: " + passed + " of " + may);
+                                + 4 * ROUNDING_UNITS;
+                int admitted = deployment.admitted - before;
+                assertTrue(admitted <= max, sinceMs + " ms after: " + admitted + " of " + max);
             }
         }
     }
 
-    /** Again and again, at all gateways together. */
     @Test
-    public void noMoveOpensABurst() {
-        Site site = new Site(2, plan(20, 40));
-        site.run(20_000, true);
+    public void repeatedChangesOpenNoBurst() {
+        Deployment deployment = new Deployment(2, plan(20, 40));
+        deployment.run(20_000, true);
         for (int i = 0; i < 10; i++) {
-            site.moveAll(plan(2, 8));
-            holds(site, 1000, ROUNDING, 2, "away " + i);
-            site.moveAll(plan(20, 40));
-            holds(site, 1000, ROUNDING, 20, "back " + i);
+            deployment.changePlanEverywhere(plan(2, 8));
+            assertAdmitsAtMost(deployment, 1000, ROUNDING_UNITS, 2, "smaller plan " + i);
+            deployment.changePlanEverywhere(plan(20, 40));
+            assertAdmitsAtMost(deployment, 1000, ROUNDING_UNITS, 20, "larger plan " + i);
         }
     }
 
-    /** The ceiling that was drawn on, and what is out, count under the new plan. */
+    /** What was taken from the hard rate limit, and what is in flight, count under the new plan. */
     @Test
-    public void ceilingAndOpenRequestsAreCarriedOver() {
-        Plan first = new Plan("p", 0.02, 400, 4, 1, 0, 1, 0.001, 5, 0);
-        Plan second = new Plan("p", 0.02, 100, 4, 1, 0, 1, 0.001, 5, 0);
-        Site site = new Site(1, first);
-        site.run(60_000, false);
-        DecisionFixture bed = site.gateways.get(0);
-        List<Request> out = new ArrayList<>();
+    public void hardLimitAndOpenRequestsAreCarriedOver() {
+        Plan oldPlan = new Plan("p", 0.02, 400, 4, 1, 0, 1, 0.001, 5, 0);
+        Plan newPlan = new Plan("p", 0.02, 100, 4, 1, 0, 1, 0.001, 5, 0);
+        Deployment deployment = new Deployment(1, oldPlan);
+        deployment.run(60_000, false);
+        DecisionFixture gateway = deployment.gateways.get(0);
+        List<Request> inFlight = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            Request req = bed.req(site.customers[0], READ, 1);
-            assertEquals(site.settle(bed, bed.play(in -> in.requestArrived(req))), 1);
-            out.add(req);
+            Request request = deployment.newRequest(0);
+            assertEquals(deployment.arrive(gateway, request), 1);
+            inFlight.add(request);
         }
-        site.moveAll(second);
-        Request fourth = bed.req(site.customers[0], READ, 1);
-        assertEquals(site.settle(bed, bed.play(in -> in.requestArrived(fourth))), 1);
-        Request fifth = bed.req(site.customers[0], READ, 1);
-        assertEquals(site.settle(bed, bed.play(in -> in.requestArrived(fifth))), 0, "four are out");
-        for (Request req : out) {
-            site.settle(bed, bed.ends(req, 0, AttemptOutcome.SUCCESS, true));
+        deployment.changePlanEverywhere(newPlan);
+        assertEquals(deployment.arrive(gateway, deployment.newRequest(0)), 1, "the fourth");
+        assertEquals(deployment.arrive(gateway, deployment.newRequest(0)), 0, "four in flight");
+        for (Request request : inFlight) {
+            deployment.succeed(gateway, request);
         }
-        int passed = 0;
+        int admitted = 0;
         for (int i = 0; i < 10; i++) {
-            Request req = bed.req(site.customers[0], READ, 1);
-            int sent = site.settle(bed, bed.play(in -> in.requestArrived(req)));
-            passed += sent;
+            Request request = deployment.newRequest(0);
+            int sent = deployment.arrive(gateway, request);
+            admitted += sent;
             if (sent > 0) {
-                site.settle(bed, bed.ends(req, 0, AttemptOutcome.SUCCESS, true));
+                deployment.succeed(gateway, request);
             }
         }
-        assertTrue(passed <= 1, passed + " more of a ceiling of five units, four of them used");
+        assertTrue(admitted <= 1, admitted + " more of a bucket of five, four of them used");
     }
 
-    /** An answer to a call that was made under the old plan is taken, and its units stay used. */
+    /** The answer to a call that was made under the old plan decides, and its units stay used. */
     @Test
-    public void whatIsUnderWayIsJudgedOnce() {
-        Site site = new Site(1, plan(20, 40));
-        DecisionFixture bed = site.gateways.get(0);
-        site.run(1000, true);
-        Request req = bed.req(site.customers[0], READ, 1);
-        List<String> asked = new ArrayList<>(bed.play(in -> in.requestArrived(req)));
-        site.moveAll(plan(10, 60));
-        assertTrue(site.ask(0, 1));
-        int sent = site.settle(bed, asked);
-        assertEquals(sent, 1);
-        assertEquals(
-                DecisionFixture.count(bed.ends(req, 0, AttemptOutcome.SUCCESS, true), "deny"), 0);
+    public void callInFlightIsDecidedOnce() {
+        Deployment deployment = new Deployment(1, plan(20, 40));
+        DecisionFixture gateway = deployment.gateways.get(0);
+        deployment.run(1000, true);
+        Request request = deployment.newRequest(0);
+        List<String> calls = gateway.arrive(request);
+        deployment.changePlanEverywhere(plan(10, 60));
+        assertTrue(deployment.request(0));
+        assertEquals(deployment.answerCounter(gateway, calls), 1);
+        List<String> actions = gateway.endAttempt(request, 0, AttemptOutcome.SUCCESS, true);
+        assertEquals(rejections(actions), 0);
     }
 
-    /** Plans come and go: nothing is kept of those that are no more. */
     @Test
-    public void oldPlansAreForgotten() {
-        Site site = new Site(1, plan(20, 40));
+    public void formerPlansAreForgotten() {
+        Deployment deployment = new Deployment(1, plan(20, 40));
         for (int i = 0; i < 500; i++) {
-            site.ask(0, 1);
-            site.moveAll(plan(20 + i, 40));
-            site.step(false);
+            deployment.request(0);
+            deployment.changePlanEverywhere(plan(20 + i, 40));
+            deployment.step(false);
         }
-        assertTrue(site.gateways.get(0).plansKept() <= 1);
+        assertTrue(deployment.gateways.get(0).trackedPlans() <= 1);
     }
 }
