--- a/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
+++ b/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
@@ -9,7 +9,7 @@
 import tinford.fleet.config.PlanRecord;
 import tinford.fleet.config.RouteRecord;
 import tinford.fleet.config.ValidationError;
-import tinford.routing.Catalog;
+import tinford.routing.catalog.Catalog;
 
 /**
  * Turns configurations into the catalogs that a gateway serves by. Routes and plans that are the
@@ -80,7 +80,7 @@
 
     private RequestClass frontend(RouteRecord route) {
         if (route.equals(configuration.routes().get(route.name()))) {
-            return catalog.frontends().get(route.name());
+            return catalog.requestClasses().get(route.name());
         }
         return new RequestClass(
                 route.name(),
--- a/fleet/src/main/java/tinford/fleet/run/FleetMember.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetMember.java
@@ -16,7 +16,7 @@
 import tinford.fleet.transport.Transport;
 import tinford.fleet.transport.UdpTransport;
 import tinford.program.FleetExtension;
-import tinford.routing.Catalog;
+import tinford.routing.catalog.Catalog;
 import tinford.transport.EventLoop;
 
 /**
--- a/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
@@ -18,7 +18,7 @@
 import tinford.fleet.follow.ConfigurationListener;
 import tinford.fleet.follow.FollowerSettings;
 import tinford.fleet.follow.SnapshotFile;
-import tinford.routing.Catalog;
+import tinford.routing.catalog.Catalog;
 import tinford.transport.EventLoop;
 
 /**
--- a/fleet/src/test/java/tinford/fleet/run/CatalogBuilderTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/CatalogBuilderTest.java
@@ -19,7 +19,7 @@
 import tinford.fleet.config.RouteRecord;
 import tinford.fleet.config.ServiceRecord;
 import tinford.fleet.config.TenantRecord;
-import tinford.routing.Catalog;
+import tinford.routing.catalog.Catalog;
 
 /** What a gateway serves by, out of a configuration. */
 public class CatalogBuilderTest {
@@ -66,7 +66,7 @@
     public void everyFieldArrivesInTheGatewaysUnits() throws Exception {
         Catalog catalog = builder().build(first());
         assertEquals(catalog.revision(), 1);
-        RequestClass read = catalog.frontends().get("read");
+        RequestClass read = catalog.requestClasses().get("read");
         assertEquals(read.name, "read");
         assertEquals(read.latencyObjectiveMs, 2000.0);
         assertEquals(read.timeoutMs, 8000.0);
@@ -95,9 +95,9 @@
         Configuration next =
                 first().with(2, List.of(route("read", 1000), plan("paid", 300), plan("new", 1)));
         Catalog after = builder.build(next);
-        assertNotSame(after.frontends().get("read"), before.frontends().get("read"));
-        assertEquals(after.frontends().get("read").latencyObjectiveMs, 1000.0);
-        assertSame(after.frontends().get("write"), before.frontends().get("write"));
+        assertNotSame(after.requestClasses().get("read"), before.requestClasses().get("read"));
+        assertEquals(after.requestClasses().get("read").latencyObjectiveMs, 1000.0);
+        assertSame(after.requestClasses().get("write"), before.requestClasses().get("write"));
         assertSame(after.plans().get("free"), before.plans().get("free"));
         assertNotSame(after.plans().get("paid"), before.plans().get("paid"));
         assertEquals(before.plans().get("paid").quotaPerMs, 0.2, "the one before is as it was");
@@ -108,8 +108,8 @@
         CatalogBuilder builder = builder();
         Catalog before = builder.build(first());
         Catalog after = builder.build(first().with(2, List.of(new Change.RemoveRoute("read"))));
-        assertFalse(after.frontends().containsKey("read"));
-        assertSame(after.frontends().get("write"), before.frontends().get("write"));
+        assertFalse(after.requestClasses().containsKey("read"));
+        assertSame(after.requestClasses().get("write"), before.requestClasses().get("write"));
     }
 
     @Test
@@ -123,7 +123,7 @@
                 refused.getMessage(),
                 "routes.read: expected to be there while moves.homes of the gateway names it");
         Catalog after = builder.build(first().with(3, List.of(plan("paid", 300))));
-        assertSame(after.frontends().get("read"), before.frontends().get("read"));
+        assertSame(after.requestClasses().get("read"), before.requestClasses().get("read"));
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
@@ -29,7 +29,7 @@
 import tinford.fleet.follow.ScriptedControlServer;
 import tinford.fleet.follow.SnapshotFile;
 import tinford.fleet.membership.Incarnation;
-import tinford.routing.Catalog;
+import tinford.routing.catalog.Catalog;
 import tinford.transport.EventLoop;
 
 /** A gateway's configuration from disk and server to its catalog; the test is the I/O thread. */
@@ -147,7 +147,7 @@
         start(Set.of());
         assertEquals(used.size(), 1);
         assertEquals(used.get(0).revision(), 1);
-        assertEquals(used.get(0).frontends().keySet(), Set.of("read", "write"));
+        assertEquals(used.get(0).requestClasses().keySet(), Set.of("read", "write"));
     }
 
     @Test
--- a/gateway/src/main/java/tinford/program/FleetExtension.java
+++ b/gateway/src/main/java/tinford/program/FleetExtension.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import tinford.api.FleetPolicy;
 import tinford.api.GatewayIdentity;
-import tinford.routing.Catalog;
+import tinford.routing.catalog.Catalog;
 import tinford.transport.EventLoop;
 
 /**
--- a/gateway/src/main/java/tinford/program/GatewayProcess.java
+++ b/gateway/src/main/java/tinford/program/GatewayProcess.java
@@ -20,15 +20,16 @@
 import tinford.api.AttemptLimits;
 import tinford.api.DecisionModule;
 import tinford.routing.Addresses;
-import tinford.routing.AdminApi;
-import tinford.routing.Catalog;
-import tinford.routing.ClientPool;
-import tinford.routing.CounterClient;
-import tinford.routing.DiscoveryWatch;
-import tinford.routing.HandoverLog;
-import tinford.routing.PeerMessenger;
-import tinford.routing.RequestDispatcher;
-import tinford.routing.ServerPool;
+import tinford.routing.admin.AdminApi;
+import tinford.routing.admin.HandoverLog;
+import tinford.routing.catalog.Catalog;
+import tinford.routing.client.ClientLimits;
+import tinford.routing.client.ClientPool;
+import tinford.routing.counter.CounterClient;
+import tinford.routing.discovery.DiscoveryWatch;
+import tinford.routing.dispatch.RequestDispatcher;
+import tinford.routing.peer.PeerMessenger;
+import tinford.routing.upstream.ServerPool;
 import tinford.settings.InvalidSettingsException;
 import tinford.settings.JsonFields;
 import tinford.settings.SettingsReader;
@@ -152,18 +153,20 @@
                         bytes);
         double connectWithin = SettingsReader.connectTimeoutMs(set);
         double idleMost = SettingsReader.idleTimeoutMs(set);
-        ServerPool servers = new ServerPool(desk, connectWithin, idleMost, most, loadNames(set));
+        ServerPool servers =
+                new ServerPool(desk, desk, connectWithin, idleMost, most, loadNames(set));
         ClientPool clients =
                 new ClientPool(
                         desk,
                         new Catalog(SettingsReader.requestClasses(set), SettingsReader.plans(set)),
-                        SettingsReader.gatewayIdentity(set).gatewayCount,
-                        SettingsReader.maxRequestUnits(set),
-                        idleMost,
-                        SettingsReader.maxOpenRequests(set),
-                        bytes,
-                        desk.loop.descriptorBudget().limit(DescriptorBudget.Party.CLIENTS),
-                        sockets / IDLE_PART);
+                        new ClientLimits(
+                                SettingsReader.gatewayIdentity(set).gatewayCount,
+                                SettingsReader.maxRequestUnits(set),
+                                idleMost,
+                                SettingsReader.maxOpenRequests(set),
+                                bytes,
+                                desk.loop.descriptorBudget().limit(DescriptorBudget.Party.CLIENTS),
+                                sockets / IDLE_PART));
         CounterClient counter =
                 SettingsReader.counterSettings(set).present
                         ? new CounterClient(
@@ -179,7 +182,7 @@
                         desk,
                         Addresses.of(given, "discovery"),
                         connectWithin,
-                        servers,
+                        servers::updateEndpoints,
                         json,
                         known.integer("seq", 0),
                         new Random(seed(given)));
@@ -191,7 +194,7 @@
                                 addresses(given, "peers"),
                                 Addresses.of(given, "peers_all"))
                         : null;
-        desk.seat(clients, servers, counter, watch, peers);
+        desk.attach(clients, servers, counter, watch, peers);
         HandoverLock turn = managed ? turn(env.get("TMPDIR"), given.text("name")) : null;
         AdminApi operators =
                 managed
@@ -224,14 +227,14 @@
             AtomicReference<InvalidSettingsException> wrong = new AtomicReference<>();
             desk.loop.execute(
                     () -> {
-                        desk.begin();
+                        desk.start();
                         if (managed) {
-                            operators.begin();
+                            operators.start();
                         }
                         if (companion != null) {
                             try {
-                                companion.configures(desk::use);
-                                desk.sees(
+                                companion.configures(desk::useCatalog);
+                                desk.joinFleet(
                                         companion.join(
                                                 SettingsReader.gatewayIdentity(set),
                                                 desk.loop::execute));
@@ -244,7 +247,7 @@
                         }
                         try {
                             if (given.has("known")) {
-                                servers.list(known);
+                                servers.updateEndpoints(known);
                             }
                         } catch (
                                 InvalidSettingsException
@@ -258,7 +261,7 @@
                         }
                         // guards against a list out of date: what is pushed counts as told from
                         // this process's first moment on
-                        watch.whenFirst(
+                        watch.onFirstLine(
                                 SettingsReader.watchRequired(set) ? 0 : FIRST_LIST,
                                 () -> {
                                     try {
@@ -271,7 +274,7 @@
                                     tried.countDown();
                                 });
                         if (!SettingsReader.watchRequired(set)) {
-                            watch.want(true);
+                            watch.setWanted(true);
                         }
                     });
             // guards against the end that SIGHUP is to a JVM by itself, also right behind the
@@ -299,7 +302,7 @@
         }
         // guards against a signal that comes late or never: discovery leaves the address that it
         // had, and the file says where to
-        watch.whenLost(
+        watch.onLost(
                 () -> {
                     FileTime now = written(env.get("ROUTER_CONFIG"));
                     if (now != null && !now.equals(seen.getAndSet(now))) {
@@ -314,7 +317,7 @@
                 companion.every(),
                 () -> {
                     companion.tick();
-                    servers.trim();
+                    servers.closeExcessConnections();
                     accompany(desk, servers, companion);
                 });
     }
@@ -367,9 +370,9 @@
             InetSocketAddress count = counter == null ? null : Addresses.of(given, "counter");
             desk.loop.execute(
                     () -> {
-                        watch.move(discovery);
+                        watch.moveTo(discovery);
                         if (counter != null) {
-                            counter.move(count);
+                            counter.moveTo(count);
                         }
                     });
             List<String> kept = FIXED.stream().filter(f -> !before.sameValue(given, f)).toList();
@@ -403,12 +406,12 @@
     private static HandoverLog record(HandoverLock turn) {
         return new HandoverLog() {
             @Override
-            public void add(String line) throws IOException {
+            public void append(String line) throws IOException {
                 turn.appendLine(line);
             }
 
             @Override
-            public List<String> news() throws IOException {
+            public List<String> readNew() throws IOException {
                 return turn.readNewLines();
             }
         };
--- a/gateway/src/main/java/tinford/program/Handover.java
+++ b/gateway/src/main/java/tinford/program/Handover.java
@@ -5,9 +5,9 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.CountDownLatch;
 import tinford.logging.LineLogger;
-import tinford.routing.AdminApi;
-import tinford.routing.ClientPool;
-import tinford.routing.RequestDispatcher;
+import tinford.routing.admin.AdminApi;
+import tinford.routing.client.ClientPool;
+import tinford.routing.dispatch.RequestDispatcher;
 import tinford.transport.HandoverLock;
 
 /**
@@ -103,7 +103,7 @@
         }
         try {
             if (turn.tryAcquire()) {
-                desk.takesOver();
+                desk.startTakeover();
                 clients.listen(at, true);
                 taken = true;
                 LOG.log(Level.INFO, "the clients come here now");
@@ -187,11 +187,11 @@
         try {
             turn.release();
             if (turn.succeeded()) {
-                desk.leaves();
-                operators.leaving();
+                desk.startDraining();
+                operators.startDraining();
                 desk.loop.descriptorBudget().reserve(aside);
                 LOG.log(Level.INFO, "another process takes the clients");
-                clients.leave(CLIENTS_STAY - since(), left::countDown);
+                clients.drainToSuccessor(CLIENTS_STAY - since(), left::countDown);
                 return;
             }
         } catch (IOException e) {
@@ -206,11 +206,11 @@
 
     private void close(CountDownLatch left) {
         if (operators != null) {
-            operators.leaving();
+            operators.startDraining();
         }
-        clients.letGo();
+        clients.closeIdleConnections();
         desk.loop.schedule(
-                DOOR_STAYS, () -> clients.close(CLIENTS_STAY - since(), left::countDown));
+                DOOR_STAYS, () -> clients.stopAccepting(CLIENTS_STAY - since(), left::countDown));
     }
 
     private double since() {
--- a/gateway/src/main/java/tinford/routing/Addresses.java
+++ b/gateway/src/main/java/tinford/routing/Addresses.java
@@ -6,39 +6,48 @@
 import java.util.regex.Pattern;
 import tinford.settings.JsonFields;
 
-/** Addresses as they are written everywhere here: a numeric host and a port. */
+/** Reads addresses of the form {@code host:port} with a numeric host. */
 public final class Addresses {
-    // guards against the look-up of a name, which blocks: what only looks like four numbers is one
-    // to the machine
-    private static final Pattern NUMERIC =
+    /**
+     * A numeric host as the JDK takes it without a name lookup, which would block. Text that only
+     * resembles four numbers, such as {@code 999.1.1.1}, would be looked up.
+     */
+    private static final Pattern NUMERIC_HOST =
             Pattern.compile(
                     "(25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(25[0-5]|2[0-4]\\d|1?\\d?\\d)){3}"
                             + "|\\[[0-9a-fA-F:.]+\\]");
-    private static final int SHOWN = 60; // of what is no address: the complaint is kept for a while
+
+    /** Characters of an invalid address that an error message repeats. */
+    private static final int MAX_QUOTED_CHARS = 60;
+
+    private static final int MAX_PORT = 65_535;
 
     private Addresses() {}
 
-    public static InetSocketAddress of(JsonFields in, String field) {
-        String text = in.text(field);
-        InetSocketAddress found = of(text);
-        if (found == null) {
-            throw in.invalid(
-                    field,
-                    "a numeric host:port, not "
-                            + text.substring(0, Math.min(SHOWN, text.length())));
+    /**
+     * Reads the address in a field.
+     *
+     * @throws tinford.settings.InvalidSettingsException if the field is missing or no address
+     */
+    public static InetSocketAddress of(JsonFields fields, String field) {
+        String text = fields.text(field);
+        InetSocketAddress address = of(text);
+        if (address == null) {
+            String quoted = text.substring(0, Math.min(MAX_QUOTED_CHARS, text.length()));
+            throw fields.invalid(field, "a numeric host:port, not " + quoted);
         }
-        return found;
+        return address;
     }
 
-    /** Null when the text is no such address. */
+    /** The address that the text names, or null if it names none. */
     public static InetSocketAddress of(String text) {
         int colon = text.lastIndexOf(':');
-        if (colon < 1 || !NUMERIC.matcher(text.substring(0, colon)).matches()) {
+        if (colon < 1 || !NUMERIC_HOST.matcher(text.substring(0, colon)).matches()) {
             return null;
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            return port < 1 || port > 65535
+            return port < 1 || port > MAX_PORT
                     ? null
                     : new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
         } catch (NumberFormatException | UnknownHostException e) {
--- a/gateway/src/main/java/tinford/routing/OutcomeMapping.java
+++ b/gateway/src/main/java/tinford/routing/OutcomeMapping.java
@@ -3,35 +3,40 @@
 import tinford.api.AttemptOutcome;
 import tinford.transport.CloseReason;
 
-/** What the end of a connection means to what was in it; the one place that says so. */
-final class OutcomeMapping {
+/** Maps the end of a connection to the outcome of what was in flight on it. */
+public final class OutcomeMapping {
     private OutcomeMapping() {}
 
     /**
-     * @param left the command had left to its last byte: only then can it have run
+     * Outcome of an attempt at a server.
+     *
+     * @param sent whether the command was written to its last byte: only then can it have run
      */
-    static AttemptOutcome ofDispatch(CloseReason how, boolean left) {
-        return switch (how) {
+    public static AttemptOutcome ofAttempt(CloseReason reason, boolean sent) {
+        return switch (reason) {
             case REFUSED, NEVER_UP, NO_ROOM -> AttemptOutcome.UNREACHABLE;
             case BROKEN, ENDED, MALFORMED, OVERFULL, PASSED_BY, RETIRED ->
-                    left ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.UNREACHABLE;
-            case SILENT -> left ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE;
-            case DROPPED -> left ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
+                    sent ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.UNREACHABLE;
+            case SILENT -> sent ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE;
+            case DROPPED -> sent ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
         };
     }
 
     /**
-     * To a call on the counter, what may have been added is all one, however it came to be unknown.
-     * So is a call that got no answer in its time, also if it never left: told as surely not added,
-     * all that passed in an outage would be owed by the first call after it, and customers denied
-     * who have room again. A connection that ended under a call, hung while others answered, or
-     * brought what is no answer, is told apart: it says nothing of how much the counter bears.
+     * Outcome of a call on the shared counter. Whatever may have been added is {@code
+     * CONNECTION_LOST}, however that came to be unknown.
+     *
+     * <p>A call without an answer in its time is {@code TIMED_OUT} even if it was never sent. If it
+     * counted as surely not added, all usage admitted during a counter outage would be reported
+     * with the first call after it, and tenants with quota left would be rejected. Only a time-out
+     * says something about the load that the counter can take; the end of a connection does not.
      */
-    static AttemptOutcome ofCall(CloseReason how, boolean left) {
-        return how == CloseReason.SILENT
-                ? AttemptOutcome.TIMED_OUT
-                : ofDispatch(how, left).mayHaveRun
-                        ? AttemptOutcome.CONNECTION_LOST
-                        : AttemptOutcome.UNREACHABLE;
+    public static AttemptOutcome ofCounterCall(CloseReason reason, boolean sent) {
+        if (reason == CloseReason.SILENT) {
+            return AttemptOutcome.TIMED_OUT;
+        }
+        return ofAttempt(reason, sent).mayHaveRun
+                ? AttemptOutcome.CONNECTION_LOST
+                : AttemptOutcome.UNREACHABLE;
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/admin/package-info.java
@@ -0,0 +1,2 @@
+/** The admin API, by which operators exclude servers and ask for readiness. */
+package tinford.routing.admin;
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/catalog/package-info.java
@@ -0,0 +1,2 @@
+/** The request classes and plans that clients may name. */
+package tinford.routing.catalog;
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/client/ClientPool.java
@@ -0,0 +1,316 @@
+package tinford.routing.client;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.Set;
+import tinford.protocol.ClientCommand;
+import tinford.protocol.ProtocolException;
+import tinford.protocol.RespReader;
+import tinford.routing.RoutingContext;
+import tinford.routing.catalog.Catalog;
+import tinford.transport.DescriptorBudget;
+import tinford.transport.EventLoop;
+import tinford.transport.Listener;
+
+/** The client connections, and the requests that are open on them. */
+public final class ClientPool {
+    /** Places for new connections while older ones take their time to close. */
+    private static final int MAX_SPARE_CONNECTIONS = 16;
+
+    private static final int SPARE_DIVISOR = 8;
+    private static final double CHECK_INTERVAL_MS = 250;
+
+    /** At the end of the process, a client that waits longer is answered after this time. */
+    private static final double MAX_FINAL_WAIT_MS = 3000;
+
+    /** After the longest client time-out no client waits for an answer any more. */
+    private static final double FINAL_ANSWER_GRACE_MS = 20;
+
+    /** Time to read the last responses. */
+    private static final double FINAL_READ_MS = 20;
+
+    final RoutingContext context;
+    final RespReader respReader = new RespReader(true);
+    final ClientLimits limits;
+    final CommandBuffers commandBuffers;
+    private final Set<ClientConnection> connections = new LinkedHashSet<>();
+    private final OpenRequests openRequests;
+    private final ClientRequestFactory requestFactory;
+    private Listener listener;
+    private Runnable onAllClosed;
+    private boolean draining;
+    private boolean terminating;
+
+    /**
+     * @param catalog in force until another one comes
+     */
+    public ClientPool(RoutingContext context, Catalog catalog, ClientLimits limits) {
+        this.context = context;
+        this.limits = limits;
+        this.commandBuffers = new CommandBuffers(limits.maxHeldBytes());
+        this.openRequests = new OpenRequests(limits);
+        this.requestFactory = new ClientRequestFactory(context, limits, openRequests, catalog);
+    }
+
+    /** For requests from now on; open ones keep their request class and plan. */
+    public void useCatalog(Catalog next) {
+        requestFactory.useCatalog(next);
+    }
+
+    /**
+     * Starts to accept client connections.
+     *
+     * @param shared whether another process of this gateway may listen there at the same time
+     * @throws IOException if the address can't be listened at
+     */
+    public void listen(InetSocketAddress address, boolean shared) throws IOException {
+        checkConnections();
+        listener =
+                new Listener(
+                        context.loop(), address, shared, limits.maxConnections(), this::accept);
+    }
+
+    /**
+     * A connection for a client that connects, or null: it is then closed unread, and the client
+     * turns to another gateway. Clients hold a limited number of connections, also such as they
+     * will not use again, so idle ones are closed for it.
+     */
+    private ClientConnection accept() {
+        if (connections.size() >= Math.min(limits.reclaimThreshold(), highWater())) {
+            reclaimConnections(
+                    connections.size() >= highWater()
+                            ? ConnectionActivity.BUSY
+                            : ConnectionActivity.JUST_OPENED);
+        }
+        if (connections.size() >= maxConnections()) {
+            return null;
+        }
+        ClientConnection connection = new ClientConnection(this);
+        connections.add(connection);
+        return connection;
+    }
+
+    private int maxConnections() {
+        DescriptorBudget descriptors = context.loop().descriptorBudget();
+        return Math.min(limits.maxConnections(), descriptors.limit(DescriptorBudget.Party.CLIENTS));
+    }
+
+    /** Connections from which on there are no spare places for new ones. */
+    private int highWater() {
+        int max = maxConnections();
+        return max - Math.min(MAX_SPARE_CONNECTIONS, max / SPARE_DIVISOR + 1);
+    }
+
+    private void checkConnections() {
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            connection.checkTimeouts(context.nowMs());
+        }
+        // Clients in the backlog are not accepted, so nothing else closes connections for them.
+        shrinkTo(highWater());
+        context.loop().schedule(CHECK_INTERVAL_MS, this::checkConnections);
+    }
+
+    private void shrinkTo(int count) {
+        boolean closed = true;
+        while (closed && connections.size() > count) {
+            ClientConnection connection = leastActive(ConnectionActivity.BUSY);
+            closed = connection != null && connection.closeIfQuiet();
+        }
+    }
+
+    /**
+     * Closes one connection less active than the limit, the least active first. A close between
+     * requests costs no request: what crosses it is sent once more by its client.
+     */
+    void reclaimConnections(ConnectionActivity limit) {
+        ClientConnection connection = leastActive(limit);
+        while (connection != null && !connection.closeIfQuiet()) {
+            connection = leastActive(limit);
+        }
+    }
+
+    /**
+     * The connection least active, and of these the one used longest ago; null if none is below.
+     */
+    private ClientConnection leastActive(ConnectionActivity limit) {
+        ClientConnection least = null;
+        ConnectionActivity lowest = limit;
+        double nowMs = context.nowMs();
+        for (ClientConnection connection : connections) {
+            ConnectionActivity activity = connection.activity(nowMs);
+            int order = activity.compareTo(lowest);
+            if (order < 0
+                    || order == 0 && least != null && connection.lastUseMs() < least.lastUseMs()) {
+                lowest = activity;
+                least = connection;
+            }
+        }
+        return least;
+    }
+
+    /**
+     * Makes a request from a command.
+     *
+     * @throws ProtocolException if the command does not fit the catalog or the limits
+     */
+    ClientRequest newRequest(ClientConnection connection, ClientCommand command)
+            throws ProtocolException {
+        return requestFactory.create(connection, command);
+    }
+
+    /**
+     * Hands a request to the decision module, or rejects it where limits are exceeded.
+     *
+     * @param tooManyWaiting on its connection
+     */
+    void submit(ClientRequest request, boolean tooManyWaiting) {
+        openRequests.add(request);
+        if (terminating || tooManyWaiting || openRequests.exceedLimits()) {
+            reject(request, 0);
+        } else {
+            context.events().requestArrived(request);
+        }
+    }
+
+    /**
+     * Within a batch: answers a request as rejected, unless it is finished.
+     *
+     * @param retryAfterMs when its client may come again, or 0 for no advice
+     */
+    public void reject(ClientRequest request, long retryAfterMs) {
+        if (finish(request)) {
+            request.connection.answerLine(
+                    request.slot, retryAfterMs > 0 ? "-BUSY " + retryAfterMs : "-BUSY");
+        }
+    }
+
+    /** Within a batch: answers a request as failed, unless it is finished. */
+    public void fail(ClientRequest request) {
+        if (finish(request)) {
+            request.connection.answerLine(request.slot, "-ERR aborted");
+        }
+    }
+
+    /** A request's client is gone: attempts of which something is unsent are given up. */
+    void clientDisconnected(ClientRequest request) {
+        finish(request);
+        context.events().clientDisconnected(request);
+        request.closeUnsentAttempts();
+    }
+
+    /** Within a batch: a request has its final answer; false if it had one before. */
+    public boolean finish(ClientRequest request) {
+        if (request.isFinished()) {
+            return false;
+        }
+        request.markFinished();
+        openRequests.remove(request);
+        return true;
+    }
+
+    /** Counts bytes of responses that wait for earlier ones, or no longer do if below 0. */
+    void addHeldBytes(int bytes) {
+        openRequests.addHeldBytes(bytes);
+    }
+
+    void connectionClosed(ClientConnection connection) {
+        connections.remove(connection);
+        if (onAllClosed != null && connections.isEmpty()) {
+            // What this close caused, such as units given back, is written before that.
+            context.loop().submit(onAllClosed::run);
+        }
+    }
+
+    /** Whether each connection is to end behind its next response. */
+    boolean isDraining() {
+        return draining;
+    }
+
+    /**
+     * Within a batch: another process of this gateway accepts clients, so this one stops. Each
+     * connection ends right behind its next response, when its client is not about to write; the
+     * others after {@code graceMs}.
+     *
+     * @param onDone called once all connections are closed
+     */
+    public void drainToSuccessor(double graceMs, Runnable onDone) {
+        draining = true;
+        // Both processes together have the descriptors of one.
+        shrinkTo(Math.min(limits.reclaimThreshold(), highWater()));
+        stopAccepting(graceMs, onDone);
+    }
+
+    /**
+     * Within a batch: connections between requests end, the others right behind their next
+     * response. New ones are still accepted, for the clients of requests that cross that.
+     */
+    public void closeIdleConnections() {
+        draining = true;
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            if (connection.isBetweenRequests()) {
+                connection.closeWhenAnswered();
+            }
+        }
+    }
+
+    /**
+     * Within a batch: accepts no more connections. Those open may stay for {@code graceMs}, then
+     * each ends once all on it is answered.
+     *
+     * @param onDone called once all connections are closed
+     */
+    public void stopAccepting(double graceMs, Runnable onDone) {
+        // Connections that the system accepted last may be taken over only after the grace period.
+        EventLoop.Task closeAfterBoth =
+                new EventLoop.Task() {
+                    private int runs;
+
+                    @Override
+                    public void run() {
+                        runs++;
+                        if (runs == 2) {
+                            closeWhenAnswered(onDone);
+                        }
+                    }
+                };
+        listener.close(closeAfterBoth);
+        context.loop().schedule(graceMs, closeAfterBoth);
+    }
+
+    /** Each connection ends once all on it is answered, and for lack of time in any case. */
+    void closeWhenAnswered(Runnable onDone) {
+        onAllClosed = onDone;
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            connection.closeWhenAnswered();
+        }
+        if (connections.isEmpty()) {
+            context.loop().submit(onDone::run);
+        }
+        double maxWaitMs = Math.min(requestFactory.longestTimeoutMs(), MAX_FINAL_WAIT_MS);
+        context.loop().schedule(maxWaitMs + FINAL_ANSWER_GRACE_MS, () -> terminate(onDone));
+    }
+
+    /**
+     * Ends the process in time where clients neither read nor close, so that it is not killed with
+     * requests unanswered: open ones are answered now, and those read from now on rejected.
+     */
+    private void terminate(Runnable onDone) {
+        terminating = true;
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            connection.terminate();
+        }
+        context.loop().schedule(FINAL_READ_MS, onDone::run);
+    }
+
+    /** Gives a request its final answer; to the decision module its client is gone. */
+    void terminate(ClientRequest request) {
+        if (request.hasAttempts()) {
+            fail(request);
+        } else {
+            reject(request, 0);
+        }
+        clientDisconnected(request);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/client/ClientRequest.java
@@ -0,0 +1,99 @@
+package tinford.routing.client;
+
+import java.util.ArrayList;
+import java.util.List;
+import tinford.api.RequestClass;
+import tinford.api.Tenant;
+import tinford.protocol.ClientCommand;
+import tinford.routing.upstream.ForwardedRequest;
+import tinford.routing.upstream.ResponseSource;
+import tinford.routing.upstream.ServerAttempt;
+import tinford.transport.CloseReason;
+
+/** A request with its client's connection, its place in the order of responses and its attempts. */
+public final class ClientRequest extends ForwardedRequest {
+    final ClientConnection connection;
+    final ResponseSlot slot = new ResponseSlot(this);
+    private final List<ServerAttempt> attempts = new ArrayList<>(1);
+    private boolean finished;
+
+    ClientRequest(
+            ClientConnection connection,
+            ClientCommand command,
+            RequestClass requestClass,
+            Tenant tenant,
+            double deadlineMs) {
+        super(command, requestClass, tenant, deadlineMs);
+        this.connection = connection;
+    }
+
+    /** Adds the next attempt. */
+    public ServerAttempt addAttempt(double nowMs) {
+        ServerAttempt attempt = new ServerAttempt(this, attempts.size(), nowMs);
+        attempts.add(attempt);
+        return attempt;
+    }
+
+    /** The attempt of that number, counted from 0. */
+    public ServerAttempt attempt(int number) {
+        return attempts.get(number);
+    }
+
+    boolean hasAttempts() {
+        return !attempts.isEmpty();
+    }
+
+    /** Gives up the attempts that cannot have run. */
+    void closeUnsentAttempts() {
+        attempts.forEach(ServerAttempt::closeIfUnsent);
+    }
+
+    @Override
+    public boolean isFinished() {
+        return finished;
+    }
+
+    void markFinished() {
+        finished = true;
+    }
+
+    @Override
+    public boolean clientGone() {
+        return connection.isClientGone();
+    }
+
+    @Override
+    protected boolean isNextToAnswer() {
+        return connection.isNextToAnswer(slot);
+    }
+
+    @Override
+    protected void answer(byte[] value, int from, int length) {
+        connection.answerValue(slot, value, from, length);
+    }
+
+    @Override
+    protected void setResponseSource(ResponseSource source) {
+        slot.source = source;
+    }
+
+    @Override
+    protected void startStream(long length) {
+        connection.startStream(length);
+    }
+
+    @Override
+    protected boolean writeStreamPart(byte[] bytes, int from, int length) {
+        return connection.writeStreamPart(bytes, from, length);
+    }
+
+    @Override
+    protected void endStream() {
+        connection.endStream();
+    }
+
+    @Override
+    protected void abortStream(CloseReason reason) {
+        connection.close(reason);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/client/CommandBuffers.java
@@ -0,0 +1,48 @@
+package tinford.routing.client;
+
+import java.util.ArrayDeque;
+
+/** Reserves buffers for long commands that arrive in parts; who finds none waits for its turn. */
+final class CommandBuffers {
+    private final long maxHeldBytes;
+    private final ArrayDeque<ClientConnection> waiting = new ArrayDeque<>();
+    private long reservedBytes;
+
+    /**
+     * @param maxHeldBytes what open requests may hold; commands that arrive may take half of it, as
+     *     one that is complete needs its place too
+     */
+    CommandBuffers(long maxHeldBytes) {
+        this.maxHeldBytes = maxHeldBytes;
+    }
+
+    /** Reserves what the connection awaits if it can, and tells it so; else it waits. */
+    boolean tryReserve(ClientConnection connection) {
+        int bytes = connection.awaitedBytes();
+        boolean othersFirst = !waiting.isEmpty() && waiting.peek() != connection;
+        if (othersFirst || !fits(bytes)) {
+            if (!waiting.contains(connection)) {
+                waiting.add(connection);
+            }
+            return false;
+        }
+        waiting.remove(connection);
+        reservedBytes += bytes;
+        connection.onBufferReserved();
+        return true;
+    }
+
+    private boolean fits(int bytes) {
+        return bytes <= maxHeldBytes
+                && (reservedBytes == 0 || reservedBytes + bytes <= maxHeldBytes / 2);
+    }
+
+    /** Frees what a connection has reserved, and serves those that wait. */
+    void release(ClientConnection connection, int bytes) {
+        reservedBytes -= bytes;
+        waiting.remove(connection);
+        while (!waiting.isEmpty() && tryReserve(waiting.peek())) {
+            // Each turn serves one that waits.
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
@@ -0,0 +1,206 @@
+package tinford.routing.counter;
+
+import java.math.BigDecimal;
+import java.math.RoundingMode;
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import tinford.api.AttemptOutcome;
+import tinford.protocol.NumberParser;
+import tinford.protocol.ProtocolException;
+import tinford.protocol.RespReader;
+import tinford.routing.OutcomeMapping;
+import tinford.transport.CloseReason;
+import tinford.transport.Connection;
+import tinford.transport.ConnectionBuffer;
+import tinford.transport.DescriptorBudget;
+import tinford.transport.EventLoop;
+
+/** One connection to the shared counter: calls out, responses in, in the same order. */
+final class CounterConnection extends Connection {
+    private static final int MAX_UNREAD_BYTES = 1 << 14;
+    private static final int MAX_UNWRITTEN_BYTES = 1 << 18;
+
+    /** A total has a few digits, an error a few words. */
+    private static final int MAX_RESPONSE_BYTES = 64;
+
+    private static final double PARTIAL_RESPONSE_TIMEOUT_MS = 10;
+    private static final double MAX_TTL_MS = 60_000;
+    private static final int AMOUNT_DECIMALS = 6;
+    private static final double MAX_PLAIN_INTEGER = 1e9;
+    private static final String COMMAND_HEAD = "*4\r\n$7\r\nCNT.ADD\r\n";
+    private final CounterClient client;
+    private final CounterLane lane;
+    private final InetSocketAddress address;
+
+    /** Calls without a response so far, the oldest first. */
+    private final ArrayDeque<IncrementCall> sent = new ArrayDeque<>();
+
+    private double lastReceivedMs = Double.NEGATIVE_INFINITY;
+
+    /** Runs while a response has arrived in part. */
+    private EventLoop.Timer partialTimeout;
+
+    CounterConnection(CounterClient client, CounterLane lane) {
+        super(client.context.loop(), MAX_UNREAD_BYTES, MAX_UNWRITTEN_BYTES);
+        this.client = client;
+        this.lane = lane;
+        this.address = client.address();
+        open(address, client.connectTimeoutMs);
+    }
+
+    @Override
+    protected DescriptorBudget.Party party() {
+        return DescriptorBudget.Party.SERVICES;
+    }
+
+    @Override
+    protected void onOpened() {
+        sendCalls();
+    }
+
+    /** Sends what its lane has to send. */
+    void sendCalls() {
+        for (IncrementCall call = lane.pollUnsent(); call != null; call = lane.pollUnsent()) {
+            writeCommand(call);
+            sent.add(call);
+        }
+        send();
+    }
+
+    private void writeCommand(IncrementCall call) {
+        double ttlMs = Math.min(MAX_TTL_MS, Math.max(1, Math.ceil(call.ttlMs)));
+        buf.put(COMMAND_HEAD);
+        writeWord(buf, Long.toString(call.counterKey));
+        writeWord(buf, formatAmount(call.amount));
+        writeWord(buf, Long.toString((long) ttlMs));
+    }
+
+    private static void writeWord(ConnectionBuffer to, String word) {
+        to.put("$").put(word.length()).putLineEnd().put(word).putLineEnd();
+    }
+
+    private static String formatAmount(double amount) {
+        if (amount == Math.rint(amount) && Math.abs(amount) < MAX_PLAIN_INTEGER) {
+            return Long.toString((long) amount);
+        }
+        return BigDecimal.valueOf(amount)
+                .setScale(AMOUNT_DECIMALS, RoundingMode.HALF_EVEN)
+                .toPlainString();
+    }
+
+    /** Whether the decision module still waits for the outcome of a call sent on it. */
+    boolean hasUnreportedCalls() {
+        return sent.stream().anyMatch(call -> !call.reported);
+    }
+
+    void reportSentCalls(CloseReason reason) {
+        AttemptOutcome outcome = OutcomeMapping.ofCounterCall(reason, true);
+        for (IncrementCall call : sent) {
+            client.report(call, outcome, 0);
+        }
+    }
+
+    /** When it counts as silent; infinite while no response is due. */
+    double silentAtMs() {
+        return sent.isEmpty()
+                ? Double.POSITIVE_INFINITY
+                : sent.peek().madeAtMs + client.callTimeoutMs + client.connectTimeoutMs;
+    }
+
+    /**
+     * Closes it if its response is overdue while the counter has answered later calls elsewhere, or
+     * if the machine at its other end may be gone, which only a new connection shows.
+     */
+    void closeIfStalled() {
+        double nowMs = client.context.nowMs();
+        double sinceMs = sent.isEmpty() ? nowMs : Math.max(sent.peek().madeAtMs, lastReceivedMs);
+        boolean overdue =
+                nowMs - sinceMs >= client.callTimeoutMs - CounterClient.TIMER_TOLERANCE_MS;
+        if (overdue && client.hasAnsweredCallSince(sinceMs)) {
+            close(CloseReason.PASSED_BY);
+        } else if (nowMs >= silentAtMs() - CounterClient.TIMER_TOLERANCE_MS) {
+            close(CloseReason.SILENT);
+        }
+    }
+
+    @Override
+    protected void onReceived() {
+        lastReceivedMs = client.context.nowMs();
+        try {
+            boolean more = true;
+            while (more && !isClosed()) {
+                more = readResponse();
+            }
+        } catch (ProtocolException e) {
+            warnInvalid(e);
+            close(CloseReason.MALFORMED);
+        }
+    }
+
+    private void warnInvalid(ProtocolException cause) {
+        client.context.warn("invalid response from counter", "counter=" + address, cause);
+    }
+
+    /** Reads the next response; false if none is complete. */
+    private boolean readResponse() throws ProtocolException {
+        RespReader reader = client.respReader;
+        int length = reader.parse(buf.bytes(), buf.readIndex(), buf.readLimit());
+        if (length == 0) {
+            awaitRest();
+            return false;
+        }
+        if (sent.isEmpty()) {
+            throw new ProtocolException("an answer to a call only");
+        }
+        AttemptOutcome outcome = outcomeOf(reader);
+        double total = outcome == AttemptOutcome.SUCCESS ? NumberParser.parse(reader.text(0)) : 0;
+        buf.consume(length);
+        cancelPartialTimeout();
+        IncrementCall call = sent.poll();
+        client.responseArrived(call);
+        client.report(call, outcome, total);
+        return true;
+    }
+
+    /** Responses arrive in one piece: one that does not end must not block those behind it. */
+    private void awaitRest() throws ProtocolException {
+        if (buf.unread() > MAX_RESPONSE_BYTES) {
+            throw new ProtocolException("an answer of under " + MAX_RESPONSE_BYTES + " bytes");
+        }
+        if (buf.unread() > 0 && partialTimeout == null) {
+            partialTimeout =
+                    loop.schedule(PARTIAL_RESPONSE_TIMEOUT_MS, () -> close(CloseReason.MALFORMED));
+        }
+    }
+
+    private void cancelPartialTimeout() {
+        if (partialTimeout != null) {
+            partialTimeout.cancel();
+            partialTimeout = null;
+        }
+    }
+
+    /** A total that can be read is valid, in whatever form; any other text has no known meaning. */
+    private AttemptOutcome outcomeOf(RespReader reader) throws ProtocolException {
+        if (!reader.array()
+                && reader.kind(0) == '$'
+                && !Double.isNaN(NumberParser.parse(reader.text(0)))) {
+            return AttemptOutcome.SUCCESS;
+        }
+        String line = reader.kind(0) == '-' ? reader.text(0) : "";
+        if (line.equals("BUSY") || line.startsWith("BUSY ")) {
+            return AttemptOutcome.OVERLOADED;
+        }
+        if (line.startsWith("ERR ")) {
+            warnInvalid(new ProtocolException("a total or -BUSY, not -" + line));
+            return AttemptOutcome.OVERLOADED;
+        }
+        throw new ProtocolException("a total, -BUSY or -ERR");
+    }
+
+    @Override
+    protected void onEnded(CloseReason reason) {
+        cancelPartialTimeout();
+        lane.connectionEnded(this, reason);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/counter/package-info.java
@@ -0,0 +1,2 @@
+/** Calls on the shared counter over a few parallel connections. */
+package tinford.routing.counter;
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryConnection.java
@@ -0,0 +1,102 @@
+package tinford.routing.discovery;
+
+import java.net.InetSocketAddress;
+import tinford.protocol.ChunkedLineReader;
+import tinford.protocol.EndpointListLimit;
+import tinford.protocol.JsonObjectSplitter;
+import tinford.protocol.ProtocolException;
+import tinford.transport.CloseReason;
+import tinford.transport.Connection;
+import tinford.transport.DescriptorBudget;
+
+/** One HTTP call to discovery: a watch, or the full list once. */
+final class DiscoveryConnection extends Connection {
+    private static final int MAX_UNREAD_BYTES = 64 << 10;
+    private static final int MAX_UNWRITTEN_BYTES = 4096;
+    private static final int MAX_LIST_BYTES =
+            EndpointListLimit.maxBytes(Runtime.getRuntime().maxMemory());
+    private final DiscoveryWatch watch;
+    private final boolean fetch;
+    private final ChunkedLineReader lines = new ChunkedLineReader(MAX_LIST_BYTES);
+    private final JsonObjectSplitter objects;
+    private boolean listReceived;
+
+    /** Set while lines are read, whose reader takes no checked exception. */
+    private ProtocolException failure;
+
+    /**
+     * @param fetch whether to fetch the full list once, rather than to watch
+     */
+    DiscoveryConnection(DiscoveryWatch watch, boolean fetch) {
+        super(watch.context.loop(), MAX_UNREAD_BYTES, MAX_UNWRITTEN_BYTES);
+        this.watch = watch;
+        this.fetch = fetch;
+        this.objects = new JsonObjectSplitter(watch.json, MAX_LIST_BYTES);
+        InetSocketAddress address = watch.address();
+        String query = fetch ? "" : "?watch=1&after=" + watch.version();
+        buf.put("GET /registry/instances" + query + " HTTP/1.1\r\nHost: ")
+                .put(address.getHostString() + ":" + address.getPort())
+                .put("\r\n\r\n");
+        open(address, watch.connectTimeoutMs);
+    }
+
+    @Override
+    protected DescriptorBudget.Party party() {
+        return DescriptorBudget.Party.SERVICES;
+    }
+
+    @Override
+    protected void onOpened() {}
+
+    @Override
+    protected void onReceived() {
+        try {
+            buf.consume(lines.read(buf.bytes(), buf.readIndex(), buf.readLimit(), this::readLine));
+            if (failure != null) {
+                throw failure;
+            }
+            if (lines.done()) {
+                close(CloseReason.ENDED);
+            }
+        } catch (ProtocolException e) {
+            watch.warnInvalid(e);
+            close(CloseReason.MALFORMED);
+        }
+    }
+
+    private void readLine(String line) {
+        if (failure != null || isClosed()) {
+            return;
+        }
+        try {
+            handle(objects.addLine(line));
+        } catch (ProtocolException e) {
+            failure = e;
+        }
+    }
+
+    /**
+     * @param object a list, empty for a heartbeat, or null while an object is incomplete
+     */
+    private void handle(String object) throws ProtocolException {
+        if (object == null) {
+            return;
+        }
+        if (!object.isEmpty()) {
+            watch.listReceived(object);
+            listReceived = true;
+        }
+        if (!fetch) {
+            watch.lineReceived(this);
+        }
+    }
+
+    @Override
+    protected void onEnded(CloseReason reason) {
+        if (fetch) {
+            watch.fetchEnded(listReceived);
+        } else {
+            watch.watchEnded(this);
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/dispatch/RateLimitedWarnings.java
@@ -0,0 +1,38 @@
+package tinford.routing.dispatch;
+
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.util.HashSet;
+import java.util.Set;
+
+/**
+ * Logs warnings about other parties, each event and cause once a minute: a party that misbehaves
+ * does so with every request. If several do the same, the first one is named.
+ */
+final class RateLimitedWarnings {
+    private static final int MAX_DISTINCT_WARNINGS = 100;
+    private static final double REPEAT_INTERVAL_MS = 60_000;
+    private final Logger logger;
+    private final Set<String> logged = new HashSet<>();
+    private double intervalStartMs;
+
+    RateLimitedWarnings(Logger logger) {
+        this.logger = logger;
+    }
+
+    /**
+     * @param subject what it happened to, as {@code key=value}, or empty; it does not make a
+     *     warning another
+     */
+    void log(double nowMs, String event, String subject, Exception cause) {
+        if (nowMs - intervalStartMs > REPEAT_INTERVAL_MS) {
+            logged.clear();
+            intervalStartMs = nowMs;
+        }
+        String message = cause.getMessage();
+        if (logged.size() < MAX_DISTINCT_WARNINGS && logged.add(event + message)) {
+            String where = subject.isEmpty() ? "" : " " + subject;
+            logger.log(Level.WARNING, event + where + " error=\"" + message + "\"");
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/dispatch/RequestDispatcher.java
@@ -0,0 +1,276 @@
+package tinford.routing.dispatch;
+
+import java.io.IOException;
+import java.lang.System.Logger.Level;
+import java.util.function.LongSupplier;
+import tinford.api.AttemptOutcome;
+import tinford.api.DecisionModule;
+import tinford.api.FleetPolicy;
+import tinford.api.GatewayActions;
+import tinford.api.GatewayEvents;
+import tinford.api.Request;
+import tinford.api.Server;
+import tinford.routing.RoutingContext;
+import tinford.routing.catalog.Catalog;
+import tinford.routing.client.ClientPool;
+import tinford.routing.client.ClientRequest;
+import tinford.routing.counter.CounterClient;
+import tinford.routing.discovery.DiscoveryWatch;
+import tinford.routing.peer.PeerMessenger;
+import tinford.routing.upstream.AttemptListener;
+import tinford.routing.upstream.PooledServer;
+import tinford.routing.upstream.ServerAttempt;
+import tinford.routing.upstream.ServerPool;
+import tinford.transport.Clock;
+import tinford.transport.CloseReason;
+import tinford.transport.EventLoop;
+
+/**
+ * Connects the decision module to the sockets. All input of one event loop iteration becomes one
+ * batch of events for the module, whose actions become calls on the parts of the request path.
+ */
+public final class RequestDispatcher implements RoutingContext, AttemptListener, GatewayActions {
+    private static final System.Logger LOG = System.getLogger("tinford.routing");
+    public final EventLoop loop;
+    private final Clock clock = new Clock();
+    private final RateLimitedWarnings warnings = new RateLimitedWarnings(LOG);
+    private final DecisionModule decisions;
+    private final int maxAttempts;
+    private ClientPool clients;
+    private ServerPool servers;
+    private CounterClient counter;
+    private DiscoveryWatch watch;
+    private PeerMessenger peers;
+    private FleetPolicy fleetPolicy = new FleetPolicy();
+    private GatewayEvents events;
+    private double nowMs = clock.now();
+    private double previousBatchMs = nowMs;
+
+    /**
+     * @param maxAttempts of one request
+     * @param descriptors limit on open connections, those of the admin API not counted
+     * @param bufferBytes limit on the buffers of all connections together
+     * @throws IOException if the event loop can't be started
+     */
+    public RequestDispatcher(
+            DecisionModule decisions, int maxAttempts, int descriptors, long bufferBytes)
+            throws IOException {
+        this(decisions, maxAttempts, descriptors, bufferBytes, System::nanoTime);
+    }
+
+    /**
+     * As the other constructor, with the clock that timers follow.
+     *
+     * @param nanoTime time in nanoseconds since any moment
+     */
+    public RequestDispatcher(
+            DecisionModule decisions,
+            int maxAttempts,
+            int descriptors,
+            long bufferBytes,
+            LongSupplier nanoTime)
+            throws IOException {
+        this.decisions = decisions;
+        this.maxAttempts = maxAttempts;
+        this.loop = new EventLoop(this::runBatch, descriptors, bufferBytes, nanoTime);
+    }
+
+    /** Sets the parts that actions go to, once, before the first batch; null for those unused. */
+    public void attach(
+            ClientPool clients,
+            ServerPool servers,
+            CounterClient counter,
+            DiscoveryWatch watch,
+            PeerMessenger peers) {
+        this.clients = clients;
+        this.servers = servers;
+        this.counter = counter;
+        this.watch = watch;
+        this.peers = peers;
+    }
+
+    /** Starts the decision module: the first call within the first batch. */
+    public void start() {
+        events.started();
+    }
+
+    /** Within a batch: brings the policy of a fleet into force. */
+    public void joinFleet(FleetPolicy policy) {
+        fleetPolicy = policy;
+        events.fleetPolicyChanged(policy);
+    }
+
+    /** Within a batch: brings the catalog into force. */
+    public void useCatalog(Catalog catalog) {
+        clients.useCatalog(catalog);
+        events.plansChanged(catalog.plansInForce());
+    }
+
+    /** Within a batch: this process takes the requests over from another one of this gateway. */
+    public void startTakeover() {
+        events.takeoverStarted();
+    }
+
+    /** Within a batch: another process of this gateway takes the requests over. */
+    public void startDraining() {
+        events.drainingStarted();
+    }
+
+    private void runBatch() {
+        previousBatchMs = nowMs;
+        nowMs = clock.now();
+        decisions.handleBatch(
+                nowMs,
+                inbox -> {
+                    events = inbox;
+                    loop.playAll();
+                },
+                this);
+    }
+
+    @Override
+    public EventLoop loop() {
+        return loop;
+    }
+
+    @Override
+    public double nowMs() {
+        return nowMs;
+    }
+
+    @Override
+    public double previousBatchMs() {
+        return previousBatchMs;
+    }
+
+    @Override
+    public GatewayEvents events() {
+        return events;
+    }
+
+    @Override
+    public FleetPolicy fleetPolicy() {
+        return fleetPolicy;
+    }
+
+    @Override
+    public void warn(String event, String subject, Exception cause) {
+        warnings.log(nowMs, event, subject, cause);
+    }
+
+    @Override
+    public void responseStarted(ServerAttempt attempt) {
+        attempt.cancelTimers();
+        ClientRequest request = (ClientRequest) attempt.request;
+        clients.finish(request);
+        events.responseStarted(request, attempt.number);
+    }
+
+    @Override
+    public void attemptEnded(
+            ServerAttempt attempt,
+            AttemptOutcome outcome,
+            int meteredUse,
+            double settledUnits,
+            double[] loadReport) {
+        if (!attempt.markEnded()) {
+            return;
+        }
+        ClientRequest request = (ClientRequest) attempt.request;
+        if (outcome == AttemptOutcome.SUCCESS) {
+            clients.finish(request);
+        }
+        events.attemptEnded(
+                request,
+                attempt.number,
+                outcome,
+                nowMs - attempt.startedAtMs,
+                request.isFinished(),
+                meteredUse,
+                settledUnits,
+                loadReport);
+    }
+
+    @Override
+    public void sendAttempt(Request request, Server server, double timeoutMs, double sendWithinMs) {
+        ServerAttempt attempt = ((ClientRequest) request).addAttempt(nowMs);
+        double remainingMs = request.deadlineMs - nowMs;
+        double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
+        if (waitMs <= 0 || isForbidden(attempt)) {
+            loop.submit(() -> endUnsent(attempt));
+            return;
+        }
+        servers.send(attempt, (PooledServer) server, (long) Math.ceil(waitMs));
+        attempt.setTimeout(loop.schedule(waitMs, () -> attempt.close(CloseReason.SILENT)));
+        if (sendWithinMs < waitMs) {
+            attempt.setSendDeadline(loop.schedule(sendWithinMs, attempt::closeIfUnsent));
+        }
+    }
+
+    private boolean isForbidden(ServerAttempt attempt) {
+        return attempt.request.isFinished() || attempt.number >= maxAttempts;
+    }
+
+    private void endUnsent(ServerAttempt attempt) {
+        AttemptOutcome outcome =
+                isForbidden(attempt) ? AttemptOutcome.NOT_SENT : AttemptOutcome.TIMED_OUT;
+        attemptEnded(attempt, outcome, 0, 0, null);
+    }
+
+    @Override
+    public void cancelAttempt(Request request, int number) {
+        ServerAttempt attempt = ((ClientRequest) request).attempt(number);
+        loop.submit(() -> attempt.close(CloseReason.DROPPED));
+    }
+
+    @Override
+    public void reject(Request request, double retryAfterMs) {
+        clients.reject((ClientRequest) request, (long) Math.ceil(retryAfterMs));
+    }
+
+    @Override
+    public void fail(Request request) {
+        clients.fail((ClientRequest) request);
+    }
+
+    @Override
+    public void setTimer(long token, double delayMs) {
+        loop.schedule(delayMs, () -> events.timerFired(token));
+    }
+
+    /** The wire protocol has no health check: it ends as not sent. */
+    @Override
+    public void sendHealthCheck(Server server) {
+        loop.submit(() -> events.healthCheckEnded(server, AttemptOutcome.NOT_SENT, 0, null));
+    }
+
+    @Override
+    public void closeIdleConnections(Server server) {
+        servers.closeIdleConnections((PooledServer) server);
+    }
+
+    @Override
+    public void sendGossip(int peer, String text) {
+        peers.send(peer, text);
+    }
+
+    @Override
+    public void incrementCounter(long counterKey, double amount, double ttlMs) {
+        counter.increment(counterKey, amount, ttlMs);
+    }
+
+    @Override
+    public void watchEndpoints(boolean enabled) {
+        watch.setWanted(enabled);
+    }
+
+    @Override
+    public void fetchEndpoints() {
+        watch.fetch();
+    }
+
+    @Override
+    public void log(String text) {
+        LOG.log(Level.INFO, text);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/dispatch/package-info.java
@@ -0,0 +1,2 @@
+/** The dispatcher between the decision module and the parts of the request path. */
+package tinford.routing.dispatch;
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/peer/package-info.java
@@ -0,0 +1,2 @@
+/** Gossip between the gateways, as datagrams. */
+package tinford.routing.peer;
--- a/gateway/src/test/java/tinford/program/SocketTest.java
+++ b/gateway/src/test/java/tinford/program/SocketTest.java
@@ -920,7 +920,8 @@
             assertEquals(client.hear(), "ok");
             server.socket.close();
         }
-        says(log, "discovery: expected discovery: seq: expected a whole number");
+        says(log, "invalid response from discovery discovery=");
+        says(log, "error=\"expected discovery: seq: expected a whole number\"");
     }
 
     /**
--- a/gateway/src/test/java/tinford/routing/AddressesTest.java
+++ b/gateway/src/test/java/tinford/routing/AddressesTest.java
@@ -14,29 +14,29 @@
 import tinford.settings.InvalidSettingsException;
 import tinford.settings.JsonFields;
 
-/** What stands for an address is read without asking anybody. */
+/** Addresses are read without a name lookup. */
 public class AddressesTest {
-    /** Prints what the address given is taken for. */
-    public static final class Says {
-        private Says() {}
+    /** Prints the address that its argument names. */
+    public static final class AddressPrinter {
+        private AddressPrinter() {}
 
-        public static void main(String[] address) {
-            System.out.println(Addresses.of(address[0]));
+        public static void main(String[] arguments) {
+            System.out.println(Addresses.of(arguments[0]));
         }
     }
 
     @DataProvider
-    public Object[][] names() {
+    public Object[][] misleadingNames() {
         return new Object[][] {{"999.1.1.1"}, {"256.0.0.1"}, {"1.2.3.4.5"}, {"1.2.3.4."}};
     }
 
-    /** In a process that knows such a name, so that a look-up shows. */
-    @Test(dataProvider = "names")
-    public void noNameIsLookedUp(String name) throws Exception {
+    /** Runs in a process with such a name in its hosts file, so that a lookup would find it. */
+    @Test(dataProvider = "misleadingNames")
+    public void nameIsNotLookedUp(String name) throws Exception {
         Path hosts = Files.createTempFile("hosts", "");
         try {
             Files.writeString(hosts, "10.9.9.9 " + name + "\n");
-            Process p =
+            Process printer =
                     new ProcessBuilder(
                                     System.getProperty("java.home")
                                             + File.separator
@@ -46,20 +46,20 @@
                                     "-Djdk.net.hosts.file=" + hosts,
                                     "-cp",
                                     System.getProperty("java.class.path"),
-                                    Says.class.getName(),
+                                    AddressPrinter.class.getName(),
                                     name + ":80")
                             .redirectErrorStream(true)
                             .start();
-            String said = new String(p.getInputStream().readAllBytes());
-            assertTrue(p.waitFor(30, TimeUnit.SECONDS));
-            assertEquals(said.strip(), "null");
+            String printed = new String(printer.getInputStream().readAllBytes());
+            assertTrue(printer.waitFor(30, TimeUnit.SECONDS));
+            assertEquals(printed.strip(), "null");
         } finally {
             Files.delete(hosts);
         }
     }
 
     @DataProvider
-    public Object[][] numeric() {
+    public Object[][] numericAddresses() {
         return new Object[][] {
             {"127.0.0.1:80"},
             {"255.249.199.9:65535"},
@@ -69,24 +69,43 @@
         };
     }
 
-    @Test(dataProvider = "numeric")
-    public void whatIsNumericIsAnAddress(String text) {
+    @Test(dataProvider = "numericAddresses")
+    public void numericAddressIsResolved(String text) {
         assertTrue(Addresses.of(text) != null && !Addresses.of(text).isUnresolved());
     }
 
-    /** What is complained of is kept for a while: of a text without end only its beginning. */
+    @DataProvider
+    public Object[][] texts() {
+        return new Object[][] {
+            {"127.0.0.1:80", true},
+            {"[::1]:80", true},
+            {"127.0.0.1", false},
+            {"127.0.0.1:0", false},
+            {"127.0.0.1:65536", false},
+            {"host.example:80", false},
+            {":80", false},
+            {"127.0.0.1:x", false},
+        };
+    }
+
+    @Test(dataProvider = "texts")
+    public void addressHasANumericHostAndAPort(String text, boolean valid) {
+        assertEquals(Addresses.of(text) != null, valid);
+    }
+
+    /** Warnings are kept for a while: of a text without end only its beginning. */
     @Test
-    public void aLongOneIsNamedByItsBeginning() {
-        JsonFields in =
+    public void errorQuotesOnlyTheBeginningOfALongText() {
+        JsonFields fields =
                 JsonFields.of(
                         new JsonFactory(),
                         "discovery",
                         "{\"dial\":\"" + "1".repeat(1 << 20) + "\"}");
-        InvalidSettingsException bad =
-                expectThrows(InvalidSettingsException.class, () -> Addresses.of(in, "dial"));
+        InvalidSettingsException error =
+                expectThrows(InvalidSettingsException.class, () -> Addresses.of(fields, "dial"));
         assertEquals(
-                bad.getMessage().replaceAll("1+$", ""),
+                error.getMessage().replaceAll("1+$", ""),
                 "discovery: dial: expected a numeric host:port, not ");
-        assertTrue(bad.getMessage().length() < 120, "of " + bad.getMessage().length());
+        assertTrue(error.getMessage().length() < 120, "of " + error.getMessage().length());
     }
 }
--- /dev/null
+++ b/gateway/src/test/java/tinford/routing/OutcomeMappingTest.java
@@ -0,0 +1,46 @@
+package tinford.routing;
+
+import static org.testng.Assert.assertEquals;
+import static tinford.api.AttemptOutcome.CANCELLED;
+import static tinford.api.AttemptOutcome.CONNECTION_LOST;
+import static tinford.api.AttemptOutcome.NOT_SENT;
+import static tinford.api.AttemptOutcome.TIMED_OUT;
+import static tinford.api.AttemptOutcome.UNREACHABLE;
+
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import tinford.api.AttemptOutcome;
+import tinford.transport.CloseReason;
+
+/** What the end of a connection means to what was in flight on it. */
+public class OutcomeMappingTest {
+    /** Close reason; outcome where the command was not sent completely, and where it was. */
+    @DataProvider
+    public Object[][] closeReasons() {
+        return new Object[][] {
+            {CloseReason.REFUSED, UNREACHABLE, UNREACHABLE},
+            {CloseReason.NEVER_UP, UNREACHABLE, UNREACHABLE},
+            {CloseReason.NO_ROOM, UNREACHABLE, UNREACHABLE},
+            {CloseReason.BROKEN, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.ENDED, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.MALFORMED, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.OVERFULL, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.RETIRED, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.SILENT, UNREACHABLE, TIMED_OUT},
+            {CloseReason.PASSED_BY, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.DROPPED, NOT_SENT, CANCELLED},
+        };
+    }
+
+    @Test(dataProvider = "closeReasons")
+    public void outcomeSaysWhetherTheCommandMayHaveRun(
+            CloseReason reason, AttemptOutcome unsent, AttemptOutcome sent) {
+        assertEquals(OutcomeMapping.ofAttempt(reason, false), unsent);
+        assertEquals(OutcomeMapping.ofAttempt(reason, true), sent);
+        boolean silent = reason == CloseReason.SILENT;
+        assertEquals(OutcomeMapping.ofCounterCall(reason, false), silent ? TIMED_OUT : UNREACHABLE);
+        // Only a time-out says something about the load that the counter can take.
+        AttemptOutcome unknown = sent.mayHaveRun ? CONNECTION_LOST : UNREACHABLE;
+        assertEquals(OutcomeMapping.ofCounterCall(reason, true), silent ? TIMED_OUT : unknown);
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/tinford/routing/RoutingFixtures.java
@@ -0,0 +1,175 @@
+package tinford.routing;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import tinford.api.DecisionModule;
+import tinford.api.DeduplicationScope;
+import tinford.api.GatewayEvents;
+import tinford.api.Idempotency;
+import tinford.api.Plan;
+import tinford.api.RequestClass;
+import tinford.routing.catalog.Catalog;
+import tinford.routing.client.ClientLimits;
+import tinford.routing.dispatch.RequestDispatcher;
+import tinford.settings.JsonFields;
+import tinford.transport.EventLoop;
+
+/** What tests of the request path share: settings, commands, endpoint lists and batches. */
+public final class RoutingFixtures {
+    /** Only ends a test that hangs. */
+    public static final int TIMEOUT_MS = 20_000;
+
+    public static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    public static final String PING = "*1\r\n$4\r\nPING\r\n";
+    public static final String PONG = "+PONG\r\n";
+    public static final String ABORTED = "-ERR aborted\r\n";
+    public static final String REJECTED = "-BUSY\r\n";
+    private static final String TENANT = "0000000000000007";
+
+    private RoutingFixtures() {}
+
+    /** A decision module that passes all events to the given ones. */
+    public static DecisionModule decisions(GatewayEvents events) {
+        return (nowMs, batch, actions) -> batch.replay(events);
+    }
+
+    public static RequestClass requestClass(
+            String name, double timeoutMs, Idempotency idempotency) {
+        return new RequestClass(
+                name,
+                timeoutMs / 4,
+                timeoutMs,
+                1,
+                0,
+                idempotency,
+                DeduplicationScope.ALL,
+                0,
+                false);
+    }
+
+    public static Plan plan(String name) {
+        return new Plan(name, 0, 0, 0, 1, 0, 0, 0, 0, 0);
+    }
+
+    /** With the plan "p". */
+    public static Catalog catalog(RequestClass... classes) {
+        Map<String, RequestClass> byName = new LinkedHashMap<>();
+        for (RequestClass requestClass : classes) {
+            byName.put(requestClass.name, requestClass);
+        }
+        return new Catalog(byName, Map.of("p", plan("p")));
+    }
+
+    /** For one gateway, ten open requests, eight connections. */
+    public static ClientLimits clientLimits(long maxHeldBytes) {
+        return new ClientLimits(1, 6, 15_000, 10, maxHeldBytes, 8, 8);
+    }
+
+    public static String command(String... words) {
+        StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
+        for (String word : words) {
+            text.append("$").append(word.length()).append("\r\n").append(word).append("\r\n");
+        }
+        return text.toString();
+    }
+
+    /** A request of class "f" and plan "p" that may run again. */
+    public static String ask(int id, int timeoutMs) {
+        return command("Q.ASK", TENANT, hexId(id), "c=f,t=p,d=" + timeoutMs);
+    }
+
+    /** A request that must not run again, with further words behind its terms. */
+    public static String doOnce(int id, String requestClass, int timeoutMs, String... body) {
+        String[] words = new String[4 + body.length];
+        words[0] = "Q.DO";
+        words[1] = TENANT;
+        words[2] = hexId(id);
+        words[3] = "c=" + requestClass + ",t=p,d=" + timeoutMs;
+        System.arraycopy(body, 0, words, 4, body.length);
+        return command(words);
+    }
+
+    private static String hexId(int id) {
+        return String.format("%016x", id);
+    }
+
+    public static void write(Socket socket, String text) {
+        try {
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    /** That many characters, or fewer at the end of the stream. */
+    public static String read(Socket socket, int length) throws IOException {
+        return new String(socket.getInputStream().readNBytes(length), StandardCharsets.ISO_8859_1);
+    }
+
+    /**
+     * A server that accepts nothing and has its backlog full, so that no connection to it is ever
+     * established.
+     *
+     * @param open where its sockets are added, to be closed at the end of the test
+     */
+    public static ServerSocket fullServer(List<AutoCloseable> open) throws IOException {
+        ServerSocket full = new ServerSocket(0, 1, LOOPBACK);
+        open.add(full);
+        for (int i = 0; i < 2; i++) {
+            open.add(new Socket(LOOPBACK, full.getLocalPort()));
+        }
+        return full;
+    }
+
+    /** An entry of an endpoint list. */
+    public static String hostEntry(String id, ServerSocket server, String health, int bornMs) {
+        return "{\"host\":\""
+                + id
+                + "\",\"dial\":\"127.0.0.1:"
+                + server.getLocalPort()
+                + "\",\"site\":\"a\",\"block\":0,\"health\":\""
+                + health
+                + "\",\"share\":1.0,\"born_ms\":"
+                + bornMs
+                + "}";
+    }
+
+    public static JsonFields endpointList(boolean complete, Collection<String> entries) {
+        String text =
+                "{\"seq\":1,\"whole\":"
+                        + complete
+                        + ",\"hosts\":["
+                        + String.join(",", entries)
+                        + "]}";
+        return JsonFields.of(new JsonFactory(), "list", text);
+    }
+
+    /** Runs it within one batch: nothing that arrives meanwhile is read before its end. */
+    public static void runInBatch(RequestDispatcher dispatcher, EventLoop.Task task)
+            throws Exception {
+        CompletableFuture<Void> done = new CompletableFuture<>();
+        dispatcher
+                .loop()
+                .execute(
+                        () -> {
+                            try {
+                                task.run();
+                                done.complete(null);
+                            } catch (RuntimeException | AssertionError e) {
+                                done.completeExceptionally(e);
+                            }
+                        });
+        done.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/tinford/routing/client/ClosingFixture.java
@@ -0,0 +1,183 @@
+package tinford.routing.client;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+import static tinford.routing.RoutingFixtures.LOOPBACK;
+import static tinford.routing.RoutingFixtures.PING;
+import static tinford.routing.RoutingFixtures.PONG;
+import static tinford.routing.RoutingFixtures.TIMEOUT_MS;
+import static tinford.routing.RoutingFixtures.read;
+import static tinford.routing.RoutingFixtures.write;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.net.SocketException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import tinford.api.DecisionModule;
+import tinford.api.GatewayActions;
+import tinford.api.Idempotency;
+import tinford.api.Request;
+import tinford.decision.DecisionFixture;
+import tinford.routing.RoutingFixtures;
+import tinford.routing.dispatch.RequestDispatcher;
+import tinford.testing.FreePort;
+import tinford.transport.EventLoop;
+
+/** Clients on real connections, batch by batch, in driven time; requests fail or stay open. */
+abstract class ClosingFixture {
+    static final int LONGEST_TIMEOUT_MS = 8000;
+    private static final int REQUEST_TIMEOUT_MS = 900;
+    final AtomicLong nanoTime = new AtomicLong();
+    final List<AutoCloseable> open = new ArrayList<>();
+    final List<Long> arrivedIds = new CopyOnWriteArrayList<>();
+    private final LinkedBlockingQueue<ClientRequest> arrived = new LinkedBlockingQueue<>();
+
+    /** Whether requests fail as they arrive; else they stay open. */
+    boolean failsAtOnce;
+
+    /** Whether a unit is given back to the counter when a client disconnects. */
+    boolean returnsUnits;
+
+    GatewayActions actions;
+    RequestDispatcher dispatcher;
+    ClientPool clients;
+    private int port;
+
+    @BeforeMethod
+    public void start() throws Exception {
+        failsAtOnce = true;
+        returnsUnits = false;
+        nanoTime.set(0);
+        arrived.clear();
+        arrivedIds.clear();
+        dispatcher = new RequestDispatcher(decisions(), 3, 20, 64 << 20, nanoTime::get);
+        clients =
+                new ClientPool(
+                        dispatcher,
+                        RoutingFixtures.catalog(
+                                RoutingFixtures.requestClass(
+                                        "f", LONGEST_TIMEOUT_MS, Idempotency.IDEMPOTENT)),
+                        RoutingFixtures.clientLimits(1 << 20));
+        dispatcher.attach(clients, null, null, null, null);
+        port = FreePort.find();
+        runBatch(
+                () -> {
+                    try {
+                        clients.listen(new InetSocketAddress(LOOPBACK, port), false);
+                    } catch (IOException e) {
+                        throw new UncheckedIOException(e);
+                    }
+                });
+    }
+
+    private DecisionModule decisions() {
+        return (now, batch, to) -> {
+            actions = to;
+            batch.replay(
+                    new DecisionFixture.Deaf() {
+                        @Override
+                        public void requestArrived(Request request) {
+                            arrivedIds.add(request.id);
+                            arrived.add((ClientRequest) request);
+                            if (failsAtOnce) {
+                                to.fail(request);
+                            }
+                        }
+
+                        @Override
+                        public void clientDisconnected(Request request) {
+                            if (returnsUnits) {
+                                to.incrementCounter(1, -1, 1000);
+                            }
+                        }
+                    });
+        };
+    }
+
+    @AfterMethod(alwaysRun = true)
+    public void stop() throws Exception {
+        for (AutoCloseable one : open) {
+            one.close();
+        }
+        open.clear();
+        dispatcher.loop().close();
+    }
+
+    /** Runs the task in one batch; the next one is over as well when this returns. */
+    void runBatch(EventLoop.Task task) throws Exception {
+        dispatcher.loop().execute(task);
+        for (int i = 0; i < 2; i++) {
+            CountDownLatch over = new CountDownLatch(1);
+            dispatcher.loop().execute(over::countDown);
+            assertTrue(over.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "the loop stands");
+        }
+    }
+
+    void advanceTime(int ms) throws Exception {
+        nanoTime.addAndGet(ms * 1_000_000L);
+        runBatch(() -> {});
+    }
+
+    Socket connect() throws IOException {
+        return connect(0);
+    }
+
+    /**
+     * @param receiveBufferBytes 0 for the system's default
+     */
+    Socket connect(int receiveBufferBytes) throws IOException {
+        Socket socket = new Socket();
+        open.add(socket);
+        if (receiveBufferBytes > 0) {
+            socket.setReceiveBufferSize(receiveBufferBytes);
+        }
+        socket.setTcpNoDelay(true);
+        socket.setSoTimeout(TIMEOUT_MS);
+        socket.connect(new InetSocketAddress(LOOPBACK, port));
+        return socket;
+    }
+
+    /** All up to the end of the stream; a reset is an end as well. */
+    static String readToEnd(Socket socket) throws IOException {
+        StringBuilder text = new StringBuilder();
+        try {
+            int next = socket.getInputStream().read();
+            while (next >= 0) {
+                text.append((char) next);
+                next = socket.getInputStream().read();
+            }
+        } catch (SocketException e) {
+            // The text so far is all there is.
+        }
+        return text.toString();
+    }
+
+    static String ask(int id) {
+        return RoutingFixtures.ask(id, REQUEST_TIMEOUT_MS);
+    }
+
+    /** Returns once what was written before, on any connection, is read and its batch is over. */
+    void settle() throws Exception {
+        for (int i = 0; i < 2; i++) {
+            Socket other = connect();
+            write(other, PING);
+            assertEquals(read(other, PONG.length()), PONG);
+            other.close();
+        }
+        runBatch(() -> {});
+    }
+
+    ClientRequest nextArrived() throws InterruptedException {
+        return arrived.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
@@ -0,0 +1,216 @@
+package tinford.routing.client;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+import static tinford.routing.RoutingFixtures.ABORTED;
+import static tinford.routing.RoutingFixtures.LOOPBACK;
+import static tinford.routing.RoutingFixtures.TIMEOUT_MS;
+import static tinford.routing.RoutingFixtures.read;
+import static tinford.routing.RoutingFixtures.write;
+
+import java.io.UncheckedIOException;
+import java.lang.reflect.Field;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import org.xnio.Options;
+import org.xnio.StreamConnection;
+import tinford.transport.CloseReason;
+import tinford.transport.Connection;
+import tinford.transport.DescriptorBudget;
+
+/** Closes of client connections by the gateway: responses are complete, no request is lost. */
+public class ConnectionCloseTest extends ClosingFixture {
+    private static final int PART_BYTES = 64 << 10;
+    private static final int SMALL_BUFFER_BYTES = 4096;
+
+    /** The response before a malformed command is still due when the connection is to end. */
+    @Test
+    public void commandBehindAMalformedOneIsNotRead() throws Exception {
+        failsAtOnce = false;
+        Socket client = connect();
+        write(client, ask(1) + "+nonsense\r\n");
+        ClientRequest request = nextArrived();
+        write(client, ask(2));
+        runBatch(() -> {});
+        runBatch(() -> clients.closeWhenAnswered(() -> {}));
+        runBatch(() -> clients.fail(request));
+        advanceTime(50);
+        assertEquals(arrivedIds, List.of(1L));
+        String text = readToEnd(client);
+        assertTrue(
+                text.startsWith(ABORTED + "-ERR ")
+                        && text.indexOf('\n', ABORTED.length()) == text.length() - 1,
+                text);
+    }
+
+    /**
+     * Answers a request with so much that its end is not written when the connection is to close.
+     *
+     * @return bytes of the response
+     */
+    private int closeBehindUnreadResponse(Socket client) throws Exception {
+        failsAtOnce = false;
+        write(client, ask(1));
+        ClientRequest request = nextArrived();
+        int[] written = new int[1];
+        do { // until the system takes no more
+            runBatch(
+                    () -> {
+                        clients.finish(request);
+                        request.connection.writeStreamPart(new byte[PART_BYTES], 0, PART_BYTES);
+                        written[0] += PART_BYTES;
+                    });
+        } while (request.connection.allWritten());
+        failsAtOnce = true;
+        // Far more than the system would still take.
+        byte[] rest = new byte[8 * PART_BYTES];
+        runBatch(
+                () -> {
+                    request.connection.writeStreamPart(rest, 0, rest.length);
+                    clients.closeIdleConnections();
+                    request.connection.endStream();
+                });
+        assertTrue(!request.connection.allWritten() && !request.connection.isClosed());
+        return written[0] + rest.length + 2;
+    }
+
+    /** The client reads nothing for a while, and then everything. */
+    @Test
+    public void responseReadLateIsCompleteBeforeTheEnd() throws Exception {
+        Socket client = connect(SMALL_BUFFER_BYTES);
+        int length = closeBehindUnreadResponse(client);
+        advanceTime(1500);
+        assertEquals(client.getInputStream().readNBytes(length).length, length);
+        assertEquals(client.getInputStream().read(), -1);
+    }
+
+    /** The client can't know yet that the connection is to close: what it writes is answered. */
+    @Test
+    public void requestBeforeTheEndOfSendingIsAnswered() throws Exception {
+        Socket client = connect(SMALL_BUFFER_BYTES);
+        int length = closeBehindUnreadResponse(client);
+        write(client, ask(2));
+        settle();
+        assertEquals(client.getInputStream().readNBytes(length).length, length);
+        assertEquals(readToEnd(client), ABORTED);
+        assertEquals(arrivedIds, List.of(1L, 2L));
+    }
+
+    /** The client has seen the end: no request is read any more, and the connection closes soon. */
+    @Test
+    public void requestBehindTheEndOfSendingIsNeverForwarded() throws Exception {
+        Socket client = connect();
+        Socket other = connect();
+        write(client, ask(1));
+        assertEquals(read(client, ABORTED.length()), ABORTED);
+        ClientConnection connection = nextArrived().connection;
+        write(other, ask(2).substring(0, 30));
+        write(client, ask(3).substring(0, 30));
+        runBatch(() -> {});
+        write(client, ask(3).substring(30));
+        assertEquals(read(client, ABORTED.length()), ABORTED);
+        runBatch(clients::closeIdleConnections);
+        assertEquals(client.getInputStream().read(), -1);
+        write(client, ask(4) + "x".repeat(200_000) + ask(5));
+        // A command that had arrived in part is answered.
+        write(other, ask(2).substring(30));
+        assertEquals(read(other, ABORTED.length()), ABORTED);
+        runBatch(() -> {});
+        assertFalse(connection.isClosed());
+        advanceTime(1000);
+        assertTrue(connection.isClosed());
+        assertEquals(arrivedIds, List.of(1L, 3L, 2L));
+    }
+
+    @DataProvider
+    public Object[][] writtenBeforeClose() {
+        return new Object[][] {{true}, {false}};
+    }
+
+    /** A request that crosses the close of an idle connection. */
+    @Test(dataProvider = "writtenBeforeClose")
+    public void requestThatCrossesAnIdleCloseIsAnsweredOrNeverRead(boolean before)
+            throws Exception {
+        Socket client = connect();
+        write(client, ask(1));
+        assertEquals(read(client, ABORTED.length()), ABORTED);
+        ClientConnection connection = nextArrived().connection;
+        runBatch(
+                () -> {
+                    if (before) {
+                        write(client, ask(2));
+                    }
+                    connection.checkTimeouts(dispatcher.nowMs() + 15_000);
+                    if (!before) {
+                        try {
+                            write(client, ask(2));
+                        } catch (UncheckedIOException e) {
+                            // The client sees the close while it writes.
+                        }
+                    }
+                });
+        if (before) {
+            assertEquals(read(client, ABORTED.length()), ABORTED);
+        } else {
+            assertEquals(readToEnd(client), "");
+            assertEquals(arrivedIds, List.of(1L));
+        }
+    }
+
+    /** The system must not hold back a small write, which a close by reset would discard. */
+    @Test
+    public void smallWritesAreSentAtOnce() throws Exception {
+        Socket client = connect();
+        write(client, ask(1));
+        ClientConnection accepted = nextArrived().connection;
+        assertEquals(read(client, ABORTED.length()), ABORTED);
+        assertTrue(hasNoDelay(accepted), "accepted");
+        ServerSocket server = new ServerSocket(0, 1, LOOPBACK);
+        open.add(server);
+        CountDownLatch established = new CountDownLatch(1);
+        OutgoingConnection[] outgoing = new OutgoingConnection[1];
+        runBatch(() -> outgoing[0] = new OutgoingConnection(server, established));
+        assertTrue(established.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertTrue(hasNoDelay(outgoing[0]), "opened");
+    }
+
+    private static boolean hasNoDelay(Connection connection) throws Exception {
+        Field field = Connection.class.getDeclaredField("connection");
+        field.setAccessible(true);
+        return ((StreamConnection) field.get(connection)).getOption(Options.TCP_NODELAY);
+    }
+
+    /** As those to servers, counter and discovery. */
+    private final class OutgoingConnection extends Connection {
+        private final CountDownLatch established;
+
+        OutgoingConnection(ServerSocket server, CountDownLatch established) {
+            super(dispatcher.loop(), 100, 100);
+            this.established = established;
+            open(new InetSocketAddress(LOOPBACK, server.getLocalPort()), 60_000);
+        }
+
+        @Override
+        protected DescriptorBudget.Party party() {
+            return DescriptorBudget.Party.SERVERS;
+        }
+
+        @Override
+        protected void onOpened() {
+            established.countDown();
+        }
+
+        @Override
+        protected void onReceived() {}
+
+        @Override
+        protected void onEnded(CloseReason reason) {}
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionReclaimTest.java
@@ -0,0 +1,121 @@
+package tinford.routing.client;
+
+import static org.testng.Assert.assertEquals;
+import static tinford.routing.RoutingFixtures.ABORTED;
+import static tinford.routing.RoutingFixtures.LOOPBACK;
+import static tinford.routing.RoutingFixtures.PING;
+import static tinford.routing.RoutingFixtures.PONG;
+import static tinford.routing.RoutingFixtures.ask;
+import static tinford.routing.RoutingFixtures.read;
+import static tinford.routing.RoutingFixtures.write;
+
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.List;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import tinford.api.DecisionModule;
+import tinford.api.Idempotency;
+import tinford.api.Request;
+import tinford.decision.DecisionFixture;
+import tinford.routing.RoutingFixtures;
+import tinford.routing.dispatch.RequestDispatcher;
+import tinford.testing.FreePort;
+
+/** Connections closed for others, or at the end, while something is on them. */
+public class ConnectionReclaimTest {
+    private static final int REQUEST_TIMEOUT_MS = 900;
+    private RequestDispatcher dispatcher;
+    private ClientPool clients;
+    private int port;
+
+    /** Called within the batch in which a request was answered. */
+    private Runnable onAnswered;
+
+    @BeforeMethod
+    public void start() throws Exception {
+        onAnswered = () -> {};
+        DecisionModule failing =
+                (now, batch, actions) ->
+                        batch.replay(
+                                new DecisionFixture.Deaf() {
+                                    @Override
+                                    public void requestArrived(Request request) {
+                                        actions.fail(request);
+                                        onAnswered.run();
+                                    }
+                                });
+        dispatcher = new RequestDispatcher(failing, 3, 10, 1 << 20);
+        clients =
+                new ClientPool(
+                        dispatcher,
+                        RoutingFixtures.catalog(
+                                RoutingFixtures.requestClass("f", 8000, Idempotency.IDEMPOTENT)),
+                        RoutingFixtures.clientLimits(1 << 20));
+        dispatcher.attach(clients, null, null, null, null);
+        port = FreePort.find();
+        clients.listen(new InetSocketAddress(LOOPBACK, port), false);
+    }
+
+    @AfterMethod(alwaysRun = true)
+    public void stop() {
+        dispatcher.loop().close();
+    }
+
+    @DataProvider
+    public Object[][] closes() {
+        return new Object[][] {{"room"}, {"end"}, {"end, crossed"}, {"let go, crossed"}};
+    }
+
+    /**
+     * A request that has arrived by the time its connection would be closed is answered, though it
+     * is not read yet; so is one that arrives in the very batch in which the close is begun.
+     */
+    @Test(dataProvider = "closes")
+    public void unreadRequestKeepsItsConnection(String how) throws Exception {
+        try (Socket longestIdle = new Socket(LOOPBACK, port);
+                Socket next = new Socket(LOOPBACK, port)) {
+            for (Socket socket : List.of(longestIdle, next)) {
+                socket.setSoTimeout(10_000);
+                write(socket, PING);
+                assertEquals(read(socket, PONG.length()), PONG);
+            }
+            boolean crossed = how.endsWith("crossed");
+            dispatcher
+                    .loop()
+                    .execute(
+                            () -> {
+                                if (!crossed) {
+                                    write(longestIdle, ask(1, REQUEST_TIMEOUT_MS));
+                                }
+                                beginClose(how.split(",")[0]);
+                                if (crossed) {
+                                    write(longestIdle, ask(1, REQUEST_TIMEOUT_MS));
+                                }
+                            });
+            assertEquals(read(longestIdle, ABORTED.length()), ABORTED);
+            assertEquals(next.getInputStream().read(), -1);
+        }
+    }
+
+    private void beginClose(String how) {
+        switch (how) {
+            case "room" -> clients.reclaimConnections(ConnectionActivity.JUST_OPENED);
+            case "end" -> clients.closeWhenAnswered(() -> {});
+            default -> clients.closeIdleConnections();
+        }
+    }
+
+    /** Connections are reclaimed in the batch in which a request is answered. */
+    @Test
+    public void responseOfTheSameBatchIsWritten() throws Exception {
+        onAnswered = () -> clients.reclaimConnections(ConnectionActivity.BUSY);
+        try (Socket socket = new Socket(LOOPBACK, port)) {
+            socket.setSoTimeout(10_000);
+            write(socket, ask(1, REQUEST_TIMEOUT_MS));
+            assertEquals(read(socket, ABORTED.length()), ABORTED);
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/tinford/routing/client/ForwardingFixture.java
@@ -0,0 +1,212 @@
+package tinford.routing.client;
+
+import static tinford.routing.RoutingFixtures.LOOPBACK;
+import static tinford.routing.RoutingFixtures.fullServer;
+import static tinford.routing.RoutingFixtures.hostEntry;
+import static tinford.routing.RoutingFixtures.requestClass;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import tinford.api.AttemptOutcome;
+import tinford.api.DecisionModule;
+import tinford.api.GatewayActions;
+import tinford.api.Idempotency;
+import tinford.api.Request;
+import tinford.api.Server;
+import tinford.decision.DecisionFixture;
+import tinford.routing.RoutingFixtures;
+import tinford.routing.dispatch.RequestDispatcher;
+import tinford.routing.upstream.ServerPool;
+import tinford.testing.FreePort;
+
+/**
+ * A gateway between real clients and two servers: one that no connection to is ever established,
+ * and one that reads slowly. Requests are not decided on, but sent to the first server if asked.
+ */
+abstract class ForwardingFixture {
+    static final int TIMEOUT_MS = RoutingFixtures.TIMEOUT_MS / 2;
+    static final int REQUEST_TIMEOUT_MS = 60_000;
+    static final int LONG_BODY_BYTES = 4 << 20;
+
+    /** Half of it is for commands that arrive, so that there is room for one long command. */
+    private static final int MAX_HELD_BYTES = 6_000_000;
+
+    final List<AutoCloseable> open = new ArrayList<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+    private InetSocketAddress address;
+    ServerSocket fullServer;
+    ServerSocket slowServer;
+    RequestDispatcher dispatcher;
+    ServerPool servers;
+    ClientPool clients;
+
+    /** The first server listed since this was last null. */
+    volatile Server firstServer;
+
+    /** Within which an attempt has to be written. */
+    volatile double sendWithinMs;
+
+    /** Whether each request is sent to the first server. */
+    volatile boolean forwards;
+
+    /** Whether the events say if the client of a request is seen to be gone as it arrives. */
+    volatile boolean checksClients;
+
+    @BeforeMethod
+    public void start() throws Exception {
+        forwards = false;
+        checksClients = false;
+        sendWithinMs = Double.POSITIVE_INFINITY;
+        events.clear();
+        fullServer = fullServer(open);
+        slowServer = new ServerSocket();
+        slowServer.setReceiveBufferSize(4096);
+        slowServer.bind(new InetSocketAddress(LOOPBACK, 0));
+        slowServer.setSoTimeout(TIMEOUT_MS);
+        open.add(slowServer);
+        DecisionModule decisions = (now, batch, to) -> batch.replay(new Recorder(to));
+        dispatcher = new RequestDispatcher(decisions, 3, 30, 1 << 26);
+        open.add(dispatcher.loop()::close);
+        servers = new ServerPool(dispatcher, dispatcher, 2.0 * TIMEOUT_MS, 15_000, 10, List.of());
+        clients =
+                new ClientPool(
+                        dispatcher,
+                        RoutingFixtures.catalog(
+                                requestClass("f", 80_000, Idempotency.IDEMPOTENT),
+                                requestClass("w", 80_000, Idempotency.NON_IDEMPOTENT)),
+                        RoutingFixtures.clientLimits(MAX_HELD_BYTES));
+        dispatcher.attach(clients, servers, null, null, null);
+        address = new InetSocketAddress(LOOPBACK, FreePort.find());
+        firstServer = null;
+        runBatch(
+                () ->
+                        updateEndpoints(
+                                true,
+                                hostEntry("s0", fullServer, "ready", 0),
+                                hostEntry("s1", slowServer, "ready", 0)));
+        clients.listen(address, false);
+    }
+
+    @AfterMethod(alwaysRun = true)
+    public void stop() throws Exception {
+        for (AutoCloseable one : open) {
+            one.close();
+        }
+        open.clear();
+    }
+
+    /** Writes down what reaches the decision module. */
+    private final class Recorder extends DecisionFixture.Deaf {
+        private final GatewayActions actions;
+
+        Recorder(GatewayActions actions) {
+            this.actions = actions;
+        }
+
+        @Override
+        public void endpointsUpdated(List<Server> entries, boolean complete) {
+            firstServer = firstServer == null ? entries.get(0) : firstServer;
+        }
+
+        @Override
+        public void requestArrived(Request request) {
+            events.add(checksClients ? "arrived " + request.id + clientState(request) : "arrived");
+            if (forwards) {
+                actions.sendAttempt(request, firstServer, 0, sendWithinMs);
+            }
+        }
+
+        private static String clientState(Request request) {
+            return request.clientGone() ? " and gone" : " and there";
+        }
+
+        @Override
+        public void clientDisconnected(Request request) {
+            events.add("left");
+        }
+
+        @Override
+        public void attemptEnded(
+                Request request,
+                int attempt,
+                AttemptOutcome outcome,
+                double tookMs,
+                boolean requestEnded,
+                int meteredUse,
+                double settledUnits,
+                double[] loadReport) {
+            events.add(ended(outcome));
+        }
+    }
+
+    /** The event of an attempt that ended so. */
+    static String ended(AttemptOutcome outcome) {
+        return "ended " + outcome;
+    }
+
+    String nextEvent() throws InterruptedException {
+        return String.valueOf(events.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    }
+
+    void runBatch(Runnable task) throws Exception {
+        RoutingFixtures.runInBatch(dispatcher, task::run);
+    }
+
+    void updateEndpoints(boolean complete, String... entries) {
+        servers.updateEndpoints(RoutingFixtures.endpointList(complete, List.of(entries)));
+    }
+
+    /** Lists the slow server alone, which requests then go to. */
+    void useSlowServer() throws Exception {
+        firstServer = null;
+        runBatch(() -> updateEndpoints(true, hostEntry("s1", slowServer, "ready", 0)));
+    }
+
+    Socket acceptAtSlowServer() throws IOException {
+        Socket socket = slowServer.accept();
+        open.add(socket);
+        return socket;
+    }
+
+    Socket connect() throws IOException {
+        Socket socket = new Socket(LOOPBACK, address.getPort());
+        socket.setSoTimeout(TIMEOUT_MS);
+        open.add(socket);
+        return socket;
+    }
+
+    static String ask(int id) {
+        return RoutingFixtures.ask(id, REQUEST_TIMEOUT_MS);
+    }
+
+    /** A command whose body is too long for the sockets' buffers. */
+    static String longCommand(int id) {
+        return RoutingFixtures.doOnce(id, "w", REQUEST_TIMEOUT_MS, "x".repeat(LONG_BODY_BYTES));
+    }
+
+    /** A client goes; the ways are those of the tests' data providers. */
+    static void disconnect(Socket socket, String way) {
+        try {
+            switch (way) {
+                case "closes" -> socket.close();
+                case "resets" -> {
+                    socket.setSoLinger(true, 0);
+                    socket.close();
+                }
+                default -> socket.shutdownOutput();
+            }
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/tinford/routing/client/ProcessEndTest.java
@@ -0,0 +1,128 @@
+package tinford.routing.client;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+import static tinford.routing.RoutingFixtures.ABORTED;
+import static tinford.routing.RoutingFixtures.LOOPBACK;
+import static tinford.routing.RoutingFixtures.REJECTED;
+import static tinford.routing.RoutingFixtures.TIMEOUT_MS;
+import static tinford.routing.RoutingFixtures.read;
+import static tinford.routing.RoutingFixtures.write;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.testng.annotations.Test;
+import tinford.routing.counter.CounterClient;
+
+/** The end of the process: everything read is answered, everything due is written. */
+public class ProcessEndTest extends ClosingFixture {
+    /** Of a command with a key and an amount of one digit and a TTL of four. */
+    private static final int COMMAND_LENGTH = 41;
+
+    /** The grace period ends before connections accepted last could be taken over. */
+    @Test
+    public void connectionsAcceptedLastAreAnsweredBeforeTheEnd() throws Exception {
+        CountDownLatch ended = new CountDownLatch(1);
+        Socket[] client = new Socket[1];
+        boolean[] early = new boolean[1];
+        runBatch(
+                () -> {
+                    client[0] = connectWithinBatch();
+                    write(client[0], ask(1));
+                    clients.stopAccepting(
+                            0,
+                            () -> {
+                                early[0] |= arrivedIds.isEmpty();
+                                ended.countDown();
+                            });
+                });
+        assertEquals(readToEnd(client[0]), ABORTED);
+        client[0].close();
+        assertTrue(ended.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertFalse(early[0], "ended before the request arrived");
+    }
+
+    /** While the batch holds the I/O thread. */
+    private Socket connectWithinBatch() {
+        try {
+            return connect();
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    /** What the last disconnect causes is written before the process may end. */
+    @Test
+    public void unitsAreGivenBackBeforeTheEnd() throws Exception {
+        returnsUnits = true;
+        failsAtOnce = false;
+        ServerSocket counterServer = new ServerSocket(0, 1, LOOPBACK);
+        open.add(counterServer);
+        InetSocketAddress address = new InetSocketAddress(LOOPBACK, counterServer.getLocalPort());
+        CounterClient counter = new CounterClient(dispatcher, address, 60_000, 60_000, 1);
+        dispatcher.attach(clients, null, counter, null, null);
+        runBatch(() -> actions.incrementCounter(1, 1, 1000));
+        Socket counterSocket = counterServer.accept();
+        open.add(counterSocket);
+        assertEquals(read(counterSocket, COMMAND_LENGTH).length(), COMMAND_LENGTH);
+        write(counterSocket, "$1\r\n1\r\n");
+        Socket client = connect();
+        write(client, ask(1));
+        nextArrived();
+        LinkedBlockingQueue<String> counted = new LinkedBlockingQueue<>();
+        runBatch(() -> clients.closeWhenAnswered(() -> counted.add(readCommand(counterSocket))));
+        client.close();
+        String command = counted.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        assertTrue(command != null && command.contains("\r\n-1\r\n"), command);
+    }
+
+    /** Waits no longer: what is not written by now would not be written any more. */
+    private static String readCommand(Socket counterSocket) {
+        try {
+            counterSocket.setSoTimeout(1000);
+            return read(counterSocket, COMMAND_LENGTH + 1);
+        } catch (IOException e) {
+            return e.toString();
+        }
+    }
+
+    /** Open requests are answered, later and incomplete ones rejected. */
+    @Test
+    public void nothingReadIsLeftUnansweredAtTheEnd() throws Exception {
+        failsAtOnce = false;
+        Socket waiting = connect();
+        Socket partial = connect();
+        Socket both = connect();
+        write(waiting, ask(1) + ask(2));
+        write(partial, ask(3).substring(0, 40));
+        write(both, ask(4) + ask(5).substring(0, 40));
+        nextArrived();
+        nextArrived();
+        nextArrived();
+        settle();
+        CountDownLatch ended = new CountDownLatch(1);
+        runBatch(() -> clients.closeWhenAnswered(ended::countDown));
+        advanceTime(3019);
+        int available = partial.getInputStream().available() + waiting.getInputStream().available();
+        assertEquals(available, 0);
+        runBatch(
+                () -> {
+                    write(waiting, ask(7));
+                    nanoTime.addAndGet(1_000_000L);
+                });
+        assertEquals(readToEnd(waiting), REJECTED.repeat(3));
+        assertEquals(readToEnd(partial), REJECTED);
+        assertEquals(read(both, 2 * REJECTED.length()), REJECTED.repeat(2));
+        assertEquals(ended.getCount(), 1);
+        advanceTime(20);
+        assertTrue(ended.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertEquals(arrivedIds.size(), 3, arrivedIds.toString());
+    }
+}
--- a/gateway/src/test/java/tinford/routing/WatchBed.java
+++ b/gateway/src/test/java/tinford/routing/discovery/WatchBed.java
@@ -1,4 +1,4 @@
-package tinford.routing;
+package tinford.routing.discovery;
 
 import static org.testng.Assert.assertTrue;
 
@@ -26,6 +26,8 @@
 import org.testng.annotations.BeforeMethod;
 import tinford.api.Server;
 import tinford.decision.DecisionFixture;
+import tinford.routing.dispatch.RequestDispatcher;
+import tinford.routing.upstream.ServerPool;
 import tinford.settings.JsonFields;
 import tinford.transport.UdpSocket;
 
@@ -230,7 +232,7 @@
                         if (whole) {
                             held.clear();
                         }
-                        entries.forEach(s -> held.put(((PooledServer) s).id, s));
+                        entries.forEach(s -> held.put(s.id, s));
                         held.values().removeIf(s -> s.state == Server.State.REMOVED);
                         takenAt = takenAt < 0 && !held.containsKey("s0") ? now : takenAt;
                     }
@@ -243,26 +245,30 @@
         desk =
                 new RequestDispatcher(
                         (at, feed, out) -> feed.replay(inbox), 3, descriptors, 1 << 22, nanos::get);
-        open.add(desk.loop::close);
+        open.add(desk.loop()::close);
         probed = new InetSocketAddress(InetAddress.getLoopbackAddress(), free());
-        new UdpSocket(desk.loop, probed, 8, (from, bytes) -> looked.release());
-        ServerPool servers = new ServerPool(desk, 250, 15_000, 10, List.of());
+        new UdpSocket(desk.loop(), probed, 8, (from, bytes) -> looked.release());
+        ServerPool servers = new ServerPool(desk, desk, 250, 15_000, 10, List.of());
         watch =
                 new DiscoveryWatch(
                         desk,
                         at(),
                         connectWithin,
-                        servers,
+                        servers::updateEndpoints,
                         new JsonFactory(),
                         42,
                         new Random(seed));
-        desk.seat(null, servers, null, watch, null);
-        desk.loop.execute(
-                () -> {
-                    servers.list(
-                            JsonFields.of(new JsonFactory(), "known", list(42, true, "s0", "s1")));
-                    watch.want(true);
-                });
+        desk.attach(null, servers, null, watch, null);
+        desk.loop()
+                .execute(
+                        () -> {
+                            servers.updateEndpoints(
+                                    JsonFields.of(
+                                            new JsonFactory(),
+                                            "known",
+                                            list(42, true, "s0", "s1")));
+                            watch.setWanted(true);
+                        });
     }
 
     /**
--- a/gateway/src/test/java/tinford/routing/WatchOutageTest.java
+++ b/gateway/src/test/java/tinford/routing/discovery/WatchOutageTest.java
@@ -1,4 +1,4 @@
-package tinford.routing;
+package tinford.routing.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -285,6 +285,6 @@
     }
 
     private void setAside(int connections) {
-        desk.loop.execute(() -> desk.loop.descriptorBudget().reserve(connections));
+        desk.loop().execute(() -> desk.loop().descriptorBudget().reserve(connections));
     }
 }
--- a/gateway/src/test/java/tinford/routing/WatchTest.java
+++ b/gateway/src/test/java/tinford/routing/discovery/WatchTest.java
@@ -1,4 +1,4 @@
-package tinford.routing;
+package tinford.routing.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -300,7 +300,7 @@
     @Test
     public void aFaultInWhoeverHearsOfItIsNotTheWatchs() throws Exception {
         start(1);
-        watch.whenLost(
+        watch.onLost(
                 () -> {
                     throw new IllegalStateException("a fault of its own");
                 });
@@ -387,11 +387,12 @@
         start(1);
         play(1000, new String[][] {lives});
         for (int call = 1; call <= 2; call++) {
-            desk.loop.execute(
-                    () -> {
-                        watch.fetch();
-                        watch.fetch();
-                    });
+            desk.loop()
+                    .execute(
+                            () -> {
+                                watch.fetch();
+                                watch.fetch();
+                            });
             play(1000 + 2500 * call, new String[][] {says});
             assertEquals(opens.size(), 1 + call);
             assertEquals(asked.get(call), "GET /registry/instances HTTP/1.1");
@@ -438,15 +439,16 @@
         List<Wire> old = wires.stream().filter(w -> w.channel.isOpen()).toList();
         takenAt = -1;
         door = door();
-        desk.loop.execute(
-                () -> {
-                    held.put("s0", new PooledServer("s0", 0));
-                    try {
-                        watch.move(at());
-                    } catch (IOException e) {
-                        throw new java.io.UncheckedIOException(e);
-                    }
-                });
+        desk.loop()
+                .execute(
+                        () -> {
+                            held.put("s0", new Server("s0"));
+                            try {
+                                watch.moveTo(at());
+                            } catch (IOException e) {
+                                throw new java.io.UncheckedIOException(e);
+                            }
+                        });
         opens.clear();
         asked.clear();
         String[] good = with(HEAD + chunk(list(44, true, "s1")));
@@ -491,15 +493,15 @@
         start(2);
         play(5000, new String[][] {before});
         takenAt = -1;
-        held.put("s0", new PooledServer("s0", 0));
+        held.put("s0", new Server("s0"));
         ServerSocketChannel last = back ? door : door();
         door = door();
         InetSocketAddress between = at();
-        desk.loop.execute(() -> watch.move(between));
+        desk.loop().execute(() -> watch.moveTo(between));
         play(5000 + apart, new String[][] {SILENT});
         door = last;
         InetSocketAddress to = at();
-        desk.loop.execute(() -> watch.move(to));
+        desk.loop().execute(() -> watch.moveTo(to));
         opens.clear();
         asked.clear();
         play(5000 + apart + STEP, new String[][] {with(HEAD + chunk(list(44, true, "s1")))});
--- a/lab/src/main/java/tinford/lab/scale/ConnectionPools.java
+++ b/lab/src/main/java/tinford/lab/scale/ConnectionPools.java
@@ -14,8 +14,8 @@
 
 /**
  * The connections that gateways would hold to servers for the dispatches of a model, by the rules
- * of the gateway's own pool ({@code tinford.routing.Servers}): one dispatch at a time on each, the
- * last used that has rested goes first, what has stood idle too long is closed.
+ * of the gateway's own pool ({@code tinford.routing.upstream.ServerPool}): one dispatch at a time
+ * on each, the last used that has rested goes first, what has stood idle too long is closed.
  */
 final class ConnectionPools implements DecisionListener {
     private static final double REST_MS = 10;
--- a/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
@@ -53,7 +53,10 @@
                 });
     }
 
-    /** Reads it as {@code tinford.routing.Watch} does, and gives how many servers it names. */
+    /**
+     * Reads it as {@code tinford.routing.discovery.DiscoveryWatch} does, and gives how many servers
+     * it names.
+     */
     private static int readList(String list) throws Exception {
         String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         String chunk = Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n";
--- a/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
+++ b/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
@@ -27,8 +27,8 @@
 import tinford.decision.DecisionEngine;
 import tinford.lab.scale.count.Cost;
 import tinford.lab.scale.gateway.DrivenGateway;
-import tinford.routing.RequestDispatcher;
-import tinford.routing.ServerPool;
+import tinford.routing.dispatch.RequestDispatcher;
+import tinford.routing.upstream.ServerPool;
 import tinford.settings.JsonFields;
 
 /**
@@ -95,8 +95,9 @@
                         new Objectives(0.7, 0.3),
                         false);
         this.desk = new RequestDispatcher(decisions, MOST_DISPATCHES, DESCRIPTORS, BUFFER_BYTES);
-        this.servers = new ServerPool(desk, COUNTER_TIMEOUT_MS, NEVER_MS, DESCRIPTORS, List.of());
-        desk.seat(null, servers, null, null, null);
+        this.servers =
+                new ServerPool(desk, desk, COUNTER_TIMEOUT_MS, NEVER_MS, DESCRIPTORS, List.of());
+        desk.attach(null, servers, null, null, null);
     }
 
     @Override
@@ -191,7 +192,7 @@
 
     @Override
     public void list(JsonFields list) {
-        servers.list(list);
+        servers.updateEndpoints(list);
     }
 
     @Override
--- a/lab/src/main/java/tinford/lab/scale/gateway/ConnectionModel.java
+++ b/lab/src/main/java/tinford/lab/scale/gateway/ConnectionModel.java
@@ -8,8 +8,8 @@
 import tinford.api.Server;
 
 /**
- * The connections that {@link tinford.routing.ServerPool} would hold: one dispatch at a time on
- * each, the last used that has rested goes first, and what stands idle too long is closed.
+ * The connections that {@link tinford.routing.upstream.ServerPool} would hold: one dispatch at a
+ * time on each, the last used that has rested goes first, and what stands idle too long is closed.
  */
 public final class ConnectionModel implements DrivenGateway.DispatchListener {
     private static final double REST_MS = 10;
