--- a/gateway/src/main/java/tinford/decision/AttemptGuard.java
+++ b/gateway/src/main/java/tinford/decision/AttemptGuard.java
@@ -28,18 +28,22 @@
         if (pending.over
                 || pending.responseStarted
                 || nowMs >= pending.request.deadlineMs
-                || server.server.state != Server.State.UP
-                || hasNoAttemptLeft(pending)) {
+                || server.server.state() != Server.State.UP
+                || pending.attempts.size() >= limits.maxAttempts) {
             return false;
         }
-        if (pending.isFirstAttempt()) {
+        Server earlier = null;
+        if (pending.attempts.isEmpty()) {
             if (!pending.quota.mayOpen(pending.request.units, nowMs)) {
                 return false;
             }
-        } else if (!mayBeRepeatedAt(pending, server.server, nowMs)) {
-            return false;
+        } else {
+            if (!mayBeRepeatedAt(pending, server.server, nowMs)) {
+                return false;
+            }
+            earlier = lastServerThatMayHaveRun(pending);
         }
-        return fleetAllows(batch.policy, pending, server)
+        return fleetAllows(batch.policy, pending, server, earlier)
                 && (!slowStart.isWarmingUp(server.server, nowMs) || server.slowStartCredit >= 1);
     }
 
@@ -69,15 +73,15 @@
             RequestClass requestClass, Server earlier, Server server) {
         return switch (requestClass.deduplicationScope) {
             case ALL -> true;
-            case ZONE -> earlier.zone.equals(server.zone);
-            case CELL -> earlier.cell == server.cell;
+            case ZONE -> earlier.zone().equals(server.zone());
+            case CELL -> earlier.cell() == server.cell();
         };
     }
 
     private static boolean fleetAllows(
-            FleetPolicy policy, PendingRequest pending, ServerStats server) {
+            FleetPolicy policy, PendingRequest pending, ServerStats server, Server earlier) {
         Request request = pending.request;
-        if (!policy.allowsServer(request, server.server, lastServerThatMayHaveRun(pending))) {
+        if (!policy.allowsServer(request, server.server, earlier)) {
             return false;
         }
         if (server.running.size() >= policy.connectionLimit(server.server)
--- a/gateway/src/main/java/tinford/routing/OutcomeMapping.java
+++ b/gateway/src/main/java/tinford/routing/OutcomeMapping.java
@@ -14,11 +14,16 @@
      */
     public static AttemptOutcome ofAttempt(CloseReason reason, boolean sent) {
         return switch (reason) {
-            case REFUSED, NEVER_UP, NO_ROOM -> AttemptOutcome.UNREACHABLE;
-            case BROKEN, ENDED, MALFORMED, OVERFULL, PASSED_BY, RETIRED ->
+            case CONNECT_REFUSED, CONNECT_TIMEOUT, NO_DESCRIPTOR -> AttemptOutcome.UNREACHABLE;
+            case IO_ERROR,
+                            CLOSED_BY_PEER,
+                            PROTOCOL_ERROR,
+                            BUFFER_LIMIT_EXCEEDED,
+                            STALLED,
+                            CLOSED_IDLE ->
                     sent ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.UNREACHABLE;
-            case SILENT -> sent ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE;
-            case DROPPED -> sent ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
+            case RESPONSE_TIMEOUT -> sent ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE;
+            case CANCELLED -> sent ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
         };
     }
 
@@ -32,7 +37,7 @@
      * says something about the load that the counter can take; the end of a connection does not.
      */
     public static AttemptOutcome ofCounterCall(CloseReason reason, boolean sent) {
-        if (reason == CloseReason.SILENT) {
+        if (reason == CloseReason.RESPONSE_TIMEOUT) {
             return AttemptOutcome.TIMED_OUT;
         }
         return ofAttempt(reason, sent).mayHaveRun
--- a/gateway/src/main/java/tinford/routing/admin/AdminApi.java
+++ b/gateway/src/main/java/tinford/routing/admin/AdminApi.java
@@ -16,9 +16,9 @@
  */
 public final class AdminApi {
     /** Places for new calls; the oldest call that does not end is closed for one. */
-    private static final int MAX_SPARE_CONNECTIONS = 4;
+    private static final int MAX_HEADROOM_CONNECTIONS = 4;
 
-    private static final int SPARE_DIVISOR = 4;
+    private static final int HEADROOM_DIVISOR = 4;
 
     /** Calls arrive through the gateway's other process as well; they take effect in a second. */
     private static final double LOG_POLL_INTERVAL_MS = 50;
@@ -66,9 +66,9 @@
     }
 
     private AdminCall accept() {
-        int spare = Math.min(MAX_SPARE_CONNECTIONS, maxConnections / SPARE_DIVISOR);
-        if (calls.size() >= maxConnections - spare) {
-            calls.peek().close(CloseReason.RETIRED);
+        int headroom = Math.min(MAX_HEADROOM_CONNECTIONS, maxConnections / HEADROOM_DIVISOR);
+        if (calls.size() >= maxConnections - headroom) {
+            calls.peek().close(CloseReason.CLOSED_IDLE);
         }
         AdminCall call = new AdminCall(this, context.loop());
         calls.add(call);
--- a/gateway/src/main/java/tinford/routing/admin/AdminCall.java
+++ b/gateway/src/main/java/tinford/routing/admin/AdminCall.java
@@ -17,12 +17,12 @@
     AdminCall(AdminApi api, EventLoop loop) {
         super(loop, MAX_HEAD_BYTES, MAX_HEAD_BYTES);
         this.api = api;
-        loop.schedule(TIMEOUT_MS, () -> close(CloseReason.SILENT));
+        loop.schedule(TIMEOUT_MS, () -> close(CloseReason.RESPONSE_TIMEOUT));
     }
 
     @Override
-    protected DescriptorBudget.Party party() {
-        return DescriptorBudget.Party.OPERATORS;
+    protected DescriptorBudget.PeerKind party() {
+        return DescriptorBudget.PeerKind.ADMINS;
     }
 
     @Override
@@ -35,7 +35,7 @@
         }
         try {
             HttpRequestHead call =
-                    HttpRequestHead.read(buf.bytes(), buf.readIndex(), buf.readLimit());
+                    HttpRequestHead.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
             if (call != null) {
                 answer(api.handle(call));
             }
@@ -46,17 +46,17 @@
 
     private void answer(String status) {
         answered = true;
-        buf.consume(buf.unread());
-        buf.put("HTTP/1.1 " + status + "\r\n")
+        buffer.consume(buffer.unreadBytes());
+        buffer.put("HTTP/1.1 " + status + "\r\n")
                 .put("Content-Type: text/plain\r\n")
                 .put("Connection: close\r\n")
                 .put("Content-Length: " + (status.length() + 1) + "\r\n\r\n")
                 .put(status + "\n");
-        finish(CloseReason.RETIRED);
+        closeGracefully(CloseReason.CLOSED_IDLE);
     }
 
     @Override
-    protected void onEnded(CloseReason reason) {
+    protected void onClosed(CloseReason reason) {
         api.callEnded(this);
     }
 }
--- a/gateway/src/main/java/tinford/routing/client/ClientConnection.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientConnection.java
@@ -1,7 +1,5 @@
 package tinford.routing.client;
 
-import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
 import tinford.protocol.ClientCommand;
 import tinford.protocol.ProtocolException;
 import tinford.protocol.RespReader;
@@ -30,7 +28,7 @@
     private static final int MAX_WAITING_COMMANDS = 64;
 
     private final ClientPool pool;
-    private final ResponseQueue responses = new ResponseQueue();
+    private final ResponseQueue responses;
 
     /** Why it ends once everything is answered, or null. */
     private CloseReason pendingClose;
@@ -53,11 +51,12 @@
     ClientConnection(ClientPool pool) {
         super(pool.context.loop(), RespReader.MAX_COMMAND_BYTES, MAX_UNWRITTEN_BYTES);
         this.pool = pool;
+        this.responses = new ResponseQueue(pool, buffer);
         this.lastUseMs = pool.context.nowMs();
     }
 
     private boolean isIdle() {
-        return responses.isEmpty() && buf.unread() == 0;
+        return responses.isEmpty() && buffer.unreadBytes() == 0;
     }
 
     double lastUseMs() {
@@ -66,7 +65,7 @@
 
     /** How active it is, for the choice of connections to close where they are scarce. */
     ConnectionActivity activity(double nowMs) {
-        if (!isIdle() || buf.unwritten() > 0) {
+        if (!isIdle() || buffer.unwrittenBytes() > 0) {
             return ConnectionActivity.BUSY;
         }
         if (pendingClose != null) {
@@ -84,7 +83,7 @@
     }
 
     /** Whether a command has come on it, and no other is under way. */
-    boolean isBetweenRequests() {
+    boolean isIdleAfterUse() {
         return commandSeen && isIdle();
     }
 
@@ -93,12 +92,12 @@
      * not to work for a client that does not wait.
      */
     boolean isClientGone() {
-        return ends();
+        return pollPeerClosed();
     }
 
     @Override
-    protected DescriptorBudget.Party party() {
-        return DescriptorBudget.Party.CLIENTS;
+    protected DescriptorBudget.PeerKind party() {
+        return DescriptorBudget.PeerKind.CLIENTS;
     }
 
     @Override
@@ -107,12 +106,12 @@
     @Override
     protected void onReceived() {
         // A client that has closed does not wait for what it sent right before.
-        if (endSeen()) {
+        if (isPeerCloseSeen()) {
             return;
         }
         try {
             boolean more = true;
-            while (more && !isClosed() && pendingClose != CloseReason.MALFORMED) {
+            while (more && !isClosed() && pendingClose != CloseReason.PROTOCOL_ERROR) {
                 discard();
                 more = discardBytes == 0 && readCommand();
             }
@@ -124,14 +123,14 @@
     /** Reads the next command; false if none is complete. */
     private boolean readCommand() throws ProtocolException {
         RespReader reader = pool.respReader;
-        int length = reader.parse(buf.bytes(), buf.readIndex(), buf.readLimit());
+        int length = reader.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (length == 0) {
-            awaitRest(reader.needs());
+            awaitRest(reader.requiredBytes());
             return false;
         }
         partialSinceMs = 0;
         releaseBuffer();
-        if (!reader.command()) {
+        if (!reader.isCommand()) {
             throw new ProtocolException("an array of bulk strings");
         }
         commandSeen = true;
@@ -141,7 +140,7 @@
     }
 
     private void awaitRest(int neededBytes) {
-        if (buf.unread() == 0) {
+        if (buffer.unreadBytes() == 0) {
             partialSinceMs = 0;
         } else if (partialSinceMs == 0 || reservedBytes > 0) {
             partialSinceMs = pool.context.nowMs();
@@ -165,7 +164,7 @@
             return;
         }
         if (responses.isEmpty()) {
-            hold();
+            suspendReads();
             return;
         }
         releaseBuffer();
@@ -175,9 +174,9 @@
     }
 
     private void discard() {
-        int length = Math.min(discardBytes, buf.unread());
+        int length = Math.min(discardBytes, buffer.unreadBytes());
         discardBytes -= length;
-        buf.consume(length);
+        buffer.consume(length);
     }
 
     /** Bytes for which it waits for a buffer. */
@@ -190,8 +189,8 @@
         reservedBytes = awaitedBytes;
         awaitedBytes = 0;
         partialSinceMs = pool.context.nowMs();
-        buf.expect(reservedBytes);
-        release();
+        buffer.reserveForRead(reservedBytes);
+        resumeReads();
     }
 
     private void releaseBuffer() {
@@ -216,13 +215,13 @@
     private void closeWithLine(String line) {
         releaseBuffer();
         answerLine(newSlot(), line);
-        deaf();
-        setPendingClose(CloseReason.MALFORMED);
+        discardInput();
+        setPendingClose(CloseReason.PROTOCOL_ERROR);
     }
 
     /** Ends what takes room from others: connections unused, half a command, responses unread. */
     void checkTimeouts(double nowMs) {
-        boolean malformed = pendingClose == CloseReason.MALFORMED;
+        boolean malformed = pendingClose == CloseReason.PROTOCOL_ERROR;
         boolean partialTooLong = nowMs - partialSinceMs >= PARTIAL_COMMAND_TIMEOUT_MS;
         double quietMs = nowMs - lastUseMs;
         if (!malformed && awaitedBytes > 0 && partialTooLong) {
@@ -230,8 +229,8 @@
         } else if (!malformed && partialSinceMs > 0 && partialTooLong) {
             long limitMs = (long) PARTIAL_COMMAND_TIMEOUT_MS;
             rejectAsMalformed(new ProtocolException("a whole command within " + limitMs + " ms"));
-        } else if (isIdle() && buf.unwritten() > 0 && quietMs >= READ_TIMEOUT_MS) {
-            close(CloseReason.OVERFULL);
+        } else if (isIdle() && buffer.unwrittenBytes() > 0 && quietMs >= READ_TIMEOUT_MS) {
+            close(CloseReason.BUFFER_LIMIT_EXCEEDED);
         } else if (pendingClose == null && isIdle() && quietMs >= idleTimeoutMs()) {
             closeIfQuiet();
         }
@@ -248,28 +247,29 @@
      * @return whether it is closed
      */
     boolean closeIfQuiet() {
-        if ((pendingClose != null || isQuiet() || isIdle()) && buf.unwritten() == 0) {
-            close(CloseReason.RETIRED);
+        if ((pendingClose != null || isQuiet() || isIdle()) && buffer.unwrittenBytes() == 0) {
+            close(CloseReason.CLOSED_IDLE);
         }
         return isClosed();
     }
 
     private void handle(RespReader reader, int length) {
-        int from = buf.readIndex();
-        if (reader.parts() == 1 && reader.text(0).equals("PING")) {
-            buf.consume(length);
+        int from = buffer.readIndex();
+        if (reader.partCount() == 1 && reader.text(0).equals("PING")) {
+            buffer.consume(length);
             answerLine(newSlot(), "+PONG");
             return;
         }
         ClientRequest request;
         try {
-            request = pool.newRequest(this, new ClientCommand(reader, buf.bytes(), from, length));
+            request =
+                    pool.newRequest(this, new ClientCommand(reader, buffer.bytes(), from, length));
         } catch (ProtocolException e) {
-            buf.consume(length);
+            buffer.consume(length);
             answerLine(newSlot(), "-ERR " + e.getMessage());
             return;
         }
-        buf.consume(length);
+        buffer.consume(length);
         responses.add(request.slot);
         pool.submit(request, responses.size() > MAX_WAITING_COMMANDS);
     }
@@ -283,33 +283,18 @@
 
     /** Answers with one line, given without its end. */
     void answerLine(ResponseSlot slot, String line) {
-        if (isNextToAnswer(slot)) {
-            buf.put(line).putLineEnd();
+        if (responses.putLine(slot, line)) {
             advance();
-        } else {
-            keep(slot, (line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
     /** Answers with a value, which is copied. */
     void answerValue(ResponseSlot slot, byte[] value, int from, int length) {
-        if (isNextToAnswer(slot)) {
-            buf.put("$").put(length).putLineEnd().put(value, from, length).putLineEnd();
+        if (responses.putValue(slot, value, from, length)) {
             advance();
-        } else {
-            keep(slot, encodeValue(value, from, length));
         }
     }
 
-    private static byte[] encodeValue(byte[] value, int from, int length) {
-        byte[] head = ("$" + length + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-        byte[] encoded = Arrays.copyOf(head, head.length + length + 2);
-        System.arraycopy(value, from, encoded, head.length, length);
-        encoded[head.length + length] = '\r';
-        encoded[head.length + length + 1] = '\n';
-        return encoded;
-    }
-
     /** Whether all responses before this one are complete. */
     boolean isNextToAnswer(ResponseSlot slot) {
         return slot == responses.first();
@@ -317,15 +302,15 @@
 
     /** Begins a streamed value as the next response. */
     void startStream(long length) {
-        buf.put("$").put(length).putLineEnd();
+        buffer.put("$").put(length).putLineEnd();
     }
 
     /** Writes a part of the value; false if no more fits: the source then hears when to go on. */
     boolean writeStreamPart(byte[] bytes, int from, int length) {
-        buf.put(bytes, from, length);
-        send();
+        buffer.put(bytes, from, length);
+        scheduleFlush();
         int maxUnwritten = loop.bufferBudget().isNearlyExhausted() ? 0 : MAX_UNWRITTEN_STREAM_BYTES;
-        if (buf.unwritten() <= maxUnwritten) {
+        if (buffer.unwrittenBytes() <= maxUnwritten) {
             return true;
         }
         awaitDrain(STREAM_RESUME_BYTES);
@@ -335,7 +320,7 @@
     /** Ends the streamed value. */
     void endStream() {
         responses.first().source = null;
-        buf.putLineEnd();
+        buffer.putLineEnd();
         advance();
     }
 
@@ -351,49 +336,33 @@
         }
     }
 
-    private void keep(ResponseSlot slot, byte[] response) {
-        slot.response = response;
-        pool.addHeldBytes(response.length);
-    }
-
     /** The first response is written: goes on to the next ones. */
     private void advance() {
-        responses.removeFirst();
-        writeKeptResponses();
+        responses.completeFirst();
         lastUseMs = pool.context.nowMs();
-        send();
+        scheduleFlush();
         resumeSource();
         // A client that has just read a response is not about to write.
         if (pool.isDraining() && pendingClose == null) {
-            pendingClose = CloseReason.RETIRED;
+            pendingClose = CloseReason.CLOSED_IDLE;
         }
         closeIfAnswered();
     }
 
-    private void writeKeptResponses() {
-        ResponseSlot first = responses.first();
-        while (first != null && first.response != null) {
-            buf.put(first.response, 0, first.response.length);
-            pool.addHeldBytes(-first.response.length);
-            responses.removeFirst();
-            first = responses.first();
-        }
-    }
-
     private void closeIfAnswered() {
         if (pendingClose == null || !responses.isEmpty()) {
             return;
         }
-        if (pendingClose == CloseReason.MALFORMED) {
-            dismiss(pendingClose);
+        if (pendingClose == CloseReason.PROTOCOL_ERROR) {
+            closeDiscardingInput(pendingClose);
         } else if (isQuiet() || isIdle()) {
-            finishIfQuiet(pendingClose);
+            closeGracefullyIfQuiet(pendingClose);
         }
     }
 
     /** Closes it between requests; its client sends once more what crosses that. */
     void closeWhenAnswered() {
-        setPendingClose(CloseReason.RETIRED);
+        setPendingClose(CloseReason.CLOSED_IDLE);
     }
 
     /** The first reason counts: behind a malformed command nothing is to be read. */
@@ -413,20 +382,20 @@
                 pool.terminate(slot.request);
             }
         }
-        if (!isClosed() && pendingClose != CloseReason.MALFORMED && partialSinceMs > 0) {
+        if (!isClosed() && pendingClose != CloseReason.PROTOCOL_ERROR && partialSinceMs > 0) {
             rejectUnread();
         }
     }
 
     @Override
-    protected void onEnded(CloseReason reason) {
+    protected void onClosed(CloseReason reason) {
         pool.connectionClosed(this);
         releaseBuffer();
         for (ResponseSlot slot = responses.first(); slot != null; slot = slot.next) {
             if (slot.response != null) {
                 pool.addHeldBytes(-slot.response.length);
             } else if (slot.source != null) {
-                slot.source.close(CloseReason.DROPPED);
+                slot.source.close(CloseReason.CANCELLED);
             } else if (slot.request != null && !slot.request.isFinished()) {
                 pool.clientDisconnected(slot.request);
             }
--- a/gateway/src/main/java/tinford/routing/client/ClientPool.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientPool.java
@@ -17,9 +17,9 @@
 /** The client connections, and the requests that are open on them. */
 public final class ClientPool {
     /** Places for new connections while older ones take their time to close. */
-    private static final int MAX_SPARE_CONNECTIONS = 16;
+    private static final int MAX_HEADROOM_CONNECTIONS = 16;
 
-    private static final int SPARE_DIVISOR = 8;
+    private static final int HEADROOM_DIVISOR = 8;
     private static final double CHECK_INTERVAL_MS = 250;
 
     /** At the end of the process, a client that waits longer is answered after this time. */
@@ -94,13 +94,14 @@
 
     private int maxConnections() {
         DescriptorBudget descriptors = context.loop().descriptorBudget();
-        return Math.min(limits.maxConnections(), descriptors.limit(DescriptorBudget.Party.CLIENTS));
+        return Math.min(
+                limits.maxConnections(), descriptors.limit(DescriptorBudget.PeerKind.CLIENTS));
     }
 
-    /** Connections from which on there are no spare places for new ones. */
+    /** Connections from which on no headroom is left for new ones. */
     private int highWater() {
         int max = maxConnections();
-        return max - Math.min(MAX_SPARE_CONNECTIONS, max / SPARE_DIVISOR + 1);
+        return max - Math.min(MAX_HEADROOM_CONNECTIONS, max / HEADROOM_DIVISOR + 1);
     }
 
     private void checkConnections() {
@@ -249,7 +250,7 @@
     public void closeIdleConnections() {
         draining = true;
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            if (connection.isBetweenRequests()) {
+            if (connection.isIdleAfterUse()) {
                 connection.closeWhenAnswered();
             }
         }
@@ -275,7 +276,7 @@
                         }
                     }
                 };
-        listener.close(closeAfterBoth);
+        listener.closeAfterAccepting(closeAfterBoth);
         context.loop().schedule(graceMs, closeAfterBoth);
     }
 
--- a/gateway/src/main/java/tinford/routing/counter/CounterClient.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterClient.java
@@ -121,7 +121,7 @@
                 && nowMs - unreported.peek().madeAtMs >= callTimeoutMs - TIMER_TOLERANCE_MS) {
             IncrementCall call = unreported.peek();
             boolean sent = !call.lane.withdraw(call);
-            report(call, OutcomeMapping.ofCounterCall(CloseReason.SILENT, sent), 0);
+            report(call, OutcomeMapping.ofCounterCall(CloseReason.RESPONSE_TIMEOUT, sent), 0);
         }
         scheduleTimeoutCheck();
     }
--- a/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
@@ -49,8 +49,8 @@
     }
 
     @Override
-    protected DescriptorBudget.Party party() {
-        return DescriptorBudget.Party.SERVICES;
+    protected DescriptorBudget.PeerKind party() {
+        return DescriptorBudget.PeerKind.SERVICES;
     }
 
     @Override
@@ -64,15 +64,15 @@
             writeCommand(call);
             sent.add(call);
         }
-        send();
+        scheduleFlush();
     }
 
     private void writeCommand(IncrementCall call) {
         double ttlMs = Math.min(MAX_TTL_MS, Math.max(1, Math.ceil(call.ttlMs)));
-        buf.put(COMMAND_HEAD);
-        writeWord(buf, Long.toString(call.counterKey));
-        writeWord(buf, formatAmount(call.amount));
-        writeWord(buf, Long.toString((long) ttlMs));
+        buffer.put(COMMAND_HEAD);
+        writeWord(buffer, Long.toString(call.counterKey));
+        writeWord(buffer, formatAmount(call.amount));
+        writeWord(buffer, Long.toString((long) ttlMs));
     }
 
     private static void writeWord(ConnectionBuffer to, String word) {
@@ -117,9 +117,9 @@
         boolean overdue =
                 nowMs - sinceMs >= client.callTimeoutMs - CounterClient.TIMER_TOLERANCE_MS;
         if (overdue && client.hasAnsweredCallSince(sinceMs)) {
-            close(CloseReason.PASSED_BY);
+            close(CloseReason.STALLED);
         } else if (nowMs >= silentAtMs() - CounterClient.TIMER_TOLERANCE_MS) {
-            close(CloseReason.SILENT);
+            close(CloseReason.RESPONSE_TIMEOUT);
         }
     }
 
@@ -133,7 +133,7 @@
             }
         } catch (ProtocolException e) {
             warnInvalid(e);
-            close(CloseReason.MALFORMED);
+            close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
@@ -144,7 +144,7 @@
     /** Reads the next response; false if none is complete. */
     private boolean readResponse() throws ProtocolException {
         RespReader reader = client.respReader;
-        int length = reader.parse(buf.bytes(), buf.readIndex(), buf.readLimit());
+        int length = reader.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (length == 0) {
             awaitRest();
             return false;
@@ -154,7 +154,7 @@
         }
         AttemptOutcome outcome = outcomeOf(reader);
         double total = outcome == AttemptOutcome.SUCCESS ? NumberParser.parse(reader.text(0)) : 0;
-        buf.consume(length);
+        buffer.consume(length);
         cancelPartialTimeout();
         IncrementCall call = sent.poll();
         client.responseArrived(call);
@@ -164,12 +164,13 @@
 
     /** Responses arrive in one piece: one that does not end must not block those behind it. */
     private void awaitRest() throws ProtocolException {
-        if (buf.unread() > MAX_RESPONSE_BYTES) {
+        if (buffer.unreadBytes() > MAX_RESPONSE_BYTES) {
             throw new ProtocolException("an answer of under " + MAX_RESPONSE_BYTES + " bytes");
         }
-        if (buf.unread() > 0 && partialTimeout == null) {
+        if (buffer.unreadBytes() > 0 && partialTimeout == null) {
             partialTimeout =
-                    loop.schedule(PARTIAL_RESPONSE_TIMEOUT_MS, () -> close(CloseReason.MALFORMED));
+                    loop.schedule(
+                            PARTIAL_RESPONSE_TIMEOUT_MS, () -> close(CloseReason.PROTOCOL_ERROR));
         }
     }
 
@@ -182,7 +183,7 @@
 
     /** A total that can be read is valid, in whatever form; any other text has no known meaning. */
     private AttemptOutcome outcomeOf(RespReader reader) throws ProtocolException {
-        if (!reader.array()
+        if (!reader.isArray()
                 && reader.kind(0) == '$'
                 && !Double.isNaN(NumberParser.parse(reader.text(0)))) {
             return AttemptOutcome.SUCCESS;
@@ -199,7 +200,7 @@
     }
 
     @Override
-    protected void onEnded(CloseReason reason) {
+    protected void onClosed(CloseReason reason) {
         cancelPartialTimeout();
         lane.connectionEnded(this, reason);
     }
--- a/gateway/src/main/java/tinford/routing/counter/CounterLane.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterLane.java
@@ -51,7 +51,7 @@
     void reconnect() {
         // The second move within the time of a call.
         if (oldConnection != null) {
-            oldConnection.close(CloseReason.DROPPED);
+            oldConnection.close(CloseReason.CANCELLED);
         }
         oldConnection = connection;
         connection = null;
@@ -65,7 +65,7 @@
      */
     void closeOldIfSettled() {
         if (oldConnection != null && !oldConnection.hasUnreportedCalls()) {
-            oldConnection.close(CloseReason.RETIRED);
+            oldConnection.close(CloseReason.CLOSED_IDLE);
         }
     }
 
@@ -92,7 +92,7 @@
             sendIfOpen();
             return;
         }
-        if (reason == CloseReason.REFUSED || reason == CloseReason.NO_ROOM) {
+        if (reason == CloseReason.CONNECT_REFUSED || reason == CloseReason.NO_DESCRIPTOR) {
             failUnsent(reason);
         }
         if (isDelayed(reason) || !unsent.isEmpty()) {
@@ -114,9 +114,9 @@
      * one that ends immediately is not to be retried faster than one that is silent.
      */
     private static boolean isDelayed(CloseReason reason) {
-        return reason == CloseReason.NEVER_UP
-                || reason == CloseReason.SILENT
-                || reason == CloseReason.PASSED_BY
-                || reason == CloseReason.MALFORMED;
+        return reason == CloseReason.CONNECT_TIMEOUT
+                || reason == CloseReason.RESPONSE_TIMEOUT
+                || reason == CloseReason.STALLED
+                || reason == CloseReason.PROTOCOL_ERROR;
     }
 }
--- a/gateway/src/main/java/tinford/routing/discovery/DiscoveryConnection.java
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryConnection.java
@@ -34,15 +34,15 @@
         this.objects = new JsonObjectSplitter(watch.json, MAX_LIST_BYTES);
         InetSocketAddress address = watch.address();
         String query = fetch ? "" : "?watch=1&after=" + watch.version();
-        buf.put("GET /registry/instances" + query + " HTTP/1.1\r\nHost: ")
+        buffer.put("GET /registry/instances" + query + " HTTP/1.1\r\nHost: ")
                 .put(address.getHostString() + ":" + address.getPort())
                 .put("\r\n\r\n");
         open(address, watch.connectTimeoutMs);
     }
 
     @Override
-    protected DescriptorBudget.Party party() {
-        return DescriptorBudget.Party.SERVICES;
+    protected DescriptorBudget.PeerKind party() {
+        return DescriptorBudget.PeerKind.SERVICES;
     }
 
     @Override
@@ -51,16 +51,21 @@
     @Override
     protected void onReceived() {
         try {
-            buf.consume(lines.read(buf.bytes(), buf.readIndex(), buf.readLimit(), this::readLine));
+            buffer.consume(
+                    lines.read(
+                            buffer.bytes(),
+                            buffer.readIndex(),
+                            buffer.readLimit(),
+                            this::readLine));
             if (failure != null) {
                 throw failure;
             }
-            if (lines.done()) {
-                close(CloseReason.ENDED);
+            if (lines.isComplete()) {
+                close(CloseReason.CLOSED_BY_PEER);
             }
         } catch (ProtocolException e) {
             watch.warnInvalid(e);
-            close(CloseReason.MALFORMED);
+            close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
@@ -92,7 +97,7 @@
     }
 
     @Override
-    protected void onEnded(CloseReason reason) {
+    protected void onClosed(CloseReason reason) {
         if (fetch) {
             watch.fetchEnded(listReceived);
         } else {
--- a/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
@@ -135,7 +135,8 @@
         if (fetching == null) {
             DiscoveryConnection call = new DiscoveryConnection(this, true);
             fetching = call;
-            context.loop().schedule(FETCH_TIMEOUT_MS, () -> call.close(CloseReason.SILENT));
+            context.loop()
+                    .schedule(FETCH_TIMEOUT_MS, () -> call.close(CloseReason.RESPONSE_TIMEOUT));
         }
     }
 
@@ -145,7 +146,7 @@
         previous = current;
         // Closed first: the new one may need its descriptor.
         if (oldest != null) {
-            oldest.close(CloseReason.RETIRED);
+            oldest.close(CloseReason.CLOSED_IDLE);
         }
         current = new DiscoveryConnection(this, false);
         startLineTimeout(firstLineTimeoutMs);
@@ -177,7 +178,7 @@
         current = alive;
         previous = null;
         if (other != null) {
-            other.close(CloseReason.RETIRED);
+            other.close(CloseReason.CLOSED_IDLE);
         }
         cancel(reopening);
         reopening = null;
@@ -202,7 +203,7 @@
         previous = null;
         for (DiscoveryConnection connection : open) {
             if (connection != null) {
-                connection.close(CloseReason.RETIRED);
+                connection.close(CloseReason.CLOSED_IDLE);
             }
         }
     }
--- a/gateway/src/main/java/tinford/routing/dispatch/RequestDispatcher.java
+++ b/gateway/src/main/java/tinford/routing/dispatch/RequestDispatcher.java
@@ -31,7 +31,7 @@
  */
 public final class RequestDispatcher implements RoutingContext, AttemptListener, GatewayActions {
     private static final System.Logger LOG = System.getLogger("tinford.routing");
-    public final EventLoop loop;
+    private final EventLoop loop;
     private final Clock clock = new Clock();
     private final RateLimitedWarnings warnings = new RateLimitedWarnings(LOG);
     private final DecisionModule decisions;
@@ -43,7 +43,7 @@
     private PeerMessenger peers;
     private FleetPolicy fleetPolicy = new FleetPolicy();
     private GatewayEvents events;
-    private double nowMs = clock.now();
+    private double nowMs = clock.nowMs();
     private double previousBatchMs = nowMs;
 
     /**
@@ -118,12 +118,12 @@
 
     private void runBatch() {
         previousBatchMs = nowMs;
-        nowMs = clock.now();
+        nowMs = clock.nowMs();
         decisions.handleBatch(
                 nowMs,
                 inbox -> {
                     events = inbox;
-                    loop.playAll();
+                    loop.runDueTasks();
                 },
                 this);
     }
@@ -201,7 +201,8 @@
             return;
         }
         servers.send(attempt, (PooledServer) server, (long) Math.ceil(waitMs));
-        attempt.setTimeout(loop.schedule(waitMs, () -> attempt.close(CloseReason.SILENT)));
+        attempt.setTimeout(
+                loop.schedule(waitMs, () -> attempt.close(CloseReason.RESPONSE_TIMEOUT)));
         if (sendWithinMs < waitMs) {
             attempt.setSendDeadline(loop.schedule(sendWithinMs, attempt::closeIfUnsent));
         }
@@ -220,7 +221,7 @@
     @Override
     public void cancelAttempt(Request request, int number) {
         ServerAttempt attempt = ((ClientRequest) request).attempt(number);
-        loop.submit(() -> attempt.close(CloseReason.DROPPED));
+        loop.submit(() -> attempt.close(CloseReason.CANCELLED));
     }
 
     @Override
--- a/gateway/src/main/java/tinford/routing/upstream/PooledServer.java
+++ b/gateway/src/main/java/tinford/routing/upstream/PooledServer.java
@@ -47,10 +47,7 @@
     void update(EndpointEntry entry, double startedAtMs) {
         address = entry.address();
         listedStartedAtMs = entry.startedAtMs();
-        this.startedAtMs = startedAtMs;
-        zone = entry.zone();
-        cell = entry.cell();
-        group = entry.group();
-        weight = entry.weight();
+        updateStartTime(startedAtMs);
+        updateAttributes(entry.zone(), entry.cell(), entry.group(), entry.weight());
     }
 }
--- a/gateway/src/main/java/tinford/routing/upstream/ServerAttempt.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerAttempt.java
@@ -64,7 +64,7 @@
     /** Gives it up if its command is not written to the last byte: then it cannot have run. */
     public void closeIfUnsent() {
         if (!ended && connection != null && !connection.isSent()) {
-            connection.close(CloseReason.DROPPED);
+            connection.close(CloseReason.CANCELLED);
         }
     }
 }
--- a/gateway/src/main/java/tinford/routing/upstream/ServerConnection.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerConnection.java
@@ -82,9 +82,9 @@
     void send(ServerAttempt next, long timeoutMs) {
         attempt = next;
         next.connection = this;
-        commandOffset = next.request.command.write(buf, timeoutMs);
+        commandOffset = next.request.command.write(buffer, timeoutMs);
         awaitWriteIfUnfinished();
-        send();
+        scheduleFlush();
     }
 
     /** A long command is written in parts, as fast as its server reads them. */
@@ -96,21 +96,23 @@
 
     /** Whether its command is written to the last byte. */
     boolean isSent() {
-        return attempt != null && commandOffset >= attempt.request.command.length() && allWritten();
+        return attempt != null
+                && commandOffset >= attempt.request.command.length()
+                && isAllWritten();
     }
 
     @Override
     protected void onDrained() {
         if (attempt != null) {
-            commandOffset = attempt.request.command.write(buf, commandOffset);
+            commandOffset = attempt.request.command.write(buffer, commandOffset);
             awaitWriteIfUnfinished();
-            send();
+            scheduleFlush();
         }
     }
 
     @Override
-    protected DescriptorBudget.Party party() {
-        return DescriptorBudget.Party.SERVERS;
+    protected DescriptorBudget.PeerKind party() {
+        return DescriptorBudget.PeerKind.SERVERS;
     }
 
     @Override
@@ -133,12 +135,12 @@
 
     private void closeAsMalformed(ProtocolException cause) {
         pool.context.warn("invalid response from server", "server=" + server.id, cause);
-        close(CloseReason.MALFORMED);
+        close(CloseReason.PROTOCOL_ERROR);
     }
 
     private void readResponse() throws ProtocolException {
         RespReader reader = pool.respReader;
-        int length = reader.parse(buf.bytes(), buf.readIndex(), buf.readLimit());
+        int length = reader.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (attempt == null) {
             throw new ProtocolException("an answer to a command only");
         }
@@ -148,7 +150,7 @@
         }
         // The first successful response goes to the client straight from the read buffer.
         if (outcomeOf(reader) == AttemptOutcome.SUCCESS && !attempt.request.isFinished()) {
-            attempt.request.answer(reader.bytes(), reader.from(0), reader.length(0));
+            attempt.request.answer(reader.bytes(), reader.offset(0), reader.length(0));
         }
         completeAttempt(reader, length);
     }
@@ -156,7 +158,8 @@
     /** The rest of a response follows at once, unless its length promises more than is sent. */
     private void awaitRest() {
         cancelResponseTimeout();
-        responseTimeout = loop.schedule(pool.connectTimeoutMs, () -> close(CloseReason.MALFORMED));
+        responseTimeout =
+                loop.schedule(pool.connectTimeoutMs, () -> close(CloseReason.PROTOCOL_ERROR));
     }
 
     private void cancelResponseTimeout() {
@@ -173,26 +176,27 @@
      * @return false if what has arrived is not the beginning of a long value
      */
     private boolean startStreamIfLong() throws ProtocolException {
-        if (attempt == null || buf.unread() <= STREAM_HEAD_BYTES) {
+        if (attempt == null || buffer.unreadBytes() <= STREAM_HEAD_BYTES) {
             return false;
         }
         RespReader reader = pool.respReader;
-        int headLength = reader.parseLong(buf.bytes(), buf.readIndex(), buf.readLimit());
+        int headLength =
+                reader.parseLongValueHead(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (headLength <= 0) {
             return false;
         }
-        startStream(headLength, reader.longValue(), reader.parts());
+        startStream(headLength, reader.longValueBytes(), reader.partCount());
         return true;
     }
 
     private void startStream(int headLength, long valueLength, int parts) throws ProtocolException {
         cancelResponseTimeout();
         if (attempt.request.isFinished()) {
-            close(CloseReason.DROPPED);
+            close(CloseReason.CANCELLED);
             return;
         }
-        buf.consume(headLength);
-        buf.readUpTo(STREAM_BUFFER_BYTES);
+        buffer.consume(headLength);
+        buffer.setMaxReadBytes(STREAM_BUFFER_BYTES);
         streamRemaining = valueLength;
         streamParts = parts;
         streamMovedAtMs = pool.context.nowMs();
@@ -206,7 +210,7 @@
     @Override
     public void resume() {
         streamMovedAtMs = pool.context.nowMs();
-        release();
+        resumeReads();
         try {
             passStreamOn();
         } catch (ProtocolException e) {
@@ -217,7 +221,7 @@
     private void passStreamOn() throws ProtocolException {
         ForwardedRequest request = attempt.request;
         if (!request.isNextToAnswer()) {
-            hold();
+            suspendReads();
             return;
         }
         if (!streamStarted) {
@@ -229,11 +233,12 @@
         }
         RespReader reader = pool.respReader;
         int tailLength =
-                reader.parseRest(streamParts, buf.bytes(), buf.readIndex(), buf.readLimit());
+                reader.parseAfterLongValue(
+                        streamParts, buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (tailLength > 0) {
             streamRemaining = NO_STREAM;
             request.setResponseSource(null);
-            buf.readUpTo(0);
+            buffer.setMaxReadBytes(0);
             request.endStream();
             completeAttempt(reader, tailLength);
         }
@@ -241,18 +246,18 @@
 
     /** Passes on what has arrived of the value; false if it then waits for the client. */
     private boolean writeStreamPart(ForwardedRequest request) {
-        int length = (int) Math.min(streamRemaining, buf.unread());
+        int length = (int) Math.min(streamRemaining, buffer.unreadBytes());
         if (length == 0) {
             return true;
         }
         streamMovedAtMs = pool.context.nowMs();
         streamRemaining -= length;
-        boolean takesMore = request.writeStreamPart(buf.bytes(), buf.readIndex(), length);
-        buf.consume(length);
+        boolean takesMore = request.writeStreamPart(buffer.bytes(), buffer.readIndex(), length);
+        buffer.consume(length);
         if (takesMore || streamRemaining == 0) {
             return true;
         }
-        hold();
+        suspendReads();
         return false;
     }
 
@@ -262,7 +267,7 @@
             return;
         }
         if (pool.context.nowMs() - streamMovedAtMs > STREAM_STALL_TIMEOUT_MS) {
-            close(CloseReason.SILENT);
+            close(CloseReason.RESPONSE_TIMEOUT);
         } else {
             loop.schedule(
                     STREAM_STALL_TIMEOUT_MS / STREAM_CHECKS_PER_TIMEOUT, this::checkStreamStalled);
@@ -278,24 +283,24 @@
         AttemptOutcome outcome = outcomeOf(reader);
         // What follows a response must not become that of the next command, nor may the rest of a
         // command that was answered early follow the next one.
-        boolean reusable = buf.unread() == length && isSent();
+        boolean reusable = buffer.unreadBytes() == length && isSent();
         String usage;
         String load;
         if (outcome == AttemptOutcome.SUCCESS) {
-            usage = reader.parts() > 1 ? reader.text(1) : "";
-            load = reader.parts() > 2 ? reader.text(2) : "";
+            usage = reader.partCount() > 1 ? reader.text(1) : "";
+            load = reader.partCount() > 2 ? reader.text(2) : "";
         } else {
             String[] words = reader.text(0).split(" ");
             usage = words.length > 2 ? words[2] : "";
             load = words[words.length - 1];
         }
         ServerAttempt ended = attempt;
-        buf.consume(length);
+        buffer.consume(length);
         clearAttempt();
         if (reusable) {
             pool.release(this);
         } else {
-            close(CloseReason.RETIRED);
+            close(CloseReason.CLOSED_IDLE);
         }
         pool.attempts.attemptEnded(
                 ended,
@@ -307,7 +312,7 @@
 
     /** What the protocol does not know is no response: another error line may mean anything. */
     private static AttemptOutcome outcomeOf(RespReader reader) throws ProtocolException {
-        if (reader.array()) {
+        if (reader.isArray()) {
             if (reader.kind(0) == '$') {
                 return AttemptOutcome.SUCCESS;
             }
@@ -332,7 +337,7 @@
 
     /** Where the fleet limits connections, one that its server still counts is not replaced yet. */
     @Override
-    protected boolean waits() {
+    protected boolean waitsForPeerClose() {
         return pool.context.fleetPolicy().connectionLimit(server) < Integer.MAX_VALUE;
     }
 
@@ -342,7 +347,7 @@
     }
 
     @Override
-    protected void onEnded(CloseReason reason) {
+    protected void onClosed(CloseReason reason) {
         pool.connectionClosed(this, reason);
         ServerAttempt ended = attempt;
         boolean streamCut = streamStarted;
--- a/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
@@ -97,8 +97,8 @@
     /** Whether what runs at the server's address is another process than before. */
     private boolean update(PooledServer server, EndpointEntry entry) {
         server.listedState = entry.state();
-        server.state = effectiveState(server);
-        if (server.state == Server.State.REMOVED) {
+        server.updateState(effectiveState(server));
+        if (server.state() == Server.State.REMOVED) {
             return false;
         }
         boolean replaced =
@@ -114,10 +114,10 @@
                 complete ? new ArrayList<>(servers.values()) : inListedOrder(listed);
         for (PooledServer server : affected) {
             boolean absent = complete && !listed.contains(server);
-            if (server.state != Server.State.UP || absent) {
+            if (server.state() != Server.State.UP || absent) {
                 stopUsing(server);
             }
-            if (server.state == Server.State.REMOVED || absent) {
+            if (server.state() == Server.State.REMOVED || absent) {
                 servers.remove(server.id);
                 removedIds.add(server.id);
             }
@@ -154,11 +154,11 @@
     /** Within a batch: applies a record made by {@link ServerExclusions#toRecord}. */
     public void applyExclusion(String serverRecord) {
         PooledServer server = servers.get(exclusions.apply(serverRecord));
-        if (server == null || server.state == effectiveState(server)) {
+        if (server == null || server.state() == effectiveState(server)) {
             return;
         }
-        server.state = effectiveState(server);
-        server.startedAtMs = exclusions.startedAtMs(server.id, server.listedStartedAtMs);
+        server.updateState(effectiveState(server));
+        server.updateStartTime(exclusions.startedAtMs(server.id, server.listedStartedAtMs));
         stopUsing(server);
         context.events().endpointsUpdated(List.of(server), false);
     }
@@ -174,7 +174,8 @@
             reusable.send(attempt, timeoutMs);
             return;
         }
-        int shortage = context.loop().descriptorBudget().shortage(DescriptorBudget.Party.SERVERS);
+        int shortage =
+                context.loop().descriptorBudget().shortage(DescriptorBudget.PeerKind.SERVERS);
         for (int i = 0; i < shortage; i++) {
             closeAnyIdle();
         }
@@ -184,7 +185,7 @@
         if (isAtLimit(server) && !server.idle.isEmpty()) {
             ServerConnection resting = server.idle.peekLast();
             resting.successor = connection;
-            resting.close(CloseReason.RETIRED);
+            resting.close(CloseReason.CLOSED_IDLE);
         } else {
             open(connection);
         }
@@ -225,7 +226,7 @@
     private void closeAnyIdle() {
         for (PooledServer server : servers.values()) {
             if (!server.idle.isEmpty()) {
-                server.idle.peekLast().close(CloseReason.RETIRED);
+                server.idle.peekLast().close(CloseReason.CLOSED_IDLE);
                 return;
             }
         }
@@ -234,12 +235,12 @@
     /** Nothing is in flight on a connection any more: it becomes idle or is closed. */
     void release(ServerConnection connection) {
         PooledServer server = connection.server;
-        if (server.state == Server.State.UP
+        if (server.state() == Server.State.UP
                 && server.liveCount() <= context.fleetPolicy().connectionLimit(server)) {
             connection.idleSinceMs = context.nowMs();
             server.idle.addFirst(connection);
         } else {
-            connection.close(CloseReason.RETIRED);
+            connection.close(CloseReason.CLOSED_IDLE);
         }
     }
 
@@ -252,7 +253,7 @@
         server.idle.remove(connection);
         server.opening.remove(connection);
         // Idle connections may lead to a machine that is gone: none can be opened to it.
-        if (reason == CloseReason.REFUSED || reason == CloseReason.NEVER_UP) {
+        if (reason == CloseReason.CONNECT_REFUSED || reason == CloseReason.CONNECT_TIMEOUT) {
             closeIdleConnections(server);
         }
     }
@@ -280,7 +281,7 @@
         for (PooledServer server : servers.values()) {
             while (server.liveCount() > context.fleetPolicy().connectionLimit(server)
                     && !server.idle.isEmpty()) {
-                server.idle.peekLast().close(CloseReason.RETIRED);
+                server.idle.peekLast().close(CloseReason.CLOSED_IDLE);
             }
         }
     }
@@ -289,14 +290,14 @@
     private void stopUsing(PooledServer server) {
         closeIdleConnections(server);
         for (ServerConnection connection : new ArrayList<>(server.opening)) {
-            connection.close(CloseReason.DROPPED);
+            connection.close(CloseReason.CANCELLED);
         }
     }
 
     /** Within a batch: closes the connections to a server that have nothing in flight. */
     public void closeIdleConnections(PooledServer server) {
         while (!server.idle.isEmpty()) {
-            server.idle.peekFirst().close(CloseReason.RETIRED);
+            server.idle.peekFirst().close(CloseReason.CLOSED_IDLE);
         }
     }
 
@@ -307,7 +308,7 @@
         for (PooledServer server : servers.values()) {
             while (!server.idle.isEmpty()
                     && nowMs - server.idle.peekLast().idleSinceMs > maxIdleMs) {
-                server.idle.peekLast().close(CloseReason.RETIRED);
+                server.idle.peekLast().close(CloseReason.CLOSED_IDLE);
             }
         }
         context.loop().schedule(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT, this::closeLongIdle);
@@ -315,6 +316,6 @@
 
     /** The values of a load report, or null if none are taken or the text has none. */
     double[] readLoadReport(String text) {
-        return loadFields.isEmpty() ? null : UsageReport.values(text, loadFields);
+        return loadFields.isEmpty() ? null : UsageReport.loadReport(text, loadFields);
     }
 }
--- a/gateway/src/test/java/tinford/routing/OutcomeMappingTest.java
+++ b/gateway/src/test/java/tinford/routing/OutcomeMappingTest.java
@@ -18,17 +18,17 @@
     @DataProvider
     public Object[][] closeReasons() {
         return new Object[][] {
-            {CloseReason.REFUSED, UNREACHABLE, UNREACHABLE},
-            {CloseReason.NEVER_UP, UNREACHABLE, UNREACHABLE},
-            {CloseReason.NO_ROOM, UNREACHABLE, UNREACHABLE},
-            {CloseReason.BROKEN, UNREACHABLE, CONNECTION_LOST},
-            {CloseReason.ENDED, UNREACHABLE, CONNECTION_LOST},
-            {CloseReason.MALFORMED, UNREACHABLE, CONNECTION_LOST},
-            {CloseReason.OVERFULL, UNREACHABLE, CONNECTION_LOST},
-            {CloseReason.RETIRED, UNREACHABLE, CONNECTION_LOST},
-            {CloseReason.SILENT, UNREACHABLE, TIMED_OUT},
-            {CloseReason.PASSED_BY, UNREACHABLE, CONNECTION_LOST},
-            {CloseReason.DROPPED, NOT_SENT, CANCELLED},
+            {CloseReason.CONNECT_REFUSED, UNREACHABLE, UNREACHABLE},
+            {CloseReason.CONNECT_TIMEOUT, UNREACHABLE, UNREACHABLE},
+            {CloseReason.NO_DESCRIPTOR, UNREACHABLE, UNREACHABLE},
+            {CloseReason.IO_ERROR, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.CLOSED_BY_PEER, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.PROTOCOL_ERROR, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.BUFFER_LIMIT_EXCEEDED, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.CLOSED_IDLE, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.RESPONSE_TIMEOUT, UNREACHABLE, TIMED_OUT},
+            {CloseReason.STALLED, UNREACHABLE, CONNECTION_LOST},
+            {CloseReason.CANCELLED, NOT_SENT, CANCELLED},
         };
     }
 
@@ -37,7 +37,7 @@
             CloseReason reason, AttemptOutcome unsent, AttemptOutcome sent) {
         assertEquals(OutcomeMapping.ofAttempt(reason, false), unsent);
         assertEquals(OutcomeMapping.ofAttempt(reason, true), sent);
-        boolean silent = reason == CloseReason.SILENT;
+        boolean silent = reason == CloseReason.RESPONSE_TIMEOUT;
         assertEquals(OutcomeMapping.ofCounterCall(reason, false), silent ? TIMED_OUT : UNREACHABLE);
         // Only a time-out says something about the load that the counter can take.
         AttemptOutcome unknown = sent.mayHaveRun ? CONNECTION_LOST : UNREACHABLE;
--- a/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
@@ -67,7 +67,7 @@
                         request.connection.writeStreamPart(new byte[PART_BYTES], 0, PART_BYTES);
                         written[0] += PART_BYTES;
                     });
-        } while (request.connection.allWritten());
+        } while (request.connection.isAllWritten());
         failsAtOnce = true;
         // Far more than the system would still take.
         byte[] rest = new byte[8 * PART_BYTES];
@@ -77,7 +77,7 @@
                     clients.closeIdleConnections();
                     request.connection.endStream();
                 });
-        assertTrue(!request.connection.allWritten() && !request.connection.isClosed());
+        assertTrue(!request.connection.isAllWritten() && !request.connection.isClosed());
         return written[0] + rest.length + 2;
     }
 
@@ -198,8 +198,8 @@
         }
 
         @Override
-        protected DescriptorBudget.Party party() {
-            return DescriptorBudget.Party.SERVERS;
+        protected DescriptorBudget.PeerKind party() {
+            return DescriptorBudget.PeerKind.SERVERS;
         }
 
         @Override
@@ -211,6 +211,6 @@
         protected void onReceived() {}
 
         @Override
-        protected void onEnded(CloseReason reason) {}
+        protected void onClosed(CloseReason reason) {}
     }
 }
--- a/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
+++ b/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
@@ -103,15 +103,16 @@
     @Override
     public <T> T onIoThread(Callable<T> job) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        desk.loop.execute(
-                () -> {
-                    try {
-                        takeOverRound();
-                        done.complete(job.call());
-                    } catch (Exception | Error e) {
-                        done.completeExceptionally(e);
-                    }
-                });
+        desk.loop()
+                .execute(
+                        () -> {
+                            try {
+                                takeOverRound();
+                                done.complete(job.call());
+                            } catch (Exception | Error e) {
+                                done.completeExceptionally(e);
+                            }
+                        });
         try {
             return done.get();
         } catch (ExecutionException e) {
@@ -247,7 +248,7 @@
 
     @Override
     public void close() {
-        desk.loop.end(1000);
+        desk.loop().closeAndAwait(1000);
     }
 
     @Override
