--- a/gateway/src/main/java/tinford/program/Handover.java
+++ b/gateway/src/main/java/tinford/program/Handover.java
@@ -5,9 +5,9 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.CountDownLatch;
 import tinford.logging.LineLogger;
-import tinford.routing.AdminApi;
-import tinford.routing.ClientPool;
-import tinford.routing.RequestDispatcher;
+import tinford.routing.admin.AdminApi;
+import tinford.routing.client.ClientPool;
+import tinford.routing.dispatch.RequestDispatcher;
 import tinford.transport.HandoverLock;
 
 /**
@@ -89,7 +89,7 @@
             if (!isOnlyProcess) {
                 reserveDescriptors(reservedForOtherProcess);
             }
-            dispatcher.loop.execute(() -> listeningAtStart(isOnlyProcess));
+            dispatcher.loop().execute(() -> listeningAtStart(isOnlyProcess));
         }
         return true;
     }
@@ -102,7 +102,7 @@
     }
 
     private void reserveDescriptors(int descriptors) {
-        dispatcher.loop.descriptorBudget().setReservedForOtherProcess(descriptors);
+        dispatcher.loop().descriptorBudget().setReservedForOtherProcess(descriptors);
     }
 
     /** Within a batch: tries to take over the clients, until that is done. */
@@ -120,11 +120,11 @@
                     Level.ERROR,
                     "handover failed, trying again listen=" + listenAddress + " error=" + e);
         }
-        dispatcher.loop.schedule(TAKEOVER_POLL_MS, this::pollForTakeover);
+        dispatcher.loop().schedule(TAKEOVER_POLL_MS, this::pollForTakeover);
     }
 
     private void takeOver() throws IOException {
-        dispatcher.takesOver();
+        dispatcher.startTakeover();
         clients.listen(listenAddress, true);
         hasListened = true;
         LOG.log(
@@ -142,7 +142,7 @@
         } catch (IOException e) {
             LOG.log(Level.WARNING, "handover: announcing the listener failed error=" + e);
         }
-        dispatcher.loop.schedule(ANNOUNCE_POLL_MS, this::announceListening);
+        dispatcher.loop().schedule(ANNOUNCE_POLL_MS, this::announceListening);
     }
 
     /** Takes the other process's descriptors back once it has exited. */
@@ -158,7 +158,7 @@
                     Level.WARNING,
                     "handover: checking whether the other process has exited failed error=" + e);
         }
-        dispatcher.loop.schedule(EXIT_POLL_MS, this::pollForExitOfOther);
+        dispatcher.loop().schedule(EXIT_POLL_MS, this::pollForExitOfOther);
     }
 
     /**
@@ -175,7 +175,7 @@
             }
         }
         CountDownLatch drained = new CountDownLatch(1);
-        dispatcher.loop.execute(() -> startDraining(drained));
+        dispatcher.loop().execute(() -> startDraining(drained));
         try {
             drained.await();
         } catch (InterruptedException e) {
@@ -187,7 +187,7 @@
     }
 
     private void exit() {
-        dispatcher.loop.closeAndAwait(LOOP_CLOSE_TIMEOUT_MS);
+        dispatcher.loop().closeAndAwait(LOOP_CLOSE_TIMEOUT_MS);
         Runtime.getRuntime().halt(0);
     }
 
@@ -197,7 +197,7 @@
         if (!hasListened) {
             drained.countDown(); // it was standing by and has no clients
         } else if (lock == null) {
-            dispatcher.loop.schedule(SERVE_AFTER_SIGTERM_MS, () -> closeClients(drained));
+            dispatcher.loop().schedule(SERVE_AFTER_SIGTERM_MS, () -> closeClients(drained));
         } else {
             handOver(drained);
         }
@@ -215,29 +215,32 @@
             LOG.log(Level.WARNING, "handover: checking for a successor failed error=" + e);
         }
         if (sinceDrainStartedMs() < SERVE_AFTER_SIGTERM_MS) {
-            dispatcher.loop.schedule(TAKEOVER_POLL_MS, () -> handOver(drained));
+            dispatcher.loop().schedule(TAKEOVER_POLL_MS, () -> handOver(drained));
         } else {
             closeClients(drained);
         }
     }
 
     private void drainAfterHandover(CountDownLatch drained) {
-        dispatcher.leaves();
-        adminApi.leaving();
+        dispatcher.startDraining();
+        adminApi.startDraining();
         reserveDescriptors(reservedForOtherProcess);
         LOG.log(
                 Level.INFO,
                 "draining: another process accepts client connections listen=" + listenAddress);
-        clients.leave(remainingIdleMs(), drained::countDown);
+        clients.drainToSuccessor(remainingIdleMs(), drained::countDown);
     }
 
     private void closeClients(CountDownLatch drained) {
         if (adminApi != null) {
-            adminApi.leaving();
+            adminApi.startDraining();
         }
-        clients.letGo();
-        dispatcher.loop.schedule(
-                LISTEN_AFTER_CLOSE_MS, () -> clients.close(remainingIdleMs(), drained::countDown));
+        clients.closeIdleConnections();
+        dispatcher
+                .loop()
+                .schedule(
+                        LISTEN_AFTER_CLOSE_MS,
+                        () -> clients.stopAccepting(remainingIdleMs(), drained::countDown));
     }
 
     private double remainingIdleMs() {
--- a/gateway/src/main/java/tinford/program/StartSequence.java
+++ b/gateway/src/main/java/tinford/program/StartSequence.java
@@ -34,7 +34,7 @@
         this.configuration = configuration;
         this.components = components;
         this.extension = extension;
-        this.loop = components.dispatcher.loop;
+        this.loop = components.dispatcher.loop();
     }
 
     void begin() {
@@ -62,16 +62,16 @@
     }
 
     private void run() {
-        components.dispatcher.begin();
+        components.dispatcher.start();
         if (components.adminApi != null) {
-            components.adminApi.begin();
+            components.adminApi.start();
         }
         try {
             if (extension != null) {
                 joinFleet();
             }
             if (configuration.hasEndpointList()) {
-                components.servers.list(configuration.endpointList());
+                components.servers.updateEndpoints(configuration.endpointList());
             }
         } catch (IOException e) {
             ioFailure = e;
@@ -90,8 +90,8 @@
 
     private void joinFleet() throws IOException {
         JsonFields settings = configuration.settings();
-        extension.setCatalogConsumer(components.dispatcher::use);
-        components.dispatcher.sees(
+        extension.setCatalogConsumer(components.dispatcher::useCatalog);
+        components.dispatcher.joinFleet(
                 extension.join(SettingsReader.gatewayIdentity(settings), loop::execute));
         scheduleTick();
     }
@@ -101,7 +101,7 @@
                 extension.tickIntervalMs(),
                 () -> {
                     extension.tick();
-                    components.servers.trim();
+                    components.servers.closeExcessConnections();
                     scheduleTick();
                 });
     }
@@ -109,10 +109,10 @@
     /** Clients must not be served from a list that is older than discovery's present one. */
     private void awaitFirstList() {
         boolean isWatchRequired = SettingsReader.watchRequired(configuration.settings());
-        components.watch.whenFirst(
+        components.watch.onFirstLine(
                 isWatchRequired ? 0 : FIRST_LIST_TIMEOUT_MS, this::listenOrStandBy);
         if (!isWatchRequired) {
-            components.watch.want(true);
+            components.watch.setWanted(true);
         }
     }
 
--- /dev/null
+++ b/gateway/src/main/java/tinford/routing/client/ResponseQueue.java
@@ -0,0 +1,102 @@
+package tinford.routing.client;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import tinford.transport.ConnectionBuffer;
+
+/**
+ * The responses that a connection is still owed, in the order of its commands. One that is ready
+ * before its turn is kept, and counts among the bytes held for clients.
+ */
+final class ResponseQueue {
+    private final ClientPool pool;
+    private final ConnectionBuffer buffer;
+    private ResponseSlot first;
+    private ResponseSlot last;
+    private int size;
+
+    /**
+     * @param buffer that responses are written to
+     */
+    ResponseQueue(ClientPool pool, ConnectionBuffer buffer) {
+        this.pool = pool;
+        this.buffer = buffer;
+    }
+
+    boolean isEmpty() {
+        return first == null;
+    }
+
+    int size() {
+        return size;
+    }
+
+    /** The slot that is answered next, or null. */
+    ResponseSlot first() {
+        return first;
+    }
+
+    void add(ResponseSlot slot) {
+        size++;
+        if (first == null) {
+            first = slot;
+        } else {
+            last.next = slot;
+        }
+        last = slot;
+    }
+
+    /** Writes a line, given without its end, if it is its turn; else keeps it and is false. */
+    boolean putLine(ResponseSlot slot, String line) {
+        if (slot == first) {
+            buffer.put(line).putLineEnd();
+            return true;
+        }
+        keep(slot, (line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        return false;
+    }
+
+    /** Writes a value if it is its turn; else keeps a copy and is false. */
+    boolean putValue(ResponseSlot slot, byte[] value, int from, int length) {
+        if (slot == first) {
+            buffer.put("$").put(length).putLineEnd().put(value, from, length).putLineEnd();
+            return true;
+        }
+        keep(slot, encodeValue(value, from, length));
+        return false;
+    }
+
+    private static byte[] encodeValue(byte[] value, int from, int length) {
+        byte[] head = ("$" + length + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+        byte[] encoded = Arrays.copyOf(head, head.length + length + 2);
+        System.arraycopy(value, from, encoded, head.length, length);
+        encoded[head.length + length] = '\r';
+        encoded[head.length + length + 1] = '\n';
+        return encoded;
+    }
+
+    private void keep(ResponseSlot slot, byte[] response) {
+        slot.response = response;
+        pool.addHeldBytes(response.length);
+    }
+
+    /** The first response is written: removes it, and writes those kept behind it. */
+    void completeFirst() {
+        removeFirst();
+        while (first != null && first.response != null) {
+            buffer.put(first.response, 0, first.response.length);
+            pool.addHeldBytes(-first.response.length);
+            removeFirst();
+        }
+    }
+
+    private void removeFirst() {
+        size--;
+        first = first.next;
+    }
+
+    void clear() {
+        size = 0;
+        first = null;
+    }
+}
--- a/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
+++ b/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
@@ -27,8 +27,8 @@
 import tinford.decision.DecisionEngine;
 import tinford.lab.scale.count.Cost;
 import tinford.lab.scale.gateway.DrivenGateway;
-import tinford.routing.RequestDispatcher;
-import tinford.routing.ServerPool;
+import tinford.routing.dispatch.RequestDispatcher;
+import tinford.routing.upstream.ServerPool;
 import tinford.settings.JsonFields;
 
 /**
@@ -95,22 +95,24 @@
                         new Objectives(0.7, 0.3),
                         false);
         this.desk = new RequestDispatcher(decisions, MOST_DISPATCHES, DESCRIPTORS, BUFFER_BYTES);
-        this.servers = new ServerPool(desk, COUNTER_TIMEOUT_MS, NEVER_MS, DESCRIPTORS, List.of());
-        desk.seat(null, servers, null, null, null);
+        this.servers =
+                new ServerPool(desk, desk, COUNTER_TIMEOUT_MS, NEVER_MS, DESCRIPTORS, List.of());
+        desk.attach(null, servers, null, null, null);
     }
 
     @Override
     public <T> T onIoThread(Callable<T> job) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        desk.loop.execute(
-                () -> {
-                    try {
-                        takeOverRound();
-                        done.complete(job.call());
-                    } catch (Exception | Error e) {
-                        done.completeExceptionally(e);
-                    }
-                });
+        desk.loop()
+                .execute(
+                        () -> {
+                            try {
+                                takeOverRound();
+                                done.complete(job.call());
+                            } catch (Exception | Error e) {
+                                done.completeExceptionally(e);
+                            }
+                        });
         try {
             return done.get();
         } catch (ExecutionException e) {
@@ -191,7 +193,7 @@
 
     @Override
     public void list(JsonFields list) {
-        servers.list(list);
+        servers.updateEndpoints(list);
     }
 
     @Override
@@ -246,7 +248,7 @@
 
     @Override
     public void close() {
-        desk.loop.closeAndAwait(1000);
+        desk.loop().closeAndAwait(1000);
     }
 
     @Override
