--- a/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
+++ b/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
@@ -16,12 +16,12 @@
 /**
  * Who was granted what at which server, by the entries of the log; the same on every member. A
  * grant is taken only where all that is granted, may be held or lingers fits in the offer less its
- * static part: here alone that promise is kept, whoever proposes. Bounds: {@link #MOST_SERVERS}
- * servers, {@link #MOST_ASKED} accounts an incarnation, incarnations as {@link LeaseTable} has.
+ * static part: here alone that promise is kept, whoever proposes. Bounds: {@link #MAX_SERVERS}
+ * servers, {@link #MAX_ACCOUNTS} accounts an incarnation, incarnations as {@link LeaseTable} has.
  */
 public class BudgetLedger implements ReplicatedLog.StateMachine {
-    public static final int MOST_SERVERS = 4096;
-    public static final int MOST_ASKED = 4096;
+    public static final int MAX_SERVERS = 4096;
+    public static final int MAX_ACCOUNTS = 4096;
 
     final LeaseTable leases;
     final StaticShares staticShares;
@@ -54,24 +54,24 @@
 
     private void applyOwn(long index, byte[] bytes) {
         try {
-            LedgerEntry entry = LedgerEntry.read(bytes);
-            if (entry instanceof LedgerEntry.Tell tell) {
+            LedgerEntry entry = LedgerEntry.decode(bytes);
+            if (entry instanceof LedgerEntry.DemandReport tell) {
                 told(tell);
             } else if (entry instanceof LedgerEntry.Grant grant) {
                 granted(index, grant);
-            } else if (entry instanceof LedgerEntry.Offer offer) {
+            } else if (entry instanceof LedgerEntry.CapacityOffer offer) {
                 offered(offer);
             }
-        } catch (LedgerEntry.Unknown e) {
+        } catch (LedgerEntry.UnknownEntryException e) {
             unknown++;
         } catch (IOException e) {
             unread++;
         }
     }
 
-    private void told(LedgerEntry.Tell tell) {
-        leases.seen(tell.at());
-        if (leases.closed(tell.incarnation())) {
+    private void told(LedgerEntry.DemandReport tell) {
+        leases.observeTime(tell.at());
+        if (leases.isClosed(tell.incarnation())) {
             stale++;
             return;
         }
@@ -87,7 +87,7 @@
         tell.wanted().forEach((account, count) -> putBounded(holder.asked, account, count));
     }
 
-    private void letGo(GrantTable.Holder holder, LedgerEntry.Tell tell) {
+    private void letGo(GrantTable.Holder holder, LedgerEntry.DemandReport tell) {
         tell.held()
                 .forEach(
                         (server, held) -> {
@@ -105,15 +105,15 @@
     private static void putBounded(Map<Long, Integer> counts, long account, int count) {
         if (count == 0) {
             counts.remove(account);
-        } else if (counts.size() < MOST_ASKED || counts.containsKey(account)) {
+        } else if (counts.size() < MAX_ACCOUNTS || counts.containsKey(account)) {
             counts.put(account, count);
         }
     }
 
-    private void offered(LedgerEntry.Offer offer) {
-        leases.seen(offer.at());
+    private void offered(LedgerEntry.CapacityOffer offer) {
+        leases.observeTime(offer.at());
         int number = table.number(offer.server());
-        if (number < 0 && table.servers.size() >= MOST_SERVERS) {
+        if (number < 0 && table.servers.size() >= MAX_SERVERS) {
             stale++;
             return;
         }
@@ -128,31 +128,31 @@
     }
 
     private void granted(long index, LedgerEntry.Grant grant) {
-        leases.seen(grant.at());
+        leases.observeTime(grant.at());
         sweep();
         if (grant.basis() < lastGrant || grant.basis() >= index) {
             stale++;
             return;
         }
         lastGrant = index;
-        for (LedgerEntry.Line line : grant.atServers()) {
+        for (LedgerEntry.GrantLine line : grant.atServers()) {
             grantAtServer(index, line);
         }
-        for (LedgerEntry.Line line : grant.forAccounts()) {
+        for (LedgerEntry.GrantLine line : grant.forAccounts()) {
             grantForAccount(line);
         }
     }
 
-    private void grantForAccount(LedgerEntry.Line line) {
+    private void grantForAccount(LedgerEntry.GrantLine line) {
         GrantTable.Holder holder = table.holders.get(line.incarnation());
-        if (holder == null || !leases.renews(line.incarnation())) {
+        if (holder == null || !leases.mayRenew(line.incarnation())) {
             stale++;
         } else {
             putBounded(holder.uses, line.what(), line.count());
         }
     }
 
-    private void grantAtServer(long index, LedgerEntry.Line line) {
+    private void grantAtServer(long index, LedgerEntry.GrantLine line) {
         GrantTable.Holder holder = table.holders.get(line.incarnation());
         if (holder == null || line.what() < 0 || line.what() >= table.servers.size()) {
             stale++;
@@ -164,7 +164,7 @@
             over++;
             return;
         }
-        if (line.count() > cell.granted && !leases.renews(line.incarnation())) {
+        if (line.count() > cell.granted && !leases.mayRenew(line.incarnation())) {
             stale++;
             return;
         }
@@ -180,7 +180,7 @@
     private void shrink(long index, Incarnation incarnation, GrantTable.Cell cell) {
         Lease lease = leases.of(incarnation);
         cell.shrunk = index;
-        cell.free = lease == null ? leases.now() : free(lease);
+        cell.free = lease == null ? leases.logTimeMs() : free(lease);
         nextFree = Math.min(nextFree, cell.free);
     }
 
@@ -193,18 +193,18 @@
      * When the holder surely has let go of what it was told to, though it was never heard of again.
      */
     double free(Lease lease) {
-        return lease.until() + leases.apart() + leases.linger();
+        return lease.expiresAtMs() + leases.maxClockSkewMs() + leases.lingerMs();
     }
 
     /** Whether nothing that the incarnation was granted can be open. */
     boolean gone(Incarnation incarnation) {
-        return leases.closed(incarnation);
+        return leases.isClosed(incarnation);
     }
 
     private void sweep() {
         table.removeHolders(this::gone);
-        if (leases.now() >= nextFree) {
-            nextFree = table.release(leases.now());
+        if (leases.logTimeMs() >= nextFree) {
+            nextFree = table.release(leases.logTimeMs());
         }
     }
 
@@ -215,12 +215,12 @@
     }
 
     /** Its number in this log, or -1. */
-    public int number(String server) {
+    public int serverNumber(String server) {
         return table.number(server);
     }
 
     /** The last index applied. */
-    public long last() {
+    public long lastIndex() {
         return last;
     }
 
@@ -229,27 +229,27 @@
     }
 
     /** Entries of kinds or forms that it does not know: each one skipped whole. */
-    public long unknown() {
+    public long unknownEntries() {
         return unknown;
     }
 
     /** Entries that could not be read to their end. */
-    public long unread() {
+    public long unreadableEntries() {
         return unread;
     }
 
     /** Entries and lines that came too late to count. */
-    public long stale() {
+    public long staleEntries() {
         return stale;
     }
 
     /** Lines refused because the offer would have been exceeded. */
-    public long over() {
+    public long rejectedGrants() {
         return over;
     }
 
     /** Lines taken at servers. */
-    public long grants() {
+    public long acceptedGrants() {
         return grants;
     }
 
@@ -265,7 +265,7 @@
     }
 
     /** For an account through one incarnation. */
-    public int uses(Incarnation incarnation, long account) {
+    public int accountGrant(Incarnation incarnation, long account) {
         GrantTable.Holder holder = table.holders.get(incarnation);
         return holder == null ? 0 : holder.uses.getOrDefault(account, 0);
     }
@@ -274,7 +274,7 @@
     List<Incarnation> givable() {
         List<Incarnation> incarnations = new ArrayList<>();
         for (Incarnation incarnation : table.holders.keySet()) {
-            if (leases.renews(incarnation)) {
+            if (leases.mayRenew(incarnation)) {
                 incarnations.add(incarnation);
             }
         }
@@ -283,7 +283,7 @@
 
     @Override
     public byte[] snapshot() {
-        return LedgerEntry.encode(
+        return LedgerEntry.write(
                 LedgerEntry.FORM,
                 out -> {
                     leases.write(out);
--- a/fleet/src/main/java/tinford/fleet/budget/GrantProposer.java
+++ b/fleet/src/main/java/tinford/fleet/budget/GrantProposer.java
@@ -16,7 +16,7 @@
     public record Plan(int weight, int floor, int cap) {}
 
     /** Lines at servers in one entry; what is left goes into the next. */
-    public static final int MOST_LINES = 20_000;
+    public static final int MAX_LINES = 20_000;
 
     private final LongFunction<Plan> plans;
     private final double every;
@@ -76,22 +76,24 @@
         List<BudgetAllocation.Account> accounts = new ArrayList<>();
         wanted.forEach((id, at) -> accounts.add(account(id, at)));
         BudgetAllocation d = new BudgetAllocation(pool, own, granted, may, accounts);
-        List<LedgerEntry.Line> less = new ArrayList<>();
-        List<LedgerEntry.Line> more = new ArrayList<>();
+        List<LedgerEntry.GrantLine> less = new ArrayList<>();
+        List<LedgerEntry.GrantLine> more = new ArrayList<>();
         for (int g = 0; g < rows; g++) {
             for (int s = 0; s < columns; s++) {
                 if (d.now[g][s] != granted[g][s]) {
                     (d.now[g][s] < granted[g][s] ? less : more)
-                            .add(new LedgerEntry.Line(incarnations.get(g), s, d.now[g][s]));
+                            .add(new LedgerEntry.GrantLine(incarnations.get(g), s, d.now[g][s]));
                 }
             }
         }
         less.addAll(more);
-        List<LedgerEntry.Line> uses = new ArrayList<>();
+        List<LedgerEntry.GrantLine> uses = new ArrayList<>();
         for (BudgetAllocation.Account a : accounts) {
             for (int k = 0; k < a.rows.length; k++) {
                 if (a.given[k] != a.before[k]) {
-                    uses.add(new LedgerEntry.Line(incarnations.get(a.rows[k]), a.id, a.given[k]));
+                    uses.add(
+                            new LedgerEntry.GrantLine(
+                                    incarnations.get(a.rows[k]), a.id, a.given[k]));
                 }
             }
         }
@@ -100,11 +102,11 @@
         }
         next = now + every;
         return new LedgerEntry.Grant(
-                        ledger.last(),
+                        ledger.lastIndex(),
                         now,
-                        less.subList(0, Math.min(MOST_LINES, less.size())),
+                        less.subList(0, Math.min(MAX_LINES, less.size())),
                         uses)
-                .bytes();
+                .encode();
     }
 
     private static int[] pair(
--- a/fleet/src/main/java/tinford/fleet/budget/GrantTable.java
+++ b/fleet/src/main/java/tinford/fleet/budget/GrantTable.java
@@ -165,7 +165,7 @@
     void read(DataInputStream in) throws IOException {
         servers.clear();
         numbers.clear();
-        for (int n = VarInts.count(in, BudgetLedger.MOST_SERVERS); n > 0; n--) {
+        for (int n = VarInts.count(in, BudgetLedger.MAX_SERVERS); n > 0; n--) {
             Server server = add(in.readUTF());
             server.start = VarInts.take(in);
             server.offer = VarInts.count(in, LedgerEntry.MAX_COUNT);
@@ -179,7 +179,7 @@
     private Holder readHolder(DataInputStream in) throws IOException {
         Holder holder = new Holder();
         holder.told = in.readDouble();
-        for (int n = VarInts.count(in, BudgetLedger.MOST_SERVERS); n > 0; n--) {
+        for (int n = VarInts.count(in, BudgetLedger.MAX_SERVERS); n > 0; n--) {
             int server = VarInts.count(in, servers.size() - 1);
             Cell cell = new Cell();
             cell.granted = VarInts.count(in, LedgerEntry.MAX_COUNT);
@@ -196,7 +196,7 @@
 
     private static void readCounts(DataInputStream in, Map<Long, Integer> counts)
             throws IOException {
-        for (int n = VarInts.count(in, BudgetLedger.MOST_ASKED); n > 0; n--) {
+        for (int n = VarInts.count(in, BudgetLedger.MAX_ACCOUNTS); n > 0; n--) {
             counts.put(VarInts.take(in), VarInts.count(in, LedgerEntry.MAX_COUNT));
         }
     }
--- a/fleet/src/main/java/tinford/fleet/budget/LedgerEntry.java
+++ b/fleet/src/main/java/tinford/fleet/budget/LedgerEntry.java
@@ -23,13 +23,13 @@
     int MAX_COUNT = 1 << 24;
 
     /** As it goes into the log. */
-    byte[] bytes();
+    byte[] encode();
 
     /** An entry of a kind or form that is not known here. */
-    final class Unknown extends Exception {
+    final class UnknownEntryException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unknown() {
+        UnknownEntryException() {
             super("an entry of another kind or form", null, false, false);
         }
     }
@@ -41,7 +41,7 @@
      * @param wanted what it wants by account where that changed; 0 for nothing more
      * @param held what it holds beyond its static share at servers where it was granted more before
      */
-    record Tell(
+    record DemandReport(
             Incarnation incarnation,
             double at,
             long seen,
@@ -49,8 +49,8 @@
             Map<Integer, Integer> held)
             implements LedgerEntry {
         @Override
-        public byte[] bytes() {
-            return encode(
+        public byte[] encode() {
+            return write(
                     TELL,
                     out -> {
                         VarInts.put(out, incarnation);
@@ -69,20 +69,19 @@
                     });
         }
 
-        private static Tell read(DataInputStream in) throws IOException {
+        private static DemandReport read(DataInputStream in) throws IOException {
             Incarnation incarnation = VarInts.incarnation(in);
             double at = time(in);
             long seen = VarInts.take(in);
             Map<Long, Integer> wanted = new LinkedHashMap<>();
-            for (int n = VarInts.count(in, BudgetLedger.MOST_ASKED); n > 0; n--) {
+            for (int n = VarInts.count(in, BudgetLedger.MAX_ACCOUNTS); n > 0; n--) {
                 wanted.put(VarInts.take(in), VarInts.count(in, MAX_COUNT));
             }
             Map<Integer, Integer> held = new LinkedHashMap<>();
-            for (int n = VarInts.count(in, BudgetLedger.MOST_SERVERS); n > 0; n--) {
-                held.put(
-                        VarInts.count(in, BudgetLedger.MOST_SERVERS), VarInts.count(in, MAX_COUNT));
+            for (int n = VarInts.count(in, BudgetLedger.MAX_SERVERS); n > 0; n--) {
+                held.put(VarInts.count(in, BudgetLedger.MAX_SERVERS), VarInts.count(in, MAX_COUNT));
             }
-            return new Tell(incarnation, at, seen, wanted, held);
+            return new DemandReport(incarnation, at, seen, wanted, held);
         }
     }
 
@@ -92,10 +91,10 @@
      * @param start a later one is another server under the same address: what was granted stays
      *     granted, as a holder may open it there
      */
-    record Offer(String server, long start, int offer, double at) implements LedgerEntry {
+    record CapacityOffer(String server, long start, int offer, double at) implements LedgerEntry {
         @Override
-        public byte[] bytes() {
-            return encode(
+        public byte[] encode() {
+            return write(
                     OFFER,
                     out -> {
                         out.writeUTF(server);
@@ -105,11 +104,11 @@
                     });
         }
 
-        private static Offer read(DataInputStream in) throws IOException {
+        private static CapacityOffer read(DataInputStream in) throws IOException {
             String server = in.readUTF();
             long start = VarInts.take(in);
             int offer = VarInts.count(in, MAX_COUNT);
-            return new Offer(server, start, offer, time(in));
+            return new CapacityOffer(server, start, offer, time(in));
         }
     }
 
@@ -119,18 +118,18 @@
      *
      * @param what the number of the server, or the account
      */
-    record Line(Incarnation incarnation, long what, int count) {}
+    record GrantLine(Incarnation incarnation, long what, int count) {}
 
     /**
      * Entry of whoever leads. Lines that make less come first.
      *
      * @param basis last index that the proposal knew; it is void where another grant came since
      */
-    record Grant(long basis, double at, List<Line> atServers, List<Line> forAccounts)
+    record Grant(long basis, double at, List<GrantLine> atServers, List<GrantLine> forAccounts)
             implements LedgerEntry {
         @Override
-        public byte[] bytes() {
-            return encode(
+        public byte[] encode() {
+            return write(
                     GRANT,
                     out -> {
                         VarInts.put(out, basis);
@@ -146,21 +145,22 @@
             return new Grant(basis, at, readLines(in), readLines(in));
         }
 
-        private static void writeLines(DataOutputStream out, List<Line> lines) throws IOException {
+        private static void writeLines(DataOutputStream out, List<GrantLine> lines)
+                throws IOException {
             VarInts.put(out, lines.size());
-            for (Line line : lines) {
+            for (GrantLine line : lines) {
                 VarInts.put(out, line.incarnation);
                 VarInts.put(out, line.what);
                 VarInts.put(out, line.count);
             }
         }
 
-        private static List<Line> readLines(DataInputStream in) throws IOException {
-            List<Line> lines = new ArrayList<>();
+        private static List<GrantLine> readLines(DataInputStream in) throws IOException {
+            List<GrantLine> lines = new ArrayList<>();
             for (int n = VarInts.count(in, MAX_COUNT); n > 0; n--) {
                 Incarnation incarnation = VarInts.incarnation(in);
                 long what = VarInts.take(in);
-                lines.add(new Line(incarnation, what, VarInts.count(in, MAX_COUNT)));
+                lines.add(new GrantLine(incarnation, what, VarInts.count(in, MAX_COUNT)));
             }
             return lines;
         }
@@ -170,16 +170,16 @@
      * @throws Unknown where it is of a kind or form that is not known here
      * @throws IOException where it can't be read to its end
      */
-    static LedgerEntry read(byte[] entry) throws Unknown, IOException {
+    static LedgerEntry decode(byte[] entry) throws UnknownEntryException, IOException {
         if (entry.length < 2 || entry[0] < TELL || entry[0] > OFFER || entry[1] != FORM) {
-            throw new Unknown();
+            throw new UnknownEntryException();
         }
         DataInputStream in =
                 new DataInputStream(new ByteArrayInputStream(entry, 2, entry.length - 2));
         return switch (entry[0]) {
-            case TELL -> Tell.read(in);
+            case TELL -> DemandReport.read(in);
             case GRANT -> Grant.read(in);
-            default -> Offer.read(in);
+            default -> CapacityOffer.read(in);
         };
     }
 
@@ -189,7 +189,7 @@
     }
 
     /** The kind, the form, and the body. */
-    static byte[] encode(byte kind, Body body) {
+    static byte[] write(byte kind, Body body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         try {
             DataOutputStream out = new DataOutputStream(bytes);
--- a/fleet/src/main/java/tinford/fleet/budget/LocalBudget.java
+++ b/fleet/src/main/java/tinford/fleet/budget/LocalBudget.java
@@ -13,8 +13,8 @@
 /**
  * One gateway's own side: what it may hold and use now, by its own clock, and what it tells the
  * log. Where its lease has ended, or ends within the margin, only its static share is left. Holds
- * {@link BudgetLedger#MOST_ASKED} accounts that want something and {@link
- * BudgetLedger#MOST_SERVERS} servers at most.
+ * {@link BudgetLedger#MAX_ACCOUNTS} accounts that want something and {@link
+ * BudgetLedger#MAX_SERVERS} servers at most.
  */
 public class LocalBudget {
     /** What an account wanted at most, in the last span of time and in the one before. */
@@ -79,22 +79,22 @@
     }
 
     /** Whether its grants count now, by its own clock. */
-    public boolean holds(double now) {
+    public boolean hasLease(double now) {
         Lease lease = ledger.leases().of(incarnation);
-        return lease != null && lease.holds(now + margin);
+        return lease != null && lease.isHeldAt(now + margin);
     }
 
     /**
      * Connections that this gateway may hold at the server; asked before one is opened, and before
      * each dispatch.
      */
-    public int mayHold(String server, double now) {
+    public int connectionLimit(String server, double now) {
         if (left) {
             return 0;
         }
-        int number = ledger.number(server);
+        int number = ledger.serverNumber(server);
         return own(server, now)
-                + (number >= 0 && holds(now) ? ledger.granted(incarnation, number) : 0);
+                + (number >= 0 && hasLease(now) ? ledger.granted(incarnation, number) : 0);
     }
 
     private int own(String server, double now) {
@@ -102,19 +102,19 @@
     }
 
     /** Connections to let go: idle ones at once, busy ones as they are answered. */
-    public int excess(String server, double now) {
-        return Math.max(0, open.getOrDefault(server, 0) - mayHold(server, now));
+    public int excessConnections(String server, double now) {
+        return Math.max(0, open.getOrDefault(server, 0) - connectionLimit(server, now));
     }
 
     /**
      * Dispatches that an account may have out through this gateway. One that the ledger does not
      * know yet may have one.
      */
-    public int mayUse(long account, double now) {
-        if (holds(now)) {
+    public int attemptLimit(long account, double now) {
+        if (hasLease(now)) {
             GrantTable.Holder h = ledger.table.holders.get(incarnation);
             int least = h == null || !h.asked.containsKey(account) ? 1 : 0;
-            return Math.max(least, ledger.uses(incarnation, account));
+            return Math.max(least, ledger.accountGrant(incarnation, account));
         }
         Want want = wants.get(account);
         return want == null ? 1 : Math.max(1, want.alone);
@@ -125,25 +125,25 @@
      * lower one.
      */
     public long fencingToken(String server) {
-        int number = ledger.number(server);
+        int number = ledger.serverNumber(server);
         GrantTable.Holder h = ledger.table.holders.get(incarnation);
         GrantTable.Cell c = h == null || number < 0 ? null : h.cells.get(number);
         return fencingTokens.merge(server, c == null ? 0 : c.fencingToken, Math::max);
     }
 
-    public void opened(String server) {
+    public void connectionOpened(String server) {
         open.merge(server, 1, Integer::sum);
     }
 
-    public void closed(String server) {
+    public void connectionClosed(String server) {
         open.computeIfPresent(server, (s, n) -> n > 1 ? n - 1 : null);
     }
 
     /** An account has, or would have if nothing were short, so many dispatches out now. */
-    public void wanted(long account, int dispatches) {
+    public void reportDemand(long account, int dispatches) {
         Want want = wants.get(account);
         if (want == null) {
-            if (dispatches <= 0 || wants.size() >= BudgetLedger.MOST_ASKED) {
+            if (dispatches <= 0 || wants.size() >= BudgetLedger.MAX_ACCOUNTS) {
                 return;
             }
             want = new Want();
@@ -153,12 +153,12 @@
     }
 
     /** This process ends: it wants nothing more, and leaves once nothing is open. */
-    public void leaves() {
+    public void startLeaving() {
         leaves = true;
     }
 
     /** Whether it left: from then on it holds nothing. */
-    public boolean left() {
+    public boolean hasLeft() {
         return left;
     }
 
@@ -166,7 +166,7 @@
      * What to append to the log now: two entries at most, no sooner than {@code every} after the
      * last ones. What is lost is told again, as it is worked out from what the ledger has.
      */
-    public List<byte[]> round(double now) {
+    public List<byte[]> nextEntries(double now) {
         if (now < nextRound || left) {
             return List.of();
         }
@@ -175,11 +175,11 @@
         Lease lease = ledger.leases().of(incarnation);
         if (leaves && open.isEmpty()) {
             left = true;
-            entries.add(LeaseTable.leave(incarnation, now));
+            entries.add(LeaseTable.departureEntry(incarnation, now));
             return entries;
         }
-        if (lease == null || now >= lease.until() - length * 2 / 3) {
-            entries.add(LeaseTable.renew(incarnation, now, length));
+        if (lease == null || now >= lease.expiresAtMs() - length * 2 / 3) {
+            entries.add(LeaseTable.renewalEntry(incarnation, now, length));
         }
         alone(now);
         if (lease != null) {
@@ -216,7 +216,7 @@
             h.asked.forEach(
                     (a, told) -> {
                         if ((leaves || !wants.containsKey(a))
-                                && wanted.size() < BudgetLedger.MOST_ASKED) {
+                                && wanted.size() < BudgetLedger.MAX_ACCOUNTS) {
                             wanted.put(a, 0);
                         }
                     });
@@ -231,7 +231,8 @@
         }
         if (!wanted.isEmpty() || !held.isEmpty()) {
             entries.add(
-                    new LedgerEntry.Tell(incarnation, now, ledger.last(), wanted, held).bytes());
+                    new LedgerEntry.DemandReport(incarnation, now, ledger.lastIndex(), wanted, held)
+                            .encode());
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/budget/StaticShares.java
+++ b/fleet/src/main/java/tinford/fleet/budget/StaticShares.java
@@ -13,7 +13,7 @@
  * gateway), so each is somebody's and the sum is exact. Holds one array of gateways a server.
  */
 public final class StaticShares {
-    private static final int MOST_UNNAMED = BudgetLedger.MOST_SERVERS;
+    private static final int MOST_UNNAMED = BudgetLedger.MAX_SERVERS;
     private final Map<String, int[]> by = new LinkedHashMap<>();
     private final Map<String, Integer> sums = new LinkedHashMap<>();
     private final int unnamed;
--- a/fleet/src/main/java/tinford/fleet/membership/GossipCodec.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipCodec.java
@@ -32,7 +32,7 @@
     private static final double AGE_UNIT = 2;
 
     /** The greatest age that can be told, ms. */
-    public static final double MAX_AGE = 65535 * AGE_UNIT;
+    public static final double MAX_AGE_MS = 65535 * AGE_UNIT;
 
     private static final int RATES = 9;
     private static final int CEDED = 12;
@@ -61,11 +61,11 @@
     /**
      * A record as told.
      *
-     * @param made on its owner's clock, ms since its start
-     * @param age ms since its owner made it, as the teller counts
-     * @param raw as it came, for telling it on, with what a later version put at its end
+     * @param madeAtMs on its owner's clock, ms since its start
+     * @param ageMs ms since its owner made it, as the teller counts
+     * @param encoded as it came, for telling it on, with what a later version put at its end
      */
-    public record Received(GossipRecord record, double made, double age, byte[] raw) {}
+    public record Received(GossipRecord record, double madeAtMs, double ageMs, byte[] encoded) {}
 
     /**
      * @param maxStartAhead by how many ms a start may lie in the future
@@ -94,19 +94,19 @@
         ByteBuffer b = ByteBuffer.allocate(MAX_RECORD_BYTES);
         b.put((byte) 0).putShort((short) s.incarnation.gateway());
         long start = s.incarnation.start();
-        b.putShort((short) (start >> 32)).putInt((int) start).putInt(s.seq);
+        b.putShort((short) (start >> 32)).putInt((int) start).putInt(s.sequence);
         long ms = (long) Math.max(0, made);
         b.put((byte) (ms >> 32)).putInt((int) ms).putShort((short) 0);
         for (double rate :
                 new double[] {
-                    s.first,
-                    s.further,
-                    s.good,
+                    s.firstAttempts,
+                    s.retries,
+                    s.onTime,
                     s.late,
                     s.failed,
-                    s.goodUnits,
-                    s.open,
-                    s.waiting,
+                    s.onTimeUnits,
+                    s.inFlight,
+                    s.queued,
                     s.capacity
                 }) {
             b.put((byte) code(rate));
@@ -122,16 +122,16 @@
                                     127,
                                     Math.round(
                                             8
-                                                    * Math.log(Math.max(health.ago(), 1))
+                                                    * Math.log(Math.max(health.agoMs(), 1))
                                                     / Math.log(2))));
-            b.putInt(health.server()).put((byte) (ago | (health.unhealthy() ? 128 : 0)));
+            b.putInt(health.serverHash()).put((byte) (ago | (health.unhealthy() ? 128 : 0)));
         }
-        if (s.cededTo != null) {
-            long to = s.cededTo.start();
-            b.putShort((short) s.cededTo.gateway())
+        if (s.retriesCededTo != null) {
+            long to = s.retriesCededTo.start();
+            b.putShort((short) s.retriesCededTo.gateway())
                     .putShort((short) (to >> 32))
                     .putInt((int) to)
-                    .putFloat((float) s.ceded);
+                    .putFloat((float) s.retriesCeded);
         }
         b.put(0, (byte) b.position());
         return java.util.Arrays.copyOf(b.array(), b.position());
@@ -142,16 +142,16 @@
      * rates.
      */
     private static void classes(GossipRecord s, ByteBuffer b) {
-        int n = GossipRecord.CLASSES;
-        while (n > 0 && code(s.asked[n - 1]) == 0 && code(s.sent[n - 1]) == 0) {
+        int n = GossipRecord.PRIORITY_CLASSES;
+        while (n > 0 && code(s.offeredUnits[n - 1]) == 0 && code(s.admittedUnits[n - 1]) == 0) {
             n--;
         }
         b.put((byte) n);
         int kinds = b.position();
         b.position(kinds + (n + 3) / 4);
         for (int c = 0; c < n; c++) {
-            int asked = code(s.asked[c]);
-            int sent = code(s.sent[c]);
+            int asked = code(s.offeredUnits[c]);
+            int sent = code(s.admittedUnits[c]);
             int kind = asked == 0 && sent == 0 ? 0 : asked == sent ? 1 : sent == 0 ? 2 : 3;
             int at = kinds + c / 4;
             b.put(at, (byte) (b.get(at) | kind << 2 * (c % 4)));
@@ -165,13 +165,13 @@
     }
 
     /** An empty message to be filled by {@link #addRecord}. */
-    public static ByteBuffer message(int most) {
+    public static ByteBuffer newMessage(int most) {
         return ByteBuffer.allocate(Math.min(most, MAX_MESSAGE_BYTES)).put(VERSION);
     }
 
     /** Whether there was room; the age is rounded up. */
     public static boolean addRecord(ByteBuffer message, byte[] raw, double age) {
-        if (raw.length > message.remaining() || age > MAX_AGE) {
+        if (raw.length > message.remaining() || age > MAX_AGE_MS) {
             return false;
         }
         int at = message.position();
@@ -283,19 +283,19 @@
                 new GossipRecord(
                         new Incarnation(b.getShort(at + GATEWAY) & 0xFFFF, start(b, at)),
                         b.getInt(at + SEQ));
-        s.first = value(b.get(p++));
-        s.further = value(b.get(p++));
-        s.good = value(b.get(p++));
+        s.firstAttempts = value(b.get(p++));
+        s.retries = value(b.get(p++));
+        s.onTime = value(b.get(p++));
         s.late = value(b.get(p++));
         s.failed = value(b.get(p++));
-        s.goodUnits = value(b.get(p++));
-        s.open = value(b.get(p++));
-        s.waiting = value(b.get(p++));
+        s.onTimeUnits = value(b.get(p++));
+        s.inFlight = value(b.get(p++));
+        s.queued = value(b.get(p++));
         s.capacity = value(b.get(p++));
         int n = b.get(p++) & 255;
         int kinds = p;
         p += (n + 3) / 4;
-        if (n > GossipRecord.CLASSES || p > end) {
+        if (n > GossipRecord.PRIORITY_CLASSES || p > end) {
             return null;
         }
         for (int c = 0; c < n; c++) {
@@ -304,8 +304,9 @@
                 return null;
             }
             if (kind != 0) {
-                s.asked[c] = value(b.get(p++));
-                s.sent[c] = kind == 1 ? s.asked[c] : kind == 2 ? 0 : value(b.get(p++));
+                s.offeredUnits[c] = value(b.get(p++));
+                s.admittedUnits[c] =
+                        kind == 1 ? s.offeredUnits[c] : kind == 2 ? 0 : value(b.get(p++));
             }
         }
         int servers = p < end ? b.get(p++) & 255 : GossipRecord.MAX_SERVERS + 1;
@@ -319,12 +320,12 @@
                             b.getInt(p), how >= 128, Math.pow(2, (how & 127) / 8.0)));
         }
         if (p + CEDED <= end) {
-            s.cededTo =
+            s.retriesCededTo =
                     new Incarnation(
                             b.getShort(p) & 0xFFFF,
                             (b.getShort(p + 2) & 0xFFFFL) << 32 | b.getInt(p + 4) & 0xFFFFFFFFL);
             float total = b.getFloat(p + 8);
-            s.ceded = total >= 0 && total < Float.POSITIVE_INFINITY ? total : 0;
+            s.retriesCeded = total >= 0 && total < Float.POSITIVE_INFINITY ? total : 0;
         }
         return s;
     }
--- a/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
@@ -105,7 +105,7 @@
      */
     byte[] compose(
             byte[] ownRaw, double ownAge, int to, int index, int living, int maxBytes, double now) {
-        ByteBuffer message = GossipCodec.message(maxBytes);
+        ByteBuffer message = GossipCodec.newMessage(maxBytes);
         if (!GossipCodec.addRecord(message, ownRaw, ownAge)) {
             return null;
         }
--- a/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
@@ -21,21 +21,21 @@
  */
 public final class GossipMembership implements Membership {
     /** How far in the future another's start may lie, ms. */
-    public static final double AHEAD = 5000;
+    public static final double MAX_START_AHEAD_MS = 5000;
 
     /**
      * Messages taken in: so many a second, and so many at once; never more than the sum in any
      * second.
      */
-    public static final int TAKEN_A_SECOND = 50;
+    public static final int MAX_MESSAGES_PER_SECOND = 50;
 
-    public static final int TAKEN_AT_ONCE = 50;
+    public static final int MAX_MESSAGE_BURST = 50;
 
     /**
      * So many times the time for suspicion after a later incarnation was last heard of, an earlier
      * one counts again (an upgrade that failed).
      */
-    public static final double FORGOTTEN = 10;
+    public static final double FORGET_AFTER_SUSPICION_TIMES = 10;
 
     /**
      * One of so many messages goes to any gateway, heard of or not, so that halves find each other
@@ -52,7 +52,8 @@
     private final Random chance;
     private final GossipCodec codec;
     private final GossipComposer composer;
-    private final TokenBucket incoming = new TokenBucket(TAKEN_AT_ONCE, TAKEN_A_SECOND);
+    private final TokenBucket incoming =
+            new TokenBucket(MAX_MESSAGE_BURST, MAX_MESSAGES_PER_SECOND);
 
     /**
      * When others told that a gateway lives of which no record was heard yet. What they told may be
@@ -96,7 +97,7 @@
         if (self.gateway() < 0
                 || self.gateway() >= gateways
                 || gateways > 65536
-                || suspectAfter > GossipCodec.MAX_AGE) {
+                || suspectAfter > GossipCodec.MAX_AGE_MS) {
             throw new IllegalArgumentException(
                     "gateway "
                             + self.gateway()
@@ -105,7 +106,7 @@
                             + ", suspected after "
                             + suspectAfter
                             + " ms: expected one of at most 65536, and at most "
-                            + GossipCodec.MAX_AGE
+                            + GossipCodec.MAX_AGE_MS
                             + " ms");
         }
         this.self = self;
@@ -115,7 +116,7 @@
         this.suspectAfter = suspectAfter;
         this.freshFor = Math.min(freshFor, suspectAfter);
         this.chance = chance;
-        this.codec = new GossipCodec(gateways, AHEAD);
+        this.codec = new GossipCodec(gateways, MAX_START_AHEAD_MS);
         this.composer = new GossipComposer(others, fanout, suspectAfter);
         this.rumoured = new double[gateways];
         Arrays.fill(rumoured, Double.NEGATIVE_INFINITY);
@@ -123,7 +124,7 @@
     }
 
     /** The own record, renewed by its owner before each round. */
-    public void own(GossipRecord record, double at) {
+    public void setOwnRecord(GossipRecord record, double at) {
         time(at);
         own = record;
         ownMade = now;
@@ -134,7 +135,7 @@
      * Sends once {@code every} ms have gone by since it last did; what was missed is not made up
      * for.
      */
-    public void round(double at, Transport out) {
+    public void sendRound(double at, Transport out) {
         time(at);
         if (at < next || own == null || others.length < 2) {
             return;
@@ -155,7 +156,7 @@
     }
 
     /** Takes a message; what can't be, or comes beyond the bound, is dropped and counted. */
-    public void heard(byte[] message, int from, double at) {
+    public void receive(byte[] message, int from, double at) {
         time(at);
         if (!incoming.take(at)) {
             over++;
@@ -202,7 +203,7 @@
         }
         Peer peer = others[incarnation.gateway()];
         if (peer == null || replaces(incarnation, peer)) {
-            double age = received.age() + (now < wakesUntil ? stopped : 0);
+            double age = received.ageMs() + (now < wakesUntil ? stopped : 0);
             if (age <= suspectAfter) {
                 others[incarnation.gateway()] = new Peer(received, now - age, now);
             }
@@ -213,15 +214,15 @@
 
     /** A later one, or an earlier one once the later was not heard of for long. */
     private boolean replaces(Incarnation incarnation, Peer peer) {
-        boolean forgotten = now - peer.alive() > FORGOTTEN * suspectAfter;
+        boolean forgotten = now - peer.alive() > FORGET_AFTER_SUSPICION_TIMES * suspectAfter;
         return incarnation.start() > peer.incarnation().start()
                 || forgotten && incarnation.start() < peer.incarnation().start();
     }
 
     private void takeNext(Peer peer, GossipCodec.Received received) {
-        double told = now - received.age() - received.made();
+        double told = now - received.ageMs() - received.madeAtMs();
         double quickest = peer.quickestStart(told, now, now >= wakesUntil);
-        double age = Math.max(received.age(), now - received.made() - quickest);
+        double age = Math.max(received.ageMs(), now - received.madeAtMs() - quickest);
         if (age <= suspectAfter && peer.isOlderThan(received.record())) {
             peer.keep(received, now - age);
         }
@@ -272,7 +273,7 @@
     }
 
     @Override
-    public int living() {
+    public int aliveCount() {
         int n = 0;
         for (int i = 0; i < others.length; i++) {
             n += alive(i) ? 1 : 0;
@@ -281,15 +282,15 @@
     }
 
     @Override
-    public boolean lives(int gateway) {
+    public boolean isAlive(int gateway) {
         return gateway >= 0 && gateway < others.length && alive(gateway);
     }
 
     @Override
-    public List<Integer> all() {
+    public List<Integer> aliveGateways() {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < others.length; i++) {
-            if (lives(i)) {
+            if (isAlive(i)) {
                 all.add(i);
             }
         }
@@ -297,7 +298,7 @@
     }
 
     @Override
-    public List<GossipRecord> fresh() {
+    public List<GossipRecord> freshRecords() {
         List<GossipRecord> fresh = new ArrayList<>();
         for (int i = 0; i < others.length; i++) {
             if (i == self.gateway() && own != null) {
@@ -310,7 +311,7 @@
     }
 
     @Override
-    public int size() {
+    public int fleetSize() {
         return others.length;
     }
 
@@ -322,14 +323,14 @@
     }
 
     /** The newest record heard of a gateway, fresh or not; null where there is none. */
-    public GossipRecord of(int gateway) {
+    public GossipRecord newestRecord(int gateway) {
         return gateway == self.gateway()
                 ? own
                 : others[gateway] == null ? null : others[gateway].record();
     }
 
     /** Its age now, ms; infinite where there is none. */
-    public double age(int gateway) {
+    public double recordAgeMs(int gateway) {
         if (gateway == self.gateway()) {
             return own == null ? Double.POSITIVE_INFINITY : now - ownMade;
         }
@@ -337,7 +338,7 @@
     }
 
     /** Ms since it surely lived; infinite where nothing was heard of it. */
-    public double silent(int gateway) {
+    public double silenceMs(int gateway) {
         return gateway == self.gateway()
                 ? 0
                 : others[gateway] == null
@@ -346,17 +347,17 @@
     }
 
     /** Whether a later process of the own number was heard of. */
-    public boolean replaced() {
+    public boolean isReplaced() {
         return replaced;
     }
 
     /** Messages of another version, torn, absurd, or whose first record is not their sender's. */
-    public long refused() {
+    public long rejectedMessages() {
         return refused;
     }
 
     /** Messages beyond the bound. */
-    public long over() {
+    public long rateLimitedMessages() {
         return over;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/GossipRecord.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipRecord.java
@@ -9,10 +9,10 @@
  * have the same ones without agreeing on any.
  */
 public final class GossipRecord {
-    public static final int CLASSES = 24;
+    public static final int PRIORITY_CLASSES = 24;
 
     /** Worth a unit of class 0 and below; class {@code c} begins at LEAST * 2^(c/2). */
-    public static final double LEAST = 1.0 / 16;
+    public static final double MIN_PRIORITY_WEIGHT = 1.0 / 16;
 
     public static final int MAX_SERVERS = 6;
 
@@ -20,34 +20,34 @@
      * A server that this gateway put aside, or found well again, so many ms before the record was
      * made; named by a hash of its id.
      */
-    public record ServerHealth(int server, boolean unhealthy, double ago) {}
+    public record ServerHealth(int serverHash, boolean unhealthy, double agoMs) {}
 
     public final Incarnation incarnation;
-    public final int seq;
+    public final int sequence;
 
     /** Units a second inside quotas: asked for, and sent on, by class of worth. */
-    public final double[] asked = new double[CLASSES];
+    public final double[] offeredUnits = new double[PRIORITY_CLASSES];
 
-    public final double[] sent = new double[CLASSES];
+    public final double[] admittedUnits = new double[PRIORITY_CLASSES];
 
     /**
      * A second: first dispatches, further ones, and how dispatches ended: by their target, late or
      * without an answer, failed.
      */
-    public double first;
+    public double firstAttempts;
 
-    public double further;
-    public double good;
+    public double retries;
+    public double onTime;
     public double late;
     public double failed;
 
     /** Units a second of the answers that came by their target. */
-    public double goodUnits;
+    public double onTimeUnits;
 
     /** Dispatches out, and requests that wait in its line. */
-    public double open;
+    public double inFlight;
 
-    public double waiting;
+    public double queued;
 
     /**
      * Units a second that this gateway believes the servers bear of the whole fleet; 0 where it
@@ -59,33 +59,42 @@
      * Which incarnation it lately gave further dispatches of its own budget to (null: none), and
      * how many in all.
      */
-    public Incarnation cededTo;
+    public Incarnation retriesCededTo;
 
-    public double ceded;
+    public double retriesCeded;
     public final List<ServerHealth> serverHealth = new ArrayList<>(MAX_SERVERS);
 
     public GossipRecord(Incarnation incarnation, int seq) {
         this.incarnation = incarnation;
-        this.seq = seq;
+        this.sequence = seq;
     }
 
     public static int classOf(double worth) {
-        int c = (int) Math.floor(2 * Math.log(Math.max(worth, LEAST) / LEAST) / Math.log(2) + 1e-9);
-        return Math.min(CLASSES - 1, c);
+        int c =
+                (int)
+                        Math.floor(
+                                2
+                                                * Math.log(
+                                                        Math.max(worth, MIN_PRIORITY_WEIGHT)
+                                                                / MIN_PRIORITY_WEIGHT)
+                                                / Math.log(2)
+                                        + 1e-9);
+        return Math.min(PRIORITY_CLASSES - 1, c);
     }
 
     /** The least worth a unit of a class. */
-    public static double worthOf(int c) {
-        return LEAST * Math.pow(2, c / 2.0);
+    public static double minWeightOf(int c) {
+        return MIN_PRIORITY_WEIGHT * Math.pow(2, c / 2.0);
     }
 
     /**
      * Whether this one replaces the other of the same gateway: of a later incarnation, or of the
      * same one and told later.
      */
-    public boolean newer(GossipRecord other) {
+    public boolean isNewerThan(GossipRecord other) {
         return other == null
                 || incarnation.start() > other.incarnation.start()
-                || incarnation.start() == other.incarnation.start() && seq - other.seq > 0;
+                || incarnation.start() == other.incarnation.start()
+                        && sequence - other.sequence > 0;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
+++ b/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
@@ -16,7 +16,7 @@
 /**
  * Who has a lease, until when, by the entries of the log; the same on every member after the same
  * entries. A later incarnation of a gateway ends no lease of an earlier one: that one may be
- * stopped, and act when it wakes. It only renews no more. Holds {@link #MOST_INCARNATIONS}
+ * stopped, and act when it wakes. It only renews no more. Holds {@link #MAX_INCARNATIONS}
  * incarnations a gateway at most, until nothing that they opened can be open.
  */
 public final class LeaseTable {
@@ -24,7 +24,7 @@
      * Incarnations of one gateway that are not surely closed; a further one has no lease until one
      * of them is.
      */
-    public static final int MOST_INCARNATIONS = 8;
+    public static final int MAX_INCARNATIONS = 8;
 
     private static final byte RENEW = 1;
     private static final byte LEAVE = 2;
@@ -60,7 +60,7 @@
     }
 
     /** An entry: the incarnation asks, at its own time, for a lease of that length. */
-    public static byte[] renew(Incarnation incarnation, double at, double length) {
+    public static byte[] renewalEntry(Incarnation incarnation, double at, double length) {
         return entry(RENEW, incarnation, at, length);
     }
 
@@ -68,7 +68,7 @@
      * An entry: the incarnation has closed all that it held, and acts no more from its own time
      * {@code at} on.
      */
-    public static byte[] leave(Incarnation incarnation, double at) {
+    public static byte[] departureEntry(Incarnation incarnation, double at) {
         return entry(LEAVE, incarnation, at, 0);
     }
 
@@ -89,7 +89,7 @@
 
     /**
      * Takes its own entries and no others; what can't be read of its own is counted in {@link
-     * #refused} and changes nothing.
+     * #rejectedEntries} and changes nothing.
      *
      * @return whether the entry was one of these, taken or refused
      */
@@ -126,7 +126,7 @@
     }
 
     private boolean renewed(long index, Incarnation incarnation, double at, double length) {
-        seen(at);
+        observeTime(at);
         long last = latest.getOrDefault(incarnation.gateway(), Long.MIN_VALUE);
         if (incarnation.start() < last
                 || left.getOrDefault(incarnation.gateway(), Long.MIN_VALUE)
@@ -134,13 +134,14 @@
             return false;
         }
         Lease old = leases.get(incarnation);
-        if (old == null && of(incarnation.gateway()).size() >= MOST_INCARNATIONS) {
+        if (old == null && of(incarnation.gateway()).size() >= MAX_INCARNATIONS) {
             return false;
         }
         Lease lease = new Lease(incarnation, at + length, index);
         // Guards against entries that come late or twice: a lease never gets shorter, and none
         // begins that is over already.
-        if (lease.surelyOver(now, apart) || old != null && old.until() >= lease.until()) {
+        if (lease.isSurelyExpired(now, apart)
+                || old != null && old.expiresAtMs() >= lease.expiresAtMs()) {
             return false;
         }
         leases.put(incarnation, lease);
@@ -149,7 +150,7 @@
     }
 
     private boolean left(Incarnation incarnation, double at) {
-        seen(at);
+        observeTime(at);
         if (leases.remove(incarnation) == null) {
             return false;
         }
@@ -158,23 +159,23 @@
     }
 
     /** A time stamp of any entry: the log's time never falls. */
-    public void seen(double at) {
+    public void observeTime(double at) {
         if (at > now && at < Double.POSITIVE_INFINITY) {
             now = at;
-            leases.values().removeIf(t -> t.surelyClosed(now, apart, linger));
+            leases.values().removeIf(t -> t.isSurelyClosed(now, apart, linger));
         }
     }
 
     /** The log's time. */
-    public double now() {
+    public double logTimeMs() {
         return now;
     }
 
-    public double apart() {
+    public double maxClockSkewMs() {
         return apart;
     }
 
-    public double linger() {
+    public double lingerMs() {
         return linger;
     }
 
@@ -200,19 +201,19 @@
      */
     public boolean mayAct(Incarnation incarnation) {
         Lease lease = leases.get(incarnation);
-        return lease != null && !lease.surelyOver(now, apart);
+        return lease != null && !lease.isSurelyExpired(now, apart);
     }
 
     /** All incarnations that may still act, by gateway and start: those that a stage waits for. */
     public List<Incarnation> mayAct() {
-        return notSurelyOver(now);
+        return notSurelyExpired(now);
     }
 
     /** Those whose lease was not surely over at that time of the log, by gateway and start. */
-    public List<Incarnation> notSurelyOver(double logNow) {
+    public List<Incarnation> notSurelyExpired(double logNow) {
         List<Incarnation> all = new ArrayList<>();
         for (Lease lease : leases.values()) {
-            if (!lease.surelyOver(logNow, apart)) {
+            if (!lease.isSurelyExpired(logNow, apart)) {
                 all.add(lease.holder());
             }
         }
@@ -223,7 +224,7 @@
      * Whether the incarnation is its gateway's latest and may act: only such a one is given
      * anything new.
      */
-    public boolean renews(Incarnation incarnation) {
+    public boolean mayRenew(Incarnation incarnation) {
         return mayAct(incarnation) && latest.get(incarnation.gateway()) == incarnation.start();
     }
 
@@ -231,12 +232,12 @@
      * Whether nothing can be open of what it opened: it left, or its lease is surely closed, or it
      * never had one.
      */
-    public boolean closed(Incarnation incarnation) {
+    public boolean isClosed(Incarnation incarnation) {
         return !leases.containsKey(incarnation);
     }
 
     /** Entries that were its own and changed nothing. */
-    public long refused() {
+    public long rejectedEntries() {
         return refused;
     }
 
@@ -247,7 +248,7 @@
         out.writeInt(leases.size());
         for (Lease lease : leases.values()) {
             write(out, lease.holder());
-            out.writeDouble(lease.until());
+            out.writeDouble(lease.expiresAtMs());
             out.writeLong(lease.fencingToken());
         }
         write(out, latest);
--- a/fleet/src/main/java/tinford/fleet/membership/Membership.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Membership.java
@@ -8,20 +8,20 @@
      * How many live, as far as heard: itself, and those heard within the time after which a gateway
      * is suspected.
      */
-    int living();
+    int aliveCount();
 
     /** By number; itself always. */
-    boolean lives(int gateway);
+    boolean isAlive(int gateway);
 
     /** Their numbers, rising. */
-    List<Integer> all();
+    List<Integer> aliveGateways();
 
     /**
      * The records of those that live and that are fresh enough to count, by number. Over many
-     * gateways a sample: the sum over the fleet is the mean of these times {@link #living}.
+     * gateways a sample: the sum over the fleet is the mean of these times {@link #aliveCount}.
      */
-    List<GossipRecord> fresh();
+    List<GossipRecord> freshRecords();
 
     /** How many gateways the fleet has by its settings, living or not. */
-    int size();
+    int fleetSize();
 }
--- a/fleet/src/main/java/tinford/fleet/membership/Peer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Peer.java
@@ -41,7 +41,7 @@
      * @param made when its owner made the record that came first
      */
     Peer(GossipCodec.Received first, double made, double now) {
-        start = made - first.made();
+        start = made - first.madeAtMs();
         startBefore = start;
         startSince = now;
         keep(first, made);
@@ -50,8 +50,8 @@
     /** The newest record. */
     void keep(GossipCodec.Received received, double madeAt) {
         incarnation = received.record().incarnation;
-        seq = received.record().seq;
-        raw = received.raw();
+        seq = received.record().sequence;
+        raw = received.encoded();
         made = madeAt;
         recordTold = 0;
         heard(madeAt);
@@ -94,7 +94,7 @@
     }
 
     boolean isOlderThan(GossipRecord record) {
-        return record.seq - seq > 0;
+        return record.sequence - seq > 0;
     }
 
     /** Read again where it is asked for: as bytes it takes less room than its 59 numbers. */
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationEntry.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationEntry.java
@@ -13,21 +13,21 @@
  * One entry of the log about moves: version, kind, time stamp of whoever wrote it, then what the
  * kind needs. At most 64 KiB.
  *
- * @param turn which change of position it speaks of; for a halt's {@code resume} the number of that
- *     halt
- * @param counts for {@code REPORT}: of each frontend answers and bad ones of the old group, then of
- *     the new one
- * @param warm for {@code GO}: warm units a second of each group that is gone to, by name
+ * @param epoch which change of position it speaks of; for a halt's {@code resume} the number of
+ *     that halt
+ * @param outcomeCounts for {@code REPORT}: of each frontend answers and bad ones of the old group,
+ *     then of the new one
+ * @param warmUnits for {@code GO}: warm units a second of each group that is gone to, by name
  */
 public record MigrationEntry(
         Kind kind,
-        double at,
+        double timestampMs,
         Incarnation incarnation,
-        long turn,
-        int to,
-        String who,
-        long[] counts,
-        double[] warm,
+        long epoch,
+        int targetStep,
+        String operator,
+        long[] outcomeCounts,
+        double[] warmUnits,
         MigrationPlan plan) {
     /** The kinds, in the order of their numbers in the log. */
     public enum Kind {
@@ -45,14 +45,14 @@
     /** Tells entries about moves from those of others in the same log. */
     public static final int MARK = 'M';
 
-    private static final int MOST = 64 << 10;
-    private static final Incarnation NOBODY = new Incarnation(0, 0);
+    private static final int MAX_ENTRY_BYTES = 64 << 10;
+    private static final Incarnation NO_INCARNATION = new Incarnation(0, 0);
 
     /** Bytes that are no entry, or of a version or kind that is not known here. */
-    static final class Unknown extends Exception {
+    static final class UnreadableEntryException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unknown(String why) {
+        UnreadableEntryException(String why) {
             super(why, null, false, false);
         }
     }
@@ -65,7 +65,7 @@
 
     public static MigrationEntry begin(String operator, double at, MigrationPlan plan) {
         return new MigrationEntry(
-                Kind.BEGIN, at, NOBODY, 0, 0, operator, new long[0], new double[0], plan);
+                Kind.BEGIN, at, NO_INCARNATION, 0, 0, operator, new long[0], new double[0], plan);
     }
 
     public static MigrationEntry ack(Incarnation incarnation, long turn, double at) {
@@ -73,7 +73,8 @@
     }
 
     public static MigrationEntry go(double at, long turn, int to, double... warm) {
-        return new MigrationEntry(Kind.GO, at, NOBODY, turn, to, "", new long[0], warm, null);
+        return new MigrationEntry(
+                Kind.GO, at, NO_INCARNATION, turn, to, "", new long[0], warm, null);
     }
 
     public static MigrationEntry report(
@@ -83,38 +84,38 @@
     }
 
     public static MigrationEntry halt(String operator, double at) {
-        return of(Kind.HALT, at, NOBODY, 0, 0, operator);
+        return of(Kind.HALT, at, NO_INCARNATION, 0, 0, operator);
     }
 
     /**
      * @param halt the number of the halt that the operator saw; a later one is not lifted by it
      */
     public static MigrationEntry resume(String operator, double at, long halt) {
-        return of(Kind.RESUME, at, NOBODY, halt, 0, operator);
+        return of(Kind.RESUME, at, NO_INCARNATION, halt, 0, operator);
     }
 
     public static MigrationEntry back(String operator, double at) {
-        return of(Kind.BACK, at, NOBODY, 0, 0, operator);
+        return of(Kind.BACK, at, NO_INCARNATION, 0, 0, operator);
     }
 
-    public byte[] bytes() {
+    public byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(MARK);
             out.writeByte(VERSION);
             out.writeByte(kind.ordinal());
-            out.writeDouble(at);
+            out.writeDouble(timestampMs);
             out.writeInt(incarnation.gateway());
             out.writeLong(incarnation.start());
-            out.writeLong(turn);
-            out.writeInt(to);
-            out.writeUTF(who);
-            out.writeByte(counts.length / 4);
-            for (long c : counts) {
+            out.writeLong(epoch);
+            out.writeInt(targetStep);
+            out.writeUTF(operator);
+            out.writeByte(outcomeCounts.length / 4);
+            for (long c : outcomeCounts) {
                 out.writeLong(c);
             }
-            out.writeByte(warm.length);
-            for (double w : warm) {
+            out.writeByte(warmUnits.length);
+            for (double w : warmUnits) {
                 out.writeDouble(w);
             }
             if (plan != null) {
@@ -126,14 +127,14 @@
         return bytes.toByteArray();
     }
 
-    static MigrationEntry of(byte[] bytes) throws Unknown {
-        if (bytes.length > MOST
+    static MigrationEntry of(byte[] bytes) throws UnreadableEntryException {
+        if (bytes.length > MAX_ENTRY_BYTES
                 || bytes.length < 3
                 || bytes[0] != MARK
                 || bytes[1] != VERSION
                 || bytes[2] < 0
                 || bytes[2] >= Kind.values().length) {
-            throw new Unknown(
+            throw new UnreadableEntryException(
                     "mark, version or kind "
                             + Arrays.toString(Arrays.copyOf(bytes, Math.min(3, bytes.length))));
         }
@@ -155,11 +156,11 @@
             }
             MigrationPlan plan = kind == Kind.BEGIN ? MigrationPlan.read(in) : null;
             if (in.available() > 0 || !Double.isFinite(at) || who.length() > 64) {
-                throw new Unknown("a length, a time or a name out of form");
+                throw new UnreadableEntryException("a length, a time or a name out of form");
             }
             return new MigrationEntry(kind, at, incarnation, turn, to, who, counts, warm, plan);
-        } catch (IOException | PlanErrors.Refused e) {
-            throw new Unknown(e.toString());
+        } catch (IOException | PlanErrors.InvalidPlanException e) {
+            throw new UnreadableEntryException(e.toString());
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationPlan.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationPlan.java
@@ -14,65 +14,66 @@
 import tinford.api.RequestClass;
 
 /**
- * A checked plan of moves. What it holds obeys the rules of its form; at most {@link #MOST}
+ * A checked plan of moves. What it holds obeys the rules of its form; at most {@link #MAX_ITEMS}
  * frontends of as many shares each.
  */
 public final class MigrationPlan {
-    public static final int MOST = 64;
-    private static final int LONGEST = 64;
+    public static final int MAX_ITEMS = 64;
+    private static final int MAX_NAME_LENGTH = 64;
 
     /**
      * How one frontend moves.
      *
      * @param shares of its customers, rising, the last one 1
-     * @param units a second that it may need, all of it
-     * @param begins the stage in which it begins, from 1; 0 for as soon as what it needs has moved
-     * @param told whether its clients say which requests are retries
-     * @param held ms in which a request that may have run may still run, or its repeat would still
-     *     be dropped; 0 unless uniqued
+     * @param unitsPerSecond a second that it may need, all of it
+     * @param firstStage the stage in which it begins, from 1; 0 for as soon as what it needs has
+     *     moved
+     * @param marksRetries whether its clients say which requests are retries
+     * @param deduplicationMs ms in which a request that may have run may still run, or its repeat
+     *     would still be dropped; 0 unless uniqued
      */
-    public record Mover(
+    public record FrontendMigration(
             String name,
-            String from,
-            String to,
-            List<String> needs,
-            int begins,
+            String sourceGroup,
+            String targetGroup,
+            List<String> dependencies,
+            int firstStage,
             List<Double> shares,
-            double units,
+            double unitsPerSecond,
             int connections,
-            boolean uniqued,
-            boolean told,
-            double held) {}
+            boolean idempotencyKeyed,
+            boolean marksRetries,
+            double deduplicationMs) {}
 
     /**
      * What a group can take in addition to what stays there: units a second when warm, the part of
      * them when cold, connections.
      */
-    public record Room(double units, int connections, double coldPart) {}
+    public record GroupCapacity(double unitsPerSecond, int connections, double coldShare) {}
 
     /**
      * What a plan is held against: the frontends that may move, where each one lives, and the
      * groups.
      */
-    public record Known(
+    public record ValidationContext(
             Map<String, RequestClass> frontends,
-            Map<String, String> homes,
-            Map<String, Room> groups) {}
+            Map<String, String> homeGroups,
+            Map<String, GroupCapacity> groups) {}
 
     public final String name;
-    public final double soak;
+    public final double soakMs;
 
     /**
      * How much higher the share of failed and late answers may be at the new group, and from how
      * many answers on it counts.
      */
-    public final double margin;
+    public final double failureMargin;
 
-    public final int answers;
-    public final List<Mover> frontends;
+    public final int minAnswers;
+    public final List<FrontendMigration> frontends;
 
     /** The groups that frontends go to, by name. */
-    public final TreeMap<String, Room> groups;
+    public final TreeMap<String, GroupCapacity> groups;
 
     public final List<MigrationStep> steps;
     private final Map<String, Integer> index = new HashMap<>();
@@ -85,24 +86,24 @@
             double soak,
             double margin,
             int answers,
-            List<Mover> frontends,
-            Map<String, Room> groups) {
+            List<FrontendMigration> frontends,
+            Map<String, GroupCapacity> groups) {
         this.name = name;
-        this.soak = soak;
-        this.margin = margin;
-        this.answers = answers;
+        this.soakMs = soak;
+        this.failureMargin = margin;
+        this.minAnswers = answers;
         this.frontends = List.copyOf(frontends);
         this.groups = new TreeMap<>(groups);
         PlanErrors faults = new PlanErrors("plan", "");
         check(name, soak, margin, answers, frontends, faults);
-        faults.refuse();
+        faults.throwIfAny();
         for (int i = 0; i < frontends.size(); i++) {
             index.put(frontends.get(i).name, i);
         }
         steps = MigrationStages.of(this);
     }
 
-    public int index(String frontend) {
+    public int indexOf(String frontend) {
         return index.getOrDefault(frontend, -1);
     }
 
@@ -112,70 +113,85 @@
             double soak,
             double margin,
             int answers,
-            List<Mover> movers,
+            List<FrontendMigration> movers,
             PlanErrors faults) {
-        faults.unless(
-                !name.isEmpty() && name.length() <= LONGEST,
+        faults.require(
+                !name.isEmpty() && name.length() <= MAX_NAME_LENGTH,
                 -1,
                 "plan",
                 "a name of 1 to 64 characters");
-        faults.unless(soak >= 0 && soak <= 1e9, -1, "soak_ms", "ms from 0 to 1e9");
-        faults.unless(margin >= 0 && margin <= 1, -1, "margin", "a part from 0 to 1");
-        faults.unless(answers >= 1, -1, "answers", "a whole number from 1");
-        faults.unless(
-                !movers.isEmpty() && movers.size() <= MOST, -1, "frontends", "1 to 64 of them");
-        Map<String, Mover> by = new LinkedHashMap<>();
+        faults.require(soak >= 0 && soak <= 1e9, -1, "soak_ms", "ms from 0 to 1e9");
+        faults.require(margin >= 0 && margin <= 1, -1, "margin", "a part from 0 to 1");
+        faults.require(answers >= 1, -1, "answers", "a whole number from 1");
+        faults.require(
+                !movers.isEmpty() && movers.size() <= MAX_ITEMS,
+                -1,
+                "frontends",
+                "1 to 64 of them");
+        Map<String, FrontendMigration> by = new LinkedHashMap<>();
         for (int i = 0; i < movers.size(); i++) {
-            Mover m = movers.get(i);
-            faults.unless(
-                    m.name.length() <= LONGEST && by.putIfAbsent(m.name, m) == null,
+            FrontendMigration m = movers.get(i);
+            faults.require(
+                    m.name.length() <= MAX_NAME_LENGTH && by.putIfAbsent(m.name, m) == null,
                     i,
                     "name",
                     "each frontend once, not again " + m.name);
-            faults.unless(
-                    !m.from.equals(m.to) && m.to.length() <= LONGEST && m.from.length() <= LONGEST,
+            faults.require(
+                    !m.sourceGroup.equals(m.targetGroup)
+                            && m.targetGroup.length() <= MAX_NAME_LENGTH
+                            && m.sourceGroup.length() <= MAX_NAME_LENGTH,
                     i,
                     "to",
-                    "another group than " + m.from);
-            faults.unless(m.units >= 0 && m.units < 1e12, i, "units", "units a second from 0");
-            faults.unless(m.connections >= 0, i, "connections", "a whole number from 0");
-            faults.unless(
-                    m.held >= 0 && m.held <= 1e9, i, "name", "a repeat window of 1e9 ms at most");
+                    "another group than " + m.sourceGroup);
+            faults.require(
+                    m.unitsPerSecond >= 0 && m.unitsPerSecond < 1e12,
+                    i,
+                    "units",
+                    "units a second from 0");
+            faults.require(m.connections >= 0, i, "connections", "a whole number from 0");
+            faults.require(
+                    m.deduplicationMs >= 0 && m.deduplicationMs <= 1e9,
+                    i,
+                    "name",
+                    "a repeat window of 1e9 ms at most");
             double before = 0;
-            boolean rising = !m.shares.isEmpty() && m.shares.size() <= MOST;
+            boolean rising = !m.shares.isEmpty() && m.shares.size() <= MAX_ITEMS;
             for (double s : m.shares) {
                 rising &= s > before && s <= 1;
                 before = s;
             }
-            faults.unless(
+            faults.require(
                     rising, i, "shares", "1 to 64 parts above 0, each higher than the one before");
-            faults.unless(m.shares.isEmpty() || before == 1, i, "shares", "1 as the last one");
+            faults.require(m.shares.isEmpty() || before == 1, i, "shares", "1 as the last one");
         }
         for (int i = 0; i < movers.size(); i++) {
-            Mover m = movers.get(i);
-            for (String need : m.needs) {
-                faults.unless(
+            FrontendMigration m = movers.get(i);
+            for (String need : m.dependencies) {
+                faults.require(
                         by.containsKey(need), i, "needs", "frontends of this plan, not " + need);
             }
-            faults.unless(m.needs.size() <= MOST, i, "needs", "64 at most");
-            faults.unless(
+            faults.require(m.dependencies.size() <= MAX_ITEMS, i, "needs", "64 at most");
+            faults.require(
                     !reaches(by, m.name, m.name, new HashSet<>()),
                     i,
                     "needs",
                     "no circle, but " + m.name + " needs itself");
-            faults.unless(
-                    m.begins >= 0 && m.begins <= 1000, i, "begins", "a stage from 1 to 1000, or 0");
+            faults.require(
+                    m.firstStage >= 0 && m.firstStage <= 1000,
+                    i,
+                    "begins",
+                    "a stage from 1 to 1000, or 0");
         }
-        if (faults.none()) {
+        if (faults.isEmpty()) {
             order(movers, faults);
         }
     }
 
-    private static void order(List<Mover> movers, PlanErrors faults) {
-        int[] earliest = MigrationStages.begins(movers);
+    private static void order(List<FrontendMigration> movers, PlanErrors faults) {
+        int[] earliest = MigrationStages.earliestStarts(movers);
         for (int i = 0; i < earliest.length; i++) {
-            int begins = movers.get(i).begins;
-            faults.unless(
+            int begins = movers.get(i).firstStage;
+            faults.require(
                     begins == 0 || begins > earliest[i],
                     i,
                     "begins",
@@ -184,11 +200,11 @@
     }
 
     private static boolean reaches(
-            Map<String, Mover> by, String from, String aim, Set<String> seen) {
+            Map<String, FrontendMigration> by, String from, String aim, Set<String> seen) {
         if (!by.containsKey(from)) {
             return false;
         }
-        for (String need : by.get(from).needs) {
+        for (String need : by.get(from).dependencies) {
             if (need.equals(aim) || seen.add(need) && reaches(by, need, aim, seen)) {
                 return true;
             }
@@ -198,35 +214,35 @@
 
     void write(DataOutputStream out) throws IOException {
         out.writeUTF(name);
-        out.writeDouble(soak);
-        out.writeDouble(margin);
-        out.writeInt(answers);
+        out.writeDouble(soakMs);
+        out.writeDouble(failureMargin);
+        out.writeInt(minAnswers);
         out.writeByte(frontends.size());
-        for (Mover m : frontends) {
+        for (FrontendMigration m : frontends) {
             out.writeUTF(m.name);
-            out.writeUTF(m.from);
-            out.writeUTF(m.to);
-            out.writeByte(m.needs.size());
-            for (String need : m.needs) {
+            out.writeUTF(m.sourceGroup);
+            out.writeUTF(m.targetGroup);
+            out.writeByte(m.dependencies.size());
+            for (String need : m.dependencies) {
                 out.writeUTF(need);
             }
-            out.writeInt(m.begins);
+            out.writeInt(m.firstStage);
             out.writeByte(m.shares.size());
             for (double s : m.shares) {
                 out.writeDouble(s);
             }
-            out.writeDouble(m.units);
+            out.writeDouble(m.unitsPerSecond);
             out.writeInt(m.connections);
-            out.writeBoolean(m.uniqued);
-            out.writeBoolean(m.told);
-            out.writeDouble(m.held);
+            out.writeBoolean(m.idempotencyKeyed);
+            out.writeBoolean(m.marksRetries);
+            out.writeDouble(m.deduplicationMs);
         }
         out.writeByte(groups.size());
-        for (Map.Entry<String, Room> g : groups.entrySet()) {
+        for (Map.Entry<String, GroupCapacity> g : groups.entrySet()) {
             out.writeUTF(g.getKey());
-            out.writeDouble(g.getValue().units);
+            out.writeDouble(g.getValue().unitsPerSecond);
             out.writeInt(g.getValue().connections);
-            out.writeDouble(g.getValue().coldPart);
+            out.writeDouble(g.getValue().coldShare);
         }
     }
 
@@ -235,7 +251,7 @@
         double soak = in.readDouble();
         double margin = in.readDouble();
         int answers = in.readInt();
-        List<Mover> movers = new ArrayList<>();
+        List<FrontendMigration> movers = new ArrayList<>();
         for (int n = in.readUnsignedByte(); n > 0; n--) {
             String frontend = in.readUTF();
             String from = in.readUTF();
@@ -250,7 +266,7 @@
                 shares.add(in.readDouble());
             }
             movers.add(
-                    new Mover(
+                    new FrontendMigration(
                             frontend,
                             from,
                             to,
@@ -263,9 +279,11 @@
                             in.readBoolean(),
                             in.readDouble()));
         }
-        Map<String, Room> groups = new TreeMap<>();
+        Map<String, GroupCapacity> groups = new TreeMap<>();
         for (int n = in.readUnsignedByte(); n > 0; n--) {
-            groups.put(in.readUTF(), new Room(in.readDouble(), in.readInt(), in.readDouble()));
+            groups.put(
+                    in.readUTF(),
+                    new GroupCapacity(in.readDouble(), in.readInt(), in.readDouble()));
         }
         return new MigrationPlan(name, soak, margin, answers, movers, groups);
     }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationPlanReader.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationPlanReader.java
@@ -32,9 +32,9 @@
                     "connections",
                     "retries");
     private static final int LONGEST = 256 << 10;
-    private final MigrationPlan.Known known;
+    private final MigrationPlan.ValidationContext known;
 
-    public MigrationPlanReader(MigrationPlan.Known known) {
+    public MigrationPlanReader(MigrationPlan.ValidationContext known) {
         this.known = known;
     }
 
@@ -45,16 +45,16 @@
         PlanErrors faults = new PlanErrors(file, text);
         if (text.length() > LONGEST) {
             faults.add(0, "text", "262144 characters at most");
-            faults.refuse();
+            faults.throwIfAny();
         }
         JsonNode top = tree(text, faults);
         names(top, TOP, -1, faults);
         JsonNode bad = top.path("bad");
-        faults.unless(bad.isObject(), -1, "bad", "a table with margin and answers");
+        faults.require(bad.isObject(), -1, "bad", "a table with margin and answers");
         names(bad, BAD, -1, faults);
         JsonNode list = top.path("frontends");
-        faults.unless(list.isArray(), -1, "frontends", "tables [[frontends]]");
-        List<MigrationPlan.Mover> movers = new ArrayList<>();
+        faults.require(list.isArray(), -1, "frontends", "tables [[frontends]]");
+        List<MigrationPlan.FrontendMigration> movers = new ArrayList<>();
         for (int i = 0; list.isArray() && i < list.size(); i++) {
             movers.add(mover(list.get(i), i, faults));
         }
@@ -63,8 +63,8 @@
         double margin = number(bad, "margin", -1, faults);
         int answers = whole(bad, "answers", -1, faults);
         MigrationPlan.check(name, soak, margin, answers, movers, faults);
-        Map<String, MigrationPlan.Room> groups = rooms(movers, faults);
-        faults.refuse();
+        Map<String, MigrationPlan.GroupCapacity> groups = rooms(movers, faults);
+        faults.throwIfAny();
         return new MigrationPlan(name, soak, margin, answers, movers, groups);
     }
 
@@ -76,25 +76,25 @@
                     e.getLocation() == null ? 0 : e.getLocation().getLineNr(),
                     "text",
                     "TOML: " + e.getOriginalMessage().lines().findFirst().orElse(""));
-            faults.refuse();
+            faults.throwIfAny();
             return null;
         }
     }
 
-    private MigrationPlan.Mover mover(JsonNode n, int i, PlanErrors faults) {
+    private MigrationPlan.FrontendMigration mover(JsonNode n, int i, PlanErrors faults) {
         names(n, EACH, i, faults);
         String name = text(n, "name", i, faults);
         RequestClass f = known.frontends().get(name);
-        faults.unless(f != null, i, "name", "one of the frontends that may move, not " + name);
+        faults.require(f != null, i, "name", "one of the frontends that may move, not " + name);
         boolean uniqued = f != null && f.idempotency == Idempotency.IDEMPOTENCY_KEY;
         String from = text(n, "from", i, faults);
-        faults.unless(
-                f == null || from.equals(known.homes().get(name)),
+        faults.require(
+                f == null || from.equals(known.homeGroups().get(name)),
                 i,
                 "from",
-                "where it is: " + known.homes().get(name));
+                "where it is: " + known.homeGroups().get(name));
         String retries = n.has("retries") ? text(n, "retries", i, faults) : "untold";
-        faults.unless(
+        faults.require(
                 retries.equals("told") || retries.equals("untold"), i, "retries", "told or untold");
         List<Double> shares = new ArrayList<>();
         boolean list = n.path("shares").isArray();
@@ -102,15 +102,15 @@
             list &= s.isNumber();
             shares.add(s.asDouble());
         }
-        faults.unless(list, i, "shares", "numbers in brackets");
+        faults.require(list, i, "shares", "numbers in brackets");
         List<String> needs = new ArrayList<>();
         boolean texts = !n.has("needs") || n.path("needs").isArray();
         for (JsonNode s : n.path("needs")) {
             texts &= s.isTextual();
             needs.add(s.asText());
         }
-        faults.unless(texts, i, "needs", "names in brackets");
-        return new MigrationPlan.Mover(
+        faults.require(texts, i, "needs", "names in brackets");
+        return new MigrationPlan.FrontendMigration(
                 name,
                 from,
                 text(n, "to", i, faults),
@@ -125,40 +125,41 @@
     }
 
     /** The groups that are gone to; each must have room for all that comes. */
-    private Map<String, MigrationPlan.Room> rooms(
-            List<MigrationPlan.Mover> movers, PlanErrors faults) {
-        Map<String, MigrationPlan.Room> found = new TreeMap<>();
+    private Map<String, MigrationPlan.GroupCapacity> rooms(
+            List<MigrationPlan.FrontendMigration> movers, PlanErrors faults) {
+        Map<String, MigrationPlan.GroupCapacity> found = new TreeMap<>();
         Map<String, Double> units = new HashMap<>();
         Map<String, Double> connections = new HashMap<>();
         for (int i = 0; i < movers.size(); i++) {
-            MigrationPlan.Mover m = movers.get(i);
-            faults.unless(
-                    known.groups().containsKey(m.from()),
+            MigrationPlan.FrontendMigration m = movers.get(i);
+            faults.require(
+                    known.groups().containsKey(m.sourceGroup()),
                     i,
                     "from",
-                    "a known group, not " + m.from());
-            MigrationPlan.Room room = known.groups().get(m.to());
-            faults.unless(room != null, i, "to", "a known group, not " + m.to());
+                    "a known group, not " + m.sourceGroup());
+            MigrationPlan.GroupCapacity room = known.groups().get(m.targetGroup());
+            faults.require(room != null, i, "to", "a known group, not " + m.targetGroup());
             if (room != null) {
-                found.put(m.to(), room);
-                faults.unless(
-                        units.merge(m.to(), m.units(), Double::sum) <= room.units(),
+                found.put(m.targetGroup(), room);
+                faults.require(
+                        units.merge(m.targetGroup(), m.unitsPerSecond(), Double::sum)
+                                <= room.unitsPerSecond(),
                         i,
                         "units",
                         "no more in all than the "
-                                + room.units()
+                                + room.unitsPerSecond()
                                 + " that "
-                                + m.to()
+                                + m.targetGroup()
                                 + " has room for");
-                faults.unless(
-                        connections.merge(m.to(), (double) m.connections(), Double::sum)
+                faults.require(
+                        connections.merge(m.targetGroup(), (double) m.connections(), Double::sum)
                                 <= room.connections(),
                         i,
                         "connections",
                         "no more in all than the "
                                 + room.connections()
                                 + " that "
-                                + m.to()
+                                + m.targetGroup()
                                 + " has room for");
             }
         }
@@ -168,22 +169,22 @@
     private static void names(JsonNode n, Set<String> known, int i, PlanErrors faults) {
         for (Iterator<String> at = n.fieldNames(); at.hasNext(); ) {
             String key = at.next();
-            faults.unless(known.contains(key), i, key, "no such key");
+            faults.require(known.contains(key), i, key, "no such key");
         }
     }
 
     private static String text(JsonNode n, String key, int i, PlanErrors faults) {
-        faults.unless(n.path(key).isTextual(), i, key, "a text");
+        faults.require(n.path(key).isTextual(), i, key, "a text");
         return n.path(key).asText("");
     }
 
     private static double number(JsonNode n, String key, int i, PlanErrors faults) {
-        faults.unless(n.path(key).isNumber(), i, key, "a number");
+        faults.require(n.path(key).isNumber(), i, key, "a number");
         return n.path(key).asDouble();
     }
 
     private static int whole(JsonNode n, String key, int i, PlanErrors faults) {
-        faults.unless(n.path(key).isInt(), i, key, "a whole number");
+        faults.require(n.path(key).isInt(), i, key, "a whole number");
         return n.path(key).asInt();
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationRouter.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationRouter.java
@@ -29,16 +29,16 @@
     public MigrationRouter(Incarnation self, MigrationStatus first, double every) {
         this.self = self;
         this.every = every;
-        first.homes().keySet().forEach(name -> salts.put(name, name.hashCode()));
-        see(first, null, false);
+        first.homeGroups().keySet().forEach(name -> salts.put(name, name.hashCode()));
+        update(first, null, false);
     }
 
     /**
      * After each applied entry: the status of the moves, the own lease if any, and whether the log
      * has this incarnation's ack of this turn.
      */
-    public void see(MigrationStatus now, Lease own, boolean acked) {
-        if (status == null || status.turn() != now.turn()) {
+    public void update(MigrationStatus now, Lease own, boolean acked) {
+        if (status == null || status.epoch() != now.epoch()) {
             counts = new long[now.plan() == null ? 0 : 4 * now.plan().frontends.size()];
             news = false;
             ackOffered = Double.NEGATIVE_INFINITY;
@@ -57,49 +57,52 @@
      * @param retry whether the client says that it asked before
      * @param first where an earlier dispatch of this very request may have run, or null
      */
-    public boolean mayGo(
+    public boolean mayRoute(
             String frontend, long customer, boolean retry, String group, String first, double now) {
         Integer salt = salts.get(frontend);
         if (salt == null) {
             return true;
         }
-        if (!mayAct(now)) {
+        if (!hasLease(now)) {
             return false;
         }
-        int at = status.plan() == null ? -1 : status.plan().index(frontend);
+        int at = status.plan() == null ? -1 : status.plan().indexOf(frontend);
         if (at < 0) {
-            return group.equals(status.homes().get(frontend));
+            return group.equals(status.homeGroups().get(frontend));
         }
-        MigrationPlan.Mover mover = status.plan().frontends.get(at);
-        if (mover.uniqued() && first != null) {
+        MigrationPlan.FrontendMigration mover = status.plan().frontends.get(at);
+        if (mover.idempotencyKeyed() && first != null) {
             return group.equals(first);
         }
-        MigrationStep.Part part = status.step().parts().get(at);
-        return group.equals(goes(mover, part, part(customer, salt), retry));
+        MigrationStep.FrontendShare part = status.currentStep().frontends().get(at);
+        return group.equals(targetGroup(mover, part, tenantFraction(customer, salt), retry));
     }
 
     /** By its own clock. */
-    public boolean mayAct(double now) {
-        return lease != null && lease.holds(now);
+    public boolean hasLease(double now) {
+        return lease != null && lease.isHeldAt(now);
     }
 
     /** The group, or null for neither. */
-    protected String goes(
-            MigrationPlan.Mover mover, MigrationStep.Part part, double at, boolean retry) {
-        if (at < part.share()) {
-            return mover.to();
+    protected String targetGroup(
+            MigrationPlan.FrontendMigration mover,
+            MigrationStep.FrontendShare part,
+            double at,
+            boolean retry) {
+        if (at < part.movedShare()) {
+            return mover.targetGroup();
         }
-        if (at >= part.until()) {
-            return mover.from();
+        if (at >= part.movingShare()) {
+            return mover.sourceGroup();
         }
         if (part.phase() == MigrationStep.Phase.HOLD) {
-            return mover.told() && !retry ? mover.from() : null;
+            return mover.marksRetries() && !retry ? mover.sourceGroup() : null;
         }
-        return mover.told() && retry ? null : mover.to();
+        return mover.marksRetries() && retry ? null : mover.targetGroup();
     }
 
     /** From 0 to below 1, the same at every gateway. */
-    public static double part(long customer, int salt) {
+    public static double tenantFraction(long customer, int salt) {
         long x = customer * 0x9E3779B97F4A7C15L + salt * 0xBF58476D1CE4E5B9L;
         x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
         x = (x ^ x >>> 27) * 0x94D049BB133111EBL;
@@ -107,13 +110,14 @@
     }
 
     /** An answer of a server of that group came, or failed to; late ones count as bad. */
-    public void ended(String frontend, String group, boolean good) {
-        int at = status.plan() == null ? -1 : status.plan().index(frontend);
+    public void recordAnswer(String frontend, String group, boolean good) {
+        int at = status.plan() == null ? -1 : status.plan().indexOf(frontend);
         if (at < 0) {
             return;
         }
-        MigrationPlan.Mover mover = status.plan().frontends.get(at);
-        int side = group.equals(mover.to()) ? 2 : group.equals(mover.from()) ? 0 : -1;
+        MigrationPlan.FrontendMigration mover = status.plan().frontends.get(at);
+        int side =
+                group.equals(mover.targetGroup()) ? 2 : group.equals(mover.sourceGroup()) ? 0 : -1;
         if (side >= 0) {
             counts[4 * at + side]++;
             counts[4 * at + side + 1] += good ? 0 : 1;
@@ -125,8 +129,8 @@
      * What this gateway has to tell now, or null: the ack of its turn until the log has it, then
      * what it counted.
      */
-    public MigrationEntry tells(double now) {
-        if (!mayAct(now) || status.plan() == null) {
+    public MigrationEntry nextEntry(double now) {
+        if (!hasLease(now) || status.plan() == null) {
             return null;
         }
         if (!acked) {
@@ -134,13 +138,13 @@
                 return null;
             }
             ackOffered = now;
-            return MigrationEntry.ack(self, status.turn(), now);
+            return MigrationEntry.ack(self, status.epoch(), now);
         }
         if (!news || now - reported < every || status.state() != MigrationState.State.FORWARD) {
             return null;
         }
         reported = now;
         news = false;
-        return MigrationEntry.report(self, status.turn(), now, counts.clone());
+        return MigrationEntry.report(self, status.epoch(), now, counts.clone());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationStages.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStages.java
@@ -12,10 +12,10 @@
     private MigrationStages() {}
 
     public static List<MigrationStep> of(MigrationPlan plan) {
-        int[] begins = begins(plan.frontends);
+        int[] begins = earliestStarts(plan.frontends);
         int most = 0;
         for (int i = 0; i < begins.length; i++) {
-            begins[i] = Math.max(begins[i], plan.frontends.get(i).begins() - 1);
+            begins[i] = Math.max(begins[i], plan.frontends.get(i).firstStage() - 1);
             most = Math.max(most, begins[i] + plan.frontends.get(i).shares().size());
         }
         List<MigrationStep> steps = new ArrayList<>();
@@ -39,19 +39,19 @@
      * After how many stages each may begin at the earliest, given where those that it needs begin.
      * Without circles only.
      */
-    static int[] begins(List<MigrationPlan.Mover> movers) {
+    static int[] earliestStarts(List<MigrationPlan.FrontendMigration> movers) {
         int[] begins = new int[movers.size()];
         for (int round = 0;
                 round < begins.length;
                 round++) { // as many rounds as the longest chain can have links
             for (int i = 0; i < begins.length; i++) {
                 for (int d = 0; d < begins.length; d++) {
-                    MigrationPlan.Mover needed = movers.get(d);
-                    if (movers.get(i).needs().contains(needed.name())) {
+                    MigrationPlan.FrontendMigration needed = movers.get(d);
+                    if (movers.get(i).dependencies().contains(needed.name())) {
                         begins[i] =
                                 Math.max(
                                         begins[i],
-                                        Math.max(begins[d], needed.begins() - 1)
+                                        Math.max(begins[d], needed.firstStage() - 1)
                                                 + needed.shares().size());
                     }
                 }
@@ -62,8 +62,9 @@
 
     private static boolean uniqued(MigrationPlan plan, int[] begins, int stage) {
         for (int i = 0; i < begins.length; i++) {
-            MigrationPlan.Mover m = plan.frontends.get(i);
-            if (m.uniqued() && share(m, begins[i], stage) != share(m, begins[i], stage - 1)) {
+            MigrationPlan.FrontendMigration m = plan.frontends.get(i);
+            if (m.idempotencyKeyed()
+                    && share(m, begins[i], stage) != share(m, begins[i], stage - 1)) {
                 return true;
             }
         }
@@ -72,22 +73,22 @@
 
     private static MigrationStep step(
             MigrationPlan plan, int[] begins, int stage, MigrationStep.Phase phase) {
-        List<MigrationStep.Part> parts = new ArrayList<>();
+        List<MigrationStep.FrontendShare> parts = new ArrayList<>();
         for (int i = 0; i < begins.length; i++) {
-            MigrationPlan.Mover m = plan.frontends.get(i);
+            MigrationPlan.FrontendMigration m = plan.frontends.get(i);
             double to = share(m, begins[i], stage);
             double from =
-                    m.uniqued() && phase != MigrationStep.Phase.SETTLED
+                    m.idempotencyKeyed() && phase != MigrationStep.Phase.SETTLED
                             ? share(m, begins[i], stage - 1)
                             : to;
             parts.add(
-                    new MigrationStep.Part(
+                    new MigrationStep.FrontendShare(
                             from, to, from == to ? MigrationStep.Phase.SETTLED : phase));
         }
         return new MigrationStep(stage, phase == MigrationStep.Phase.SETTLED, List.copyOf(parts));
     }
 
-    private static double share(MigrationPlan.Mover m, int begins, int stage) {
+    private static double share(MigrationPlan.FrontendMigration m, int begins, int stage) {
         int done = Math.min(stage - begins, m.shares().size());
         return done <= 0 ? 0 : m.shares().get(done - 1);
     }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
@@ -31,25 +31,26 @@
     private static final int MOST_INCARNATIONS = 4096;
     private final TransitionRules rules;
     private final LeaseHolders leaseHolders;
-    private final double apart;
-    private final TreeMap<String, String> homes;
-    private TreeMap<Incarnation, Double> acks = new TreeMap<>();
+    private final double maxClockSkewMs;
+    private final TreeMap<String, String> homeGroups;
+    private TreeMap<Incarnation, Double> acknowledgements = new TreeMap<>();
     private TreeMap<Incarnation, long[]> reports = new TreeMap<>();
     State state = State.IDLE;
-    private boolean back;
-    private long turn;
-    private int position;
+    private boolean reverting;
+    private long epoch;
+    private int stepIndex;
     private int
-            before; // position of the turn before, where nobody can be harmed by returning at once
+            previousStep; // position of the turn before, where nobody can be harmed by returning at
+    // once
     private MigrationPlan plan;
-    private long halts;
-    private double turned;
-    private double logNow;
-    private double[] usual = new double[0];
-    private String told = "";
+    private long haltCount;
+    private double stepStartedMs;
+    private double logTimeMs;
+    private double[] baselineFailureShares = new double[0];
+    private String lastOutcome = "";
 
     /**
-     * @param apart by how many ms clocks differ at most
+     * @param maxClockSkewMs by how many ms clocks differ at most
      */
     public MigrationState(Map<String, String> homes, LeaseHolders leaseHolders, double apart) {
         this(homes, leaseHolders, apart, new TransitionRules());
@@ -63,89 +64,89 @@
             LeaseHolders leaseHolders,
             double apart,
             TransitionRules rules) {
-        this.homes = new TreeMap<>(homes);
+        this.homeGroups = new TreeMap<>(homes);
         this.leaseHolders = leaseHolders;
-        this.apart = apart;
+        this.maxClockSkewMs = apart;
         this.rules = rules;
     }
 
     /** An independent copy that asks others about leases: what the lab explores from. */
     public MigrationState copy(LeaseHolders others) {
-        MigrationState m = new MigrationState(homes, others, apart, rules);
-        m.acks = new TreeMap<>(acks);
+        MigrationState m = new MigrationState(homeGroups, others, maxClockSkewMs, rules);
+        m.acknowledgements = new TreeMap<>(acknowledgements);
         m.reports = new TreeMap<>(reports);
         m.state = state;
-        m.back = back;
-        m.turn = turn;
-        m.position = position;
-        m.before = before;
+        m.reverting = reverting;
+        m.epoch = epoch;
+        m.stepIndex = stepIndex;
+        m.previousStep = previousStep;
         m.plan = plan;
-        m.halts = halts;
-        m.turned = turned;
-        m.logNow = logNow;
-        m.usual = usual;
-        m.told = told;
+        m.haltCount = haltCount;
+        m.stepStartedMs = stepStartedMs;
+        m.logTimeMs = logTimeMs;
+        m.baselineFailureShares = baselineFailureShares;
+        m.lastOutcome = lastOutcome;
         return m;
     }
 
     public MigrationStatus status() {
-        return new MigrationStatus(state, back, turn, position, plan, homes);
+        return new MigrationStatus(state, reverting, epoch, stepIndex, plan, homeGroups);
     }
 
     /** Which halt is the present one; an operator's resume names it. */
-    public long halts() {
-        return halts;
+    public long haltCount() {
+        return haltCount;
     }
 
     /** What came of the last entry, in one line: for operators and the log of the process. */
-    public String told() {
-        return told;
+    public String lastOutcome() {
+        return lastOutcome;
     }
 
-    public boolean acked(Incarnation incarnation) {
-        return acks.containsKey(incarnation);
+    public boolean hasAcknowledged(Incarnation incarnation) {
+        return acknowledgements.containsKey(incarnation);
     }
 
     /** When each incarnation acknowledged the present position, by the log's time. */
-    public Map<Incarnation, Double> acks() {
-        return Collections.unmodifiableMap(acks);
+    public Map<Incarnation, Double> acknowledgements() {
+        return Collections.unmodifiableMap(acknowledgements);
     }
 
-    double turned() {
-        return turned;
+    double stepStartedMs() {
+        return stepStartedMs;
     }
 
-    double logNow() {
-        return logNow;
+    double logTimeMs() {
+        return logTimeMs;
     }
 
     /** The position of the turn before. */
-    public int before() {
-        return before;
+    public int previousStep() {
+        return previousStep;
     }
 
     /**
      * The log's time by its other entries: an incarnation that they have forgotten must be past for
      * these rules too.
      */
-    public void seen(double logNow) {
-        this.logNow = Math.max(this.logNow, logNow);
+    public void observeTime(double logNow) {
+        this.logTimeMs = Math.max(this.logTimeMs, logNow);
     }
 
     @Override
     public void apply(long index, byte[] entry) {
         try {
             MigrationEntry e = MigrationEntry.of(entry);
-            logNow = Math.max(logNow, e.at());
-            told =
+            logTimeMs = Math.max(logTimeMs, e.timestampMs());
+            lastOutcome =
                     index
                             + " "
                             + e.kind()
-                            + (e.who().isEmpty() ? "" : " by " + e.who())
+                            + (e.operator().isEmpty() ? "" : " by " + e.operator())
                             + ": "
                             + apply(e);
-        } catch (MigrationEntry.Unknown e) {
-            told = index + " refused: " + e.getMessage();
+        } catch (MigrationEntry.UnreadableEntryException e) {
+            lastOutcome = index + " refused: " + e.getMessage();
         }
     }
 
@@ -155,9 +156,9 @@
             case ACK -> ack(e);
             case GO -> go(e);
             case REPORT -> report(e);
-            case HALT -> halt(e.who());
+            case HALT -> halt(e.operator());
             case RESUME -> resume(e);
-            case BACK -> back("asked for by " + e.who());
+            case BACK -> back("asked for by " + e.operator());
         };
     }
 
@@ -169,84 +170,90 @@
         if (moving() || state == State.HALTED) {
             return "refused, " + plan.name + " is under way";
         }
-        Map<String, String> now = new TreeMap<>(homes);
+        Map<String, String> now = new TreeMap<>(homeGroups);
         if (state == State.DONE) {
-            plan.frontends.forEach(m -> now.put(m.name(), m.to()));
+            plan.frontends.forEach(m -> now.put(m.name(), m.targetGroup()));
         }
-        for (MigrationPlan.Mover m : next.frontends) {
-            if (!m.from().equals(now.get(m.name()))) {
+        for (MigrationPlan.FrontendMigration m : next.frontends) {
+            if (!m.sourceGroup().equals(now.get(m.name()))) {
                 return "refused, " + m.name() + " is at " + now.get(m.name());
             }
         }
-        homes.putAll(now);
+        homeGroups.putAll(now);
         plan = next;
         state = State.FORWARD;
-        back = false;
-        usual = new double[next.frontends.size()];
+        reverting = false;
+        baselineFailureShares = new double[next.frontends.size()];
         turn(0);
-        before = 0;
+        previousStep = 0;
         return "begun, " + (next.steps.size() - 1) + " steps";
     }
 
     private void turn(int to) {
-        before = position;
-        position = to;
-        turn++;
-        turned = logNow;
-        acks.clear();
+        previousStep = stepIndex;
+        stepIndex = to;
+        epoch++;
+        stepStartedMs = logTimeMs;
+        acknowledgements.clear();
         reports.clear();
     }
 
     private String ack(MigrationEntry e) {
-        if (plan == null || !rules.counts(turn, e.turn())) {
+        if (plan == null || !rules.isCurrentEpoch(epoch, e.epoch())) {
             return "refused, not of this turn";
         }
-        if (acks.size() < MOST_INCARNATIONS) {
-            acks.putIfAbsent(
+        if (acknowledgements.size() < MOST_INCARNATIONS) {
+            acknowledgements.putIfAbsent(
                     e.incarnation(),
-                    Math.max(e.at() + apart, turned)); // guards against a clock that is behind
+                    Math.max(
+                            e.timestampMs() + maxClockSkewMs,
+                            stepStartedMs)); // guards against a clock that is behind
         }
-        return "ack " + acks.size();
+        return "ack " + acknowledgements.size();
     }
 
     private String go(MigrationEntry e) {
-        if (!moving() || e.turn() != turn || !rules.next(position, e.to(), back)) {
+        if (!moving()
+                || e.epoch() != epoch
+                || !rules.isNextStep(stepIndex, e.targetStep(), reverting)) {
             return "refused, not the next one";
         }
-        boolean over = e.to() < 0 || e.to() >= plan.steps.size();
-        boolean returns = rules.returns(before, position, e.to());
+        boolean over = e.targetStep() < 0 || e.targetStep() >= plan.steps.size();
+        boolean returns = rules.isReturn(previousStep, stepIndex, e.targetStep());
         if (!returns) {
-            double since = logNow - rules.waits(plan, position, back);
-            if (!rules.acked(leaseHolders, acks, since)) {
+            double since = logTimeMs - rules.waitMs(plan, stepIndex, reverting);
+            if (!rules.allAcknowledged(leaseHolders, acknowledgements, since)) {
                 return "refused, not all have acknowledged, or not long enough ago";
             }
-            if (!back
-                    && plan.steps.get(position).last()
-                    && position > 0
-                    && logNow - turned < plan.soak) {
+            if (!reverting
+                    && plan.steps.get(stepIndex).lastOfStage()
+                    && stepIndex > 0
+                    && logTimeMs - stepStartedMs < plan.soakMs) {
                 return "refused, it soaks";
             }
         }
-        if (!back && !over && !rules.fits(plan, plan.steps.get(e.to()), e.warm())) {
+        if (!reverting
+                && !over
+                && !rules.hasCapacity(plan, plan.steps.get(e.targetStep()), e.warmUnits())) {
             return "refused, too little of the group is warm";
         }
         if (over) {
-            state = back ? State.UNDONE : State.DONE;
+            state = reverting ? State.UNDONE : State.DONE;
             return state.toString();
         }
-        turn(e.to());
-        return "at step " + position;
+        turn(e.targetStep());
+        return "at step " + stepIndex;
     }
 
     private String report(MigrationEntry e) {
         if (plan == null
-                || e.turn() != turn
+                || e.epoch() != epoch
                 || state != State.FORWARD
-                || e.counts().length != 4 * plan.frontends.size()) {
+                || e.outcomeCounts().length != 4 * plan.frontends.size()) {
             return "refused, not of this turn";
         }
         if (reports.size() < MOST_INCARNATIONS || reports.containsKey(e.incarnation())) {
-            reports.put(e.incarnation(), e.counts());
+            reports.put(e.incarnation(), e.outcomeCounts());
         }
         for (int i = 0; i < plan.frontends.size(); i++) {
             long[] sum = new long[4];
@@ -255,10 +262,11 @@
                     sum[k] += Math.max(0, counts[4 * i + k]);
                 }
             }
-            if (sum[0] >= plan.answers) {
-                usual[i] = (double) sum[1] / sum[0];
+            if (sum[0] >= plan.minAnswers) {
+                baselineFailureShares[i] = (double) sum[1] / sum[0];
             }
-            if (sum[2] >= plan.answers && (double) sum[3] / sum[2] > usual[i] + plan.margin) {
+            if (sum[2] >= plan.minAnswers
+                    && (double) sum[3] / sum[2] > baselineFailureShares[i] + plan.failureMargin) {
                 return back(
                         plan.frontends.get(i).name()
                                 + " bad: "
@@ -266,7 +274,7 @@
                                 + " of "
                                 + sum[2]
                                 + " at the new group, usual "
-                                + Math.round(usual[i] * 1000) / 1000.0);
+                                + Math.round(baselineFailureShares[i] * 1000) / 1000.0);
             }
         }
         return "counted";
@@ -277,16 +285,16 @@
             return "nothing to halt";
         }
         state = State.HALTED;
-        halts++;
-        return "halt " + halts + " at step " + position;
+        haltCount++;
+        return "halt " + haltCount + " at step " + stepIndex;
     }
 
     private String resume(MigrationEntry e) {
-        if (!rules.lifts(state == State.HALTED, halts, e.turn())) {
+        if (!rules.liftsHalt(state == State.HALTED, haltCount, e.epoch())) {
             return "refused, no such halt";
         }
-        state = back ? State.BACK : State.FORWARD;
-        position = rules.resumed(position);
+        state = reverting ? State.BACK : State.FORWARD;
+        stepIndex = rules.stepAfterResume(stepIndex);
         return "resumed";
     }
 
@@ -295,7 +303,7 @@
             return "nothing to take back";
         }
         state = State.BACK;
-        back = true;
+        reverting = true;
         return "goes back: " + why;
     }
 
@@ -305,20 +313,20 @@
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(MigrationEntry.VERSION);
             out.writeByte(state.ordinal());
-            out.writeBoolean(back);
-            out.writeLong(turn);
-            out.writeInt(position);
-            out.writeInt(before);
-            out.writeLong(halts);
-            out.writeDouble(turned);
-            out.writeDouble(logNow);
-            out.writeInt(homes.size());
-            for (Map.Entry<String, String> h : homes.entrySet()) {
+            out.writeBoolean(reverting);
+            out.writeLong(epoch);
+            out.writeInt(stepIndex);
+            out.writeInt(previousStep);
+            out.writeLong(haltCount);
+            out.writeDouble(stepStartedMs);
+            out.writeDouble(logTimeMs);
+            out.writeInt(homeGroups.size());
+            for (Map.Entry<String, String> h : homeGroups.entrySet()) {
                 out.writeUTF(h.getKey());
                 out.writeUTF(h.getValue());
             }
-            out.writeInt(acks.size());
-            for (Map.Entry<Incarnation, Double> a : acks.entrySet()) {
+            out.writeInt(acknowledgements.size());
+            for (Map.Entry<Incarnation, Double> a : acknowledgements.entrySet()) {
                 incarnation(out, a.getKey());
                 out.writeDouble(a.getValue());
             }
@@ -333,7 +341,7 @@
             out.writeBoolean(plan != null);
             if (plan != null) {
                 plan.write(out);
-                for (double u : usual) {
+                for (double u : baselineFailureShares) {
                     out.writeDouble(u);
                 }
             }
@@ -361,20 +369,20 @@
                                 + version);
             }
             state = State.values()[in.readByte()];
-            back = in.readBoolean();
-            turn = in.readLong();
-            position = in.readInt();
-            before = in.readInt();
-            halts = in.readLong();
-            turned = in.readDouble();
-            logNow = in.readDouble();
-            homes.clear();
+            reverting = in.readBoolean();
+            epoch = in.readLong();
+            stepIndex = in.readInt();
+            previousStep = in.readInt();
+            haltCount = in.readLong();
+            stepStartedMs = in.readDouble();
+            logTimeMs = in.readDouble();
+            homeGroups.clear();
             for (int n = in.readInt(); n > 0; n--) {
-                homes.put(in.readUTF(), in.readUTF());
+                homeGroups.put(in.readUTF(), in.readUTF());
             }
-            acks.clear();
+            acknowledgements.clear();
             for (int n = in.readInt(); n > 0; n--) {
-                acks.put(new Incarnation(in.readInt(), in.readLong()), in.readDouble());
+                acknowledgements.put(new Incarnation(in.readInt(), in.readLong()), in.readDouble());
             }
             reports.clear();
             for (int n = in.readInt(); n > 0; n--) {
@@ -386,13 +394,13 @@
                 reports.put(incarnation, counts);
             }
             plan = in.readBoolean() ? MigrationPlan.read(in) : null;
-            usual = new double[plan == null ? 0 : plan.frontends.size()];
-            for (int i = 0; i < usual.length; i++) {
-                usual[i] = in.readDouble();
+            baselineFailureShares = new double[plan == null ? 0 : plan.frontends.size()];
+            for (int i = 0; i < baselineFailureShares.length; i++) {
+                baselineFailureShares[i] = in.readDouble();
             }
         } catch (IOException e) {
             throw new UncheckedIOException("snapshot of moves: expected a whole one", e);
         }
-        told = index + " restored";
+        lastOutcome = index + " restored";
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationStatus.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStatus.java
@@ -5,17 +5,17 @@
 /**
  * The status of the moves after some entry.
  *
- * @param turn rises with each change of position, over all plans
- * @param homes where each frontend that may move lives when no plan is about it
+ * @param epoch rises with each change of position, over all plans
+ * @param homeGroups where each frontend that may move lives when no plan is about it
  */
 public record MigrationStatus(
         MigrationState.State state,
-        boolean back,
-        long turn,
-        int position,
+        boolean reverting,
+        long epoch,
+        int stepIndex,
         MigrationPlan plan,
-        Map<String, String> homes) {
-    public MigrationStep step() {
-        return plan == null ? null : plan.steps.get(position);
+        Map<String, String> homeGroups) {
+    public MigrationStep currentStep() {
+        return plan == null ? null : plan.steps.get(stepIndex);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationStep.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStep.java
@@ -6,9 +6,9 @@
  * One position of a plan: what share of each frontend's customers goes to its new group.
  *
  * @param stage counted from 1; 0 is where nothing has moved
- * @param last of its stage: here it soaks
+ * @param lastOfStage of its stage: here it soaks
  */
-public record MigrationStep(int stage, boolean last, List<Part> parts) {
+public record MigrationStep(int stage, boolean lastOfStage, List<FrontendShare> frontends) {
     /** How the customers are treated who change their group in this stage. */
     public enum Phase {
         /** All have their group: below the share the new one. */
@@ -29,9 +29,9 @@
      * Of one frontend: customers below {@code share} have moved, those from there to below {@code
      * until} are about to.
      */
-    public record Part(double share, double until, Phase phase) {
+    public record FrontendShare(double movedShare, double movingShare, Phase phase) {
         double load() {
-            return phase == Phase.HOLD ? share : until;
+            return phase == Phase.HOLD ? movedShare : movingShare;
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/PlanErrors.java
+++ b/fleet/src/main/java/tinford/fleet/migration/PlanErrors.java
@@ -12,7 +12,7 @@
     private static final Pattern HEAD = Pattern.compile("\\s*\\[\\[\\s*frontends\\s*]].*");
     private final String file;
     private final String[] lines;
-    private final List<String> told = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
     PlanErrors(String file, String text) {
         this.file = file;
@@ -22,7 +22,7 @@
     /**
      * @param frontend which one of the plan's, or -1
      */
-    void unless(boolean good, int frontend, String key, String expected) {
+    void require(boolean good, int frontend, String key, String expected) {
         if (!good) {
             add(
                     line(frontend, key),
@@ -33,18 +33,18 @@
 
     void add(int line, String key, String expected) {
         String all = file + (line > 0 ? ":" + line : "") + ": " + key + ": expected " + expected;
-        if (!told.contains(all)) {
-            told.add(all);
+        if (!errors.contains(all)) {
+            errors.add(all);
         }
     }
 
-    boolean none() {
-        return told.isEmpty();
+    boolean isEmpty() {
+        return errors.isEmpty();
     }
 
-    void refuse() {
-        if (!told.isEmpty()) {
-            throw new Refused(List.copyOf(told));
+    void throwIfAny() {
+        if (!errors.isEmpty()) {
+            throw new InvalidPlanException(List.copyOf(errors));
         }
     }
 
@@ -67,16 +67,16 @@
     }
 
     /** A plan that isn't taken, with every fault in a line of its own. */
-    public static final class Refused extends RuntimeException {
+    public static final class InvalidPlanException extends RuntimeException {
         private static final long serialVersionUID = 1L;
         private final ArrayList<String> faults;
 
-        Refused(List<String> faults) {
+        InvalidPlanException(List<String> faults) {
             super(String.join("\n", faults));
             this.faults = new ArrayList<>(faults);
         }
 
-        public List<String> faults() {
+        public List<String> errors() {
             return List.copyOf(faults);
         }
     }
--- a/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
+++ b/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
@@ -66,7 +66,7 @@
         double passed = at < 0 ? 0 : Math.max(0, Math.min(now - at, 1000));
         at = now;
         // guards a gateway that hears nobody: its own record is no fleet's, so it acts as alone
-        if (membership.living() <= 1 || membership.fresh().size() < 2) {
+        if (membership.aliveCount() <= 1 || membership.freshRecords().size() < 2) {
             capacity = NONE;
             draw(null);
             return;
@@ -104,7 +104,7 @@
 
     private void agree(Membership membership, double passed) {
         double[] told =
-                membership.fresh().stream()
+                membership.freshRecords().stream()
                         .mapToDouble(s -> FleetTotals.clean(s.capacity))
                         .map(b -> b > 0 ? b : NONE)
                         .sorted()
@@ -128,9 +128,9 @@
         asked = all == null ? 0 : all.demand;
         double left = capacity;
         if (left == NONE) return;
-        for (int c = GossipRecord.CLASSES - 1; c >= 0; c--) {
+        for (int c = GossipRecord.PRIORITY_CLASSES - 1; c >= 0; c--) {
             if (all.asked[c] > left) {
-                threshold = GossipRecord.worthOf(c);
+                threshold = GossipRecord.minWeightOf(c);
                 part = Math.max(0, left / all.asked[c]);
                 return;
             }
--- a/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
@@ -45,7 +45,7 @@
         statistics.round(now);
         if (now - steppedAt < STEP_MS) return;
         steppedAt = now;
-        alone = membership.living() <= 1;
+        alone = membership.aliveCount() <= 1;
         admission.round(now, membership);
         retryBudget.round(now, incarnation, membership);
         probeOwners.round(now, incarnation, membership);
--- a/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
@@ -18,27 +18,27 @@
     // hold as they do alone
     static final double MOST = 2;
 
-    final double[] asked = new double[GossipRecord.CLASSES];
+    final double[] asked = new double[GossipRecord.PRIORITY_CLASSES];
     final double demand, first, waiting, goodUnits, bad;
 
     FleetTotals(Membership membership) {
-        List<GossipRecord> records = membership.fresh();
-        double scale = (double) membership.living() / Math.max(1, records.size());
-        double[] sizes = records.stream().mapToDouble(s -> sum(s.asked)).toArray();
+        List<GossipRecord> records = membership.freshRecords();
+        double scale = (double) membership.aliveCount() / Math.max(1, records.size());
+        double[] sizes = records.stream().mapToDouble(s -> sum(s.offeredUnits)).toArray();
         double most = most(sizes), all = 0;
         for (int i = 0; i < sizes.length; i++) {
             double part = sizes[i] > most ? most / sizes[i] : 1;
-            for (int c = 0; c < GossipRecord.CLASSES; c++) {
-                double a = clean(records.get(i).asked[c]) * part * scale;
+            for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
+                double a = clean(records.get(i).offeredUnits[c]) * part * scale;
                 asked[c] += a;
                 all += a;
             }
         }
         demand = all;
-        first = scale * capped(records, s -> s.first);
-        waiting = scale * capped(records, s -> s.waiting);
-        goodUnits = scale * capped(records, s -> s.goodUnits);
-        double good = capped(records, s -> s.good),
+        first = scale * capped(records, s -> s.firstAttempts);
+        waiting = scale * capped(records, s -> s.queued);
+        goodUnits = scale * capped(records, s -> s.onTimeUnits);
+        double good = capped(records, s -> s.onTime),
                 not = capped(records, s -> s.late) + capped(records, s -> s.failed);
         bad = not / Math.max(1e-9, good + not);
     }
--- a/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
+++ b/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
@@ -19,8 +19,8 @@
             FAILED = 4,
             GOOD_UNITS = 5,
             COUNTS = 6;
-    private final double[][] asked = new double[BUCKETS][GossipRecord.CLASSES],
-            denied = new double[BUCKETS][GossipRecord.CLASSES];
+    private final double[][] asked = new double[BUCKETS][GossipRecord.PRIORITY_CLASSES],
+            denied = new double[BUCKETS][GossipRecord.PRIORITY_CLASSES];
     private final double[][] counts = new double[BUCKETS][COUNTS];
     private final long startedTurn;
     private final double startedAt;
@@ -82,23 +82,23 @@
     public GossipRecord record(Incarnation incarnation, int seq) {
         GossipRecord s = new GossipRecord(incarnation, seq);
         double second = span() / 1000;
-        for (int c = 0; c < GossipRecord.CLASSES; c++) {
+        for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
             double all = 0, not = 0;
             for (int i = 0; i < BUCKETS; i++) {
                 all += asked[i][c];
                 not += denied[i][c];
             }
-            s.asked[c] = all / second;
-            s.sent[c] = Math.max(0, all - not) / second;
+            s.offeredUnits[c] = all / second;
+            s.admittedUnits[c] = Math.max(0, all - not) / second;
         }
-        s.first = sum(FIRST) / second;
-        s.further = sum(FURTHER) / second;
-        s.good = sum(GOOD) / second;
+        s.firstAttempts = sum(FIRST) / second;
+        s.retries = sum(FURTHER) / second;
+        s.onTime = sum(GOOD) / second;
         s.late = sum(LATE) / second;
         s.failed = sum(FAILED) / second;
-        s.goodUnits = sum(GOOD_UNITS) / second;
-        s.open = open;
-        s.waiting = waiting;
+        s.onTimeUnits = sum(GOOD_UNITS) / second;
+        s.inFlight = open;
+        s.queued = waiting;
         return s;
     }
 
--- a/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
@@ -72,9 +72,9 @@
      */
     static int owner(int server, Membership membership) {
         int best = -1, most = 0;
-        for (int g : membership.all()) {
+        for (int g : membership.aliveGateways()) {
             int drawn = mix(server * 31 + mix(g)) >>> 1;
-            if (membership.lives(g) && (best < 0 || drawn > most)) {
+            if (membership.isAlive(g) && (best < 0 || drawn > most)) {
                 best = g;
                 most = drawn;
             }
@@ -89,13 +89,17 @@
         membership = heard;
         rounds++;
         Map<Integer, List<Integer>> sayIll = new LinkedHashMap<>();
-        for (GossipRecord s : heard.fresh()) {
+        for (GossipRecord s : heard.freshRecords()) {
             if (s.incarnation.gateway() == self.gateway()) continue;
             for (GossipRecord.ServerHealth told : s.serverHealth) {
-                Note n = note(told.server());
+                Note n = note(told.serverHash());
                 if (n == null) continue;
                 n.touchedAt = now;
-                double age = told.ago() >= 0 && told.ago() < FORGET_MS ? told.ago() : FORGET_MS,
+                double
+                        age =
+                                told.agoMs() >= 0 && told.agoMs() < FORGET_MS
+                                        ? told.agoMs()
+                                        : FORGET_MS,
                         when = now - age;
                 boolean owns = ownerOf(n) == s.incarnation.gateway();
                 if (owns && when > n.ownerAt) n.ownerAt = when;
@@ -116,7 +120,7 @@
             boolean told = now - Math.max(n.ownerAt, n.foundAt) < PATIENCE_MS;
             double gap =
                     told ? RAREST_MS : Math.max(SOON_MS, Math.min(RAREST_MS, (now - n.since) / 2));
-            n.waited += passed / gap / heard.living();
+            n.waited += passed / gap / heard.aliveCount();
             // two say so, and later one is enough: when all leave it alone, its owner alone has
             // news of it
             n.toldIll =
@@ -153,7 +157,7 @@
      */
     public boolean looksAfter(Server srv) {
         Note n = notes.get(nameOf(srv));
-        if (n == null || membership == null || membership.living() <= 1) return true;
+        if (n == null || membership == null || membership.aliveCount() <= 1) return true;
         boolean leave =
                 n.ill
                         ? !(n.wellAt > n.foundAt && now >= n.backAt)
--- a/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
@@ -70,20 +70,21 @@
     public void round(double now, Incarnation own, Membership membership) {
         double passed = at < 0 ? 0 : Math.max(0, Math.min(now - at, 1000));
         at = now;
-        full = Math.max(LEAST_AT_ONCE, AT_ONCE / Math.max(1, membership.size()));
+        full = Math.max(LEAST_AT_ONCE, AT_ONCE / Math.max(1, membership.fleetSize()));
         level = Math.min(full, level);
         double[] firsts =
-                membership.fresh().stream()
-                        .mapToDouble(s -> FleetTotals.clean(s.first))
+                membership.freshRecords().stream()
+                        .mapToDouble(s -> FleetTotals.clean(s.firstAttempts))
                         .sorted()
                         .toArray();
         double middling = firsts.length == 0 ? 0 : firsts[firsts.length / 2];
-        for (GossipRecord s : membership.fresh()) {
-            if (s.incarnation.gateway() == own.gateway() || !own.equals(s.cededTo)) continue;
+        for (GossipRecord s : membership.freshRecords()) {
+            if (s.incarnation.gateway() == own.gateway() || !own.equals(s.retriesCededTo)) continue;
             Account of = account(taken, s.incarnation);
             if (of == null) continue;
             of.credit = Math.min(full, of.credit + 2 * part * middling * passed / 1000);
-            double takes = Math.max(0, Math.min(FleetTotals.clean(s.ceded) - of.total, of.credit));
+            double takes =
+                    Math.max(0, Math.min(FleetTotals.clean(s.retriesCeded) - of.total, of.credit));
             of.total += takes;
             of.credit -= takes;
             add(takes, false);
@@ -95,8 +96,8 @@
 
     /** Into the own record. */
     public void tell(GossipRecord own) {
-        own.cededTo = to == null ? null : to.with;
-        own.ceded = to == null ? 0 : to.total;
+        own.retriesCededTo = to == null ? null : to.with;
+        own.retriesCeded = to == null ? 0 : to.total;
     }
 
     /** A later incarnation begins from nought, an earlier one has none any more. */
@@ -122,9 +123,12 @@
         chosenAt = now;
         Incarnation chosen = null;
         double all = 0;
-        for (GossipRecord s : membership.fresh()) {
+        for (GossipRecord s : membership.freshRecords()) {
             double need =
-                    Math.max(0, FleetTotals.clean(s.failed) - part * FleetTotals.clean(s.first));
+                    Math.max(
+                            0,
+                            FleetTotals.clean(s.failed)
+                                    - part * FleetTotals.clean(s.firstAttempts));
             if (s.incarnation.gateway() == own.gateway() || need <= 0) continue;
             need =
                     Math.min(
--- a/fleet/src/main/java/tinford/fleet/run/FleetMember.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetMember.java
@@ -172,7 +172,7 @@
                             gatewaySettings.peers(),
                             MOST_BYTES,
                             (from, message) ->
-                                    mailbox.offer(() -> members.heard(message, from, now())));
+                                    mailbox.offer(() -> members.receive(message, from, now())));
         }
         history.add(now, "start");
         startConfiguration(place, enter);
@@ -192,9 +192,9 @@
     @Override
     public void tick() {
         double now = now();
-        members.own(overload.record(seq++), now);
+        members.setOwnRecord(overload.record(seq++), now);
         if (transport != null) {
-            members.round(now, transport);
+            members.sendRound(now, transport);
         }
         overload.round(now, members);
         if (replicatedState != null) {
@@ -208,10 +208,10 @@
 
     /** What changed is told in the log and the history. */
     private void tell(double now) {
-        if (members.living() != living) {
-            living = members.living();
-            LOG.log(Level.INFO, "of the fleet live " + members.all());
-            history.add(now, "living", "who", members.all());
+        if (members.aliveCount() != living) {
+            living = members.aliveCount();
+            LOG.log(Level.INFO, "of the fleet live " + members.aliveGateways());
+            history.add(now, "living", "who", members.aliveGateways());
         }
         if (replicatedState != null && replicatedState.leads() != led) {
             led = replicatedState.leads();
--- a/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
@@ -22,7 +22,7 @@
 final class FleetStateMachine implements ReplicatedLog.StateMachine {
     final LeaseTable leases;
     final BudgetLedger ledger;
-    final MigrationState moves;
+    final MigrationState migration;
 
     /**
      * @param homes the group of each frontend that may move
@@ -36,14 +36,14 @@
             Map<String, String> homes) {
         leases = new LeaseTable(gateways, leaseMs, apart, linger);
         ledger = new BudgetLedger(leases, staticShares);
-        moves = new MigrationState(homes, leases::notSurelyOver, apart);
+        migration = new MigrationState(homes, leases::notSurelyExpired, apart);
     }
 
     @Override
     public void apply(long index, byte[] entry) {
         if (entry.length > 0 && entry[0] == MigrationEntry.MARK) {
-            moves.seen(leases.now());
-            moves.apply(index, entry);
+            migration.observeTime(leases.logTimeMs());
+            migration.apply(index, entry);
         } else {
             ledger.apply(index, entry);
         }
@@ -54,7 +54,7 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
             DataOutputStream out = new DataOutputStream(bytes);
-            for (byte[] part : new byte[][] {ledger.snapshot(), moves.snapshot()}) {
+            for (byte[] part : new byte[][] {ledger.snapshot(), migration.snapshot()}) {
                 out.writeInt(part.length);
                 out.write(part);
             }
@@ -69,7 +69,7 @@
         try {
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(snapshot));
             ledger.restore(index, in.readNBytes(in.readInt()));
-            moves.restore(index, in.readNBytes(in.readInt()));
+            migration.restore(index, in.readNBytes(in.readInt()));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/fleet/src/main/java/tinford/fleet/run/MigrationCoordinator.java
+++ b/fleet/src/main/java/tinford/fleet/run/MigrationCoordinator.java
@@ -64,7 +64,7 @@
         this.log = log;
         this.left = left;
         this.history = history;
-        this.route = new MigrationRouter(incarnation, stateMachine.moves.status(), EVERY);
+        this.route = new MigrationRouter(incarnation, stateMachine.migration.status(), EVERY);
     }
 
     private Lease lease() {
@@ -73,21 +73,27 @@
 
     /** After each entry, in order; {@code entry} is null after a snapshot. */
     void applied(byte[] entry, double now) {
-        route.see(stateMachine.moves.status(), lease(), stateMachine.moves.acked(incarnation));
+        route.update(
+                stateMachine.migration.status(),
+                lease(),
+                stateMachine.migration.hasAcknowledged(incarnation));
         if (entry == null || entry.length == 0 || entry[0] == MigrationEntry.MARK) {
             if (pending != null && Arrays.equals(pending, entry)) {
-                over(stateMachine.moves.told());
+                over(stateMachine.migration.lastOutcome());
             }
         }
         watch(now);
     }
 
     void tick(double now, boolean leads) {
-        route.see(stateMachine.moves.status(), lease(), stateMachine.moves.acked(incarnation));
+        route.update(
+                stateMachine.migration.status(),
+                lease(),
+                stateMachine.migration.hasAcknowledged(incarnation));
         watch(now);
-        MigrationEntry tells = route.tells(now);
+        MigrationEntry tells = route.nextEntry(now);
         if (tells != null) {
-            log.accept(tells.bytes());
+            log.accept(tells.encode());
         }
         if (pending != null && now >= pendingUntil) {
             over(
@@ -101,7 +107,7 @@
     }
 
     private void offer(double now) {
-        MigrationStatus s = stateMachine.moves.status();
+        MigrationStatus s = stateMachine.migration.status();
         if (s.plan() != null
                 && (s.state() == MigrationState.State.FORWARD
                         || s.state() == MigrationState.State.BACK)) {
@@ -109,11 +115,11 @@
             log.accept(
                     MigrationEntry.go(
                                     now,
-                                    s.turn(),
-                                    s.position()
+                                    s.epoch(),
+                                    s.stepIndex()
                                             + (s.state() == MigrationState.State.BACK ? -1 : 1),
                                     warm(s.plan(), now))
-                            .bytes());
+                            .encode());
         }
     }
 
@@ -124,7 +130,7 @@
     private double[] warm(MigrationPlan plan, double now) {
         double[] units = new double[plan.groups.size()];
         int at = 0;
-        for (Map.Entry<String, MigrationPlan.Room> g : plan.groups.entrySet()) {
+        for (Map.Entry<String, MigrationPlan.GroupCapacity> g : plan.groups.entrySet()) {
             double all = 0;
             double warm = 0;
             for (Server s : servers.values()) {
@@ -138,7 +144,7 @@
                                     : 0;
                 }
             }
-            units[at++] = all > 0 ? g.getValue().units() * warm / all : 0;
+            units[at++] = all > 0 ? g.getValue().unitsPerSecond() * warm / all : 0;
         }
         return units;
     }
@@ -163,7 +169,8 @@
                     case "halt" -> named ? MigrationEntry.halt(who, now) : null;
                     case "resume" ->
                             named
-                                    ? MigrationEntry.resume(who, now, stateMachine.moves.halts())
+                                    ? MigrationEntry.resume(
+                                            who, now, stateMachine.migration.haltCount())
                                     : null;
                     case "back" -> named ? MigrationEntry.back(who, now) : null;
                     default -> null;
@@ -180,7 +187,7 @@
             then.accept(why);
             return;
         }
-        pending = e.bytes();
+        pending = e.encode();
         pendingUntil = now + PATIENCE;
         outcome =
                 what -> {
@@ -205,7 +212,7 @@
             servers.values().removeIf(s -> s.state == Server.State.REMOVED);
         }
         return !left.getAsBoolean()
-                        && route.mayGo(
+                        && route.mayRoute(
                                 request.requestClass.name,
                                 request.tenant.id,
                                 request.markedAsRetry,
@@ -217,21 +224,22 @@
 
     boolean goes(Request request, double now) {
         String name = request.requestClass.name;
-        MigrationStatus s = stateMachine.moves.status();
+        MigrationStatus s = stateMachine.migration.status();
         if (!settings.homes().containsKey(name)) {
             return true;
         }
-        int at = s.plan() == null ? -1 : s.plan().index(name);
+        int at = s.plan() == null ? -1 : s.plan().indexOf(name);
         List<String> groups =
                 at < 0
-                        ? List.of(s.homes().getOrDefault(name, ""))
+                        ? List.of(s.homeGroups().getOrDefault(name, ""))
                         : List.of(
-                                s.plan().frontends.get(at).from(), s.plan().frontends.get(at).to());
+                                s.plan().frontends.get(at).sourceGroup(),
+                                s.plan().frontends.get(at).targetGroup());
         return !left.getAsBoolean()
                 && groups.stream()
                         .anyMatch(
                                 g ->
-                                        route.mayGo(
+                                        route.mayRoute(
                                                 name,
                                                 request.tenant.id,
                                                 request.markedAsRetry,
@@ -243,7 +251,7 @@
     /** What was given up says nothing of its server. */
     void ended(Request request, Server srv, AttemptOutcome how, boolean late) {
         if (how != AttemptOutcome.CANCELLED && how != AttemptOutcome.NOT_SENT) {
-            route.ended(
+            route.recordAnswer(
                     request.requestClass.name, srv.group, how == AttemptOutcome.SUCCESS && !late);
         }
     }
@@ -253,28 +261,30 @@
      */
     private void watch(double now) {
         Lease lease = lease();
-        boolean has = lease != null && lease.holds(now);
-        double until = has ? lease.until() : 0;
+        boolean has = lease != null && lease.isHeldAt(now);
+        double until = has ? lease.expiresAtMs() : 0;
         boolean again = has && !holds;
         if (until != toldUntil) {
             history.add(now, "term", "holds", has, "for", has ? until - now : 0);
             toldUntil = until;
             holds = has;
         }
-        MigrationStatus s = stateMachine.moves.status();
+        MigrationStatus s = stateMachine.migration.status();
         boolean turned =
                 told == null
-                        || told.turn() != s.turn()
+                        || told.epoch() != s.epoch()
                         || told.state() != s.state()
                         || told.plan() != s.plan();
         if (s.plan() != null && (turned || again)) {
             stage(s, turned, now);
         }
         told = s;
-        if (s.plan() != null && stateMachine.moves.acked(incarnation) && ackedTurn != s.turn()) {
-            ackedTurn = s.turn();
+        if (s.plan() != null
+                && stateMachine.migration.hasAcknowledged(incarnation)
+                && ackedTurn != s.epoch()) {
+            ackedTurn = s.epoch();
             history.add(
-                    now, "acked", "move", s.plan().name, "turn", s.turn(), "stage", s.position());
+                    now, "acked", "move", s.plan().name, "turn", s.epoch(), "stage", s.stepIndex());
         }
     }
 
@@ -282,8 +292,8 @@
         List<String> begun = new ArrayList<>();
         List<String> moved = new ArrayList<>();
         for (int i = 0; i < s.plan().frontends.size(); i++) {
-            MigrationPlan.Mover m = s.plan().frontends.get(i);
-            MigrationStep.Part part = s.step().parts().get(i);
+            MigrationPlan.FrontendMigration m = s.plan().frontends.get(i);
+            MigrationStep.FrontendShare part = s.currentStep().frontends().get(i);
             if (told == null || told.plan() == null || !told.plan().name.equals(s.plan().name)) {
                 history.add(
                         now,
@@ -293,12 +303,12 @@
                         "frontend",
                         m.name(),
                         "needs",
-                        m.needs());
+                        m.dependencies());
             }
-            if (part.until() > 0) {
+            if (part.movingShare() > 0) {
                 begun.add(m.name());
             }
-            if (part.share() >= 1) {
+            if (part.movedShare() >= 1) {
                 moved.add(m.name());
             }
         }
@@ -308,9 +318,9 @@
                 "move",
                 s.plan().name,
                 "stage",
-                s.position(),
+                s.stepIndex(),
                 "turn",
-                s.turn(),
+                s.epoch(),
                 "state",
                 s.state().name(),
                 "begun",
@@ -325,9 +335,9 @@
                             + ": "
                             + s.state()
                             + " at step "
-                            + s.position()
+                            + s.stepIndex()
                             + "; "
-                            + stateMachine.moves.told());
+                            + stateMachine.migration.lastOutcome());
         }
         if (turned
                 && (s.state() == MigrationState.State.DONE
--- a/fleet/src/main/java/tinford/fleet/run/MigrationSettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/MigrationSettings.java
@@ -96,13 +96,13 @@
                             + Math.round(window)
                             + " or more: repeat window and client timeout of what may move");
         }
-        Map<String, MigrationPlan.Room> rooms = new TreeMap<>();
+        Map<String, MigrationPlan.GroupCapacity> rooms = new TreeMap<>();
         for (String room : operatorFile.texts("moves.rooms")) {
             String[] parts = room.split("[=,]");
             try {
                 rooms.put(
                         parts[0],
-                        new MigrationPlan.Room(
+                        new MigrationPlan.GroupCapacity(
                                 Double.parseDouble(parts[1]),
                                 Integer.parseInt(parts[2].strip()),
                                 coldFrom));
@@ -127,7 +127,7 @@
             String path,
             Map<String, RequestClass> may,
             Map<String, String> homes,
-            Map<String, MigrationPlan.Room> rooms,
+            Map<String, MigrationPlan.GroupCapacity> rooms,
             List<String> faults) {
         Map<String, String> now = new HashMap<>(homes);
         try {
@@ -138,10 +138,10 @@
                     .readTree(text)
                     .path("frontends")
                     .forEach(f -> now.replace(f.path("name").asText(), f.path("from").asText()));
-            return new MigrationPlanReader(new MigrationPlan.Known(may, now, rooms))
+            return new MigrationPlanReader(new MigrationPlan.ValidationContext(may, now, rooms))
                     .read(path, text);
-        } catch (PlanErrors.Refused e) {
-            faults.addAll(e.faults());
+        } catch (PlanErrors.InvalidPlanException e) {
+            faults.addAll(e.errors());
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
             faults.add(path + ": expected TOML: " + e.getOriginalMessage());
         } catch (IOException e) {
--- a/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
+++ b/fleet/src/main/java/tinford/fleet/run/ReplicatedState.java
@@ -208,12 +208,12 @@
     }
 
     void tick(double now) {
-        if (share.left()) {
+        if (share.hasLeft()) {
             return;
         }
-        for (byte[] entry : share.round(now)) {
+        for (byte[] entry : share.nextEntries(now)) {
             CompletableFuture<Long> taken = append(entry);
-            if (share.left()) {
+            if (share.hasLeft()) {
                 taken.whenComplete((index, e) -> left.countDown());
             }
         }
@@ -228,9 +228,11 @@
         int told = now < nextOffers ? OFFERS_A_ROUND : 0;
         nextOffers = told > 0 ? nextOffers : now + ROUND;
         for (Server s : servers.values()) {
-            if (told < OFFERS_A_ROUND && stateMachine.ledger.number(s.id) < 0) {
+            if (told < OFFERS_A_ROUND && stateMachine.ledger.serverNumber(s.id) < 0) {
                 told++;
-                append(new LedgerEntry.Offer(s.id, (long) s.startedAtMs, offer, now).bytes());
+                append(
+                        new LedgerEntry.CapacityOffer(s.id, (long) s.startedAtMs, offer, now)
+                                .encode());
             }
         }
         byte[] grant = proposer.propose(stateMachine.ledger, now);
@@ -241,7 +243,7 @@
 
     /** Whether its share was told as left: nothing more is asked of the log. */
     boolean left() {
-        return share.left();
+        return share.hasLeft();
     }
 
     boolean leads() {
@@ -250,7 +252,7 @@
 
     int mayHold(Server srv, double now) {
         servers.put(srv.id, srv);
-        return share.mayHold(srv.id, now);
+        return share.connectionLimit(srv.id, now);
     }
 
     long key(Tenant c) {
@@ -263,28 +265,28 @@
      * are.
      */
     int mayUse(long account, double now) {
-        return Math.max(1, share.mayUse(account, now));
+        return Math.max(1, share.attemptLimit(account, now));
     }
 
     void wanted(long account, int dispatches) {
-        share.wanted(account, dispatches);
+        share.reportDemand(account, dispatches);
     }
 
     void opened(Server srv) {
-        share.opened(srv.id);
+        share.connectionOpened(srv.id);
     }
 
     void closed(Server srv) {
-        share.closed(srv.id);
+        share.connectionClosed(srv.id);
     }
 
     void leaves() {
-        share.leaves();
+        share.startLeaving();
     }
 
     /** Whether it acts on its lease, or on its static share only. */
     boolean holds(double now) {
-        return share.holds(now);
+        return share.hasLease(now);
     }
 
     /**
@@ -294,7 +296,7 @@
     int mayHold(double now) {
         int all = 0;
         for (String id : servers.keySet()) {
-            all += share.mayHold(id, now);
+            all += share.connectionLimit(id, now);
         }
         return all;
     }
--- a/fleet/src/test/java/tinford/fleet/budget/FairTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/FairTest.java
@@ -150,10 +150,10 @@
             f.gateways.get(0).wants.put(1L, 9);
             f.gateways.get(1).wants.put(2L, k % 2 == 0 ? 20 : 1);
             f.gateways.get(2).wants.put(3L, k % 2 == 0 ? 2 : 18);
-            long before = f.gateways.get(0).ledger.grants();
+            long before = f.gateways.get(0).ledger.acceptedGrants();
             f.run(700);
             assertTrue(
-                    k < 5 || f.gateways.get(0).ledger.grants() == before,
+                    k < 5 || f.gateways.get(0).ledger.acceptedGrants() == before,
                     "grants flap in turn " + k);
         }
     }
@@ -196,10 +196,14 @@
             f.offers
                     .keySet()
                     .forEach(
-                            s -> sums.merge(s, g.share.mayHold(s, f.now + g.offset), Integer::sum));
+                            s ->
+                                    sums.merge(
+                                            s,
+                                            g.share.connectionLimit(s, f.now + g.offset),
+                                            Integer::sum));
             assertTrue(
-                    g.share.mayUse(1, f.now + g.offset) >= 1
-                            && g.share.mayUse(2, f.now + g.offset) >= 1);
+                    g.share.attemptLimit(1, f.now + g.offset) >= 1
+                            && g.share.attemptLimit(2, f.now + g.offset) >= 1);
         }
         assertEquals(sums, Map.of("s0", 6, "s1", 6));
         int out = 0;
@@ -219,7 +223,8 @@
         }
         f.run(5000);
         assertTrue(f.worst <= 0);
-        assertEquals(f.gateways.stream().mapToInt(g -> g.share.mayHold("s0", f.now)).sum(), 3);
+        assertEquals(
+                f.gateways.stream().mapToInt(g -> g.share.connectionLimit("s0", f.now)).sum(), 3);
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/budget/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/HistoriesTest.java
@@ -84,7 +84,7 @@
 
             @Override
             double free(Lease lease) {
-                return broken.equals("no linger") ? leases().now() : super.free(lease);
+                return broken.equals("no linger") ? leases().logTimeMs() : super.free(lease);
             }
 
             @Override
@@ -153,7 +153,10 @@
             bad.apply(++index, spoilt);
         }
         assertEquals(cells(bad), cells, "spoilt entries");
-        assertTrue(bad.unread() > 0 && bad.unknown() > 0 && bad.leases().refused() > 0);
+        assertTrue(
+                bad.unreadableEntries() > 0
+                        && bad.unknownEntries() > 0
+                        && bad.leases().rejectedEntries() > 0);
     }
 
     private static byte[] cells(BudgetLedger ledger) {
--- a/fleet/src/test/java/tinford/fleet/budget/ProposalCost.java
+++ b/fleet/src/test/java/tinford/fleet/budget/ProposalCost.java
@@ -53,7 +53,9 @@
                         new StaticShares(offers, 0.1, size[1]));
         long index = 0;
         for (Map.Entry<String, Integer> e : offers.entrySet()) {
-            ledger.apply(++index, new LedgerEntry.Offer(e.getKey(), 1, e.getValue(), 1).bytes());
+            ledger.apply(
+                    ++index,
+                    new LedgerEntry.CapacityOffer(e.getKey(), 1, e.getValue(), 1).encode());
         }
         double[] took = new double[6];
         for (int round = 0; round < 12; round++) {
@@ -71,7 +73,7 @@
             for (int g = 0; g < size[1]; g++) {
                 Incarnation incarnation = new Incarnation(g, 1);
                 if (first) {
-                    ledger.apply(++index, LeaseTable.renew(incarnation, 1, 1e6));
+                    ledger.apply(++index, LeaseTable.renewalEntry(incarnation, 1, 1e6));
                 }
                 // All that was taken back is let go.
                 Map<Integer, Integer> held = new LinkedHashMap<>();
@@ -81,13 +83,13 @@
                 }
                 ledger.apply(
                         ++index,
-                        new LedgerEntry.Tell(
+                        new LedgerEntry.DemandReport(
                                         incarnation,
                                         2 + round,
                                         index,
                                         wanted.getOrDefault(g, Map.of()),
                                         held)
-                                .bytes());
+                                .encode());
             }
             GrantProposer proposer =
                     new GrantProposer(a -> new GrantProposer.Plan(1 + (int) (a % 4), 1, 1000), 0);
--- a/fleet/src/test/java/tinford/fleet/budget/SimulatedBudgetFleet.java
+++ b/fleet/src/test/java/tinford/fleet/budget/SimulatedBudgetFleet.java
@@ -120,7 +120,7 @@
         for (int g = 0; g < size; g++) {
             gateways.add(new Gateway(g, size == 1 ? 0 : (g % 3 - 1) * APART / 2));
         }
-        offers.forEach((s, n) -> log.add(new LedgerEntry.Offer(s, 1, n, now).bytes()));
+        offers.forEach((s, n) -> log.add(new LedgerEntry.CapacityOffer(s, 1, n, now).encode()));
     }
 
     static LeaseTable leases(int size) {
@@ -139,7 +139,7 @@
             l[1] = now + 4 * EVERY + 2 * (LEASE + APART + LINGER);
         }
         offers.put(server, offer);
-        log.add(new LedgerEntry.Offer(server, start, offer, now).bytes());
+        log.add(new LedgerEntry.CapacityOffer(server, start, offer, now).encode());
     }
 
     private void append(Gateway from, byte[] entry) {
@@ -184,13 +184,13 @@
     /** One that leads wrongly gives someone far too much, out of the newest state. */
     private void wrong(Gateway g) {
         if (g.ledger != null && !g.ledger.table.holders.isEmpty()) {
-            List<LedgerEntry.Line> lines = new ArrayList<>();
+            List<LedgerEntry.GrantLine> lines = new ArrayList<>();
             for (Incarnation incarnation : g.ledger.table.holders.keySet()) {
                 lines.add(
-                        new LedgerEntry.Line(
+                        new LedgerEntry.GrantLine(
                                 incarnation, random.nextInt(offers.size()), random.nextInt(60)));
             }
-            log.add(new LedgerEntry.Grant(log.size(), now + g.offset, lines, List.of()).bytes());
+            log.add(new LedgerEntry.Grant(log.size(), now + g.offset, lines, List.of()).encode());
         }
     }
 
@@ -225,7 +225,7 @@
                         c -> {
                             boolean closed = now >= c.sent + LINGER;
                             if (closed && g.share != null) {
-                                g.share.closed(c.server);
+                                g.share.connectionClosed(c.server);
                             }
                             return closed;
                         });
@@ -264,28 +264,32 @@
             // One that waits in use goes to its account again while both may; else it rests.
             if (c.busy > now) {
                 out.merge(c.account, 1, Integer::sum);
-            } else if (g.share.excess(c.server, own) > 0 || now >= c.sent + LINGER * 3 / 4) {
+            } else if (g.share.excessConnections(c.server, own) > 0
+                    || now >= c.sent + LINGER * 3 / 4) {
                 g.conns.remove(c);
-                g.share.closed(c.server);
+                g.share.connectionClosed(c.server);
             }
         }
         g.wants.forEach(
                 (a, want) -> {
-                    g.share.wanted(a, want);
+                    g.share.reportDemand(a, want);
                     for (int n = out.getOrDefault(a, 0);
-                            n < want && n < g.share.mayUse(a, own);
+                            n < want && n < g.share.attemptLimit(a, own);
                             n++) {
                         Conn conn = null;
                         for (Conn c : g.conns) {
-                            conn = c.busy <= now && g.share.excess(c.server, own) == 0 ? c : conn;
+                            conn =
+                                    c.busy <= now && g.share.excessConnections(c.server, own) == 0
+                                            ? c
+                                            : conn;
                         }
                         for (String s : offers.keySet()) {
                             if (conn == null
                                     && g.conns.stream().filter(c -> c.server.equals(s)).count()
-                                            < g.share.mayHold(s, own)) {
+                                            < g.share.connectionLimit(s, own)) {
                                 conn = new Conn(s);
                                 g.conns.add(conn);
-                                g.share.opened(s);
+                                g.share.connectionOpened(s);
                             }
                         }
                         if (conn == null) {
@@ -296,7 +300,7 @@
                         conn.busy = now + 20 + random.nextInt((int) SERVICE - 20);
                     }
                 });
-        g.share.round(own).forEach(e -> append(g, e));
+        g.share.nextEntries(own).forEach(e -> append(g, e));
         if (g.number == leader || faults && g.number == otherLeader) {
             byte[] entry = g.proposer.propose(g.ledger, own);
             if (entry != null) {
--- a/fleet/src/test/java/tinford/fleet/membership/GossipCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipCodecTest.java
@@ -24,16 +24,18 @@
                 new GossipRecord(
                         new Incarnation(gateway, (long) NOW - r.nextInt(1_000_000)), r.nextInt());
         for (int c = 0; c < classes; c++) {
-            s.asked[c] = r.nextInt(4) == 0 ? 0 : Math.exp(r.nextDouble() * 12);
-            s.sent[c] =
+            s.offeredUnits[c] = r.nextInt(4) == 0 ? 0 : Math.exp(r.nextDouble() * 12);
+            s.admittedUnits[c] =
                     r.nextInt(3) == 0
                             ? 0
-                            : r.nextInt(2) == 0 ? s.asked[c] : s.asked[c] * r.nextDouble();
+                            : r.nextInt(2) == 0
+                                    ? s.offeredUnits[c]
+                                    : s.offeredUnits[c] * r.nextDouble();
         }
-        s.first = r.nextDouble() * 5000;
+        s.firstAttempts = r.nextDouble() * 5000;
         s.capacity = r.nextDouble() * 500;
-        s.cededTo = r.nextBoolean() ? null : new Incarnation(gateway + 1, (long) NOW - 1);
-        s.ceded = s.cededTo == null ? 0 : r.nextInt(10_000_000) / 8.0;
+        s.retriesCededTo = r.nextBoolean() ? null : new Incarnation(gateway + 1, (long) NOW - 1);
+        s.retriesCeded = s.retriesCededTo == null ? 0 : r.nextInt(10_000_000) / 8.0;
         for (int i = r.nextInt(GossipRecord.MAX_SERVERS + 1); i > 0; i--) {
             s.serverHealth.add(
                     new GossipRecord.ServerHealth(
@@ -43,7 +45,7 @@
     }
 
     private static byte[] message(double age, GossipRecord... records) {
-        ByteBuffer m = GossipCodec.message(256);
+        ByteBuffer m = GossipCodec.newMessage(256);
         for (GossipRecord s : records) {
             assertTrue(GossipCodec.addRecord(m, GossipCodec.encode(s, 5000), age));
         }
@@ -64,29 +66,31 @@
     public void thereAndBack() {
         Random r = new Random(3);
         for (int i = 0; i < 2000; i++) {
-            GossipRecord s = drawn(r, i % 10, r.nextInt(GossipRecord.CLASSES + 1));
+            GossipRecord s = drawn(r, i % 10, r.nextInt(GossipRecord.PRIORITY_CLASSES + 1));
             double age = r.nextDouble() * 60_000;
             GossipCodec.Received t = read(message(age, s)).get(0);
             assertEquals(t.record().incarnation, s.incarnation);
-            assertEquals(t.record().seq, s.seq);
-            assertEquals(t.made(), 5000.0);
-            assertTrue(t.age() >= age && t.age() < age + 2, "age " + age + " told as " + t.age());
-            assertTrue(t.raw().length <= GossipCodec.MAX_RECORD_BYTES);
-            assertEquals(t.record().cededTo, s.cededTo);
-            assertEquals(t.record().ceded, s.ceded, 0.1);
-            near(t.record().first, s.first);
+            assertEquals(t.record().sequence, s.sequence);
+            assertEquals(t.madeAtMs(), 5000.0);
+            assertTrue(
+                    t.ageMs() >= age && t.ageMs() < age + 2,
+                    "age " + age + " told as " + t.ageMs());
+            assertTrue(t.encoded().length <= GossipCodec.MAX_RECORD_BYTES);
+            assertEquals(t.record().retriesCededTo, s.retriesCededTo);
+            assertEquals(t.record().retriesCeded, s.retriesCeded, 0.1);
+            near(t.record().firstAttempts, s.firstAttempts);
             near(t.record().capacity, s.capacity);
-            for (int c = 0; c < GossipRecord.CLASSES; c++) {
-                near(t.record().asked[c], s.asked[c]);
-                near(t.record().sent[c], s.sent[c]);
+            for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
+                near(t.record().offeredUnits[c], s.offeredUnits[c]);
+                near(t.record().admittedUnits[c], s.admittedUnits[c]);
             }
             for (int k = 0; k < s.serverHealth.size(); k++) {
                 GossipRecord.ServerHealth a = s.serverHealth.get(k);
                 GossipRecord.ServerHealth b = t.record().serverHealth.get(k);
                 assertTrue(
-                        a.server() == b.server()
+                        a.serverHash() == b.serverHash()
                                 && a.unhealthy() == b.unhealthy()
-                                && Math.abs(a.ago() - b.ago()) <= 0.05 * a.ago(),
+                                && Math.abs(a.agoMs() - b.agoMs()) <= 0.05 * a.agoMs(),
                         a + " " + b);
             }
         }
@@ -101,7 +105,7 @@
         byte[] length = m.clone();
         length[1] += 1;
         byte[] classes = m.clone();
-        classes[1 + 29] = GossipRecord.CLASSES + 1;
+        classes[1 + 29] = GossipRecord.PRIORITY_CLASSES + 1;
         byte[] ills = message(0, new GossipRecord(new Incarnation(1, 5), 1));
         ills[ills.length - 1] = GossipRecord.MAX_SERVERS + 1;
         return new Object[][] {
@@ -143,13 +147,13 @@
         byte[] longer = Arrays.copyOf(raw, raw.length + 9);
         longer[0] += 9;
         longer[raw.length + 4] = 77;
-        ByteBuffer m = GossipCodec.message(256);
+        ByteBuffer m = GossipCodec.newMessage(256);
         GossipCodec.addRecord(m, longer, 0);
         GossipCodec.addRecord(m, raw, 0);
         List<GossipCodec.Received> read = read(GossipCodec.toBytes(m));
         assertEquals(read.size(), 2);
-        assertEquals(read.get(0).raw(), longer);
-        assertEquals(read.get(0).record().asked, read.get(1).record().asked);
+        assertEquals(read.get(0).encoded(), longer);
+        assertEquals(read.get(0).record().offeredUnits, read.get(1).record().offeredUnits);
     }
 
     /**
@@ -176,23 +180,23 @@
                         t.record().incarnation.gateway() < 10
                                 && t.record().incarnation.start() <= NOW + 5000);
             }
-            members.heard(m, r.nextInt(10), NOW + i * 20);
+            members.receive(m, r.nextInt(10), NOW + i * 20);
         }
-        assertTrue(members.refused() > 10_000, "refused " + members.refused());
-        assertFalse(members.living() > 10);
+        assertTrue(members.rejectedMessages() > 10_000, "refused " + members.rejectedMessages());
+        assertFalse(members.aliveCount() > 10);
     }
 
     @Test
     public void aUsualRecordIsShort() {
         GossipRecord s = new GossipRecord(new Incarnation(1, 5), 1);
-        Arrays.fill(s.asked, 4, 20, 100);
-        Arrays.fill(s.sent, 10, 20, 100);
-        s.sent[9] = 30;
+        Arrays.fill(s.offeredUnits, 4, 20, 100);
+        Arrays.fill(s.admittedUnits, 10, 20, 100);
+        s.admittedUnits[9] = 30;
         s.serverHealth.add(new GossipRecord.ServerHealth(1, true, 100));
-        s.cededTo = null;
+        s.retriesCededTo = null;
         assertTrue(GossipCodec.encode(s, 0).length <= 60, "" + GossipCodec.encode(s, 0).length);
-        Arrays.fill(s.asked, 100);
-        Arrays.fill(s.sent, 50);
+        Arrays.fill(s.offeredUnits, 100);
+        Arrays.fill(s.admittedUnits, 50);
         assertTrue(
                 GossipCodec.encode(s, 0).length * 2 + 1 <= GossipCodec.MAX_MESSAGE_BYTES,
                 "two of the longest don't fit");
--- a/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
@@ -17,7 +17,7 @@
     private static boolean all(SimulatedGossipFleet f, int living) {
         for (int i = 0; i < f.members.length; i++) {
             if (!f.stopped[i]
-                    && Math.abs(f.members[i].living() - living)
+                    && Math.abs(f.members[i].aliveCount() - living)
                             > (f.members.length == 400 ? 4 : 0)) {
                 return false;
             }
@@ -34,7 +34,7 @@
     private static int least(SimulatedGossipFleet f) {
         int least = f.members.length;
         for (int i = 0; i < f.members.length; i++) {
-            least = f.stopped[i] ? least : Math.min(least, f.members[i].living());
+            least = f.stopped[i] ? least : Math.min(least, f.members[i].aliveCount());
         }
         return least;
     }
@@ -70,14 +70,14 @@
         assertTrue(perSecond <= 20.5 * 256, "bytes a second a gateway " + perSecond);
 
         int lost = n / 2;
-        f.until(20_000, () -> Arrays.stream(f.members).allMatch(m -> m.of(lost) != null));
+        f.until(20_000, () -> Arrays.stream(f.members).allMatch(m -> m.newestRecord(lost) != null));
         f.kill(lost);
         double gone =
                 f.until(
                         suspectAfter + 10_000,
                         () -> {
                             for (int i = 0; i < n; i++) {
-                                if (i != lost && f.members[i].lives(lost)) {
+                                if (i != lost && f.members[i].isAlive(lost)) {
                                     return false;
                                 }
                             }
@@ -92,7 +92,7 @@
                         10_000,
                         () -> {
                             for (int i = 0; i < n; i++) {
-                                if (!f.members[i].lives(lost)
+                                if (!f.members[i].isAlive(lost)
                                         || f.members[i].incarnation(lost).start()
                                                 != f.members[lost].incarnation(lost).start()) {
                                     return false;
@@ -114,7 +114,7 @@
                         2 * suspectAfter,
                         () -> {
                             for (int i = 0; i < n; i++) {
-                                if (f.members[i].living() != (i < half ? half : n - half)) {
+                                if (f.members[i].aliveCount() != (i < half ? half : n - half)) {
                                     return false;
                                 }
                             }
@@ -122,7 +122,7 @@
                         });
         assertTrue(
                 seen <= suspectAfter + 2 * SimulatedGossipFleet.EVERY, "halves seen after " + seen);
-        assertEquals(f.members[0].size(), n);
+        assertEquals(f.members[0].fleetSize(), n);
         cut(f, half, false);
         upTo(f, within);
     }
@@ -164,8 +164,11 @@
             double mean = 0;
             for (GossipMembership m : f.members) {
                 double estimate =
-                        m.fresh().stream().mapToDouble(s -> s.first).average().orElse(0)
-                                * m.living();
+                        m.freshRecords().stream()
+                                        .mapToDouble(s -> s.firstAttempts)
+                                        .average()
+                                        .orElse(0)
+                                * m.aliveCount();
                 worst = Math.max(worst, Math.abs(estimate / sum - 1));
                 mean += Math.abs(estimate / sum - 1) / n;
             }
@@ -192,20 +195,20 @@
         f.stopped[3] = false;
         f.net.advance(f.now + 1);
         assertTrue(
-                f.members[3].age(7) > 29_000 && f.members[3].silent(7) > 29_000,
-                "a stale record counts as " + f.members[3].silent(7));
+                f.members[3].recordAgeMs(7) > 29_000 && f.members[3].silenceMs(7) > 29_000,
+                "a stale record counts as " + f.members[3].silenceMs(7));
         for (int i = 0; i < 60; i++) {
             f.round();
             assertTrue(
-                    f.members[3].living() >= 13,
-                    "accuses after its pause: sees " + f.members[3].living());
+                    f.members[3].aliveCount() >= 13,
+                    "accuses after its pause: sees " + f.members[3].aliveCount());
             for (int j = 0; j < 14; j++) {
                 assertFalse(
-                        j != 3 && j != 7 && f.members[j].lives(7),
+                        j != 3 && j != 7 && f.members[j].isAlive(7),
                         "brought to life by stale records at " + j);
             }
         }
-        assertFalse(f.members[3].lives(7));
+        assertFalse(f.members[3].isAlive(7));
         assertTrue(all(f, 13));
     }
 
@@ -233,7 +236,7 @@
             for (int a = 0; a < 7; a++) {
                 for (int b = 0; b < 7; b++) {
                     GossipMembership m = f.members[a];
-                    if (a == b || f.stopped[a] || m.of(b) == null) {
+                    if (a == b || f.stopped[a] || m.newestRecord(b) == null) {
                         continue;
                     }
                     if (!m.incarnation(b).equals(known[a][b])) {
@@ -242,8 +245,9 @@
                     }
                     java.util.List<Double> made = f.made.get(m.incarnation(b));
                     assertTrue(
-                            made != null && m.of(b).seq < made.size(), "known before it was made");
-                    double tooLow = f.now - made.get(m.of(b).seq) - m.age(b);
+                            made != null && m.newestRecord(b).sequence < made.size(),
+                            "known before it was made");
+                    double tooLow = f.now - made.get(m.newestRecord(b).sequence) - m.recordAgeMs(b);
                     assertTrue(tooLow > -3120, "counts as older than it is by " + -tooLow);
                     if (!f.stopped[b] && f.now - since[a][b] > 3000) {
                         worst = Math.max(worst, tooLow);
@@ -285,14 +289,14 @@
             f.kill(i);
         }
         f.run(2000);
-        assertEquals(f.members[0].living(), 1);
-        assertEquals(f.members[0].size(), 5);
-        assertEquals(f.members[0].all(), java.util.List.of(0));
-        assertEquals(f.members[0].fresh().size(), 1);
+        assertEquals(f.members[0].aliveCount(), 1);
+        assertEquals(f.members[0].fleetSize(), 5);
+        assertEquals(f.members[0].aliveGateways(), java.util.List.of(0));
+        assertEquals(f.members[0].freshRecords().size(), 1);
     }
 
     private static byte[] told(long start, int seq, double made) {
-        ByteBuffer m = GossipCodec.message(256);
+        ByteBuffer m = GossipCodec.newMessage(256);
         GossipCodec.addRecord(
                 m, GossipCodec.encode(new GossipRecord(new Incarnation(1, start), seq), made), 0);
         return GossipCodec.toBytes(m);
@@ -302,23 +306,23 @@
     public void theLaterIncarnationWins() {
         GossipMembership m =
                 new GossipMembership(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
-        m.heard(told(500, 900, 500), 1, 1000);
-        m.heard(told(1000, 1, 50), 1, 1050);
-        m.heard(told(500, 901, 600), 1, 1100);
+        m.receive(told(500, 900, 500), 1, 1000);
+        m.receive(told(1000, 1, 50), 1, 1050);
+        m.receive(told(500, 901, 600), 1, 1100);
         assertEquals(m.incarnation(1).start(), 1000);
-        m.heard(told(1000, 0, 40), 1, 1110);
-        assertEquals(m.of(1).seq, 1);
+        m.receive(told(1000, 0, 40), 1, 1110);
+        assertEquals(m.newestRecord(1).sequence, 1);
         for (int t = 1200; t < 10_000; t += 500) {
-            m.heard(told(500, t, t - 500), 1, t);
+            m.receive(told(500, t, t - 500), 1, t);
             assertEquals(
                     m.incarnation(1).start(), 1000, "an earlier incarnation came back at " + t);
         }
-        assertFalse(m.lives(1));
-        m.heard(told(500, 20_000, 11_500), 1, 12_000);
-        m.heard(told(500, 20_000, 11_650), 1, 12_150);
+        assertFalse(m.isAlive(1));
+        m.receive(told(500, 20_000, 11_500), 1, 12_000);
+        m.receive(told(500, 20_000, 11_650), 1, 12_150);
         assertEquals(m.incarnation(1).start(), 500, "the upgrade failed long ago");
-        m.heard(told(500, 20_001, 11_700), 0, 12_200);
-        assertEquals(m.refused(), 1);
+        m.receive(told(500, 20_001, 11_700), 0, 12_200);
+        assertEquals(m.rejectedMessages(), 1);
     }
 
     @Test
@@ -326,8 +330,8 @@
         GossipMembership m =
                 new GossipMembership(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
         for (int i = 0; i < 10_000; i++) {
-            m.heard(told(500, i, i), 1, 1000 + i / 10.0);
+            m.receive(told(500, i, i), 1, 1000 + i / 10.0);
         }
-        assertTrue(m.over() >= 9900, "taken " + (10_000 - m.over()));
+        assertTrue(m.rateLimitedMessages() >= 9900, "taken " + (10_000 - m.rateLimitedMessages()));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/membership/LeaseTableTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/LeaseTableTest.java
@@ -27,47 +27,47 @@
     @Test
     public void aLeaseIsOverOnlyTheSpreadLaterAndClosedTheLingerAfter() {
         LeaseTable t = leases();
-        t.apply(1, LeaseTable.renew(FIRST, 1000, 1000));
-        assertTrue(t.of(FIRST).holds(1999) && !t.of(FIRST).holds(2000));
-        t.seen(2049);
+        t.apply(1, LeaseTable.renewalEntry(FIRST, 1000, 1000));
+        assertTrue(t.of(FIRST).isHeldAt(1999) && !t.of(FIRST).isHeldAt(2000));
+        t.observeTime(2049);
         assertTrue(t.mayAct(FIRST));
-        t.seen(2050);
+        t.observeTime(2050);
         assertFalse(t.mayAct(FIRST));
-        t.seen(2449);
-        assertFalse(t.closed(FIRST), "its connections may be open");
-        t.seen(2450);
-        assertTrue(t.closed(FIRST));
+        t.observeTime(2449);
+        assertFalse(t.isClosed(FIRST), "its connections may be open");
+        t.observeTime(2450);
+        assertTrue(t.isClosed(FIRST));
     }
 
     @Test
     public void aLaterIncarnationEndsNoLeaseOfAnEarlierOneWhichRenewsNoMore() {
         LeaseTable t = leases();
-        t.apply(1, LeaseTable.renew(FIRST, 1000, 1000));
-        t.apply(2, LeaseTable.renew(LATER, 1100, 1000));
+        t.apply(1, LeaseTable.renewalEntry(FIRST, 1000, 1000));
+        t.apply(2, LeaseTable.renewalEntry(LATER, 1100, 1000));
         assertEquals(t.mayAct(), List.of(FIRST, LATER));
-        t.apply(3, LeaseTable.renew(FIRST, 1200, 1000));
-        assertEquals(t.of(FIRST).until(), 2000.0);
-        assertFalse(t.renews(FIRST));
-        assertTrue(t.renews(LATER));
-        t.apply(4, LeaseTable.leave(LATER, 1300));
+        t.apply(3, LeaseTable.renewalEntry(FIRST, 1200, 1000));
+        assertEquals(t.of(FIRST).expiresAtMs(), 2000.0);
+        assertFalse(t.mayRenew(FIRST));
+        assertTrue(t.mayRenew(LATER));
+        t.apply(4, LeaseTable.departureEntry(LATER, 1300));
         assertEquals(t.mayAct(), List.of(FIRST));
-        t.apply(5, LeaseTable.renew(LATER, 1200, 1000));
-        assertTrue(t.closed(LATER), "a late entry takes back one that left");
+        t.apply(5, LeaseTable.renewalEntry(LATER, 1200, 1000));
+        assertTrue(t.isClosed(LATER), "a late entry takes back one that left");
     }
 
     @DataProvider
     public Object[][] bad() {
-        byte[] cut = LeaseTable.renew(FIRST, 1, 1);
+        byte[] cut = LeaseTable.renewalEntry(FIRST, 1, 1);
         byte[] newer = cut.clone();
         newer[1] = 9;
         return new Object[][] {
-            {LeaseTable.renew(FIRST, Double.NaN, 10)},
-            {LeaseTable.renew(FIRST, 10, 1001)},
-            {LeaseTable.renew(FIRST, 10, -1)},
-            {LeaseTable.renew(new Incarnation(8, 1), 10, 10)},
+            {LeaseTable.renewalEntry(FIRST, Double.NaN, 10)},
+            {LeaseTable.renewalEntry(FIRST, 10, 1001)},
+            {LeaseTable.renewalEntry(FIRST, 10, -1)},
+            {LeaseTable.renewalEntry(new Incarnation(8, 1), 10, 10)},
             {java.util.Arrays.copyOf(cut, 9)},
             {newer},
-            {LeaseTable.leave(OTHER, 1)}
+            {LeaseTable.departureEntry(OTHER, 1)}
         };
     }
 
@@ -75,7 +75,7 @@
     public void whatCantBeTakenChangesNothingAndIsCounted(byte[] entry) {
         LeaseTable t = leases();
         assertTrue(t.apply(1, entry));
-        assertEquals(t.refused(), 1);
+        assertEquals(t.rejectedEntries(), 1);
         assertEquals(t.mayAct(), List.of());
         assertFalse(t.apply(2, new byte[] {77}), "an entry of others is not its own");
     }
@@ -84,19 +84,19 @@
     public void manyIncarnationsOfOneGatewayAreBoundedAndASnapshotIsTheSame() throws IOException {
         LeaseTable t = leases();
         for (int i = 0; i < 20; i++) {
-            t.apply(i + 1, LeaseTable.renew(new Incarnation(3, i), 1000 + i, 1000));
+            t.apply(i + 1, LeaseTable.renewalEntry(new Incarnation(3, i), 1000 + i, 1000));
         }
-        assertEquals(t.of(3).size(), LeaseTable.MOST_INCARNATIONS);
+        assertEquals(t.of(3).size(), LeaseTable.MAX_INCARNATIONS);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         t.write(new DataOutputStream(bytes));
         LeaseTable again = leases();
         again.read(new DataInputStream(new ByteArrayInputStream(bytes.toByteArray())));
         assertEquals(again.mayAct(), t.mayAct());
-        assertEquals(again.now(), t.now());
-        again.apply(30, LeaseTable.renew(new Incarnation(3, 6), 1100, 1000));
+        assertEquals(again.logTimeMs(), t.logTimeMs());
+        again.apply(30, LeaseTable.renewalEntry(new Incarnation(3, 6), 1100, 1000));
         assertNotNull(again.of(new Incarnation(3, 6)));
         assertEquals(
-                again.of(new Incarnation(3, 6)).until(),
+                again.of(new Incarnation(3, 6)).expiresAtMs(),
                 2006.0,
                 "an earlier incarnation renews no more after a snapshot");
     }
--- a/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
+++ b/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
@@ -63,7 +63,7 @@
         members[i] = m;
         seq[i] = 0;
         stopped[i] = false;
-        transports[i] = net.at(i, (from, message) -> m.heard(message, from, net.now()));
+        transports[i] = net.at(i, (from, message) -> m.receive(message, from, net.now()));
     }
 
     void kill(int i) {
@@ -89,12 +89,12 @@
         seq[i]++;
         made.computeIfAbsent(s.incarnation, l -> new ArrayList<>()).add(now);
         for (int c = 4; c < 14; c++) {
-            s.asked[c] = 10 * sees[i];
-            s.sent[c] = c < 9 ? 0 : c == 9 ? 3 * sees[i] : s.asked[c];
+            s.offeredUnits[c] = 10 * sees[i];
+            s.admittedUnits[c] = c < 9 ? 0 : c == 9 ? 3 * sees[i] : s.offeredUnits[c];
         }
-        s.first = 50 * sees[i];
-        members[i].own(s, now);
-        members[i].round(now, transports[i]);
+        s.firstAttempts = 50 * sees[i];
+        members[i].setOwnRecord(s, now);
+        members[i].sendRound(now, transports[i]);
     }
 
     void run(double ms) {
--- a/fleet/src/test/java/tinford/fleet/migration/MigrationPlanTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationPlanTest.java
@@ -39,7 +39,7 @@
 
     static MigrationPlanReader reader() {
         return new MigrationPlanReader(
-                new MigrationPlan.Known(
+                new MigrationPlan.ValidationContext(
                         Map.of(
                                 "web",
                                 frontend("web", Idempotency.IDEMPOTENT),
@@ -48,9 +48,9 @@
                         Map.of("web", "a", "store", "a"),
                         Map.of(
                                 "a",
-                                new MigrationPlan.Room(50, 50, 0.3),
+                                new MigrationPlan.GroupCapacity(50, 50, 0.3),
                                 "b",
-                                new MigrationPlan.Room(20, 10, 0.3))));
+                                new MigrationPlan.GroupCapacity(20, 10, 0.3))));
     }
 
     private static RequestClass frontend(String name, Idempotency effect) {
@@ -63,7 +63,9 @@
         assertEquals(p.steps.size(), 6, "start, three steps of store, two stages of web");
         for (MigrationStep s : p.steps) {
             assertTrue(
-                    s.parts().get(0).until() == 0 || s.parts().get(1).share() == 1, s.toString());
+                    s.frontends().get(0).movingShare() == 0
+                            || s.frontends().get(1).movedShare() == 1,
+                    s.toString());
         }
     }
 
@@ -129,9 +131,9 @@
     public void badPlansAreRefused(String good, String instead, String expected) {
         int at = GOOD.indexOf(good);
         String text = GOOD.substring(0, at) + instead + GOOD.substring(at + good.length());
-        PlanErrors.Refused r =
-                expectThrows(PlanErrors.Refused.class, () -> reader().read("f", text));
-        assertTrue(r.faults().stream().anyMatch(f -> f.startsWith(expected)), r.getMessage());
+        PlanErrors.InvalidPlanException r =
+                expectThrows(PlanErrors.InvalidPlanException.class, () -> reader().read("f", text));
+        assertTrue(r.errors().stream().anyMatch(f -> f.startsWith(expected)), r.getMessage());
     }
 
     @Test
@@ -140,9 +142,10 @@
                 GOOD.replace("margin = 0.1", "margin = 2")
                         .replace("[0.5, 1.0]", "[0.5]")
                         .replace("units = 10", "units = 30");
-        PlanErrors.Refused r =
-                expectThrows(PlanErrors.Refused.class, () -> reader().read("f", text));
-        assertTrue(r.faults().size() >= 3, r.getMessage());
-        expectThrows(PlanErrors.Refused.class, () -> reader().read("f", "plan = \"p\"\n"));
+        PlanErrors.InvalidPlanException r =
+                expectThrows(PlanErrors.InvalidPlanException.class, () -> reader().read("f", text));
+        assertTrue(r.errors().size() >= 3, r.getMessage());
+        expectThrows(
+                PlanErrors.InvalidPlanException.class, () -> reader().read("f", "plan = \"p\"\n"));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
@@ -37,21 +37,21 @@
             MigrationEntry e =
                     switch (c) {
                         case 'b' -> begin();
-                        case 'a' -> MigrationEntry.ack(ONE, s.turn(), now[0]);
-                        case 'A' -> MigrationEntry.ack(ONE, s.turn() - 1, now[0]);
-                        case 'g' -> MigrationEntry.go(now[0], s.turn(), s.position() + 1, 20);
-                        case 'G' -> MigrationEntry.go(now[0], s.turn(), s.position() + 2, 20);
-                        case 'c' -> MigrationEntry.go(now[0], s.turn(), s.position() + 1);
-                        case '<' -> MigrationEntry.go(now[0], s.turn(), s.position() - 1);
+                        case 'a' -> MigrationEntry.ack(ONE, s.epoch(), now[0]);
+                        case 'A' -> MigrationEntry.ack(ONE, s.epoch() - 1, now[0]);
+                        case 'g' -> MigrationEntry.go(now[0], s.epoch(), s.stepIndex() + 1, 20);
+                        case 'G' -> MigrationEntry.go(now[0], s.epoch(), s.stepIndex() + 2, 20);
+                        case 'c' -> MigrationEntry.go(now[0], s.epoch(), s.stepIndex() + 1);
+                        case '<' -> MigrationEntry.go(now[0], s.epoch(), s.stepIndex() - 1);
                         case 'h' -> MigrationEntry.halt("o", now[0]);
-                        case 'r' -> MigrationEntry.resume("o", now[0], m.halts());
-                        case 'o' -> MigrationEntry.resume("o", now[0], m.halts() - 1);
+                        case 'r' -> MigrationEntry.resume("o", now[0], m.haltCount());
+                        case 'o' -> MigrationEntry.resume("o", now[0], m.haltCount() - 1);
                         case 'x' -> MigrationEntry.back("o", now[0]);
                         default ->
                                 MigrationEntry.report(
-                                        ONE, s.turn(), now[0], 100, 1, 100, 12, 0, 0, 0, 0);
+                                        ONE, s.epoch(), now[0], 100, 1, 100, 12, 0, 0, 0, 0);
                     };
-            m.apply(1, e.bytes());
+            m.apply(1, e.encode());
         }
     }
 
@@ -96,7 +96,7 @@
     public void entriesDoWhatTheTableSays(String what, String expected) {
         MigrationState m = moves();
         play(m, what, new double[1]);
-        assertEquals(m.status().state() + " " + m.status().position(), expected, m.told());
+        assertEquals(m.status().state() + " " + m.status().stepIndex(), expected, m.lastOutcome());
     }
 
     @Test
@@ -113,15 +113,16 @@
                 play(m, one, now);
                 play(other, one, same);
                 assertTrue(
-                        Math.abs(m.status().position() - before.position()) <= 1 || one.equals("b"),
+                        Math.abs(m.status().stepIndex() - before.stepIndex()) <= 1
+                                || one.equals("b"),
                         "seed " + seed);
-                byte[] rubbish = begin().bytes();
+                byte[] rubbish = begin().encode();
                 rubbish[random.nextInt(3)] = (byte) (20 + random.nextInt(40));
                 byte[] was = m.snapshot();
                 m.apply(1, rubbish);
                 m.apply(1, new byte[random.nextInt(3)]);
                 assertEquals(m.snapshot(), was);
-                assertTrue(m.told().contains("refused"));
+                assertTrue(m.lastOutcome().contains("refused"));
                 MigrationState restored = moves();
                 restored.restore(1, was);
                 m = restored;
@@ -134,15 +135,15 @@
     public void withoutATermNothingOfWhatMayMoveIsSent() {
         MigrationState m = moves();
         MigrationRouter r = new MigrationRouter(ONE, m.status(), 10);
-        assertFalse(r.mayGo("web", 1, false, "a", null, 0));
-        assertTrue(r.mayGo("other", 1, false, "a", null, 0));
-        r.see(m.status(), new Lease(ONE, 100, 1), false);
-        assertTrue(r.mayGo("web", 1, false, "a", null, 99));
-        assertFalse(r.mayGo("web", 1, false, "b", null, 99));
-        assertFalse(r.mayGo("web", 1, false, "a", null, 100));
+        assertFalse(r.mayRoute("web", 1, false, "a", null, 0));
+        assertTrue(r.mayRoute("other", 1, false, "a", null, 0));
+        r.update(m.status(), new Lease(ONE, 100, 1), false);
+        assertTrue(r.mayRoute("web", 1, false, "a", null, 99));
+        assertFalse(r.mayRoute("web", 1, false, "b", null, 99));
+        assertFalse(r.mayRoute("web", 1, false, "a", null, 100));
         play(m, "b", new double[1]);
-        r.see(m.status(), new Lease(ONE, 100, 1), false);
-        assertEquals(r.tells(50).kind(), MigrationEntry.Kind.ACK);
-        assertTrue(r.mayGo("store", 1, true, "b", "b", 50), "stays with its first group");
+        r.update(m.status(), new Lease(ONE, 100, 1), false);
+        assertEquals(r.nextEntry(50).kind(), MigrationEntry.Kind.ACK);
+        assertTrue(r.mayRoute("store", 1, true, "b", "b", 50), "stays with its first group");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
@@ -16,10 +16,10 @@
     /** Asked for 100 units a second of each worth given, of which so many come back in time. */
     static GossipRecord record(int gateway, double good, boolean waits, double... worths) {
         GossipRecord s = new GossipRecord(new Incarnation(gateway, 1), 1);
-        for (double w : worths) s.asked[GossipRecord.classOf(w)] += 100;
-        s.goodUnits = good;
-        s.good = s.first = 40;
-        s.waiting = waits ? 8 : 0;
+        for (double w : worths) s.offeredUnits[GossipRecord.classOf(w)] += 100;
+        s.onTimeUnits = good;
+        s.onTime = s.firstAttempts = 40;
+        s.queued = waits ? 8 : 0;
         return s;
     }
 
@@ -27,7 +27,7 @@
             AdmissionThreshold line, FixedMembership heard, double from, double until) {
         for (double t = from; t < until; t += 100) {
             line.round(t, heard);
-            for (GossipRecord s : heard.fresh()) {
+            for (GossipRecord s : heard.freshRecords()) {
                 if (s.capacity < 1e3) s.capacity = line.capacity();
             } // the others see the same
         }
@@ -180,7 +180,7 @@
                 heard.hear(record(g, 150 + chance.nextInt(100), true, 1, 2, 4, 8));
             double demand = new FleetTotals(heard).demand, good = new FleetTotals(heard).goodUnits;
             GossipRecord lie = record(10, 1e9 * chance.nextDouble(), true, 8);
-            lie.asked[GossipRecord.CLASSES - 1] = Math.pow(10, chance.nextInt(12));
+            lie.offeredUnits[GossipRecord.PRIORITY_CLASSES - 1] = Math.pow(10, chance.nextInt(12));
             lie.capacity = Math.pow(10, 3 + chance.nextInt(6));
             heard.hear(lie);
             FleetTotals with = new FleetTotals(heard);
--- a/fleet/src/test/java/tinford/fleet/overload/FixedMembership.java
+++ b/fleet/src/test/java/tinford/fleet/overload/FixedMembership.java
@@ -21,27 +21,27 @@
     }
 
     @Override
-    public int living() {
+    public int aliveCount() {
         return Math.max(1, records.size());
     }
 
     @Override
-    public boolean lives(int gateway) {
+    public boolean isAlive(int gateway) {
         return records.containsKey(gateway);
     }
 
     @Override
-    public List<Integer> all() {
+    public List<Integer> aliveGateways() {
         return new ArrayList<>(records.keySet());
     }
 
     @Override
-    public List<GossipRecord> fresh() {
+    public List<GossipRecord> freshRecords() {
         return new ArrayList<>(records.values());
     }
 
     @Override
-    public int size() {
+    public int fleetSize() {
         return size;
     }
 }
--- a/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
@@ -57,7 +57,7 @@
                     spent[g]++;
                 }
                 GossipRecord s = new GossipRecord(incarnations[g], round);
-                s.first = 100;
+                s.firstAttempts = 100;
                 s.failed = g == 0 ? 80 : 0;
                 all[g].tell(s);
                 told.get(g).add(s);
@@ -79,9 +79,9 @@
         double got = 0;
         for (int t = 0; t <= 10_000; t += 100) {
             GossipRecord lie = new GossipRecord(new Incarnation(2, 1), t);
-            lie.first = 100;
-            lie.cededTo = own;
-            lie.ceded = 1e9 + t;
+            lie.firstAttempts = 100;
+            lie.retriesCededTo = own;
+            lie.retriesCeded = 1e9 + t;
             f.round(t, own, new FixedMembership(2).hear(lie));
             for (; f.level() >= 1; got++) f.sent(true);
         }
--- a/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
@@ -22,9 +22,12 @@
     }
 
     private static void fill(FleetStateMachine to) {
-        to.apply(3, LeaseTable.renew(INCARNATION, 10_000, 3000));
-        to.apply(5, new LedgerEntry.Offer("s", 0, 8, 10_010).bytes());
-        to.apply(6, new LedgerEntry.Tell(INCARNATION, 10_020, 5, Map.of(7L, 2), Map.of()).bytes());
+        to.apply(3, LeaseTable.renewalEntry(INCARNATION, 10_000, 3000));
+        to.apply(5, new LedgerEntry.CapacityOffer("s", 0, 8, 10_010).encode());
+        to.apply(
+                6,
+                new LedgerEntry.DemandReport(INCARNATION, 10_020, 5, Map.of(7L, 2), Map.of())
+                        .encode());
     }
 
     @Test
@@ -34,11 +37,11 @@
         FleetStateMachine second = stateMachine();
         second.restore(6, first.snapshot());
         assertEquals(second.snapshot(), first.snapshot());
-        assertEquals(second.ledger.number("s"), 0);
-        assertEquals(second.ledger.last(), 6);
+        assertEquals(second.ledger.serverNumber("s"), 0);
+        assertEquals(second.ledger.lastIndex(), 6);
         assertNotNull(second.leases.of(INCARNATION));
-        second.apply(7, LeaseTable.renew(INCARNATION, 12_000, 3000));
-        first.apply(7, LeaseTable.renew(INCARNATION, 12_000, 3000));
+        second.apply(7, LeaseTable.renewalEntry(INCARNATION, 12_000, 3000));
+        first.apply(7, LeaseTable.renewalEntry(INCARNATION, 12_000, 3000));
         assertEquals(second.snapshot(), first.snapshot());
     }
 
@@ -51,15 +54,15 @@
                 new byte[] {
                     MigrationEntry.MARK, 99, 1
                 }); // from each of their own entries on moves have the log's time
-        byte[] moves = all.moves.snapshot();
+        byte[] moves = all.migration.snapshot();
         all.apply(8, new byte[] {MigrationEntry.MARK, 99, 1});
-        assertEquals(all.ledger.unknown(), 0, "what belongs to moves is not the ledger's");
-        assertEquals(all.ledger.last(), 6);
+        assertEquals(all.ledger.unknownEntries(), 0, "what belongs to moves is not the ledger's");
+        assertEquals(all.ledger.lastIndex(), 6);
         all.apply(9, new byte[] {120, 1});
         all.apply(10, new byte[0]);
-        assertEquals(all.ledger.unknown(), 2);
+        assertEquals(all.ledger.unknownEntries(), 2);
         assertEquals(
-                all.moves.snapshot(),
+                all.migration.snapshot(),
                 moves,
                 "what moves can't read, and what others have, changes nothing there");
         assertTrue(all.leases.mayAct(INCARNATION));
--- a/fleet/src/test/java/tinford/fleet/run/MigrationCoordinatorTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/MigrationCoordinatorTest.java
@@ -214,7 +214,7 @@
                 }
                 if (now >= s.renews) {
                     s.renews = now + LEASE / 3;
-                    s.log.append(LeaseTable.renew(s.incarnation, now, LEASE));
+                    s.log.append(LeaseTable.renewalEntry(s.incarnation, now, LEASE));
                 }
                 s.mover.tick(now, s.log.isLeader());
                 load(s);
@@ -279,15 +279,15 @@
                                                     && s.stateMachine
                                                             .leases
                                                             .of(s.incarnation)
-                                                            .holds(now))
+                                                            .isHeldAt(now))
                             .toList();
             String[] chain = {"web", "mid", "base"};
             for (Seat s : acting) {
                 for (Seat o : acting) {
                     assertTrue(
                             Math.abs(
-                                            s.stateMachine.moves.status().turn()
-                                                    - o.stateMachine.moves.status().turn())
+                                            s.stateMachine.migration.status().epoch()
+                                                    - o.stateMachine.migration.status().epoch())
                                     <= 1,
                             now + " " + s.incarnation + " " + o.incarnation);
                     for (int f = 0; f < 2; f++) {
@@ -317,28 +317,28 @@
         MigrationState.State until(MigrationState.State... ends) {
             for (int i = 0; i < 4000; i++) {
                 step();
-                MigrationState.State state = seats.get(0).stateMachine.moves.status().state();
+                MigrationState.State state = seats.get(0).stateMachine.migration.status().state();
                 if (List.of(ends).contains(state)) {
                     return state;
                 }
             }
             throw new AssertionError(
                     "at "
-                            + seats.get(0).stateMachine.moves.status().position()
+                            + seats.get(0).stateMachine.migration.status().stepIndex()
                             + ": "
-                            + seats.get(0).stateMachine.moves.told());
+                            + seats.get(0).stateMachine.migration.lastOutcome());
         }
 
         /** As whoever is farthest sees it. */
         MigrationStatus head() {
             return seats.stream()
-                    .map(s -> s.stateMachine.moves.status())
-                    .max(java.util.Comparator.comparingLong(MigrationStatus::turn))
+                    .map(s -> s.stateMachine.migration.status())
+                    .max(java.util.Comparator.comparingLong(MigrationStatus::epoch))
                     .orElseThrow();
         }
 
         int position() {
-            return head().position();
+            return head().stepIndex();
         }
     }
 
@@ -394,7 +394,7 @@
         assertEquals(
                 f.head().state(),
                 MigrationState.State.DONE,
-                f.seats.get(0).stateMachine.moves.told());
+                f.seats.get(0).stateMachine.migration.lastOutcome());
         assertEquals(
                 f.told.stream().filter(t -> t.contains("begun")).count(), 1, f.told.toString());
         assertEquals(
