--- a/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
@@ -104,7 +104,7 @@
                 0.1,
                 10,
                 List.of(
-                        new MigrationPlan.Mover(
+                        new MigrationPlan.FrontendMigration(
                                 "web",
                                 "a",
                                 "b",
@@ -116,37 +116,37 @@
                                 false,
                                 true,
                                 0)),
-                Map.of("b", new MigrationPlan.Room(20, 10, 0.3)));
+                Map.of("b", new MigrationPlan.GroupCapacity(20, 10, 0.3)));
     }
 
     /** In the order of the log, from {@link #FIRST_INDEX} on. */
     @DataProvider
     public Object[][] entries() {
         return new Object[][] {
-            {"01-lease-renew", LeaseTable.renew(FIRST, 10_000, 3000)},
-            {"02-lease-renew-second", LeaseTable.renew(SECOND, 10_005, 3000)},
-            {"03-budget-offer", new LedgerEntry.Offer("s", 0, 8, 10_010).bytes()},
+            {"01-lease-renew", LeaseTable.renewalEntry(FIRST, 10_000, 3000)},
+            {"02-lease-renew-second", LeaseTable.renewalEntry(SECOND, 10_005, 3000)},
+            {"03-budget-offer", new LedgerEntry.CapacityOffer("s", 0, 8, 10_010).encode()},
             {
                 "04-budget-tell",
-                new LedgerEntry.Tell(FIRST, 10_020, 5, Map.of(7L, 2), Map.of(0, 1)).bytes()
+                new LedgerEntry.DemandReport(FIRST, 10_020, 5, Map.of(7L, 2), Map.of(0, 1)).encode()
             },
             {
                 "05-budget-grant",
                 new LedgerEntry.Grant(
                                 2,
                                 10_030,
-                                List.of(new LedgerEntry.Line(FIRST, 0, 2)),
-                                List.of(new LedgerEntry.Line(FIRST, 7, 2)))
-                        .bytes()
+                                List.of(new LedgerEntry.GrantLine(FIRST, 0, 2)),
+                                List.of(new LedgerEntry.GrantLine(FIRST, 7, 2)))
+                        .encode()
             },
-            {"06-lease-leave", LeaseTable.leave(SECOND, 10_040)},
-            {"07-migration-begin", MigrationEntry.begin("ann", 10_050, plan()).bytes()},
-            {"08-migration-ack", MigrationEntry.ack(FIRST, 1, 10_060).bytes()},
-            {"09-migration-go", MigrationEntry.go(10_500, 1, 1, 20).bytes()},
-            {"10-migration-report", MigrationEntry.report(FIRST, 2, 10_510, 20, 1, 5, 0).bytes()},
-            {"11-migration-halt", MigrationEntry.halt("ann", 10_520).bytes()},
-            {"12-migration-resume", MigrationEntry.resume("ann", 10_530, 1).bytes()},
-            {"13-migration-back", MigrationEntry.back("ann", 10_540).bytes()},
+            {"06-lease-leave", LeaseTable.departureEntry(SECOND, 10_040)},
+            {"07-migration-begin", MigrationEntry.begin("ann", 10_050, plan()).encode()},
+            {"08-migration-ack", MigrationEntry.ack(FIRST, 1, 10_060).encode()},
+            {"09-migration-go", MigrationEntry.go(10_500, 1, 1, 20).encode()},
+            {"10-migration-report", MigrationEntry.report(FIRST, 2, 10_510, 20, 1, 5, 0).encode()},
+            {"11-migration-halt", MigrationEntry.halt("ann", 10_520).encode()},
+            {"12-migration-resume", MigrationEntry.resume("ann", 10_530, 1).encode()},
+            {"13-migration-back", MigrationEntry.back("ann", 10_540).encode()},
         };
     }
 
@@ -168,11 +168,11 @@
     @Test
     public void theStoredEntriesLeadToTheStoredSnapshot() throws IOException {
         FleetStateMachine machine = afterAllEntries();
-        assertEquals(machine.leases.refused(), 0);
-        assertEquals(machine.ledger.unknown(), 0);
-        assertEquals(machine.ledger.unread(), 0);
-        assertEquals(machine.ledger.stale(), 0);
-        assertEquals(machine.ledger.grants(), 1);
+        assertEquals(machine.leases.rejectedEntries(), 0);
+        assertEquals(machine.ledger.unknownEntries(), 0);
+        assertEquals(machine.ledger.unreadableEntries(), 0);
+        assertEquals(machine.ledger.staleEntries(), 0);
+        assertEquals(machine.ledger.acceptedGrants(), 1);
         assertEquals(machine.snapshot(), storedBytes("fleet-state-machine.snapshot"));
     }
 
@@ -183,11 +183,11 @@
         machine.restore(FIRST_INDEX, snapshot);
         assertEquals(machine.snapshot(), snapshot);
         assertTrue(machine.leases.mayAct(FIRST));
-        assertEquals(machine.ledger.granted(FIRST, machine.ledger.number("s")), 2);
-        assertEquals(machine.ledger.uses(FIRST, 7), 2);
-        MigrationStatus status = machine.moves.status();
+        assertEquals(machine.ledger.granted(FIRST, machine.ledger.serverNumber("s")), 2);
+        assertEquals(machine.ledger.accountGrant(FIRST, 7), 2);
+        MigrationStatus status = machine.migration.status();
         assertEquals(status.plan().name, "p");
-        assertEquals(machine.moves.halts(), 1);
+        assertEquals(machine.migration.haltCount(), 1);
     }
 
     @Test
@@ -208,12 +208,12 @@
         assertEquals(received.size(), 1);
         GossipRecord record = received.get(0).record();
         assertEquals(record.incarnation, FIRST);
-        assertEquals(record.seq, 7);
-        assertEquals(record.cededTo, SECOND);
+        assertEquals(record.sequence, 7);
+        assertEquals(record.retriesCededTo, SECOND);
         assertEquals(record.serverHealth.size(), 1);
-        ByteBuffer again = GossipCodec.message(GossipCodec.MAX_MESSAGE_BYTES);
-        byte[] encoded = GossipCodec.encode(record, received.get(0).made());
-        assertTrue(GossipCodec.addRecord(again, encoded, received.get(0).age()));
+        ByteBuffer again = GossipCodec.newMessage(GossipCodec.MAX_MESSAGE_BYTES);
+        byte[] encoded = GossipCodec.encode(record, received.get(0).madeAtMs());
+        assertTrue(GossipCodec.addRecord(again, encoded, received.get(0).ageMs()));
         assertEquals(GossipCodec.toBytes(again), message);
     }
 
--- a/lab/src/main/java/tinford/lab/explore/Explorer.java
+++ b/lab/src/main/java/tinford/lab/explore/Explorer.java
@@ -102,7 +102,7 @@
         MigrationEntry bad =
                 MigrationEntry.report(
                         model.gateways.get(0).incarnation(),
-                        status.turn(),
+                        status.epoch(),
                         model.clock(0),
                         1,
                         0,
@@ -128,17 +128,17 @@
 
     private void lead(FleetModel model) {
         MigrationStatus status = model.moves.status();
-        for (int to = status.position() - 2; to <= status.position() + 2; to++) {
-            MigrationEntry go = MigrationEntry.go(model.now, status.turn(), to, ALL_WARM);
+        for (int to = status.stepIndex() - 2; to <= status.stepIndex() + 2; to++) {
+            MigrationEntry go = MigrationEntry.go(model.now, status.epoch(), to, ALL_WARM);
             offer(model, go, "a leader: to step " + to, true);
         }
-        int next = status.position() + 1;
-        MigrationEntry stale = MigrationEntry.go(model.now, status.turn() - 1, next, ALL_WARM);
+        int next = status.stepIndex() + 1;
+        MigrationEntry stale = MigrationEntry.go(model.now, status.epoch() - 1, next, ALL_WARM);
         offer(model, stale, "a stale leader: to step " + next, true);
     }
 
     private void operate(FleetModel model) {
-        long halts = model.moves.halts();
+        long halts = model.moves.haltCount();
         offer(model, MigrationEntry.resume("o", model.now, halts), "resume", true);
         offer(
                 model,
@@ -161,9 +161,9 @@
         MigrationStatus before = model.moves.status();
         MigrationStatus after = next.moves.status();
         if (before.state() != after.state()
-                || before.turn() != after.turn()
-                || before.position() != after.position()
-                || before.back() != after.back()) {
+                || before.epoch() != after.epoch()
+                || before.stepIndex() != after.stepIndex()
+                || before.reverting() != after.reverting()) {
             reach(next, step, faultless);
         }
     }
@@ -198,7 +198,7 @@
         }
         GatewayModel.LogEvent event = reader.unread.remove(first);
         next.see(reader, event);
-        String what = event.isGrant() ? "its lease" : "step " + event.status().position();
+        String what = event.isGrant() ? "its lease" : "step " + event.status().stepIndex();
         reach(next, name(gateway) + " sees " + what, true);
     }
 
@@ -206,7 +206,7 @@
         if (model.mayAct(gateway)
                 && !gateway.cutOff
                 && model.clock(gateway) < gateway.leaseSeen
-                && !model.moves.acked(gateway.incarnation())
+                && !model.moves.hasAcknowledged(gateway.incarnation())
                 && (!settings.acksInFlight || !gateway.ackInFlight())) {
             FleetModel next = new FleetModel(model);
             if (settings.acksInFlight) {
@@ -214,7 +214,7 @@
             } else {
                 next.apply(ack(gateway, model.clock(gateway)));
             }
-            reach(next, name(gateway) + " acks step " + gateway.view.position(), true);
+            reach(next, name(gateway) + " acks step " + gateway.view.stepIndex(), true);
         }
         if (gateway.ackInFlight()) {
             FleetModel next = new FleetModel(model);
@@ -225,12 +225,12 @@
     }
 
     private static MigrationEntry ack(GatewayModel gateway, double sent) {
-        return MigrationEntry.ack(gateway.incarnation(), gateway.view.turn(), sent);
+        return MigrationEntry.ack(gateway.incarnation(), gateway.view.epoch(), sent);
     }
 
     private void send(FleetModel model, GatewayModel gateway) {
         // before, all go to the old group
-        if (!model.mayAct(gateway) || gateway.view.position() < settings.stages) {
+        if (!model.mayAct(gateway) || gateway.view.stepIndex() < settings.stages) {
             return;
         }
         boolean again = model.sentBefore();
@@ -238,7 +238,7 @@
         MigrationRouter route = model.route(gateway);
         for (int to = FleetModel.OLD_GROUP; to <= FleetModel.NEW_GROUP; to++) {
             String group = to == FleetModel.OLD_GROUP ? "a" : "b";
-            if (route.mayGo("needing", 1, retry, group, null, model.clock(gateway))) {
+            if (route.mayRoute("needing", 1, retry, group, null, model.clock(gateway))) {
                 FleetModel next = new FleetModel(model);
                 next.send(to);
                 String what = again ? "retry" : "request";
--- a/lab/src/main/java/tinford/lab/explore/FleetModel.java
+++ b/lab/src/main/java/tinford/lab/explore/FleetModel.java
@@ -55,7 +55,7 @@
         this.settings = settings;
         this.lastCustomer = lastCustomer();
         moves = newMoves();
-        moves.apply(1, MigrationEntry.begin("o", now, plan()).bytes());
+        moves.apply(1, MigrationEntry.begin("o", now, plan()).encode());
         for (int number = 0; number < settings.gateways; number++) {
             gateways.add(new GatewayModel(number, moves.status(), clock(number) + LEASE));
         }
@@ -74,7 +74,7 @@
 
     private static long lastCustomer() {
         long customer = 1;
-        while (MigrationRouter.part(customer, "needed".hashCode()) < 0.5) {
+        while (MigrationRouter.tenantFraction(customer, "needed".hashCode()) < 0.5) {
             customer++;
         }
         return customer;
@@ -86,8 +86,8 @@
     }
 
     private MigrationPlan plan() {
-        MigrationPlan.Mover needing =
-                new MigrationPlan.Mover(
+        MigrationPlan.FrontendMigration needing =
+                new MigrationPlan.FrontendMigration(
                         "needing",
                         "a",
                         "b",
@@ -99,8 +99,8 @@
                         true,
                         settings.retriesTold,
                         WINDOW);
-        MigrationPlan.Mover needed =
-                new MigrationPlan.Mover(
+        MigrationPlan.FrontendMigration needed =
+                new MigrationPlan.FrontendMigration(
                         "needed",
                         "a",
                         "b",
@@ -118,7 +118,7 @@
                 0.1,
                 1,
                 List.of(needing, needed),
-                Map.of("b", new MigrationPlan.Room(2, 2, 0.5)));
+                Map.of("b", new MigrationPlan.GroupCapacity(2, 2, 0.5)));
     }
 
     /** The time by the clock of a gateway. */
@@ -147,12 +147,12 @@
     }
 
     private boolean surelyOver(Incarnation incarnation, double until, double since) {
-        return new Lease(incarnation, until, 0).surelyOver(since, settings.countedClockSkew);
+        return new Lease(incarnation, until, 0).isSurelyExpired(since, settings.countedClockSkew);
     }
 
     MigrationRouter route(GatewayModel gateway) {
         MigrationRouter route = settings.routes.create(gateway.incarnation(), gateway.view);
-        route.see(gateway.view, new Lease(gateway.incarnation(), gateway.leaseSeen, 0), false);
+        route.update(gateway.view, new Lease(gateway.incarnation(), gateway.leaseSeen, 0), false);
         return route;
     }
 
@@ -188,25 +188,25 @@
      */
     void apply(MigrationEntry entry) {
         MigrationStatus before = moves.status();
-        long halts = moves.halts();
-        moves.apply(1, entry.bytes());
+        long halts = moves.haltCount();
+        moves.apply(1, entry.encode());
         MigrationStatus after = moves.status();
-        if (after.turn() != before.turn() || after.position() != before.position()) {
+        if (after.epoch() != before.epoch() || after.stepIndex() != before.stepIndex()) {
             checkChange(before, after);
             gateways.forEach(gateway -> gateway.unread.add(GatewayModel.LogEvent.of(after)));
         } else if (entry.kind() == MigrationEntry.Kind.RESUME
-                && entry.turn() != halts
+                && entry.epoch() != halts
                 && before.state() != after.state()) {
             broken = "a later halt is lifted by a resume that was meant for an earlier one";
         }
     }
 
     private void checkChange(MigrationStatus before, MigrationStatus after) {
-        int by = after.position() - before.position();
+        int by = after.stepIndex() - before.stepIndex();
         if (Math.abs(by) != 1) {
-            broken = "from step " + before.position() + " to " + after.position();
-        } else if (before.back() && by > 0) {
-            broken = "goes back, but forward from " + before.position();
+            broken = "from step " + before.stepIndex() + " to " + after.stepIndex();
+        } else if (before.reverting() && by > 0) {
+            broken = "goes back, but forward from " + before.stepIndex();
         } else if (before.state() == MigrationState.State.HALTED) {
             broken = "moves while halted";
         }
@@ -239,7 +239,8 @@
             if (unread.size() == 1 && !unread.get(0).isGrant() && !acts && !gateway.up) {
                 unread.clear(); // a restart begins its own
             }
-            if (gateway.view.turn() != moves.status().turn() && !settings.rules.counts(1, 0)) {
+            if (gateway.view.epoch() != moves.status().epoch()
+                    && !settings.rules.isCurrentEpoch(1, 0)) {
                 gateway.ackSent = GatewayModel.NEVER;
             }
             gateway.earlier.removeIf(lease -> now - WINDOW >= lease.until() + settings.clockSkew);
@@ -262,10 +263,10 @@
             MigrationRouter route = route(gateway);
             double clock = clock(gateway);
             if (gateway.up && mayAct(gateway)) {
-                least = Math.min(least, gateway.view.position());
-                most = Math.max(most, gateway.view.position());
-                needingMoved |= route.mayGo("needing", 1, false, "b", null, clock);
-                neededNotMoved |= route.mayGo("needed", lastCustomer, false, "a", null, clock);
+                least = Math.min(least, gateway.view.stepIndex());
+                most = Math.max(most, gateway.view.stepIndex());
+                needingMoved |= route.mayRoute("needing", 1, false, "b", null, clock);
+                neededNotMoved |= route.mayRoute("needed", lastCustomer, false, "a", null, clock);
             }
         }
         if (most >= 0 && most - least > 1) {
@@ -277,7 +278,7 @@
 
     /** As its routing says. */
     boolean mayAct(GatewayModel gateway) {
-        return route(gateway).mayAct(clock(gateway));
+        return route(gateway).hasLease(clock(gateway));
     }
 
     /** The same for all states that differ in nothing that matters. */
@@ -294,10 +295,10 @@
         StringBuilder form = new StringBuilder(64);
         MigrationStatus status = moves.status();
         form.append((char) ('A' + status.state().ordinal()))
-                .append(status.back() ? '-' : '+')
-                .append((char) status.position())
-                .append((char) (1 + moves.before()))
-                .append((char) moves.halts())
+                .append(status.reverting() ? '-' : '+')
+                .append((char) status.stepIndex())
+                .append((char) (1 + moves.previousStep()))
+                .append((char) moves.haltCount())
                 .append((char) faults)
                 .append((char) (1 + sentTo))
                 .append((char) (sentBefore() ? now - sentAt : 0));
@@ -310,17 +311,19 @@
 
     /** The longest that may be due at this position: acknowledgements that are older are alike. */
     private double longestWait(MigrationStatus status) {
-        double back = settings.rules.waits(status.plan(), status.position(), true);
+        double back = settings.rules.waitMs(status.plan(), status.stepIndex(), true);
         double forward =
-                status.back() ? 0 : settings.rules.waits(status.plan(), status.position(), false);
+                status.reverting()
+                        ? 0
+                        : settings.rules.waitMs(status.plan(), status.stepIndex(), false);
         return Math.max(back, forward);
     }
 
     private void append(StringBuilder form, GatewayModel gateway, double longestWait) {
         double oldest = -WINDOW - settings.clockSkew;
         form.append(!gateway.up ? 'd' : gateway.cutOff ? 'c' : 'u')
-                .append((char) gateway.view.position())
-                .append(gateway.view.turn() == moves.status().turn() ? '=' : '<');
+                .append((char) gateway.view.stepIndex())
+                .append(gateway.view.epoch() == moves.status().epoch() ? '=' : '<');
         appendTime(form, gateway.leaseSeen - clock(gateway), 0, FARTHEST);
         appendTime(form, gateway.leaseGranted - now, oldest, FARTHEST);
         appendTime(
@@ -333,7 +336,7 @@
             if (event.isGrant()) {
                 appendTime(form.append('g'), event.leaseUntil() - clock(gateway), 0, FARTHEST);
             } else {
-                form.append('p').append((char) event.status().position());
+                form.append('p').append((char) event.status().stepIndex());
             }
         }
         for (GatewayModel.EarlierLease lease : gateway.earlier) {
@@ -344,7 +347,7 @@
     }
 
     private void appendAck(StringBuilder form, Incarnation incarnation, double longestWait) {
-        Double at = moves.acks().get(incarnation);
+        Double at = moves.acknowledgements().get(incarnation);
         appendTime(form, at == null ? FARTHEST_ACK : at - now, -longestWait, FARTHEST_ACK);
     }
 
--- a/lab/src/main/java/tinford/lab/overload/SimulatedGateway.java
+++ b/lab/src/main/java/tinford/lab/overload/SimulatedGateway.java
@@ -159,7 +159,7 @@
     }
 
     private void hear(int from, GossipRecord record) {
-        if (record.newer(heard.get(from))) {
+        if (record.isNewerThan(heard.get(from))) {
             heard.put(from, record);
         }
     }
@@ -307,23 +307,23 @@
     }
 
     @Override
-    public int living() {
+    public int aliveCount() {
         boolean gossips = mode == OverloadSimulation.Mode.GOSSIP;
-        return gossips && simulation.now() > FIRST_GOSSIP_MS ? size() : 1;
+        return gossips && simulation.now() > FIRST_GOSSIP_MS ? fleetSize() : 1;
     }
 
     @Override
-    public boolean lives(int gateway) {
+    public boolean isAlive(int gateway) {
         return true;
     }
 
     @Override
-    public List<Integer> all() {
+    public List<Integer> aliveGateways() {
         return simulation.gatewayNumbers();
     }
 
     @Override
-    public List<GossipRecord> fresh() {
+    public List<GossipRecord> freshRecords() {
         if (freshAt != simulation.now()) {
             freshAt = simulation.now();
             fresh = new ArrayList<>(heard.values());
@@ -332,7 +332,7 @@
     }
 
     @Override
-    public int size() {
+    public int fleetSize() {
         return simulation.gateways().size();
     }
 }
--- a/lab/src/main/java/tinford/lab/scale/BudgetedServersMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/BudgetedServersMeasurement.java
@@ -42,16 +42,20 @@
         BudgetLedger ledger = LeaseDeployment.ledger(GATEWAYS);
         long index = 0;
         for (Incarnation incarnation : LeaseDeployment.incarnations(GATEWAYS, (long) NOW_MS)) {
-            ledger.apply(++index, LeaseTable.renew(incarnation, NOW_MS, LeaseDeployment.LEASE_MS));
+            ledger.apply(
+                    ++index,
+                    LeaseTable.renewalEntry(incarnation, NOW_MS, LeaseDeployment.LEASE_MS));
         }
         long started = System.nanoTime();
         for (int server = 0; server < servers; server++) {
             String id = "10." + server / 65536 + "." + server / 256 % 256 + "." + server % 256;
             int offered = LeaseDeployment.CONNECTIONS_OFFERED;
-            ledger.apply(++index, new LedgerEntry.Offer(id + ":8080", 1, offered, NOW_MS).bytes());
+            ledger.apply(
+                    ++index,
+                    new LedgerEntry.CapacityOffer(id + ":8080", 1, offered, NOW_MS).encode());
         }
         double offersMs = (System.nanoTime() - started) / 1e6;
-        double taken = servers - ledger.stale();
+        double taken = servers - ledger.staleEntries();
         return new Sample(
                 Map.of("servers_taken", taken, "snapshot_bytes", (double) ledger.snapshot().length),
                 Map.of("offer_us", 1000 * offersMs / servers, "share_taken", taken / servers));
--- a/lab/src/main/java/tinford/lab/scale/GossipFleet.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipFleet.java
@@ -108,7 +108,7 @@
 
     private void receive(GossipMembership to, int from, byte[] message) {
         long started = System.nanoTime();
-        to.heard(message, from, network.now());
+        to.receive(message, from, network.now());
         receiveNanos += System.nanoTime() - started;
         received++;
     }
@@ -161,8 +161,8 @@
         GossipMembership own = members[gateway];
         GossipRecord record = record(own.incarnation(gateway), sequence[gateway]++);
         long started = System.nanoTime();
-        own.own(record, now);
-        own.round(now, transports[gateway]);
+        own.setOwnRecord(record, now);
+        own.sendRound(now, transports[gateway]);
         sendNanos += System.nanoTime() - started;
     }
 
@@ -170,10 +170,10 @@
     static GossipRecord record(Incarnation incarnation, int sequence) {
         GossipRecord record = new GossipRecord(incarnation, sequence);
         for (int worth = 4; worth < 14; worth++) {
-            record.asked[worth] = 10;
-            record.sent[worth] = worth < 9 ? 0 : worth == 9 ? 3 : 10;
+            record.offeredUnits[worth] = 10;
+            record.admittedUnits[worth] = worth < 9 ? 0 : worth == 9 ? 3 : 10;
         }
-        record.first = 50;
+        record.firstAttempts = 50;
         return record;
     }
 
@@ -202,7 +202,7 @@
 
     private boolean countsThoseThatRun(int observer) {
         for (int other = 0; other < members.length; other++) {
-            if (members[observer].lives(other) == stopped[other]) {
+            if (members[observer].isAlive(other) == stopped[other]) {
                 return false;
             }
         }
@@ -228,7 +228,7 @@
             for (int other = 0; other < members.length; other++) {
                 if (other != observer && !stopped[observer] && !stopped[other]) {
                     pairs++;
-                    wrong += members[observer].lives(other) ? 0 : 1;
+                    wrong += members[observer].isAlive(other) ? 0 : 1;
                 }
             }
         }
@@ -249,7 +249,7 @@
                                 && !stopped[other]
                                 && members[observer].incarnation(other) != null;
                 if (counted) {
-                    silences.add(members[observer].silent(other));
+                    silences.add(members[observer].silenceMs(other));
                 }
             }
         }
--- a/lab/src/main/java/tinford/lab/scale/GossipSocketsMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipSocketsMeasurement.java
@@ -139,11 +139,11 @@
 
         void round(double now) {
             for (Message message; (message = inbox.poll()) != null; ) {
-                members.heard(message.bytes(), message.from(), now);
+                members.receive(message.bytes(), message.from(), now);
                 taken++;
             }
-            members.own(GossipFleet.record(incarnation, sequence++), now);
-            members.round(now, transport);
+            members.setOwnRecord(GossipFleet.record(incarnation, sequence++), now);
+            members.sendRound(now, transport);
         }
 
         @Override
--- a/lab/src/main/java/tinford/lab/scale/GrantEntryMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GrantEntryMeasurement.java
@@ -77,16 +77,20 @@
         List<Incarnation> incarnations = LeaseDeployment.incarnations(gateways, (long) NOW_MS);
         long index = 0;
         for (Incarnation incarnation : incarnations) {
-            ledger.apply(++index, LeaseTable.renew(incarnation, NOW_MS, LeaseDeployment.LEASE_MS));
             ledger.apply(
                     ++index,
-                    new LedgerEntry.Tell(incarnation, NOW_MS, 0, wanted, Map.of()).bytes());
+                    LeaseTable.renewalEntry(incarnation, NOW_MS, LeaseDeployment.LEASE_MS));
+            ledger.apply(
+                    ++index,
+                    new LedgerEntry.DemandReport(incarnation, NOW_MS, 0, wanted, Map.of())
+                            .encode());
         }
         int servers = (int) Math.ceil(gateways * SERVERS_PER_GATEWAY);
-        for (int server = 0; server < Math.min(servers, BudgetLedger.MOST_SERVERS); server++) {
+        for (int server = 0; server < Math.min(servers, BudgetLedger.MAX_SERVERS); server++) {
             int offered = LeaseDeployment.CONNECTIONS_OFFERED;
             ledger.apply(
-                    ++index, new LedgerEntry.Offer("server-" + server, 1, offered, NOW_MS).bytes());
+                    ++index,
+                    new LedgerEntry.CapacityOffer("server-" + server, 1, offered, NOW_MS).encode());
         }
         return ledger;
     }
--- a/lab/src/main/java/tinford/lab/scale/LeaseRenewals.java
+++ b/lab/src/main/java/tinford/lab/scale/LeaseRenewals.java
@@ -86,7 +86,7 @@
 
     private void tick(Gateway gateway) {
         while (gateway.nextTick <= now) {
-            for (byte[] entry : gateway.share.round(gateway.nextTick)) {
+            for (byte[] entry : gateway.share.nextEntries(gateway.nextTick)) {
                 entries++;
                 entryBytes += entry.length;
                 gateway.log.append(entry);
@@ -117,7 +117,7 @@
 
     /** How many gateways hold a lease now. */
     long holders() {
-        return gateways.stream().filter(gateway -> gateway.share.holds(now)).count();
+        return gateways.stream().filter(gateway -> gateway.share.hasLease(now)).count();
     }
 
     /** The bytes of one member's snapshot. */
--- a/lab/src/main/java/tinford/lab/scale/RaftRenewalMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/RaftRenewalMeasurement.java
@@ -71,7 +71,7 @@
         for (Renewal renewal : renewals) {
             sleepUntil(started, renewal.atMs());
             byte[] entry =
-                    LeaseTable.renew(
+                    LeaseTable.renewalEntry(
                             renewal.incarnation(), renewal.atMs(), LeaseDeployment.LEASE_MS);
             bytes += entry.length;
             under.add(
--- a/lab/src/test/java/tinford/lab/explore/ExplorerTest.java
+++ b/lab/src/test/java/tinford/lab/explore/ExplorerTest.java
@@ -59,7 +59,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            public boolean acked(
+                            public boolean allAcknowledged(
                                     LeaseHolders m, Map<Incarnation, Double> acks, double since) {
                                 return true;
                             }
@@ -73,7 +73,7 @@
                                 rules(
                                         new TransitionRules() {
                                             @Override
-                                            public boolean counts(long turn, long of) {
+                                            public boolean isCurrentEpoch(long turn, long of) {
                                                 return true;
                                             }
                                         }))
@@ -94,9 +94,9 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            public boolean acked(
+                            public boolean allAcknowledged(
                                     LeaseHolders m, Map<Incarnation, Double> acks, double since) {
-                                return super.acked(m, acks, since) && acks.size() > 2;
+                                return super.allAcknowledged(m, acks, since) && acks.size() > 2;
                             }
                         })
             },
@@ -106,8 +106,8 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            public boolean next(int from, int to, boolean back) {
-                                return super.next(from, to, back) || !back && to == from + 2;
+                            public boolean isNextStep(int from, int to, boolean back) {
+                                return super.isNextStep(from, to, back) || !back && to == from + 2;
                             }
                         })
             },
@@ -117,7 +117,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            public boolean next(int from, int to, boolean back) {
+                            public boolean isNextStep(int from, int to, boolean back) {
                                 return to == from + 1 || back && to == from - 1;
                             }
                         })
@@ -128,7 +128,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            public boolean next(int from, int to, boolean back) {
+                            public boolean isNextStep(int from, int to, boolean back) {
                                 return back ? to < from : to == from + 1;
                             }
                         })
@@ -139,7 +139,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            public boolean returns(int before, int position, int to) {
+                            public boolean isReturn(int before, int position, int to) {
                                 return to < position;
                             }
                         })
@@ -150,7 +150,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            public double waits(MigrationPlan plan, int at, boolean back) {
+                            public double waitMs(MigrationPlan plan, int at, boolean back) {
                                 return 0;
                             }
                         })
@@ -161,7 +161,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            public int resumed(int position) {
+                            public int stepAfterResume(int position) {
                                 return position + 1;
                             }
                         })
@@ -172,7 +172,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            public boolean lifts(boolean halted, long halts, long seen) {
+                            public boolean liftsHalt(boolean halted, long halts, long seen) {
                                 return halted;
                             }
                         })
@@ -188,7 +188,7 @@
                                                         new MigrationRouter(
                                                                 incarnation, status, 1) {
                                                             @Override
-                                                            public boolean mayAct(double now) {
+                                                            public boolean hasLease(double now) {
                                                                 return true;
                                                             }
                                                         })
@@ -202,17 +202,17 @@
                                         (incarnation, status) ->
                                                 new MigrationRouter(incarnation, status, 1) {
                                                     @Override
-                                                    protected String goes(
-                                                            MigrationPlan.Mover m,
-                                                            MigrationStep.Part part,
+                                                    protected String targetGroup(
+                                                            MigrationPlan.FrontendMigration m,
+                                                            MigrationStep.FrontendShare part,
                                                             double at,
                                                             boolean retry) {
-                                                        return at < part.until()
+                                                        return at < part.movingShare()
                                                                         && part.phase()
                                                                                 != MigrationStep
                                                                                         .Phase.HOLD
-                                                                ? m.to()
-                                                                : m.from();
+                                                                ? m.targetGroup()
+                                                                : m.sourceGroup();
                                                     }
                                                 }
             },
@@ -227,12 +227,14 @@
                                                         new MigrationRouter(
                                                                 incarnation, status, 1) {
                                                             @Override
-                                                            protected String goes(
-                                                                    MigrationPlan.Mover m,
-                                                                    MigrationStep.Part part,
+                                                            protected String targetGroup(
+                                                                    MigrationPlan.FrontendMigration
+                                                                            m,
+                                                                    MigrationStep.FrontendShare
+                                                                            part,
                                                                     double at,
                                                                     boolean retry) {
-                                                                return super.goes(
+                                                                return super.targetGroup(
                                                                         m, part, at, false);
                                                             }
                                                         })
--- a/lab/src/test/java/tinford/lab/scale/LogMeasurementsTest.java
+++ b/lab/src/test/java/tinford/lab/scale/LogMeasurementsTest.java
@@ -58,10 +58,10 @@
     @Test
     public void theLedgerTakesNoMoreServersThanItsBound() {
         BudgetedServersMeasurement measurement = new BudgetedServersMeasurement();
-        int tooMany = BudgetLedger.MOST_SERVERS + 100;
+        int tooMany = BudgetLedger.MAX_SERVERS + 100;
         assertEquals(
-                taken(measurement, BudgetLedger.MOST_SERVERS), (double) BudgetLedger.MOST_SERVERS);
-        assertEquals(taken(measurement, tooMany), (double) BudgetLedger.MOST_SERVERS);
+                taken(measurement, BudgetLedger.MAX_SERVERS), (double) BudgetLedger.MAX_SERVERS);
+        assertEquals(taken(measurement, tooMany), (double) BudgetLedger.MAX_SERVERS);
     }
 
     private static double taken(BudgetedServersMeasurement measurement, int servers) {
