--- a/gateway/src/main/java/tinford/program/GatewayComponents.java
+++ b/gateway/src/main/java/tinford/program/GatewayComponents.java
@@ -8,14 +8,15 @@
 import tinford.api.AttemptLimits;
 import tinford.api.CounterSettings;
 import tinford.api.DecisionModule;
-import tinford.routing.AdminApi;
-import tinford.routing.Catalog;
-import tinford.routing.ClientPool;
-import tinford.routing.CounterClient;
-import tinford.routing.DiscoveryWatch;
-import tinford.routing.PeerMessenger;
-import tinford.routing.RequestDispatcher;
-import tinford.routing.ServerPool;
+import tinford.routing.admin.AdminApi;
+import tinford.routing.catalog.Catalog;
+import tinford.routing.client.ClientLimits;
+import tinford.routing.client.ClientPool;
+import tinford.routing.counter.CounterClient;
+import tinford.routing.discovery.DiscoveryWatch;
+import tinford.routing.dispatch.RequestDispatcher;
+import tinford.routing.peer.PeerMessenger;
+import tinford.routing.upstream.ServerPool;
 import tinford.settings.JsonFields;
 import tinford.settings.SettingsReader;
 import tinford.transport.DescriptorBudget;
@@ -71,7 +72,7 @@
         watch = createWatch(json);
         PeerMessenger peers =
                 limits.gossipAllowed() && !hasFleetExtension ? createPeerMessenger() : null;
-        dispatcher.seat(clients, servers, counter, watch, peers);
+        dispatcher.attach(clients, servers, counter, watch, peers);
         HandoverLock lock = configuration.hasAdminApi() ? openLock(sharedFolder) : null;
         adminApi = configuration.hasAdminApi() ? createAdminApi(lock) : null;
         handover =
@@ -94,6 +95,7 @@
 
     private ServerPool createServerPool() {
         return new ServerPool(
+                dispatcher,
                 dispatcher,
                 connectTimeoutMs,
                 idleTimeoutMs,
@@ -105,16 +107,19 @@
         Catalog catalog =
                 new Catalog(
                         SettingsReader.requestClasses(settings), SettingsReader.plans(settings));
-        return new ClientPool(
-                dispatcher,
-                catalog,
-                SettingsReader.gatewayIdentity(settings).gatewayCount(),
-                SettingsReader.maxRequestUnits(settings),
-                idleTimeoutMs,
-                SettingsReader.maxOpenRequests(settings),
-                budgets.bufferBytes(),
-                dispatcher.loop.descriptorBudget().limit(DescriptorBudget.PeerKind.CLIENTS),
-                budgets.idleClientThreshold());
+        ClientLimits limits =
+                new ClientLimits(
+                        SettingsReader.gatewayIdentity(settings).gatewayCount(),
+                        SettingsReader.maxRequestUnits(settings),
+                        idleTimeoutMs,
+                        SettingsReader.maxOpenRequests(settings),
+                        budgets.bufferBytes(),
+                        dispatcher
+                                .loop()
+                                .descriptorBudget()
+                                .limit(DescriptorBudget.PeerKind.CLIENTS),
+                        budgets.idleClientThreshold());
+        return new ClientPool(dispatcher, catalog, limits);
     }
 
     private CounterClient createCounter() {
@@ -136,7 +141,7 @@
                 dispatcher,
                 configuration.address("discovery"),
                 connectTimeoutMs,
-                servers,
+                servers::updateEndpoints,
                 json,
                 endpointList.integer("seq", 0),
                 new Random(configuration.seed()));
