--- a/gateway/src/test/java/tinford/routing/client/ConnectionReclaimTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionReclaimTest.java
@@ -19,10 +19,10 @@
 import tinford.api.DecisionModule;
 import tinford.api.Idempotency;
 import tinford.api.Request;
-import tinford.decision.DecisionFixture;
 import tinford.routing.RoutingFixtures;
 import tinford.routing.dispatch.RequestDispatcher;
 import tinford.testing.FreePort;
+import tinford.testing.IgnoredEvents;
 
 /** Connections closed for others, or at the end, while something is on them. */
 public class ConnectionReclaimTest {
@@ -40,7 +40,7 @@
         DecisionModule failing =
                 (now, batch, actions) ->
                         batch.replay(
-                                new DecisionFixture.Deaf() {
+                                new IgnoredEvents() {
                                     @Override
                                     public void requestArrived(Request request) {
                                         actions.fail(request);
--- a/gateway/src/test/java/tinford/routing/upstream/ServerResponseTest.java
+++ b/gateway/src/test/java/tinford/routing/upstream/ServerResponseTest.java
@@ -31,12 +31,12 @@
 import tinford.api.Idempotency;
 import tinford.api.Request;
 import tinford.api.Server;
-import tinford.decision.DecisionFixture;
 import tinford.routing.RoutingFixtures;
 import tinford.routing.client.ClientPool;
 import tinford.routing.client.ClientRequest;
 import tinford.routing.dispatch.RequestDispatcher;
 import tinford.testing.FreePort;
+import tinford.testing.IgnoredEvents;
 
 /**
  * Responses that arrive in the very batch in which an attempt times out or the next one is sent.
@@ -102,7 +102,7 @@
     }
 
     /** Notes what arrives and ends; a request whose attempt ended without an answer fails. */
-    private final class Recorder extends DecisionFixture.Deaf {
+    private final class Recorder extends IgnoredEvents {
         @Override
         public void endpointsUpdated(List<Server> entries, boolean complete) {
             server = entries.get(0);
