--- a/fleet/src/main/java/tinford/fleet/control/ControlClient.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlClient.java
@@ -11,16 +11,21 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** Asks one control server after the other, for the operator's commands. */
+/** Sends requests to control servers, for the operator's commands. */
 final class ControlClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
-    /** Longer than a voter waits for a decision. */
+    /** Longer than a voter takes to decide a proposal. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(12);
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** An answer: its status code, and its body as JSON, which is missing where it is none. */
+    /**
+     * The response to a request.
+     *
+     * @param status HTTP status code
+     * @param body a missing node if the body is empty or is not JSON
+     */
     record Response(int status, JsonNode body) {}
 
     private final HttpClient http =
--- a/fleet/src/main/java/tinford/fleet/control/ControlRole.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlRole.java
@@ -3,15 +3,18 @@
 import java.util.concurrent.CompletableFuture;
 import tinford.fleet.config.Proposal;
 
-/** What makes a control server a voter or a replica; feeds the {@link RevisionFeed}. */
+/** The part of a control server that differs between a voter and a replica. */
 interface ControlRole extends AutoCloseable {
-    /** Completes within a bounded time, never exceptionally; no call waits. */
+    /**
+     * Proposes a change, without blocking. The result completes within a bounded time, and never
+     * exceptionally.
+     */
     CompletableFuture<ProposalResult> propose(Proposal proposal);
 
-    /** Whether this server leads the voters, as far as it knows. */
+    /** Whether this server leads the voters, to its knowledge. */
     boolean isLeader();
 
-    /** The leader's term as this server knows it; 0 for a replica. */
+    /** The highest term that this server knows; 0 for a replica. */
     long term();
 
     @Override
--- a/fleet/src/main/java/tinford/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlServer.java
@@ -21,13 +21,13 @@
  * #OTHER_CONNECTIONS}.
  */
 public final class ControlServer implements AutoCloseable {
-    /** Of one follower: its watch, and the connection that it reports over. */
+    /** The watch of a follower, and the connection for its reports. */
     static final int CONNECTIONS_PER_FOLLOWER = 2;
 
-    /** Connections beside those of followers. */
+    /** Connections for anything but followers. */
     static final int OTHER_CONNECTIONS = 128;
 
-    /** Any request but a watch is answered, and its answer taken in, within this. */
+    /** Any request but a watch is received, and its response sent, within this time. */
     static final int EXCHANGE_TIMEOUT_MS = 15_000;
 
     private static final int IO_THREADS = 2;
@@ -36,14 +36,14 @@
     private static final int MAX_HEADERS = 32;
     private static final int MAX_PARAMETERS = 8;
 
-    /** Of one connection, in the operating system. */
+    /** The operating system's buffer of one connection. */
     private static final int SEND_BUFFER_BYTES = 64 << 10;
 
     private static final int REQUEST_HEAD_TIMEOUT_MS = 5000;
     private static final int IDLE_CONNECTION_TIMEOUT_MS = 60_000;
     private static final int SHUTDOWN_TIMEOUT_MS = 2000;
 
-    /** Makes the role that feeds the server. */
+    /** Creates the role, which publishes revisions to the feed. */
     interface RoleFactory {
         ControlRole create(RevisionFeed feed) throws IOException;
     }
@@ -83,7 +83,11 @@
         ControlLog.started(settings, address.getPort());
     }
 
-    /** Starts a server; whether there is a quorum shows later. */
+    /**
+     * Starts a server; returns before there is a quorum.
+     *
+     * @throws IOException if the log can't be opened or the address can't be bound
+     */
     public static ControlServer start(ControlSettings settings) throws IOException {
         return start(settings, feed -> newRole(settings, feed));
     }
@@ -156,12 +160,12 @@
         return new ExchangeDeadline(EXCHANGE_TIMEOUT_MS, handler);
     }
 
-    /** Where HTTP is served. */
+    /** The address at which HTTP is served. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Ends the watches, then the role with its log. */
+    /** Ends the watches, then closes the role with its log. */
     @Override
     public synchronized void close() {
         if (closed) {
--- a/fleet/src/main/java/tinford/fleet/control/ControlSettings.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlSettings.java
@@ -7,11 +7,11 @@
 import tinford.fleet.config.Endpoint;
 
 /**
- * What one control server is started with.
+ * The settings of one control server.
  *
- * @param fleet followers and snapshots of another fleet are refused
- * @param name of this server, the same over restarts
- * @param listen where it serves HTTP; port 0 for any that is free
+ * @param fleet followers and snapshots of any other fleet are rejected
+ * @param name of this server; stays the same over restarts
+ * @param listen the address at which HTTP is served; port 0 for any free one
  * @param maxFollowers watches at once, at most
  * @param timing of the watches
  * @param voters null for a replica
@@ -33,12 +33,12 @@
     }
 
     /**
-     * A voter's part in the quorum.
+     * The settings of a voter.
      *
      * @param number of this voter
-     * @param members where each voter serves the log, by number
-     * @param leaderTimeoutMs a leader that is silent for as long is replaced
-     * @param decisionTimeoutMs a proposal that is not decided by then is answered as unavailable
+     * @param members the addresses at which the voters serve the log, by number
+     * @param leaderTimeoutMs a leader that is silent for this time is replaced
+     * @param decisionTimeoutMs a proposal that is not decided within this time is unavailable
      */
     public record VoterSettings(
             int number,
@@ -47,14 +47,14 @@
             long decisionTimeoutMs) {}
 
     /**
-     * How long a follower may take, and how often it hears from the server.
+     * The intervals and timeouts of watches.
      *
-     * @param heartbeatIntervalMs between two lines, at most
-     * @param stallTimeoutMs a follower that takes in nothing for as long is closed
-     * @param lineTimeoutMs a follower that does not finish one line in as long is closed
+     * @param heartbeatIntervalMs the longest time between two lines
+     * @param stallTimeoutMs a follower that accepts no bytes for this time is disconnected
+     * @param lineTimeoutMs a follower that does not accept a line within this time is disconnected
      */
     public record WatchTiming(long heartbeatIntervalMs, long stallTimeoutMs, long lineTimeoutMs) {
-        /** What a server uses where its operator file says nothing else. */
+        /** The timing unless the operator file sets another one. */
         public static final WatchTiming DEFAULT = new WatchTiming(1000, 5000, 15_000);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
@@ -4,6 +4,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.regex.Pattern;
@@ -17,7 +18,7 @@
 import tinford.fleet.settings.SettingsSchema;
 import tinford.routing.Addresses;
 
-/** Reads a control server's operator file; every fault is told at once. */
+/** Reads a control server's operator file; all errors are reported at once. */
 final class ControlSettingsReader {
     private static final SettingsSchema SCHEMA =
             new SettingsSchema()
@@ -143,11 +144,11 @@
     private List<Endpoint> upstream() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (String text : settings.texts("replica.upstream")) {
-            Endpoint endpoint = EndpointText.parse(text);
-            if (endpoint == null) {
-                addError("replica.upstream", EndpointText.FORM + ", not " + text);
+            Optional<Endpoint> endpoint = EndpointText.parse(text);
+            if (endpoint.isPresent()) {
+                endpoints.add(endpoint.get());
             } else {
-                endpoints.add(endpoint);
+                addError("replica.upstream", EndpointText.FORM + ", not " + text);
             }
         }
         if (endpoints.isEmpty()) {
--- a/fleet/src/main/java/tinford/fleet/control/EnterCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/EnterCommand.java
@@ -72,7 +72,7 @@
         try {
             tree = MAPPER.readTree(content);
         } catch (JsonProcessingException e) {
-            return content; // the codec tells what is wrong with it
+            return content; // the codec reports the error
         }
         if (!(tree instanceof ObjectNode object) || object.has("id")) {
             return content;
--- a/fleet/src/main/java/tinford/fleet/control/ExchangeDeadline.java
+++ b/fleet/src/main/java/tinford/fleet/control/ExchangeDeadline.java
@@ -6,7 +6,7 @@
 import org.xnio.IoUtils;
 import org.xnio.XnioExecutor;
 
-/** Closes the connection of a request that is not read, answered and written within a time. */
+/** Closes the connection of an exchange that is not complete within a timeout. */
 final class ExchangeDeadline implements HttpHandler {
     private final long timeoutMs;
     private final HttpHandler next;
--- a/fleet/src/main/java/tinford/fleet/control/FleetStatus.java
+++ b/fleet/src/main/java/tinford/fleet/control/FleetStatus.java
@@ -11,11 +11,15 @@
 import java.util.TreeMap;
 
 /**
- * What all control servers say about themselves and their followers, joined: of each follower the
- * report that came last.
+ * The status of all control servers and of their followers. Of a follower that reported to several
+ * servers, the latest report counts.
  */
 final class FleetStatus {
-    /** One server; {@code failure} is null where it answered. */
+    /**
+     * One control server.
+     *
+     * @param failure why it was not reached; null if it was
+     */
     record Server(
             InetSocketAddress address,
             String failure,
@@ -27,13 +31,18 @@
             int followers,
             long pendingBytes) {}
 
-    /** One follower's latest report. */
+    /**
+     * One follower's latest report.
+     *
+     * @param rejectionReason null if the last revision offered to it is in force
+     */
     record Follower(
             String name, String region, long revision, String rejectionReason, long ageMs) {}
 
     private final List<Server> servers = new ArrayList<>();
     private final SortedMap<String, Follower> followers = new TreeMap<>();
 
+    /** Requests the status of each server, one after another. */
     static FleetStatus fetch(List<InetSocketAddress> addresses) throws InterruptedException {
         ControlClient client = new ControlClient();
         FleetStatus status = new FleetStatus();
@@ -100,19 +109,19 @@
         return servers.stream().anyMatch(Server::isLeader);
     }
 
-    /** The latest revision that any server holds. */
+    /** The latest revision of any server. */
     long revision() {
         return servers.stream().mapToLong(Server::revision).max().orElse(0);
     }
 
-    /** Servers that did not answer or hold an earlier revision. */
+    /** Servers that were not reached or have an earlier revision. */
     List<Server> laggingServers() {
         return servers.stream()
                 .filter(server -> server.failure() != null || server.revision() < revision())
                 .toList();
     }
 
-    /** Followers at an earlier revision or with a refusal, the furthest behind first. */
+    /** Followers with an earlier revision or a rejection, the furthest behind first. */
     List<Follower> laggingFollowers() {
         return followers.values().stream()
                 .filter(each -> each.revision() < revision() || each.rejectionReason() != null)
@@ -120,14 +129,14 @@
                 .toList();
     }
 
-    /** How many followers hold which revision, the latest first. */
+    /** The number of followers by revision, the latest revision first. */
     SortedMap<Long, Integer> countByRevision() {
         SortedMap<Long, Integer> counts = new TreeMap<>(Comparator.reverseOrder());
         followers.values().forEach(each -> counts.merge(each.revision(), 1, Integer::sum));
         return counts;
     }
 
-    /** By region, how many followers are known. */
+    /** The number of known followers by region. */
     Map<String, Integer> countByRegion() {
         Map<String, Integer> counts = new TreeMap<>();
         followers.values().forEach(each -> counts.merge(each.region(), 1, Integer::sum));
--- a/fleet/src/main/java/tinford/fleet/control/FollowerReports.java
+++ b/fleet/src/main/java/tinford/fleet/control/FollowerReports.java
@@ -4,9 +4,9 @@
 import tinford.fleet.config.FollowerReport;
 import tinford.fleet.config.FollowerTable;
 
-/** What followers have reported here, with the time of this process. Thread-safe. */
+/** The reports of followers to this server, on this process's clock. Thread-safe. */
 final class FollowerReports {
-    /** A follower that has not reported for as long is forgotten. */
+    /** A report is kept for this time unless a later one replaces it. */
     static final double EXPIRY_MS = 60_000;
 
     private final FollowerTable table;
@@ -15,16 +15,16 @@
         table = new FollowerTable(capacity, EXPIRY_MS);
     }
 
-    static double now() {
+    static double nowMs() {
         return System.nanoTime() / 1e6;
     }
 
-    /** False when the table is full of others. */
+    /** Stores a report; false if the table is full of other followers. */
     synchronized boolean report(FollowerReport report) {
-        return table.report(report, now());
+        return table.report(report, nowMs());
     }
 
     synchronized List<FollowerTable.Entry> entries() {
-        return table.entries(now());
+        return table.entries(nowMs());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/FollowersHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/FollowersHandler.java
@@ -9,7 +9,7 @@
 import tinford.fleet.config.FollowerReport;
 import tinford.fleet.config.FollowerTable;
 
-/** {@code GET /followers}: which follower holds which revision, as reported to this server. */
+/** {@code GET /followers}: the revision of each follower, as reported to this server. */
 final class FollowersHandler implements HttpHandler {
     private final RevisionFeed feed;
     private final WatchHub hub;
@@ -23,7 +23,7 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        double now = FollowerReports.now();
+        double nowMs = FollowerReports.nowMs();
         Set<String> connected = hub.followers();
         ObjectNode body = JsonResponse.newObject().put("revision", feed.current().revision());
         ArrayNode followers = body.putArray("followers");
@@ -35,7 +35,7 @@
                     .put("region", report.region())
                     .put("revision", report.revision())
                     .put("refusal", report.rejectionReason())
-                    .put("ageMs", Math.max(0, Math.round(now - entry.reportedAt())))
+                    .put("ageMs", Math.max(0, Math.round(nowMs - entry.reportedAt())))
                     .put("connected", connected.contains(report.follower()));
         }
         JsonResponse.send(exchange, StatusCodes.OK, body);
--- a/fleet/src/main/java/tinford/fleet/control/JsonResponse.java
+++ b/fleet/src/main/java/tinford/fleet/control/JsonResponse.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import tinford.fleet.config.ValidationError;
 
-/** Sends answers of one JSON object. */
+/** Sends responses of one JSON object. */
 final class JsonResponse {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -35,7 +35,7 @@
         try {
             bytes = MAPPER.writeValueAsBytes(body);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a tree is always written", e);
+            throw new IllegalStateException("a JSON tree can always be written", e);
         }
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
--- a/fleet/src/main/java/tinford/fleet/control/Main.java
+++ b/fleet/src/main/java/tinford/fleet/control/Main.java
@@ -19,7 +19,7 @@
 
     private Main() {}
 
-    /** A command line to run; exit codes are those of {@code docs/configuration.md}. */
+    /** The command line; its exit codes are those of {@link ExitCode}. */
     static CommandLine commandLine() {
         return new CommandLine(new Main()).setExitCodeExceptionMapper(Main::exitCode);
     }
--- a/fleet/src/main/java/tinford/fleet/control/PendingProposals.java
+++ b/fleet/src/main/java/tinford/fleet/control/PendingProposals.java
@@ -6,28 +6,28 @@
 import tinford.fleet.control.ProposalResult.CommitStatus;
 import tinford.fleet.control.ProposalResult.Unavailable;
 
-/** Proposals that were made here and are not decided yet, by id. Thread-safe. */
+/** Proposals that were made at this server and are not decided yet, by id. Thread-safe. */
 final class PendingProposals {
-    /** Proposals that wait at once. */
+    /** The largest number of undecided proposals. */
     static final int CAPACITY = 64;
 
-    private final Map<String, CompletableFuture<ProposalResult>> waiting = new HashMap<>();
+    private final Map<String, CompletableFuture<ProposalResult>> results = new HashMap<>();
 
     /**
-     * The result of the proposal: done already where too many wait, or where the same one does, as
-     * then it is sent again later.
+     * The result of a new proposal. It is already complete, as unavailable, if too many proposals
+     * are pending or one with the same id is; the proposer then retries later.
      */
     CompletableFuture<ProposalResult> add(String id) {
         CompletableFuture<ProposalResult> result = new CompletableFuture<>();
         synchronized (this) {
-            if (waiting.size() >= CAPACITY) {
+            if (results.size() >= CAPACITY) {
                 result.complete(
                         new Unavailable(
                                 CommitStatus.NOT_COMMITTED,
                                 CAPACITY + " proposals wait here already"));
                 return result;
             }
-            if (waiting.putIfAbsent(id, result) != null) {
+            if (results.putIfAbsent(id, result) != null) {
                 result.complete(
                         new Unavailable(
                                 CommitStatus.UNKNOWN, "a proposal with this id waits already"));
@@ -39,14 +39,14 @@
     }
 
     private synchronized void remove(String id, CompletableFuture<ProposalResult> result) {
-        waiting.remove(id, result);
+        results.remove(id, result);
     }
 
-    /** Completes the one with that id, if it waits here. */
+    /** Completes the proposal with this id, if it was made at this server. */
     void complete(String id, ProposalResult decision) {
         CompletableFuture<ProposalResult> result;
         synchronized (this) {
-            result = waiting.get(id);
+            result = results.get(id);
         }
         if (result != null) {
             result.complete(decision);
--- a/fleet/src/main/java/tinford/fleet/control/ProposalHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/ProposalHandler.java
@@ -16,7 +16,7 @@
 import tinford.fleet.control.ProposalResult.Decided;
 import tinford.fleet.control.ProposalResult.Unavailable;
 
-/** {@code POST /proposals}: changes of the configuration. */
+/** {@code POST /proposals}: proposes a change of the configuration. */
 final class ProposalHandler implements HttpHandler {
     private final ControlRole role;
 
@@ -24,7 +24,7 @@
         this.role = role;
     }
 
-    /** Holds the bodies of {@link PendingProposals#CAPACITY} at once; as many more wait unread. */
+    /** Reads {@link PendingProposals#CAPACITY} bodies at once; as many more requests wait. */
     static HttpHandler limited(ControlRole role) {
         RequestLimit limit = new RequestLimit(PendingProposals.CAPACITY, PendingProposals.CAPACITY);
         limit.setFailureHandler(
@@ -43,7 +43,7 @@
                 body -> exchange.dispatch(() -> propose(exchange, body)));
     }
 
-    /** On a worker thread: a large body takes a while to read. */
+    /** On a worker thread, since parsing a large body takes a while. */
     private void propose(HttpServerExchange exchange, byte[] body) {
         Proposal proposal;
         try {
--- a/fleet/src/main/java/tinford/fleet/control/ProposalSender.java
+++ b/fleet/src/main/java/tinford/fleet/control/ProposalSender.java
@@ -11,10 +11,11 @@
 import java.util.concurrent.TimeUnit;
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.Proposal;
+import tinford.fleet.control.ProposalResult.CommitStatus;
 
 /**
- * Sends a proposal to one server after the other until it is decided. It carries the same id each
- * time, so it comes into force once at most.
+ * Sends a proposal to one server after another until it is decided. It has the same id in each
+ * attempt, so it takes effect at most once.
  */
 final class ProposalSender {
     private static final long RETRY_INTERVAL_MS = 200;
@@ -32,7 +33,11 @@
         this.err = err;
     }
 
-    /** Returns an {@link ExitCode}. */
+    /**
+     * Prints the decision, or why there is none.
+     *
+     * @return an {@link ExitCode}
+     */
     int send(Proposal proposal, long timeoutMs) throws InterruptedException {
         byte[] body = ConfigurationCodec.encode(proposal);
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
@@ -49,7 +54,7 @@
         return ExitCode.UNAVAILABLE;
     }
 
-    /** Null where that server could not decide. */
+    /** The decision of that server; null if it could not decide. */
     private ControlClient.Response sendTo(InetSocketAddress server, byte[] body)
             throws InterruptedException {
         String name = server.getHostString() + ":" + server.getPort();
@@ -58,15 +63,16 @@
             if (response.status() != StatusCodes.SERVICE_UNAVAILABLE) {
                 return response;
             }
-            boolean surelyNot = response.body().path("taken").asText().equals("no");
-            recordFailure(!surelyNot, name + ": " + response.body().path("reason").asText());
+            String commitStatus = response.body().path("taken").asText();
+            boolean notCommitted = commitStatus.equals(CommitStatus.NOT_COMMITTED.wireName());
+            recordFailure(!notCommitted, name + ": " + response.body().path("reason").asText());
         } catch (IOException e) {
             recordFailure(mayHaveArrived(e), name + ": " + e);
         }
         return null;
     }
 
-    /** The reason of a server that may have taken it tells more than that of one that did not. */
+    /** The failure of a server that may have committed it is kept over that of one that did not. */
     private void recordFailure(boolean maybe, String failure) {
         if (maybe || !maybeCommitted) {
             reason = failure;
--- a/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
+++ b/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
@@ -7,7 +7,6 @@
 
 /** Reads the query of a request for a watch. */
 final class QueryParameters {
-
     private QueryParameters() {}
 
     static WatchRequest watchRequest(HttpServerExchange exchange, String ownFleet)
@@ -38,7 +37,7 @@
                 return revision;
             }
         } catch (NumberFormatException e) {
-            // told below, as for a negative one
+            // rejected below, like a negative number
         }
         throw new InvalidConfigurationException("after", "a revision, a whole number from 0");
     }
--- a/fleet/src/main/java/tinford/fleet/control/Replica.java
+++ b/fleet/src/main/java/tinford/fleet/control/Replica.java
@@ -19,8 +19,8 @@
 import tinford.fleet.follow.SnapshotFile;
 
 /**
- * Follows a voter, one of its own region where there is one, and serves what it holds; over a
- * restart from its last good snapshot on.
+ * Follows a voter, preferably one of its own region, and serves the same configuration. After a
+ * restart it serves its last good snapshot until a voter is reached.
  */
 final class Replica implements ControlRole {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
@@ -73,7 +73,7 @@
         return new ApplyResult.Applied();
     }
 
-    /** Replicas take none and forward none. */
+    /** A replica neither accepts nor forwards proposals. */
     @Override
     public CompletableFuture<ProposalResult> propose(Proposal proposal) {
         return CompletableFuture.completedFuture(
--- a/fleet/src/main/java/tinford/fleet/control/ReportHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/ReportHandler.java
@@ -10,9 +10,9 @@
 import tinford.fleet.config.InvalidConfigurationException;
 import tinford.fleet.config.ValidationError;
 
-/** {@code POST /followers/ID}: a follower tells what is in force there. */
+/** {@code POST /followers/ID}: a follower reports the revision that is in force there. */
 final class ReportHandler implements HttpHandler {
-    /** Of the path. */
+    /** The name of the path parameter with the follower's id. */
     static final String FOLLOWER_PARAMETER = "id";
 
     private final FollowerReports reports;
--- a/fleet/src/main/java/tinford/fleet/control/RequestBody.java
+++ b/fleet/src/main/java/tinford/fleet/control/RequestBody.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 import tinford.fleet.config.ValidationError;
 
-/** Reads request bodies of a bounded size without waiting. */
+/** Reads request bodies of a bounded size without blocking. */
 final class RequestBody {
     private RequestBody() {}
 
     /**
-     * Passes the whole body on, on an I/O thread; a larger one is answered with 413, one that is
-     * cut ends the connection.
+     * Passes the whole body to the consumer, on an I/O thread. A larger body is rejected with 413;
+     * a truncated one ends the connection.
      */
     static void read(HttpServerExchange exchange, int maxBytes, Consumer<byte[]> consumer) {
         if (exchange.getRequestContentLength() > maxBytes) {
--- a/fleet/src/main/java/tinford/fleet/control/RevisionFeed.java
+++ b/fleet/src/main/java/tinford/fleet/control/RevisionFeed.java
@@ -2,8 +2,6 @@
 
 import java.util.Arrays;
 import java.util.List;
-import java.util.NavigableMap;
-import java.util.TreeMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
@@ -15,53 +13,53 @@
 
 /**
  * The current configuration as lines for followers: the latest updates, and one snapshot for
- * followers that are further behind, or whom it costs fewer bytes. Lines are encoded once and
+ * followers that are further behind or for which it costs fewer bytes. Lines are encoded once and
  * shared. Thread-safe; no call waits for a snapshot, which is made by the executor.
  *
  * <p>Bounds: {@link #MAX_LINES} updates of {@link #MAX_LINE_BYTES} together, and one snapshot. The
- * snapshot is kept as long as updates lead on from it, so that a burst of changes makes one, and
- * slow followers hold few different ones.
+ * snapshot is kept as long as updates lead on from it, so that a burst of changes needs only one,
+ * and slow followers hold few different ones.
  */
 final class RevisionFeed {
-    /** Updates kept for followers that are behind. */
+    /** Updates that are retained for followers that are behind. */
     static final int MAX_LINES = 1024;
 
-    /** Bytes of all updates kept; a follower that lacks more gets a snapshot. */
+    /** Bytes of all retained updates; a follower that needs more gets a snapshot. */
     static final int MAX_LINE_BYTES = 2 << 20;
 
-    /** A follower that lacks fewer bytes of updates gets them, whatever a snapshot would cost. */
-    static final int MIN_SNAPSHOT_SAVING_BYTES = 128 << 10;
+    /** A follower that needs fewer bytes of updates gets them, even if a snapshot is smaller. */
+    static final int MIN_BYTES_BEHIND_FOR_SNAPSHOT = 128 << 10;
 
     private final SnapshotCodec snapshotCodec;
     private final Executor executor;
     private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
-
-    /** By the revision that they lead on from. */
-    private final NavigableMap<Long, RetainedLine> updates = new TreeMap<>();
-
+    private final RetainedLines updates = new RetainedLines(MAX_LINES, MAX_LINE_BYTES);
     private Configuration current = Configuration.EMPTY;
-    private long appendedBytes;
-    private long updateBytes;
+
+    /** Null until a follower needs one, and once updates no longer lead on from it. */
     private WatchLine snapshot;
+
     private boolean snapshotRequested;
     private boolean snapshotFailed;
 
     /**
-     * @param offset bytes of all updates that were appended before this one
+     * @param executor makes the snapshots
      */
-    private record RetainedLine(WatchLine line, long offset) {}
-
     RevisionFeed(String fleetId, Executor executor) {
         this.snapshotCodec = new SnapshotCodec(fleetId);
         this.executor = executor;
     }
 
-    /** Called after each change, on the thread that made it; must not wait. */
+    /** The listener is called after each change, on the thread that made it; it must not block. */
     void addListener(Runnable listener) {
         listeners.add(listener);
     }
 
-    /** A new revision that leads on from the current one. */
+    /**
+     * Publishes a new revision.
+     *
+     * @param update leads to it; the lines are dropped unless it leads on from the current revision
+     */
     void append(Configuration result, Update update) {
         synchronized (this) {
             if (update.fromRevision() != current.revision()) {
@@ -74,9 +72,9 @@
     }
 
     /**
-     * A configuration in place of the current one.
+     * Replaces the current configuration.
      *
-     * @param latest updates that lead to it, oldest first
+     * @param latest updates that lead to the new one, oldest first
      */
     void replace(Configuration configuration, List<Update> latest) {
         synchronized (this) {
@@ -89,18 +87,12 @@
 
     private void clearLines() {
         updates.clear();
-        updateBytes = 0;
         snapshot = null;
     }
 
     private void add(Update update) {
         WatchLine line = line(update.revision(), new WatchMessage.UpdateMessage(update));
-        updates.put(update.fromRevision(), new RetainedLine(line, appendedBytes));
-        appendedBytes += line.bytes().length;
-        updateBytes += line.bytes().length;
-        while (updates.size() > MAX_LINES || updateBytes > MAX_LINE_BYTES) {
-            updateBytes -= updates.pollFirstEntry().getValue().line().bytes().length;
-        }
+        updates.append(update.fromRevision(), line);
         if (snapshot != null && !isReachable(snapshot.revision())) {
             snapshot = null;
         }
@@ -119,36 +111,36 @@
 
     /** The oldest revision from which updates lead to the current one. */
     synchronized long oldestRetained() {
-        return updates.isEmpty() ? current.revision() : updates.firstKey();
+        return updates.isEmpty() ? current.revision() : updates.oldestRevision();
     }
 
-    /** Bytes of all lines that are kept. */
+    /** Bytes of all cached lines. */
     synchronized long cachedBytes() {
-        return updateBytes + (snapshot == null ? 0 : snapshot.bytes().length);
+        return updates.bytes() + (snapshot == null ? 0 : snapshot.bytes().length);
     }
 
-    /** Whether a follower at that revision lacks nothing that this server has. */
+    /** Whether a follower at that revision has everything that this server has. */
     synchronized boolean isCurrent(long revision) {
         return revision >= current.revision();
     }
 
     private boolean isReachable(long revision) {
-        return revision == current.revision() || updates.containsKey(revision);
+        return revision == current.revision() || updates.contains(revision);
     }
 
     /**
      * The next line for a follower at that revision.
      *
-     * @return null where it lacks nothing, also where it is ahead of this server, and while a
-     *     snapshot is being made, after which the listeners are called
+     * @return null if the follower is current or ahead of this server, and while a snapshot is
+     *     being made, after which the listeners are called
      */
     synchronized WatchLine next(long revision) {
         if (isCurrent(revision)) {
             return null;
         }
-        RetainedLine update = updates.get(revision);
-        if (update != null && !snapshotIsShorter(revision)) {
-            return update.line();
+        WatchLine update = updates.from(revision);
+        if (update != null && !isSnapshotShorter(revision)) {
+            return update;
         }
         if (snapshot == null) {
             requestSnapshot();
@@ -157,27 +149,21 @@
     }
 
     /**
-     * Whether a snapshot takes a follower further for fewer bytes, as far as is known. One that
-     * lacks the latest update alone keeps up, and does not wait for a snapshot.
+     * Whether a snapshot takes the follower further for fewer bytes, as far as is known. A follower
+     * that lacks only the latest update keeps up, and does not wait for a snapshot.
      */
-    private boolean snapshotIsShorter(long revision) {
-        long bytesBehind = bytesFrom(revision);
-        boolean keepsUp = updates.lastKey() == revision;
-        if (keepsUp || bytesBehind <= MIN_SNAPSHOT_SAVING_BYTES) {
+    private boolean isSnapshotShorter(long revision) {
+        long bytesBehind = updates.bytesFrom(revision);
+        if (updates.isLatest(revision) || bytesBehind <= MIN_BYTES_BEHIND_FOR_SNAPSHOT) {
             return false;
         }
         if (snapshot == null) {
-            return !snapshotFailed; // it is made, and compared then
+            return !snapshotFailed; // unknown until it is made
         }
-        long savedBytes = bytesBehind - bytesFrom(snapshot.revision());
+        long savedBytes = bytesBehind - updates.bytesFrom(snapshot.revision());
         return snapshot.revision() > revision && snapshot.bytes().length < savedBytes;
     }
 
-    /** Bytes of the updates that lead from a reachable revision to the current one. */
-    private long bytesFrom(long revision) {
-        return revision == current.revision() ? 0 : appendedBytes - updates.get(revision).offset();
-    }
-
     private void requestSnapshot() {
         if (snapshotRequested) {
             return;
@@ -192,25 +178,29 @@
     }
 
     private void makeSnapshot() {
-        Configuration configuration = current();
-        WatchLine line = null;
-        try {
-            byte[] data = snapshotCodec.encode(configuration);
-            long revision = configuration.revision();
-            line = line(revision, new WatchMessage.SnapshotMessage(revision, data));
-        } catch (RuntimeException e) {
-            ControlLog.snapshotFailed(e);
-        }
+        WatchLine made = encodeSnapshot(current());
         synchronized (this) {
             snapshotRequested = false;
-            snapshotFailed = line == null;
-            if (line == null) {
+            snapshotFailed = made == null;
+            if (made == null) {
                 return; // tried again at the next heartbeat of a follower that needs it
             }
-            if (isReachable(line.revision())) {
-                snapshot = line;
+            if (isReachable(made.revision())) {
+                snapshot = made;
             }
         }
         listeners.forEach(Runnable::run);
     }
+
+    /** Returns null, and logs why, if the snapshot can't be made. */
+    private WatchLine encodeSnapshot(Configuration configuration) {
+        long revision = configuration.revision();
+        try {
+            byte[] data = snapshotCodec.encode(configuration);
+            return line(revision, new WatchMessage.SnapshotMessage(revision, data));
+        } catch (RuntimeException e) {
+            ControlLog.snapshotFailed(e);
+            return null;
+        }
+    }
 }
--- a/fleet/src/main/java/tinford/fleet/control/Role.java
+++ b/fleet/src/main/java/tinford/fleet/control/Role.java
@@ -1,9 +1,9 @@
 package tinford.fleet.control;
 
-/** What part a control server takes in the quorum. */
+/** The role of a control server in the quorum. */
 public enum Role {
     /** A member of the replicated log. */
     VOTER,
-    /** Follows a voter and serves what it holds. */
+    /** Follows a voter and serves the same configuration. */
     REPLICA
 }
--- a/fleet/src/main/java/tinford/fleet/control/ServeCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/ServeCommand.java
@@ -38,7 +38,7 @@
             err.println("control server not started: " + e.getMessage());
             return ExitCode.REJECTED;
         }
-        new CountDownLatch(1).await(); // a signal ends the process
+        new CountDownLatch(1).await(); // until a signal ends the process
         return ExitCode.OK;
     }
 
--- a/fleet/src/main/java/tinford/fleet/control/SnapshotSaver.java
+++ b/fleet/src/main/java/tinford/fleet/control/SnapshotSaver.java
@@ -11,8 +11,8 @@
 import tinford.fleet.follow.SnapshotFile;
 
 /**
- * Keeps what a replica serves on its disk. Writes on a thread of its own; of revisions that come
- * while it writes, only the latest is written.
+ * Saves the configuration of a replica on its disk, on a thread of its own. Of the revisions that
+ * are published during a write, only the latest is written.
  */
 final class SnapshotSaver implements AutoCloseable {
     private static final long CLOSE_TIMEOUT_MS = 2000;
@@ -34,7 +34,7 @@
         return thread;
     }
 
-    /** Feeds what the disk has, if it can be used. */
+    /** Publishes the stored configuration, if it is usable. */
     void load() {
         SnapshotFile.Loaded loaded = file.read();
         if (loaded.configuration() == null) {
@@ -44,6 +44,7 @@
         }
     }
 
+    /** Saves the current configuration soon; returns at once. */
     void scheduleSave() {
         if (!scheduled.compareAndSet(false, true)) {
             return;
@@ -51,7 +52,7 @@
         try {
             writer.execute(this::save);
         } catch (RejectedExecutionException e) {
-            ControlLog.snapshotNotSaved(e); // it is being closed
+            ControlLog.snapshotNotSaved(e); // the server is being closed
         }
     }
 
@@ -65,7 +66,7 @@
         }
     }
 
-    /** Returns once what was to be written is. */
+    /** Returns when the scheduled write is done, or after a timeout. */
     @Override
     public void close() {
         writer.shutdown();
--- a/fleet/src/main/java/tinford/fleet/control/StatusCommand.java
+++ b/fleet/src/main/java/tinford/fleet/control/StatusCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code status}: which revision holds where, and who lags. */
+/** {@code status}: the revisions of servers and followers, and which of them lag. */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
--- a/fleet/src/main/java/tinford/fleet/control/Voter.java
+++ b/fleet/src/main/java/tinford/fleet/control/Voter.java
@@ -5,7 +5,16 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import tinford.fleet.config.*;
+import tinford.fleet.config.Configuration;
+import tinford.fleet.config.ConfigurationCodec;
+import tinford.fleet.config.ConfigurationLimits;
+import tinford.fleet.config.InvalidConfigurationException;
+import tinford.fleet.config.Outcome;
+import tinford.fleet.config.Proposal;
+import tinford.fleet.config.Rejection;
+import tinford.fleet.config.RevisionHistory;
+import tinford.fleet.config.Update;
+import tinford.fleet.config.ValidationError;
 import tinford.fleet.control.ControlSettings.VoterSettings;
 import tinford.fleet.control.ProposalResult.CommitStatus;
 import tinford.fleet.control.ProposalResult.Decided;
@@ -18,12 +27,12 @@
  * them to its {@link RevisionHistory} in the log's order.
  */
 final class Voter implements ControlRole {
-    /** Opens the log with its reader. */
+    /** Opens the log with the state machine that applies its entries. */
     interface LogFactory {
-        ReplicatedLog create(ReplicatedLog.StateMachine reader) throws IOException;
+        ReplicatedLog create(ReplicatedLog.StateMachine stateMachine) throws IOException;
     }
 
-    /** Proposals between two snapshots of the log. */
+    /** Log entries between two snapshots of the log. */
     private static final long SNAPSHOT_INTERVAL_ENTRIES = 256;
 
     private final RevisionFeed feed;
@@ -37,10 +46,10 @@
         this.feed = feed;
         this.history = new RevisionHistory(fleetId);
         this.decisionTimeoutMs = decisionTimeoutMs;
-        this.log = logFactory.create(new HistoryReader());
+        this.log = logFactory.create(new HistoryStateMachine());
     }
 
-    /** What the log of a voter holds and how long it waits. */
+    /** The bounds and timeouts of a voter's log. */
     static RaftLog.Bounds logBounds(VoterSettings settings) {
         return new RaftLog.Bounds(
                 settings.decisionTimeoutMs(),
@@ -60,27 +69,30 @@
         if (result.isDone()) {
             return result;
         }
-        result.completeOnTimeout(
-                new Unavailable(
-                        CommitStatus.UNKNOWN,
-                        "not decided within "
-                                + decisionTimeoutMs
-                                + " ms: no quorum of voters, or a slow one"),
-                decisionTimeoutMs,
-                TimeUnit.MILLISECONDS);
+        result.completeOnTimeout(timedOut(), decisionTimeoutMs, TimeUnit.MILLISECONDS);
         log.append(entry)
                 .whenComplete(
                         (index, failure) -> {
                             if (failure != null) {
-                                result.complete(
-                                        new Unavailable(
-                                                CommitStatus.UNKNOWN, failure.getMessage()));
+                                result.complete(notAppended(failure));
                             }
                         });
         return result;
     }
 
-    /** Fields that were left out are written out, so it may be larger than what was sent. */
+    private Unavailable timedOut() {
+        return new Unavailable(
+                CommitStatus.UNKNOWN,
+                "not decided within "
+                        + decisionTimeoutMs
+                        + " ms: no quorum of voters, or a slow one");
+    }
+
+    private static Unavailable notAppended(Throwable failure) {
+        return new Unavailable(CommitStatus.UNKNOWN, failure.getMessage());
+    }
+
+    /** An entry may be larger than the request: it has the fields that were left out there. */
     private static Outcome tooLarge() {
         String expected =
                 "at most "
@@ -105,24 +117,24 @@
         log.close();
     }
 
-    /** On the log's thread. */
-    private final class HistoryReader implements ReplicatedLog.StateMachine {
+    /** Applies the log's entries to the history; on the log's thread. */
+    private final class HistoryStateMachine implements ReplicatedLog.StateMachine {
         @Override
         public void apply(long index, byte[] entry) {
             Proposal proposal;
             try {
                 proposal = ConfigurationCodec.decodeProposal(entry);
             } catch (InvalidConfigurationException e) {
-                ControlLog.logEntryUnreadable(index, e); // the same on every member
+                ControlLog.logEntryUnreadable(index, e); // skipped on every member alike
                 return;
             }
             long before = history.current().revision();
             Outcome outcome = history.propose(proposal);
-            publishFrom(before);
+            publishSince(before);
             reportOutcome(proposal, outcome);
         }
 
-        private void publishFrom(long before) {
+        private void publishSince(long before) {
             Configuration current = history.current();
             if (current.revision() == before) {
                 return;
@@ -131,7 +143,7 @@
             if (updates.isPresent()) {
                 updates.get().forEach(update -> feed.append(current, update));
             } else {
-                feed.replace(current, List.of()); // it was too large to be retained
+                feed.replace(current, List.of()); // the update was too large to be retained
             }
             ControlLog.revisionApplied(current.revision());
         }
@@ -154,7 +166,7 @@
                 history.restore(snapshot);
             } catch (InvalidConfigurationException e) {
                 ControlLog.logSnapshotUnreadable(index, e);
-                throw new IllegalStateException("log snapshot at " + index, e);
+                throw new UnreadableLogSnapshotException(index, e);
             }
             List<Update> retained =
                     history.updatesSince(history.oldestRetained()).orElse(List.of());
--- a/fleet/src/main/java/tinford/fleet/control/WatchHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchHandler.java
@@ -8,7 +8,7 @@
 import tinford.fleet.config.ValidationError;
 import tinford.fleet.control.ControlSettings.WatchTiming;
 
-/** {@code GET /configuration}: one line, or a watch. */
+/** {@code GET /configuration}: one line, or a watch that goes on. */
 final class WatchHandler implements HttpHandler {
     private final String fleet;
     private final RevisionFeed feed;
--- a/fleet/src/main/java/tinford/fleet/control/WatchHub.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchHub.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The watches that are open: one a follower, {@code capacity} at most. Wakes all of them when there
- * is a new revision. Thread-safe.
+ * The open watches: one per follower, at most {@code capacity}. Wakes all of them when there is a
+ * new revision. Thread-safe.
  */
 final class WatchHub {
     private final Map<String, WatchResponseStream> streams = new ConcurrentHashMap<>();
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Takes in a watch, in place of an earlier one of the same follower.
+     * Adds a watch; an earlier one of the same follower is closed.
      *
-     * @return false when there are too many
+     * @return false if there are too many
      */
     boolean add(WatchResponseStream stream) {
         String follower = stream.request().follower();
@@ -56,9 +56,7 @@
         return streams.size();
     }
 
-    /**
-     * Bytes of lines that followers have not taken in yet; lines that they share count for each.
-     */
+    /** Bytes of lines that followers have not accepted yet; shared lines count for each. */
     long pendingBytes() {
         return streams.values().stream().mapToLong(WatchResponseStream::pendingBytes).sum();
     }
--- a/fleet/src/main/java/tinford/fleet/control/WatchLine.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchLine.java
@@ -1,10 +1,9 @@
 package tinford.fleet.control;
 
 /**
- * One line of a watch. Its bytes are shared by all followers that it is sent to, so nobody writes
- * to them.
+ * One line of a watch.
  *
- * @param revision which a follower holds once it has applied the line
- * @param bytes JSON with the line feed
+ * @param revision the revision of a follower that has applied the line
+ * @param bytes JSON with the line feed; shared by all followers and never modified
  */
 record WatchLine(long revision, byte[] bytes) {}
--- a/fleet/src/main/java/tinford/fleet/control/WatchRequest.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchRequest.java
@@ -1,10 +1,10 @@
 package tinford.fleet.control;
 
 /**
- * What a follower asks for.
+ * A request of a follower for lines.
  *
- * @param watch whether the lines go on, or one is enough
- * @param afterRevision the revision that it holds
- * @param follower its id; may be empty where one line is enough
+ * @param watch whether the response goes on, or ends after one line
+ * @param afterRevision the revision that the follower has
+ * @param follower its id; may be empty unless it is a watch
  */
 record WatchRequest(boolean watch, long afterRevision, String follower) {}
--- a/fleet/src/main/java/tinford/fleet/control/WatchResponseStream.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchResponseStream.java
@@ -2,7 +2,6 @@
 
 import io.undertow.server.HttpServerExchange;
 import java.io.IOException;
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -15,14 +14,14 @@
 import tinford.fleet.control.ControlSettings.WatchTiming;
 
 /**
- * One follower's watch: writes each line that the follower lacks, one at a time, and a heartbeat
- * where there is none.
+ * One follower's watch: writes each line that the follower lacks, one at a time, and heartbeats
+ * while there is none.
  *
- * <p>Holds a revision and one line, whose bytes are shared with other followers: a follower that
- * reads slowly costs no memory that grows. It is closed when it takes in nothing for {@code
- * stallMs}, or does not finish one line within {@code lineMs}.
+ * <p>It holds a revision and one line, whose bytes are shared with other followers, so a follower
+ * that reads slowly takes no additional memory. A follower that is too slow by the {@link
+ * WatchTiming} is disconnected.
  *
- * <p>All state belongs to the exchange's I/O thread, except what is volatile.
+ * <p>All state is confined to the exchange's I/O thread, except for volatile fields.
  */
 final class WatchResponseStream {
     /** An empty line; shows that the watch is alive while no revision is sent. */
@@ -35,23 +34,21 @@
     private final WatchTiming timing;
     private final Consumer<WatchResponseStream> onClosed;
     private final AtomicBoolean wakeScheduled = new AtomicBoolean();
-    private StreamSinkChannel channel;
-    private XnioExecutor.Key timer;
 
-    /** What is being written; null when all was written and flushed. */
-    private ByteBuffer pending;
+    /** Null before the start. */
+    private volatile LineWriter writer;
 
-    private long lineStartedAt;
-    private long lastProgressAt;
+    private XnioExecutor.Key timer;
     private boolean lineSinceTick;
     private boolean lastLineStarted;
     private boolean closed;
 
-    /** Of the last line that was begun. */
+    /** The revision of the last line that was started. */
     private long sentRevision;
 
-    private volatile int pendingBytes;
-
+    /**
+     * @param onClosed called once, on the I/O thread, when the watch has ended
+     */
     WatchResponseStream(
             WatchRequest request,
             HttpServerExchange exchange,
@@ -71,12 +68,13 @@
         return request;
     }
 
-    /** Bytes of the current line that the follower has not taken in yet. */
+    /** Bytes of the current line that the follower has not accepted yet; from any thread. */
     int pendingBytes() {
-        return pendingBytes;
+        LineWriter current = writer;
+        return current == null ? 0 : current.pendingBytes();
     }
 
-    /** On the I/O thread, once. */
+    /** Begins the response; on the I/O thread, once. */
     void start() {
         if (closed) {
             return;
@@ -84,22 +82,23 @@
         if (request.watch()) {
             exchange.getConnection().addCloseListener(connection -> runOnIoThread(this::close));
         }
-        channel = exchange.getResponseChannel();
+        StreamSinkChannel channel = exchange.getResponseChannel();
         if (channel == null || !exchange.getConnection().isOpen()) {
             close();
             return;
         }
+        writer = new LineWriter(channel, timing);
         channel.getWriteSetter().set(sink -> advance());
         timer =
                 ioThread.executeAtInterval(
                         this::tick, timing.heartbeatIntervalMs(), TimeUnit.MILLISECONDS);
         if (request.watch()) {
-            startWriting(HEARTBEAT); // the response's head goes out at once
+            writer.start(HEARTBEAT); // sends the head of the response at once
         }
         advance();
     }
 
-    /** From any thread: there may be a line to write. */
+    /** Writes the next line if there is one; from any thread. */
     void wake() {
         if (wakeScheduled.compareAndSet(false, true)) {
             runOnIoThread(
@@ -110,7 +109,7 @@
         }
     }
 
-    /** From any thread. */
+    /** Ends the watch soon; from any thread. */
     void closeAsync() {
         runOnIoThread(this::close);
     }
@@ -127,19 +126,22 @@
         }
     }
 
+    /** Writes line after line until the follower is current or accepts no more bytes. */
     private void advance() {
-        if (closed || channel == null) {
-            return; // a wake that came before the start is made up for there
+        if (closed || writer == null) {
+            return; // start() advances too, so no wake is lost before it
         }
         try {
-            while (writePending() && startNextLine()) {
-                // one line after the other, until the follower has all or takes in no more
+            boolean started = true;
+            while (started && writer.write()) {
+                started = startNextLine();
             }
         } catch (IOException e) {
             close();
         }
     }
 
+    /** Returns whether there was a line to start. */
     private boolean startNextLine() throws IOException {
         if (lastLineStarted) {
             endExchange();
@@ -154,41 +156,11 @@
         }
         sentRevision = line.revision();
         lineSinceTick = true;
-        startWriting(line.bytes());
+        writer.start(line.bytes());
         lastLineStarted = !request.watch();
         return true;
     }
 
-    private void startWriting(byte[] bytes) {
-        pending = ByteBuffer.wrap(bytes).asReadOnlyBuffer();
-        pendingBytes = bytes.length;
-        lineStartedAt = System.nanoTime();
-        lastProgressAt = lineStartedAt;
-    }
-
-    /** Returns whether nothing is left to write. */
-    private boolean writePending() throws IOException {
-        if (pending == null) {
-            return true;
-        }
-        while (pending.hasRemaining()) {
-            int written = channel.write(pending);
-            if (written <= 0) {
-                channel.resumeWrites();
-                return false;
-            }
-            pendingBytes = pending.remaining();
-            lastProgressAt = System.nanoTime();
-        }
-        if (!channel.flush()) {
-            channel.resumeWrites();
-            return false;
-        }
-        channel.suspendWrites();
-        pending = null;
-        return true;
-    }
-
     private void endExchange() {
         stopTimer();
         closed = true;
@@ -196,29 +168,29 @@
         onClosed.accept(this);
     }
 
+    /** Once each heartbeat interval. */
     private void tick() {
         if (closed) {
             return;
         }
-        long now = System.nanoTime();
-        if (pending != null) {
-            boolean stalled =
-                    now - lastProgressAt > TimeUnit.MILLISECONDS.toNanos(timing.stallTimeoutMs());
-            boolean late =
-                    now - lineStartedAt > TimeUnit.MILLISECONDS.toNanos(timing.lineTimeoutMs());
-            if (stalled || late) {
-                ControlLog.followerStalled(request.follower(), pendingBytes);
-                close();
-            }
+        if (!writer.isIdle()) {
+            closeIfTooSlow();
             return;
         }
         if (request.watch() && !lineSinceTick) {
-            startWriting(HEARTBEAT);
+            writer.start(HEARTBEAT);
         }
         lineSinceTick = false;
         advance();
     }
 
+    private void closeIfTooSlow() {
+        if (writer.isTooSlow()) {
+            ControlLog.followerStalled(request.follower(), writer.pendingBytes());
+            close();
+        }
+    }
+
     private void stopTimer() {
         if (timer != null) {
             timer.remove();
@@ -231,8 +203,9 @@
         }
         closed = true;
         stopTimer();
-        pending = null;
-        pendingBytes = 0;
+        if (writer != null) {
+            writer.discard();
+        }
         IoUtils.safeClose(exchange.getConnection());
         onClosed.accept(this);
     }
--- a/fleet/src/main/java/tinford/fleet/control/package-info.java
+++ b/fleet/src/main/java/tinford/fleet/control/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Control servers: they keep the fleet's configuration in a replicated log, take proposals that
+ * Control servers: they store the fleet's configuration in a replicated log, accept proposals that
  * change it, and serve it over HTTP to the gateways that follow it.
  *
- * <p>A voter takes part in the log's quorum; a replica follows a voter and serves what it holds. A
- * gateway is never a voter. Protocol, operator file, commands and exit codes: {@code
- * docs/configuration.md}.
+ * <p>A voter is a member of the log's quorum; a replica follows a voter and serves the same
+ * configuration. A gateway is never a voter. Protocol, operator file, commands and exit codes:
+ * {@code docs/configuration.md}.
  */
 package tinford.fleet.control;
--- a/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
+++ b/fleet/src/main/java/tinford/fleet/follow/SnapshotFile.java
@@ -12,22 +12,22 @@
 import tinford.fleet.store.Store;
 
 /**
- * The last good configuration on the disk, so that a process starts without any control server. A
- * write that was stopped at any step leaves the one before. Not thread-safe.
+ * The last good configuration on disk, so that a process can start without any control server. A
+ * write that is interrupted at any step leaves the previous configuration. Not thread-safe.
  */
 public final class SnapshotFile implements AutoCloseable {
     /**
-     * What was found.
+     * The result of a read.
      *
-     * @param configuration null where there is none that can be used
-     * @param problem why there is none, in one line; null where there is one
+     * @param configuration null if there is no usable one
+     * @param problem why there is none, in one line; null if there is one
      */
     public record Loaded(Configuration configuration, String problem) {}
 
     private static final String NAME = "configuration";
     private static final int MAX_CONTENT_BYTES = 8 << 20;
 
-    /** Revisions order the contents; how a clock was set since does not matter. */
+    /** Contents are ordered by revision, so a clock that was set back does not matter. */
     private static final double UNLIMITED_CLOCK_SKEW_MS = Double.POSITIVE_INFINITY;
 
     private final Path lockFile;
@@ -35,14 +35,18 @@
     private final SnapshotCodec codec;
     private FileChannel lock;
 
-    /** In a folder that lasts, for the configuration of one fleet. */
+    /**
+     * For the configuration of one fleet.
+     *
+     * @param folder survives restarts
+     */
     public SnapshotFile(Path folder, String fleetId) {
         this.lockFile = folder.resolve(NAME + ".lock");
         this.store = new FileStore(folder, NAME, MAX_CONTENT_BYTES, UNLIMITED_CLOCK_SKEW_MS);
         this.codec = new SnapshotCodec(fleetId);
     }
 
-    /** Never fails: what is torn, damaged, of another fleet or of a later version is told. */
+    /** Never fails: a file that is truncated, damaged or of another fleet is not usable. */
     public Loaded read() {
         Store.ReadResult found = store.read(System.currentTimeMillis());
         if (found.content() == null) {
@@ -56,8 +60,10 @@
     }
 
     /**
-     * Returns once it lasts; where it fails, the one before is still there. Fails also while
-     * another process of the same gateway writes there, as one does that is being replaced.
+     * Returns when the configuration is durable.
+     *
+     * @throws IOException if it can't be written, or if another process has the folder, as during a
+     *     handover; the previous configuration is still there
      */
     public void write(Configuration configuration) throws IOException {
         if (lock == null) {
--- a/fleet/src/main/java/tinford/fleet/run/ConfigurationSettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/ConfigurationSettings.java
@@ -19,7 +19,7 @@
         }
         List<Endpoint> servers = new ArrayList<>();
         for (String server : file.texts("configuration.servers")) {
-            servers.add(EndpointText.parse(server));
+            servers.add(EndpointText.parse(server).orElseThrow());
         }
         return new ConfigurationSettings(
                 file.text("configuration.fleet"),
--- a/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -91,7 +91,7 @@
 
     private void checkConfiguration() {
         for (String server : texts("configuration.servers")) {
-            if (EndpointText.parse(server) == null) {
+            if (EndpointText.parse(server).isEmpty()) {
                 fault("configuration.servers", EndpointText.FORM + ", not " + server);
             }
         }
--- a/fleet/src/main/java/tinford/fleet/settings/EndpointText.java
+++ b/fleet/src/main/java/tinford/fleet/settings/EndpointText.java
@@ -1,13 +1,14 @@
 package tinford.fleet.settings;
 
+import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import tinford.fleet.config.Endpoint;
 import tinford.fleet.config.RecordChecks;
 
-/** Control servers as operators write them. */
+/** The form in which operators write the addresses of control servers. */
 public final class EndpointText {
-    /** How one is written. */
+    /** The form, for error messages. */
     public static final String FORM = "region=numeric host:port";
 
     private static final Pattern ENDPOINT = Pattern.compile("([^=\\s]+)=([0-9.]+):([0-9]{1,5})");
@@ -15,15 +16,16 @@
 
     private EndpointText() {}
 
-    /** Null where the text is not of that form. */
-    public static Endpoint parse(String text) {
+    /** Parses one address; empty if the text is not of the {@link #FORM}. */
+    public static Optional<Endpoint> parse(String text) {
         Matcher form = ENDPOINT.matcher(text);
         if (!form.matches()) {
-            return null;
+            return Optional.empty();
         }
         int port = Integer.parseInt(form.group(3));
-        return port < 1 || port > MAX_PORT || !RecordChecks.isName(form.group(1))
-                ? null
-                : new Endpoint(form.group(1), form.group(2), port);
+        if (port < 1 || port > MAX_PORT || !RecordChecks.isName(form.group(1))) {
+            return Optional.empty();
+        }
+        return Optional.of(new Endpoint(form.group(1), form.group(2), port));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/settings/OperatorSettings.java
+++ b/fleet/src/main/java/tinford/fleet/settings/OperatorSettings.java
@@ -17,30 +17,33 @@
         this.values = values;
     }
 
+    /** The value of a number key, written or by default. */
     public double number(String key) {
         return (Double) values.get(key);
     }
 
+    /** The value of a flag key, written or by default. */
     public boolean flag(String key) {
         return (Boolean) values.get(key);
     }
 
+    /** The value of a text key, written or by default. */
     public String text(String key) {
         return (String) values.get(key);
     }
 
-    /** The texts of a list. */
+    /** The value of a list key, written or by default. */
     @SuppressWarnings("unchecked")
     public List<String> texts(String key) {
         return (List<String>) values.get(key);
     }
 
-    /** One line that tells of a fault: file, line of the key where it is written, key. */
+    /** One line for an error: file, line of the key if it is written, key, expectation. */
     public String error(String key, String expected) {
         return errorAt(key, key, expected);
     }
 
-    /** The same, with the line of another key, as where that one makes this one needed. */
+    /** The same with the line of another key, such as the one that makes this one required. */
     public String errorAt(String lineKey, String key, String expected) {
         int line = lineOf(lineKey);
         String where = line == NOT_WRITTEN ? file : file + ", line " + line;
@@ -51,7 +54,7 @@
         return lineOf(key) != NOT_WRITTEN;
     }
 
-    /** The parser keeps no places of values; the key's first line in its table is one. */
+    /** The key's first line in its table, since the parser does not retain positions of values. */
     private int lineOf(String key) {
         int dot = key.indexOf('.');
         String table = dot < 0 ? "" : key.substring(0, dot);
--- a/fleet/src/main/java/tinford/fleet/settings/SettingsKey.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsKey.java
@@ -5,9 +5,12 @@
 import java.util.List;
 
 /**
- * One key of a schema: its type, and the value it has where it is left out.
+ * One key of a schema.
  *
- * @param defaultValue null where the key is required
+ * @param expected the values that are valid, for error messages
+ * @param min the smallest number, if it is one
+ * @param max the largest number, if it is one
+ * @param defaultValue the value if the key is left out; null if it is required
  */
 record SettingsKey(Type type, String expected, double min, double max, Object defaultValue) {
     /** The types of values. */
@@ -27,7 +30,7 @@
         return new SettingsKey(type, expected, 0, 0, defaultValue);
     }
 
-    /** The value, or null where it is not as expected. */
+    /** The value of a node; null if it is invalid. */
     Object value(JsonNode node) {
         return switch (type) {
             case NUMBER -> number(node);
--- a/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
@@ -15,37 +15,41 @@
 public final class SettingsSchema {
     private final Map<String, SettingsKey> keys = new LinkedHashMap<>();
 
-    /** A number that may be left out. */
+    /** An optional number. */
     public SettingsSchema number(String key, double defaultValue, double min, double max) {
         keys.put(key, SettingsKey.number(min, max, defaultValue));
         return this;
     }
 
-    /** True or false; may be left out. */
+    /** An optional flag, true or false. */
     public SettingsSchema flag(String key, boolean defaultValue) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.FLAG, "true or false", defaultValue));
         return this;
     }
 
-    /** A text that may be left out and is empty then. */
+    /** An optional text, empty by default. */
     public SettingsSchema text(String key, String expected) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.TEXT, expected, ""));
         return this;
     }
 
-    /** A text that has to be there. */
+    /** A required text. */
     public SettingsSchema requiredText(String key, String expected) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.TEXT, expected, null));
         return this;
     }
 
-    /** A list of texts that may be left out and is empty then. */
+    /** An optional list of texts, empty by default. */
     public SettingsSchema texts(String key, String expected) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.TEXTS, expected, List.of()));
         return this;
     }
 
-    /** Reads the file; every fault of its keys is told at once. */
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidOperatorFileException with all errors of its keys
+     */
     public OperatorSettings read(Path file) throws InvalidOperatorFileException {
         String text;
         try {
@@ -58,9 +62,10 @@
     }
 
     /**
-     * Reads a text.
+     * Parses the content of a file.
      *
-     * @param file its name, for faults
+     * @param file its name, for error messages
+     * @throws InvalidOperatorFileException with all errors of its keys
      */
     public OperatorSettings parse(String file, String text) throws InvalidOperatorFileException {
         Map<String, Object> values = new LinkedHashMap<>();
--- a/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
@@ -188,7 +188,8 @@
         int snapshotBytes = feed.next(0).bytes().length;
         assertEquals(feed.next(0).revision(), 4, "shorter than all updates");
         int updateBytes = 3 * feed.next(3).bytes().length;
-        assertTrue(updateBytes > RevisionFeed.MIN_SNAPSHOT_SAVING_BYTES, updateBytes + " bytes");
+        assertTrue(
+                updateBytes > RevisionFeed.MIN_BYTES_BEHIND_FOR_SNAPSHOT, updateBytes + " bytes");
         assertTrue(updateBytes < snapshotBytes, updateBytes + " and " + snapshotBytes + " bytes");
         assertEquals(feed.next(1).revision(), 2);
         assertEquals(feed.next(2).revision(), 3);
@@ -199,7 +200,7 @@
         for (int i = 0; i < 50; i++) {
             append(200);
         }
-        assertTrue(feed.cachedBytes() > RevisionFeed.MIN_SNAPSHOT_SAVING_BYTES);
+        assertTrue(feed.cachedBytes() > RevisionFeed.MIN_BYTES_BEHIND_FOR_SNAPSHOT);
         long revision = feed.current().revision() - 2;
         assertEquals(feed.next(revision).revision(), revision + 1);
         assertTrue(tasks.isEmpty());
@@ -209,7 +210,7 @@
     public void aFollowerThatKeepsUpGetsALargeUpdateAtOnce() {
         append(1);
         append(5_000);
-        assertTrue(feed.next(1).bytes().length > RevisionFeed.MIN_SNAPSHOT_SAVING_BYTES);
+        assertTrue(feed.next(1).bytes().length > RevisionFeed.MIN_BYTES_BEHIND_FOR_SNAPSHOT);
         assertEquals(feed.next(1).revision(), 2);
         assertTrue(tasks.isEmpty());
     }
--- a/gateway/src/test/java/tinford/program/DescriptorsTest.java
+++ b/gateway/src/test/java/tinford/program/DescriptorsTest.java
@@ -106,7 +106,9 @@
         limit = sockets;
         if (beside) {
             share();
-            assertTrue(new HandoverLock(shared, "n0").isOnlyProcess()); // this test is the other process
+            assertTrue(
+                    new HandoverLock(shared, "n0")
+                            .isOnlyProcess()); // this test is the other process
             gateway = managed(free(), log);
         } else {
             up();
--- a/gateway/src/test/java/tinford/program/SocketTest.java
+++ b/gateway/src/test/java/tinford/program/SocketTest.java
@@ -1351,7 +1351,8 @@
         managed(free(), otherLog);
         says(otherLog, "standing by: another process accepts client connections");
         gateway.destroyForcibly().waitFor();
-        while (!Files.readString(otherLog).contains("handover complete: accepting client connections")) {
+        while (!Files.readString(otherLog)
+                .contains("handover complete: accepting client connections")) {
             Thread.onSpinWait(); // ends with the test's own time at the latest
         }
         assertEquals(client().say(command("PING")).hear(), "+PONG");
@@ -1435,7 +1436,8 @@
             open.add(() -> Files.delete(nextLog));
             Process next = managed(free(), nextLog);
             old.toHandle().destroy();
-            while (!Files.readString(nextLog).contains("handover complete: accepting client connections")) {
+            while (!Files.readString(nextLog)
+                    .contains("handover complete: accepting client connections")) {
                 Thread.onSpinWait(); // ends with the test's own time at the latest
             }
             old = next;
