--- a/gateway/src/main/java/tinford/program/GatewayComponents.java
+++ b/gateway/src/main/java/tinford/program/GatewayComponents.java
@@ -70,7 +70,7 @@
         counter = createCounter();
         watch = createWatch(json);
         PeerMessenger peers =
-                limits.gossipAllowed && !hasFleetExtension ? createPeerMessenger() : null;
+                limits.gossipAllowed() && !hasFleetExtension ? createPeerMessenger() : null;
         dispatcher.seat(clients, servers, counter, watch, peers);
         HandoverLock lock = configuration.hasAdminApi() ? openLock(sharedFolder) : null;
         adminApi = configuration.hasAdminApi() ? createAdminApi(lock) : null;
@@ -89,7 +89,7 @@
         DecisionModule module =
                 SettingsReader.createModule(moduleFactory, configuration.seed(), settings);
         return new RequestDispatcher(
-                module, limits.maxAttempts, budgets.connections(), budgets.bufferBytes());
+                module, limits.maxAttempts(), budgets.connections(), budgets.bufferBytes());
     }
 
     private ServerPool createServerPool() {
@@ -108,7 +108,7 @@
         return new ClientPool(
                 dispatcher,
                 catalog,
-                SettingsReader.gatewayIdentity(settings).gatewayCount,
+                SettingsReader.gatewayIdentity(settings).gatewayCount(),
                 SettingsReader.maxRequestUnits(settings),
                 idleTimeoutMs,
                 SettingsReader.maxOpenRequests(settings),
@@ -119,14 +119,14 @@
 
     private CounterClient createCounter() {
         CounterSettings counterSettings = SettingsReader.counterSettings(settings);
-        if (!counterSettings.present) {
+        if (!counterSettings.present()) {
             return null;
         }
         return new CounterClient(
                 dispatcher,
                 configuration.address("counter"),
                 connectTimeoutMs,
-                counterSettings.timeoutMs,
+                counterSettings.timeoutMs(),
                 COUNTER_CONNECTIONS);
     }
 
