--- a/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
+++ b/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
@@ -12,73 +12,73 @@
 import tinford.routing.Catalog;
 
 /**
- * Turns configurations into the catalogs that a gateway serves by. Routes and plans that are the
- * same in the configuration before keep their objects, so that what the gateway keeps for them
+ * Builds the catalogs that a gateway serves by from configurations. Routes and plans that are equal
+ * to those of the configuration before keep their objects, so that the gateway's state of them
  * stays. No I/O; not thread-safe.
  */
 final class CatalogBuilder {
     /** This gateway can't serve by the configuration. */
-    static final class Unusable extends Exception {
+    static final class UnusableConfigurationException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unusable(String key, String expected) {
+        UnusableConfigurationException(String key, String expected) {
             super(new ValidationError(key, expected).toString());
         }
     }
 
-    /** What a tenant takes in the configuration, the catalog, and both of their successors. */
+    /** Memory of a tenant in the configuration, the catalog, and both of their successors. */
     private static final int BYTES_PER_TENANT = 512;
 
-    /** Of the heap, the part that tenants may take. */
-    private static final int HEAP_PART_OF_TENANTS = 2;
+    /** Tenants may take the heap divided by this. */
+    private static final int HEAP_DIVISOR = 2;
 
-    private static final double SECOND_MS = 1000;
+    private static final double MS_PER_SECOND = 1000;
     private final Set<String> neededRoutes;
-    private final long mostTenants;
+    private final long maxTenants;
     private Configuration configuration = Configuration.EMPTY;
     private Catalog catalog = new Catalog(Map.of(), Map.of());
 
     /**
-     * @param neededRoutes that this gateway can't do without
-     * @param heapBytes that the process may use
+     * @param neededRoutes without which a configuration is rejected
+     * @param heapBytes the largest heap of the process
      */
     CatalogBuilder(Set<String> neededRoutes, long heapBytes) {
         this.neededRoutes = Set.copyOf(neededRoutes);
-        this.mostTenants = heapBytes / HEAP_PART_OF_TENANTS / BYTES_PER_TENANT;
+        this.maxTenants = heapBytes / HEAP_DIVISOR / BYTES_PER_TENANT;
     }
 
-    /** The catalog of a configuration; nothing here changes where it is refused. */
-    Catalog build(Configuration next) throws Unusable {
+    /** Builds the catalog of a configuration; a rejected one changes nothing. */
+    Catalog build(Configuration next) throws UnusableConfigurationException {
         check(next);
-        Map<String, RequestClass> frontends = new LinkedHashMap<>();
-        next.routes().forEach((name, route) -> frontends.put(name, frontend(route)));
+        Map<String, RequestClass> requestClasses = new LinkedHashMap<>();
+        next.routes().forEach((name, route) -> requestClasses.put(name, requestClass(route)));
         Map<String, tinford.api.Plan> plans = new LinkedHashMap<>();
         next.plans().forEach((name, plan) -> plans.put(name, plan(plan)));
         Map<Long, tinford.api.Plan> tenants = new HashMap<>();
         next.tenants().forEach((id, tenant) -> tenants.put(id, plans.get(tenant.plan())));
         configuration = next;
-        catalog = new Catalog(next.revision(), frontends, plans, tenants);
+        catalog = new Catalog(next.revision(), requestClasses, plans, tenants);
         return catalog;
     }
 
-    private void check(Configuration next) throws Unusable {
+    private void check(Configuration next) throws UnusableConfigurationException {
         for (String route : neededRoutes) {
             if (!next.routes().containsKey(route)) {
-                throw new Unusable(
+                throw new UnusableConfigurationException(
                         "routes." + route, "to be there while moves.homes of the gateway names it");
             }
         }
-        if (next.tenants().size() > mostTenants) {
-            throw new Unusable(
+        if (next.tenants().size() > maxTenants) {
+            throw new UnusableConfigurationException(
                     "tenants",
                     "at most "
-                            + mostTenants
+                            + maxTenants
                             + " for the heap of this gateway, not "
                             + next.tenants().size());
         }
     }
 
-    private RequestClass frontend(RouteRecord route) {
+    private RequestClass requestClass(RouteRecord route) {
         if (route.equals(configuration.routes().get(route.name()))) {
             return catalog.frontends().get(route.name());
         }
@@ -100,13 +100,13 @@
         }
         return new tinford.api.Plan(
                 plan.name(),
-                plan.ratePerSecond() / SECOND_MS,
+                plan.ratePerSecond() / MS_PER_SECOND,
                 plan.burst(),
                 plan.maxOpen(),
                 plan.price(),
                 plan.beyondValue(),
                 plan.beyondCost(),
-                plan.ceilingPerSecond() / SECOND_MS,
+                plan.ceilingPerSecond() / MS_PER_SECOND,
                 plan.ceilingBurst(),
                 plan.ceilingSlack());
     }
--- a/fleet/src/main/java/tinford/fleet/run/CombinedFleetPolicy.java
+++ b/fleet/src/main/java/tinford/fleet/run/CombinedFleetPolicy.java
@@ -13,117 +13,112 @@
 import tinford.api.Tenant;
 
 /**
- * The view that the decisions see, of those parts of the fleet that are on; what is off bounds
- * nothing.
+ * The fleet policy of those parts of the fleet that are on: overload, budgets and migration. A part
+ * that is off limits nothing. Called on the I/O thread.
  */
 final class CombinedFleetPolicy extends FleetPolicy {
-    private static final int MOST_ACCOUNTS = 20_000;
-    private static final int MOST_ASIDE = 2048;
+    private static final int MAX_ACCOUNTS = 20_000;
+    private static final int MAX_UNHEALTHY_SERVERS = 2048;
+
     private final FleetPolicy overload;
-    private final ReplicatedState budgets;
-    private final MigrationCoordinator mover;
-    private final ReplicatedState log;
+    private final BudgetCoordinator budgets;
+    private final BudgetCoordinator connections;
+    private final MigrationCoordinator migration;
     private final DoubleSupplier clock;
-    private volatile boolean over;
-    private final Map<Long, Integer> out = new HashMap<>(); // dispatches, by account
-    private final Consumer<Server> tries;
-    private final Set<String> aside = new HashSet<>(); // servers that this gateway found ill
+    private final Consumer<Server> probeListener;
+    private final Map<Long, Integer> attemptsInFlight = new HashMap<>();
+    private final Set<String> unhealthyServers = new HashSet<>();
+    private volatile boolean ended;
 
     /**
-     * @param overload null where it is off; {@code budgets}, {@code mover} likewise; {@code log}
-     *     null where neither is on; {@code tries} is told what goes to a server put aside
+     * @param overload null where it is off
+     * @param budgets whose limits apply; null where they are off
+     * @param connections which counts open connections; null where budgets and migration are off
+     * @param migration null where it is off
+     * @param clock this machine's wall clock, ms
+     * @param probeListener receives each unhealthy server that an attempt is sent to
      */
     CombinedFleetPolicy(
             FleetPolicy overload,
-            ReplicatedState budgets,
-            MigrationCoordinator mover,
-            ReplicatedState log,
+            BudgetCoordinator budgets,
+            BudgetCoordinator connections,
+            MigrationCoordinator migration,
             DoubleSupplier clock,
-            Consumer<Server> tries) {
+            Consumer<Server> probeListener) {
         this.overload = overload == null ? new FleetPolicy() : overload;
         this.budgets = budgets;
-        this.mover = mover;
-        this.log = log;
+        this.connections = connections;
+        this.migration = migration;
         this.clock = clock;
-        this.tries = tries;
+        this.probeListener = probeListener;
     }
 
-    @Override
-    public boolean allowsServer(Request request, Server srv, Server first) {
-        return mover == null || mover.mayGo(request, srv, first, clock.getAsDouble());
+    /** Ends the use of servers, from any thread. */
+    void end() {
+        ended = true;
     }
 
     @Override
-    public boolean isRoutable(Request request) {
-        return mover == null || mover.goes(request, clock.getAsDouble());
+    public boolean allowsServer(Request request, Server server, Server earlierServer) {
+        return migration == null
+                || migration.allowsServer(request, server, earlierServer, clock.getAsDouble());
     }
 
     @Override
-    public int connectionLimit(Server srv) {
-        return budgets == null
-                ? Integer.MAX_VALUE
-                : over ? 0 : budgets.mayHold(srv, clock.getAsDouble());
+    public boolean isRoutable(Request request) {
+        return migration == null || migration.isRoutable(request, clock.getAsDouble());
     }
 
-    /** From any thread: nothing goes to servers any more. */
-    void over() {
-        over = true;
+    @Override
+    public int connectionLimit(Server server) {
+        if (budgets == null) {
+            return Integer.MAX_VALUE;
+        }
+        return ended ? 0 : budgets.connectionLimit(server, clock.getAsDouble());
     }
 
     @Override
-    public int tenantAttemptLimit(Tenant customer) {
+    public int tenantAttemptLimit(Tenant tenant) {
         return budgets == null
                 ? Integer.MAX_VALUE
-                : budgets.mayUse(budgets.key(customer), clock.getAsDouble());
+                : budgets.attemptLimit(budgets.account(tenant), clock.getAsDouble());
     }
 
     @Override
     public void requestBlocked(Request request) {
         if (budgets != null) {
-            long account = budgets.key(request.tenant);
-            budgets.wanted(account, out.getOrDefault(account, 0) + 1);
+            long account = budgets.account(request.tenant);
+            budgets.reportDemand(account, attemptsInFlight.getOrDefault(account, 0) + 1);
         }
     }
 
     @Override
-    public void connectionOpened(Server srv) {
-        if (log != null) {
-            log.opened(srv);
+    public void connectionOpened(Server server) {
+        if (connections != null) {
+            connections.connectionOpened(server);
         }
     }
 
     @Override
-    public void connectionClosed(Server srv) {
-        if (log != null) {
-            log.closed(srv);
-        }
-    }
-
-    private void count(Request request, int more) {
-        if (budgets == null) {
-            return;
-        }
-        long account = budgets.key(request.tenant);
-        if (more > 0 && out.size() < MOST_ACCOUNTS) {
-            budgets.wanted(account, out.merge(account, more, Integer::sum));
-        } else if (more < 0) {
-            out.computeIfPresent(account, (k, n) -> n > 1 ? n - 1 : null);
+    public void connectionClosed(Server server) {
+        if (connections != null) {
+            connections.connectionClosed(server);
         }
     }
 
     @Override
-    public double admittedShare(double worth) {
-        return overload.admittedShare(worth);
+    public double admittedShare(double weight) {
+        return overload.admittedShare(weight);
     }
 
     @Override
-    public double retryAllowance(double own) {
-        return overload.retryAllowance(own);
+    public double retryAllowance(double ownBudget) {
+        return overload.retryAllowance(ownBudget);
     }
 
     @Override
-    public boolean ownsProbing(Server srv) {
-        return overload.ownsProbing(srv);
+    public boolean ownsProbing(Server server) {
+        return overload.ownsProbing(server);
     }
 
     @Override
@@ -132,40 +127,55 @@
     }
 
     @Override
-    public void requestOffered(Request request, double worth) {
-        overload.requestOffered(request, worth);
+    public void requestOffered(Request request, double weight) {
+        overload.requestOffered(request, weight);
     }
 
     @Override
-    public void requestRejected(Request request, double worth) {
-        overload.requestRejected(request, worth);
+    public void requestRejected(Request request, double weight) {
+        overload.requestRejected(request, weight);
     }
 
     @Override
-    public void attemptSent(Request request, Server srv, double worth, boolean further) {
-        count(request, 1);
-        if (aside.contains(srv.id)) {
-            tries.accept(srv);
+    public void attemptSent(Request request, Server server, double weight, boolean retry) {
+        countAttempt(request);
+        if (unhealthyServers.contains(server.id)) {
+            probeListener.accept(server);
+        }
+        overload.attemptSent(request, server, weight, retry);
+    }
+
+    private void countAttempt(Request request) {
+        if (budgets != null && attemptsInFlight.size() < MAX_ACCOUNTS) {
+            long account = budgets.account(request.tenant);
+            budgets.reportDemand(account, attemptsInFlight.merge(account, 1, Integer::sum));
         }
-        overload.attemptSent(request, srv, worth, further);
     }
 
     @Override
-    public void attemptEnded(Request request, Server srv, AttemptOutcome how, boolean late) {
-        count(request, -1);
-        overload.attemptEnded(request, srv, how, late);
-        if (mover != null) {
-            mover.ended(request, srv, how, late);
+    public void attemptEnded(Request request, Server server, AttemptOutcome outcome, boolean late) {
+        uncountAttempt(request);
+        overload.attemptEnded(request, server, outcome, late);
+        if (migration != null) {
+            migration.attemptEnded(request, server, outcome, late);
+        }
+    }
+
+    private void uncountAttempt(Request request) {
+        if (budgets != null) {
+            attemptsInFlight.computeIfPresent(
+                    budgets.account(request.tenant),
+                    (account, attempts) -> attempts > 1 ? attempts - 1 : null);
         }
     }
 
     @Override
-    public void serverHealthChanged(Server srv, boolean ill) {
-        if (!ill) {
-            aside.remove(srv.id);
-        } else if (aside.size() < MOST_ASIDE) {
-            aside.add(srv.id);
+    public void serverHealthChanged(Server server, boolean unhealthy) {
+        if (!unhealthy) {
+            unhealthyServers.remove(server.id);
+        } else if (unhealthyServers.size() < MAX_UNHEALTHY_SERVERS) {
+            unhealthyServers.add(server.id);
         }
-        overload.serverHealthChanged(srv, ill);
+        overload.serverHealthChanged(server, unhealthy);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/ConfigurationHistory.java
+++ b/fleet/src/main/java/tinford/fleet/run/ConfigurationHistory.java
@@ -3,38 +3,43 @@
 import java.util.function.DoubleSupplier;
 import tinford.fleet.config.Configuration;
 
-/** Writes into the history what became of configurations. On the I/O thread. */
+/** Writes into the history which configurations were applied or rejected. On the I/O thread. */
 final class ConfigurationHistory {
     private final HistoryWriter history;
     private final DoubleSupplier clock;
 
-    /** With the wall clock of the history, in ms. */
+    /**
+     * @param clock the history's wall clock, ms
+     */
     ConfigurationHistory(HistoryWriter history, DoubleSupplier clock) {
         this.history = history;
         this.clock = clock;
     }
 
-    void inForce(Configuration configuration, long from, double turnMs) {
+    /**
+     * @param swapMs how long the I/O thread took to apply it
+     */
+    void applied(Configuration configuration, long previousRevision, double swapMs) {
         history.add(
                 clock.getAsDouble(),
                 "configuration",
                 "revision",
                 configuration.revision(),
                 "from",
-                from,
+                previousRevision,
                 "turn_ms",
-                turnMs,
+                swapMs,
                 "hash",
                 Long.toHexString(configuration.contentHash()));
     }
 
-    void refused(long revision, String refusal) {
+    void rejected(long revision, String reason) {
         history.add(
                 clock.getAsDouble(),
                 "configuration-refused",
                 "revision",
                 revision,
                 "refusal",
-                refusal);
+                reason);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/ConfigurationSettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/ConfigurationSettings.java
@@ -9,12 +9,12 @@
 /**
  * The table {@code [configuration]} of the operator file.
  *
- * @param folder where the last good configuration is kept
+ * @param folder where the last good configuration is stored
  */
 record ConfigurationSettings(String fleetId, String region, List<Endpoint> servers, Path folder) {
-    /** Null where configurations are off. */
+    /** Returns null where the gateway follows no control server. */
     static ConfigurationSettings of(OperatorFile file) {
-        if (!file.on("configuration.on")) {
+        if (!file.flag("configuration.on")) {
             return null;
         }
         List<Endpoint> servers = new ArrayList<>();
--- a/fleet/src/main/java/tinford/fleet/run/FleetMember.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetMember.java
@@ -20,60 +20,64 @@
 import tinford.transport.EventLoop;
 
 /**
- * One gateway's part in its fleet: what the operator file asks for, made once and called on the I/O
- * thread from then on.
+ * One gateway's membership in its fleet: creates the parts that the operator file turns on, and
+ * drives them from the I/O thread.
  */
 final class FleetMember implements FleetExtension {
     private static final System.Logger LOG = System.getLogger("tinford.fleet");
-    private static final double TICK = 50;
-    private static final double MOST_LEAVING = 700; // two rounds, and the way through the log
-    private static final int MOST_BYTES = 256;
+    private static final double TICK_INTERVAL_MS = 50;
+
+    /** Two rounds of entries, and their way through the log. */
+    private static final double DEPARTURE_TIMEOUT_MS = 700;
+
+    private static final int MAX_MESSAGE_BYTES = 256;
     private static final int LOSSY_CAPACITY = 128;
     private static final int LOSSLESS_CAPACITY = 1024;
+
     private final OperatorFile operatorFile;
+
+    /** Null where migrations are off. */
+    private final MigrationSettings migrationSettings;
+
     private final GatewaySettings gatewaySettings;
     private final String historyPath;
-    private final double offset;
+    private final WallClock clock = new WallClock();
+    private Consumer<Catalog> useCatalog;
     private Incarnation incarnation;
     private HistoryWriter history;
     private IoThreadMailbox mailbox;
-    private GossipMembership members;
-    private Transport transport;
+    private GossipMembership membership;
     private FleetOverloadPolicy overload;
-    private CombinedFleetPolicy view;
-    private final MigrationSettings moves; // null where they are off
-    private MigrationCoordinator mover;
-    private ReplicatedState replicatedState; // null where nothing needs agreement
-    private Consumer<Catalog> useCatalog;
-    private GatewayConfiguration configuration; // null where it is off
-    private boolean led;
-    private boolean holds;
-    private int mayHold = -1; // at all servers
-    private int seq;
-    private double last;
-    private int living = -1;
-    private boolean strained;
+    private CombinedFleetPolicy policy;
+    private FleetStatusReporter reporter;
+
+    /** Null where gossip is off. */
+    private Transport transport;
+
+    /** Null where neither budgets nor migrations are on. */
+    private ReplicatedState replicatedState;
 
+    /** Null where migrations are off. */
+    private MigrationCoordinator migration;
+
+    /** Null where the gateway follows no control server. */
+    private GatewayConfiguration configuration;
+
+    private int recordSequence;
+
+    /**
+     * @param migrationSettings null where migrations are off
+     * @param historyPath null or empty: no history is written
+     */
     FleetMember(
             OperatorFile operatorFile,
-            MigrationSettings moves,
+            MigrationSettings migrationSettings,
             GatewaySettings gatewaySettings,
             String historyPath) {
-        this.moves = moves;
+        this.migrationSettings = migrationSettings;
         this.operatorFile = operatorFile;
         this.gatewaySettings = gatewaySettings;
         this.historyPath = historyPath;
-        this.offset =
-                Double.parseDouble(
-                        System.getProperty(
-                                "tinford.clock.offset_ms",
-                                "0")); // for tests: a clock that is apart
-    }
-
-    /** This machine's wall clock; never steps back. */
-    private double now() {
-        last = Math.max(last, System.currentTimeMillis() + offset);
-        return last;
     }
 
     @Override
@@ -81,175 +85,183 @@
         useCatalog = use;
     }
 
-    /** Starts from the last good configuration, and follows the control servers from then on. */
-    private void startConfiguration(GatewayIdentity place, Consumer<EventLoop.Task> enter) {
-        ConfigurationSettings settings = ConfigurationSettings.of(operatorFile);
-        if (settings == null) {
-            return;
-        }
-        CatalogBuilder catalogs =
-                new CatalogBuilder(
-                        moves == null ? Set.of() : moves.homes().keySet(),
-                        Runtime.getRuntime().maxMemory());
-        configuration =
-                new GatewayConfiguration(
-                        settings,
-                        gatewaySettings.followerId(place),
-                        new SplittableRandom(gatewaySettings.seed() + incarnation.start()),
-                        catalogs,
-                        useCatalog,
-                        enter,
-                        new ConfigurationHistory(history, this::now));
-        configuration.start();
-    }
-
     @Override
-    public FleetPolicy join(GatewayIdentity place, Consumer<EventLoop.Task> enter)
+    public FleetPolicy join(GatewayIdentity identity, Consumer<EventLoop.Task> enter)
             throws IOException {
-        double now = now();
-        incarnation = new Incarnation(place.number, (long) now);
+        double nowMs = clock.nowMs();
+        incarnation = new Incarnation(identity.number, (long) nowMs);
         mailbox =
                 new IoThreadMailbox(
-                        LOSSY_CAPACITY, LOSSLESS_CAPACITY, what -> enter.accept(what::run));
-        double every = operatorFile.number("talk.every_ms");
-        double suspect = operatorFile.number("talk.suspect_ms");
-        members =
-                new GossipMembership(
-                        incarnation,
-                        place.gatewayCount,
-                        every,
-                        (int) operatorFile.number("talk.fanout"),
-                        suspect,
-                        suspect,
-                        new Random(gatewaySettings.seed()));
-        overload =
-                new FleetOverloadPolicy(
-                        now,
-                        incarnation,
-                        operatorFile.number("overload.window_ms"),
-                        operatorFile.number("overload.further_part"),
-                        new Random(gatewaySettings.seed() + 1));
-        if (operatorFile.on("budgets.on") || operatorFile.on("moves.on")) {
+                        LOSSY_CAPACITY, LOSSLESS_CAPACITY, task -> enter.accept(task::run));
+        membership = newMembership(identity.gatewayCount);
+        overload = newOverload(nowMs);
+        if (needsReplicatedState()) {
             replicatedState =
                     new ReplicatedState(
-                            operatorFile,
-                            incarnation,
-                            place.gatewayCount,
-                            ReplicatedState.staticShares(operatorFile, place.gatewayCount),
-                            moves == null ? Map.of() : moves.homes(),
-                            mailbox);
+                            operatorFile, incarnation, identity.gatewayCount, homeGroups());
         }
         history = HistoryWriter.at(historyPath, incarnation);
-        if (moves != null) {
-            mover =
-                    new MigrationCoordinator(
-                            replicatedState.stateMachine,
-                            incarnation,
-                            moves,
-                            replicatedState::append,
-                            replicatedState::left,
-                            history);
-            replicatedState.applied = entry -> mover.applied(entry, now());
-            new MigrationCommandFile(
-                            Path.of(operatorFile.text("log.folder")),
-                            mailbox,
-                            (line, then) -> mover.command(line, now(), then))
-                    .start();
+        startMigration();
+        startLog(identity.gatewayCount);
+        policy = newPolicy();
+        startGossip(identity.number);
+        history.add(nowMs, "start");
+        startConfiguration(identity, enter);
+        startReporter(nowMs);
+        LOG.log(
+                Level.INFO,
+                "fleet member started gateways="
+                        + identity.gatewayCount
+                        + " gossip="
+                        + (transport != null));
+        return policy;
+    }
+
+    private GossipMembership newMembership(int gateways) {
+        double suspectAfterMs = operatorFile.number("talk.suspect_ms");
+        return new GossipMembership(
+                incarnation,
+                gateways,
+                operatorFile.number("talk.every_ms"),
+                (int) operatorFile.number("talk.fanout"),
+                suspectAfterMs,
+                suspectAfterMs,
+                new Random(gatewaySettings.seed()));
+    }
+
+    private FleetOverloadPolicy newOverload(double nowMs) {
+        return new FleetOverloadPolicy(
+                nowMs,
+                incarnation,
+                operatorFile.number("overload.window_ms"),
+                operatorFile.number("overload.further_part"),
+                new Random(gatewaySettings.seed() + 1));
+    }
+
+    private boolean needsReplicatedState() {
+        return operatorFile.flag("budgets.on") || operatorFile.flag("moves.on");
+    }
+
+    private Map<String, String> homeGroups() {
+        return migrationSettings == null ? Map.of() : migrationSettings.homeGroups();
+    }
+
+    private void startMigration() {
+        if (migrationSettings == null) {
+            return;
         }
-        view =
-                new CombinedFleetPolicy(
-                        operatorFile.on("overload.on") ? overload : null,
-                        operatorFile.on("budgets.on") ? replicatedState : null,
-                        mover,
-                        replicatedState,
-                        this::now,
-                        srv -> history.add(now(), "try", "server", srv.id));
+        migration =
+                new MigrationCoordinator(
+                        replicatedState.stateMachine,
+                        incarnation,
+                        migrationSettings,
+                        replicatedState::append,
+                        replicatedState::hasLeft,
+                        history);
+        new MigrationCommandFile(
+                        Path.of(operatorFile.text("log.folder")),
+                        mailbox,
+                        (line, callback) -> migration.command(line, clock.nowMs(), callback))
+                .start();
+    }
+
+    private void startLog(int gateways) {
+        if (replicatedState != null) {
+            replicatedState.start(
+                    operatorFile, incarnation, gateways, homeGroups(), logListener(), mailbox);
+        }
+    }
+
+    private FleetLog.Listener logListener() {
+        return new FleetLog.Listener() {
+            @Override
+            public void applied(byte[] entry) {
+                if (migration != null) {
+                    migration.applied(entry, clock.nowMs());
+                }
+            }
+
+            @Override
+            public void restored() {
+                if (migration != null) {
+                    migration.restored(clock.nowMs());
+                }
+            }
+        };
+    }
+
+    private CombinedFleetPolicy newPolicy() {
+        BudgetCoordinator connections = replicatedState == null ? null : replicatedState.budgets;
+        return new CombinedFleetPolicy(
+                operatorFile.flag("overload.on") ? overload : null,
+                operatorFile.flag("budgets.on") ? connections : null,
+                connections,
+                migration,
+                clock::nowMs,
+                server -> history.add(clock.nowMs(), "try", "server", server.id));
+    }
+
+    private void startGossip(int gateway) throws IOException {
         if (gatewaySettings.mayGossip()) {
             transport =
                     new UdpTransport(
-                            place.number,
+                            gateway,
                             gatewaySettings.listen(),
                             gatewaySettings.peers(),
-                            MOST_BYTES,
+                            MAX_MESSAGE_BYTES,
                             (from, message) ->
-                                    mailbox.offer(() -> members.receive(message, from, now())));
+                                    mailbox.offer(
+                                            () ->
+                                                    membership.receive(
+                                                            message, from, clock.nowMs())));
         }
-        history.add(now, "start");
-        startConfiguration(place, enter);
-        if (replicatedState != null) {
-            history.add(now, "term", "holds", false);
+    }
+
+    /** Starts from the last good configuration, and then follows the control servers. */
+    private void startConfiguration(GatewayIdentity identity, Consumer<EventLoop.Task> enter) {
+        ConfigurationSettings settings = ConfigurationSettings.of(operatorFile);
+        if (settings == null) {
+            return;
         }
-        LOG.log(
-                Level.INFO,
-                "one of a fleet of "
-                        + place.gatewayCount
-                        + (transport == null
-                                ? "; the settings allow no messages between gateways"
-                                : ""));
-        return view;
+        Set<String> neededRoutes = homeGroups().keySet();
+        configuration =
+                new GatewayConfiguration(
+                        settings,
+                        gatewaySettings.followerId(identity),
+                        new SplittableRandom(gatewaySettings.seed() + incarnation.start()),
+                        new CatalogBuilder(neededRoutes, Runtime.getRuntime().maxMemory()),
+                        useCatalog,
+                        enter,
+                        new ConfigurationHistory(history, clock::nowMs));
+        configuration.start();
+    }
+
+    private void startReporter(double nowMs) {
+        FleetOverloadPolicy reportedOverload = operatorFile.flag("overload.on") ? overload : null;
+        reporter = new FleetStatusReporter(membership, replicatedState, reportedOverload, history);
+        reporter.start(nowMs);
     }
 
     @Override
     public void tick() {
-        double now = now();
-        members.setOwnRecord(overload.record(seq++), now);
+        double nowMs = clock.nowMs();
+        membership.setOwnRecord(overload.record(recordSequence++), nowMs);
         if (transport != null) {
-            members.sendRound(now, transport);
-        }
-        overload.round(now, members);
-        if (replicatedState != null) {
-            replicatedState.tick(now);
-        }
-        if (mover != null) {
-            mover.tick(now, replicatedState.leads());
-        }
-        tell(now);
-    }
-
-    /** What changed is told in the log and the history. */
-    private void tell(double now) {
-        if (members.aliveCount() != living) {
-            living = members.aliveCount();
-            LOG.log(Level.INFO, "of the fleet live " + members.aliveGateways());
-            history.add(now, "living", "who", members.aliveGateways());
-        }
-        if (replicatedState != null && replicatedState.leads() != led) {
-            led = replicatedState.leads();
-            history.add(now, "leads", "on", led);
+            membership.sendRound(nowMs, transport);
         }
+        overload.round(nowMs, membership);
         if (replicatedState != null) {
-            if (replicatedState.holds(now) != holds) {
-                holds = !holds;
-                LOG.log(
-                        Level.INFO,
-                        holds ? "acts on its lease" : "holds no lease: the static share only");
-                history.add(now, "term", "holds", holds);
-            }
-            int may = replicatedState.mayHold(now);
-            if (may != mayHold) {
-                mayHold = may;
-                history.add(now, "grant", "all", may);
-            }
+            replicatedState.tick(nowMs);
         }
-        boolean on = operatorFile.on("overload.on") && overload.threshold() > 0;
-        if (on != strained) {
-            strained = on;
-            history.add(now, "strained", "on", strained);
-            LOG.log(
-                    Level.INFO,
-                    strained
-                            ? "the fleet is strained: what is worth less than "
-                                    + overload.threshold()
-                                    + " a unit is shed"
-                            : "the fleet is strained no more");
-            history.add(
-                    now, "line", "worth", overload.threshold(), "part", overload.partAtThreshold());
+        if (migration != null) {
+            migration.tick(nowMs, replicatedState.isLeader());
         }
+        reporter.update(nowMs);
     }
 
     @Override
     public double every() {
-        return TICK;
+        return TICK_INTERVAL_MS;
     }
 
     @Override
@@ -257,9 +269,9 @@
         if (configuration != null) {
             configuration.close();
         }
-        history.add(now(), "leaves");
+        history.add(clock.nowMs(), "leaves");
         if (replicatedState != null) {
-            replicatedState.leaves();
+            replicatedState.budgets.startLeaving();
         }
     }
 
@@ -268,9 +280,9 @@
         if (replicatedState == null) {
             return;
         }
-        view.over();
+        policy.end();
         try {
-            replicatedState.awaitLeft(MOST_LEAVING);
+            replicatedState.awaitDeparture(DEPARTURE_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
@@ -15,9 +15,9 @@
 import tinford.fleet.store.ReplicatedLog;
 
 /**
- * The state machine that reads the log: leases, budgets and moves, each taking its own entries. A
- * process has it twice: on the log's thread for snapshots, and on the I/O thread, where it is acted
- * on; both see the same entries in the same order.
+ * The state machine of the fleet's log: leases, budgets and the migration, each applying its own
+ * kinds of entries. A process has two instances, which apply the same entries in the same order:
+ * one on the log's thread, for snapshots, and one on the I/O thread, which acts on the state.
  */
 final class FleetStateMachine implements ReplicatedLog.StateMachine {
     final LeaseTable leases;
@@ -25,18 +25,20 @@
     final MigrationState migration;
 
     /**
-     * @param homes the group of each frontend that may move
+     * @param maxClockSkewMs by which clocks of the fleet differ at most
+     * @param lingerMs until no connection is open that a stopped process had opened
+     * @param homeGroups the group of each frontend that may migrate
      */
     FleetStateMachine(
             int gateways,
             double leaseMs,
-            double apart,
-            double linger,
+            double maxClockSkewMs,
+            double lingerMs,
             StaticShares staticShares,
-            Map<String, String> homes) {
-        leases = new LeaseTable(gateways, leaseMs, apart, linger);
+            Map<String, String> homeGroups) {
+        leases = new LeaseTable(gateways, leaseMs, maxClockSkewMs, lingerMs);
         ledger = new BudgetLedger(leases, staticShares);
-        migration = new MigrationState(homes, leases::notSurelyExpired, apart);
+        migration = new MigrationState(homeGroups, leases::notSurelyExpired, maxClockSkewMs);
     }
 
     @Override
@@ -52,26 +54,31 @@
     @Override
     public byte[] snapshot() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try {
-            DataOutputStream out = new DataOutputStream(bytes);
-            for (byte[] part : new byte[][] {ledger.snapshot(), migration.snapshot()}) {
-                out.writeInt(part.length);
-                out.write(part);
-            }
+        try (DataOutputStream output = new DataOutputStream(bytes)) {
+            writePart(output, ledger.snapshot());
+            writePart(output, migration.snapshot());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
+    private static void writePart(DataOutputStream output, byte[] part) throws IOException {
+        output.writeInt(part.length);
+        output.write(part);
+    }
+
     @Override
     public void restore(long index, byte[] snapshot) {
-        try {
-            DataInputStream in = new DataInputStream(new ByteArrayInputStream(snapshot));
-            ledger.restore(index, in.readNBytes(in.readInt()));
-            migration.restore(index, in.readNBytes(in.readInt()));
+        try (DataInputStream input = new DataInputStream(new ByteArrayInputStream(snapshot))) {
+            ledger.restore(index, readPart(input));
+            migration.restore(index, readPart(input));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
+
+    private static byte[] readPart(DataInputStream input) throws IOException {
+        return input.readNBytes(input.readInt());
+    }
 }
--- a/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
@@ -22,40 +22,44 @@
 import tinford.transport.EventLoop;
 
 /**
- * Brings configurations into force in one gateway: starts from the last good snapshot, follows the
- * control servers on a thread of its own, builds each catalog there, and swaps it within one turn
- * of the I/O thread.
+ * Applies configurations in one gateway: starts from the last good snapshot, follows the control
+ * servers on a thread of its own, builds each catalog there, and swaps it within one iteration of
+ * the I/O thread's event loop.
  */
 final class GatewayConfiguration implements ConfigurationListener {
     private static final System.Logger LOG = System.getLogger("tinford.fleet.configuration");
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
-    private static final long WRITE_AFTER_MS = 1000;
-    private static final long WRITE_AGAIN_MS = 30_000;
+    private static final double NANOS_PER_MS = 1e6;
+    private static final long WRITE_DELAY_MS = 1000;
+    private static final long WRITE_RETRY_DELAY_MS = 30_000;
     private final ConfigurationSettings settings;
     private final String followerId;
     private final RandomGenerator random;
     private final CatalogBuilder catalogs;
     private final SnapshotFile snapshots;
-    private final Consumer<Catalog> use;
+    private final Consumer<Catalog> useCatalog;
     private final Consumer<EventLoop.Task> enter;
     private final ConfigurationHistory history;
     private final ScheduledExecutorService executor =
-            Executors.newSingleThreadScheduledExecutor(GatewayConfiguration::thread);
-    private Configuration inForce = Configuration.EMPTY;
-    private boolean writing; // or about to
+            Executors.newSingleThreadScheduledExecutor(GatewayConfiguration::newThread);
+    private Configuration applied = Configuration.EMPTY;
+
+    /** Whether a write of the snapshot is scheduled. */
+    private boolean writeScheduled;
+
     private ConfigurationClient client;
-    private boolean ended;
+    private boolean closed;
 
     /**
-     * @param use within a round: brings a catalog into force
-     * @param enter from any thread: runs what it is given within a round, soon
+     * @param useCatalog makes the gateway serve by a catalog; called on the I/O thread
+     * @param enter runs a task on the I/O thread, soon; called on any thread
      */
     GatewayConfiguration(
             ConfigurationSettings settings,
             String followerId,
             RandomGenerator random,
             CatalogBuilder catalogs,
-            Consumer<Catalog> use,
+            Consumer<Catalog> useCatalog,
             Consumer<EventLoop.Task> enter,
             ConfigurationHistory history) {
         this.settings = settings;
@@ -63,18 +67,21 @@
         this.random = random;
         this.catalogs = catalogs;
         this.snapshots = new SnapshotFile(settings.folder(), settings.fleetId());
-        this.use = use;
+        this.useCatalog = useCatalog;
         this.enter = enter;
         this.history = history;
     }
 
-    private static Thread thread(Runnable work) {
+    private static Thread newThread(Runnable work) {
         Thread thread = new Thread(work, "configuration");
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Within the first round, before anything comes in: starts from the disk, and follows then. */
+    /**
+     * Applies the stored snapshot, if it can be used, and starts to follow the control servers.
+     * Called on the I/O thread before the gateway accepts requests.
+     */
     void start() {
         SnapshotFile.Loaded loaded = snapshots.read();
         String problem = loaded.problem();
@@ -84,17 +91,22 @@
         if (problem != null) {
             LOG.log(
                     Level.WARNING,
-                    "starts on the settings handed, until a control server is reached: " + problem);
+                    "no usable stored configuration, using the gateway's settings until a control"
+                            + " server answers: reason="
+                            + problem);
         }
         executor.execute(this::follow);
     }
 
+    /** Returns why the configuration can't be used; null where it was applied. */
     private String startFrom(Configuration configuration) {
         try {
             swap(configuration, catalogs.build(configuration));
-            LOG.log(Level.INFO, "starts on configuration " + configuration.revision());
+            LOG.log(
+                    Level.INFO,
+                    "stored configuration applied revision=" + configuration.revision());
             return null;
-        } catch (CatalogBuilder.Unusable e) {
+        } catch (CatalogBuilder.UnusableConfigurationException e) {
             return e.getMessage();
         }
     }
@@ -106,7 +118,7 @@
                         settings.region(),
                         settings.fleetId(),
                         settings.servers(),
-                        inForce,
+                        applied,
                         random);
         HttpClient http =
                 HttpClient.newBuilder()
@@ -118,17 +130,22 @@
         client.start();
     }
 
-    /** On the configuration's thread. */
+    /**
+     * Called on the configuration's thread; returns once the I/O thread has swapped the catalog.
+     */
     @Override
     public String apply(Configuration configuration, List<Change> changes) {
         Catalog catalog;
         try {
             catalog = catalogs.build(configuration);
-        } catch (CatalogBuilder.Unusable e) {
+        } catch (CatalogBuilder.UnusableConfigurationException e) {
             LOG.log(
                     Level.WARNING,
-                    "configuration " + configuration.revision() + " refused: " + e.getMessage());
-            enter.accept(() -> history.refused(configuration.revision(), e.getMessage()));
+                    "configuration rejected revision="
+                            + configuration.revision()
+                            + " reason="
+                            + e.getMessage());
+            enter.accept(() -> history.rejected(configuration.revision(), e.getMessage()));
             return e.getMessage();
         }
         CompletableFuture<Void> swapped = new CompletableFuture<>();
@@ -138,18 +155,18 @@
                     swapped.complete(null);
                 });
         await(swapped);
-        writeSoon(WRITE_AFTER_MS);
+        scheduleWrite(WRITE_DELAY_MS);
         return null;
     }
 
-    /** Within a round: the one bounded step by which a configuration comes into force. */
+    /** On the I/O thread: the one bounded step that applies a configuration. */
     private void swap(Configuration configuration, Catalog catalog) {
-        long from = inForce.revision();
-        long begin = System.nanoTime();
-        use.accept(catalog);
-        double turnMs = (System.nanoTime() - begin) / 1e6;
-        inForce = configuration;
-        history.inForce(configuration, from, turnMs);
+        long previousRevision = applied.revision();
+        long startedNanos = System.nanoTime();
+        useCatalog.accept(catalog);
+        double swapMs = (System.nanoTime() - startedNanos) / NANOS_PER_MS;
+        applied = configuration;
+        history.applied(configuration, previousRevision, swapMs);
     }
 
     private static void await(CompletableFuture<Void> swapped) {
@@ -163,46 +180,47 @@
         }
     }
 
-    /** One write stands for all changes that come until then. */
-    private void writeSoon(long afterMs) {
-        if (!writing && !ended) {
-            writing = true;
-            executor.schedule(this::write, afterMs, TimeUnit.MILLISECONDS);
+    /** One write covers all configurations applied until then. */
+    private void scheduleWrite(long delayMs) {
+        if (!writeScheduled && !closed) {
+            writeScheduled = true;
+            executor.schedule(this::writeSnapshot, delayMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void write() {
-        if (!writing) {
-            return; // written as the process ended
+    private void writeSnapshot() {
+        if (!writeScheduled) {
+            return; // already written by the close
         }
-        writing = false;
+        writeScheduled = false;
         try {
             snapshots.write(client.inForce());
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "the configuration is not kept on the disk yet: " + e);
-            writeSoon(WRITE_AGAIN_MS);
+            LOG.log(Level.WARNING, "configuration not stored, retrying: error=" + e);
+            scheduleWrite(WRITE_RETRY_DELAY_MS);
         }
     }
 
     /**
-     * From any thread: nothing more is followed; what is in force stays, and is kept on the disk.
+     * Stops to follow the control servers and stores what is applied, which stays in use. Called on
+     * any thread.
      */
     void close() {
-        executor.execute(this::end);
+        executor.execute(this::closeOnThread);
     }
 
-    private void end() {
-        ended = true;
+    private void closeOnThread() {
+        closed = true;
         if (client != null) {
             client.close();
         }
-        if (writing) {
-            write();
+        if (writeScheduled) {
+            writeSnapshot();
         }
         try {
             snapshots.close();
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "the configuration's folder: " + e);
+            LOG.log(Level.WARNING, "configuration folder not closed: error=" + e);
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/IoThreadMailbox.java
+++ b/fleet/src/main/java/tinford/fleet/run/IoThreadMailbox.java
@@ -6,32 +6,31 @@
 import java.util.function.Consumer;
 
 /**
- * Two bounded queues of tasks that other threads have for the I/O thread, each in order of arrival.
- * When the lossy one is full its oldest task is dropped, for it will come again. The lossless one
- * drops nothing: whoever adds to it waits for room.
+ * Two bounded FIFO queues of tasks that other threads post to the I/O thread. A task posted to the
+ * full lossy queue replaces the oldest one, so that queue is for messages that are repeated. The
+ * lossless queue drops nothing: a thread that posts to it blocks while it is full.
  */
 public final class IoThreadMailbox {
     private final int lossyCapacity;
     private final int losslessCapacity;
-    private final Consumer<Runnable> enter;
+    private final Consumer<Runnable> ioThread;
     private final ArrayDeque<Runnable> lossy = new ArrayDeque<>();
     private final ArrayDeque<Runnable> lossless = new ArrayDeque<>();
-    private boolean called;
+    private boolean drainScheduled;
     private boolean closed;
     private long dropped;
 
     /**
-     * @param enter runs what it is given on the I/O thread, soon; called once for all that has come
-     *     by then
+     * @param ioThread runs a task on the I/O thread, soon; called once for all tasks posted by then
      */
-    public IoThreadMailbox(int lossyCapacity, int losslessCapacity, Consumer<Runnable> enter) {
+    public IoThreadMailbox(int lossyCapacity, int losslessCapacity, Consumer<Runnable> ioThread) {
         this.lossyCapacity = lossyCapacity;
         this.losslessCapacity = losslessCapacity;
-        this.enter = enter;
+        this.ioThread = ioThread;
     }
 
-    /** Adds to the lossy queue; never waits. */
-    public synchronized void offer(Runnable what) {
+    /** Posts to the lossy queue; never blocks. */
+    public synchronized void offer(Runnable task) {
         if (closed) {
             return;
         }
@@ -39,53 +38,56 @@
             lossy.poll();
             dropped++;
         }
-        lossy.add(what);
-        call();
+        lossy.add(task);
+        scheduleDrain();
     }
 
     /**
-     * Adds to the lossless queue and waits for room.
+     * Posts to the lossless queue; blocks while it is full.
      *
-     * @return false when the box was closed before there was room
+     * @return false when the mailbox was closed before there was room
      */
-    public synchronized boolean put(Runnable what) throws InterruptedException {
+    public synchronized boolean put(Runnable task) throws InterruptedException {
         while (lossless.size() >= losslessCapacity && !closed) {
             wait();
         }
         if (closed) {
             return false;
         }
-        lossless.add(what);
-        call();
+        lossless.add(task);
+        scheduleDrain();
         return true;
     }
 
-    private void call() {
-        if (!called) {
-            called = true;
-            enter.accept(this::drain);
+    private void scheduleDrain() {
+        if (!drainScheduled) {
+            drainScheduled = true;
+            ioThread.accept(this::drain);
         }
     }
 
+    /** Entries of the log run before gossip. */
     private void drain() {
-        List<Runnable> all = new ArrayList<>();
+        List<Runnable> tasks = new ArrayList<>();
         synchronized (this) {
-            called = false;
-            all.addAll(lossless); // what the log agreed on goes before what was only heard
-            all.addAll(lossy);
+            drainScheduled = false;
+            tasks.addAll(lossless);
+            tasks.addAll(lossy);
             lossless.clear();
             lossy.clear();
             notifyAll();
         }
-        for (Runnable r : all) {
-            r.run();
+        for (Runnable task : tasks) {
+            task.run();
         }
     }
 
+    /** Tasks dropped from the lossy queue so far. */
     public synchronized long dropped() {
         return dropped;
     }
 
+    /** Accepts nothing more, and releases the threads that wait for room. */
     public synchronized void close() {
         closed = true;
         notifyAll();
--- a/fleet/src/main/java/tinford/fleet/run/Main.java
+++ b/fleet/src/main/java/tinford/fleet/run/Main.java
@@ -8,10 +8,12 @@
 import tinford.program.GatewayProcess;
 
 /**
- * One gateway of a fleet: the gateway's own program, with a companion made from the operator file
- * that TINFORD_FLEET names.
+ * Starts one gateway of a fleet: the gateway's own program, extended by the operator file that
+ * TINFORD_FLEET names.
  */
 public final class Main {
+    private static final int LOG_FLUSH_MS = 100;
+
     private Main() {}
 
     public static void main(String[] args) {
@@ -29,17 +31,21 @@
             }
             GatewaySettings gatewaySettings = GatewaySettings.read(System.getenv("ROUTER_CONFIG"));
             OperatorFile operatorFile = OperatorFile.read(Path.of(file));
-            MigrationSettings moves =
-                    MigrationSettings.read(file, operatorFile, System.getenv("ROUTER_CONFIG"));
-            FleetMember fleet =
+            MigrationSettings migrationSettings =
+                    MigrationSettingsReader.read(
+                            file, operatorFile, System.getenv("ROUTER_CONFIG"));
+            FleetMember member =
                     new FleetMember(
-                            operatorFile, moves, gatewaySettings, System.getenv("TINFORD_HISTORY"));
-            code = GatewayProcess.start(System.getenv(), System.err, DecisionEngine::new, fleet);
+                            operatorFile,
+                            migrationSettings,
+                            gatewaySettings,
+                            System.getenv("TINFORD_HISTORY"));
+            code = GatewayProcess.start(System.getenv(), System.err, DecisionEngine::new, member);
         } catch (InvalidOperatorFileException | IOException e) {
-            e.getMessage().lines().forEach(l -> System.err.println("tinford: " + l));
+            e.getMessage().lines().forEach(line -> System.err.println("tinford: " + line));
         }
         if (code >= 0) {
-            LineLogger.flush(100);
+            LineLogger.flush(LOG_FLUSH_MS);
             System.exit(code);
         }
     }
--- a/fleet/src/main/java/tinford/fleet/run/MigrationCommandFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/MigrationCommandFile.java
@@ -13,35 +13,41 @@
 import java.util.function.Consumer;
 
 /**
- * The file by which operators order moves, looked at once a second by a thread of its own. An order
- * is taken once: the file is renamed before anything is done, and what came of it is written under
- * the line. One order at a time.
+ * The file in which operators give commands for migrations, polled by a thread of its own. A
+ * command is executed once: the file is renamed before, and the outcome is written below the
+ * command in the renamed file.
  */
 final class MigrationCommandFile implements Runnable {
-    private static final int LONGEST = 1024;
-    private static final long EVERY = 1000;
-    private static final long PATIENCE = 15_000;
+    private static final System.Logger LOG = System.getLogger("tinford.fleet");
+    private static final int MAX_BYTES = 1024;
+    private static final long POLL_INTERVAL_MS = 1000;
+    private static final long OUTCOME_TIMEOUT_MS = 15_000;
+
     private final Path file;
-    private final Path taken;
+    private final Path takenFile;
     private final IoThreadMailbox mailbox;
     private final Handler handler;
 
-    /** Takes an order on the I/O thread. */
+    /** Executes a command on the I/O thread. */
     interface Handler {
-        void handle(String line, Consumer<String> then);
+        /**
+         * @param callback receives the outcome, once
+         */
+        void handle(String line, Consumer<String> callback);
     }
 
     MigrationCommandFile(Path folder, IoThreadMailbox mailbox, Handler handler) {
         this.file = folder.resolve("moves.order");
-        this.taken = folder.resolve("moves.order.taken");
+        this.takenFile = folder.resolve("moves.order.taken");
         this.mailbox = mailbox;
         this.handler = handler;
     }
 
+    /** Starts the polling thread. */
     void start() {
-        Thread t = new Thread(this, "move-commands");
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(this, "move-commands");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     @Override
@@ -49,36 +55,36 @@
         try {
             while (true) {
                 if (Files.exists(file)) {
-                    look();
+                    executeCommand();
                 }
-                Thread.sleep(EVERY);
+                Thread.sleep(POLL_INTERVAL_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void look() throws InterruptedException {
+    private void executeCommand() throws InterruptedException {
         try {
-            Files.move(file, taken, StandardCopyOption.ATOMIC_MOVE);
-            if (Files.size(taken) > LONGEST) {
-                Files.writeString(taken, "refused, expected one line of 1024 bytes at most\n");
+            Files.move(file, takenFile, StandardCopyOption.ATOMIC_MOVE);
+            if (Files.size(takenFile) > MAX_BYTES) {
+                Files.writeString(takenFile, "refused, expected one line of 1024 bytes at most\n");
                 return;
             }
-            String line = new String(Files.readAllBytes(taken), StandardCharsets.UTF_8).strip();
-            CompletableFuture<String> came = new CompletableFuture<>();
-            if (line.contains("\n")) {
-                came.complete("refused, expected one line");
-            } else {
-                mailbox.put(() -> handler.handle(line, came::complete));
-            }
-            Files.writeString(
-                    taken, line + "\n" + came.get(PATIENCE, TimeUnit.MILLISECONDS) + "\n");
+            String line = new String(Files.readAllBytes(takenFile), StandardCharsets.UTF_8).strip();
+            String outcome = submit(line).get(OUTCOME_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            Files.writeString(takenFile, line + "\n" + outcome + "\n");
         } catch (IOException | ExecutionException | TimeoutException e) {
-            System.getLogger("tinford.fleet")
-                    .log(
-                            Level.WARNING,
-                            "moves.order: expected a file that can be read and renamed: " + e);
+            LOG.log(Level.WARNING, "migration command failed file=" + file + " error=" + e);
+        }
+    }
+
+    private CompletableFuture<String> submit(String line) throws InterruptedException {
+        if (line.contains("\n")) {
+            return CompletableFuture.completedFuture("refused, expected one line");
         }
+        CompletableFuture<String> outcome = new CompletableFuture<>();
+        mailbox.put(() -> handler.handle(line, outcome::complete));
+        return outcome;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -10,8 +10,8 @@
 import tinford.fleet.settings.SettingsSchema;
 
 /**
- * The operator file of a fleet, checked whole: every fault is told at once, with file, line, key
- * and what was expected.
+ * The operator file of a fleet, checked as a whole: all errors are reported at once, each with
+ * file, line, key and what was expected.
  */
 public final class OperatorFile {
     private static final SettingsSchema SCHEMA =
@@ -46,12 +46,15 @@
                     .text("configuration.folder", "a folder that lasts");
 
     private final OperatorSettings settings;
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
     private OperatorFile(OperatorSettings settings) {
         this.settings = settings;
     }
 
+    /**
+     * @throws InvalidOperatorFileException with all errors
+     */
     public static OperatorFile read(Path file) throws InvalidOperatorFileException {
         return checked(SCHEMA.read(file));
     }
@@ -62,29 +65,29 @@
 
     private static OperatorFile checked(OperatorSettings settings)
             throws InvalidOperatorFileException {
-        OperatorFile read = new OperatorFile(settings);
-        read.checkTogether();
-        read.checkConfiguration();
-        if (!read.faults.isEmpty()) {
-            throw new InvalidOperatorFileException(read.faults);
+        OperatorFile file = new OperatorFile(settings);
+        file.checkDependencies();
+        file.checkConfiguration();
+        if (!file.errors.isEmpty()) {
+            throw new InvalidOperatorFileException(file.errors);
         }
-        return read;
+        return file;
     }
 
-    private void checkTogether() {
+    private void checkDependencies() {
         if (number("talk.suspect_ms") < 3 * number("talk.every_ms")) {
-            fault("talk.suspect_ms", "three times talk.every_ms or more");
+            addError("talk.suspect_ms", "three times talk.every_ms or more");
         }
-        if ((on("budgets.on") || on("moves.on"))
+        if ((flag("budgets.on") || flag("moves.on"))
                 && (texts("log.members").size() < 3 || text("log.folder").isEmpty())) {
-            fault("log.members", "three or more, and log.folder, where budgets or moves are on");
+            addError("log.members", "three or more, and log.folder, where budgets or moves are on");
         }
-        if (on("moves.on") && texts("moves.homes").isEmpty()) {
-            fault("moves.homes", "one or more where moves are on");
+        if (flag("moves.on") && texts("moves.homes").isEmpty()) {
+            addError("moves.homes", "one or more where moves are on");
         }
         for (String member : texts("log.members")) {
             if (!member.matches("[0-9.]+:[0-9]{1,5}")) {
-                fault("log.members", "numeric host:port, not " + member);
+                addError("log.members", "numeric host:port, not " + member);
             }
         }
     }
@@ -92,53 +95,57 @@
     private void checkConfiguration() {
         for (String server : texts("configuration.servers")) {
             if (EndpointText.parse(server) == null) {
-                fault("configuration.servers", EndpointText.FORM + ", not " + server);
+                addError("configuration.servers", EndpointText.FORM + ", not " + server);
             }
         }
         for (String key : List.of("configuration.fleet", "configuration.region")) {
             String name = text(key);
             if (!name.isEmpty() && !RecordChecks.isName(name)) {
-                fault(key, RecordChecks.EXPECTED_NAME + ", not " + name);
+                addError(key, RecordChecks.EXPECTED_NAME + ", not " + name);
             }
         }
-        if (on("configuration.on")) {
-            checkConfigurationIsWhole();
+        if (flag("configuration.on")) {
+            checkConfigurationIsComplete();
         }
     }
 
-    private void checkConfigurationIsWhole() {
-        String place = "configuration.on";
+    private void checkConfigurationIsComplete() {
+        String switchKey = "configuration.on";
         for (String key :
                 List.of("configuration.fleet", "configuration.region", "configuration.folder")) {
             if (text(key).isEmpty()) {
-                faults.add(settings.faultAt(place, key, "where configuration.on is true"));
+                errors.add(settings.faultAt(switchKey, key, "where configuration.on is true"));
             }
         }
         if (texts("configuration.servers").isEmpty()) {
-            faults.add(
+            errors.add(
                     settings.faultAt(
-                            place,
+                            switchKey,
                             "configuration.servers",
                             "one or more where configuration.on is true"));
         }
     }
 
-    private void fault(String key, String expected) {
-        faults.add(settings.fault(key, expected));
+    private void addError(String key, String expected) {
+        errors.add(settings.fault(key, expected));
     }
 
+    /** The value of a key, or its default. */
     public double number(String key) {
         return settings.number(key);
     }
 
-    public boolean on(String key) {
+    /** Whether a switch is on. */
+    public boolean flag(String key) {
         return settings.flag(key);
     }
 
+    /** The value of a key; empty where it is left out. */
     public String text(String key) {
         return settings.text(key);
     }
 
+    /** The values of a key; none where it is left out. */
     public List<String> texts(String key) {
         return settings.texts(key);
     }
--- a/fleet/src/test/java/tinford/fleet/run/CatalogBuilderTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/CatalogBuilderTest.java
@@ -21,7 +21,7 @@
 import tinford.fleet.config.TenantRecord;
 import tinford.routing.Catalog;
 
-/** What a gateway serves by, out of a configuration. */
+/** The catalog that a gateway serves by, built from a configuration. */
 public class CatalogBuilderTest {
     private static final long HEAP = 38 << 20;
 
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void everyFieldArrivesInTheGatewaysUnits() throws Exception {
+    public void convertsEachFieldToTheGatewaysUnits() throws Exception {
         Catalog catalog = builder().build(first());
         assertEquals(catalog.revision(), 1);
         RequestClass read = catalog.frontends().get("read");
@@ -89,7 +89,7 @@
     }
 
     @Test
-    public void whatDidNotChangeKeepsItsObjects() throws Exception {
+    public void keepsTheObjectsOfWhatDidNotChange() throws Exception {
         CatalogBuilder builder = builder();
         Catalog before = builder.build(first());
         Configuration next =
@@ -104,7 +104,7 @@
     }
 
     @Test
-    public void aRemovedRouteIsGoneAndTheOthersStay() throws Exception {
+    public void removesARemovedRouteAndKeepsTheOthers() throws Exception {
         CatalogBuilder builder = builder();
         Catalog before = builder.build(first());
         Catalog after = builder.build(first().with(2, List.of(new Change.RemoveRoute("read"))));
@@ -113,21 +113,23 @@
     }
 
     @Test
-    public void aNeededRouteThatIsMissingIsRefusedWithKeyAndExpectation() throws Exception {
+    public void rejectsAMissingNeededRouteWithKeyAndExpectation() throws Exception {
         CatalogBuilder builder = new CatalogBuilder(Set.of("read"), HEAP);
         Catalog before = builder.build(first());
         Configuration without = first().with(2, List.of(new Change.RemoveRoute("read")));
-        CatalogBuilder.Unusable refused =
-                expectThrows(CatalogBuilder.Unusable.class, () -> builder.build(without));
+        CatalogBuilder.UnusableConfigurationException rejection =
+                expectThrows(
+                        CatalogBuilder.UnusableConfigurationException.class,
+                        () -> builder.build(without));
         assertEquals(
-                refused.getMessage(),
+                rejection.getMessage(),
                 "routes.read: expected to be there while moves.homes of the gateway names it");
         Catalog after = builder.build(first().with(3, List.of(plan("paid", 300))));
         assertSame(after.frontends().get("read"), before.frontends().get("read"));
     }
 
     @Test
-    public void moreTenantsThanTheHeapHoldsAreRefused() throws Exception {
+    public void rejectsMoreTenantsThanTheHeapHolds() throws Exception {
         List<Change> many = new ArrayList<>();
         for (long id = 100; id < 1100; id++) {
             many.add(new Change.PutTenant(new TenantRecord(id, "free")));
@@ -139,10 +141,12 @@
             many.add(new Change.PutTenant(new TenantRecord(id, "free")));
         }
         Configuration more = first().with(3, many);
-        CatalogBuilder.Unusable refused =
-                expectThrows(CatalogBuilder.Unusable.class, () -> builder.build(more));
+        CatalogBuilder.UnusableConfigurationException rejection =
+                expectThrows(
+                        CatalogBuilder.UnusableConfigurationException.class,
+                        () -> builder.build(more));
         assertEquals(
-                refused.getMessage(),
+                rejection.getMessage(),
                 "tenants: expected at most 1024 for the heap of this gateway, not 2002");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
@@ -12,7 +12,7 @@
 import tinford.fleet.membership.LeaseTable;
 import tinford.fleet.migration.MigrationEntry;
 
-/** Leases, budgets and moves in one log. */
+/** Leases, budgets and the migration in one log. */
 public class FleetStateMachineTest {
     private static final Incarnation INCARNATION = new Incarnation(1, 5000);
 
@@ -21,19 +21,19 @@
                 3, 3000, 100, 1000, new StaticShares(Map.of("s", 8), 0.5, 3), Map.of("f", "m"));
     }
 
-    private static void fill(FleetStateMachine to) {
-        to.apply(3, LeaseTable.renewalEntry(INCARNATION, 10_000, 3000));
-        to.apply(5, new LedgerEntry.CapacityOffer("s", 0, 8, 10_010).encode());
-        to.apply(
+    private static void applyEntries(FleetStateMachine machine) {
+        machine.apply(3, LeaseTable.renewalEntry(INCARNATION, 10_000, 3000));
+        machine.apply(5, new LedgerEntry.CapacityOffer("s", 0, 8, 10_010).encode());
+        machine.apply(
                 6,
                 new LedgerEntry.DemandReport(INCARNATION, 10_020, 5, Map.of(7L, 2), Map.of())
                         .encode());
     }
 
     @Test
-    public void aSnapshotHoldsAll() {
+    public void restoresAllPartsFromASnapshot() {
         FleetStateMachine first = stateMachine();
-        fill(first);
+        applyEntries(first);
         FleetStateMachine second = stateMachine();
         second.restore(6, first.snapshot());
         assertEquals(second.snapshot(), first.snapshot());
@@ -46,25 +46,26 @@
     }
 
     @Test
-    public void eachPartHasItsOwnEntries() {
-        FleetStateMachine all = stateMachine();
-        fill(all);
-        all.apply(
+    public void eachPartAppliesOnlyItsOwnEntries() {
+        FleetStateMachine machine = stateMachine();
+        applyEntries(machine);
+        machine.apply(
                 7,
                 new byte[] {
                     MigrationEntry.MARK, 99, 1
-                }); // from each of their own entries on moves have the log's time
-        byte[] moves = all.migration.snapshot();
-        all.apply(8, new byte[] {MigrationEntry.MARK, 99, 1});
-        assertEquals(all.ledger.unknownEntries(), 0, "what belongs to moves is not the ledger's");
-        assertEquals(all.ledger.lastIndex(), 6);
-        all.apply(9, new byte[] {120, 1});
-        all.apply(10, new byte[0]);
-        assertEquals(all.ledger.unknownEntries(), 2);
+                }); // each entry of its own gives the migration the log's time
+        byte[] migration = machine.migration.snapshot();
+        machine.apply(8, new byte[] {MigrationEntry.MARK, 99, 1});
         assertEquals(
-                all.migration.snapshot(),
-                moves,
-                "what moves can't read, and what others have, changes nothing there");
-        assertTrue(all.leases.mayAct(INCARNATION));
+                machine.ledger.unknownEntries(), 0, "the ledger skips entries of the migration");
+        assertEquals(machine.ledger.lastIndex(), 6);
+        machine.apply(9, new byte[] {120, 1});
+        machine.apply(10, new byte[0]);
+        assertEquals(machine.ledger.unknownEntries(), 2);
+        assertEquals(
+                machine.migration.snapshot(),
+                migration,
+                "unreadable and foreign entries do not change the migration");
+        assertTrue(machine.leases.mayAct(INCARNATION));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
@@ -16,7 +16,6 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -29,15 +28,16 @@
 import tinford.fleet.follow.ScriptedControlServer;
 import tinford.fleet.follow.SnapshotFile;
 import tinford.fleet.membership.Incarnation;
+import tinford.fleet.testing.Eventually;
 import tinford.routing.Catalog;
 import tinford.transport.EventLoop;
 
-/** A gateway's configuration from disk and server to its catalog; the test is the I/O thread. */
+/** A gateway's configuration, from disk and control server; the test acts as the I/O thread. */
 public class GatewayConfigurationTest {
     private static final String FLEET = "shop";
-    private static final int PATIENCE_S = 30;
-    private final BlockingQueue<EventLoop.Task> entered = new LinkedBlockingQueue<>();
-    private final List<Catalog> used = new ArrayList<>();
+    private static final int TIMEOUT_S = 30;
+    private final BlockingQueue<EventLoop.Task> scheduled = new LinkedBlockingQueue<>();
+    private final List<Catalog> applied = new ArrayList<>();
     private final List<GatewayConfiguration> open = new ArrayList<>();
     private Path folder;
     private Path history;
@@ -45,8 +45,8 @@
 
     @BeforeMethod
     public void prepare() throws IOException {
-        entered.clear();
-        used.clear();
+        scheduled.clear();
+        applied.clear();
         folder = Files.createTempDirectory("configuration");
         history = folder.resolve("history");
         server = new ScriptedControlServer("near");
@@ -66,7 +66,7 @@
     }
 
     private GatewayConfiguration start(Set<String> neededRoutes) throws IOException {
-        HistoryWriter told = HistoryWriter.at(history.toString(), new Incarnation(3, 1));
+        HistoryWriter writer = HistoryWriter.at(history.toString(), new Incarnation(3, 1));
         GatewayConfiguration configuration =
                 new GatewayConfiguration(
                         new ConfigurationSettings(
@@ -74,40 +74,30 @@
                         "gateway-3",
                         new Random(1),
                         new CatalogBuilder(neededRoutes, 64 << 20),
-                        used::add,
-                        entered::add,
-                        new ConfigurationHistory(told, () -> 0));
+                        applied::add,
+                        scheduled::add,
+                        new ConfigurationHistory(writer, () -> 0));
         open.add(configuration);
         configuration.start();
         return configuration;
     }
 
-    /** Plays what comes in next, as the I/O thread does. */
-    private void turn() throws InterruptedException {
-        EventLoop.Task next = entered.poll(PATIENCE_S, TimeUnit.SECONDS);
+    /** Runs the next scheduled task, as the I/O thread does. */
+    private void runNextTask() throws InterruptedException {
+        EventLoop.Task next = scheduled.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came in");
+            throw new AssertionError("no task was scheduled");
         }
         next.run();
     }
 
-    private static void await(BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("it has not come to that");
-            }
-            Thread.sleep(10);
-        }
-    }
-
-    private void keep(Configuration configuration) throws IOException {
+    private void store(Configuration configuration) throws IOException {
         try (SnapshotFile file = new SnapshotFile(folder, FLEET)) {
             file.write(configuration);
         }
     }
 
-    private long kept() {
+    private long storedRevision() {
         try (SnapshotFile file = new SnapshotFile(folder, FLEET)) {
             Configuration found = file.read().configuration();
             return found == null ? -1 : found.revision();
@@ -116,9 +106,10 @@
         }
     }
 
-    private JsonNode told(String kind) throws InterruptedException {
+    private JsonNode historyLine(String kind) throws Exception {
         List<JsonNode> found = new ArrayList<>();
-        await(
+        Eventually.holds(
+                "a history line of kind " + kind,
                 () -> {
                     try (Stream<String> lines = Files.lines(history)) {
                         for (String line : lines.toList()) {
@@ -142,94 +133,92 @@
 
     @Test
     public void startsFromTheDiskWithoutAnyControlServer() throws Exception {
-        keep(CatalogBuilderTest.first());
+        store(CatalogBuilderTest.first());
         server.close();
         start(Set.of());
-        assertEquals(used.size(), 1);
-        assertEquals(used.get(0).revision(), 1);
-        assertEquals(used.get(0).frontends().keySet(), Set.of("read", "write"));
+        assertEquals(applied.size(), 1);
+        assertEquals(applied.get(0).revision(), 1);
+        assertEquals(applied.get(0).frontends().keySet(), Set.of("read", "write"));
     }
 
     @Test
     public void startsOnTheSettingsWithoutDiskAndServers() throws Exception {
         server.close();
         start(Set.of());
-        assertTrue(used.isEmpty());
+        assertTrue(applied.isEmpty());
     }
 
     @Test
-    public void followsFromWhatTheDiskHas() throws Exception {
-        keep(CatalogBuilderTest.first());
+    public void followsFromTheStoredRevision() throws Exception {
+        store(CatalogBuilderTest.first());
         start(Set.of());
         ScriptedControlServer.Watch watch = server.watch();
         assertEquals(watch.after(), 1);
         List<Change> changes = List.of(CatalogBuilderTest.plan("paid", 300));
         watch.send(new WatchMessage.UpdateMessage(new Update(1, 2, changes)));
-        turn();
-        assertEquals(used.get(1).revision(), 2);
-        assertEquals(used.get(1).plans().get("paid").quotaPerMs, 0.3);
+        runNextTask();
+        assertEquals(applied.get(1).revision(), 2);
+        assertEquals(applied.get(1).plans().get("paid").quotaPerMs, 0.3);
         server.report(2);
-        JsonNode line = told("configuration");
+        JsonNode line = historyLine("configuration");
         assertEquals(line.path("revision").asLong(), 1);
         assertEquals(line.path("from").asLong(), 0);
         assertTrue(line.path("turn_ms").isNumber());
-        await(() -> kept() == 2);
+        Eventually.holds("stored", () -> storedRevision() == 2);
     }
 
-    /** Until the I/O thread has played the swap nothing is reported, and nothing more is built. */
+    /** Until the I/O thread has run the swap, nothing is reported and nothing more is built. */
     @Test
-    public void isInForceOnceItsTurnHasCome() throws Exception {
+    public void reportsAConfigurationOnceTheIoThreadHasAppliedIt() throws Exception {
         GatewayConfiguration configuration = start(Set.of());
         ScriptedControlServer.Watch watch = server.watch();
         watch.send(snapshot(CatalogBuilderTest.first()));
-        EventLoop.Task swap = entered.poll(PATIENCE_S, TimeUnit.SECONDS);
-        assertTrue(used.isEmpty());
+        EventLoop.Task swap = scheduled.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        assertTrue(applied.isEmpty());
         swap.run();
-        assertEquals(used.size(), 1);
+        assertEquals(applied.size(), 1);
         assertEquals(server.report(1).refusal(), null);
         configuration.close();
         watch.awaitEnd();
     }
 
     @Test
-    public void whatItCannotServeIsRefusedToldAndReported() throws Exception {
-        keep(CatalogBuilderTest.first());
+    public void rejectsWhatItCannotServeAndReportsTheReason() throws Exception {
+        store(CatalogBuilderTest.first());
         start(Set.of("read"));
         ScriptedControlServer.Watch watch = server.watch();
         List<Change> changes = List.of(new Change.RemoveRoute("read"));
         watch.send(new WatchMessage.UpdateMessage(new Update(1, 2, changes)));
-        turn();
+        runNextTask();
         String reported = server.refusal().refusal();
         assertTrue(reported.contains("routes.read: expected"), reported);
-        assertEquals(used.size(), 1, "the last one stays");
-        JsonNode line = told("configuration-refused");
+        assertEquals(applied.size(), 1, "the last one stays");
+        JsonNode line = historyLine("configuration-refused");
         assertEquals(line.path("revision").asLong(), 2);
         assertTrue(line.path("refusal").asText().startsWith("routes.read: expected"));
-        assertEquals(kept(), 1);
+        assertEquals(storedRevision(), 1);
     }
 
-    /**
-     * What the disk has is served by no longer where the gateway can't do without what it lacks.
-     */
+    /** A stored snapshot that lacks a needed route is not used. */
     @Test
-    public void aSnapshotThatCannotBeServedIsPassedOver() throws Exception {
-        keep(CatalogBuilderTest.first());
+    public void ignoresAStoredSnapshotThatItCannotServe() throws Exception {
+        store(CatalogBuilderTest.first());
         start(Set.of("other"));
-        assertTrue(used.isEmpty());
+        assertTrue(applied.isEmpty());
         assertEquals(server.watch().after(), 0);
     }
 
     @Test
-    public void aSnapshotThatIsTornIsPassedOver() throws Exception {
-        keep(CatalogBuilderTest.first());
+    public void ignoresATornSnapshot() throws Exception {
+        store(CatalogBuilderTest.first());
         Path file = folder.resolve("configuration");
         byte[] whole = Files.readAllBytes(file);
         Files.write(file, Arrays.copyOf(whole, whole.length - 1));
         start(Set.of());
-        assertTrue(used.isEmpty());
+        assertTrue(applied.isEmpty());
         server.watch().send(snapshot(CatalogBuilderTest.first()));
-        turn();
-        assertEquals(used.get(0).revision(), 1);
-        await(() -> kept() == 1);
+        runNextTask();
+        assertEquals(applied.get(0).revision(), 1);
+        Eventually.holds("stored", () -> storedRevision() == 1);
     }
 }
--- a/fleet/src/test/java/tinford/fleet/run/IoThreadMailboxTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/IoThreadMailboxTest.java
@@ -9,89 +9,84 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
+import tinford.fleet.testing.Eventually;
 
-/**
- * What other threads bring is bounded; lossy entries go when there is no room, lossless ones wait
- * for it.
- */
+/** The mailbox is bounded: lossy tasks are dropped when it is full, lossless ones wait. */
 public class IoThreadMailboxTest {
-    private final List<Runnable> entered = new ArrayList<>();
+    private final List<Runnable> scheduled = new ArrayList<>();
     private final List<String> ran = new ArrayList<>();
 
-    private IoThreadMailbox box(int lossyCapacity, int losslessCapacity) {
-        entered.clear();
+    private IoThreadMailbox newMailbox(int lossyCapacity, int losslessCapacity) {
+        scheduled.clear();
         ran.clear();
-        return new IoThreadMailbox(lossyCapacity, losslessCapacity, entered::add);
+        return new IoThreadMailbox(lossyCapacity, losslessCapacity, scheduled::add);
     }
 
     private void drain() {
-        List<Runnable> all = List.copyOf(entered);
-        entered.clear();
+        List<Runnable> all = List.copyOf(scheduled);
+        scheduled.clear();
         all.forEach(Runnable::run);
     }
 
     @Test
-    public void theOldestLossyOneGoesAndLosslessOnesComeFirst() throws Exception {
-        IoThreadMailbox box = box(2, 2);
+    public void dropsTheOldestLossyTaskAndRunsLosslessTasksFirst() throws Exception {
+        IoThreadMailbox mailbox = newMailbox(2, 2);
         for (String s : List.of("a", "b", "c")) {
-            box.offer(() -> ran.add(s));
+            mailbox.offer(() -> ran.add(s));
         }
-        assertTrue(box.put(() -> ran.add("1")) && box.put(() -> ran.add("2")));
-        assertEquals(entered.size(), 1, "called once for all");
+        assertTrue(mailbox.put(() -> ran.add("1")) && mailbox.put(() -> ran.add("2")));
+        assertEquals(scheduled.size(), 1, "called once for all");
         drain();
         assertEquals(ran, List.of("1", "2", "b", "c"));
-        assertEquals(box.dropped(), 1);
-        box.offer(() -> ran.add("d"));
+        assertEquals(mailbox.dropped(), 1);
+        mailbox.offer(() -> ran.add("d"));
         drain();
         assertEquals(ran.get(4), "d");
     }
 
     /**
-     * Brings one thing more than there is room for, on another thread, and waits until that one
-     * stands.
+     * Fills the mailbox, posts one more task on another thread, and waits until that one blocks.
      */
-    private CompletableFuture<Boolean> oneTooMany(IoThreadMailbox box) throws Exception {
-        assertTrue(box.put(() -> ran.add("1")));
-        CompletableFuture<Boolean> taken = new CompletableFuture<>();
-        Thread brings =
+    private CompletableFuture<Boolean> postBeyondCapacity(IoThreadMailbox mailbox)
+            throws Exception {
+        assertTrue(mailbox.put(() -> ran.add("1")));
+        CompletableFuture<Boolean> posted = new CompletableFuture<>();
+        Thread poster =
                 new Thread(
                         () -> {
                             try {
-                                taken.complete(box.put(() -> ran.add("2")));
+                                posted.complete(mailbox.put(() -> ran.add("2")));
                             } catch (InterruptedException e) {
-                                taken.completeExceptionally(e);
+                                posted.completeExceptionally(e);
                             }
                         });
-        brings.setDaemon(true);
-        brings.start();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); // only ends a test that hangs
-        while (brings.getState() != Thread.State.WAITING
-                && !taken.isDone()
-                && System.nanoTime() < end) {
-            Thread.onSpinWait();
-        }
-        assertFalse(taken.isDone(), "it went in though there was no room");
-        return taken;
+        poster.setDaemon(true);
+        poster.start();
+        Eventually.holds(
+                "the poster blocks",
+                () -> poster.getState() == Thread.State.WAITING || posted.isDone());
+        assertFalse(posted.isDone(), "posted although the mailbox was full");
+        return posted;
     }
 
     @Test
-    public void aLosslessOneWaitsForRoom() throws Exception {
-        IoThreadMailbox box = box(1, 1);
-        CompletableFuture<Boolean> taken = oneTooMany(box);
+    public void aLosslessTaskWaitsForRoom() throws Exception {
+        IoThreadMailbox mailbox = newMailbox(1, 1);
+        CompletableFuture<Boolean> posted = postBeyondCapacity(mailbox);
         drain();
-        assertTrue(taken.get(20, TimeUnit.SECONDS));
+        assertTrue(posted.get(20, TimeUnit.SECONDS));
         drain();
         assertEquals(ran, List.of("1", "2"));
     }
 
     @Test
-    public void aClosedBoxLetsGoOfWhoWaitsAndTakesNothing() throws Exception {
-        IoThreadMailbox box = box(1, 1);
-        CompletableFuture<Boolean> taken = oneTooMany(box);
-        box.close();
-        assertFalse(taken.get(20, TimeUnit.SECONDS));
-        box.offer(() -> ran.add("late"));
-        assertFalse(box.put(() -> ran.add("late")));
+    public void aClosedMailboxReleasesWaitingThreadsAndAcceptsNothing() throws Exception {
+        IoThreadMailbox mailbox = newMailbox(1, 1);
+        CompletableFuture<Boolean> posted = postBeyondCapacity(mailbox);
+        mailbox.close();
+        assertFalse(posted.get(20, TimeUnit.SECONDS));
+        mailbox.offer(() -> ran.add("late"));
+        assertFalse(mailbox.put(() -> ran.add("late")));
         drain();
         assertEquals(ran, List.of("1"));
     }
--- a/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
@@ -10,9 +10,9 @@
 import org.testng.annotations.Test;
 import tinford.fleet.settings.InvalidOperatorFileException;
 
-/** What an operator wrote wrong is told with its place and what was expected. */
+/** Errors in an operator file are reported with their place and what was expected. */
 public class OperatorFileTest {
-    private static List<String> faults(String text) {
+    private static List<String> errors(String text) {
         try {
             OperatorFile.of("f.toml", text);
             return List.of();
@@ -22,7 +22,7 @@
     }
 
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] invalidFiles() {
         return new Object[][] {
             {
                 "[talk]\nevery_ms = 20",
@@ -91,16 +91,17 @@
         };
     }
 
-    @Test(dataProvider = "bad")
-    public void eachFaultIsToldWithItsPlace(String text, String told) {
+    @Test(dataProvider = "invalidFiles")
+    public void reportsEachErrorWithItsPlace(String text, String expectedError) {
         assertTrue(
-                faults(text).stream().anyMatch(f -> f.startsWith(told)), faults(text).toString());
+                errors(text).stream().anyMatch(error -> error.startsWith(expectedError)),
+                errors(text).toString());
     }
 
     @Test
-    public void allFaultsAreToldAtOnce() {
+    public void reportsAllErrorsAtOnce() {
         assertEquals(
-                faults("[talk]\nevery_ms = 1\nfanout = 0\n[log]\nterm_ms = 1\n[none]\nx = 1\n")
+                errors("[talk]\nevery_ms = 1\nfanout = 0\n[log]\nterm_ms = 1\n[none]\nx = 1\n")
                         .size(),
                 4);
         assertThrows(
@@ -108,12 +109,9 @@
                 () -> OperatorFile.read(Path.of("no", "such", "file")));
     }
 
-    /**
-     * The example that operators start from loads, and what it names is what is used where it is
-     * left out.
-     */
+    /** The example that operators start from is valid, and its values are the defaults. */
     @Test
-    public void theExampleLoads() throws Exception {
+    public void readsTheExampleWhoseValuesAreTheDefaults() throws Exception {
         OperatorFile example = OperatorFile.read(Path.of("..", "deploy", "fleet.toml"));
         OperatorFile empty = OperatorFile.of("f.toml", "");
         for (String key :
@@ -128,11 +126,11 @@
     }
 
     @Test
-    public void whatIsLeftOutIsAsUsual() throws Exception {
-        OperatorFile o = OperatorFile.of("f.toml", "[budgets]\noffer = 8\n");
-        assertEquals(o.number("budgets.offer"), 8.0);
-        assertEquals(o.number("log.term_ms"), 4000.0);
-        assertTrue(o.on("overload.on") && !o.on("budgets.on"));
-        assertEquals(o.texts("log.members"), List.of());
+    public void usesDefaultsForOmittedKeys() throws Exception {
+        OperatorFile file = OperatorFile.of("f.toml", "[budgets]\noffer = 8\n");
+        assertEquals(file.number("budgets.offer"), 8.0);
+        assertEquals(file.number("log.term_ms"), 4000.0);
+        assertTrue(file.flag("overload.on") && !file.flag("budgets.on"));
+        assertEquals(file.texts("log.members"), List.of());
     }
 }
--- a/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
@@ -1,6 +1,7 @@
 package tinford.fleet.run;
 
 import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
@@ -241,8 +242,7 @@
 
     /**
      * The lock of an incarnation is held on the stored file, so that two processes of different
-     * versions exclude each other. The operator file names no address for gateway 1, so that no log
-     * starts.
+     * versions exclude each other.
      */
     @Test
     public void theStoredLockFileIsLocked() throws Exception {
@@ -254,16 +254,9 @@
         try (FileChannel lock =
                 FileChannel.open(folder.resolve("life.lock"), StandardOpenOption.WRITE)) {
             lock.tryLock().release();
-            ReplicatedState state =
-                    new ReplicatedState(
-                            operatorFile,
-                            FIRST,
-                            3,
-                            ReplicatedState.staticShares(operatorFile, 3),
-                            Map.of(),
-                            new IoThreadMailbox(8, 8, Runnable::run));
+            ReplicatedState state = new ReplicatedState(operatorFile, FIRST, 3, Map.of());
             assertThrows(OverlappingFileLockException.class, lock::tryLock);
-            assertTrue(!state.left());
+            assertFalse(state.hasLeft());
         }
     }
 
