--- a/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
@@ -10,13 +10,13 @@
 import java.util.zip.Inflater;
 
 /**
- * Bytes in an envelope that tells what they are, of which fleet and revision, and whether they are
- * whole. Big-endian: magic, format version, kind, revision, length of the fleet id, the fleet id,
- * length of the content, length of the compressed content, the compressed content, and a SHA-256
- * over all that stands before it.
+ * An envelope around stored configuration data: it names the kind of content, the fleet and the
+ * revision, and detects damage. Big-endian: magic, format version, kind, revision, length of the
+ * fleet id, the fleet id, length of the content, length of the compressed content, the compressed
+ * content (deflated), and a SHA-256 over all bytes before it.
  */
 final class ChecksummedState {
-    /** What the content is; the numbers are part of the format. */
+    /** The kind of content; the codes and, in error messages, the names are fixed. */
     enum Kind {
         CONFIGURATION(1),
         HISTORY(2);
@@ -32,81 +32,104 @@
     private static final byte FORMAT_VERSION = 1;
     private static final int HASH_BYTES = 32;
     private static final int HEADER_BYTES = Integer.BYTES + 2 * Byte.BYTES + Long.BYTES;
-    private static final int LEAST_BYTES =
-            HEADER_BYTES + Byte.BYTES + 2 * Integer.BYTES + HASH_BYTES;
+    private static final int MIN_BYTES = HEADER_BYTES + Byte.BYTES + 2 * Integer.BYTES + HASH_BYTES;
     private static final int BUFFER_BYTES = 16 << 10;
 
     private ChecksummedState() {}
 
-    static byte[] seal(Kind kind, String fleetId, long revision, byte[] content) {
+    static byte[] encode(Kind kind, String fleetId, long revision, byte[] content) {
         byte[] fleet = fleetId.getBytes(StandardCharsets.UTF_8);
         byte[] compressed = compress(content);
-        ByteBuffer to = ByteBuffer.allocate(LEAST_BYTES + fleet.length + compressed.length);
-        to.putInt(MAGIC).put(FORMAT_VERSION).put(kind.code).putLong(revision);
-        to.put((byte) fleet.length).put(fleet);
-        to.putInt(content.length).putInt(compressed.length).put(compressed);
-        to.put(hash(to.array(), to.position()));
-        return to.array();
+        ByteBuffer buffer = ByteBuffer.allocate(MIN_BYTES + fleet.length + compressed.length);
+        buffer.putInt(MAGIC).put(FORMAT_VERSION).put(kind.code).putLong(revision);
+        buffer.put((byte) fleet.length).put(fleet);
+        buffer.putInt(content.length).putInt(compressed.length).put(compressed);
+        buffer.put(hash(buffer.array(), buffer.position()));
+        return buffer.array();
     }
 
-    /** What an envelope holds. */
-    record Opened(long revision, byte[] content) {}
+    /** The revision and the content of an envelope whose checksum matches. */
+    record Decoded(long revision, byte[] content) {}
 
-    static Opened open(Kind kind, String fleetId, byte[] sealed)
+    /**
+     * Checks an envelope and unpacks its content.
+     *
+     * @throws InvalidConfigurationException if it is truncated, damaged, or of another kind, fleet
+     *     or later format
+     */
+    static Decoded decode(Kind kind, String fleetId, byte[] encoded)
             throws InvalidConfigurationException {
-        if (sealed.length < LEAST_BYTES) {
-            throw torn(sealed);
+        if (encoded.length < MIN_BYTES) {
+            throw truncated(encoded);
         }
-        ByteBuffer from = ByteBuffer.wrap(sealed);
-        if (from.getInt() != MAGIC) {
+        ByteBuffer buffer = ByteBuffer.wrap(encoded);
+        checkMagic(buffer);
+        checkVersion(buffer); // before the hash: a later version may hash differently
+        checkHash(encoded);
+        checkKind(buffer, kind);
+        long revision = buffer.getLong();
+        checkFleet(buffer, encoded, fleetId);
+        return new Decoded(revision, readContent(buffer, encoded));
+    }
+
+    private static void checkMagic(ByteBuffer buffer) throws InvalidConfigurationException {
+        if (buffer.getInt() != MAGIC) {
             throw new InvalidConfigurationException("snapshot", "a snapshot of a configuration");
         }
-        byte version = from.get();
-        if (version < 1 || version > FORMAT_VERSION) { // first: a later one may hash otherwise
+    }
+
+    private static void checkVersion(ByteBuffer buffer) throws InvalidConfigurationException {
+        byte version = buffer.get();
+        if (version < 1 || version > FORMAT_VERSION) {
             throw new InvalidConfigurationException(
                     "snapshot.version",
                     "a version from 1 to " + FORMAT_VERSION + ", not " + version);
         }
-        checkHash(sealed);
-        if (from.get() != kind.code) {
-            throw new InvalidConfigurationException("snapshot.kind", kind + " (" + kind.code + ")");
-        }
-        long revision = from.getLong();
-        String fleet = readFleet(from, sealed);
-        if (!fleet.equals(fleetId)) {
+    }
+
+    private static void checkHash(byte[] encoded) throws InvalidConfigurationException {
+        int end = encoded.length - HASH_BYTES;
+        byte[] storedHash = Arrays.copyOfRange(encoded, end, encoded.length);
+        if (!MessageDigest.isEqual(storedHash, hash(encoded, end))) {
             throw new InvalidConfigurationException(
-                    "snapshot.fleet", "a snapshot of fleet " + fleetId + ", not " + fleet);
-        }
-        int contentLength = from.getInt();
-        int compressedLength = from.getInt();
-        if (compressedLength != from.remaining() - HASH_BYTES) {
-            throw torn(sealed);
+                    "snapshot.hash", "the SHA-256 of what stands before it: torn or damaged");
         }
-        if (contentLength < 0 || contentLength > ConfigurationLimits.SNAPSHOT_BYTES) {
-            throw new InvalidConfigurationException(
-                    "snapshot.length", "at most " + ConfigurationLimits.SNAPSHOT_BYTES + " bytes");
+    }
+
+    private static void checkKind(ByteBuffer buffer, Kind kind)
+            throws InvalidConfigurationException {
+        if (buffer.get() != kind.code) {
+            throw new InvalidConfigurationException("snapshot.kind", kind + " (" + kind.code + ")");
         }
-        return new Opened(
-                revision, decompress(sealed, from.position(), compressedLength, contentLength));
     }
 
-    private static String readFleet(ByteBuffer from, byte[] sealed)
+    private static void checkFleet(ByteBuffer buffer, byte[] encoded, String fleetId)
             throws InvalidConfigurationException {
-        byte[] fleet = new byte[from.get() & 0xFF];
-        if (from.remaining() < fleet.length + 2 * Integer.BYTES + HASH_BYTES) {
-            throw torn(sealed);
+        byte[] fleet = new byte[buffer.get() & 0xFF];
+        if (buffer.remaining() < fleet.length + 2 * Integer.BYTES + HASH_BYTES) {
+            throw truncated(encoded);
+        }
+        buffer.get(fleet);
+        String storedFleet = new String(fleet, StandardCharsets.UTF_8);
+        if (!storedFleet.equals(fleetId)) {
+            throw new InvalidConfigurationException(
+                    "snapshot.fleet", "a snapshot of fleet " + fleetId + ", not " + storedFleet);
         }
-        from.get(fleet);
-        return new String(fleet, StandardCharsets.UTF_8);
     }
 
-    private static void checkHash(byte[] sealed) throws InvalidConfigurationException {
-        int end = sealed.length - HASH_BYTES;
-        byte[] told = Arrays.copyOfRange(sealed, end, sealed.length);
-        if (!MessageDigest.isEqual(told, hash(sealed, end))) {
+    private static byte[] readContent(ByteBuffer buffer, byte[] encoded)
+            throws InvalidConfigurationException {
+        int contentLength = buffer.getInt();
+        int compressedLength = buffer.getInt();
+        if (compressedLength != buffer.remaining() - HASH_BYTES) {
+            throw truncated(encoded);
+        }
+        if (contentLength < 0 || contentLength > ConfigurationLimits.MAX_SNAPSHOT_BYTES) {
             throw new InvalidConfigurationException(
-                    "snapshot.hash", "the SHA-256 of what stands before it: torn or damaged");
+                    "snapshot.length",
+                    "at most " + ConfigurationLimits.MAX_SNAPSHOT_BYTES + " bytes");
         }
+        return decompress(encoded, buffer.position(), compressedLength, contentLength);
     }
 
     private static byte[] hash(byte[] bytes, int length) {
@@ -115,9 +138,9 @@
         return digest.digest();
     }
 
-    private static InvalidConfigurationException torn(byte[] sealed) {
+    private static InvalidConfigurationException truncated(byte[] encoded) {
         return new InvalidConfigurationException(
-                "snapshot", "a whole snapshot; torn at " + sealed.length + " bytes");
+                "snapshot", "a whole snapshot; torn at " + encoded.length + " bytes");
     }
 
     private static byte[] compress(byte[] content) {
@@ -136,11 +159,12 @@
         }
     }
 
-    private static byte[] decompress(byte[] from, int at, int length, int contentLength)
+    private static byte[] decompress(
+            byte[] encoded, int offset, int compressedLength, int contentLength)
             throws InvalidConfigurationException {
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(from, at, length);
+            inflater.setInput(encoded, offset, compressedLength);
             byte[] content = new byte[contentLength];
             int size = 0;
             while (size < contentLength && !inflater.finished() && !inflater.needsInput()) {
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
@@ -8,85 +8,100 @@
 
 /**
  * Proposals, outcomes, watch messages and reports as JSON, one object each with a field {@code
- * version}. Unknown fields, a later version and whatever exceeds {@link ConfigurationLimits} are
- * refused.
+ * version}. The forms are used on the wire and in the replicated log. Each decoder throws {@link
+ * InvalidConfigurationException} for JSON that can't be read, unknown fields, a later version and
+ * whatever exceeds {@link ConfigurationLimits}.
  */
 public final class ConfigurationCodec {
     /** The version of the JSON forms. */
     public static final int VERSION = 1;
 
     private static final Set<String> CHANGE_SET_KEYS =
-            RecordJson.keys("version", "id", "expectedRevision", "changes");
-    private static final Set<String> REVERT_KEYS = RecordJson.keys("version", "id", "revertTo");
-    private static final Set<String> ACCEPTED_KEYS = RecordJson.keys("version", "revision");
-    private static final Set<String> REFUSED_KEYS = RecordJson.keys("version", "faults");
-    private static final Set<String> UPDATE_MESSAGE_KEYS = RecordJson.keys("version", "update");
-    private static final Set<String> SNAPSHOT_MESSAGE_KEYS = RecordJson.keys("version", "snapshot");
-    private static final Set<String> UPDATE_KEYS = RecordJson.keys("from", "revision", "changes");
-    private static final Set<String> SNAPSHOT_KEYS = RecordJson.keys("revision", "data");
+            JsonObjectReader.keys("version", "id", "expectedRevision", "changes");
+    private static final Set<String> REVERT_KEYS =
+            JsonObjectReader.keys("version", "id", "revertTo");
+    private static final Set<String> ACCEPTED_KEYS = JsonObjectReader.keys("version", "revision");
+    private static final Set<String> REJECTED_KEYS = JsonObjectReader.keys("version", "faults");
+    private static final Set<String> UPDATE_MESSAGE_KEYS =
+            JsonObjectReader.keys("version", "update");
+    private static final Set<String> SNAPSHOT_MESSAGE_KEYS =
+            JsonObjectReader.keys("version", "snapshot");
+    private static final Set<String> UPDATE_KEYS =
+            JsonObjectReader.keys("from", "revision", "changes");
+    private static final Set<String> SNAPSHOT_KEYS = JsonObjectReader.keys("revision", "data");
     private static final Set<String> REPORT_KEYS =
-            RecordJson.keys("version", "follower", "region", "revision", "refusal");
+            JsonObjectReader.keys("version", "follower", "region", "revision", "refusal");
 
     private ConfigurationCodec() {}
 
+    /** A proposal as an entry of the log and as the body of a request. */
     public static byte[] encode(Proposal proposal) {
         return Json.write(VERSION, out -> writeProposal(out, proposal));
     }
 
+    /** Reads a proposal; its changes are not yet validated. */
     public static Proposal decodeProposal(byte[] json) throws InvalidConfigurationException {
-        JsonObject object = Json.read(json, VERSION, ConfigurationLimits.PROPOSAL_BYTES);
+        JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_PROPOSAL_BYTES);
         if (object.has("revertTo")) {
-            object.allow(REVERT_KEYS);
-            return new Revert(object.text("id"), object.count("revertTo"));
+            object.allowOnly(REVERT_KEYS);
+            return new Revert(object.text("id"), object.nonNegativeLong("revertTo"));
         }
-        object.allow(CHANGE_SET_KEYS);
+        object.allowOnly(CHANGE_SET_KEYS);
         return new ChangeSet(
                 object.text("id"),
-                object.has("expectedRevision") ? (Long) object.count("expectedRevision") : null,
-                RecordJson.readAll(object, "changes", RecordJson::readChange));
+                object.has("expectedRevision")
+                        ? (Long) object.nonNegativeLong("expectedRevision")
+                        : null,
+                JsonArrays.read(object, "changes", ChangeJson::read));
     }
 
+    /** An outcome as the body of a response. */
     public static byte[] encode(Outcome outcome) {
         return Json.write(VERSION, out -> writeOutcome(out, outcome));
     }
 
+    /** Reads an outcome. */
     public static Outcome decodeOutcome(byte[] json) throws InvalidConfigurationException {
-        JsonObject object = Json.read(json, VERSION, ConfigurationLimits.OUTCOME_BYTES);
+        JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_OUTCOME_BYTES);
         if (object.has("revision")) {
-            object.allow(ACCEPTED_KEYS);
+            object.allowOnly(ACCEPTED_KEYS);
         } else {
-            object.allow(REFUSED_KEYS);
+            object.allowOnly(REJECTED_KEYS);
         }
         return readOutcome(object);
     }
 
-    /** Without a line end. */
+    /** A watch message as one line, without the line feed. */
     public static byte[] encode(WatchMessage message) {
         return Json.write(VERSION, out -> writeWatchMessage(out, message));
     }
 
+    /** Reads a line without its line feed; the changes are not yet validated. */
     public static WatchMessage decodeWatchMessage(byte[] json)
             throws InvalidConfigurationException {
-        JsonObject object = Json.readWithLongTexts(json, VERSION, ConfigurationLimits.LINE_BYTES);
+        JsonObjectReader object =
+                Json.readWithLongTexts(json, VERSION, ConfigurationLimits.MAX_LINE_BYTES);
         if (object.has("snapshot")) {
-            object.allow(SNAPSHOT_MESSAGE_KEYS);
+            object.allowOnly(SNAPSHOT_MESSAGE_KEYS);
             return readSnapshotMessage(object.object("snapshot"));
         }
-        object.allow(UPDATE_MESSAGE_KEYS);
+        object.allowOnly(UPDATE_MESSAGE_KEYS);
         return new WatchMessage.UpdateMessage(readUpdate(object.object("update")));
     }
 
+    /** A report as the body of a request. */
     public static byte[] encode(FollowerReport report) {
         return Json.write(VERSION, out -> writeReport(out, report));
     }
 
+    /** Reads a report. */
     public static FollowerReport decodeReport(byte[] json) throws InvalidConfigurationException {
-        JsonObject object = Json.read(json, VERSION, ConfigurationLimits.REPORT_BYTES);
-        object.allow(REPORT_KEYS);
+        JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_REPORT_BYTES);
+        object.allowOnly(REPORT_KEYS);
         return new FollowerReport(
                 readName(object, "follower"),
                 readName(object, "region"),
-                object.count("revision"),
+                object.nonNegativeLong("revision"),
                 object.has("refusal") ? object.text("refusal") : null);
     }
 
@@ -94,38 +109,37 @@
         out.writeStartObject();
         out.writeNumberField("from", update.fromRevision());
         out.writeNumberField("revision", update.revision());
-        RecordJson.writeAll(out, "changes", update.changes(), RecordJson::writeChange);
+        JsonArrays.write(out, "changes", update.changes(), ChangeJson::write);
         out.writeEndObject();
     }
 
-    static Update readUpdate(JsonObject json) throws InvalidConfigurationException {
-        json.allow(UPDATE_KEYS);
-        long from = json.count("from");
-        long revision = json.count("revision");
+    static Update readUpdate(JsonObjectReader json) throws InvalidConfigurationException {
+        json.allowOnly(UPDATE_KEYS);
+        long from = json.nonNegativeLong("from");
+        long revision = json.nonNegativeLong("revision");
         if (revision <= from) {
             throw json.invalid("revision", "one above from, " + from);
         }
-        return new Update(
-                from, revision, RecordJson.readAll(json, "changes", RecordJson::readChange));
+        return new Update(from, revision, JsonArrays.read(json, "changes", ChangeJson::read));
     }
 
     static void writeOutcome(JsonGenerator out, Outcome outcome) throws IOException {
         if (outcome instanceof Outcome.Accepted accepted) {
             out.writeNumberField("revision", accepted.revision());
-        } else if (outcome instanceof Outcome.Refused refused) {
-            RecordJson.writeAll(out, "faults", refused.refusal().faults(), RecordJson::writeFault);
+        } else if (outcome instanceof Outcome.Rejected rejected) {
+            JsonArrays.write(out, "faults", rejected.rejection().errors(), RecordJson::writeError);
         }
     }
 
-    static Outcome readOutcome(JsonObject json) throws InvalidConfigurationException {
+    static Outcome readOutcome(JsonObjectReader json) throws InvalidConfigurationException {
         if (json.has("revision")) {
-            return new Outcome.Accepted(json.count("revision"));
+            return new Outcome.Accepted(json.nonNegativeLong("revision"));
         }
-        List<ValidationError> faults = RecordJson.readAll(json, "faults", RecordJson::readFault);
-        if (faults.isEmpty()) {
+        List<ValidationError> errors = JsonArrays.read(json, "faults", RecordJson::readError);
+        if (errors.isEmpty()) {
             throw json.invalid("faults", "one at least");
         }
-        return new Outcome.Refused(new Rejection(faults));
+        return new Outcome.Rejected(new Rejection(errors));
     }
 
     private static void writeProposal(JsonGenerator out, Proposal proposal) throws IOException {
@@ -136,7 +150,7 @@
             if (set.expectedRevision() != null) {
                 out.writeNumberField("expectedRevision", set.expectedRevision());
             }
-            RecordJson.writeAll(out, "changes", set.changes(), RecordJson::writeChange);
+            JsonArrays.write(out, "changes", set.changes(), ChangeJson::write);
         }
     }
 
@@ -153,12 +167,13 @@
         }
     }
 
-    private static WatchMessage readSnapshotMessage(JsonObject json)
+    private static WatchMessage readSnapshotMessage(JsonObjectReader json)
             throws InvalidConfigurationException {
-        json.allow(SNAPSHOT_KEYS);
+        json.allowOnly(SNAPSHOT_KEYS);
         try {
             return new WatchMessage.SnapshotMessage(
-                    json.count("revision"), Base64.getDecoder().decode(json.text("data")));
+                    json.nonNegativeLong("revision"),
+                    Base64.getDecoder().decode(json.text("data")));
         } catch (IllegalArgumentException e) {
             throw json.invalid("data", "Base64");
         }
@@ -168,12 +183,12 @@
         out.writeStringField("follower", report.follower());
         out.writeStringField("region", report.region());
         out.writeNumberField("revision", report.revision());
-        if (report.refusal() != null) {
-            out.writeStringField("refusal", ValidationError.oneLine(report.refusal()));
+        if (report.rejectionReason() != null) {
+            out.writeStringField("refusal", ValidationError.oneLine(report.rejectionReason()));
         }
     }
 
-    private static String readName(JsonObject json, String key)
+    private static String readName(JsonObjectReader json, String key)
             throws InvalidConfigurationException {
         String name = json.text(key);
         if (!RecordChecks.isName(name)) {
--- a/fleet/src/main/java/tinford/fleet/config/RouteRecord.java
+++ b/fleet/src/main/java/tinford/fleet/config/RouteRecord.java
@@ -4,27 +4,27 @@
 import tinford.api.Idempotency;
 
 /**
- * A kind of request and how it is served.
+ * A class of requests and how it is served.
  *
  * @param service name of the service that serves it
- * @param targetMs an answer within this time is on time
- * @param timeoutMs after this time the client has given up
- * @param value what an answer on time is worth
- * @param lateValue what a later answer is worth
- * @param effect whether a request may run again
- * @param group where an idempotency key drops a repeat; {@link DeduplicationScope#ALL} with any
- *     other effect
- * @param repeatWindowMs for how long the key drops a repeat
- * @param streamed whether answers are passed on in parts
+ * @param latencyObjectiveMs a response within this time is on time
+ * @param timeoutMs the client gives up after this time
+ * @param priorityWeight weight of a response on time
+ * @param lateWeight weight of a later response
+ * @param idempotency whether a request may be executed more than once
+ * @param deduplicationScope the servers that drop a repeat with the same idempotency key; {@link
+ *     DeduplicationScope#ALL} without keys
+ * @param deduplicationWindowMs how long a key is remembered
+ * @param streamed whether responses are forwarded in parts
  */
 public record RouteRecord(
         String name,
         String service,
-        double targetMs,
+        double latencyObjectiveMs,
         double timeoutMs,
-        double value,
-        double lateValue,
-        Idempotency effect,
-        DeduplicationScope group,
-        double repeatWindowMs,
+        double priorityWeight,
+        double lateWeight,
+        Idempotency idempotency,
+        DeduplicationScope deduplicationScope,
+        double deduplicationWindowMs,
         boolean streamed) {}
--- a/fleet/src/main/java/tinford/fleet/run/BudgetCoordinator.java
+++ b/fleet/src/main/java/tinford/fleet/run/BudgetCoordinator.java
@@ -111,7 +111,7 @@
             if (ledger.serverNumber(server.id) < 0) {
                 LedgerEntry.CapacityOffer offer =
                         new LedgerEntry.CapacityOffer(
-                                server.id, (long) server.startedAtMs, capacityPerServer, nowMs);
+                                server.id, (long) server.startedAtMs(), capacityPerServer, nowMs);
                 entries.add(offer.encode());
             }
         }
--- a/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
+++ b/fleet/src/main/java/tinford/fleet/run/CatalogBuilder.java
@@ -9,7 +9,7 @@
 import tinford.fleet.config.PlanRecord;
 import tinford.fleet.config.RouteRecord;
 import tinford.fleet.config.ValidationError;
-import tinford.routing.Catalog;
+import tinford.routing.catalog.Catalog;
 
 /**
  * Builds the catalogs that a gateway serves by from configurations. Routes and plans that are equal
@@ -80,17 +80,17 @@
 
     private RequestClass requestClass(RouteRecord route) {
         if (route.equals(configuration.routes().get(route.name()))) {
-            return catalog.frontends().get(route.name());
+            return catalog.requestClasses().get(route.name());
         }
         return new RequestClass(
                 route.name(),
-                route.targetMs(),
+                route.latencyObjectiveMs(),
                 route.timeoutMs(),
-                route.value(),
-                route.lateValue(),
-                route.effect(),
-                route.group(),
-                route.repeatWindowMs(),
+                route.priorityWeight(),
+                route.lateWeight(),
+                route.idempotency(),
+                route.deduplicationScope(),
+                route.deduplicationWindowMs(),
                 route.streamed());
     }
 
@@ -100,14 +100,14 @@
         }
         return new tinford.api.Plan(
                 plan.name(),
-                plan.ratePerSecond() / MS_PER_SECOND,
+                plan.quotaPerSecond() / MS_PER_SECOND,
                 plan.burst(),
-                plan.maxOpen(),
-                plan.price(),
-                plan.beyondValue(),
-                plan.beyondCost(),
-                plan.ceilingPerSecond() / MS_PER_SECOND,
-                plan.ceilingBurst(),
-                plan.ceilingSlack());
+                plan.maxOpenRequests(),
+                plan.priorityWeight(),
+                plan.overQuotaWeight(),
+                plan.overQuotaCost(),
+                plan.hardLimitPerSecond() / MS_PER_SECOND,
+                plan.hardLimitBurst(),
+                plan.hardLimitSlack());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/FleetMember.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetMember.java
@@ -16,7 +16,7 @@
 import tinford.fleet.transport.Transport;
 import tinford.fleet.transport.UdpTransport;
 import tinford.program.FleetExtension;
-import tinford.routing.Catalog;
+import tinford.routing.catalog.Catalog;
 import tinford.transport.EventLoop;
 
 /**
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void configures(Consumer<Catalog> use) {
+    public void setCatalogConsumer(Consumer<Catalog> use) {
         useCatalog = use;
     }
 
@@ -89,29 +89,29 @@
     public FleetPolicy join(GatewayIdentity identity, Consumer<EventLoop.Task> enter)
             throws IOException {
         double nowMs = clock.nowMs();
-        incarnation = new Incarnation(identity.number, (long) nowMs);
+        incarnation = new Incarnation(identity.number(), (long) nowMs);
         mailbox =
                 new IoThreadMailbox(
                         LOSSY_CAPACITY, LOSSLESS_CAPACITY, task -> enter.accept(task::run));
-        membership = newMembership(identity.gatewayCount);
+        membership = newMembership(identity.gatewayCount());
         overload = newOverload(nowMs);
         if (needsReplicatedState()) {
             replicatedState =
                     new ReplicatedState(
-                            operatorFile, incarnation, identity.gatewayCount, homeGroups());
+                            operatorFile, incarnation, identity.gatewayCount(), homeGroups());
         }
         history = HistoryWriter.at(historyPath, incarnation);
         startMigration();
-        startLog(identity.gatewayCount);
+        startLog(identity.gatewayCount());
         policy = newPolicy();
-        startGossip(identity.number);
+        startGossip(identity.number());
         history.add(nowMs, "start");
         startConfiguration(identity, enter);
         startReporter(nowMs);
         LOG.log(
                 Level.INFO,
                 "fleet member started gateways="
-                        + identity.gatewayCount
+                        + identity.gatewayCount()
                         + " gossip="
                         + (transport != null));
         return policy;
@@ -260,12 +260,12 @@
     }
 
     @Override
-    public double every() {
+    public double tickIntervalMs() {
         return TICK_INTERVAL_MS;
     }
 
     @Override
-    public void leaves() {
+    public void onDrainStarted() {
         if (configuration != null) {
             configuration.close();
         }
@@ -276,7 +276,7 @@
     }
 
     @Override
-    public void answered() {
+    public void onDrained() {
         if (replicatedState == null) {
             return;
         }
--- a/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewayConfiguration.java
@@ -12,13 +12,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import tinford.fleet.config.ApplyResult;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
 import tinford.fleet.follow.ConfigurationClient;
 import tinford.fleet.follow.ConfigurationListener;
 import tinford.fleet.follow.FollowerSettings;
 import tinford.fleet.follow.SnapshotFile;
-import tinford.routing.Catalog;
+import tinford.routing.catalog.Catalog;
 import tinford.transport.EventLoop;
 
 /**
@@ -134,7 +135,7 @@
      * Called on the configuration's thread; returns once the I/O thread has swapped the catalog.
      */
     @Override
-    public String apply(Configuration configuration, List<Change> changes) {
+    public ApplyResult apply(Configuration configuration, List<Change> changes) {
         Catalog catalog;
         try {
             catalog = catalogs.build(configuration);
@@ -146,7 +147,7 @@
                             + " reason="
                             + e.getMessage());
             enter.accept(() -> history.rejected(configuration.revision(), e.getMessage()));
-            return e.getMessage();
+            return new ApplyResult.Rejected(e.getMessage());
         }
         CompletableFuture<Void> swapped = new CompletableFuture<>();
         enter.accept(
@@ -156,7 +157,7 @@
                 });
         await(swapped);
         scheduleWrite(WRITE_DELAY_MS);
-        return null;
+        return new ApplyResult.Applied();
     }
 
     /** On the I/O thread: the one bounded step that applies a configuration. */
@@ -194,7 +195,7 @@
         }
         writeScheduled = false;
         try {
-            snapshots.write(client.inForce());
+            snapshots.write(client.activeConfiguration());
         } catch (IOException e) {
             LOG.log(Level.WARNING, "configuration not stored, retrying: error=" + e);
             scheduleWrite(WRITE_RETRY_DELAY_MS);
--- a/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/GatewaySettings.java
@@ -27,7 +27,7 @@
         boolean mayGossip) {
     /** The gateway's name among the followers of the control servers. */
     String followerId(GatewayIdentity identity) {
-        return RecordChecks.isName(name) ? name : "gateway-" + identity.number;
+        return RecordChecks.isName(name) ? name : "gateway-" + identity.number();
     }
 
     /**
--- a/fleet/src/main/java/tinford/fleet/run/MigrationCoordinator.java
+++ b/fleet/src/main/java/tinford/fleet/run/MigrationCoordinator.java
@@ -121,8 +121,8 @@
      */
     boolean allowsServer(Request request, Server server, Server earlierServer, double nowMs) {
         warmCapacity.observe(server);
-        String earlierGroup = earlierServer == null ? null : earlierServer.group;
-        return !hasLeft.getAsBoolean() && mayRoute(request, server.group, earlierGroup, nowMs)
+        String earlierGroup = earlierServer == null ? null : earlierServer.group();
+        return !hasLeft.getAsBoolean() && mayRoute(request, server.group(), earlierGroup, nowMs)
                 || !mayMigrate(request);
     }
 
@@ -166,7 +166,7 @@
         if (outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT) {
             router.recordAnswer(
                     request.requestClass.name,
-                    server.group,
+                    server.group(),
                     outcome == AttemptOutcome.SUCCESS && !late);
         }
     }
--- a/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -114,12 +114,12 @@
         for (String key :
                 List.of("configuration.fleet", "configuration.region", "configuration.folder")) {
             if (text(key).isEmpty()) {
-                errors.add(settings.faultAt(switchKey, key, "where configuration.on is true"));
+                errors.add(settings.errorAt(switchKey, key, "where configuration.on is true"));
             }
         }
         if (texts("configuration.servers").isEmpty()) {
             errors.add(
-                    settings.faultAt(
+                    settings.errorAt(
                             switchKey,
                             "configuration.servers",
                             "one or more where configuration.on is true"));
@@ -127,7 +127,7 @@
     }
 
     private void addError(String key, String expected) {
-        errors.add(settings.fault(key, expected));
+        errors.add(settings.error(key, expected));
     }
 
     /** The value of a key, or its default. */
--- a/fleet/src/main/java/tinford/fleet/run/WarmCapacity.java
+++ b/fleet/src/main/java/tinford/fleet/run/WarmCapacity.java
@@ -24,7 +24,7 @@
         if (servers.size() < MAX_SERVERS) {
             servers.putIfAbsent(server.id, server);
         } else if (!servers.containsKey(server.id)) {
-            servers.values().removeIf(known -> known.state == Server.State.REMOVED);
+            servers.values().removeIf(known -> known.state() == Server.State.REMOVED);
         }
     }
 
@@ -42,16 +42,16 @@
         double totalWeight = 0;
         double warmWeight = 0;
         for (Server server : servers.values()) {
-            if (server.group.equals(group) && server.state != Server.State.REMOVED) {
-                totalWeight += server.weight;
-                warmWeight += isWarm(server, nowMs) ? server.weight : 0;
+            if (server.group().equals(group) && server.state() != Server.State.REMOVED) {
+                totalWeight += server.weight();
+                warmWeight += isWarm(server, nowMs) ? server.weight() : 0;
             }
         }
         return totalWeight > 0 ? unitsPerSecond * warmWeight / totalWeight : 0;
     }
 
     private boolean isWarm(Server server, double nowMs) {
-        return server.state == Server.State.UP
-                && (server.startedAtMs <= 0 || nowMs - server.startedAtMs >= warmUpMs);
+        return server.state() == Server.State.UP
+                && (server.startedAtMs() <= 0 || nowMs - server.startedAtMs() >= warmUpMs);
     }
 }
--- a/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
@@ -29,7 +29,7 @@
 import tinford.fleet.follow.SnapshotFile;
 import tinford.fleet.membership.Incarnation;
 import tinford.fleet.testing.Eventually;
-import tinford.routing.Catalog;
+import tinford.routing.catalog.Catalog;
 import tinford.transport.EventLoop;
 
 /** A gateway's configuration, from disk and control server; the test acts as the I/O thread. */
@@ -138,7 +138,7 @@
         start(Set.of());
         assertEquals(applied.size(), 1);
         assertEquals(applied.get(0).revision(), 1);
-        assertEquals(applied.get(0).frontends().keySet(), Set.of("read", "write"));
+        assertEquals(applied.get(0).requestClasses().keySet(), Set.of("read", "write"));
     }
 
     @Test
@@ -177,7 +177,7 @@
         assertTrue(applied.isEmpty());
         swap.run();
         assertEquals(applied.size(), 1);
-        assertEquals(server.report(1).refusal(), null);
+        assertEquals(server.report(1).rejectionReason(), null);
         configuration.close();
         watch.awaitEnd();
     }
@@ -190,7 +190,7 @@
         List<Change> changes = List.of(new Change.RemoveRoute("read"));
         watch.send(new WatchMessage.UpdateMessage(new Update(1, 2, changes)));
         runNextTask();
-        String reported = server.refusal().refusal();
+        String reported = server.refusal().rejectionReason();
         assertTrue(reported.contains("routes.read: expected"), reported);
         assertEquals(applied.size(), 1, "the last one stays");
         JsonNode line = historyLine("configuration-refused");
--- a/fleet/src/test/java/tinford/fleet/run/SimulatedMigrationFleet.java
+++ b/fleet/src/test/java/tinford/fleet/run/SimulatedMigrationFleet.java
@@ -276,9 +276,8 @@
     }
 
     private void sendRequest(Gateway gateway, String frontend, String group) {
-        Server server = server(group, group);
-        server.weight = 1;
-        server.state = Server.State.UP;
+        Server server = server(group, group, 1);
+        server.updateState(Server.State.UP);
         Request request = request(frontend, (long) (nowMs / STEP_MS));
         boolean allowed = gateway.coordinator.allowsServer(request, server, null, nowMs);
         assertTrue(!allowed || gateway.coordinator.isRoutable(request, nowMs), frontend);
@@ -290,9 +289,9 @@
         }
     }
 
-    private static Server server(String id, String group) {
+    private static Server server(String id, String group, int weight) {
         Server server = new Server(id);
-        server.group = group;
+        server.updateAttributes("", 0, group, weight);
         return server;
     }
 
@@ -303,7 +302,7 @@
     /** Whether a gateway sends a tenant's requests to the group now. */
     boolean routes(Gateway gateway, String frontend, long tenant, String group) {
         return gateway.coordinator.allowsServer(
-                request(frontend, tenant), server("promise " + group, group), null, nowMs);
+                request(frontend, tenant), server("promise " + group, group, 0), null, nowMs);
     }
 
     private boolean routesAny(Gateway gateway, String frontend, String group) {
--- /dev/null
+++ b/gateway/src/test/java/tinford/routing/discovery/Script.java
@@ -0,0 +1,81 @@
+package tinford.routing.discovery;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** What discovery does on one connection, each step at its time after the request. */
+final class Script {
+    /** Sends nothing, and stays open. */
+    static final Script SILENT = new Script(List.of());
+
+    /** What a step does. */
+    enum Action {
+        SEND,
+        CLOSE,
+        RESET
+    }
+
+    /**
+     * @param text what is sent; empty for other actions
+     */
+    record Step(int atMs, Action action, String text) {}
+
+    private final List<Step> steps;
+
+    private Script(List<Step> steps) {
+        this.steps = List.copyOf(steps);
+    }
+
+    static Script at(int atMs, String text) {
+        return SILENT.then(atMs, text);
+    }
+
+    static Script closeAt(int atMs) {
+        return SILENT.thenClose(atMs);
+    }
+
+    static Script resetAt(int atMs) {
+        return SILENT.thenReset(atMs);
+    }
+
+    /** These texts, that many milliseconds apart. */
+    static Script every(int intervalMs, List<String> texts) {
+        Script script = SILENT;
+        for (int i = 0; i < texts.size(); i++) {
+            script = script.then(i * intervalMs, texts.get(i));
+        }
+        return script;
+    }
+
+    Script then(int atMs, String text) {
+        return plus(new Step(atMs, Action.SEND, text));
+    }
+
+    Script thenClose(int atMs) {
+        return plus(new Step(atMs, Action.CLOSE, ""));
+    }
+
+    Script thenReset(int atMs) {
+        return plus(new Step(atMs, Action.RESET, ""));
+    }
+
+    Script followedBy(Script next) {
+        List<Step> all = new ArrayList<>(steps);
+        all.addAll(next.steps);
+        return new Script(all);
+    }
+
+    /** The same steps, each that much later. */
+    Script delayedBy(int ms) {
+        return new Script(
+                steps.stream().map(s -> new Step(s.atMs + ms, s.action, s.text)).toList());
+    }
+
+    private Script plus(Step step) {
+        return followedBy(new Script(List.of(step)));
+    }
+
+    List<Step> steps() {
+        return steps;
+    }
+}
