--- a/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
@@ -14,7 +14,7 @@
 import tinford.api.DeduplicationScope;
 import tinford.api.Idempotency;
 
-/** The JSON forms: whole ones come back as they were, all others are refused by key. */
+/** The JSON forms: valid ones are read and written unchanged, all others are rejected by key. */
 public class ConfigurationCodecTest {
     private static final String OPEN = "{\"version\":1,\"id\":\"a\",\"changes\":[";
     private static final String CLOSE = "]}";
@@ -36,10 +36,10 @@
         return new Object[][] {
             {new Revert("back", 7)},
             {new ChangeSet("empty", null, List.of())},
-            {new ChangeSet("all", 3L, Samples.basics())},
-            {Samples.set("keyed", new Change.PutRoute(keyed))},
+            {new ChangeSet("all", 3L, ConfigurationFixtures.basicChanges())},
+            {ConfigurationFixtures.changeSet("keyed", new Change.PutRoute(keyed))},
             {
-                Samples.set(
+                ConfigurationFixtures.changeSet(
                         "removals",
                         new Change.RemoveService("s"),
                         new Change.RemoveRoute("r"),
@@ -50,18 +50,21 @@
     }
 
     @Test(dataProvider = "proposals")
-    public void aProposalComesBackAsItWas(Proposal proposal) throws Exception {
+    public void proposalIsUnchangedByEncodingAndDecoding(Proposal proposal) throws Exception {
         byte[] json = ConfigurationCodec.encode(proposal);
         assertEquals(ConfigurationCodec.decodeProposal(json), proposal);
         assertFalse(text(json).contains("\n"), "one line");
     }
 
     @Test
-    public void theFormsAreTheDocumentedOnes() {
+    public void encodedFormsMatchTheDocumentation() {
         assertEquals(
                 text(
                         ConfigurationCodec.encode(
-                                new ChangeSet("a", 4L, List.of(Samples.putTenant(5, "p"))))),
+                                new ChangeSet(
+                                        "a",
+                                        4L,
+                                        List.of(ConfigurationFixtures.putTenant(5, "p"))))),
                 "{\"version\":1,\"id\":\"a\",\"expectedRevision\":4,"
                         + "\"changes\":[{\"putTenant\":{\"id\":5,\"plan\":\"p\"}}]}");
         assertEquals(
@@ -90,7 +93,7 @@
     }
 
     @Test
-    public void outcomesReportsAndMessagesComeBackAsTheyWere() throws Exception {
+    public void outcomesReportsAndMessagesAreUnchangedByEncodingAndDecoding() throws Exception {
         Outcome accepted = new Outcome.Accepted(9);
         Outcome refused =
                 new Outcome.Rejected(new Rejection(List.of(new ValidationError("k", "\"e\" \\"))));
@@ -99,7 +102,9 @@
         assertEquals(ConfigurationCodec.decodeOutcome(ConfigurationCodec.encode(refused)), refused);
         FollowerReport report = new FollowerReport("g-1", "east", 3, "routes.r: no");
         assertEquals(ConfigurationCodec.decodeReport(ConfigurationCodec.encode(report)), report);
-        WatchMessage update = new WatchMessage.UpdateMessage(new Update(0, 1, Samples.basics()));
+        WatchMessage update =
+                new WatchMessage.UpdateMessage(
+                        new Update(0, 1, ConfigurationFixtures.basicChanges()));
         assertEquals(
                 ConfigurationCodec.decodeWatchMessage(ConfigurationCodec.encode(update)), update);
         byte[] data = new byte[100_000];
@@ -114,7 +119,7 @@
     }
 
     @Test
-    public void whatARouteMayLeaveOutHasItsDefault() throws Exception {
+    public void omittedRouteFieldsHaveDefaults() throws Exception {
         String json =
                 "{\"putRoute\":{\"name\":\"r\",\"service\":\"s\",\"timeoutMs\":400,"
                         + "\"effect\":\"%s\"}}";
@@ -229,7 +234,7 @@
     }
 
     @Test(dataProvider = "badProposals")
-    public void isRefusedByKey(String json, String key) {
+    public void invalidProposalIsRejectedWithItsKey(String json, String key) {
         InvalidConfigurationException refused =
                 expectThrows(
                         InvalidConfigurationException.class,
@@ -240,7 +245,7 @@
     }
 
     @Test
-    public void anOversizedProposalIsRefusedBeforeItIsRead() {
+    public void oversizedProposalIsRejectedBeforeParsing() {
         byte[] large = new byte[ConfigurationLimits.MAX_PROPOSAL_BYTES + 1];
         InvalidConfigurationException refused =
                 expectThrows(
@@ -250,8 +255,10 @@
     }
 
     @Test
-    public void aProposalCutAnywhereIsRefused() {
-        byte[] whole = ConfigurationCodec.encode(new ChangeSet("all", 3L, Samples.basics()));
+    public void proposalTruncatedAnywhereIsRejected() {
+        byte[] whole =
+                ConfigurationCodec.encode(
+                        new ChangeSet("all", 3L, ConfigurationFixtures.basicChanges()));
         for (int length = 0; length < whole.length; length++) {
             byte[] cut = Arrays.copyOf(whole, length);
             expectThrows(
@@ -280,7 +287,7 @@
     }
 
     @Test(dataProvider = "badWatchMessages")
-    public void aWatchMessageIsRefusedByKey(String json, String key) {
+    public void invalidWatchMessageIsRejectedWithItsKey(String json, String key) {
         InvalidConfigurationException refused =
                 expectThrows(
                         InvalidConfigurationException.class,
@@ -289,7 +296,7 @@
     }
 
     @Test
-    public void aReportNeedsNamesAndIsBounded() {
+    public void reportNeedsNamesAndIsBounded() {
         for (String bad :
                 List.of(
                         "{\"version\":1,\"follower\":\"a b\",\"region\":\"r\",\"revision\":1}",
@@ -304,16 +311,18 @@
     }
 
     @Test
-    public void aLongRefusalIsCutInAReport() throws Exception {
+    public void longRejectionReasonIsTruncatedInReport() throws Exception {
         FollowerReport report = new FollowerReport("g", "east", 1, "x\n".repeat(2000));
         FollowerReport read = ConfigurationCodec.decodeReport(ConfigurationCodec.encode(report));
         assertEquals(read.rejectionReason().length(), ConfigurationLimits.MAX_TEXT_LENGTH);
     }
 
     @Test
-    public void drawnBytesAreRefusedNeverThrownUpon() {
+    public void randomBytesNeverCauseUncheckedExceptions() {
         Random random = new Random(5);
-        byte[] whole = ConfigurationCodec.encode(new ChangeSet("all", 3L, Samples.basics()));
+        byte[] whole =
+                ConfigurationCodec.encode(
+                        new ChangeSet("all", 3L, ConfigurationFixtures.basicChanges()));
         int refusals = 0;
         for (int i = 0; i < 3000; i++) {
             byte[] bytes = whole.clone();
--- a/fleet/src/test/java/tinford/fleet/config/Samples.java
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationFixtures.java
@@ -6,11 +6,11 @@
 import tinford.api.DeduplicationScope;
 import tinford.api.Idempotency;
 
-/** Records, change sets and drawn proposals for the tests. */
-final class Samples {
+/** Records, change sets and random proposals for tests. */
+final class ConfigurationFixtures {
     static final String FLEET = "test-fleet";
 
-    private Samples() {}
+    private ConfigurationFixtures() {}
 
     static RouteRecord route(String name, String service) {
         return new RouteRecord(
@@ -30,7 +30,7 @@
         return new PlanRecord(name, ratePerSecond, ratePerSecond + 1, 8, 1, 0.5, 0.1, 0, 0, 0);
     }
 
-    static ChangeSet set(String id, Change... changes) {
+    static ChangeSet changeSet(String id, Change... changes) {
         return new ChangeSet(id, null, List.of(changes));
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** One of each kind. */
-    static List<Change> basics() {
+    static List<Change> basicChanges() {
         return List.of(
                 putService("search"),
                 putRoute("lookup", "search"),
@@ -59,12 +59,12 @@
                 putTenant(1, "team"));
     }
 
-    static Configuration basic() {
-        return Configuration.EMPTY.with(1, basics());
+    static Configuration basicConfiguration() {
+        return Configuration.EMPTY.with(1, basicChanges());
     }
 
     /** A configuration as large as the deployment's. */
-    static Configuration large(int services, int routes, int plans, int tenants) {
+    static Configuration largeConfiguration(int services, int routes, int plans, int tenants) {
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i < services; i++) {
             changes.add(putService("service-" + i));
@@ -81,8 +81,8 @@
         return Configuration.EMPTY.with(1, changes);
     }
 
-    /** Drawn from few names, so that many proposals meet each other, and many are refused. */
-    static Proposal drawProposal(Random random, long currentRevision) {
+    /** Has few different names, so that many proposals conflict and many are rejected. */
+    static Proposal randomProposal(Random random, long currentRevision) {
         String id = "proposal-" + random.nextInt(1_000_000);
         if (random.nextInt(8) == 0) {
             return new Revert(id, random.nextInt((int) currentRevision + 2));
@@ -90,14 +90,14 @@
         List<Change> changes = new ArrayList<>();
         int count = 1 + random.nextInt(4);
         for (int i = 0; i < count; i++) {
-            changes.add(drawChange(random));
+            changes.add(randomChange(random));
         }
         Long expected =
                 random.nextInt(6) == 0 ? Math.max(0, currentRevision - random.nextInt(2)) : null;
         return new ChangeSet(id, expected, changes);
     }
 
-    private static Change drawChange(Random random) {
+    private static Change randomChange(Random random) {
         String name = "n" + random.nextInt(4);
         String other = "n" + random.nextInt(4);
         return switch (random.nextInt(10)) {
--- a/fleet/src/test/java/tinford/fleet/config/ConfigurationTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationTest.java
@@ -13,8 +13,8 @@
 /** Configurations as values. */
 public class ConfigurationTest {
     @Test
-    public void aChangeLeavesTheEarlierRevisionAsItWas() {
-        Configuration first = Samples.basic();
+    public void changeLeavesEarlierRevisionUntouched() {
+        Configuration first = ConfigurationFixtures.basicConfiguration();
         Configuration second = first.with(2, List.of(new Change.RemoveRoute("lookup")));
         assertEquals(first.revision(), 1);
         assertEquals(first.routes().size(), 1);
@@ -23,9 +23,9 @@
     }
 
     @Test
-    public void whatIsNotChangedIsShared() {
-        Configuration first = Samples.basic();
-        Configuration second = first.with(2, List.of(Samples.putTenant(2, "team")));
+    public void unchangedMapsAreShared() {
+        Configuration first = ConfigurationFixtures.basicConfiguration();
+        Configuration second = first.with(2, List.of(ConfigurationFixtures.putTenant(2, "team")));
         assertSame(second.services(), first.services());
         assertSame(second.routes(), first.routes());
         assertSame(second.plans(), first.plans());
@@ -33,36 +33,39 @@
     }
 
     @Test
-    public void theLastChangeOfAThingCounts() {
+    public void lastChangeOfARecordWins() {
         Configuration result =
-                Samples.basic()
+                ConfigurationFixtures.basicConfiguration()
                         .with(
                                 2,
                                 List.of(
-                                        Samples.putPlan("other", 1),
+                                        ConfigurationFixtures.putPlan("other", 1),
                                         new Change.RemovePlan("other"),
-                                        Samples.putTenant(1, "a"),
-                                        Samples.putTenant(1, "b")));
+                                        ConfigurationFixtures.putTenant(1, "a"),
+                                        ConfigurationFixtures.putTenant(1, "b")));
         assertEquals(result.plans().size(), 1);
         assertEquals(result.tenants().get(1L), new TenantRecord(1, "b"));
     }
 
     @Test
-    public void iteratesInOrderOfKeys() {
+    public void iteratesInKeyOrder() {
         Configuration many =
                 Configuration.EMPTY.with(
                         1,
                         List.of(
-                                Samples.putTenant(9, "p"),
-                                Samples.putTenant(-4, "p"),
-                                Samples.putTenant(3, "p")));
+                                ConfigurationFixtures.putTenant(9, "p"),
+                                ConfigurationFixtures.putTenant(-4, "p"),
+                                ConfigurationFixtures.putTenant(3, "p")));
         assertEquals(new ArrayList<>(many.tenants().keySet()), List.of(-4L, 3L, 9L));
     }
 
     @Test
-    public void theHashTellsContentsApartAndForgetsTheWayThere() {
-        Configuration basic = Samples.basic();
-        List<Change> aside = List.of(Samples.putPlan("other", 3), Samples.putTenant(1, "other"));
+    public void hashDependsOnContentAndNotOnHistory() {
+        Configuration basic = ConfigurationFixtures.basicConfiguration();
+        List<Change> aside =
+                List.of(
+                        ConfigurationFixtures.putPlan("other", 3),
+                        ConfigurationFixtures.putTenant(1, "other"));
         Configuration changed = basic.with(2, aside);
         Configuration back = changed.with(3, changed.changesTo(basic));
         assertNotEquals(changed.contentHash(), basic.contentHash());
@@ -80,15 +83,15 @@
     }
 
     @Test
-    public void theHashIsTheSameInEveryProcess() {
+    public void hashIsTheSameInEveryProcess() {
         assertEquals(
-                Long.toHexString(Samples.basic().contentHash()),
+                Long.toHexString(ConfigurationFixtures.basicConfiguration().contentHash()),
                 "3118fbba8b6ab96a",
                 "a change of this number breaks comparisons between versions");
     }
 
     @Test
-    public void theChangesToAnotherLeadThere() {
+    public void changesToAnotherConfigurationLeadToItsContent() {
         Random random = new Random(7);
         Configuration from = Configuration.EMPTY;
         for (int i = 0; i < 300; i++) {
@@ -108,12 +111,12 @@
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             if (random.nextBoolean()) {
-                changes.add(Samples.putService("s" + i));
-                changes.add(Samples.putRoute("r" + i, "s" + random.nextInt(6)));
+                changes.add(ConfigurationFixtures.putService("s" + i));
+                changes.add(ConfigurationFixtures.putRoute("r" + i, "s" + random.nextInt(6)));
             }
             if (random.nextBoolean()) {
-                changes.add(Samples.putPlan("p" + i, random.nextInt(3)));
-                changes.add(Samples.putTenant(i, "p" + random.nextInt(6)));
+                changes.add(ConfigurationFixtures.putPlan("p" + i, random.nextInt(3)));
+                changes.add(ConfigurationFixtures.putTenant(i, "p" + random.nextInt(6)));
             }
         }
         return Configuration.EMPTY.with(revision, changes);
--- a/fleet/src/test/java/tinford/fleet/config/FollowerHistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerRandomHistoriesTest.java
@@ -4,63 +4,66 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
 import tinford.fleet.config.Follower.Action;
 
 /**
- * Drawn histories: servers that hold different revisions, stall, break off, send what is old, torn
- * or wrong, and gateways that refuse. What is in force never goes back, is never anything but one
- * revision's whole content, and reaches the last revision once servers are well again.
+ * Random histories: servers at different revisions that stall, disconnect and send outdated,
+ * truncated or wrong data, and a follower whose owner rejects revisions. The active configuration
+ * never goes back, always has the content of exactly one revision, and reaches the last revision
+ * once the servers are healthy again.
  */
-public class FollowerHistoriesTest {
+public class FollowerRandomHistoriesTest {
     private static final int SEEDS = 150;
     private static final double STEP_MS = 100;
-    private static final int TROUBLED_STEPS = 900;
+    private static final int DISTURBED_STEPS = 900;
     private static final int QUIET_STEPS = 200;
 
     @Test
-    public void aFollowerNeverGoesBackAndGetsThere() {
+    public void followerNeverGoesBackAndConverges() {
         int snapshots = 0;
         int refusals = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            Play play = new Play(seed);
+            RandomHistory play = new RandomHistory(seed);
             play.run();
             snapshots += play.snapshots;
-            refusals += play.refusals;
+            refusals += play.rejections;
         }
         assertTrue(snapshots > SEEDS && refusals > SEEDS, snapshots + " " + refusals);
     }
 
-    /** One control server: a view of the history up to a revision, with a way to be ill. */
+    /** A control server: a view of the history up to a revision, with faults that can be set. */
     private static final class Server {
         private long revision;
         private boolean reachable = true;
         private boolean silent;
-        private boolean garbles;
+        private boolean sendsInvalidLines;
     }
 
-    private static final class Play {
+    private static final class RandomHistory {
         private final int seed;
         private final Random random;
         private final RevisionHistory history =
-                new RevisionHistory(Samples.FLEET, new RevisionHistory.Retention(12, 100_000));
+                new RevisionHistory(
+                        ConfigurationFixtures.FLEET, new RevisionHistory.Retention(12, 100_000));
         private final List<Configuration> revisions = new ArrayList<>(List.of(Configuration.EMPTY));
         private final List<Server> servers = new ArrayList<>();
-        private final SnapshotCodec snapshotCodec = new SnapshotCodec(Samples.FLEET);
+        private final SnapshotCodec snapshotCodec = new SnapshotCodec(ConfigurationFixtures.FLEET);
         private Follower follower;
-        private Configuration disk = Configuration.EMPTY;
+        private Configuration storedConfiguration = Configuration.EMPTY;
         private Server followed;
         private boolean opening;
         private long sent;
         private boolean applying;
-        private double now;
-        private boolean troubled = true;
+        private double nowMs;
+        private boolean disturbed = true;
         private int snapshots;
-        private int refusals;
+        private int rejections;
 
-        Play(int seed) {
+        RandomHistory(int seed) {
             this.seed = seed;
             this.random = new Random(seed);
             for (int i = 0; i < 4; i++) {
@@ -70,18 +73,18 @@
         }
 
         void run() {
-            for (int step = 0; step < TROUBLED_STEPS; step++) {
-                makeTrouble();
+            for (int step = 0; step < DISTURBED_STEPS; step++) {
+                disturb();
                 step();
             }
-            troubled = false;
+            disturbed = false;
             for (Server each : servers) {
                 each.reachable = true;
                 each.silent = false;
-                each.garbles = false;
+                each.sendsInvalidLines = false;
                 each.revision = last();
             }
-            propose(); // a refused revision is followed by one that is not
+            propose(); // a rejected revision is followed by one that is accepted
             for (Server each : servers) {
                 each.revision = last();
             }
@@ -100,12 +103,13 @@
             for (int i = 0; i < servers.size(); i++) {
                 endpoints.add(new Endpoint(i < 2 ? "east" : "west", "server", i));
             }
-            follower = new Follower("g", "east", Samples.FLEET, endpoints, from, random);
+            follower =
+                    new Follower("g", "east", ConfigurationFixtures.FLEET, endpoints, from, random);
             followed = null;
             applying = false;
         }
 
-        private void makeTrouble() {
+        private void disturb() {
             if (random.nextInt(5) == 0) {
                 propose();
             }
@@ -115,13 +119,13 @@
                 case 1, 2 -> one.reachable = true;
                 case 3 -> one.silent = true;
                 case 4, 5 -> one.silent = false;
-                case 6 -> one.garbles = true;
-                case 7, 8 -> one.garbles = false;
-                case 9 -> one.revision = random.nextInt((int) last() + 1); // fell back, or lags
+                case 6 -> one.sendsInvalidLines = true;
+                case 7, 8 -> one.sendsInvalidLines = false;
+                case 9 -> one.revision = random.nextInt((int) last() + 1); // restored or lagging
                 case 10 -> {
                     if (random.nextInt(10) == 0) {
-                        restart(random.nextBoolean() ? disk : Configuration.EMPTY);
-                        disk = follower.activeConfiguration();
+                        restart(random.nextBoolean() ? storedConfiguration : Configuration.EMPTY);
+                        storedConfiguration = follower.activeConfiguration();
                     }
                 }
                 default -> one.revision = last();
@@ -131,17 +135,17 @@
         private void propose() {
             Outcome outcome;
             do {
-                outcome = history.propose(Samples.drawProposal(random, last()));
+                outcome = history.propose(ConfigurationFixtures.randomProposal(random, last()));
             } while (!(outcome instanceof Outcome.Accepted));
             revisions.add(history.current());
         }
 
         private void step() {
-            now += STEP_MS;
-            perform(follower.tick(now));
+            nowMs += STEP_MS;
+            perform(follower.tick(nowMs));
             if (opening) {
                 opening = false;
-                perform(followed.reachable ? follower.opened(now) : closed());
+                perform(followed.reachable ? follower.opened(nowMs) : closed());
             }
             if (followed != null && !followed.reachable) {
                 perform(closed());
@@ -156,15 +160,15 @@
 
         private List<Action> closed() {
             followed = null;
-            return follower.closed("closed", now);
+            return follower.closed("closed", nowMs);
         }
 
         private void serve() {
             byte[] line = nextLine();
-            if (followed.garbles && random.nextInt(4) == 0) {
-                line = garbled(line);
+            if (followed.sendsInvalidLines && random.nextInt(4) == 0) {
+                line = invalidLine(line);
             }
-            perform(follower.line(line, now));
+            perform(follower.line(line, nowMs));
         }
 
         private byte[] nextLine() {
@@ -186,7 +190,7 @@
             return ConfigurationCodec.encode(new WatchMessage.SnapshotMessage(revision, data));
         }
 
-        private byte[] garbled(byte[] line) {
+        private byte[] invalidLine(byte[] line) {
             return switch (random.nextInt(4)) {
                 case 0 -> snapshotOf(random.nextInt((int) last() + 1));
                 case 1 -> {
@@ -195,28 +199,31 @@
                 }
                 case 2 -> {
                     Update wrong =
-                            new Update(last() + 1, last() + 2, List.of(Samples.putService("x")));
+                            new Update(
+                                    last() + 1,
+                                    last() + 2,
+                                    List.of(ConfigurationFixtures.putService("x")));
                     yield ConfigurationCodec.encode(new WatchMessage.UpdateMessage(wrong));
                 }
-                default -> java.util.Arrays.copyOf(line, line.length / 2 + 1);
+                default -> Arrays.copyOf(line, line.length / 2 + 1);
             };
         }
 
         private void settle() {
             applying = false;
             long before = follower.activeConfiguration().revision();
-            boolean refuse = troubled && random.nextInt(6) == 0;
-            refusals += refuse ? 1 : 0;
+            boolean reject = disturbed && random.nextInt(6) == 0;
+            rejections += reject ? 1 : 0;
             ApplyResult result =
-                    refuse ? new ApplyResult.Rejected("not here") : new ApplyResult.Applied();
-            List<Action> actions = follower.applied(result, now);
-            Configuration inForce = follower.activeConfiguration();
-            assertTrue(inForce.revision() >= before, "seed " + seed + ": went back");
+                    reject ? new ApplyResult.Rejected("not here") : new ApplyResult.Applied();
+            List<Action> actions = follower.applied(result, nowMs);
+            Configuration active = follower.activeConfiguration();
+            assertTrue(active.revision() >= before, "seed " + seed + ": went back");
             assertEquals(
-                    inForce.contentHash(),
-                    revisions.get((int) inForce.revision()).contentHash(),
-                    "seed " + seed + ": a mix");
-            disk = inForce;
+                    active.contentHash(),
+                    revisions.get((int) active.revision()).contentHash(),
+                    "seed " + seed + ": content of no single revision");
+            storedConfiguration = active;
             perform(actions);
         }
 
--- a/fleet/src/test/java/tinford/fleet/config/FollowerTableTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerTableTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Who holds what, bounded. */
+/** The latest reports of followers, bounded in number and age. */
 public class FollowerTableTest {
     private static final double EXPIRY_MS = 30_000;
 
@@ -20,7 +20,7 @@
     }
 
     @Test
-    public void theLatestReportCounts() {
+    public void latestReportReplacesEarlierOnes() {
         FollowerTable own = new FollowerTable(3, EXPIRY_MS);
         own.report(report("b", 5), 0);
         own.report(report("a", 6), 10);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void itIsBoundedAndNewFollowersComeInOnceOthersExpire() {
+    public void isBoundedAndAcceptsNewFollowersAfterOthersExpire() {
         for (String each : List.of("a", "b", "c")) {
             assertTrue(table.report(report(each, 1), 0));
         }
@@ -60,7 +60,7 @@
     }
 
     @Test
-    public void needsRoomAndTime() {
+    public void rejectsInvalidCapacityAndExpiry() {
         assertThrows(IllegalArgumentException.class, () -> new FollowerTable(0, 1));
         assertThrows(IllegalArgumentException.class, () -> new FollowerTable(1, Double.NaN));
     }
--- a/fleet/src/test/java/tinford/fleet/config/ReferenceHistory.java
+++ b/fleet/src/test/java/tinford/fleet/config/ReferenceHistory.java
@@ -8,17 +8,17 @@
 import java.util.Set;
 
 /**
- * What a history should do, written as plainly as can be: every revision is kept whole, as a map
- * from a text that names a thing to the thing.
+ * A simple model of {@link RevisionHistory} for comparison: every revision is kept whole, as a map
+ * from a key such as {@code "s search"} to a record.
  */
 final class ReferenceHistory {
     private final List<Map<String, Object>> revisions = new ArrayList<>(List.of(Map.of()));
-    private final Map<String, Proposal> seen = new HashMap<>();
+    private final Map<String, Proposal> decided = new HashMap<>();
     private final Map<String, Long> outcomes = new HashMap<>();
 
-    /** The revision, or null where the proposal is refused. */
+    /** The new revision; null if the proposal is rejected. */
     Long propose(Proposal proposal) {
-        Proposal before = seen.putIfAbsent(proposal.id(), proposal);
+        Proposal before = decided.putIfAbsent(proposal.id(), proposal);
         if (before != null) {
             return before.equals(proposal) ? outcomes.get(proposal.id()) : null;
         }
@@ -60,14 +60,14 @@
         Map<String, Object> next = new HashMap<>(at(currentRevision()));
         Set<String> touched = new HashSet<>();
         for (Change change : set.changes()) {
-            if (!touched.add(keyOf(change)) || !make(next, change)) {
+            if (!touched.add(keyOf(change)) || !apply(next, change)) {
                 return null;
             }
         }
-        return isSound(next) ? next : null;
+        return isValid(next) ? next : null;
     }
 
-    private boolean make(Map<String, Object> content, Change change) {
+    private boolean apply(Map<String, Object> content, Change change) {
         if (change instanceof Change.PutService put) {
             content.put(keyOf(change), put.service());
         } else if (change instanceof Change.PutRoute put) {
@@ -82,7 +82,7 @@
         return true;
     }
 
-    private static boolean isSound(Map<String, Object> content) {
+    private static boolean isValid(Map<String, Object> content) {
         for (Object each : content.values()) {
             if (each instanceof RouteRecord route && !content.containsKey("s " + route.service())) {
                 return false;
--- a/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
@@ -8,18 +8,18 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Drawn histories against the reference, and replicas against each other. */
+/** Random histories against the reference model, and voters against each other. */
 public class RevisionHistoryModelTest {
     private static final int SEEDS = 300;
     private static final int PROPOSALS = 60;
 
     @Test
-    public void drawnHistoriesDoWhatTheReferenceDoes() {
+    public void randomHistoriesMatchTheReferenceModel() {
         int accepted = 0;
         int refused = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             Random random = new Random(seed);
-            RevisionHistory history = new RevisionHistory(Samples.FLEET);
+            RevisionHistory history = new RevisionHistory(ConfigurationFixtures.FLEET);
             ReferenceHistory reference = new ReferenceHistory();
             List<Proposal> made = new ArrayList<>();
             for (int step = 0; step < PROPOSALS; step++) {
@@ -47,12 +47,12 @@
     }
 
     @Test
-    public void theSameLogGivesTheSameBytesOnEachReplica() throws Exception {
+    public void sameLogGivesSameSnapshotOnEachVoter() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
             Random random = new Random(seed);
             RevisionHistory.Retention retention =
                     new RevisionHistory.Retention(random.nextInt(40), 200 + random.nextInt(8000));
-            RevisionHistory first = new RevisionHistory(Samples.FLEET, retention);
+            RevisionHistory first = new RevisionHistory(ConfigurationFixtures.FLEET, retention);
             List<byte[]> log = new ArrayList<>();
             List<Outcome> outcomes = new ArrayList<>();
             List<Proposal> made = new ArrayList<>();
@@ -67,10 +67,10 @@
                 log.add(ConfigurationCodec.encode(proposal));
                 outcomes.add(first.propose(proposal));
             }
-            RevisionHistory whole = new RevisionHistory(Samples.FLEET, retention);
+            RevisionHistory whole = new RevisionHistory(ConfigurationFixtures.FLEET, retention);
             assertEquals(replay(whole, log), outcomes, "seed " + seed);
             assertEquals(whole.snapshot(), first.snapshot(), "seed " + seed);
-            RevisionHistory restored = new RevisionHistory(Samples.FLEET, retention);
+            RevisionHistory restored = new RevisionHistory(ConfigurationFixtures.FLEET, retention);
             restored.restore(atCut);
             assertEquals(
                     replay(restored, log.subList(cut, log.size())),
@@ -86,7 +86,7 @@
         if (!made.isEmpty() && random.nextInt(10) == 0) {
             return made.get(random.nextInt(made.size()));
         }
-        return Samples.drawProposal(random, history.current().revision());
+        return ConfigurationFixtures.randomProposal(random, history.current().revision());
     }
 
     private static List<Outcome> replay(RevisionHistory history, List<byte[]> log)
--- a/fleet/src/test/java/tinford/fleet/config/RevisionHistoryTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryTest.java
@@ -11,44 +11,47 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** The contract of the replicated state machine. */
+/** The replicated state machine: outcomes, reverts, retention and snapshots. */
 public class RevisionHistoryTest {
-    private final RevisionHistory history = new RevisionHistory(Samples.FLEET);
+    private final RevisionHistory history = new RevisionHistory(ConfigurationFixtures.FLEET);
 
     private static RevisionHistory basic() {
-        RevisionHistory history = new RevisionHistory(Samples.FLEET);
-        accept(history, new ChangeSet("basics", 0L, Samples.basics()));
+        RevisionHistory history = new RevisionHistory(ConfigurationFixtures.FLEET);
+        accept(history, new ChangeSet("basics", 0L, ConfigurationFixtures.basicChanges()));
         return history;
     }
 
     @Test
-    public void beginsEmptyAtRevisionZero() {
+    public void startsEmptyAtRevisionZero() {
         assertSame(history.current(), Configuration.EMPTY);
         assertEquals(history.oldestRetained(), 0);
         assertEquals(history.updatesSince(0), Optional.of(List.of()));
     }
 
     @Test
-    public void aSetIsAcceptedAsOneRevision() {
+    public void changeSetIsAcceptedAsOneRevision() {
         RevisionHistory basic = basic();
         assertEquals(basic.current().revision(), 1);
-        assertEquals(basic.current().contentHash(), Samples.basic().contentHash());
         assertEquals(
-                basic.updatesSince(0).orElseThrow(), List.of(new Update(0, 1, Samples.basics())));
+                basic.current().contentHash(),
+                ConfigurationFixtures.basicConfiguration().contentHash());
+        assertEquals(
+                basic.updatesSince(0).orElseThrow(),
+                List.of(new Update(0, 1, ConfigurationFixtures.basicChanges())));
         assertEquals(basic.updatesSince(1).orElseThrow(), List.of());
         assertEquals(basic.updatesSince(99).orElseThrow(), List.of(), "yet to come");
     }
 
     @Test
-    public void aSetWithAnyFaultChangesNothing() {
+    public void changeSetWithAnyErrorChangesNothing() {
         RevisionHistory basic = basic();
         Configuration before = basic.current();
         Rejection refusal =
                 refuse(
                         basic,
-                        Samples.set(
+                        ConfigurationFixtures.changeSet(
                                 "half",
-                                Samples.putService("fine"),
+                                ConfigurationFixtures.putService("fine"),
                                 new Change.RemoveService("search")));
         assertEquals(refusal.errors().get(0).key(), "changes[1].removeService.name");
         assertSame(basic.current(), before);
@@ -56,82 +59,109 @@
     }
 
     @Test
-    public void anEmptySetIsRefused() {
-        assertEquals(refuse(history, Samples.set("nothing")).errors().get(0).key(), "changes");
+    public void emptyChangeSetIsRejected() {
+        assertEquals(
+                refuse(history, ConfigurationFixtures.changeSet("nothing")).errors().get(0).key(),
+                "changes");
     }
 
     @Test
-    public void theExpectedRevisionMustBeTheCurrentOne() {
+    public void expectedRevisionMustBeTheCurrentOne() {
         RevisionHistory basic = basic();
-        ChangeSet late = new ChangeSet("late", 0L, List.of(Samples.putService("s")));
+        ChangeSet late = new ChangeSet("late", 0L, List.of(ConfigurationFixtures.putService("s")));
         assertEquals(
                 refuse(basic, late).errors(),
                 List.of(new ValidationError("expectedRevision", "the current revision, 1")));
-        accept(basic, new ChangeSet("right", 1L, List.of(Samples.putService("s"))));
+        accept(basic, new ChangeSet("right", 1L, List.of(ConfigurationFixtures.putService("s"))));
         assertEquals(basic.current().revision(), 2);
     }
 
     @Test
-    public void aRepeatedProposalHasTheFirstOutcome() {
+    public void repeatedProposalHasTheFirstOutcome() {
         RevisionHistory basic = basic();
-        ChangeSet accepted = Samples.set("one", Samples.putService("s"));
-        ChangeSet refused = Samples.set("two", Samples.putRoute("r", "later"));
+        ChangeSet accepted =
+                ConfigurationFixtures.changeSet("one", ConfigurationFixtures.putService("s"));
+        ChangeSet refused =
+                ConfigurationFixtures.changeSet(
+                        "two", ConfigurationFixtures.putRoute("r", "later"));
         Outcome first = basic.propose(accepted);
         Outcome second = basic.propose(refused);
-        accept(basic, Samples.set("three", Samples.putService("later")));
+        accept(
+                basic,
+                ConfigurationFixtures.changeSet(
+                        "three", ConfigurationFixtures.putService("later")));
         assertEquals(basic.propose(accepted), first);
         assertEquals(basic.propose(refused), second);
         assertEquals(basic.current().revision(), 3);
     }
 
     @Test
-    public void anIdServesOneProposal() {
+    public void idOfAnotherProposalIsRejected() {
         RevisionHistory basic = basic();
-        accept(basic, Samples.set("one", Samples.putService("a")));
-        Rejection refusal = refuse(basic, Samples.set("one", Samples.putService("b")));
+        accept(
+                basic,
+                ConfigurationFixtures.changeSet("one", ConfigurationFixtures.putService("a")));
+        Rejection refusal =
+                refuse(
+                        basic,
+                        ConfigurationFixtures.changeSet(
+                                "one", ConfigurationFixtures.putService("b")));
         assertEquals(refusal.errors().get(0).key(), "id");
         assertEquals(
-                basic.propose(Samples.set("one", Samples.putService("a"))),
+                basic.propose(
+                        ConfigurationFixtures.changeSet(
+                                "one", ConfigurationFixtures.putService("a"))),
                 new Outcome.Accepted(2),
                 "the first one's outcome is still known");
-        assertEquals(refuse(basic, Samples.set("no name")).errors().get(0).key(), "id");
-        assertEquals(refuse(basic, Samples.set("no\nname")).errors().get(0).key(), "id");
+        assertEquals(
+                refuse(basic, ConfigurationFixtures.changeSet("no name")).errors().get(0).key(),
+                "id");
+        assertEquals(
+                refuse(basic, ConfigurationFixtures.changeSet("no\nname")).errors().get(0).key(),
+                "id");
     }
 
     @Test
-    public void aRevertIsANewRevisionWithTheOldContent() {
+    public void revertIsANewRevisionWithTheOldContent() {
         RevisionHistory basic = basic();
         accept(
                 basic,
-                Samples.set(
+                ConfigurationFixtures.changeSet(
                         "more",
-                        Samples.putPlan("other", 3),
-                        Samples.putTenant(1, "other"),
-                        Samples.putTenant(2, "other")));
-        accept(basic, Samples.set("less", new Change.RemoveRoute("lookup")));
+                        ConfigurationFixtures.putPlan("other", 3),
+                        ConfigurationFixtures.putTenant(1, "other"),
+                        ConfigurationFixtures.putTenant(2, "other")));
+        accept(basic, ConfigurationFixtures.changeSet("less", new Change.RemoveRoute("lookup")));
         assertEquals(accept(basic, new Revert("back", 1)), 4);
-        assertEquals(basic.current().contentHash(), Samples.basic().contentHash());
+        assertEquals(
+                basic.current().contentHash(),
+                ConfigurationFixtures.basicConfiguration().contentHash());
         Update update = basic.updatesSince(3).orElseThrow().get(0);
         assertEquals(
-                Samples.basic().with(2, List.of()).contentHash(), basic.current().contentHash());
+                ConfigurationFixtures.basicConfiguration().with(2, List.of()).contentHash(),
+                basic.current().contentHash());
         assertEquals(update.fromRevision(), 3);
         assertEquals(accept(basic, new Revert("back-to-it", 3)), 5);
         assertTrue(basic.current().routes().isEmpty());
     }
 
     @Test
-    public void aRevertToTheCurrentContentIsARevisionToo() {
+    public void revertToTheCurrentContentIsANewRevision() {
         RevisionHistory basic = basic();
         assertEquals(accept(basic, new Revert("same", 1)), 2);
         assertEquals(basic.updatesSince(1).orElseThrow(), List.of(new Update(1, 2, List.of())));
     }
 
     @Test
-    public void aRevertToWhatIsNotRetainedIsRefused() {
+    public void revertToARevisionThatIsNotRetainedIsRejected() {
         RevisionHistory small =
-                new RevisionHistory(Samples.FLEET, new RevisionHistory.Retention(2, 10_000));
+                new RevisionHistory(
+                        ConfigurationFixtures.FLEET, new RevisionHistory.Retention(2, 10_000));
         for (int i = 0; i < 5; i++) {
-            accept(small, Samples.set("s" + i, Samples.putService("s" + i)));
+            accept(
+                    small,
+                    ConfigurationFixtures.changeSet(
+                            "s" + i, ConfigurationFixtures.putService("s" + i)));
         }
         assertEquals(
                 refuse(small, new Revert("far", 2)).errors(),
@@ -144,9 +174,13 @@
     @Test
     public void retainedUpdatesAreBoundedByCount() {
         RevisionHistory small =
-                new RevisionHistory(Samples.FLEET, new RevisionHistory.Retention(3, 10_000));
+                new RevisionHistory(
+                        ConfigurationFixtures.FLEET, new RevisionHistory.Retention(3, 10_000));
         for (int i = 0; i < 10; i++) {
-            accept(small, Samples.set("s" + i, Samples.putService("s" + i)));
+            accept(
+                    small,
+                    ConfigurationFixtures.changeSet(
+                            "s" + i, ConfigurationFixtures.putService("s" + i)));
             assertTrue(small.retainedUpdates() <= 3);
         }
         assertEquals(small.oldestRetained(), 7);
@@ -158,15 +192,19 @@
     @Test
     public void retainedUpdatesAreBoundedByBytes() {
         RevisionHistory small =
-                new RevisionHistory(Samples.FLEET, new RevisionHistory.Retention(100, 1000));
+                new RevisionHistory(
+                        ConfigurationFixtures.FLEET, new RevisionHistory.Retention(100, 1000));
         for (int i = 0; i < 50; i++) {
-            accept(small, Samples.set("s" + i, Samples.putService("s" + i)));
+            accept(
+                    small,
+                    ConfigurationFixtures.changeSet(
+                            "s" + i, ConfigurationFixtures.putService("s" + i)));
             assertTrue(small.retainedBytes() <= 1000);
         }
         assertTrue(small.retainedUpdates() > 5);
         List<Change> large = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            large.add(Samples.putService("large" + i));
+            large.add(ConfigurationFixtures.putService("large" + i));
         }
         accept(small, new ChangeSet("large", null, large));
         assertEquals(small.retainedUpdates(), 0, "a single one may be too large");
@@ -179,14 +217,17 @@
         RevisionHistory basic = basic();
         int beyond = ConfigurationLimits.MAX_REMEMBERED_PROPOSALS + 100;
         for (int i = 0; i < beyond; i++) {
-            basic.propose(Samples.set("id" + i, new Change.RemoveRoute("absent")));
+            basic.propose(
+                    ConfigurationFixtures.changeSet("id" + i, new Change.RemoveRoute("absent")));
         }
         assertEquals(basic.rememberedProposals(), ConfigurationLimits.MAX_REMEMBERED_PROPOSALS);
-        accept(basic, Samples.set("basics", Samples.putService("s")));
+        accept(
+                basic,
+                ConfigurationFixtures.changeSet("basics", ConfigurationFixtures.putService("s")));
     }
 
     @Test
-    public void rememberedFaultsAreBounded() {
+    public void rememberedErrorsAreBounded() {
         RevisionHistory basic = basic();
         List<Change> faulty = new ArrayList<>();
         for (int i = 0; i < ConfigurationLimits.MAX_ERRORS; i++) {
@@ -203,26 +244,38 @@
     }
 
     @Test
-    public void aRestoredHistoryGoesOnAsTheOriginal() throws Exception {
+    public void restoredHistoryBehavesLikeTheOriginal() throws Exception {
         RevisionHistory original = basic();
-        accept(original, Samples.set("one", Samples.putService("s")));
-        RevisionHistory copy = new RevisionHistory(Samples.FLEET);
-        accept(copy, Samples.set("forgotten", Samples.putService("elsewhere")));
+        accept(
+                original,
+                ConfigurationFixtures.changeSet("one", ConfigurationFixtures.putService("s")));
+        RevisionHistory copy = new RevisionHistory(ConfigurationFixtures.FLEET);
+        accept(
+                copy,
+                ConfigurationFixtures.changeSet(
+                        "forgotten", ConfigurationFixtures.putService("elsewhere")));
         copy.restore(original.snapshot());
         assertEquals(copy.snapshot(), original.snapshot());
         assertEquals(copy.updatesSince(0), original.updatesSince(0));
         assertEquals(
-                copy.propose(Samples.set("one", Samples.putService("s"))), new Outcome.Accepted(2));
+                copy.propose(
+                        ConfigurationFixtures.changeSet(
+                                "one", ConfigurationFixtures.putService("s"))),
+                new Outcome.Accepted(2));
         assertEquals(accept(copy, new Revert("back", 1)), 3);
-        assertEquals(copy.current().contentHash(), Samples.basic().contentHash());
+        assertEquals(
+                copy.current().contentHash(),
+                ConfigurationFixtures.basicConfiguration().contentHash());
     }
 
     @Test
-    public void aBadSnapshotLeavesTheStateAsItWas() {
+    public void invalidSnapshotLeavesTheStateUnchanged() {
         RevisionHistory basic = basic();
         byte[] whole = basic.snapshot();
         byte[] foreign = new RevisionHistory("other").snapshot();
-        byte[] configuration = new SnapshotCodec(Samples.FLEET).encode(Samples.basic());
+        byte[] configuration =
+                new SnapshotCodec(ConfigurationFixtures.FLEET)
+                        .encode(ConfigurationFixtures.basicConfiguration());
         for (byte[] bad : List.of(foreign, configuration, Arrays.copyOf(whole, 60))) {
             expectThrows(InvalidConfigurationException.class, () -> basic.restore(bad));
             assertEquals(basic.snapshot(), whole);
--- a/fleet/src/test/java/tinford/fleet/config/SnapshotCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/SnapshotCodecTest.java
@@ -10,18 +10,19 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Snapshots: whole ones come back as they were, all others are refused. */
+/** Snapshots: valid ones are read and written unchanged, all others are rejected. */
 public class SnapshotCodecTest {
     private static final int VERSION_AT = 4;
-    private static final SnapshotCodec CODEC = new SnapshotCodec(Samples.FLEET);
+    private static final SnapshotCodec CODEC = new SnapshotCodec(ConfigurationFixtures.FLEET);
 
     @Test
-    public void aSnapshotComesBackAsItWas() throws Exception {
+    public void configurationIsUnchangedByEncodingAndDecoding() throws Exception {
         for (Configuration each :
                 List.of(
                         Configuration.EMPTY,
-                        Samples.basic(),
-                        Samples.large(30, 150, 20, 1400).with(77, List.of()))) {
+                        ConfigurationFixtures.basicConfiguration(),
+                        ConfigurationFixtures.largeConfiguration(30, 150, 20, 1400)
+                                .with(77, List.of()))) {
             Configuration read = CODEC.decode(CODEC.encode(each));
             assertEquals(read.revision(), each.revision());
             assertEquals(read.services(), each.services());
@@ -33,21 +34,21 @@
     }
 
     @Test
-    public void theSameContentHasTheSameBytes() throws Exception {
-        byte[] bytes = CODEC.encode(Samples.basic());
+    public void sameContentHasTheSameBytes() throws Exception {
+        byte[] bytes = CODEC.encode(ConfigurationFixtures.basicConfiguration());
         assertEquals(CODEC.encode(CODEC.decode(bytes)), bytes);
     }
 
     @Test
-    public void itIsCompressed() {
-        Configuration large = Samples.large(30, 150, 20, 1400);
+    public void snapshotIsCompressed() {
+        Configuration large = ConfigurationFixtures.largeConfiguration(30, 150, 20, 1400);
         int size = CODEC.encode(large).length;
         assertTrue(size < 25_000, size + " bytes");
     }
 
     @Test
-    public void tornAnywhereItIsRefused() {
-        byte[] whole = CODEC.encode(Samples.basic());
+    public void snapshotTruncatedAnywhereIsRejected() {
+        byte[] whole = CODEC.encode(ConfigurationFixtures.basicConfiguration());
         for (int length = 0; length < whole.length; length++) {
             byte[] torn = Arrays.copyOf(whole, length);
             expectThrows(InvalidConfigurationException.class, () -> CODEC.decode(torn));
@@ -57,8 +58,8 @@
     }
 
     @Test
-    public void withAnyByteChangedItIsRefused() {
-        byte[] whole = CODEC.encode(Samples.basic());
+    public void snapshotWithAnyByteChangedIsRejected() {
+        byte[] whole = CODEC.encode(ConfigurationFixtures.basicConfiguration());
         for (int at = 0; at < whole.length; at++) {
             byte[] damaged = whole.clone();
             damaged[at] ^= 0x10;
@@ -67,69 +68,75 @@
     }
 
     @Test
-    public void anotherFleetsIsRefused() {
-        byte[] foreign = new SnapshotCodec("other").encode(Samples.basic());
-        assertEquals(refusal(foreign).key(), "snapshot.fleet");
-        assertEquals(refusal(foreign).expected(), "a snapshot of fleet test-fleet, not other");
+    public void snapshotOfAnotherFleetIsRejected() {
+        byte[] foreign =
+                new SnapshotCodec("other").encode(ConfigurationFixtures.basicConfiguration());
+        assertEquals(decodeError(foreign).key(), "snapshot.fleet");
+        assertEquals(decodeError(foreign).expected(), "a snapshot of fleet test-fleet, not other");
     }
 
     @Test
-    public void aLaterFormatIsRefusedAsSuch() {
-        byte[] later = CODEC.encode(Samples.basic());
+    public void laterFormatIsRejectedByItsVersion() {
+        byte[] later = CODEC.encode(ConfigurationFixtures.basicConfiguration());
         later[VERSION_AT] = 2;
-        assertEquals(refusal(later).key(), "snapshot.version");
+        assertEquals(decodeError(later).key(), "snapshot.version");
     }
 
     @Test
-    public void aDamagedOneIsToldByItsHash() {
-        byte[] damaged = CODEC.encode(Samples.basic());
+    public void damagedSnapshotIsRejectedByItsHash() {
+        byte[] damaged = CODEC.encode(ConfigurationFixtures.basicConfiguration());
         damaged[damaged.length - 1] ^= 1;
-        assertEquals(refusal(damaged).key(), "snapshot.hash");
+        assertEquals(decodeError(damaged).key(), "snapshot.hash");
     }
 
     @Test
-    public void aHistoryIsNoConfiguration() {
-        assertEquals(refusal(new RevisionHistory(Samples.FLEET).snapshot()).key(), "snapshot.kind");
+    public void historySnapshotIsNotAConfiguration() {
+        assertEquals(
+                decodeError(new RevisionHistory(ConfigurationFixtures.FLEET).snapshot()).key(),
+                "snapshot.kind");
     }
 
     @Test
-    public void contentThatGrowsBeyondWhatIsToldIsRefused() {
-        byte[] sealed = seal("{\"version\":1}" + " ".repeat(10_000_000));
-        int lengthAt = 15 + Samples.FLEET.length();
+    public void contentOfAnotherLengthThanDeclaredIsRejected() {
+        byte[] sealed = encode("{\"version\":1}" + " ".repeat(10_000_000));
+        int lengthAt = 15 + ConfigurationFixtures.FLEET.length();
         ByteBuffer.wrap(sealed).putInt(lengthAt, 100);
         rehash(sealed);
-        assertEquals(refusal(sealed).key(), "snapshot.length");
+        assertEquals(decodeError(sealed).key(), "snapshot.length");
         ByteBuffer.wrap(sealed).putInt(lengthAt, Integer.MAX_VALUE);
         rehash(sealed);
-        assertEquals(refusal(sealed).key(), "snapshot.length");
+        assertEquals(decodeError(sealed).key(), "snapshot.length");
         ByteBuffer.wrap(sealed).putInt(lengthAt, 11_000_000);
         rehash(sealed);
-        assertEquals(refusal(sealed).key(), "snapshot.length");
+        assertEquals(decodeError(sealed).key(), "snapshot.length");
     }
 
     @Test
-    public void unsoundContentIsRefusedByKey() {
+    public void invalidContentIsRejectedWithItsKey() {
         String form =
                 "{\"version\":1,\"revision\":5,\"services\":[%s],\"plans\":[],"
                         + "\"routes\":[],\"tenants\":[%s]}";
         assertEquals(
-                refusal(seal(String.format(form, "", "{\"id\":3,\"plan\":\"p\"}"))).key(),
+                decodeError(encode(String.format(form, "", "{\"id\":3,\"plan\":\"p\"}"))).key(),
                 "tenants.3.plan");
         String service = "{\"name\":\"s\"}";
         assertEquals(
-                refusal(seal(String.format(form, service + "," + service, ""))).key(), "services");
-        assertEquals(refusal(seal(String.format(form, "7", ""))).key(), "services[0]");
+                decodeError(encode(String.format(form, service + "," + service, ""))).key(),
+                "services");
+        assertEquals(decodeError(encode(String.format(form, "7", ""))).key(), "services[0]");
         assertEquals(
-                refusal(seal(String.format(form, "", "").replace("5", "6"))).key(), "revision");
+                decodeError(encode(String.format(form, "", "").replace("5", "6"))).key(),
+                "revision");
         assertEquals(
-                refusal(seal(String.format(form, "", "").replace(":1,", ":2,"))).key(), "version");
-        assertEquals(refusal(seal("[".repeat(1000))).key(), "json");
+                decodeError(encode(String.format(form, "", "").replace(":1,", ":2,"))).key(),
+                "version");
+        assertEquals(decodeError(encode("[".repeat(1000))).key(), "json");
     }
 
-    private static byte[] seal(String json) {
+    private static byte[] encode(String json) {
         return ChecksummedState.encode(
                 ChecksummedState.Kind.CONFIGURATION,
-                Samples.FLEET,
+                ConfigurationFixtures.FLEET,
                 5,
                 json.getBytes(StandardCharsets.UTF_8));
     }
@@ -140,7 +147,7 @@
         System.arraycopy(hash, 0, sealed, end, hash.length);
     }
 
-    private static InvalidConfigurationException refusal(byte[] snapshot) {
+    private static InvalidConfigurationException decodeError(byte[] snapshot) {
         return expectThrows(InvalidConfigurationException.class, () -> CODEC.decode(snapshot));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/config/SortedArrayMapTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/SortedArrayMapTest.java
@@ -13,12 +13,12 @@
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 
-/** The map against the JDK's. */
+/** The map against a {@link java.util.TreeMap}. */
 public class SortedArrayMapTest {
     private static final int SEEDS = 200;
 
     @Test
-    public void drawnEditsGiveWhatATreeMapGives() {
+    public void randomEditsMatchATreeMap() {
         for (int seed = 0; seed < SEEDS; seed++) {
             Random random = new Random(seed);
             SortedArrayMap<Integer, String> map = SortedArrayMap.empty();
@@ -41,13 +41,13 @@
     }
 
     @Test
-    public void withoutEditsItIsTheSameMap() {
+    public void noEditsReturnTheSameMap() {
         SortedArrayMap<String, Integer> map = SortedArrayMap.of(List.of(3, 1, 2), i -> "k" + i);
         assertSame(map.with(new TreeMap<>()), map);
     }
 
     @Test
-    public void readsOnly() {
+    public void isImmutable() {
         SortedArrayMap<String, Integer> map = SortedArrayMap.of(List.of(3, 1, 2), i -> "k" + i);
         assertEquals(new ArrayList<>(map.values()), List.of(1, 2, 3));
         assertNull(map.get("k4"));
--- a/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
@@ -10,26 +10,30 @@
 import tinford.api.DeduplicationScope;
 import tinford.api.Idempotency;
 
-/** What is refused, with which key. */
+/** Which configurations and changes are invalid, and the keys of their errors. */
 public class ValidatorTest {
-    private static final Configuration BASIC = Samples.basic();
+    private static final Configuration BASIC = ConfigurationFixtures.basicConfiguration();
 
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {"putRoute.service", Samples.putRoute("r", "missing"), "a service that exists"},
-            {"putRoute.name", Samples.putRoute("a b", "search"), "A-Z"},
-            {"putRoute.name", Samples.putRoute("", "search"), "1 to 64"},
-            {"putRoute.name", Samples.putRoute("x".repeat(65), "search"), "1 to 64"},
-            {"putRoute.name", Samples.putRoute("-x", "search"), "not beginning with"},
+            {
+                "putRoute.service",
+                ConfigurationFixtures.putRoute("r", "missing"),
+                "a service that exists"
+            },
+            {"putRoute.name", ConfigurationFixtures.putRoute("a b", "search"), "A-Z"},
+            {"putRoute.name", ConfigurationFixtures.putRoute("", "search"), "1 to 64"},
+            {"putRoute.name", ConfigurationFixtures.putRoute("x".repeat(65), "search"), "1 to 64"},
+            {"putRoute.name", ConfigurationFixtures.putRoute("-x", "search"), "not beginning with"},
             {"removeService.name", new Change.RemoveService("search"), "no route uses; lookup"},
             {"removeService.name", new Change.RemoveService("absent"), "one that exists"},
             {"removeRoute.name", new Change.RemoveRoute("absent"), "one that exists"},
             {"removePlan.name", new Change.RemovePlan("team"), "no tenant uses; 1 does"},
             {"removePlan.name", new Change.RemovePlan("absent"), "one that exists"},
             {"removeTenant.id", new Change.RemoveTenant(77), "one that exists, not 77"},
-            {"putTenant.plan", Samples.putTenant(2, "missing"), "a plan that exists"},
-            {"putService.name", Samples.putService("a/b"), "A-Z"},
+            {"putTenant.plan", ConfigurationFixtures.putTenant(2, "missing"), "a plan that exists"},
+            {"putService.name", ConfigurationFixtures.putService("a/b"), "A-Z"},
             {"putRoute.targetMs", timing(0, 100), "above 0"},
             {"putRoute.targetMs", timing(200, 100), "at most timeoutMs"},
             {"putRoute.targetMs", timing(Double.NaN, 100), "above 0"},
@@ -40,36 +44,37 @@
                 grouped(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ZONE),
                 "none, or all"
             },
-            {"putPlan.ratePerSecond", Samples.putPlan("p", -1), "from 0"},
-            {"putPlan.ratePerSecond", Samples.putPlan("p", Double.NaN), "from 0"},
-            {"putPlan.ratePerSecond", Samples.putPlan("p", 1e13), "from 0"},
+            {"putPlan.ratePerSecond", ConfigurationFixtures.putPlan("p", -1), "from 0"},
+            {"putPlan.ratePerSecond", ConfigurationFixtures.putPlan("p", Double.NaN), "from 0"},
+            {"putPlan.ratePerSecond", ConfigurationFixtures.putPlan("p", 1e13), "from 0"},
             {"putPlan.burst", rates(5, 0, 0, 0), "above 0 where there is a rate"},
             {"putPlan.ceilingBurst", rates(5, 5, 5, 0), "above 0 where there is a rate"},
         };
     }
 
     @Test(dataProvider = "faults")
-    public void isRefusedWithKeyAndExpectation(String key, Change change, String expected) {
+    public void invalidChangeIsRejectedWithKeyAndExpectation(
+            String key, Change change, String expected) {
         List<ValidationError> faults = Validator.check(BASIC, List.of(change));
         assertEquals(faults.get(0).key(), "changes[0]." + key);
         assertTrue(faults.get(0).expected().contains(expected), faults.toString());
     }
 
     @Test
-    public void referencesWithinOneSetHoldInAnyOrder() {
+    public void referencesWithinAChangeSetAreValidInAnyOrder() {
         assertEquals(
                 Validator.check(
                         BASIC,
                         List.of(
-                                Samples.putTenant(2, "new"),
-                                Samples.putPlan("new", 0),
-                                Samples.putRoute("r", "s"),
-                                Samples.putService("s"))),
+                                ConfigurationFixtures.putTenant(2, "new"),
+                                ConfigurationFixtures.putPlan("new", 0),
+                                ConfigurationFixtures.putRoute("r", "s"),
+                                ConfigurationFixtures.putService("s"))),
                 List.of());
     }
 
     @Test
-    public void whatIsUsedCanGoWithItsLastUser() {
+    public void usedRecordCanBeRemovedWithItsLastUser() {
         assertEquals(
                 Validator.check(
                         BASIC,
@@ -82,10 +87,13 @@
     }
 
     @Test
-    public void aThingIsChangedOnceInASet() {
+    public void recordMayBeChangedOnlyOnceInAChangeSet() {
         List<ValidationError> tenants =
                 Validator.check(
-                        BASIC, List.of(Samples.putTenant(2, "team"), Samples.putTenant(2, "team")));
+                        BASIC,
+                        List.of(
+                                ConfigurationFixtures.putTenant(2, "team"),
+                                ConfigurationFixtures.putTenant(2, "team")));
         assertEquals(
                 tenants,
                 List.of(
@@ -96,7 +104,7 @@
                         BASIC,
                         List.of(
                                 new Change.RemoveRoute("lookup"),
-                                Samples.putRoute("lookup", "search")));
+                                ConfigurationFixtures.putRoute("lookup", "search")));
         assertEquals(routes.get(0).key(), "changes[1].route");
     }
 
@@ -104,17 +112,17 @@
     public void countsAreBounded() {
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i <= ConfigurationLimits.MAX_PLANS; i++) {
-            changes.add(Samples.putPlan("p" + i, 0));
+            changes.add(ConfigurationFixtures.putPlan("p" + i, 0));
         }
         List<ValidationError> faults = Validator.check(Configuration.EMPTY, changes);
         assertEquals(faults, List.of(new ValidationError("plans", "at most 1024, not 1025")));
     }
 
     @Test
-    public void aSetIsBounded() {
+    public void changeSetIsBounded() {
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i <= ConfigurationLimits.MAX_CHANGES; i++) {
-            changes.add(Samples.putTenant(i, "team"));
+            changes.add(ConfigurationFixtures.putTenant(i, "team"));
         }
         assertEquals(
                 Validator.check(BASIC, changes),
@@ -122,7 +130,7 @@
     }
 
     @Test
-    public void noMoreThanTheFirstFaultsAreTold() {
+    public void onlyTheFirstErrorsAreReported() {
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
             changes.add(new Change.RemoveTenant(1000 + i));
@@ -131,7 +139,7 @@
     }
 
     @Test
-    public void aWholeConfigurationIsCheckedInAllItsParts() {
+    public void allPartsOfAConfigurationAreValidated() {
         assertEquals(Validator.check(BASIC), List.of());
         Configuration broken =
                 BASIC.with(
@@ -139,7 +147,7 @@
                         List.of(
                                 new Change.RemoveService("search"),
                                 new Change.RemovePlan("team"),
-                                Samples.putPlan("bad", -1)));
+                                ConfigurationFixtures.putPlan("bad", -1)));
         List<String> keys = Validator.check(broken).stream().map(ValidationError::key).toList();
         assertEquals(
                 keys,
@@ -147,7 +155,7 @@
     }
 
     @Test
-    public void aFaultIsOneLineOfBoundedLength() {
+    public void errorIsOneLineOfBoundedLength() {
         ValidationError fault = new ValidationError("a\nb", "x\r\n".repeat(1000));
         assertEquals(fault.key(), "a b");
         assertEquals(fault.expected().lines().count(), 1);
--- a/fleet/src/test/java/tinford/fleet/control/CommandsTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/CommandsTest.java
@@ -20,7 +20,7 @@
 /** The operator's commands: what they print and their exit codes. */
 public class CommandsTest {
     private final ControlClient client = new ControlClient();
-    private DrivenLogs logs;
+    private InMemoryLogsFixture logs;
     private ControlServer server;
     private String address;
     private Path file;
@@ -29,8 +29,8 @@
 
     @BeforeMethod
     public void start() throws IOException {
-        logs = new DrivenLogs(1);
-        server = TestServers.voter(logs, 1);
+        logs = new InMemoryLogsFixture(1);
+        server = ControlServerFixtures.voter(logs, 1);
         address = "127.0.0.1:" + server.address().getPort();
         file = Files.createTempFile("changes", ".json");
     }
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void enterPrintsTheRevisionAndMakesAnId() throws Exception {
+    public void enterPrintsTheRevisionAndGeneratesAnId() throws Exception {
         String changes = "{\"version\":1,\"changes\":[{\"putService\":{\"name\":\"%s\"}}]}";
         assertEquals(enter(changes.formatted("search")), ExitCode.OK);
         assertEquals(out.toString().strip(), "revision 1");
@@ -80,7 +80,7 @@
     }
 
     @Test
-    public void aRefusalIsToldWithKeyAndExpectation() throws Exception {
+    public void rejectionIsPrintedWithKeyAndExpectation() throws Exception {
         int code =
                 enter(
                         "{\"version\":1,\"id\":\"p\",\"changes\":[{\"putTenant\":"
@@ -92,7 +92,7 @@
     }
 
     @Test
-    public void aFileThatCannotBeUsedIsRefused() throws Exception {
+    public void unusableFileIsRejected() throws Exception {
         assertEquals(enter("{"), ExitCode.REJECTED);
         assertTrue(err.toString().startsWith(file + ": "), err.toString());
         assertEquals(enter("{\"version\":1,\"changes\":7}"), ExitCode.REJECTED);
@@ -101,7 +101,7 @@
     }
 
     @Test
-    public void wrongCommandLinesAreToldWithUsage() {
+    public void wrongCommandLinesPrintTheUsage() {
         assertEquals(run(), ExitCode.USAGE);
         assertEquals(run("fly"), ExitCode.USAGE);
         assertEquals(run("status"), ExitCode.USAGE);
@@ -111,7 +111,7 @@
     }
 
     @Test
-    public void withoutAServerItIsSurelyNotTaken() throws Exception {
+    public void proposalIsSurelyNotTakenWithoutAServer() throws Exception {
         String nobody = freeAddress();
         int code = run("revert", "0", "--servers", nobody, "--within", "1");
         assertEquals(code, ExitCode.UNAVAILABLE);
@@ -120,7 +120,7 @@
     }
 
     @Test
-    public void aServerThatIsDownIsPassedOver() throws Exception {
+    public void unreachableServerIsSkipped() throws Exception {
         String content = "{\"version\":1,\"changes\":[{\"putService\":{\"name\":\"a\"}}]}";
         Files.writeString(file, content);
         String both = freeAddress() + "," + address;
@@ -130,7 +130,7 @@
     }
 
     @Test
-    public void statusTellsWhoLags() throws Exception {
+    public void statusPrintsWhoLags() throws Exception {
         enter("{\"version\":1,\"changes\":[{\"putService\":{\"name\":\"a\"}}]}");
         report("gw-1", 1, null);
         report("gw-2", 1, null);
@@ -145,7 +145,7 @@
     }
 
     @Test
-    public void serveTellsEveryFaultOfItsFile() throws Exception {
+    public void servePrintsAllErrorsOfItsFile() throws Exception {
         Files.writeString(file, "[server]\nfleet = \"f\"\nrole = \"boss\"\nlisten = 7\n");
         assertEquals(run("serve", file.toString()), ExitCode.REJECTED);
         assertTrue(err.toString().contains(file + ", line 4: server.listen: expected "));
--- a/fleet/src/test/java/tinford/fleet/control/ControlHttpTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ControlHttpTest.java
@@ -26,13 +26,13 @@
 /** The HTTP service of a voter, on a log in memory. */
 public class ControlHttpTest {
     private final ControlClient client = new ControlClient();
-    private DrivenLogs logs;
+    private InMemoryLogsFixture logs;
     private ControlServer server;
 
     @BeforeMethod
     public void start() throws IOException {
-        logs = new DrivenLogs(1);
-        server = TestServers.voter(logs, 1);
+        logs = new InMemoryLogsFixture(1);
+        server = ControlServerFixtures.voter(logs, 1);
     }
 
     @AfterMethod(alwaysRun = true)
@@ -46,7 +46,7 @@
     }
 
     private long accepted(String id, String service) throws Exception {
-        byte[] body = ConfigurationCodec.encode(TestServers.putService(id, service));
+        byte[] body = ConfigurationCodec.encode(ControlServerFixtures.putService(id, service));
         ControlClient.Response answer = client.post(server.address(), "/proposals", body);
         assertEquals(answer.status(), 200, answer.toString());
         return answer.body().path("revision").asLong();
@@ -66,7 +66,7 @@
     }
 
     @Test
-    public void anAcceptedProposalReachesTheWatches() throws Exception {
+    public void acceptedProposalReachesTheWatches() throws Exception {
         try (WatchConnection watch = WatchConnection.open(server, "gw-1", 0)) {
             assertTrue(watch.head().contains(" 200 "));
             assertEquals(watch.line(), "");
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void heartbeatsComeWhileNothingChanges() throws Exception {
+    public void heartbeatsAreSentWhileNothingChanges() throws Exception {
         try (WatchConnection watch = WatchConnection.open(server, "gw-1", 0)) {
             watch.head();
             for (int i = 0; i < 5; i++) {
@@ -88,7 +88,7 @@
     }
 
     @Test
-    public void aFollowerThatIsBehindGetsEachUpdateInOrder() throws Exception {
+    public void followerThatIsBehindGetsEachUpdateInOrder() throws Exception {
         for (int i = 1; i <= 6; i++) {
             assertEquals(accepted("p" + i, "service-" + i), i);
         }
@@ -103,9 +103,9 @@
     }
 
     @Test
-    public void withoutWatchOneLineComesAndTheEnd() throws Exception {
+    public void requestWithoutWatchGetsOneLine() throws Exception {
         accepted("p1", "search");
-        String query = "after=%d&fleet=" + TestServers.FLEET;
+        String query = "after=%d&fleet=" + ControlServerFixtures.FLEET;
         try (WatchConnection one = new WatchConnection(server.address(), query.formatted(0))) {
             one.head();
             assertEquals(update(one.message()).revision(), 1);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    public void aFollowerThatIsAheadHearsHeartbeatsUntilTheServerHasPassedIt() throws Exception {
+    public void followerThatIsAheadGetsHeartbeatsUntilTheServerPassesIt() throws Exception {
         accepted("p1", "search");
         try (WatchConnection watch = WatchConnection.open(server, "gw-1", 2)) {
             watch.head();
@@ -131,14 +131,14 @@
     }
 
     @Test
-    public void theSameProposalAgainHasTheSameOutcome() throws Exception {
+    public void repeatedProposalHasTheSameOutcome() throws Exception {
         assertEquals(accepted("p1", "search"), 1);
         assertEquals(accepted("p1", "search"), 1);
         assertEquals(status().path("revision").asLong(), 1);
     }
 
     @Test
-    public void aRefusedProposalIsToldWithKeyAndExpectationAndChangesNothing() throws Exception {
+    public void rejectedProposalGetsKeyAndExpectationAndChangesNothing() throws Exception {
         ControlClient.Response answer =
                 post(
                         "/proposals",
@@ -160,7 +160,7 @@
     }
 
     @Test
-    public void aRevertIsANewRevision() throws Exception {
+    public void revertIsANewRevision() throws Exception {
         accepted("p1", "search");
         accepted("p2", "mail");
         byte[] revert = ConfigurationCodec.encode(new Revert("r", 1));
@@ -195,7 +195,7 @@
     }
 
     @Test(dataProvider = "unreadableBodies")
-    public void aBodyThatCannotBeReadIsRefused(String body) throws Exception {
+    public void unreadableBodyIsRejected(String body) throws Exception {
         ControlClient.Response answer = post("/proposals", body);
         assertEquals(answer.status(), 400, answer.toString());
         JsonNode fault = answer.body().path("faults").path(0);
@@ -205,14 +205,14 @@
     }
 
     @Test
-    public void anOversizedBodyIsRefused() throws Exception {
+    public void oversizedBodyIsRejected() throws Exception {
         String body = " ".repeat(ConfigurationLimits.MAX_PROPOSAL_BYTES + 1);
         assertEquals(post("/proposals", body).status(), 413);
         servesOn();
     }
 
     @Test
-    public void aBodyThatIsTooLargeWithAllFieldsIsRefused() throws Exception {
+    public void bodyThatIsTooLargeWithAllFieldsIsRejected() throws Exception {
         StringBuilder body = new StringBuilder("{\"version\":1,\"id\":\"p\",\"changes\":[");
         for (int i = 0; i < 5000; i++) {
             body.append(i == 0 ? "" : ",")
@@ -230,7 +230,7 @@
     }
 
     @Test
-    public void anOversizedBodyInChunksIsRefused() throws Exception {
+    public void oversizedChunkedBodyIsRejected() throws Exception {
         try (Socket socket = socket()) {
             write(
                     socket,
@@ -252,7 +252,7 @@
     }
 
     @Test
-    public void aBodyThatIsCutChangesNothing() throws Exception {
+    public void truncatedBodyChangesNothing() throws Exception {
         try (Socket socket = socket()) {
             write(
                     socket,
@@ -274,7 +274,7 @@
 
     @DataProvider
     public Object[][] wrongQueries() {
-        String fleet = "fleet=" + TestServers.FLEET;
+        String fleet = "fleet=" + ControlServerFixtures.FLEET;
         return new Object[][] {
             {"watch=1&after=0&follower=gw-1&fleet=other", "fleet"},
             {"watch=1&after=0&follower=gw-1", "fleet"},
@@ -290,7 +290,7 @@
     }
 
     @Test(dataProvider = "wrongQueries")
-    public void aWrongQueryIsRefused(String query, String key) throws Exception {
+    public void wrongQueryIsRejected(String query, String key) throws Exception {
         ControlClient.Response answer = client.get(server.address(), "/configuration?" + query);
         assertEquals(answer.status(), 400);
         assertEquals(answer.body().path("faults").path(0).path("key").asText(), key);
@@ -298,7 +298,7 @@
     }
 
     @Test
-    public void reportsAreTabled() throws Exception {
+    public void reportsAreListed() throws Exception {
         report("gw-1", new FollowerReport("gw-1", "east", 4, null), 204);
         report("gw-2", new FollowerReport("gw-2", "west", 3, "routes.a: expected more"), 204);
         report("gw-3", new FollowerReport("gw-4", "west", 3, null), 400);
@@ -319,14 +319,14 @@
     }
 
     @Test
-    public void unknownPathsAndMethodsAreRefused() throws Exception {
+    public void unknownPathsAndMethodsAreRejected() throws Exception {
         assertEquals(client.get(server.address(), "/nothing").status(), 404);
         assertEquals(client.get(server.address(), "/proposals").status(), 405);
         assertEquals(post("/status", "{}").status(), 405);
     }
 
     @Test
-    public void statusTellsRoleRevisionAndFollowers() throws Exception {
+    public void statusHasRoleRevisionAndFollowers() throws Exception {
         accepted("p1", "search");
         try (WatchConnection watch = WatchConnection.open(server, "gw-1", 1)) {
             watch.head();
--- a/fleet/src/test/java/tinford/fleet/control/TestServers.java
+++ b/fleet/src/test/java/tinford/fleet/control/ControlServerFixtures.java
@@ -15,12 +15,12 @@
 import tinford.fleet.control.ControlSettings.WatchTiming;
 
 /** Control servers on ephemeral ports of loopback. */
-final class TestServers {
+final class ControlServerFixtures {
     static final String FLEET = "test-fleet";
     static final WatchTiming FAST = new WatchTiming(50, 400, 2000);
-    static final long DECIDE_WITHIN_MS = 1000;
+    static final long DECISION_TIMEOUT_MS = 1000;
 
-    private TestServers() {}
+    private ControlServerFixtures() {}
 
     static ControlSettings settings(String name, Role role, int followers, WatchTiming timing) {
         return new ControlSettings(
@@ -66,15 +66,15 @@
     }
 
     /** A voter on a log in memory. */
-    static ControlServer voter(DrivenLogs logs, int number) throws IOException {
+    static ControlServer voter(InMemoryLogsFixture logs, int number) throws IOException {
         return ControlServer.start(
                 settings("voter-" + number, Role.VOTER, 100, FAST),
                 feed ->
                         new Voter(
                                 FLEET,
                                 feed,
-                                DECIDE_WITHIN_MS,
-                                reader -> logs.open(number, reader)));
+                                DECISION_TIMEOUT_MS,
+                                stateMachine -> logs.open(number, stateMachine)));
     }
 
     /** A server whose feed the test fills. */
--- a/fleet/src/test/java/tinford/fleet/control/ControlSettingsReaderTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ControlSettingsReaderTest.java
@@ -37,7 +37,7 @@
                       """;
 
     @Test
-    public void theFileThatIsDeployedCanBeRead() throws Exception {
+    public void deployedFileCanBeRead() throws Exception {
         ControlSettings read = ControlSettingsReader.read(Path.of("../deploy/control.toml"));
         assertEquals(read.role(), Role.VOTER);
         assertEquals(read.voters().members().size(), 5);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void aVoterAndAReplicaAreRead() throws Exception {
+    public void voterAndReplicaAreRead() throws Exception {
         ControlSettings voter = ControlSettingsReader.parse("f", VOTER);
         assertEquals(voter.voters().number(), 2);
         assertEquals(voter.voters().members().get(3).getPort(), 3);
@@ -75,7 +75,7 @@
     }
 
     @Test(dataProvider = "faults")
-    public void eachFaultIsOneLineWithFileLineKeyAndExpectation(String text, String expected) {
+    public void errorIsOneLineWithFileLineKeyAndExpectation(String text, String expected) {
         InvalidOperatorFileException invalid =
                 expectThrows(
                         InvalidOperatorFileException.class,
@@ -86,7 +86,7 @@
     }
 
     @Test
-    public void allFaultsAreToldAtOnce() {
+    public void allErrorsAreReportedAtOnce() {
         String text = VOTER.replace("east", "e st").replace("number = 2", "number = 4");
         InvalidOperatorFileException invalid =
                 expectThrows(
--- a/fleet/src/test/java/tinford/fleet/control/DrivenLogs.java
+++ b/fleet/src/test/java/tinford/fleet/control/InMemoryLogsFixture.java
@@ -8,8 +8,8 @@
 import tinford.fleet.store.InMemoryLogs;
 import tinford.fleet.store.ReplicatedLog;
 
-/** Logs in memory for servers with threads: driven by a thread of their own, one call at a time. */
-final class DrivenLogs implements AutoCloseable {
+/** In-memory logs for servers with threads; their simulated time follows the real clock. */
+final class InMemoryLogsFixture implements AutoCloseable {
     private static final double DELAY_MS = 2;
     private static final double SILENCE_MS = 50;
     private static final double APPEND_MS = 300;
@@ -19,7 +19,7 @@
     private final InMemoryLogs logs;
     private final ScheduledExecutorService driver = Executors.newSingleThreadScheduledExecutor();
 
-    DrivenLogs(int size) {
+    InMemoryLogsFixture(int size) {
         logs =
                 new InMemoryLogs(
                         size,
@@ -49,28 +49,28 @@
         return new ReplicatedLog() {
             @Override
             public CompletableFuture<Long> append(byte[] entry) {
-                synchronized (DrivenLogs.this) {
+                synchronized (InMemoryLogsFixture.this) {
                     return log.append(entry);
                 }
             }
 
             @Override
             public boolean isLeader() {
-                synchronized (DrivenLogs.this) {
+                synchronized (InMemoryLogsFixture.this) {
                     return log.isLeader();
                 }
             }
 
             @Override
             public long term() {
-                synchronized (DrivenLogs.this) {
+                synchronized (InMemoryLogsFixture.this) {
                     return log.term();
                 }
             }
 
             @Override
             public void close() {
-                synchronized (DrivenLogs.this) {
+                synchronized (InMemoryLogsFixture.this) {
                     log.close();
                 }
             }
--- a/fleet/src/test/java/tinford/fleet/control/QuorumTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/QuorumTest.java
@@ -12,18 +12,18 @@
 import tinford.fleet.config.Proposal;
 import tinford.fleet.testing.Eventually;
 
-/** Three voters whose log loses its majority and its leader; logs in memory. */
+/** Three voters on in-memory logs that lose their majority and their leader. */
 public class QuorumTest {
     private final ControlClient client = new ControlClient();
-    private DrivenLogs logs;
+    private InMemoryLogsFixture logs;
     private List<ControlServer> servers;
 
     @BeforeMethod
     public void start() throws Exception {
-        logs = new DrivenLogs(3);
+        logs = new InMemoryLogsFixture(3);
         servers = new ArrayList<>();
         for (int number = 1; number <= 3; number++) {
-            servers.add(TestServers.voter(logs, number));
+            servers.add(ControlServerFixtures.voter(logs, number));
         }
     }
 
@@ -55,9 +55,9 @@
     }
 
     @Test
-    public void anyVoterTakesProposalsAndAllServeThem() throws Exception {
+    public void anyVoterAcceptsProposalsAndAllServeThem() throws Exception {
         for (int voter = 0; voter < 3; voter++) {
-            Proposal proposal = TestServers.putService("p" + voter, "service-" + voter);
+            Proposal proposal = ControlServerFixtures.putService("p" + voter, "service-" + voter);
             assertEquals(propose(voter, proposal).status(), 200);
         }
         for (int voter = 0; voter < 3; voter++) {
@@ -67,18 +67,18 @@
     }
 
     @Test
-    public void withoutAMajorityItIsSaidInTimeAndTheSameProposalPassesLater() throws Exception {
-        assertEquals(propose(0, TestServers.putService("p0", "search")).status(), 200);
+    public void proposalTimesOutWithoutAMajorityAndPassesLater() throws Exception {
+        assertEquals(propose(0, ControlServerFixtures.putService("p0", "search")).status(), 200);
         Eventually.holds("voter 2 at 1", () -> revision(2) == 1);
         logs.cut(3, 1);
         logs.cut(3, 2);
-        Proposal proposal = TestServers.putService("p1", "mail");
+        Proposal proposal = ControlServerFixtures.putService("p1", "mail");
         long start = System.nanoTime();
         ControlClient.Response answer = propose(2, proposal);
         double tookMs = (System.nanoTime() - start) / 1e6;
         assertEquals(answer.status(), 503);
         assertEquals(answer.body().path("taken").asText(), "perhaps");
-        assertTrue(tookMs < 10 * TestServers.DECIDE_WITHIN_MS, tookMs + " ms");
+        assertTrue(tookMs < 10 * ControlServerFixtures.DECISION_TIMEOUT_MS, tookMs + " ms");
         try (WatchConnection watch = WatchConnection.open(servers.get(2), "gw-1", 0)) {
             watch.head();
             watch.message(); // the cut voter serves what it holds
@@ -90,13 +90,13 @@
     }
 
     @Test
-    public void theOthersGoOnWithoutTheLeader() throws Exception {
-        assertEquals(propose(0, TestServers.putService("p0", "search")).status(), 200);
+    public void othersContinueWithoutTheLeader() throws Exception {
+        assertEquals(propose(0, ControlServerFixtures.putService("p0", "search")).status(), 200);
         Eventually.holds("a leader", () -> leader() >= 0);
         int lost = leader();
         servers.get(lost).close();
         int other = (lost + 1) % 3;
-        Proposal proposal = TestServers.putService("p1", "mail");
+        Proposal proposal = ControlServerFixtures.putService("p1", "mail");
         Eventually.holds("decided", () -> propose(other, proposal).status() == 200);
         assertEquals(revision(other), 2);
     }
--- a/fleet/src/test/java/tinford/fleet/control/RaftVoterTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/RaftVoterTest.java
@@ -20,7 +20,7 @@
 import tinford.fleet.config.Proposal;
 import tinford.fleet.testing.Eventually;
 
-/** Three voters on the library's log: a leader that ends, and members that start again. */
+/** Three voters on Raft logs: the leader stops, and members restart. */
 public class RaftVoterTest {
     private static final int VOTERS = 3;
 
@@ -32,13 +32,13 @@
     @BeforeMethod
     public void start() throws IOException {
         folder = Files.createTempDirectory("control");
-        List<ServerSocket> held = new ArrayList<>();
+        List<ServerSocket> reserved = new ArrayList<>();
         for (int number = 1; number <= VOTERS; number++) {
             ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-            held.add(socket);
+            reserved.add(socket);
             members.put(number, new InetSocketAddress("127.0.0.1", socket.getLocalPort()));
         }
-        for (ServerSocket socket : held) {
+        for (ServerSocket socket : reserved) {
             socket.close();
         }
         for (int number = 1; number <= VOTERS; number++) {
@@ -59,7 +59,8 @@
     }
 
     private void open(int number) throws IOException {
-        servers[number] = ControlServer.start(TestServers.raftSettings(number, members, folder));
+        servers[number] =
+                ControlServer.start(ControlServerFixtures.raftSettings(number, members, folder));
     }
 
     private void close(int number) {
@@ -92,19 +93,19 @@
     }
 
     @Test
-    public void acknowledgedRevisionsOutliveTheLeaderAndARestartOfAll() throws Exception {
-        Proposal first = TestServers.putService("p1", "search");
+    public void acknowledgedRevisionsSurviveTheLeaderAndARestartOfAll() throws Exception {
+        Proposal first = ControlServerFixtures.putService("p1", "search");
         Eventually.holds("the first", () -> propose(1, first).status() == 200);
         Eventually.holds("a leader", () -> leader() > 0);
         int lost = leader();
         close(lost);
         int other = lost % VOTERS + 1;
-        Proposal second = TestServers.putService("p2", "mail");
+        Proposal second = ControlServerFixtures.putService("p2", "mail");
         Eventually.holds("the second", () -> propose(other, second).status() == 200);
 
         int third = other % VOTERS + 1;
         close(third);
-        Proposal alone = TestServers.putService("p3", "maps");
+        Proposal alone = ControlServerFixtures.putService("p3", "maps");
         assertEquals(propose(other, alone).status(), 503, "one of three");
 
         close(other);
--- a/fleet/src/test/java/tinford/fleet/control/ReplicaTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ReplicaTest.java
@@ -19,7 +19,7 @@
 /** A replica behind a voter. */
 public class ReplicaTest {
     private final ControlClient client = new ControlClient();
-    private DrivenLogs logs;
+    private InMemoryLogsFixture logs;
     private ControlServer voter;
     private Path folder;
     private Endpoint upstream;
@@ -27,16 +27,16 @@
 
     @BeforeMethod
     public void start() throws IOException {
-        logs = new DrivenLogs(1);
-        voter = TestServers.voter(logs, 1);
-        upstream = TestServers.endpoint(voter);
+        logs = new InMemoryLogsFixture(1);
+        voter = ControlServerFixtures.voter(logs, 1);
+        upstream = ControlServerFixtures.endpoint(voter);
         folder = Files.createTempDirectory("replica");
         replica = open();
     }
 
     private ControlServer open() throws IOException {
         return ControlServer.start(
-                TestServers.replicaSettings("replica-1", folder, List.of(upstream)));
+                ControlServerFixtures.replicaSettings("replica-1", folder, List.of(upstream)));
     }
 
     @AfterMethod(alwaysRun = true)
@@ -52,7 +52,7 @@
     }
 
     private ControlClient.Response propose(ControlServer server, String name) throws Exception {
-        byte[] body = ConfigurationCodec.encode(TestServers.putService(name, name));
+        byte[] body = ConfigurationCodec.encode(ControlServerFixtures.putService(name, name));
         return client.post(server.address(), "/proposals", body);
     }
 
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void servesWhatTheVoterHas() throws Exception {
+    public void servesTheRevisionsOfTheVoter() throws Exception {
         try (WatchConnection watch = WatchConnection.open(replica, "gw-1", 0)) {
             watch.head();
             for (int revision = 1; revision <= 3; revision++) {
@@ -83,7 +83,7 @@
     }
 
     @Test
-    public void takesNoProposals() throws Exception {
+    public void rejectsProposals() throws Exception {
         ControlClient.Response answer = propose(replica, "search");
         assertEquals(answer.status(), 503);
         assertEquals(answer.body().path("taken").asText(), "no");
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void startsFromItsDiskWithoutAnyVoter() throws Exception {
+    public void startsFromItsSnapshotWithoutAVoter() throws Exception {
         propose(voter, "search");
         propose(voter, "mail");
         Eventually.holds("the replica has both", () -> revision(replica) == 2);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    public void startsWithoutADiskThatCanBeUsed() throws Exception {
+    public void startsWithoutAUsableSnapshot() throws Exception {
         propose(voter, "search");
         Eventually.holds("the replica has it", () -> revision(replica) == 1);
         replica.close();
--- a/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/RevisionFeedTest.java
@@ -19,7 +19,7 @@
 import tinford.fleet.config.ServiceRecord;
 import tinford.fleet.config.Update;
 
-/** Which line a follower gets next, and what is kept for it. */
+/** Which line a follower gets next, and which lines are retained. */
 public class RevisionFeedTest {
     private Queue<Runnable> tasks;
     private RevisionFeed feed;
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void updatesKeptAreBoundedByCount() {
+    public void retainedUpdatesAreBoundedByCount() {
         for (int i = 0; i < RevisionFeed.MAX_LINES + 10; i++) {
             append(1);
         }
@@ -60,7 +60,7 @@
     }
 
     @Test
-    public void updatesKeptAreBoundedByBytes() {
+    public void retainedUpdatesAreBoundedByBytes() {
         for (int i = 0; i < 40; i++) {
             append(2000);
         }
@@ -77,7 +77,7 @@
     }
 
     @Test
-    public void oneSnapshotServesWhileUpdatesLeadOnFromIt() {
+    public void snapshotIsReusedWhileUpdatesLeadOnFromIt() {
         Configuration far = Configuration.EMPTY.with(50, List.of());
         feed.replace(far, List.of());
         assertNull(feed.next(3));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    public void aSnapshotThatNoUpdateLeadsOnFromIsMadeAnew() {
+    public void snapshotIsRemadeOnceNoUpdateLeadsOnFromIt() {
         feed.replace(Configuration.EMPTY.with(50, List.of()), List.of());
         feed.next(0);
         runTasks();
@@ -108,7 +108,7 @@
     }
 
     @Test
-    public void aSnapshotThatIsOutOfDateWhenItIsReadyStillServes() {
+    public void snapshotThatIsOutdatedWhenReadyIsStillUsed() {
         feed.replace(Configuration.EMPTY.with(50, List.of()), List.of());
         feed.next(0);
         Runnable making = tasks.remove();
@@ -150,7 +150,7 @@
     }
 
     @Test
-    public void aSnapshotThatIsShorterThanTheUpdatesIsSentInTheirPlace() {
+    public void snapshotIsSentWhenShorterThanTheUpdates() {
         appendRepeated(200);
         long kept = feed.cachedBytes();
         assertEquals(feed.oldestRetained(), 0, "all updates are kept");
@@ -177,7 +177,7 @@
     }
 
     @Test
-    public void updatesAreSentWhereASnapshotIsLonger() {
+    public void updatesAreSentWhenShorterThanASnapshot() {
         List<Change> services = randomServices(15_000);
         append(services);
         append(services.subList(0, 1_500));
@@ -207,7 +207,7 @@
     }
 
     @Test
-    public void aFollowerThatKeepsUpGetsALargeUpdateAtOnce() {
+    public void followerThatKeepsUpGetsALargeUpdateAtOnce() {
         append(1);
         append(5_000);
         assertTrue(feed.next(1).bytes().length > RevisionFeed.MIN_BYTES_BEHIND_FOR_SNAPSHOT);
@@ -216,7 +216,7 @@
     }
 
     @Test
-    public void anEarlierSnapshotIsUsedAndUpdatesLeadOnFromIt() {
+    public void earlierSnapshotIsUsedAndUpdatesLeadOnFromIt() {
         appendRepeated(200);
         follow(0);
         long snapshotAt = feed.next(0).revision();
@@ -227,7 +227,7 @@
     }
 
     @Test
-    public void updatesAreSentWhereNoSnapshotCanBeMade() {
+    public void updatesAreSentWhenNoSnapshotCanBeMade() {
         feed =
                 new RevisionFeed(
                         "fleet",
@@ -241,7 +241,7 @@
     }
 
     @Test
-    public void listenersHearOfChangesAndOfSnapshots() {
+    public void listenersAreCalledForChangesAndSnapshots() {
         int[] calls = new int[1];
         feed.addListener(() -> calls[0]++);
         append(1);
--- a/fleet/src/test/java/tinford/fleet/control/WatchConnection.java
+++ b/fleet/src/test/java/tinford/fleet/control/WatchConnection.java
@@ -10,7 +10,7 @@
 import tinford.fleet.config.InvalidConfigurationException;
 import tinford.fleet.config.WatchMessage;
 
-/** One watch as a follower sees it on the socket, chunk by chunk; reads only when it is told to. */
+/** A follower's watch on a plain socket; it reads only when the test calls it. */
 final class WatchConnection implements AutoCloseable {
     private static final int PATIENCE_MS = 20_000;
     private static final int SMALL_BUFFER = 4096;
@@ -55,14 +55,14 @@
                 + "&follower="
                 + follower
                 + "&region=east&fleet="
-                + TestServers.FLEET;
+                + ControlServerFixtures.FLEET;
     }
 
     private void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The status line; then comes the body. */
+    /** Reads the head of the response and returns its status line. */
     String head() throws IOException {
         String status = reader.readLine();
         boolean chunked = false;
@@ -111,7 +111,7 @@
         return content.length == 0 ? null : new String(content);
     }
 
-    /** The next message; heartbeats are passed over. */
+    /** The next message; heartbeats are skipped. */
     WatchMessage message() throws IOException, InvalidConfigurationException {
         String line = line();
         while (line != null && line.isEmpty()) {
--- a/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/WatchLoadTest.java
@@ -20,7 +20,7 @@
 import tinford.fleet.control.ControlSettings.WatchTiming;
 import tinford.fleet.testing.Eventually;
 
-/** What followers cost a server: those that stall, those that are many or far behind. */
+/** Followers that stall, that are far behind, and that are many. */
 public class WatchLoadTest {
     private final ControlClient client = new ControlClient();
     private final RevisionFeed[] feed = new RevisionFeed[1];
@@ -32,14 +32,14 @@
     }
 
     private void start(int followers, WatchTiming timing) throws Exception {
-        server = TestServers.fed(feed, followers, timing);
+        server = ControlServerFixtures.fed(feed, followers, timing);
     }
 
     private JsonNode status() throws Exception {
         return client.get(server.address(), "/status").body();
     }
 
-    /** One change of many tenants, so that a line is larger than what sockets buffer. */
+    /** Appends a revision with many tenants, whose line exceeds the buffers of sockets. */
     private void appendLarge(int tenants) {
         Configuration before = feed[0].current();
         List<Change> changes = new ArrayList<>();
@@ -55,8 +55,8 @@
     }
 
     @Test
-    public void aStalledFollowerCostsOneLineAndIsClosed() throws Exception {
-        start(10, TestServers.FAST);
+    public void stalledFollowerHoldsOneLineAndIsDisconnected() throws Exception {
+        start(10, ControlServerFixtures.FAST);
         try (WatchConnection stalled = WatchConnection.openStalled(server, "gw-1");
                 WatchConnection reading = WatchConnection.open(server, "gw-2", 0)) {
             reading.head();
@@ -72,7 +72,8 @@
             assertTrue(line > 300_000, "a line of " + line);
             assertTrue(largest <= 2 * line, largest + " bytes for lines of " + line);
             Eventually.holds(
-                    "the stalled one is closed", () -> status().path("followers").asInt() == 1);
+                    "the stalled follower is disconnected",
+                    () -> status().path("followers").asInt() == 1);
             assertEquals(status().path("pendingBytes").asLong(), 0);
             appendLarge(1);
             assertEquals(((WatchMessage.UpdateMessage) reading.message()).update().revision(), 31);
@@ -80,8 +81,8 @@
     }
 
     @Test
-    public void aFollowerThatIsTooFarBehindGetsTheSharedSnapshotAndThenUpdates() throws Exception {
-        start(10, TestServers.FAST);
+    public void followerTooFarBehindGetsTheSharedSnapshotAndThenUpdates() throws Exception {
+        start(10, ControlServerFixtures.FAST);
         Configuration far = Configuration.EMPTY;
         far =
                 far.with(
@@ -101,7 +102,7 @@
                         (WatchMessage.SnapshotMessage) watch.message();
                 assertEquals(snapshot.revision(), 40);
                 Configuration decoded =
-                        new SnapshotCodec(TestServers.FLEET).decode(snapshot.data());
+                        new SnapshotCodec(ControlServerFixtures.FLEET).decode(snapshot.data());
                 assertEquals(decoded.contentHash(), far.contentHash());
             }
             appendLarge(3);
@@ -117,8 +118,8 @@
     }
 
     @Test
-    public void moreFollowersThanAllowedAreTurnedAway() throws Exception {
-        start(2, TestServers.FAST);
+    public void moreFollowersThanAllowedAreRejected() throws Exception {
+        start(2, ControlServerFixtures.FAST);
         try (WatchConnection first = WatchConnection.open(server, "gw-1", 0);
                 WatchConnection second = WatchConnection.open(server, "gw-2", 0)) {
             assertTrue(first.head().contains(" 200 "));
@@ -131,8 +132,8 @@
     }
 
     @Test
-    public void aSecondWatchOfTheSameFollowerEndsTheFirst() throws Exception {
-        start(2, TestServers.FAST);
+    public void secondWatchOfTheSameFollowerEndsTheFirst() throws Exception {
+        start(2, ControlServerFixtures.FAST);
         try (WatchConnection first = WatchConnection.open(server, "gw-1", 0)) {
             first.head();
             try (WatchConnection second = WatchConnection.open(server, "gw-1", 0)) {
@@ -148,7 +149,7 @@
     }
 
     @Test
-    public void watchesOpenedWhileChangesComeMissNone() throws Exception {
+    public void watchesOpenedDuringChangesMissNone() throws Exception {
         start(200, new WatchTiming(1000, 5000, 15_000));
         int revisions = 600;
         Thread changes =
@@ -181,8 +182,8 @@
     }
 
     @Test
-    public void aServerThatEndsEndsItsWatches() throws Exception {
-        start(10, TestServers.FAST);
+    public void closingTheServerEndsItsWatches() throws Exception {
+        start(10, ControlServerFixtures.FAST);
         try (WatchConnection watch = WatchConnection.open(server, "gw-1", 0)) {
             watch.head();
             assertEquals(watch.line(), "");
@@ -204,7 +205,7 @@
     }
 
     @Test
-    public void aThousandFollowersAllGetAChange() throws Exception {
+    public void thousandFollowersAllGetAChange() throws Exception {
         start(1000, new WatchTiming(1000, 5000, 15_000));
         List<WatchConnection> watches = new ArrayList<>();
         try {
--- a/fleet/src/test/java/tinford/fleet/control/WatchStreamTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/WatchResponseStreamTest.java
@@ -13,20 +13,21 @@
 import tinford.fleet.config.Update;
 import tinford.fleet.config.WatchMessage;
 
-/** One watch, with what may happen between its making and its start. */
-public class WatchStreamTest {
-    private final RevisionFeed feed = new RevisionFeed(TestServers.FLEET, Runnable::run);
+/** A watch that is woken between its creation and its start. */
+public class WatchResponseStreamTest {
+    private final RevisionFeed feed = new RevisionFeed(ControlServerFixtures.FLEET, Runnable::run);
 
     private void wakeThenStart(HttpServerExchange exchange) {
         WatchRequest request = new WatchRequest(true, 0, "gw-1");
         WatchResponseStream stream =
-                new WatchResponseStream(request, exchange, feed, TestServers.FAST, closed -> {});
+                new WatchResponseStream(
+                        request, exchange, feed, ControlServerFixtures.FAST, closed -> {});
         stream.wake();
         exchange.dispatch(exchange.getIoThread(), stream::start);
     }
 
     @Test
-    public void aWakeBeforeTheStartLosesNoLine() throws Exception {
+    public void wakeBeforeTheStartLosesNoLine() throws Exception {
         List<Change> changes = List.of(new Change.PutService(new ServiceRecord("search")));
         feed.append(Configuration.EMPTY.with(1, changes), new Update(0, 1, changes));
         Undertow http =
--- a/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/ConfigurationClientTest.java
@@ -32,10 +32,10 @@
 import tinford.fleet.config.Update;
 import tinford.fleet.config.WatchMessage;
 
-/** A client before servers that do as the test says, over real connections. */
+/** A client over real connections to scripted control servers. */
 public class ConfigurationClientTest {
     private static final String FLEET = "one";
-    private static final int PATIENCE_S = 30;
+    private static final int TIMEOUT_S = 30;
     private final List<AutoCloseable> open = new ArrayList<>();
     private final BlockingQueue<Configuration> applied = new LinkedBlockingQueue<>();
     private ScheduledExecutorService executor;
@@ -86,7 +86,7 @@
     }
 
     private Configuration nextApplied() throws InterruptedException {
-        Configuration next = applied.poll(PATIENCE_S, TimeUnit.SECONDS);
+        Configuration next = applied.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("nothing was applied");
         }
@@ -136,7 +136,7 @@
     }
 
     @Test
-    public void prefersItsRegionAndGoesElsewhereWhenThatEnds() throws Exception {
+    public void prefersItsRegionAndFailsOverToAnother() throws Exception {
         follow(Configuration.EMPTY, far, near);
         ScriptedControlServer.Watch first = near.watch();
         first.send(update(0, 1));
@@ -146,7 +146,7 @@
     }
 
     @Test
-    public void aLineThatIsCutIsNotTaken() throws Exception {
+    public void truncatedLineIsIgnored() throws Exception {
         follow(Configuration.EMPTY, near);
         ScriptedControlServer.Watch first = near.watch();
         first.send(update(0, 1));
@@ -160,9 +160,9 @@
         assertEquals(nextApplied().revision(), 2);
     }
 
-    /** A server that is there and says nothing, not even a heartbeat. */
+    /** The server accepts the watch and sends nothing, not even heartbeats. */
     @Test
-    public void aSilentServerIsLeft() throws Exception {
+    public void silentServerIsLeft() throws Exception {
         follow(Configuration.EMPTY, near);
         ScriptedControlServer.Watch silent = near.watch();
         ScriptedControlServer.Watch next = near.watch();
@@ -184,7 +184,7 @@
     }
 
     @Test(dataProvider = "unreadable")
-    public void whatCannotBeReadEndsTheWatchAndChangesNothing(String line) throws Exception {
+    public void unreadableLineEndsTheWatchAndChangesNothing(String line) throws Exception {
         ConfigurationClient client = follow(at(3), near);
         ScriptedControlServer.Watch first = near.watch();
         first.line(line.getBytes(StandardCharsets.UTF_8));
@@ -195,9 +195,9 @@
         assertTrue(applied.isEmpty());
     }
 
-    /** A line without end is given up at the bound, not held. */
+    /** A line without end is dropped at the bound instead of being buffered. */
     @Test
-    public void aLineWithoutEndEndsTheWatch() throws Exception {
+    public void endlessLineEndsTheWatch() throws Exception {
         follow(at(3), near);
         ScriptedControlServer.Watch first = near.watch();
         byte[] part = new byte[1 << 16];
@@ -206,13 +206,13 @@
             for (int sent = 0; sent < 64 << 20; sent += part.length) {
                 first.chunk(part);
             }
-            throw new AssertionError("64 MiB were taken");
+            throw new AssertionError("64 MiB were accepted");
         } catch (UncheckedIOException ended) {
             assertEquals(near.watch().after(), 3);
         }
     }
 
-    /** From a server that is behind, or of another fleet. */
+    /** Messages of a server that is behind, or of another fleet. */
     @DataProvider
     Object[][] unfit() {
         byte[] foreign = new SnapshotCodec("two").encode(at(9));
@@ -228,7 +228,7 @@
     }
 
     @Test(dataProvider = "unfit")
-    public void neverGoesBackNorTakesWhatDoesNotFit(WatchMessage message) throws Exception {
+    public void neverGoesBackAndRejectsMessagesThatDoNotFit(WatchMessage message) throws Exception {
         ConfigurationClient client = follow(at(3), near);
         near.watch().send(message);
         ScriptedControlServer.Watch second = near.watch();
@@ -240,12 +240,12 @@
     }
 
     @Test
-    public void aRefusalIsReportedAndTheLastStays() throws Exception {
+    public void rejectionIsReportedAndTheLastConfigurationStays() throws Exception {
         ConfigurationClient client = follow(at(3), near);
         ScriptedControlServer.Watch watch = near.watch();
         applyResult = new ApplyResult.Rejected("routes.read: expected to be there");
         watch.send(update(3, 4));
-        FollowerReport report = near.refusal();
+        FollowerReport report = near.rejectionReport();
         assertEquals(report.revision(), 3);
         assertTrue(report.rejectionReason().contains("routes.read"), report.rejectionReason());
         assertEquals(client.activeConfiguration().revision(), 3);
@@ -256,17 +256,17 @@
     }
 
     @Test
-    public void whoRefusesAWatchIsLeft() throws Exception {
+    public void serverThatRejectsTheWatchIsLeft() throws Exception {
         near.status(503);
         follow(Configuration.EMPTY, near, far);
         far.watch().send(update(0, 1));
         assertEquals(nextApplied().revision(), 1);
     }
 
-    /** An answer to a report that never ends holds up that report only. */
+    /** A response to a report that never ends delays only that report. */
     @Test
-    public void reportsGoOnBehindAnAnswerWithoutEnd() throws Exception {
-        near.answersWithoutEnd();
+    public void reportsContinueAfterAnEndlessResponse() throws Exception {
+        near.sendEndlessResponses();
         follow(Configuration.EMPTY, near);
         ScriptedControlServer.Watch watch = near.watch();
         ScheduledFuture<?> heartbeats =
--- a/fleet/src/test/java/tinford/fleet/follow/LineSplitterTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/LineSplitterTest.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Lines out of a stream of bytes, wherever that is cut. */
+/** Lines of a stream of bytes, wherever the stream is split. */
 public class LineSplitterTest {
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     @Test
-    public void linesAreTheSameWhereverTheStreamIsCut() throws Exception {
+    public void linesAreTheSameWhereverTheStreamIsSplit() throws Exception {
         String text = "first\n\nsecond line\n\n\nrest";
         for (int piece = 1; piece <= text.length(); piece++) {
             LineSplitter splitter = new LineSplitter(20);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void aLineIsBoundedAlsoWhereItComesInPieces() throws Exception {
+    public void lineInPiecesIsBounded() throws Exception {
         LineSplitter splitter = new LineSplitter(5);
         assertEquals(splitter.split(List.of(bytes("12345\n123"))).size(), 1);
         splitter.split(List.of(bytes("45")));
--- a/fleet/src/test/java/tinford/fleet/follow/ScriptedControlServer.java
+++ b/fleet/src/test/java/tinford/fleet/follow/ScriptedControlServer.java
@@ -28,14 +28,14 @@
 import tinford.fleet.config.WatchMessage;
 
 /**
- * A control server of a test, on loopback: each watch is handed to the test, which sends what it
- * likes; reports are kept. A watch brings heartbeats only where the test sends them.
+ * A control server on loopback whose responses a test chooses. The test takes each watch and writes
+ * its lines, heartbeats included; reports are queued.
  */
 public final class ScriptedControlServer implements AutoCloseable {
-    private static final int PATIENCE_S = 30;
+    private static final int TIMEOUT_S = 30;
     private static final int OK = 200;
 
-    /** One watch that a client has asked for. */
+    /** One watch that a client has requested. */
     public final class Watch implements AutoCloseable {
         final Map<String, String> parameters;
         private final Socket socket;
@@ -58,12 +58,12 @@
         }
 
         public void line(byte[] line) {
-            byte[] whole = Arrays.copyOf(line, line.length + 1);
-            whole[line.length] = '\n';
-            chunk(whole);
+            byte[] terminated = Arrays.copyOf(line, line.length + 1);
+            terminated[line.length] = '\n';
+            chunk(terminated);
         }
 
-        /** Bytes as they are, in one chunk. */
+        /** Writes bytes in one chunk. */
         public synchronized void chunk(byte[] bytes) {
             try {
                 OutputStream out = socket.getOutputStream();
@@ -78,12 +78,12 @@
             }
         }
 
-        /** Returns once the client has ended the connection. */
+        /** Returns when the client has closed the connection. */
         public void awaitEnd() throws IOException {
-            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.setSoTimeout(TIMEOUT_S * 1000);
             try {
                 while (socket.getInputStream().read() >= 0) {
-                    // nothing is expected any more
+                    // ignored
                 }
             } catch (SocketException reset) {
                 return;
@@ -96,13 +96,13 @@
         }
     }
 
-    private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Watch> watches = new LinkedBlockingQueue<>();
     private final BlockingQueue<FollowerReport> reports = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final String region;
     private volatile int status = OK;
-    private volatile boolean endlessAnswers;
+    private volatile boolean endlessResponses;
 
     public ScriptedControlServer(String region) throws IOException {
         this.region = region;
@@ -110,24 +110,24 @@
     }
 
     public Endpoint endpoint() {
-        return new Endpoint(region, "127.0.0.1", door.getLocalPort());
+        return new Endpoint(region, "127.0.0.1", listener.getLocalPort());
     }
 
-    /** Answers watches so from now on. */
+    /** Responds to further watches with this status. */
     public void status(int code) {
         status = code;
     }
 
-    /** Answers to reports never end from now on. */
-    public void answersWithoutEnd() {
-        endlessAnswers = true;
+    /** Responses to further reports never end. */
+    public void sendEndlessResponses() {
+        endlessResponses = true;
     }
 
-    /** The next watch that is asked for. */
+    /** The next watch that is requested. */
     public Watch watch() throws InterruptedException {
-        Watch watch = watches.poll(PATIENCE_S, TimeUnit.SECONDS);
+        Watch watch = watches.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (watch == null) {
-            throw new AssertionError("no watch was asked for");
+            throw new AssertionError("no watch was requested");
         }
         return watch;
     }
@@ -135,7 +135,7 @@
     /** The next report of this revision. */
     public FollowerReport report(long revision) throws InterruptedException {
         while (true) {
-            FollowerReport report = reports.poll(PATIENCE_S, TimeUnit.SECONDS);
+            FollowerReport report = reports.poll(TIMEOUT_S, TimeUnit.SECONDS);
             if (report == null) {
                 throw new AssertionError("no report of revision " + revision);
             }
@@ -145,12 +145,12 @@
         }
     }
 
-    /** The next report of a refusal. */
-    public FollowerReport refusal() throws InterruptedException {
+    /** The next report with a rejection reason. */
+    public FollowerReport rejectionReport() throws InterruptedException {
         while (true) {
-            FollowerReport report = reports.poll(PATIENCE_S, TimeUnit.SECONDS);
+            FollowerReport report = reports.poll(TIMEOUT_S, TimeUnit.SECONDS);
             if (report == null) {
-                throw new AssertionError("no report of a refusal");
+                throw new AssertionError("no report of a rejection");
             }
             if (report.rejectionReason() != null) {
                 return report;
@@ -167,7 +167,7 @@
     private void accept() {
         try {
             while (true) {
-                Socket socket = door.accept();
+                Socket socket = listener.accept();
                 sockets.add(socket);
                 start(() -> serve(socket));
             }
@@ -193,10 +193,10 @@
                 byte[] body = in.readNBytes(length);
                 String[] words = request.split(" ");
                 if (words[0].equals("GET")) {
-                    answerWatch(URI.create(words[1]), socket);
+                    respondToWatch(URI.create(words[1]), socket);
                     return;
                 }
-                answerReport(body, socket);
+                respondToReport(body, socket);
             }
         } catch (IOException | InvalidConfigurationException e) {
             closeQuietly(socket);
@@ -213,7 +213,7 @@
         return line.toString();
     }
 
-    private void answerWatch(URI uri, Socket socket) throws IOException {
+    private void respondToWatch(URI uri, Socket socket) throws IOException {
         String head = "HTTP/1.1 " + status + " X\r\nTransfer-Encoding: chunked\r\n\r\n";
         socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
         socket.getOutputStream().flush();
@@ -225,11 +225,11 @@
         watches.add(new Watch(parameters, socket));
     }
 
-    private void answerReport(byte[] body, Socket socket)
+    private void respondToReport(byte[] body, Socket socket)
             throws IOException, InvalidConfigurationException {
         reports.add(ConfigurationCodec.decodeReport(body));
         String head =
-                endlessAnswers
+                endlessResponses
                         ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         : "HTTP/1.1 204 No Content\r\n\r\n";
         socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
@@ -246,7 +246,7 @@
 
     @Override
     public void close() throws IOException {
-        door.close();
+        listener.close();
         sockets.forEach(ScriptedControlServer::closeQuietly);
     }
 }
--- a/fleet/src/test/java/tinford/fleet/follow/SerialExecutorTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/SerialExecutorTest.java
@@ -15,42 +15,42 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.testng.annotations.Test;
 
-/** One task at a time, in the order in which they came. */
+/** One task at a time, in the order of submission. */
 public class SerialExecutorTest {
     @Test
-    public void oneIsHandedOnAtATime() {
-        Queue<Runnable> handed = new ArrayDeque<>();
+    public void oneTaskIsSubmittedAtATime() {
+        Queue<Runnable> submitted = new ArrayDeque<>();
         List<Integer> ran = new ArrayList<>();
-        SerialExecutor serial = new SerialExecutor(handed::add);
+        SerialExecutor serial = new SerialExecutor(submitted::add);
         for (int i = 0; i < 3; i++) {
             int number = i;
             serial.execute(() -> ran.add(number));
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals(handed.size(), 1);
-            handed.remove().run();
+            assertEquals(submitted.size(), 1);
+            submitted.remove().run();
         }
-        assertTrue(handed.isEmpty());
+        assertTrue(submitted.isEmpty());
         assertEquals(ran, List.of(0, 1, 2));
     }
 
     @Test
-    public void aTaskThatFailsHoldsUpNone() {
-        Queue<Runnable> handed = new ArrayDeque<>();
+    public void failedTaskDoesNotBlockLaterOnes() {
+        Queue<Runnable> submitted = new ArrayDeque<>();
         List<Integer> ran = new ArrayList<>();
-        SerialExecutor serial = new SerialExecutor(handed::add);
+        SerialExecutor serial = new SerialExecutor(submitted::add);
         serial.execute(
                 () -> {
                     throw new IllegalStateException("on purpose");
                 });
         serial.execute(() -> ran.add(1));
-        handed.remove().run();
-        handed.remove().run();
+        submitted.remove().run();
+        submitted.remove().run();
         assertEquals(ran, List.of(1));
     }
 
     @Test
-    public void neverTwoAtOnceOnManyThreads() throws Exception {
+    public void neverRunsTwoTasksAtOnceOnManyThreads() throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(4);
         try {
             SerialExecutor serial = new SerialExecutor(threads);
--- a/fleet/src/test/java/tinford/fleet/follow/SnapshotFileTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/SnapshotFileTest.java
@@ -19,7 +19,7 @@
 import tinford.fleet.config.Configuration;
 import tinford.fleet.config.ServiceRecord;
 
-/** The last good configuration on a disk, and what is found where that was damaged. */
+/** The last good configuration on disk, and files that are damaged. */
 public class SnapshotFileTest {
     private static final Configuration GOOD =
             Configuration.EMPTY.with(7, List.of(new Change.PutService(new ServiceRecord("shop"))));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    public void whatWasWrittenIsFound() throws IOException {
+    public void writtenConfigurationIsRead() throws IOException {
         write("one");
         SnapshotFile.Loaded found = read("one");
         assertNull(found.problem());
@@ -66,14 +66,14 @@
     }
 
     @Test
-    public void nothingIsToldAsNothing() throws IOException {
+    public void missingFileIsReported() throws IOException {
         SnapshotFile.Loaded found = read("one");
         assertNull(found.configuration());
         assertTrue(found.problem().contains("none"), found.problem());
     }
 
     @Test
-    public void whatIsTornAnywhereCountsAsAbsent() throws IOException {
+    public void fileTruncatedAnywhereIsNotUsable() throws IOException {
         write("one");
         byte[] whole = Files.readAllBytes(content());
         for (int length = 0; length < whole.length; length++) {
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void whatIsDamagedAnywhereCountsAsAbsent() throws IOException {
+    public void fileDamagedAnywhereIsNotUsable() throws IOException {
         write("one");
         byte[] whole = Files.readAllBytes(content());
         for (int at = 0; at < whole.length; at++) {
@@ -96,7 +96,7 @@
     }
 
     @Test
-    public void anotherFleetsIsNotTaken() throws IOException {
+    public void fileOfAnotherFleetIsNotUsable() throws IOException {
         write("one");
         SnapshotFile.Loaded found = read("two");
         assertNull(found.configuration());
@@ -104,14 +104,14 @@
     }
 
     @Test
-    public void aWriteThatWasStoppedLeavesTheOneBefore() throws IOException {
+    public void interruptedWriteLeavesThePreviousConfiguration() throws IOException {
         write("one");
         Files.write(folder.resolve("configuration.tmp"), new byte[] {1, 2, 3});
         assertEquals(read("one").configuration().revision(), 7);
     }
 
     @Test
-    public void oneProcessWritesAtATime() throws IOException {
+    public void onlyOneProcessWritesAtATime() throws IOException {
         try (SnapshotFile first = new SnapshotFile(folder, "one");
                 SnapshotFile second = new SnapshotFile(folder, "one")) {
             first.write(GOOD);
--- a/fleet/src/test/java/tinford/fleet/follow/WarningLimiterTest.java
+++ b/fleet/src/test/java/tinford/fleet/follow/WarningLimiterTest.java
@@ -6,10 +6,10 @@
 
 import org.testng.annotations.Test;
 
-/** The same warning once in a while, and few altogether. */
+/** The same warning once an interval, and a bounded number of different ones. */
 public class WarningLimiterTest {
     @Test
-    public void theSameIsToldOnceAMinute() {
+    public void sameWarningIsAllowedOnceAMinute() {
         WarningLimiter limiter = new WarningLimiter(60_000);
         assertTrue(limiter.tryAcquire("a", 0));
         assertFalse(limiter.tryAcquire("a", 59_999));
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void everNewOnesAreBounded() {
+    public void differentWarningsAreBounded() {
         WarningLimiter limiter = new WarningLimiter(60_000);
         int told = 0;
         for (int i = 0; i < 10_000; i++) {
--- a/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
@@ -199,7 +199,7 @@
         List<Change> changes = List.of(new Change.RemoveRoute("read"));
         watch.send(new WatchMessage.UpdateMessage(new Update(1, 2, changes)));
         turn();
-        String reported = server.refusal().rejectionReason();
+        String reported = server.rejectionReport().rejectionReason();
         assertTrue(reported.contains("routes.read: expected"), reported);
         assertEquals(used.size(), 1, "the last one stays");
         JsonNode line = told("configuration-refused");
