--- a/gateway/src/main/java/tinford/program/ConfigurationReload.java
+++ b/gateway/src/main/java/tinford/program/ConfigurationReload.java
@@ -71,7 +71,7 @@
             ProcessConfiguration next = ProcessConfiguration.read(json, path);
             InetSocketAddress discovery = next.address("discovery");
             InetSocketAddress counter = components.counter == null ? null : next.address("counter");
-            components.dispatcher.loop.execute(() -> moveTo(discovery, counter));
+            components.dispatcher.loop().execute(() -> moveTo(discovery, counter));
             List<String> requireRestart = initial.changesThatRequireRestart(next);
             LOG.log(
                     Level.INFO,
@@ -88,9 +88,9 @@
     }
 
     private void moveTo(InetSocketAddress discovery, InetSocketAddress counter) {
-        components.watch.move(discovery);
+        components.watch.moveTo(discovery);
         if (counter != null) {
-            components.counter.move(counter);
+            components.counter.moveTo(counter);
         }
     }
 }
--- a/gateway/src/main/java/tinford/program/FileHandoverLog.java
+++ b/gateway/src/main/java/tinford/program/FileHandoverLog.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.List;
-import tinford.routing.HandoverLog;
+import tinford.routing.admin.HandoverLog;
 import tinford.transport.HandoverLock;
 
 /** The handover log in the folder that two processes of one gateway share. */
@@ -14,12 +14,12 @@
     }
 
     @Override
-    public void add(String line) throws IOException {
+    public void append(String line) throws IOException {
         lock.appendLine(line);
     }
 
     @Override
-    public List<String> news() throws IOException {
+    public List<String> readNew() throws IOException {
         return lock.readNewLines();
     }
 }
--- a/gateway/src/main/java/tinford/program/GatewayProcess.java
+++ b/gateway/src/main/java/tinford/program/GatewayProcess.java
@@ -89,14 +89,14 @@
             throw e;
         }
         // the signal may be late or missing when discovery has moved to another address
-        components.watch.whenLost(reload::reloadIfModified);
+        components.watch.onLost(reload::reloadIfModified);
     }
 
     private static void drain(GatewayComponents components, FleetExtension extension) {
         if (extension == null) {
             components.handover.drainAndExit(() -> {});
         } else {
-            components.dispatcher.loop.execute(extension::onDrainStarted);
+            components.dispatcher.loop().execute(extension::onDrainStarted);
             components.handover.drainAndExit(extension::onDrained);
         }
     }
--- a/lab/src/main/java/tinford/lab/explore/Explorer.java
+++ b/lab/src/main/java/tinford/lab/explore/Explorer.java
@@ -102,7 +102,7 @@
         MigrationEntry bad =
                 MigrationEntry.report(
                         model.gateways.get(0).incarnation(),
-                        status.turn(),
+                        status.epoch(),
                         model.clock(0),
                         1,
                         0,
@@ -130,17 +130,17 @@
 
     private void lead(MigrationModel model) {
         MigrationStatus status = model.moves.status();
-        for (int to = status.position() - 2; to <= status.position() + 2; to++) {
-            MigrationEntry go = MigrationEntry.go(model.now, status.turn(), to, ALL_WARM);
+        for (int to = status.stepIndex() - 2; to <= status.stepIndex() + 2; to++) {
+            MigrationEntry go = MigrationEntry.go(model.now, status.epoch(), to, ALL_WARM);
             offer(model, go, "a leader: to step " + to, true);
         }
-        int next = status.position() + 1;
-        MigrationEntry stale = MigrationEntry.go(model.now, status.turn() - 1, next, ALL_WARM);
+        int next = status.stepIndex() + 1;
+        MigrationEntry stale = MigrationEntry.go(model.now, status.epoch() - 1, next, ALL_WARM);
         offer(model, stale, "a stale leader: to step " + next, true);
     }
 
     private void operate(MigrationModel model) {
-        long halts = model.moves.halts();
+        long halts = model.moves.haltCount();
         offer(model, MigrationEntry.resume("o", model.now, halts), "resume", true);
         offer(
                 model,
@@ -163,9 +163,9 @@
         MigrationStatus before = model.moves.status();
         MigrationStatus after = next.moves.status();
         if (before.state() != after.state()
-                || before.turn() != after.turn()
-                || before.position() != after.position()
-                || before.back() != after.back()) {
+                || before.epoch() != after.epoch()
+                || before.stepIndex() != after.stepIndex()
+                || before.reverting() != after.reverting()) {
             reach(next, step, faultless);
         }
     }
@@ -200,7 +200,7 @@
         }
         MigratingGatewayModel.LogEvent event = reader.unread.remove(first);
         next.see(reader, event);
-        String what = event.isGrant() ? "its lease" : "step " + event.status().position();
+        String what = event.isGrant() ? "its lease" : "step " + event.status().stepIndex();
         reach(next, name(gateway) + " sees " + what, true);
     }
 
@@ -208,7 +208,7 @@
         if (model.mayAct(gateway)
                 && !gateway.cutOff
                 && model.clock(gateway) < gateway.leaseSeen
-                && !model.moves.acked(gateway.incarnation())
+                && !model.moves.hasAcknowledged(gateway.incarnation())
                 && (!settings.acksInFlight || !gateway.ackInFlight())) {
             MigrationModel next = new MigrationModel(model);
             if (settings.acksInFlight) {
@@ -216,7 +216,7 @@
             } else {
                 next.apply(ack(gateway, model.clock(gateway)));
             }
-            reach(next, name(gateway) + " acks step " + gateway.view.position(), true);
+            reach(next, name(gateway) + " acks step " + gateway.view.stepIndex(), true);
         }
         if (gateway.ackInFlight()) {
             MigrationModel next = new MigrationModel(model);
@@ -227,12 +227,12 @@
     }
 
     private static MigrationEntry ack(MigratingGatewayModel gateway, double sent) {
-        return MigrationEntry.ack(gateway.incarnation(), gateway.view.turn(), sent);
+        return MigrationEntry.ack(gateway.incarnation(), gateway.view.epoch(), sent);
     }
 
     private void send(MigrationModel model, MigratingGatewayModel gateway) {
         // before, all go to the old group
-        if (!model.mayAct(gateway) || gateway.view.position() < settings.stages) {
+        if (!model.mayAct(gateway) || gateway.view.stepIndex() < settings.stages) {
             return;
         }
         boolean again = model.sentBefore();
@@ -240,7 +240,7 @@
         MigrationRouter route = model.route(gateway);
         for (int to = MigrationModel.OLD_GROUP; to <= MigrationModel.NEW_GROUP; to++) {
             String group = to == MigrationModel.OLD_GROUP ? "a" : "b";
-            if (route.mayGo("needing", 1, retry, group, null, model.clock(gateway))) {
+            if (route.mayRoute("needing", 1, retry, group, null, model.clock(gateway))) {
                 MigrationModel next = new MigrationModel(model);
                 next.send(to);
                 String what = again ? "retry" : "request";
