--- a/gateway/src/test/java/tinford/decision/ModuleTranscript.java
+++ b/gateway/src/test/java/tinford/decision/ModuleTranscript.java
@@ -13,7 +13,6 @@
 import tinford.api.AttemptOutcome;
 import tinford.api.CounterSettings;
 import tinford.api.DeduplicationScope;
-import tinford.api.FleetPolicy;
 import tinford.api.GatewayActions;
 import tinford.api.GatewayEvents;
 import tinford.api.GatewayIdentity;
@@ -27,18 +26,18 @@
 import tinford.api.Tenant;
 
 /**
- * A small random play against one decision module, driven through its interface. It writes down
+ * Runs a small random scenario against one decision module, through its interface, and records
  * every action and every call on the fleet's policy, one line each. It covers what the simulator's
  * wire does not carry: changes of plan, a fleet's policy, answers of the counter after their
- * time-out, and two processes of one gateway that overlap.
+ * timeout, and two processes of one gateway that overlap.
  */
 final class ModuleTranscript implements GatewayActions {
     private static final double TICK_MS = 2;
     private static final double START_MS = 100_000;
     private static final double COUNTER_TIMEOUT_MS = 50;
 
-    /** What one play adds to the usual traffic. */
-    enum Play {
+    /** What a scenario adds to the usual traffic. */
+    enum Scenario {
         PLAN_CHANGE(11),
         FLEET_POLICY(12),
         HANDOVER(13),
@@ -47,7 +46,7 @@
 
         private final long seed;
 
-        Play(long seed) {
+        Scenario(long seed) {
             this.seed = seed;
         }
 
@@ -65,93 +64,19 @@
         }
     }
 
-    /** What is under way for one request. */
+    /** The progress of one request. */
     private static final class Progress {
         boolean over;
         int attempts;
     }
 
-    /** Bounds everything a little and writes down what it is told. */
-    private final class StrictPolicy extends FleetPolicy {
-        @Override
-        public double admittedShare(double weight) {
-            return weight < 2 ? 0.7 : 1;
-        }
-
-        @Override
-        public double retryAllowance(double ownBudget) {
-            return ownBudget * 0.6;
-        }
-
-        @Override
-        public boolean ownsProbing(Server server) {
-            return server.cell() % 2 == 0;
-        }
-
-        @Override
-        public int connectionLimit(Server server) {
-            return 3;
-        }
-
-        @Override
-        public int tenantAttemptLimit(Tenant tenant) {
-            return 4;
-        }
-
-        @Override
-        public boolean allowsServer(Request request, Server server, Server earlierServer) {
-            return request.id % 7 != 0 || server.cell() != 1;
-        }
-
-        @Override
-        public boolean isRoutable(Request request) {
-            return request.id % 31 != 0;
-        }
-
-        @Override
-        public double retryAfterJitterMs() {
-            return 80;
-        }
-
-        @Override
-        public void requestOffered(Request request, double weight) {
-            line("offered %d %s", request.id, weight);
-        }
-
-        @Override
-        public void requestRejected(Request request, double weight) {
-            line("not sent %d %s", request.id, weight);
-        }
-
-        @Override
-        public void attemptSent(Request request, Server server, double weight, boolean retry) {
-            line("sent %d %s %s %s", request.id, server.id, weight, retry);
-        }
-
-        @Override
-        public void attemptEnded(
-                Request request, Server server, AttemptOutcome outcome, boolean late) {
-            line("ended %d %s %d %s", request.id, server.id, outcome.ordinal(), late);
-        }
-
-        @Override
-        public void requestBlocked(Request request) {
-            line("blocked %d", request.id);
-        }
-
-        @Override
-        public void serverHealthChanged(Server server, boolean unhealthy) {
-            line("health %s %s", server.id, unhealthy);
-        }
-    }
-
-    private final Play play;
+    private final Scenario scenario;
     private final Random random;
     private final DecisionEngine module;
     private final List<String> lines = new ArrayList<>();
     private final PriorityQueue<Task> tasks = new PriorityQueue<>();
     private final List<Server> servers = new ArrayList<>();
-    private final Map<Long, Double> counts = new HashMap<>();
+    private final Map<Long, Double> counterTotals = new HashMap<>();
     private final Map<Request, Progress> requests = new HashMap<>();
     private final List<RequestClass> classes =
             List.of(
@@ -164,12 +89,12 @@
     private long order;
     private long lastRequest;
 
-    ModuleTranscript(Play play) {
-        this.play = play;
-        this.random = new Random(play.seed);
+    ModuleTranscript(Scenario scenario) {
+        this.scenario = scenario;
+        this.random = new Random(scenario.seed);
         this.module =
                 new DecisionEngine(
-                        play.seed,
+                        scenario.seed,
                         new GatewayIdentity(1, 3, "a", TICK_MS),
                         new AttemptLimits(3, true, true, true, false, 2000),
                         new SlowStartRules(0.3, 4000, 2, 1000),
@@ -190,44 +115,56 @@
                 new Plan("open", 0, 0, 5, 1.5, 0, 0, 0, 0, 0));
     }
 
-    /** Plays for some seconds of the module's time and returns what was written down. */
-    List<String> play() {
+    /** Runs for five seconds of simulated time and returns the recorded lines. */
+    List<String> run() {
         for (int i = 0; i < 7; i++) {
-            Server server = new Server("s" + i);
-            server.updateAttributes(i % 2 == 0 ? "a" : "b", i / 2, "", 1 + i % 2);
-            server.updateState(Server.State.UP);
-            server.updateStartTime(i == 3 ? START_MS - 500 : 0);
-            servers.add(server);
+            servers.add(newServer(i));
         }
+        scheduleScenario();
+        while (nowMs < START_MS + 5000) {
+            scheduleArrivals();
+            handleDueEvents();
+            nowMs += TICK_MS;
+        }
+        return lines;
+    }
+
+    private static Server newServer(int index) {
+        Server server = new Server("s" + index);
+        server.updateAttributes(index % 2 == 0 ? "a" : "b", index / 2, "", 1 + index % 2);
+        server.updateState(Server.State.UP);
+        server.updateStartTime(index == 3 ? START_MS - 500 : 0);
+        return server;
+    }
+
+    private void scheduleScenario() {
         after(0, GatewayEvents::started);
         after(0, events -> events.endpointsUpdated(servers, true));
-        if (play == Play.FLEET_POLICY || play == Play.EVERYTHING) {
-            after(10, events -> events.fleetPolicyChanged(new StrictPolicy()));
+        if (scenario == Scenario.FLEET_POLICY || scenario == Scenario.EVERYTHING) {
+            after(10, events -> events.fleetPolicyChanged(new TranscriptPolicy(this::line)));
         }
-        if (play == Play.PLAN_CHANGE || play == Play.EVERYTHING) {
+        if (scenario == Scenario.PLAN_CHANGE || scenario == Scenario.EVERYTHING) {
             after(1500, events -> changePlans(events, 0.5));
             after(3000, events -> changePlans(events, 2));
         }
-        if (play == Play.HANDOVER || play == Play.EVERYTHING) {
+        if (scenario == Scenario.HANDOVER || scenario == Scenario.EVERYTHING) {
             after(1000, GatewayEvents::takeoverStarted);
             after(4000, GatewayEvents::drainingStarted);
         }
         after(1800, events -> restart(events, servers.get(1)));
         after(2500, events -> drain(events, servers.get(2)));
-        while (nowMs < START_MS + 5000) {
-            arrivals();
-            List<Task> due = new ArrayList<>();
-            while (!tasks.isEmpty() && tasks.peek().atMs() <= nowMs) {
-                due.add(tasks.poll());
-            }
-            if (!due.isEmpty()) {
-                line("at %s", nowMs);
-                module.handleBatch(
-                        nowMs, events -> due.forEach(task -> task.event().accept(events)), this);
-            }
-            nowMs += TICK_MS;
+    }
+
+    private void handleDueEvents() {
+        List<Task> due = new ArrayList<>();
+        while (!tasks.isEmpty() && tasks.peek().atMs() <= nowMs) {
+            due.add(tasks.poll());
+        }
+        if (!due.isEmpty()) {
+            line("at %s", nowMs);
+            module.handleBatch(
+                    nowMs, events -> due.forEach(task -> task.event().accept(events)), this);
         }
-        return lines;
     }
 
     private void line(String format, Object... values) {
@@ -253,7 +190,7 @@
         events.endpointsUpdated(List.of(server), false);
     }
 
-    private void arrivals() {
+    private void scheduleArrivals() {
         while (random.nextDouble() < 0.45) {
             int number = random.nextInt(9);
             long revision = plans.get(0).burst == 10 ? 1 : plans.get(0).burst == 5 ? 2 : 3;
@@ -269,12 +206,12 @@
                             false);
             requests.put(request, new Progress());
             after(0, events -> events.requestArrived(request));
-            double stays = random.nextInt(12) == 0 ? random.nextInt(200) : 1300;
-            after(stays, events -> leave(events, request));
+            double staysMs = random.nextInt(12) == 0 ? random.nextInt(200) : 1300;
+            after(staysMs, events -> disconnect(events, request));
         }
     }
 
-    private void leave(GatewayEvents events, Request request) {
+    private void disconnect(GatewayEvents events, Request request) {
         Progress progress = requests.get(request);
         if (!progress.over) {
             progress.over = true;
@@ -293,14 +230,16 @@
         if (faulty && random.nextInt(3) == 0) {
             outcome = AttemptOutcome.values()[1 + random.nextInt(7)];
         }
-        double limit = timeoutMs > 0 ? timeoutMs : 1200;
-        if (tookMs > limit || faulty && random.nextInt(6) == 0) {
+        double limitMs = timeoutMs > 0 ? timeoutMs : 1200;
+        if (tookMs > limitMs || faulty && random.nextInt(6) == 0) {
             outcome = AttemptOutcome.TIMED_OUT;
-            tookMs = limit;
+            tookMs = limitMs;
         }
-        AttemptOutcome how = outcome;
-        double took = tookMs;
-        after(took, events -> end(events, request, attempt, how, took));
+        endLater(request, attempt, outcome, tookMs);
+    }
+
+    private void endLater(Request request, int attempt, AttemptOutcome outcome, double tookMs) {
+        after(tookMs, events -> end(events, request, attempt, outcome, tookMs));
     }
 
     private void end(
@@ -357,9 +296,9 @@
     @Override
     public void incrementCounter(long counterKey, double amount, double ttlMs) {
         line("increment %d %s %s", counterKey, amount, ttlMs);
-        double total = counts.merge(counterKey, amount, Double::sum);
+        double total = counterTotals.merge(counterKey, amount, Double::sum);
         boolean late =
-                (play == Play.LATE_COUNTER || play == Play.EVERYTHING)
+                (scenario == Scenario.LATE_COUNTER || scenario == Scenario.EVERYTHING)
                         && nowMs > START_MS + 700
                         && random.nextInt(3) > 0;
         if (!late) {
--- a/gateway/src/test/java/tinford/decision/ModuleTranscriptTest.java
+++ b/gateway/src/test/java/tinford/decision/ModuleTranscriptTest.java
@@ -17,29 +17,29 @@
 import org.testng.annotations.Test;
 
 /**
- * The plays of {@link ModuleTranscript} give the lines that an earlier build gave. A change that is
- * meant to alter decisions records them anew with {@link #main}.
+ * The scenarios of {@link ModuleTranscript} give the lines that an earlier build gave. A change
+ * that is meant to alter decisions records them anew with {@link #main}.
  */
 public class ModuleTranscriptTest {
     @DataProvider
-    public Object[][] plays() {
-        return Arrays.stream(ModuleTranscript.Play.values())
-                .map(play -> new Object[] {play})
+    public Object[][] scenarios() {
+        return Arrays.stream(ModuleTranscript.Scenario.values())
+                .map(scenario -> new Object[] {scenario})
                 .toArray(Object[][]::new);
     }
 
-    @Test(dataProvider = "plays")
-    public void linesAsRecorded(ModuleTranscript.Play play) throws IOException {
-        List<String> expected = recorded(play);
-        List<String> actual = new ModuleTranscript(play).play();
+    @Test(dataProvider = "scenarios")
+    public void linesAsRecorded(ModuleTranscript.Scenario scenario) throws IOException {
+        List<String> expected = recorded(scenario);
+        List<String> actual = new ModuleTranscript(scenario).run();
         for (int i = 0; i < Math.min(expected.size(), actual.size()); i++) {
             assertEquals(actual.get(i), expected.get(i), "line " + (i + 1));
         }
         assertEquals(actual.size(), expected.size());
     }
 
-    private static List<String> recorded(ModuleTranscript.Play play) throws IOException {
-        String resource = "/module-transcripts/" + play.fileName();
+    private static List<String> recorded(ModuleTranscript.Scenario scenario) throws IOException {
+        String resource = "/module-transcripts/" + scenario.fileName();
         try (InputStream in = ModuleTranscriptTest.class.getResourceAsStream(resource);
                 GZIPInputStream plain = new GZIPInputStream(in)) {
             return new String(plain.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
@@ -47,18 +47,18 @@
     }
 
     /**
-     * Records all plays.
+     * Records all scenarios.
      *
      * @param args the folder to write to
      */
     public static void main(String[] args) throws IOException {
-        for (ModuleTranscript.Play play : ModuleTranscript.Play.values()) {
-            Path file = Path.of(args[0], play.fileName());
+        for (ModuleTranscript.Scenario scenario : ModuleTranscript.Scenario.values()) {
+            Path file = Path.of(args[0], scenario.fileName());
             try (Writer out =
                     new OutputStreamWriter(
                             new GZIPOutputStream(Files.newOutputStream(file)),
                             StandardCharsets.UTF_8)) {
-                for (String line : new ModuleTranscript(play).play()) {
+                for (String line : new ModuleTranscript(scenario).run()) {
                     out.write(line + "\n");
                 }
             }
