--- a/gateway/src/main/java/tinford/logging/LineLogger.java
+++ b/gateway/src/main/java/tinford/logging/LineLogger.java
@@ -36,8 +36,7 @@
      *
      * @param thrown whose stack trace follows in further lines, or null
      */
-    static void write(
-            String loggerName, System.Logger.Level level, String text, Throwable thrown) {
+    static void write(String loggerName, System.Logger.Level level, String text, Throwable thrown) {
         StringBuilder line =
                 new StringBuilder(TYPICAL_LINE_LENGTH)
                         .append(Instant.now())
--- a/gateway/src/main/java/tinford/program/ConfigurationReload.java
+++ b/gateway/src/main/java/tinford/program/ConfigurationReload.java
@@ -70,8 +70,7 @@
         try {
             ProcessConfiguration next = ProcessConfiguration.read(json, path);
             InetSocketAddress discovery = next.address("discovery");
-            InetSocketAddress counter =
-                    components.counter == null ? null : next.address("counter");
+            InetSocketAddress counter = components.counter == null ? null : next.address("counter");
             components.dispatcher.loop.execute(() -> moveTo(discovery, counter));
             List<String> requireRestart = initial.changesThatRequireRestart(next);
             LOG.log(
--- a/gateway/src/main/java/tinford/program/GatewayComponents.java
+++ b/gateway/src/main/java/tinford/program/GatewayComponents.java
@@ -159,9 +159,7 @@
         try {
             return new HandoverLock(Path.of(sharedFolder), gatewayName);
         } catch (IOException e) {
-            LOG.log(
-                    Level.WARNING,
-                    "handover not available folder=" + sharedFolder + " error=" + e);
+            LOG.log(Level.WARNING, "handover not available folder=" + sharedFolder + " error=" + e);
             return null;
         }
     }
--- a/gateway/src/main/java/tinford/protocol/RespReader.java
+++ b/gateway/src/main/java/tinford/protocol/RespReader.java
@@ -21,8 +21,7 @@
     private static final int MAX_PART_OVERHEAD_BYTES = 1100;
 
     /** The longest value that is parsed whole, but for commands with a long body. */
-    public static final int MAX_VALUE_BYTES =
-            MAX_BULK_BYTES + MAX_PARTS * MAX_PART_OVERHEAD_BYTES;
+    public static final int MAX_VALUE_BYTES = MAX_BULK_BYTES + MAX_PARTS * MAX_PART_OVERHEAD_BYTES;
 
     /** The longest command with a long body. */
     public static final int MAX_COMMAND_BYTES = MAX_LONG_BULK_BYTES + MAX_VALUE_BYTES;
--- a/gateway/src/main/java/tinford/routing/AdminApi.java
+++ b/gateway/src/main/java/tinford/routing/AdminApi.java
@@ -137,7 +137,8 @@
             }
             try {
                 HttpRequestHead call =
-                        HttpRequestHead.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
+                        HttpRequestHead.parse(
+                                buffer.bytes(), buffer.readIndex(), buffer.readLimit());
                 if (call != null) {
                     say(answer(call));
                 }
--- a/gateway/src/main/java/tinford/routing/ClientConnection.java
+++ b/gateway/src/main/java/tinford/routing/ClientConnection.java
@@ -191,7 +191,9 @@
     void look(double now, double silence, double half, double idleMost) {
         if (closing != CloseReason.PROTOCOL_ERROR && awaited > 0 && now - halfSince >= half) {
             turnAway();
-        } else if (closing != CloseReason.PROTOCOL_ERROR && halfSince > 0 && now - halfSince >= half) {
+        } else if (closing != CloseReason.PROTOCOL_ERROR
+                && halfSince > 0
+                && now - halfSince >= half) {
             refuse(new ProtocolException("a whole command within " + (long) half + " ms"));
         } else if (idle() && buffer.unwrittenBytes() > 0 && now - lastUse >= UNREAD) {
             close(CloseReason.BUFFER_LIMIT_EXCEEDED);
@@ -283,7 +285,8 @@
     boolean piece(byte[] b, int from, int n) {
         buffer.put(b, from, n);
         scheduleFlush();
-        if (buffer.unwrittenBytes() <= (loop.bufferBudget().isNearlyExhausted() ? 0 : MOST_FLOWING)) {
+        if (buffer.unwrittenBytes()
+                <= (loop.bufferBudget().isNearlyExhausted() ? 0 : MOST_FLOWING)) {
             return true;
         }
         awaitDrain(LEAST_FLOWING);
@@ -324,7 +327,8 @@
         if (clients.leaving && closing == null) {
             closing =
                     CloseReason
-                            .CLOSED_IDLE; // the client has just read an answer and is not writing yet
+                            .CLOSED_IDLE; // the client has just read an answer and is not writing
+            // yet
         }
         last();
     }
--- a/gateway/src/main/java/tinford/routing/DiscoveryWatch.java
+++ b/gateway/src/main/java/tinford/routing/DiscoveryWatch.java
@@ -237,7 +237,12 @@
         @Override
         protected void onReceived() {
             try {
-                buffer.consume(lines.read(buffer.bytes(), buffer.readIndex(), buffer.readLimit(), this::line));
+                buffer.consume(
+                        lines.read(
+                                buffer.bytes(),
+                                buffer.readIndex(),
+                                buffer.readLimit(),
+                                this::line));
                 if (bad != null) {
                     throw bad;
                 }
--- a/gateway/src/main/java/tinford/routing/OutcomeMapping.java
+++ b/gateway/src/main/java/tinford/routing/OutcomeMapping.java
@@ -13,7 +13,12 @@
     static AttemptOutcome ofDispatch(CloseReason how, boolean left) {
         return switch (how) {
             case CONNECT_REFUSED, CONNECT_TIMEOUT, NO_DESCRIPTOR -> AttemptOutcome.UNREACHABLE;
-            case IO_ERROR, CLOSED_BY_PEER, PROTOCOL_ERROR, BUFFER_LIMIT_EXCEEDED, STALLED, CLOSED_IDLE ->
+            case IO_ERROR,
+                            CLOSED_BY_PEER,
+                            PROTOCOL_ERROR,
+                            BUFFER_LIMIT_EXCEEDED,
+                            STALLED,
+                            CLOSED_IDLE ->
                     left ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.UNREACHABLE;
             case RESPONSE_TIMEOUT -> left ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE;
             case CANCELLED -> left ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
--- a/gateway/src/main/java/tinford/routing/ServerConnection.java
+++ b/gateway/src/main/java/tinford/routing/ServerConnection.java
@@ -91,7 +91,9 @@
                 return;
             }
             if (dispatch != null && buffer.unreadBytes() > LEAST_LONG) {
-                int head = resp.parseLongValueHead(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
+                int head =
+                        resp.parseLongValueHead(
+                                buffer.bytes(), buffer.readIndex(), buffer.readLimit());
                 if (head > 0) {
                     begin(head, resp.longValueBytes(), resp.partCount());
                     return;
@@ -105,7 +107,9 @@
                 // guards against lengths that promise more than comes: the rest of an answer is on
                 // its way with it
                 stop(whole);
-                whole = loop.schedule(servers.connectWithin, () -> close(CloseReason.PROTOCOL_ERROR));
+                whole =
+                        loop.schedule(
+                                servers.connectWithin, () -> close(CloseReason.PROTOCOL_ERROR));
                 return;
             }
             answer(resp, n);
@@ -176,7 +180,9 @@
             return;
         }
         RespReader resp = servers.resp;
-        int rest = resp.parseAfterLongValue(partsToCome, buffer.bytes(), buffer.readIndex(), buffer.readLimit());
+        int rest =
+                resp.parseAfterLongValue(
+                        partsToCome, buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (rest > 0) {
             toFlow = -1;
             e.slot.source = null;
--- a/gateway/src/main/java/tinford/transport/Connection.java
+++ b/gateway/src/main/java/tinford/transport/Connection.java
@@ -75,14 +75,11 @@
         return false;
     }
 
-    /**
-     * The socket is closed; where {@link #waitsForPeerClose} holds, the peer has seen the close or
-     * its time for that is over.
-     */
+    /** The socket is closed, after the wait that {@link #waitsForPeerClose} may ask for. */
     protected void onDescriptorReleased() {}
 
     public final boolean isOpen() {
-        return state == ConnectionState.OPEN || state == ConnectionState.WRITES_SHUT_DOWN;
+        return state.isOpen();
     }
 
     public final boolean isClosed() {
@@ -205,8 +202,8 @@
                 fail(CloseReason.BUFFER_LIMIT_EXCEEDED);
             } else if (buffer.unwrittenBytes() > 0) {
                 connection.getSinkChannel().resumeWrites();
-            } else if (gracefulClose.isUnderWay() && state == ConnectionState.OPEN) {
-                shutDownWrites();
+            } else if (gracefulClose.isActive() && state == ConnectionState.OPEN) {
+                halfClose();
             }
         } catch (IOException e) {
             fail(CloseReason.IO_ERROR);
@@ -215,7 +212,7 @@
 
     private boolean hasFlushWork() {
         return buffer.unwrittenBytes() > 0
-                || gracefulClose.isUnderWay()
+                || gracefulClose.isActive()
                 || awaitedUnwrittenBytes != NOT_AWAITED;
     }
 
@@ -223,14 +220,14 @@
         return bytes > limit || loop.bufferBudget.isExceeded() && bytes > 0;
     }
 
-    private void shutDownWrites() throws IOException {
+    private void halfClose() throws IOException {
         if (gracefulClose.yieldsToInput() && !isQuiet()) {
             gracefulClose.callOff();
             return;
         }
-        state = ConnectionState.WRITES_SHUT_DOWN;
+        state = ConnectionState.HALF_CLOSED;
         connection.getSinkChannel().shutdownWrites();
-        gracefulClose.writesShutDown();
+        gracefulClose.onHalfClosed();
     }
 
     final void fail(CloseReason reason) {
@@ -274,7 +271,7 @@
         if (gracefulClose.yieldsToInput() && state == ConnectionState.OPEN) {
             gracefulClose.callOff();
         }
-        if (gracefulClose.isUnderWay()) {
+        if (gracefulClose.isActive()) {
             buffer.consume(buffer.unreadBytes());
         } else {
             onReceived();
@@ -314,7 +311,7 @@
      * answer.
      */
     protected final void closeGracefully(CloseReason reason) {
-        if (!isClosed() && !gracefulClose.isUnderWay()) {
+        if (!isClosed() && !gracefulClose.isActive()) {
             gracefulClose.start(reason);
             scheduleFlush();
         }
--- a/gateway/src/main/java/tinford/transport/ConnectionState.java
+++ b/gateway/src/main/java/tinford/transport/ConnectionState.java
@@ -5,6 +5,10 @@
     CONNECTING,
     OPEN,
     /** The sending is shut down; the peer may still send. */
-    WRITES_SHUT_DOWN,
-    CLOSED
+    HALF_CLOSED,
+    CLOSED;
+
+    boolean isOpen() {
+        return this == OPEN || this == HALF_CLOSED;
+    }
 }
--- a/gateway/src/main/java/tinford/transport/EventLoop.java
+++ b/gateway/src/main/java/tinford/transport/EventLoop.java
@@ -136,8 +136,7 @@
 
     private void takeDueTimers() {
         long now = nanoClock.getAsLong();
-        while (!timers.isEmpty()
-                && (timers.peek().task == null || timers.peek().dueNanos <= now)) {
+        while (!timers.isEmpty() && (timers.peek().task == null || timers.peek().dueNanos <= now)) {
             Task task = timers.poll().task;
             if (task != null) {
                 running.add(task);
--- a/gateway/src/main/java/tinford/transport/GracefulClose.java
+++ b/gateway/src/main/java/tinford/transport/GracefulClose.java
@@ -33,7 +33,7 @@
         this.onTimeout = onTimeout;
     }
 
-    boolean isUnderWay() {
+    boolean isActive() {
         return reason != null;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /** The peer's time counts anew: until now it may have been busy reading. */
-    void writesShutDown() {
+    void onHalfClosed() {
         if (mode != Mode.DISCARD_INPUT) {
             restartTimeout(LingeringClose.PEER_CLOSE_TIMEOUT_MS, reason);
         }
--- a/gateway/src/main/java/tinford/transport/HandoverLock.java
+++ b/gateway/src/main/java/tinford/transport/HandoverLock.java
@@ -112,7 +112,8 @@
             if (end <= 0) {
                 return lines; // the last line is not complete yet
             }
-            lines.addAll(new String(chunk.array(), 0, end, StandardCharsets.UTF_8).lines().toList());
+            lines.addAll(
+                    new String(chunk.array(), 0, end, StandardCharsets.UTF_8).lines().toList());
             readBytes += end;
         }
         return lines;
--- a/gateway/src/test/java/tinford/logging/LineLoggerTest.java
+++ b/gateway/src/test/java/tinford/logging/LineLoggerTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 import tinford.transport.EventLoop;
 
-/** Form, order and bounds of log lines. */
+/** The form of log lines, and what happens when they are not read. */
 public class LineLoggerTest {
     private static final String TIME = "\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d+Z ";
 
@@ -68,25 +68,22 @@
     }
 
     @Test(dataProvider = "entries")
-    public void aLine(Runnable entry, String want) {
+    public void entryIsOneLine(Runnable entry, String expected) {
         PrintStream before = System.err;
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        System.setErr(new PrintStream(said, true));
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        System.setErr(new PrintStream(output, true));
         try {
             entry.run();
             LineLogger.flush(10_000);
         } finally {
             System.setErr(before);
         }
-        assertTrue(said.toString().matches(want), said.toString());
+        assertTrue(output.toString().matches(expected), output.toString());
     }
 
-    /**
-     * Guards the time of a start at a part of a core: the JDK's log and its management beans took a
-     * third of it.
-     */
+    /** With a part of one core, they would take a third of the time of a start. */
     @Test
-    public void aStartSetsUpNoOtherLogAndNoBeans() throws Exception {
+    public void startLoadsNeitherJavaLoggingNorManagementBeans() throws Exception {
         Path loaded = Files.createTempFile("tinford", ".classes");
         try {
             Process p =
@@ -97,7 +94,7 @@
                                     "-Xlog:class+load:file=" + loaded,
                                     "-cp",
                                     System.getProperty("java.class.path"),
-                                    Starts.class.getName())
+                                    EventLoopProgram.class.getName())
                             .inheritIO()
                             .start();
             assertEquals(p.waitFor(), 0);
@@ -114,39 +111,34 @@
         }
     }
 
-    /**
-     * Guards the I/O thread against a log that nobody reads: the pipe is full long before all is
-     * told, and it goes on.
-     */
+    /** The pipe of standard error is full long before all lines are logged. */
     @Test
-    public void aLogThatNobodyReadsStopsNobody() throws Exception {
+    public void unreadLogDoesNotBlock() throws Exception {
         Process p =
                 new ProcessBuilder(
                                 System.getProperty("java.home") + "/bin/java",
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                Talks.class.getName())
+                                ManyLinesProgram.class.getName())
                         .start();
         assertEquals(
                 new String(p.getInputStream().readNBytes(5)),
-                "said\n"); // only then is the log read
-        String said = new String(p.getErrorStream().readAllBytes());
+                "done\n"); // only then is the log read
+        String output = new String(p.getErrorStream().readAllBytes());
         assertEquals(p.waitFor(), 0);
-        long told = said.lines().filter(l -> l.contains(" a long line ")).count();
+        long written = output.lines().filter(l -> l.contains(" a long line ")).count();
         long dropped =
-                said.lines()
+                output.lines()
                         .filter(l -> l.contains("lines dropped count="))
                         .mapToLong(l -> Long.parseLong(l.substring(l.indexOf('=') + 1)))
                         .sum();
         assertTrue(
-                dropped > 0 && told + dropped == Talks.LINES + 1,
-                told + " told, " + dropped + " dropped");
+                dropped > 0 && written + dropped == ManyLinesProgram.LINES + 1,
+                written + " written, " + dropped + " dropped");
     }
 
-    /**
-     * Says more than a pipe and all places hold, and when it has, that it has; then one line more.
-     */
-    public static final class Talks {
+    /** Logs more than the pipe and the queue hold, reports that, and logs one line more. */
+    public static final class ManyLinesProgram {
         static final int LINES = 5000;
 
         public static void main(String[] args) {
@@ -154,15 +146,15 @@
             for (int i = 0; i < LINES; i++) {
                 log.log(Level.INFO, "a long line " + "x".repeat(100));
             }
-            System.out.println("said");
+            System.out.println("done");
             LineLogger.flush(10_000);
             log.log(Level.INFO, "a long line and the last");
             LineLogger.flush(10_000);
         }
     }
 
-    /** The loop of a gateway, as a process of its own. */
-    public static final class Starts {
+    /** A gateway's event loop, in a process of its own. */
+    public static final class EventLoopProgram {
         public static void main(String[] args) throws Exception {
             new EventLoop(() -> {}, 1, 1, System::nanoTime).close();
         }
--- a/gateway/src/test/java/tinford/program/ShutdownTest.java
+++ b/gateway/src/test/java/tinford/program/ShutdownTest.java
@@ -2,8 +2,13 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
+import static tinford.program.Wire.command;
+import static tinford.program.Wire.idOf;
+import static tinford.program.Wire.readCommand;
+import static tinford.program.Wire.requestId;
+import static tinford.program.Wire.valueReply;
 
-import java.net.ConnectException;
+import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -21,329 +26,352 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** SIGTERM at the instants at which something is owed. */
-public class ShutdownTest extends Surroundings {
-    private static final int SLACK =
-            700; // after the longest client timeout, or 3 s, SIGKILL may come
-    private final Set<String> sentOn = ConcurrentHashMap.newKeySet(); // ids seen by servers
-    private final Semaphore holds =
-            new Semaphore(0); // one for each req that a server has read and does not answer
-    private long signalled;
-    private volatile double latest; // ms, of this machine since the signal
-    private int longest = 4000; // of the client timeouts
+/** SIGTERM while requests are in flight, at each stage of theirs and of the process. */
+public class ShutdownTest extends GatewayFixture {
+    /** So long after the longest client timeout, or after 3 s, SIGKILL may come. */
+    private static final int EXIT_SLACK_MS = 700;
+
+    private static final int TEST_SLACK_MS = 250;
+
+    /** Until then after the signal, a client does not read. */
+    private static final int READ_PAUSE_END_MS = 2000;
+
+    /** The longest client timeout that the exit waits for. */
+    private static final int MAX_WAIT_MS = 3000;
+
+    /** The ids that servers have received. */
+    private final Set<String> forwardedIds = ConcurrentHashMap.newKeySet();
+
+    /** A permit for each request that a server has received and does not answer. */
+    private final Semaphore heldRequests = new Semaphore(0);
+
+    private long signalledNanos;
+
+    /** How late this machine has let a thread go on, since the signal. */
+    private volatile double maxLatenessMs;
+
+    private int longestTimeoutMs = 4000;
 
     @Override
     String configuration() {
         return super.configuration()
-                .replace("\"HardLimitUs\":4000000", "\"HardLimitUs\":" + longest + "000")
-                .replaceAll("\"OnTimeUs\":[0-9]*", "\"OnTimeUs\":" + longest / 2 + "000");
+                .replace("\"HardLimitUs\":4000000", "\"HardLimitUs\":" + longestTimeoutMs + "000")
+                .replaceAll("\"OnTimeUs\":[0-9]*", "\"OnTimeUs\":" + longestTimeoutMs / 2 + "000");
     }
 
-    private void signal() {
-        if (signalled == 0) {
-            signalled = System.nanoTime();
-            daemon(this::watchMachine);
+    private void sendSigterm() {
+        if (signalledNanos == 0) {
+            signalledNanos = System.nanoTime();
+            startDaemon(this::measureLateness);
         }
         gateway.toHandle().destroy();
     }
 
-    /** How late it lets whoever is due go on: a process that ends is due several times in a row. */
-    private void watchMachine() {
-        latest = 0;
+    /** A process that exits waits for the processor several times in a row. */
+    private void measureLateness() {
+        maxLatenessMs = 0;
         while (gateway.isAlive()) {
             long from = System.nanoTime();
             LockSupport.parkNanos(1_000_000);
-            latest = Math.max(latest, (System.nanoTime() - from) / 1e6 - 1);
+            maxLatenessMs = Math.max(maxLatenessMs, (System.nanoTime() - from) / 1e6 - 1);
         }
     }
 
-    private double since() {
-        return (System.nanoTime() - signalled) / 1e6;
+    private double sinceSignalMs() {
+        return (System.nanoTime() - signalledNanos) / 1e6;
     }
 
-    /** Reads every req, and answers all or none. */
-    private void serve(ServerSocket at, boolean answers) {
-        signalled = 0;
-        sentOn.clear();
-        holds.drainPermits();
-        daemon(
-                () -> {
-                    while (true) {
-                        Talk t = accept(at);
-                        daemon(
-                                () -> {
-                                    for (String s = t.hear(); s != null; s = t.hear()) {
-                                        String id = s.split(" ")[2];
-                                        sentOn.add(id);
-                                        if (answers) {
-                                            t.say(value("for " + id));
-                                        } else {
-                                            holds.release();
-                                        }
-                                    }
-                                });
+    /** Receives every request, and answers all or none. */
+    private void readAll(ServerSocket server, boolean answers) {
+        signalledNanos = 0;
+        forwardedIds.clear();
+        heldRequests.drainPermits();
+        acceptAll(
+                server,
+                connection -> {
+                    for (String s = connection.receive(); s != null; s = connection.receive()) {
+                        String id = idOf(s);
+                        forwardedIds.add(id);
+                        if (answers) {
+                            connection.send(valueReply("for " + id));
+                        } else {
+                            heldRequests.release();
+                        }
                     }
                 });
     }
 
-    private void gone(double from, double to) throws Exception {
-        assertTrue(gateway.waitFor(PATIENCE, TimeUnit.MILLISECONDS));
-        double took = since();
+    private void assertExited(double minMs, double maxMs) throws Exception {
+        assertTrue(gateway.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        double exitMs = sinceSignalMs();
         assertTrue(
-                took >= from && took <= to + 5 * latest,
-                "gone after " + took + ", the machine late by " + latest);
+                exitMs >= minMs && exitMs <= maxMs + 5 * maxLatenessMs,
+                "exit after " + exitMs + " ms, machine late by " + maxLatenessMs + " ms");
         assertEquals(gateway.exitValue(), 0);
     }
 
-    private static boolean isAnswer(String heard, int id) {
-        return heard != null
-                && (heard.equals("for " + id(id))
-                        || heard.startsWith("-BUSY")
-                        || heard.equals("-ERR aborted"));
+    private static boolean isAnswer(String answer, int id) {
+        return answer != null
+                && (answer.equals("for " + requestId(id))
+                        || answer.startsWith("-BUSY")
+                        || answer.equals("-ERR aborted"));
     }
 
     @DataProvider
-    public Object[][] timeouts() {
+    public Object[][] clientTimeouts() {
         return new Object[][] {{300}, {1000}, {8000}};
     }
 
     /**
-     * The servers hang, one client never closes, one sends half a command and one sends on and on:
-     * each req has an answer, and the process is gone in time.
+     * One client never closes, one sends half a command, and one sends without end: each request is
+     * answered, and the process exits in time.
      */
-    @Test(dataProvider = "timeouts")
-    public void serversThatHangHoldUpNoEnd(int timeout) throws Exception {
-        serve(servers[0], false);
-        longest = timeout;
-        Talk stays = up();
-        Talk half = client().say(ask(2).substring(0, 60));
-        Talk busy = client();
-        List<String> said = new CopyOnWriteArrayList<>();
+    @Test(dataProvider = "clientTimeouts")
+    public void hangingServersDoNotDelayTheExit(int timeout) throws Exception {
+        readAll(servers[0], false);
+        longestTimeoutMs = timeout;
+        TestConnection open = startGateway();
+        TestConnection incomplete = connectClient().send(readCommand(2).substring(0, 60));
+        TestConnection busy = connectClient();
+        open.send(readCommand(1).replace("d=4000", "d=8000"));
+        assertTrue(heldRequests.tryAcquire(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        List<String> sent = new CopyOnWriteArrayList<>();
         List<String> answers = new CopyOnWriteArrayList<>();
-        Semaphore room = new Semaphore(2);
-        stays.say(ask(1).replace("d=4000", "d=8000"));
-        assertTrue(holds.tryAcquire(PATIENCE, TimeUnit.MILLISECONDS));
-        Thread hears =
-                daemon(
-                        () -> {
-                            for (String s = busy.hear(); s != null; s = busy.hear()) {
-                                answers.add(s);
-                                room.release();
-                            }
-                            room.release(1000);
-                        });
-        signal();
-        Thread writes =
-                daemon(
-                        () -> {
-                            for (int n = 100;
-                                    hears.isAlive();
-                                    n++) { // two are always under way, so that this connection is
-                                // never at rest
-                                room.acquire();
-                                busy.say(ask(n));
-                                said.add(id(n));
-                            }
-                        });
-        assertTrue(isAnswer(stays.hear(), 1));
-        String word = half.hear();
+        Semaphore inFlight = new Semaphore(2);
+        Thread reader = startDaemon(() -> receiveAll(busy, answers, inFlight));
+        sendSigterm();
+        Thread writer = startDaemon(() -> sendWhileAlive(reader, busy, sent, inFlight));
+        assertTrue(isAnswer(open.receive(), 1));
+        String answer = incomplete.receive();
         assertTrue(
-                word != null && (word.equals("-BUSY") || word.startsWith("-ERR ")),
-                "half a command hears " + word);
-        int counted = Math.min(timeout, 3000);
-        gone(counted, counted + SLACK + 250); // so much for this test's own machine
-        hears.join(PATIENCE);
-        writes.join(PATIENCE);
-        List<String> open = said.subList(answers.size(), said.size());
+                answer != null && (answer.equals("-BUSY") || answer.startsWith("-ERR ")),
+                "incomplete command answered " + answer);
+        int waitMs = Math.min(timeout, MAX_WAIT_MS);
+        assertExited(waitMs, waitMs + EXIT_SLACK_MS + TEST_SLACK_MS);
+        reader.join(TIMEOUT_MS);
+        writer.join(TIMEOUT_MS);
+        List<String> unanswered = sent.subList(answers.size(), sent.size());
         assertTrue(
-                open.stream().noneMatch(sentOn::contains),
-                "sent on and not answered: " + open + ", answered " + answers.size());
+                unanswered.stream().noneMatch(forwardedIds::contains),
+                "forwarded and not answered: " + unanswered + ", answered " + answers.size());
+    }
+
+    private static void receiveAll(
+            TestConnection connection, List<String> answers, Semaphore inFlight)
+            throws IOException {
+        for (String s = connection.receive(); s != null; s = connection.receive()) {
+            answers.add(s);
+            inFlight.release();
+        }
+        inFlight.release(1000);
+    }
+
+    /** Keeps two requests in flight, so that the connection is never idle. */
+    private static void sendWhileAlive(
+            Thread reader, TestConnection connection, List<String> sent, Semaphore inFlight)
+            throws Exception {
+        for (int n = 100; reader.isAlive(); n++) {
+            inFlight.acquire();
+            connection.send(readCommand(n));
+            sent.add(requestId(n));
+        }
     }
 
     /**
-     * Reqs written right before the signal, on connections that stand, that have just come and that
-     * wait to be let in, and right behind it: none is dropped.
+     * Sent right before the signal, on connections that are open, new, or still in the backlog, and
+     * right after it.
      */
     @Test
-    public void whatLiesUnreadAtTheSignalIsAnswered() throws Exception {
-        serve(servers[0], true);
-        up().socket.close();
-        List<Talk> clients = new ArrayList<>();
+    public void requestsUnreadAtTheSignalAreAnswered() throws Exception {
+        readAll(servers[0], true);
+        startGateway().socket.close();
+        List<TestConnection> clients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            clients.add(client());
+            clients.add(connectClient());
         }
-        Talk half = client().say(ask(1000).substring(0, 60));
+        TestConnection incomplete = connectClient().send(readCommand(1000).substring(0, 60));
         for (int i = 0; i < 100; i++) {
-            clients.get(i).say(ask(i));
+            clients.get(i).send(readCommand(i));
         }
         for (int i = 100; i < 150; i++) {
-            clients.add(client().say(ask(i)));
+            clients.add(connectClient().send(readCommand(i)));
         }
-        signal();
-        half.say(ask(1000).substring(60));
+        sendSigterm();
+        incomplete.send(readCommand(1000).substring(60));
         for (int i = 150; i < 200; i++) {
-            clients.add(client().say(ask(i)));
+            clients.add(connectClient().send(readCommand(i)));
         }
         for (int i = 0; i < 200; i++) {
-            String heard = clients.get(i).hear();
-            assertTrue(isAnswer(heard, i), i + ": " + heard);
+            String received = clients.get(i).receive();
+            assertTrue(isAnswer(received, i), i + ": " + received);
             clients.get(i).socket.close();
         }
-        assertTrue(isAnswer(half.hear(), 1000));
-        half.socket.close();
-        gone(0, 4000 + SLACK);
+        assertTrue(isAnswer(incomplete.receive(), 1000));
+        incomplete.socket.close();
+        assertExited(0, 4000 + EXIT_SLACK_MS);
     }
 
-    /**
-     * Told again and again while something is owed: nothing changes, and the end is the one of the
-     * first time.
-     */
+    /** Three signals while requests are in flight: the exit is timed by the first. */
     @Test
-    public void aSecondSignalChangesNothing() throws Exception {
-        signalled = 0;
-        Talk client = up().say(ask(1));
-        Talk rests = client();
-        assertEquals(rests.say(command("PING")).hear(), "+PONG");
-        Talk server = accept(servers[0]);
-        server.hear();
-        signal();
-        Talk late = client().say(ask(2)); // still let in
-        Talk second = accept(servers[0]);
-        second.hear();
-        signal();
-        second.say(value("for " + id(2)));
-        assertEquals(late.hear(), "for " + id(2));
-        assertEquals(rests.hear(), null);
-        signal();
-        assertEquals(late.hear(), null);
-        server.say(value("for " + id(1)));
-        assertEquals(client.hear(), "for " + id(1));
-        for (Talk t : List.of(client, rests, late)) {
+    public void repeatedSignalChangesNothing() throws Exception {
+        signalledNanos = 0;
+        TestConnection client = startGateway().send(readCommand(1));
+        TestConnection rests = connectClient();
+        assertEquals(rests.send(command("PING")).receive(), "+PONG");
+        TestConnection server = accept(servers[0]);
+        server.receive();
+        sendSigterm();
+        TestConnection late = connectClient().send(readCommand(2)); // still accepted
+        TestConnection second = accept(servers[0]);
+        second.receive();
+        sendSigterm();
+        second.send(valueReply("for " + requestId(2)));
+        assertEquals(late.receive(), "for " + requestId(2));
+        assertEquals(rests.receive(), null);
+        sendSigterm();
+        assertEquals(late.receive(), null);
+        server.send(valueReply("for " + requestId(1)));
+        assertEquals(client.receive(), "for " + requestId(1));
+        for (TestConnection t : List.of(client, rests, late)) {
             t.socket.close();
         }
-        gone(400, 4000 + SLACK);
+        assertExited(400, 4000 + EXIT_SLACK_MS);
     }
 
-    /**
-     * Discovery has been asked and has not answered, so that the door is not open: nobody is owed
-     * anything.
-     */
+    /** Discovery has not sent its first list, so the gateway does not listen yet. */
     @Test
-    public void aStartIsCutShort() throws Exception {
-        signalled = 0;
-        Files.writeString(config, configuration());
-        gateway = start(Map.of("ROUTER_CONFIG", config.toString()));
-        Talk watch = accept(discovery);
-        assertTrue(watch.line().startsWith("GET "));
-        signal();
-        gone(0, 2000);
-        assertEquals(Files.readString(log), "");
+    public void signalDuringTheStartExitsAtOnce() throws Exception {
+        signalledNanos = 0;
+        Files.writeString(configurationFile, configuration());
+        gateway = startProcess(Map.of("ROUTER_CONFIG", configurationFile.toString()));
+        TestConnection watch = accept(discovery);
+        assertTrue(watch.readLine().startsWith("GET "));
+        sendSigterm();
+        assertExited(0, 2000);
+        assertEquals(Files.readString(logFile), "");
     }
 
-    /**
-     * Clients that come as the door opens, with the signal right behind the first of them:
-     * answered, or never read.
-     */
+    /** The signal follows the first connection at once. */
     @Test
-    public void thoseWhoComeAsTheDoorOpensAreAnswered() throws Exception {
-        serve(servers[0], true);
-        Files.writeString(config, configuration());
-        gateway = start(Map.of("ROUTER_CONFIG", config.toString()));
+    public void clientsThatConnectAsTheListenerOpensAreAnswered() throws Exception {
+        readAll(servers[0], true);
+        Files.writeString(configurationFile, configuration());
+        gateway = startProcess(Map.of("ROUTER_CONFIG", configurationFile.toString()));
         Semaphore first = new Semaphore(0);
         List<String> wrong = new CopyOnWriteArrayList<>();
         List<Thread> callers = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             int n = i;
             callers.add(
-                    daemon(
+                    startDaemon(
                             () -> {
-                                Talk t = null;
-                                for (long until = System.nanoTime() + PATIENCE * 1_000_000L;
-                                        t == null && System.nanoTime() < until; ) {
-                                    try {
-                                        t = client().say(ask(n));
-                                    } catch (ConnectException e) {
-                                        Thread.sleep(1);
-                                    }
-                                }
+                                TestConnection t =
+                                        connectOnceListening(TimeUnit.MILLISECONDS.toNanos(1));
+                                t.send(readCommand(n));
                                 first.release();
-                                String heard = t.hear();
-                                if (!isAnswer(heard, n)) {
-                                    wrong.add(n + ": " + heard);
+                                String received = t.receive();
+                                if (!isAnswer(received, n)) {
+                                    wrong.add(n + ": " + received);
                                 }
                                 t.socket.close();
                             }));
         }
-        assertTrue(first.tryAcquire(PATIENCE, TimeUnit.MILLISECONDS));
-        signal();
+        assertTrue(first.tryAcquire(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        sendSigterm();
         for (Thread t : callers) {
-            t.join(PATIENCE);
+            t.join(TIMEOUT_MS);
         }
         assertEquals(wrong, List.of());
-        gone(400, 4000 + SLACK);
+        assertExited(400, 4000 + EXIT_SLACK_MS);
     }
 
-    /**
-     * It rests until the gateway ends its connection and writes in that moment: that req is read by
-     * nobody, and it can tell.
-     */
+    /** The client sends in the moment in which the gateway closes its idle connection. */
     @Test
-    public void aReqBehindTheEndOfTheSendingIsSentOnNowhere() throws Exception {
-        serve(servers[0], true);
-        List<Talk> clients = new ArrayList<>(List.of(up()));
+    public void requestAfterTheOrderlyCloseIsNotForwarded() throws Exception {
+        readAll(servers[0], true);
+        List<TestConnection> clients = new ArrayList<>(List.of(startGateway()));
         for (int i = 0; i < 20; i++) {
-            clients.add(client());
-            if (i < 10) { // the others are in their silence from the first
-                assertEquals(clients.get(1 + i).say(command("PING")).hear(), "+PONG");
+            clients.add(connectClient());
+            if (i < 10) { // the others have sent nothing at all
+                assertEquals(clients.get(1 + i).send(command("PING")).receive(), "+PONG");
             }
         }
-        signal();
+        sendSigterm();
         List<Thread> callers = new ArrayList<>();
-        List<String> heard = new CopyOnWriteArrayList<>();
-        for (Talk t : clients) {
+        List<String> received = new CopyOnWriteArrayList<>();
+        for (TestConnection t : clients) {
             int n = 100 + clients.indexOf(t);
             callers.add(
-                    daemon(
+                    startDaemon(
                             () -> {
-                                assertEquals(t.hear(), null);
+                                assertEquals(t.receive(), null);
                                 for (int i = 0; i < 50; i++) {
-                                    t.say(ask(100 * n + i)); // until the connection is gone
+                                    t.send(
+                                            readCommand(
+                                                    100 * n + i)); // fails once the connection is
+                                    // closed
                                 }
-                                heard.add(String.valueOf(t.hear()));
+                                received.add(String.valueOf(t.receive()));
                             }));
         }
         for (Thread t : callers) {
-            t.join(PATIENCE);
+            t.join(TIMEOUT_MS);
         }
-        gone(600, 4000 + SLACK);
-        assertEquals(sentOn, Set.of());
-        assertTrue(heard.stream().allMatch("null"::equals), heard.toString());
+        assertExited(600, 4000 + EXIT_SLACK_MS);
+        assertEquals(forwardedIds, Set.of());
+        assertTrue(received.stream().allMatch("null"::equals), received.toString());
     }
 
-    /** A value flows while the end comes, and is read with a stop of over a second: it is whole. */
+    /** The client makes a pause of over a second while it reads. */
     @Test
-    public void aValueThatFlowsIsWhole() throws Exception {
-        signalled = 0;
+    public void streamedValueIsCompletedBeforeTheExit() throws Exception {
+        signalledNanos = 0;
         int length = 4 << 20;
-        Talk first = up();
+        TestConnection first = startGateway();
         Socket s = new Socket();
         s.setReceiveBufferSize(8192);
-        s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        Talk reads = new Talk(s).say(ask(1));
-        Talk server = accept(servers[0]);
-        server.hear();
-        daemon(() -> server.say(value("x".repeat(length))));
-        assertEquals(reads.line(), "$" + length);
-        signal();
-        assertEquals(first.hear(), null); // the connections end
+        s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), clientPort));
+        TestConnection reads = track(new TestConnection(s)).send(readCommand(1));
+        TestConnection server = accept(servers[0]);
+        server.receive();
+        startDaemon(() -> server.send(valueReply("x".repeat(length))));
+        assertEquals(reads.readLine(), "$" + length);
+        sendSigterm();
+        assertEquals(first.receive(), null); // closed, as it is idle
         first.socket.close();
         assertEquals(reads.in.readNBytes(length / 4).length, length / 4);
-        while (since() < 2000) { // it does not read
-            Thread.sleep(10);
-        }
+        Thread.sleep(Math.max(0, (long) (READ_PAUSE_END_MS - sinceSignalMs())));
         assertEquals(reads.in.readNBytes(3 * length / 4 + 2).length, 3 * length / 4 + 2);
-        assertEquals(reads.line(), null);
+        assertEquals(reads.readLine(), null);
         reads.socket.close();
-        gone(1000, 4000 + SLACK);
+        assertExited(1000, 4000 + EXIT_SLACK_MS);
+    }
+
+    @Test
+    public void sigtermLeavesNoRequestUnanswered() throws Exception {
+        TestConnection client = startGateway();
+        TestConnection idle = connectClient();
+        assertEquals(idle.send(command("PING")).receive(), "+PONG");
+        client.send(readCommand(1));
+        TestConnection server = accept(servers[0]);
+        server.receive();
+        gateway.toHandle().destroy();
+        TestConnection late = connectClient(); // still let in
+        late.send(readCommand(2));
+        TestConnection second = accept(servers[0]);
+        second.receive();
+        second.send(valueReply("taken after the signal"));
+        assertEquals(late.receive(), "taken after the signal");
+        assertEquals(idle.receive(), null);
+        assertEquals(late.receive(), null);
+        assertTrue(gateway.isAlive());
+        server.send(valueReply("taken before it"));
+        assertEquals(client.receive(), "taken before it");
+        assertEquals(client.receive(), null);
+        client.socket.close();
+        late.socket.close();
+        idle.socket.close();
+        assertTrue(gateway.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertEquals(gateway.exitValue(), 0);
     }
 }
--- a/gateway/src/test/java/tinford/program/StartLineTest.java
+++ b/gateway/src/test/java/tinford/program/StartScriptTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The shell's part of a start: what it makes of a configuration, told by a stand-in of java. */
-public class StartLineTest {
+/** What the start script makes of a configuration; a script in place of java shows the result. */
+public class StartScriptTest {
     private static final String LIMITS =
             "\"limits\":{\"cores\":0.3,\"memory_mb\":144,\"sockets\":384}";
 
@@ -26,18 +26,17 @@
             {"{\n  \"limits\" : {\n    \"memory_mb\" : 144\n  }\n}", "-Xmx43m"},
             {
                 "{\"management\":\"127.0.0.1:9\"," + LIMITS + "}", "-Xmx42m"
-            }, // two fit beside one another
+            }, // so that two processes fit during a handover
             {"{}", "-Xmx57m"},
             {"{\"limits\":{\"memory_mb\":16}}", "-Xmx10m"},
             {"{\"name\":\"*\"," + LIMITS + "}", "-Xmx43m"},
-            // guards a start against time that grows with the square of the list: minutes for one
-            // of this length
+            // reading such a list in quadratic time would take minutes
             {"{\"known\":{\"hosts\":[" + host.repeat(3000) + "]}," + LIMITS + "}", "-Xmx43m"},
         };
     }
 
     @Test(dataProvider = "configurations")
-    public void theHeapFitsWhatIsHanded(String configuration, String option)
+    public void heapFollowsTheMemoryLimit(String configuration, String option)
             throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("start");
         Path config = Files.writeString(folder.resolve("config.json"), configuration);
@@ -48,11 +47,11 @@
                         .directory(Path.of("..").toFile());
         start.environment().put("PATH", folder.toString());
         start.environment().put("ROUTER_CONFIG", config.toString());
-        Path said = folder.resolve("said");
-        Process shell = start.redirectErrorStream(true).redirectOutput(said.toFile()).start();
+        Path output = folder.resolve("output");
+        Process shell = start.redirectErrorStream(true).redirectOutput(output.toFile()).start();
         try {
-            assertTrue(shell.waitFor(20, TimeUnit.SECONDS), "it has not started yet");
-            String line = Files.readString(said, StandardCharsets.UTF_8);
+            assertTrue(shell.waitFor(20, TimeUnit.SECONDS), "the script has not ended");
+            String line = Files.readString(output, StandardCharsets.UTF_8);
             assertTrue(line.contains(" " + option + " ") && line.endsWith(" serve\n"), line);
         } finally {
             shell.destroyForcibly();
--- a/gateway/src/test/java/tinford/protocol/ListBoundsTest.java
+++ b/gateway/src/test/java/tinford/protocol/EndpointListBoundsTest.java
@@ -12,30 +12,24 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/**
- * How much of a list is kept while it comes: all that a fleet needs, and a small part of the least
- * heap.
- */
-public class ListBoundsTest {
-    private static final int MOST = 1 << 20;
+/** How much of an endpoint list is buffered while it is received. */
+public class EndpointListBoundsTest {
+    private static final int MAX_BYTES = 1 << 20;
     private static final String HEAD =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffff\r\n";
 
     @DataProvider
-    public Object[][] endless() {
+    public Object[][] endlessInputs() {
         return new Object[][] {
             {" "}, {"{\"seq\":43,\"x\":\""}, {"{\"seq\":43,\n"}, {"{\"a\":[\n\n"}
         };
     }
 
-    /**
-     * A line without end, and an object over lines without end: refused before more has come than
-     * is kept of one.
-     */
-    @Test(dataProvider = "endless")
-    public void whatNeverEndsIsRefused(String start) throws ProtocolException {
-        ChunkedLineReader lines = new ChunkedLineReader(MOST);
-        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MOST);
+    /** A line, or an object over several lines, that does not end. */
+    @Test(dataProvider = "endlessInputs")
+    public void endlessInputIsRejected(String start) throws ProtocolException {
+        ChunkedLineReader lines = new ChunkedLineReader(MAX_BYTES);
+        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MAX_BYTES);
         AtomicInteger came = new AtomicInteger();
         ProtocolException[] bad = new ProtocolException[1];
         byte[] head = (HEAD + start).getBytes(StandardCharsets.ISO_8859_1);
@@ -48,26 +42,28 @@
                         ProtocolException.class,
                         () -> {
                             lines.read(
-                                    head, 0, head.length, line -> bad[0] = refusal(objects, line));
-                            while (came.addAndGet(more.length)
-                                    < 2 * MOST
-                                            * 7) { // of an object over lines their blanks are not
-                                // kept
+                                    head,
+                                    0,
+                                    head.length,
+                                    line -> bad[0] = addLineExpectingFailure(objects, line));
+                            // blanks around the lines of an object are not buffered
+                            while (came.addAndGet(more.length) < 2 * MAX_BYTES * 7) {
                                 lines.read(
                                         more,
                                         0,
                                         more.length,
-                                        line -> bad[0] = refusal(objects, line));
+                                        line -> bad[0] = addLineExpectingFailure(objects, line));
                                 if (bad[0] != null) {
                                     throw bad[0];
                                 }
                             }
                         });
-        assertTrue(m.getMessage().contains("under " + MOST + " bytes"), m.getMessage());
-        assertTrue(came.get() <= 7 * (MOST + more.length), "after " + came);
+        assertTrue(m.getMessage().contains("under " + MAX_BYTES + " bytes"), m.getMessage());
+        assertTrue(came.get() <= 7 * (MAX_BYTES + more.length), "after " + came);
     }
 
-    private static ProtocolException refusal(JsonObjectSplitter objects, String line) {
+    private static ProtocolException addLineExpectingFailure(
+            JsonObjectSplitter objects, String line) {
         try {
             objects.addLine(line);
             return null;
@@ -79,20 +75,19 @@
     @DataProvider
     public Object[][] heaps() {
         return new Object[][] {
-            // MiB of heap; KiB of the longest list: never less than before, and never more than 16
-            // MiB
+            // MiB of heap; KiB of the longest list: from 1 to 16 MiB
             {8, 1024}, {28, 1024}, {38, 1216}, {57, 1824}, {307, 9824}, {4096, 16_384}
         };
     }
 
     @Test(dataProvider = "heaps")
-    public void theLimitFollowsTheHeap(int heap, int limit) {
+    public void limitFollowsTheHeap(int heap, int limit) {
         assertEquals(EndpointListLimit.maxBytes((long) heap << 20), limit << 10);
     }
 
-    /** Four thousand servers, spread over lines: read whole within the least limit. */
+    /** 4096 servers fit into the lowest limit. */
     @Test
-    public void aLargeListIsRead() throws ProtocolException {
+    public void largeListOverSeveralLinesIsRead() throws ProtocolException {
         StringBuilder list = new StringBuilder("{\"seq\":43,\"whole\":true,\"hosts\":[");
         for (int i = 0; i < 4096; i++) {
             list.append(i == 0 ? "\n" : ",\n")
@@ -106,7 +101,7 @@
                             "\"health\": \"draining\", \"share\": 1.0, \"born_ms\":"
                                     + " 1764600000000}");
         }
-        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MOST);
+        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MAX_BYTES);
         String whole = null;
         for (String line : list.append("\n]}").toString().split("\n")) {
             assertEquals(whole, null);
@@ -115,27 +110,23 @@
         assertTrue(whole.endsWith("]}\n") && whole.length() > 600_000, "of " + whole.length());
     }
 
-    /**
-     * Six thousand servers on one line, as discovery sends them, fit what a machine of 128 MB
-     * reads.
-     */
+    /** 6000 servers in one line, as discovery sends them, fit the limit of a machine of 128 MB. */
     @Test
-    public void theLargestFleetFitsASmallHeap() throws ProtocolException {
+    public void largestFleetFitsASmallHeap() throws ProtocolException {
         int limit = EndpointListLimit.maxBytes(38L << 20);
         String list = listOf(6000);
         byte[] answer = (HEAD + list + "\n").getBytes(StandardCharsets.ISO_8859_1);
         JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), limit);
         String[] read = new String[1];
         new ChunkedLineReader(limit)
-                .read(answer, 0, answer.length, line -> read[0] = whole(objects, line));
+                .read(answer, 0, answer.length, line -> read[0] = addLine(objects, line));
         assertEquals(read[0], list);
         assertTrue(list.length() > 850_000, "of " + list.length());
     }
 
-    /** Objects in one line and over several may follow one another. */
     @Test
-    public void objectsInOneLineAndOverSeveralTakeTurns() throws ProtocolException {
-        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MOST);
+    public void objectsInOneLineAndOverSeveralMayAlternate() throws ProtocolException {
+        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MAX_BYTES);
         for (int i = 0; i < 3; i++) {
             assertEquals(objects.addLine("{\"a\":1}"), "{\"a\":1}");
             assertEquals(objects.addLine(""), "");
@@ -145,18 +136,17 @@
         }
     }
 
-    /** A long line leaves nothing behind that shortens or spoils the next. */
     @Test
-    public void aLongLineIsFollowedByShortOnes() throws ProtocolException {
+    public void longLineLeavesNothingBehind() throws ProtocolException {
         List<String> read = new ArrayList<>();
         String longLine = "x".repeat(200_000);
         String text = "a\n" + longLine + "\nb\n" + longLine + "\n\n";
         byte[] answer = (HEAD + text).getBytes(StandardCharsets.ISO_8859_1);
-        new ChunkedLineReader(MOST).read(answer, 0, answer.length, read::add);
+        new ChunkedLineReader(MAX_BYTES).read(answer, 0, answer.length, read::add);
         assertEquals(read, List.of("a", longLine, "b", longLine, ""));
     }
 
-    private static String whole(JsonObjectSplitter objects, String line) {
+    private static String addLine(JsonObjectSplitter objects, String line) {
         try {
             return objects.addLine(line);
         } catch (ProtocolException e) {
--- a/gateway/src/test/java/tinford/protocol/ProtocolTest.java
+++ b/gateway/src/test/java/tinford/protocol/ProtocolTest.java
@@ -11,15 +11,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The parsers, over every split of the bytes. */
+/** The parsers, with the input split at every byte. */
 public class ProtocolTest {
-    private static final int MOST_LIST = 1 << 20;
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
     private static byte[] bytes(String s) {
         return s.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static String shown(RespReader r) {
+    private static String describe(RespReader r) {
         StringBuilder s = new StringBuilder(r.isArray() ? "*" : "");
         for (int i = 0; i < r.partCount(); i++) {
             s.append(i > 0 ? " " : "")
@@ -44,7 +44,7 @@
     }
 
     @Test(dataProvider = "values")
-    public void valueIsFoundOnceWhole(String text, String shown) throws ProtocolException {
+    public void valueIsParsedOnceComplete(String text, String shown) throws ProtocolException {
         byte[] all = bytes("##" + text + "+next\r\n");
         RespReader resp = new RespReader();
         for (int n = 0; n < text.length(); n++) {
@@ -52,12 +52,12 @@
         }
         for (int stop = 2 + text.length(); stop <= all.length; stop++) {
             assertEquals(resp.parse(all, 2, stop), text.length());
-            assertEquals(shown(resp), shown);
+            assertEquals(describe(resp), shown);
         }
     }
 
     @DataProvider
-    public Object[][] garbage() {
+    public Object[][] malformedValues() {
         return new Object[][] {
             {"hello\r\n", "a RESP2 value"},
             {"*0\r\n", "an array of 1 to 16 parts"},
@@ -73,8 +73,8 @@
         };
     }
 
-    @Test(dataProvider = "garbage")
-    public void garbageIsNamed(String text, String expected) {
+    @Test(dataProvider = "malformedValues")
+    public void malformedValueIsReported(String text, String expected) {
         ProtocolException m =
                 expectThrows(
                         ProtocolException.class,
@@ -84,7 +84,7 @@
 
     private static final String TERMS = "c=read,t=gold,d=480,k=5c0f,units=2.5,spread=3,first=1";
 
-    private static ClientCommand ask(String... words) throws ProtocolException {
+    private static ClientCommand command(String... words) throws ProtocolException {
         StringBuilder s = new StringBuilder("*" + words.length + "\r\n");
         for (String w : words) {
             s.append("$").append(w.length()).append("\r\n").append(w).append("\r\n");
@@ -96,9 +96,14 @@
     }
 
     @Test
-    public void askTellsItsTerms() throws ProtocolException {
+    public void commandHasItsTerms() throws ProtocolException {
         ClientCommand a =
-                ask("Q.DO", "00000001b4d65521", "ffffffffaa5c7e2d", TERMS + ",r=1,new=7", "BODY");
+                command(
+                        "Q.DO",
+                        "00000001b4d65521",
+                        "ffffffffaa5c7e2d",
+                        TERMS + ",r=1,new=7",
+                        "BODY");
         assertEquals(
                 Arrays.asList(
                         a.retryable,
@@ -125,7 +130,7 @@
     }
 
     @DataProvider
-    public Object[][] badAsks() {
+    public Object[][] malformedCommands() {
         String id = "00000001b4d65521";
         return new Object[][] {
             {"Q.GET", id, id, TERMS, "Q.ASK, Q.DO or PING"},
@@ -149,16 +154,16 @@
         };
     }
 
-    @Test(dataProvider = "badAsks")
-    public void badAskIsNamed(
+    @Test(dataProvider = "malformedCommands")
+    public void malformedCommandIsReported(
             String verb, String customer, String id, String terms, String expected) {
         ProtocolException m =
-                expectThrows(ProtocolException.class, () -> ask(verb, customer, id, terms));
+                expectThrows(ProtocolException.class, () -> command(verb, customer, id, terms));
         assertEquals(m.getMessage(), "expected " + expected);
     }
 
     @DataProvider
-    public Object[][] usages() {
+    public Object[][] usageReports() {
         return new Object[][] {
             {"used=37,cost=4", "cost", 4.0},
             {"used=37,cost=4", "used", 37.0},
@@ -193,17 +198,17 @@
     }
 
     @Test(dataProvider = "numbers")
-    public void onlyPlainNumbersAreNumbers(String text, double value) {
+    public void onlyDecimalNumbersAreParsed(String text, double value) {
         assertEquals(NumberParser.parse(text), value);
     }
 
-    @Test(dataProvider = "usages")
-    public void usageIsReadByName(String text, String name, double value) {
+    @Test(dataProvider = "usageReports")
+    public void usageIsFoundByName(String text, String name, double value) {
         assertEquals(UsageReport.value(text, name, -1), value);
     }
 
     @Test
-    public void reportFollowsTheNamesGiven() {
+    public void loadReportFollowsTheNames() {
         assertEquals(
                 UsageReport.loadReport("queue=2,x=9,util=0.61", List.of("util", "queue", "qps")),
                 new double[] {0.61, 2, 0});
@@ -214,7 +219,7 @@
             "HTTP/1.1 200 OK\r\nContent-Type: x\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     @Test
-    public void linesAreFoundWhereverChunksAndReadsEnd() throws ProtocolException {
+    public void linesAreFoundHoweverChunkedAndSplit() throws ProtocolException {
         String body = "{\"a\":1}\n\n{\"b\":\"\u00e9\"}\n";
         byte[] text = body.getBytes(StandardCharsets.UTF_8);
         for (int chunk = 1; chunk <= text.length; chunk++) {
@@ -229,7 +234,7 @@
             byte[] all = bytes(s + "0\r\n\r\n");
             for (int read = 1; read < all.length; read += 3) {
                 List<String> found = new ArrayList<>();
-                ChunkedLineReader lines = new ChunkedLineReader(MOST_LIST);
+                ChunkedLineReader lines = new ChunkedLineReader(MAX_LINE_BYTES);
                 int from = 0;
                 for (int to = read;
                         from < all.length && !lines.isComplete();
@@ -243,7 +248,7 @@
     }
 
     @DataProvider
-    public Object[][] badHttp() {
+    public Object[][] malformedResponses() {
         return new Object[][] {
             {"HTTP/1.1 503 Busy\r\n\r\n", "HTTP/1.1 200"},
             {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n", "an answer in chunks"},
@@ -254,19 +259,19 @@
         };
     }
 
-    @Test(dataProvider = "badHttp")
-    public void badHttpIsNamed(String text, String expected) {
+    @Test(dataProvider = "malformedResponses")
+    public void malformedResponseIsReported(String text, String expected) {
         ProtocolException m =
                 expectThrows(
                         ProtocolException.class,
                         () ->
-                                new ChunkedLineReader(MOST_LIST)
+                                new ChunkedLineReader(MAX_LINE_BYTES)
                                         .read(bytes(text), 0, text.length(), line -> {}));
         assertEquals(m.getMessage(), "expected " + expected);
     }
 
     @DataProvider
-    public Object[][] calls() {
+    public Object[][] requestHeads() {
         return new Object[][] {
             {"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", "GET /v1/readyz"},
             {
@@ -282,8 +287,8 @@
         };
     }
 
-    @Test(dataProvider = "calls")
-    public void operatorsCallsAreReadOverAnySplit(String text, String shown)
+    @Test(dataProvider = "requestHeads")
+    public void requestHeadIsParsedOnceComplete(String text, String shown)
             throws ProtocolException {
         byte[] all = bytes(text);
         int head = Math.max(text.indexOf("\r\n\r\n"), text.indexOf("\n\n"));
--- a/gateway/src/test/java/tinford/routing/RoutingTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingTest.java
@@ -38,9 +38,21 @@
             {CloseReason.CONNECT_TIMEOUT, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
             {CloseReason.NO_DESCRIPTOR, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
             {CloseReason.IO_ERROR, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.CLOSED_BY_PEER, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.PROTOCOL_ERROR, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
-            {CloseReason.BUFFER_LIMIT_EXCEEDED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {
+                CloseReason.CLOSED_BY_PEER,
+                AttemptOutcome.UNREACHABLE,
+                AttemptOutcome.CONNECTION_LOST
+            },
+            {
+                CloseReason.PROTOCOL_ERROR,
+                AttemptOutcome.UNREACHABLE,
+                AttemptOutcome.CONNECTION_LOST
+            },
+            {
+                CloseReason.BUFFER_LIMIT_EXCEEDED,
+                AttemptOutcome.UNREACHABLE,
+                AttemptOutcome.CONNECTION_LOST
+            },
             {CloseReason.CLOSED_IDLE, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
             {CloseReason.RESPONSE_TIMEOUT, AttemptOutcome.UNREACHABLE, AttemptOutcome.TIMED_OUT},
             {CloseReason.STALLED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
@@ -55,7 +67,9 @@
         assertEquals(OutcomeMapping.ofDispatch(how, true), after);
         assertEquals(
                 OutcomeMapping.ofCall(how, false),
-                how == CloseReason.RESPONSE_TIMEOUT ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE);
+                how == CloseReason.RESPONSE_TIMEOUT
+                        ? AttemptOutcome.TIMED_OUT
+                        : AttemptOutcome.UNREACHABLE);
         // only silence in the whole of a call's time tells of what the counter bears
         assertEquals(
                 OutcomeMapping.ofCall(how, true),
--- a/gateway/src/test/java/tinford/routing/WatchOutageTest.java
+++ b/gateway/src/test/java/tinford/routing/WatchOutageTest.java
@@ -285,6 +285,7 @@
     }
 
     private void setAside(int connections) {
-        desk.loop.execute(() -> desk.loop.descriptorBudget().setReservedForOtherProcess(connections));
+        desk.loop.execute(
+                () -> desk.loop.descriptorBudget().setReservedForOtherProcess(connections));
     }
 }
--- a/gateway/src/test/java/tinford/transport/ConnectionBufferTest.java
+++ b/gateway/src/test/java/tinford/transport/ConnectionBufferTest.java
@@ -13,7 +13,7 @@
 import org.xnio.conduits.StreamSinkConduit;
 import org.xnio.conduits.StreamSourceConduit;
 
-/** The one buffer of a connection, and the clock. */
+/** The buffer of a connection, and the clock. */
 public class ConnectionBufferTest {
     private static <T> T conduit(Class<T> type, java.util.function.ToIntFunction<ByteBuffer> io) {
         return type.cast(
@@ -28,9 +28,11 @@
         return new Object[][] {{1L, 50}, {2L, 3000}, {3L, 70_000}};
     }
 
-    /** Both directions at once, in pieces of any size: each keeps its bytes and their order. */
+    /**
+     * Random reads, puts and writes of any size: each direction keeps its bytes and their order.
+     */
     @Test(dataProvider = "seeds")
-    public void bothPartsKeepTheirBytes(long seed, int most) throws IOException {
+    public void bothDirectionsKeepTheirBytes(long seed, int most) throws IOException {
         Random chance = new Random(seed);
         BufferBudget room = new BufferBudget(1 << 22);
         ConnectionBuffer buf = new ConnectionBuffer(room);
@@ -91,11 +93,11 @@
             assertEquals(written[i], (byte) i);
         }
         buf.release();
-        assertEquals(room.availableBytes(), 1 << 22, "all that was taken has come back");
+        assertEquals(room.availableBytes(), 1 << 22, "all bytes are released");
     }
 
     @Test
-    public void roomIsBounded() {
+    public void budgetIsExceededByTwoLargeBuffers() {
         BufferBudget room = new BufferBudget(10_000);
         ConnectionBuffer one = new ConnectionBuffer(room);
         one.put(new byte[5000], 0, 5000);
@@ -108,7 +110,7 @@
     }
 
     @Test
-    public void clockNeverStepsBackAndKeepsToTheWall() {
+    public void clockNeverStepsBackAndFollowsTheWallClock() {
         Clock clock = new Clock();
         double last = 0;
         for (int i = 0; i < 100_000; i++) {
--- a/gateway/src/test/java/tinford/transport/EventLoopTest.java
+++ b/gateway/src/test/java/tinford/transport/EventLoopTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What one thing that came in does to the others. */
+/** The isolation of tasks from one another. */
 public class EventLoopTest {
     @DataProvider
     public Object[][] faults() {
@@ -16,9 +16,9 @@
         };
     }
 
-    /** However the handling of one ends, what came in with it and behind it is played, once. */
+    /** Tasks of the same batch and of later ones run. */
     @Test(dataProvider = "faults")
-    public void aFaultInOneHoldsUpNoOther(Throwable fault) throws Exception {
+    public void failingTaskStopsNoOther(Throwable fault) throws Exception {
         EventLoop[] loop = new EventLoop[1];
         loop[0] = new EventLoop(() -> loop[0].runDueTasks(), 4, 1 << 16, System::nanoTime);
         CountDownLatch beside = new CountDownLatch(1);
@@ -34,10 +34,10 @@
                             });
                     loop[0].submit(beside::countDown);
                 });
-        assertTrue(beside.await(10, TimeUnit.SECONDS), "what came with it");
+        assertTrue(beside.await(10, TimeUnit.SECONDS), "the task of the same batch");
         loop[0].schedule(1, later::countDown);
         loop[0].execute(() -> {});
-        assertTrue(later.await(10, TimeUnit.SECONDS), "what came behind it");
+        assertTrue(later.await(10, TimeUnit.SECONDS), "a later task");
         loop[0].close();
     }
 }
