--- a/fleet/src/main/java/tinford/fleet/config/AppliedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/AppliedState.java
@@ -3,38 +3,39 @@
 import java.util.List;
 
 /**
- * What a follower has received, what of it is in force, and what is being applied. One revision is
- * applied at a time; what is received meanwhile is offered as one step from the revision in force.
+ * The configurations of a follower: the active one, the one being applied, and the last one
+ * received. One revision is applied at a time; updates that are received meanwhile are combined
+ * into one step from the active revision. Not thread-safe.
  */
 final class AppliedState {
-    private Configuration inForce;
+    private Configuration active;
     private Configuration received;
 
-    /** Being applied; null where nothing is. */
+    /** The configuration being applied; null if none is. */
     private Configuration pending;
 
-    /** The last revision offered, so that a refused one is not offered again. */
+    /** The last revision offered, so that a rejected one is not offered again. */
     private long offeredRevision;
 
     /** Whether a snapshot is among what has been received since the last offer. */
     private boolean snapshotReceived;
 
-    /** Whether one is among what is being applied. */
+    /** Whether a snapshot is among what is being applied. */
     private boolean snapshotPending;
 
-    /** The update that led to what was received last; null after a snapshot. */
+    /** The update that led to the received configuration; null after a snapshot. */
     private Update lastUpdate;
 
-    private String refusal;
+    private String rejectionReason;
 
-    AppliedState(Configuration inForce) {
-        this.inForce = inForce;
-        this.received = inForce;
-        this.offeredRevision = inForce.revision();
+    AppliedState(Configuration active) {
+        this.active = active;
+        this.received = active;
+        this.offeredRevision = active.revision();
     }
 
-    Configuration inForce() {
-        return inForce;
+    Configuration active() {
+        return active;
     }
 
     Configuration received() {
@@ -45,11 +46,17 @@
         return pending != null;
     }
 
-    /** Why the last revision offered is not in force; null where it is. */
-    String refusal() {
-        return refusal;
+    /** Why the last revision offered is not active; null if it is. */
+    String rejectionReason() {
+        return rejectionReason;
     }
 
+    /**
+     * Takes an update that leads on from the received configuration.
+     *
+     * @throws InvalidConfigurationException if it does not, or its result is invalid; nothing
+     *     changes
+     */
     void receive(Update update) throws InvalidConfigurationException {
         if (update.fromRevision() != received.revision()) {
             throw new InvalidConfigurationException(
@@ -62,19 +69,26 @@
                             + update.revision());
         }
         Configuration next = received.with(update.revision(), update.changes());
-        List<ValidationError> faults = Validator.check(received, update.changes(), next);
-        if (!faults.isEmpty()) {
+        List<ValidationError> errors = Validator.check(received, update.changes(), next);
+        if (!errors.isEmpty()) {
             throw new InvalidConfigurationException(
-                    "update." + faults.get(0).key(), faults.get(0).expected());
+                    "update." + errors.get(0).key(), errors.get(0).expected());
         }
         received = next;
         lastUpdate = update;
     }
 
+    /**
+     * Takes a whole configuration.
+     *
+     * @throws InvalidConfigurationException if the snapshot can't be read, is older than the
+     *     received configuration, or differs from it at the same revision; nothing changes
+     */
     void receive(long revision, byte[] snapshot, SnapshotCodec codec)
             throws InvalidConfigurationException {
-        if (revision < received.revision()) { // before the work of reading it
-            throw tooEarly(revision);
+        // checked before the work of decoding
+        if (revision < received.revision()) {
+            throw outdatedSnapshot(revision);
         }
         Configuration next = codec.decode(snapshot);
         if (next.revision() != revision) {
@@ -90,7 +104,7 @@
         snapshotReceived = true;
     }
 
-    /** Adds the action that brings into force what was received, if it is due. */
+    /** Adds the action that applies the received configuration, unless one is being applied. */
     void offer(List<Follower.Action> actions) {
         if (pending != null || received.revision() <= offeredRevision) {
             return;
@@ -102,31 +116,29 @@
         if (snapshotPending) {
             actions.add(new Follower.Action.ApplySnapshot(received));
         } else {
-            actions.add(new Follower.Action.Apply(updateFromInForce(), received));
+            actions.add(new Follower.Action.Apply(updateFromActive(), received));
         }
     }
 
-    /**
-     * What was offered is in force or was refused.
-     *
-     * @param reason why it was refused; null where it is in force
-     */
-    void settle(String reason) {
-        if (reason == null) {
-            inForce = pending;
-            refusal = null;
-        } else {
-            refusal = ValidationError.oneLine("revision " + pending.revision() + ": " + reason);
-            snapshotReceived |= snapshotPending;
-        }
+    /** The pending configuration is in force. */
+    void activate() {
+        active = pending;
+        rejectionReason = null;
+        pending = null;
+    }
+
+    /** The pending configuration can't be brought into force; the active one stays. */
+    void reject(String reason) {
+        rejectionReason = ValidationError.oneLine("revision " + pending.revision() + ": " + reason);
+        snapshotReceived |= snapshotPending;
         pending = null;
     }
 
-    private Update updateFromInForce() {
-        if (lastUpdate != null && lastUpdate.fromRevision() == inForce.revision()) {
+    private Update updateFromActive() {
+        if (lastUpdate != null && lastUpdate.fromRevision() == active.revision()) {
             return lastUpdate;
         }
-        return new Update(inForce.revision(), received.revision(), inForce.changesTo(received));
+        return new Update(active.revision(), received.revision(), active.changesTo(received));
     }
 
     private void expectSameContent(Configuration other) throws InvalidConfigurationException {
@@ -136,7 +148,7 @@
         }
     }
 
-    private InvalidConfigurationException tooEarly(long revision) {
+    private InvalidConfigurationException outdatedSnapshot(long revision) {
         return new InvalidConfigurationException(
                 "snapshot.revision",
                 "no earlier one than the revision held, "
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
@@ -5,41 +5,40 @@
 import java.util.List;
 import java.util.Map;
 
-/** The JSON of a whole configuration. What is read is validated. */
+/** The JSON of a whole configuration, which is validated when it is read. */
 final class ConfigurationJson {
     private ConfigurationJson() {}
 
     static void writeFields(JsonGenerator out, Configuration configuration) throws IOException {
         out.writeNumberField("revision", configuration.revision());
-        RecordJson.writeAll(
+        JsonArrays.write(
                 out, "services", configuration.services().values(), RecordJson::writeService);
-        RecordJson.writeAll(out, "plans", configuration.plans().values(), RecordJson::writePlan);
-        RecordJson.writeAll(out, "routes", configuration.routes().values(), RecordJson::writeRoute);
-        RecordJson.writeAll(
-                out, "tenants", configuration.tenants().values(), RecordJson::writeTenant);
+        JsonArrays.write(out, "plans", configuration.plans().values(), RecordJson::writePlan);
+        JsonArrays.write(out, "routes", configuration.routes().values(), RecordJson::writeRoute);
+        JsonArrays.write(out, "tenants", configuration.tenants().values(), RecordJson::writeTenant);
     }
 
-    static Configuration read(JsonObject json) throws InvalidConfigurationException {
-        List<ServiceRecord> services =
-                RecordJson.readAll(json, "services", RecordJson::readService);
-        List<PlanRecord> plans = RecordJson.readAll(json, "plans", RecordJson::readPlan);
-        List<RouteRecord> routes = RecordJson.readAll(json, "routes", RecordJson::readRoute);
-        List<TenantRecord> tenants = RecordJson.readAll(json, "tenants", RecordJson::readTenant);
+    static Configuration read(JsonObjectReader json) throws InvalidConfigurationException {
+        List<ServiceRecord> services = JsonArrays.read(json, "services", RecordJson::readService);
+        List<PlanRecord> plans = JsonArrays.read(json, "plans", RecordJson::readPlan);
+        List<RouteRecord> routes = JsonArrays.read(json, "routes", RecordJson::readRoute);
+        List<TenantRecord> tenants = JsonArrays.read(json, "tenants", RecordJson::readTenant);
         Configuration configuration =
-                Configuration.of(json.count("revision"), services, routes, plans, tenants);
+                Configuration.of(
+                        json.nonNegativeLong("revision"), services, routes, plans, tenants);
         expectNoDuplicates(json, "services", services, configuration.services());
         expectNoDuplicates(json, "plans", plans, configuration.plans());
         expectNoDuplicates(json, "routes", routes, configuration.routes());
         expectNoDuplicates(json, "tenants", tenants, configuration.tenants());
-        List<ValidationError> faults = Validator.check(configuration);
-        if (!faults.isEmpty()) {
-            throw new InvalidConfigurationException(faults.get(0).key(), faults.get(0).expected());
+        List<ValidationError> errors = Validator.check(configuration);
+        if (!errors.isEmpty()) {
+            throw new InvalidConfigurationException(errors.get(0).key(), errors.get(0).expected());
         }
         return configuration;
     }
 
     private static void expectNoDuplicates(
-            JsonObject json, String key, List<?> listed, Map<?, ?> distinct)
+            JsonObjectReader json, String key, List<?> listed, Map<?, ?> distinct)
             throws InvalidConfigurationException {
         if (listed.size() != distinct.size()) {
             throw json.invalid(key, "each once");
--- a/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** The whole state of a {@link RevisionHistory} as sealed bytes. */
+/** Encodes the whole state of a {@link RevisionHistory}, with a checksum. */
 final class HistoryCodec {
     private static final int CONTENT_VERSION = 1;
     private static final Set<String> KEYS =
-            RecordJson.keys("version", "oldest", "updates", "proposals");
+            JsonObjectReader.keys("version", "oldest", "updates", "proposals");
     private static final Set<String> CONFIGURATION_KEYS =
-            RecordJson.keys("revision", "services", "plans", "routes", "tenants");
+            JsonObjectReader.keys("revision", "services", "plans", "routes", "tenants");
     private static final Set<String> PROPOSAL_KEYS =
-            RecordJson.keys("id", "digest", "revision", "faults");
+            JsonObjectReader.keys("id", "digest", "revision", "faults");
 
     private final String fleetId;
 
@@ -24,7 +24,7 @@
         this.fleetId = fleetId;
     }
 
-    /** What is decoded. */
+    /** The state of a history. */
     record State(Configuration oldest, List<Update> updates, ProposalMemory proposals) {}
 
     byte[] encode(Configuration oldest, List<Update> updates, ProposalMemory proposals) {
@@ -35,34 +35,35 @@
                             out.writeObjectFieldStart("oldest");
                             ConfigurationJson.writeFields(out, oldest);
                             out.writeEndObject();
-                            RecordJson.writeAll(
+                            JsonArrays.write(
                                     out, "updates", updates, ConfigurationCodec::writeUpdate);
-                            RecordJson.writeAll(
+                            JsonArrays.write(
                                     out, "proposals", proposals.all(), HistoryCodec::writeProposal);
                         });
         long revision =
                 updates.isEmpty() ? oldest.revision() : updates.get(updates.size() - 1).revision();
-        return ChecksummedState.seal(ChecksummedState.Kind.HISTORY, fleetId, revision, json);
+        return ChecksummedState.encode(ChecksummedState.Kind.HISTORY, fleetId, revision, json);
     }
 
     State decode(byte[] snapshot) throws InvalidConfigurationException {
         byte[] content =
-                ChecksummedState.open(ChecksummedState.Kind.HISTORY, fleetId, snapshot).content();
-        JsonObject json = Json.read(content, CONTENT_VERSION, ConfigurationLimits.SNAPSHOT_BYTES);
-        json.allow(KEYS);
-        JsonObject oldestJson = json.object("oldest");
-        oldestJson.allow(CONFIGURATION_KEYS);
+                ChecksummedState.decode(ChecksummedState.Kind.HISTORY, fleetId, snapshot).content();
+        JsonObjectReader json =
+                Json.read(content, CONTENT_VERSION, ConfigurationLimits.MAX_SNAPSHOT_BYTES);
+        json.allowOnly(KEYS);
+        JsonObjectReader oldestJson = json.object("oldest");
+        oldestJson.allowOnly(CONFIGURATION_KEYS);
         Configuration oldest = ConfigurationJson.read(oldestJson);
-        List<Update> updates = RecordJson.readAll(json, "updates", ConfigurationCodec::readUpdate);
+        List<Update> updates = JsonArrays.read(json, "updates", ConfigurationCodec::readUpdate);
         expectUnbroken(json, oldest.revision(), updates);
         ProposalMemory proposals = new ProposalMemory();
-        for (JsonObject each : json.objects("proposals")) {
+        for (JsonObjectReader each : json.objects("proposals")) {
             proposals.add(readProposal(each));
         }
         return new State(oldest, updates, proposals);
     }
 
-    private static void expectUnbroken(JsonObject json, long oldest, List<Update> updates)
+    private static void expectUnbroken(JsonObjectReader json, long oldest, List<Update> updates)
             throws InvalidConfigurationException {
         long at = oldest;
         for (Update update : updates) {
@@ -82,9 +83,9 @@
         out.writeEndObject();
     }
 
-    private static ProposalMemory.Remembered readProposal(JsonObject json)
+    private static ProposalMemory.Remembered readProposal(JsonObjectReader json)
             throws InvalidConfigurationException {
-        json.allow(PROPOSAL_KEYS);
+        json.allowOnly(PROPOSAL_KEYS);
         return new ProposalMemory.Remembered(
                 json.text("id"), json.text("digest"), ConfigurationCodec.readOutcome(json));
     }
--- a/fleet/src/main/java/tinford/fleet/config/Rejection.java
+++ b/fleet/src/main/java/tinford/fleet/config/Rejection.java
@@ -3,18 +3,24 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Why a proposal was refused: at least one fault, the first {@link ConfigurationLimits#FAULTS}. */
-public record Rejection(List<ValidationError> faults) {
+/**
+ * Why a proposal was rejected.
+ *
+ * @param errors at least one; of more than {@link ConfigurationLimits#MAX_ERRORS} the first are
+ *     kept
+ */
+public record Rejection(List<ValidationError> errors) {
     public Rejection {
-        if (faults.isEmpty()) {
-            throw new IllegalArgumentException("a refusal needs a fault");
+        if (errors.isEmpty()) {
+            throw new IllegalArgumentException("a rejection needs an error");
         }
-        faults =
-                List.copyOf(faults.subList(0, Math.min(faults.size(), ConfigurationLimits.FAULTS)));
+        errors =
+                List.copyOf(
+                        errors.subList(0, Math.min(errors.size(), ConfigurationLimits.MAX_ERRORS)));
     }
 
     @Override
     public String toString() {
-        return faults.stream().map(ValidationError::toString).collect(Collectors.joining("; "));
+        return errors.stream().map(ValidationError::toString).collect(Collectors.joining("; "));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
@@ -3,17 +3,21 @@
 import java.util.Set;
 
 /**
- * A whole configuration as compressed bytes that tell the fleet, the revision and a SHA-256 over
- * all of it. Bytes that are torn, damaged, of another fleet or of a later format are refused.
+ * Encodes a whole configuration as compressed JSON in a {@link ChecksummedState}, which names the
+ * fleet and the revision.
  */
 public final class SnapshotCodec {
     private static final int CONTENT_VERSION = 1;
     private static final Set<String> KEYS =
-            RecordJson.keys("version", "revision", "services", "plans", "routes", "tenants");
+            JsonObjectReader.keys("version", "revision", "services", "plans", "routes", "tenants");
 
     private final String fleetId;
 
-    /** For the snapshots of one fleet. */
+    /**
+     * For the snapshots of one fleet.
+     *
+     * @throws IllegalArgumentException if the id is no name
+     */
     public SnapshotCodec(String fleetId) {
         if (!RecordChecks.isName(fleetId)) {
             throw new IllegalArgumentException("fleet id: expected " + RecordChecks.EXPECTED_NAME);
@@ -21,23 +25,31 @@
         this.fleetId = fleetId;
     }
 
+    /** The snapshot of a configuration. */
     public byte[] encode(Configuration configuration) {
         byte[] json =
                 Json.write(
                         CONTENT_VERSION, out -> ConfigurationJson.writeFields(out, configuration));
-        return ChecksummedState.seal(
+        return ChecksummedState.encode(
                 ChecksummedState.Kind.CONFIGURATION, fleetId, configuration.revision(), json);
     }
 
+    /**
+     * Reads and validates a snapshot.
+     *
+     * @throws InvalidConfigurationException if it is truncated, damaged, of another fleet or of a
+     *     later format, or its configuration is invalid
+     */
     public Configuration decode(byte[] snapshot) throws InvalidConfigurationException {
-        ChecksummedState.Opened opened =
-                ChecksummedState.open(ChecksummedState.Kind.CONFIGURATION, fleetId, snapshot);
-        JsonObject object =
-                Json.read(opened.content(), CONTENT_VERSION, ConfigurationLimits.SNAPSHOT_BYTES);
-        object.allow(KEYS);
+        ChecksummedState.Decoded decoded =
+                ChecksummedState.decode(ChecksummedState.Kind.CONFIGURATION, fleetId, snapshot);
+        JsonObjectReader object =
+                Json.read(
+                        decoded.content(), CONTENT_VERSION, ConfigurationLimits.MAX_SNAPSHOT_BYTES);
+        object.allowOnly(KEYS);
         Configuration configuration = ConfigurationJson.read(object);
-        if (configuration.revision() != opened.revision()) {
-            throw object.invalid("revision", "that of the envelope, " + opened.revision());
+        if (configuration.revision() != decoded.revision()) {
+            throw object.invalid("revision", "that of the envelope, " + decoded.revision());
         }
         return configuration;
     }
--- a/fleet/src/main/java/tinford/fleet/control/JsonResponse.java
+++ b/fleet/src/main/java/tinford/fleet/control/JsonResponse.java
@@ -11,21 +11,21 @@
 import java.util.List;
 import tinford.fleet.config.ValidationError;
 
-/** Sends answers of one JSON object. */
+/** Sends responses of one JSON object. */
 final class JsonResponse {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private JsonResponse() {}
 
-    static ObjectNode object() {
+    static ObjectNode newObject() {
         return MAPPER.createObjectNode();
     }
 
-    static ObjectNode faults(List<ValidationError> faults) {
-        ObjectNode body = object();
+    static ObjectNode errorBody(List<ValidationError> errors) {
+        ObjectNode body = newObject();
         ArrayNode array = body.putArray("faults");
-        for (ValidationError fault : faults) {
-            array.addObject().put("key", fault.key()).put("expected", fault.expected());
+        for (ValidationError error : errors) {
+            array.addObject().put("key", error.key()).put("expected", error.expected());
         }
         return body;
     }
@@ -35,14 +35,14 @@
         try {
             bytes = MAPPER.writeValueAsBytes(body);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a tree is always written", e);
+            throw new IllegalStateException("a JSON tree can always be written", e);
         }
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         exchange.getResponseSender().send(ByteBuffer.wrap(bytes));
     }
 
-    static void sendFault(HttpServerExchange exchange, int status, ValidationError fault) {
-        send(exchange, status, faults(List.of(fault)));
+    static void sendError(HttpServerExchange exchange, int status, ValidationError error) {
+        send(exchange, status, errorBody(List.of(error)));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
+++ b/fleet/src/main/java/tinford/fleet/control/QueryParameters.java
@@ -7,7 +7,6 @@
 
 /** Reads the query of a request for a watch. */
 final class QueryParameters {
-
     private QueryParameters() {}
 
     static WatchRequest watchRequest(HttpServerExchange exchange, String ownFleet)
@@ -38,7 +37,7 @@
                 return revision;
             }
         } catch (NumberFormatException e) {
-            // told below, as for a negative one
+            // rejected below, like a negative number
         }
         throw new InvalidConfigurationException("after", "a revision, a whole number from 0");
     }
@@ -49,11 +48,11 @@
         }
     }
 
-    private static String text(HttpServerExchange exchange, String key, String absent)
+    private static String text(HttpServerExchange exchange, String key, String defaultValue)
             throws InvalidConfigurationException {
         Deque<String> values = exchange.getQueryParameters().get(key);
         if (values == null) {
-            return absent;
+            return defaultValue;
         }
         if (values.size() > 1) {
             throw new InvalidConfigurationException(key, "one value");
--- a/fleet/src/main/java/tinford/fleet/control/Replica.java
+++ b/fleet/src/main/java/tinford/fleet/control/Replica.java
@@ -7,38 +7,40 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
+import tinford.fleet.config.ApplyResult;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
 import tinford.fleet.config.Proposal;
 import tinford.fleet.config.Update;
-import tinford.fleet.control.ProposalResult.Taken;
+import tinford.fleet.control.ProposalResult.CommitStatus;
 import tinford.fleet.control.ProposalResult.Unavailable;
 import tinford.fleet.follow.ConfigurationClient;
 import tinford.fleet.follow.FollowerSettings;
 import tinford.fleet.follow.SnapshotFile;
 
 /**
- * Follows a voter, one of its own region where there is one, and serves what it holds; over a
- * restart from its last good snapshot on.
+ * Follows a voter, preferably one of its own region, and serves the same configuration. After a
+ * restart it serves its last good snapshot until a voter is reached.
  */
 final class Replica implements ControlRole {
-    private static final Duration CONNECT_WITHIN = Duration.ofSeconds(2);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final int THREADS = 2;
 
     private final RevisionFeed feed;
     private final ScheduledExecutorService executor;
     private final ConfigurationClient client;
-    private final SnapshotSaver keeper;
+    private final SnapshotSaver snapshotSaver;
 
     Replica(ControlSettings settings, RevisionFeed feed) {
         this.feed = feed;
-        keeper = new SnapshotSaver(new SnapshotFile(settings.folder(), settings.fleet()), feed);
-        keeper.load();
-        executor = Executors.newScheduledThreadPool(THREADS, Replica::thread);
+        snapshotSaver =
+                new SnapshotSaver(new SnapshotFile(settings.folder(), settings.fleet()), feed);
+        snapshotSaver.load();
+        executor = Executors.newScheduledThreadPool(THREADS, Replica::newThread);
         HttpClient http =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
-                        .connectTimeout(CONNECT_WITHIN)
+                        .connectTimeout(CONNECT_TIMEOUT)
                         .executor(executor)
                         .build();
         FollowerSettings follower =
@@ -53,33 +55,34 @@
         client.start();
     }
 
-    private static Thread thread(Runnable task) {
+    private static Thread newThread(Runnable task) {
         Thread thread = new Thread(task, "control-replica");
         thread.setDaemon(true);
         return thread;
     }
 
-    private String apply(Configuration configuration, List<Change> changes) {
+    private ApplyResult apply(Configuration configuration, List<Change> changes) {
         long before = feed.current().revision();
         if (changes == null) {
             feed.replace(configuration, List.of());
         } else {
             feed.append(configuration, new Update(before, configuration.revision(), changes));
         }
-        keeper.saveSoon();
-        ControlLog.revision(configuration.revision());
-        return null;
+        snapshotSaver.scheduleSave();
+        ControlLog.revisionApplied(configuration.revision());
+        return new ApplyResult.Applied();
     }
 
-    /** Replicas take none and forward none. */
+    /** A replica neither accepts nor forwards proposals. */
     @Override
     public CompletableFuture<ProposalResult> propose(Proposal proposal) {
         return CompletableFuture.completedFuture(
-                new Unavailable(Taken.NO, "a replica takes no proposals, ask a voter"));
+                new Unavailable(
+                        CommitStatus.NOT_COMMITTED, "a replica takes no proposals, ask a voter"));
     }
 
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         return false;
     }
 
@@ -92,6 +95,6 @@
     public void close() {
         client.close();
         executor.shutdown();
-        keeper.close();
+        snapshotSaver.close();
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/SnapshotSaver.java
+++ b/fleet/src/main/java/tinford/fleet/control/SnapshotSaver.java
@@ -11,15 +11,16 @@
 import tinford.fleet.follow.SnapshotFile;
 
 /**
- * Keeps what a replica serves on its disk. Writes on a thread of its own; of revisions that come
- * while it writes, only the latest is written.
+ * Saves the configuration of a replica on its disk, on a thread of its own. Of the revisions that
+ * are published during a write, only the latest is written.
  */
 final class SnapshotSaver implements AutoCloseable {
-    private static final long CLOSE_WITHIN_MS = 2000;
+    private static final long CLOSE_TIMEOUT_MS = 2000;
 
     private final SnapshotFile file;
     private final RevisionFeed feed;
-    private final ExecutorService writer = Executors.newSingleThreadExecutor(SnapshotSaver::named);
+    private final ExecutorService writer =
+            Executors.newSingleThreadExecutor(SnapshotSaver::newThread);
     private final AtomicBoolean scheduled = new AtomicBoolean();
 
     SnapshotSaver(SnapshotFile file, RevisionFeed feed) {
@@ -27,30 +28,31 @@
         this.feed = feed;
     }
 
-    private static Thread named(Runnable task) {
+    private static Thread newThread(Runnable task) {
         Thread thread = new Thread(task, "control-snapshot-file");
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Feeds what the disk has, if it can be used. */
+    /** Publishes the stored configuration, if it is usable. */
     void load() {
         SnapshotFile.Loaded loaded = file.read();
         if (loaded.configuration() == null) {
-            ControlLog.snapshotNotRead(loaded.problem());
+            ControlLog.snapshotNotLoaded(loaded.problem());
         } else {
             feed.replace(loaded.configuration(), List.of());
         }
     }
 
-    void saveSoon() {
+    /** Saves the current configuration soon; returns at once. */
+    void scheduleSave() {
         if (!scheduled.compareAndSet(false, true)) {
             return;
         }
         try {
             writer.execute(this::save);
         } catch (RejectedExecutionException e) {
-            ControlLog.snapshotNotKept(e); // it is being closed
+            ControlLog.snapshotNotSaved(e); // the server is being closed
         }
     }
 
@@ -60,23 +62,23 @@
         try {
             file.write(configuration);
         } catch (IOException e) {
-            ControlLog.snapshotNotKept(e);
+            ControlLog.snapshotNotSaved(e);
         }
     }
 
-    /** Returns once what was to be written is. */
+    /** Returns when the scheduled write is done, or after a timeout. */
     @Override
     public void close() {
         writer.shutdown();
         try {
-            writer.awaitTermination(CLOSE_WITHIN_MS, TimeUnit.MILLISECONDS);
+            writer.awaitTermination(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         try {
             file.close();
         } catch (IOException e) {
-            ControlLog.snapshotNotKept(e);
+            ControlLog.snapshotNotSaved(e);
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/WatchResponseStream.java
+++ b/fleet/src/main/java/tinford/fleet/control/WatchResponseStream.java
@@ -2,7 +2,6 @@
 
 import io.undertow.server.HttpServerExchange;
 import java.io.IOException;
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -15,91 +14,94 @@
 import tinford.fleet.control.ControlSettings.WatchTiming;
 
 /**
- * One follower's watch: writes each line that the follower lacks, one at a time, and a heartbeat
- * where there is none.
+ * One follower's watch: writes each line that the follower lacks, one at a time, and heartbeats
+ * while there is none.
  *
- * <p>Holds a revision and one line, whose bytes are shared with other followers: a follower that
- * reads slowly costs no memory that grows. It is closed when it takes in nothing for {@code
- * stallMs}, or does not finish one line within {@code lineMs}.
+ * <p>It holds a revision and one line, whose bytes are shared with other followers, so a follower
+ * that reads slowly takes no additional memory. A follower that is too slow by the {@link
+ * WatchTiming} is disconnected.
  *
- * <p>All state belongs to the exchange's I/O thread, except what is volatile.
+ * <p>All state is confined to the exchange's I/O thread, except for volatile fields.
  */
 final class WatchResponseStream {
-    private static final byte[] HEARTBEAT = "\n".getBytes(StandardCharsets.US_ASCII);
+    /** An empty line; shows that the watch is alive while no revision is sent. */
+    static final byte[] HEARTBEAT = "\n".getBytes(StandardCharsets.US_ASCII);
 
     private final WatchRequest request;
     private final HttpServerExchange exchange;
-    private final XnioIoThread thread;
+    private final XnioIoThread ioThread;
     private final RevisionFeed feed;
     private final WatchTiming timing;
-    private final Consumer<WatchResponseStream> whenClosed;
+    private final Consumer<WatchResponseStream> onClosed;
     private final AtomicBoolean wakeScheduled = new AtomicBoolean();
-    private StreamSinkChannel channel;
-    private XnioExecutor.Key timer;
 
-    /** What is being written; null when all was written and flushed. */
-    private ByteBuffer outstanding;
+    /** Null before the start. */
+    private volatile LineWriter writer;
 
-    private long lineStartedAt;
-    private long progressAt;
+    private XnioExecutor.Key timer;
     private boolean lineSinceTick;
-    private boolean ending;
+    private boolean lastLineStarted;
     private boolean closed;
 
-    /** Of the last line that was begun. */
+    /** The revision of the last line that was started. */
     private long sentRevision;
 
-    private volatile int pendingBytes;
-
+    /**
+     * @param onClosed called once, on the I/O thread, when the watch has ended
+     */
     WatchResponseStream(
             WatchRequest request,
             HttpServerExchange exchange,
             RevisionFeed feed,
             WatchTiming timing,
-            Consumer<WatchResponseStream> whenClosed) {
+            Consumer<WatchResponseStream> onClosed) {
         this.request = request;
         this.exchange = exchange;
-        this.thread = exchange.getIoThread();
+        this.ioThread = exchange.getIoThread();
         this.feed = feed;
         this.timing = timing;
-        this.whenClosed = whenClosed;
-        this.sentRevision = request.after();
+        this.onClosed = onClosed;
+        this.sentRevision = request.afterRevision();
     }
 
     WatchRequest request() {
         return request;
     }
 
-    /** Bytes of the current line that the follower has not taken in yet. */
+    /** Bytes of the current line that the follower has not accepted yet; from any thread. */
     int pendingBytes() {
-        return pendingBytes;
+        LineWriter current = writer;
+        return current == null ? 0 : current.pendingBytes();
     }
 
-    /** On the I/O thread, once. */
+    /** Begins the response; on the I/O thread, once. */
     void start() {
         if (closed) {
             return;
         }
         if (request.watch()) {
-            exchange.getConnection().addCloseListener(connection -> onThread(this::close));
+            exchange.getConnection().addCloseListener(connection -> runOnIoThread(this::close));
         }
-        channel = exchange.getResponseChannel();
+        StreamSinkChannel channel = exchange.getResponseChannel();
         if (channel == null || !exchange.getConnection().isOpen()) {
             close();
             return;
         }
+        writer = new LineWriter(channel, timing);
         channel.getWriteSetter().set(sink -> advance());
-        timer = thread.executeAtInterval(this::tick, timing.heartbeatMs(), TimeUnit.MILLISECONDS);
+        timer =
+                ioThread.executeAtInterval(
+                        this::tick, timing.heartbeatIntervalMs(), TimeUnit.MILLISECONDS);
         if (request.watch()) {
-            begin(HEARTBEAT); // the response's head goes out at once
+            writer.start(HEARTBEAT); // sends the head of the response at once
         }
         advance();
     }
 
-    /** From any thread: there may be a line to write. */
+    /** Writes the next line if there is one; from any thread. */
     void wake() {
         if (wakeScheduled.compareAndSet(false, true)) {
-            onThread(
+            runOnIoThread(
                     () -> {
                         wakeScheduled.set(false);
                         advance();
@@ -107,38 +109,41 @@
         }
     }
 
-    /** From any thread. */
-    void closeSoon() {
-        onThread(this::close);
+    /** Ends the watch soon; from any thread. */
+    void closeAsync() {
+        runOnIoThread(this::close);
     }
 
-    private void onThread(Runnable task) {
-        if (Thread.currentThread() == thread) {
+    private void runOnIoThread(Runnable task) {
+        if (Thread.currentThread() == ioThread) {
             task.run();
             return;
         }
         try {
-            thread.execute(task);
+            ioThread.execute(task);
         } catch (RejectedExecutionException e) {
             // the server is being closed, and its connections with it
         }
     }
 
+    /** Writes line after line until the follower is current or accepts no more bytes. */
     private void advance() {
-        if (closed || channel == null) {
-            return; // a wake that came before the start is made up for there
+        if (closed || writer == null) {
+            return; // start() advances too, so no wake is lost before it
         }
         try {
-            while (finishOutstanding() && beginNextLine()) {
-                // one line after the other, until the follower has all or takes in no more
+            boolean started = true;
+            while (started && writer.write()) {
+                started = startNextLine();
             }
         } catch (IOException e) {
             close();
         }
     }
 
-    private boolean beginNextLine() throws IOException {
-        if (ending) {
+    /** Returns whether there was a line to start. */
+    private boolean startNextLine() throws IOException {
+        if (lastLineStarted) {
             endExchange();
             return false;
         }
@@ -151,38 +156,8 @@
         }
         sentRevision = line.revision();
         lineSinceTick = true;
-        begin(line.bytes());
-        ending = !request.watch();
-        return true;
-    }
-
-    private void begin(byte[] bytes) {
-        outstanding = ByteBuffer.wrap(bytes).asReadOnlyBuffer();
-        pendingBytes = bytes.length;
-        lineStartedAt = System.nanoTime();
-        progressAt = lineStartedAt;
-    }
-
-    /** Returns whether nothing is left to write. */
-    private boolean finishOutstanding() throws IOException {
-        if (outstanding == null) {
-            return true;
-        }
-        while (outstanding.hasRemaining()) {
-            int written = channel.write(outstanding);
-            if (written <= 0) {
-                channel.resumeWrites();
-                return false;
-            }
-            pendingBytes = outstanding.remaining();
-            progressAt = System.nanoTime();
-        }
-        if (!channel.flush()) {
-            channel.resumeWrites();
-            return false;
-        }
-        channel.suspendWrites();
-        outstanding = null;
+        writer.start(line.bytes());
+        lastLineStarted = !request.watch();
         return true;
     }
 
@@ -190,30 +165,32 @@
         stopTimer();
         closed = true;
         exchange.endExchange();
-        whenClosed.accept(this);
+        onClosed.accept(this);
     }
 
+    /** Once each heartbeat interval. */
     private void tick() {
         if (closed) {
             return;
         }
-        long now = System.nanoTime();
-        if (outstanding != null) {
-            boolean stalled = now - progressAt > TimeUnit.MILLISECONDS.toNanos(timing.stallMs());
-            boolean late = now - lineStartedAt > TimeUnit.MILLISECONDS.toNanos(timing.lineMs());
-            if (stalled || late) {
-                ControlLog.followerStalled(request.follower(), pendingBytes);
-                close();
-            }
+        if (!writer.isIdle()) {
+            closeIfTooSlow();
             return;
         }
         if (request.watch() && !lineSinceTick) {
-            begin(HEARTBEAT);
+            writer.start(HEARTBEAT);
         }
         lineSinceTick = false;
         advance();
     }
 
+    private void closeIfTooSlow() {
+        if (writer.isTooSlow()) {
+            ControlLog.followerStalled(request.follower(), writer.pendingBytes());
+            close();
+        }
+    }
+
     private void stopTimer() {
         if (timer != null) {
             timer.remove();
@@ -226,9 +203,10 @@
         }
         closed = true;
         stopTimer();
-        outstanding = null;
-        pendingBytes = 0;
+        if (writer != null) {
+            writer.discard();
+        }
         IoUtils.safeClose(exchange.getConnection());
-        whenClosed.accept(this);
+        onClosed.accept(this);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/follow/LineSplitter.java
+++ b/fleet/src/main/java/tinford/fleet/follow/LineSplitter.java
@@ -5,61 +5,65 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts a stream of bytes into lines of bounded length. Not thread-safe. */
+/** Splits a stream of bytes into lines of bounded length. Not thread-safe. */
 final class LineSplitter {
-    /** A line is longer than it may be. */
-    static final class LineTooLong extends Exception {
+    /** A line is longer than allowed. */
+    static final class LineTooLongException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        LineTooLong(int longest) {
-            super("line: expected at most " + longest + " bytes");
+        LineTooLongException(int maxLineBytes) {
+            super("line: expected at most " + maxLineBytes + " bytes");
         }
     }
 
-    private static final byte LINE_END = '\n';
-    private final int longest;
-    private ByteArrayOutputStream begun = new ByteArrayOutputStream();
+    private static final byte LINE_FEED = '\n';
 
-    /** For lines of at most so many bytes. */
-    LineSplitter(int longest) {
-        this.longest = longest;
+    private final int maxLineBytes;
+    private ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
+
+    /**
+     * @param maxLineBytes the longest line, without its line feed
+     */
+    LineSplitter(int maxLineBytes) {
+        this.maxLineBytes = maxLineBytes;
     }
 
     /**
-     * The lines that end in these bytes, without their ends; the rest is kept for the next call.
+     * The lines that end within these bytes, without their line feeds. An unfinished line is kept
+     * for the next call.
      */
-    List<byte[]> split(List<ByteBuffer> buffers) throws LineTooLong {
+    List<byte[]> split(List<ByteBuffer> buffers) throws LineTooLongException {
         List<byte[]> lines = new ArrayList<>();
         for (ByteBuffer buffer : buffers) {
             while (buffer.hasRemaining()) {
-                int length = lengthToLineEnd(buffer);
-                boolean ends = length < buffer.remaining();
-                take(buffer, length);
-                if (ends) {
+                int length = lengthToLineFeed(buffer);
+                boolean endsLine = length < buffer.remaining();
+                append(buffer, length);
+                if (endsLine) {
                     buffer.get();
-                    lines.add(begun.toByteArray());
-                    begun = new ByteArrayOutputStream();
+                    lines.add(partialLine.toByteArray());
+                    partialLine = new ByteArrayOutputStream();
                 }
             }
         }
         return lines;
     }
 
-    private static int lengthToLineEnd(ByteBuffer buffer) {
+    private static int lengthToLineFeed(ByteBuffer buffer) {
         for (int at = buffer.position(); at < buffer.limit(); at++) {
-            if (buffer.get(at) == LINE_END) {
+            if (buffer.get(at) == LINE_FEED) {
                 return at - buffer.position();
             }
         }
         return buffer.remaining();
     }
 
-    private void take(ByteBuffer buffer, int length) throws LineTooLong {
-        if (begun.size() + length > longest) {
-            throw new LineTooLong(longest);
+    private void append(ByteBuffer buffer, int length) throws LineTooLongException {
+        if (partialLine.size() + length > maxLineBytes) {
+            throw new LineTooLongException(maxLineBytes);
         }
         byte[] bytes = new byte[length];
         buffer.get(bytes);
-        begun.writeBytes(bytes);
+        partialLine.writeBytes(bytes);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/settings/InvalidOperatorFileException.java
+++ b/fleet/src/main/java/tinford/fleet/settings/InvalidOperatorFileException.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** A file that can't be used; its message has one line a fault. */
+/** An operator file that can't be used; its message has one line per error. */
 public final class InvalidOperatorFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public InvalidOperatorFileException(List<String> faults) {
-        super(String.join("\n", faults));
+    public InvalidOperatorFileException(List<String> errors) {
+        super(String.join("\n", errors));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
@@ -15,37 +15,41 @@
 public final class SettingsSchema {
     private final Map<String, SettingsKey> keys = new LinkedHashMap<>();
 
-    /** A number that may be left out. */
-    public SettingsSchema number(String key, double absent, double least, double most) {
-        keys.put(key, SettingsKey.number(least, most, absent));
+    /** An optional number. */
+    public SettingsSchema number(String key, double defaultValue, double min, double max) {
+        keys.put(key, SettingsKey.number(min, max, defaultValue));
         return this;
     }
 
-    /** True or false; may be left out. */
-    public SettingsSchema flag(String key, boolean absent) {
-        keys.put(key, SettingsKey.of(SettingsKey.Type.FLAG, "true or false", absent));
+    /** An optional flag, true or false. */
+    public SettingsSchema flag(String key, boolean defaultValue) {
+        keys.put(key, SettingsKey.of(SettingsKey.Type.FLAG, "true or false", defaultValue));
         return this;
     }
 
-    /** A text that may be left out and is empty then. */
+    /** An optional text, empty by default. */
     public SettingsSchema text(String key, String expected) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.TEXT, expected, ""));
         return this;
     }
 
-    /** A text that has to be there. */
+    /** A required text. */
     public SettingsSchema requiredText(String key, String expected) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.TEXT, expected, null));
         return this;
     }
 
-    /** A list of texts that may be left out and is empty then. */
+    /** An optional list of texts, empty by default. */
     public SettingsSchema texts(String key, String expected) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.TEXTS, expected, List.of()));
         return this;
     }
 
-    /** Reads the file; every fault of its keys is told at once. */
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidOperatorFileException with all errors of its keys
+     */
     public OperatorSettings read(Path file) throws InvalidOperatorFileException {
         String text;
         try {
@@ -58,24 +62,25 @@
     }
 
     /**
-     * Reads a text.
+     * Parses the content of a file.
      *
-     * @param file its name, for faults
+     * @param file its name, for error messages
+     * @throws InvalidOperatorFileException with all errors of its keys
      */
     public OperatorSettings parse(String file, String text) throws InvalidOperatorFileException {
         Map<String, Object> values = new LinkedHashMap<>();
         OperatorSettings settings = new OperatorSettings(file, text, values);
-        List<String> faults = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         for (Map.Entry<String, JsonNode> table : tree(file, text).properties()) {
             if (table.getValue().isObject()) {
-                readTable(table, settings, values, faults);
+                readTable(table, settings, values, errors);
             } else {
-                faults.add(settings.fault(table.getKey(), "to stand in a table"));
+                errors.add(settings.error(table.getKey(), "to stand in a table"));
             }
         }
-        addAbsent(settings, values, faults);
-        if (!faults.isEmpty()) {
-            throw new InvalidOperatorFileException(faults);
+        addDefaults(settings, values, errors);
+        if (!errors.isEmpty()) {
+            throw new InvalidOperatorFileException(errors);
         }
         return settings;
     }
@@ -99,31 +104,31 @@
             Map.Entry<String, JsonNode> table,
             OperatorSettings settings,
             Map<String, Object> values,
-            List<String> faults) {
+            List<String> errors) {
         for (Map.Entry<String, JsonNode> entry : table.getValue().properties()) {
             String name = table.getKey() + "." + entry.getKey();
             SettingsKey key = keys.get(name);
             if (key == null) {
-                faults.add(settings.fault(name, "no such key; there are " + keys.keySet()));
+                errors.add(settings.error(name, "no such key; there are " + keys.keySet()));
                 continue;
             }
             Object value = key.value(entry.getValue());
             if (value == null) {
-                faults.add(settings.fault(name, key.expected()));
+                errors.add(settings.error(name, key.expected()));
             } else {
                 values.put(name, value);
             }
         }
     }
 
-    private void addAbsent(
-            OperatorSettings settings, Map<String, Object> values, List<String> faults) {
+    private void addDefaults(
+            OperatorSettings settings, Map<String, Object> values, List<String> errors) {
         keys.forEach(
                 (name, key) -> {
-                    if (key.absent() != null) {
-                        values.putIfAbsent(name, key.absent());
+                    if (key.defaultValue() != null) {
+                        values.putIfAbsent(name, key.defaultValue());
                     } else if (!values.containsKey(name) && !settings.isWritten(name)) {
-                        faults.add(settings.fault(name, key.expected()));
+                        errors.add(settings.error(name, key.expected()));
                     }
                 });
     }
--- a/fleet/src/test/java/tinford/fleet/control/ReplicaTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ReplicaTest.java
@@ -14,6 +14,7 @@
 import tinford.fleet.config.ConfigurationCodec;
 import tinford.fleet.config.Endpoint;
 import tinford.fleet.config.WatchMessage;
+import tinford.fleet.testing.Eventually;
 
 /** A replica behind a voter. */
 public class ReplicaTest {
@@ -50,7 +51,7 @@
         }
     }
 
-    private ControlClient.Answer propose(ControlServer server, String name) throws Exception {
+    private ControlClient.Response propose(ControlServer server, String name) throws Exception {
         byte[] body = ConfigurationCodec.encode(TestServers.putService(name, name));
         return client.post(server.address(), "/proposals", body);
     }
@@ -83,7 +84,7 @@
 
     @Test
     public void takesNoProposals() throws Exception {
-        ControlClient.Answer answer = propose(replica, "search");
+        ControlClient.Response answer = propose(replica, "search");
         assertEquals(answer.status(), 503);
         assertEquals(answer.body().path("taken").asText(), "no");
         assertEquals(revision(voter), 0);
--- a/gateway/src/test/java/tinford/program/DiscoveryTest.java
+++ b/gateway/src/test/java/tinford/program/DiscoveryTest.java
@@ -54,7 +54,8 @@
             assertEquals(client.receive(), "ok");
             server.socket.close();
         }
-        awaitLog(logFile, "discovery: expected discovery: seq: expected a whole number");
+        awaitLog(logFile, "invalid response from discovery discovery=");
+        awaitLog(logFile, "error=\"expected discovery: seq: expected a whole number\"");
     }
 
     /** A client accepted before would have its request sent where the known list says. */
--- a/lab/src/main/java/tinford/lab/model/Node.java
+++ b/lab/src/main/java/tinford/lab/model/GatewayNode.java
@@ -17,13 +17,13 @@
  * A gateway: the decisions as they are, and a front that carries what they write over the model's
  * wires.
  */
-final class Node implements GatewayActions {
+final class GatewayNode implements GatewayActions {
     final int number;
-    private final World world;
+    private final Simulation world;
     private final DecisionModule.Factory maker;
     private final Map<String, Server> servers = new HashMap<>();
     private final Map<String, Double> drainToldAt = new HashMap<>();
-    private final Map<Machine, Server.State> missed =
+    private final Map<ServerMachine, Server.State> missed =
             new LinkedHashMap<>(); // told while it was down: what each came to last
     private List<Consumer<GatewayEvents>> came = new ArrayList<>();
     private DecisionModule gateway;
@@ -33,7 +33,7 @@
     boolean cutOff; // from the counter
     long rounds;
 
-    Node(World world, int number, DecisionModule.Factory maker) {
+    GatewayNode(Simulation world, int number, DecisionModule.Factory maker) {
         this.world = world;
         this.number = number;
         this.maker = maker;
@@ -65,7 +65,7 @@
         List<Server> all =
                 servers.values().stream().sorted((a, b) -> a.id.compareTo(b.id)).toList();
         input(in -> in.endpointsUpdated(all, true));
-        Map<Machine, Server.State> late = new LinkedHashMap<>(missed);
+        Map<ServerMachine, Server.State> late = new LinkedHashMap<>(missed);
         missed.clear();
         if (!late.isEmpty()) {
             world.agenda.after(world.lateness(), () -> late.forEach(this::listed));
@@ -74,21 +74,17 @@
 
     private static Server copy(Server old) {
         Server s = new Server(old.id);
-        s.zone = old.zone;
-        s.cell = old.cell;
-        s.state = old.state;
-        s.weight = old.weight;
-        s.startedAtMs = old.startedAtMs;
+        s.updateAttributes(old.zone(), old.cell(), old.group(), old.weight());
+        s.updateState(old.state());
+        s.updateStartTime(old.startedAtMs());
         return s;
     }
 
-    private static Server entry(Machine m, Server.State state) {
+    private static Server entry(ServerMachine m, Server.State state) {
         Server s = new Server(m.id);
-        s.zone = m.zone;
-        s.cell = m.cell;
-        s.weight = 1;
-        s.state = state;
-        s.startedAtMs = m.born;
+        s.updateAttributes(m.zone, m.cell, "", 1);
+        s.updateState(state);
+        s.updateStartTime(m.born);
         return s;
     }
 
@@ -136,11 +132,11 @@
                 });
     }
 
-    void arrive(Try t) {
+    void arrive(ClientAttempt t) {
         input(in -> in.requestArrived(t));
     }
 
-    void left(Try t) {
+    void left(ClientAttempt t) {
         if (t.life == life && !t.over) {
             t.over = true;
             t.left = true;
@@ -149,14 +145,14 @@
     }
 
     /** Discovery's word of one server. */
-    void listed(Machine m, Server.State state) {
+    void listed(ServerMachine m, Server.State state) {
         if (!up) {
             missed.put(m, state);
             return;
         }
         Server s = servers.computeIfAbsent(m.id, id -> entry(m, state));
-        s.state = state;
-        s.startedAtMs = m.born;
+        s.updateState(state);
+        s.updateStartTime(m.born);
         if (state == Server.State.UP) {
             drainToldAt.remove(m.id);
         } else {
@@ -170,10 +166,10 @@
 
     @Override
     public void sendAttempt(Request request, Server srv, double cap, double within) {
-        Try t = (Try) request;
+        ClientAttempt t = (ClientAttempt) request;
         double now = world.agenda.now();
-        Machine m = world.machine(srv.id);
-        boolean told = srv.startedAtMs == m.born;
+        ServerMachine m = world.machine(srv.id);
+        boolean told = srv.startedAtMs() == m.born;
         int no = t.hops.size();
         boolean first = t.hops.isEmpty();
         world.oracle.dispatched(
@@ -181,12 +177,12 @@
         if (first) {
             world.sentOn(t);
         }
-        Try.Hop hop = new Try.Hop(m, now);
+        ClientAttempt.Hop hop = new ClientAttempt.Hop(m, now);
         t.hops.add(hop);
         double left = t.deadlineMs - world.agenda.now();
         double wait = cap == 0 ? left : Math.min(cap, left);
         hop.visit =
-                new Machine.Visit(
+                new ServerMachine.Visit(
                         t.work,
                         end -> {
                             if (end == AttemptOutcome.SUCCESS) {
@@ -211,8 +207,8 @@
                 });
     }
 
-    private void ends(Try t, int no, AttemptOutcome how) {
-        Try.Hop hop = t.hops.get(no);
+    private void ends(ClientAttempt t, int no, AttemptOutcome how) {
+        ClientAttempt.Hop hop = t.hops.get(no);
         if (hop.end != null) {
             return;
         }
@@ -233,8 +229,8 @@
 
     @Override
     public void cancelAttempt(Request request, int no) {
-        Try t = (Try) request;
-        Try.Hop hop = t.hops.get(no);
+        ClientAttempt t = (ClientAttempt) request;
+        ClientAttempt.Hop hop = t.hops.get(no);
         if (hop.end == null) {
             hop.to.withdraw(hop.visit);
             world.agenda.after(0, () -> ends(t, no, AttemptOutcome.CANCELLED));
@@ -243,15 +239,15 @@
 
     @Override
     public void reject(Request request, double retryAfter) {
-        finish((Try) request, "denied", retryAfter);
+        finish((ClientAttempt) request, "denied", retryAfter);
     }
 
     @Override
     public void fail(Request request) {
-        finish((Try) request, "aborted", 0);
+        finish((ClientAttempt) request, "aborted", 0);
     }
 
-    private void finish(Try t, String answer, double retryAfter) {
+    private void finish(ClientAttempt t, String answer, double retryAfter) {
         world.oracle.answered(t, answer, world.agenda.now());
         if (!t.over) {
             t.over = true;
--- a/lab/src/test/java/tinford/lab/study/StudyTest.java
+++ b/lab/src/test/java/tinford/lab/study/StudyTest.java
@@ -23,7 +23,7 @@
 import tinford.decision.DecisionEngine;
 import tinford.lab.LabLine;
 import tinford.lab.Scenarios;
-import tinford.lab.model.Outcome;
+import tinford.lab.model.RunResult;
 import tinford.lab.scenario.Scenario;
 
 /** Studies: intervals, verdicts, files, and what is said of bad input. */
@@ -47,8 +47,8 @@
     @Test
     public void threadsChangeNothing() throws Exception {
         Scenario s = Scenarios.small(0, "");
-        List<Outcome> one = new Study(s, 1).run(DecisionEngine::new, 1, 6);
-        List<Outcome> four = new Study(s, 4).run(DecisionEngine::new, 1, 6);
+        List<RunResult> one = new Study(s, 1).run(DecisionEngine::new, 1, 6);
+        List<RunResult> four = new Study(s, 4).run(DecisionEngine::new, 1, 6);
         for (int i = 0; i < 6; i++) {
             assertEquals(one.get(i).figures(), four.get(i).figures());
         }
@@ -61,8 +61,8 @@
     @Test
     public void aKnownDifferenceIsRanked() throws Exception {
         Study study = new Study(Scenarios.small(0, ""), 4);
-        List<Outcome> good = study.run(DecisionEngine::new, 1, 8);
-        List<Outcome> bad =
+        List<RunResult> good = study.run(DecisionEngine::new, 1, 8);
+        List<RunResult> bad =
                 study.run(
                         (seed, place, limits, rules, counter, goal, mustAsk) -> {
                             DecisionEngine inner =
@@ -87,7 +87,7 @@
                                                                                             args) -> {
                                                                                         if (m.getName()
                                                                                                         .equals(
-                                                                                                                "arrived")
+                                                                                                                "requestArrived")
                                                                                                 && ((Request)
                                                                                                                                 args[
                                                                                                                                         0])
@@ -105,7 +105,7 @@
                                                                                         }
                                                                                         if (m.getName()
                                                                                                         .equals(
-                                                                                                                "left")
+                                                                                                                "clientDisconnected")
                                                                                                 && ((Request)
                                                                                                                                 args[
                                                                                                                                         0])
@@ -247,6 +247,27 @@
         }
     }
 
+    /** A build from before the renames is told as such, not as some broken file. */
+    @Test
+    public void anEarlierInterfaceIsToldFromAMissingModule() throws Exception {
+        Path scenario = Files.createTempFile("scenario", ".toml");
+        Files.writeString(scenario, Scenarios.text(0, "", Idempotency.IDEMPOTENT));
+        Path jar = Files.createTempFile("earlier", ".jar");
+        try (var out = new java.util.zip.ZipOutputStream(Files.newOutputStream(jar))) {
+            out.putNextEntry(new java.util.zip.ZipEntry("tinford/Decide.class"));
+        }
+        StringWriter err = new StringWriter();
+        int exitCode =
+                LabLine.of()
+                        .setErr(new PrintWriter(err))
+                        .execute("run", scenario.toString(), "--jar", jar.toString());
+        assertEquals(exitCode, 3);
+        assertTrue(err.toString().contains("not tinford.Decide"), err.toString());
+        for (Path file : List.of(scenario, jar)) {
+            Files.delete(file);
+        }
+    }
+
     private static List<Class<?>> all(Class<?> top) throws Exception {
         List<Class<?>> found = new java.util.ArrayList<>();
         Path at = Path.of(top.getProtectionDomain().getCodeSource().getLocation().toURI());
