--- a/gateway/src/main/java/tinford/program/GatewayComponents.java
+++ b/gateway/src/main/java/tinford/program/GatewayComponents.java
@@ -71,7 +71,7 @@
         counter = createCounter();
         watch = createWatch(json);
         PeerMessenger peers =
-                limits.gossipAllowed && !hasFleetExtension ? createPeerMessenger() : null;
+                limits.gossipAllowed() && !hasFleetExtension ? createPeerMessenger() : null;
         dispatcher.attach(clients, servers, counter, watch, peers);
         HandoverLock lock = configuration.hasAdminApi() ? openLock(sharedFolder) : null;
         adminApi = configuration.hasAdminApi() ? createAdminApi(lock) : null;
@@ -90,7 +90,7 @@
         DecisionModule module =
                 SettingsReader.createModule(moduleFactory, configuration.seed(), settings);
         return new RequestDispatcher(
-                module, limits.maxAttempts, budgets.connections(), budgets.bufferBytes());
+                module, limits.maxAttempts(), budgets.connections(), budgets.bufferBytes());
     }
 
     private ServerPool createServerPool() {
@@ -109,7 +109,7 @@
                         SettingsReader.requestClasses(settings), SettingsReader.plans(settings));
         ClientLimits limits =
                 new ClientLimits(
-                        SettingsReader.gatewayIdentity(settings).gatewayCount,
+                        SettingsReader.gatewayIdentity(settings).gatewayCount(),
                         SettingsReader.maxRequestUnits(settings),
                         idleTimeoutMs,
                         SettingsReader.maxOpenRequests(settings),
@@ -124,14 +124,14 @@
 
     private CounterClient createCounter() {
         CounterSettings counterSettings = SettingsReader.counterSettings(settings);
-        if (!counterSettings.present) {
+        if (!counterSettings.present()) {
             return null;
         }
         return new CounterClient(
                 dispatcher,
                 configuration.address("counter"),
                 connectTimeoutMs,
-                counterSettings.timeoutMs,
+                counterSettings.timeoutMs(),
                 COUNTER_CONNECTIONS);
     }
 
