--- a/fleet/src/main/java/tinford/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlServer.java
@@ -60,7 +60,8 @@
 
     private ControlServer(ControlSettings settings, RoleFactory roleFactory) throws IOException {
         this.settings = settings;
-        snapshotExecutor = Executors.newSingleThreadExecutor(ControlServer::newSnapshotThread);
+        snapshotExecutor =
+                Executors.newSingleThreadExecutor(new DaemonThreadFactory("control-snapshots"));
         feed = new RevisionFeed(settings.fleet(), snapshotExecutor);
         hub = new WatchHub(settings.maxFollowers());
         reports = new FollowerReports(2 * settings.maxFollowers());
@@ -107,21 +108,15 @@
                 settings.fleet(),
                 feed,
                 voter.decisionTimeoutMs(),
-                reader ->
+                stateMachine ->
                         new RaftLog(
                                 voter.number(),
                                 voter.members(),
                                 settings.folder(),
-                                reader,
+                                stateMachine,
                                 Voter.logBounds(voter)));
     }
 
-    private static Thread newSnapshotThread(Runnable task) {
-        Thread thread = new Thread(task, "control-snapshots");
-        thread.setDaemon(true);
-        return thread;
-    }
-
     private Undertow newHttpServer() {
         int connections = CONNECTIONS_PER_FOLLOWER * settings.maxFollowers() + OTHER_CONNECTIONS;
         return Undertow.builder()
--- a/fleet/src/main/java/tinford/fleet/control/Replica.java
+++ b/fleet/src/main/java/tinford/fleet/control/Replica.java
@@ -36,7 +36,9 @@
         snapshotSaver =
                 new SnapshotSaver(new SnapshotFile(settings.folder(), settings.fleet()), feed);
         snapshotSaver.load();
-        executor = Executors.newScheduledThreadPool(THREADS, Replica::newThread);
+        executor =
+                Executors.newScheduledThreadPool(
+                        THREADS, new DaemonThreadFactory("control-replica"));
         HttpClient http =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
@@ -55,12 +57,6 @@
         client.start();
     }
 
-    private static Thread newThread(Runnable task) {
-        Thread thread = new Thread(task, "control-replica");
-        thread.setDaemon(true);
-        return thread;
-    }
-
     private ApplyResult apply(Configuration configuration, List<Change> changes) {
         long before = feed.current().revision();
         if (changes == null) {
--- a/fleet/src/main/java/tinford/fleet/control/SnapshotSaver.java
+++ b/fleet/src/main/java/tinford/fleet/control/SnapshotSaver.java
@@ -20,7 +20,7 @@
     private final SnapshotFile file;
     private final RevisionFeed feed;
     private final ExecutorService writer =
-            Executors.newSingleThreadExecutor(SnapshotSaver::newThread);
+            Executors.newSingleThreadExecutor(new DaemonThreadFactory("control-snapshot-file"));
     private final AtomicBoolean scheduled = new AtomicBoolean();
 
     SnapshotSaver(SnapshotFile file, RevisionFeed feed) {
@@ -28,12 +28,6 @@
         this.feed = feed;
     }
 
-    private static Thread newThread(Runnable task) {
-        Thread thread = new Thread(task, "control-snapshot-file");
-        thread.setDaemon(true);
-        return thread;
-    }
-
     /** Publishes the stored configuration, if it is usable. */
     void load() {
         SnapshotFile.Loaded loaded = file.read();
--- a/fleet/src/main/java/tinford/fleet/transport/Transport.java
+++ b/fleet/src/main/java/tinford/fleet/transport/Transport.java
@@ -1,27 +1,31 @@
 package tinford.fleet.transport;
 
 /**
- * Messages between the gateways of a fleet, by their numbers. Any message may be lost, doubled,
- * late or out of order; none is changed, and none is told as from another than its sender. No call
- * waits, and nothing is kept without bound.
+ * Messages between the gateways of a fleet, which are identified by their numbers. A message may be
+ * lost, duplicated, delayed or reordered, but it is neither altered nor attributed to another
+ * sender. No call blocks, and buffers are bounded.
  */
 public interface Transport extends AutoCloseable {
-    /** Takes a message; called by one thread at a time, which may be the transport's own. */
+    /** Receives messages; called by one thread at a time, which may be the transport's own. */
     interface Receiver {
+        /**
+         * @param from the number of the sender
+         */
         void receive(int from, byte[] message);
     }
 
-    /** The longest message, in bytes. */
+    /** The length of the longest message. */
     int maxMessageBytes();
 
     /**
-     * Sends now or never.
+     * Sends a message now or never.
      *
-     * @return false when it surely did not leave: too long, to nobody, closed, or no room
+     * @return false if it was surely not sent: it is too long, the number is unknown, the transport
+     *     is closed, or a buffer is full
      */
     boolean send(int to, byte[] message);
 
-    /** From now on nothing is sent or taken; may be called twice. */
+    /** Ends sending and receiving; may be called twice. */
     @Override
     void close();
 }
--- a/fleet/src/main/java/tinford/fleet/transport/UdpTransport.java
+++ b/fleet/src/main/java/tinford/fleet/transport/UdpTransport.java
@@ -6,6 +6,7 @@
 import java.net.SocketAddress;
 import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
+import java.nio.channels.ClosedSelectorException;
 import java.nio.channels.DatagramChannel;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
@@ -19,85 +20,105 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Messages as datagrams. One thread of its own takes what comes from the listed addresses, as from
- * the number that has the address; all else is dropped and counted. Nothing is kept outside the
- * socket's own buffers, which hold {@link #BUFFER} bytes at most (the system may count double).
+ * Messages as UDP datagrams. A thread of its own receives datagrams from the addresses of the
+ * peers, as from the peer that has the address; all others are dropped and counted. Nothing is
+ * buffered outside the socket's own buffers of {@link #SOCKET_BUFFER_BYTES} (the system may double
+ * them).
  */
 public final class UdpTransport implements Transport {
-    private static final int BUFFER = 256 * 1024;
+    private static final int SOCKET_BUFFER_BYTES = 256 * 1024;
 
     /** How long {@link #close} waits for a receiver that is being called. */
-    private static final long CLOSE_MS = 1000;
+    private static final long CLOSE_TIMEOUT_MS = 1000;
 
     private final List<InetSocketAddress> peers;
-    private final Map<SocketAddress, Integer> numbers = new HashMap<>();
-    private final int own;
+    private final Map<SocketAddress, Integer> numberByAddress;
+    private final int ownNumber;
     private final int maxMessageBytes;
     private final Receiver receiver;
-    private final DatagramChannel channel;
     private final Selector selector;
+    private final DatagramChannel channel;
 
-    /**
-     * Held while the receiver is called, so that nothing is taken once {@link #close} is through.
-     */
-    private final ReentrantLock taking = new ReentrantLock();
+    /** Held while the receiver is called, so that it is not called after {@link #close}. */
+    private final ReentrantLock deliveryLock = new ReentrantLock();
 
-    private final LongAdder strangers = new LongAdder();
-    private final LongAdder tooLong = new LongAdder();
-    private final LongAdder thrown = new LongAdder();
+    private final LongAdder unknownSenders = new LongAdder();
+    private final LongAdder oversizedMessages = new LongAdder();
+    private final LongAdder receiverFailures = new LongAdder();
     private volatile boolean closed;
 
     /**
-     * @param peers by number; the own one may be anything, null too
+     * Opens the socket and starts the thread.
+     *
+     * @param peers the addresses of the gateways by number; the own one is ignored and may be null
+     * @throws IllegalArgumentException for a peer without a resolved address and port, or an
+     *     address of two peers
+     * @throws IOException if the address can't be bound
      */
     public UdpTransport(
-            int own,
+            int ownNumber,
             InetSocketAddress listen,
             List<InetSocketAddress> peers,
             int maxMessageBytes,
             Receiver receiver)
             throws IOException {
-        this.own = own;
+        this.ownNumber = ownNumber;
         this.peers = Collections.unmodifiableList(new ArrayList<>(peers));
         this.maxMessageBytes = maxMessageBytes;
         this.receiver = receiver;
-        for (int i = 0; i < peers.size(); i++) {
-            InetSocketAddress one = peers.get(i);
-            if (i == own) {
-                continue;
-            }
-            if (one == null || one.isUnresolved() || one.getPort() == 0) {
-                throw new IllegalArgumentException(
-                        "peers, " + i + ": expected an address that resolves, with port: " + one);
-            }
-            if (numbers.put(one, i) != null) {
-                throw new IllegalArgumentException(
-                        "peers, "
-                                + i
-                                + ": expected an address of its own, found "
-                                + one
-                                + " twice");
+        numberByAddress = numberByAddress(peers, ownNumber);
+        selector = Selector.open();
+        channel = openChannel(listen, selector);
+        Thread thread = new Thread(this::receiveLoop, "fleet-transport-" + ownNumber);
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private static Map<SocketAddress, Integer> numberByAddress(
+            List<InetSocketAddress> peers, int ownNumber) {
+        Map<SocketAddress, Integer> numbers = new HashMap<>();
+        for (int number = 0; number < peers.size(); number++) {
+            if (number != ownNumber) {
+                addPeer(numbers, number, peers.get(number));
             }
         }
-        selector = Selector.open();
-        DatagramChannel opened = null;
+        return numbers;
+    }
+
+    private static void addPeer(
+            Map<SocketAddress, Integer> numbers, int number, InetSocketAddress peer) {
+        if (peer == null || peer.isUnresolved() || peer.getPort() == 0) {
+            throw new IllegalArgumentException(
+                    "peers, " + number + ": expected an address that resolves, with port: " + peer);
+        }
+        if (numbers.put(peer, number) != null) {
+            throw new IllegalArgumentException(
+                    "peers, "
+                            + number
+                            + ": expected an address of its own, found "
+                            + peer
+                            + " twice");
+        }
+    }
+
+    /** Closes the selector too if the channel can't be opened. */
+    private static DatagramChannel openChannel(InetSocketAddress listen, Selector selector)
+            throws IOException {
+        DatagramChannel channel = null;
         try {
-            opened = DatagramChannel.open();
-            opened.setOption(StandardSocketOptions.SO_RCVBUF, BUFFER)
-                    .setOption(StandardSocketOptions.SO_SNDBUF, BUFFER);
-            opened.bind(listen).configureBlocking(false);
-            opened.register(selector, SelectionKey.OP_READ);
+            channel = DatagramChannel.open();
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, SOCKET_BUFFER_BYTES);
+            channel.setOption(StandardSocketOptions.SO_SNDBUF, SOCKET_BUFFER_BYTES);
+            channel.bind(listen).configureBlocking(false);
+            channel.register(selector, SelectionKey.OP_READ);
+            return channel;
         } catch (IOException | RuntimeException e) {
             selector.close();
-            if (opened != null) {
-                opened.close();
+            if (channel != null) {
+                channel.close();
             }
             throw e;
         }
-        channel = opened;
-        Thread thread = new Thread(this::listen, "fleet-transport-" + own);
-        thread.setDaemon(true);
-        thread.start();
     }
 
     @Override
@@ -110,88 +131,95 @@
         if (closed
                 || to < 0
                 || to >= peers.size()
-                || to == own
+                || to == ownNumber
                 || message.length > maxMessageBytes) {
             return false;
         }
         try {
-            // An empty datagram that was sent counts 0 bytes as well; whether it left is not known
-            // then.
+            // for an empty message, 0 bytes mean either that it was sent or that it was not
             return channel.send(ByteBuffer.wrap(message), peers.get(to)) == message.length;
         } catch (IOException | RuntimeException e) {
             return false;
         }
     }
 
-    private void listen() {
+    private void receiveLoop() {
         ByteBuffer buffer = ByteBuffer.allocate(maxMessageBytes + 1);
         while (!closed) {
             try {
                 selector.select();
                 selector.selectedKeys().clear();
-                SocketAddress from;
-                while (!closed && (from = channel.receive(buffer.clear())) != null) {
-                    take(from, buffer.flip());
-                }
+                receiveAll(buffer);
             } catch (IOException e) {
-                // An error that a peer's machine sent back for an earlier datagram: nothing was
-                // received, nothing is lost.
+                // an ICMP error for an earlier datagram; no message was lost by it
                 if (!channel.isOpen()) {
                     return;
                 }
-            } catch (java.nio.channels.ClosedSelectorException e) {
+            } catch (ClosedSelectorException e) {
+                return;
+            }
+        }
+    }
+
+    private void receiveAll(ByteBuffer buffer) throws IOException {
+        while (!closed) {
+            SocketAddress sender = channel.receive(buffer.clear());
+            if (sender == null) {
                 return;
             }
+            deliver(sender, buffer.flip());
         }
     }
 
-    private void take(SocketAddress from, ByteBuffer received) {
-        Integer number = numbers.get(from);
+    private void deliver(SocketAddress sender, ByteBuffer received) {
+        Integer number = numberByAddress.get(sender);
         if (number == null) {
-            strangers.increment();
+            unknownSenders.increment();
             return;
         }
         if (received.remaining() > maxMessageBytes) {
-            tooLong.increment();
+            oversizedMessages.increment();
             return;
         }
         byte[] message = new byte[received.remaining()];
         received.get(message);
-        taking.lock();
+        deliveryLock.lock();
         try {
             if (!closed) {
                 receiver.receive(number, message);
             }
         } catch (RuntimeException e) {
-            thrown.increment();
+            receiverFailures.increment();
         } finally {
-            taking.unlock();
+            deliveryLock.unlock();
         }
     }
 
-    public long strangers() {
-        return strangers.sum();
+    /** Datagrams dropped because their sender is no peer. */
+    public long unknownSenders() {
+        return unknownSenders.sum();
     }
 
-    public long tooLong() {
-        return tooLong.sum();
+    /** Datagrams dropped because they were too long. */
+    public long oversizedMessages() {
+        return oversizedMessages.sum();
     }
 
-    /** How often the receiver threw. */
-    public long thrown() {
-        return thrown.sum();
+    /** How often the receiver threw an exception. */
+    public long receiverFailures() {
+        return receiverFailures.sum();
     }
 
     /**
-     * Returns once no message is taken any more, or after a second where a receiver hangs in one
-     * that it has.
+     * Returns when the receiver is not called any more, or after a timeout if it does not return
+     * from its current call.
      */
     @Override
     public void close() {
         closed = true;
-        boolean mine = false;
+        boolean locked = false;
         try {
-            mine = taking.tryLock(CLOSE_MS, TimeUnit.MILLISECONDS);
+            locked = deliveryLock.tryLock(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             selector.close();
             channel.close();
         } catch (InterruptedException e) {
@@ -199,8 +227,8 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         } finally {
-            if (mine) {
-                taking.unlock();
+            if (locked) {
+                deliveryLock.unlock();
             }
         }
     }
--- a/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.transport.InMemoryTransport;
+import tinford.fleet.transport.InMemoryNetwork;
 
 /** Fleets of many sizes in virtual time: who is known to live, how soon, at what cost. */
 public class GossipMembershipTest {
@@ -57,15 +57,15 @@
 
     private static void lostAndBack(int n, double suspectAfter, double within) {
         SimulatedGossipFleet f = new SimulatedGossipFleet(n, suspectAfter, suspectAfter / 2, 5);
-        f.net.link(new InMemoryTransport.Link(1, 2, 0.01, 0.01, 0.01, 50));
+        f.net.setLink(new InMemoryNetwork.Link(1, 2, 0.01, 0.01, 0.01, 50));
         upTo(f, within);
         double from = f.now;
-        long sent = f.net.sent();
-        long bytes = f.net.bytes();
+        long sent = f.net.sentMessages();
+        long bytes = f.net.sentBytes();
         f.run(2000);
         assertTrue(least(f) >= n - 1 - n / 80, "wrongly suspected: sees " + least(f));
-        double messages = (f.net.sent() - sent) * 1000.0 / (f.now - from) / n;
-        double perSecond = (f.net.bytes() - bytes) * 1000.0 / (f.now - from) / n;
+        double messages = (f.net.sentMessages() - sent) * 1000.0 / (f.now - from) / n;
+        double perSecond = (f.net.sentBytes() - bytes) * 1000.0 / (f.now - from) / n;
         assertEquals(messages, 20, 0.5, "messages a second a gateway");
         assertTrue(perSecond <= 20.5 * 256, "bytes a second a gateway " + perSecond);
 
@@ -130,7 +130,7 @@
     private static void cut(SimulatedGossipFleet f, int half, boolean on) {
         for (int i = 0; i < half; i++) {
             for (int j = half; j < f.members.length; j++) {
-                f.net.cutBoth(i, j, on);
+                f.net.setCutBothWays(i, j, on);
             }
         }
     }
@@ -138,7 +138,7 @@
     @Test
     public void lossAndDoublingCostAgeOnly() {
         SimulatedGossipFleet f = new SimulatedGossipFleet(14, 3000, 3000, 7);
-        f.net.link(new InMemoryTransport.Link(1, 30, 0.3, 0.3, 0.1, 300));
+        f.net.setLink(new InMemoryNetwork.Link(1, 30, 0.3, 0.3, 0.1, 300));
         upTo(f, 5000);
         for (int i = 0; i < 200; i++) {
             f.round();
@@ -226,7 +226,7 @@
     public void nothingIsFresherThanItIs(long seed) {
         SimulatedGossipFleet f = new SimulatedGossipFleet(7, 3000, 1500, seed);
         Random r = new Random(seed);
-        f.net.link(new InMemoryTransport.Link(1, 20, 0.2, 0.2, 0.05, 2000));
+        f.net.setLink(new InMemoryNetwork.Link(1, 20, 0.2, 0.2, 0.05, 2000));
         double[][] since = new double[7][7];
         Incarnation[][] known = new Incarnation[7][7];
         double worst = 0;
@@ -262,8 +262,8 @@
         int a = r.nextInt(7);
         int b = (a + 1 + r.nextInt(6)) % 7;
         switch (r.nextInt(60)) {
-            case 0, 1 -> f.net.cut(a, b, true);
-            case 2, 3 -> f.net.cut(a, b, false);
+            case 0, 1 -> f.net.setCut(a, b, true);
+            case 2, 3 -> f.net.setCut(a, b, false);
             case 4 -> {
                 f.kill(a);
                 f.net.resume(a);
--- a/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
+++ b/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import tinford.fleet.transport.InMemoryTransport;
+import tinford.fleet.transport.InMemoryNetwork;
 import tinford.fleet.transport.Transport;
 
 /**
@@ -15,7 +15,7 @@
 final class SimulatedGossipFleet {
     static final double EVERY = 100;
     static final int FANOUT = 2;
-    final InMemoryTransport.Network net;
+    final InMemoryNetwork net;
     final GossipMembership[] members;
     final Transport[] transports;
     final boolean[] stopped;
@@ -32,7 +32,7 @@
     final double[] sees;
 
     SimulatedGossipFleet(int n, double suspectAfter, double freshFor, long seed) {
-        net = new InMemoryTransport.Network(n, 256, 200, seed);
+        net = new InMemoryNetwork(n, 256, 200, seed);
         net.advance(now);
         members = new GossipMembership[n];
         transports = new Transport[n];
@@ -63,7 +63,7 @@
         members[i] = m;
         seq[i] = 0;
         stopped[i] = false;
-        transports[i] = net.at(i, (from, message) -> m.receive(message, from, net.now()));
+        transports[i] = net.open(i, (from, message) -> m.receive(message, from, net.nowMs()));
     }
 
     void kill(int i) {
--- a/fleet/src/test/java/tinford/fleet/transport/BrokenTransportsTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/BrokenTransportsTest.java
@@ -8,13 +8,11 @@
 import java.util.Arrays;
 import java.util.Set;
 import java.util.TreeSet;
+import java.util.concurrent.locks.LockSupport;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/**
- * The contract catches transports that are broken on purpose, and passes the one that they are made
- * of.
- */
+/** The contract detects each fault of a faulty transport, and passes without one. */
 public class BrokenTransportsTest {
     enum Fault {
         NONE,
@@ -25,48 +23,49 @@
         DELIVERS_AFTER_CLOSE,
         SENDS_AFTER_CLOSE,
         TRUNCATES,
-        THROWS_TO_NOBODY,
-        DIES_OF_TAKER,
-        DROPS_EMPTY,
-        KEEPS_ARRAY,
-        OLD_PROCESS_TAKES
+        THROWS_FOR_UNKNOWN_NUMBER,
+        STOPS_AFTER_RECEIVER_FAILURE,
+        DROPS_EMPTY_MESSAGES,
+        SHARES_ARRAY,
+        DELIVERS_TO_CLOSED_PROCESS
     }
 
-    /** The network in memory with one fault. */
-    private static final class Broken extends InMemoryTransportTest {
+    /** The in-memory network with one fault. */
+    private static final class Broken extends InMemoryNetworkTest {
         private final Fault fault;
         private final Transport.Receiver[] first = new Transport.Receiver[3];
-        private final boolean[] dead = new boolean[3];
+        private final boolean[] stopped = new boolean[3];
 
         Broken(Fault fault) {
             this.fault = fault;
         }
 
         @Override
-        void begin() {
+        void openAll() {
             Arrays.fill(first, null);
-            Arrays.fill(dead, false);
-            super.begin();
+            Arrays.fill(stopped, false);
+            super.openAll();
         }
 
         @Override
         Transport open(int gateway, Transport.Receiver receiver) {
             if (fault == Fault.UNBOUNDED && gateway == 0) {
-                net = new InMemoryTransport.Network(3, MOST, Integer.MAX_VALUE, 7);
+                network = new InMemoryNetwork(3, MAX_MESSAGE_BYTES, Integer.MAX_VALUE, 7);
             }
             first[gateway] = first[gateway] == null ? receiver : first[gateway];
             Transport[] real = new Transport[1];
-            Transport.Receiver taken = (from, message) -> take(gateway, receiver, from, message);
+            Transport.Receiver faulty =
+                    (from, message) -> receive(gateway, receiver, from, message);
             real[0] =
-                    fault == Fault.KEEPS_ARRAY
-                            ? new Sharing(net, gateway, taken)
-                            : net.at(gateway, taken);
+                    fault == Fault.SHARES_ARRAY
+                            ? new ArraySharingTransport(network, gateway, faulty)
+                            : network.open(gateway, faulty);
             return new Transport() {
                 private boolean closed;
 
                 @Override
                 public int maxMessageBytes() {
-                    return MOST;
+                    return MAX_MESSAGE_BYTES;
                 }
 
                 @Override
@@ -74,17 +73,19 @@
                     if (fault == Fault.BLOCKS) {
                         pause();
                     }
-                    if (fault == Fault.THROWS_TO_NOBODY && (to < 0 || to > 2)) {
+                    if (fault == Fault.THROWS_FOR_UNKNOWN_NUMBER && (to < 0 || to > 2)) {
                         throw new ArrayIndexOutOfBoundsException(to);
                     }
-                    byte[] m =
-                            fault == Fault.TRUNCATES && message.length > MOST
-                                    ? Arrays.copyOf(message, MOST)
+                    byte[] sent =
+                            fault == Fault.TRUNCATES && message.length > MAX_MESSAGE_BYTES
+                                    ? Arrays.copyOf(message, MAX_MESSAGE_BYTES)
                                     : message;
-                    if (fault == Fault.DROPS_EMPTY && m.length == 0) {
+                    if (fault == Fault.DROPS_EMPTY_MESSAGES && sent.length == 0) {
                         return true;
                     }
-                    return fault == Fault.SENDS_AFTER_CLOSE && closed ? true : real[0].send(to, m);
+                    return fault == Fault.SENDS_AFTER_CLOSE && closed
+                            ? true
+                            : real[0].send(to, sent);
                 }
 
                 @Override
@@ -97,35 +98,36 @@
             };
         }
 
-        private void take(int gateway, Transport.Receiver receiver, int from, byte[] message) {
-            if (dead[gateway]) {
+        private void receive(int gateway, Transport.Receiver receiver, int from, byte[] message) {
+            if (stopped[gateway]) {
                 return;
             }
             if (fault == Fault.ALTERS && message.length > 30) {
                 message[30] ^= 1;
             }
-            int told = fault == Fault.WRONG_SENDER && message.length > 100 ? (from + 1) % 3 : from;
+            int sender =
+                    fault == Fault.WRONG_SENDER && message.length > 100 ? (from + 1) % 3 : from;
             try {
-                (fault == Fault.OLD_PROCESS_TAKES ? first[gateway] : receiver)
-                        .receive(told, message);
+                (fault == Fault.DELIVERS_TO_CLOSED_PROCESS ? first[gateway] : receiver)
+                        .receive(sender, message);
             } catch (IllegalStateException e) {
-                dead[gateway] = fault == Fault.DIES_OF_TAKER;
+                stopped[gateway] = fault == Fault.STOPS_AFTER_RECEIVER_FAILURE;
             }
         }
 
         private static void pause() {
-            java.util.concurrent.locks.LockSupport.parkNanos(2_000_000);
+            LockSupport.parkNanos(2_000_000);
         }
     }
 
-    /** Hands on the sender's own array, at the next {@code advance}. */
-    private static final class Sharing implements Transport {
+    /** Delivers the sender's own array instead of a copy. */
+    private static final class ArraySharingTransport implements Transport {
         private static byte[] last;
         private final Transport real;
 
-        Sharing(InMemoryTransport.Network net, int gateway, Receiver receiver) {
+        ArraySharingTransport(InMemoryNetwork net, int gateway, Receiver receiver) {
             real =
-                    net.at(
+                    net.open(
                             gateway,
                             (from, message) ->
                                     receiver.receive(
@@ -137,7 +139,7 @@
 
         @Override
         public int maxMessageBytes() {
-            return TransportContract.MOST;
+            return TransportContract.MAX_MESSAGE_BYTES;
         }
 
         @Override
@@ -162,7 +164,7 @@
                 } catch (InvocationTargetException e) {
                     failing.add(one.getName());
                 } finally {
-                    broken.end();
+                    broken.closeAll();
                 }
             }
         }
@@ -175,12 +177,12 @@
     }
 
     @Test(dataProvider = "faults")
-    public void eachIsCaught(Fault fault) throws IllegalAccessException {
+    public void contractDetectsEachFault(Fault fault) throws IllegalAccessException {
         Set<String> failing = failing(fault);
         if (fault == Fault.NONE) {
-            assertEquals(failing, Set.of(), "caught though whole");
+            assertEquals(failing, Set.of(), "detected without a fault");
         } else {
-            assertTrue(!failing.isEmpty(), fault + " was not caught");
+            assertTrue(!failing.isEmpty(), fault + " was not detected");
         }
     }
 }
--- a/fleet/src/test/java/tinford/fleet/transport/UdpTransportTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/UdpTransportTest.java
@@ -15,7 +15,7 @@
 import java.util.function.BooleanSupplier;
 import org.testng.annotations.Test;
 
-/** Datagrams over loopback keep the contract. */
+/** Datagrams over loopback fulfil the contract. */
 @Test
 public class UdpTransportTest extends TransportContract {
     private final List<InetSocketAddress> peers = new ArrayList<>();
@@ -23,10 +23,10 @@
     private final Object gate = new Object();
 
     @Override
-    void begin() {
-        try (DatagramSocket a = at(0);
-                DatagramSocket b = at(0);
-                DatagramSocket c = at(0)) {
+    void openAll() {
+        try (DatagramSocket a = openSocket(0);
+                DatagramSocket b = openSocket(0);
+                DatagramSocket c = openSocket(0)) {
             peers.clear();
             for (DatagramSocket s : List.of(a, b, c)) {
                 peers.add((InetSocketAddress) s.getLocalSocketAddress());
@@ -34,10 +34,10 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        super.begin();
+        super.openAll();
     }
 
-    private static DatagramSocket at(int port) throws IOException {
+    private static DatagramSocket openSocket(int port) throws IOException {
         return new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port));
     }
 
@@ -48,11 +48,11 @@
                     gateway,
                     peers.get(gateway),
                     peers,
-                    MOST,
+                    MAX_MESSAGE_BYTES,
                     (from, message) -> {
                         synchronized (gate) {
                             while (stalled[gateway]) {
-                                hang();
+                                awaitNotification();
                             }
                         }
                         receiver.receive(from, message);
@@ -62,7 +62,7 @@
         }
     }
 
-    private void hang() {
+    private void awaitNotification() {
         try {
             gate.wait();
         } catch (InterruptedException e) {
@@ -71,29 +71,29 @@
     }
 
     @Override
-    void until(BooleanSupplier so) {
+    void awaitCondition(BooleanSupplier so) {
         for (long end = System.nanoTime() + 10_000_000_000L; !so.getAsBoolean(); ) {
-            assertTrue(System.nanoTime() < end, "did not come");
+            assertTrue(System.nanoTime() < end, "not received");
             LockSupport.parkNanos(1_000_000);
         }
     }
 
     @Override
     void disturb() {
-        // Loopback takes its own course.
+        // loopback can't be disturbed
     }
 
     @Override
     void stall(int gateway) {
-        hold(gateway, true);
+        setStalled(gateway, true);
     }
 
     @Override
-    void go(int gateway) {
-        hold(gateway, false);
+    void unstall(int gateway) {
+        setStalled(gateway, false);
     }
 
-    private void hold(int gateway, boolean on) {
+    private void setStalled(int gateway, boolean on) {
         synchronized (gate) {
             stalled[gateway] = on;
             gate.notifyAll();
@@ -101,30 +101,32 @@
     }
 
     @Override
-    void stranger(int to, byte[] message) {
-        try (DatagramSocket s = at(0)) {
+    void sendFromUnknownSender(int to, byte[] message) {
+        try (DatagramSocket s = openSocket(0)) {
             s.send(new DatagramPacket(message, message.length, peers.get(to)));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        until(() -> ((UdpTransport) transports.get(to)).strangers() == 1);
+        awaitCondition(() -> ((UdpTransport) transports.get(to)).unknownSenders() == 1);
     }
 
-    /** One longer than agreed, from a peer's own address. */
-    public void longerOneIsDropped() throws IOException {
-        begin();
+    /** A datagram from a peer's address that is longer than the bound. */
+    public void oversizedDatagramIsDropped() throws IOException {
+        openAll();
         transports.get(0).close();
-        try (DatagramSocket s = at(peers.get(0).getPort())) {
-            s.send(new DatagramPacket(marked(0, 1, 300), 300, peers.get(1)));
+        try (DatagramSocket s = openSocket(peers.get(0).getPort())) {
+            s.send(new DatagramPacket(testMessage(0, 1, 300), 300, peers.get(1)));
         }
-        until(() -> ((UdpTransport) transports.get(1)).tooLong() == 1);
-        assertTrue(got.get(1).isEmpty());
+        awaitCondition(() -> ((UdpTransport) transports.get(1)).oversizedMessages() == 1);
+        assertTrue(received.get(1).isEmpty());
     }
 
-    public void oneAddressTwiceIsTold() {
+    public void duplicateAddressIsRejected() {
         InetSocketAddress one = new InetSocketAddress("127.0.0.1", 9);
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new UdpTransport(0, one, List.of(one, one, one), MOST, (f, m) -> {}));
+                () ->
+                        new UdpTransport(
+                                0, one, List.of(one, one, one), MAX_MESSAGE_BYTES, (f, m) -> {}));
     }
 }
--- a/lab/src/main/java/tinford/lab/scale/GossipFleet.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipFleet.java
@@ -9,7 +9,7 @@
 import tinford.fleet.membership.GossipMembership;
 import tinford.fleet.membership.GossipRecord;
 import tinford.fleet.membership.Incarnation;
-import tinford.fleet.transport.InMemoryTransport;
+import tinford.fleet.transport.InMemoryNetwork;
 import tinford.fleet.transport.Transport;
 
 /**
@@ -33,12 +33,12 @@
     private static final double STEP_MS = 10;
     private static final int STEPS_PER_ROUND = (int) (ROUND_MS / STEP_MS);
     private static final double LOSS = 0.01;
-    private static final InMemoryTransport.Link WITHIN_REGION =
-            new InMemoryTransport.Link(0.5, 0.5, LOSS, 0, 0, 0);
-    private static final InMemoryTransport.Link BETWEEN_REGIONS =
-            new InMemoryTransport.Link(30, 3, LOSS, 0, 0, 0);
+    private static final InMemoryNetwork.Link WITHIN_REGION =
+            new InMemoryNetwork.Link(0.5, 0.5, LOSS, 0, 0, 0);
+    private static final InMemoryNetwork.Link BETWEEN_REGIONS =
+            new InMemoryNetwork.Link(30, 3, LOSS, 0, 0, 0);
 
-    private final InMemoryTransport.Network network;
+    private final InMemoryNetwork network;
     private final GossipMembership[] members;
     private final Transport[] transports;
     private final boolean[] stopped;
@@ -57,9 +57,7 @@
     GossipFleet(int gateways, double suspectMs, UniformRandomProvider random) {
         this.suspectMs = suspectMs;
         chance = new Random(random.nextLong());
-        network =
-                new InMemoryTransport.Network(
-                        gateways, MESSAGE_BYTES, RECEIVE_ROOM, random.nextLong());
+        network = new InMemoryNetwork(gateways, MESSAGE_BYTES, RECEIVE_ROOM, random.nextLong());
         network.advance(now);
         members = new GossipMembership[gateways];
         transports = new Transport[gateways];
@@ -69,7 +67,7 @@
             start(gateway);
             for (int other = 0; other < gateways; other++) {
                 boolean same = region(gateway) == region(other);
-                network.link(gateway, other, same ? WITHIN_REGION : BETWEEN_REGIONS);
+                network.setLink(gateway, other, same ? WITHIN_REGION : BETWEEN_REGIONS);
             }
         }
     }
@@ -103,12 +101,12 @@
         transports[gateway] =
                 new RegionCounting(
                         gateway,
-                        network.at(gateway, (from, message) -> receive(started, from, message)));
+                        network.open(gateway, (from, message) -> receive(started, from, message)));
     }
 
     private void receive(GossipMembership to, int from, byte[] message) {
         long started = System.nanoTime();
-        to.receive(message, from, network.now());
+        to.receive(message, from, network.nowMs());
         receiveNanos += System.nanoTime() - started;
         received++;
     }
@@ -123,7 +121,7 @@
         for (int gateway = 0; gateway < members.length; gateway++) {
             for (int other = 0; other < members.length; other++) {
                 if (region(gateway) != region(other)) {
-                    network.cut(gateway, other, cut);
+                    network.setCut(gateway, other, cut);
                 }
             }
         }
