--- a/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
@@ -6,146 +6,145 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Composes the messages of a round: the own record, those of others by freshness and by turns
- * alternately, and heartbeats. What was told least goes first.
+ * Composes the messages of a round: the own record; records of others, alternately the freshest and
+ * those whose turn it is; and heartbeats. What was forwarded least comes first.
  */
 final class GossipComposer {
-    /** Heartbeats that a message holds at most: half of it. */
+    /** Heartbeats take at most half of a message. */
     private static final int MAX_HEARTBEATS = 16;
 
-    /** Other gateways' records that a message holds at most. */
+    /** Most records of other gateways in a message. */
     private static final int MAX_RECORDS = 5;
 
-    /** An incarnation is news until its records were told so often. */
-    private static final int NEWS = 8;
-
-    /** So few living peers need no room for heartbeats: their records fit. */
-    private static final int FIT_AS_RECORDS = 4;
-
-    private static final Comparator<Peer> FRESHEST =
-            (a, b) ->
-                    a.recordTold() != b.recordTold()
-                            ? Integer.compare(a.recordTold(), b.recordTold())
-                            : Double.compare(b.made(), a.made());
-
-    /** News first, then by turns, so that no gateway is left out. */
-    private static final Comparator<Peer> TURNS =
-            (a, b) -> {
-                int news =
-                        Integer.compare(
-                                Math.min(NEWS, a.incarnationTold()),
-                                Math.min(NEWS, b.incarnationTold()));
-                return news != 0 ? news : Double.compare(a.lastTold(), b.lastTold());
-            };
-
-    private static final Comparator<Peer> ALIVE =
-            (a, b) ->
-                    a.heartbeatTold() != b.heartbeatTold()
-                            ? Integer.compare(a.heartbeatTold(), b.heartbeatTold())
-                            : Double.compare(b.alive(), a.alive());
+    /** An incarnation is new until its records were forwarded so often. */
+    private static final int NEW_FORWARDS = 8;
+
+    /** The records of so many peers fit into a message, so these need no heartbeats. */
+    private static final int PEERS_WITHOUT_HEARTBEATS = 4;
+
+    private static final Comparator<Peer> FRESHEST_FIRST =
+            Comparator.comparingInt(Peer::recordForwards)
+                    .thenComparing(Comparator.comparingDouble(Peer::madeMs).reversed());
+
+    /** New incarnations first, then in turn, so that no gateway is left out. */
+    private static final Comparator<Peer> IN_TURN =
+            Comparator.comparingInt(
+                            (Peer peer) -> Math.min(NEW_FORWARDS, peer.incarnationForwards()))
+                    .thenComparingDouble(Peer::lastForwardMs);
+
+    private static final Comparator<Peer> LATEST_ALIVE_FIRST =
+            Comparator.comparingInt(Peer::heartbeatForwards)
+                    .thenComparing(Comparator.comparingDouble(Peer::aliveMs).reversed());
 
     private final Peer[] peers;
     private final int fanout;
-    private final double suspectAfter;
+    private final double maxAgeMs;
 
-    /** What this round's messages carry, the best first; null where there are fewer. */
+    /** Candidates for this round's messages, the best first; null where there are fewer. */
     private final Peer[] freshest;
 
-    private final Peer[] turns;
+    private final Peer[] inTurn;
     private final Peer[] heartbeats;
     private long messages;
 
     /**
      * @param peers by number; null where none was heard of
-     * @param suspectAfter records and heartbeats that are older are not told on, ms
+     * @param maxAgeMs of records and heartbeats that are forwarded
      */
-    GossipComposer(Peer[] peers, int fanout, double suspectAfter) {
+    GossipComposer(Peer[] peers, int fanout, double maxAgeMs) {
         this.peers = peers;
         this.fanout = fanout;
-        this.suspectAfter = suspectAfter;
+        this.maxAgeMs = maxAgeMs;
         this.freshest = new Peer[fanout * MAX_RECORDS];
-        this.turns = new Peer[fanout * MAX_RECORDS];
+        this.inTurn = new Peer[fanout * MAX_RECORDS];
         this.heartbeats = new Peer[fanout * MAX_HEARTBEATS];
     }
 
-    /** Before the messages of a round. */
-    void choose(double now) {
-        choose(freshest, FRESHEST, Peer::made, now);
-        choose(turns, TURNS, Peer::made, now);
-        choose(heartbeats, ALIVE, Peer::alive, now);
+    /** Chooses the candidates; to be called before the messages of a round. */
+    void startRound(double nowMs) {
+        choose(freshest, FRESHEST_FIRST, Peer::madeMs, nowMs);
+        choose(inTurn, IN_TURN, Peer::madeMs, nowMs);
+        choose(heartbeats, LATEST_ALIVE_FIRST, Peer::aliveMs, nowMs);
     }
 
-    /**
-     * The first by that order, of those whose record or heartbeat is not too old; as many as this
-     * round's messages may hold.
-     */
+    /** Inserts those peers that are not too old, as many as there is room for, in order. */
     private void choose(
-            Peer[] into, Comparator<Peer> order, ToDoubleFunction<Peer> time, double now) {
-        Arrays.fill(into, null);
-        int chosen = 0;
+            Peer[] chosen, Comparator<Peer> order, ToDoubleFunction<Peer> time, double nowMs) {
+        Arrays.fill(chosen, null);
+        int count = 0;
         for (Peer peer : peers) {
             if (peer == null
-                    || now - time.applyAsDouble(peer) > suspectAfter
-                    || chosen == into.length && order.compare(peer, into[chosen - 1]) >= 0) {
+                    || nowMs - time.applyAsDouble(peer) > maxAgeMs
+                    || count == chosen.length && order.compare(peer, chosen[count - 1]) >= 0) {
                 continue;
             }
-            int at = chosen < into.length ? chosen++ : chosen - 1;
-            for (; at > 0 && order.compare(peer, into[at - 1]) < 0; at--) {
-                into[at] = into[at - 1];
+            int index = count < chosen.length ? count++ : count - 1;
+            while (index > 0 && order.compare(peer, chosen[index - 1]) < 0) {
+                chosen[index] = chosen[index - 1];
+                index--;
             }
-            into[at] = peer;
+            chosen[index] = peer;
         }
     }
 
     /**
-     * One message of the round; null where not even the own record has room.
+     * Composes one message of the round.
      *
      * @param index which of the round's messages
-     * @param living how many others live
+     * @param alivePeers number of other gateways that are alive
+     * @return null where there is no room for the own record
      */
     byte[] compose(
-            byte[] ownRaw, double ownAge, int to, int index, int living, int maxBytes, double now) {
+            byte[] ownRecord,
+            double ownAgeMs,
+            int target,
+            int index,
+            int alivePeers,
+            int maxBytes,
+            double nowMs) {
         ByteBuffer message = GossipCodec.newMessage(maxBytes);
-        if (!GossipCodec.addRecord(message, ownRaw, ownAge)) {
+        if (!GossipCodec.addRecord(message, ownRecord, ownAgeMs)) {
             return null;
         }
         messages++;
-        int spare = 1 + spareHeartbeats(living) * GossipCodec.HEARTBEAT_BYTES;
+        int reservedBytes = 1 + reservedHeartbeats(alivePeers) * GossipCodec.HEARTBEAT_BYTES;
         for (int i = index; i < MAX_RECORDS * fanout; i += fanout) {
-            addRecord(message, turns[i], to, spare, now);
-            addRecord(message, freshest[i], to, spare, now);
+            addRecord(message, inTurn[i], target, reservedBytes, nowMs);
+            addRecord(message, freshest[i], target, reservedBytes, nowMs);
         }
         GossipCodec.endRecords(message);
         for (int i = index; i < heartbeats.length && heartbeats[i] != null; i += fanout) {
-            addHeartbeat(message, heartbeats[i], to);
+            addHeartbeat(message, heartbeats[i], target);
         }
         return GossipCodec.toBytes(message);
     }
 
-    /** How many heartbeats records leave room for; fewer where there is news. */
-    private int spareHeartbeats(int living) {
-        boolean news = turns[0] != null && turns[0].incarnationTold() < NEWS;
-        return news
+    /** The heartbeats for which records leave room; fewer while an incarnation is new. */
+    private int reservedHeartbeats(int alivePeers) {
+        boolean hasNew = inTurn[0] != null && inTurn[0].incarnationForwards() < NEW_FORWARDS;
+        return hasNew
                 ? MAX_HEARTBEATS / 4
-                : Math.max(0, Math.min(MAX_HEARTBEATS, living - FIT_AS_RECORDS));
+                : Math.max(0, Math.min(MAX_HEARTBEATS, alivePeers - PEERS_WITHOUT_HEARTBEATS));
     }
 
-    private void addRecord(ByteBuffer message, Peer peer, int to, int spare, double now) {
+    private void addRecord(
+            ByteBuffer message, Peer peer, int target, int reservedBytes, double nowMs) {
         if (peer == null
                 || peer.isIn(messages)
-                || peer.incarnation().gateway() == to
-                || message.remaining() < peer.raw().length + spare
-                || !GossipCodec.addRecord(message, peer.raw(), now - peer.made())) {
+                || peer.incarnation().gateway() == target
+                || message.remaining() < peer.encoded().length + reservedBytes) {
             return;
         }
-        peer.recordTold(messages, now);
+        if (GossipCodec.addRecord(message, peer.encoded(), nowMs - peer.madeMs())) {
+            peer.recordForwarded(messages, nowMs);
+        }
     }
 
-    private static void addHeartbeat(ByteBuffer message, Peer peer, int to) {
-        if (peer.incarnation().gateway() != to
-                && GossipCodec.addHeartbeat(
-                        message, peer.incarnation(), peer.alive() - peer.start())) {
-            peer.heartbeatWasTold();
+    private static void addHeartbeat(ByteBuffer message, Peer peer, int target) {
+        double aliveMs = peer.aliveMs() - peer.startMs();
+        if (peer.incarnation().gateway() != target
+                && GossipCodec.addHeartbeat(message, peer.incarnation(), aliveMs)) {
+            peer.heartbeatForwarded();
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
@@ -1,310 +1,231 @@
 package tinford.fleet.membership;
 
-import java.nio.ByteBuffer;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
 import tinford.fleet.transport.Transport;
 
 /**
- * Who lives, and what each saw: records told about by chance. Each round a message goes to a few
- * others, with the own record and those of others that were told least, so that a gateway sends and
- * takes as much in a fleet of any size. Keeps one record a gateway.
+ * Membership by gossip. In each round a message goes to a few random gateways, with the own record
+ * and those of others that were forwarded least, so that the traffic of a gateway does not grow
+ * with the fleet. Keeps one record for each gateway. For one thread; times are in ms of its wall
+ * clock.
  *
- * <p>A record's age is what its teller counted and the time since it was heard. Where that
- * incarnation's records have come faster before, one that took longer (late, or taken by a process
- * that had been stopped) counts as older by the difference, so that an age is too low by the
- * quickest way of late at most; where an incarnation is heard of for the first time, by that
- * record's time under way. Only the own clock and the owner's count of time since its start are
- * compared, never two clocks.
+ * <p>A record's age is what its sender counted, plus the time since it was received. Where records
+ * of the incarnation have come faster before, a slower one (delayed, or received by a process that
+ * was suspended) counts as older by the difference, so that an age is too low by the shortest
+ * recent delay at most; for the first record of an incarnation, by that record's delay. Only the
+ * own clock and the owner's count of time since its start are compared, never two clocks.
  */
 public final class GossipMembership implements Membership {
-    /** How far in the future another's start may lie, ms. */
+    /** How far in the future another incarnation's start may lie. */
     public static final double MAX_START_AHEAD_MS = 5000;
 
-    /**
-     * Messages taken in: so many a second, and so many at once; never more than the sum in any
-     * second.
-     */
+    /** Messages accepted; the rate and the burst together bound those of any second. */
     public static final int MAX_MESSAGES_PER_SECOND = 50;
 
     public static final int MAX_MESSAGE_BURST = 50;
 
     /**
-     * So many times the time for suspicion after a later incarnation was last heard of, an earlier
-     * one counts again (an upgrade that failed).
+     * This many suspicion times after a later incarnation was last alive, an earlier one is
+     * accepted again, as after a failed upgrade.
      */
     public static final double FORGET_AFTER_SUSPICION_TIMES = 10;
 
     /**
-     * One of so many messages goes to any gateway, heard of or not, so that halves find each other
-     * again.
+     * One of so many messages goes to any gateway, alive or not, so that the halves of a partition
+     * find each other again.
      */
-    private static final int ANY = 8;
+    private static final int RANDOM_TARGET_PERIOD = 8;
+
+    private static final int MAX_GATEWAYS = 65536;
 
     private final Incarnation self;
-    private final Peer[] others;
-    private final double every;
+    private final double roundIntervalMs;
     private final int fanout;
-    private final double suspectAfter;
-    private final double freshFor;
-    private final Random chance;
+    private final double freshForMs;
+    private final Random random;
     private final GossipCodec codec;
+    private final PeerTable peers;
     private final GossipComposer composer;
+    private final SuspensionDetector suspension;
     private final TokenBucket incoming =
             new TokenBucket(MAX_MESSAGE_BURST, MAX_MESSAGES_PER_SECOND);
-
-    /**
-     * When others told that a gateway lives of which no record was heard yet. What they told may be
-     * as old as they may tell it, so that one that never was heard itself may count for twice the
-     * time after which it is suspected.
-     */
-    private final double[] rumoured;
-
-    private final int[] peers;
-    private GossipRecord own;
-    private byte[] ownRaw;
-    private double ownMade;
-    private double now = Double.NEGATIVE_INFINITY;
-    private double next = Double.NEGATIVE_INFINITY;
-
-    /**
-     * The own process was stopped for so long, and until then takes what waited for it meanwhile.
-     */
-    private double stopped;
-
-    private double wakesUntil = Double.NEGATIVE_INFINITY;
+    private final int[] alivePeers;
+    private GossipRecord ownRecord;
+    private byte[] ownEncoded;
+    private double ownMadeMs;
+    private double nowMs = Double.NEGATIVE_INFINITY;
+    private double nextRoundMs = Double.NEGATIVE_INFINITY;
     private boolean replaced;
-    private long refused;
-    private long over;
+    private long rejectedMessages;
+    private long rateLimitedMessages;
 
     /**
-     * @param gateways of the fleet by its settings
-     * @param every ms between rounds
-     * @param fanout messages a round
-     * @param suspectAfter ms without a record made by then
-     * @param freshFor up to which age a record counts, ms
+     * @param gateways number of gateways that the settings name
+     * @param roundIntervalMs between rounds
+     * @param fanout messages in a round
+     * @param suspectAfterMs without a sign of life until a gateway is suspected
+     * @param freshForMs up to which age a record counts
      */
     public GossipMembership(
             Incarnation self,
             int gateways,
-            double every,
+            double roundIntervalMs,
             int fanout,
-            double suspectAfter,
-            double freshFor,
-            Random chance) {
+            double suspectAfterMs,
+            double freshForMs,
+            Random random) {
         if (self.gateway() < 0
                 || self.gateway() >= gateways
-                || gateways > 65536
-                || suspectAfter > GossipCodec.MAX_AGE_MS) {
+                || gateways > MAX_GATEWAYS
+                || suspectAfterMs > GossipCodec.MAX_AGE_MS) {
             throw new IllegalArgumentException(
                     "gateway "
                             + self.gateway()
                             + " of "
                             + gateways
                             + ", suspected after "
-                            + suspectAfter
+                            + suspectAfterMs
                             + " ms: expected one of at most 65536, and at most "
                             + GossipCodec.MAX_AGE_MS
                             + " ms");
         }
         this.self = self;
-        this.others = new Peer[gateways];
-        this.every = every;
+        this.roundIntervalMs = roundIntervalMs;
         this.fanout = fanout;
-        this.suspectAfter = suspectAfter;
-        this.freshFor = Math.min(freshFor, suspectAfter);
-        this.chance = chance;
+        this.freshForMs = Math.min(freshForMs, suspectAfterMs);
+        this.random = random;
         this.codec = new GossipCodec(gateways, MAX_START_AHEAD_MS);
-        this.composer = new GossipComposer(others, fanout, suspectAfter);
-        this.rumoured = new double[gateways];
-        Arrays.fill(rumoured, Double.NEGATIVE_INFINITY);
-        this.peers = new int[gateways];
+        this.peers = new PeerTable(gateways, suspectAfterMs);
+        this.composer = new GossipComposer(peers.all(), fanout, suspectAfterMs);
+        this.suspension = new SuspensionDetector(roundIntervalMs, suspectAfterMs);
+        this.alivePeers = new int[gateways];
     }
 
-    /** The own record, renewed by its owner before each round. */
-    public void setOwnRecord(GossipRecord record, double at) {
-        time(at);
-        own = record;
-        ownMade = now;
-        ownRaw = GossipCodec.encode(record, now - self.start());
+    /** Sets the own record; to be called before each round. */
+    public void setOwnRecord(GossipRecord record, double atMs) {
+        advance(atMs);
+        ownRecord = record;
+        ownMadeMs = nowMs;
+        ownEncoded = GossipCodec.encode(record, nowMs - self.start());
     }
 
-    /**
-     * Sends once {@code every} ms have gone by since it last did; what was missed is not made up
-     * for.
-     */
-    public void sendRound(double at, Transport out) {
-        time(at);
-        if (at < next || own == null || others.length < 2) {
+    /** Sends a round once the interval has passed; missed rounds are not made up for. */
+    public void sendRound(double atMs, Transport transport) {
+        advance(atMs);
+        if (atMs < nextRoundMs || ownRecord == null || fleetSize() < 2) {
             return;
         }
-        next = Math.max(next + every, at + every / 2);
-        composer.choose(now);
-        int living = livingPeers();
+        nextRoundMs = Math.max(nextRoundMs + roundIntervalMs, atMs + roundIntervalMs / 2);
+        composer.startRound(nowMs);
+        int alive = collectAlivePeers();
         for (int i = 0; i < fanout; i++) {
-            int to =
-                    living == 0 || chance.nextInt(ANY) == 0 ? any() : peers[chance.nextInt(living)];
+            int target = chooseTarget(alive);
             byte[] message =
                     composer.compose(
-                            ownRaw, now - ownMade, to, i, living, out.maxMessageBytes(), now);
+                            ownEncoded,
+                            nowMs - ownMadeMs,
+                            target,
+                            i,
+                            alive,
+                            transport.maxMessageBytes(),
+                            nowMs);
             if (message != null) {
-                out.send(to, message);
+                transport.send(target, message);
             }
         }
     }
 
-    /** Takes a message; what can't be, or comes beyond the bound, is dropped and counted. */
-    public void receive(byte[] message, int from, double at) {
-        time(at);
-        if (!incoming.take(at)) {
-            over++;
-            return;
-        }
-        List<GossipCodec.Received> received = codec.read(message, at);
-        if (received.isEmpty() || received.get(0).record().incarnation.gateway() != from) {
-            refused++;
-            return;
-        }
-        for (int i = 0; i < received.size(); i++) {
-            take(received.get(i));
-        }
-        for (ByteBuffer heartbeats = GossipCodec.heartbeats(message);
-                heartbeats.remaining() >= GossipCodec.HEARTBEAT_BYTES; ) {
-            takeHeartbeat(heartbeats);
+    private int collectAlivePeers() {
+        int count = 0;
+        for (int gateway = 0; gateway < fleetSize(); gateway++) {
+            if (gateway != self.gateway() && isAlive(gateway)) {
+                alivePeers[count++] = gateway;
+            }
         }
+        return count;
     }
 
-    /** An incarnation that is known was seen alive; one that isn't is left to its record. */
-    private void takeHeartbeat(ByteBuffer heartbeat) {
-        int gateway = heartbeat.getShort() & 0xFFFF;
-        short incarnation = heartbeat.getShort();
-        int unit = (heartbeat.get() & 255) << 16 | heartbeat.getShort() & 0xFFFF;
-        Peer peer = gateway < others.length ? others[gateway] : null;
-        if (peer == null && gateway < others.length && now >= wakesUntil) {
-            rumoured[gateway] = now;
-        }
-        if (peer == null || (short) peer.incarnation().start() != incarnation) {
-            return;
-        }
-        double start = peer.start();
-        double alive = start + GossipCodec.unwrap(unit, now - start);
-        if (alive <= now) {
-            peer.heard(alive);
+    private int chooseTarget(int alive) {
+        if (alive == 0 || random.nextInt(RANDOM_TARGET_PERIOD) == 0) {
+            int gateway = random.nextInt(fleetSize() - 1);
+            return gateway < self.gateway() ? gateway : gateway + 1;
         }
+        return alivePeers[random.nextInt(alive)];
     }
 
-    private void take(GossipCodec.Received received) {
-        Incarnation incarnation = received.record().incarnation;
-        if (incarnation.gateway() == self.gateway()) {
-            replaced |= incarnation.start() > self.start();
+    /** Takes in a message; one that is invalid or beyond the rate limit is dropped and counted. */
+    public void receive(byte[] message, int from, double atMs) {
+        advance(atMs);
+        if (!incoming.tryTake(atMs)) {
+            rateLimitedMessages++;
             return;
         }
-        Peer peer = others[incarnation.gateway()];
-        if (peer == null || replaces(incarnation, peer)) {
-            double age = received.ageMs() + (now < wakesUntil ? stopped : 0);
-            if (age <= suspectAfter) {
-                others[incarnation.gateway()] = new Peer(received, now - age, now);
-            }
-        } else if (incarnation.start() == peer.incarnation().start()) {
-            takeNext(peer, received);
-        }
-    }
-
-    /** A later one, or an earlier one once the later was not heard of for long. */
-    private boolean replaces(Incarnation incarnation, Peer peer) {
-        boolean forgotten = now - peer.alive() > FORGET_AFTER_SUSPICION_TIMES * suspectAfter;
-        return incarnation.start() > peer.incarnation().start()
-                || forgotten && incarnation.start() < peer.incarnation().start();
-    }
-
-    private void takeNext(Peer peer, GossipCodec.Received received) {
-        double told = now - received.ageMs() - received.madeAtMs();
-        double quickest = peer.quickestStart(told, now, now >= wakesUntil);
-        double age = Math.max(received.ageMs(), now - received.madeAtMs() - quickest);
-        if (age <= suspectAfter && peer.isOlderThan(received.record())) {
-            peer.keep(received, now - age);
+        List<GossipCodec.Received> records = codec.read(message, atMs);
+        if (records.isEmpty() || records.get(0).record().incarnation.gateway() != from) {
+            rejectedMessages++;
+            return;
         }
-    }
-
-    /**
-     * After a stop of the own process, those who lived before are not accused until they had the
-     * time to be heard again.
-     */
-    private void time(double at) {
-        if (at - now > 2 * every && now != Double.NEGATIVE_INFINITY) {
-            stopped = at - now;
-            wakesUntil = at + every;
+        for (GossipCodec.Received received : records) {
+            receiveRecord(received);
         }
-        if (at - now > Math.max(suspectAfter / 2, 2 * every) && now != Double.NEGATIVE_INFINITY) {
-            for (Peer peer : others) {
-                if (peer != null && peer.lives(now, suspectAfter)) {
-                    peer.grantUntil(at + suspectAfter);
-                }
-            }
+        for (GossipCodec.Heartbeat heartbeat : GossipCodec.readHeartbeats(message)) {
+            peers.receiveHeartbeat(heartbeat, nowMs, suspension.isWakingUp(nowMs));
         }
-        now = Math.max(now, at);
     }
 
-    private boolean alive(int gateway) {
-        if (gateway == self.gateway()) {
-            return true;
+    private void receiveRecord(GossipCodec.Received received) {
+        Incarnation incarnation = received.record().incarnation;
+        if (incarnation.gateway() == self.gateway()) {
+            replaced |= incarnation.start() > self.start();
+        } else {
+            peers.receiveRecord(received, nowMs, suspension);
         }
-        Peer peer = others[gateway];
-        return peer == null
-                ? now - rumoured[gateway] <= suspectAfter
-                : peer.lives(now, suspectAfter);
     }
 
-    private int livingPeers() {
-        int n = 0;
-        for (int i = 0; i < others.length; i++) {
-            if (i != self.gateway() && alive(i)) {
-                peers[n++] = i;
-            }
+    private void advance(double atMs) {
+        if (suspension.advance(nowMs, atMs)) {
+            peers.grantToAlive(nowMs, atMs);
         }
-        return n;
-    }
-
-    private int any() {
-        int i = chance.nextInt(others.length - 1);
-        return i < self.gateway() ? i : i + 1;
+        nowMs = Math.max(nowMs, atMs);
     }
 
     @Override
     public int aliveCount() {
-        int n = 0;
-        for (int i = 0; i < others.length; i++) {
-            n += alive(i) ? 1 : 0;
+        int count = 0;
+        for (int gateway = 0; gateway < fleetSize(); gateway++) {
+            count += isAlive(gateway) ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
     @Override
     public boolean isAlive(int gateway) {
-        return gateway >= 0 && gateway < others.length && alive(gateway);
+        return gateway == self.gateway()
+                || gateway >= 0 && gateway < fleetSize() && peers.isAlive(gateway, nowMs);
     }
 
     @Override
     public List<Integer> aliveGateways() {
-        List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < others.length; i++) {
-            if (isAlive(i)) {
-                all.add(i);
+        List<Integer> alive = new ArrayList<>();
+        for (int gateway = 0; gateway < fleetSize(); gateway++) {
+            if (isAlive(gateway)) {
+                alive.add(gateway);
             }
         }
-        return all;
+        return alive;
     }
 
     @Override
     public List<GossipRecord> freshRecords() {
         List<GossipRecord> fresh = new ArrayList<>();
-        for (int i = 0; i < others.length; i++) {
-            if (i == self.gateway() && own != null) {
-                fresh.add(own);
-            } else if (others[i] != null && now - others[i].made() <= freshFor) {
-                fresh.add(others[i].record());
+        for (int gateway = 0; gateway < fleetSize(); gateway++) {
+            Peer peer = peers.get(gateway);
+            if (gateway == self.gateway() && ownRecord != null) {
+                fresh.add(ownRecord);
+            } else if (peer != null && nowMs - peer.madeMs() <= freshForMs) {
+                fresh.add(peer.record());
             }
         }
         return fresh;
@@ -312,38 +233,43 @@
 
     @Override
     public int fleetSize() {
-        return others.length;
+        return peers.size();
     }
 
     /** The present incarnation of a gateway as known; null where none was heard of. */
     public Incarnation incarnation(int gateway) {
-        return gateway == self.gateway()
-                ? self
-                : others[gateway] == null ? null : others[gateway].incarnation();
+        if (gateway == self.gateway()) {
+            return self;
+        }
+        Peer peer = peers.get(gateway);
+        return peer == null ? null : peer.incarnation();
     }
 
-    /** The newest record heard of a gateway, fresh or not; null where there is none. */
+    /** The newest record of a gateway, fresh or not; null where there is none. */
     public GossipRecord newestRecord(int gateway) {
-        return gateway == self.gateway()
-                ? own
-                : others[gateway] == null ? null : others[gateway].record();
+        if (gateway == self.gateway()) {
+            return ownRecord;
+        }
+        Peer peer = peers.get(gateway);
+        return peer == null ? null : peer.record();
     }
 
-    /** Its age now, ms; infinite where there is none. */
+    /** Age of the newest record; infinite where there is none. */
     public double recordAgeMs(int gateway) {
         if (gateway == self.gateway()) {
-            return own == null ? Double.POSITIVE_INFINITY : now - ownMade;
+            return ownRecord == null ? Double.POSITIVE_INFINITY : nowMs - ownMadeMs;
         }
-        return others[gateway] == null ? Double.POSITIVE_INFINITY : now - others[gateway].made();
+        Peer peer = peers.get(gateway);
+        return peer == null ? Double.POSITIVE_INFINITY : nowMs - peer.madeMs();
     }
 
-    /** Ms since it surely lived; infinite where nothing was heard of it. */
+    /** Time since the gateway was surely alive; infinite where none was heard of. */
     public double silenceMs(int gateway) {
-        return gateway == self.gateway()
-                ? 0
-                : others[gateway] == null
-                        ? Double.POSITIVE_INFINITY
-                        : now - others[gateway].alive();
+        if (gateway == self.gateway()) {
+            return 0;
+        }
+        Peer peer = peers.get(gateway);
+        return peer == null ? Double.POSITIVE_INFINITY : nowMs - peer.aliveMs();
     }
 
     /** Whether a later process of the own number was heard of. */
@@ -351,13 +277,15 @@
         return replaced;
     }
 
-    /** Messages of another version, torn, absurd, or whose first record is not their sender's. */
+    /**
+     * Messages of another version, torn, implausible, or not from the owner of their first record.
+     */
     public long rejectedMessages() {
-        return refused;
+        return rejectedMessages;
     }
 
-    /** Messages beyond the bound. */
+    /** Messages dropped by the rate limit. */
     public long rateLimitedMessages() {
-        return over;
+        return rateLimitedMessages;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/GossipRecord.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipRecord.java
@@ -4,93 +4,95 @@
 import java.util.List;
 
 /**
- * The gossip record of one gateway: what it saw itself over the last second or so, rates a second.
- * Classes of worth are powers of the square root of two of the worth a unit, so that all gateways
- * have the same ones without agreeing on any.
+ * The gossip record of one gateway: what it observed itself over about the last second, as rates a
+ * second. Priority classes are powers of the square root of two of the priority weight a unit, so
+ * that all gateways have the same classes without agreeing on any.
  */
 public final class GossipRecord {
     public static final int PRIORITY_CLASSES = 24;
 
-    /** Worth a unit of class 0 and below; class {@code c} begins at LEAST * 2^(c/2). */
+    /** Weight of class 0 and below; class {@code c} begins at this times 2^(c/2). */
     public static final double MIN_PRIORITY_WEIGHT = 1.0 / 16;
 
     public static final int MAX_SERVERS = 6;
 
+    /** Keeps a weight that is the lower bound of a class in it, whatever the rounding. */
+    private static final double CLASS_TOLERANCE = 1e-9;
+
     /**
-     * A server that this gateway put aside, or found well again, so many ms before the record was
-     * made; named by a hash of its id.
+     * A server that this gateway ejected, or found healthy again.
+     *
+     * @param serverHash of the server's id
+     * @param agoMs before the record was made
      */
     public record ServerHealth(int serverHash, boolean unhealthy, double agoMs) {}
 
     public final Incarnation incarnation;
+
+    /** Rises with each record of the incarnation, and may wrap around. */
     public final int sequence;
 
-    /** Units a second inside quotas: asked for, and sent on, by class of worth. */
+    /** Units a second within quotas, by priority class: offered by clients. */
     public final double[] offeredUnits = new double[PRIORITY_CLASSES];
 
+    /** Units a second within quotas, by priority class: sent to servers. */
     public final double[] admittedUnits = new double[PRIORITY_CLASSES];
 
-    /**
-     * A second: first dispatches, further ones, and how dispatches ended: by their target, late or
-     * without an answer, failed.
-     */
+    /** First attempts a second. */
     public double firstAttempts;
 
+    /** Retries a second. */
     public double retries;
+
+    /** Attempts a second that were answered within the latency objective. */
     public double onTime;
+
+    /** Attempts a second that were answered late or not at all. */
     public double late;
+
+    /** Attempts a second that failed. */
     public double failed;
 
-    /** Units a second of the answers that came by their target. */
+    /** Units a second of the answers within the latency objective. */
     public double onTimeUnits;
 
-    /** Dispatches out, and requests that wait in its line. */
+    /** Attempts in flight. */
     public double inFlight;
 
+    /** Requests in the gateway's admission queue. */
     public double queued;
 
     /**
-     * Units a second that this gateway believes the servers bear of the whole fleet; 0 where it
-     * sees no strain.
+     * Estimated capacity of the servers for the whole fleet, units a second; 0 without overload.
      */
     public double capacity;
 
-    /**
-     * Which incarnation it lately gave further dispatches of its own budget to (null: none), and
-     * how many in all.
-     */
+    /** The incarnation that lately received retries of this gateway's budget; null for none. */
     public Incarnation retriesCededTo;
 
+    /** Retries ceded to that incarnation in total. */
     public double retriesCeded;
+
     public final List<ServerHealth> serverHealth = new ArrayList<>(MAX_SERVERS);
 
-    public GossipRecord(Incarnation incarnation, int seq) {
+    public GossipRecord(Incarnation incarnation, int sequence) {
         this.incarnation = incarnation;
-        this.sequence = seq;
+        this.sequence = sequence;
     }
 
-    public static int classOf(double worth) {
-        int c =
-                (int)
-                        Math.floor(
-                                2
-                                                * Math.log(
-                                                        Math.max(worth, MIN_PRIORITY_WEIGHT)
-                                                                / MIN_PRIORITY_WEIGHT)
-                                                / Math.log(2)
-                                        + 1e-9);
-        return Math.min(PRIORITY_CLASSES - 1, c);
+    /** The priority class of a weight a unit. */
+    public static int classOf(double weight) {
+        double octaves =
+                Math.log(Math.max(weight, MIN_PRIORITY_WEIGHT) / MIN_PRIORITY_WEIGHT) / Math.log(2);
+        return Math.min(PRIORITY_CLASSES - 1, (int) Math.floor(2 * octaves + CLASS_TOLERANCE));
     }
 
-    /** The least worth a unit of a class. */
-    public static double minWeightOf(int c) {
-        return MIN_PRIORITY_WEIGHT * Math.pow(2, c / 2.0);
+    /** The lowest weight a unit of a priority class. */
+    public static double minWeightOf(int priorityClass) {
+        return MIN_PRIORITY_WEIGHT * Math.pow(2, priorityClass / 2.0);
     }
 
-    /**
-     * Whether this one replaces the other of the same gateway: of a later incarnation, or of the
-     * same one and told later.
-     */
+    /** Whether this record replaces another one of the same gateway, or null. */
     public boolean isNewerThan(GossipRecord other) {
         return other == null
                 || incarnation.start() > other.incarnation.start()
--- /dev/null
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipRecordCodec.java
@@ -0,0 +1,277 @@
+package tinford.fleet.membership;
+
+import java.nio.ByteBuffer;
+import java.util.Arrays;
+
+/**
+ * Encodes and decodes one gossip record. It takes 31 bytes, one for each priority class in use and
+ * a bit (61 with all classes), one more for each class of which a part was admitted, five for each
+ * server, and twelve where retries were ceded, whose total is exact to seven digits: 127 at most.
+ */
+final class GossipRecordCodec {
+    static final int MAX_RECORD_BYTES = 127;
+
+    /** Offsets from the record's begin; its first byte is the length. */
+    static final int MADE_AT_OFFSET = 13;
+
+    static final int AGE_OFFSET = 18;
+    static final int BODY_OFFSET = 20;
+    private static final int GATEWAY_OFFSET = 1;
+    private static final int START_OFFSET = 3;
+    private static final int SEQUENCE_OFFSET = 9;
+
+    private static final int RATE_BYTES = 9;
+    private static final int SERVER_BYTES = 5;
+    private static final int CEDED_BYTES = 12;
+    private static final int AGO_STEPS_PER_OCTAVE = 8;
+    private static final int MAX_AGO_CODE = 127;
+    private static final int UNHEALTHY_BIT = 128;
+
+    /** Two bits for each class: which of its rates follow. */
+    private static final int UNUSED = 0;
+
+    private static final int ALL_ADMITTED = 1;
+    private static final int NONE_ADMITTED = 2;
+    private static final int BOTH_RATES = 3;
+    private static final int CLASSES_PER_BYTE = 4;
+
+    private GossipRecordCodec() {}
+
+    /**
+     * @param madeAtMs on the owner's clock, since its start
+     */
+    static byte[] encode(GossipRecord record, double madeAtMs) {
+        ByteBuffer output = ByteBuffer.allocate(MAX_RECORD_BYTES);
+        output.put((byte) 0);
+        output.putShort((short) record.incarnation.gateway());
+        putStart(output, record.incarnation.start());
+        output.putInt(record.sequence);
+        long madeAt = (long) Math.max(0, madeAtMs);
+        output.put((byte) (madeAt >> 32)).putInt((int) madeAt);
+        output.putShort((short) 0);
+        putRates(output, record);
+        putClasses(output, record);
+        putServers(output, record);
+        putCeded(output, record);
+        output.put(0, (byte) output.position());
+        return Arrays.copyOf(output.array(), output.position());
+    }
+
+    private static void putStart(ByteBuffer output, long start) {
+        output.putShort((short) (start >> 32)).putInt((int) start);
+    }
+
+    private static void putRate(ByteBuffer output, double rate) {
+        output.put((byte) RateScale.encode(rate));
+    }
+
+    private static void putRates(ByteBuffer output, GossipRecord record) {
+        putRate(output, record.firstAttempts);
+        putRate(output, record.retries);
+        putRate(output, record.onTime);
+        putRate(output, record.late);
+        putRate(output, record.failed);
+        putRate(output, record.onTimeUnits);
+        putRate(output, record.inFlight);
+        putRate(output, record.queued);
+        putRate(output, record.capacity);
+    }
+
+    /** The number of classes, their kinds, and the rates that the kinds call for. */
+    private static void putClasses(ByteBuffer output, GossipRecord record) {
+        int classes = usedClasses(record);
+        output.put((byte) classes);
+        int kindsOffset = output.position();
+        output.position(kindsOffset + kindBytes(classes));
+        for (int c = 0; c < classes; c++) {
+            int offered = RateScale.encode(record.offeredUnits[c]);
+            int admitted = RateScale.encode(record.admittedUnits[c]);
+            int kind = kind(offered, admitted);
+            int offset = kindsOffset + c / CLASSES_PER_BYTE;
+            output.put(offset, (byte) (output.get(offset) | kind << shift(c)));
+            if (kind != UNUSED) {
+                output.put((byte) offered);
+            }
+            if (kind == BOTH_RATES) {
+                output.put((byte) admitted);
+            }
+        }
+    }
+
+    private static int usedClasses(GossipRecord record) {
+        int classes = GossipRecord.PRIORITY_CLASSES;
+        while (classes > 0
+                && RateScale.encode(record.offeredUnits[classes - 1]) == 0
+                && RateScale.encode(record.admittedUnits[classes - 1]) == 0) {
+            classes--;
+        }
+        return classes;
+    }
+
+    private static int kindBytes(int classes) {
+        return (classes + CLASSES_PER_BYTE - 1) / CLASSES_PER_BYTE;
+    }
+
+    private static int shift(int priorityClass) {
+        return 2 * (priorityClass % CLASSES_PER_BYTE);
+    }
+
+    private static int kind(int offered, int admitted) {
+        if (offered == 0 && admitted == 0) {
+            return UNUSED;
+        }
+        if (offered == admitted) {
+            return ALL_ADMITTED;
+        }
+        return admitted == 0 ? NONE_ADMITTED : BOTH_RATES;
+    }
+
+    private static void putServers(ByteBuffer output, GossipRecord record) {
+        int servers = Math.min(record.serverHealth.size(), GossipRecord.MAX_SERVERS);
+        output.put((byte) servers);
+        for (GossipRecord.ServerHealth health : record.serverHealth.subList(0, servers)) {
+            int unhealthyBit = health.unhealthy() ? UNHEALTHY_BIT : 0;
+            output.putInt(health.serverHash());
+            output.put((byte) (agoCode(health.agoMs()) | unhealthyBit));
+        }
+    }
+
+    private static long agoCode(double agoMs) {
+        long code = Math.round(AGO_STEPS_PER_OCTAVE * Math.log(Math.max(agoMs, 1)) / Math.log(2));
+        return Math.max(0, Math.min(MAX_AGO_CODE, code));
+    }
+
+    private static void putCeded(ByteBuffer output, GossipRecord record) {
+        Incarnation receiver = record.retriesCededTo;
+        if (receiver != null) {
+            output.putShort((short) receiver.gateway());
+            putStart(output, receiver.start());
+            output.putFloat((float) record.retriesCeded);
+        }
+    }
+
+    static int gateway(ByteBuffer input, int recordOffset) {
+        return input.getShort(recordOffset + GATEWAY_OFFSET) & 0xFFFF;
+    }
+
+    static long start(ByteBuffer input, int recordOffset) {
+        return start(
+                input.getShort(recordOffset + START_OFFSET),
+                input.getInt(recordOffset + START_OFFSET + Short.BYTES));
+    }
+
+    private static long start(short high, int low) {
+        return (high & 0xFFFFL) << 32 | low & 0xFFFFFFFFL;
+    }
+
+    /** Ms since the owner's start, on its clock. */
+    static double madeAtMs(ByteBuffer input, int recordOffset) {
+        long high = input.get(recordOffset + MADE_AT_OFFSET) & 255L;
+        long low = input.getInt(recordOffset + MADE_AT_OFFSET + 1) & 0xFFFFFFFFL;
+        return high * (1L << 32) + low;
+    }
+
+    /** Returns null where the fields don't fit into the record's length, or counts are too high. */
+    static GossipRecord decode(byte[] encoded) {
+        ByteBuffer input = ByteBuffer.wrap(encoded);
+        GossipRecord record =
+                new GossipRecord(
+                        new Incarnation(gateway(input, 0), start(input, 0)),
+                        input.getInt(SEQUENCE_OFFSET));
+        input.position(BODY_OFFSET);
+        if (input.remaining() < RATE_BYTES + 1) {
+            return null;
+        }
+        takeRates(input, record);
+        if (!takeClasses(input, record) || !takeServers(input, record)) {
+            return null;
+        }
+        takeCeded(input, record);
+        return record;
+    }
+
+    private static double takeRate(ByteBuffer input) {
+        return RateScale.decode(input.get());
+    }
+
+    private static void takeRates(ByteBuffer input, GossipRecord record) {
+        record.firstAttempts = takeRate(input);
+        record.retries = takeRate(input);
+        record.onTime = takeRate(input);
+        record.late = takeRate(input);
+        record.failed = takeRate(input);
+        record.onTimeUnits = takeRate(input);
+        record.inFlight = takeRate(input);
+        record.queued = takeRate(input);
+        record.capacity = takeRate(input);
+    }
+
+    private static boolean takeClasses(ByteBuffer input, GossipRecord record) {
+        int classes = input.get() & 255;
+        int kindsOffset = input.position();
+        if (classes > GossipRecord.PRIORITY_CLASSES || input.remaining() < kindBytes(classes)) {
+            return false;
+        }
+        input.position(kindsOffset + kindBytes(classes));
+        for (int c = 0; c < classes; c++) {
+            int kind = input.get(kindsOffset + c / CLASSES_PER_BYTE) >> shift(c) & 3;
+            if (input.remaining() < rateBytes(kind)) {
+                return false;
+            }
+            takeClass(input, record, c, kind);
+        }
+        return true;
+    }
+
+    private static int rateBytes(int kind) {
+        return switch (kind) {
+            case UNUSED -> 0;
+            case BOTH_RATES -> 2;
+            default -> 1;
+        };
+    }
+
+    private static void takeClass(
+            ByteBuffer input, GossipRecord record, int priorityClass, int kind) {
+        if (kind == UNUSED) {
+            return;
+        }
+        double offered = takeRate(input);
+        record.offeredUnits[priorityClass] = offered;
+        record.admittedUnits[priorityClass] =
+                switch (kind) {
+                    case ALL_ADMITTED -> offered;
+                    case NONE_ADMITTED -> 0;
+                    default -> takeRate(input);
+                };
+    }
+
+    private static boolean takeServers(ByteBuffer input, GossipRecord record) {
+        if (!input.hasRemaining()) {
+            return false;
+        }
+        int servers = input.get() & 255;
+        if (servers > GossipRecord.MAX_SERVERS || input.remaining() < SERVER_BYTES * servers) {
+            return false;
+        }
+        for (int i = 0; i < servers; i++) {
+            int serverHash = input.getInt();
+            int code = input.get() & 255;
+            double agoMs = Math.pow(2, (code & MAX_AGO_CODE) / (double) AGO_STEPS_PER_OCTAVE);
+            record.serverHealth.add(
+                    new GossipRecord.ServerHealth(serverHash, code >= UNHEALTHY_BIT, agoMs));
+        }
+        return true;
+    }
+
+    /** Optional; what a later version adds behind it is ignored. */
+    private static void takeCeded(ByteBuffer input, GossipRecord record) {
+        if (input.remaining() < CEDED_BYTES) {
+            return;
+        }
+        int gateway = input.getShort() & 0xFFFF;
+        record.retriesCededTo = new Incarnation(gateway, start(input.getShort(), input.getInt()));
+        float total = input.getFloat();
+        record.retriesCeded = total >= 0 && total < Float.POSITIVE_INFINITY ? total : 0;
+    }
+}
--- a/fleet/src/main/java/tinford/fleet/membership/Incarnation.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Incarnation.java
@@ -1,8 +1,11 @@
 package tinford.fleet.membership;
 
 /**
- * One incarnation of a gateway: its number, and when its process started (Unix ms). A later start
- * is a later incarnation.
+ * One run of a gateway's process. A later start is a later incarnation; incarnations are ordered by
+ * gateway, then by start.
+ *
+ * @param gateway number of the gateway, from 0
+ * @param start of its process, Unix ms
  */
 public record Incarnation(int gateway, long start) implements Comparable<Incarnation> {
     @Override
--- a/fleet/src/main/java/tinford/fleet/membership/Lease.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Lease.java
@@ -1,30 +1,29 @@
 package tinford.fleet.membership;
 
 /**
- * A lease: for how long one incarnation may act on what it was granted, by clocks that differ by
- * {@code apart} ms at most. The one place that compares times of two machines.
+ * The right of one incarnation to act on what it was granted, until a time. Clocks differ by a
+ * bounded skew; only this class compares times of two machines.
  *
- * @param expiresAtMs on the holder's own clock: its time when it asked, and the length
- * @param fencingToken index of the entry that granted it: a later grant has a higher one
+ * @param expiresAtMs on the holder's own clock: the time of its request plus the lease's length
+ * @param fencingToken index of the log entry that granted it; a later grant has a higher one
  */
 public record Lease(Incarnation holder, double expiresAtMs, long fencingToken) {
-    /** Asked by the holder, before each use, with its own time. */
-    public boolean isHeldAt(double ownNow) {
-        return ownNow < expiresAtMs;
+    /** Whether the holder may act; to be asked by itself before each use, with its own time. */
+    public boolean isHeldAt(double ownNowMs) {
+        return ownNowMs < expiresAtMs;
     }
 
-    /**
-     * Asked by all others, with the log's time: from now on the holder surely acts on it no more.
-     */
-    public boolean isSurelyExpired(double logNow, double apart) {
-        return logNow >= expiresAtMs + apart;
+    /** Whether the holder surely acts on it no more, at a time of the log. */
+    public boolean isSurelyExpired(double logTimeMs, double maxClockSkewMs) {
+        return logTimeMs >= expiresAtMs + maxClockSkewMs;
     }
 
     /**
-     * And nothing that it opened is open any more: {@code linger} covers the servers' idle time and
-     * the longest client timeout.
+     * Whether, in addition, no connection is open that the holder opened.
+     *
+     * @param lingerMs covers the servers' idle timeout and the longest client timeout
      */
-    public boolean isSurelyClosed(double logNow, double apart, double linger) {
-        return logNow >= expiresAtMs + apart + linger;
+    public boolean isSurelyClosed(double logTimeMs, double maxClockSkewMs, double lingerMs) {
+        return logTimeMs >= expiresAtMs + maxClockSkewMs + lingerMs;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
+++ b/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
@@ -14,174 +14,198 @@
 import java.util.TreeMap;
 
 /**
- * Who has a lease, until when, by the entries of the log; the same on every member after the same
- * entries. A later incarnation of a gateway ends no lease of an earlier one: that one may be
- * stopped, and act when it wakes. It only renews no more. Holds {@link #MAX_INCARNATIONS}
- * incarnations a gateway at most, until nothing that they opened can be open.
+ * The leases of all incarnations, by the entries of the log; the same on every member after the
+ * same entries. A later incarnation of a gateway does not end the lease of an earlier one, which
+ * may be suspended and act when it resumes; the earlier one just can't renew. Holds {@link
+ * #MAX_INCARNATIONS} incarnations of a gateway at most, until nothing that they opened can be open.
+ * Times are in ms of the log, which is the latest time stamp of its entries.
  */
 public final class LeaseTable {
     /**
-     * Incarnations of one gateway that are not surely closed; a further one has no lease until one
+     * Incarnations of one gateway that are not surely closed. A further one gets no lease until one
      * of them is.
      */
     public static final int MAX_INCARNATIONS = 8;
 
-    private static final byte RENEW = 1;
-    private static final byte LEAVE = 2;
-    private static final byte FORM = 1;
+    private static final byte RENEWAL = 1;
+    private static final byte DEPARTURE = 2;
+    private static final byte FORMAT_VERSION = 1;
+    private static final int ENTRY_BYTES = 30;
 
     private final int gateways;
-    private final double longest;
-    private final double apart;
-    private final double linger;
+    private final double maxLeaseMs;
+    private final double maxClockSkewMs;
+    private final double lingerMs;
     private final TreeMap<Incarnation, Lease> leases = new TreeMap<>();
 
-    /**
-     * The start of each gateway's latest incarnation that had a lease, and whether it left;
-     * outlasts the lease.
-     */
-    private final TreeMap<Integer, Long> latest = new TreeMap<>();
+    /** Start of the latest incarnation of each gateway that had a lease; outlasts the lease. */
+    private final TreeMap<Integer, Long> latestStarts = new TreeMap<>();
+
+    /** Start of the latest incarnation of each gateway that has left; outlasts the lease. */
+    private final TreeMap<Integer, Long> departedStarts = new TreeMap<>();
 
-    private final TreeMap<Integer, Long> left = new TreeMap<>();
-    private double now;
-    private long refused;
+    private double logTimeMs;
+    private long rejectedEntries;
 
     /**
-     * @param gateways how many numbers there are
-     * @param longest no lease is longer, ms
-     * @param apart clocks differ by this much at most, ms
-     * @param linger until nothing is open of what a stopped process opened, ms
+     * @param gateways number of gateways
+     * @param maxLeaseMs length of the longest lease
+     * @param maxClockSkewMs by which clocks differ at most
+     * @param lingerMs until no connection is open that a stopped process had opened
      */
-    public LeaseTable(int gateways, double longest, double apart, double linger) {
+    public LeaseTable(int gateways, double maxLeaseMs, double maxClockSkewMs, double lingerMs) {
         this.gateways = gateways;
-        this.longest = longest;
-        this.apart = apart;
-        this.linger = linger;
+        this.maxLeaseMs = maxLeaseMs;
+        this.maxClockSkewMs = maxClockSkewMs;
+        this.lingerMs = lingerMs;
     }
 
-    /** An entry: the incarnation asks, at its own time, for a lease of that length. */
-    public static byte[] renewalEntry(Incarnation incarnation, double at, double length) {
-        return entry(RENEW, incarnation, at, length);
+    /** Encodes an entry: the incarnation requests, at its own time, a lease of a length. */
+    public static byte[] renewalEntry(Incarnation incarnation, double atMs, double lengthMs) {
+        return encode(RENEWAL, incarnation, atMs, lengthMs);
     }
 
     /**
-     * An entry: the incarnation has closed all that it held, and acts no more from its own time
-     * {@code at} on.
+     * Encodes an entry: the incarnation has closed all connections, and acts no more from its own
+     * time {@code atMs} on.
      */
-    public static byte[] departureEntry(Incarnation incarnation, double at) {
-        return entry(LEAVE, incarnation, at, 0);
+    public static byte[] departureEntry(Incarnation incarnation, double atMs) {
+        return encode(DEPARTURE, incarnation, atMs, 0);
     }
 
-    private static byte[] entry(byte kind, Incarnation incarnation, double at, double length) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(30);
-        try {
-            DataOutputStream out = new DataOutputStream(bytes);
-            out.writeByte(kind);
-            out.writeByte(FORM);
-            write(out, incarnation);
-            out.writeDouble(at);
-            out.writeDouble(length);
+    private static byte[] encode(byte kind, Incarnation incarnation, double atMs, double lengthMs) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(ENTRY_BYTES);
+        try (DataOutputStream output = new DataOutputStream(bytes)) {
+            output.writeByte(kind);
+            output.writeByte(FORMAT_VERSION);
+            write(output, incarnation);
+            output.writeDouble(atMs);
+            output.writeDouble(lengthMs);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
+    /** An entry of leases. */
+    private record Entry(
+            byte kind, byte version, Incarnation incarnation, double atMs, double lengthMs) {
+        /** Returns null where the entry has not exactly the length of one. */
+        static Entry decode(byte[] bytes) throws IOException {
+            if (bytes.length != ENTRY_BYTES) {
+                return null;
+            }
+            DataInputStream input = new DataInputStream(new ByteArrayInputStream(bytes));
+            return new Entry(
+                    input.readByte(),
+                    input.readByte(),
+                    readIncarnation(input),
+                    input.readDouble(),
+                    input.readDouble());
+        }
+    }
+
     /**
-     * Takes its own entries and no others; what can't be read of its own is counted in {@link
-     * #rejectedEntries} and changes nothing.
+     * Applies an entry of leases, and no others. One that is malformed or not due changes nothing
+     * and is counted by {@link #rejectedEntries}.
      *
-     * @return whether the entry was one of these, taken or refused
+     * @return whether the entry was one of leases, accepted or not
      */
-    public boolean apply(long index, byte[] entry) {
-        if (entry.length == 0 || entry[0] != RENEW && entry[0] != LEAVE) {
+    public boolean apply(long index, byte[] bytes) {
+        if (bytes.length == 0 || bytes[0] != RENEWAL && bytes[0] != DEPARTURE) {
             return false;
         }
         try {
-            DataInputStream in = new DataInputStream(new ByteArrayInputStream(entry));
-            byte kind = in.readByte();
-            byte form = in.readByte();
-            Incarnation incarnation = readIncarnation(in);
-            double at = in.readDouble();
-            double length = in.readDouble();
-            boolean good =
-                    form == FORM
-                            && in.available() == 0
-                            && at >= 0
-                            && at < Double.POSITIVE_INFINITY
-                            && length >= 0
-                            && length <= longest
-                            && incarnation.gateway() >= 0
-                            && incarnation.gateway() < gateways;
-            if (!good
-                    || !(kind == RENEW
-                            ? renewed(index, incarnation, at, length)
-                            : left(incarnation, at))) {
-                refused++;
+            Entry entry = Entry.decode(bytes);
+            if (entry == null || !isValid(entry) || !apply(index, entry)) {
+                rejectedEntries++;
             }
         } catch (IOException e) {
-            refused++;
+            rejectedEntries++;
         }
         return true;
     }
 
-    private boolean renewed(long index, Incarnation incarnation, double at, double length) {
-        observeTime(at);
-        long last = latest.getOrDefault(incarnation.gateway(), Long.MIN_VALUE);
-        if (incarnation.start() < last
-                || left.getOrDefault(incarnation.gateway(), Long.MIN_VALUE)
-                        >= incarnation.start()) {
+    private boolean isValid(Entry entry) {
+        return entry.version == FORMAT_VERSION
+                && entry.atMs >= 0
+                && entry.atMs < Double.POSITIVE_INFINITY
+                && entry.lengthMs >= 0
+                && entry.lengthMs <= maxLeaseMs
+                && entry.incarnation.gateway() >= 0
+                && entry.incarnation.gateway() < gateways;
+    }
+
+    private boolean apply(long index, Entry entry) {
+        return entry.kind == RENEWAL
+                ? renew(index, entry.incarnation, entry.atMs, entry.lengthMs)
+                : depart(entry.incarnation, entry.atMs);
+    }
+
+    private boolean renew(long index, Incarnation incarnation, double atMs, double lengthMs) {
+        observeTime(atMs);
+        if (isSuperseded(incarnation) || hasDeparted(incarnation)) {
             return false;
         }
-        Lease old = leases.get(incarnation);
-        if (old == null && of(incarnation.gateway()).size() >= MAX_INCARNATIONS) {
+        Lease previous = leases.get(incarnation);
+        if (previous == null && of(incarnation.gateway()).size() >= MAX_INCARNATIONS) {
             return false;
         }
-        Lease lease = new Lease(incarnation, at + length, index);
-        // Guards against entries that come late or twice: a lease never gets shorter, and none
-        // begins that is over already.
-        if (lease.isSurelyExpired(now, apart)
-                || old != null && old.expiresAtMs() >= lease.expiresAtMs()) {
+        Lease lease = new Lease(incarnation, atMs + lengthMs, index);
+        // entries may come late or twice: no lease gets shorter, and none begins that has expired
+        if (lease.isSurelyExpired(logTimeMs, maxClockSkewMs)
+                || previous != null && previous.expiresAtMs() >= lease.expiresAtMs()) {
             return false;
         }
         leases.put(incarnation, lease);
-        latest.put(incarnation.gateway(), incarnation.start());
+        latestStarts.put(incarnation.gateway(), incarnation.start());
         return true;
     }
 
-    private boolean left(Incarnation incarnation, double at) {
-        observeTime(at);
+    private boolean isSuperseded(Incarnation incarnation) {
+        return incarnation.start()
+                < latestStarts.getOrDefault(incarnation.gateway(), Long.MIN_VALUE);
+    }
+
+    private boolean hasDeparted(Incarnation incarnation) {
+        return incarnation.start()
+                <= departedStarts.getOrDefault(incarnation.gateway(), Long.MIN_VALUE);
+    }
+
+    private boolean depart(Incarnation incarnation, double atMs) {
+        observeTime(atMs);
         if (leases.remove(incarnation) == null) {
             return false;
         }
-        left.merge(incarnation.gateway(), incarnation.start(), Math::max);
+        departedStarts.merge(incarnation.gateway(), incarnation.start(), Math::max);
         return true;
     }
 
-    /** A time stamp of any entry: the log's time never falls. */
-    public void observeTime(double at) {
-        if (at > now && at < Double.POSITIVE_INFINITY) {
-            now = at;
-            leases.values().removeIf(t -> t.isSurelyClosed(now, apart, linger));
+    /** Advances the log's time by the time stamp of any entry; it never goes back. */
+    public void observeTime(double atMs) {
+        if (atMs > logTimeMs && atMs < Double.POSITIVE_INFINITY) {
+            logTimeMs = atMs;
+            leases.values()
+                    .removeIf(lease -> lease.isSurelyClosed(logTimeMs, maxClockSkewMs, lingerMs));
         }
     }
 
     /** The log's time. */
     public double logTimeMs() {
-        return now;
+        return logTimeMs;
     }
 
     public double maxClockSkewMs() {
-        return apart;
+        return maxClockSkewMs;
     }
 
     public double lingerMs() {
-        return linger;
+        return lingerMs;
     }
 
     /**
-     * The lease as far as the log knows, also one that is over as long as its connections may be
-     * open; else null.
+     * The incarnation's lease, also an expired one while its connections may be open; null where
+     * there is none.
      */
     public Lease of(Incarnation incarnation) {
         return leases.get(incarnation);
@@ -190,108 +214,112 @@
     /** The incarnations of a gateway that are not surely closed, the earliest first. */
     public List<Incarnation> of(int gateway) {
         Incarnation first = new Incarnation(gateway, Long.MIN_VALUE);
-        return new ArrayList<>(
-                leases.subMap(first, true, new Incarnation(gateway, Long.MAX_VALUE), true)
-                        .keySet());
+        Incarnation last = new Incarnation(gateway, Long.MAX_VALUE);
+        return new ArrayList<>(leases.subMap(first, true, last, true).keySet());
     }
 
     /**
-     * Whether the incarnation may still act: it has a lease that is not surely over. Several
+     * Whether the incarnation may still act, as its lease is not surely expired. Several
      * incarnations of one gateway may.
      */
     public boolean mayAct(Incarnation incarnation) {
         Lease lease = leases.get(incarnation);
-        return lease != null && !lease.isSurelyExpired(now, apart);
+        return lease != null && !lease.isSurelyExpired(logTimeMs, maxClockSkewMs);
     }
 
-    /** All incarnations that may still act, by gateway and start: those that a stage waits for. */
+    /** All incarnations that may still act, by gateway and start. */
     public List<Incarnation> mayAct() {
-        return notSurelyExpired(now);
+        return notSurelyExpired(logTimeMs);
     }
 
-    /** Those whose lease was not surely over at that time of the log, by gateway and start. */
-    public List<Incarnation> notSurelyExpired(double logNow) {
-        List<Incarnation> all = new ArrayList<>();
+    /** Those whose lease was not surely expired at a time of the log, by gateway and start. */
+    public List<Incarnation> notSurelyExpired(double atLogTimeMs) {
+        List<Incarnation> holders = new ArrayList<>();
         for (Lease lease : leases.values()) {
-            if (!lease.isSurelyExpired(logNow, apart)) {
-                all.add(lease.holder());
+            if (!lease.isSurelyExpired(atLogTimeMs, maxClockSkewMs)) {
+                holders.add(lease.holder());
             }
         }
-        return all;
+        return holders;
     }
 
     /**
-     * Whether the incarnation is its gateway's latest and may act: only such a one is given
+     * Whether the incarnation may act and is its gateway's latest; only such a one is granted
      * anything new.
      */
     public boolean mayRenew(Incarnation incarnation) {
-        return mayAct(incarnation) && latest.get(incarnation.gateway()) == incarnation.start();
+        return mayAct(incarnation)
+                && latestStarts.get(incarnation.gateway()) == incarnation.start();
     }
 
     /**
-     * Whether nothing can be open of what it opened: it left, or its lease is surely closed, or it
-     * never had one.
+     * Whether no connection can be open that the incarnation opened: it has left, or its lease is
+     * surely closed, or it never had one.
      */
     public boolean isClosed(Incarnation incarnation) {
         return !leases.containsKey(incarnation);
     }
 
-    /** Entries that were its own and changed nothing. */
+    /** Number of entries of leases that changed nothing. */
     public long rejectedEntries() {
-        return refused;
+        return rejectedEntries;
     }
 
-    /** Part of a snapshot. */
-    public void write(DataOutput out) throws IOException {
-        out.writeByte(FORM);
-        out.writeDouble(now);
-        out.writeInt(leases.size());
+    /** Writes the table as a part of a snapshot. */
+    public void write(DataOutput output) throws IOException {
+        output.writeByte(FORMAT_VERSION);
+        output.writeDouble(logTimeMs);
+        output.writeInt(leases.size());
         for (Lease lease : leases.values()) {
-            write(out, lease.holder());
-            out.writeDouble(lease.expiresAtMs());
-            out.writeLong(lease.fencingToken());
+            write(output, lease.holder());
+            output.writeDouble(lease.expiresAtMs());
+            output.writeLong(lease.fencingToken());
         }
-        write(out, latest);
-        write(out, left);
+        write(output, latestStarts);
+        write(output, departedStarts);
     }
 
-    /** In place of all that it holds. */
-    public void read(DataInput in) throws IOException {
-        if (in.readByte() != FORM) {
+    /**
+     * Replaces the table by a part of a snapshot.
+     *
+     * @throws IOException the part is torn or of an unknown format
+     */
+    public void read(DataInput input) throws IOException {
+        if (input.readByte() != FORMAT_VERSION) {
             throw new IOException(
-                    "leases in the snapshot: a form that is not known, expected " + FORM);
+                    "leases in the snapshot: a form that is not known, expected " + FORMAT_VERSION);
         }
         leases.clear();
-        now = in.readDouble();
-        for (int n = in.readInt(); n > 0; n--) {
-            Incarnation incarnation = readIncarnation(in);
-            leases.put(incarnation, new Lease(incarnation, in.readDouble(), in.readLong()));
+        logTimeMs = input.readDouble();
+        for (int remaining = input.readInt(); remaining > 0; remaining--) {
+            Incarnation incarnation = readIncarnation(input);
+            leases.put(incarnation, new Lease(incarnation, input.readDouble(), input.readLong()));
         }
-        read(in, latest);
-        read(in, left);
+        read(input, latestStarts);
+        read(input, departedStarts);
     }
 
-    private static void write(DataOutput out, Map<Integer, Long> starts) throws IOException {
-        out.writeInt(starts.size());
-        for (Map.Entry<Integer, Long> e : starts.entrySet()) {
-            out.writeInt(e.getKey());
-            out.writeLong(e.getValue());
+    private static void write(DataOutput output, Map<Integer, Long> starts) throws IOException {
+        output.writeInt(starts.size());
+        for (Map.Entry<Integer, Long> entry : starts.entrySet()) {
+            output.writeInt(entry.getKey());
+            output.writeLong(entry.getValue());
         }
     }
 
-    private static void read(DataInput in, Map<Integer, Long> starts) throws IOException {
+    private static void read(DataInput input, Map<Integer, Long> starts) throws IOException {
         starts.clear();
-        for (int n = in.readInt(); n > 0; n--) {
-            starts.put(in.readInt(), in.readLong());
+        for (int remaining = input.readInt(); remaining > 0; remaining--) {
+            starts.put(input.readInt(), input.readLong());
         }
     }
 
-    private static void write(DataOutput out, Incarnation incarnation) throws IOException {
-        out.writeInt(incarnation.gateway());
-        out.writeLong(incarnation.start());
+    private static void write(DataOutput output, Incarnation incarnation) throws IOException {
+        output.writeInt(incarnation.gateway());
+        output.writeLong(incarnation.start());
     }
 
-    private static Incarnation readIncarnation(DataInput in) throws IOException {
-        return new Incarnation(in.readInt(), in.readLong());
+    private static Incarnation readIncarnation(DataInput input) throws IOException {
+        return new Incarnation(input.readInt(), input.readLong());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/Membership.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Membership.java
@@ -2,26 +2,23 @@
 
 import java.util.List;
 
-/** The fleet as one gateway knows it from the gossip records that it received, its own included. */
+/** The fleet as one gateway knows it by gossip, including itself. */
 public interface Membership {
-    /**
-     * How many live, as far as heard: itself, and those heard within the time after which a gateway
-     * is suspected.
-     */
+    /** Number of gateways that are alive: itself, and those not suspected. */
     int aliveCount();
 
-    /** By number; itself always. */
+    /** Whether the gateway of that number is alive; itself always. */
     boolean isAlive(int gateway);
 
-    /** Their numbers, rising. */
+    /** The numbers of the gateways that are alive, ascending. */
     List<Integer> aliveGateways();
 
     /**
-     * The records of those that live and that are fresh enough to count, by number. Over many
-     * gateways a sample: the sum over the fleet is the mean of these times {@link #aliveCount}.
+     * The records that are recent enough to count, by gateway. In a large fleet they are a sample:
+     * the sum over the fleet is their mean times {@link #aliveCount}.
      */
     List<GossipRecord> freshRecords();
 
-    /** How many gateways the fleet has by its settings, living or not. */
+    /** Number of gateways that the settings name, alive or not. */
     int fleetSize();
 }
--- a/fleet/src/main/java/tinford/fleet/membership/Peer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Peer.java
@@ -1,92 +1,93 @@
 package tinford.fleet.membership;
 
-/** What a gateway knows of another one. Times are by the own clock. */
+/** What a gateway knows of another one. Times are in ms of the own clock. */
 final class Peer {
     /**
-     * The quickest way is that of the last one or two of these, ms: a clock that stood still is
-     * followed by then.
+     * The shortest delay is taken over the last one or two spans of this length, so that a clock
+     * that was set, or stood still, is followed by then.
      */
-    private static final double QUICKEST_OVER = 10_000;
+    private static final double START_ESTIMATE_SPAN_MS = 10_000;
 
     private Incarnation incarnation;
-    private int seq;
-    private byte[] raw;
-    private double made;
-    private double alive = Double.NEGATIVE_INFINITY;
+    private int sequence;
+    private byte[] encoded;
+    private double madeMs;
+    private double aliveMs = Double.NEGATIVE_INFINITY;
 
-    /** Counted as living until then even if nothing is heard: the own process was stopped. */
-    private double grantedUntil = Double.NEGATIVE_INFINITY;
+    /** Counts as alive until then whatever is heard. */
+    private double grantedUntilMs = Double.NEGATIVE_INFINITY;
 
-    /**
-     * When its owner's process started, by the quickest way: over the present time and the one
-     * before.
-     */
-    private double start;
+    /** Earliest apparent start of the peer's process in the present span. */
+    private double spanStartMs;
+
+    /** The same in the span before. */
+    private double previousSpanStartMs;
 
-    private double startBefore;
-    private double startSince;
+    private double spanBeganMs;
 
-    /** How often this record, any of this incarnation's, and this heartbeat were told. */
-    private int recordTold;
+    /** How often this record was forwarded. */
+    private int recordForwards;
 
-    private int incarnationTold;
-    private int heartbeatTold;
+    /** How often any record of this incarnation was forwarded. */
+    private int incarnationForwards;
 
-    /** When a record was told last, and in which message. */
-    private double lastTold;
+    /** How often the heartbeat of the present {@link #aliveMs} was forwarded. */
+    private int heartbeatForwards;
 
+    private double lastForwardMs;
     private long lastMessage;
 
     /**
-     * @param made when its owner made the record that came first
+     * @param madeMs when its owner made the first record
      */
-    Peer(GossipCodec.Received first, double made, double now) {
-        start = made - first.madeAtMs();
-        startBefore = start;
-        startSince = now;
-        keep(first, made);
+    Peer(GossipCodec.Received first, double madeMs, double nowMs) {
+        spanStartMs = madeMs - first.madeAtMs();
+        previousSpanStartMs = spanStartMs;
+        spanBeganMs = nowMs;
+        replaceRecord(first, madeMs);
     }
 
-    /** The newest record. */
-    void keep(GossipCodec.Received received, double madeAt) {
+    void replaceRecord(GossipCodec.Received received, double newMadeMs) {
         incarnation = received.record().incarnation;
-        seq = received.record().sequence;
-        raw = received.encoded();
-        made = madeAt;
-        recordTold = 0;
-        heard(madeAt);
-    }
-
-    /** It surely lived then. */
-    void heard(double aliveAt) {
-        if (aliveAt > alive) {
-            alive = aliveAt;
-            heartbeatTold = 0;
+        sequence = received.record().sequence;
+        encoded = received.encoded();
+        madeMs = newMadeMs;
+        recordForwards = 0;
+        recordAlive(newMadeMs);
+    }
+
+    /** Notes that it was surely alive at a time. */
+    void recordAlive(double atMs) {
+        if (atMs > aliveMs) {
+            aliveMs = atMs;
+            heartbeatForwards = 0;
         }
     }
 
-    void grantUntil(double until) {
-        grantedUntil = until;
+    void grantUntil(double untilMs) {
+        grantedUntilMs = untilMs;
     }
 
     /**
-     * When its process started, as the quickest of its records of late tell.
+     * Takes the apparent start of its process, by a record's delay, into the estimate.
      *
-     * @param told as the present one tells
-     * @param awake whether the own process has not just been stopped
+     * @param startsNewSpan whether a span may end now; not right after the own process was
+     *     suspended
+     * @return the new {@link #startMs}
      */
-    double quickestStart(double told, double now, boolean awake) {
-        if (now - startSince > QUICKEST_OVER && awake) {
-            startBefore = start;
-            start = told;
-            startSince = now;
+    double updateStart(double apparentStartMs, double nowMs, boolean startsNewSpan) {
+        if (nowMs - spanBeganMs > START_ESTIMATE_SPAN_MS && startsNewSpan) {
+            previousSpanStartMs = spanStartMs;
+            spanStartMs = apparentStartMs;
+            spanBeganMs = nowMs;
         }
-        start = Math.min(start, told);
-        return start();
+        spanStartMs = Math.min(spanStartMs, apparentStartMs);
+        return startMs();
     }
 
-    double start() {
-        return Math.min(start, startBefore);
+    /** Start of its process, by the record of the shortest recent delay. */
+    double startMs() {
+        return Math.min(spanStartMs, previousSpanStartMs);
     }
 
     Incarnation incarnation() {
@@ -94,61 +95,62 @@
     }
 
     boolean isOlderThan(GossipRecord record) {
-        return record.sequence - seq > 0;
+        return record.sequence - sequence > 0;
     }
 
-    /** Read again where it is asked for: as bytes it takes less room than its 59 numbers. */
+    /** Decoded on each call, as the bytes take less memory than the record. */
     GossipRecord record() {
-        return GossipCodec.decode(raw);
+        return GossipRecordCodec.decode(encoded);
     }
 
-    /** The record as it came. */
-    byte[] raw() {
-        return raw;
+    /** The record as received. */
+    byte[] encoded() {
+        return encoded;
     }
 
     /** When its owner made the record. */
-    double made() {
-        return made;
+    double madeMs() {
+        return madeMs;
     }
 
-    /** When it surely lived: then or later. */
-    double alive() {
-        return alive;
+    /** When it was surely alive last. */
+    double aliveMs() {
+        return aliveMs;
     }
 
-    boolean lives(double now, double suspectAfter) {
-        return now - alive <= suspectAfter || now < grantedUntil;
+    boolean isAlive(double nowMs, double suspectAfterMs) {
+        return nowMs - aliveMs <= suspectAfterMs || nowMs < grantedUntilMs;
     }
 
-    int recordTold() {
-        return recordTold;
+    int recordForwards() {
+        return recordForwards;
     }
 
-    int incarnationTold() {
-        return incarnationTold;
+    int incarnationForwards() {
+        return incarnationForwards;
     }
 
-    int heartbeatTold() {
-        return heartbeatTold;
+    int heartbeatForwards() {
+        return heartbeatForwards;
     }
 
-    double lastTold() {
-        return lastTold;
+    double lastForwardMs() {
+        return lastForwardMs;
     }
 
+    /** Whether its record was forwarded in that message. */
     boolean isIn(long message) {
         return lastMessage == message;
     }
 
-    void recordTold(long message, double now) {
-        recordTold++;
-        incarnationTold++;
-        lastTold = now;
+    void recordForwarded(long message, double nowMs) {
+        recordForwards++;
+        incarnationForwards++;
+        lastForwardMs = nowMs;
         lastMessage = message;
     }
 
-    void heartbeatWasTold() {
-        heartbeatTold++;
+    void heartbeatForwarded() {
+        heartbeatForwards++;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/TokenBucket.java
+++ b/fleet/src/main/java/tinford/fleet/membership/TokenBucket.java
@@ -1,13 +1,13 @@
 package tinford.fleet.membership;
 
-/** Bounds how many come: so many a second, and so many at once. */
+/** Limits a rate, with bursts. For one thread. */
 final class TokenBucket {
-    private static final double SECOND = 1000;
+    private static final double MS_PER_SECOND = 1000;
 
     private final double capacity;
     private final double ratePerSecond;
     private double tokens;
-    private double filledAt;
+    private double refilledMs;
 
     TokenBucket(double capacity, double ratePerSecond) {
         this.capacity = capacity;
@@ -15,11 +15,11 @@
         this.tokens = capacity;
     }
 
-    /** Whether one more may come now. */
-    boolean take(double now) {
-        double refill = Math.max(0, now - filledAt) * ratePerSecond / SECOND;
+    /** Takes a token; returns false where there is none. */
+    boolean tryTake(double nowMs) {
+        double refill = Math.max(0, nowMs - refilledMs) * ratePerSecond / MS_PER_SECOND;
         tokens = Math.min(capacity, tokens + refill);
-        filledAt = now;
+        refilledMs = nowMs;
         if (tokens < 1) {
             return false;
         }
--- a/fleet/src/test/java/tinford/fleet/membership/GossipCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipCodecTest.java
@@ -11,82 +11,84 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/**
- * Records come through as they were within the stated error; whatever else comes is refused without
- * harm.
- */
+/** Records are decoded within the stated error; anything else is rejected without harm. */
 public class GossipCodecTest {
-    private static final double NOW = 1.8e12;
-    private static final double OFF = 0.036;
+    private static final double NOW_MS = 1.8e12;
+    private static final double MAX_RELATIVE_ERROR = 0.036;
 
-    private static GossipRecord drawn(Random r, int gateway, int classes) {
-        GossipRecord s =
+    private static GossipRecord randomRecord(Random random, int gateway, int classes) {
+        GossipRecord record =
                 new GossipRecord(
-                        new Incarnation(gateway, (long) NOW - r.nextInt(1_000_000)), r.nextInt());
+                        new Incarnation(gateway, (long) NOW_MS - random.nextInt(1_000_000)),
+                        random.nextInt());
         for (int c = 0; c < classes; c++) {
-            s.offeredUnits[c] = r.nextInt(4) == 0 ? 0 : Math.exp(r.nextDouble() * 12);
-            s.admittedUnits[c] =
-                    r.nextInt(3) == 0
+            record.offeredUnits[c] =
+                    random.nextInt(4) == 0 ? 0 : Math.exp(random.nextDouble() * 12);
+            record.admittedUnits[c] =
+                    random.nextInt(3) == 0
                             ? 0
-                            : r.nextInt(2) == 0
-                                    ? s.offeredUnits[c]
-                                    : s.offeredUnits[c] * r.nextDouble();
+                            : random.nextInt(2) == 0
+                                    ? record.offeredUnits[c]
+                                    : record.offeredUnits[c] * random.nextDouble();
         }
-        s.firstAttempts = r.nextDouble() * 5000;
-        s.capacity = r.nextDouble() * 500;
-        s.retriesCededTo = r.nextBoolean() ? null : new Incarnation(gateway + 1, (long) NOW - 1);
-        s.retriesCeded = s.retriesCededTo == null ? 0 : r.nextInt(10_000_000) / 8.0;
-        for (int i = r.nextInt(GossipRecord.MAX_SERVERS + 1); i > 0; i--) {
-            s.serverHealth.add(
+        record.firstAttempts = random.nextDouble() * 5000;
+        record.capacity = random.nextDouble() * 500;
+        record.retriesCededTo =
+                random.nextBoolean() ? null : new Incarnation(gateway + 1, (long) NOW_MS - 1);
+        record.retriesCeded = record.retriesCededTo == null ? 0 : random.nextInt(10_000_000) / 8.0;
+        for (int i = random.nextInt(GossipRecord.MAX_SERVERS + 1); i > 0; i--) {
+            record.serverHealth.add(
                     new GossipRecord.ServerHealth(
-                            r.nextInt(), r.nextBoolean(), 1 + r.nextInt(50_000)));
+                            random.nextInt(), random.nextBoolean(), 1 + random.nextInt(50_000)));
         }
-        return s;
+        return record;
     }
 
     private static byte[] message(double age, GossipRecord... records) {
-        ByteBuffer m = GossipCodec.newMessage(256);
-        for (GossipRecord s : records) {
-            assertTrue(GossipCodec.addRecord(m, GossipCodec.encode(s, 5000), age));
+        ByteBuffer buffer = GossipCodec.newMessage(256);
+        for (GossipRecord record : records) {
+            assertTrue(GossipCodec.addRecord(buffer, GossipCodec.encode(record, 5000), age));
         }
-        return GossipCodec.toBytes(m);
+        return GossipCodec.toBytes(buffer);
     }
 
-    private static List<GossipCodec.Received> read(byte[] m) {
-        return new GossipCodec(10, 5000).read(m, NOW);
+    private static List<GossipCodec.Received> read(byte[] message) {
+        return new GossipCodec(10, 5000).read(message, NOW_MS);
     }
 
-    private static void near(double found, double wanted) {
+    private static void assertNear(double actual, double expected) {
         assertTrue(
-                Math.abs(found - wanted) <= OFF * wanted + (wanted < 1.0 / 64 ? 1.0 / 64 : 0),
-                found + ", wanted " + wanted);
+                Math.abs(actual - expected)
+                        <= MAX_RELATIVE_ERROR * expected + (expected < 1.0 / 64 ? 1.0 / 64 : 0),
+                actual + ", expected " + expected);
     }
 
     @Test
-    public void thereAndBack() {
-        Random r = new Random(3);
+    public void decodesWhatItEncodedWithinTheErrorOfTheScale() {
+        Random random = new Random(3);
         for (int i = 0; i < 2000; i++) {
-            GossipRecord s = drawn(r, i % 10, r.nextInt(GossipRecord.PRIORITY_CLASSES + 1));
-            double age = r.nextDouble() * 60_000;
-            GossipCodec.Received t = read(message(age, s)).get(0);
-            assertEquals(t.record().incarnation, s.incarnation);
-            assertEquals(t.record().sequence, s.sequence);
-            assertEquals(t.madeAtMs(), 5000.0);
+            GossipRecord record =
+                    randomRecord(random, i % 10, random.nextInt(GossipRecord.PRIORITY_CLASSES + 1));
+            double age = random.nextDouble() * 60_000;
+            GossipCodec.Received received = read(message(age, record)).get(0);
+            assertEquals(received.record().incarnation, record.incarnation);
+            assertEquals(received.record().sequence, record.sequence);
+            assertEquals(received.madeAtMs(), 5000.0);
             assertTrue(
-                    t.ageMs() >= age && t.ageMs() < age + 2,
-                    "age " + age + " told as " + t.ageMs());
-            assertTrue(t.encoded().length <= GossipCodec.MAX_RECORD_BYTES);
-            assertEquals(t.record().retriesCededTo, s.retriesCededTo);
-            assertEquals(t.record().retriesCeded, s.retriesCeded, 0.1);
-            near(t.record().firstAttempts, s.firstAttempts);
-            near(t.record().capacity, s.capacity);
+                    received.ageMs() >= age && received.ageMs() < age + 2,
+                    "age " + age + " received as " + received.ageMs());
+            assertTrue(received.encoded().length <= GossipCodec.MAX_RECORD_BYTES);
+            assertEquals(received.record().retriesCededTo, record.retriesCededTo);
+            assertEquals(received.record().retriesCeded, record.retriesCeded, 0.1);
+            assertNear(received.record().firstAttempts, record.firstAttempts);
+            assertNear(received.record().capacity, record.capacity);
             for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
-                near(t.record().offeredUnits[c], s.offeredUnits[c]);
-                near(t.record().admittedUnits[c], s.admittedUnits[c]);
+                assertNear(received.record().offeredUnits[c], record.offeredUnits[c]);
+                assertNear(received.record().admittedUnits[c], record.admittedUnits[c]);
             }
-            for (int k = 0; k < s.serverHealth.size(); k++) {
-                GossipRecord.ServerHealth a = s.serverHealth.get(k);
-                GossipRecord.ServerHealth b = t.record().serverHealth.get(k);
+            for (int k = 0; k < record.serverHealth.size(); k++) {
+                GossipRecord.ServerHealth a = record.serverHealth.get(k);
+                GossipRecord.ServerHealth b = received.record().serverHealth.get(k);
                 assertTrue(
                         a.serverHash() == b.serverHash()
                                 && a.unhealthy() == b.unhealthy()
@@ -97,108 +99,115 @@
     }
 
     @DataProvider
-    public Object[][] refused() {
-        GossipRecord good = drawn(new Random(1), 3, 14);
-        byte[] m = message(0, good);
-        byte[] version = m.clone();
+    public Object[][] invalidMessages() {
+        GossipRecord good = randomRecord(new Random(1), 3, 14);
+        byte[] message = message(0, good);
+        byte[] version = message.clone();
         version[0] = 2;
-        byte[] length = m.clone();
+        byte[] length = message.clone();
         length[1] += 1;
-        byte[] classes = m.clone();
+        byte[] classes = message.clone();
         classes[1 + 29] = GossipRecord.PRIORITY_CLASSES + 1;
-        byte[] ills = message(0, new GossipRecord(new Incarnation(1, 5), 1));
-        ills[ills.length - 1] = GossipRecord.MAX_SERVERS + 1;
+        byte[] servers = message(0, new GossipRecord(new Incarnation(1, 5), 1));
+        servers[servers.length - 1] = GossipRecord.MAX_SERVERS + 1;
         return new Object[][] {
             {"empty", new byte[0]},
             {"one byte", new byte[] {1}},
             {"another version", version},
-            {"torn", Arrays.copyOf(m, m.length - 1)},
-            {"longer than its end", length},
+            {"torn", Arrays.copyOf(message, message.length - 1)},
+            {"length beyond the end", length},
             {"classes beyond", classes},
-            {"servers beyond", ills},
+            {"servers beyond", servers},
             {"gateway beyond", message(0, new GossipRecord(new Incarnation(10, 5), 1))},
             {
                 "starts in the future",
-                message(0, new GossipRecord(new Incarnation(1, (long) NOW + 5001), 1))
+                message(0, new GossipRecord(new Incarnation(1, (long) NOW_MS + 5001), 1))
             },
-            {"too long", Arrays.copyOf(m, 257)},
+            {"too long", Arrays.copyOf(message, 257)},
             {"only heartbeats", new byte[] {1, 0, 0, 0, 0, 0, 0, 0, 0}},
         };
     }
 
-    @Test(dataProvider = "refused")
-    public void refusesWhole(String what, byte[] message) {
-        assertEquals(read(message), List.of(), what);
+    @Test(dataProvider = "invalidMessages")
+    public void rejectsAnInvalidMessageAsAWhole(String description, byte[] message) {
+        assertEquals(read(message), List.of(), description);
     }
 
     @Test
-    public void oneAbsurdRecordOfAnotherCostsOnlyItself() {
+    public void skipsOnlyTheImplausibleRecordOfAnotherGateway() {
         GossipRecord good = new GossipRecord(new Incarnation(1, 5), 1);
-        GossipRecord late = new GossipRecord(new Incarnation(2, (long) NOW + 9999), 1);
+        GossipRecord late = new GossipRecord(new Incarnation(2, (long) NOW_MS + 9999), 1);
         List<GossipCodec.Received> read =
                 read(message(0, good, late, new GossipRecord(new Incarnation(3, 7), 1)));
         assertEquals(
-                read.stream().map(t -> t.record().incarnation.gateway()).toList(), List.of(1, 3));
+                read.stream().map(received -> received.record().incarnation.gateway()).toList(),
+                List.of(1, 3));
     }
 
     @Test
-    public void whatALaterVersionAddsIsSkippedAndToldOn() {
-        byte[] raw = GossipCodec.encode(drawn(new Random(2), 3, 10), 5000);
+    public void ignoresAndForwardsWhatALaterVersionAdds() {
+        byte[] raw = GossipCodec.encode(randomRecord(new Random(2), 3, 10), 5000);
         byte[] longer = Arrays.copyOf(raw, raw.length + 9);
         longer[0] += 9;
         longer[raw.length + 4] = 77;
-        ByteBuffer m = GossipCodec.newMessage(256);
-        GossipCodec.addRecord(m, longer, 0);
-        GossipCodec.addRecord(m, raw, 0);
-        List<GossipCodec.Received> read = read(GossipCodec.toBytes(m));
+        ByteBuffer buffer = GossipCodec.newMessage(256);
+        GossipCodec.addRecord(buffer, longer, 0);
+        GossipCodec.addRecord(buffer, raw, 0);
+        List<GossipCodec.Received> read = read(GossipCodec.toBytes(buffer));
         assertEquals(read.size(), 2);
         assertEquals(read.get(0).encoded(), longer);
         assertEquals(read.get(0).record().offeredUnits, read.get(1).record().offeredUnits);
     }
 
     /**
-     * Neither chance bytes nor a good message with some changed, cut or added ever throw, here or
-     * in the members.
+     * Neither random bytes nor a valid message with changes, cuts or additions make the codec or
+     * the membership throw.
      */
     @Test
-    public void garbageIsHarmless() {
-        Random r = new Random(4);
-        GossipMembership members =
-                new GossipMembership(new Incarnation(0, 5), 10, 100, 2, 3000, 3000, r);
+    public void toleratesGarbage() {
+        Random random = new Random(4);
+        GossipMembership membership =
+                new GossipMembership(new Incarnation(0, 5), 10, 100, 2, 3000, 3000, random);
         for (int i = 0; i < 20_000; i++) {
-            byte[] m =
+            byte[] message =
                     message(
-                            r.nextInt(5000),
-                            drawn(r, r.nextInt(10), 8),
-                            drawn(r, r.nextInt(10), 3));
-            for (int k = r.nextInt(4); k >= 0; k--) {
-                m[r.nextInt(m.length)] = (byte) r.nextInt();
+                            random.nextInt(5000),
+                            randomRecord(random, random.nextInt(10), 8),
+                            randomRecord(random, random.nextInt(10), 3));
+            for (int k = random.nextInt(4); k >= 0; k--) {
+                message[random.nextInt(message.length)] = (byte) random.nextInt();
             }
-            m = Arrays.copyOf(m, r.nextInt(3) == 0 ? r.nextInt(300) : m.length);
-            for (GossipCodec.Received t : read(m)) {
+            message =
+                    Arrays.copyOf(
+                            message, random.nextInt(3) == 0 ? random.nextInt(300) : message.length);
+            for (GossipCodec.Received received : read(message)) {
                 assertTrue(
-                        t.record().incarnation.gateway() < 10
-                                && t.record().incarnation.start() <= NOW + 5000);
+                        received.record().incarnation.gateway() < 10
+                                && received.record().incarnation.start() <= NOW_MS + 5000);
             }
-            members.receive(m, r.nextInt(10), NOW + i * 20);
+            membership.receive(message, random.nextInt(10), NOW_MS + i * 20);
         }
-        assertTrue(members.rejectedMessages() > 10_000, "refused " + members.rejectedMessages());
-        assertFalse(members.aliveCount() > 10);
+        assertTrue(
+                membership.rejectedMessages() > 10_000,
+                "rejected " + membership.rejectedMessages());
+        assertFalse(membership.aliveCount() > 10);
     }
 
     @Test
-    public void aUsualRecordIsShort() {
-        GossipRecord s = new GossipRecord(new Incarnation(1, 5), 1);
-        Arrays.fill(s.offeredUnits, 4, 20, 100);
-        Arrays.fill(s.admittedUnits, 10, 20, 100);
-        s.admittedUnits[9] = 30;
-        s.serverHealth.add(new GossipRecord.ServerHealth(1, true, 100));
-        s.retriesCededTo = null;
-        assertTrue(GossipCodec.encode(s, 0).length <= 60, "" + GossipCodec.encode(s, 0).length);
-        Arrays.fill(s.offeredUnits, 100);
-        Arrays.fill(s.admittedUnits, 50);
+    public void encodesATypicalRecordInSixtyBytes() {
+        GossipRecord record = new GossipRecord(new Incarnation(1, 5), 1);
+        Arrays.fill(record.offeredUnits, 4, 20, 100);
+        Arrays.fill(record.admittedUnits, 10, 20, 100);
+        record.admittedUnits[9] = 30;
+        record.serverHealth.add(new GossipRecord.ServerHealth(1, true, 100));
+        record.retriesCededTo = null;
+        assertTrue(
+                GossipCodec.encode(record, 0).length <= 60,
+                "" + GossipCodec.encode(record, 0).length);
+        Arrays.fill(record.offeredUnits, 100);
+        Arrays.fill(record.admittedUnits, 50);
         assertTrue(
-                GossipCodec.encode(s, 0).length * 2 + 1 <= GossipCodec.MAX_MESSAGE_BYTES,
+                GossipCodec.encode(record, 0).length * 2 + 1 <= GossipCodec.MAX_MESSAGE_BYTES,
                 "two of the longest don't fit");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
@@ -6,95 +6,101 @@
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
+import java.util.List;
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.fleet.transport.InMemoryTransport;
 
-/** Fleets of many sizes in virtual time: who is known to live, how soon, at what cost. */
+/** Fleets of several sizes in virtual time: who is known to be alive, how soon, at what cost. */
 public class GossipMembershipTest {
-    /** Whether each counts so many; of 400, one in a hundred may be missing at each. */
-    private static boolean all(SimulatedGossipFleet f, int living) {
-        for (int i = 0; i < f.members.length; i++) {
-            if (!f.stopped[i]
-                    && Math.abs(f.members[i].aliveCount() - living)
-                            > (f.members.length == 400 ? 4 : 0)) {
+    /** Whether each counts so many alive gateways; of 400, each may miss one in a hundred. */
+    private static boolean allCount(SimulatedGossipFleet fleet, int expected) {
+        for (int i = 0; i < fleet.members.length; i++) {
+            if (!fleet.stopped[i]
+                    && Math.abs(fleet.members[i].aliveCount() - expected)
+                            > (fleet.members.length == 400 ? 4 : 0)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static double upTo(SimulatedGossipFleet f, double most) {
-        double took = f.until(most, () -> all(f, f.members.length));
-        assertTrue(took < most, "all known after " + took);
-        return took;
+    private static double runUntilAllKnown(SimulatedGossipFleet fleet, double maxMs) {
+        double tookMs = fleet.runUntil(maxMs, () -> allCount(fleet, fleet.members.length));
+        assertTrue(tookMs < maxMs, "all known after " + tookMs);
+        return tookMs;
     }
 
-    private static int least(SimulatedGossipFleet f) {
-        int least = f.members.length;
-        for (int i = 0; i < f.members.length; i++) {
-            least = f.stopped[i] ? least : Math.min(least, f.members[i].aliveCount());
+    private static int minAliveCount(SimulatedGossipFleet fleet) {
+        int min = fleet.members.length;
+        for (int i = 0; i < fleet.members.length; i++) {
+            min = fleet.stopped[i] ? min : Math.min(min, fleet.members[i].aliveCount());
         }
-        return least;
+        return min;
     }
 
-    /** Gateways, suspected after, and within what all know of one another at the start. */
+    /** Gateways, suspicion time, and the time within which all know each other at the start, ms. */
     @DataProvider
     public Object[][] sizes() {
         return new Object[][] {{5, 2000.0, 2000.0}, {14, 3000.0, 3000.0}, {100, 6000.0, 8000.0}};
     }
 
     @Test(dataProvider = "sizes")
-    public void lossAndRestartAreKnown(int n, double suspectAfter, double within) {
-        lostAndBack(n, suspectAfter, within);
+    public void detectsLossAndRestart(int n, double suspectAfterMs, double withinMs) {
+        checkLossAndRestart(n, suspectAfterMs, withinMs);
     }
 
     @Test(groups = "long")
-    public void lossAndRestartAreKnownBy400() {
-        lostAndBack(400, 20_000, 30_000);
+    public void detectsLossAndRestartIn400Gateways() {
+        checkLossAndRestart(400, 20_000, 30_000);
     }
 
-    private static void lostAndBack(int n, double suspectAfter, double within) {
-        SimulatedGossipFleet f = new SimulatedGossipFleet(n, suspectAfter, suspectAfter / 2, 5);
-        f.net.link(new InMemoryTransport.Link(1, 2, 0.01, 0.01, 0.01, 50));
-        upTo(f, within);
-        double from = f.now;
-        long sent = f.net.sent();
-        long bytes = f.net.bytes();
-        f.run(2000);
-        assertTrue(least(f) >= n - 1 - n / 80, "wrongly suspected: sees " + least(f));
-        double messages = (f.net.sent() - sent) * 1000.0 / (f.now - from) / n;
-        double perSecond = (f.net.bytes() - bytes) * 1000.0 / (f.now - from) / n;
+    private static void checkLossAndRestart(int n, double suspectAfterMs, double withinMs) {
+        SimulatedGossipFleet fleet =
+                new SimulatedGossipFleet(n, suspectAfterMs, suspectAfterMs / 2, 5);
+        fleet.network.link(new InMemoryTransport.Link(1, 2, 0.01, 0.01, 0.01, 50));
+        runUntilAllKnown(fleet, withinMs);
+        double from = fleet.nowMs;
+        long sent = fleet.network.sent();
+        long bytes = fleet.network.bytes();
+        fleet.run(2000);
+        assertTrue(
+                minAliveCount(fleet) >= n - 1 - n / 80,
+                "wrongly suspected: sees " + minAliveCount(fleet));
+        double messages = (fleet.network.sent() - sent) * 1000.0 / (fleet.nowMs - from) / n;
+        double perSecond = (fleet.network.bytes() - bytes) * 1000.0 / (fleet.nowMs - from) / n;
         assertEquals(messages, 20, 0.5, "messages a second a gateway");
         assertTrue(perSecond <= 20.5 * 256, "bytes a second a gateway " + perSecond);
 
         int lost = n / 2;
-        f.until(20_000, () -> Arrays.stream(f.members).allMatch(m -> m.newestRecord(lost) != null));
-        f.kill(lost);
+        fleet.runUntil(
+                20_000,
+                () -> Arrays.stream(fleet.members).allMatch(m -> m.newestRecord(lost) != null));
+        fleet.kill(lost);
         double gone =
-                f.until(
-                        suspectAfter + 10_000,
+                fleet.runUntil(
+                        suspectAfterMs + 10_000,
                         () -> {
                             for (int i = 0; i < n; i++) {
-                                if (i != lost && f.members[i].isAlive(lost)) {
+                                if (i != lost && fleet.members[i].isAlive(lost)) {
                                     return false;
                                 }
                             }
                             return true;
                         });
         assertTrue(
-                gone <= suspectAfter + 2 * SimulatedGossipFleet.EVERY,
+                gone <= suspectAfterMs + 2 * SimulatedGossipFleet.ROUND_INTERVAL_MS,
                 "loss known by all after " + gone);
-        f.start(lost, (long) f.now);
+        fleet.start(lost, (long) fleet.nowMs);
         double back =
-                f.until(
+                fleet.runUntil(
                         10_000,
                         () -> {
                             for (int i = 0; i < n; i++) {
-                                if (!f.members[i].isAlive(lost)
-                                        || f.members[i].incarnation(lost).start()
-                                                != f.members[lost].incarnation(lost).start()) {
+                                if (!fleet.members[i].isAlive(lost)
+                                        || fleet.members[i].incarnation(lost).start()
+                                                != fleet.members[lost].incarnation(lost).start()) {
                                     return false;
                                 }
                             }
@@ -104,65 +110,69 @@
     }
 
     @Test(dataProvider = "sizes")
-    public void halvesCutAndHealed(int n, double suspectAfter, double within) {
-        SimulatedGossipFleet f = new SimulatedGossipFleet(n, suspectAfter, suspectAfter / 2, 6);
-        f.run(2 * within);
+    public void detectsAPartitionAndItsEnd(int n, double suspectAfterMs, double withinMs) {
+        SimulatedGossipFleet fleet =
+                new SimulatedGossipFleet(n, suspectAfterMs, suspectAfterMs / 2, 6);
+        fleet.run(2 * withinMs);
         int half = n / 2;
-        cut(f, half, true);
+        cut(fleet, half, true);
         double seen =
-                f.until(
-                        2 * suspectAfter,
+                fleet.runUntil(
+                        2 * suspectAfterMs,
                         () -> {
                             for (int i = 0; i < n; i++) {
-                                if (f.members[i].aliveCount() != (i < half ? half : n - half)) {
+                                if (fleet.members[i].aliveCount() != (i < half ? half : n - half)) {
                                     return false;
                                 }
                             }
                             return true;
                         });
         assertTrue(
-                seen <= suspectAfter + 2 * SimulatedGossipFleet.EVERY, "halves seen after " + seen);
-        assertEquals(f.members[0].fleetSize(), n);
-        cut(f, half, false);
-        upTo(f, within);
+                seen <= suspectAfterMs + 2 * SimulatedGossipFleet.ROUND_INTERVAL_MS,
+                "halves seen after " + seen);
+        assertEquals(fleet.members[0].fleetSize(), n);
+        cut(fleet, half, false);
+        runUntilAllKnown(fleet, withinMs);
     }
 
-    private static void cut(SimulatedGossipFleet f, int half, boolean on) {
+    private static void cut(SimulatedGossipFleet fleet, int half, boolean on) {
         for (int i = 0; i < half; i++) {
-            for (int j = half; j < f.members.length; j++) {
-                f.net.cutBoth(i, j, on);
+            for (int j = half; j < fleet.members.length; j++) {
+                fleet.network.cutBoth(i, j, on);
             }
         }
     }
 
     @Test
-    public void lossAndDoublingCostAgeOnly() {
-        SimulatedGossipFleet f = new SimulatedGossipFleet(14, 3000, 3000, 7);
-        f.net.link(new InMemoryTransport.Link(1, 30, 0.3, 0.3, 0.1, 300));
-        upTo(f, 5000);
+    public void suspectsNoneOverLossAndDuplication() {
+        SimulatedGossipFleet fleet = new SimulatedGossipFleet(14, 3000, 3000, 7);
+        fleet.network.link(new InMemoryTransport.Link(1, 30, 0.3, 0.3, 0.1, 300));
+        runUntilAllKnown(fleet, 5000);
         for (int i = 0; i < 200; i++) {
-            f.round();
-            assertTrue(least(f) >= 13, "suspected at " + f.now + ": " + least(f));
+            fleet.round();
+            assertTrue(
+                    minAliveCount(fleet) >= 13,
+                    "suspected at " + fleet.nowMs + ": " + minAliveCount(fleet));
         }
     }
 
     /**
-     * Some gateways see five times as much as others; the sum is the mean of the fresh records
-     * times those that live.
+     * Some gateways have five times the load of others; the sum is estimated by the mean of the
+     * fresh records times the number of alive gateways.
      */
     @Test
-    public void sumOfUnevenGateways() {
+    public void estimatesTheSumOverUnevenGateways() {
         for (int n : new int[] {5, 14, 100}) {
-            SimulatedGossipFleet f = new SimulatedGossipFleet(n, 6000, 5000, 8);
+            SimulatedGossipFleet fleet = new SimulatedGossipFleet(n, 6000, 5000, 8);
             double sum = 0;
             for (int i = 0; i < n; i++) {
-                f.sees[i] = i % 5 == 0 ? 5 : 1;
-                sum += 50 * f.sees[i];
+                fleet.loadFactors[i] = i % 5 == 0 ? 5 : 1;
+                sum += 50 * fleet.loadFactors[i];
             }
-            f.run(n * 200);
+            fleet.run(n * 200);
             double worst = 0;
             double mean = 0;
-            for (GossipMembership m : f.members) {
+            for (GossipMembership m : fleet.members) {
                 double estimate =
                         m.freshRecords().stream()
                                         .mapToDouble(s -> s.firstAttempts)
@@ -179,37 +189,37 @@
     }
 
     /**
-     * Stopped for long, with what came meanwhile waiting for it: nobody is accused, and no dead one
-     * brought to life.
+     * After a long suspension, with all messages since then waiting: no gateway is suspected, and
+     * no dead one counts as alive.
      */
     @Test
-    public void wakesUpAfterALongPause() {
-        SimulatedGossipFleet f = new SimulatedGossipFleet(14, 3000, 1500, 9);
-        f.run(3000);
-        f.net.pause(3);
-        f.stopped[3] = true;
-        f.run(100);
-        f.kill(7);
-        f.run(30_000);
-        f.net.resume(3);
-        f.stopped[3] = false;
-        f.net.advance(f.now + 1);
+    public void neitherSuspectsNorRevivesAfterALongSuspension() {
+        SimulatedGossipFleet fleet = new SimulatedGossipFleet(14, 3000, 1500, 9);
+        fleet.run(3000);
+        fleet.network.pause(3);
+        fleet.stopped[3] = true;
+        fleet.run(100);
+        fleet.kill(7);
+        fleet.run(30_000);
+        fleet.network.resume(3);
+        fleet.stopped[3] = false;
+        fleet.network.advance(fleet.nowMs + 1);
         assertTrue(
-                f.members[3].recordAgeMs(7) > 29_000 && f.members[3].silenceMs(7) > 29_000,
-                "a stale record counts as " + f.members[3].silenceMs(7));
+                fleet.members[3].recordAgeMs(7) > 29_000 && fleet.members[3].silenceMs(7) > 29_000,
+                "a stale record counts as " + fleet.members[3].silenceMs(7));
         for (int i = 0; i < 60; i++) {
-            f.round();
+            fleet.round();
             assertTrue(
-                    f.members[3].aliveCount() >= 13,
-                    "accuses after its pause: sees " + f.members[3].aliveCount());
+                    fleet.members[3].aliveCount() >= 13,
+                    "suspects after its suspension: sees " + fleet.members[3].aliveCount());
             for (int j = 0; j < 14; j++) {
                 assertFalse(
-                        j != 3 && j != 7 && f.members[j].isAlive(7),
+                        j != 3 && j != 7 && fleet.members[j].isAlive(7),
                         "brought to life by stale records at " + j);
             }
         }
-        assertFalse(f.members[3].isAlive(7));
-        assertTrue(all(f, 13));
+        assertFalse(fleet.members[3].isAlive(7));
+        assertTrue(allCount(fleet, 13));
     }
 
     @DataProvider
@@ -218,38 +228,39 @@
     }
 
     /**
-     * Messages may be 2 s late, and wait for a stopped gateway for any time. Over drawn histories
-     * of losses, cuts, stops and restarts nothing is known before it was made, nor counts as
-     * fresher than it is by more than two late ways (of an incarnation first heard of over them).
+     * Messages may be delayed by 2 s, and wait for a suspended gateway for any time. Over random
+     * histories of losses, partitions, suspensions and restarts no record is known before it was
+     * made, nor counts as fresher than it is by more than two delays.
      */
     @Test(dataProvider = "seeds")
-    public void nothingIsFresherThanItIs(long seed) {
-        SimulatedGossipFleet f = new SimulatedGossipFleet(7, 3000, 1500, seed);
-        Random r = new Random(seed);
-        f.net.link(new InMemoryTransport.Link(1, 20, 0.2, 0.2, 0.05, 2000));
+    public void noRecordCountsAsFresherThanItIs(long seed) {
+        SimulatedGossipFleet fleet = new SimulatedGossipFleet(7, 3000, 1500, seed);
+        Random random = new Random(seed);
+        fleet.network.link(new InMemoryTransport.Link(1, 20, 0.2, 0.2, 0.05, 2000));
         double[][] since = new double[7][7];
         Incarnation[][] known = new Incarnation[7][7];
         double worst = 0;
         for (int i = 0; i < 900; i++) {
-            disturb(f, r);
-            f.round();
+            disturb(fleet, random);
+            fleet.round();
             for (int a = 0; a < 7; a++) {
                 for (int b = 0; b < 7; b++) {
-                    GossipMembership m = f.members[a];
-                    if (a == b || f.stopped[a] || m.newestRecord(b) == null) {
+                    GossipMembership m = fleet.members[a];
+                    if (a == b || fleet.stopped[a] || m.newestRecord(b) == null) {
                         continue;
                     }
                     if (!m.incarnation(b).equals(known[a][b])) {
                         known[a][b] = m.incarnation(b);
-                        since[a][b] = f.now;
+                        since[a][b] = fleet.nowMs;
                     }
-                    java.util.List<Double> made = f.made.get(m.incarnation(b));
+                    List<Double> made = fleet.madeMs.get(m.incarnation(b));
                     assertTrue(
                             made != null && m.newestRecord(b).sequence < made.size(),
                             "known before it was made");
-                    double tooLow = f.now - made.get(m.newestRecord(b).sequence) - m.recordAgeMs(b);
+                    double tooLow =
+                            fleet.nowMs - made.get(m.newestRecord(b).sequence) - m.recordAgeMs(b);
                     assertTrue(tooLow > -3120, "counts as older than it is by " + -tooLow);
-                    if (!f.stopped[b] && f.now - since[a][b] > 3000) {
+                    if (!fleet.stopped[b] && fleet.nowMs - since[a][b] > 3000) {
                         worst = Math.max(worst, tooLow);
                     }
                 }
@@ -258,79 +269,81 @@
         assertTrue(worst < 2 * 2021 + 150, "counts as fresher than it is by " + worst);
     }
 
-    private static void disturb(SimulatedGossipFleet f, Random r) {
-        int a = r.nextInt(7);
-        int b = (a + 1 + r.nextInt(6)) % 7;
-        switch (r.nextInt(60)) {
-            case 0, 1 -> f.net.cut(a, b, true);
-            case 2, 3 -> f.net.cut(a, b, false);
+    private static void disturb(SimulatedGossipFleet fleet, Random random) {
+        int a = random.nextInt(7);
+        int b = (a + 1 + random.nextInt(6)) % 7;
+        switch (random.nextInt(60)) {
+            case 0, 1 -> fleet.network.cut(a, b, true);
+            case 2, 3 -> fleet.network.cut(a, b, false);
             case 4 -> {
-                f.kill(a);
-                f.net.resume(a);
-                f.net.advance(f.now);
-                f.start(a, (long) f.now);
+                fleet.kill(a);
+                fleet.network.resume(a);
+                fleet.network.advance(fleet.nowMs);
+                fleet.start(a, (long) fleet.nowMs);
             }
             case 5 -> {
-                f.net.pause(a);
-                f.stopped[a] = true;
+                fleet.network.pause(a);
+                fleet.stopped[a] = true;
             }
             case 6, 7, 8 -> {
-                f.net.resume(a);
-                f.stopped[a] = false;
+                fleet.network.resume(a);
+                fleet.stopped[a] = false;
             }
             default -> {}
         }
     }
 
     @Test
-    public void alone() {
-        SimulatedGossipFleet f = new SimulatedGossipFleet(5, 1000, 1000, 10);
+    public void aGatewayWithoutOthersIsAloneAlive() {
+        SimulatedGossipFleet fleet = new SimulatedGossipFleet(5, 1000, 1000, 10);
         for (int i = 1; i < 5; i++) {
-            f.kill(i);
+            fleet.kill(i);
         }
-        f.run(2000);
-        assertEquals(f.members[0].aliveCount(), 1);
-        assertEquals(f.members[0].fleetSize(), 5);
-        assertEquals(f.members[0].aliveGateways(), java.util.List.of(0));
-        assertEquals(f.members[0].freshRecords().size(), 1);
+        fleet.run(2000);
+        assertEquals(fleet.members[0].aliveCount(), 1);
+        assertEquals(fleet.members[0].fleetSize(), 5);
+        assertEquals(fleet.members[0].aliveGateways(), List.of(0));
+        assertEquals(fleet.members[0].freshRecords().size(), 1);
     }
 
-    private static byte[] told(long start, int seq, double made) {
+    private static byte[] message(long start, int sequence, double madeMs) {
         ByteBuffer m = GossipCodec.newMessage(256);
         GossipCodec.addRecord(
-                m, GossipCodec.encode(new GossipRecord(new Incarnation(1, start), seq), made), 0);
+                m,
+                GossipCodec.encode(new GossipRecord(new Incarnation(1, start), sequence), madeMs),
+                0);
         return GossipCodec.toBytes(m);
     }
 
     @Test
-    public void theLaterIncarnationWins() {
+    public void prefersTheLaterIncarnation() {
         GossipMembership m =
                 new GossipMembership(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
-        m.receive(told(500, 900, 500), 1, 1000);
-        m.receive(told(1000, 1, 50), 1, 1050);
-        m.receive(told(500, 901, 600), 1, 1100);
+        m.receive(message(500, 900, 500), 1, 1000);
+        m.receive(message(1000, 1, 50), 1, 1050);
+        m.receive(message(500, 901, 600), 1, 1100);
         assertEquals(m.incarnation(1).start(), 1000);
-        m.receive(told(1000, 0, 40), 1, 1110);
+        m.receive(message(1000, 0, 40), 1, 1110);
         assertEquals(m.newestRecord(1).sequence, 1);
         for (int t = 1200; t < 10_000; t += 500) {
-            m.receive(told(500, t, t - 500), 1, t);
+            m.receive(message(500, t, t - 500), 1, t);
             assertEquals(
                     m.incarnation(1).start(), 1000, "an earlier incarnation came back at " + t);
         }
         assertFalse(m.isAlive(1));
-        m.receive(told(500, 20_000, 11_500), 1, 12_000);
-        m.receive(told(500, 20_000, 11_650), 1, 12_150);
+        m.receive(message(500, 20_000, 11_500), 1, 12_000);
+        m.receive(message(500, 20_000, 11_650), 1, 12_150);
         assertEquals(m.incarnation(1).start(), 500, "the upgrade failed long ago");
-        m.receive(told(500, 20_001, 11_700), 0, 12_200);
+        m.receive(message(500, 20_001, 11_700), 0, 12_200);
         assertEquals(m.rejectedMessages(), 1);
     }
 
     @Test
-    public void takesABoundedNumberASecond() {
+    public void limitsTheRateOfMessages() {
         GossipMembership m =
                 new GossipMembership(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
         for (int i = 0; i < 10_000; i++) {
-            m.receive(told(500, i, i), 1, 1000 + i / 10.0);
+            m.receive(message(500, i, i), 1, 1000 + i / 10.0);
         }
         assertTrue(m.rateLimitedMessages() >= 9900, "taken " + (10_000 - m.rateLimitedMessages()));
     }
--- a/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
+++ b/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
@@ -5,65 +5,66 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import java.util.function.BooleanSupplier;
 import tinford.fleet.transport.InMemoryTransport;
 import tinford.fleet.transport.Transport;
 
 /**
- * A fleet of members in virtual time, for tests: each renews its record and has its round every 100
- * ms, at a moment of its own.
+ * Gateways that gossip over a simulated network, in virtual time. Each renews its record and sends
+ * a round every 100 ms, at a time of its own.
  */
 final class SimulatedGossipFleet {
-    static final double EVERY = 100;
+    static final double ROUND_INTERVAL_MS = 100;
     static final int FANOUT = 2;
-    final InMemoryTransport.Network net;
+    final InMemoryTransport.Network network;
     final GossipMembership[] members;
     final Transport[] transports;
     final boolean[] stopped;
-    final int[] seq;
+    final int[] sequences;
 
-    /** By incarnation and seq: when the record was made. */
-    final Map<Incarnation, List<Double>> made = new HashMap<>();
+    /** When each record was madeMs, by incarnation and sequence. */
+    final Map<Incarnation, List<Double>> madeMs = new HashMap<>();
 
-    final Random chance;
-    double now = 1000;
-    private final double suspectAfter;
+    final Random random;
+    double nowMs = 1000;
+    private final double suspectAfterMs;
+    private final double freshForMs;
 
-    /** How many times as much as others a gateway sees. */
-    final double[] sees;
+    /** Load of each gateway, as a multiple of the usual one. */
+    final double[] loadFactors;
 
-    SimulatedGossipFleet(int n, double suspectAfter, double freshFor, long seed) {
-        net = new InMemoryTransport.Network(n, 256, 200, seed);
-        net.advance(now);
+    SimulatedGossipFleet(int n, double suspectAfterMs, double freshForMs, long seed) {
+        network = new InMemoryTransport.Network(n, 256, 200, seed);
+        network.advance(nowMs);
         members = new GossipMembership[n];
         transports = new Transport[n];
         stopped = new boolean[n];
-        seq = new int[n];
-        sees = new double[n];
-        chance = new Random(seed);
-        this.suspectAfter = suspectAfter;
-        this.freshFor = freshFor;
+        sequences = new int[n];
+        loadFactors = new double[n];
+        random = new Random(seed);
+        this.suspectAfterMs = suspectAfterMs;
+        this.freshForMs = freshForMs;
         for (int i = 0; i < n; i++) {
-            sees[i] = 1;
+            loadFactors[i] = 1;
             start(i, 1000);
         }
     }
 
-    private final double freshFor;
-
-    void start(int i, long at) {
-        GossipMembership m =
+    void start(int i, long atMs) {
+        GossipMembership membership =
                 new GossipMembership(
-                        new Incarnation(i, at),
+                        new Incarnation(i, atMs),
                         members.length,
-                        EVERY,
+                        ROUND_INTERVAL_MS,
                         FANOUT,
-                        suspectAfter,
-                        freshFor,
-                        new Random(chance.nextLong()));
-        members[i] = m;
-        seq[i] = 0;
+                        suspectAfterMs,
+                        freshForMs,
+                        new Random(random.nextLong()));
+        members[i] = membership;
+        sequences[i] = 0;
         stopped[i] = false;
-        transports[i] = net.at(i, (from, message) -> m.receive(message, from, net.now()));
+        transports[i] =
+                network.at(i, (from, message) -> membership.receive(message, from, network.now()));
     }
 
     void kill(int i) {
@@ -71,44 +72,45 @@
         stopped[i] = true;
     }
 
-    /** Advances by one round of all, in ten steps, a tenth of the gateways at each. */
+    /** Advances by one round of all gateways, in ten steps with a tenth of them each. */
     void round() {
         for (int step = 0; step < 10; step++) {
-            now += EVERY / 10;
-            net.advance(now);
+            nowMs += ROUND_INTERVAL_MS / 10;
+            network.advance(nowMs);
             for (int i = step; i < members.length; i += 10) {
                 if (!stopped[i]) {
-                    turn(i);
+                    sendRound(i);
                 }
             }
         }
     }
 
-    private void turn(int i) {
-        GossipRecord s = new GossipRecord(members[i].incarnation(i), seq[i]);
-        seq[i]++;
-        made.computeIfAbsent(s.incarnation, l -> new ArrayList<>()).add(now);
+    private void sendRound(int i) {
+        GossipRecord record = new GossipRecord(members[i].incarnation(i), sequences[i]);
+        sequences[i]++;
+        madeMs.computeIfAbsent(record.incarnation, l -> new ArrayList<>()).add(nowMs);
         for (int c = 4; c < 14; c++) {
-            s.offeredUnits[c] = 10 * sees[i];
-            s.admittedUnits[c] = c < 9 ? 0 : c == 9 ? 3 * sees[i] : s.offeredUnits[c];
+            record.offeredUnits[c] = 10 * loadFactors[i];
+            record.admittedUnits[c] =
+                    c < 9 ? 0 : c == 9 ? 3 * loadFactors[i] : record.offeredUnits[c];
         }
-        s.firstAttempts = 50 * sees[i];
-        members[i].setOwnRecord(s, now);
-        members[i].sendRound(now, transports[i]);
+        record.firstAttempts = 50 * loadFactors[i];
+        members[i].setOwnRecord(record, nowMs);
+        members[i].sendRound(nowMs, transports[i]);
     }
 
-    void run(double ms) {
-        for (double end = now + ms; now < end; ) {
+    void run(double durationMs) {
+        for (double endMs = nowMs + durationMs; nowMs < endMs; ) {
             round();
         }
     }
 
-    /** Ms until it is so, at most {@code most}. */
-    double until(double most, java.util.function.BooleanSupplier so) {
-        double from = now;
-        while (!so.getAsBoolean() && now - from < most) {
+    /** Runs until the condition holds, and returns the ms that this took, at most {@code maxMs}. */
+    double runUntil(double maxMs, BooleanSupplier condition) {
+        double startedMs = nowMs;
+        while (!condition.getAsBoolean() && nowMs - startedMs < maxMs) {
             round();
         }
-        return now - from;
+        return nowMs - startedMs;
     }
 }
