--- a/fleet/src/main/java/tinford/fleet/migration/LeaseHolders.java
+++ b/fleet/src/main/java/tinford/fleet/migration/LeaseHolders.java
@@ -4,13 +4,13 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * What the moves ask of the leases. It must follow from the entries of the same log, so that every
- * member answers alike.
+ * The leases as the migration sees them. They must follow from the entries of the same log, so that
+ * every member answers alike.
  */
 public interface LeaseHolders {
     /**
-     * All incarnations whose lease was not surely over at that time of the log, later ones
-     * included; whoever is missing sent nothing from then on.
+     * All incarnations whose lease was not surely expired at a time of the log, including later
+     * ones. Any other incarnation has sent nothing since.
      */
-    Collection<Incarnation> mayHaveActed(double since);
+    Collection<Incarnation> mayHaveActed(double sinceMs);
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationEntry.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationEntry.java
@@ -10,14 +10,19 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * One entry of the log about moves: version, kind, time stamp of whoever wrote it, then what the
- * kind needs. At most 64 KiB.
+ * One entry of the log about migrations, of at most 64 KiB. Encoded: a mark, the format version,
+ * the kind, the proposer's time stamp, and the fields. A field that the kind doesn't use is zero or
+ * empty.
  *
- * @param epoch which change of position it speaks of; for a halt's {@code resume} the number of
- *     that halt
- * @param outcomeCounts for {@code REPORT}: of each frontend answers and bad ones of the old group,
- *     then of the new one
- * @param warmUnits for {@code GO}: warm units a second of each group that is gone to, by name
+ * @param timestampMs the proposer's wall clock, Unix ms
+ * @param epoch that an acknowledgement, step or report belongs to; for {@code RESUME} the number of
+ *     the halt to be lifted
+ * @param targetStep for {@code GO}: the index of the step
+ * @param operator for an operator's command: the name
+ * @param outcomeCounts for {@code REPORT}: for each frontend answers and failures of the source
+ *     group, then of the target group
+ * @param warmUnits for {@code GO}: the warm capacity of each target group by name, units a second
+ * @param plan for {@code BEGIN}, else null
  */
 public record MigrationEntry(
         Kind kind,
@@ -29,97 +34,136 @@
         long[] outcomeCounts,
         double[] warmUnits,
         MigrationPlan plan) {
-    /** The kinds, in the order of their numbers in the log. */
+    /** The kinds; their order is that of their numbers in the log. */
     public enum Kind {
+        /** An operator begins a plan. */
         BEGIN,
+        /** A gateway acts on the present step. */
         ACK,
+        /** The leader proposes the next step. */
         GO,
+        /** A gateway reports outcomes of its attempts. */
         REPORT,
+        /** An operator halts the migration. */
         HALT,
+        /** An operator lifts a halt. */
         RESUME,
+        /** An operator reverts the migration. */
         BACK
     }
 
     public static final int VERSION = 1;
 
-    /** Tells entries about moves from those of others in the same log. */
+    /** First byte of each entry; entries of others in the same log have another one. */
     public static final int MARK = 'M';
 
     private static final int MAX_ENTRY_BYTES = 64 << 10;
+    private static final int HEADER_BYTES = 3;
+    private static final int MAX_OPERATOR_LENGTH = 64;
+    private static final int COUNTS_PER_FRONTEND = 4;
     private static final Incarnation NO_INCARNATION = new Incarnation(0, 0);
+    private static final long[] NO_COUNTS = {};
+    private static final double[] NO_UNITS = {};
 
-    /** Bytes that are no entry, or of a version or kind that is not known here. */
+    /** The bytes are no entry, or one of an unknown version or kind. */
     static final class UnreadableEntryException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        UnreadableEntryException(String why) {
-            super(why, null, false, false);
+        UnreadableEntryException(String message) {
+            super(message, null, false, false);
         }
     }
 
-    private static MigrationEntry of(
-            Kind kind, double at, Incarnation incarnation, long turn, int to, String who) {
+    /** The operator begins a plan. */
+    public static MigrationEntry begin(String operator, double timestampMs, MigrationPlan plan) {
         return new MigrationEntry(
-                kind, at, incarnation, turn, to, who, new long[0], new double[0], null);
+                Kind.BEGIN, timestampMs, NO_INCARNATION, 0, 0, operator, NO_COUNTS, NO_UNITS, plan);
     }
 
-    public static MigrationEntry begin(String operator, double at, MigrationPlan plan) {
+    /** The incarnation acts on the step of an epoch. */
+    public static MigrationEntry ack(Incarnation incarnation, long epoch, double timestampMs) {
         return new MigrationEntry(
-                Kind.BEGIN, at, NO_INCARNATION, 0, 0, operator, new long[0], new double[0], plan);
+                Kind.ACK, timestampMs, incarnation, epoch, 0, "", NO_COUNTS, NO_UNITS, null);
     }
 
-    public static MigrationEntry ack(Incarnation incarnation, long turn, double at) {
-        return of(Kind.ACK, at, incarnation, turn, 0, "");
-    }
-
-    public static MigrationEntry go(double at, long turn, int to, double... warm) {
+    /**
+     * The leader proposes a step.
+     *
+     * @param warmUnits of each target group, by name
+     */
+    public static MigrationEntry go(
+            double timestampMs, long epoch, int targetStep, double... warmUnits) {
         return new MigrationEntry(
-                Kind.GO, at, NO_INCARNATION, turn, to, "", new long[0], warm, null);
+                Kind.GO,
+                timestampMs,
+                NO_INCARNATION,
+                epoch,
+                targetStep,
+                "",
+                NO_COUNTS,
+                warmUnits,
+                null);
     }
 
+    /** The incarnation reports the outcomes that it has counted in an epoch. */
     public static MigrationEntry report(
-            Incarnation incarnation, long turn, double at, long... counts) {
+            Incarnation incarnation, long epoch, double timestampMs, long... outcomeCounts) {
         return new MigrationEntry(
-                Kind.REPORT, at, incarnation, turn, 0, "", counts, new double[0], null);
+                Kind.REPORT, timestampMs, incarnation, epoch, 0, "", outcomeCounts, NO_UNITS, null);
     }
 
-    public static MigrationEntry halt(String operator, double at) {
-        return of(Kind.HALT, at, NO_INCARNATION, 0, 0, operator);
+    public static MigrationEntry halt(String operator, double timestampMs) {
+        return command(Kind.HALT, operator, timestampMs, 0);
     }
 
     /**
-     * @param halt the number of the halt that the operator saw; a later one is not lifted by it
+     * @param haltCount the number of the halt that the operator saw; a later one is not lifted
      */
-    public static MigrationEntry resume(String operator, double at, long halt) {
-        return of(Kind.RESUME, at, NO_INCARNATION, halt, 0, operator);
+    public static MigrationEntry resume(String operator, double timestampMs, long haltCount) {
+        return command(Kind.RESUME, operator, timestampMs, haltCount);
     }
 
-    public static MigrationEntry back(String operator, double at) {
-        return of(Kind.BACK, at, NO_INCARNATION, 0, 0, operator);
+    public static MigrationEntry back(String operator, double timestampMs) {
+        return command(Kind.BACK, operator, timestampMs, 0);
     }
 
+    private static MigrationEntry command(
+            Kind kind, String operator, double timestampMs, long haltCount) {
+        return new MigrationEntry(
+                kind,
+                timestampMs,
+                NO_INCARNATION,
+                haltCount,
+                0,
+                operator,
+                NO_COUNTS,
+                NO_UNITS,
+                null);
+    }
+
+    /** Encodes the entry for the log. */
     public byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(MARK);
-            out.writeByte(VERSION);
-            out.writeByte(kind.ordinal());
-            out.writeDouble(timestampMs);
-            out.writeInt(incarnation.gateway());
-            out.writeLong(incarnation.start());
-            out.writeLong(epoch);
-            out.writeInt(targetStep);
-            out.writeUTF(operator);
-            out.writeByte(outcomeCounts.length / 4);
-            for (long c : outcomeCounts) {
-                out.writeLong(c);
+        try (DataOutputStream output = new DataOutputStream(bytes)) {
+            output.writeByte(MARK);
+            output.writeByte(VERSION);
+            output.writeByte(kind.ordinal());
+            output.writeDouble(timestampMs);
+            output.writeInt(incarnation.gateway());
+            output.writeLong(incarnation.start());
+            output.writeLong(epoch);
+            output.writeInt(targetStep);
+            output.writeUTF(operator);
+            output.writeByte(outcomeCounts.length / COUNTS_PER_FRONTEND);
+            for (long count : outcomeCounts) {
+                output.writeLong(count);
             }
-            out.writeByte(warmUnits.length);
-            for (double w : warmUnits) {
-                out.writeDouble(w);
+            output.writeByte(warmUnits.length);
+            for (double units : warmUnits) {
+                output.writeDouble(units);
             }
             if (plan != null) {
-                plan.write(out);
+                MigrationPlanCodec.write(output, plan);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -127,40 +171,64 @@
         return bytes.toByteArray();
     }
 
-    static MigrationEntry of(byte[] bytes) throws UnreadableEntryException {
-        if (bytes.length > MAX_ENTRY_BYTES
-                || bytes.length < 3
-                || bytes[0] != MARK
-                || bytes[1] != VERSION
-                || bytes[2] < 0
-                || bytes[2] >= Kind.values().length) {
-            throw new UnreadableEntryException(
-                    "mark, version or kind "
-                            + Arrays.toString(Arrays.copyOf(bytes, Math.min(3, bytes.length))));
+    /**
+     * Decodes an entry of the log.
+     *
+     * @throws UnreadableEntryException the bytes are no entry of a known version and kind
+     */
+    static MigrationEntry decode(byte[] bytes) throws UnreadableEntryException {
+        if (!hasKnownHeader(bytes)) {
+            byte[] header = Arrays.copyOf(bytes, Math.min(HEADER_BYTES, bytes.length));
+            throw new UnreadableEntryException("mark, version or kind " + Arrays.toString(header));
         }
-        try (DataInputStream in =
+        try (DataInputStream input =
                 new DataInputStream(new ByteArrayInputStream(bytes, 2, bytes.length - 2))) {
-            Kind kind = Kind.values()[in.readByte()];
-            double at = in.readDouble();
-            Incarnation incarnation = new Incarnation(in.readInt(), in.readLong());
-            long turn = in.readLong();
-            int to = in.readInt();
-            String who = in.readUTF();
-            long[] counts = new long[4 * in.readUnsignedByte()];
-            for (int i = 0; i < counts.length; i++) {
-                counts[i] = in.readLong();
-            }
-            double[] warm = new double[in.readUnsignedByte()];
-            for (int i = 0; i < warm.length; i++) {
-                warm[i] = in.readDouble();
-            }
-            MigrationPlan plan = kind == Kind.BEGIN ? MigrationPlan.read(in) : null;
-            if (in.available() > 0 || !Double.isFinite(at) || who.length() > 64) {
+            MigrationEntry entry = read(input);
+            if (input.available() > 0
+                    || !Double.isFinite(entry.timestampMs)
+                    || entry.operator.length() > MAX_OPERATOR_LENGTH) {
                 throw new UnreadableEntryException("a length, a time or a name out of form");
             }
-            return new MigrationEntry(kind, at, incarnation, turn, to, who, counts, warm, plan);
+            return entry;
         } catch (IOException | PlanErrors.InvalidPlanException e) {
             throw new UnreadableEntryException(e.toString());
         }
     }
+
+    private static boolean hasKnownHeader(byte[] bytes) {
+        return bytes.length <= MAX_ENTRY_BYTES
+                && bytes.length >= HEADER_BYTES
+                && bytes[0] == MARK
+                && bytes[1] == VERSION
+                && bytes[2] >= 0
+                && bytes[2] < Kind.values().length;
+    }
+
+    private static MigrationEntry read(DataInputStream input) throws IOException {
+        Kind kind = Kind.values()[input.readByte()];
+        double timestampMs = input.readDouble();
+        Incarnation incarnation = new Incarnation(input.readInt(), input.readLong());
+        long epoch = input.readLong();
+        int targetStep = input.readInt();
+        String operator = input.readUTF();
+        long[] outcomeCounts = new long[COUNTS_PER_FRONTEND * input.readUnsignedByte()];
+        for (int i = 0; i < outcomeCounts.length; i++) {
+            outcomeCounts[i] = input.readLong();
+        }
+        double[] warmUnits = new double[input.readUnsignedByte()];
+        for (int i = 0; i < warmUnits.length; i++) {
+            warmUnits[i] = input.readDouble();
+        }
+        MigrationPlan plan = kind == Kind.BEGIN ? MigrationPlanCodec.read(input) : null;
+        return new MigrationEntry(
+                kind,
+                timestampMs,
+                incarnation,
+                epoch,
+                targetStep,
+                operator,
+                outcomeCounts,
+                warmUnits,
+                plan);
+    }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationPlanReader.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationPlanReader.java
@@ -14,13 +14,13 @@
 import tinford.api.RequestClass;
 
 /**
- * Reads a plan from TOML and holds it against what is known; a plan with any fault is refused
- * whole, with all of its faults.
+ * Reads a plan from TOML and checks it against the gateway's settings. A plan with any error is
+ * rejected, with all of its errors.
  */
 public final class MigrationPlanReader {
-    private static final Set<String> TOP = Set.of("plan", "soak_ms", "bad", "frontends");
-    private static final Set<String> BAD = Set.of("margin", "answers");
-    private static final Set<String> EACH =
+    private static final Set<String> PLAN_KEYS = Set.of("plan", "soak_ms", "bad", "frontends");
+    private static final Set<String> FAILURE_KEYS = Set.of("margin", "answers");
+    private static final Set<String> FRONTEND_KEYS =
             Set.of(
                     "name",
                     "from",
@@ -31,160 +31,200 @@
                     "units",
                     "connections",
                     "retries");
-    private static final int LONGEST = 256 << 10;
-    private final MigrationPlan.ValidationContext known;
+    private static final int MAX_CHARACTERS = 256 << 10;
+    private static final int NO_FRONTEND = PlanErrors.NO_FRONTEND;
 
-    public MigrationPlanReader(MigrationPlan.ValidationContext known) {
-        this.known = known;
+    private final MigrationPlan.ValidationContext context;
+
+    public MigrationPlanReader(MigrationPlan.ValidationContext context) {
+        this.context = context;
     }
 
     /**
-     * @throws PlanErrors.Refused with all faults
+     * @param file its path, for error texts
+     * @throws PlanErrors.InvalidPlanException with all errors
      */
     public MigrationPlan read(String file, String text) {
-        PlanErrors faults = new PlanErrors(file, text);
-        if (text.length() > LONGEST) {
-            faults.add(0, "text", "262144 characters at most");
-            faults.throwIfAny();
-        }
-        JsonNode top = tree(text, faults);
-        names(top, TOP, -1, faults);
-        JsonNode bad = top.path("bad");
-        faults.require(bad.isObject(), -1, "bad", "a table with margin and answers");
-        names(bad, BAD, -1, faults);
-        JsonNode list = top.path("frontends");
-        faults.require(list.isArray(), -1, "frontends", "tables [[frontends]]");
-        List<MigrationPlan.FrontendMigration> movers = new ArrayList<>();
-        for (int i = 0; list.isArray() && i < list.size(); i++) {
-            movers.add(mover(list.get(i), i, faults));
+        PlanErrors errors = new PlanErrors(file, text);
+        if (text.length() > MAX_CHARACTERS) {
+            errors.add(0, "text", "262144 characters at most");
+            errors.throwIfAny();
         }
-        String name = text(top, "plan", -1, faults);
-        double soak = number(top, "soak_ms", -1, faults);
-        double margin = number(bad, "margin", -1, faults);
-        int answers = whole(bad, "answers", -1, faults);
-        MigrationPlan.check(name, soak, margin, answers, movers, faults);
-        Map<String, MigrationPlan.GroupCapacity> groups = rooms(movers, faults);
-        faults.throwIfAny();
-        return new MigrationPlan(name, soak, margin, answers, movers, groups);
+        JsonNode root = parse(text, errors);
+        checkKeys(root, PLAN_KEYS, NO_FRONTEND, errors);
+        JsonNode failure = root.path("bad");
+        errors.require(failure.isObject(), NO_FRONTEND, "bad", "a table with margin and answers");
+        checkKeys(failure, FAILURE_KEYS, NO_FRONTEND, errors);
+        List<MigrationPlan.FrontendMigration> frontends = readFrontends(root, errors);
+        String name = readText(root, "plan", NO_FRONTEND, errors);
+        double soakMs = readNumber(root, "soak_ms", NO_FRONTEND, errors);
+        double margin = readNumber(failure, "margin", NO_FRONTEND, errors);
+        int minAnswers = readInteger(failure, "answers", NO_FRONTEND, errors);
+        MigrationPlanRules.check(name, soakMs, margin, minAnswers, frontends, errors);
+        Map<String, MigrationPlan.GroupCapacity> groups = targetGroups(frontends, errors);
+        errors.throwIfAny();
+        return new MigrationPlan(name, soakMs, margin, minAnswers, frontends, groups);
     }
 
-    private static JsonNode tree(String text, PlanErrors faults) {
+    private static JsonNode parse(String text, PlanErrors errors) {
         try {
             return new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            faults.add(
+            errors.add(
                     e.getLocation() == null ? 0 : e.getLocation().getLineNr(),
                     "text",
                     "TOML: " + e.getOriginalMessage().lines().findFirst().orElse(""));
-            faults.throwIfAny();
+            errors.throwIfAny();
             return null;
         }
     }
 
-    private MigrationPlan.FrontendMigration mover(JsonNode n, int i, PlanErrors faults) {
-        names(n, EACH, i, faults);
-        String name = text(n, "name", i, faults);
-        RequestClass f = known.frontends().get(name);
-        faults.require(f != null, i, "name", "one of the frontends that may move, not " + name);
-        boolean uniqued = f != null && f.idempotency == Idempotency.IDEMPOTENCY_KEY;
-        String from = text(n, "from", i, faults);
-        faults.require(
-                f == null || from.equals(known.homeGroups().get(name)),
-                i,
+    private List<MigrationPlan.FrontendMigration> readFrontends(JsonNode root, PlanErrors errors) {
+        JsonNode list = root.path("frontends");
+        errors.require(list.isArray(), NO_FRONTEND, "frontends", "tables [[frontends]]");
+        List<MigrationPlan.FrontendMigration> frontends = new ArrayList<>();
+        for (int i = 0; list.isArray() && i < list.size(); i++) {
+            frontends.add(readFrontend(list.get(i), i, errors));
+        }
+        return frontends;
+    }
+
+    private MigrationPlan.FrontendMigration readFrontend(
+            JsonNode node, int index, PlanErrors errors) {
+        checkKeys(node, FRONTEND_KEYS, index, errors);
+        String name = readText(node, "name", index, errors);
+        RequestClass requestClass = context.frontends().get(name);
+        errors.require(
+                requestClass != null,
+                index,
+                "name",
+                "one of the frontends that may move, not " + name);
+        String sourceGroup = readSourceGroup(node, name, index, errors);
+        boolean marksRetries = readMarksRetries(node, index, errors);
+        List<Double> shares = readShares(node, index, errors);
+        List<String> dependencies = readDependencies(node, index, errors);
+        boolean keyed =
+                requestClass != null && requestClass.idempotency == Idempotency.IDEMPOTENCY_KEY;
+        return new MigrationPlan.FrontendMigration(
+                name,
+                sourceGroup,
+                readText(node, "to", index, errors),
+                dependencies,
+                node.has("begins") ? readInteger(node, "begins", index, errors) : 0,
+                shares,
+                readNumber(node, "units", index, errors),
+                readInteger(node, "connections", index, errors),
+                keyed,
+                marksRetries,
+                keyed ? requestClass.deduplicationWindowMs + requestClass.timeoutMs : 0);
+    }
+
+    private String readSourceGroup(JsonNode node, String frontend, int index, PlanErrors errors) {
+        String sourceGroup = readText(node, "from", index, errors);
+        String homeGroup = context.homeGroups().get(frontend);
+        errors.require(
+                !context.frontends().containsKey(frontend) || sourceGroup.equals(homeGroup),
+                index,
                 "from",
-                "where it is: " + known.homeGroups().get(name));
-        String retries = n.has("retries") ? text(n, "retries", i, faults) : "untold";
-        faults.require(
-                retries.equals("told") || retries.equals("untold"), i, "retries", "told or untold");
+                "where it is: " + homeGroup);
+        return sourceGroup;
+    }
+
+    private static boolean readMarksRetries(JsonNode node, int index, PlanErrors errors) {
+        String retries = node.has("retries") ? readText(node, "retries", index, errors) : "untold";
+        errors.require(
+                retries.equals("told") || retries.equals("untold"),
+                index,
+                "retries",
+                "told or untold");
+        return retries.equals("told");
+    }
+
+    private static List<Double> readShares(JsonNode node, int index, PlanErrors errors) {
+        JsonNode list = node.path("shares");
+        boolean valid = list.isArray();
         List<Double> shares = new ArrayList<>();
-        boolean list = n.path("shares").isArray();
-        for (JsonNode s : n.path("shares")) {
-            list &= s.isNumber();
-            shares.add(s.asDouble());
+        for (JsonNode share : list) {
+            valid &= share.isNumber();
+            shares.add(share.asDouble());
         }
-        faults.require(list, i, "shares", "numbers in brackets");
-        List<String> needs = new ArrayList<>();
-        boolean texts = !n.has("needs") || n.path("needs").isArray();
-        for (JsonNode s : n.path("needs")) {
-            texts &= s.isTextual();
-            needs.add(s.asText());
+        errors.require(valid, index, "shares", "numbers in brackets");
+        return List.copyOf(shares);
+    }
+
+    private static List<String> readDependencies(JsonNode node, int index, PlanErrors errors) {
+        JsonNode list = node.path("needs");
+        boolean valid = !node.has("needs") || list.isArray();
+        List<String> dependencies = new ArrayList<>();
+        for (JsonNode dependency : list) {
+            valid &= dependency.isTextual();
+            dependencies.add(dependency.asText());
         }
-        faults.require(texts, i, "needs", "names in brackets");
-        return new MigrationPlan.FrontendMigration(
-                name,
-                from,
-                text(n, "to", i, faults),
-                List.copyOf(needs),
-                n.has("begins") ? whole(n, "begins", i, faults) : 0,
-                List.copyOf(shares),
-                number(n, "units", i, faults),
-                whole(n, "connections", i, faults),
-                uniqued,
-                retries.equals("told"),
-                uniqued ? f.deduplicationWindowMs + f.timeoutMs : 0);
+        errors.require(valid, index, "needs", "names in brackets");
+        return List.copyOf(dependencies);
     }
 
-    /** The groups that are gone to; each must have room for all that comes. */
-    private Map<String, MigrationPlan.GroupCapacity> rooms(
-            List<MigrationPlan.FrontendMigration> movers, PlanErrors faults) {
-        Map<String, MigrationPlan.GroupCapacity> found = new TreeMap<>();
+    /** The target groups; each must have capacity for all frontends that move there. */
+    private Map<String, MigrationPlan.GroupCapacity> targetGroups(
+            List<MigrationPlan.FrontendMigration> frontends, PlanErrors errors) {
+        Map<String, MigrationPlan.GroupCapacity> groups = new TreeMap<>();
         Map<String, Double> units = new HashMap<>();
         Map<String, Double> connections = new HashMap<>();
-        for (int i = 0; i < movers.size(); i++) {
-            MigrationPlan.FrontendMigration m = movers.get(i);
-            faults.require(
-                    known.groups().containsKey(m.sourceGroup()),
+        for (int i = 0; i < frontends.size(); i++) {
+            MigrationPlan.FrontendMigration frontend = frontends.get(i);
+            String source = frontend.sourceGroup();
+            String target = frontend.targetGroup();
+            errors.require(
+                    context.groups().containsKey(source),
                     i,
                     "from",
-                    "a known group, not " + m.sourceGroup());
-            MigrationPlan.GroupCapacity room = known.groups().get(m.targetGroup());
-            faults.require(room != null, i, "to", "a known group, not " + m.targetGroup());
-            if (room != null) {
-                found.put(m.targetGroup(), room);
-                faults.require(
-                        units.merge(m.targetGroup(), m.unitsPerSecond(), Double::sum)
-                                <= room.unitsPerSecond(),
+                    "a known group, not " + source);
+            MigrationPlan.GroupCapacity capacity = context.groups().get(target);
+            errors.require(capacity != null, i, "to", "a known group, not " + target);
+            if (capacity != null) {
+                groups.put(target, capacity);
+                double totalUnits = units.merge(target, frontend.unitsPerSecond(), Double::sum);
+                errors.require(
+                        totalUnits <= capacity.unitsPerSecond(),
                         i,
                         "units",
-                        "no more in all than the "
-                                + room.unitsPerSecond()
-                                + " that "
-                                + m.targetGroup()
-                                + " has room for");
-                faults.require(
-                        connections.merge(m.targetGroup(), (double) m.connections(), Double::sum)
-                                <= room.connections(),
+                        noMoreThan(capacity.unitsPerSecond(), target));
+                double totalConnections =
+                        connections.merge(target, (double) frontend.connections(), Double::sum);
+                errors.require(
+                        totalConnections <= capacity.connections(),
                         i,
                         "connections",
-                        "no more in all than the "
-                                + room.connections()
-                                + " that "
-                                + m.targetGroup()
-                                + " has room for");
+                        noMoreThan(capacity.connections(), target));
             }
         }
-        return found;
+        return groups;
+    }
+
+    private static String noMoreThan(Number capacity, String group) {
+        return "no more in all than the " + capacity + " that " + group + " has room for";
     }
 
-    private static void names(JsonNode n, Set<String> known, int i, PlanErrors faults) {
-        for (Iterator<String> at = n.fieldNames(); at.hasNext(); ) {
-            String key = at.next();
-            faults.require(known.contains(key), i, key, "no such key");
+    private static void checkKeys(
+            JsonNode node, Set<String> knownKeys, int index, PlanErrors errors) {
+        for (Iterator<String> keys = node.fieldNames(); keys.hasNext(); ) {
+            String key = keys.next();
+            errors.require(knownKeys.contains(key), index, key, "no such key");
         }
     }
 
-    private static String text(JsonNode n, String key, int i, PlanErrors faults) {
-        faults.require(n.path(key).isTextual(), i, key, "a text");
-        return n.path(key).asText("");
+    private static String readText(JsonNode node, String key, int index, PlanErrors errors) {
+        errors.require(node.path(key).isTextual(), index, key, "a text");
+        return node.path(key).asText("");
     }
 
-    private static double number(JsonNode n, String key, int i, PlanErrors faults) {
-        faults.require(n.path(key).isNumber(), i, key, "a number");
-        return n.path(key).asDouble();
+    private static double readNumber(JsonNode node, String key, int index, PlanErrors errors) {
+        errors.require(node.path(key).isNumber(), index, key, "a number");
+        return node.path(key).asDouble();
     }
 
-    private static int whole(JsonNode n, String key, int i, PlanErrors faults) {
-        faults.require(n.path(key).isInt(), i, key, "a whole number");
-        return n.path(key).asInt();
+    private static int readInteger(JsonNode node, String key, int index, PlanErrors errors) {
+        errors.require(node.path(key).isInt(), index, key, "a whole number");
+        return node.path(key).asInt();
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationRouter.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationRouter.java
@@ -6,145 +6,191 @@
 import tinford.fleet.membership.Lease;
 
 /**
- * Where the requests of frontends that may move go through one gateway, and what it tells the
- * others. Called on the I/O thread only; a status and a lease come from entries that were applied
- * in order, so a lease is never acted on with an older status than it was granted after.
+ * Routes the requests of frontends that may migrate through one gateway, and derives the entries
+ * that this gateway appends: acknowledgements and reports. Called on the I/O thread only. Status
+ * and lease come from entries that were applied in order, so a lease is never acted on with an
+ * older status than it was granted after. Times are in ms of the gateway's own clock.
  */
 public class MigrationRouter {
+    private static final int COUNTS_PER_FRONTEND = 4;
+    private static final int SOURCE_COUNTS = 0;
+    private static final int TARGET_COUNTS = 2;
+
     private final Incarnation self;
-    private final double every;
+    private final double entryIntervalMs;
     private final Map<String, Integer> salts = new HashMap<>();
     private MigrationStatus status;
     private Lease lease;
-    private boolean acked;
-    private double ackOffered = Double.NEGATIVE_INFINITY;
-    private double reported = Double.NEGATIVE_INFINITY;
-    private long[] counts = new long[0];
-    private boolean news;
+    private boolean acknowledged;
+    private double lastAcknowledgementMs = Double.NEGATIVE_INFINITY;
+    private double lastReportMs = Double.NEGATIVE_INFINITY;
+
+    /** By frontend: answers and failures of the source group, then of the target group. */
+    private long[] outcomeCounts = new long[0];
+
+    private boolean hasUnreportedCounts;
 
     /**
-     * @param every ms after which an ack that was not seen in the log is offered again, and between
-     *     reports
+     * @param entryIntervalMs between reports, and until an acknowledgement that is not in the log
+     *     is appended again
      */
-    public MigrationRouter(Incarnation self, MigrationStatus first, double every) {
+    public MigrationRouter(Incarnation self, MigrationStatus initial, double entryIntervalMs) {
         this.self = self;
-        this.every = every;
-        first.homeGroups().keySet().forEach(name -> salts.put(name, name.hashCode()));
-        update(first, null, false);
+        this.entryIntervalMs = entryIntervalMs;
+        initial.homeGroups().keySet().forEach(name -> salts.put(name, name.hashCode()));
+        update(initial, null, false);
     }
 
     /**
-     * After each applied entry: the status of the moves, the own lease if any, and whether the log
-     * has this incarnation's ack of this turn.
+     * To be called after each applied entry.
+     *
+     * @param ownLease null where there is none
+     * @param isAcknowledged whether the log has this incarnation's acknowledgement of the epoch
      */
-    public void update(MigrationStatus now, Lease own, boolean acked) {
-        if (status == null || status.epoch() != now.epoch()) {
-            counts = new long[now.plan() == null ? 0 : 4 * now.plan().frontends.size()];
-            news = false;
-            ackOffered = Double.NEGATIVE_INFINITY;
-            reported = Double.NEGATIVE_INFINITY;
+    public void update(MigrationStatus newStatus, Lease ownLease, boolean isAcknowledged) {
+        if (status == null || status.epoch() != newStatus.epoch()) {
+            startEpoch(newStatus.plan());
         }
-        this.status = now;
-        this.lease = own;
-        this.acked = acked;
+        this.status = newStatus;
+        this.lease = ownLease;
+        this.acknowledged = isAcknowledged;
+    }
+
+    private void startEpoch(MigrationPlan plan) {
+        outcomeCounts = new long[plan == null ? 0 : COUNTS_PER_FRONTEND * plan.frontends.size()];
+        hasUnreportedCounts = false;
+        lastAcknowledgementMs = Double.NEGATIVE_INFINITY;
+        lastReportMs = Double.NEGATIVE_INFINITY;
     }
 
     /**
-     * Whether a request may be sent to that group now. Without a lease of its own that holds by its
-     * own clock a gateway sends nothing of what may move. All requests of one customer and frontend
-     * change together, so a retry is judged alike by every gateway.
+     * Whether a request may be sent to a group now. Without a lease that holds by its own clock a
+     * gateway sends no request of a frontend that may migrate. All requests of one tenant and
+     * frontend change groups together, so every gateway routes a retry alike.
      *
-     * @param retry whether the client says that it asked before
-     * @param first where an earlier dispatch of this very request may have run, or null
+     * @param isRetry whether the client marks the request as a retry
+     * @param earlierGroup where an earlier attempt of this request may have run, or null
      */
     public boolean mayRoute(
-            String frontend, long customer, boolean retry, String group, String first, double now) {
+            String frontend,
+            long tenant,
+            boolean isRetry,
+            String group,
+            String earlierGroup,
+            double nowMs) {
         Integer salt = salts.get(frontend);
         if (salt == null) {
             return true;
         }
-        if (!hasLease(now)) {
+        if (!hasLease(nowMs)) {
             return false;
         }
-        int at = status.plan() == null ? -1 : status.plan().indexOf(frontend);
-        if (at < 0) {
+        int index = planIndex(frontend);
+        if (index < 0) {
             return group.equals(status.homeGroups().get(frontend));
         }
-        MigrationPlan.FrontendMigration mover = status.plan().frontends.get(at);
-        if (mover.idempotencyKeyed() && first != null) {
-            return group.equals(first);
+        MigrationPlan.FrontendMigration migration = status.plan().frontends.get(index);
+        if (migration.idempotencyKeyed() && earlierGroup != null) {
+            return group.equals(earlierGroup);
         }
-        MigrationStep.FrontendShare part = status.currentStep().frontends().get(at);
-        return group.equals(targetGroup(mover, part, tenantFraction(customer, salt), retry));
+        MigrationStep.FrontendShare share = status.currentStep().frontends().get(index);
+        return group.equals(targetGroup(migration, share, tenantFraction(tenant, salt), isRetry));
     }
 
-    /** By its own clock. */
-    public boolean hasLease(double now) {
-        return lease != null && lease.isHeldAt(now);
+    private int planIndex(String frontend) {
+        return status.plan() == null ? -1 : status.plan().indexOf(frontend);
     }
 
-    /** The group, or null for neither. */
+    /** Whether the own lease holds, by the own clock. */
+    public boolean hasLease(double nowMs) {
+        return lease != null && lease.isHeldAt(nowMs);
+    }
+
+    /**
+     * The group that a tenant's request goes to; null for none.
+     *
+     * @param tenantFraction see {@link #tenantFraction}
+     */
     protected String targetGroup(
-            MigrationPlan.FrontendMigration mover,
-            MigrationStep.FrontendShare part,
-            double at,
-            boolean retry) {
-        if (at < part.movedShare()) {
-            return mover.targetGroup();
+            MigrationPlan.FrontendMigration migration,
+            MigrationStep.FrontendShare share,
+            double tenantFraction,
+            boolean isRetry) {
+        if (tenantFraction < share.movedShare()) {
+            return migration.targetGroup();
         }
-        if (at >= part.movingShare()) {
-            return mover.sourceGroup();
+        if (tenantFraction >= share.movingShare()) {
+            return migration.sourceGroup();
         }
-        if (part.phase() == MigrationStep.Phase.HOLD) {
-            return mover.marksRetries() && !retry ? mover.sourceGroup() : null;
+        if (share.phase() == MigrationStep.Phase.HOLD) {
+            return migration.marksRetries() && !isRetry ? migration.sourceGroup() : null;
         }
-        return mover.marksRetries() && retry ? null : mover.targetGroup();
+        return migration.marksRetries() && isRetry ? null : migration.targetGroup();
     }
 
-    /** From 0 to below 1, the same at every gateway. */
-    public static double tenantFraction(long customer, int salt) {
-        long x = customer * 0x9E3779B97F4A7C15L + salt * 0xBF58476D1CE4E5B9L;
-        x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
-        x = (x ^ x >>> 27) * 0x94D049BB133111EBL;
-        return ((x ^ x >>> 31) >>> 11) * 0x1p-53;
+    /**
+     * Hashes a tenant to a number from 0 to below 1, the same at every gateway; tenants below a
+     * share belong to it.
+     */
+    public static double tenantFraction(long tenant, int salt) {
+        long hash = tenant * 0x9E3779B97F4A7C15L + salt * 0xBF58476D1CE4E5B9L;
+        hash = (hash ^ hash >>> 30) * 0xBF58476D1CE4E5B9L;
+        hash = (hash ^ hash >>> 27) * 0x94D049BB133111EBL;
+        return ((hash ^ hash >>> 31) >>> 11) * 0x1p-53;
     }
 
-    /** An answer of a server of that group came, or failed to; late ones count as bad. */
-    public void recordAnswer(String frontend, String group, boolean good) {
-        int at = status.plan() == null ? -1 : status.plan().indexOf(frontend);
-        if (at < 0) {
+    /**
+     * Counts the outcome of an attempt at a server of a group.
+     *
+     * @param success false for an attempt that failed or was late
+     */
+    public void recordAnswer(String frontend, String group, boolean success) {
+        int index = planIndex(frontend);
+        if (index < 0) {
             return;
         }
-        MigrationPlan.FrontendMigration mover = status.plan().frontends.get(at);
-        int side =
-                group.equals(mover.targetGroup()) ? 2 : group.equals(mover.sourceGroup()) ? 0 : -1;
-        if (side >= 0) {
-            counts[4 * at + side]++;
-            counts[4 * at + side + 1] += good ? 0 : 1;
-            news = true;
+        MigrationPlan.FrontendMigration migration = status.plan().frontends.get(index);
+        if (group.equals(migration.targetGroup())) {
+            count(index, TARGET_COUNTS, success);
+        } else if (group.equals(migration.sourceGroup())) {
+            count(index, SOURCE_COUNTS, success);
         }
     }
 
+    private void count(int frontend, int groupCounts, boolean success) {
+        int index = COUNTS_PER_FRONTEND * frontend + groupCounts;
+        outcomeCounts[index]++;
+        outcomeCounts[index + 1] += success ? 0 : 1;
+        hasUnreportedCounts = true;
+    }
+
     /**
-     * What this gateway has to tell now, or null: the ack of its turn until the log has it, then
-     * what it counted.
+     * The entry that this gateway has to append now, or null: the acknowledgement of the epoch
+     * until the log has it, then reports of outcomes.
      */
-    public MigrationEntry nextEntry(double now) {
-        if (!hasLease(now) || status.plan() == null) {
+    public MigrationEntry nextEntry(double nowMs) {
+        if (!hasLease(nowMs) || status.plan() == null) {
             return null;
         }
-        if (!acked) {
-            if (now - ackOffered < every) {
-                return null;
-            }
-            ackOffered = now;
-            return MigrationEntry.ack(self, status.epoch(), now);
+        return acknowledged ? nextReport(nowMs) : nextAcknowledgement(nowMs);
+    }
+
+    private MigrationEntry nextAcknowledgement(double nowMs) {
+        if (nowMs - lastAcknowledgementMs < entryIntervalMs) {
+            return null;
         }
-        if (!news || now - reported < every || status.state() != MigrationState.State.FORWARD) {
+        lastAcknowledgementMs = nowMs;
+        return MigrationEntry.ack(self, status.epoch(), nowMs);
+    }
+
+    private MigrationEntry nextReport(double nowMs) {
+        if (!hasUnreportedCounts
+                || nowMs - lastReportMs < entryIntervalMs
+                || status.state() != MigrationState.State.FORWARD) {
             return null;
         }
-        reported = now;
-        news = false;
-        return MigrationEntry.report(self, status.epoch(), now, counts.clone());
+        lastReportMs = nowMs;
+        hasUnreportedCounts = false;
+        return MigrationEntry.report(self, status.epoch(), nowMs, outcomeCounts.clone());
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationStages.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStages.java
@@ -4,67 +4,75 @@
 import java.util.List;
 
 /**
- * The ordered positions of a plan. A frontend begins only in a stage after the one in which all
- * that it needs has moved whole; those that don't need each other share stages. A stage in which
- * uniqued frontends move has three steps, any other one.
+ * Orders the steps of a plan. A frontend begins in a stage after the one in which all frontends
+ * that it depends on have moved whole; independent frontends share stages. A stage in which
+ * frontends with idempotency keys move has three steps, any other one.
  */
 public final class MigrationStages {
+    private static final List<MigrationStep.Phase> KEYED_PHASES =
+            List.of(
+                    MigrationStep.Phase.HOLD,
+                    MigrationStep.Phase.OPEN,
+                    MigrationStep.Phase.SETTLED);
+    private static final List<MigrationStep.Phase> PLAIN_PHASES =
+            List.of(MigrationStep.Phase.SETTLED);
+
     private MigrationStages() {}
 
+    /** The steps of a plan, the first one being before any tenant has moved. */
     public static List<MigrationStep> of(MigrationPlan plan) {
-        int[] begins = earliestStarts(plan.frontends);
-        int most = 0;
-        for (int i = 0; i < begins.length; i++) {
-            begins[i] = Math.max(begins[i], plan.frontends.get(i).firstStage() - 1);
-            most = Math.max(most, begins[i] + plan.frontends.get(i).shares().size());
+        int[] starts = earliestStarts(plan.frontends);
+        int stages = 0;
+        for (int i = 0; i < starts.length; i++) {
+            MigrationPlan.FrontendMigration frontend = plan.frontends.get(i);
+            starts[i] = Math.max(starts[i], frontend.firstStage() - 1);
+            stages = Math.max(stages, starts[i] + frontend.shares().size());
         }
         List<MigrationStep> steps = new ArrayList<>();
-        steps.add(step(plan, begins, 0, MigrationStep.Phase.SETTLED));
-        for (int stage = 1; stage <= most; stage++) {
-            for (MigrationStep.Phase phase :
-                    uniqued(plan, begins, stage)
-                            ? new MigrationStep.Phase[] {
-                                MigrationStep.Phase.HOLD,
-                                MigrationStep.Phase.OPEN,
-                                MigrationStep.Phase.SETTLED
-                            }
-                            : new MigrationStep.Phase[] {MigrationStep.Phase.SETTLED}) {
-                steps.add(step(plan, begins, stage, phase));
+        steps.add(step(plan, starts, 0, MigrationStep.Phase.SETTLED));
+        for (int stage = 1; stage <= stages; stage++) {
+            boolean keyed = movesKeyedFrontend(plan, starts, stage);
+            for (MigrationStep.Phase phase : keyed ? KEYED_PHASES : PLAIN_PHASES) {
+                steps.add(step(plan, starts, stage, phase));
             }
         }
         return List.copyOf(steps);
     }
 
     /**
-     * After how many stages each may begin at the earliest, given where those that it needs begin.
-     * Without circles only.
+     * The number of stages after which each frontend may begin at the earliest. The dependencies
+     * must have no cycle.
      */
-    static int[] earliestStarts(List<MigrationPlan.FrontendMigration> movers) {
-        int[] begins = new int[movers.size()];
-        for (int round = 0;
-                round < begins.length;
-                round++) { // as many rounds as the longest chain can have links
-            for (int i = 0; i < begins.length; i++) {
-                for (int d = 0; d < begins.length; d++) {
-                    MigrationPlan.FrontendMigration needed = movers.get(d);
-                    if (movers.get(i).dependencies().contains(needed.name())) {
-                        begins[i] =
-                                Math.max(
-                                        begins[i],
-                                        Math.max(begins[d], needed.firstStage() - 1)
-                                                + needed.shares().size());
-                    }
-                }
+    static int[] earliestStarts(List<MigrationPlan.FrontendMigration> frontends) {
+        int[] starts = new int[frontends.size()];
+        // the longest chain of dependencies has as many links as there are frontends
+        for (int round = 0; round < starts.length; round++) {
+            for (int i = 0; i < starts.length; i++) {
+                starts[i] = Math.max(starts[i], endOfDependencies(frontends, starts, i));
             }
         }
-        return begins;
+        return starts;
     }
 
-    private static boolean uniqued(MigrationPlan plan, int[] begins, int stage) {
-        for (int i = 0; i < begins.length; i++) {
-            MigrationPlan.FrontendMigration m = plan.frontends.get(i);
-            if (m.idempotencyKeyed()
-                    && share(m, begins[i], stage) != share(m, begins[i], stage - 1)) {
+    private static int endOfDependencies(
+            List<MigrationPlan.FrontendMigration> frontends, int[] starts, int dependent) {
+        List<String> dependencies = frontends.get(dependent).dependencies();
+        int end = 0;
+        for (int i = 0; i < starts.length; i++) {
+            MigrationPlan.FrontendMigration frontend = frontends.get(i);
+            if (dependencies.contains(frontend.name())) {
+                int start = Math.max(starts[i], frontend.firstStage() - 1);
+                end = Math.max(end, start + frontend.shares().size());
+            }
+        }
+        return end;
+    }
+
+    private static boolean movesKeyedFrontend(MigrationPlan plan, int[] starts, int stage) {
+        for (int i = 0; i < starts.length; i++) {
+            MigrationPlan.FrontendMigration frontend = plan.frontends.get(i);
+            if (frontend.idempotencyKeyed()
+                    && share(frontend, starts[i], stage) != share(frontend, starts[i], stage - 1)) {
                 return true;
             }
         }
@@ -72,24 +80,30 @@
     }
 
     private static MigrationStep step(
-            MigrationPlan plan, int[] begins, int stage, MigrationStep.Phase phase) {
-        List<MigrationStep.FrontendShare> parts = new ArrayList<>();
-        for (int i = 0; i < begins.length; i++) {
-            MigrationPlan.FrontendMigration m = plan.frontends.get(i);
-            double to = share(m, begins[i], stage);
-            double from =
-                    m.idempotencyKeyed() && phase != MigrationStep.Phase.SETTLED
-                            ? share(m, begins[i], stage - 1)
-                            : to;
-            parts.add(
-                    new MigrationStep.FrontendShare(
-                            from, to, from == to ? MigrationStep.Phase.SETTLED : phase));
+            MigrationPlan plan, int[] starts, int stage, MigrationStep.Phase phase) {
+        List<MigrationStep.FrontendShare> shares = new ArrayList<>();
+        for (int i = 0; i < starts.length; i++) {
+            shares.add(frontendShare(plan.frontends.get(i), starts[i], stage, phase));
         }
-        return new MigrationStep(stage, phase == MigrationStep.Phase.SETTLED, List.copyOf(parts));
+        boolean lastOfStage = phase == MigrationStep.Phase.SETTLED;
+        return new MigrationStep(stage, lastOfStage, List.copyOf(shares));
+    }
+
+    private static MigrationStep.FrontendShare frontendShare(
+            MigrationPlan.FrontendMigration frontend,
+            int start,
+            int stage,
+            MigrationStep.Phase phase) {
+        double target = share(frontend, start, stage);
+        boolean movesInPhases = frontend.idempotencyKeyed() && phase != MigrationStep.Phase.SETTLED;
+        double moved = movesInPhases ? share(frontend, start, stage - 1) : target;
+        return new MigrationStep.FrontendShare(
+                moved, target, moved == target ? MigrationStep.Phase.SETTLED : phase);
     }
 
-    private static double share(MigrationPlan.FrontendMigration m, int begins, int stage) {
-        int done = Math.min(stage - begins, m.shares().size());
-        return done <= 0 ? 0 : m.shares().get(done - 1);
+    /** The share that has moved at the end of a stage. */
+    private static double share(MigrationPlan.FrontendMigration frontend, int start, int stage) {
+        int completed = Math.min(stage - start, frontend.shares().size());
+        return completed <= 0 ? 0 : frontend.shares().get(completed - 1);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
@@ -1,11 +1,5 @@
 package tinford.fleet.migration;
 
-import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
-import java.io.DataInputStream;
-import java.io.DataOutputStream;
-import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
@@ -13,394 +7,322 @@
 import tinford.fleet.store.ReplicatedLog;
 
 /**
- * What the entries about moves have come to, on every member alike. {@link #apply} is the one place
- * that enforces the rules: an entry that is not due alters nothing. Holds one plan, and an ack and
- * a report of each incarnation that has them in the present turn.
+ * State of the migration by the entries of the log, the same on every member. {@link #apply} is the
+ * one place that enforces the rules: an entry that is not due changes nothing. Holds one plan, and
+ * an acknowledgement and a report of each incarnation in the present epoch.
  */
 public final class MigrationState implements ReplicatedLog.StateMachine {
     /** See the table in docs/moves.md. */
     public enum State {
+        /** No plan was begun. */
         IDLE,
+        /** Steps are taken forward. */
         FORWARD,
+        /** An operator has halted the migration. */
         HALTED,
+        /** Steps are taken backwards. */
         BACK,
+        /** The plan is completed. */
         DONE,
+        /** The plan is reverted. */
         UNDONE
     }
 
-    private static final int MOST_INCARNATIONS = 4096;
+    private static final int MAX_INCARNATIONS = 4096;
+    private static final int COUNTS_PER_FRONTEND = 4;
+
     private final TransitionRules rules;
     private final LeaseHolders leaseHolders;
     private final double maxClockSkewMs;
-    private final TreeMap<String, String> homeGroups;
-    private TreeMap<Incarnation, Double> acknowledgements = new TreeMap<>();
-    private TreeMap<Incarnation, long[]> reports = new TreeMap<>();
-    State state = State.IDLE;
-    private boolean reverting;
-    private long epoch;
-    private int stepIndex;
-    private int
-            previousStep; // position of the turn before, where nobody can be harmed by returning at
-    // once
-    private MigrationPlan plan;
-    private long haltCount;
-    private double stepStartedMs;
-    private double logTimeMs;
-    private double[] baselineFailureShares = new double[0];
+    private MigrationProgress progress;
     private String lastOutcome = "";
 
     /**
-     * @param maxClockSkewMs by how many ms clocks differ at most
+     * @param homeGroups the first group of each frontend that may migrate
+     * @param maxClockSkewMs by which clocks differ at most
      */
-    public MigrationState(Map<String, String> homes, LeaseHolders leaseHolders, double apart) {
-        this(homes, leaseHolders, apart, new TransitionRules());
+    public MigrationState(
+            Map<String, String> homeGroups, LeaseHolders leaseHolders, double maxClockSkewMs) {
+        this(homeGroups, leaseHolders, maxClockSkewMs, new TransitionRules());
     }
 
     /**
      * @param rules tests and the lab replace one at a time by a broken one
      */
     public MigrationState(
-            Map<String, String> homes,
+            Map<String, String> homeGroups,
             LeaseHolders leaseHolders,
-            double apart,
+            double maxClockSkewMs,
             TransitionRules rules) {
-        this.homeGroups = new TreeMap<>(homes);
         this.leaseHolders = leaseHolders;
-        this.maxClockSkewMs = apart;
+        this.maxClockSkewMs = maxClockSkewMs;
         this.rules = rules;
+        this.progress = new MigrationProgress(homeGroups);
     }
 
-    /** An independent copy that asks others about leases: what the lab explores from. */
-    public MigrationState copy(LeaseHolders others) {
-        MigrationState m = new MigrationState(homeGroups, others, maxClockSkewMs, rules);
-        m.acknowledgements = new TreeMap<>(acknowledgements);
-        m.reports = new TreeMap<>(reports);
-        m.state = state;
-        m.reverting = reverting;
-        m.epoch = epoch;
-        m.stepIndex = stepIndex;
-        m.previousStep = previousStep;
-        m.plan = plan;
-        m.haltCount = haltCount;
-        m.stepStartedMs = stepStartedMs;
-        m.logTimeMs = logTimeMs;
-        m.baselineFailureShares = baselineFailureShares;
-        m.lastOutcome = lastOutcome;
-        return m;
+    /** Returns an independent copy with other leases, from which the lab explores. */
+    public MigrationState copy(LeaseHolders otherLeaseHolders) {
+        MigrationState copy =
+                new MigrationState(Map.of(), otherLeaseHolders, maxClockSkewMs, rules);
+        copy.progress = new MigrationProgress(progress);
+        copy.lastOutcome = lastOutcome;
+        return copy;
     }
 
     public MigrationStatus status() {
-        return new MigrationStatus(state, reverting, epoch, stepIndex, plan, homeGroups);
+        return new MigrationStatus(
+                progress.state,
+                progress.reverting,
+                progress.epoch,
+                progress.stepIndex,
+                progress.plan,
+                progress.homeGroups);
     }
 
-    /** Which halt is the present one; an operator's resume names it. */
+    /** Number of the last halt, which an operator's resume names. */
     public long haltCount() {
-        return haltCount;
+        return progress.haltCount;
     }
 
-    /** What came of the last entry, in one line: for operators and the log of the process. */
+    /** The outcome of the last entry, in one line, for operators and the log of the process. */
     public String lastOutcome() {
         return lastOutcome;
     }
 
+    /** Whether an incarnation has acknowledged the present epoch. */
     public boolean hasAcknowledged(Incarnation incarnation) {
-        return acknowledgements.containsKey(incarnation);
+        return progress.acknowledgements.containsKey(incarnation);
     }
 
-    /** When each incarnation acknowledged the present position, by the log's time. */
+    /** When each incarnation acknowledged the present epoch, by the log's time. */
     public Map<Incarnation, Double> acknowledgements() {
-        return Collections.unmodifiableMap(acknowledgements);
-    }
-
-    double stepStartedMs() {
-        return stepStartedMs;
-    }
-
-    double logTimeMs() {
-        return logTimeMs;
+        return Collections.unmodifiableMap(progress.acknowledgements);
     }
 
-    /** The position of the turn before. */
+    /** The step of the epoch before. */
     public int previousStep() {
-        return previousStep;
+        return progress.previousStep;
     }
 
     /**
-     * The log's time by its other entries: an incarnation that they have forgotten must be past for
-     * these rules too.
+     * Advances the log's time by that of its other entries, so that an incarnation that they have
+     * forgotten is past here too.
      */
-    public void observeTime(double logNow) {
-        this.logTimeMs = Math.max(this.logTimeMs, logNow);
+    public void observeTime(double logTimeMs) {
+        progress.logTimeMs = Math.max(progress.logTimeMs, logTimeMs);
     }
 
     @Override
-    public void apply(long index, byte[] entry) {
+    public void apply(long index, byte[] bytes) {
         try {
-            MigrationEntry e = MigrationEntry.of(entry);
-            logTimeMs = Math.max(logTimeMs, e.timestampMs());
-            lastOutcome =
-                    index
-                            + " "
-                            + e.kind()
-                            + (e.operator().isEmpty() ? "" : " by " + e.operator())
-                            + ": "
-                            + apply(e);
+            MigrationEntry entry = MigrationEntry.decode(bytes);
+            observeTime(entry.timestampMs());
+            String operator = entry.operator().isEmpty() ? "" : " by " + entry.operator();
+            lastOutcome = index + " " + entry.kind() + operator + ": " + apply(entry);
         } catch (MigrationEntry.UnreadableEntryException e) {
             lastOutcome = index + " refused: " + e.getMessage();
         }
     }
 
-    private String apply(MigrationEntry e) {
-        return switch (e.kind()) {
-            case BEGIN -> begin(e.plan());
-            case ACK -> ack(e);
-            case GO -> go(e);
-            case REPORT -> report(e);
-            case HALT -> halt(e.operator());
-            case RESUME -> resume(e);
-            case BACK -> back("asked for by " + e.operator());
+    /** Returns the outcome for operators. */
+    private String apply(MigrationEntry entry) {
+        return switch (entry.kind()) {
+            case BEGIN -> begin(entry.plan());
+            case ACK -> acknowledge(entry);
+            case GO -> go(entry);
+            case REPORT -> report(entry);
+            case HALT -> halt();
+            case RESUME -> resume(entry);
+            case BACK -> revert("asked for by " + entry.operator());
         };
     }
 
-    private boolean moving() {
-        return state == State.FORWARD || state == State.BACK;
-    }
-
     private String begin(MigrationPlan next) {
-        if (moving() || state == State.HALTED) {
-            return "refused, " + plan.name + " is under way";
-        }
-        Map<String, String> now = new TreeMap<>(homeGroups);
-        if (state == State.DONE) {
-            plan.frontends.forEach(m -> now.put(m.name(), m.targetGroup()));
+        if (progress.isMoving() || progress.state == State.HALTED) {
+            return "refused, " + progress.plan.name + " is under way";
         }
-        for (MigrationPlan.FrontendMigration m : next.frontends) {
-            if (!m.sourceGroup().equals(now.get(m.name()))) {
-                return "refused, " + m.name() + " is at " + now.get(m.name());
+        Map<String, String> presentGroups = presentGroups();
+        for (MigrationPlan.FrontendMigration frontend : next.frontends) {
+            String present = presentGroups.get(frontend.name());
+            if (!frontend.sourceGroup().equals(present)) {
+                return "refused, " + frontend.name() + " is at " + present;
             }
         }
-        homeGroups.putAll(now);
-        plan = next;
-        state = State.FORWARD;
-        reverting = false;
-        baselineFailureShares = new double[next.frontends.size()];
-        turn(0);
-        previousStep = 0;
+        progress.homeGroups.putAll(presentGroups);
+        progress.plan = next;
+        progress.state = State.FORWARD;
+        progress.reverting = false;
+        progress.baselineFailureShares = new double[next.frontends.size()];
+        progress.goTo(0);
+        progress.previousStep = 0;
         return "begun, " + (next.steps.size() - 1) + " steps";
     }
 
-    private void turn(int to) {
-        previousStep = stepIndex;
-        stepIndex = to;
-        epoch++;
-        stepStartedMs = logTimeMs;
-        acknowledgements.clear();
-        reports.clear();
+    /** The group of each frontend, after the last plan. */
+    private Map<String, String> presentGroups() {
+        Map<String, String> groups = new TreeMap<>(progress.homeGroups);
+        if (progress.state == State.DONE) {
+            for (MigrationPlan.FrontendMigration frontend : progress.plan.frontends) {
+                groups.put(frontend.name(), frontend.targetGroup());
+            }
+        }
+        return groups;
     }
 
-    private String ack(MigrationEntry e) {
-        if (plan == null || !rules.isCurrentEpoch(epoch, e.epoch())) {
+    private String acknowledge(MigrationEntry entry) {
+        if (progress.plan == null || !rules.isCurrentEpoch(progress.epoch, entry.epoch())) {
             return "refused, not of this turn";
         }
-        if (acknowledgements.size() < MOST_INCARNATIONS) {
-            acknowledgements.putIfAbsent(
-                    e.incarnation(),
-                    Math.max(
-                            e.timestampMs() + maxClockSkewMs,
-                            stepStartedMs)); // guards against a clock that is behind
+        if (progress.acknowledgements.size() < MAX_INCARNATIONS) {
+            // the incarnation's clock may be behind the log's time
+            double acknowledgedMs =
+                    Math.max(entry.timestampMs() + maxClockSkewMs, progress.stepStartedMs);
+            progress.acknowledgements.putIfAbsent(entry.incarnation(), acknowledgedMs);
         }
-        return "ack " + acknowledgements.size();
+        return "ack " + progress.acknowledgements.size();
     }
 
-    private String go(MigrationEntry e) {
-        if (!moving()
-                || e.epoch() != epoch
-                || !rules.isNextStep(stepIndex, e.targetStep(), reverting)) {
+    private String go(MigrationEntry entry) {
+        if (!progress.isMoving()
+                || entry.epoch() != progress.epoch
+                || !rules.isNextStep(progress.stepIndex, entry.targetStep(), progress.reverting)) {
             return "refused, not the next one";
         }
-        boolean over = e.targetStep() < 0 || e.targetStep() >= plan.steps.size();
-        boolean returns = rules.isReturn(previousStep, stepIndex, e.targetStep());
-        if (!returns) {
-            double since = logTimeMs - rules.waitMs(plan, stepIndex, reverting);
-            if (!rules.allAcknowledged(leaseHolders, acknowledgements, since)) {
+        if (!rules.isReturn(progress.previousStep, progress.stepIndex, entry.targetStep())) {
+            if (!allAcknowledged()) {
                 return "refused, not all have acknowledged, or not long enough ago";
             }
-            if (!reverting
-                    && plan.steps.get(stepIndex).lastOfStage()
-                    && stepIndex > 0
-                    && logTimeMs - stepStartedMs < plan.soakMs) {
+            if (isSoaking()) {
                 return "refused, it soaks";
             }
         }
-        if (!reverting
-                && !over
-                && !rules.hasCapacity(plan, plan.steps.get(e.targetStep()), e.warmUnits())) {
-            return "refused, too little of the group is warm";
+        boolean ends = entry.targetStep() < 0 || entry.targetStep() >= progress.plan.steps.size();
+        if (ends) {
+            progress.state = progress.reverting ? State.UNDONE : State.DONE;
+            return progress.state.toString();
         }
-        if (over) {
-            state = reverting ? State.UNDONE : State.DONE;
-            return state.toString();
+        if (!progress.reverting && !hasCapacity(entry)) {
+            return "refused, too little of the group is warm";
         }
-        turn(e.targetStep());
-        return "at step " + stepIndex;
+        progress.goTo(entry.targetStep());
+        return "at step " + progress.stepIndex;
+    }
+
+    private boolean allAcknowledged() {
+        double waitMs = rules.waitMs(progress.plan, progress.stepIndex, progress.reverting);
+        return rules.allAcknowledged(
+                leaseHolders, progress.acknowledgements, progress.logTimeMs - waitMs);
     }
 
-    private String report(MigrationEntry e) {
-        if (plan == null
-                || e.epoch() != epoch
-                || state != State.FORWARD
-                || e.outcomeCounts().length != 4 * plan.frontends.size()) {
+    private boolean isSoaking() {
+        return !progress.reverting
+                && progress.stepIndex > 0
+                && progress.plan.steps.get(progress.stepIndex).lastOfStage()
+                && progress.logTimeMs - progress.stepStartedMs < progress.plan.soakMs;
+    }
+
+    private boolean hasCapacity(MigrationEntry entry) {
+        MigrationStep step = progress.plan.steps.get(entry.targetStep());
+        return rules.hasCapacity(progress.plan, step, entry.warmUnits());
+    }
+
+    private String report(MigrationEntry entry) {
+        if (progress.plan == null
+                || entry.epoch() != progress.epoch
+                || progress.state != State.FORWARD
+                || entry.outcomeCounts().length
+                        != COUNTS_PER_FRONTEND * progress.plan.frontends.size()) {
             return "refused, not of this turn";
         }
-        if (reports.size() < MOST_INCARNATIONS || reports.containsKey(e.incarnation())) {
-            reports.put(e.incarnation(), e.outcomeCounts());
+        if (progress.reports.size() < MAX_INCARNATIONS
+                || progress.reports.containsKey(entry.incarnation())) {
+            progress.reports.put(entry.incarnation(), entry.outcomeCounts());
         }
-        for (int i = 0; i < plan.frontends.size(); i++) {
-            long[] sum = new long[4];
-            for (long[] counts : reports.values()) {
-                for (int k = 0; k < 4; k++) {
-                    sum[k] += Math.max(0, counts[4 * i + k]);
-                }
-            }
-            if (sum[0] >= plan.minAnswers) {
-                baselineFailureShares[i] = (double) sum[1] / sum[0];
-            }
-            if (sum[2] >= plan.minAnswers
-                    && (double) sum[3] / sum[2] > baselineFailureShares[i] + plan.failureMargin) {
-                return back(
-                        plan.frontends.get(i).name()
-                                + " bad: "
-                                + sum[3]
-                                + " of "
-                                + sum[2]
-                                + " at the new group, usual "
-                                + Math.round(baselineFailureShares[i] * 1000) / 1000.0);
+        for (int i = 0; i < progress.plan.frontends.size(); i++) {
+            OutcomeTotals totals = totals(i);
+            updateBaseline(i, totals);
+            if (targetGroupFails(i, totals)) {
+                return revert(failureReason(i, totals));
             }
         }
         return "counted";
     }
 
-    private String halt(String who) {
-        if (!moving()) {
+    /** Outcomes of one frontend, over all reports of the epoch. */
+    private record OutcomeTotals(
+            long sourceAnswers, long sourceFailures, long targetAnswers, long targetFailures) {}
+
+    private OutcomeTotals totals(int frontend) {
+        long[] sums = new long[COUNTS_PER_FRONTEND];
+        for (long[] counts : progress.reports.values()) {
+            for (int i = 0; i < COUNTS_PER_FRONTEND; i++) {
+                sums[i] += Math.max(0, counts[COUNTS_PER_FRONTEND * frontend + i]);
+            }
+        }
+        return new OutcomeTotals(sums[0], sums[1], sums[2], sums[3]);
+    }
+
+    private void updateBaseline(int frontend, OutcomeTotals totals) {
+        if (totals.sourceAnswers >= progress.plan.minAnswers) {
+            progress.baselineFailureShares[frontend] =
+                    (double) totals.sourceFailures / totals.sourceAnswers;
+        }
+    }
+
+    private boolean targetGroupFails(int frontend, OutcomeTotals totals) {
+        double limit = progress.baselineFailureShares[frontend] + progress.plan.failureMargin;
+        return totals.targetAnswers >= progress.plan.minAnswers
+                && (double) totals.targetFailures / totals.targetAnswers > limit;
+    }
+
+    private String failureReason(int frontend, OutcomeTotals totals) {
+        return progress.plan.frontends.get(frontend).name()
+                + " bad: "
+                + totals.targetFailures
+                + " of "
+                + totals.targetAnswers
+                + " at the new group, usual "
+                + Math.round(progress.baselineFailureShares[frontend] * 1000) / 1000.0;
+    }
+
+    private String halt() {
+        if (!progress.isMoving()) {
             return "nothing to halt";
         }
-        state = State.HALTED;
-        haltCount++;
-        return "halt " + haltCount + " at step " + stepIndex;
+        progress.state = State.HALTED;
+        progress.haltCount++;
+        return "halt " + progress.haltCount + " at step " + progress.stepIndex;
     }
 
-    private String resume(MigrationEntry e) {
-        if (!rules.liftsHalt(state == State.HALTED, haltCount, e.epoch())) {
+    private String resume(MigrationEntry entry) {
+        boolean halted = progress.state == State.HALTED;
+        if (!rules.liftsHalt(halted, progress.haltCount, entry.epoch())) {
             return "refused, no such halt";
         }
-        state = reverting ? State.BACK : State.FORWARD;
-        stepIndex = rules.stepAfterResume(stepIndex);
+        progress.state = progress.reverting ? State.BACK : State.FORWARD;
+        progress.stepIndex = rules.stepAfterResume(progress.stepIndex);
         return "resumed";
     }
 
-    private String back(String why) {
-        if (plan == null || state == State.UNDONE || state == State.BACK) {
+    private String revert(String reason) {
+        if (progress.plan == null
+                || progress.state == State.UNDONE
+                || progress.state == State.BACK) {
             return "nothing to take back";
         }
-        state = State.BACK;
-        reverting = true;
-        return "goes back: " + why;
+        progress.state = State.BACK;
+        progress.reverting = true;
+        return "goes back: " + reason;
     }
 
     @Override
     public byte[] snapshot() {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(MigrationEntry.VERSION);
-            out.writeByte(state.ordinal());
-            out.writeBoolean(reverting);
-            out.writeLong(epoch);
-            out.writeInt(stepIndex);
-            out.writeInt(previousStep);
-            out.writeLong(haltCount);
-            out.writeDouble(stepStartedMs);
-            out.writeDouble(logTimeMs);
-            out.writeInt(homeGroups.size());
-            for (Map.Entry<String, String> h : homeGroups.entrySet()) {
-                out.writeUTF(h.getKey());
-                out.writeUTF(h.getValue());
-            }
-            out.writeInt(acknowledgements.size());
-            for (Map.Entry<Incarnation, Double> a : acknowledgements.entrySet()) {
-                incarnation(out, a.getKey());
-                out.writeDouble(a.getValue());
-            }
-            out.writeInt(reports.size());
-            for (Map.Entry<Incarnation, long[]> r : reports.entrySet()) {
-                incarnation(out, r.getKey());
-                out.writeInt(r.getValue().length);
-                for (long c : r.getValue()) {
-                    out.writeLong(c);
-                }
-            }
-            out.writeBoolean(plan != null);
-            if (plan != null) {
-                plan.write(out);
-                for (double u : baselineFailureShares) {
-                    out.writeDouble(u);
-                }
-            }
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        return bytes.toByteArray();
-    }
-
-    private static void incarnation(DataOutputStream out, Incarnation incarnation)
-            throws IOException {
-        out.writeInt(incarnation.gateway());
-        out.writeLong(incarnation.start());
+        return MigrationSnapshot.encode(progress);
     }
 
     @Override
     public void restore(long index, byte[] snapshot) {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(snapshot))) {
-            int version = in.readByte();
-            if (version != MigrationEntry.VERSION) {
-                throw new IllegalArgumentException(
-                        "snapshot of moves: version: expected "
-                                + MigrationEntry.VERSION
-                                + ", not "
-                                + version);
-            }
-            state = State.values()[in.readByte()];
-            reverting = in.readBoolean();
-            epoch = in.readLong();
-            stepIndex = in.readInt();
-            previousStep = in.readInt();
-            haltCount = in.readLong();
-            stepStartedMs = in.readDouble();
-            logTimeMs = in.readDouble();
-            homeGroups.clear();
-            for (int n = in.readInt(); n > 0; n--) {
-                homeGroups.put(in.readUTF(), in.readUTF());
-            }
-            acknowledgements.clear();
-            for (int n = in.readInt(); n > 0; n--) {
-                acknowledgements.put(new Incarnation(in.readInt(), in.readLong()), in.readDouble());
-            }
-            reports.clear();
-            for (int n = in.readInt(); n > 0; n--) {
-                Incarnation incarnation = new Incarnation(in.readInt(), in.readLong());
-                long[] counts = new long[in.readInt()];
-                for (int i = 0; i < counts.length; i++) {
-                    counts[i] = in.readLong();
-                }
-                reports.put(incarnation, counts);
-            }
-            plan = in.readBoolean() ? MigrationPlan.read(in) : null;
-            baselineFailureShares = new double[plan == null ? 0 : plan.frontends.size()];
-            for (int i = 0; i < baselineFailureShares.length; i++) {
-                baselineFailureShares[i] = in.readDouble();
-            }
-        } catch (IOException e) {
-            throw new UncheckedIOException("snapshot of moves: expected a whole one", e);
-        }
+        MigrationSnapshot.restore(progress, snapshot);
         lastOutcome = index + " restored";
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationStatus.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStatus.java
@@ -3,10 +3,13 @@
 import java.util.Map;
 
 /**
- * The status of the moves after some entry.
+ * Status of the migration after some entry of the log.
  *
- * @param epoch rises with each change of position, over all plans
- * @param homeGroups where each frontend that may move lives when no plan is about it
+ * @param reverting whether the steps are taken backwards
+ * @param epoch rises with each change of the step, over all plans
+ * @param stepIndex of the present step in the plan
+ * @param plan the last one begun; null before the first
+ * @param homeGroups the group of each frontend that may migrate and that the plan doesn't name
  */
 public record MigrationStatus(
         MigrationState.State state,
@@ -15,6 +18,7 @@
         int stepIndex,
         MigrationPlan plan,
         Map<String, String> homeGroups) {
+    /** The present step; null where there is no plan. */
     public MigrationStep currentStep() {
         return plan == null ? null : plan.steps.get(stepIndex);
     }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationStep.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStep.java
@@ -3,34 +3,40 @@
 import java.util.List;
 
 /**
- * One position of a plan: what share of each frontend's customers goes to its new group.
+ * One step of a plan: which share of each frontend's tenants goes to its target group.
  *
- * @param stage counted from 1; 0 is where nothing has moved
- * @param lastOfStage of its stage: here it soaks
+ * @param stage counted from 1; 0 is the stage before any tenant has moved
+ * @param lastOfStage whether the migration soaks in this step
+ * @param frontends in the plan's order
  */
 public record MigrationStep(int stage, boolean lastOfStage, List<FrontendShare> frontends) {
-    /** How the customers are treated who change their group in this stage. */
+    /** How the tenants that change their group in this stage are routed. */
     public enum Phase {
-        /** All have their group: below the share the new one. */
+        /** Each tenant has its group: below the moved share the target, above it the source. */
         SETTLED,
+
         /**
-         * First tries still go to the old group, retries nowhere; where retries aren't told nothing
-         * goes anywhere.
+         * First attempts of moving tenants still go to the source group, and retries nowhere. Where
+         * clients don't mark retries, nothing of these tenants goes anywhere.
          */
         HOLD,
+
         /**
-         * First tries go to the new group already, retries nowhere; where retries aren't told all
-         * go to the new one.
+         * First attempts of moving tenants go to the target group, and retries nowhere. Where
+         * clients don't mark retries, all go to the target group.
          */
         OPEN
     }
 
     /**
-     * Of one frontend: customers below {@code share} have moved, those from there to below {@code
-     * until} are about to.
+     * Shares of one frontend's tenants.
+     *
+     * @param movedShare tenants below it have moved
+     * @param movingShare tenants from {@code movedShare} to below this one are moving
      */
     public record FrontendShare(double movedShare, double movingShare, Phase phase) {
-        double load() {
+        /** The share of the frontend's load that the target group has to bear. */
+        double loadShare() {
             return phase == Phase.HOLD ? movedShare : movingShare;
         }
     }
--- a/fleet/src/main/java/tinford/fleet/migration/PlanErrors.java
+++ b/fleet/src/main/java/tinford/fleet/migration/PlanErrors.java
@@ -5,36 +5,49 @@
 import java.util.regex.Pattern;
 
 /**
- * All that is wrong with one plan, a line each: file, line where it is found, frontend, key, and
+ * Collects all errors of one plan, a line each: file, line where it is found, frontend, key, and
  * what was expected.
  */
 public final class PlanErrors {
-    private static final Pattern HEAD = Pattern.compile("\\s*\\[\\[\\s*frontends\\s*]].*");
+    /** For errors that belong to no frontend. */
+    static final int NO_FRONTEND = -1;
+
+    private static final Pattern FRONTEND_HEADER =
+            Pattern.compile("\\s*\\[\\[\\s*frontends\\s*]].*");
     private final String file;
     private final String[] lines;
     private final List<String> errors = new ArrayList<>();
 
+    /**
+     * @param text of the file, where errors are located
+     */
     PlanErrors(String file, String text) {
         this.file = file;
         this.lines = text.split("\n", -1);
     }
 
     /**
-     * @param frontend which one of the plan's, or -1
+     * Adds an error unless the condition holds.
+     *
+     * @param frontend index in the plan, or {@link #NO_FRONTEND}
      */
-    void require(boolean good, int frontend, String key, String expected) {
-        if (!good) {
-            add(
-                    line(frontend, key),
-                    (frontend < 0 ? "" : "frontends[" + (frontend + 1) + "].") + key,
-                    expected);
+    void require(boolean condition, int frontend, String key, String expected) {
+        if (!condition) {
+            String prefix = frontend < 0 ? "" : "frontends[" + (frontend + 1) + "].";
+            add(findLine(frontend, key), prefix + key, expected);
         }
     }
 
+    /**
+     * Adds an error; an equal one is added once.
+     *
+     * @param line counted from 1; 0 where it is unknown
+     */
     void add(int line, String key, String expected) {
-        String all = file + (line > 0 ? ":" + line : "") + ": " + key + ": expected " + expected;
-        if (!errors.contains(all)) {
-            errors.add(all);
+        String location = file + (line > 0 ? ":" + line : "");
+        String error = location + ": " + key + ": expected " + expected;
+        if (!errors.contains(error)) {
+            errors.add(error);
         }
     }
 
@@ -42,6 +55,9 @@
         return errors.isEmpty();
     }
 
+    /**
+     * @throws InvalidPlanException where there are errors
+     */
     void throwIfAny() {
         if (!errors.isEmpty()) {
             throw new InvalidPlanException(List.copyOf(errors));
@@ -49,35 +65,37 @@
     }
 
     /**
-     * Only to show a place to a person: the reading itself is the library's. 0 when it isn't found.
+     * Finds the line of a key, for people only: the plan is parsed by a library. 0 where it isn't
+     * found.
      */
-    private int line(int frontend, String key) {
-        Pattern pair = Pattern.compile("\\s*" + Pattern.quote(key) + "\\s*=.*");
-        int at = 0;
-        for (int head = -1; head < frontend && at < lines.length; at++) {
-            head += HEAD.matcher(lines[at]).matches() ? 1 : 0;
+    private int findLine(int frontend, String key) {
+        Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(key) + "\\s*=.*");
+        int index = 0;
+        for (int header = -1; header < frontend && index < lines.length; index++) {
+            header += FRONTEND_HEADER.matcher(lines[index]).matches() ? 1 : 0;
         }
-        int first = at;
-        for (; at < lines.length && !(frontend >= 0 && lines[at].startsWith("[")); at++) {
-            if (pair.matcher(lines[at]).matches()) {
-                return at + 1;
+        int headerLine = index;
+        while (index < lines.length && !(frontend >= 0 && lines[index].startsWith("["))) {
+            if (assignment.matcher(lines[index]).matches()) {
+                return index + 1;
             }
+            index++;
         }
-        return frontend < 0 ? 0 : first;
+        return frontend < 0 ? 0 : headerLine;
     }
 
-    /** A plan that isn't taken, with every fault in a line of its own. */
+    /** A plan that is not accepted, with each error in a line of the message. */
     public static final class InvalidPlanException extends RuntimeException {
         private static final long serialVersionUID = 1L;
-        private final ArrayList<String> faults;
+        private final ArrayList<String> errors;
 
-        InvalidPlanException(List<String> faults) {
-            super(String.join("\n", faults));
-            this.faults = new ArrayList<>(faults);
+        InvalidPlanException(List<String> errors) {
+            super(String.join("\n", errors));
+            this.errors = new ArrayList<>(errors);
         }
 
         public List<String> errors() {
-            return List.copyOf(faults);
+            return List.copyOf(errors);
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/TransitionRules.java
+++ b/fleet/src/main/java/tinford/fleet/migration/TransitionRules.java
@@ -5,38 +5,40 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * The rules about when a change of position is due. {@link MigrationState} asks them in one place;
+ * The rules that say when a step may be taken. {@link MigrationState} applies them in one place;
  * tests replace one at a time by a broken one.
  */
 public class TransitionRules {
-    /** One step at a time, in the direction that the moves have. */
-    public boolean isNextStep(int from, int to, boolean back) {
-        return to == (back ? from - 1 : from + 1);
+    private static final double LOAD_TOLERANCE = 1e-9;
+
+    /** One step at a time, in the direction of the migration. */
+    public boolean isNextStep(int from, int to, boolean reverting) {
+        return to == (reverting ? from - 1 : from + 1);
     }
 
-    /** An ack counts for the present position only. */
-    public boolean isCurrentEpoch(long turn, long of) {
-        return turn == of;
+    /** An acknowledgement counts for the present epoch only. */
+    public boolean isCurrentEpoch(long currentEpoch, long acknowledgedEpoch) {
+        return currentEpoch == acknowledgedEpoch;
     }
 
     /**
-     * Back to where the last change came from: whoever has not followed that change is there
-     * already, so nobody is waited for.
+     * Whether a step leads back to where the last one came from. A gateway that has not followed
+     * the last step is there already, so no acknowledgement is waited for.
      */
-    public boolean isReturn(int before, int position, int to) {
-        return before == to && before != position;
+    public boolean isReturn(int previousStep, int step, int nextStep) {
+        return previousStep == nextStep && previousStep != step;
     }
 
     /**
-     * Whether all who may have acted since that time had said by then that they act on the present
-     * position.
+     * Whether all incarnations that may have acted since a time had acknowledged the present step
+     * by then.
      */
     public boolean allAcknowledged(
-            LeaseHolders leaseHolders, Map<Incarnation, Double> acks, double since) {
-        Collection<Incarnation> incarnations = leaseHolders.mayHaveActed(since);
+            LeaseHolders leaseHolders, Map<Incarnation, Double> acknowledgements, double sinceMs) {
+        Collection<Incarnation> incarnations = leaseHolders.mayHaveActed(sinceMs);
         for (Incarnation incarnation : incarnations) {
-            Double at = acks.get(incarnation);
-            if (at == null || at > since) {
+            Double acknowledgedMs = acknowledgements.get(incarnation);
+            if (acknowledgedMs == null || acknowledgedMs > sinceMs) {
                 return false;
             }
         }
@@ -44,52 +46,64 @@
     }
 
     /**
-     * How long after all have acknowledged the present position the next one may begin. Where
-     * retries are told, none goes anywhere in either step of a change, so the wait is due at the
-     * end; where they aren't, nothing goes in HOLD, so the wait is due there.
+     * How long after all have acknowledged a step the next one may be taken. Where clients mark
+     * retries, none goes anywhere in either step of a change, so the wait is due at its end; where
+     * they don't, nothing goes anywhere in HOLD, so the wait is due there.
      */
-    public double waitMs(MigrationPlan plan, int at, boolean back) {
-        double most = 0;
-        MigrationStep step = plan.steps.get(at);
+    public double waitMs(MigrationPlan plan, int stepIndex, boolean reverting) {
+        double waitMs = 0;
+        MigrationStep step = plan.steps.get(stepIndex);
         for (int i = 0; i < plan.frontends.size(); i++) {
+            MigrationPlan.FrontendMigration frontend = plan.frontends.get(i);
             MigrationStep.Phase phase = step.frontends().get(i).phase();
-            boolean told = plan.frontends.get(i).marksRetries();
-            if (phase == MigrationStep.Phase.HOLD && (back || !told)
-                    || phase == MigrationStep.Phase.OPEN && told && !back) {
-                most = Math.max(most, plan.frontends.get(i).deduplicationMs());
+            boolean marksRetries = frontend.marksRetries();
+            if (phase == MigrationStep.Phase.HOLD && (reverting || !marksRetries)
+                    || phase == MigrationStep.Phase.OPEN && marksRetries && !reverting) {
+                waitMs = Math.max(waitMs, frontend.deduplicationMs());
             }
         }
-        return most;
+        return waitMs;
     }
 
-    /** Whether the groups that are gone to can take their share with what of them is warm now. */
-    public boolean hasCapacity(MigrationPlan plan, MigrationStep step, double[] warm) {
-        int g = 0;
+    /**
+     * Whether the target groups can bear their load of a step.
+     *
+     * @param warmUnits warm capacity of each target group, by name, units a second
+     */
+    public boolean hasCapacity(MigrationPlan plan, MigrationStep step, double[] warmUnits) {
+        int index = 0;
         for (Map.Entry<String, MigrationPlan.GroupCapacity> group : plan.groups.entrySet()) {
-            double load = 0;
-            for (int i = 0; i < plan.frontends.size(); i++) {
-                if (plan.frontends.get(i).targetGroup().equals(group.getKey())) {
-                    load += step.frontends().get(i).load() * plan.frontends.get(i).unitsPerSecond();
-                }
-            }
-            MigrationPlan.GroupCapacity room = group.getValue();
-            double hot =
-                    g < warm.length ? Math.max(0, Math.min(warm[g], room.unitsPerSecond())) : 0;
-            if (load > hot + room.coldShare() * (room.unitsPerSecond() - hot) + 1e-9) {
+            MigrationPlan.GroupCapacity capacity = group.getValue();
+            double reportedUnits = index < warmUnits.length ? warmUnits[index] : 0;
+            double warm = Math.max(0, Math.min(reportedUnits, capacity.unitsPerSecond()));
+            double cold = capacity.coldShare() * (capacity.unitsPerSecond() - warm);
+            if (load(plan, step, group.getKey()) > warm + cold + LOAD_TOLERANCE) {
                 return false;
             }
-            g++;
+            index++;
         }
         return true;
     }
 
+    /** Units a second that the frontends send to a target group in a step. */
+    private static double load(MigrationPlan plan, MigrationStep step, String group) {
+        double load = 0;
+        for (int i = 0; i < plan.frontends.size(); i++) {
+            MigrationPlan.FrontendMigration frontend = plan.frontends.get(i);
+            if (frontend.targetGroup().equals(group)) {
+                load += step.frontends().get(i).loadShare() * frontend.unitsPerSecond();
+            }
+        }
+        return load;
+    }
+
     /** A resume lifts the halt that its operator saw, once. */
-    public boolean liftsHalt(boolean halted, long halts, long seen) {
-        return halted && halts == seen;
+    public boolean liftsHalt(boolean halted, long haltCount, long seenHaltCount) {
+        return halted && haltCount == seenHaltCount;
     }
 
-    /** What a resume alters of the position: nothing. */
-    public int stepAfterResume(int position) {
-        return position;
+    /** The step after a resume: the same one. */
+    public int stepAfterResume(int stepIndex) {
+        return stepIndex;
     }
 }
--- a/fleet/src/test/java/tinford/fleet/migration/MigrationPlanTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationPlanTest.java
@@ -11,9 +11,9 @@
 import tinford.api.Idempotency;
 import tinford.api.RequestClass;
 
-/** Validation of plans of staged moves. */
+/** Validation of plans of staged migrations. */
 public class MigrationPlanTest {
-    static final String GOOD =
+    static final String VALID_PLAN =
             """
             plan = "p"
             soak_ms = 10
@@ -42,9 +42,9 @@
                 new MigrationPlan.ValidationContext(
                         Map.of(
                                 "web",
-                                frontend("web", Idempotency.IDEMPOTENT),
+                                requestClass("web", Idempotency.IDEMPOTENT),
                                 "store",
-                                frontend("store", Idempotency.IDEMPOTENCY_KEY)),
+                                requestClass("store", Idempotency.IDEMPOTENCY_KEY)),
                         Map.of("web", "a", "store", "a"),
                         Map.of(
                                 "a",
@@ -53,24 +53,25 @@
                                 new MigrationPlan.GroupCapacity(20, 10, 0.3))));
     }
 
-    private static RequestClass frontend(String name, Idempotency effect) {
-        return new RequestClass(name, 100, 1000, 1, 0, effect, DeduplicationScope.ALL, 5000, false);
+    private static RequestClass requestClass(String name, Idempotency idempotency) {
+        return new RequestClass(
+                name, 100, 1000, 1, 0, idempotency, DeduplicationScope.ALL, 5000, false);
     }
 
     @Test
-    public void whatIsNeededMovesWholeBefore() {
-        MigrationPlan p = reader().read("f", GOOD);
-        assertEquals(p.steps.size(), 6, "start, three steps of store, two stages of web");
-        for (MigrationStep s : p.steps) {
+    public void aDependencyMovesWholeBeforeItsDependent() {
+        MigrationPlan plan = reader().read("f", VALID_PLAN);
+        assertEquals(plan.steps.size(), 6, "start, three steps of store, two stages of web");
+        for (MigrationStep step : plan.steps) {
             assertTrue(
-                    s.frontends().get(0).movingShare() == 0
-                            || s.frontends().get(1).movedShare() == 1,
-                    s.toString());
+                    step.frontends().get(0).movingShare() == 0
+                            || step.frontends().get(1).movedShare() == 1,
+                    step.toString());
         }
     }
 
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] invalidPlans() {
         return new Object[][] {
             {"plan = \"p\"", "plan = ", "f:1: text: expected TOML"},
             {"plan = \"p\"", "plan = 1", "f:1: plan: expected a text"},
@@ -127,24 +128,31 @@
         };
     }
 
-    @Test(dataProvider = "bad")
-    public void badPlansAreRefused(String good, String instead, String expected) {
-        int at = GOOD.indexOf(good);
-        String text = GOOD.substring(0, at) + instead + GOOD.substring(at + good.length());
-        PlanErrors.InvalidPlanException r =
+    @Test(dataProvider = "invalidPlans")
+    public void rejectsAnInvalidPlanWithItsPlace(
+            String valid, String replacement, String expectedError) {
+        int begin = VALID_PLAN.indexOf(valid);
+        String text =
+                VALID_PLAN.substring(0, begin)
+                        + replacement
+                        + VALID_PLAN.substring(begin + valid.length());
+        PlanErrors.InvalidPlanException exception =
                 expectThrows(PlanErrors.InvalidPlanException.class, () -> reader().read("f", text));
-        assertTrue(r.errors().stream().anyMatch(f -> f.startsWith(expected)), r.getMessage());
+        assertTrue(
+                exception.errors().stream().anyMatch(error -> error.startsWith(expectedError)),
+                exception.getMessage());
     }
 
     @Test
-    public void allFaultsAreToldAtOnce() {
+    public void reportsAllErrorsAtOnce() {
         String text =
-                GOOD.replace("margin = 0.1", "margin = 2")
+                VALID_PLAN
+                        .replace("margin = 0.1", "margin = 2")
                         .replace("[0.5, 1.0]", "[0.5]")
                         .replace("units = 10", "units = 30");
-        PlanErrors.InvalidPlanException r =
+        PlanErrors.InvalidPlanException exception =
                 expectThrows(PlanErrors.InvalidPlanException.class, () -> reader().read("f", text));
-        assertTrue(r.errors().size() >= 3, r.getMessage());
+        assertTrue(exception.errors().size() >= 3, exception.getMessage());
         expectThrows(
                 PlanErrors.InvalidPlanException.class, () -> reader().read("f", "plan = \"p\"\n"));
     }
--- a/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
@@ -12,51 +12,68 @@
 import tinford.fleet.membership.Incarnation;
 import tinford.fleet.membership.Lease;
 
-/** Stages of a move: begun, acknowledged, completed and reverted. */
+/** A migration is begun, acknowledged, completed and reverted by entries of the log. */
 public class MigrationStateTest {
-    private static final Incarnation ONE = new Incarnation(1, 5);
+    private static final Incarnation GATEWAY = new Incarnation(1, 5);
     private static final Map<String, String> HOMES = Map.of("web", "a", "store", "a");
 
-    private static MigrationState moves() {
-        return new MigrationState(HOMES, since -> List.of(ONE), 0);
+    private static MigrationState newState() {
+        return new MigrationState(HOMES, since -> List.of(GATEWAY), 0);
     }
 
     private static MigrationEntry begin() {
         return MigrationEntry.begin(
-                "o", 0, MigrationPlanTest.reader().read("f", MigrationPlanTest.GOOD));
+                "o", 0, MigrationPlanTest.reader().read("f", MigrationPlanTest.VALID_PLAN));
     }
 
     /**
-     * b begin, a ack, A ack of another turn, g go ahead, G go too far, < go back, h halt, r resume,
-     * o resume of an earlier halt, x back, ! bad.
+     * Applies an entry for each letter: b begin, a acknowledge, A acknowledge another epoch, g next
+     * step, G a step too far, c next step without warm capacity, < previous step, h halt, r resume,
+     * o resume an earlier halt, x revert, ! report failures.
      */
-    private static void play(MigrationState m, String what, double[] now) {
-        for (char c : what.toCharArray()) {
-            now[0] += 10_000;
-            MigrationStatus s = m.status();
-            MigrationEntry e =
-                    switch (c) {
+    private static void play(MigrationState state, String letters, double[] nowMs) {
+        for (char letter : letters.toCharArray()) {
+            nowMs[0] += 10_000;
+            MigrationStatus status = state.status();
+            MigrationEntry entry =
+                    switch (letter) {
                         case 'b' -> begin();
-                        case 'a' -> MigrationEntry.ack(ONE, s.epoch(), now[0]);
-                        case 'A' -> MigrationEntry.ack(ONE, s.epoch() - 1, now[0]);
-                        case 'g' -> MigrationEntry.go(now[0], s.epoch(), s.stepIndex() + 1, 20);
-                        case 'G' -> MigrationEntry.go(now[0], s.epoch(), s.stepIndex() + 2, 20);
-                        case 'c' -> MigrationEntry.go(now[0], s.epoch(), s.stepIndex() + 1);
-                        case '<' -> MigrationEntry.go(now[0], s.epoch(), s.stepIndex() - 1);
-                        case 'h' -> MigrationEntry.halt("o", now[0]);
-                        case 'r' -> MigrationEntry.resume("o", now[0], m.haltCount());
-                        case 'o' -> MigrationEntry.resume("o", now[0], m.haltCount() - 1);
-                        case 'x' -> MigrationEntry.back("o", now[0]);
+                        case 'a' -> MigrationEntry.ack(GATEWAY, status.epoch(), nowMs[0]);
+                        case 'A' -> MigrationEntry.ack(GATEWAY, status.epoch() - 1, nowMs[0]);
+                        case 'g' ->
+                                MigrationEntry.go(
+                                        nowMs[0], status.epoch(), status.stepIndex() + 1, 20);
+                        case 'G' ->
+                                MigrationEntry.go(
+                                        nowMs[0], status.epoch(), status.stepIndex() + 2, 20);
+                        case 'c' ->
+                                MigrationEntry.go(nowMs[0], status.epoch(), status.stepIndex() + 1);
+                        case '<' ->
+                                MigrationEntry.go(nowMs[0], status.epoch(), status.stepIndex() - 1);
+                        case 'h' -> MigrationEntry.halt("o", nowMs[0]);
+                        case 'r' -> MigrationEntry.resume("o", nowMs[0], state.haltCount());
+                        case 'o' -> MigrationEntry.resume("o", nowMs[0], state.haltCount() - 1);
+                        case 'x' -> MigrationEntry.back("o", nowMs[0]);
                         default ->
                                 MigrationEntry.report(
-                                        ONE, s.epoch(), now[0], 100, 1, 100, 12, 0, 0, 0, 0);
+                                        GATEWAY,
+                                        status.epoch(),
+                                        nowMs[0],
+                                        100,
+                                        1,
+                                        100,
+                                        12,
+                                        0,
+                                        0,
+                                        0,
+                                        0);
                     };
-            m.apply(1, e.encode());
+            state.apply(1, entry.encode());
         }
     }
 
     @DataProvider
-    public Object[][] table() {
+    public Object[][] transitions() {
         return new Object[][] {
             {"aghrx<!", "IDLE 0"},
             {"b", "FORWARD 0"},
@@ -92,58 +109,63 @@
         };
     }
 
-    @Test(dataProvider = "table")
-    public void entriesDoWhatTheTableSays(String what, String expected) {
-        MigrationState m = moves();
-        play(m, what, new double[1]);
-        assertEquals(m.status().state() + " " + m.status().stepIndex(), expected, m.lastOutcome());
+    @Test(dataProvider = "transitions")
+    public void appliesEntriesByTheTableOfTransitions(String letters, String expected) {
+        MigrationState state = newState();
+        play(state, letters, new double[1]);
+        assertEquals(
+                state.status().state() + " " + state.status().stepIndex(),
+                expected,
+                state.lastOutcome());
     }
 
     @Test
-    public void drawnHistoriesHoldOverSnapshotsAndRubbish() {
+    public void staysTheSameOverSnapshotsAndIgnoresGarbageInRandomHistories() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            MigrationState m = moves();
-            MigrationState other = moves();
-            double[] now = new double[1];
-            double[] same = new double[1];
+            MigrationState state = newState();
+            MigrationState other = newState();
+            double[] nowMs = new double[1];
+            double[] otherNowMs = new double[1];
             for (int i = 0; i < 60; i++) {
-                String one = "baaAgggGc<<hrrox!".charAt(random.nextInt(17)) + "";
-                MigrationStatus before = m.status();
-                play(m, one, now);
-                play(other, one, same);
+                String letter = "baaAgggGc<<hrrox!".charAt(random.nextInt(17)) + "";
+                MigrationStatus before = state.status();
+                play(state, letter, nowMs);
+                play(other, letter, otherNowMs);
                 assertTrue(
-                        Math.abs(m.status().stepIndex() - before.stepIndex()) <= 1
-                                || one.equals("b"),
+                        Math.abs(state.status().stepIndex() - before.stepIndex()) <= 1
+                                || letter.equals("b"),
                         "seed " + seed);
-                byte[] rubbish = begin().encode();
-                rubbish[random.nextInt(3)] = (byte) (20 + random.nextInt(40));
-                byte[] was = m.snapshot();
-                m.apply(1, rubbish);
-                m.apply(1, new byte[random.nextInt(3)]);
-                assertEquals(m.snapshot(), was);
-                assertTrue(m.lastOutcome().contains("refused"));
-                MigrationState restored = moves();
-                restored.restore(1, was);
-                m = restored;
+                byte[] garbage = begin().encode();
+                garbage[random.nextInt(3)] = (byte) (20 + random.nextInt(40));
+                byte[] snapshot = state.snapshot();
+                state.apply(1, garbage);
+                state.apply(1, new byte[random.nextInt(3)]);
+                assertEquals(state.snapshot(), snapshot);
+                assertTrue(state.lastOutcome().contains("refused"));
+                MigrationState restored = newState();
+                restored.restore(1, snapshot);
+                state = restored;
             }
-            assertEquals(m.snapshot(), other.snapshot(), "seed " + seed);
+            assertEquals(state.snapshot(), other.snapshot(), "seed " + seed);
         }
     }
 
     @Test
-    public void withoutATermNothingOfWhatMayMoveIsSent() {
-        MigrationState m = moves();
-        MigrationRouter r = new MigrationRouter(ONE, m.status(), 10);
-        assertFalse(r.mayRoute("web", 1, false, "a", null, 0));
-        assertTrue(r.mayRoute("other", 1, false, "a", null, 0));
-        r.update(m.status(), new Lease(ONE, 100, 1), false);
-        assertTrue(r.mayRoute("web", 1, false, "a", null, 99));
-        assertFalse(r.mayRoute("web", 1, false, "b", null, 99));
-        assertFalse(r.mayRoute("web", 1, false, "a", null, 100));
-        play(m, "b", new double[1]);
-        r.update(m.status(), new Lease(ONE, 100, 1), false);
-        assertEquals(r.nextEntry(50).kind(), MigrationEntry.Kind.ACK);
-        assertTrue(r.mayRoute("store", 1, true, "b", "b", 50), "stays with its first group");
+    public void withoutALeaseNoRequestThatMayMigrateIsRouted() {
+        MigrationState state = newState();
+        MigrationRouter router = new MigrationRouter(GATEWAY, state.status(), 10);
+        assertFalse(router.mayRoute("web", 1, false, "a", null, 0));
+        assertTrue(router.mayRoute("other", 1, false, "a", null, 0));
+        router.update(state.status(), new Lease(GATEWAY, 100, 1), false);
+        assertTrue(router.mayRoute("web", 1, false, "a", null, 99));
+        assertFalse(router.mayRoute("web", 1, false, "b", null, 99));
+        assertFalse(router.mayRoute("web", 1, false, "a", null, 100));
+        play(state, "b", new double[1]);
+        router.update(state.status(), new Lease(GATEWAY, 100, 1), false);
+        assertEquals(router.nextEntry(50).kind(), MigrationEntry.Kind.ACK);
+        assertTrue(
+                router.mayRoute("store", 1, true, "b", "b", 50),
+                "a keyed request stays with the group of its first attempt");
     }
 }
