--- a/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/GatewayConfigurationTest.java
@@ -190,7 +190,7 @@
         List<Change> changes = List.of(new Change.RemoveRoute("read"));
         watch.send(new WatchMessage.UpdateMessage(new Update(1, 2, changes)));
         runNextTask();
-        String reported = server.refusal().rejectionReason();
+        String reported = server.rejectionReport().rejectionReason();
         assertTrue(reported.contains("routes.read: expected"), reported);
         assertEquals(applied.size(), 1, "the last one stays");
         JsonNode line = historyLine("configuration-refused");
--- a/gateway/src/test/java/tinford/routing/client/ClosingFixture.java
+++ b/gateway/src/test/java/tinford/routing/client/ClosingFixture.java
@@ -27,10 +27,10 @@
 import tinford.api.GatewayActions;
 import tinford.api.Idempotency;
 import tinford.api.Request;
-import tinford.decision.DecisionFixture;
 import tinford.routing.RoutingFixtures;
 import tinford.routing.dispatch.RequestDispatcher;
 import tinford.testing.FreePort;
+import tinford.testing.IgnoredEvents;
 import tinford.transport.EventLoop;
 
 /** Clients on real connections, batch by batch, in driven time; requests fail or stay open. */
@@ -84,7 +84,7 @@
         return (now, batch, to) -> {
             actions = to;
             batch.replay(
-                    new DecisionFixture.Deaf() {
+                    new IgnoredEvents() {
                         @Override
                         public void requestArrived(Request request) {
                             arrivedIds.add(request.id);
--- a/gateway/src/test/java/tinford/routing/discovery/DiscoveryFixture.java
+++ b/gateway/src/test/java/tinford/routing/discovery/DiscoveryFixture.java
@@ -28,12 +28,12 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import tinford.api.Server;
-import tinford.decision.DecisionFixture;
 import tinford.routing.RoutingFixtures;
 import tinford.routing.dispatch.RequestDispatcher;
 import tinford.routing.upstream.ServerPool;
 import tinford.settings.JsonFields;
 import tinford.testing.FreePort;
+import tinford.testing.IgnoredEvents;
 import tinford.transport.UdpSocket;
 
 /**
@@ -294,7 +294,7 @@
     }
 
     /** Follows the list in force. */
-    private final class ListRecorder extends DecisionFixture.Deaf {
+    private final class ListRecorder extends IgnoredEvents {
         @Override
         public void endpointsUpdated(List<Server> entries, boolean complete) {
             if (complete) {
