--- a/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
+++ b/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
@@ -64,7 +64,8 @@
         sequences[i] = 0;
         stopped[i] = false;
         transports[i] =
-                network.at(i, (from, message) -> membership.receive(message, from, network.now()));
+                network.open(
+                        i, (from, message) -> membership.receive(message, from, network.nowMs()));
     }
 
     void kill(int i) {
