--- a/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
@@ -7,65 +7,105 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * What the fleet sees together: the mean of the records times those that live. A figure that is no
- * number counts as nought, and one record weighs at most {@link #MOST} times the mean of the
- * others, so that a lying one among n adds at most MOST/n to each total.
+ * Totals over the fleet: the mean of the fresh records times the number of gateways that are alive.
+ *
+ * <p>A wrong record can do limited harm. Figures that are not finite count as 0, and one record
+ * counts at most {@link #MAX_FACTOR_OF_MEAN} times the mean of the others, so that a wrong one
+ * among n adds at most MAX_FACTOR_OF_MEAN/n to each total.
  */
 final class FleetTotals {
-    // a lie takes so much, over the number of gateways, of the demand away from what is borne: of
-    // 14 a seventh. An honest gateway
-    // with more is counted as if it had no more: the line is then too low, and gateways' own limits
-    // hold as they do alone
-    static final double MOST = 2;
+    /**
+     * An honest gateway with more demand counts as if it had no more; the threshold is then too
+     * low, and the gateways' own limits apply as they do without a fleet.
+     */
+    static final double MAX_FACTOR_OF_MEAN = 2;
 
-    final double[] asked = new double[GossipRecord.PRIORITY_CLASSES];
-    final double demand, first, waiting, goodUnits, bad;
+    /** Larger figures are invalid. */
+    private static final double MAX_FIGURE = 1e12;
+
+    /** One in so many records, the largest, is left out of the mean. */
+    private static final int OUTLIER_DIVISOR = 20;
+
+    private static final double MIN_ATTEMPTS = 1e-9;
+
+    /** Units per second by priority class. */
+    final double[] demandByClass = new double[GossipRecord.PRIORITY_CLASSES];
+
+    /** Units per second. */
+    final double demand;
+
+    /** Per second. */
+    final double firstAttempts;
+
+    /** Requests in the admission queues. */
+    final double queued;
+
+    /** Units per second that were completed on time. */
+    final double onTimeUnits;
+
+    /** Share of the attempts that ended late or failed. */
+    final double failedShare;
 
     FleetTotals(Membership membership) {
         List<GossipRecord> records = membership.freshRecords();
         double scale = (double) membership.aliveCount() / Math.max(1, records.size());
-        double[] sizes = records.stream().mapToDouble(s -> sum(s.offeredUnits)).toArray();
-        double most = most(sizes), all = 0;
+        demand = addDemand(records, scale);
+        firstAttempts = scale * cappedSum(records, record -> record.firstAttempts);
+        queued = scale * cappedSum(records, record -> record.queued);
+        onTimeUnits = scale * cappedSum(records, record -> record.onTimeUnits);
+        double onTime = cappedSum(records, record -> record.onTime);
+        double notOnTime =
+                cappedSum(records, record -> record.late)
+                        + cappedSum(records, record -> record.failed);
+        failedShare = notOnTime / Math.max(MIN_ATTEMPTS, onTime + notOnTime);
+    }
+
+    /** Fills {@link #demandByClass}; returns the sum over all classes. */
+    private double addDemand(List<GossipRecord> records, double scale) {
+        double[] sizes = records.stream().mapToDouble(record -> sum(record.offeredUnits)).toArray();
+        double cap = cap(sizes);
+        double total = 0;
         for (int i = 0; i < sizes.length; i++) {
-            double part = sizes[i] > most ? most / sizes[i] : 1;
+            double part = sizes[i] > cap ? cap / sizes[i] : 1;
             for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
-                double a = clean(records.get(i).offeredUnits[c]) * part * scale;
-                asked[c] += a;
-                all += a;
+                double units = sanitize(records.get(i).offeredUnits[c]) * part * scale;
+                demandByClass[c] += units;
+                total += units;
             }
         }
-        demand = all;
-        first = scale * capped(records, s -> s.firstAttempts);
-        waiting = scale * capped(records, s -> s.queued);
-        goodUnits = scale * capped(records, s -> s.onTimeUnits);
-        double good = capped(records, s -> s.onTime),
-                not = capped(records, s -> s.late) + capped(records, s -> s.failed);
-        bad = not / Math.max(1e-9, good + not);
+        return total;
     }
 
-    static double clean(double figure) {
-        return figure > 0 && figure < 1e12 ? figure : 0;
+    /** The figure, or 0 if it is negative, not a number or too large. */
+    static double sanitize(double figure) {
+        return figure > 0 && figure < MAX_FIGURE ? figure : 0;
     }
 
-    static double sum(double[] figures) {
+    private static double sum(double[] figures) {
         double sum = 0;
-        for (double f : figures) sum += clean(f);
+        for (double figure : figures) {
+            sum += sanitize(figure);
+        }
         return sum;
     }
 
-    /** The most that one figure counts: so many times the mean without the largest twentieth. */
-    static double most(double[] figures) {
+    /** The largest value that counts: a multiple of the mean without the largest figures. */
+    private static double cap(double[] figures) {
         double[] sorted = figures.clone();
         Arrays.sort(sorted);
-        int kept = sorted.length - Math.max(1, sorted.length / 20);
-        return kept < 1 ? Double.MAX_VALUE : MOST * Arrays.stream(sorted, 0, kept).sum() / kept;
+        int counted = sorted.length - Math.max(1, sorted.length / OUTLIER_DIVISOR);
+        return counted < 1
+                ? Double.MAX_VALUE
+                : MAX_FACTOR_OF_MEAN * Arrays.stream(sorted, 0, counted).sum() / counted;
     }
 
-    private static double capped(
-            List<GossipRecord> records, ToDoubleFunction<GossipRecord> figure) {
+    private static double cappedSum(
+            List<GossipRecord> records, ToDoubleFunction<GossipRecord> field) {
         double[] figures =
-                records.stream().mapToDouble(s -> clean(figure.applyAsDouble(s))).toArray();
-        double most = most(figures);
-        return Arrays.stream(figures).map(f -> Math.min(f, most)).sum();
+                records.stream()
+                        .mapToDouble(record -> sanitize(field.applyAsDouble(record)))
+                        .toArray();
+        double cap = cap(figures);
+        return Arrays.stream(figures).map(figure -> Math.min(figure, cap)).sum();
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
+++ b/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
@@ -6,123 +6,143 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * What this gateway saw itself over the last second, in five buckets used again in a ring: of one
- * size whatever comes.
+ * What this gateway itself observed over the last second, in a ring of buckets of constant size.
+ * Not thread-safe.
  */
 public final class LocalStatistics {
     private static final int BUCKETS = 5;
     private static final double BUCKET_MS = 200;
-    private static final int FIRST = 0,
-            FURTHER = 1,
-            GOOD = 2,
-            LATE = 3,
-            FAILED = 4,
-            GOOD_UNITS = 5,
-            COUNTS = 6;
-    private final double[][] asked = new double[BUCKETS][GossipRecord.PRIORITY_CLASSES],
-            denied = new double[BUCKETS][GossipRecord.PRIORITY_CLASSES];
-    private final double[][] counts = new double[BUCKETS][COUNTS];
-    private final long startedTurn;
-    private final double startedAt;
-    private long turn;
-    private double now;
-    private int open, waiting;
+    private static final double MS_PER_SECOND = 1000;
 
-    public LocalStatistics(double now) {
-        this.now = this.startedAt = now;
-        this.turn = this.startedTurn = (long) Math.floor(now / BUCKET_MS);
+    /** What is counted in each bucket. */
+    private enum Counter {
+        FIRST_ATTEMPTS,
+        RETRIES,
+        ON_TIME,
+        LATE,
+        FAILED,
+        ON_TIME_UNITS
     }
 
-    public void round(double at) {
-        now = Math.max(now, at);
-        long next = (long) Math.floor(now / BUCKET_MS);
-        if (next - turn > BUCKETS) turn = next - BUCKETS;
-        while (turn < next) {
-            int i = Math.floorMod(++turn, BUCKETS);
-            Arrays.fill(asked[i], 0);
-            Arrays.fill(denied[i], 0);
-            Arrays.fill(counts[i], 0);
+    private final double[][] offeredUnits = new double[BUCKETS][GossipRecord.PRIORITY_CLASSES];
+    private final double[][] rejectedUnits = new double[BUCKETS][GossipRecord.PRIORITY_CLASSES];
+    private final double[][] counts = new double[BUCKETS][Counter.values().length];
+    private final long firstBucket;
+    private final double startedAtMs;
+    private long currentBucket;
+    private double nowMs;
+    private int inFlight;
+    private int queued;
+
+    public LocalStatistics(double nowMs) {
+        this.nowMs = nowMs;
+        startedAtMs = nowMs;
+        firstBucket = (long) Math.floor(nowMs / BUCKET_MS);
+        currentBucket = firstBucket;
+    }
+
+    /** Advances the time and clears the buckets that are reused. */
+    public void advance(double toMs) {
+        nowMs = Math.max(nowMs, toMs);
+        long next = (long) Math.floor(nowMs / BUCKET_MS);
+        currentBucket = Math.max(currentBucket, next - BUCKETS);
+        while (currentBucket < next) {
+            currentBucket++;
+            Arrays.fill(offeredUnits[bucketIndex()], 0);
+            Arrays.fill(rejectedUnits[bucketIndex()], 0);
+            Arrays.fill(counts[bucketIndex()], 0);
         }
     }
 
-    public void asked(double units, double worth) {
-        asked[here()][GossipRecord.classOf(worth)] += units;
-        waiting++;
+    /** A request within its quota has arrived. */
+    public void requestOffered(double units, double weight) {
+        offeredUnits[bucketIndex()][GossipRecord.classOf(weight)] += units;
+        queued++;
     }
 
-    /** Of those that were told as asked, and were never sent. */
-    public void denied(double units, double worth) {
-        denied[here()][GossipRecord.classOf(worth)] += units;
-        waiting = Math.max(0, waiting - 1);
+    /** An offered request has ended without any attempt. */
+    public void requestRejected(double units, double weight) {
+        rejectedUnits[bucketIndex()][GossipRecord.classOf(weight)] += units;
+        queued = Math.max(0, queued - 1);
     }
 
-    public void sent(boolean further) {
-        count(further ? FURTHER : FIRST, 1);
-        open++;
-        if (!further) waiting = Math.max(0, waiting - 1);
+    /** A first attempt or a retry was sent. */
+    public void attemptSent(boolean retry) {
+        count(retry ? Counter.RETRIES : Counter.FIRST_ATTEMPTS, 1);
+        inFlight++;
+        if (!retry) {
+            queued = Math.max(0, queued - 1);
+        }
     }
 
-    public void ended(double units, AttemptOutcome how, boolean late) {
-        open = Math.max(0, open - 1);
-        switch (how) {
+    /** An attempt has ended; {@code late} if that was after the latency objective. */
+    public void attemptEnded(double units, AttemptOutcome outcome, boolean late) {
+        inFlight = Math.max(0, inFlight - 1);
+        switch (outcome) {
             case SUCCESS -> {
-                count(late ? LATE : GOOD, 1);
-                if (!late) count(GOOD_UNITS, units);
+                count(late ? Counter.LATE : Counter.ON_TIME, 1);
+                if (!late) {
+                    count(Counter.ON_TIME_UNITS, units);
+                }
+            }
+            case TIMED_OUT -> count(Counter.LATE, 1);
+            case ERROR, CONNECTION_LOST, OVERLOADED -> count(Counter.FAILED, 1);
+            default -> {
+                // an unreachable server says nothing about the capacity of the others
             }
-            case TIMED_OUT -> count(LATE, 1);
-            case ERROR, CONNECTION_LOST, OVERLOADED -> count(FAILED, 1);
-            default -> {} // not reached says nothing of what the others bear, and costs no further
-                // dispatch
         }
     }
 
-    /**
-     * The record of now. What of a class was neither denied nor asked for lately counts as sent.
-     */
-    public GossipRecord record(Incarnation incarnation, int seq) {
-        GossipRecord s = new GossipRecord(incarnation, seq);
-        double second = span() / 1000;
+    /** The current record. Offered units that were not rejected count as admitted. */
+    public GossipRecord record(Incarnation incarnation, int sequence) {
+        GossipRecord record = new GossipRecord(incarnation, sequence);
+        double seconds = coveredMs() / MS_PER_SECOND;
         for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
-            double all = 0, not = 0;
-            for (int i = 0; i < BUCKETS; i++) {
-                all += asked[i][c];
-                not += denied[i][c];
+            double offered = 0;
+            double rejected = 0;
+            for (int bucket = 0; bucket < BUCKETS; bucket++) {
+                offered += offeredUnits[bucket][c];
+                rejected += rejectedUnits[bucket][c];
             }
-            s.offeredUnits[c] = all / second;
-            s.admittedUnits[c] = Math.max(0, all - not) / second;
+            record.offeredUnits[c] = offered / seconds;
+            record.admittedUnits[c] = Math.max(0, offered - rejected) / seconds;
         }
-        s.firstAttempts = sum(FIRST) / second;
-        s.retries = sum(FURTHER) / second;
-        s.onTime = sum(GOOD) / second;
-        s.late = sum(LATE) / second;
-        s.failed = sum(FAILED) / second;
-        s.onTimeUnits = sum(GOOD_UNITS) / second;
-        s.inFlight = open;
-        s.queued = waiting;
-        return s;
+        record.firstAttempts = sum(Counter.FIRST_ATTEMPTS) / seconds;
+        record.retries = sum(Counter.RETRIES) / seconds;
+        record.onTime = sum(Counter.ON_TIME) / seconds;
+        record.late = sum(Counter.LATE) / seconds;
+        record.failed = sum(Counter.FAILED) / seconds;
+        record.onTimeUnits = sum(Counter.ON_TIME_UNITS) / seconds;
+        record.inFlight = inFlight;
+        record.queued = queued;
+        return record;
     }
 
     /**
-     * Time that the buckets cover: a part of the one that runs, and never less than one, or a first
+     * The time that the buckets cover, the current one in part. At least one bucket, or the first
      * request would look like a flood.
      */
-    private double span() {
+    private double coveredMs() {
         double covered =
-                Math.min(now - startedAt, (BUCKETS - 1) * BUCKET_MS + now - turn * BUCKET_MS);
-        return Math.max(BUCKET_MS, turn == startedTurn ? BUCKET_MS : covered);
+                Math.min(
+                        nowMs - startedAtMs,
+                        (BUCKETS - 1) * BUCKET_MS + nowMs - currentBucket * BUCKET_MS);
+        return Math.max(BUCKET_MS, currentBucket == firstBucket ? BUCKET_MS : covered);
     }
 
-    private int here() {
-        return Math.floorMod(turn, BUCKETS);
+    private int bucketIndex() {
+        return Math.floorMod(currentBucket, BUCKETS);
     }
 
-    private void count(int what, double amount) {
-        counts[here()][what] += amount;
+    private void count(Counter counter, double amount) {
+        counts[bucketIndex()][counter.ordinal()] += amount;
     }
 
-    private double sum(int what) {
+    private double sum(Counter counter) {
         double sum = 0;
-        for (double[] c : counts) sum += c[what];
+        for (double[] bucket : counts) {
+            sum += bucket[counter.ordinal()];
+        }
         return sum;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
@@ -8,135 +8,198 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * One budget of further dispatches for the fleet, kept as accounts: first dispatches feed the own
- * one, further ones draw on it, and what overflows is given to a gateway that saw failures, by a
- * running total in the giver's record. A receiver takes what that total rose by since it last took,
- * so a record that is lost, doubled or old moves nothing twice: all together never send more than
- * the part of first dispatches, whatever each has heard. Without messages each lives on its own
- * even slice. A lying giver makes at most twice a middling gateway's part. Memory: two figures a
- * gateway heard of, {@link #MOST_PEERS} at most.
+ * This gateway's account of the fleet's retry budget.
+ *
+ * <p>First attempts add to the own account and retries draw on it. The surplus of a full account is
+ * ceded to a gateway that sees failures, as a running total in the own record. The receiver adds
+ * what the total rose by since it last looked, so a record that is lost, duplicated or outdated
+ * transfers nothing twice: together the gateways never send more retries than the ratio allows,
+ * whatever records each has received. Without messages each gateway lives on its own first
+ * attempts. A gateway that reports a wrong total cedes at most twice the share of the median
+ * gateway. Memory: two numbers per gateway, for at most {@link #MAX_PEERS}. Not thread-safe.
  */
 public final class RetryBudget {
-    private static final int MOST_PEERS = 1024;
-    // saved up by the whole fleet; by one: many pots of ten would be a flood
-    private static final double AT_ONCE = 40, LEAST_AT_ONCE = 2;
-    private static final int MOST_FREE = 100; // not used by then, it is forgotten
-    private static final double CHOSEN_MS =
-            500; // one receiver for so long: its records must get there
+    private static final int MAX_PEERS = 1024;
 
+    /** Retries that the whole fleet may save up. */
+    private static final double FLEET_BURST = 40;
+
+    /** Retries that each gateway may save up: more would be a flood in a large fleet. */
+    private static final double MIN_GATEWAY_BURST = 2;
+
+    /** Free retries that are not used by then are forfeited. */
+    private static final int MAX_FREE_RETRIES = 100;
+
+    /** How long one receiver is kept, so that the records can reach it. */
+    private static final double RECEIVER_INTERVAL_MS = 500;
+
+    /** Bounds the weight of a gateway that reports excessive failures. */
+    private static final double MAX_NEED_PER_SECOND = 100;
+
+    /** Longest time that one update accounts for. */
+    private static final double MAX_STEP_MS = 1000;
+
+    private static final double MS_PER_SECOND = 1000;
+
+    /** What was ceded to, or received from, one incarnation of a peer. */
     private static final class Account {
-        final Incarnation with;
-        double total, credit = 1;
+        private final Incarnation peer;
+        private double total;
+
+        /** What may still be received. */
+        private double credit = 1;
 
-        Account(Incarnation with) {
-            this.with = with;
+        Account(Incarnation peer) {
+            this.peer = peer;
         }
     }
 
-    private final double part;
-    private final Random chance;
-    private final Map<Integer, Account> given = new LinkedHashMap<>(),
-            taken = new LinkedHashMap<>();
-    private int free;
-    private double full = LEAST_AT_ONCE, level, over, chosenAt = Double.NEGATIVE_INFINITY, at = -1;
-    private Account to;
+    private final double retryRatio;
+    private final Random random;
+    private final Map<Integer, Account> cededByPeer = new LinkedHashMap<>();
+    private final Map<Integer, Account> receivedByPeer = new LinkedHashMap<>();
+    private int freeRetries;
+    private double maxLevel = MIN_GATEWAY_BURST;
+    private double level;
+    private double surplus;
+    private double receiverChosenAtMs = Double.NEGATIVE_INFINITY;
+    private double updatedAtMs = -1;
+    private Account receiver;
 
     /**
-     * @param part of first dispatches that may be sent again, over the fleet
+     * @param retryRatio retries per first attempt, over the fleet
      */
-    public RetryBudget(double part, Random chance) {
-        this.part = part;
-        this.chance = chance;
+    public RetryBudget(double retryRatio, Random random) {
+        this.retryRatio = retryRatio;
+        this.random = random;
     }
 
+    /** Retries that this gateway may send now. */
     public double level() {
         return level;
     }
 
     /**
-     * A further one costs one, or nothing where one before surely never ran: what may have run is
-     * bounded all the same.
+     * Counts an attempt. A retry costs one, or nothing after an attempt that surely never ran: the
+     * attempts that may have run are bounded all the same.
      */
-    public void sent(boolean further) {
-        if (!further) add(part, true);
-        else if (free > 0) free--;
-        else level = Math.max(0, level - 1);
+    public void attemptSent(boolean retry) {
+        if (!retry) {
+            addOwn(retryRatio);
+        } else if (freeRetries > 0) {
+            freeRetries--;
+        } else {
+            level = Math.max(0, level - 1);
+        }
     }
 
-    public void neverRan() {
-        free = Math.min(free + 1, MOST_FREE);
+    /** An attempt has ended that was surely not executed; its retry is free. */
+    public void attemptNeverRan() {
+        freeRetries = Math.min(freeRetries + 1, MAX_FREE_RETRIES);
+    }
+
+    /** Receives from the peers' records what they ceded, and cedes the own surplus. */
+    public void update(double nowMs, Incarnation own, Membership membership) {
+        double stepMs =
+                updatedAtMs < 0 ? 0 : Math.max(0, Math.min(nowMs - updatedAtMs, MAX_STEP_MS));
+        updatedAtMs = nowMs;
+        maxLevel = Math.max(MIN_GATEWAY_BURST, FLEET_BURST / Math.max(1, membership.fleetSize()));
+        level = Math.min(maxLevel, level);
+        double median = medianFirstAttempts(membership);
+        double newCredit = 2 * retryRatio * median * stepMs / MS_PER_SECOND;
+        for (GossipRecord record : membership.freshRecords()) {
+            boolean isOwn = record.incarnation.gateway() == own.gateway();
+            if (!isOwn && own.equals(record.retriesCededTo)) {
+                receive(record, newCredit);
+            }
+        }
+        chooseReceiver(nowMs, own, membership);
+        if (receiver != null) {
+            receiver.total += surplus;
+        }
+        surplus = 0;
     }
 
-    public void round(double now, Incarnation own, Membership membership) {
-        double passed = at < 0 ? 0 : Math.max(0, Math.min(now - at, 1000));
-        at = now;
-        full = Math.max(LEAST_AT_ONCE, AT_ONCE / Math.max(1, membership.fleetSize()));
-        level = Math.min(full, level);
-        double[] firsts =
+    private static double medianFirstAttempts(Membership membership) {
+        double[] sorted =
                 membership.freshRecords().stream()
-                        .mapToDouble(s -> FleetTotals.clean(s.firstAttempts))
+                        .mapToDouble(record -> FleetTotals.sanitize(record.firstAttempts))
                         .sorted()
                         .toArray();
-        double middling = firsts.length == 0 ? 0 : firsts[firsts.length / 2];
-        for (GossipRecord s : membership.freshRecords()) {
-            if (s.incarnation.gateway() == own.gateway() || !own.equals(s.retriesCededTo)) continue;
-            Account of = account(taken, s.incarnation);
-            if (of == null) continue;
-            of.credit = Math.min(full, of.credit + 2 * part * middling * passed / 1000);
-            double takes =
-                    Math.max(0, Math.min(FleetTotals.clean(s.retriesCeded) - of.total, of.credit));
-            of.total += takes;
-            of.credit -= takes;
-            add(takes, false);
+        return sorted.length == 0 ? 0 : sorted[sorted.length / 2];
+    }
+
+    private void receive(GossipRecord record, double newCredit) {
+        Account account = account(receivedByPeer, record.incarnation);
+        if (account == null) {
+            return;
         }
-        choose(now, own, membership);
-        if (to != null) to.total += over;
-        over = 0;
+        account.credit = Math.min(maxLevel, account.credit + newCredit);
+        double ceded = FleetTotals.sanitize(record.retriesCeded) - account.total;
+        double received = Math.max(0, Math.min(ceded, account.credit));
+        account.total += received;
+        account.credit -= received;
+        addReceived(received);
     }
 
-    /** Into the own record. */
-    public void tell(GossipRecord own) {
-        own.retriesCededTo = to == null ? null : to.with;
-        own.retriesCeded = to == null ? 0 : to.total;
+    /** Writes what was ceded into the own record. */
+    public void writeTo(GossipRecord own) {
+        own.retriesCededTo = receiver == null ? null : receiver.peer;
+        own.retriesCeded = receiver == null ? 0 : receiver.total;
     }
 
-    /** A later incarnation begins from nought, an earlier one has none any more. */
-    private static Account account(Map<Integer, Account> all, Incarnation with) {
-        Account is = all.get(with.gateway());
-        if (is != null && is.with.start() >= with.start()) return is.with.equals(with) ? is : null;
-        if (is == null && all.size() >= MOST_PEERS) return null;
-        Account made = new Account(with);
-        all.put(with.gateway(), made);
-        return made;
+    /**
+     * The account of a peer, new for a later incarnation; null for an earlier one, and if there are
+     * too many.
+     */
+    private static Account account(Map<Integer, Account> accounts, Incarnation peer) {
+        Account existing = accounts.get(peer.gateway());
+        if (existing != null && existing.peer.start() >= peer.start()) {
+            return existing.peer.equals(peer) ? existing : null;
+        }
+        if (existing == null && accounts.size() >= MAX_PEERS) {
+            return null;
+        }
+        Account account = new Account(peer);
+        accounts.put(peer.gateway(), account);
+        return account;
     }
 
-    private void add(double amount, boolean gives) {
+    private void addOwn(double amount) {
         level += amount;
-        if (gives)
-            over += Math.max(0, level - full); // what was given is not given on: it would wander
-        level = Math.min(full, level);
+        surplus += Math.max(0, level - maxLevel);
+        level = Math.min(maxLevel, level);
+    }
+
+    /** What was received is not ceded again, or it would circulate. */
+    private void addReceived(double amount) {
+        level = Math.min(maxLevel, level + amount);
     }
 
-    /** By chance, in proportion to the failures that a gateway's own budget does not cover. */
-    private void choose(double now, Incarnation own, Membership membership) {
-        if (now - chosenAt < CHOSEN_MS) return;
-        chosenAt = now;
+    /** At random, in proportion to the failures that a gateway's own budget does not cover. */
+    private void chooseReceiver(double nowMs, Incarnation own, Membership membership) {
+        if (nowMs - receiverChosenAtMs < RECEIVER_INTERVAL_MS) {
+            return;
+        }
+        receiverChosenAtMs = nowMs;
         Incarnation chosen = null;
-        double all = 0;
-        for (GossipRecord s : membership.freshRecords()) {
-            double need =
-                    Math.max(
-                            0,
-                            FleetTotals.clean(s.failed)
-                                    - part * FleetTotals.clean(s.firstAttempts));
-            if (s.incarnation.gateway() == own.gateway() || need <= 0) continue;
-            need =
-                    Math.min(
-                            need,
-                            100); // guards against a need without bound that takes all there is
-            all += need;
-            if (chance.nextDouble() * all < need) chosen = s.incarnation;
+        double total = 0;
+        for (GossipRecord record : membership.freshRecords()) {
+            double need = need(record);
+            if (record.incarnation.gateway() == own.gateway() || need <= 0) {
+                continue;
+            }
+            total += need;
+            if (random.nextDouble() * total < need) {
+                chosen = record.incarnation;
+            }
         }
-        to = chosen == null ? null : account(given, chosen);
+        receiver = chosen == null ? null : account(cededByPeer, chosen);
+    }
+
+    private double need(GossipRecord record) {
+        double ownBudget = retryRatio * FleetTotals.sanitize(record.firstAttempts);
+        double uncovered = Math.max(0, FleetTotals.sanitize(record.failed) - ownBudget);
+        return Math.min(uncovered, MAX_NEED_PER_SECOND);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/RetryJitter.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryJitter.java
@@ -1,24 +1,32 @@
 package tinford.fleet.overload;
 
 /**
- * By how much at most a time to come back is put off by chance: long enough that those denied in
- * one second return as a trickle.
+ * The bound of the random time that is added to a Retry-After: long enough that the requests
+ * rejected in one second return spread out.
  */
 public final class RetryJitter {
-    private final double longest;
+    /** Jitter per multiple of the capacity that is demanded in excess. */
+    private static final double JITTER_PER_EXCESS_MS = 1000;
+
+    private static final double MIN_JITTER_MS = 200;
+
+    private final double maxJitterMs;
 
     /**
-     * @param longest in ms; nobody is put off for longer than a line stands without cause
+     * @param maxJitterMs not longer than a threshold may last without cause
      */
-    public RetryJitter(double longest) {
-        this.longest = longest;
+    public RetryJitter(double maxJitterMs) {
+        this.maxJitterMs = maxJitterMs;
     }
 
     /**
-     * A second for each time over that is asked for more than is borne: the return of those denied
-     * then adds no more than is borne.
+     * The bound for a ratio of demand to capacity: the returning requests then add no more than the
+     * capacity. 0 unless the demand exceeds the capacity.
      */
-    public double most(double overAsked) {
-        return overAsked <= 1 ? 0 : Math.min(longest, 1000 * (overAsked - 1) + 200);
+    public double jitterMs(double demandToCapacity) {
+        return demandToCapacity <= 1
+                ? 0
+                : Math.min(
+                        maxJitterMs, JITTER_PER_EXCESS_MS * (demandToCapacity - 1) + MIN_JITTER_MS);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/package-info.java
+++ b/fleet/src/main/java/tinford/fleet/overload/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Overload handled by the fleet as one: admission by worth, a shared retry budget, and who probes
- * an unhealthy server. No I/O, no threads, no clock.
+ * Overload control by the fleet as one: an admission threshold by priority weight, a shared retry
+ * budget, and owners of the probes of unhealthy servers. No I/O, no threads, no clock.
  */
 package tinford.fleet.overload;
--- a/fleet/src/main/java/tinford/fleet/run/FleetStatusReporter.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetStatusReporter.java
@@ -98,6 +98,6 @@
                                 + overload.threshold()
                         : "fleet overload ended");
         history.add(
-                nowMs, "line", "worth", overload.threshold(), "part", overload.partAtThreshold());
+                nowMs, "line", "worth", overload.threshold(), "part", overload.shareAtThreshold());
     }
 }
--- a/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
@@ -26,7 +26,7 @@
     private static double run(
             AdmissionThreshold line, FixedMembership heard, double from, double until) {
         for (double t = from; t < until; t += 100) {
-            line.round(t, heard);
+            line.update(t, heard);
             for (GossipRecord s : heard.freshRecords()) {
                 if (s.capacity < 1e3) s.capacity = line.capacity();
             } // the others see the same
@@ -110,7 +110,7 @@
     }
 
     @Test(dataProvider = "strains")
-    public void linesAreDrawnByWorth(
+    public void thresholdAdmitsByPriorityWeight(
             String name,
             GossipRecord[] records,
             double least,
@@ -118,53 +118,55 @@
             double leastPart,
             double mostPart) {
         FixedMembership heard = new FixedMembership(records.length + 1);
-        for (GossipRecord s : records) heard.hear(s);
+        for (GossipRecord s : records) heard.add(s);
         AdmissionThreshold line = new AdmissionThreshold(WINDOW);
         double threshold = run(line, heard, 0, 4000);
         assertTrue(threshold >= least - 0.01 && threshold <= most + 0.01, name + ": " + threshold);
-        assertTrue(line.part() >= leastPart && line.part() <= mostPart, name + ": " + line.part());
+        assertTrue(
+                line.shareAtThreshold() >= leastPart && line.shareAtThreshold() <= mostPart,
+                name + ": " + line.shareAtThreshold());
     }
 
     @Test
-    public void lineIsGoneTwoWindowsAfterItsCauseHoweverManyStillAsk() {
+    public void thresholdIsGoneTwoWindowsAfterItsCauseWhateverTheDemand() {
         AdmissionThreshold line = new AdmissionThreshold(WINDOW);
         FixedMembership strained =
                 new FixedMembership(2)
-                        .hear(record(1, 100, true, 1, 2, 4, 8))
-                        .hear(record(2, 100, true, 1, 2, 4, 8));
+                        .add(record(1, 100, true, 1, 2, 4, 8))
+                        .add(record(2, 100, true, 1, 2, 4, 8));
         assertTrue(run(line, strained, 0, 10_000) > 0);
         FixedMembership calm =
                 new FixedMembership(2)
-                        .hear(record(1, 100, false, 1, 2, 4, 8))
-                        .hear(record(2, 100, false, 1, 2, 4, 8));
+                        .add(record(1, 100, false, 1, 2, 4, 8))
+                        .add(record(2, 100, false, 1, 2, 4, 8));
         assertEquals(run(line, calm, 10_000, 10_000 + 2 * WINDOW), 0.0);
     }
 
     @Test
-    public void silenceOfAllOthersLeavesNoLine() {
+    public void gatewayWithoutPeersHasNoThreshold() {
         AdmissionThreshold line = new AdmissionThreshold(WINDOW);
         FixedMembership heard =
                 new FixedMembership(2)
-                        .hear(record(1, 100, true, 1, 8))
-                        .hear(record(2, 100, true, 1, 8));
+                        .add(record(1, 100, true, 1, 8))
+                        .add(record(2, 100, true, 1, 8));
         assertTrue(run(line, heard, 0, 3000) > 0);
         heard.records.remove(2);
-        line.round(3000, heard);
+        line.update(3000, heard);
         assertEquals(line.threshold(), 0.0);
         assertEquals(line.capacity(), 0.0);
     }
 
     @Test
-    public void oneThatJoinsHasTheLineOfTheOthersAtOnce() {
+    public void joiningGatewayAdoptsTheThresholdOfTheOthers() {
         FixedMembership heard = new FixedMembership(3);
-        for (int g = 1; g <= 3; g++) heard.hear(record(g, 100, true, 1, 2, 4, 8));
+        for (int g = 1; g <= 3; g++) heard.add(record(g, 100, true, 1, 2, 4, 8));
         AdmissionThreshold old = new AdmissionThreshold(WINDOW),
                 joins = new AdmissionThreshold(WINDOW);
         run(old, heard, 0, 5000);
-        old.round(5000, heard);
-        joins.round(5000, heard);
+        old.update(5000, heard);
+        joins.update(5000, heard);
         assertEquals(joins.threshold(), old.threshold());
-        assertEquals(joins.part(), old.part(), 0.02);
+        assertEquals(joins.shareAtThreshold(), old.shareAtThreshold(), 0.02);
     }
 
     /**
@@ -172,24 +174,25 @@
      * others ask for is passed as far.
      */
     @Test
-    public void oneLyingRecordMovesTotalsByItsBoundOnly() {
+    public void oneLyingRecordChangesTotalsByItsBoundOnly() {
         Random chance = new Random(5);
         for (int drawn = 0; drawn < 200; drawn++) {
             FixedMembership heard = new FixedMembership(10);
             for (int g = 1; g < 10; g++)
-                heard.hear(record(g, 150 + chance.nextInt(100), true, 1, 2, 4, 8));
-            double demand = new FleetTotals(heard).demand, good = new FleetTotals(heard).goodUnits;
+                heard.add(record(g, 150 + chance.nextInt(100), true, 1, 2, 4, 8));
+            double demand = new FleetTotals(heard).demand,
+                    good = new FleetTotals(heard).onTimeUnits;
             GossipRecord lie = record(10, 1e9 * chance.nextDouble(), true, 8);
             lie.offeredUnits[GossipRecord.PRIORITY_CLASSES - 1] = Math.pow(10, chance.nextInt(12));
             lie.capacity = Math.pow(10, 3 + chance.nextInt(6));
-            heard.hear(lie);
+            heard.add(lie);
             FleetTotals with = new FleetTotals(heard);
             assertTrue(
-                    with.demand <= demand * (1 + FleetTotals.MOST / 9) + 1,
+                    with.demand <= demand * (1 + FleetTotals.MAX_FACTOR_OF_MEAN / 9) + 1,
                     "demand " + with.demand);
             assertTrue(
-                    with.goodUnits <= good * (1 + FleetTotals.MOST / 9) + 1,
-                    "good " + with.goodUnits);
+                    with.onTimeUnits <= good * (1 + FleetTotals.MAX_FACTOR_OF_MEAN / 9) + 1,
+                    "good " + with.onTimeUnits);
             AdmissionThreshold line = new AdmissionThreshold(WINDOW);
             assertTrue(
                     run(line, heard, 0, 6000) <= 8.01 && line.capacity() < 1e5,
--- a/fleet/src/test/java/tinford/fleet/overload/FixedMembership.java
+++ b/fleet/src/test/java/tinford/fleet/overload/FixedMembership.java
@@ -9,13 +9,13 @@
 /** Whatever a test says was heard. */
 final class FixedMembership implements Membership {
     final TreeMap<Integer, GossipRecord> records = new TreeMap<>();
-    int size;
+    int fleetSize;
 
     FixedMembership(int size) {
-        this.size = size;
+        this.fleetSize = size;
     }
 
-    FixedMembership hear(GossipRecord s) {
+    FixedMembership add(GossipRecord s) {
         records.put(s.incarnation.gateway(), s);
         return this;
     }
@@ -42,6 +42,6 @@
 
     @Override
     public int fleetSize() {
-        return size;
+        return fleetSize;
     }
 }
