--- a/gateway/src/main/java/tinford/routing/admin/AdminApi.java
+++ b/gateway/src/main/java/tinford/routing/admin/AdminApi.java
@@ -25,6 +25,8 @@
 
     private static final String SERVERS_PREFIX = "/v1/servers/";
     private static final int SERVER_PATH_PARTS = 5;
+    private static final String EXCLUDE_ACTION = "suspend";
+    private static final String READMIT_ACTION = "resume";
     private static final String OK = "200 OK";
     private static final String NOT_FOUND = "404 Not Found";
     private static final String METHOD_NOT_ALLOWED = "405 Method Not Allowed";
@@ -120,7 +122,7 @@
         }
         String serverId = parts[3];
         String action = parts[4];
-        if (!action.equals("suspend") && !action.equals("resume")) {
+        if (!action.equals(EXCLUDE_ACTION) && !action.equals(READMIT_ACTION)) {
             return NOT_FOUND;
         }
         if (!call.method.equals("POST")) {
@@ -129,7 +131,7 @@
         if (!servers.isKnown(serverId)) {
             return NOT_FOUND;
         }
-        return setExcluded(serverId, action.equals("suspend"));
+        return setExcluded(serverId, action.equals(EXCLUDE_ACTION));
     }
 
     private String readiness(HttpRequestHead call) {
