--- a/gateway/src/main/java/tinford/routing/client/ClientConnection.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientConnection.java
@@ -205,7 +205,7 @@
         }
     }
 
-    /** What follows can't be read: one error line behind the responses still owed, and the end. */
+    /** What follows can't be read: one error line behind the outstanding responses, and the end. */
     private void rejectAsMalformed(ProtocolException cause) {
         closeWithLine("-ERR " + cause.getMessage());
     }
@@ -303,7 +303,7 @@
         buffer.put("$").put(length).putLineEnd();
     }
 
-    /** Writes a part of the value; false if no more fits: the source then hears when to go on. */
+    /** Writes a part of the value; false if no more fits: the source is resumed later. */
     boolean writeStreamPart(byte[] bytes, int from, int length) {
         buffer.put(bytes, from, length);
         scheduleFlush();
--- a/gateway/src/main/java/tinford/routing/client/ClientPool.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientPool.java
@@ -73,9 +73,9 @@
     }
 
     /**
-     * A connection for a client that connects, or null: it is then closed unread, and the client
-     * turns to another gateway. Clients hold a limited number of connections, also such as they
-     * will not use again, so idle ones are closed for it.
+     * A connection for a client that connects, or null: it is then closed unread, so that the
+     * client tries another gateway. Clients may keep connections that they will not use again, so
+     * idle ones are closed for a new one.
      */
     private ClientConnection accept() {
         if (connections.size() >= Math.min(limits.reclaimThreshold(), highWater())) {
@@ -116,7 +116,7 @@
     private void shrinkTo(int count) {
         boolean closed = true;
         while (closed && connections.size() > count) {
-            ClientConnection connection = leastActive(ConnectionActivity.BUSY);
+            ClientConnection connection = findReclaimable(ConnectionActivity.BUSY);
             closed = connection != null && connection.closeIfQuiet();
         }
     }
@@ -126,29 +126,31 @@
      * requests costs no request: what crosses it is sent once more by its client.
      */
     void reclaimConnections(ConnectionActivity limit) {
-        ClientConnection connection = leastActive(limit);
+        ClientConnection connection = findReclaimable(limit);
         while (connection != null && !connection.closeIfQuiet()) {
-            connection = leastActive(limit);
+            connection = findReclaimable(limit);
         }
     }
 
     /**
      * The connection least active, and of these the one used longest ago; null if none is below.
      */
-    private ClientConnection leastActive(ConnectionActivity limit) {
-        ClientConnection least = null;
-        ConnectionActivity lowest = limit;
+    private ClientConnection findReclaimable(ConnectionActivity limit) {
+        ClientConnection candidate = null;
+        ConnectionActivity lowestActivity = limit;
         double nowMs = context.nowMs();
         for (ClientConnection connection : connections) {
             ConnectionActivity activity = connection.activity(nowMs);
-            int order = activity.compareTo(lowest);
+            int order = activity.compareTo(lowestActivity);
             if (order < 0
-                    || order == 0 && least != null && connection.lastUseMs() < least.lastUseMs()) {
-                lowest = activity;
-                least = connection;
+                    || order == 0
+                            && candidate != null
+                            && connection.lastUseMs() < candidate.lastUseMs()) {
+                lowestActivity = activity;
+                candidate = connection;
             }
         }
-        return least;
+        return candidate;
     }
 
     /**
--- a/gateway/src/main/java/tinford/routing/client/CommandBuffers.java
+++ b/gateway/src/main/java/tinford/routing/client/CommandBuffers.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** Reserves buffers for long commands that arrive in parts; who finds none waits for its turn. */
+/** Reserves buffers for long commands that arrive in parts, in order of arrival. */
 final class CommandBuffers {
     private final long maxHeldBytes;
     private final ArrayDeque<ClientConnection> waiting = new ArrayDeque<>();
@@ -16,11 +16,11 @@
         this.maxHeldBytes = maxHeldBytes;
     }
 
-    /** Reserves what the connection awaits if it can, and tells it so; else it waits. */
+    /** Reserves what the connection awaits and notifies it, or adds it to those that wait. */
     boolean tryReserve(ClientConnection connection) {
         int bytes = connection.awaitedBytes();
         boolean othersFirst = !waiting.isEmpty() && waiting.peek() != connection;
-        if (othersFirst || !fits(bytes)) {
+        if (othersFirst || !isAvailable(bytes)) {
             if (!waiting.contains(connection)) {
                 waiting.add(connection);
             }
@@ -32,7 +32,7 @@
         return true;
     }
 
-    private boolean fits(int bytes) {
+    private boolean isAvailable(int bytes) {
         return bytes <= maxHeldBytes
                 && (reservedBytes == 0 || reservedBytes + bytes <= maxHeldBytes / 2);
     }
@@ -42,7 +42,7 @@
         reservedBytes -= bytes;
         waiting.remove(connection);
         while (!waiting.isEmpty() && tryReserve(waiting.peek())) {
-            // Each turn serves one that waits.
+            // Each call serves the next one.
         }
     }
 }
--- a/gateway/src/main/java/tinford/routing/client/ResponseQueue.java
+++ b/gateway/src/main/java/tinford/routing/client/ResponseQueue.java
@@ -5,8 +5,8 @@
 import tinford.transport.ConnectionBuffer;
 
 /**
- * The responses that a connection is still owed, in the order of its commands. One that is ready
- * before its turn is kept, and counts among the bytes held for clients.
+ * The outstanding responses of a connection, in the order of its commands. One that is ready before
+ * an earlier one is kept, and counts among the bytes held for clients.
  */
 final class ResponseQueue {
     private final ClientPool pool;
@@ -46,7 +46,12 @@
         last = slot;
     }
 
-    /** Writes a line, given without its end, if it is its turn; else keeps it and is false. */
+    /**
+     * Writes a line if all responses before it are complete, else keeps it.
+     *
+     * @param line without its end
+     * @return whether it was written
+     */
     boolean putLine(ResponseSlot slot, String line) {
         if (slot == first) {
             buffer.put(line).putLineEnd();
@@ -56,7 +61,11 @@
         return false;
     }
 
-    /** Writes a value if it is its turn; else keeps a copy and is false. */
+    /**
+     * Writes a value if all responses before it are complete, else keeps a copy.
+     *
+     * @return whether it was written
+     */
     boolean putValue(ResponseSlot slot, byte[] value, int from, int length) {
         if (slot == first) {
             buffer.put("$").put(length).putLineEnd().put(value, from, length).putLineEnd();
--- a/gateway/src/main/java/tinford/routing/discovery/DiscoveryConnection.java
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryConnection.java
@@ -21,7 +21,7 @@
     private final JsonObjectSplitter objects;
     private boolean listReceived;
 
-    /** Set while lines are read, whose reader takes no checked exception. */
+    /** Set while lines are read: the callback for a line can't throw a checked exception. */
     private ProtocolException failure;
 
     /**
--- a/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
@@ -128,8 +128,8 @@
     }
 
     /**
-     * Within a batch: fetches the full list once. There is one such call at a time, whose end
-     * counts for all who asked meanwhile.
+     * Within a batch: fetches the full list once. There is one such call at a time; a request for
+     * another one while it runs is served by it.
      */
     public void fetch() {
         if (fetching == null) {
--- a/gateway/src/main/java/tinford/routing/dispatch/RequestDispatcher.java
+++ b/gateway/src/main/java/tinford/routing/dispatch/RequestDispatcher.java
@@ -27,7 +27,7 @@
 
 /**
  * Connects the decision module to the sockets. All input of one event loop iteration becomes one
- * batch of events for the module, whose actions become calls on the parts of the request path.
+ * batch of events for the module; its actions become calls on the parts of the request path.
  */
 public final class RequestDispatcher implements RoutingContext, AttemptListener, GatewayActions {
     private static final System.Logger LOG = System.getLogger("tinford.routing");
--- a/gateway/src/main/java/tinford/routing/upstream/AttemptListener.java
+++ b/gateway/src/main/java/tinford/routing/upstream/AttemptListener.java
@@ -2,7 +2,7 @@
 
 import tinford.api.AttemptOutcome;
 
-/** Hears what becomes of attempts. */
+/** Notified when an attempt's response starts to flow, and when the attempt ends. */
 public interface AttemptListener {
     /**
      * A streamed response begins to flow to its client: this is the request's final answer, and no
--- a/gateway/src/main/java/tinford/routing/upstream/ServerConnection.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerConnection.java
@@ -77,7 +77,7 @@
     /**
      * Sends the command of an attempt.
      *
-     * @param timeoutMs how long the sender waits, as the server is told
+     * @param timeoutMs how long the sender waits, which the server is informed of
      */
     void send(ServerAttempt next, long timeoutMs) {
         attempt = next;
--- a/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
@@ -166,7 +166,7 @@
     /**
      * Sends an attempt on an idle connection, or on a new one.
      *
-     * @param timeoutMs how long the sender waits, as the server is told
+     * @param timeoutMs how long the sender waits, which the server is informed of
      */
     public void send(ServerAttempt attempt, PooledServer server, long timeoutMs) {
         ServerConnection reusable = takeReusable(server);
@@ -301,7 +301,7 @@
         }
     }
 
-    /** Closes idle connections before their server does, whose close a command could cross. */
+    /** Closes idle connections before their servers do: a command could cross a server's close. */
     private void closeLongIdle() {
         double nowMs = context.nowMs();
         double maxIdleMs = IDLE_TIMEOUT_SHARE * idleTimeoutMs;
