--- a/gateway/src/test/java/tinford/decision/RetryTest.java
+++ b/gateway/src/test/java/tinford/decision/RetryTest.java
@@ -22,6 +22,7 @@
 import tinford.api.Idempotency;
 import tinford.api.Request;
 import tinford.api.RequestClass;
+import tinford.api.Server;
 import tinford.api.Tenant;
 
 /** Retries keep to the idempotency of the request and to its deduplication scope and window. */
@@ -90,6 +91,43 @@
         assertTrue(retries > 0);
     }
 
+    /** Two servers, request class, whether a lost attempt at one is repeated at the other. */
+    @DataProvider
+    Object[][] scopes() {
+        return new Object[][] {
+            {"s1a", "s1b", KEYED_IN_CELL, true},
+            {"s1a", "s2", KEYED_IN_CELL, false},
+            {"s1a", "s2", KEYED_IN_ZONE, true},
+            {"s1a", "z", KEYED_IN_ZONE, false},
+            {"s1a", "z", KEYED_ANYWHERE, true},
+            {"s1a", "z", READ, true},
+        };
+    }
+
+    @Test(dataProvider = "scopes")
+    public void retryNeverLeavesTheDeduplicationScope(
+            String server, String otherServer, RequestClass requestClass, boolean retried) {
+        DecisionFixture gateway = new DecisionFixture();
+        gateway.listServers(server, otherServer);
+        fillRetryBudget(gateway);
+        Request request = gateway.request(tenant, requestClass, 0.1);
+        String first = attemptedServers(gateway.arrive(request, 0, 4)).get(0);
+        String other = first.equals(server) ? otherServer : server;
+        gateway.server(first).updateState(Server.State.DRAINING);
+        gateway.handle(events -> events.endpointsUpdated(List.of(gateway.server(first)), false));
+        List<String> actions =
+                gateway.endAttempt(request, 0, AttemptOutcome.CONNECTION_LOST, false);
+        assertEquals(attemptedServers(actions), retried ? List.of(other) : List.of());
+    }
+
+    private void fillRetryBudget(DecisionFixture gateway) {
+        for (int i = 0; i < 40; i++) {
+            Request request = gateway.request(tenant, READ, 0.1);
+            gateway.arrive(request, 0, 0.1 * i);
+            gateway.succeed(request);
+        }
+    }
+
     /** A retry that waits for its connection has to be sent within the window of the first. */
     @Test
     public void retryIsSentWithinTheDeduplicationWindow() {
