--- a/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
@@ -9,38 +9,49 @@
 import tinford.fleet.membership.GossipRecord;
 import tinford.fleet.membership.Incarnation;
 
-/** The admission threshold that gateways work out from the same records. */
+/** The admission threshold that gateways compute from the same records. */
 public class AdmissionThresholdTest {
-    private static final double WINDOW = 4000;
+    private static final double WINDOW_MS = 4000;
+    private static final double UPDATE_INTERVAL_MS = 100;
 
-    /** Asked for 100 units a second of each worth given, of which so many come back in time. */
-    static GossipRecord record(int gateway, double good, boolean waits, double... worths) {
-        GossipRecord s = new GossipRecord(new Incarnation(gateway, 1), 1);
-        for (double w : worths) s.offeredUnits[GossipRecord.classOf(w)] += 100;
-        s.onTimeUnits = good;
-        s.onTime = s.firstAttempts = 40;
-        s.queued = waits ? 8 : 0;
-        return s;
+    /** A demand of 100 units per second of each weight, of which some are completed on time. */
+    private static GossipRecord record(
+            int gateway, double onTimeUnits, boolean queueing, double... weights) {
+        GossipRecord record = new GossipRecord(new Incarnation(gateway, 1), 1);
+        for (double weight : weights) {
+            record.offeredUnits[GossipRecord.classOf(weight)] += 100;
+        }
+        record.onTimeUnits = onTimeUnits;
+        record.onTime = 40;
+        record.firstAttempts = 40;
+        record.queued = queueing ? 8 : 0;
+        return record;
     }
 
+    /** Updates the threshold; the other gateways adopt its capacity. Returns the threshfirst. */
     private static double run(
-            AdmissionThreshold line, FixedMembership heard, double from, double until) {
-        for (double t = from; t < until; t += 100) {
-            line.update(t, heard);
-            for (GossipRecord s : heard.freshRecords()) {
-                if (s.capacity < 1e3) s.capacity = line.capacity();
-            } // the others see the same
+            AdmissionThreshold admission,
+            FixedMembership membership,
+            double fromMs,
+            double untilMs) {
+        for (double nowMs = fromMs; nowMs < untilMs; nowMs += UPDATE_INTERVAL_MS) {
+            admission.update(nowMs, membership);
+            for (GossipRecord record : membership.freshRecords()) {
+                if (record.capacity < 1e3) {
+                    record.capacity = admission.capacity();
+                }
+            }
         }
-        return line.threshold();
+        return admission.threshold();
     }
 
     @DataProvider
     public Object[][] strains() {
         double inf = Double.POSITIVE_INFINITY;
         return new Object[][] {
-            // name, records, least and most of the threshold, least and most of the part
+            // name, records, bounds of the threshold, bounds of the share
             {
-                "even, half is borne",
+                "even demand, capacity for half",
                 new GossipRecord[] {
                     record(1, 200, true, 1, 2, 4, 8), record(2, 200, true, 1, 2, 4, 8)
                 },
@@ -50,7 +61,7 @@
                 1
             },
             {
-                "uneven: worth comes through one only",
+                "uneven: high weights at one gateway only",
                 new GossipRecord[] {record(1, 100, true, 8, 8), record(2, 100, true, 1, 1)},
                 1,
                 8,
@@ -66,7 +77,7 @@
                 0.55
             },
             {
-                "worth equal everywhere",
+                "same weight everywhere",
                 new GossipRecord[] {record(1, 150, true, 2, 2, 2), record(2, 150, true, 2, 2, 2)},
                 2,
                 2,
@@ -74,7 +85,7 @@
                 0.55
             },
             {
-                "one joins cold",
+                "one gateway joins without demand",
                 new GossipRecord[] {
                     record(1, 200, true, 1, 2, 4, 8),
                     record(2, 200, true, 1, 2, 4, 8),
@@ -95,9 +106,9 @@
                 1,
                 1
             },
-            {"nobody heard", new GossipRecord[] {record(1, 100, true, 1, 2, 4, 8)}, 0, 0, 1, 1},
+            {"no peer", new GossipRecord[] {record(1, 100, true, 1, 2, 4, 8)}, 0, 0, 1, 1},
             {
-                "figures that are none",
+                "figures that are not finite",
                 new GossipRecord[] {
                     record(1, Double.NaN, true, 1), record(2, inf, true, 1), record(3, 50, true, 1)
                 },
@@ -113,90 +124,99 @@
     public void thresholdAdmitsByPriorityWeight(
             String name,
             GossipRecord[] records,
-            double least,
-            double most,
-            double leastPart,
-            double mostPart) {
-        FixedMembership heard = new FixedMembership(records.length + 1);
-        for (GossipRecord s : records) heard.add(s);
-        AdmissionThreshold line = new AdmissionThreshold(WINDOW);
-        double threshold = run(line, heard, 0, 4000);
-        assertTrue(threshold >= least - 0.01 && threshold <= most + 0.01, name + ": " + threshold);
+            double minThreshold,
+            double maxThreshold,
+            double minShare,
+            double maxShare) {
+        FixedMembership membership = new FixedMembership(records.length + 1);
+        for (GossipRecord record : records) {
+            membership.add(record);
+        }
+        AdmissionThreshold admission = new AdmissionThreshold(WINDOW_MS);
+        double threshold = run(admission, membership, 0, 4000);
         assertTrue(
-                line.shareAtThreshold() >= leastPart && line.shareAtThreshold() <= mostPart,
-                name + ": " + line.shareAtThreshold());
+                threshold >= minThreshold - 0.01 && threshold <= maxThreshold + 0.01,
+                name + ": " + threshold);
+        assertTrue(
+                admission.shareAtThreshold() >= minShare
+                        && admission.shareAtThreshold() <= maxShare,
+                name + ": " + admission.shareAtThreshold());
     }
 
     @Test
     public void thresholdIsGoneTwoWindowsAfterItsCauseWhateverTheDemand() {
-        AdmissionThreshold line = new AdmissionThreshold(WINDOW);
+        AdmissionThreshold admission = new AdmissionThreshold(WINDOW_MS);
         FixedMembership strained =
                 new FixedMembership(2)
                         .add(record(1, 100, true, 1, 2, 4, 8))
                         .add(record(2, 100, true, 1, 2, 4, 8));
-        assertTrue(run(line, strained, 0, 10_000) > 0);
+        assertTrue(run(admission, strained, 0, 10_000) > 0);
         FixedMembership calm =
                 new FixedMembership(2)
                         .add(record(1, 100, false, 1, 2, 4, 8))
                         .add(record(2, 100, false, 1, 2, 4, 8));
-        assertEquals(run(line, calm, 10_000, 10_000 + 2 * WINDOW), 0.0);
+        assertEquals(run(admission, calm, 10_000, 10_000 + 2 * WINDOW_MS), 0.0);
     }
 
     @Test
     public void gatewayWithoutPeersHasNoThreshold() {
-        AdmissionThreshold line = new AdmissionThreshold(WINDOW);
-        FixedMembership heard =
+        AdmissionThreshold admission = new AdmissionThreshold(WINDOW_MS);
+        FixedMembership membership =
                 new FixedMembership(2)
                         .add(record(1, 100, true, 1, 8))
                         .add(record(2, 100, true, 1, 8));
-        assertTrue(run(line, heard, 0, 3000) > 0);
-        heard.records.remove(2);
-        line.update(3000, heard);
-        assertEquals(line.threshold(), 0.0);
-        assertEquals(line.capacity(), 0.0);
+        assertTrue(run(admission, membership, 0, 3000) > 0);
+        membership.records.remove(2);
+        admission.update(3000, membership);
+        assertEquals(admission.threshold(), 0.0);
+        assertEquals(admission.capacity(), 0.0);
     }
 
     @Test
     public void joiningGatewayAdoptsTheThresholdOfTheOthers() {
-        FixedMembership heard = new FixedMembership(3);
-        for (int g = 1; g <= 3; g++) heard.add(record(g, 100, true, 1, 2, 4, 8));
-        AdmissionThreshold old = new AdmissionThreshold(WINDOW),
-                joins = new AdmissionThreshold(WINDOW);
-        run(old, heard, 0, 5000);
-        old.update(5000, heard);
-        joins.update(5000, heard);
-        assertEquals(joins.threshold(), old.threshold());
-        assertEquals(joins.shareAtThreshold(), old.shareAtThreshold(), 0.02);
+        FixedMembership membership = new FixedMembership(3);
+        for (int gateway = 1; gateway <= 3; gateway++) {
+            membership.add(record(gateway, 100, true, 1, 2, 4, 8));
+        }
+        AdmissionThreshold first = new AdmissionThreshold(WINDOW_MS);
+        AdmissionThreshold joining = new AdmissionThreshold(WINDOW_MS);
+        run(first, membership, 0, 5000);
+        first.update(5000, membership);
+        joining.update(5000, membership);
+        assertEquals(joining.threshold(), first.threshold());
+        assertEquals(joining.shareAtThreshold(), first.shareAtThreshold(), 0.02);
     }
 
     /**
-     * One of ten tells absurd figures: the line moves by what one record may weigh, and what the
-     * others ask for is passed as far.
+     * One of ten gateways reports absurd figures: the totals change at most by the bound of a
+     * single record, and the threshold stays plausible.
      */
     @Test
     public void oneLyingRecordChangesTotalsByItsBoundOnly() {
-        Random chance = new Random(5);
-        for (int drawn = 0; drawn < 200; drawn++) {
-            FixedMembership heard = new FixedMembership(10);
-            for (int g = 1; g < 10; g++)
-                heard.add(record(g, 150 + chance.nextInt(100), true, 1, 2, 4, 8));
-            double demand = new FleetTotals(heard).demand,
-                    good = new FleetTotals(heard).onTimeUnits;
-            GossipRecord lie = record(10, 1e9 * chance.nextDouble(), true, 8);
-            lie.offeredUnits[GossipRecord.PRIORITY_CLASSES - 1] = Math.pow(10, chance.nextInt(12));
-            lie.capacity = Math.pow(10, 3 + chance.nextInt(6));
-            heard.add(lie);
-            FleetTotals with = new FleetTotals(heard);
+        Random random = new Random(5);
+        for (int run = 0; run < 200; run++) {
+            FixedMembership membership = new FixedMembership(10);
+            for (int gateway = 1; gateway < 10; gateway++) {
+                membership.add(record(gateway, 150 + random.nextInt(100), true, 1, 2, 4, 8));
+            }
+            FleetTotals without = new FleetTotals(membership);
+            GossipRecord wrong = record(10, 1e9 * random.nextDouble(), true, 8);
+            wrong.offeredUnits[GossipRecord.PRIORITY_CLASSES - 1] =
+                    Math.pow(10, random.nextInt(12));
+            wrong.capacity = Math.pow(10, 3 + random.nextInt(6));
+            membership.add(wrong);
+            FleetTotals with = new FleetTotals(membership);
             assertTrue(
-                    with.demand <= demand * (1 + FleetTotals.MAX_FACTOR_OF_MEAN / 9) + 1,
+                    with.demand <= without.demand * (1 + FleetTotals.MAX_FACTOR_OF_MEAN / 9) + 1,
                     "demand " + with.demand);
             assertTrue(
-                    with.onTimeUnits <= good * (1 + FleetTotals.MAX_FACTOR_OF_MEAN / 9) + 1,
-                    "good " + with.onTimeUnits);
-            AdmissionThreshold line = new AdmissionThreshold(WINDOW);
+                    with.onTimeUnits
+                            <= without.onTimeUnits * (1 + FleetTotals.MAX_FACTOR_OF_MEAN / 9) + 1,
+                    "on time " + with.onTimeUnits);
+            AdmissionThreshold admission = new AdmissionThreshold(WINDOW_MS);
             assertTrue(
-                    run(line, heard, 0, 6000) <= 8.01 && line.capacity() < 1e5,
-                    "line " + line.threshold());
+                    run(admission, membership, 0, 6000) <= 8.01 && admission.capacity() < 1e5,
+                    "threshold " + admission.threshold());
         }
     }
 }
--- a/fleet/src/test/java/tinford/fleet/overload/FixedMembership.java
+++ b/fleet/src/test/java/tinford/fleet/overload/FixedMembership.java
@@ -6,7 +6,7 @@
 import tinford.fleet.membership.GossipRecord;
 import tinford.fleet.membership.Membership;
 
-/** Whatever a test says was heard. */
+/** A membership that consists of the records that a test adds. */
 final class FixedMembership implements Membership {
     final TreeMap<Integer, GossipRecord> records = new TreeMap<>();
     int fleetSize;
@@ -15,8 +15,8 @@
         this.fleetSize = size;
     }
 
-    FixedMembership add(GossipRecord s) {
-        records.put(s.incarnation.gateway(), s);
+    FixedMembership add(GossipRecord record) {
+        records.put(record.incarnation.gateway(), record);
         return this;
     }
 
--- a/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
@@ -13,21 +13,33 @@
 
 /** Which gateway probes an unhealthy server. */
 public class ProbeOwnersTest {
-    private final Server srv = new Server("a-1");
+    private static final double UPDATE_INTERVAL_MS = 100;
+    private static final int GATEWAYS = 5;
+
+    private final Server server = new Server("a-1");
+    private final int serverHash = ProbeOwners.hashOf(server);
 
     private static FixedMembership fleet(int from, int until) {
-        FixedMembership h = new FixedMembership(until);
-        for (int g = from; g < until; g++) h.add(new GossipRecord(new Incarnation(g, 1), 1));
-        return h;
+        FixedMembership membership = new FixedMembership(until);
+        for (int gateway = from; gateway < until; gateway++) {
+            membership.add(new GossipRecord(new Incarnation(gateway, 1), 1));
+        }
+        return membership;
+    }
+
+    private static Incarnation incarnation(int gateway) {
+        return new Incarnation(gateway, 1);
     }
 
     @Test
     public void eachPartitionHasOneOwnerAndOnlyLostOwnersAreReplaced() {
-        FixedMembership all = fleet(0, 14), lower = fleet(0, 7), upper = fleet(7, 14);
-        for (int s = 0; s < 200; s++) {
-            int owner = ProbeOwners.owner(s, all);
-            assertEquals(ProbeOwners.owner(s, owner < 7 ? lower : upper), owner);
-            assertTrue(ProbeOwners.owner(s, owner < 7 ? upper : lower) >= 0);
+        FixedMembership all = fleet(0, 14);
+        FixedMembership lower = fleet(0, 7);
+        FixedMembership upper = fleet(7, 14);
+        for (int hash = 0; hash < 200; hash++) {
+            int owner = ProbeOwners.owner(hash, all);
+            assertEquals(ProbeOwners.owner(hash, owner < 7 ? lower : upper), owner);
+            assertTrue(ProbeOwners.owner(hash, owner < 7 ? upper : lower) >= 0);
         }
     }
 
@@ -36,71 +48,79 @@
         return new Object[][] {{1}, {5}, {40}, {150}};
     }
 
-    /**
-     * ProbeOwners that look once a second but tell nothing, and others that find out nothing: tries
-     * at one ill server over two minutes.
-     */
+    /** The owner probes once a second; no gateway receives any findings of the others. */
     @Test(dataProvider = "sizes")
-    public void probesDoNotGrowWithTheNumberOfGateways(int n) {
-        FixedMembership heard = fleet(0, n);
-        ProbeOwners[] all = new ProbeOwners[n];
-        for (int g = 0; g < n; g++) {
-            all[g] = new ProbeOwners(new Random(g));
-            all[g].update(0, new Incarnation(g, 1), heard);
-            all[g].serverHealthChanged(srv, true);
+    public void probesDoNotGrowWithTheNumberOfGateways(int gateways) {
+        FixedMembership membership = fleet(0, gateways);
+        ProbeOwners[] all = new ProbeOwners[gateways];
+        for (int gateway = 0; gateway < gateways; gateway++) {
+            all[gateway] = new ProbeOwners(new Random(gateway));
+            all[gateway].update(0, incarnation(gateway), membership);
+            all[gateway].serverHealthChanged(server, true);
         }
-        int byOwner = 0, byOthers = 0;
-        double[] triedAt = new double[n];
-        for (double t = 100; t < 120_000; t += 100) {
-            for (int g = 0; g < n; g++) {
-                all[g].update(t, new Incarnation(g, 1), heard);
-                if (t - triedAt[g] < 1000 || !all[g].mayProbe(srv)) continue;
-                triedAt[g] = t;
-                if (n == 1 || ProbeOwners.owner(ProbeOwners.hashOf(srv), heard) == g) byOwner++;
-                else byOthers++;
-                all[g].attemptSent(srv);
-                all[g].serverHealthChanged(srv, true);
+        int byOwner = 0;
+        int byOthers = 0;
+        double[] probedAtMs = new double[gateways];
+        for (double nowMs = UPDATE_INTERVAL_MS; nowMs < 120_000; nowMs += UPDATE_INTERVAL_MS) {
+            for (int gateway = 0; gateway < gateways; gateway++) {
+                ProbeOwners one = all[gateway];
+                one.update(nowMs, incarnation(gateway), membership);
+                if (nowMs - probedAtMs[gateway] < 1000 || !one.mayProbe(server)) {
+                    continue;
+                }
+                probedAtMs[gateway] = nowMs;
+                if (gateways == 1 || ProbeOwners.owner(serverHash, membership) == gateway) {
+                    byOwner++;
+                } else {
+                    byOthers++;
+                }
+                one.attemptSent(server);
+                one.serverHealthChanged(server, true);
             }
         }
         assertTrue(byOwner >= 100 && byOwner <= 120, "owner " + byOwner);
-        assertTrue(byOthers <= 40 && (n == 1 || byOthers > 0), "others " + byOthers);
+        assertTrue(byOthers <= 40 && (gateways == 1 || byOthers > 0), "others " + byOthers);
     }
 
     @Test
     public void serverReportedHealthyIsProbedAtOnceAndFalseReportsWithGrowingBackoff() {
-        FixedMembership heard = fleet(0, 5);
-        int owner = ProbeOwners.owner(ProbeOwners.hashOf(srv), heard), other = (owner + 1) % 5;
-        ProbeOwners o = new ProbeOwners(new Random(1));
-        o.update(0, new Incarnation(other, 1), heard);
-        o.serverHealthChanged(srv, true);
-        assertFalse(o.mayProbe(srv));
-        int tries = 0;
-        for (double t = 100; t < 60_000; t += 100) {
-            GossipRecord well = new GossipRecord(new Incarnation(owner, 1), (int) t);
-            well.serverHealth.add(new GossipRecord.ServerHealth(ProbeOwners.hashOf(srv), false, 0));
-            o.update(t, new Incarnation(other, 1), heard.add(well));
-            if (!o.mayProbe(srv)) continue;
-            if (tries++ == 0) assertTrue(t < 1000, "first at " + t);
-            o.attemptSent(srv);
-            o.serverHealthChanged(srv, true);
+        FixedMembership membership = fleet(0, GATEWAYS);
+        int owner = ProbeOwners.owner(serverHash, membership);
+        Incarnation self = incarnation((owner + 1) % GATEWAYS);
+        ProbeOwners owners = new ProbeOwners(new Random(1));
+        owners.update(0, self, membership);
+        owners.serverHealthChanged(server, true);
+        assertFalse(owners.mayProbe(server));
+        int probes = 0;
+        for (double nowMs = UPDATE_INTERVAL_MS; nowMs < 60_000; nowMs += UPDATE_INTERVAL_MS) {
+            GossipRecord healthy = new GossipRecord(incarnation(owner), (int) nowMs);
+            healthy.serverHealth.add(new GossipRecord.ServerHealth(serverHash, false, 0));
+            owners.update(nowMs, self, membership.add(healthy));
+            if (!owners.mayProbe(server)) {
+                continue;
+            }
+            if (probes == 0) {
+                assertTrue(nowMs < 1000, "first at " + nowMs);
+            }
+            probes++;
+            owners.attemptSent(server);
+            owners.serverHealthChanged(server, true);
         }
-        assertTrue(tries >= 2 && tries <= 12, "tries " + tries);
+        assertTrue(probes >= 2 && probes <= 12, "probes " + probes);
     }
 
     @Test
     public void oneGatewayAloneCannotMakeAHealthyServerUnhealthy() {
-        FixedMembership heard = fleet(0, 5);
-        ProbeOwners o = new ProbeOwners(new Random(1));
-        int owner = ProbeOwners.owner(ProbeOwners.hashOf(srv), heard), self = (owner + 1) % 5;
-        for (int liars = 1; liars <= 2; liars++) {
-            GossipRecord lie =
-                    new GossipRecord(
-                            new Incarnation(
-                                    (owner + liars) % 5 == self ? owner : (owner + liars) % 5, 1),
-                            2);
-            lie.serverHealth.add(new GossipRecord.ServerHealth(ProbeOwners.hashOf(srv), true, 0));
-            o.update(5000, new Incarnation(self, 1), heard.add(lie));
-            assertEquals(o.mayProbe(srv), liars < 2);
+        FixedMembership membership = fleet(0, GATEWAYS);
+        ProbeOwners owners = new ProbeOwners(new Random(1));
+        int owner = ProbeOwners.owner(serverHash, membership);
+        int self = (owner + 1) % GATEWAYS;
+        for (int wrong = 1; wrong <= 2; wrong++) {
+            int peer = (owner + wrong) % GATEWAYS;
+            GossipRecord record = new GossipRecord(incarnation(peer == self ? owner : peer), 2);
+            record.serverHealth.add(new GossipRecord.ServerHealth(serverHash, true, 0));
+            owners.update(5000, incarnation(self), membership.add(record));
+            assertEquals(owners.mayProbe(server), wrong < 2);
         }
     }
 }
--- a/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
@@ -10,93 +10,138 @@
 import tinford.fleet.membership.GossipRecord;
 import tinford.fleet.membership.Incarnation;
 
-/** A gateway's part of the fleet's retry budget. */
+/** A gateway's account of the fleet's retry budget. */
 public class RetryBudgetTest {
-    private static final double PART = 0.1;
+    private static final double RETRY_RATIO = 0.1;
+    private static final int RUNS = 60;
 
     /**
-     * Records lost, doubled, old, mixed, and gateways that start anew: what all send further never
-     * exceeds the part of the whole.
+     * Records are lost, duplicated, outdated and reordered, and gateways restart: together they
+     * never send more retries than the ratio allows.
      */
     @Test
     public void retriesOfAllGatewaysNeverExceedTheFleetBudget() {
         int helped = 0;
-        for (int drawn = 0; drawn < 60; drawn++) {
-            Random chance = new Random(drawn);
-            int n = 2 + chance.nextInt(8);
-            RetryBudget[] all = new RetryBudget[n];
-            Incarnation[] incarnations = new Incarnation[n];
-            List<List<GossipRecord>> told = new ArrayList<>();
-            double[] own = new double[n], spent = new double[n];
-            for (int g = 0; g < n; g++) {
-                all[g] = new RetryBudget(PART, chance);
-                incarnations[g] = new Incarnation(g, 1);
-                told.add(new ArrayList<>());
+        for (int seed = 0; seed < RUNS; seed++) {
+            helped += new RandomFleet(seed).run() ? 1 : 0;
+        }
+        assertTrue(
+                helped > 30,
+                "a gateway with failures got more than an even share in " + helped + " of 60");
+    }
+
+    /** Gateways that receive random records of each other; only gateway 0 sees failures. */
+    private static final class RandomFleet {
+        private final int seed;
+        private final Random random;
+        private final int gateways;
+        private final RetryBudget[] budgets;
+        private final Incarnation[] incarnations;
+        private final List<List<GossipRecord>> records = new ArrayList<>();
+        private double firstAttempts;
+        private double retries;
+        private double firstAttemptsOfFailing;
+        private double retriesOfFailing;
+
+        RandomFleet(int seed) {
+            this.seed = seed;
+            random = new Random(seed);
+            gateways = 2 + random.nextInt(8);
+            budgets = new RetryBudget[gateways];
+            incarnations = new Incarnation[gateways];
+            for (int gateway = 0; gateway < gateways; gateway++) {
+                budgets[gateway] = new RetryBudget(RETRY_RATIO, random);
+                incarnations[gateway] = new Incarnation(gateway, 1);
+                records.add(new ArrayList<>());
             }
-            double first = 0, further = 0;
+        }
+
+        /** Returns whether the gateway with failures got more than an even share. */
+        boolean run() {
             for (int round = 1; round < 300; round++) {
-                int g = chance.nextInt(n);
-                if (chance.nextInt(60) == 0) {
-                    incarnations[g] = new Incarnation(g, round + 1);
-                    all[g] = new RetryBudget(PART, chance);
-                }
-                FixedMembership heard = new FixedMembership(n);
-                for (int p = 0; p < n; p++) {
-                    if (p != g && !told.get(p).isEmpty() && chance.nextInt(3) > 0)
-                        heard.add(told.get(p).get(chance.nextInt(told.get(p).size())));
-                }
-                all[g].update(round * 200, incarnations[g], heard);
-                for (int i = chance.nextInt(g == 0 ? 5 : 80); i > 0; i--) {
-                    all[g].attemptSent(false);
-                    first++;
-                    own[g]++;
-                }
-                while (all[g].level() >= 1 && (g == 0 || chance.nextInt(9) == 0)) {
-                    all[g].attemptSent(true);
-                    further++;
-                    spent[g]++;
+                int gateway = random.nextInt(gateways);
+                if (random.nextInt(60) == 0) {
+                    incarnations[gateway] = new Incarnation(gateway, round + 1);
+                    budgets[gateway] = new RetryBudget(RETRY_RATIO, random);
                 }
-                GossipRecord s = new GossipRecord(incarnations[g], round);
-                s.firstAttempts = 100;
-                s.failed = g == 0 ? 80 : 0;
-                all[g].writeTo(s);
-                told.get(g).add(s);
+                budgets[gateway].update(round * 200, incarnations[gateway], received(gateway));
+                sendFirstAttempts(gateway);
+                sendRetries(gateway);
+                records.get(gateway).add(record(gateway, round));
                 assertTrue(
-                        further <= PART * first + 1e-6,
-                        "drawn " + drawn + ": " + further + " of " + first);
+                        retries <= RETRY_RATIO * firstAttempts + 1e-6,
+                        "seed " + seed + ": " + retries + " of " + firstAttempts);
             }
-            if (spent[0] > PART * own[0] + 1) helped++;
+            return retriesOfFailing > RETRY_RATIO * firstAttemptsOfFailing + 1;
+        }
+
+        /** Any earlier record of some of the other gateways. */
+        private FixedMembership received(int gateway) {
+            FixedMembership membership = new FixedMembership(gateways);
+            for (int peer = 0; peer < gateways; peer++) {
+                List<GossipRecord> sent = records.get(peer);
+                if (peer != gateway && !sent.isEmpty() && random.nextInt(3) > 0) {
+                    membership.add(sent.get(random.nextInt(sent.size())));
+                }
+            }
+            return membership;
+        }
+
+        private void sendFirstAttempts(int gateway) {
+            for (int i = random.nextInt(gateway == 0 ? 5 : 80); i > 0; i--) {
+                budgets[gateway].attemptSent(false);
+                firstAttempts++;
+                firstAttemptsOfFailing += gateway == 0 ? 1 : 0;
+            }
+        }
+
+        private void sendRetries(int gateway) {
+            while (budgets[gateway].level() >= 1 && (gateway == 0 || random.nextInt(9) == 0)) {
+                budgets[gateway].attemptSent(true);
+                retries++;
+                retriesOfFailing += gateway == 0 ? 1 : 0;
+            }
+        }
+
+        private GossipRecord record(int gateway, int round) {
+            GossipRecord record = new GossipRecord(incarnations[gateway], round);
+            record.firstAttempts = 100;
+            record.failed = gateway == 0 ? 80 : 0;
+            budgets[gateway].writeTo(record);
+            return record;
         }
-        assertTrue(
-                helped > 30,
-                "who saw failures got more than an even slice in " + helped + " of 60");
     }
 
     @Test
     public void lyingGatewayCedesAtMostTwiceAMedianShare() {
-        RetryBudget f = new RetryBudget(PART, new Random(1));
+        RetryBudget budget = new RetryBudget(RETRY_RATIO, new Random(1));
         Incarnation own = new Incarnation(1, 1);
-        double got = 0;
-        for (int t = 0; t <= 10_000; t += 100) {
-            GossipRecord lie = new GossipRecord(new Incarnation(2, 1), t);
-            lie.firstAttempts = 100;
-            lie.retriesCededTo = own;
-            lie.retriesCeded = 1e9 + t;
-            f.update(t, own, new FixedMembership(2).add(lie));
-            for (; f.level() >= 1; got++) f.attemptSent(true);
+        double retries = 0;
+        for (int nowMs = 0; nowMs <= 10_000; nowMs += 100) {
+            GossipRecord wrong = new GossipRecord(new Incarnation(2, 1), nowMs);
+            wrong.firstAttempts = 100;
+            wrong.retriesCededTo = own;
+            wrong.retriesCeded = 1e9 + nowMs;
+            budget.update(nowMs, own, new FixedMembership(2).add(wrong));
+            while (budget.level() >= 1) {
+                budget.attemptSent(true);
+                retries++;
+            }
         }
-        assertTrue(got <= 10 * 2 * PART * 100 + 21 && got > 0, "got " + got);
+        assertTrue(retries <= 10 * 2 * RETRY_RATIO * 100 + 21 && retries > 0, "retries " + retries);
     }
 
     @Test
     public void retryOfAnAttemptThatNeverRanIsFree() {
-        RetryBudget f = new RetryBudget(PART, new Random(1));
-        for (int i = 0; i < 10; i++) f.attemptSent(false);
-        double before = f.level();
-        f.attemptNeverRan();
-        f.attemptSent(true);
-        assertEquals(f.level(), before);
-        f.attemptSent(true);
-        assertTrue(f.level() < before);
+        RetryBudget budget = new RetryBudget(RETRY_RATIO, new Random(1));
+        for (int i = 0; i < 10; i++) {
+            budget.attemptSent(false);
+        }
+        double before = budget.level();
+        budget.attemptNeverRan();
+        budget.attemptSent(true);
+        assertEquals(budget.level(), before);
+        budget.attemptSent(true);
+        assertTrue(budget.level() < before);
     }
 }
