--- a/gateway/src/test/java/tinford/program/RequestForwardingTest.java
+++ b/gateway/src/test/java/tinford/program/RequestForwardingTest.java
@@ -98,28 +98,28 @@
     /**
      * A request that may have run is answered as failed, not as rejected, unless it is idempotent.
      *
-     * @param answer of the server; null: it closes the connection
+     * @param serverAnswer null: it closes the connection
      */
     @Test(dataProvider = "serverAnswers")
     public void failedRequestsAreAnsweredByTheirIdempotency(
-            String frontend, String says, String client) throws Exception {
-        TestConnection c = startGateway();
-        c.send(
+            String requestClass, String serverAnswer, String expected) throws Exception {
+        TestConnection client = startGateway();
+        client.send(
                 command(
-                        frontend.equals("read") ? "Q.ASK" : "Q.DO",
+                        requestClass.equals("read") ? "Q.ASK" : "Q.DO",
                         requestId(7),
                         requestId(1),
-                        terms(frontend, "")));
+                        terms(requestClass, "")));
         TestConnection server = accept(servers[0]);
         server.receive();
-        if (says == null) {
+        if (serverAnswer == null) {
             server.socket.close();
         } else {
-            server.send(says);
+            server.send(serverAnswer);
         }
-        String received = c.receive();
-        assertTrue(received.matches(client), received);
-        assertEquals(c.send(command("PING")).receive(), "+PONG");
+        String answer = client.receive();
+        assertTrue(answer.matches(expected), answer);
+        assertEquals(client.send(command("PING")).receive(), "+PONG");
     }
 
     @DataProvider
--- a/gateway/src/test/java/tinford/program/ServerConnectionFaultsTest.java
+++ b/gateway/src/test/java/tinford/program/ServerConnectionFaultsTest.java
@@ -80,22 +80,22 @@
     @DataProvider
     public Object[][] interruptedAnswers() {
         List<Object[]> rows = new ArrayList<>();
-        for (String frontend : new String[] {"read", "write", "marked"}) {
+        for (String requestClass : new String[] {"read", "write", "marked"}) {
             for (String part : new String[] {"", "-ER", REPLY.substring(0, REPLY.length() - 1)}) {
-                rows.add(new Object[] {frontend, "reset", part});
+                rows.add(new Object[] {requestClass, "reset", part});
             }
             for (String part : new String[] {"*", REPLY.substring(0, REPLY.length() - 1)}) {
-                rows.add(new Object[] {frontend, "silence", part});
+                rows.add(new Object[] {requestClass, "silence", part});
             }
         }
         return rows.toArray(Object[][]::new);
     }
 
-    private static String allowedAnswers(String frontend) {
+    private static String allowedAnswers(String requestClass) {
         return "for "
                 + requestId(1)
                 + "|"
-                + (frontend.equals("read") ? "-BUSY \\d+" : "-ERR aborted");
+                + (requestClass.equals("read") ? "-BUSY \\d+" : "-ERR aborted");
     }
 
     /**
@@ -104,7 +104,7 @@
      */
     @Test(dataProvider = "interruptedAnswers")
     public void interruptedAnswerIsAnsweredOnceAndRetriedAsIdempotencyAllows(
-            String frontend, String end, String part) throws Exception {
+            String requestClass, String end, String part) throws Exception {
         TestConnection client = startGatewayWithTwoServers();
         answerAllButFirst(
                 t -> {
@@ -114,18 +114,20 @@
                     }
                 });
         long from = System.nanoTime();
-        String received = client.send(requestCommand(1, frontend, 4000)).receive();
+        String received = client.send(requestCommand(1, requestClass, 4000)).receive();
         assertTrue(
                 System.nanoTime() - from < 1_500_000_000L,
                 "answered by its timeout only: " + received);
-        assertSettled(client, frontend, received);
+        assertSettled(client, requestClass, received);
     }
 
-    private void assertSettled(TestConnection client, String frontend, String received)
+    private void assertSettled(TestConnection client, String requestClass, String received)
             throws IOException {
         assertTrue(
                 received.matches(
-                        frontend.equals("write") ? "-ERR aborted" : allowedAnswers(frontend)),
+                        requestClass.equals("write")
+                                ? "-ERR aborted"
+                                : allowedAnswers(requestClass)),
                 received);
         for (int n = 2; !received.equals("for " + requestId(n - 1)) || n == 2; n++) {
             assertTrue(n < 60, received);
@@ -140,9 +142,9 @@
         List<String> first =
                 receivedRequests.stream().filter(s -> s.endsWith(requestId(1))).toList();
         assertTrue(
-                frontend.equals("read")
+                requestClass.equals("read")
                         ? first.size() <= 3
-                        : frontend.equals("write")
+                        : requestClass.equals("write")
                                 ? first.size() == 1
                                 : first.stream().distinct().count() == 1,
                 first.toString()); // each server is a deduplication scope of its own
@@ -155,7 +157,7 @@
 
     /** Its client has had its final answer before. */
     @Test(dataProvider = "requestClasses")
-    public void answerAfterTheTimeoutIsDropped(String frontend) throws Exception {
+    public void answerAfterTheTimeoutIsDropped(String requestClass) throws Exception {
         CountDownLatch answered = new CountDownLatch(1);
         CountDownLatch late = new CountDownLatch(1);
         TestConnection client = startGatewayWithTwoServers();
@@ -168,11 +170,11 @@
                         late.countDown();
                     }
                 });
-        String received = client.send(requestCommand(1, frontend, 500)).receive();
+        String received = client.send(requestCommand(1, requestClass, 500)).receive();
         answered.countDown();
         late.await();
         assertTrue(received.startsWith("-"), received);
-        assertSettled(client, frontend, received);
+        assertSettled(client, requestClass, received);
     }
 
     @DataProvider
@@ -209,7 +211,7 @@
     /** The request ended by its client or by its timeout, while its server's backlog was full. */
     @Test(dataProvider = "lateConnections")
     public void connectionEstablishedAfterItsRequestEndedCarriesNothing(
-            String frontend, boolean closes) throws Exception {
+            String requestClass, boolean closes) throws Exception {
         servers[0].close();
         servers[0] = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         servers[0].setSoTimeout(TIMEOUT_MS);
@@ -221,7 +223,7 @@
             closeables.add(new Socket(InetAddress.getLoopbackAddress(), servers[0].getLocalPort()));
         }
         long from = System.nanoTime();
-        client.send(requestCommand(1, frontend, closes ? 4000 : 500));
+        client.send(requestCommand(1, requestClass, closes ? 4000 : 500));
         if (closes) {
             awaitConnectionReuse(other);
             client.socket.close();
