--- a/gateway/src/main/java/tinford/routing/client/ClientConnection.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientConnection.java
@@ -27,6 +27,9 @@
     /** Commands of one connection that wait; a client opens another when all are busy. */
     private static final int MAX_WAITING_COMMANDS = 64;
 
+    /** Nothing of the command was read: its client may send it again. */
+    private static final String REJECTED = "-BUSY";
+
     private final ClientPool pool;
     private final ResponseQueue responses;
 
@@ -169,7 +172,7 @@
         }
         releaseBuffer();
         discardBytes = bytes;
-        answerLine(newSlot(), "-BUSY");
+        answerLine(newSlot(), REJECTED);
         discard();
     }
 
@@ -202,16 +205,11 @@
         }
     }
 
-    /** What follows can't be read: one error line behind the responses still owed, and the end. */
+    /** What follows can't be read: one error line behind the outstanding responses, and the end. */
     private void rejectAsMalformed(ProtocolException cause) {
         closeWithLine("-ERR " + cause.getMessage());
     }
 
-    /** Nothing of a command that has arrived in part is read: its client may send it again. */
-    private void rejectUnread() {
-        closeWithLine("-BUSY");
-    }
-
     private void closeWithLine(String line) {
         releaseBuffer();
         answerLine(newSlot(), line);
@@ -225,7 +223,7 @@
         boolean partialTooLong = nowMs - partialSinceMs >= PARTIAL_COMMAND_TIMEOUT_MS;
         double quietMs = nowMs - lastUseMs;
         if (!malformed && awaitedBytes > 0 && partialTooLong) {
-            rejectUnread();
+            closeWithLine(REJECTED);
         } else if (!malformed && partialSinceMs > 0 && partialTooLong) {
             long limitMs = (long) PARTIAL_COMMAND_TIMEOUT_MS;
             rejectAsMalformed(new ProtocolException("a whole command within " + limitMs + " ms"));
@@ -305,7 +303,7 @@
         buffer.put("$").put(length).putLineEnd();
     }
 
-    /** Writes a part of the value; false if no more fits: the source then hears when to go on. */
+    /** Writes a part of the value; false if no more fits: the source is resumed later. */
     boolean writeStreamPart(byte[] bytes, int from, int length) {
         buffer.put(bytes, from, length);
         scheduleFlush();
@@ -383,7 +381,7 @@
             }
         }
         if (!isClosed() && pendingClose != CloseReason.PROTOCOL_ERROR && partialSinceMs > 0) {
-            rejectUnread();
+            closeWithLine(REJECTED);
         }
     }
 
