--- a/fleet/src/main/java/tinford/fleet/budget/BudgetAllocation.java
+++ b/fleet/src/main/java/tinford/fleet/budget/BudgetAllocation.java
@@ -2,309 +2,382 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Comparator;
 import java.util.List;
 
 /**
- * One pool divided: how many connections each gateway may hold at each server, and how many
- * dispatches each account may have out through each gateway. Accounts' parts are the weighted
- * max-min of all that can be used; the previous division is kept where it may be. Rows are
- * gateways, columns servers. What a gateway has of its own (static) serves its own accounts first;
- * where they don't use their part of it, others' demand there does.
+ * Divides one pool: how many connections each gateway may hold at each server, and how many
+ * attempts each account may have in flight through each gateway. Accounts get the weighted max-min
+ * of all that can be used; the previous division is kept where possible. Matrices have a row for
+ * each gateway and a column for each server. A gateway's static connections serve its own accounts
+ * first; where these don't use their share of them, other demand at the gateway does.
  */
 public final class BudgetAllocation {
-    /** An account that asks: what it wants, and had before, at each of {@code rows}. */
+    /** An account with its demand and previous allocation at each of its gateways. */
     public static final class Account {
         public final long id;
         final int weight;
         final int floor;
         final int cap;
         final int[] rows;
-        final int[] wanted;
-        final int[] before;
+        final int[] demands;
+        final int[] previous;
 
         /** The outcome, by {@code rows}. */
-        public int[] given;
+        public int[] allocated;
 
+        /**
+         * @param rows gateways at which the account has demand or had an allocation
+         */
         public Account(
-                long id, int weight, int floor, int cap, int[] rows, int[] wanted, int[] before) {
+                long id,
+                int weight,
+                int floor,
+                int cap,
+                int[] rows,
+                int[] demands,
+                int[] previous) {
             this.id = id;
             this.weight = weight;
             this.floor = floor;
             this.cap = cap;
             this.rows = rows;
-            this.wanted = wanted;
-            this.before = before;
+            this.demands = demands;
+            this.previous = previous;
         }
 
-        long wants() {
-            long sum = 0;
-            for (int w : wanted) {
-                sum += w;
-            }
-            return sum;
+        long totalDemand() {
+            return Arrays.stream(demands).asLongStream().sum();
+        }
+
+        private long totalAllocated() {
+            return Arrays.stream(allocated).asLongStream().sum();
+        }
+    }
+
+    /** An account at one of its gateways. */
+    private record AccountAtGateway(Account account, int index) {
+        int unmetDemand() {
+            return account.demands[index] - account.allocated[index];
         }
     }
 
     /**
-     * A part of an account at a gateway is left as it was while it is off the even part by no more
-     * than this part of it, and one.
+     * An account's previous allocation at a gateway is kept while it differs from the even one by
+     * no more than this part of it, and one.
      */
-    private static final double KEPT = 0.25;
+    private static final double KEPT_DEVIATION = 0.25;
 
-    private static final int PASSES = 64;
+    private static final int MAX_PASSES = 64;
 
-    /** What is aimed at, once all have let go. */
-    public final int[][] aim;
+    /** The division that is aimed at, once all gateways have let go. */
+    public final int[][] target;
 
-    /** What may be granted now: no more at a column than is free. */
-    public final int[][] now;
+    /** What may be granted now: no more in a column than is free. */
+    public final int[][] next;
 
     private final int rows;
     private final int columns;
 
     /**
-     * @param pool by column: the offer less the static part and less what gateways outside these
-     *     rows may hold
-     * @param own by row: connections that it has for good
+     * @param pool by column: the capacity less the static part and what gateways outside these rows
+     *     may hold
+     * @param staticConnections by row
      * @param granted the previous division
-     * @param may what may be held, at least what is granted
+     * @param maxHeld what may be held, at least what is granted
      */
     public BudgetAllocation(
-            int[] pool, int[] own, int[][] granted, int[][] may, List<Account> accounts) {
-        rows = own.length;
+            int[] pool,
+            int[] staticConnections,
+            int[][] granted,
+            int[][] maxHeld,
+            List<Account> accounts) {
+        rows = staticConnections.length;
         columns = pool.length;
         int[] capacity = new int[columns];
-        long sum = 0;
-        for (int s = 0; s < columns; s++) {
-            capacity[s] = Math.max(0, pool[s]);
-            sum += capacity[s];
+        long totalCapacity = 0;
+        for (int column = 0; column < columns; column++) {
+            capacity[column] = Math.max(0, pool[column]);
+            totalCapacity += capacity[column];
         }
-        int[] needs = share(sum, own, accounts);
-        aim = new int[rows][];
-        for (int g = 0; g < rows; g++) {
-            aim[g] = granted[g].clone();
+        int[] needs = allocateAccounts(totalCapacity, staticConnections, accounts);
+        target = new int[rows][];
+        for (int row = 0; row < rows; row++) {
+            target[row] = granted[row].clone();
         }
-        place(capacity, needs);
-        now = step(pool, granted, may);
+        new Placement(capacity, needs).place();
+        next = nextGrants(pool, granted, maxHeld);
     }
 
-    /** Gives each account its part at each gateway; returns what gateways need beyond their own. */
-    private int[] share(long pool, int[] own, List<Account> accounts) {
-        int n = accounts.size();
-        int[] weight = new int[n];
-        int[] floor = new int[n];
-        int[] most = new int[n];
-        long[] wanted = new long[rows];
-        for (int i = 0; i < n; i++) {
-            Account a = accounts.get(i);
-            weight[i] = a.weight;
-            floor[i] = a.floor;
-            most[i] = (int) Math.min(a.cap, a.wants());
-            for (int k = 0; k < a.rows.length; k++) {
-                wanted[a.rows[k]] += a.wanted[k];
+    /** Allocates each account; returns what gateways need beyond their static connections. */
+    private int[] allocateAccounts(long pool, int[] staticConnections, List<Account> accounts) {
+        long[] demand = new long[rows];
+        for (Account account : accounts) {
+            for (int i = 0; i < account.rows.length; i++) {
+                demand[account.rows[i]] += account.demands[i];
             }
         }
-        long total = pool;
-        for (int g = 0; g < rows; g++) {
-            total += Math.min(own[g], wanted[g]);
-        }
-        long[] need = new long[rows];
-        // What is a gateway's own and unused by these parts can't serve accounts elsewhere: the
-        // total falls until it holds.
-        for (int pass = 0; pass < PASSES; pass++) {
-            int[] part = MaxMinFairness.divide(total, weight, floor, most);
-            Arrays.fill(need, 0);
-            for (int i = 0; i < n; i++) {
-                split(accounts.get(i), part[i], need);
-            }
-            long can = pool;
-            for (int g = 0; g < rows; g++) {
-                can += Math.min(own[g], need[g]);
-            }
-            if (can >= total) {
+        long[] allocated = new long[rows];
+        long usable = usable(pool, staticConnections, demand);
+        // static connections that a gateway can't use do not serve accounts at others: the total is
+        // reduced until the allocation fits
+        for (int pass = 0; pass < MAX_PASSES; pass++) {
+            divide(usable, accounts, allocated);
+            long fits = usable(pool, staticConnections, allocated);
+            if (fits >= usable) {
                 break;
             }
-            total = can;
+            usable = fits;
         }
-        fillOwn(own, need, accounts);
+        useStaticRest(staticConnections, allocated, accounts);
         int[] needs = new int[rows];
-        for (int g = 0; g < rows; g++) {
-            needs[g] = (int) Math.max(0, need[g] - own[g]);
+        for (int row = 0; row < rows; row++) {
+            needs[row] = (int) Math.max(0, allocated[row] - staticConnections[row]);
         }
         return needs;
     }
 
-    private static void split(Account a, int part, long[] need) {
-        int n = a.rows.length;
-        long wants = a.wants();
-        int[] given = new int[n];
+    /** The pool, and the static connections that a use by row takes. */
+    private static long usable(long pool, int[] staticConnections, long[] use) {
+        long usable = pool;
+        for (int row = 0; row < use.length; row++) {
+            usable += Math.min(staticConnections[row], use[row]);
+        }
+        return usable;
+    }
+
+    private static void divide(long total, List<Account> accounts, long[] allocatedByRow) {
+        int size = accounts.size();
+        int[] weights = new int[size];
+        int[] floors = new int[size];
+        int[] caps = new int[size];
+        for (int i = 0; i < size; i++) {
+            Account account = accounts.get(i);
+            weights[i] = account.weight;
+            floors[i] = account.floor;
+            caps[i] = (int) Math.min(account.cap, account.totalDemand());
+        }
+        int[] parts = MaxMinFairness.divide(total, weights, floors, caps);
+        Arrays.fill(allocatedByRow, 0);
+        for (int i = 0; i < size; i++) {
+            Account account = accounts.get(i);
+            splitByGateway(account, parts[i]);
+            for (int k = 0; k < account.rows.length; k++) {
+                allocatedByRow[account.rows[k]] += account.allocated[k];
+            }
+        }
+    }
+
+    /** Splits an account's part among its gateways by demand, near the previous split. */
+    private static void splitByGateway(Account account, int part) {
+        int size = account.rows.length;
+        // where there is one for each gateway with demand, none is left without
+        int min = part >= size ? 1 : 0;
+        long totalDemand = account.totalDemand();
+        account.allocated = new int[size];
         int sum = 0;
-        for (int k = 0; k < n; k++) {
-            double even = wants == 0 ? 0 : part * (double) a.wanted[k] / wants;
-            // Where there is one for each gateway that asks, none is left without.
-            int low = (int) Math.max(part >= n ? 1 : 0, Math.ceil(even * (1 - KEPT) - 1));
-            int high = (int) Math.min(a.wanted[k], Math.floor(even * (1 + KEPT) + 1));
-            given[k] =
-                    Math.max(
-                            Math.min(low, a.wanted[k]),
-                            Math.min(Math.min(Math.max(high, 1), a.wanted[k]), a.before[k]));
-            sum += given[k];
+        for (int i = 0; i < size; i++) {
+            double even = totalDemand == 0 ? 0 : part * (double) account.demands[i] / totalDemand;
+            account.allocated[i] = nearPrevious(account, i, even, min);
+            sum += account.allocated[i];
         }
         while (sum != part) {
-            // To or from those that are farthest off, in one pass each: as many of them as are
-            // needed.
-            int sign = sum < part ? 1 : -1;
-            List<Integer> order = new ArrayList<>();
-            for (int k = 0; k < n; k++) {
-                if (sign > 0 ? given[k] < a.wanted[k] : given[k] > (part >= n ? 1 : 0)) {
-                    order.add(k);
-                }
-            }
-            double scale = part / (double) Math.max(1, wants);
-            order.sort(
-                    (x, y) -> {
-                        int c =
-                                Double.compare(
-                                        sign * (given[x] - scale * a.wanted[x]),
-                                        sign * (given[y] - scale * a.wanted[y]));
-                        return c != 0 ? c : Integer.compare(x, y);
-                    });
-            for (int j = 0; j < order.size() && sum != part; j++) {
-                given[order.get(j)] += sign;
-                sum += sign;
+            int changed = correctOnce(account, part, sum, min);
+            if (changed == 0) {
+                return;
             }
-            if (order.isEmpty()) {
-                break;
+            sum += changed;
+        }
+    }
+
+    private static int nearPrevious(Account account, int index, double even, int min) {
+        int demand = account.demands[index];
+        int low = (int) Math.max(min, Math.ceil(even * (1 - KEPT_DEVIATION) - 1));
+        int high = (int) Math.min(demand, Math.floor(even * (1 + KEPT_DEVIATION) + 1));
+        int upper = Math.min(Math.max(high, 1), demand);
+        return Math.max(Math.min(low, demand), Math.min(upper, account.previous[index]));
+    }
+
+    /**
+     * Adds one to, or takes one from, the gateways that are farthest off the even split, as many as
+     * needed.
+     *
+     * @return the change of the sum
+     */
+    private static int correctOnce(Account account, int part, int sum, int min) {
+        int sign = sum < part ? 1 : -1;
+        List<Integer> candidates = new ArrayList<>();
+        for (int i = 0; i < account.rows.length; i++) {
+            boolean canChange =
+                    sign > 0
+                            ? account.allocated[i] < account.demands[i]
+                            : account.allocated[i] > min;
+            if (canChange) {
+                candidates.add(i);
             }
         }
-        a.given = given;
-        for (int k = 0; k < n; k++) {
-            need[a.rows[k]] += given[k];
+        double scale = part / (double) Math.max(1, account.totalDemand());
+        candidates.sort(
+                Comparator.<Integer>comparingDouble(
+                                i -> sign * (account.allocated[i] - scale * account.demands[i]))
+                        .thenComparing(Comparator.naturalOrder()));
+        int count = Math.min(candidates.size(), Math.abs(part - sum));
+        for (int i : candidates.subList(0, count)) {
+            account.allocated[i] += sign;
         }
+        return sign * count;
     }
 
-    private void fillOwn(int[] own, long[] need, List<Account> accounts) {
-        List<List<int[]>> at = new ArrayList<>();
-        for (int g = 0; g < rows; g++) {
-            at.add(need[g] < own[g] ? new ArrayList<>() : null);
+    /** Static connections that a gateway's allocations leave go to unmet demand there. */
+    private void useStaticRest(
+            int[] staticConnections, long[] allocatedByRow, List<Account> accounts) {
+        List<List<AccountAtGateway>> unmetByRow = new ArrayList<>();
+        for (int row = 0; row < rows; row++) {
+            unmetByRow.add(new ArrayList<>());
         }
-        for (int i = 0; i < accounts.size(); i++) {
-            Account a = accounts.get(i);
-            for (int k = 0; k < a.rows.length; k++) {
-                if (at.get(a.rows[k]) != null && a.given[k] < a.wanted[k]) {
-                    at.get(a.rows[k]).add(new int[] {i, k});
+        for (Account account : accounts) {
+            for (int i = 0; i < account.rows.length; i++) {
+                AccountAtGateway use = new AccountAtGateway(account, i);
+                if (use.unmetDemand() > 0) {
+                    unmetByRow.get(account.rows[i]).add(use);
                 }
             }
         }
-        for (int g = 0; g < rows; g++) {
-            List<int[]> here = at.get(g);
-            if (here == null || here.isEmpty()) {
-                continue;
-            }
-            int[] weight = new int[here.size()];
-            int[] most = new int[here.size()];
-            for (int j = 0; j < weight.length; j++) {
-                Account a = accounts.get(here.get(j)[0]);
-                int k = here.get(j)[1];
-                weight[j] = a.weight;
-                most[j] =
-                        (int)
-                                Math.min(
-                                        a.wanted[k] - a.given[k],
-                                        a.cap - Arrays.stream(a.given).asLongStream().sum());
-            }
-            int[] more =
-                    MaxMinFairness.divide(own[g] - need[g], weight, new int[weight.length], most);
-            for (int j = 0; j < more.length; j++) {
-                accounts.get(here.get(j)[0]).given[here.get(j)[1]] += more[j];
-                need[g] += more[j];
+        for (int row = 0; row < rows; row++) {
+            long rest = staticConnections[row] - allocatedByRow[row];
+            if (rest > 0 && !unmetByRow.get(row).isEmpty()) {
+                allocatedByRow[row] += divideRest(rest, unmetByRow.get(row));
             }
         }
     }
 
+    /** Returns how many were given. */
+    private static long divideRest(long rest, List<AccountAtGateway> unmet) {
+        int[] weights = new int[unmet.size()];
+        int[] caps = new int[unmet.size()];
+        for (int i = 0; i < weights.length; i++) {
+            Account account = unmet.get(i).account;
+            weights[i] = account.weight;
+            long belowCap = account.cap - account.totalAllocated();
+            caps[i] = (int) Math.min(unmet.get(i).unmetDemand(), belowCap);
+        }
+        int[] more = MaxMinFairness.divide(rest, weights, new int[weights.length], caps);
+        long given = 0;
+        for (int i = 0; i < more.length; i++) {
+            AccountAtGateway use = unmet.get(i);
+            use.account.allocated[use.index] += more[i];
+            given += more[i];
+        }
+        return given;
+    }
+
     /**
-     * Rows come to their needs, columns to no more than their capacity; what need not change does
-     * not.
+     * Changes the target until rows meet their needs and no column exceeds its capacity; what need
+     * not change stays.
      */
-    private void place(int[] capacity, int[] needs) {
-        int[] used = new int[columns];
-        int[] has = new int[rows];
-        for (int g = 0; g < rows; g++) {
-            for (int s = 0; s < columns; s++) {
-                used[s] += aim[g][s];
-                has[g] += aim[g][s];
+    private final class Placement {
+        private final int[] capacity;
+        private final int[] needs;
+        private final int[] usedByColumn = new int[columns];
+        private final int[] usedByRow = new int[rows];
+
+        Placement(int[] capacity, int[] needs) {
+            this.capacity = capacity;
+            this.needs = needs;
+            for (int row = 0; row < rows; row++) {
+                for (int column = 0; column < columns; column++) {
+                    usedByColumn[column] += target[row][column];
+                    usedByRow[row] += target[row][column];
+                }
             }
         }
-        for (int g = 0; g < rows; g++) {
-            while (has[g] > needs[g]) {
-                int from = -1;
-                for (int s = 0; s < columns; s++) {
-                    if (aim[g][s] > 0
-                            && (from < 0
-                                    || over(used, capacity, s) > over(used, capacity, from)
-                                    || over(used, capacity, s) == over(used, capacity, from)
-                                            && aim[g][s] > aim[g][from])) {
-                        from = s;
-                    }
+
+        void place() {
+            for (int row = 0; row < rows; row++) {
+                while (usedByRow[row] > needs[row]) {
+                    change(row, columnToReduce(row), -1);
+                }
+            }
+            for (int column = 0; column < columns; column++) {
+                while (usedByColumn[column] > capacity[column]) {
+                    change(rowToReduce(column), column, -1);
                 }
-                aim[g][from]--;
-                used[from]--;
-                has[g]--;
             }
+            for (int row = 0; row < rows; row++) {
+                fill(row);
+            }
+        }
+
+        private void change(int row, int column, int by) {
+            target[row][column] += by;
+            usedByColumn[column] += by;
+            usedByRow[row] += by;
         }
-        for (int s = 0; s < columns; s++) {
-            while (used[s] > capacity[s]) {
-                int from = 0;
-                for (int g = 1; g < rows; g++) {
-                    from = aim[g][s] > aim[from][s] ? g : from;
+
+        /** The column that exceeds its capacity most; among equals the one with most of the row. */
+        private int columnToReduce(int row) {
+            int best = -1;
+            for (int column = 0; column < columns; column++) {
+                if (target[row][column] > 0 && (best < 0 || isBetterToReduce(row, column, best))) {
+                    best = column;
                 }
-                aim[from][s]--;
-                used[s]--;
-                has[from]--;
             }
+            return best;
         }
-        for (int g = 0; g < rows; g++) {
-            fill(g, needs[g] - has[g], used, capacity);
+
+        private boolean isBetterToReduce(int row, int column, int than) {
+            int order = Integer.compare(excess(column), excess(than));
+            return order > 0 || order == 0 && target[row][column] > target[row][than];
         }
-    }
 
-    private static int over(int[] used, int[] capacity, int s) {
-        return Math.max(0, used[s] - capacity[s]);
-    }
+        private int excess(int column) {
+            return Math.max(0, usedByColumn[column] - capacity[column]);
+        }
+
+        private int rowToReduce(int column) {
+            int best = 0;
+            for (int row = 1; row < rows; row++) {
+                if (target[row][column] > target[best][column]) {
+                    best = row;
+                }
+            }
+            return best;
+        }
 
-    /** One more at each server with room in turn; each gateway begins at another one. */
-    private void fill(int g, int lacks, int[] used, int[] capacity) {
-        int left = lacks;
-        int start = (int) ((long) g * columns / Math.max(1, rows));
-        for (boolean any = true; any && left > 0; ) {
-            any = false;
-            for (int j = 0; j < columns && left > 0; j++) {
-                int s = (start + j) % columns;
-                if (used[s] < capacity[s]) {
-                    aim[g][s]++;
-                    used[s]++;
-                    left--;
-                    any = true;
+        /** Adds one in each column with room in turn; each row begins at another column. */
+        private void fill(int row) {
+            int missing = needs[row] - usedByRow[row];
+            int start = (int) ((long) row * columns / Math.max(1, rows));
+            boolean changed = true;
+            while (changed && missing > 0) {
+                changed = false;
+                for (int i = 0; i < columns && missing > 0; i++) {
+                    int column = (start + i) % columns;
+                    if (usedByColumn[column] < capacity[column]) {
+                        change(row, column, 1);
+                        missing--;
+                        changed = true;
+                    }
                 }
             }
         }
     }
 
-    private int[][] step(int[] pool, int[][] granted, int[][] may) {
-        int[][] next = new int[rows][columns];
-        for (int s = 0; s < columns; s++) {
-            long free = pool[s];
-            for (int g = 0; g < rows; g++) {
-                free -= Math.max(may[g][s], granted[g][s]);
+    private int[][] nextGrants(int[] pool, int[][] granted, int[][] maxHeld) {
+        int[][] grants = new int[rows][columns];
+        for (int column = 0; column < columns; column++) {
+            long free = pool[column];
+            for (int row = 0; row < rows; row++) {
+                free -= Math.max(maxHeld[row][column], granted[row][column]);
             }
-            for (int j = 0; j < rows; j++) {
-                int g = (s + j) % rows;
-                int had = Math.max(may[g][s], granted[g][s]);
-                int more = (int) Math.max(0, Math.min(aim[g][s] - had, free));
+            for (int i = 0; i < rows; i++) {
+                int row = (column + i) % rows;
+                int held = Math.max(maxHeld[row][column], granted[row][column]);
+                int more = (int) Math.max(0, Math.min(target[row][column] - held, free));
                 free -= more;
-                next[g][s] = Math.min(aim[g][s], had + more);
+                grants[row][column] = Math.min(target[row][column], held + more);
             }
         }
-        return next;
+        return grants;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
+++ b/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
@@ -14,10 +14,11 @@
 import tinford.fleet.store.ReplicatedLog;
 
 /**
- * Who was granted what at which server, by the entries of the log; the same on every member. A
- * grant is taken only where all that is granted, may be held or lingers fits in the offer less its
- * static part: here alone that promise is kept, whoever proposes. Bounds: {@link #MAX_SERVERS}
- * servers, {@link #MAX_ACCOUNTS} accounts an incarnation, incarnations as {@link LeaseTable} has.
+ * The grants of connections by the entries of the log; the same on every member. A grant is
+ * accepted only where all connections that may be held, linger or are granted fit in the server's
+ * capacity less its static part: whoever proposes, that promise is kept here alone. Bounds: {@link
+ * #MAX_SERVERS} servers, {@link #MAX_ACCOUNTS} accounts an incarnation, and the incarnations of
+ * {@link LeaseTable}.
  */
 public class BudgetLedger implements ReplicatedLog.StateMachine {
     public static final int MAX_SERVERS = 4096;
@@ -26,14 +27,14 @@
     final LeaseTable leases;
     final StaticShares staticShares;
     final GrantTable table = new GrantTable();
-    private double nextFree = Double.POSITIVE_INFINITY;
-    private long last;
-    private long lastGrant;
-    private long unknown;
-    private long unread;
-    private long stale;
-    private long over;
-    private long grants;
+    private double nextReleaseMs = Double.POSITIVE_INFINITY;
+    private long lastIndex;
+    private long lastGrantIndex;
+    private long unknownEntries;
+    private long unreadableEntries;
+    private long staleEntries;
+    private long rejectedGrants;
+    private long acceptedGrants;
 
     public BudgetLedger(LeaseTable leases, StaticShares staticShares) {
         this.leases = leases;
@@ -42,66 +43,66 @@
 
     @Override
     public void apply(long index, byte[] entry) {
-        if (index <= last) {
+        if (index <= lastIndex) {
             return;
         }
-        last = index;
+        lastIndex = index;
         if (!leases.apply(index, entry)) {
-            applyOwn(index, entry);
+            applyBudgetEntry(index, entry);
         }
-        sweep();
+        release();
     }
 
-    private void applyOwn(long index, byte[] bytes) {
+    private void applyBudgetEntry(long index, byte[] bytes) {
         try {
             LedgerEntry entry = LedgerEntry.decode(bytes);
-            if (entry instanceof LedgerEntry.DemandReport tell) {
-                told(tell);
+            if (entry instanceof LedgerEntry.DemandReport report) {
+                apply(report);
             } else if (entry instanceof LedgerEntry.Grant grant) {
-                granted(index, grant);
+                apply(index, grant);
             } else if (entry instanceof LedgerEntry.CapacityOffer offer) {
-                offered(offer);
+                apply(offer);
             }
         } catch (LedgerEntry.UnknownEntryException e) {
-            unknown++;
+            unknownEntries++;
         } catch (IOException e) {
-            unread++;
+            unreadableEntries++;
         }
     }
 
-    private void told(LedgerEntry.DemandReport tell) {
-        leases.observeTime(tell.at());
-        if (leases.isClosed(tell.incarnation())) {
-            stale++;
+    private void apply(LedgerEntry.DemandReport report) {
+        leases.observeTime(report.timestampMs());
+        if (leases.isClosed(report.incarnation())) {
+            staleEntries++;
             return;
         }
         GrantTable.Holder holder =
-                table.holders.computeIfAbsent(tell.incarnation(), key -> new GrantTable.Holder());
-        // What is let go is safe to take late; what is wanted is not.
-        letGo(holder, tell);
-        if (tell.at() <= holder.told) {
-            stale++;
+                table.holders.computeIfAbsent(report.incarnation(), key -> new GrantTable.Holder());
+        // a late report of what was let go is still true, one of demand is not
+        reduceHeld(holder, report);
+        if (report.timestampMs() <= holder.reportedMs) {
+            staleEntries++;
             return;
         }
-        holder.told = tell.at();
-        tell.wanted().forEach((account, count) -> putBounded(holder.asked, account, count));
+        holder.reportedMs = report.timestampMs();
+        report.demands().forEach((account, demand) -> putBounded(holder.demands, account, demand));
     }
 
-    private void letGo(GrantTable.Holder holder, LedgerEntry.DemandReport tell) {
-        tell.held()
+    private void reduceHeld(GrantTable.Holder holder, LedgerEntry.DemandReport report) {
+        report.heldConnections()
                 .forEach(
                         (server, held) -> {
-                            GrantTable.Cell cell = holder.cells.get(server);
-                            if (cell != null
-                                    && tell.seen() >= cell.shrunk
-                                    && cell.may > cell.granted) {
-                                int may = Math.min(cell.may, Math.max(cell.granted, held));
-                                table.setMay(server, cell, may);
+                            GrantTable.ServerGrant grant = holder.serverGrants.get(server);
+                            if (grant != null
+                                    && report.lastReadIndex() >= grant.reducedIndex
+                                    && grant.maxHeld > grant.granted) {
+                                int atLeast = Math.max(grant.granted, held);
+                                table.setMaxHeld(server, grant, Math.min(grant.maxHeld, atLeast));
                             }
                         });
     }
 
-    /** 0 takes the account out; a further one beyond the bound is left out. */
+    /** Removes an account with 0, and ignores a new one beyond the bound. */
     private static void putBounded(Map<Long, Integer> counts, long account, int count) {
         if (count == 0) {
             counts.remove(account);
@@ -110,35 +111,35 @@
         }
     }
 
-    private void offered(LedgerEntry.CapacityOffer offer) {
-        leases.observeTime(offer.at());
-        int number = table.number(offer.server());
+    private void apply(LedgerEntry.CapacityOffer offer) {
+        leases.observeTime(offer.timestampMs());
+        int number = table.serverNumber(offer.server());
         if (number < 0 && table.servers.size() >= MAX_SERVERS) {
-            stale++;
+            staleEntries++;
             return;
         }
         GrantTable.Server server =
-                number < 0 ? table.add(offer.server()) : table.servers.get(number);
+                number < 0 ? table.addServer(offer.server()) : table.servers.get(number);
         if (offer.start() < server.start) {
-            stale++;
+            staleEntries++;
             return;
         }
         server.start = offer.start();
-        server.offer = offer.offer();
+        server.capacity = offer.capacity();
     }
 
-    private void granted(long index, LedgerEntry.Grant grant) {
-        leases.observeTime(grant.at());
-        sweep();
-        if (grant.basis() < lastGrant || grant.basis() >= index) {
-            stale++;
+    private void apply(long index, LedgerEntry.Grant grant) {
+        leases.observeTime(grant.timestampMs());
+        release();
+        if (grant.basisIndex() < lastGrantIndex || grant.basisIndex() >= index) {
+            staleEntries++;
             return;
         }
-        lastGrant = index;
-        for (LedgerEntry.GrantLine line : grant.atServers()) {
+        lastGrantIndex = index;
+        for (LedgerEntry.GrantLine line : grant.serverLines()) {
             grantAtServer(index, line);
         }
-        for (LedgerEntry.GrantLine line : grant.forAccounts()) {
+        for (LedgerEntry.GrantLine line : grant.accountLines()) {
             grantForAccount(line);
         }
     }
@@ -146,132 +147,136 @@
     private void grantForAccount(LedgerEntry.GrantLine line) {
         GrantTable.Holder holder = table.holders.get(line.incarnation());
         if (holder == null || !leases.mayRenew(line.incarnation())) {
-            stale++;
+            staleEntries++;
         } else {
-            putBounded(holder.uses, line.what(), line.count());
+            putBounded(holder.accountGrants, line.target(), line.connections());
         }
     }
 
     private void grantAtServer(long index, LedgerEntry.GrantLine line) {
         GrantTable.Holder holder = table.holders.get(line.incarnation());
-        if (holder == null || line.what() < 0 || line.what() >= table.servers.size()) {
-            stale++;
+        if (holder == null || line.target() < 0 || line.target() >= table.servers.size()) {
+            staleEntries++;
             return;
         }
-        int server = (int) line.what();
-        GrantTable.Cell cell = holder.cells.computeIfAbsent(server, key -> new GrantTable.Cell());
-        if (line.count() > cell.may && !fits(line.incarnation(), server, line.count() - cell.may)) {
-            over++;
+        int server = (int) line.target();
+        int connections = line.connections();
+        GrantTable.ServerGrant grant =
+                holder.serverGrants.computeIfAbsent(server, key -> new GrantTable.ServerGrant());
+        if (connections > grant.maxHeld
+                && !hasRoom(line.incarnation(), server, connections - grant.maxHeld)) {
+            rejectedGrants++;
             return;
         }
-        if (line.count() > cell.granted && !leases.mayRenew(line.incarnation())) {
-            stale++;
+        if (connections > grant.granted && !leases.mayRenew(line.incarnation())) {
+            staleEntries++;
             return;
         }
-        if (line.count() < cell.granted) {
-            shrink(index, line.incarnation(), cell);
+        if (connections < grant.granted) {
+            reduce(index, line.incarnation(), grant);
         }
-        cell.granted = line.count();
-        cell.fencingToken = index;
-        table.setMay(server, cell, Math.max(cell.may, line.count()));
-        grants++;
+        grant.granted = connections;
+        grant.fencingToken = index;
+        table.setMaxHeld(server, grant, Math.max(grant.maxHeld, connections));
+        acceptedGrants++;
     }
 
-    private void shrink(long index, Incarnation incarnation, GrantTable.Cell cell) {
+    private void reduce(long index, Incarnation incarnation, GrantTable.ServerGrant grant) {
         Lease lease = leases.of(incarnation);
-        cell.shrunk = index;
-        cell.free = lease == null ? leases.logTimeMs() : free(lease);
-        nextFree = Math.min(nextFree, cell.free);
+        grant.reducedIndex = index;
+        grant.releaseMs = lease == null ? leases.logTimeMs() : releaseMs(lease);
+        nextReleaseMs = Math.min(nextReleaseMs, grant.releaseMs);
     }
 
-    /** Whether so many more fit beside all that may be held: the promise "never over". */
-    boolean fits(Incarnation incarnation, int server, int more) {
-        return held(server) + more <= pool(server);
+    /** Whether so many more fit beside all that may be held, so that no capacity is exceeded. */
+    boolean hasRoom(Incarnation incarnation, int server, int more) {
+        return held(server) + more <= grantable(server);
     }
 
     /**
-     * When the holder surely has let go of what it was told to, though it was never heard of again.
+     * The log's time from which the holder surely has let go of what was reduced, even if it never
+     * reported that.
      */
-    double free(Lease lease) {
+    double releaseMs(Lease lease) {
         return lease.expiresAtMs() + leases.maxClockSkewMs() + leases.lingerMs();
     }
 
-    /** Whether nothing that the incarnation was granted can be open. */
-    boolean gone(Incarnation incarnation) {
+    /** Whether no connection can be open that the incarnation was granted. */
+    boolean isGone(Incarnation incarnation) {
         return leases.isClosed(incarnation);
     }
 
-    private void sweep() {
-        table.removeHolders(this::gone);
-        if (leases.logTimeMs() >= nextFree) {
-            nextFree = table.release(leases.logTimeMs());
+    private void release() {
+        table.removeHolders(this::isGone);
+        if (leases.logTimeMs() >= nextReleaseMs) {
+            nextReleaseMs = table.release(leases.logTimeMs());
         }
     }
 
-    /** What can be granted at a server in all. */
-    int pool(int server) {
-        GrantTable.Server s = table.servers.get(server);
-        return s.offer - staticShares.sum(s.name);
+    /** Connections that can be granted at a server in total. */
+    int grantable(int server) {
+        GrantTable.Server entry = table.servers.get(server);
+        return entry.capacity - staticShares.total(entry.name);
     }
 
-    /** Its number in this log, or -1. */
+    /** Number of a server in this log; -1 where it is unknown. */
     public int serverNumber(String server) {
-        return table.number(server);
+        return table.serverNumber(server);
     }
 
-    /** The last index applied. */
+    /** Index of the last applied entry. */
     public long lastIndex() {
-        return last;
+        return lastIndex;
     }
 
     public LeaseTable leases() {
         return leases;
     }
 
-    /** Entries of kinds or forms that it does not know: each one skipped whole. */
+    /** Entries of unknown kinds or format versions, each of which was skipped. */
     public long unknownEntries() {
-        return unknown;
+        return unknownEntries;
     }
 
-    /** Entries that could not be read to their end. */
+    /** Entries that were torn or had values out of range. */
     public long unreadableEntries() {
-        return unread;
+        return unreadableEntries;
     }
 
     /** Entries and lines that came too late to count. */
     public long staleEntries() {
-        return stale;
+        return staleEntries;
     }
 
-    /** Lines refused because the offer would have been exceeded. */
+    /** Lines that would have exceeded a capacity. */
     public long rejectedGrants() {
-        return over;
+        return rejectedGrants;
     }
 
-    /** Lines taken at servers. */
+    /** Accepted lines at servers. */
     public long acceptedGrants() {
-        return grants;
+        return acceptedGrants;
     }
 
-    /** All that may be held at a server beyond the static part. */
+    /** Connections that may be held at a server beyond the static part. */
     public int held(int server) {
         return table.servers.get(server).held;
     }
 
-    /** What one incarnation is granted at a server. */
+    /** Connections that an incarnation is granted at a server. */
     public int granted(Incarnation incarnation, int server) {
-        GrantTable.Cell cell = table.cell(incarnation, server);
-        return cell == null ? 0 : cell.granted;
+        GrantTable.ServerGrant grant = table.serverGrant(incarnation, server);
+        return grant == null ? 0 : grant.granted;
     }
 
-    /** For an account through one incarnation. */
+    /** Attempts in flight that an account is granted through an incarnation. */
     public int accountGrant(Incarnation incarnation, long account) {
         GrantTable.Holder holder = table.holders.get(incarnation);
-        return holder == null ? 0 : holder.uses.getOrDefault(account, 0);
+        return holder == null ? 0 : holder.accountGrants.getOrDefault(account, 0);
     }
 
-    /** The incarnations that may be given something, by gateway. */
-    List<Incarnation> givable() {
+    /** The incarnations to which more may be granted, by gateway. */
+    List<Incarnation> eligibleIncarnations() {
         List<Incarnation> incarnations = new ArrayList<>();
         for (Incarnation incarnation : table.holders.keySet()) {
             if (leases.mayRenew(incarnation)) {
@@ -284,31 +289,35 @@
     @Override
     public byte[] snapshot() {
         return LedgerEntry.write(
-                LedgerEntry.FORM,
-                out -> {
-                    leases.write(out);
-                    VarInts.put(out, last);
-                    VarInts.put(out, lastGrant);
-                    table.write(out);
+                LedgerEntry.FORMAT_VERSION,
+                output -> {
+                    leases.write(output);
+                    VarInts.put(output, lastIndex);
+                    VarInts.put(output, lastGrantIndex);
+                    table.write(output);
                 });
     }
 
+    /**
+     * @throws UncheckedIOException the snapshot can't be read; as it came from a majority, nothing
+     *     can replace it
+     */
     @Override
     public void restore(long index, byte[] snapshot) {
-        try {
-            DataInputStream in = new DataInputStream(new ByteArrayInputStream(snapshot));
-            if (in.readByte() != LedgerEntry.FORM || in.readByte() != LedgerEntry.FORM) {
+        try (DataInputStream input = new DataInputStream(new ByteArrayInputStream(snapshot))) {
+            if (input.readByte() != LedgerEntry.FORMAT_VERSION
+                    || input.readByte() != LedgerEntry.FORMAT_VERSION) {
                 throw new IOException(
-                        "a snapshot of a form that is not known, expected " + LedgerEntry.FORM);
+                        "a snapshot of a form that is not known, expected "
+                                + LedgerEntry.FORMAT_VERSION);
             }
-            leases.read(in);
-            last = Math.max(index, VarInts.take(in));
-            lastGrant = VarInts.take(in);
-            table.read(in);
-            nextFree = 0;
-            sweep();
+            leases.read(input);
+            lastIndex = Math.max(index, VarInts.take(input));
+            lastGrantIndex = VarInts.take(input);
+            table.read(input);
+            nextReleaseMs = 0;
+            release();
         } catch (IOException e) {
-            // What is restored came from a majority; nothing else can stand in for it.
             throw new UncheckedIOException(e);
         }
     }
--- a/fleet/src/main/java/tinford/fleet/budget/GrantProposer.java
+++ b/fleet/src/main/java/tinford/fleet/budget/GrantProposer.java
@@ -8,127 +8,179 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * What whoever leads proposes: the ledger as it knows it, divided anew. Wrong or stale proposals
- * harm nothing, the ledger checks.
+ * Proposes grants as the leader: the ledger as it knows it, divided anew. A wrong or stale proposal
+ * does no harm, as the ledger checks each one.
  */
 public final class GrantProposer {
-    /** An account's terms in the division, by its plan. */
+    /** An account's terms in the division. */
     public record Plan(int weight, int floor, int cap) {}
 
-    /** Lines at servers in one entry; what is left goes into the next. */
+    /** Lines at servers in one entry; the rest goes into the next. */
     public static final int MAX_LINES = 20_000;
 
     private final LongFunction<Plan> plans;
-    private final double every;
-    private double next;
+    private final double intervalMs;
+    private double nextProposalMs;
 
     /**
-     * @param plans by account; null for one that is not known, which then gets nothing
-     * @param every no two proposals come closer than this, ms
+     * @param plans by account; null for an unknown one, which gets nothing
+     * @param intervalMs between two proposals, at least
      */
-    public GrantProposer(LongFunction<Plan> plans, double every) {
+    public GrantProposer(LongFunction<Plan> plans, double intervalMs) {
         this.plans = plans;
-        this.every = every;
+        this.intervalMs = intervalMs;
     }
 
     /**
-     * Called by whoever leads, with its own time; the entry to append, or null where nothing is to
-     * change or it is too soon.
+     * Returns the entry to append, or null where nothing has to change or it is too early.
+     *
+     * @param nowMs the leader's own time
      */
-    public byte[] propose(BudgetLedger ledger, double now) {
-        if (now < next) {
+    public byte[] propose(BudgetLedger ledger, double nowMs) {
+        if (nowMs < nextProposalMs) {
             return null;
         }
-        List<Incarnation> incarnations = ledger.givable();
-        int columns = ledger.table.servers.size();
-        int rows = incarnations.size();
-        if (rows == 0 || columns == 0) {
+        List<Incarnation> incarnations = ledger.eligibleIncarnations();
+        if (incarnations.isEmpty() || ledger.table.servers.isEmpty()) {
             return null;
         }
-        int[] pool = new int[columns];
-        int[] own = new int[rows];
-        int[][] granted = new int[rows][columns];
-        int[][] may = new int[rows][columns];
-        for (int s = 0; s < columns; s++) {
-            pool[s] = ledger.pool(s) - ledger.held(s);
+        Division division = new Division(ledger, incarnations);
+        List<LedgerEntry.GrantLine> serverLines = division.serverLines();
+        List<LedgerEntry.GrantLine> accountLines = division.accountLines();
+        if (serverLines.isEmpty() && accountLines.isEmpty()) {
+            return null;
         }
-        TreeMap<Long, TreeMap<Integer, int[]>> wanted = new TreeMap<>();
-        for (int g = 0; g < rows; g++) {
-            int row = g;
-            GrantTable.Holder h = ledger.table.holders.get(incarnations.get(g));
-            for (int s = 0; s < columns; s++) {
-                own[g] +=
-                        ledger.table.servers.get(s).offer == 0
-                                ? 0
-                                : ledger.staticShares.of(
-                                        ledger.table.servers.get(s).name,
-                                        incarnations.get(g).gateway());
+        nextProposalMs = nowMs + intervalMs;
+        return new LedgerEntry.Grant(
+                        ledger.lastIndex(),
+                        nowMs,
+                        serverLines.subList(0, Math.min(MAX_LINES, serverLines.size())),
+                        accountLines)
+                .encode();
+    }
+
+    /** Demand and previous grant of an account at one gateway. */
+    private static final class AccountUse {
+        int demand;
+        int granted;
+    }
+
+    /** The ledger as matrices with a row for each incarnation and a column for each server. */
+    private final class Division {
+        private final List<Incarnation> incarnations;
+        private final int[] pool;
+        private final int[] staticConnections;
+        private final int[][] granted;
+        private final int[][] maxHeld;
+        private final List<BudgetAllocation.Account> accounts = new ArrayList<>();
+        private final BudgetAllocation allocation;
+
+        Division(BudgetLedger ledger, List<Incarnation> incarnations) {
+            this.incarnations = incarnations;
+            int rows = incarnations.size();
+            int columns = ledger.table.servers.size();
+            pool = new int[columns];
+            staticConnections = new int[rows];
+            granted = new int[rows][columns];
+            maxHeld = new int[rows][columns];
+            for (int column = 0; column < columns; column++) {
+                pool[column] = ledger.grantable(column) - ledger.held(column);
             }
-            h.cells.forEach(
-                    (s, c) -> {
-                        granted[row][s] = c.granted;
-                        may[row][s] = c.may;
-                        pool[s] += c.may;
-                    });
-            h.uses.forEach((a, n) -> pair(wanted, a, row)[1] = n);
-            h.asked.forEach((a, n) -> pair(wanted, a, row)[0] = n);
-        }
-        List<BudgetAllocation.Account> accounts = new ArrayList<>();
-        wanted.forEach((id, at) -> accounts.add(account(id, at)));
-        BudgetAllocation d = new BudgetAllocation(pool, own, granted, may, accounts);
-        List<LedgerEntry.GrantLine> less = new ArrayList<>();
-        List<LedgerEntry.GrantLine> more = new ArrayList<>();
-        for (int g = 0; g < rows; g++) {
-            for (int s = 0; s < columns; s++) {
-                if (d.now[g][s] != granted[g][s]) {
-                    (d.now[g][s] < granted[g][s] ? less : more)
-                            .add(new LedgerEntry.GrantLine(incarnations.get(g), s, d.now[g][s]));
-                }
+            TreeMap<Long, TreeMap<Integer, AccountUse>> uses = new TreeMap<>();
+            for (int row = 0; row < rows; row++) {
+                staticConnections[row] = staticConnections(ledger, incarnations.get(row));
+                GrantTable.Holder holder = ledger.table.holders.get(incarnations.get(row));
+                readServerGrants(holder, row);
+                readAccountUses(holder, row, uses);
             }
+            uses.forEach((id, usesByRow) -> accounts.add(account(id, usesByRow)));
+            allocation = new BudgetAllocation(pool, staticConnections, granted, maxHeld, accounts);
         }
-        less.addAll(more);
-        List<LedgerEntry.GrantLine> uses = new ArrayList<>();
-        for (BudgetAllocation.Account a : accounts) {
-            for (int k = 0; k < a.rows.length; k++) {
-                if (a.given[k] != a.before[k]) {
-                    uses.add(
-                            new LedgerEntry.GrantLine(
-                                    incarnations.get(a.rows[k]), a.id, a.given[k]));
+
+        private int staticConnections(BudgetLedger ledger, Incarnation incarnation) {
+            int sum = 0;
+            for (GrantTable.Server server : ledger.table.servers) {
+                if (server.capacity != 0) {
+                    sum += ledger.staticShares.of(server.name, incarnation.gateway());
                 }
             }
+            return sum;
         }
-        if (less.isEmpty() && uses.isEmpty()) {
-            return null;
+
+        /** What these rows may hold is theirs to be divided anew, so it belongs to the pool. */
+        private void readServerGrants(GrantTable.Holder holder, int row) {
+            holder.serverGrants.forEach(
+                    (column, grant) -> {
+                        granted[row][column] = grant.granted;
+                        maxHeld[row][column] = grant.maxHeld;
+                        pool[column] += grant.maxHeld;
+                    });
         }
-        next = now + every;
-        return new LedgerEntry.Grant(
-                        ledger.lastIndex(),
-                        now,
-                        less.subList(0, Math.min(MAX_LINES, less.size())),
-                        uses)
-                .encode();
-    }
 
-    private static int[] pair(
-            TreeMap<Long, TreeMap<Integer, int[]>> wanted, long account, int row) {
-        return wanted.computeIfAbsent(account, k -> new TreeMap<>())
-                .computeIfAbsent(row, k -> new int[2]);
-    }
+        private static void readAccountUses(
+                GrantTable.Holder holder,
+                int row,
+                TreeMap<Long, TreeMap<Integer, AccountUse>> uses) {
+            holder.accountGrants.forEach(
+                    (account, count) -> use(uses, account, row).granted = count);
+            holder.demands.forEach((account, count) -> use(uses, account, row).demand = count);
+        }
+
+        private static AccountUse use(
+                TreeMap<Long, TreeMap<Integer, AccountUse>> uses, long account, int row) {
+            return uses.computeIfAbsent(account, key -> new TreeMap<>())
+                    .computeIfAbsent(row, key -> new AccountUse());
+        }
+
+        private BudgetAllocation.Account account(long id, Map<Integer, AccountUse> usesByRow) {
+            Plan plan = plans.apply(id);
+            int[] rows = new int[usesByRow.size()];
+            int[] demands = new int[rows.length];
+            int[] previous = new int[rows.length];
+            int index = 0;
+            for (Map.Entry<Integer, AccountUse> use : usesByRow.entrySet()) {
+                rows[index] = use.getKey();
+                demands[index] = plan == null ? 0 : use.getValue().demand;
+                previous[index++] = use.getValue().granted;
+            }
+            return plan == null
+                    ? new BudgetAllocation.Account(id, 1, 0, 0, rows, demands, previous)
+                    : new BudgetAllocation.Account(
+                            id, plan.weight(), plan.floor(), plan.cap(), rows, demands, previous);
+        }
+
+        /** Changed grants at servers, those that are reduced first. */
+        List<LedgerEntry.GrantLine> serverLines() {
+            List<LedgerEntry.GrantLine> reduced = new ArrayList<>();
+            List<LedgerEntry.GrantLine> raised = new ArrayList<>();
+            for (int row = 0; row < granted.length; row++) {
+                for (int column = 0; column < pool.length; column++) {
+                    int next = allocation.next[row][column];
+                    if (next != granted[row][column]) {
+                        (next < granted[row][column] ? reduced : raised)
+                                .add(
+                                        new LedgerEntry.GrantLine(
+                                                incarnations.get(row), column, next));
+                    }
+                }
+            }
+            reduced.addAll(raised);
+            return reduced;
+        }
 
-    private BudgetAllocation.Account account(long id, Map<Integer, int[]> at) {
-        Plan plan = plans.apply(id);
-        int[] rows = new int[at.size()];
-        int[] wanted = new int[rows.length];
-        int[] before = new int[rows.length];
-        int k = 0;
-        for (Map.Entry<Integer, int[]> e : at.entrySet()) {
-            rows[k] = e.getKey();
-            wanted[k] = plan == null ? 0 : e.getValue()[0];
-            before[k++] = e.getValue()[1];
+        List<LedgerEntry.GrantLine> accountLines() {
+            List<LedgerEntry.GrantLine> lines = new ArrayList<>();
+            for (BudgetAllocation.Account account : accounts) {
+                for (int i = 0; i < account.rows.length; i++) {
+                    if (account.allocated[i] != account.previous[i]) {
+                        Incarnation incarnation = incarnations.get(account.rows[i]);
+                        lines.add(
+                                new LedgerEntry.GrantLine(
+                                        incarnation, account.id, account.allocated[i]));
+                    }
+                }
+            }
+            return lines;
         }
-        return plan == null
-                ? new BudgetAllocation.Account(id, 1, 0, 0, rows, wanted, before)
-                : new BudgetAllocation.Account(
-                        id, plan.weight(), plan.floor(), plan.cap(), rows, wanted, before);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budget/GrantTable.java
+++ b/fleet/src/main/java/tinford/fleet/budget/GrantTable.java
@@ -13,34 +13,34 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * The state of the {@link BudgetLedger}: servers with their offers, and who holds what at each.
- * Keeps the sum a server; decides nothing.
+ * Data of the {@link BudgetLedger}: servers with their capacities, and what each incarnation holds.
+ * Keeps the sum for each server; decides nothing.
  */
 final class GrantTable {
-    /** What one incarnation has at one server. */
-    static final class Cell {
+    /** What one incarnation has at one server, in connections. */
+    static final class ServerGrant {
         int granted;
 
-        /** At least what is granted: what it may still hold of earlier grants. */
-        int may;
+        /** What it may still hold of earlier grants; at least what is granted. */
+        int maxHeld;
 
-        /** Index of the last entry that made it less. */
-        long shrunk;
+        /** Index of the last entry that reduced the grant. */
+        long reducedIndex;
 
-        /** The log's time from which the holder surely has no more than is granted. */
-        double free;
+        /** The log's time from which the holder surely holds no more than is granted. */
+        double releaseMs;
 
         /** Index of the last entry that granted. */
         long fencingToken;
     }
 
-    /** A server; its number is its place in {@link #servers}. */
+    /** A server; its number is its index in {@link #servers}. */
     static final class Server {
         final String name;
         long start;
-        int offer;
+        int capacity;
 
-        /** All cells' {@code may} together. */
+        /** Sum of {@code maxHeld} over all incarnations. */
         int held;
 
         Server(String name) {
@@ -48,156 +48,176 @@
         }
     }
 
-    /** All of one incarnation. */
+    /** What one incarnation demands and was granted. */
     static final class Holder {
-        final TreeMap<Integer, Cell> cells = new TreeMap<>();
-        final TreeMap<Long, Integer> asked = new TreeMap<>();
-        final TreeMap<Long, Integer> uses = new TreeMap<>();
-        double told;
+        /** By server number. */
+        final TreeMap<Integer, ServerGrant> serverGrants = new TreeMap<>();
+
+        /** By account. */
+        final TreeMap<Long, Integer> demands = new TreeMap<>();
+
+        /** By account. */
+        final TreeMap<Long, Integer> accountGrants = new TreeMap<>();
+
+        /** Time stamp of its last demand report. */
+        double reportedMs;
     }
 
     final List<Server> servers = new ArrayList<>();
     final TreeMap<Incarnation, Holder> holders = new TreeMap<>();
     private final Map<String, Integer> numbers = new LinkedHashMap<>();
 
-    /** The number of a server, or -1. */
-    int number(String server) {
+    /** The number of a server, or -1 where it is unknown. */
+    int serverNumber(String server) {
         return numbers.getOrDefault(server, -1);
     }
 
-    /** A server that is not there yet. */
-    Server add(String name) {
+    /** Adds a server that is not there yet. */
+    Server addServer(String name) {
         Server server = new Server(name);
         numbers.put(name, servers.size());
         servers.add(server);
         return server;
     }
 
-    /** The cell of an incarnation at a server, or null. */
-    Cell cell(Incarnation incarnation, int server) {
+    /** What an incarnation has at a server, or null. */
+    ServerGrant serverGrant(Incarnation incarnation, int server) {
         Holder holder = holders.get(incarnation);
-        return holder == null ? null : holder.cells.get(server);
+        return holder == null ? null : holder.serverGrants.get(server);
     }
 
-    void setMay(int server, Cell cell, int may) {
-        servers.get(server).held += may - cell.may;
-        cell.may = may;
+    void setMaxHeld(int server, ServerGrant grant, int maxHeld) {
+        servers.get(server).held += maxHeld - grant.maxHeld;
+        grant.maxHeld = maxHeld;
     }
 
-    /** Takes out the holders of which nothing can be open. */
-    void removeHolders(Predicate<Incarnation> gone) {
+    /** Removes the incarnations of which no connection can be open. */
+    void removeHolders(Predicate<Incarnation> isGone) {
         for (Iterator<Map.Entry<Incarnation, Holder>> all = holders.entrySet().iterator();
                 all.hasNext(); ) {
             Map.Entry<Incarnation, Holder> holder = all.next();
-            if (gone.test(holder.getKey())) {
-                holder.getValue().cells.forEach((server, cell) -> setMay(server, cell, 0));
+            if (isGone.test(holder.getKey())) {
+                holder.getValue()
+                        .serverGrants
+                        .forEach((server, grant) -> setMaxHeld(server, grant, 0));
                 all.remove();
             }
         }
     }
 
     /**
-     * What was taken back counts as let go where its time has come.
+     * Releases what was reduced and is surely no longer held.
      *
-     * @return the earliest time at which more will be
+     * @return the earliest time at which more can be released
      */
-    double release(double now) {
-        double next = Double.POSITIVE_INFINITY;
+    double release(double logTimeMs) {
+        double nextReleaseMs = Double.POSITIVE_INFINITY;
         for (Holder holder : holders.values()) {
-            for (Map.Entry<Integer, Cell> at : holder.cells.entrySet()) {
-                Cell cell = at.getValue();
-                if (cell.may > cell.granted && now >= cell.free) {
-                    setMay(at.getKey(), cell, cell.granted);
-                } else if (cell.may > cell.granted) {
-                    next = Math.min(next, cell.free);
+            for (Map.Entry<Integer, ServerGrant> entry : holder.serverGrants.entrySet()) {
+                ServerGrant grant = entry.getValue();
+                if (grant.maxHeld > grant.granted && logTimeMs >= grant.releaseMs) {
+                    setMaxHeld(entry.getKey(), grant, grant.granted);
+                } else if (grant.maxHeld > grant.granted) {
+                    nextReleaseMs = Math.min(nextReleaseMs, grant.releaseMs);
                 }
             }
-            holder.cells.values().removeIf(cell -> cell.may == 0);
+            holder.serverGrants.values().removeIf(grant -> grant.maxHeld == 0);
         }
-        return next;
+        return nextReleaseMs;
     }
 
-    /** Part of a snapshot. */
-    void write(DataOutputStream out) throws IOException {
-        VarInts.put(out, servers.size());
+    /** Writes the table as a part of a snapshot. */
+    void write(DataOutputStream output) throws IOException {
+        VarInts.put(output, servers.size());
         for (Server server : servers) {
-            out.writeUTF(server.name);
-            VarInts.put(out, server.start);
-            VarInts.put(out, server.offer);
+            output.writeUTF(server.name);
+            VarInts.put(output, server.start);
+            VarInts.put(output, server.capacity);
         }
-        VarInts.put(out, holders.size());
+        VarInts.put(output, holders.size());
         for (Map.Entry<Incarnation, Holder> holder : holders.entrySet()) {
-            VarInts.put(out, holder.getKey());
-            write(out, holder.getValue());
+            VarInts.put(output, holder.getKey());
+            write(output, holder.getValue());
         }
     }
 
-    private static void write(DataOutputStream out, Holder holder) throws IOException {
-        out.writeDouble(holder.told);
-        // Cells with nothing go at a time that a snapshot does not carry: they are left out, so
-        // that all members' are the same.
-        List<Map.Entry<Integer, Cell>> cells =
-                holder.cells.entrySet().stream().filter(at -> at.getValue().may > 0).toList();
-        VarInts.put(out, cells.size());
-        for (Map.Entry<Integer, Cell> at : cells) {
-            Cell cell = at.getValue();
-            VarInts.put(out, at.getKey());
-            VarInts.put(out, cell.granted);
-            VarInts.put(out, cell.may);
-            VarInts.put(out, cell.shrunk);
-            out.writeDouble(cell.free);
-            VarInts.put(out, cell.fencingToken);
+    private static void write(DataOutputStream output, Holder holder) throws IOException {
+        output.writeDouble(holder.reportedMs);
+        // when empty grants are removed is not part of a snapshot: they are left output, so that
+        // the
+        // snapshots of all members are the same
+        List<Map.Entry<Integer, ServerGrant>> grants =
+                holder.serverGrants.entrySet().stream()
+                        .filter(entry -> entry.getValue().maxHeld > 0)
+                        .toList();
+        VarInts.put(output, grants.size());
+        for (Map.Entry<Integer, ServerGrant> entry : grants) {
+            ServerGrant grant = entry.getValue();
+            VarInts.put(output, entry.getKey());
+            VarInts.put(output, grant.granted);
+            VarInts.put(output, grant.maxHeld);
+            VarInts.put(output, grant.reducedIndex);
+            output.writeDouble(grant.releaseMs);
+            VarInts.put(output, grant.fencingToken);
         }
-        writeCounts(out, holder.asked);
-        writeCounts(out, holder.uses);
+        writeCounts(output, holder.demands);
+        writeCounts(output, holder.accountGrants);
     }
 
-    private static void writeCounts(DataOutputStream out, Map<Long, Integer> counts)
+    private static void writeCounts(DataOutputStream output, Map<Long, Integer> counts)
             throws IOException {
-        VarInts.put(out, counts.size());
+        VarInts.put(output, counts.size());
         for (Map.Entry<Long, Integer> account : counts.entrySet()) {
-            VarInts.put(out, account.getKey());
-            VarInts.put(out, account.getValue());
+            VarInts.put(output, account.getKey());
+            VarInts.put(output, account.getValue());
         }
     }
 
-    /** In place of all that it holds. */
-    void read(DataInputStream in) throws IOException {
+    /** Replaces the table by a part of a snapshot. */
+    void read(DataInputStream input) throws IOException {
         servers.clear();
         numbers.clear();
-        for (int n = VarInts.count(in, BudgetLedger.MAX_SERVERS); n > 0; n--) {
-            Server server = add(in.readUTF());
-            server.start = VarInts.take(in);
-            server.offer = VarInts.count(in, LedgerEntry.MAX_COUNT);
+        for (int remaining = VarInts.takeCount(input, BudgetLedger.MAX_SERVERS);
+                remaining > 0;
+                remaining--) {
+            Server server = addServer(input.readUTF());
+            server.start = VarInts.take(input);
+            server.capacity = VarInts.takeCount(input, LedgerEntry.MAX_COUNT);
         }
         holders.clear();
-        for (int n = VarInts.count(in, LedgerEntry.MAX_COUNT); n > 0; n--) {
-            holders.put(VarInts.incarnation(in), readHolder(in));
+        for (int remaining = VarInts.takeCount(input, LedgerEntry.MAX_COUNT);
+                remaining > 0;
+                remaining--) {
+            holders.put(VarInts.takeIncarnation(input), readHolder(input));
         }
     }
 
-    private Holder readHolder(DataInputStream in) throws IOException {
+    private Holder readHolder(DataInputStream input) throws IOException {
         Holder holder = new Holder();
-        holder.told = in.readDouble();
-        for (int n = VarInts.count(in, BudgetLedger.MAX_SERVERS); n > 0; n--) {
-            int server = VarInts.count(in, servers.size() - 1);
-            Cell cell = new Cell();
-            cell.granted = VarInts.count(in, LedgerEntry.MAX_COUNT);
-            setMay(server, cell, VarInts.count(in, LedgerEntry.MAX_COUNT));
-            cell.shrunk = VarInts.take(in);
-            cell.free = in.readDouble();
-            cell.fencingToken = VarInts.take(in);
-            holder.cells.put(server, cell);
+        holder.reportedMs = input.readDouble();
+        for (int remaining = VarInts.takeCount(input, BudgetLedger.MAX_SERVERS);
+                remaining > 0;
+                remaining--) {
+            int server = VarInts.takeCount(input, servers.size() - 1);
+            ServerGrant grant = new ServerGrant();
+            grant.granted = VarInts.takeCount(input, LedgerEntry.MAX_COUNT);
+            setMaxHeld(server, grant, VarInts.takeCount(input, LedgerEntry.MAX_COUNT));
+            grant.reducedIndex = VarInts.take(input);
+            grant.releaseMs = input.readDouble();
+            grant.fencingToken = VarInts.take(input);
+            holder.serverGrants.put(server, grant);
         }
-        readCounts(in, holder.asked);
-        readCounts(in, holder.uses);
+        readCounts(input, holder.demands);
+        readCounts(input, holder.accountGrants);
         return holder;
     }
 
-    private static void readCounts(DataInputStream in, Map<Long, Integer> counts)
+    private static void readCounts(DataInputStream input, Map<Long, Integer> counts)
             throws IOException {
-        for (int n = VarInts.count(in, BudgetLedger.MAX_ACCOUNTS); n > 0; n--) {
-            counts.put(VarInts.take(in), VarInts.count(in, LedgerEntry.MAX_COUNT));
+        for (int remaining = VarInts.takeCount(input, BudgetLedger.MAX_ACCOUNTS);
+                remaining > 0;
+                remaining--) {
+            counts.put(VarInts.take(input), VarInts.takeCount(input, LedgerEntry.MAX_COUNT));
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budget/LedgerEntry.java
+++ b/fleet/src/main/java/tinford/fleet/budget/LedgerEntry.java
@@ -12,20 +12,23 @@
 import java.util.Map;
 import tinford.fleet.membership.Incarnation;
 
-/** An entry of the log about budgets: a kind, a form, and the body. */
+/**
+ * An entry of the log about budgets. Encoded: the kind, the format version, and the body. Time
+ * stamps are those of the proposer's clock, Unix ms.
+ */
 public sealed interface LedgerEntry {
-    byte TELL = 16;
+    byte DEMAND_REPORT = 16;
     byte GRANT = 17;
-    byte OFFER = 18;
-    byte FORM = 1;
+    byte CAPACITY_OFFER = 18;
+    byte FORMAT_VERSION = 1;
 
-    /** No count is higher. */
+    /** The highest count in an entry. */
     int MAX_COUNT = 1 << 24;
 
-    /** As it goes into the log. */
+    /** Encodes the entry for the log. */
     byte[] encode();
 
-    /** An entry of a kind or form that is not known here. */
+    /** An entry of an unknown kind or format version. */
     final class UnknownEntryException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -35,178 +38,196 @@
     }
 
     /**
-     * Entry of one incarnation.
+     * An incarnation reports its demand and what it holds.
      *
-     * @param seen the last index that it had read
-     * @param wanted what it wants by account where that changed; 0 for nothing more
-     * @param held what it holds beyond its static share at servers where it was granted more before
+     * @param lastReadIndex the last entry that it had applied
+     * @param demands attempts that it wants in flight, by account, where that changed; 0 for none
+     * @param heldConnections what it holds beyond its static share, by server number, where it was
+     *     granted more before
      */
     record DemandReport(
             Incarnation incarnation,
-            double at,
-            long seen,
-            Map<Long, Integer> wanted,
-            Map<Integer, Integer> held)
+            double timestampMs,
+            long lastReadIndex,
+            Map<Long, Integer> demands,
+            Map<Integer, Integer> heldConnections)
             implements LedgerEntry {
         @Override
         public byte[] encode() {
-            return write(
-                    TELL,
-                    out -> {
-                        VarInts.put(out, incarnation);
-                        out.writeDouble(at);
-                        VarInts.put(out, seen);
-                        VarInts.put(out, wanted.size());
-                        for (Map.Entry<Long, Integer> account : wanted.entrySet()) {
-                            VarInts.put(out, account.getKey());
-                            VarInts.put(out, account.getValue());
-                        }
-                        VarInts.put(out, held.size());
-                        for (Map.Entry<Integer, Integer> server : held.entrySet()) {
-                            VarInts.put(out, server.getKey());
-                            VarInts.put(out, server.getValue());
-                        }
-                    });
+            return write(DEMAND_REPORT, this::writeBody);
         }
 
-        private static DemandReport read(DataInputStream in) throws IOException {
-            Incarnation incarnation = VarInts.incarnation(in);
-            double at = time(in);
-            long seen = VarInts.take(in);
-            Map<Long, Integer> wanted = new LinkedHashMap<>();
-            for (int n = VarInts.count(in, BudgetLedger.MAX_ACCOUNTS); n > 0; n--) {
-                wanted.put(VarInts.take(in), VarInts.count(in, MAX_COUNT));
+        private void writeBody(DataOutputStream output) throws IOException {
+            VarInts.put(output, incarnation);
+            output.writeDouble(timestampMs);
+            VarInts.put(output, lastReadIndex);
+            VarInts.put(output, demands.size());
+            for (Map.Entry<Long, Integer> demand : demands.entrySet()) {
+                VarInts.put(output, demand.getKey());
+                VarInts.put(output, demand.getValue());
+            }
+            VarInts.put(output, heldConnections.size());
+            for (Map.Entry<Integer, Integer> held : heldConnections.entrySet()) {
+                VarInts.put(output, held.getKey());
+                VarInts.put(output, held.getValue());
+            }
+        }
+
+        private static DemandReport readBody(DataInputStream input) throws IOException {
+            Incarnation incarnation = VarInts.takeIncarnation(input);
+            double timestampMs = takeTimestamp(input);
+            long lastReadIndex = VarInts.take(input);
+            Map<Long, Integer> demands = new LinkedHashMap<>();
+            int accounts = VarInts.takeCount(input, BudgetLedger.MAX_ACCOUNTS);
+            for (int i = 0; i < accounts; i++) {
+                demands.put(VarInts.take(input), VarInts.takeCount(input, MAX_COUNT));
             }
             Map<Integer, Integer> held = new LinkedHashMap<>();
-            for (int n = VarInts.count(in, BudgetLedger.MAX_SERVERS); n > 0; n--) {
-                held.put(VarInts.count(in, BudgetLedger.MAX_SERVERS), VarInts.count(in, MAX_COUNT));
+            int servers = VarInts.takeCount(input, BudgetLedger.MAX_SERVERS);
+            for (int i = 0; i < servers; i++) {
+                held.put(
+                        VarInts.takeCount(input, BudgetLedger.MAX_SERVERS),
+                        VarInts.takeCount(input, MAX_COUNT));
             }
-            return new DemandReport(incarnation, at, seen, wanted, held);
+            return new DemandReport(incarnation, timestampMs, lastReadIndex, demands, held);
         }
     }
 
     /**
-     * Entry: what a server offers the fleet from now on.
+     * A server offers the fleet a capacity from now on.
      *
-     * @param start a later one is another server under the same address: what was granted stays
-     *     granted, as a holder may open it there
+     * @param start of the server; a later one is another server under the same address, where
+     *     grants stay, as their holders may open connections to it
+     * @param capacity connections, the static part included
      */
-    record CapacityOffer(String server, long start, int offer, double at) implements LedgerEntry {
+    record CapacityOffer(String server, long start, int capacity, double timestampMs)
+            implements LedgerEntry {
         @Override
         public byte[] encode() {
-            return write(
-                    OFFER,
-                    out -> {
-                        out.writeUTF(server);
-                        VarInts.put(out, start);
-                        VarInts.put(out, offer);
-                        out.writeDouble(at);
-                    });
+            return write(CAPACITY_OFFER, this::writeBody);
         }
 
-        private static CapacityOffer read(DataInputStream in) throws IOException {
-            String server = in.readUTF();
-            long start = VarInts.take(in);
-            int offer = VarInts.count(in, MAX_COUNT);
-            return new CapacityOffer(server, start, offer, time(in));
+        private void writeBody(DataOutputStream output) throws IOException {
+            output.writeUTF(server);
+            VarInts.put(output, start);
+            VarInts.put(output, capacity);
+            output.writeDouble(timestampMs);
+        }
+
+        private static CapacityOffer readBody(DataInputStream input) throws IOException {
+            String server = input.readUTF();
+            long start = VarInts.take(input);
+            int capacity = VarInts.takeCount(input, MAX_COUNT);
+            return new CapacityOffer(server, start, capacity, takeTimestamp(input));
         }
     }
 
     /**
-     * One line of a grant: from now on the incarnation has that many, at a server or for an
-     * account.
+     * One line of a grant: the incarnation has that many from now on.
      *
-     * @param what the number of the server, or the account
+     * @param target the number of a server, or an account
+     * @param connections at the server, or attempts in flight of the account
      */
-    record GrantLine(Incarnation incarnation, long what, int count) {}
+    record GrantLine(Incarnation incarnation, long target, int connections) {}
 
     /**
-     * Entry of whoever leads. Lines that make less come first.
+     * The leader grants. Lines that reduce a grant come first.
      *
-     * @param basis last index that the proposal knew; it is void where another grant came since
+     * @param basisIndex the last entry that the proposal is based on; a grant after it makes the
+     *     proposal void
      */
-    record Grant(long basis, double at, List<GrantLine> atServers, List<GrantLine> forAccounts)
+    record Grant(
+            long basisIndex,
+            double timestampMs,
+            List<GrantLine> serverLines,
+            List<GrantLine> accountLines)
             implements LedgerEntry {
         @Override
         public byte[] encode() {
-            return write(
-                    GRANT,
-                    out -> {
-                        VarInts.put(out, basis);
-                        out.writeDouble(at);
-                        writeLines(out, atServers);
-                        writeLines(out, forAccounts);
-                    });
+            return write(GRANT, this::writeBody);
         }
 
-        private static Grant read(DataInputStream in) throws IOException {
-            long basis = VarInts.take(in);
-            double at = time(in);
-            return new Grant(basis, at, readLines(in), readLines(in));
+        private void writeBody(DataOutputStream output) throws IOException {
+            VarInts.put(output, basisIndex);
+            output.writeDouble(timestampMs);
+            writeLines(output, serverLines);
+            writeLines(output, accountLines);
         }
 
-        private static void writeLines(DataOutputStream out, List<GrantLine> lines)
+        private static Grant readBody(DataInputStream input) throws IOException {
+            long basisIndex = VarInts.take(input);
+            double timestampMs = takeTimestamp(input);
+            return new Grant(basisIndex, timestampMs, readLines(input), readLines(input));
+        }
+
+        private static void writeLines(DataOutputStream output, List<GrantLine> lines)
                 throws IOException {
-            VarInts.put(out, lines.size());
+            VarInts.put(output, lines.size());
             for (GrantLine line : lines) {
-                VarInts.put(out, line.incarnation);
-                VarInts.put(out, line.what);
-                VarInts.put(out, line.count);
+                VarInts.put(output, line.incarnation);
+                VarInts.put(output, line.target);
+                VarInts.put(output, line.connections);
             }
         }
 
-        private static List<GrantLine> readLines(DataInputStream in) throws IOException {
+        private static List<GrantLine> readLines(DataInputStream input) throws IOException {
             List<GrantLine> lines = new ArrayList<>();
-            for (int n = VarInts.count(in, MAX_COUNT); n > 0; n--) {
-                Incarnation incarnation = VarInts.incarnation(in);
-                long what = VarInts.take(in);
-                lines.add(new GrantLine(incarnation, what, VarInts.count(in, MAX_COUNT)));
+            int count = VarInts.takeCount(input, MAX_COUNT);
+            for (int i = 0; i < count; i++) {
+                Incarnation incarnation = VarInts.takeIncarnation(input);
+                long target = VarInts.take(input);
+                int connections = VarInts.takeCount(input, MAX_COUNT);
+                lines.add(new GrantLine(incarnation, target, connections));
             }
             return lines;
         }
     }
 
     /**
-     * @throws Unknown where it is of a kind or form that is not known here
-     * @throws IOException where it can't be read to its end
+     * Decodes an entry of the log.
+     *
+     * @throws UnknownEntryException it is of an unknown kind or format version
+     * @throws IOException it is torn or a value is out of range
      */
     static LedgerEntry decode(byte[] entry) throws UnknownEntryException, IOException {
-        if (entry.length < 2 || entry[0] < TELL || entry[0] > OFFER || entry[1] != FORM) {
+        if (entry.length < 2
+                || entry[0] < DEMAND_REPORT
+                || entry[0] > CAPACITY_OFFER
+                || entry[1] != FORMAT_VERSION) {
             throw new UnknownEntryException();
         }
-        DataInputStream in =
+        DataInputStream input =
                 new DataInputStream(new ByteArrayInputStream(entry, 2, entry.length - 2));
         return switch (entry[0]) {
-            case TELL -> DemandReport.read(in);
-            case GRANT -> Grant.read(in);
-            default -> CapacityOffer.read(in);
+            case DEMAND_REPORT -> DemandReport.readBody(input);
+            case GRANT -> Grant.readBody(input);
+            default -> CapacityOffer.readBody(input);
         };
     }
 
     /** Writes the body of an entry. */
     interface Body {
-        void write(DataOutputStream out) throws IOException;
+        void write(DataOutputStream output) throws IOException;
     }
 
-    /** The kind, the form, and the body. */
+    /** Writes a kind, the format version, and a body. */
     static byte[] write(byte kind, Body body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
-        try {
-            DataOutputStream out = new DataOutputStream(bytes);
-            out.writeByte(kind);
-            out.writeByte(FORM);
-            body.write(out);
+        try (DataOutputStream output = new DataOutputStream(bytes)) {
+            output.writeByte(kind);
+            output.writeByte(FORMAT_VERSION);
+            body.write(output);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
-    private static double time(DataInputStream in) throws IOException {
-        double at = in.readDouble();
-        if (!(at >= 0 && at < Double.POSITIVE_INFINITY)) {
-            throw new IOException("a time: " + at + ", expected ms from 0");
+    private static double takeTimestamp(DataInputStream input) throws IOException {
+        double timestampMs = input.readDouble();
+        if (!(timestampMs >= 0 && timestampMs < Double.POSITIVE_INFINITY)) {
+            throw new IOException("a time: " + timestampMs + ", expected ms from 0");
         }
-        return at;
+        return timestampMs;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budget/LocalBudget.java
+++ b/fleet/src/main/java/tinford/fleet/budget/LocalBudget.java
@@ -11,249 +11,278 @@
 import tinford.fleet.membership.LeaseTable;
 
 /**
- * One gateway's own side: what it may hold and use now, by its own clock, and what it tells the
- * log. Where its lease has ended, or ends within the margin, only its static share is left. Holds
- * {@link BudgetLedger#MAX_ACCOUNTS} accounts that want something and {@link
- * BudgetLedger#MAX_SERVERS} servers at most.
+ * One gateway's own budget: what it may hold and use now, by its own clock, and the entries that it
+ * appends to the log. Where its lease has expired, or expires within the margin, only its static
+ * share is left. Holds {@link BudgetLedger#MAX_ACCOUNTS} accounts with demand and {@link
+ * BudgetLedger#MAX_SERVERS} servers at most. Times are in ms.
  */
 public class LocalBudget {
-    /** What an account wanted at most, in the last span of time and in the one before. */
-    private static final class Want {
-        int now;
-        int before;
+    /** Demand of an account: the most attempts in flight in the present span, and before. */
+    private static final class Demand {
+        int present;
+        int previous;
 
-        /** What it may have out while this gateway has no lease. */
-        int alone;
+        /** Attempts that it may have in flight while this gateway has no lease. */
+        int limitWithoutLease;
 
-        int most() {
-            return Math.max(now, before);
+        int max() {
+            return Math.max(present, previous);
         }
     }
 
+    /** A demand that has fallen by less than this part of the reported one is not reported. */
+    private static final int UNREPORTED_DIVISOR = 8;
+
     private final BudgetLedger ledger;
     private final StaticShares staticShares;
     private final LongFunction<GrantProposer.Plan> plans;
     private final Incarnation incarnation;
-    private final double length;
-    private final double margin;
-    private final double every;
-    private final double keep;
-    private final double staticFrom;
-    private final TreeMap<Long, Want> wants = new TreeMap<>();
-    private final Map<String, Integer> open = new LinkedHashMap<>();
+    private final double leaseMs;
+    private final double marginMs;
+    private final double intervalMs;
+    private final double retentionMs;
+    private final double staticFromMs;
+    private final TreeMap<Long, Demand> demands = new TreeMap<>();
+    private final Map<String, Integer> openConnections = new LinkedHashMap<>();
     private final Map<String, Long> fencingTokens = new LinkedHashMap<>();
-    private double nextRound;
-    private double nextSpan;
-    private boolean leaves;
+    private double nextEntriesMs;
+    private double nextSpanMs;
+    private boolean leaving;
     private boolean left;
 
     /**
-     * @param ledger this process's own, as the log is applied to it
-     * @param length of a lease, ms
-     * @param margin what is granted is let go this long before the lease ends, ms
-     * @param every a round comes no sooner than this after the last, ms
-     * @param keep what was wanted is told on for this long, so that what comes and goes does not
-     *     move grants, ms
-     * @param staticFrom from when the static share may be used: the start, where the last
-     *     incarnation of this gateway surely closed all; else the linger after the start
+     * @param ledger of this process, as the log is applied to it
+     * @param leaseMs length of a lease
+     * @param marginMs by which what is granted is let go before the lease expires
+     * @param intervalMs between two calls that return entries, at least
+     * @param retentionMs for which a demand is reported on, so that short ones don't move grants
+     * @param staticFromMs from when the static share may be used: the start, where the last
+     *     incarnation of this gateway has surely closed all connections; else later by the linger
      */
     public LocalBudget(
             BudgetLedger ledger,
             StaticShares staticShares,
             LongFunction<GrantProposer.Plan> plans,
             Incarnation incarnation,
-            double length,
-            double margin,
-            double every,
-            double keep,
-            double staticFrom) {
+            double leaseMs,
+            double marginMs,
+            double intervalMs,
+            double retentionMs,
+            double staticFromMs) {
         this.ledger = ledger;
         this.staticShares = staticShares;
         this.plans = plans;
         this.incarnation = incarnation;
-        this.length = length;
-        this.margin = margin;
-        this.every = every;
-        this.keep = keep;
-        this.staticFrom = staticFrom;
+        this.leaseMs = leaseMs;
+        this.marginMs = marginMs;
+        this.intervalMs = intervalMs;
+        this.retentionMs = retentionMs;
+        this.staticFromMs = staticFromMs;
     }
 
-    /** Whether its grants count now, by its own clock. */
-    public boolean hasLease(double now) {
+    /** Whether grants count now, by the own clock. */
+    public boolean hasLease(double nowMs) {
         Lease lease = ledger.leases().of(incarnation);
-        return lease != null && lease.isHeldAt(now + margin);
+        return lease != null && lease.isHeldAt(nowMs + marginMs);
     }
 
     /**
-     * Connections that this gateway may hold at the server; asked before one is opened, and before
-     * each dispatch.
+     * Connections that this gateway may hold at a server; to be asked before one is opened, and
+     * before each attempt.
      */
-    public int connectionLimit(String server, double now) {
+    public int connectionLimit(String server, double nowMs) {
         if (left) {
             return 0;
         }
         int number = ledger.serverNumber(server);
-        return own(server, now)
-                + (number >= 0 && hasLease(now) ? ledger.granted(incarnation, number) : 0);
+        int granted = number >= 0 && hasLease(nowMs) ? ledger.granted(incarnation, number) : 0;
+        return staticShare(server, nowMs) + granted;
     }
 
-    private int own(String server, double now) {
-        return now >= staticFrom ? staticShares.of(server, incarnation.gateway()) : 0;
+    private int staticShare(String server, double nowMs) {
+        return nowMs >= staticFromMs ? staticShares.of(server, incarnation.gateway()) : 0;
     }
 
-    /** Connections to let go: idle ones at once, busy ones as they are answered. */
-    public int excessConnections(String server, double now) {
-        return Math.max(0, open.getOrDefault(server, 0) - connectionLimit(server, now));
+    /** Connections to close: idle ones at once, busy ones once they are answered. */
+    public int excessConnections(String server, double nowMs) {
+        int open = openConnections.getOrDefault(server, 0);
+        return Math.max(0, open - connectionLimit(server, nowMs));
     }
 
     /**
-     * Dispatches that an account may have out through this gateway. One that the ledger does not
-     * know yet may have one.
+     * Attempts that an account may have in flight through this gateway; one for an account that the
+     * ledger does not know yet.
      */
-    public int attemptLimit(long account, double now) {
-        if (hasLease(now)) {
-            GrantTable.Holder h = ledger.table.holders.get(incarnation);
-            int least = h == null || !h.asked.containsKey(account) ? 1 : 0;
-            return Math.max(least, ledger.accountGrant(incarnation, account));
+    public int attemptLimit(long account, double nowMs) {
+        if (hasLease(nowMs)) {
+            GrantTable.Holder holder = holder();
+            boolean isKnown = holder != null && holder.demands.containsKey(account);
+            return Math.max(isKnown ? 0 : 1, ledger.accountGrant(incarnation, account));
         }
-        Want want = wants.get(account);
-        return want == null ? 1 : Math.max(1, want.alone);
+        Demand demand = demands.get(account);
+        return demand == null ? 1 : Math.max(1, demand.limitWithoutLease);
+    }
+
+    /** Null where the ledger has no report of this incarnation. */
+    private GrantTable.Holder holder() {
+        return ledger.table.holders.get(incarnation);
     }
 
     /**
-     * Number of the last entry that granted here; never falls. The routing opens nothing under a
-     * lower one.
+     * Index of the last entry that granted at a server; never falls. No connection may be opened
+     * under a lower one.
      */
     public long fencingToken(String server) {
         int number = ledger.serverNumber(server);
-        GrantTable.Holder h = ledger.table.holders.get(incarnation);
-        GrantTable.Cell c = h == null || number < 0 ? null : h.cells.get(number);
-        return fencingTokens.merge(server, c == null ? 0 : c.fencingToken, Math::max);
+        GrantTable.ServerGrant grant =
+                number < 0 ? null : ledger.table.serverGrant(incarnation, number);
+        return fencingTokens.merge(server, grant == null ? 0 : grant.fencingToken, Math::max);
     }
 
     public void connectionOpened(String server) {
-        open.merge(server, 1, Integer::sum);
+        openConnections.merge(server, 1, Integer::sum);
     }
 
     public void connectionClosed(String server) {
-        open.computeIfPresent(server, (s, n) -> n > 1 ? n - 1 : null);
+        openConnections.computeIfPresent(server, (key, open) -> open > 1 ? open - 1 : null);
     }
 
-    /** An account has, or would have if nothing were short, so many dispatches out now. */
-    public void reportDemand(long account, int dispatches) {
-        Want want = wants.get(account);
-        if (want == null) {
-            if (dispatches <= 0 || wants.size() >= BudgetLedger.MAX_ACCOUNTS) {
+    /**
+     * Notes that an account has, or without shortage would have, so many attempts in flight now.
+     */
+    public void reportDemand(long account, int attempts) {
+        Demand demand = demands.get(account);
+        if (demand == null) {
+            if (attempts <= 0 || demands.size() >= BudgetLedger.MAX_ACCOUNTS) {
                 return;
             }
-            want = new Want();
-            wants.put(account, want);
+            demand = new Demand();
+            demands.put(account, demand);
         }
-        want.now = Math.max(want.now, dispatches);
+        demand.present = Math.max(demand.present, attempts);
     }
 
-    /** This process ends: it wants nothing more, and leaves once nothing is open. */
+    /** Ends all demand; the gateway leaves once no connection is open. */
     public void startLeaving() {
-        leaves = true;
+        leaving = true;
     }
 
-    /** Whether it left: from then on it holds nothing. */
+    /** Whether the gateway has left, and holds nothing from then on. */
     public boolean hasLeft() {
         return left;
     }
 
     /**
-     * What to append to the log now: two entries at most, no sooner than {@code every} after the
-     * last ones. What is lost is told again, as it is worked out from what the ledger has.
+     * The entries to append now: two at most, no sooner than the interval after the last ones. A
+     * lost entry is made up for, as entries are derived from the state of the ledger.
      */
-    public List<byte[]> nextEntries(double now) {
-        if (now < nextRound || left) {
+    public List<byte[]> nextEntries(double nowMs) {
+        if (nowMs < nextEntriesMs || left) {
             return List.of();
         }
-        nextRound = now + every;
-        List<byte[]> entries = new ArrayList<>(2);
-        Lease lease = ledger.leases().of(incarnation);
-        if (leaves && open.isEmpty()) {
+        nextEntriesMs = nowMs + intervalMs;
+        if (leaving && openConnections.isEmpty()) {
             left = true;
-            entries.add(LeaseTable.departureEntry(incarnation, now));
-            return entries;
+            return List.of(LeaseTable.departureEntry(incarnation, nowMs));
         }
-        if (lease == null || now >= lease.expiresAtMs() - length * 2 / 3) {
-            entries.add(LeaseTable.renewalEntry(incarnation, now, length));
+        List<byte[]> entries = new ArrayList<>(2);
+        Lease lease = ledger.leases().of(incarnation);
+        if (lease == null || nowMs >= lease.expiresAtMs() - leaseMs * 2 / 3) {
+            entries.add(LeaseTable.renewalEntry(incarnation, nowMs, leaseMs));
         }
-        alone(now);
+        divideStaticShare(nowMs);
         if (lease != null) {
-            tell(now, entries);
+            addDemandReport(nowMs, entries);
         }
-        if (now >= nextSpan) {
-            nextSpan = now + keep;
-            wants.values()
-                    .forEach(
-                            w -> {
-                                w.before = w.now;
-                                w.now = 0;
-                            });
-            wants.values().removeIf(w -> w.before == 0);
+        if (nowMs >= nextSpanMs) {
+            startSpan(nowMs);
         }
         return entries;
     }
 
-    private void tell(double now, List<byte[]> entries) {
-        GrantTable.Holder h = ledger.table.holders.get(incarnation);
-        Map<Long, Integer> wanted = new LinkedHashMap<>();
-        Map<Integer, Integer> held = new LinkedHashMap<>();
-        if (!leaves) {
-            wants.forEach(
-                    (a, w) -> {
-                        int told = h == null ? 0 : h.asked.getOrDefault(a, 0);
-                        // A little less is not told, more always is.
-                        if (w.most() > told || w.most() < told - told / 8) {
-                            wanted.put(a, w.most());
-                        }
-                    });
+    private void startSpan(double nowMs) {
+        nextSpanMs = nowMs + retentionMs;
+        for (Demand demand : demands.values()) {
+            demand.previous = demand.present;
+            demand.present = 0;
         }
-        if (h != null) {
-            h.asked.forEach(
-                    (a, told) -> {
-                        if ((leaves || !wants.containsKey(a))
-                                && wanted.size() < BudgetLedger.MAX_ACCOUNTS) {
-                            wanted.put(a, 0);
-                        }
-                    });
-            h.cells.forEach(
-                    (s, c) -> {
-                        String name = ledger.table.servers.get(s).name;
-                        int has = Math.max(0, open.getOrDefault(name, 0) - own(name, now));
-                        if (c.may > c.granted && has < c.may) {
-                            held.put(s, has);
+        demands.values().removeIf(demand -> demand.previous == 0);
+    }
+
+    private void addDemandReport(double nowMs, List<byte[]> entries) {
+        GrantTable.Holder holder = holder();
+        Map<Long, Integer> changedDemands = changedDemands(holder);
+        Map<Integer, Integer> held = holder == null ? Map.of() : heldBeyondGrants(holder, nowMs);
+        if (!changedDemands.isEmpty() || !held.isEmpty()) {
+            entries.add(
+                    new LedgerEntry.DemandReport(
+                                    incarnation, nowMs, ledger.lastIndex(), changedDemands, held)
+                            .encode());
+        }
+    }
+
+    /** Demands that differ from those that the ledger has; 0 for those that ended. */
+    private Map<Long, Integer> changedDemands(GrantTable.Holder holder) {
+        Map<Long, Integer> changed = new LinkedHashMap<>();
+        Map<Long, Integer> reported = holder == null ? Map.of() : holder.demands;
+        if (!leaving) {
+            demands.forEach(
+                    (account, demand) -> {
+                        if (isWorthReporting(demand.max(), reported.getOrDefault(account, 0))) {
+                            changed.put(account, demand.max());
                         }
                     });
         }
-        if (!wanted.isEmpty() || !held.isEmpty()) {
-            entries.add(
-                    new LedgerEntry.DemandReport(incarnation, now, ledger.lastIndex(), wanted, held)
-                            .encode());
+        for (long account : reported.keySet()) {
+            if ((leaving || !demands.containsKey(account))
+                    && changed.size() < BudgetLedger.MAX_ACCOUNTS) {
+                changed.put(account, 0);
+            }
         }
+        return changed;
+    }
+
+    /** A rise always is, a small fall is not. */
+    private static boolean isWorthReporting(int demand, int reported) {
+        return demand > reported || demand < reported - reported / UNREPORTED_DIVISOR;
+    }
+
+    /** What is held where a grant was reduced and less is held than may be, by server number. */
+    private Map<Integer, Integer> heldBeyondGrants(GrantTable.Holder holder, double nowMs) {
+        Map<Integer, Integer> heldByServer = new LinkedHashMap<>();
+        holder.serverGrants.forEach(
+                (number, grant) -> {
+                    String server = ledger.table.servers.get(number).name;
+                    int open = openConnections.getOrDefault(server, 0);
+                    int held = Math.max(0, open - staticShare(server, nowMs));
+                    if (grant.maxHeld > grant.granted && held < grant.maxHeld) {
+                        heldByServer.put(number, held);
+                    }
+                });
+        return heldByServer;
     }
 
-    /** Without a lease its static share is divided here, by the same rule. */
-    private void alone(double now) {
+    /** Divides the static share among the accounts for times without a lease, by the same rule. */
+    private void divideStaticShare(double nowMs) {
         int pool = 0;
-        for (GrantTable.Server s : ledger.table.servers) {
-            pool += own(s.name, now);
+        for (GrantTable.Server server : ledger.table.servers) {
+            pool += staticShare(server.name, nowMs);
         }
-        int[][] in = new int[3][wants.size()];
-        int i = 0;
-        for (Map.Entry<Long, Want> e : wants.entrySet()) {
-            GrantProposer.Plan plan = plans.apply(e.getKey());
-            in[0][i] = plan == null ? 1 : plan.weight();
-            in[1][i] = plan == null ? 0 : plan.floor();
-            in[2][i++] = plan == null ? 0 : Math.min(plan.cap(), e.getValue().most());
+        int[] weights = new int[demands.size()];
+        int[] floors = new int[demands.size()];
+        int[] caps = new int[demands.size()];
+        int index = 0;
+        for (Map.Entry<Long, Demand> entry : demands.entrySet()) {
+            GrantProposer.Plan plan = plans.apply(entry.getKey());
+            weights[index] = plan == null ? 1 : plan.weight();
+            floors[index] = plan == null ? 0 : plan.floor();
+            caps[index] = plan == null ? 0 : Math.min(plan.cap(), entry.getValue().max());
+            index++;
         }
-        int[] given = MaxMinFairness.divide(pool, in[0], in[1], in[2]);
-        i = 0;
-        for (Want w : wants.values()) {
-            w.alone = given[i++];
+        int[] limits = MaxMinFairness.divide(pool, weights, floors, caps);
+        index = 0;
+        for (Demand demand : demands.values()) {
+            demand.limitWithoutLease = limits[index++];
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budget/StaticShares.java
+++ b/fleet/src/main/java/tinford/fleet/budget/StaticShares.java
@@ -1,83 +1,99 @@
 package tinford.fleet.budget;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * The part of each server's offer that is never granted and belongs to gateways for good, by
- * settings that all of them share: what a gateway holds without asking anyone. Even floors; the
- * spare ones go to those first in the server's own order of gateways (a hash of server and
- * gateway), so each is somebody's and the sum is exact. Holds one array of gateways a server.
+ * The part of each server's capacity that is never granted: each gateway holds a fixed share of it
+ * without a lease, by settings that all gateways have in common. The shares are even; odd
+ * connections go to the gateways that come first in an order of the server's own (a hash of server
+ * and gateway), so that the sum is exact. Keeps one array of gateways for each server.
  */
 public final class StaticShares {
-    private static final int MOST_UNNAMED = BudgetLedger.MAX_SERVERS;
-    private final Map<String, int[]> by = new LinkedHashMap<>();
-    private final Map<String, Integer> sums = new LinkedHashMap<>();
-    private final int unnamed;
-    private final double part;
+    private static final int MAX_SERVERS = BudgetLedger.MAX_SERVERS;
+
+    /** Keeps a product that should be whole from being rounded down. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
+
+    private final Map<String, int[]> sharesByServer = new LinkedHashMap<>();
+    private final Map<String, Integer> totalsByServer = new LinkedHashMap<>();
+    private final int defaultCapacity;
+    private final double staticPart;
     private final int gateways;
 
     /**
-     * @param offers by server, from the settings
-     * @param part of an offer that is static, 0 to 1
+     * @param capacities by server, from the settings
+     * @param staticPart of a capacity, 0 to 1
      */
-    public StaticShares(Map<String, Integer> offers, double part, int gateways) {
-        this(offers, 0, part, gateways);
+    public StaticShares(Map<String, Integer> capacities, double staticPart, int gateways) {
+        this(capacities, 0, staticPart, gateways);
     }
 
     /**
-     * @param unnamed what each server offers that the settings do not name
+     * @param defaultCapacity of each server that {@code capacities} does not name
      */
-    public StaticShares(Map<String, Integer> offers, int unnamed, double part, int gateways) {
-        this.unnamed = unnamed;
-        this.part = part;
+    public StaticShares(
+            Map<String, Integer> capacities, int defaultCapacity, double staticPart, int gateways) {
+        this.defaultCapacity = defaultCapacity;
+        this.staticPart = staticPart;
         this.gateways = gateways;
-        offers.forEach(this::divide);
+        capacities.forEach(this::divide);
     }
 
-    private int[] divide(String server, int offer) {
-        int sum = (int) Math.floor(Math.max(0, offer) * Math.max(0, Math.min(1, part)) + 1e-9);
-        int[] each = new int[gateways];
-        List<Integer> order = new ArrayList<>();
-        for (int g = 0; g < gateways; g++) {
-            each[g] = sum / gateways;
-            order.add(g);
+    private int[] divide(String server, int capacity) {
+        double part = Math.max(0, Math.min(1, staticPart));
+        int total = (int) Math.floor(Math.max(0, capacity) * part + ROUNDING_TOLERANCE);
+        int[] shares = new int[gateways];
+        Arrays.fill(shares, total / gateways);
+        List<Integer> order = gatewayOrder(server);
+        for (int i = 0; i < total % gateways; i++) {
+            shares[order.get(i)]++;
         }
-        order.sort(Comparator.<Integer>comparingLong(g -> hash(server, g)).thenComparing(g -> g));
-        for (int i = 0; i < sum % gateways; i++) {
-            each[order.get(i)]++;
+        if (sharesByServer.size() < MAX_SERVERS) {
+            sharesByServer.put(server, shares);
+            totalsByServer.put(server, total);
         }
-        if (by.size() < MOST_UNNAMED) {
-            by.put(server, each);
-            sums.put(server, sum);
+        return shares;
+    }
+
+    private List<Integer> gatewayOrder(String server) {
+        List<Integer> order = new ArrayList<>();
+        for (int gateway = 0; gateway < gateways; gateway++) {
+            order.add(gateway);
         }
-        return each;
+        order.sort(
+                Comparator.<Integer>comparingLong(gateway -> hash(server, gateway))
+                        .thenComparing(Comparator.naturalOrder()));
+        return order;
     }
 
-    /** A server that the settings do not name has what each such one offers. */
+    /** The static share of a gateway at a server; 0 for a gateway that is none of the fleet. */
     public int of(String server, int gateway) {
-        int[] each = by.get(server);
-        each = each == null ? divide(server, unnamed) : each;
-        return gateway < 0 || gateway >= gateways ? 0 : each[gateway];
+        int[] shares = sharesByServer.get(server);
+        if (shares == null) {
+            shares = divide(server, defaultCapacity);
+        }
+        return gateway < 0 || gateway >= gateways ? 0 : shares[gateway];
     }
 
-    /** All gateways' together. */
-    public int sum(String server) {
-        Integer sum = sums.get(server);
-        return sum != null ? sum : java.util.Arrays.stream(divide(server, unnamed)).sum();
+    /** The static shares of all gateways at a server. */
+    public int total(String server) {
+        Integer total = totalsByServer.get(server);
+        return total != null ? total : Arrays.stream(divide(server, defaultCapacity)).sum();
     }
 
     private static long hash(String server, int gateway) {
-        long h = 0xcbf29ce484222325L;
+        long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < server.length(); i++) {
-            h = (h ^ server.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ server.charAt(i)) * 0x100000001b3L;
         }
-        h = (h + gateway) * 0x9e3779b97f4a7c15L;
-        h = (h ^ h >>> 30) * 0xbf58476d1ce4e5b9L;
-        h = (h ^ h >>> 27) * 0x94d049bb133111ebL;
-        return h ^ h >>> 31;
+        hash = (hash + gateway) * 0x9e3779b97f4a7c15L;
+        hash = (hash ^ hash >>> 30) * 0xbf58476d1ce4e5b9L;
+        hash = (hash ^ hash >>> 27) * 0x94d049bb133111ebL;
+        return hash ^ hash >>> 31;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budget/VarInts.java
+++ b/fleet/src/main/java/tinford/fleet/budget/VarInts.java
@@ -5,46 +5,52 @@
 import java.io.IOException;
 import tinford.fleet.membership.Incarnation;
 
-/** Whole numbers as variable-length integers: seven bits a byte, the lowest first. */
+/** Whole numbers from 0 in 7 bits a byte, the lowest first; at most ten bytes. */
 final class VarInts {
+    private static final int BITS_PER_BYTE = 7;
+    private static final int VALUE_MASK = 0x7f;
+    private static final int CONTINUATION_BIT = 0x80;
+
     private VarInts() {}
 
-    static void put(DataOutput out, long value) throws IOException {
-        long v = value;
-        while ((v & ~0x7fL) != 0) {
-            out.writeByte((int) (v & 0x7f | 0x80));
-            v >>>= 7;
+    static void put(DataOutput output, long value) throws IOException {
+        long rest = value;
+        while ((rest & ~(long) VALUE_MASK) != 0) {
+            output.writeByte((int) (rest & VALUE_MASK | CONTINUATION_BIT));
+            rest >>>= BITS_PER_BYTE;
         }
-        out.writeByte((int) v);
+        output.writeByte((int) rest);
     }
 
-    static long take(DataInput in) throws IOException {
-        long v = 0;
-        for (int shift = 0; shift < 64; shift += 7) {
-            byte b = in.readByte();
-            v |= (long) (b & 0x7f) << shift;
-            if (b >= 0) {
-                return v;
+    static long take(DataInput input) throws IOException {
+        long value = 0;
+        for (int shift = 0; shift < Long.SIZE; shift += BITS_PER_BYTE) {
+            byte next = input.readByte();
+            value |= (long) (next & VALUE_MASK) << shift;
+            if (next >= 0) {
+                return value;
             }
         }
         throw new IOException("a whole number: longer than 10 bytes");
     }
 
-    /** A number from 0 to {@code most}. */
-    static int count(DataInput in, int most) throws IOException {
-        long v = take(in);
-        if (v < 0 || v > most) {
-            throw new IOException("a count: " + v + ", expected 0 to " + most);
+    /**
+     * @throws IOException the number is not from 0 to {@code max}
+     */
+    static int takeCount(DataInput input, int max) throws IOException {
+        long value = take(input);
+        if (value < 0 || value > max) {
+            throw new IOException("a count: " + value + ", expected 0 to " + max);
         }
-        return (int) v;
+        return (int) value;
     }
 
-    static void put(DataOutput out, Incarnation incarnation) throws IOException {
-        put(out, incarnation.gateway());
-        put(out, incarnation.start());
+    static void put(DataOutput output, Incarnation incarnation) throws IOException {
+        put(output, incarnation.gateway());
+        put(output, incarnation.start());
     }
 
-    static Incarnation incarnation(DataInput in) throws IOException {
-        return new Incarnation(count(in, Integer.MAX_VALUE), take(in));
+    static Incarnation takeIncarnation(DataInput input) throws IOException {
+        return new Incarnation(takeCount(input, Integer.MAX_VALUE), take(input));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/budget/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/HistoriesTest.java
@@ -12,20 +12,20 @@
 import tinford.fleet.membership.Incarnation;
 import tinford.fleet.membership.Lease;
 
-/** Drawn histories of connection budgets under faults. */
+/** Random histories of connection budgets under faults. */
 public class HistoriesTest {
     private static final LongFunction<GrantProposer.Plan> PLANS =
             a -> new GrantProposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 60);
 
     /**
-     * A drawn history; returns by how many connections an offer was exceeded at most (below 0: how
-     * near).
+     * Plays a random history; returns by how many connections a capacity was exceeded at most
+     * (below 0: how many were left).
      */
-    private static int play(int seed, String broken) {
-        return history(seed, broken).worst;
+    private static int play(int seed, String defect) {
+        return history(seed, defect).worst;
     }
 
-    private static SimulatedBudgetFleet history(int seed, String broken) {
+    private static SimulatedBudgetFleet history(int seed, String defect) {
         Random random = new Random(seed * 31L);
         int size = 2 + random.nextInt(4);
         Map<String, Integer> offers = new LinkedHashMap<>();
@@ -33,16 +33,15 @@
             offers.put("s" + s, 1 + random.nextInt(30));
         }
         double part = random.nextBoolean() ? 0.2 : 0;
-        SimulatedBudgetFleet[] fleet = new SimulatedBudgetFleet[1];
-        fleet[0] =
+        SimulatedBudgetFleet fleet =
                 new SimulatedBudgetFleet(
                         seed,
                         size,
                         offers,
                         part,
                         PLANS,
-                        broken.isEmpty() ? null : s -> ledger(size, s, broken),
-                        !broken.equals("own clock ignored")
+                        defect.isEmpty() ? null : s -> ledger(size, s, defect),
+                        !defect.equals("own clock ignored")
                                 ? null
                                 : (ledger, incarnation, from) ->
                                         new LocalBudget(
@@ -55,10 +54,9 @@
                                                 SimulatedBudgetFleet.EVERY,
                                                 SimulatedBudgetFleet.KEEP,
                                                 from));
-        SimulatedBudgetFleet f = fleet[0];
-        f.faults = true;
+        fleet.faults = true;
         for (int k = 0; k < 12; k++) {
-            for (SimulatedBudgetFleet.Gateway g : f.gateways) {
+            for (SimulatedBudgetFleet.Gateway g : fleet.gateways) {
                 g.wants.clear();
                 for (long a = 0; a < 6; a++) {
                     if (random.nextInt(3) == 0) {
@@ -68,50 +66,51 @@
             }
             if (random.nextInt(4) == 0) {
                 String s = "s" + random.nextInt(offers.size());
-                f.offer(s, Math.max((int) (offers.get(s) * part) + 1, random.nextInt(30)), k + 1);
+                fleet.offer(
+                        s, Math.max((int) (offers.get(s) * part) + 1, random.nextInt(30)), k + 1);
             }
-            f.run(2500);
+            fleet.run(2500);
         }
-        return f;
+        return fleet;
     }
 
-    private static BudgetLedger ledger(int size, StaticShares staticShares, String broken) {
+    private static BudgetLedger ledger(int size, StaticShares staticShares, String defect) {
         return new BudgetLedger(SimulatedBudgetFleet.leases(size), staticShares) {
             @Override
-            boolean fits(Incarnation incarnation, int server, int more) {
-                return broken.equals("no check") || super.fits(incarnation, server, more);
+            boolean hasRoom(Incarnation incarnation, int server, int more) {
+                return defect.equals("no check") || super.hasRoom(incarnation, server, more);
             }
 
             @Override
-            double free(Lease lease) {
-                return broken.equals("no linger") ? leases().logTimeMs() : super.free(lease);
+            double releaseMs(Lease lease) {
+                return defect.equals("no linger") ? leases().logTimeMs() : super.releaseMs(lease);
             }
 
             @Override
-            boolean gone(Incarnation incarnation) {
-                return switch (broken) {
-                    case "no linger" -> super.gone(incarnation) || !leases().mayAct(incarnation);
+            boolean isGone(Incarnation incarnation) {
+                return switch (defect) {
+                    case "no linger" -> super.isGone(incarnation) || !leases().mayAct(incarnation);
                     case "a later incarnation frees the earlier's" ->
-                            super.gone(incarnation)
+                            super.isGone(incarnation)
                                     || leases().of(incarnation.gateway()).stream()
                                             .anyMatch(l -> l.start() > incarnation.start());
-                    default -> super.gone(incarnation);
+                    default -> super.isGone(incarnation);
                 };
             }
         };
     }
 
     @Test
-    public void neverOverThroughDrawnFaults() {
-        neverOver(0, 10);
+    public void neverExceedsACapacityOverRandomFaults() {
+        checkCapacities(0, 10);
     }
 
     @Test(groups = "long")
-    public void neverOverThroughManyMoreDrawnFaults() {
-        neverOver(10, 200);
+    public void neverExceedsACapacityOverManyMoreRandomFaults() {
+        checkCapacities(10, 200);
     }
 
-    private static void neverOver(int first, int end) {
+    private static void checkCapacities(int first, int end) {
         int atFull = 0;
         for (int seed = first; seed < end; seed++) {
             int over = play(seed, "");
@@ -122,59 +121,63 @@
     }
 
     @Test
-    public void aSnapshotAtAnyPointCarriesAllAndWhatCantBeReadChangesNothing() {
-        SimulatedBudgetFleet f = history(3, "");
-        BudgetLedger whole =
-                new BudgetLedger(SimulatedBudgetFleet.leases(f.gateways.size()), f.staticShares);
-        BudgetLedger cut =
-                new BudgetLedger(SimulatedBudgetFleet.leases(f.gateways.size()), f.staticShares);
+    public void restoresASnapshotOfAnyPointAndIgnoresGarbage() {
+        SimulatedBudgetFleet fleet = history(3, "");
+        BudgetLedger continuous =
+                new BudgetLedger(
+                        SimulatedBudgetFleet.leases(fleet.gateways.size()), fleet.staticShares);
+        BudgetLedger resumed =
+                new BudgetLedger(
+                        SimulatedBudgetFleet.leases(fleet.gateways.size()), fleet.staticShares);
         Random random = new Random(9);
-        for (int i = 0; i < f.log.size(); i++) {
-            whole.apply(i + 1, f.log.get(i));
-            cut.apply(i + 1, f.log.get(i));
-            assertEquals(cut.snapshot(), whole.snapshot(), "entry " + i);
+        for (int i = 0; i < fleet.log.size(); i++) {
+            continuous.apply(i + 1, fleet.log.get(i));
+            resumed.apply(i + 1, fleet.log.get(i));
+            assertEquals(resumed.snapshot(), continuous.snapshot(), "entry " + i);
             if (random.nextInt(5) == 0) {
                 BudgetLedger next =
                         new BudgetLedger(
-                                SimulatedBudgetFleet.leases(f.gateways.size()), f.staticShares);
-                next.restore(i + 1, cut.snapshot());
-                cut = next;
+                                SimulatedBudgetFleet.leases(fleet.gateways.size()),
+                                fleet.staticShares);
+                next.restore(i + 1, resumed.snapshot());
+                resumed = next;
             }
         }
-        BudgetLedger bad =
-                new BudgetLedger(SimulatedBudgetFleet.leases(f.gateways.size()), f.staticShares);
-        bad.restore(f.log.size(), whole.snapshot());
-        byte[] cells = cells(bad);
-        long index = f.log.size();
-        for (byte[] entry : f.log) {
-            byte[] spoilt = java.util.Arrays.copyOf(entry, 2 + random.nextInt(3));
-            bad.apply(++index, spoilt);
-            spoilt[random.nextInt(2)] = 99;
-            bad.apply(++index, spoilt);
+        BudgetLedger restored =
+                new BudgetLedger(
+                        SimulatedBudgetFleet.leases(fleet.gateways.size()), fleet.staticShares);
+        restored.restore(fleet.log.size(), continuous.snapshot());
+        byte[] grants = grants(restored);
+        long index = fleet.log.size();
+        for (byte[] entry : fleet.log) {
+            byte[] garbage = java.util.Arrays.copyOf(entry, 2 + random.nextInt(3));
+            restored.apply(++index, garbage);
+            garbage[random.nextInt(2)] = 99;
+            restored.apply(++index, garbage);
         }
-        assertEquals(cells(bad), cells, "spoilt entries");
+        assertEquals(grants(restored), grants, "garbage changed grants");
         assertTrue(
-                bad.unreadableEntries() > 0
-                        && bad.unknownEntries() > 0
-                        && bad.leases().rejectedEntries() > 0);
+                restored.unreadableEntries() > 0
+                        && restored.unknownEntries() > 0
+                        && restored.leases().rejectedEntries() > 0);
     }
 
-    private static byte[] cells(BudgetLedger ledger) {
+    private static byte[] grants(BudgetLedger ledger) {
         StringBuilder all = new StringBuilder();
         ledger.table.holders.forEach(
                 (l, h) ->
-                        h.cells.forEach(
+                        h.serverGrants.forEach(
                                 (s, c) ->
                                         all.append(l)
                                                 .append(s)
                                                 .append(' ')
                                                 .append(c.granted)
-                                                .append(c.may)));
+                                                .append(c.maxHeld)));
         return all.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
     }
 
     @DataProvider
-    public Object[][] broken() {
+    public Object[][] defects() {
         return new Object[][] {
             {"no check"},
             {"no linger"},
@@ -183,13 +186,13 @@
         };
     }
 
-    @Test(dataProvider = "broken")
-    public void aBrokenOneIsCaught(String broken) {
+    @Test(dataProvider = "defects")
+    public void detectsEachDeliberateDefect(String defect) {
         for (int seed = 0; seed < 40; seed++) {
-            if (play(seed, broken) > 0) {
+            if (play(seed, defect) > 0) {
                 return;
             }
         }
-        assertEquals(broken, "caught");
+        assertEquals(defect, "caught");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/budget/MaxMinFairnessTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/MaxMinFairnessTest.java
@@ -92,7 +92,7 @@
                 most = Math.max(most, s.of("a" + k, g));
                 least = Math.min(least, s.of("a" + k, g));
             }
-            assertEquals(sum, s.sum("a" + k));
+            assertEquals(sum, s.total("a" + k));
             assertEquals(sum <= offer && most - least <= 1, true);
         }
     }
--- a/fleet/src/test/java/tinford/fleet/budget/ProposalCost.java
+++ b/fleet/src/test/java/tinford/fleet/budget/ProposalCost.java
@@ -79,7 +79,7 @@
                 Map<Integer, Integer> held = new LinkedHashMap<>();
                 GrantTable.Holder h = ledger.table.holders.get(incarnation);
                 if (h != null) {
-                    h.cells.forEach((s, c) -> held.put(s, c.granted));
+                    h.serverGrants.forEach((s, c) -> held.put(s, c.granted));
                 }
                 ledger.apply(
                         ++index,
--- a/fleet/src/test/java/tinford/fleet/budget/SimulatedBudgetFleet.java
+++ b/fleet/src/test/java/tinford/fleet/budget/SimulatedBudgetFleet.java
@@ -326,7 +326,7 @@
     int granted(long account) {
         BudgetLedger l = gateways.get(leader).ledger;
         return l.table.holders.values().stream()
-                .mapToInt(h -> h.uses.getOrDefault(account, 0))
+                .mapToInt(h -> h.accountGrants.getOrDefault(account, 0))
                 .sum();
     }
 }
