--- a/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
@@ -10,12 +10,13 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * Overload handled by the fleet as one: the part of the view that bounds what is passed, sent
- * again, and tried. No I/O, one thread.
+ * The part of the fleet's policy that handles overload: which requests are admitted, how many
+ * retries are sent, and which gateway probes an ejected server. No I/O; for one thread. Times are
+ * in ms.
  */
 public final class FleetOverloadPolicy extends FleetPolicy {
-    private static final double STEP_MS =
-            100; // the line is worked out this often; records come no faster
+    /** Records come no faster than this. */
+    private static final double UPDATE_INTERVAL_MS = 100;
 
     private final Incarnation incarnation;
     private final LocalStatistics statistics;
@@ -24,98 +25,115 @@
     private final ProbeOwners probeOwners;
     private final RetryJitter retryJitter;
     private boolean alone = true;
-    private double steppedAt = Double.NEGATIVE_INFINITY;
+    private double lastUpdateMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param window ms, of some seconds: a line is gone two of them after its cause
-     * @param part of first dispatches that may be sent again where they may have run
+     * @param windowMs some seconds; a threshold is gone two of them after its cause
+     * @param retryPart of first attempts that may be retried where they may have run
      */
     public FleetOverloadPolicy(
-            double now, Incarnation incarnation, double window, double part, Random chance) {
+            double nowMs,
+            Incarnation incarnation,
+            double windowMs,
+            double retryPart,
+            Random random) {
         this.incarnation = incarnation;
-        this.statistics = new LocalStatistics(now);
-        this.admission = new AdmissionThreshold(window);
-        this.retryBudget = new RetryBudget(part, chance);
-        this.probeOwners = new ProbeOwners(chance);
-        this.retryJitter = new RetryJitter(window / 2);
+        this.statistics = new LocalStatistics(nowMs);
+        this.admission = new AdmissionThreshold(windowMs);
+        this.retryBudget = new RetryBudget(retryPart, random);
+        this.probeOwners = new ProbeOwners(random);
+        this.retryJitter = new RetryJitter(windowMs / 2);
     }
 
-    /** Once a round, before the round's calls of the view. */
-    public void round(double now, Membership membership) {
-        statistics.round(now);
-        if (now - steppedAt < STEP_MS) return;
-        steppedAt = now;
+    /** To be called in each iteration, before the policy is asked. */
+    public void update(double nowMs, Membership membership) {
+        statistics.advance(nowMs);
+        if (nowMs - lastUpdateMs < UPDATE_INTERVAL_MS) {
+            return;
+        }
+        lastUpdateMs = nowMs;
         alone = membership.aliveCount() <= 1;
-        admission.round(now, membership);
-        retryBudget.round(now, incarnation, membership);
-        probeOwners.round(now, incarnation, membership);
+        admission.update(nowMs, membership);
+        retryBudget.update(nowMs, incarnation, membership);
+        probeOwners.update(nowMs, incarnation, membership);
     }
 
-    /** The record to tell. */
-    public GossipRecord record(int seq) {
-        GossipRecord s = statistics.record(incarnation, seq);
-        s.capacity = admission.capacity();
-        retryBudget.tell(s);
-        probeOwners.tell(s);
-        return s;
+    /** The gossip record of now. */
+    public GossipRecord record(int sequence) {
+        GossipRecord record = statistics.record(incarnation, sequence);
+        record.capacity = admission.capacity();
+        retryBudget.writeTo(record);
+        probeOwners.writeTo(record);
+        return record;
     }
 
+    /** See {@link AdmissionThreshold#threshold}. */
     public double threshold() {
         return admission.threshold();
     }
 
+    /** See {@link AdmissionThreshold#partAtThreshold}. */
     public double partAtThreshold() {
-        return admission.part();
+        return admission.partAtThreshold();
     }
 
-    /** By class of worth, so that gateways whose lines differ a little within one shed alike. */
+    /** By priority class, so that gateways whose thresholds differ within one class shed alike. */
     @Override
-    public double admittedShare(double worth) {
-        int c = GossipRecord.classOf(worth);
-        int at = GossipRecord.classOf(admission.threshold());
-        return admission.threshold() <= 0 || c > at ? 1 : c < at ? 0 : admission.part();
+    public double admittedShare(double weight) {
+        if (admission.threshold() <= 0) {
+            return 1;
+        }
+        int order =
+                Integer.compare(
+                        GossipRecord.classOf(weight), GossipRecord.classOf(admission.threshold()));
+        if (order == 0) {
+            return admission.partAtThreshold();
+        }
+        return order > 0 ? 1 : 0;
     }
 
     @Override
-    public double retryAllowance(double byOwn) {
-        return alone ? byOwn : retryBudget.level();
+    public double retryAllowance(double ownBudget) {
+        return alone ? ownBudget : retryBudget.level();
     }
 
     @Override
-    public boolean ownsProbing(Server srv) {
-        return probeOwners.looksAfter(srv);
+    public boolean ownsProbing(Server server) {
+        return probeOwners.mayProbe(server);
     }
 
     @Override
     public double retryAfterJitterMs() {
-        return retryJitter.most(admission.overAsked());
+        return retryJitter.maxMs(admission.overloadFactor());
     }
 
     @Override
-    public void requestOffered(Request request, double worth) {
-        statistics.asked(request.units, worth);
+    public void requestOffered(Request request, double weight) {
+        statistics.requestOffered(request.units, weight);
     }
 
     @Override
-    public void requestRejected(Request request, double worth) {
-        statistics.denied(request.units, worth);
+    public void requestRejected(Request request, double weight) {
+        statistics.requestRejected(request.units, weight);
     }
 
     @Override
-    public void attemptSent(Request request, Server srv, double worth, boolean again) {
-        statistics.sent(again);
-        retryBudget.sent(again);
-        probeOwners.tried(srv);
+    public void attemptSent(Request request, Server server, double weight, boolean retry) {
+        statistics.attemptSent(retry);
+        retryBudget.attemptSent(retry);
+        probeOwners.recordProbe(server);
     }
 
     @Override
-    public void attemptEnded(Request request, Server srv, AttemptOutcome how, boolean late) {
-        statistics.ended(request.units, how, late);
-        if (!how.mayHaveRun) retryBudget.neverRan();
+    public void attemptEnded(Request request, Server server, AttemptOutcome outcome, boolean late) {
+        statistics.attemptEnded(request.units, outcome, late);
+        if (!outcome.mayHaveRun) {
+            retryBudget.attemptNeverRan();
+        }
     }
 
     @Override
-    public void serverHealthChanged(Server srv, boolean ill) {
-        probeOwners.found(srv, ill);
+    public void serverHealthChanged(Server server, boolean unhealthy) {
+        probeOwners.recordHealth(server, unhealthy);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
+++ b/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
@@ -6,123 +6,159 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * What this gateway saw itself over the last second, in five buckets used again in a ring: of one
- * size whatever comes.
+ * What this gateway observed itself over about the last second, in a ring of five buckets of
+ * constant size. Times are in ms.
  */
 public final class LocalStatistics {
     private static final int BUCKETS = 5;
     private static final double BUCKET_MS = 200;
-    private static final int FIRST = 0,
-            FURTHER = 1,
-            GOOD = 2,
-            LATE = 3,
-            FAILED = 4,
-            GOOD_UNITS = 5,
-            COUNTS = 6;
-    private final double[][] asked = new double[BUCKETS][GossipRecord.PRIORITY_CLASSES],
-            denied = new double[BUCKETS][GossipRecord.PRIORITY_CLASSES];
-    private final double[][] counts = new double[BUCKETS][COUNTS];
-    private final long startedTurn;
-    private final double startedAt;
-    private long turn;
-    private double now;
-    private int open, waiting;
+    private static final double MS_PER_SECOND = 1000;
 
-    public LocalStatistics(double now) {
-        this.now = this.startedAt = now;
-        this.turn = this.startedTurn = (long) Math.floor(now / BUCKET_MS);
+    /** Sums over one bucket of time. */
+    private static final class Bucket {
+        final double[] offeredUnits = new double[GossipRecord.PRIORITY_CLASSES];
+        final double[] rejectedUnits = new double[GossipRecord.PRIORITY_CLASSES];
+        double firstAttempts;
+        double retries;
+        double onTime;
+        double late;
+        double failed;
+        double onTimeUnits;
+
+        void clear() {
+            Arrays.fill(offeredUnits, 0);
+            Arrays.fill(rejectedUnits, 0);
+            firstAttempts = 0;
+            retries = 0;
+            onTime = 0;
+            late = 0;
+            failed = 0;
+            onTimeUnits = 0;
+        }
+    }
+
+    private final Bucket[] buckets = new Bucket[BUCKETS];
+    private final long firstBucket;
+    private final double startedMs;
+    private long currentBucket;
+    private double nowMs;
+    private int inFlight;
+    private int queued;
+
+    public LocalStatistics(double nowMs) {
+        this.nowMs = nowMs;
+        this.startedMs = nowMs;
+        this.currentBucket = (long) Math.floor(nowMs / BUCKET_MS);
+        this.firstBucket = currentBucket;
+        Arrays.setAll(buckets, index -> new Bucket());
     }
 
-    public void round(double at) {
-        now = Math.max(now, at);
-        long next = (long) Math.floor(now / BUCKET_MS);
-        if (next - turn > BUCKETS) turn = next - BUCKETS;
-        while (turn < next) {
-            int i = Math.floorMod(++turn, BUCKETS);
-            Arrays.fill(asked[i], 0);
-            Arrays.fill(denied[i], 0);
-            Arrays.fill(counts[i], 0);
+    /** Advances the clock; it never goes back. */
+    public void advance(double toMs) {
+        nowMs = Math.max(nowMs, toMs);
+        long next = (long) Math.floor(nowMs / BUCKET_MS);
+        if (next - currentBucket > BUCKETS) {
+            currentBucket = next - BUCKETS;
+        }
+        while (currentBucket < next) {
+            currentBucket++;
+            current().clear();
         }
     }
 
-    public void asked(double units, double worth) {
-        asked[here()][GossipRecord.classOf(worth)] += units;
-        waiting++;
+    private Bucket current() {
+        return buckets[Math.floorMod(currentBucket, BUCKETS)];
     }
 
-    /** Of those that were told as asked, and were never sent. */
-    public void denied(double units, double worth) {
-        denied[here()][GossipRecord.classOf(worth)] += units;
-        waiting = Math.max(0, waiting - 1);
+    /**
+     * @param weight priority weight a unit
+     */
+    public void requestOffered(double units, double weight) {
+        current().offeredUnits[GossipRecord.classOf(weight)] += units;
+        queued++;
     }
 
-    public void sent(boolean further) {
-        count(further ? FURTHER : FIRST, 1);
-        open++;
-        if (!further) waiting = Math.max(0, waiting - 1);
+    /** Counts an offered request that ended without being sent. */
+    public void requestRejected(double units, double weight) {
+        current().rejectedUnits[GossipRecord.classOf(weight)] += units;
+        queued = Math.max(0, queued - 1);
     }
 
-    public void ended(double units, AttemptOutcome how, boolean late) {
-        open = Math.max(0, open - 1);
-        switch (how) {
-            case SUCCESS -> {
-                count(late ? LATE : GOOD, 1);
-                if (!late) count(GOOD_UNITS, units);
-            }
-            case TIMED_OUT -> count(LATE, 1);
-            case ERROR, CONNECTION_LOST, OVERLOADED -> count(FAILED, 1);
-            default -> {} // not reached says nothing of what the others bear, and costs no further
-                // dispatch
+    public void attemptSent(boolean isRetry) {
+        inFlight++;
+        if (isRetry) {
+            current().retries++;
+        } else {
+            current().firstAttempts++;
+            queued = Math.max(0, queued - 1);
+        }
+    }
+
+    /** An attempt that did not reach its server says nothing of the servers' capacity. */
+    public void attemptEnded(double units, AttemptOutcome outcome, boolean late) {
+        inFlight = Math.max(0, inFlight - 1);
+        switch (outcome) {
+            case SUCCESS -> recordSuccess(units, late);
+            case TIMED_OUT -> current().late++;
+            case ERROR, CONNECTION_LOST, OVERLOADED -> current().failed++;
+            default -> {}
+        }
+    }
+
+    private void recordSuccess(double units, boolean late) {
+        if (late) {
+            current().late++;
+        } else {
+            current().onTime++;
+            current().onTimeUnits += units;
         }
     }
 
     /**
-     * The record of now. What of a class was neither denied nor asked for lately counts as sent.
+     * The gossip record of now. Offered units that were not rejected count as admitted, those still
+     * in the queue included.
      */
-    public GossipRecord record(Incarnation incarnation, int seq) {
-        GossipRecord s = new GossipRecord(incarnation, seq);
-        double second = span() / 1000;
+    public GossipRecord record(Incarnation incarnation, int sequence) {
+        GossipRecord record = new GossipRecord(incarnation, sequence);
+        double seconds = coveredMs() / MS_PER_SECOND;
         for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
-            double all = 0, not = 0;
-            for (int i = 0; i < BUCKETS; i++) {
-                all += asked[i][c];
-                not += denied[i][c];
+            double offered = 0;
+            double rejected = 0;
+            for (Bucket bucket : buckets) {
+                offered += bucket.offeredUnits[c];
+                rejected += bucket.rejectedUnits[c];
             }
-            s.offeredUnits[c] = all / second;
-            s.admittedUnits[c] = Math.max(0, all - not) / second;
+            record.offeredUnits[c] = offered / seconds;
+            record.admittedUnits[c] = Math.max(0, offered - rejected) / seconds;
         }
-        s.firstAttempts = sum(FIRST) / second;
-        s.retries = sum(FURTHER) / second;
-        s.onTime = sum(GOOD) / second;
-        s.late = sum(LATE) / second;
-        s.failed = sum(FAILED) / second;
-        s.onTimeUnits = sum(GOOD_UNITS) / second;
-        s.inFlight = open;
-        s.queued = waiting;
-        return s;
+        for (Bucket bucket : buckets) {
+            record.firstAttempts += bucket.firstAttempts;
+            record.retries += bucket.retries;
+            record.onTime += bucket.onTime;
+            record.late += bucket.late;
+            record.failed += bucket.failed;
+            record.onTimeUnits += bucket.onTimeUnits;
+        }
+        record.firstAttempts /= seconds;
+        record.retries /= seconds;
+        record.onTime /= seconds;
+        record.late /= seconds;
+        record.failed /= seconds;
+        record.onTimeUnits /= seconds;
+        record.inFlight = inFlight;
+        record.queued = queued;
+        return record;
     }
 
     /**
-     * Time that the buckets cover: a part of the one that runs, and never less than one, or a first
-     * request would look like a flood.
+     * Time that the buckets cover, with a part of the current one. Never less than one bucket, or a
+     * first request would look like a flood.
      */
-    private double span() {
-        double covered =
-                Math.min(now - startedAt, (BUCKETS - 1) * BUCKET_MS + now - turn * BUCKET_MS);
-        return Math.max(BUCKET_MS, turn == startedTurn ? BUCKET_MS : covered);
-    }
-
-    private int here() {
-        return Math.floorMod(turn, BUCKETS);
-    }
-
-    private void count(int what, double amount) {
-        counts[here()][what] += amount;
-    }
-
-    private double sum(int what) {
-        double sum = 0;
-        for (double[] c : counts) sum += c[what];
-        return sum;
+    private double coveredMs() {
+        if (currentBucket == firstBucket) {
+            return BUCKET_MS;
+        }
+        double ringMs = (BUCKETS - 1) * BUCKET_MS + nowMs - currentBucket * BUCKET_MS;
+        return Math.max(BUCKET_MS, Math.min(nowMs - startedMs, ringMs));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
@@ -11,202 +11,304 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * Who finds out how a server does that was put aside: the one that rendezvous hashing draws among
- * those that live, so that the tries at it do not grow with the gateways. The others leave it alone
- * until it is told well, or until its owner has said nothing for {@link #PATIENCE_MS}; then they
- * look by chance, all together ever more rarely but never less than every {@link #RAREST_MS}. What
- * one alone says of a server that works here counts for nothing; two must say so. A server told
- * well that is not costs a try a gateway, each time after twice the wait. Memory: one note for each
- * of {@link #MOST} servers at most, dropped {@link #FORGET_MS} after they were last told of.
+ * Which gateway probes an ejected server. The owner is drawn by rendezvous hashing among the alive
+ * gateways, so that the probes of a server do not grow with the fleet. The others leave the server
+ * alone until it is reported healthy, or until its owner has been silent for {@link
+ * #OWNER_SILENCE_MS}; then they probe at random, together ever more rarely but never less often
+ * than every {@link #MAX_PROBE_INTERVAL_MS}. A server that works for this gateway is left alone
+ * only when two others report it unhealthy. A false report of health costs one attempt for each
+ * gateway, with a wait that doubles. Memory: one note for each of {@link #MAX_SERVERS} servers at
+ * most, dropped {@link #FORGET_MS} after the last report. Times are in ms.
  */
 public final class ProbeOwners {
-    private static final int MOST = 2048;
-    private static final double PATIENCE_MS =
-            6000; // the decisions' longest bar of 4 s, and the time that records take
-    // all that are not the owner together, at first; then half of the time since it was put aside
-    private static final double SOON_MS = 4000;
-    private static final double RAREST_MS = 30_000;
-    private static final double RETURN_MS =
-            300; // those who return to a server told well spread over so long
-    private static final double TRUSTED_MS = 2000; // own good news that outweigh what others say
+    private static final int MAX_SERVERS = 2048;
+
+    /** The longest ejection by a gateway, and the time that records take. */
+    private static final double OWNER_SILENCE_MS = 6000;
+
+    /** Time between probes by all gateways that are not the owner, at first. */
+    private static final double MIN_PROBE_INTERVAL_MS = 4000;
+
+    private static final double MAX_PROBE_INTERVAL_MS = 30_000;
+
+    /** Gateways return to a server that is reported healthy spread over this time. */
+    private static final double RETURN_SPREAD_MS = 300;
+
+    /** How long the own experience of health outweighs reports of others. */
+    private static final double OWN_HEALTH_VALID_MS = 2000;
+
     private static final double FORGET_MS = 120_000;
+    private static final double MIN_DISTRUST_MS = 250;
+    private static final double MIN_REPORT_GAP_MS = 100;
+    private static final double MAX_STEP_MS = 1000;
+    private static final double NEVER = Double.NEGATIVE_INFINITY;
 
-    /** What is known of one server, by this gateway and by the others. */
+    /** What is known of one server, by this gateway and by reports of others. */
     private static final class Note {
-        final int server;
-        boolean ill, toldIll;
+        final int serverHash;
+
+        /** As this gateway found it. */
+        boolean unhealthy;
+
+        double foundMs = NEVER;
+
+        /** As the others report it. */
+        boolean reportedUnhealthy;
+
+        double ownerReportedUnhealthyMs = NEVER;
+        double reportedHealthyMs = NEVER;
+
+        /** Last report of the owner, whatever it says. */
+        double ownerReportMs = NEVER;
+
+        double touchedMs;
+
+        /** Cached owner, and the update for which it was computed. */
         int owner;
-        long ownerIn = -1;
-        double foundAt = Double.NEGATIVE_INFINITY,
-                heardAt = foundAt,
-                wellAt = foundAt,
-                ownerAt = foundAt,
-                touchedAt;
-        double backAt, distrust = 250, since, waited, due;
 
-        Note(int server) {
-            this.server = server;
+        long ownerUpdate = -1;
+
+        /** When this gateway may return after a report of health. */
+        double returnMs;
+
+        /** By how much a report of health must be later than the own finding. */
+        double distrustMs = MIN_DISTRUST_MS;
+
+        /** Start of the time in which probes become rarer. */
+        double waitingSinceMs;
+
+        /** Progress towards the next probe of a gateway that is not the owner. */
+        double waited;
+
+        /** Progress at which that probe is due. */
+        double due;
+
+        Note(int serverHash) {
+            this.serverHash = serverHash;
         }
     }
 
-    private final Random chance;
+    private final Random random;
     private final Map<Integer, Note> notes = new LinkedHashMap<>();
     private Membership membership;
-    private Incarnation own;
-    private double now;
-    private int turn;
-    private long rounds;
+    private Incarnation self;
+    private double nowMs;
+    private int firstReported;
+    private long updates;
 
-    public ProbeOwners(Random chance) {
-        this.chance = chance;
+    public ProbeOwners(Random random) {
+        this.random = random;
     }
 
-    /** Its name in the records. */
-    public static int nameOf(Server srv) {
-        return mix(srv.id.hashCode());
+    /** Hash by which records name a server. */
+    public static int serverHash(Server server) {
+        return mix(server.id.hashCode());
     }
 
     /**
-     * Among those that live: the same for all that know the same, and moving only what its owner
-     * lost.
+     * The owner among the alive gateways, or -1: the same at all gateways with the same membership.
+     * Where a gateway is lost, only its servers change the owner.
      */
-    static int owner(int server, Membership membership) {
-        int best = -1, most = 0;
-        for (int g : membership.aliveGateways()) {
-            int drawn = mix(server * 31 + mix(g)) >>> 1;
-            if (membership.isAlive(g) && (best < 0 || drawn > most)) {
-                best = g;
-                most = drawn;
+    static int ownerAmong(int serverHash, Membership membership) {
+        int owner = -1;
+        int highest = 0;
+        for (int gateway : membership.aliveGateways()) {
+            int rank = mix(serverHash * 31 + mix(gateway)) >>> 1;
+            if (membership.isAlive(gateway) && (owner < 0 || rank > highest)) {
+                owner = gateway;
+                highest = rank;
+            }
+        }
+        return owner;
+    }
+
+    /** Takes in the present records. */
+    public void update(double atMs, Incarnation ownIncarnation, Membership newMembership) {
+        double stepMs = Math.max(0, Math.min(atMs - nowMs, MAX_STEP_MS));
+        nowMs = atMs;
+        self = ownIncarnation;
+        membership = newMembership;
+        updates++;
+        Map<Integer, Integer> unhealthyReports = new LinkedHashMap<>();
+        for (GossipRecord record : membership.freshRecords()) {
+            if (record.incarnation.gateway() != self.gateway()) {
+                takeReports(record, unhealthyReports);
             }
         }
-        return best;
-    }
-
-    public void round(double at, Incarnation self, Membership heard) {
-        double passed = Math.max(0, Math.min(at - now, 1000));
-        now = at;
-        own = self;
-        membership = heard;
-        rounds++;
-        Map<Integer, List<Integer>> sayIll = new LinkedHashMap<>();
-        for (GossipRecord s : heard.freshRecords()) {
-            if (s.incarnation.gateway() == self.gateway()) continue;
-            for (GossipRecord.ServerHealth told : s.serverHealth) {
-                Note n = note(told.serverHash());
-                if (n == null) continue;
-                n.touchedAt = now;
-                double
-                        age =
-                                told.agoMs() >= 0 && told.agoMs() < FORGET_MS
-                                        ? told.agoMs()
-                                        : FORGET_MS,
-                        when = now - age;
-                boolean owns = ownerOf(n) == s.incarnation.gateway();
-                if (owns && when > n.ownerAt) n.ownerAt = when;
-                if (told.unhealthy()) {
-                    if (age < PATIENCE_MS)
-                        sayIll.computeIfAbsent(n.server, k -> new ArrayList<>())
-                                .add(s.incarnation.gateway());
-                    if (owns) n.heardAt = Math.max(n.heardAt, when);
-                } else if ((n.ill || n.toldIll)
-                        && when > Math.max(n.foundAt + n.distrust, n.heardAt)
-                        && when > n.wellAt + 100) {
-                    n.wellAt = when;
-                    n.backAt = now + RETURN_MS * chance.nextDouble();
-                }
+        for (Note note : notes.values()) {
+            advance(note, stepMs, unhealthyReports.getOrDefault(note.serverHash, 0));
+        }
+        notes.values().removeIf(note -> nowMs - note.touchedMs > FORGET_MS);
+    }
+
+    private void takeReports(GossipRecord record, Map<Integer, Integer> unhealthyReports) {
+        for (GossipRecord.ServerHealth report : record.serverHealth) {
+            Note note = noteOf(report.serverHash());
+            if (note == null) {
+                continue;
+            }
+            note.touchedMs = nowMs;
+            double ageMs = ageMs(report);
+            boolean isOwner = ownerOf(note) == record.incarnation.gateway();
+            if (isOwner) {
+                note.ownerReportMs = Math.max(note.ownerReportMs, nowMs - ageMs);
+            }
+            if (!report.unhealthy()) {
+                takeHealthyReport(note, nowMs - ageMs);
+                continue;
+            }
+            if (ageMs < OWNER_SILENCE_MS) {
+                unhealthyReports.merge(note.serverHash, 1, Integer::sum);
+            }
+            if (isOwner) {
+                note.ownerReportedUnhealthyMs =
+                        Math.max(note.ownerReportedUnhealthyMs, nowMs - ageMs);
             }
         }
-        for (Note n : notes.values()) {
-            boolean told = now - Math.max(n.ownerAt, n.foundAt) < PATIENCE_MS;
-            double gap =
-                    told ? RAREST_MS : Math.max(SOON_MS, Math.min(RAREST_MS, (now - n.since) / 2));
-            n.waited += passed / gap / heard.aliveCount();
-            // two say so, and later one is enough: when all leave it alone, its owner alone has
-            // news of it
-            n.toldIll =
-                    sayIll.getOrDefault(n.server, List.of()).size() >= (n.toldIll ? 1 : 2)
-                            && n.wellAt <= n.heardAt;
+    }
+
+    private static double ageMs(GossipRecord.ServerHealth report) {
+        return report.agoMs() >= 0 && report.agoMs() < FORGET_MS ? report.agoMs() : FORGET_MS;
+    }
+
+    /** Counts where the server was unhealthy before, and the report is later than that. */
+    private void takeHealthyReport(Note note, double reportMs) {
+        double unhealthyMs =
+                Math.max(note.foundMs + note.distrustMs, note.ownerReportedUnhealthyMs);
+        if ((note.unhealthy || note.reportedUnhealthy)
+                && reportMs > unhealthyMs
+                && reportMs > note.reportedHealthyMs + MIN_REPORT_GAP_MS) {
+            note.reportedHealthyMs = reportMs;
+            note.returnMs = nowMs + RETURN_SPREAD_MS * random.nextDouble();
         }
-        notes.values().removeIf(n -> now - n.touchedAt > FORGET_MS);
+    }
+
+    private void advance(Note note, double stepMs, int unhealthyReports) {
+        double lastNewsMs = Math.max(note.ownerReportMs, note.foundMs);
+        double intervalMs =
+                nowMs - lastNewsMs < OWNER_SILENCE_MS
+                        ? MAX_PROBE_INTERVAL_MS
+                        : Math.max(
+                                MIN_PROBE_INTERVAL_MS,
+                                Math.min(MAX_PROBE_INTERVAL_MS, (nowMs - note.waitingSinceMs) / 2));
+        note.waited += stepMs / intervalMs / membership.aliveCount();
+        // once all leave the server alone, only its owner has news of it, so one report is enough
+        int needed = note.reportedUnhealthy ? 1 : 2;
+        note.reportedUnhealthy =
+                unhealthyReports >= needed
+                        && note.reportedHealthyMs <= note.ownerReportedUnhealthyMs;
     }
 
     /**
-     * A finding of this gateway itself; that a server is well matters only where somebody said
-     * otherwise.
+     * Notes what this gateway found itself. Health matters only where there was another finding or
+     * report before.
      */
-    public void found(Server srv, boolean ill) {
-        Note n = ill ? note(nameOf(srv)) : notes.get(nameOf(srv));
-        if (n == null) return;
-        if (ill && n.wellAt > n.foundAt && now - n.wellAt < PATIENCE_MS)
-            n.distrust = Math.min(2 * n.distrust, RAREST_MS);
-        if (ill && !n.ill) draw(n, now);
-        if (!ill) n.distrust = 250;
-        n.ill = ill;
-        n.foundAt = n.touchedAt = now;
+    public void recordHealth(Server server, boolean unhealthy) {
+        int hash = serverHash(server);
+        Note note = unhealthy ? noteOf(hash) : notes.get(hash);
+        if (note == null) {
+            return;
+        }
+        boolean contradictsReport =
+                note.reportedHealthyMs > note.foundMs
+                        && nowMs - note.reportedHealthyMs < OWNER_SILENCE_MS;
+        if (unhealthy && contradictsReport) {
+            note.distrustMs = Math.min(2 * note.distrustMs, MAX_PROBE_INTERVAL_MS);
+        }
+        if (unhealthy && !note.unhealthy) {
+            drawNextProbe(note, nowMs);
+        }
+        if (!unhealthy) {
+            note.distrustMs = MIN_DISTRUST_MS;
+        }
+        note.unhealthy = unhealthy;
+        note.foundMs = nowMs;
+        note.touchedMs = nowMs;
     }
 
-    /** It was tried: the next look is drawn anew. */
-    public void tried(Server srv) {
-        Note n = notes.get(nameOf(srv));
-        if (n != null && n.waited >= n.due) draw(n, n.since);
+    /** Notes an attempt at a server; where it was a due probe, the next one is drawn. */
+    public void recordProbe(Server server) {
+        Note note = notes.get(serverHash(server));
+        if (note != null && note.waited >= note.due) {
+            drawNextProbe(note, note.waitingSinceMs);
+        }
     }
 
     /**
-     * Whether this gateway may send to it: well as far as known, told well again, its own to look
-     * after, or due for a rare look.
+     * Whether this gateway may send to a server: it is healthy as far as known, reported healthy
+     * again, its own to probe, or due for a rare probe.
      */
-    public boolean looksAfter(Server srv) {
-        Note n = notes.get(nameOf(srv));
-        if (n == null || membership == null || membership.aliveCount() <= 1) return true;
-        boolean leave =
-                n.ill
-                        ? !(n.wellAt > n.foundAt && now >= n.backAt)
-                        : (n.toldIll || now < n.backAt) && now - n.foundAt > TRUSTED_MS;
-        if (!leave || ownerOf(n) == own.gateway()) return true;
-        return n.waited >= n.due;
-    }
-
-    /** Into the own record, the latest findings in turn where they do not all fit. */
-    public void tell(GossipRecord s) {
-        List<Note> found = new ArrayList<>();
-        for (Note n : notes.values()) {
-            if (now - n.foundAt < (n.ill ? FORGET_MS : PATIENCE_MS)) found.add(n);
-        }
-        for (int i = 0; i < Math.min(GossipRecord.MAX_SERVERS, found.size()); i++) {
-            Note n = found.get(Math.floorMod(turn + i, found.size()));
-            s.serverHealth.add(new GossipRecord.ServerHealth(n.server, n.ill, now - n.foundAt));
-        }
-        turn = found.size() > GossipRecord.MAX_SERVERS ? turn + GossipRecord.MAX_SERVERS : 0;
-    }
-
-    /** Drawn once a round: it costs a hash a gateway. */
-    private int ownerOf(Note n) {
-        if (n.ownerIn != rounds) n.owner = owner(n.server, membership);
-        n.ownerIn = rounds;
-        return n.owner;
-    }
-
-    // each looks at times of its own, on average once in as many gaps as gateways live: all
-    // together once a gap
-    private void draw(Note n, double since) {
-        n.since = since;
-        n.waited = 0;
-        n.due = -Math.log(1 - chance.nextDouble());
-    }
-
-    private Note note(int server) {
-        Note is = notes.get(server);
-        if (is != null || notes.size() >= MOST) return is;
-        Note made = new Note(server);
-        made.touchedAt = now;
-        draw(made, now);
-        notes.put(server, made);
-        return made;
-    }
-
-    private static int mix(int x) {
-        x = (x ^ x >>> 16) * 0x7feb352d;
-        x = (x ^ x >>> 15) * 0x846ca68b;
-        return x ^ x >>> 16;
+    public boolean mayProbe(Server server) {
+        Note note = notes.get(serverHash(server));
+        if (note == null || membership == null || membership.aliveCount() <= 1) {
+            return true;
+        }
+        return !shouldAvoid(note) || ownerOf(note) == self.gateway() || note.waited >= note.due;
+    }
+
+    private boolean shouldAvoid(Note note) {
+        if (note.unhealthy) {
+            boolean mayReturn = note.reportedHealthyMs > note.foundMs && nowMs >= note.returnMs;
+            return !mayReturn;
+        }
+        return (note.reportedUnhealthy || nowMs < note.returnMs)
+                && nowMs - note.foundMs > OWN_HEALTH_VALID_MS;
+    }
+
+    /** Writes findings into the own record, in turn where not all of them fit. */
+    public void writeTo(GossipRecord ownRecord) {
+        List<Note> recent = new ArrayList<>();
+        for (Note note : notes.values()) {
+            double validMs = note.unhealthy ? FORGET_MS : OWNER_SILENCE_MS;
+            if (nowMs - note.foundMs < validMs) {
+                recent.add(note);
+            }
+        }
+        int count = Math.min(GossipRecord.MAX_SERVERS, recent.size());
+        for (int i = 0; i < count; i++) {
+            Note note = recent.get(Math.floorMod(firstReported + i, recent.size()));
+            ownRecord.serverHealth.add(
+                    new GossipRecord.ServerHealth(
+                            note.serverHash, note.unhealthy, nowMs - note.foundMs));
+        }
+        firstReported =
+                recent.size() > GossipRecord.MAX_SERVERS
+                        ? firstReported + GossipRecord.MAX_SERVERS
+                        : 0;
+    }
+
+    /** Computed once an update, as it costs a hash for each gateway. */
+    private int ownerOf(Note note) {
+        if (note.ownerUpdate != updates) {
+            note.owner = ownerAmong(note.serverHash, membership);
+            note.ownerUpdate = updates;
+        }
+        return note.owner;
+    }
+
+    /** Exponentially distributed, so that all gateways together probe once an interval. */
+    private void drawNextProbe(Note note, double sinceMs) {
+        note.waitingSinceMs = sinceMs;
+        note.waited = 0;
+        note.due = -Math.log(1 - random.nextDouble());
+    }
+
+    /** Creates the note where there is none; null where there are too many. */
+    private Note noteOf(int serverHash) {
+        Note note = notes.get(serverHash);
+        if (note != null || notes.size() >= MAX_SERVERS) {
+            return note;
+        }
+        Note created = new Note(serverHash);
+        created.touchedMs = nowMs;
+        drawNextProbe(created, nowMs);
+        notes.put(serverHash, created);
+        return created;
+    }
+
+    private static int mix(int value) {
+        int mixed = (value ^ value >>> 16) * 0x7feb352d;
+        mixed = (mixed ^ mixed >>> 15) * 0x846ca68b;
+        return mixed ^ mixed >>> 16;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/RetryJitter.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryJitter.java
@@ -1,24 +1,31 @@
 package tinford.fleet.overload;
 
 /**
- * By how much at most a time to come back is put off by chance: long enough that those denied in
- * one second return as a trickle.
+ * Longest random delay added to a Retry-After time, so that the requests rejected in one second
+ * return spread out.
  */
 public final class RetryJitter {
-    private final double longest;
+    private static final double MS_PER_FACTOR = 1000;
+    private static final double MIN_MS = 200;
+
+    private final double limitMs;
 
     /**
-     * @param longest in ms; nobody is put off for longer than a line stands without cause
+     * @param limitMs of the delay: no longer than a threshold stays without a cause
      */
-    public RetryJitter(double longest) {
-        this.longest = longest;
+    public RetryJitter(double limitMs) {
+        this.limitMs = limitMs;
     }
 
     /**
-     * A second for each time over that is asked for more than is borne: the return of those denied
-     * then adds no more than is borne.
+     * A second for each time that the load exceeds the capacity, so that the requests that return
+     * add no more than the capacity.
+     *
+     * @param overloadFactor load over capacity
      */
-    public double most(double overAsked) {
-        return overAsked <= 1 ? 0 : Math.min(longest, 1000 * (overAsked - 1) + 200);
+    public double maxMs(double overloadFactor) {
+        return overloadFactor <= 1
+                ? 0
+                : Math.min(limitMs, MS_PER_FACTOR * (overloadFactor - 1) + MIN_MS);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/run/FleetMember.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetMember.java
@@ -249,7 +249,7 @@
         if (transport != null) {
             membership.sendRound(nowMs, transport);
         }
-        overload.round(nowMs, membership);
+        overload.update(nowMs, membership);
         if (replicatedState != null) {
             replicatedState.tick(nowMs);
         }
--- a/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
@@ -26,7 +26,7 @@
     private static double run(
             AdmissionThreshold line, FixedMembership heard, double from, double until) {
         for (double t = from; t < until; t += 100) {
-            line.round(t, heard);
+            line.update(t, heard);
             for (GossipRecord s : heard.freshRecords()) {
                 if (s.capacity < 1e3) s.capacity = line.capacity();
             } // the others see the same
@@ -122,7 +122,9 @@
         AdmissionThreshold line = new AdmissionThreshold(WINDOW);
         double threshold = run(line, heard, 0, 4000);
         assertTrue(threshold >= least - 0.01 && threshold <= most + 0.01, name + ": " + threshold);
-        assertTrue(line.part() >= leastPart && line.part() <= mostPart, name + ": " + line.part());
+        assertTrue(
+                line.partAtThreshold() >= leastPart && line.partAtThreshold() <= mostPart,
+                name + ": " + line.partAtThreshold());
     }
 
     @Test
@@ -149,7 +151,7 @@
                         .hear(record(2, 100, true, 1, 8));
         assertTrue(run(line, heard, 0, 3000) > 0);
         heard.records.remove(2);
-        line.round(3000, heard);
+        line.update(3000, heard);
         assertEquals(line.threshold(), 0.0);
         assertEquals(line.capacity(), 0.0);
     }
@@ -161,10 +163,10 @@
         AdmissionThreshold old = new AdmissionThreshold(WINDOW),
                 joins = new AdmissionThreshold(WINDOW);
         run(old, heard, 0, 5000);
-        old.round(5000, heard);
-        joins.round(5000, heard);
+        old.update(5000, heard);
+        joins.update(5000, heard);
         assertEquals(joins.threshold(), old.threshold());
-        assertEquals(joins.part(), old.part(), 0.02);
+        assertEquals(joins.partAtThreshold(), old.partAtThreshold(), 0.02);
     }
 
     /**
@@ -178,18 +180,19 @@
             FixedMembership heard = new FixedMembership(10);
             for (int g = 1; g < 10; g++)
                 heard.hear(record(g, 150 + chance.nextInt(100), true, 1, 2, 4, 8));
-            double demand = new FleetTotals(heard).demand, good = new FleetTotals(heard).goodUnits;
+            double demand = new FleetTotals(heard).demand,
+                    good = new FleetTotals(heard).onTimeUnits;
             GossipRecord lie = record(10, 1e9 * chance.nextDouble(), true, 8);
             lie.offeredUnits[GossipRecord.PRIORITY_CLASSES - 1] = Math.pow(10, chance.nextInt(12));
             lie.capacity = Math.pow(10, 3 + chance.nextInt(6));
             heard.hear(lie);
             FleetTotals with = new FleetTotals(heard);
             assertTrue(
-                    with.demand <= demand * (1 + FleetTotals.MOST / 9) + 1,
+                    with.demand <= demand * (1 + FleetTotals.MAX_TIMES_MEAN / 9) + 1,
                     "demand " + with.demand);
             assertTrue(
-                    with.goodUnits <= good * (1 + FleetTotals.MOST / 9) + 1,
-                    "good " + with.goodUnits);
+                    with.onTimeUnits <= good * (1 + FleetTotals.MAX_TIMES_MEAN / 9) + 1,
+                    "good " + with.onTimeUnits);
             AdmissionThreshold line = new AdmissionThreshold(WINDOW);
             assertTrue(
                     run(line, heard, 0, 6000) <= 8.01 && line.capacity() < 1e5,
--- a/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
@@ -25,9 +25,9 @@
     public void oneOwnerInEachHalfAndOnlyTheLostOnesAreReplaced() {
         FixedMembership all = fleet(0, 14), lower = fleet(0, 7), upper = fleet(7, 14);
         for (int s = 0; s < 200; s++) {
-            int owner = ProbeOwners.owner(s, all);
-            assertEquals(ProbeOwners.owner(s, owner < 7 ? lower : upper), owner);
-            assertTrue(ProbeOwners.owner(s, owner < 7 ? upper : lower) >= 0);
+            int owner = ProbeOwners.ownerAmong(s, all);
+            assertEquals(ProbeOwners.ownerAmong(s, owner < 7 ? lower : upper), owner);
+            assertTrue(ProbeOwners.ownerAmong(s, owner < 7 ? upper : lower) >= 0);
         }
     }
 
@@ -46,20 +46,21 @@
         ProbeOwners[] all = new ProbeOwners[n];
         for (int g = 0; g < n; g++) {
             all[g] = new ProbeOwners(new Random(g));
-            all[g].round(0, new Incarnation(g, 1), heard);
-            all[g].found(srv, true);
+            all[g].update(0, new Incarnation(g, 1), heard);
+            all[g].recordHealth(srv, true);
         }
         int byOwner = 0, byOthers = 0;
         double[] triedAt = new double[n];
         for (double t = 100; t < 120_000; t += 100) {
             for (int g = 0; g < n; g++) {
-                all[g].round(t, new Incarnation(g, 1), heard);
-                if (t - triedAt[g] < 1000 || !all[g].looksAfter(srv)) continue;
+                all[g].update(t, new Incarnation(g, 1), heard);
+                if (t - triedAt[g] < 1000 || !all[g].mayProbe(srv)) continue;
                 triedAt[g] = t;
-                if (n == 1 || ProbeOwners.owner(ProbeOwners.nameOf(srv), heard) == g) byOwner++;
+                if (n == 1 || ProbeOwners.ownerAmong(ProbeOwners.serverHash(srv), heard) == g)
+                    byOwner++;
                 else byOthers++;
-                all[g].tried(srv);
-                all[g].found(srv, true);
+                all[g].recordProbe(srv);
+                all[g].recordHealth(srv, true);
             }
         }
         assertTrue(byOwner >= 100 && byOwner <= 120, "owner " + byOwner);
@@ -69,20 +70,22 @@
     @Test
     public void whatItsOwnerFindsWellIsTriedAtOnceAndALieCostsOneTryAfterEverLongerWaits() {
         FixedMembership heard = fleet(0, 5);
-        int owner = ProbeOwners.owner(ProbeOwners.nameOf(srv), heard), other = (owner + 1) % 5;
+        int owner = ProbeOwners.ownerAmong(ProbeOwners.serverHash(srv), heard),
+                other = (owner + 1) % 5;
         ProbeOwners o = new ProbeOwners(new Random(1));
-        o.round(0, new Incarnation(other, 1), heard);
-        o.found(srv, true);
-        assertFalse(o.looksAfter(srv));
+        o.update(0, new Incarnation(other, 1), heard);
+        o.recordHealth(srv, true);
+        assertFalse(o.mayProbe(srv));
         int tries = 0;
         for (double t = 100; t < 60_000; t += 100) {
             GossipRecord well = new GossipRecord(new Incarnation(owner, 1), (int) t);
-            well.serverHealth.add(new GossipRecord.ServerHealth(ProbeOwners.nameOf(srv), false, 0));
-            o.round(t, new Incarnation(other, 1), heard.hear(well));
-            if (!o.looksAfter(srv)) continue;
+            well.serverHealth.add(
+                    new GossipRecord.ServerHealth(ProbeOwners.serverHash(srv), false, 0));
+            o.update(t, new Incarnation(other, 1), heard.hear(well));
+            if (!o.mayProbe(srv)) continue;
             if (tries++ == 0) assertTrue(t < 1000, "first at " + t);
-            o.tried(srv);
-            o.found(srv, true);
+            o.recordProbe(srv);
+            o.recordHealth(srv, true);
         }
         assertTrue(tries >= 2 && tries <= 12, "tries " + tries);
     }
@@ -91,16 +94,18 @@
     public void oneAloneCannotMakeAServerThatWorksHereBeLeft() {
         FixedMembership heard = fleet(0, 5);
         ProbeOwners o = new ProbeOwners(new Random(1));
-        int owner = ProbeOwners.owner(ProbeOwners.nameOf(srv), heard), self = (owner + 1) % 5;
+        int owner = ProbeOwners.ownerAmong(ProbeOwners.serverHash(srv), heard),
+                self = (owner + 1) % 5;
         for (int liars = 1; liars <= 2; liars++) {
             GossipRecord lie =
                     new GossipRecord(
                             new Incarnation(
                                     (owner + liars) % 5 == self ? owner : (owner + liars) % 5, 1),
                             2);
-            lie.serverHealth.add(new GossipRecord.ServerHealth(ProbeOwners.nameOf(srv), true, 0));
-            o.round(5000, new Incarnation(self, 1), heard.hear(lie));
-            assertEquals(o.looksAfter(srv), liars < 2);
+            lie.serverHealth.add(
+                    new GossipRecord.ServerHealth(ProbeOwners.serverHash(srv), true, 0));
+            o.update(5000, new Incarnation(self, 1), heard.hear(lie));
+            assertEquals(o.mayProbe(srv), liars < 2);
         }
     }
 }
--- a/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
@@ -45,21 +45,21 @@
                     if (p != g && !told.get(p).isEmpty() && chance.nextInt(3) > 0)
                         heard.hear(told.get(p).get(chance.nextInt(told.get(p).size())));
                 }
-                all[g].round(round * 200, incarnations[g], heard);
+                all[g].update(round * 200, incarnations[g], heard);
                 for (int i = chance.nextInt(g == 0 ? 5 : 80); i > 0; i--) {
-                    all[g].sent(false);
+                    all[g].attemptSent(false);
                     first++;
                     own[g]++;
                 }
                 while (all[g].level() >= 1 && (g == 0 || chance.nextInt(9) == 0)) {
-                    all[g].sent(true);
+                    all[g].attemptSent(true);
                     further++;
                     spent[g]++;
                 }
                 GossipRecord s = new GossipRecord(incarnations[g], round);
                 s.firstAttempts = 100;
                 s.failed = g == 0 ? 80 : 0;
-                all[g].tell(s);
+                all[g].writeTo(s);
                 told.get(g).add(s);
                 assertTrue(
                         further <= PART * first + 1e-6,
@@ -82,8 +82,8 @@
             lie.firstAttempts = 100;
             lie.retriesCededTo = own;
             lie.retriesCeded = 1e9 + t;
-            f.round(t, own, new FixedMembership(2).hear(lie));
-            for (; f.level() >= 1; got++) f.sent(true);
+            f.update(t, own, new FixedMembership(2).hear(lie));
+            for (; f.level() >= 1; got++) f.attemptSent(true);
         }
         assertTrue(got <= 10 * 2 * PART * 100 + 21 && got > 0, "got " + got);
     }
@@ -91,12 +91,12 @@
     @Test
     public void whatSurelyNeverRanCostsNothing() {
         RetryBudget f = new RetryBudget(PART, new Random(1));
-        for (int i = 0; i < 10; i++) f.sent(false);
+        for (int i = 0; i < 10; i++) f.attemptSent(false);
         double before = f.level();
-        f.neverRan();
-        f.sent(true);
+        f.attemptNeverRan();
+        f.attemptSent(true);
         assertEquals(f.level(), before);
-        f.sent(true);
+        f.attemptSent(true);
         assertTrue(f.level() < before);
     }
 }
--- a/lab/src/main/java/tinford/lab/overload/SimulatedGateway.java
+++ b/lab/src/main/java/tinford/lab/overload/SimulatedGateway.java
@@ -96,7 +96,7 @@
     /** One step of the clock. */
     void step(int sequence) {
         if (view == overload) {
-            overload.round(simulation.now(), this);
+            overload.update(simulation.now(), this);
             if (sequence % GOSSIP_EVERY_STEPS == 0) {
                 gossip(sequence);
             }
--- a/lab/src/main/java/tinford/lab/scale/GossipTrafficMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipTrafficMeasurement.java
@@ -97,7 +97,7 @@
         for (int i = 0; i < 2 * OVERLOAD_ROUNDS; i++) {
             measuredFrom = i == OVERLOAD_ROUNDS ? ProcessorTime.threadMs() : measuredFrom;
             now += OVERLOAD_ROUND_MS;
-            overload.round(now, fleet.members(0));
+            overload.update(now, fleet.members(0));
         }
         return (ProcessorTime.threadMs() - measuredFrom) / OVERLOAD_ROUNDS;
     }
