--- a/fleet/src/main/java/tinford/fleet/config/FollowerTable.java
+++ b/fleet/src/main/java/tinford/fleet/config/FollowerTable.java
@@ -11,7 +11,7 @@
  */
 public final class FollowerTable {
     /** A report and the time when it was received, in ms. */
-    public record Entry(FollowerReport report, double reportedAt) {}
+    public record Entry(FollowerReport report, double reportedAtMs) {}
 
     private final int capacity;
     private final double expiryMs;
@@ -30,27 +30,27 @@
     }
 
     /** Stores a report; false if the table is full of other followers. */
-    public boolean report(FollowerReport report, double now) {
+    public boolean report(FollowerReport report, double nowMs) {
         if (byFollower.size() >= capacity && !byFollower.containsKey(report.follower())) {
-            expire(now);
+            expire(nowMs);
             if (byFollower.size() >= capacity) {
                 return false;
             }
         }
-        byFollower.put(report.follower(), new Entry(report, now));
+        byFollower.put(report.follower(), new Entry(report, nowMs));
         return true;
     }
 
     /** All entries that have not expired, by follower. */
-    public List<Entry> entries(double now) {
-        expire(now);
+    public List<Entry> entries(double nowMs) {
+        expire(nowMs);
         return List.copyOf(byFollower.values());
     }
 
     /** The entries with an earlier revision, by follower. */
-    public List<Entry> lagging(long revision, double now) {
+    public List<Entry> lagging(long revision, double nowMs) {
         List<Entry> lagging = new ArrayList<>();
-        for (Entry entry : entries(now)) {
+        for (Entry entry : entries(nowMs)) {
             if (entry.report().revision() < revision) {
                 lagging.add(entry);
             }
@@ -59,19 +59,19 @@
     }
 
     /** How many followers hold which revision. */
-    public SortedMap<Long, Integer> countByRevision(double now) {
+    public SortedMap<Long, Integer> countByRevision(double nowMs) {
         SortedMap<Long, Integer> counts = new TreeMap<>();
-        for (Entry entry : entries(now)) {
+        for (Entry entry : entries(nowMs)) {
             counts.merge(entry.report().revision(), 1, Integer::sum);
         }
         return counts;
     }
 
-    private void expire(double now) {
-        byFollower.values().removeIf(entry -> isExpired(entry, now));
+    private void expire(double nowMs) {
+        byFollower.values().removeIf(entry -> isExpired(entry, nowMs));
     }
 
-    private boolean isExpired(Entry entry, double now) {
-        return now - entry.reportedAt() >= expiryMs;
+    private boolean isExpired(Entry entry, double nowMs) {
+        return nowMs - entry.reportedAtMs() >= expiryMs;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/FollowersHandler.java
+++ b/fleet/src/main/java/tinford/fleet/control/FollowersHandler.java
@@ -35,7 +35,7 @@
                     .put("region", report.region())
                     .put("revision", report.revision())
                     .put("refusal", report.rejectionReason())
-                    .put("ageMs", Math.max(0, Math.round(nowMs - entry.reportedAt())))
+                    .put("ageMs", Math.max(0, Math.round(nowMs - entry.reportedAtMs())))
                     .put("connected", connected.contains(report.follower()));
         }
         JsonResponse.send(exchange, StatusCodes.OK, body);
