--- a/gateway/src/main/java/tinford/Main.java
+++ b/gateway/src/main/java/tinford/Main.java
@@ -6,15 +6,18 @@
 import tinford.program.GatewayProcess;
 import tinford.simulator.SimulatorSession;
 
-/** Picks the front through which the decisions are asked. */
+/** Runs the gateway, or answers the simulator on standard input and output. */
 public final class Main {
+    private static final double LOG_FLUSH_TIMEOUT_MS = 100;
+    private static final int USAGE_ERROR = 2;
+
     private Main() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length == 1 && args[0].equals("serve")) {
             int code = GatewayProcess.start(System.getenv(), System.err, DecisionEngine::new);
             if (code >= 0) {
-                LineLogger.flush(100);
+                LineLogger.flush(LOG_FLUSH_TIMEOUT_MS);
                 System.exit(code);
             }
             return;
@@ -24,6 +27,6 @@
                     SimulatorSession.serve(System.in, System.out, System.err, DecisionEngine::new));
         }
         System.err.println("usage: java -jar tinford.jar serve | benchlink");
-        System.exit(2);
+        System.exit(USAGE_ERROR);
     }
 }
--- a/gateway/src/test/java/tinford/program/ShutdownTest.java
+++ b/gateway/src/test/java/tinford/program/ShutdownTest.java
@@ -23,6 +23,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
+import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -32,6 +33,7 @@
     private static final int EXIT_SLACK_MS = 700;
 
     private static final int TEST_SLACK_MS = 250;
+    private static final int DEFAULT_TIMEOUT_MS = 4000;
 
     /** Until then after the signal, a client does not read. */
     private static final int READ_PAUSE_END_MS = 2000;
@@ -50,7 +52,12 @@
     /** How late this machine has let a thread go on, since the signal. */
     private volatile double maxLatenessMs;
 
-    private int longestTimeoutMs = 4000;
+    private int longestTimeoutMs;
+
+    @BeforeMethod
+    public void setDefaultTimeout() {
+        longestTimeoutMs = DEFAULT_TIMEOUT_MS;
+    }
 
     @Override
     String configuration() {
--- a/gateway/src/test/java/tinford/program/StartConfigurationTest.java
+++ b/gateway/src/test/java/tinford/program/StartConfigurationTest.java
@@ -14,12 +14,25 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** Starts with configurations that lack optional parts, or are invalid. */
 public class StartConfigurationTest extends GatewayFixture {
-    private String settings = "";
+    private static final String MINIMAL_SETTINGS =
+            "{\"Classes\":[{\"Name\":\"read\",\"HardLimitUs\":4000000,\"Effect\":\"read_like\"}],"
+                    + "\"Limits\":{\"MaxAttempts\":3},\"NInstances\":1,"
+                    + "\"Rules\":{\"ColdUs\":10000000,\"FallMultiple\":2},"
+                    + "\"Tariffs\":[{\"Name\":\"free\"}]}";
+
+    /** In place of the fixture's settings, unless empty. */
+    private String settings;
+
+    @BeforeMethod
+    public void setDefaultSettings() {
+        settings = "";
+    }
 
     @Override
     String configuration() {
@@ -29,11 +42,6 @@
                 : all.substring(0, all.indexOf("\"settings\":")) + "\"settings\":" + settings + "}";
     }
 
-    private static final String MINIMAL_SETTINGS =
-            "{\"Classes\":[{\"Name\":\"read\",\"HardLimitUs\":4000000,\"Effect\":\"read_like\"}],"
-                + "\"Limits\":{\"MaxAttempts\":3},\"NInstances\":1,\"Rules\":{\"ColdUs\":10000000,\"FallMultiple\":2},"
-                + "\"Tariffs\":[{\"Name\":\"free\"}]}";
-
     @DataProvider
     public Object[][] acceptedConfigurations() {
         return new Object[][] {
@@ -46,9 +54,9 @@
 
     /** The gateway serves, and drains at SIGTERM. */
     @Test(dataProvider = "acceptedConfigurations")
-    public void unusualConfigurationIsAccepted(String part, String instead, String set)
+    public void unusualConfigurationIsAccepted(String part, String instead, String newSettings)
             throws Exception {
-        settings = set;
+        settings = newSettings;
         TestConnection client = startGateway(part, instead);
         TestConnection watch = accept(discovery);
         watch.readLine();
@@ -105,7 +113,6 @@
     @Test(dataProvider = "rejectedConfigurations")
     public void invalidConfigurationEndsTheStart(String part, String instead, String line)
             throws Exception {
-        settings = "";
         assertTrue(configuration().contains(part));
         Files.writeString(configurationFile, configuration().replace(part, instead));
         gateway = startProcess(Map.of("ROUTER_CONFIG", configurationFile.toString()));
