--- a/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
+++ b/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
@@ -4,181 +4,186 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * The priority weight a unit below which requests are shed while the servers' capacity is lower
- * than the demand; every gateway computes it from the same records. The capacity is what the
- * servers answer in time while overloaded. It is gossiped, and the median of all estimates is
- * followed, so that gateways that start, or that miss some records, come to the same threshold.
- * Without overload it grows, slowly at first and then ever faster, until there is no threshold:
- * whatever the demand, a threshold is gone within two windows after its cause. Times are in ms.
+ * The priority weight below which units are shed while the demand exceeds the capacity of the
+ * servers. Every gateway computes it from the same gossip records.
+ *
+ * <p>The capacity is what the servers complete on time while they are strained. Each gateway
+ * reports its estimate, and all move towards the median of the reported ones, so that gateways that
+ * joined late or missed records arrive at the same threshold. Without strain the estimate grows,
+ * slowly at first and then faster, until there is no threshold: whatever the demand, a threshold is
+ * gone within two windows after its cause. Not thread-safe.
  */
 public final class AdmissionThreshold {
-    private static final double NO_LIMIT = Double.POSITIVE_INFINITY;
+    private static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
-    /** Mean time in the queue from which the gateways' own limits count as exhausted. */
-    private static final double QUEUE_TIME_S = 0.05;
+    /** Mean queueing time that is no strain: bursts stay below it. */
+    private static final double USUAL_QUEUE_TIME_S = 0.05;
 
-    /** Standard deviations: with few requests, a single queued one is no overload. */
-    private static final double SIGNIFICANT_DEVIATIONS = 3;
+    /** A queue longer than usual by this many standard deviations is strain, not chance. */
+    private static final double QUEUE_STANDARD_DEVIATIONS = 3;
 
-    /** How long an overload lasts before a threshold begins; a burst is over by then. */
-    private static final double ONSET_MS = 600;
+    /** Strain must last this long before there is a threshold: a start or a burst is shorter. */
+    private static final double MIN_STRAIN_MS = 600;
 
-    /** Share of late and failed attempts that is an overload: more than one bad server in five. */
-    private static final double OVERLOAD_FAILURE_SHARE = 0.25;
+    /** Share of attempts that are late or failed; above that of one unhealthy server in five. */
+    private static final double MAX_FAILED_SHARE = 0.25;
 
-    /** Time constant by which the capacity follows what is answered in time. */
-    private static final double SETTLE_MS = 400;
+    /** Smooths the estimate over several updates, or a single bad one would set it. */
+    private static final double CAPACITY_SMOOTHING_MS = 400;
 
-    /** Time constant by which it follows the others; slower than its growth without overload. */
-    private static final double AGREEMENT_MS = 2000;
+    /** Slower than the growth, which outdated records of the others would otherwise hold back. */
+    private static final double AGREEMENT_SMOOTHING_MS = 2000;
 
-    /** Capacity over demand at which the threshold ends, as it would only shed bursts. */
-    private static final double END_FACTOR = 1.1;
+    /** Capacity over demand from which there is no threshold: it would admit all but bursts. */
+    private static final double OPEN_CAPACITY_FACTOR = 1.1;
 
+    /** Longest time that one update accounts for. */
     private static final double MAX_STEP_MS = 1000;
-    private static final double MIN_CAPACITY = 1e-9;
 
-    /** Lowest part of the demand from which the capacity grows. */
-    private static final double MIN_GROWTH_PART = 1.0 / 64;
+    /** The growing estimate starts from at least this part of the demand. */
+    private static final double MIN_CAPACITY_DIVISOR = 64;
+
+    private static final double MIN_CAPACITY = 1e-9;
 
     private final double windowMs;
-    private double capacity = NO_LIMIT;
-    private double overloadedForMs;
-    private double lastOverloadMs;
-    private double lastUpdateMs = -1;
-    private double endedMs = Double.NEGATIVE_INFINITY;
+    private double capacity = UNLIMITED;
+    private double strainedForMs;
+    private double strainedAtMs;
+    private double updatedAtMs = -1;
+    private double openedAtMs = Double.NEGATIVE_INFINITY;
     private double threshold;
-    private double partAtThreshold = 1;
+    private double shareAtThreshold = 1;
     private double demand;
 
     /**
-     * @param windowMs without overload, a threshold is gone within two of them
+     * @param windowMs without strain, a threshold is gone within two windows
      */
     public AdmissionThreshold(double windowMs) {
         this.windowMs = windowMs;
     }
 
-    /** Priority weight a unit below which requests are shed; 0 for none. */
+    /** The priority weight below which nothing is admitted; 0 if all is. */
     public double threshold() {
         return threshold;
     }
 
-    /** The part that is admitted of the priority class that begins at the threshold. */
-    public double partAtThreshold() {
-        return partAtThreshold;
+    /** The admitted share of the priority class that begins at the threshold. */
+    public double shareAtThreshold() {
+        return shareAtThreshold;
     }
 
-    /** For the own record: units a second, or 0 without a threshold. */
+    /**
+     * The estimated capacity of the servers in units per second, for the own record; 0 if unknown.
+     */
     public double capacity() {
-        return capacity == NO_LIMIT ? 0 : capacity;
+        return capacity == UNLIMITED ? 0 : capacity;
     }
 
     /** Demand over capacity; 0 without a threshold. */
-    public double overloadFactor() {
-        return capacity == NO_LIMIT ? 0 : demand / Math.max(MIN_CAPACITY, capacity);
+    public double demandToCapacity() {
+        return capacity == UNLIMITED ? 0 : demand / Math.max(MIN_CAPACITY, capacity);
     }
 
-    /** Takes in the present records; a gateway without others acts as a single one. */
+    /** Updates the threshold from the fresh records. */
     public void update(double nowMs, Membership membership) {
         double stepMs =
-                lastUpdateMs < 0 ? 0 : Math.max(0, Math.min(nowMs - lastUpdateMs, MAX_STEP_MS));
-        lastUpdateMs = nowMs;
-        if (membership.aliveCount() <= 1 || membership.freshRecords().size() < 2) {
-            capacity = NO_LIMIT;
-            demand = 0;
-            admitAll();
+                updatedAtMs < 0 ? 0 : Math.max(0, Math.min(nowMs - updatedAtMs, MAX_STEP_MS));
+        updatedAtMs = nowMs;
+        if (isAlone(membership)) {
+            capacity = UNLIMITED;
+            setThreshold(null);
             return;
         }
         FleetTotals totals = new FleetTotals(membership);
-        followOthers(membership, stepMs);
-        boolean overloaded = isOverloaded(totals);
-        overloadedForMs += overloaded ? stepMs : -stepMs;
-        overloadedForMs = Math.max(0, Math.min(ONSET_MS, overloadedForMs));
-        if (overloaded && (capacity != NO_LIMIT || overloadedForMs >= ONSET_MS)) {
-            lastOverloadMs = nowMs;
-            followAnswers(totals, stepMs);
-        } else if (capacity != NO_LIMIT) {
-            grow(totals, nowMs, stepMs);
+        agree(membership, stepMs);
+        boolean strained = isStrained(totals);
+        double strainedForNowMs = strainedForMs + (strained ? stepMs : -stepMs);
+        strainedForMs = Math.max(0, Math.min(MIN_STRAIN_MS, strainedForNowMs));
+        if (strained && (capacity != UNLIMITED || strainedForMs >= MIN_STRAIN_MS)) {
+            strainedAtMs = nowMs;
+            measureCapacity(totals, stepMs);
+        } else if (capacity != UNLIMITED) {
+            growCapacity(totals, stepMs);
         }
-        demand = totals.demand;
-        computeThreshold(totals);
+        setThreshold(totals);
     }
 
-    private static boolean isOverloaded(FleetTotals totals) {
-        return totals.demand > 0
-                && (hasQueues(totals) || totals.failureShare > OVERLOAD_FAILURE_SHARE);
+    /** The own record alone says nothing about the fleet. */
+    private static boolean isAlone(Membership membership) {
+        return membership.aliveCount() <= 1 || membership.freshRecords().size() < 2;
     }
 
-    /** By first attempts, as shedding makes queues shorter and must not prolong itself. */
-    private static boolean hasQueues(FleetTotals totals) {
-        double tolerated = QUEUE_TIME_S * totals.firstAttempts;
-        return totals.queued
-                > tolerated + SIGNIFICANT_DEVIATIONS * Math.sqrt(Math.max(1, tolerated));
+    private static boolean isStrained(FleetTotals totals) {
+        return totals.demand > 0 && (isQueueing(totals) || totals.failedShare > MAX_FAILED_SHARE);
     }
 
-    private void followAnswers(FleetTotals totals, double stepMs) {
-        double answered = Math.min(totals.demand, totals.onTimeUnits);
+    /** Depends on the admitted attempts: shedding shortens the queue, so it can't cause itself. */
+    private static boolean isQueueing(FleetTotals totals) {
+        double usual = USUAL_QUEUE_TIME_S * totals.firstAttempts;
+        return totals.queued > usual + QUEUE_STANDARD_DEVIATIONS * Math.sqrt(Math.max(1, usual));
+    }
+
+    private void measureCapacity(FleetTotals totals, double stepMs) {
+        double measured = Math.min(totals.demand, totals.onTimeUnits);
         capacity =
-                capacity == NO_LIMIT
-                        ? Math.max(answered, totals.demand / 2)
-                        : capacity + (answered - capacity) * Math.min(1, stepMs / SETTLE_MS);
+                capacity == UNLIMITED
+                        ? Math.max(measured, totals.demand / 2)
+                        : capacity
+                                + (measured - capacity)
+                                        * Math.min(1, stepMs / CAPACITY_SMOOTHING_MS);
     }
 
-    private void grow(FleetTotals totals, double nowMs, double stepMs) {
-        double calmMs = nowMs - lastOverloadMs;
+    private void growCapacity(FleetTotals totals, double stepMs) {
+        double calmMs = updatedAtMs - strainedAtMs;
         double calmBeforeMs = Math.max(0, calmMs - stepMs);
-        double octaves = (calmMs * calmMs - calmBeforeMs * calmBeforeMs) / (windowMs * windowMs);
-        double base = Math.max(capacity, totals.demand * MIN_GROWTH_PART);
-        capacity = base * Math.pow(2, octaves);
-        if (capacity > END_FACTOR * totals.demand) {
-            capacity = NO_LIMIT;
-            endedMs = nowMs;
+        double doublings = (calmMs * calmMs - calmBeforeMs * calmBeforeMs) / (windowMs * windowMs);
+        capacity =
+                Math.max(capacity, totals.demand / MIN_CAPACITY_DIVISOR) * Math.pow(2, doublings);
+        if (capacity > OPEN_CAPACITY_FACTOR * totals.demand) {
+            capacity = UNLIMITED;
+            openedAtMs = updatedAtMs;
         }
     }
 
-    private void followOthers(Membership membership, double stepMs) {
+    /** Moves the estimate towards the median of those that the gateways report. */
+    private void agree(Membership membership, double stepMs) {
         double median = medianCapacity(membership);
-        if (median != NO_LIMIT && capacity == NO_LIMIT) {
-            // records from before the end of a threshold must not bring it back
-            boolean hasJoined = lastUpdateMs - endedMs > windowMs;
-            capacity = hasJoined ? median : NO_LIMIT;
-        } else if (median != NO_LIMIT) {
-            capacity *= Math.pow(median / capacity, Math.min(1, stepMs / AGREEMENT_MS));
-        } else if (capacity != NO_LIMIT) {
-            capacity *= 1 + stepMs / AGREEMENT_MS;
+        if (median != UNLIMITED && capacity == UNLIMITED) {
+            // adopted by a gateway that joins, but not from older records after a threshold ended
+            capacity = updatedAtMs - openedAtMs > windowMs ? median : UNLIMITED;
+        } else if (median != UNLIMITED) {
+            capacity *= Math.pow(median / capacity, Math.min(1, stepMs / AGREEMENT_SMOOTHING_MS));
+        } else if (capacity != UNLIMITED) {
+            capacity *= 1 + stepMs / AGREEMENT_SMOOTHING_MS;
         }
     }
 
     private static double medianCapacity(Membership membership) {
-        double[] capacities =
+        double[] reported =
                 membership.freshRecords().stream()
                         .mapToDouble(record -> FleetTotals.sanitize(record.capacity))
-                        .map(reported -> reported > 0 ? reported : NO_LIMIT)
+                        .map(estimate -> estimate > 0 ? estimate : UNLIMITED)
                         .sorted()
                         .toArray();
-        return capacities[capacities.length / 2];
+        return reported[reported.length / 2];
     }
 
-    private void admitAll() {
+    /** Admits the classes with the highest weights as far as the capacity allows. */
+    private void setThreshold(FleetTotals totals) {
         threshold = 0;
-        partAtThreshold = 1;
-    }
-
-    /** Admits from the highest class down, as far as the capacity goes. */
-    private void computeThreshold(FleetTotals totals) {
-        admitAll();
-        if (capacity == NO_LIMIT) {
+        shareAtThreshold = 1;
+        demand = totals == null ? 0 : totals.demand;
+        double remaining = capacity;
+        if (remaining == UNLIMITED) {
             return;
         }
-        double left = capacity;
         for (int c = GossipRecord.PRIORITY_CLASSES - 1; c >= 0; c--) {
-            double offered = totals.offeredByClass[c];
-            if (offered > left) {
+            if (totals.demandByClass[c] > remaining) {
                 threshold = GossipRecord.minWeightOf(c);
-                partAtThreshold = Math.max(0, left / offered);
+                shareAtThreshold = Math.max(0, remaining / totals.demandByClass[c]);
                 return;
             }
-            left -= offered;
+            remaining -= totals.demandByClass[c];
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
@@ -10,12 +10,11 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * The part of the fleet's policy that handles overload: which requests are admitted, how many
- * retries are sent, and which gateway probes an ejected server. No I/O; for one thread. Times are
- * in ms.
+ * Overload control by the fleet as one: bounds what is admitted and retried and who probes
+ * unhealthy servers. No I/O; not thread-safe.
  */
 public final class FleetOverloadPolicy extends FleetPolicy {
-    /** Records come no faster than this. */
+    /** Records don't arrive more often. */
     private static final double UPDATE_INTERVAL_MS = 100;
 
     private final Incarnation incarnation;
@@ -25,40 +24,40 @@
     private final ProbeOwners probeOwners;
     private final RetryJitter retryJitter;
     private boolean alone = true;
-    private double lastUpdateMs = Double.NEGATIVE_INFINITY;
+    private double updatedAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param windowMs some seconds; a threshold is gone two of them after its cause
-     * @param retryPart of first attempts that may be retried where they may have run
+     * @param windowMs some seconds: an admission threshold is gone two windows after its cause
+     * @param retryRatio retries per first attempt, for attempts that may have run
      */
     public FleetOverloadPolicy(
             double nowMs,
             Incarnation incarnation,
             double windowMs,
-            double retryPart,
+            double retryRatio,
             Random random) {
         this.incarnation = incarnation;
         this.statistics = new LocalStatistics(nowMs);
         this.admission = new AdmissionThreshold(windowMs);
-        this.retryBudget = new RetryBudget(retryPart, random);
+        this.retryBudget = new RetryBudget(retryRatio, random);
         this.probeOwners = new ProbeOwners(random);
         this.retryJitter = new RetryJitter(windowMs / 2);
     }
 
-    /** To be called in each iteration, before the policy is asked. */
+    /** Called once per batch, before the other calls of that batch. */
     public void update(double nowMs, Membership membership) {
         statistics.advance(nowMs);
-        if (nowMs - lastUpdateMs < UPDATE_INTERVAL_MS) {
+        if (nowMs - updatedAtMs < UPDATE_INTERVAL_MS) {
             return;
         }
-        lastUpdateMs = nowMs;
+        updatedAtMs = nowMs;
         alone = membership.aliveCount() <= 1;
         admission.update(nowMs, membership);
         retryBudget.update(nowMs, incarnation, membership);
         probeOwners.update(nowMs, incarnation, membership);
     }
 
-    /** The gossip record of now. */
+    /** The record that is sent to the peers. */
     public GossipRecord record(int sequence) {
         GossipRecord record = statistics.record(incarnation, sequence);
         record.capacity = admission.capacity();
@@ -67,29 +66,25 @@
         return record;
     }
 
-    /** See {@link AdmissionThreshold#threshold}. */
+    /** The priority weight below which nothing is admitted; 0 if all is. */
     public double threshold() {
         return admission.threshold();
     }
 
-    /** See {@link AdmissionThreshold#partAtThreshold}. */
-    public double partAtThreshold() {
-        return admission.partAtThreshold();
+    /** The admitted share of the priority class that begins at the threshold. */
+    public double shareAtThreshold() {
+        return admission.shareAtThreshold();
     }
 
-    /** By priority class, so that gateways whose thresholds differ within one class shed alike. */
+    /** By priority class, so that gateways whose thresholds differ slightly shed alike. */
     @Override
     public double admittedShare(double weight) {
-        if (admission.threshold() <= 0) {
+        int priorityClass = GossipRecord.classOf(weight);
+        int thresholdClass = GossipRecord.classOf(admission.threshold());
+        if (admission.threshold() <= 0 || priorityClass > thresholdClass) {
             return 1;
         }
-        int order =
-                Integer.compare(
-                        GossipRecord.classOf(weight), GossipRecord.classOf(admission.threshold()));
-        if (order == 0) {
-            return admission.partAtThreshold();
-        }
-        return order > 0 ? 1 : 0;
+        return priorityClass < thresholdClass ? 0 : admission.shareAtThreshold();
     }
 
     @Override
@@ -104,7 +99,7 @@
 
     @Override
     public double retryAfterJitterMs() {
-        return retryJitter.maxMs(admission.overloadFactor());
+        return retryJitter.jitterMs(admission.demandToCapacity());
     }
 
     @Override
@@ -121,7 +116,7 @@
     public void attemptSent(Request request, Server server, double weight, boolean retry) {
         statistics.attemptSent(retry);
         retryBudget.attemptSent(retry);
-        probeOwners.recordProbe(server);
+        probeOwners.attemptSent(server);
     }
 
     @Override
@@ -134,6 +129,6 @@
 
     @Override
     public void serverHealthChanged(Server server, boolean unhealthy) {
-        probeOwners.recordHealth(server, unhealthy);
+        probeOwners.serverHealthChanged(server, unhealthy);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
@@ -7,73 +7,76 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * Estimated totals of the fleet: the mean of the records times the number of alive gateways. A
- * figure that is not a plausible number counts as zero, and one record counts as at most {@link
- * #MAX_TIMES_MEAN} times the mean of the others, so that a false record among n adds at most that
- * over n to each total.
+ * Totals over the fleet: the mean of the fresh records times the number of gateways that are alive.
+ *
+ * <p>A wrong record can do limited harm. Figures that are not finite count as 0, and one record
+ * counts at most {@link #MAX_FACTOR_OF_MEAN} times the mean of the others, so that a wrong one
+ * among n adds at most MAX_FACTOR_OF_MEAN/n to each total.
  */
 final class FleetTotals {
     /**
-     * A gateway with a higher load is counted with this one; the threshold is then too low, and the
-     * gateways' own limits hold as they do for a single gateway.
+     * An honest gateway with more demand counts as if it had no more; the threshold is then too
+     * low, and the gateways' own limits apply as they do without a fleet.
      */
-    static final double MAX_TIMES_MEAN = 2;
+    static final double MAX_FACTOR_OF_MEAN = 2;
 
+    /** Larger figures are invalid. */
     private static final double MAX_FIGURE = 1e12;
-    private static final double MIN_DIVISOR = 1e-9;
 
-    /** One in so many of the largest figures is left out of the mean, and at least one. */
+    /** One in so many records, the largest, is left out of the mean. */
     private static final int OUTLIER_DIVISOR = 20;
 
-    /** Units a second by priority class. */
-    final double[] offeredByClass = new double[GossipRecord.PRIORITY_CLASSES];
+    private static final double MIN_ATTEMPTS = 1e-9;
 
-    /** Units a second offered in total. */
+    /** Units per second by priority class. */
+    final double[] demandByClass = new double[GossipRecord.PRIORITY_CLASSES];
+
+    /** Units per second. */
     final double demand;
 
-    /** First attempts a second. */
+    /** Per second. */
     final double firstAttempts;
 
-    /** Requests in admission queues. */
+    /** Requests in the admission queues. */
     final double queued;
 
-    /** Units a second answered within the latency objective. */
+    /** Units per second that were completed on time. */
     final double onTimeUnits;
 
-    /** Share of late and failed attempts among those that ended. */
-    final double failureShare;
+    /** Share of the attempts that ended late or failed. */
+    final double failedShare;
 
     FleetTotals(Membership membership) {
         List<GossipRecord> records = membership.freshRecords();
         double scale = (double) membership.aliveCount() / Math.max(1, records.size());
-        demand = sumOffered(records, scale);
+        demand = addDemand(records, scale);
         firstAttempts = scale * cappedSum(records, record -> record.firstAttempts);
         queued = scale * cappedSum(records, record -> record.queued);
         onTimeUnits = scale * cappedSum(records, record -> record.onTimeUnits);
         double onTime = cappedSum(records, record -> record.onTime);
-        double late = cappedSum(records, record -> record.late);
-        double failed = cappedSum(records, record -> record.failed);
-        double notOnTime = late + failed;
-        failureShare = notOnTime / Math.max(MIN_DIVISOR, onTime + notOnTime);
+        double notOnTime =
+                cappedSum(records, record -> record.late)
+                        + cappedSum(records, record -> record.failed);
+        failedShare = notOnTime / Math.max(MIN_ATTEMPTS, onTime + notOnTime);
     }
 
-    /** Fills {@link #offeredByClass} and returns its sum. */
-    private double sumOffered(List<GossipRecord> records, double scale) {
-        double[] totals = records.stream().mapToDouble(r -> sum(r.offeredUnits)).toArray();
-        double cap = cap(totals);
-        double sum = 0;
-        for (int i = 0; i < totals.length; i++) {
-            double part = totals[i] > cap ? cap / totals[i] : 1;
+    /** Fills {@link #demandByClass}; returns the sum over all classes. */
+    private double addDemand(List<GossipRecord> records, double scale) {
+        double[] sizes = records.stream().mapToDouble(record -> sum(record.offeredUnits)).toArray();
+        double cap = cap(sizes);
+        double total = 0;
+        for (int i = 0; i < sizes.length; i++) {
+            double part = sizes[i] > cap ? cap / sizes[i] : 1;
             for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
-                double offered = sanitize(records.get(i).offeredUnits[c]) * part * scale;
-                offeredByClass[c] += offered;
-                sum += offered;
+                double units = sanitize(records.get(i).offeredUnits[c]) * part * scale;
+                demandByClass[c] += units;
+                total += units;
             }
         }
-        return sum;
+        return total;
     }
 
-    /** Returns 0 for what is not a plausible figure. */
+    /** The figure, or 0 if it is negative, not a number or too large. */
     static double sanitize(double figure) {
         return figure > 0 && figure < MAX_FIGURE ? figure : 0;
     }
@@ -86,24 +89,23 @@
         return sum;
     }
 
-    /** The most that one figure counts, by the mean without the largest ones. */
+    /** The largest value that counts: a multiple of the mean without the largest figures. */
     private static double cap(double[] figures) {
         double[] sorted = figures.clone();
         Arrays.sort(sorted);
-        int kept = sorted.length - Math.max(1, sorted.length / OUTLIER_DIVISOR);
-        if (kept < 1) {
-            return Double.MAX_VALUE;
-        }
-        return MAX_TIMES_MEAN * Arrays.stream(sorted, 0, kept).sum() / kept;
+        int counted = sorted.length - Math.max(1, sorted.length / OUTLIER_DIVISOR);
+        return counted < 1
+                ? Double.MAX_VALUE
+                : MAX_FACTOR_OF_MEAN * Arrays.stream(sorted, 0, counted).sum() / counted;
     }
 
     private static double cappedSum(
-            List<GossipRecord> records, ToDoubleFunction<GossipRecord> figure) {
+            List<GossipRecord> records, ToDoubleFunction<GossipRecord> field) {
         double[] figures =
                 records.stream()
-                        .mapToDouble(record -> sanitize(figure.applyAsDouble(record)))
+                        .mapToDouble(record -> sanitize(field.applyAsDouble(record)))
                         .toArray();
         double cap = cap(figures);
-        return Arrays.stream(figures).map(value -> Math.min(value, cap)).sum();
+        return Arrays.stream(figures).map(figure -> Math.min(figure, cap)).sum();
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
+++ b/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
@@ -6,40 +6,29 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * What this gateway observed itself over about the last second, in a ring of five buckets of
- * constant size. Times are in ms.
+ * What this gateway itself observed over the last second, in a ring of buckets of constant size.
+ * Not thread-safe.
  */
 public final class LocalStatistics {
     private static final int BUCKETS = 5;
     private static final double BUCKET_MS = 200;
     private static final double MS_PER_SECOND = 1000;
 
-    /** Sums over one bucket of time. */
-    private static final class Bucket {
-        final double[] offeredUnits = new double[GossipRecord.PRIORITY_CLASSES];
-        final double[] rejectedUnits = new double[GossipRecord.PRIORITY_CLASSES];
-        double firstAttempts;
-        double retries;
-        double onTime;
-        double late;
-        double failed;
-        double onTimeUnits;
-
-        void clear() {
-            Arrays.fill(offeredUnits, 0);
-            Arrays.fill(rejectedUnits, 0);
-            firstAttempts = 0;
-            retries = 0;
-            onTime = 0;
-            late = 0;
-            failed = 0;
-            onTimeUnits = 0;
-        }
+    /** What is counted in each bucket. */
+    private enum Counter {
+        FIRST_ATTEMPTS,
+        RETRIES,
+        ON_TIME,
+        LATE,
+        FAILED,
+        ON_TIME_UNITS
     }
 
-    private final Bucket[] buckets = new Bucket[BUCKETS];
+    private final double[][] offeredUnits = new double[BUCKETS][GossipRecord.PRIORITY_CLASSES];
+    private final double[][] rejectedUnits = new double[BUCKETS][GossipRecord.PRIORITY_CLASSES];
+    private final double[][] counts = new double[BUCKETS][Counter.values().length];
     private final long firstBucket;
-    private final double startedMs;
+    private final double startedAtMs;
     private long currentBucket;
     private double nowMs;
     private int inFlight;
@@ -47,118 +36,113 @@
 
     public LocalStatistics(double nowMs) {
         this.nowMs = nowMs;
-        this.startedMs = nowMs;
-        this.currentBucket = (long) Math.floor(nowMs / BUCKET_MS);
-        this.firstBucket = currentBucket;
-        Arrays.setAll(buckets, index -> new Bucket());
+        startedAtMs = nowMs;
+        firstBucket = (long) Math.floor(nowMs / BUCKET_MS);
+        currentBucket = firstBucket;
     }
 
-    /** Advances the clock; it never goes back. */
+    /** Advances the time and clears the buckets that are reused. */
     public void advance(double toMs) {
         nowMs = Math.max(nowMs, toMs);
         long next = (long) Math.floor(nowMs / BUCKET_MS);
-        if (next - currentBucket > BUCKETS) {
-            currentBucket = next - BUCKETS;
-        }
+        currentBucket = Math.max(currentBucket, next - BUCKETS);
         while (currentBucket < next) {
             currentBucket++;
-            current().clear();
+            Arrays.fill(offeredUnits[bucketIndex()], 0);
+            Arrays.fill(rejectedUnits[bucketIndex()], 0);
+            Arrays.fill(counts[bucketIndex()], 0);
         }
     }
 
-    private Bucket current() {
-        return buckets[Math.floorMod(currentBucket, BUCKETS)];
-    }
-
-    /**
-     * @param weight priority weight a unit
-     */
+    /** A request within its quota has arrived. */
     public void requestOffered(double units, double weight) {
-        current().offeredUnits[GossipRecord.classOf(weight)] += units;
+        offeredUnits[bucketIndex()][GossipRecord.classOf(weight)] += units;
         queued++;
     }
 
-    /** Counts an offered request that ended without being sent. */
+    /** An offered request has ended without any attempt. */
     public void requestRejected(double units, double weight) {
-        current().rejectedUnits[GossipRecord.classOf(weight)] += units;
+        rejectedUnits[bucketIndex()][GossipRecord.classOf(weight)] += units;
         queued = Math.max(0, queued - 1);
     }
 
-    public void attemptSent(boolean isRetry) {
+    /** A first attempt or a retry was sent. */
+    public void attemptSent(boolean retry) {
+        count(retry ? Counter.RETRIES : Counter.FIRST_ATTEMPTS, 1);
         inFlight++;
-        if (isRetry) {
-            current().retries++;
-        } else {
-            current().firstAttempts++;
+        if (!retry) {
             queued = Math.max(0, queued - 1);
         }
     }
 
-    /** An attempt that did not reach its server says nothing of the servers' capacity. */
+    /** An attempt has ended; {@code late} if that was after the latency objective. */
     public void attemptEnded(double units, AttemptOutcome outcome, boolean late) {
         inFlight = Math.max(0, inFlight - 1);
         switch (outcome) {
-            case SUCCESS -> recordSuccess(units, late);
-            case TIMED_OUT -> current().late++;
-            case ERROR, CONNECTION_LOST, OVERLOADED -> current().failed++;
-            default -> {}
-        }
-    }
-
-    private void recordSuccess(double units, boolean late) {
-        if (late) {
-            current().late++;
-        } else {
-            current().onTime++;
-            current().onTimeUnits += units;
+            case SUCCESS -> {
+                count(late ? Counter.LATE : Counter.ON_TIME, 1);
+                if (!late) {
+                    count(Counter.ON_TIME_UNITS, units);
+                }
+            }
+            case TIMED_OUT -> count(Counter.LATE, 1);
+            case ERROR, CONNECTION_LOST, OVERLOADED -> count(Counter.FAILED, 1);
+            default -> {
+                // an unreachable server says nothing about the capacity of the others
+            }
         }
     }
 
-    /**
-     * The gossip record of now. Offered units that were not rejected count as admitted, those still
-     * in the queue included.
-     */
+    /** The current record. Offered units that were not rejected count as admitted. */
     public GossipRecord record(Incarnation incarnation, int sequence) {
         GossipRecord record = new GossipRecord(incarnation, sequence);
         double seconds = coveredMs() / MS_PER_SECOND;
         for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
             double offered = 0;
             double rejected = 0;
-            for (Bucket bucket : buckets) {
-                offered += bucket.offeredUnits[c];
-                rejected += bucket.rejectedUnits[c];
+            for (int bucket = 0; bucket < BUCKETS; bucket++) {
+                offered += offeredUnits[bucket][c];
+                rejected += rejectedUnits[bucket][c];
             }
             record.offeredUnits[c] = offered / seconds;
             record.admittedUnits[c] = Math.max(0, offered - rejected) / seconds;
         }
-        for (Bucket bucket : buckets) {
-            record.firstAttempts += bucket.firstAttempts;
-            record.retries += bucket.retries;
-            record.onTime += bucket.onTime;
-            record.late += bucket.late;
-            record.failed += bucket.failed;
-            record.onTimeUnits += bucket.onTimeUnits;
-        }
-        record.firstAttempts /= seconds;
-        record.retries /= seconds;
-        record.onTime /= seconds;
-        record.late /= seconds;
-        record.failed /= seconds;
-        record.onTimeUnits /= seconds;
+        record.firstAttempts = sum(Counter.FIRST_ATTEMPTS) / seconds;
+        record.retries = sum(Counter.RETRIES) / seconds;
+        record.onTime = sum(Counter.ON_TIME) / seconds;
+        record.late = sum(Counter.LATE) / seconds;
+        record.failed = sum(Counter.FAILED) / seconds;
+        record.onTimeUnits = sum(Counter.ON_TIME_UNITS) / seconds;
         record.inFlight = inFlight;
         record.queued = queued;
         return record;
     }
 
     /**
-     * Time that the buckets cover, with a part of the current one. Never less than one bucket, or a
-     * first request would look like a flood.
+     * The time that the buckets cover, the current one in part. At least one bucket, or the first
+     * request would look like a flood.
      */
     private double coveredMs() {
-        if (currentBucket == firstBucket) {
-            return BUCKET_MS;
+        double covered =
+                Math.min(
+                        nowMs - startedAtMs,
+                        (BUCKETS - 1) * BUCKET_MS + nowMs - currentBucket * BUCKET_MS);
+        return Math.max(BUCKET_MS, currentBucket == firstBucket ? BUCKET_MS : covered);
+    }
+
+    private int bucketIndex() {
+        return Math.floorMod(currentBucket, BUCKETS);
+    }
+
+    private void count(Counter counter, double amount) {
+        counts[bucketIndex()][counter.ordinal()] += amount;
+    }
+
+    private double sum(Counter counter) {
+        double sum = 0;
+        for (double[] bucket : counts) {
+            sum += bucket[counter.ordinal()];
         }
-        double ringMs = (BUCKETS - 1) * BUCKET_MS + nowMs - currentBucket * BUCKET_MS;
-        return Math.max(BUCKET_MS, Math.min(nowMs - startedMs, ringMs));
+        return sum;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
@@ -1,6 +1,7 @@
 package tinford.fleet.overload;
 
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,303 +12,276 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * Which gateway probes an ejected server. The owner is drawn by rendezvous hashing among the alive
- * gateways, so that the probes of a server do not grow with the fleet. The others leave the server
- * alone until it is reported healthy, or until its owner has been silent for {@link
- * #OWNER_SILENCE_MS}; then they probe at random, together ever more rarely but never less often
- * than every {@link #MAX_PROBE_INTERVAL_MS}. A server that works for this gateway is left alone
- * only when two others report it unhealthy. A false report of health costs one attempt for each
- * gateway, with a wait that doubles. Memory: one note for each of {@link #MAX_SERVERS} servers at
- * most, dropped {@link #FORGET_MS} after the last report. Times are in ms.
+ * Which gateway probes an unhealthy server, so that the probes don't grow with the number of
+ * gateways.
+ *
+ * <p>Rendezvous hashing over the live gateways chooses one owner per server. The others don't use
+ * the server until it is reported healthy, or until its owner has not reported for {@link
+ * #OWNER_TIMEOUT_MS}; then they probe at random times, all together at growing intervals of at most
+ * {@link #MAX_PROBE_INTERVAL_MS}. A server that works for this gateway is avoided only if two peers
+ * report it unhealthy. A wrong report of recovery costs one attempt per gateway, each time after
+ * twice the wait. Memory: one entry per server for at most {@link #MAX_SERVERS}, which expires
+ * {@link #EXPIRY_MS} after the last report. Not thread-safe.
  */
 public final class ProbeOwners {
     private static final int MAX_SERVERS = 2048;
 
-    /** The longest ejection by a gateway, and the time that records take. */
-    private static final double OWNER_SILENCE_MS = 6000;
+    /** The longest ejection by the decisions, 4 s, and the time that records take. */
+    private static final double OWNER_TIMEOUT_MS = 6000;
 
-    /** Time between probes by all gateways that are not the owner, at first. */
+    /**
+     * The first interval between probes of all gateways but the owner together; later ones are half
+     * of the time since the server was ejected.
+     */
     private static final double MIN_PROBE_INTERVAL_MS = 4000;
 
     private static final double MAX_PROBE_INTERVAL_MS = 30_000;
 
-    /** Gateways return to a server that is reported healthy spread over this time. */
-    private static final double RETURN_SPREAD_MS = 300;
-
-    /** How long the own experience of health outweighs reports of others. */
-    private static final double OWN_HEALTH_VALID_MS = 2000;
-
-    private static final double FORGET_MS = 120_000;
-    private static final double MIN_DISTRUST_MS = 250;
-    private static final double MIN_REPORT_GAP_MS = 100;
-    private static final double MAX_STEP_MS = 1000;
-    private static final double NEVER = Double.NEGATIVE_INFINITY;
-
-    /** What is known of one server, by this gateway and by reports of others. */
-    private static final class Note {
-        final int serverHash;
-
-        /** As this gateway found it. */
-        boolean unhealthy;
-
-        double foundMs = NEVER;
-
-        /** As the others report it. */
-        boolean reportedUnhealthy;
-
-        double ownerReportedUnhealthyMs = NEVER;
-        double reportedHealthyMs = NEVER;
-
-        /** Last report of the owner, whatever it says. */
-        double ownerReportMs = NEVER;
-
-        double touchedMs;
+    /** The gateways return to a recovered server spread over this time. */
+    private static final double RETURN_JITTER_MS = 300;
 
-        /** Cached owner, and the update for which it was computed. */
-        int owner;
+    /** For how long an own finding that a server is healthy outweighs the reports of peers. */
+    private static final double OWN_FINDING_TRUST_MS = 2000;
 
-        long ownerUpdate = -1;
+    private static final double EXPIRY_MS = 120_000;
 
-        /** When this gateway may return after a report of health. */
-        double returnMs;
+    /** Reports of recovery within this time count as one. */
+    private static final double MIN_RECOVERY_GAP_MS = 100;
 
-        /** By how much a report of health must be later than the own finding. */
-        double distrustMs = MIN_DISTRUST_MS;
-
-        /** Start of the time in which probes become rarer. */
-        double waitingSinceMs;
-
-        /** Progress towards the next probe of a gateway that is not the owner. */
-        double waited;
-
-        /** Progress at which that probe is due. */
-        double due;
-
-        Note(int serverHash) {
-            this.serverHash = serverHash;
-        }
-    }
+    /** Longest time that one update accounts for. */
+    private static final double MAX_STEP_MS = 1000;
 
     private final Random random;
-    private final Map<Integer, Note> notes = new LinkedHashMap<>();
+    private final Map<Integer, ProbedServer> servers = new LinkedHashMap<>();
     private Membership membership;
-    private Incarnation self;
+    private Incarnation own;
     private double nowMs;
-    private int firstReported;
     private long updates;
 
+    /** Rotates over the servers that don't fit into one record. */
+    private int firstReported;
+
     public ProbeOwners(Random random) {
         this.random = random;
     }
 
-    /** Hash by which records name a server. */
-    public static int serverHash(Server server) {
+    /** The hash by which records name a server. */
+    public static int hashOf(Server server) {
         return mix(server.id.hashCode());
     }
 
     /**
-     * The owner among the alive gateways, or -1: the same at all gateways with the same membership.
-     * Where a gateway is lost, only its servers change the owner.
+     * The live gateway with the highest hash: the same for all gateways with the same membership;
+     * when a gateway is lost, only its servers get another owner.
      */
-    static int ownerAmong(int serverHash, Membership membership) {
+    static int owner(int serverHash, Membership membership) {
         int owner = -1;
         int highest = 0;
         for (int gateway : membership.aliveGateways()) {
-            int rank = mix(serverHash * 31 + mix(gateway)) >>> 1;
-            if (membership.isAlive(gateway) && (owner < 0 || rank > highest)) {
+            int hash = mix(serverHash * 31 + mix(gateway)) >>> 1;
+            if (membership.isAlive(gateway) && (owner < 0 || hash > highest)) {
                 owner = gateway;
-                highest = rank;
+                highest = hash;
             }
         }
         return owner;
     }
 
-    /** Takes in the present records. */
-    public void update(double atMs, Incarnation ownIncarnation, Membership newMembership) {
-        double stepMs = Math.max(0, Math.min(atMs - nowMs, MAX_STEP_MS));
-        nowMs = atMs;
-        self = ownIncarnation;
-        membership = newMembership;
+    /** Evaluates the fresh records of the peers. */
+    public void update(double toMs, Incarnation self, Membership current) {
+        double stepMs = Math.max(0, Math.min(toMs - nowMs, MAX_STEP_MS));
+        nowMs = toMs;
+        own = self;
+        membership = current;
         updates++;
-        Map<Integer, Integer> unhealthyReports = new LinkedHashMap<>();
-        for (GossipRecord record : membership.freshRecords()) {
-            if (record.incarnation.gateway() != self.gateway()) {
-                takeReports(record, unhealthyReports);
+        Map<Integer, Integer> unhealthyReports = new HashMap<>();
+        for (GossipRecord record : current.freshRecords()) {
+            int peer = record.incarnation.gateway();
+            if (peer == self.gateway()) {
+                continue;
+            }
+            for (GossipRecord.ServerHealth report : record.serverHealth) {
+                evaluate(peer, report, unhealthyReports);
             }
         }
-        for (Note note : notes.values()) {
-            advance(note, stepMs, unhealthyReports.getOrDefault(note.serverHash, 0));
+        for (ProbedServer server : servers.values()) {
+            server.waitedIntervals += stepMs / probeIntervalMs(server) / current.aliveCount();
+            int reports = unhealthyReports.getOrDefault(server.serverHash, 0);
+            server.reportedUnhealthy = isReportedUnhealthy(server, reports);
         }
-        notes.values().removeIf(note -> nowMs - note.touchedMs > FORGET_MS);
+        servers.values().removeIf(server -> nowMs - server.updatedAtMs > EXPIRY_MS);
     }
 
-    private void takeReports(GossipRecord record, Map<Integer, Integer> unhealthyReports) {
-        for (GossipRecord.ServerHealth report : record.serverHealth) {
-            Note note = noteOf(report.serverHash());
-            if (note == null) {
-                continue;
-            }
-            note.touchedMs = nowMs;
-            double ageMs = ageMs(report);
-            boolean isOwner = ownerOf(note) == record.incarnation.gateway();
-            if (isOwner) {
-                note.ownerReportMs = Math.max(note.ownerReportMs, nowMs - ageMs);
-            }
-            if (!report.unhealthy()) {
-                takeHealthyReport(note, nowMs - ageMs);
-                continue;
-            }
-            if (ageMs < OWNER_SILENCE_MS) {
-                unhealthyReports.merge(note.serverHash, 1, Integer::sum);
-            }
-            if (isOwner) {
-                note.ownerReportedUnhealthyMs =
-                        Math.max(note.ownerReportedUnhealthyMs, nowMs - ageMs);
-            }
+    private void evaluate(
+            int peer, GossipRecord.ServerHealth report, Map<Integer, Integer> unhealthyReports) {
+        ProbedServer server = getOrAdd(report.serverHash());
+        if (server == null) {
+            return;
+        }
+        server.updatedAtMs = nowMs;
+        boolean validAge = report.agoMs() >= 0 && report.agoMs() < EXPIRY_MS;
+        double ageMs = validAge ? report.agoMs() : EXPIRY_MS;
+        double foundAtMs = nowMs - ageMs;
+        boolean byOwner = ownerOf(server) == peer;
+        if (byOwner) {
+            server.ownerReportAtMs = Math.max(server.ownerReportAtMs, foundAtMs);
+        }
+        if (!report.unhealthy()) {
+            evaluateRecovery(server, foundAtMs);
+            return;
+        }
+        if (ageMs < OWNER_TIMEOUT_MS) {
+            unhealthyReports.merge(server.serverHash, 1, Integer::sum);
+        }
+        if (byOwner) {
+            server.ownerReportedUnhealthyAtMs =
+                    Math.max(server.ownerReportedUnhealthyAtMs, foundAtMs);
         }
     }
 
-    private static double ageMs(GossipRecord.ServerHealth report) {
-        return report.agoMs() >= 0 && report.agoMs() < FORGET_MS ? report.agoMs() : FORGET_MS;
+    private void evaluateRecovery(ProbedServer server, double foundAtMs) {
+        double unhealthyUntilMs =
+                Math.max(
+                        server.ownFindingAtMs + server.distrustMs,
+                        server.ownerReportedUnhealthyAtMs);
+        if ((server.unhealthy || server.reportedUnhealthy)
+                && foundAtMs > unhealthyUntilMs
+                && foundAtMs > server.reportedHealthyAtMs + MIN_RECOVERY_GAP_MS) {
+            server.reportedHealthyAtMs = foundAtMs;
+            server.returnAtMs = nowMs + RETURN_JITTER_MS * random.nextDouble();
+        }
     }
 
-    /** Counts where the server was unhealthy before, and the report is later than that. */
-    private void takeHealthyReport(Note note, double reportMs) {
-        double unhealthyMs =
-                Math.max(note.foundMs + note.distrustMs, note.ownerReportedUnhealthyMs);
-        if ((note.unhealthy || note.reportedUnhealthy)
-                && reportMs > unhealthyMs
-                && reportMs > note.reportedHealthyMs + MIN_REPORT_GAP_MS) {
-            note.reportedHealthyMs = reportMs;
-            note.returnMs = nowMs + RETURN_SPREAD_MS * random.nextDouble();
+    /** The interval of all gateways but the owner together: long while the owner reports. */
+    private double probeIntervalMs(ProbedServer server) {
+        double lastFindingAtMs = Math.max(server.ownerReportAtMs, server.ownFindingAtMs);
+        if (nowMs - lastFindingAtMs < OWNER_TIMEOUT_MS) {
+            return MAX_PROBE_INTERVAL_MS;
         }
+        double growing = (nowMs - server.waitStartedAtMs) / 2;
+        return Math.max(MIN_PROBE_INTERVAL_MS, Math.min(MAX_PROBE_INTERVAL_MS, growing));
     }
 
-    private void advance(Note note, double stepMs, int unhealthyReports) {
-        double lastNewsMs = Math.max(note.ownerReportMs, note.foundMs);
-        double intervalMs =
-                nowMs - lastNewsMs < OWNER_SILENCE_MS
-                        ? MAX_PROBE_INTERVAL_MS
-                        : Math.max(
-                                MIN_PROBE_INTERVAL_MS,
-                                Math.min(MAX_PROBE_INTERVAL_MS, (nowMs - note.waitingSinceMs) / 2));
-        note.waited += stepMs / intervalMs / membership.aliveCount();
-        // once all leave the server alone, only its owner has news of it, so one report is enough
-        int needed = note.reportedUnhealthy ? 1 : 2;
-        note.reportedUnhealthy =
-                unhealthyReports >= needed
-                        && note.reportedHealthyMs <= note.ownerReportedUnhealthyMs;
+    /**
+     * It takes two reports at first, and one later on: once all others avoid the server, only its
+     * owner has findings.
+     */
+    private static boolean isReportedUnhealthy(ProbedServer server, int reports) {
+        int needed = server.reportedUnhealthy ? 1 : 2;
+        return reports >= needed && server.reportedHealthyAtMs <= server.ownerReportedUnhealthyAtMs;
     }
 
     /**
-     * Notes what this gateway found itself. Health matters only where there was another finding or
-     * report before.
+     * This gateway found a server unhealthy or healthy. The latter matters only for servers that
+     * were found unhealthy by some gateway.
      */
-    public void recordHealth(Server server, boolean unhealthy) {
-        int hash = serverHash(server);
-        Note note = unhealthy ? noteOf(hash) : notes.get(hash);
-        if (note == null) {
+    public void serverHealthChanged(Server found, boolean unhealthy) {
+        int hash = hashOf(found);
+        ProbedServer server = unhealthy ? getOrAdd(hash) : servers.get(hash);
+        if (server == null) {
             return;
         }
-        boolean contradictsReport =
-                note.reportedHealthyMs > note.foundMs
-                        && nowMs - note.reportedHealthyMs < OWNER_SILENCE_MS;
-        if (unhealthy && contradictsReport) {
-            note.distrustMs = Math.min(2 * note.distrustMs, MAX_PROBE_INTERVAL_MS);
-        }
-        if (unhealthy && !note.unhealthy) {
-            drawNextProbe(note, nowMs);
+        if (unhealthy) {
+            distrustWrongRecovery(server);
+            if (!server.unhealthy) {
+                drawNextProbe(server, nowMs);
+            }
+        } else {
+            server.distrustMs = ProbedServer.MIN_DISTRUST_MS;
         }
-        if (!unhealthy) {
-            note.distrustMs = MIN_DISTRUST_MS;
+        server.unhealthy = unhealthy;
+        server.ownFindingAtMs = nowMs;
+        server.updatedAtMs = nowMs;
+    }
+
+    private void distrustWrongRecovery(ProbedServer server) {
+        if (server.reportedHealthyAtMs > server.ownFindingAtMs
+                && nowMs - server.reportedHealthyAtMs < OWNER_TIMEOUT_MS) {
+            server.distrustMs = Math.min(2 * server.distrustMs, MAX_PROBE_INTERVAL_MS);
         }
-        note.unhealthy = unhealthy;
-        note.foundMs = nowMs;
-        note.touchedMs = nowMs;
     }
 
-    /** Notes an attempt at a server; where it was a due probe, the next one is drawn. */
-    public void recordProbe(Server server) {
-        Note note = notes.get(serverHash(server));
-        if (note != null && note.waited >= note.due) {
-            drawNextProbe(note, note.waitingSinceMs);
+    /** An attempt was sent to the server; if it was a probe, the next one is drawn. */
+    public void attemptSent(Server target) {
+        ProbedServer server = servers.get(hashOf(target));
+        if (server != null && server.isProbeDue()) {
+            drawNextProbe(server, server.waitStartedAtMs);
         }
     }
 
     /**
-     * Whether this gateway may send to a server: it is healthy as far as known, reported healthy
-     * again, its own to probe, or due for a rare probe.
+     * Whether this gateway may send attempts to the server: it is healthy or has recovered, this
+     * gateway is its owner, or a probe is due.
      */
-    public boolean mayProbe(Server server) {
-        Note note = notes.get(serverHash(server));
-        if (note == null || membership == null || membership.aliveCount() <= 1) {
+    public boolean mayProbe(Server target) {
+        ProbedServer server = servers.get(hashOf(target));
+        if (server == null || membership == null || membership.aliveCount() <= 1) {
             return true;
         }
-        return !shouldAvoid(note) || ownerOf(note) == self.gateway() || note.waited >= note.due;
+        return !isAvoided(server) || ownerOf(server) == own.gateway() || server.isProbeDue();
     }
 
-    private boolean shouldAvoid(Note note) {
-        if (note.unhealthy) {
-            boolean mayReturn = note.reportedHealthyMs > note.foundMs && nowMs >= note.returnMs;
-            return !mayReturn;
+    private boolean isAvoided(ProbedServer server) {
+        if (server.unhealthy) {
+            boolean recovered = server.reportedHealthyAtMs > server.ownFindingAtMs;
+            return !(recovered && nowMs >= server.returnAtMs);
         }
-        return (note.reportedUnhealthy || nowMs < note.returnMs)
-                && nowMs - note.foundMs > OWN_HEALTH_VALID_MS;
+        return (server.reportedUnhealthy || nowMs < server.returnAtMs)
+                && nowMs - server.ownFindingAtMs > OWN_FINDING_TRUST_MS;
     }
 
-    /** Writes findings into the own record, in turn where not all of them fit. */
-    public void writeTo(GossipRecord ownRecord) {
-        List<Note> recent = new ArrayList<>();
-        for (Note note : notes.values()) {
-            double validMs = note.unhealthy ? FORGET_MS : OWNER_SILENCE_MS;
-            if (nowMs - note.foundMs < validMs) {
-                recent.add(note);
+    /** Writes the own findings into the own record, in rotation if they don't all fit. */
+    public void writeTo(GossipRecord record) {
+        List<ProbedServer> found = new ArrayList<>();
+        for (ProbedServer server : servers.values()) {
+            double reportedForMs = server.unhealthy ? EXPIRY_MS : OWNER_TIMEOUT_MS;
+            if (nowMs - server.ownFindingAtMs < reportedForMs) {
+                found.add(server);
             }
         }
-        int count = Math.min(GossipRecord.MAX_SERVERS, recent.size());
-        for (int i = 0; i < count; i++) {
-            Note note = recent.get(Math.floorMod(firstReported + i, recent.size()));
-            ownRecord.serverHealth.add(
+        for (int i = 0; i < Math.min(GossipRecord.MAX_SERVERS, found.size()); i++) {
+            ProbedServer server = found.get(Math.floorMod(firstReported + i, found.size()));
+            record.serverHealth.add(
                     new GossipRecord.ServerHealth(
-                            note.serverHash, note.unhealthy, nowMs - note.foundMs));
+                            server.serverHash, server.unhealthy, nowMs - server.ownFindingAtMs));
         }
-        firstReported =
-                recent.size() > GossipRecord.MAX_SERVERS
-                        ? firstReported + GossipRecord.MAX_SERVERS
-                        : 0;
+        boolean allFit = found.size() <= GossipRecord.MAX_SERVERS;
+        firstReported = allFit ? 0 : firstReported + GossipRecord.MAX_SERVERS;
     }
 
-    /** Computed once an update, as it costs a hash for each gateway. */
-    private int ownerOf(Note note) {
-        if (note.ownerUpdate != updates) {
-            note.owner = ownerAmong(note.serverHash, membership);
-            note.ownerUpdate = updates;
+    /** Computed once per update, since it costs a hash per gateway. */
+    private int ownerOf(ProbedServer server) {
+        if (server.ownerComputedInUpdate != updates) {
+            server.owner = owner(server.serverHash, membership);
+            server.ownerComputedInUpdate = updates;
         }
-        return note.owner;
+        return server.owner;
     }
 
-    /** Exponentially distributed, so that all gateways together probe once an interval. */
-    private void drawNextProbe(Note note, double sinceMs) {
-        note.waitingSinceMs = sinceMs;
-        note.waited = 0;
-        note.due = -Math.log(1 - random.nextDouble());
+    /**
+     * Exponentially distributed: each gateway waits as many intervals as there are gateways on
+     * average, so that all together probe once per interval.
+     */
+    private void drawNextProbe(ProbedServer server, double sinceMs) {
+        server.startWait(sinceMs, -Math.log(1 - random.nextDouble()));
     }
 
-    /** Creates the note where there is none; null where there are too many. */
-    private Note noteOf(int serverHash) {
-        Note note = notes.get(serverHash);
-        if (note != null || notes.size() >= MAX_SERVERS) {
-            return note;
+    /** Null if there are too many servers. */
+    private ProbedServer getOrAdd(int serverHash) {
+        ProbedServer existing = servers.get(serverHash);
+        if (existing != null || servers.size() >= MAX_SERVERS) {
+            return existing;
         }
-        Note created = new Note(serverHash);
-        created.touchedMs = nowMs;
-        drawNextProbe(created, nowMs);
-        notes.put(serverHash, created);
-        return created;
+        ProbedServer server = new ProbedServer(serverHash);
+        server.updatedAtMs = nowMs;
+        drawNextProbe(server, nowMs);
+        servers.put(serverHash, server);
+        return server;
     }
 
-    private static int mix(int value) {
-        int mixed = (value ^ value >>> 16) * 0x7feb352d;
+    /** Spreads the bits of a hash over all of it. */
+    private static int mix(int hash) {
+        int mixed = (hash ^ hash >>> 16) * 0x7feb352d;
         mixed = (mixed ^ mixed >>> 15) * 0x846ca68b;
         return mixed ^ mixed >>> 16;
     }
--- a/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
@@ -8,13 +8,15 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * One budget of retries for the fleet, kept as accounts. First attempts feed the own account, and
- * retries draw on it. What overflows is ceded to a gateway with failures, by a running total in the
- * giver's record, of which the receiver takes what it has risen by since it last took. So a record
- * that is lost, repeated or old moves nothing twice, and all gateways together never send more
- * retries than the part of first attempts. Without gossip each gateway has its own even share. A
- * giver with false records makes at most twice the part of a median gateway. Memory: two accounts
- * for each gateway, {@link #MAX_PEERS} at most. Times are in ms.
+ * This gateway's account of the fleet's retry budget.
+ *
+ * <p>First attempts add to the own account and retries draw on it. The surplus of a full account is
+ * ceded to a gateway that sees failures, as a running total in the own record. The receiver adds
+ * what the total rose by since it last looked, so a record that is lost, duplicated or outdated
+ * transfers nothing twice: together the gateways never send more retries than the ratio allows,
+ * whatever records each has received. Without messages each gateway lives on its own first
+ * attempts. A gateway that reports a wrong total cedes at most twice the share of the median
+ * gateway. Memory: two numbers per gateway, for at most {@link #MAX_PEERS}. Not thread-safe.
  */
 public final class RetryBudget {
     private static final int MAX_PEERS = 1024;
@@ -22,72 +24,68 @@
     /** Retries that the whole fleet may save up. */
     private static final double FLEET_BURST = 40;
 
-    /** Retries that each gateway may save up, however large the fleet is. */
-    private static final double MIN_BURST = 2;
+    /** Retries that each gateway may save up: more would be a flood in a large fleet. */
+    private static final double MIN_GATEWAY_BURST = 2;
 
-    /** Free retries that are kept for attempts that never ran. */
+    /** Free retries that are not used by then are forfeited. */
     private static final int MAX_FREE_RETRIES = 100;
 
-    /** How long one receiver is kept, so that the records reach it. */
+    /** How long one receiver is kept, so that the records can reach it. */
     private static final double RECEIVER_INTERVAL_MS = 500;
 
-    /** Bounds the need of one gateway, or a false one would receive everything. */
-    private static final double MAX_NEED = 100;
+    /** Bounds the weight of a gateway that reports excessive failures. */
+    private static final double MAX_NEED_PER_SECOND = 100;
 
+    /** Longest time that one update accounts for. */
     private static final double MAX_STEP_MS = 1000;
+
     private static final double MS_PER_SECOND = 1000;
 
-    /** What was ceded to, or taken from, one incarnation. */
+    /** What was ceded to, or received from, one incarnation of a peer. */
     private static final class Account {
-        final Incarnation incarnation;
-
-        /** Running total of retries. */
-        double total;
+        private final Incarnation peer;
+        private double total;
 
-        /** Retries that may be taken now. */
-        double credit = 1;
+        /** What may still be received. */
+        private double credit = 1;
 
-        Account(Incarnation incarnation) {
-            this.incarnation = incarnation;
+        Account(Incarnation peer) {
+            this.peer = peer;
         }
     }
 
-    private final double retryPart;
+    private final double retryRatio;
     private final Random random;
-    private final Map<Integer, Account> ceded = new LinkedHashMap<>();
-    private final Map<Integer, Account> taken = new LinkedHashMap<>();
+    private final Map<Integer, Account> cededByPeer = new LinkedHashMap<>();
+    private final Map<Integer, Account> receivedByPeer = new LinkedHashMap<>();
     private int freeRetries;
-    private double burst = MIN_BURST;
+    private double maxLevel = MIN_GATEWAY_BURST;
     private double level;
-    private double overflow;
-    private double receiverChosenMs = Double.NEGATIVE_INFINITY;
-    private double lastUpdateMs = -1;
-
-    /** Null where nothing is ceded. */
+    private double surplus;
+    private double receiverChosenAtMs = Double.NEGATIVE_INFINITY;
+    private double updatedAtMs = -1;
     private Account receiver;
 
     /**
-     * @param retryPart of first attempts that may be retried, over the fleet
+     * @param retryRatio retries per first attempt, over the fleet
      */
-    public RetryBudget(double retryPart, Random random) {
-        this.retryPart = retryPart;
+    public RetryBudget(double retryRatio, Random random) {
+        this.retryRatio = retryRatio;
         this.random = random;
     }
 
-    /** Retries that may be sent now. */
+    /** Retries that this gateway may send now. */
     public double level() {
         return level;
     }
 
     /**
-     * A first attempt feeds the budget. A retry costs one, or nothing where an attempt before
-     * surely never ran, as only attempts that may have run are limited.
+     * Counts an attempt. A retry costs one, or nothing after an attempt that surely never ran: the
+     * attempts that may have run are bounded all the same.
      */
-    public void attemptSent(boolean isRetry) {
-        if (!isRetry) {
-            level += retryPart;
-            overflow += Math.max(0, level - burst);
-            level = Math.min(burst, level);
+    public void attemptSent(boolean retry) {
+        if (!retry) {
+            addOwn(retryRatio);
         } else if (freeRetries > 0) {
             freeRetries--;
         } else {
@@ -95,99 +93,113 @@
         }
     }
 
-    /** An attempt surely never ran, so that its retry is free. */
+    /** An attempt has ended that was surely not executed; its retry is free. */
     public void attemptNeverRan() {
         freeRetries = Math.min(freeRetries + 1, MAX_FREE_RETRIES);
     }
 
-    /** Takes what others cede, and cedes the own overflow. */
-    public void update(double nowMs, Incarnation self, Membership membership) {
+    /** Receives from the peers' records what they ceded, and cedes the own surplus. */
+    public void update(double nowMs, Incarnation own, Membership membership) {
         double stepMs =
-                lastUpdateMs < 0 ? 0 : Math.max(0, Math.min(nowMs - lastUpdateMs, MAX_STEP_MS));
-        lastUpdateMs = nowMs;
-        burst = Math.max(MIN_BURST, FLEET_BURST / Math.max(1, membership.fleetSize()));
-        level = Math.min(burst, level);
-        double creditStep =
-                2 * retryPart * medianFirstAttempts(membership) * stepMs / MS_PER_SECOND;
+                updatedAtMs < 0 ? 0 : Math.max(0, Math.min(nowMs - updatedAtMs, MAX_STEP_MS));
+        updatedAtMs = nowMs;
+        maxLevel = Math.max(MIN_GATEWAY_BURST, FLEET_BURST / Math.max(1, membership.fleetSize()));
+        level = Math.min(maxLevel, level);
+        double median = medianFirstAttempts(membership);
+        double newCredit = 2 * retryRatio * median * stepMs / MS_PER_SECOND;
         for (GossipRecord record : membership.freshRecords()) {
-            if (record.incarnation.gateway() != self.gateway()
-                    && self.equals(record.retriesCededTo)) {
-                take(record, creditStep);
+            boolean isOwn = record.incarnation.gateway() == own.gateway();
+            if (!isOwn && own.equals(record.retriesCededTo)) {
+                receive(record, newCredit);
             }
         }
-        chooseReceiver(nowMs, self, membership);
+        chooseReceiver(nowMs, own, membership);
         if (receiver != null) {
-            receiver.total += overflow;
+            receiver.total += surplus;
         }
-        overflow = 0;
+        surplus = 0;
     }
 
     private static double medianFirstAttempts(Membership membership) {
-        double[] rates =
+        double[] sorted =
                 membership.freshRecords().stream()
                         .mapToDouble(record -> FleetTotals.sanitize(record.firstAttempts))
                         .sorted()
                         .toArray();
-        return rates.length == 0 ? 0 : rates[rates.length / 2];
+        return sorted.length == 0 ? 0 : sorted[sorted.length / 2];
     }
 
-    /** What was taken is not ceded again, or it would wander among the gateways. */
-    private void take(GossipRecord giver, double creditStep) {
-        Account account = account(taken, giver.incarnation);
+    private void receive(GossipRecord record, double newCredit) {
+        Account account = account(receivedByPeer, record.incarnation);
         if (account == null) {
             return;
         }
-        account.credit = Math.min(burst, account.credit + creditStep);
-        double risen = FleetTotals.sanitize(giver.retriesCeded) - account.total;
-        double amount = Math.max(0, Math.min(risen, account.credit));
-        account.total += amount;
-        account.credit -= amount;
-        level = Math.min(burst, level + amount);
+        account.credit = Math.min(maxLevel, account.credit + newCredit);
+        double ceded = FleetTotals.sanitize(record.retriesCeded) - account.total;
+        double received = Math.max(0, Math.min(ceded, account.credit));
+        account.total += received;
+        account.credit -= received;
+        addReceived(received);
     }
 
-    /** Writes what is ceded into the own record. */
-    public void writeTo(GossipRecord ownRecord) {
-        ownRecord.retriesCededTo = receiver == null ? null : receiver.incarnation;
-        ownRecord.retriesCeded = receiver == null ? 0 : receiver.total;
+    /** Writes what was ceded into the own record. */
+    public void writeTo(GossipRecord own) {
+        own.retriesCededTo = receiver == null ? null : receiver.peer;
+        own.retriesCeded = receiver == null ? 0 : receiver.total;
     }
 
-    /** A later incarnation begins at zero; null for an earlier one, or where there are too many. */
-    private static Account account(Map<Integer, Account> accounts, Incarnation incarnation) {
-        Account account = accounts.get(incarnation.gateway());
-        if (account != null && account.incarnation.start() >= incarnation.start()) {
-            return account.incarnation.equals(incarnation) ? account : null;
+    /**
+     * The account of a peer, new for a later incarnation; null for an earlier one, and if there are
+     * too many.
+     */
+    private static Account account(Map<Integer, Account> accounts, Incarnation peer) {
+        Account existing = accounts.get(peer.gateway());
+        if (existing != null && existing.peer.start() >= peer.start()) {
+            return existing.peer.equals(peer) ? existing : null;
         }
-        if (account == null && accounts.size() >= MAX_PEERS) {
+        if (existing == null && accounts.size() >= MAX_PEERS) {
             return null;
         }
-        Account created = new Account(incarnation);
-        accounts.put(incarnation.gateway(), created);
-        return created;
+        Account account = new Account(peer);
+        accounts.put(peer.gateway(), account);
+        return account;
+    }
+
+    private void addOwn(double amount) {
+        level += amount;
+        surplus += Math.max(0, level - maxLevel);
+        level = Math.min(maxLevel, level);
+    }
+
+    /** What was received is not ceded again, or it would circulate. */
+    private void addReceived(double amount) {
+        level = Math.min(maxLevel, level + amount);
     }
 
     /** At random, in proportion to the failures that a gateway's own budget does not cover. */
-    private void chooseReceiver(double nowMs, Incarnation self, Membership membership) {
-        if (nowMs - receiverChosenMs < RECEIVER_INTERVAL_MS) {
+    private void chooseReceiver(double nowMs, Incarnation own, Membership membership) {
+        if (nowMs - receiverChosenAtMs < RECEIVER_INTERVAL_MS) {
             return;
         }
-        receiverChosenMs = nowMs;
+        receiverChosenAtMs = nowMs;
         Incarnation chosen = null;
-        double totalNeed = 0;
+        double total = 0;
         for (GossipRecord record : membership.freshRecords()) {
             double need = need(record);
-            if (record.incarnation.gateway() == self.gateway() || need <= 0) {
+            if (record.incarnation.gateway() == own.gateway() || need <= 0) {
                 continue;
             }
-            totalNeed += need;
-            if (random.nextDouble() * totalNeed < need) {
+            total += need;
+            if (random.nextDouble() * total < need) {
                 chosen = record.incarnation;
             }
         }
-        receiver = chosen == null ? null : account(ceded, chosen);
+        receiver = chosen == null ? null : account(cededByPeer, chosen);
     }
 
     private double need(GossipRecord record) {
-        double covered = retryPart * FleetTotals.sanitize(record.firstAttempts);
-        return Math.min(MAX_NEED, Math.max(0, FleetTotals.sanitize(record.failed) - covered));
+        double ownBudget = retryRatio * FleetTotals.sanitize(record.firstAttempts);
+        double uncovered = Math.max(0, FleetTotals.sanitize(record.failed) - ownBudget);
+        return Math.min(uncovered, MAX_NEED_PER_SECOND);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/RetryJitter.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryJitter.java
@@ -1,31 +1,32 @@
 package tinford.fleet.overload;
 
 /**
- * Longest random delay added to a Retry-After time, so that the requests rejected in one second
- * return spread out.
+ * The bound of the random time that is added to a Retry-After: long enough that the requests
+ * rejected in one second return spread out.
  */
 public final class RetryJitter {
-    private static final double MS_PER_FACTOR = 1000;
-    private static final double MIN_MS = 200;
+    /** Jitter per multiple of the capacity that is demanded in excess. */
+    private static final double JITTER_PER_EXCESS_MS = 1000;
 
-    private final double limitMs;
+    private static final double MIN_JITTER_MS = 200;
+
+    private final double maxJitterMs;
 
     /**
-     * @param limitMs of the delay: no longer than a threshold stays without a cause
+     * @param maxJitterMs not longer than a threshold may last without cause
      */
-    public RetryJitter(double limitMs) {
-        this.limitMs = limitMs;
+    public RetryJitter(double maxJitterMs) {
+        this.maxJitterMs = maxJitterMs;
     }
 
     /**
-     * A second for each time that the load exceeds the capacity, so that the requests that return
-     * add no more than the capacity.
-     *
-     * @param overloadFactor load over capacity
+     * The bound for a ratio of demand to capacity: the returning requests then add no more than the
+     * capacity. 0 unless the demand exceeds the capacity.
      */
-    public double maxMs(double overloadFactor) {
-        return overloadFactor <= 1
+    public double jitterMs(double demandToCapacity) {
+        return demandToCapacity <= 1
                 ? 0
-                : Math.min(limitMs, MS_PER_FACTOR * (overloadFactor - 1) + MIN_MS);
+                : Math.min(
+                        maxJitterMs, JITTER_PER_EXCESS_MS * (demandToCapacity - 1) + MIN_JITTER_MS);
     }
 }
--- a/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.transport.InMemoryTransport;
+import tinford.fleet.transport.InMemoryNetwork;
 
 /** Fleets of several sizes in virtual time: who is known to be alive, how soon, at what cost. */
 public class GossipMembershipTest {
@@ -59,17 +59,17 @@
     private static void checkLossAndRestart(int n, double suspectAfterMs, double withinMs) {
         SimulatedGossipFleet fleet =
                 new SimulatedGossipFleet(n, suspectAfterMs, suspectAfterMs / 2, 5);
-        fleet.network.link(new InMemoryTransport.Link(1, 2, 0.01, 0.01, 0.01, 50));
+        fleet.network.setLink(new InMemoryNetwork.Link(1, 2, 0.01, 0.01, 0.01, 50));
         runUntilAllKnown(fleet, withinMs);
         double from = fleet.nowMs;
-        long sent = fleet.network.sent();
-        long bytes = fleet.network.bytes();
+        long sent = fleet.network.sentMessages();
+        long bytes = fleet.network.sentBytes();
         fleet.run(2000);
         assertTrue(
                 minAliveCount(fleet) >= n - 1 - n / 80,
                 "wrongly suspected: sees " + minAliveCount(fleet));
-        double messages = (fleet.network.sent() - sent) * 1000.0 / (fleet.nowMs - from) / n;
-        double perSecond = (fleet.network.bytes() - bytes) * 1000.0 / (fleet.nowMs - from) / n;
+        double messages = (fleet.network.sentMessages() - sent) * 1000.0 / (fleet.nowMs - from) / n;
+        double perSecond = (fleet.network.sentBytes() - bytes) * 1000.0 / (fleet.nowMs - from) / n;
         assertEquals(messages, 20, 0.5, "messages a second a gateway");
         assertTrue(perSecond <= 20.5 * 256, "bytes a second a gateway " + perSecond);
 
@@ -138,7 +138,7 @@
     private static void cut(SimulatedGossipFleet fleet, int half, boolean on) {
         for (int i = 0; i < half; i++) {
             for (int j = half; j < fleet.members.length; j++) {
-                fleet.network.cutBoth(i, j, on);
+                fleet.network.setCutBothWays(i, j, on);
             }
         }
     }
@@ -146,7 +146,7 @@
     @Test
     public void suspectsNoneOverLossAndDuplication() {
         SimulatedGossipFleet fleet = new SimulatedGossipFleet(14, 3000, 3000, 7);
-        fleet.network.link(new InMemoryTransport.Link(1, 30, 0.3, 0.3, 0.1, 300));
+        fleet.network.setLink(new InMemoryNetwork.Link(1, 30, 0.3, 0.3, 0.1, 300));
         runUntilAllKnown(fleet, 5000);
         for (int i = 0; i < 200; i++) {
             fleet.round();
@@ -236,7 +236,7 @@
     public void noRecordCountsAsFresherThanItIs(long seed) {
         SimulatedGossipFleet fleet = new SimulatedGossipFleet(7, 3000, 1500, seed);
         Random random = new Random(seed);
-        fleet.network.link(new InMemoryTransport.Link(1, 20, 0.2, 0.2, 0.05, 2000));
+        fleet.network.setLink(new InMemoryNetwork.Link(1, 20, 0.2, 0.2, 0.05, 2000));
         double[][] since = new double[7][7];
         Incarnation[][] known = new Incarnation[7][7];
         double worst = 0;
@@ -273,8 +273,8 @@
         int a = random.nextInt(7);
         int b = (a + 1 + random.nextInt(6)) % 7;
         switch (random.nextInt(60)) {
-            case 0, 1 -> fleet.network.cut(a, b, true);
-            case 2, 3 -> fleet.network.cut(a, b, false);
+            case 0, 1 -> fleet.network.setCut(a, b, true);
+            case 2, 3 -> fleet.network.setCut(a, b, false);
             case 4 -> {
                 fleet.kill(a);
                 fleet.network.resume(a);
--- a/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
+++ b/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.function.BooleanSupplier;
-import tinford.fleet.transport.InMemoryTransport;
+import tinford.fleet.transport.InMemoryNetwork;
 import tinford.fleet.transport.Transport;
 
 /**
@@ -16,7 +16,7 @@
 final class SimulatedGossipFleet {
     static final double ROUND_INTERVAL_MS = 100;
     static final int FANOUT = 2;
-    final InMemoryTransport.Network network;
+    final InMemoryNetwork network;
     final GossipMembership[] members;
     final Transport[] transports;
     final boolean[] stopped;
@@ -34,7 +34,7 @@
     final double[] loadFactors;
 
     SimulatedGossipFleet(int n, double suspectAfterMs, double freshForMs, long seed) {
-        network = new InMemoryTransport.Network(n, 256, 200, seed);
+        network = new InMemoryNetwork(n, 256, 200, seed);
         network.advance(nowMs);
         members = new GossipMembership[n];
         transports = new Transport[n];
@@ -64,7 +64,8 @@
         sequences[i] = 0;
         stopped[i] = false;
         transports[i] =
-                network.at(i, (from, message) -> membership.receive(message, from, network.now()));
+                network.open(
+                        i, (from, message) -> membership.receive(message, from, network.nowMs()));
     }
 
     void kill(int i) {
--- a/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
@@ -17,17 +17,17 @@
 
     private static FixedMembership fleet(int from, int until) {
         FixedMembership h = new FixedMembership(until);
-        for (int g = from; g < until; g++) h.hear(new GossipRecord(new Incarnation(g, 1), 1));
+        for (int g = from; g < until; g++) h.add(new GossipRecord(new Incarnation(g, 1), 1));
         return h;
     }
 
     @Test
-    public void oneOwnerInEachHalfAndOnlyTheLostOnesAreReplaced() {
+    public void eachPartitionHasOneOwnerAndOnlyLostOwnersAreReplaced() {
         FixedMembership all = fleet(0, 14), lower = fleet(0, 7), upper = fleet(7, 14);
         for (int s = 0; s < 200; s++) {
-            int owner = ProbeOwners.ownerAmong(s, all);
-            assertEquals(ProbeOwners.ownerAmong(s, owner < 7 ? lower : upper), owner);
-            assertTrue(ProbeOwners.ownerAmong(s, owner < 7 ? upper : lower) >= 0);
+            int owner = ProbeOwners.owner(s, all);
+            assertEquals(ProbeOwners.owner(s, owner < 7 ? lower : upper), owner);
+            assertTrue(ProbeOwners.owner(s, owner < 7 ? upper : lower) >= 0);
         }
     }
 
@@ -41,13 +41,13 @@
      * at one ill server over two minutes.
      */
     @Test(dataProvider = "sizes")
-    public void triesDoNotGrowWithGateways(int n) {
+    public void probesDoNotGrowWithTheNumberOfGateways(int n) {
         FixedMembership heard = fleet(0, n);
         ProbeOwners[] all = new ProbeOwners[n];
         for (int g = 0; g < n; g++) {
             all[g] = new ProbeOwners(new Random(g));
             all[g].update(0, new Incarnation(g, 1), heard);
-            all[g].recordHealth(srv, true);
+            all[g].serverHealthChanged(srv, true);
         }
         int byOwner = 0, byOthers = 0;
         double[] triedAt = new double[n];
@@ -56,11 +56,10 @@
                 all[g].update(t, new Incarnation(g, 1), heard);
                 if (t - triedAt[g] < 1000 || !all[g].mayProbe(srv)) continue;
                 triedAt[g] = t;
-                if (n == 1 || ProbeOwners.ownerAmong(ProbeOwners.serverHash(srv), heard) == g)
-                    byOwner++;
+                if (n == 1 || ProbeOwners.owner(ProbeOwners.hashOf(srv), heard) == g) byOwner++;
                 else byOthers++;
-                all[g].recordProbe(srv);
-                all[g].recordHealth(srv, true);
+                all[g].attemptSent(srv);
+                all[g].serverHealthChanged(srv, true);
             }
         }
         assertTrue(byOwner >= 100 && byOwner <= 120, "owner " + byOwner);
@@ -68,43 +67,39 @@
     }
 
     @Test
-    public void whatItsOwnerFindsWellIsTriedAtOnceAndALieCostsOneTryAfterEverLongerWaits() {
+    public void serverReportedHealthyIsProbedAtOnceAndFalseReportsWithGrowingBackoff() {
         FixedMembership heard = fleet(0, 5);
-        int owner = ProbeOwners.ownerAmong(ProbeOwners.serverHash(srv), heard),
-                other = (owner + 1) % 5;
+        int owner = ProbeOwners.owner(ProbeOwners.hashOf(srv), heard), other = (owner + 1) % 5;
         ProbeOwners o = new ProbeOwners(new Random(1));
         o.update(0, new Incarnation(other, 1), heard);
-        o.recordHealth(srv, true);
+        o.serverHealthChanged(srv, true);
         assertFalse(o.mayProbe(srv));
         int tries = 0;
         for (double t = 100; t < 60_000; t += 100) {
             GossipRecord well = new GossipRecord(new Incarnation(owner, 1), (int) t);
-            well.serverHealth.add(
-                    new GossipRecord.ServerHealth(ProbeOwners.serverHash(srv), false, 0));
-            o.update(t, new Incarnation(other, 1), heard.hear(well));
+            well.serverHealth.add(new GossipRecord.ServerHealth(ProbeOwners.hashOf(srv), false, 0));
+            o.update(t, new Incarnation(other, 1), heard.add(well));
             if (!o.mayProbe(srv)) continue;
             if (tries++ == 0) assertTrue(t < 1000, "first at " + t);
-            o.recordProbe(srv);
-            o.recordHealth(srv, true);
+            o.attemptSent(srv);
+            o.serverHealthChanged(srv, true);
         }
         assertTrue(tries >= 2 && tries <= 12, "tries " + tries);
     }
 
     @Test
-    public void oneAloneCannotMakeAServerThatWorksHereBeLeft() {
+    public void oneGatewayAloneCannotMakeAHealthyServerUnhealthy() {
         FixedMembership heard = fleet(0, 5);
         ProbeOwners o = new ProbeOwners(new Random(1));
-        int owner = ProbeOwners.ownerAmong(ProbeOwners.serverHash(srv), heard),
-                self = (owner + 1) % 5;
+        int owner = ProbeOwners.owner(ProbeOwners.hashOf(srv), heard), self = (owner + 1) % 5;
         for (int liars = 1; liars <= 2; liars++) {
             GossipRecord lie =
                     new GossipRecord(
                             new Incarnation(
                                     (owner + liars) % 5 == self ? owner : (owner + liars) % 5, 1),
                             2);
-            lie.serverHealth.add(
-                    new GossipRecord.ServerHealth(ProbeOwners.serverHash(srv), true, 0));
-            o.update(5000, new Incarnation(self, 1), heard.hear(lie));
+            lie.serverHealth.add(new GossipRecord.ServerHealth(ProbeOwners.hashOf(srv), true, 0));
+            o.update(5000, new Incarnation(self, 1), heard.add(lie));
             assertEquals(o.mayProbe(srv), liars < 2);
         }
     }
