--- a/fleet/src/test/java/tinford/fleet/budget/FairTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/BudgetFairnessTest.java
@@ -11,21 +11,23 @@
 import org.testng.annotations.Test;
 
 /** Division of connections among accounts: max-min fairness and its bounds. */
-public class FairTest {
+public class BudgetFairnessTest {
     private static final LongFunction<GrantProposer.Plan> PLANS =
             a -> new GrantProposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 40);
 
     /** Log: offered, taken, read. */
-    private static final double LOG = 50 + SimulatedBudgetFleet.STEP;
+    private static final double LOG = 50 + SimulatedBudgetFleet.STEP_MS;
 
     /**
      * An ask; the proposal; the let-go, once answered; the second proposal; each with its way
      * through the log.
      */
-    static final double UP = 4 * (SimulatedBudgetFleet.EVERY + LOG) + SimulatedBudgetFleet.SERVICE;
+    static final double UP =
+            4 * (SimulatedBudgetFleet.INTERVAL_MS + LOG) + SimulatedBudgetFleet.SERVICE_MS;
 
     /** What is no longer wanted is told that long after. */
-    static final double DOWN = UP + 2 * (SimulatedBudgetFleet.KEEP + SimulatedBudgetFleet.EVERY);
+    static final double DOWN =
+            UP + 2 * (SimulatedBudgetFleet.RETENTION_MS + SimulatedBudgetFleet.INTERVAL_MS);
 
     private static SimulatedBudgetFleet fleet(
             int seed, int size, int servers, int offer, double part) {
@@ -48,27 +50,27 @@
             in[2][a] =
                     Math.min(
                             40,
-                            f.gateways.stream().mapToInt(g -> g.wants.getOrDefault(id, 0)).sum());
+                            f.gateways.stream().mapToInt(g -> g.demands.getOrDefault(id, 0)).sum());
         }
         return MaxMinFairness.divide(
-                f.offers.values().stream().mapToInt(n -> n).sum(), in[0], in[1], in[2]);
+                f.capacities.values().stream().mapToInt(n -> n).sum(), in[0], in[1], in[2]);
     }
 
     private static int off(SimulatedBudgetFleet f, int[] exact) {
         int off = 0;
         for (int a = 0; a < exact.length; a++) {
-            off = Math.max(off, exact[a] - Math.min(f.granted(a), f.out(a)));
+            off = Math.max(off, exact[a] - Math.min(f.granted(a), f.attemptsInFlight(a)));
         }
         return off;
     }
 
     @Test
-    public void theExactDivisionIsReachedWithinTheStatedTimeAfterEachChange() {
+    public void reachesTheExactDivisionWithinTheStatedTimeAfterEachChange() {
         exactWithinTheStatedTime(4, 5);
     }
 
     @Test(groups = "long")
-    public void theExactDivisionIsReachedOverManyMoreChanges() {
+    public void reachesTheExactDivisionOverManyMoreChanges() {
         exactWithinTheStatedTime(60, 5);
     }
 
@@ -81,10 +83,10 @@
                     fleet(seed, size, 1 + random.nextInt(4), 1 + random.nextInt(25), 0);
             for (int change = 0; change < 5; change++) {
                 for (SimulatedBudgetFleet.Gateway g : f.gateways) {
-                    g.wants.clear();
+                    g.demands.clear();
                     for (long a = 0; a < 8; a++) {
                         if (random.nextInt(2) == 0) {
-                            g.wants.put(a, 1 + random.nextInt(30));
+                            g.demands.put(a, 1 + random.nextInt(30));
                         }
                     }
                 }
@@ -92,21 +94,21 @@
                     f.offer("s0", 1 + random.nextInt(25), 2);
                 }
                 int[] exact = exact(f, 8);
-                double start = f.now;
+                double start = f.nowMs;
                 double reached = start;
                 double used = 0;
                 int steps = 0;
-                while (f.now < start + DOWN + 2000) {
+                while (f.nowMs < start + DOWN + 2000) {
                     f.step();
-                    f.now += SimulatedBudgetFleet.STEP;
+                    f.nowMs += SimulatedBudgetFleet.STEP_MS;
                     int off = off(f, exact);
                     if (off > 0) {
-                        reached = f.now;
+                        reached = f.nowMs;
                     }
-                    if (f.now > start + DOWN) {
+                    if (f.nowMs > start + DOWN) {
                         steps++;
                         for (long a = 0; a < 8; a++) {
-                            used += f.out(a);
+                            used += f.attemptsInFlight(a);
                         }
                     }
                 }
@@ -122,34 +124,34 @@
                 int sum = java.util.Arrays.stream(exact).sum();
                 use = Math.min(use, sum == 0 ? 1 : used / steps / sum);
             }
-            assertTrue(f.worst <= 0);
+            assertTrue(f.worstExcess <= 0);
         }
         assertTrue(use > 0.95, "use " + use);
     }
 
     @Test
-    public void oneThatAsksHasItsFloorWithinTheStatedTimeThoughOthersHoldAll() {
+    public void grantsAFloorWithinTheStatedTimeWhileOthersHoldAll() {
         SimulatedBudgetFleet f = fleet(1, 3, 2, 12, 0);
         for (SimulatedBudgetFleet.Gateway g : f.gateways) {
-            g.wants.put(3L, 99);
-            g.wants.put(7L, 99);
+            g.demands.put(3L, 99);
+            g.demands.put(7L, 99);
         }
         f.run(6000);
-        f.gateways.get(0).wants.put(0L, 9);
-        double start = f.now;
-        while (f.out(0) < 2) {
-            f.run(SimulatedBudgetFleet.STEP);
-            assertTrue(f.now - start <= UP, "no floor after " + UP + " ms");
+        f.gateways.get(0).demands.put(0L, 9);
+        double start = f.nowMs;
+        while (f.attemptsInFlight(0) < 2) {
+            f.run(SimulatedBudgetFleet.STEP_MS);
+            assertTrue(f.nowMs - start <= UP, "no floor after " + UP + " ms");
         }
     }
 
     @Test
-    public void demandThatComesAndGoesDoesNotMoveGrants() {
+    public void changingDemandDoesNotMoveGrants() {
         SimulatedBudgetFleet f = fleet(2, 3, 3, 10, 0.2);
         for (int k = 0; k < 20; k++) {
-            f.gateways.get(0).wants.put(1L, 9);
-            f.gateways.get(1).wants.put(2L, k % 2 == 0 ? 20 : 1);
-            f.gateways.get(2).wants.put(3L, k % 2 == 0 ? 2 : 18);
+            f.gateways.get(0).demands.put(1L, 9);
+            f.gateways.get(1).demands.put(2L, k % 2 == 0 ? 20 : 1);
+            f.gateways.get(2).demands.put(3L, k % 2 == 0 ? 2 : 18);
             long before = f.gateways.get(0).ledger.acceptedGrants();
             f.run(700);
             assertTrue(
@@ -159,85 +161,86 @@
     }
 
     @Test
-    public void aGatewayThatDiesHoldingMostGivesBackAfterLeaseSpreadAndLinger() {
+    public void releasesTheGrantsOfADeadGatewayAfterLeaseSkewAndLinger() {
         SimulatedBudgetFleet f = fleet(3, 3, 2, 10, 0);
-        f.gateways.get(0).wants.put(3L, 40);
+        f.gateways.get(0).demands.put(3L, 40);
         f.run(4000);
         assertEquals(f.granted(3), 20);
         SimulatedBudgetFleet.Gateway dead = f.gateways.get(0);
-        dead.deadUntil = Double.MAX_VALUE;
+        dead.deadUntilMs = Double.MAX_VALUE;
         f.leader = 1;
-        f.gateways.get(1).wants.put(7L, 40);
-        double start = f.now;
+        f.gateways.get(1).demands.put(7L, 40);
+        double start = f.nowMs;
         double stated =
-                SimulatedBudgetFleet.LEASE
-                        + 2 * SimulatedBudgetFleet.APART
-                        + SimulatedBudgetFleet.LINGER
+                SimulatedBudgetFleet.LEASE_MS
+                        + 2 * SimulatedBudgetFleet.CLOCK_SKEW_MS
+                        + SimulatedBudgetFleet.LINGER_MS
                         + UP;
-        while (f.out(7) < 18) {
-            f.run(SimulatedBudgetFleet.STEP);
-            assertTrue(f.now - start <= stated, "not back after " + stated);
+        while (f.attemptsInFlight(7) < 18) {
+            f.run(SimulatedBudgetFleet.STEP_MS);
+            assertTrue(f.nowMs - start <= stated, "not back after " + stated);
         }
-        assertTrue(f.worst <= 0);
+        assertTrue(f.worstExcess <= 0);
     }
 
     @Test
-    public void withoutAMajorityEachFallsToItsStaticShareAndNoneStarves() {
+    public void withoutAMajorityEachGatewayUsesItsStaticShare() {
         SimulatedBudgetFleet f = fleet(4, 4, 2, 13, 0.5);
         for (SimulatedBudgetFleet.Gateway g : f.gateways) {
-            g.wants.put(1L, 20);
-            g.wants.put(2L, 20);
+            g.demands.put(1L, 20);
+            g.demands.put(2L, 20);
         }
         f.run(4000);
-        f.noMajorityUntil = Double.MAX_VALUE;
-        f.run(SimulatedBudgetFleet.LEASE + SimulatedBudgetFleet.LINGER);
+        f.noMajorityUntilMs = Double.MAX_VALUE;
+        f.run(SimulatedBudgetFleet.LEASE_MS + SimulatedBudgetFleet.LINGER_MS);
         Map<String, Integer> sums = new TreeMap<>();
         for (SimulatedBudgetFleet.Gateway g : f.gateways) {
-            f.offers
+            f.capacities
                     .keySet()
                     .forEach(
                             s ->
                                     sums.merge(
                                             s,
-                                            g.share.connectionLimit(s, f.now + g.offset),
+                                            g.budget.connectionLimit(s, f.nowMs + g.clockOffsetMs),
                                             Integer::sum));
             assertTrue(
-                    g.share.attemptLimit(1, f.now + g.offset) >= 1
-                            && g.share.attemptLimit(2, f.now + g.offset) >= 1);
+                    g.budget.attemptLimit(1, f.nowMs + g.clockOffsetMs) >= 1
+                            && g.budget.attemptLimit(2, f.nowMs + g.clockOffsetMs) >= 1);
         }
         assertEquals(sums, Map.of("s0", 6, "s1", 6));
         int out = 0;
         for (int k = 0; k < 100; k++) {
-            f.run(SimulatedBudgetFleet.STEP);
-            out += f.out(1) + f.out(2);
+            f.run(SimulatedBudgetFleet.STEP_MS);
+            out += f.attemptsInFlight(1) + f.attemptsInFlight(2);
         }
         assertTrue(out > 1100, "the static share is not used: " + out / 100.0 + " of 12");
     }
 
     @Test
-    public void manyAccountsOfWhichFewAreAwakeAndFewerConnectionsThanGateways() {
+    public void dividesFewerConnectionsThanGatewaysAmongManyAccounts() {
         SimulatedBudgetFleet f = fleet(6, 5, 1, 3, 1);
-        f.gateways.get(0).wants.put(9_999L, 5);
+        f.gateways.get(0).demands.put(9_999L, 5);
         for (int g = 0; g < 5; g++) {
-            f.gateways.get(g).wants.put(1L + g * 2_000L, 5);
+            f.gateways.get(g).demands.put(1L + g * 2_000L, 5);
         }
         f.run(5000);
-        assertTrue(f.worst <= 0);
+        assertTrue(f.worstExcess <= 0);
         assertEquals(
-                f.gateways.stream().mapToInt(g -> g.share.connectionLimit("s0", f.now)).sum(), 3);
+                f.gateways.stream().mapToInt(g -> g.budget.connectionLimit("s0", f.nowMs)).sum(),
+                3);
     }
 
     @Test
-    public void anAccountSpreadOverAllHasNoMoreThanOneOnOneGateway() {
+    public void anAccountOverAllGatewaysGetsNoMoreThanOneAtASingleGateway() {
         SimulatedBudgetFleet f = fleet(7, 4, 2, 10, 0);
-        f.gateways.get(0).wants.put(3L, 40);
-        f.gateways.forEach(g -> g.wants.put(7L, 40));
+        f.gateways.get(0).demands.put(3L, 40);
+        f.gateways.forEach(g -> g.demands.put(7L, 40));
         f.run(6000);
         assertEquals(f.granted(3), 10);
         assertEquals(f.granted(7), 10);
         f.offer("s0", 4, 9);
         f.run(DOWN);
         assertEquals(f.granted(3) + f.granted(7), 14);
-        assertTrue(f.count("s0") <= 4, "an offer that shrank is given back");
+        assertTrue(f.openConnections("s0") <= 4, "an offer that shrank is given back");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/budget/HistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/BudgetHistoriesTest.java
@@ -13,7 +13,7 @@
 import tinford.fleet.membership.Lease;
 
 /** Random histories of connection budgets under faults. */
-public class HistoriesTest {
+public class BudgetHistoriesTest {
     private static final LongFunction<GrantProposer.Plan> PLANS =
             a -> new GrantProposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 60);
 
@@ -22,7 +22,7 @@
      * (below 0: how many were left).
      */
     private static int play(int seed, String defect) {
-        return history(seed, defect).worst;
+        return history(seed, defect).worstExcess;
     }
 
     private static SimulatedBudgetFleet history(int seed, String defect) {
@@ -49,18 +49,18 @@
                                                 new StaticShares(offers, part, size),
                                                 PLANS,
                                                 incarnation,
-                                                SimulatedBudgetFleet.LEASE,
+                                                SimulatedBudgetFleet.LEASE_MS,
                                                 -1e12,
-                                                SimulatedBudgetFleet.EVERY,
-                                                SimulatedBudgetFleet.KEEP,
+                                                SimulatedBudgetFleet.INTERVAL_MS,
+                                                SimulatedBudgetFleet.RETENTION_MS,
                                                 from));
         fleet.faults = true;
         for (int k = 0; k < 12; k++) {
             for (SimulatedBudgetFleet.Gateway g : fleet.gateways) {
-                g.wants.clear();
+                g.demands.clear();
                 for (long a = 0; a < 6; a++) {
                     if (random.nextInt(3) == 0) {
-                        g.wants.put(a, random.nextInt(40));
+                        g.demands.put(a, random.nextInt(40));
                     }
                 }
             }
--- a/fleet/src/test/java/tinford/fleet/budget/MaxMinFairnessTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/MaxMinFairnessTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Max-min shares against cases worked out by hand. */
+/** Max-min fairness against cases computed by hand, and a slow reference. */
 public class MaxMinFairnessTest {
     @DataProvider
     public Object[][] cases() {
@@ -26,12 +26,13 @@
     }
 
     @Test(dataProvider = "cases")
-    public void tableOfCases(int pool, int[] weight, int[] floor, int[] cap, int[] expected) {
+    public void dividesByHandComputedCases(
+            int pool, int[] weight, int[] floor, int[] cap, int[] expected) {
         assertEquals(MaxMinFairness.divide(pool, weight, floor, cap), expected);
     }
 
     @Test
-    public void isAsTheSlowReferenceThatGivesOneAtATime() {
+    public void equalsAReferenceThatGivesOneAtATime() {
         Random random = new Random(7);
         for (int k = 0; k < 3000; k++) {
             int n = 1 + random.nextInt(12);
@@ -44,12 +45,12 @@
             int pool = random.nextInt(300);
             assertEquals(
                     MaxMinFairness.divide(pool, in[0], in[1], in[2]),
-                    slow(pool, in[0], in[1], in[2]),
+                    divideOneByOne(pool, in[0], in[1], in[2]),
                     "history " + k);
         }
     }
 
-    static int[] slow(int pool, int[] weight, int[] floor, int[] cap) {
+    static int[] divideOneByOne(int pool, int[] weight, int[] floor, int[] cap) {
         int[] given = new int[weight.length];
         for (int p = 0; p < pool; p++) {
             int best = -1;
@@ -74,7 +75,7 @@
     }
 
     @Test
-    public void staticPartsSumExactlyAlsoWithFewerConnectionsThanGateways() {
+    public void staticSharesSumExactlyAlsoWithFewerConnectionsThanGateways() {
         Random random = new Random(3);
         for (int k = 0; k < 200; k++) {
             int gateways = 1 + random.nextInt(40);
