--- a/fleet/src/test/java/tinford/fleet/testing/Eventually.java
+++ b/fleet/src/test/java/tinford/fleet/testing/Eventually.java
@@ -6,7 +6,7 @@
 
 /** Polls, for a bounded time, for a condition that other threads bring about. */
 public final class Eventually {
-    private static final long TIMEOUT_MS = 30_000;
+    private static final long TIMEOUT_MS = 20_000;
     private static final long POLL_INTERVAL_MS = 5;
 
     /** A condition whose evaluation may fail. */
@@ -17,7 +17,7 @@
 
     private Eventually() {}
 
-    /** Returns once the condition holds, and fails the test when it does not within 30 s. */
+    /** Returns once the condition holds, and fails the test when it does not within 20 s. */
     public static void holds(String description, Condition condition) throws Exception {
         if (!holdsWithin(TIMEOUT_MS, condition)) {
             fail("not within " + TIMEOUT_MS + " ms: " + description);
