--- a/gateway/src/test/java/tinford/decision/AttemptGuardTest.java
+++ b/gateway/src/test/java/tinford/decision/AttemptGuardTest.java
@@ -14,8 +14,11 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import tinford.api.FleetPolicy;
+import tinford.api.Objectives;
 import tinford.api.Request;
 import tinford.api.Server;
+import tinford.api.SlowStartRules;
 import tinford.api.Tenant;
 
 /** Attempts that the rules do not allow are not sent. */
@@ -31,6 +34,33 @@
         };
     }
 
+    @DataProvider
+    public Object[][] serverStates() {
+        return new Object[][] {
+            {Server.State.UP, true}, {Server.State.DRAINING, false}, {Server.State.REMOVED, false}
+        };
+    }
+
+    /** The guard checks it itself, although the ranking leaves out servers that are not up. */
+    @Test(dataProvider = "serverStates")
+    public void onlyAServerThatIsUpMayBeSentAnAttempt(Server.State state, boolean allowed) {
+        double nowMs = 100_000;
+        Tenant tenant = tenant(FAIL_CLOSED_PLAN);
+        PlanFairness fairness = new PlanFairness(new Objectives(0.7, 0.3));
+        TenantQuota quota =
+                new TenantQuota(
+                        tenant, fairness, new RequestSizeModel(), new GatewayLifecycle(), nowMs);
+        quota.roll(nowMs);
+        Request request = new Request(7, READ, tenant, nowMs + 8000, 1, false);
+        PendingRequest pending = new PendingRequest(request, quota, 0, nowMs);
+        Server server = new Server("s1");
+        server.updateState(state);
+        SlowStart slowStart = new SlowStart(new SlowStartRules(0.3, 10_000, 2, 1000));
+        AttemptGuard guard = new AttemptGuard(DecisionFixture.limits(false), slowStart, 1);
+        Batch batch = new Batch(nowMs, null, new FleetPolicy());
+        assertEquals(guard.allows(batch, pending, new ServerStats(server, 0.5)), allowed);
+    }
+
     /** The front may know that the client is gone before it reports the event. */
     @Test
     public void nothingIsSentForADisconnectedClient() {
