--- a/gateway/src/test/java/tinford/DecideTest.java
+++ b/gateway/src/test/java/tinford/DecisionEngineTest.java
@@ -14,10 +14,11 @@
 import tinford.api.*;
 
 /** Decisions of one gateway, driven by hand through its interface. */
-public class DecideTest {
-    private static final Plan HARD = Bed.plan(0, 1, 0, 0);
-    private static final Plan SOFT = Bed.plan(0.2, 0, 0, 0);
-    private static final Frontend READ = Bed.frontend(Effect.IDEMPOTENT, Group.ALL);
+public class DecisionEngineTest {
+    private static final Plan HARD = DecisionFixture.plan(0, 1, 0, 0);
+    private static final Plan SOFT = DecisionFixture.plan(0.2, 0, 0, 0);
+    private static final RequestClass READ =
+            DecisionFixture.frontend(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
 
     /**
      * At 100 s a window of 30 s (six bursts of 10 units at 2 a second; 29 s at most) is 13 s old.
@@ -38,10 +39,10 @@
 
     @Test(dataProvider = "estimates")
     public void theEstimateDecides(double before, double total, double units, boolean passes) {
-        Bed bed = new Bed();
-        Req req = bed.req(Bed.customer(HARD), READ, units);
+        DecisionFixture bed = new DecisionFixture();
+        Request req = bed.req(DecisionFixture.customer(HARD), READ, units);
         List<String> said = bed.ask(req, before, total);
-        assertEquals(Bed.count(said, passes ? "dispatch" : "deny"), 1, said.toString());
+        assertEquals(DecisionFixture.count(said, passes ? "dispatch" : "deny"), 1, said.toString());
         boolean back =
                 said.stream().anyMatch(s -> s.startsWith("add ") && s.endsWith(" -" + units));
         assertEquals(back, !passes, "a denial takes its units back");
@@ -49,17 +50,17 @@
 
     @Test
     public void aCalmStretchSavesUpOneBurst() {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(HARD);
-        Req first = bed.req(c, READ, 1);
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(HARD);
+        Request first = bed.req(c, READ, 1);
         bed.ask(first, 0, 1);
-        bed.ends(first, 0, End.GOOD, true);
+        bed.ends(first, 0, AttemptOutcome.SUCCESS, true);
         bed.pass(9000);
         int passed = 0;
         for (int i = 0; i < 20; i++) {
-            Req req = bed.req(c, READ, 1);
-            if (Bed.count(bed.ask(req, 0, 2 + passed), "dispatch") == 0) continue;
-            bed.ends(req, 0, End.GOOD, true);
+            Request req = bed.req(c, READ, 1);
+            if (DecisionFixture.count(bed.ask(req, 0, 2 + passed), "dispatch") == 0) continue;
+            bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
             passed++;
         }
         assertEquals(passed, 10);
@@ -70,109 +71,119 @@
         return new Object[][] {
             // plan, end of the call, reqs of one unit passed out of 20; the slice of a hard plan
             // holds 5
-            {SOFT, End.TIMED_OUT, 20},
-            {HARD, End.TIMED_OUT, 5},
-            {HARD, End.UNREACHABLE, 5},
-            {HARD, End.FULL, 5},
+            {SOFT, AttemptOutcome.TIMED_OUT, 20},
+            {HARD, AttemptOutcome.TIMED_OUT, 5},
+            {HARD, AttemptOutcome.UNREACHABLE, 5},
+            {HARD, AttemptOutcome.OVERLOADED, 5},
         };
     }
 
     @Test(dataProvider = "postures")
-    public void silenceIsAnsweredByThePosture(Plan plan, End how, int passes) {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(plan);
+    public void silenceIsAnsweredByThePosture(Plan plan, AttemptOutcome how, int passes) {
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(plan);
         int passed = 0;
         for (int i = 0; i < 20; i++) {
-            Req req = bed.req(c, READ, 1);
-            List<String> said = new ArrayList<>(bed.play(in -> in.arrived(req)));
+            Request req = bed.req(c, READ, 1);
+            List<String> said = new ArrayList<>(bed.play(in -> in.requestArrived(req)));
             said.addAll(bed.counterEnds(how));
-            passed += Bed.count(said, "dispatch");
-            if (Bed.count(said, "dispatch") > 0) bed.ends(req, 0, End.GOOD, true);
+            passed += DecisionFixture.count(said, "dispatch");
+            if (DecisionFixture.count(said, "dispatch") > 0)
+                bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
         }
         assertEquals(passed, passes);
     }
 
     @Test
     public void everyReqHasOneAnswerThoughTheCounterNeverSpeaks() {
-        Bed bed = new Bed();
-        Req req = bed.req(Bed.customer(HARD), READ, 1);
-        bed.play(in -> in.arrived(req));
-        assertEquals(Bed.count(bed.pass(500), "dispatch"), 1);
-        Req late = new Req(99, READ, Bed.customer(HARD), bed.now + 20, 1, false);
+        DecisionFixture bed = new DecisionFixture();
+        Request req = bed.req(DecisionFixture.customer(HARD), READ, 1);
+        bed.play(in -> in.requestArrived(req));
+        assertEquals(DecisionFixture.count(bed.pass(500), "dispatch"), 1);
+        Request late =
+                new Request(99, READ, DecisionFixture.customer(HARD), bed.now + 20, 1, false);
         assertEquals(
-                Bed.count(bed.play(in -> in.arrived(late)), "deny"),
+                DecisionFixture.count(bed.play(in -> in.requestArrived(late)), "deny"),
                 1,
                 "its client leaves before an answer");
     }
 
     @Test
     public void aClientThatLeavesWhileTheCounterIsAskedGetsItsUnitsBack() {
-        Bed bed = new Bed();
-        Req req = bed.req(Bed.customer(HARD), READ, 3);
-        List<String> asked = new ArrayList<>(bed.play(in -> in.arrived(req)));
-        bed.play(in -> in.left(req));
+        DecisionFixture bed = new DecisionFixture();
+        Request req = bed.req(DecisionFixture.customer(HARD), READ, 3);
+        List<String> asked = new ArrayList<>(bed.play(in -> in.requestArrived(req)));
+        bed.play(in -> in.clientDisconnected(req));
         List<String> said =
                 bed.play(
                         in -> {
                             for (String s : asked) {
                                 if (s.startsWith("add "))
-                                    in.counted(Long.parseLong(s.split(" ")[1]), End.GOOD, 1, 3);
+                                    in.counterAnswered(
+                                            Long.parseLong(s.split(" ")[1]),
+                                            AttemptOutcome.SUCCESS,
+                                            1,
+                                            3);
                             }
                         });
         assertTrue(
                 said.stream().anyMatch(s -> s.startsWith("add ") && s.endsWith(" -3.0")),
                 said.toString());
-        assertEquals(Bed.count(said, "dispatch"), 0);
+        assertEquals(DecisionFixture.count(said, "dispatch"), 0);
     }
 
     @Test
     public void aClientThatLeavesBeforeTheWindowBeforeIsReadGetsItsUnitsBackOnce() {
-        Bed bed = new Bed();
-        Req req = bed.req(Bed.customer(HARD), READ, 3);
-        List<String> reads = bed.answers(bed.play(in -> in.arrived(req)), 0, 33);
-        assertEquals(Bed.count(reads, "add"), 1, "the window before is read");
-        List<String> back = new ArrayList<>(bed.play(in -> in.left(req)));
+        DecisionFixture bed = new DecisionFixture();
+        Request req = bed.req(DecisionFixture.customer(HARD), READ, 3);
+        List<String> reads = bed.answers(bed.play(in -> in.requestArrived(req)), 0, 33);
+        assertEquals(DecisionFixture.count(reads, "add"), 1, "the window before is read");
+        List<String> back = new ArrayList<>(bed.play(in -> in.clientDisconnected(req)));
         back.addAll(bed.answers(reads, 0, 33));
-        assertEquals(Bed.count(back, "add"), 1, back.toString());
+        assertEquals(DecisionFixture.count(back, "add"), 1, back.toString());
     }
 
     @Test
     public void aFlushedCounterHandsOutNoFreshWindow() {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(HARD);
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(HARD);
         for (int i = 0; i < 5; i++) bed.ask(bed.req(c, READ, 2), 0, 2 * i + 2);
         bed.pass(600);
-        assertEquals(Bed.count(bed.ask(bed.req(c, READ, 3), 0, 3), "deny"), 1);
+        assertEquals(DecisionFixture.count(bed.ask(bed.req(c, READ, 3), 0, 3), "deny"), 1);
     }
 
     @DataProvider
     Object[][] repeats() {
-        Frontend once = Bed.frontend(Effect.NON_IDEMPOTENT, Group.ALL);
-        Frontend cell = Bed.frontend(Effect.IDEMPOTENCY_KEY, Group.CELL);
-        Frontend zone = Bed.frontend(Effect.IDEMPOTENCY_KEY, Group.ZONE);
-        Frontend all = Bed.frontend(Effect.IDEMPOTENCY_KEY, Group.ALL);
+        RequestClass once =
+                DecisionFixture.frontend(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+        RequestClass cell =
+                DecisionFixture.frontend(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL);
+        RequestClass zone =
+                DecisionFixture.frontend(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
+        RequestClass all =
+                DecisionFixture.frontend(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL);
         return new Object[][] {
             // frontend, end of the first dispatch, what must come (at once or in the end)
-            {READ, End.UNREACHABLE, "dispatch"},
-            {READ, End.BROKEN, "deny"},
-            {READ, End.TIMED_OUT, "deny"},
-            {once, End.FULL, "dispatch"},
-            {once, End.BROKEN, "abort"},
-            {once, End.ERROR, "abort"},
-            {cell, End.UNREACHABLE, "dispatch"},
-            {cell, End.BROKEN, "abort"},
-            {zone, End.ERROR, "abort"},
-            {all, End.BROKEN, "deny"},
+            {READ, AttemptOutcome.UNREACHABLE, "dispatch"},
+            {READ, AttemptOutcome.CONNECTION_LOST, "deny"},
+            {READ, AttemptOutcome.TIMED_OUT, "deny"},
+            {once, AttemptOutcome.OVERLOADED, "dispatch"},
+            {once, AttemptOutcome.CONNECTION_LOST, "abort"},
+            {once, AttemptOutcome.ERROR, "abort"},
+            {cell, AttemptOutcome.UNREACHABLE, "dispatch"},
+            {cell, AttemptOutcome.CONNECTION_LOST, "abort"},
+            {zone, AttemptOutcome.ERROR, "abort"},
+            {all, AttemptOutcome.CONNECTION_LOST, "deny"},
         };
     }
 
     @Test(dataProvider = "repeats")
-    public void repeatsAndAnswersKeepToTheEffect(Frontend f, End how, String then) {
-        Bed bed = new Bed();
-        Req req = bed.req(Bed.customer(HARD), f, 1);
+    public void repeatsAndAnswersKeepToTheEffect(RequestClass f, AttemptOutcome how, String then) {
+        DecisionFixture bed = new DecisionFixture();
+        Request req = bed.req(DecisionFixture.customer(HARD), f, 1);
         bed.ask(req, 0, 1);
         List<String> said = bed.ends(req, 0, how, false);
-        assertEquals(Bed.count(said, then), 1, said.toString());
+        assertEquals(DecisionFixture.count(said, then), 1, said.toString());
         assertEquals(said.stream().filter(s -> s.matches("(dispatch|deny|abort).*")).count(), 1);
     }
 
@@ -196,18 +207,19 @@
     @Test(dataProvider = "stores")
     public void theStoreIsNeitherFullAfterABurstElsewhereNorBelowNought(
             double rose, int ms, double units, boolean passes) {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(HARD);
-        Req first = bed.req(c, READ, 0.001);
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(HARD);
+        Request first = bed.req(c, READ, 0.001);
         bed.ask(first, 0, 15);
-        bed.ends(first, 0, End.GOOD, true);
+        bed.ends(first, 0, AttemptOutcome.SUCCESS, true);
         bed.pass(ms);
-        Req next = bed.req(c, READ, 0.001);
-        if (Bed.count(bed.ask(next, 0, 15 + rose), "dispatch") > 0)
-            bed.ends(next, 0, End.GOOD, true);
+        Request next = bed.req(c, READ, 0.001);
+        if (DecisionFixture.count(bed.ask(next, 0, 15 + rose), "dispatch") > 0)
+            bed.ends(next, 0, AttemptOutcome.SUCCESS, true);
         bed.pass(rose > 10 ? 1000 : 0);
         assertEquals(
-                Bed.count(bed.ask(bed.req(c, READ, units), 0, 15 + rose + units), "dispatch"),
+                DecisionFixture.count(
+                        bed.ask(bed.req(c, READ, units), 0, 15 + rose + units), "dispatch"),
                 passes ? 1 : 0);
     }
 
@@ -224,20 +236,20 @@
      */
     @Test(dataProvider = "lateTotals")
     public void aTotalThatComesLateIsTrue(double total, int passes) {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(HARD);
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(HARD);
         List<String> asked = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            asked.addAll(bed.play(in -> in.arrived(bed.req(c, READ, 0.001))));
-            bed.counterEnds(End.TIMED_OUT);
+            asked.addAll(bed.play(in -> in.requestArrived(bed.req(c, READ, 0.001))));
+            bed.counterEnds(AttemptOutcome.TIMED_OUT);
             bed.pass(100);
         }
-        bed.play(in -> in.countedLate(Long.parseLong(asked.get(0).split(" ")[1]), total));
+        bed.play(in -> in.counterAnsweredLate(Long.parseLong(asked.get(0).split(" ")[1]), total));
         long passed = 0;
         for (int i = 0; i < 6; i++) {
-            Req req = bed.req(c, READ, 1);
-            long sent = Bed.count(bed.play(in -> in.arrived(req)), "dispatch");
-            if (sent > 0) bed.ends(req, 0, End.GOOD, true);
+            Request req = bed.req(c, READ, 1);
+            long sent = DecisionFixture.count(bed.play(in -> in.requestArrived(req)), "dispatch");
+            if (sent > 0) bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
             passed += sent;
         }
         assertEquals(passed, passes);
@@ -249,25 +261,33 @@
      */
     @Test
     public void aReqWithAKeyStaysInItsGroup() {
-        Bed bed = new Bed();
+        DecisionFixture bed = new DecisionFixture();
         bed.list("s1a", "s1b", "s2");
-        Frontend cell = Bed.frontend(Effect.IDEMPOTENCY_KEY, Group.CELL);
-        Customer c = Bed.customer(Bed.plan(0, 1, 0, 0));
+        RequestClass cell =
+                DecisionFixture.frontend(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL);
+        Tenant c = DecisionFixture.customer(DecisionFixture.plan(0, 1, 0, 0));
         int again = 0;
         for (int i = 0; i < 40; i++) {
-            Req req = bed.req(c, cell, 0.1);
+            Request req = bed.req(c, cell, 0.1);
             String first =
                     bed.ask(req, 0, 0.1 * i).stream()
                             .filter(s -> s.startsWith("dispatch"))
                             .findFirst()
                             .get();
             List<String> said =
-                    new ArrayList<>(bed.ends(req, 0, i < 20 ? End.GOOD : End.BROKEN, i < 20));
+                    new ArrayList<>(
+                            bed.ends(
+                                    req,
+                                    0,
+                                    i < 20
+                                            ? AttemptOutcome.SUCCESS
+                                            : AttemptOutcome.CONNECTION_LOST,
+                                    i < 20));
             for (String s : said) {
                 if (!s.startsWith("dispatch")) continue;
                 again++;
                 assertEquals(bed.srv(s.split(" ")[2]).cell, bed.srv(first.split(" ")[2]).cell);
-                bed.ends(req, 1, End.GOOD, true);
+                bed.ends(req, 1, AttemptOutcome.SUCCESS, true);
             }
             bed.pass(200);
         }
@@ -280,23 +300,31 @@
      */
     @Test
     public void aRepeatLeavesWithinTheWindowOfTheFirst() {
-        Bed bed = new Bed();
+        DecisionFixture bed = new DecisionFixture();
         bed.list("s1a", "s1b");
-        Customer c = Bed.customer(HARD);
+        Tenant c = DecisionFixture.customer(HARD);
         for (int i = 0; i < 40; i++) { // they pay for those further ones
-            Req first = bed.req(c, READ, 0.1);
+            Request first = bed.req(c, READ, 0.1);
             bed.ask(first, 0, 0.1 * i);
             assertTrue(bed.within > 3000, "what may be sent at any time");
-            bed.ends(first, 0, End.GOOD, true);
+            bed.ends(first, 0, AttemptOutcome.SUCCESS, true);
         }
         for (double after : new double[] {0, 700, 1100}) {
-            Req req = bed.req(c, Bed.frontend(Effect.IDEMPOTENCY_KEY, Group.CELL), 0.1);
+            Request req =
+                    bed.req(
+                            c,
+                            DecisionFixture.frontend(
+                                    Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL),
+                            0.1);
             bed.ask(req, 0, 2);
             assertTrue(bed.within > 3000, "the first");
             bed.now += after;
-            assertEquals(Bed.count(bed.ends(req, 0, End.BROKEN, false), "dispatch"), 1);
+            assertEquals(
+                    DecisionFixture.count(
+                            bed.ends(req, 0, AttemptOutcome.CONNECTION_LOST, false), "dispatch"),
+                    1);
             assertEquals(bed.within, 3000 - 1 - after, 1e-6);
-            bed.ends(req, 1, End.GOOD, true);
+            bed.ends(req, 1, AttemptOutcome.SUCCESS, true);
         }
     }
 
@@ -307,17 +335,17 @@
     @Test
     public void nothingIsSentForAClientThatHasGone() {
         for (boolean g : new boolean[] {true, false}) {
-            Bed bed = new Bed();
-            Req req =
-                    new Req(7, READ, Bed.customer(HARD), bed.now + 8000, 1, false) {
+            DecisionFixture bed = new DecisionFixture();
+            Request req =
+                    new Request(7, READ, DecisionFixture.customer(HARD), bed.now + 8000, 1, false) {
                         @Override
-                        public boolean gone() {
+                        public boolean clientGone() {
                             return g;
                         }
                     };
             List<String> said = bed.ask(req, 0, 1);
-            assertEquals(Bed.count(said, "dispatch"), g ? 0 : 1);
-            said.addAll(bed.play(in -> in.left(req)));
+            assertEquals(DecisionFixture.count(said, "dispatch"), g ? 0 : 1);
+            said.addAll(bed.play(in -> in.clientDisconnected(req)));
             assertEquals(
                     said.stream().anyMatch(s -> s.startsWith("add ") && s.endsWith(" -1.0")),
                     g,
@@ -328,19 +356,20 @@
     @DataProvider
     Object[][] states() {
         return new Object[][] {
-            {Srv.State.DRAINING, true}, {Srv.State.REMOVED, true}, {Srv.State.UP, false}
+            {Server.State.DRAINING, true}, {Server.State.REMOVED, true}, {Server.State.UP, false}
         };
     }
 
     @Test(dataProvider = "states")
-    public void nothingNewGoesToAServerThatLeaves(Srv.State state, boolean listed) {
-        Bed bed = new Bed();
+    public void nothingNewGoesToAServerThatLeaves(Server.State state, boolean listed) {
+        DecisionFixture bed = new DecisionFixture();
         bed.list("s1", "s2");
         bed.srv("s2").state = state;
-        List<Srv> entries = listed ? List.of(bed.srv("s1"), bed.srv("s2")) : List.of(bed.srv("s1"));
-        bed.play(in -> in.listed(entries, true));
+        List<Server> entries =
+                listed ? List.of(bed.srv("s1"), bed.srv("s2")) : List.of(bed.srv("s1"));
+        bed.play(in -> in.endpointsUpdated(entries, true));
         for (int i = 1; i <= 10; i++) {
-            for (String s : bed.ask(bed.req(Bed.customer(HARD), READ, 1), 0, 1)) {
+            for (String s : bed.ask(bed.req(DecisionFixture.customer(HARD), READ, 1), 0, 1)) {
                 assertTrue(!s.endsWith(" s2"), s);
             }
         }
@@ -357,23 +386,23 @@
      */
     @Test(dataProvider = "sizes")
     public void aColdServerGetsItsShareAndNoMore(double small, double large) {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
-        List<Req> out = new ArrayList<>();
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
+        List<Request> out = new ArrayList<>();
         double[] units = new double[2];
         for (int i = 0; i < 700; i++) {
             if (i == 500) {
-                bed.srv("cold").born = bed.now;
+                bed.srv("cold").startedAtMs = bed.now;
                 bed.list("s1", "s2", "s3", "cold");
             }
-            Req req = bed.req(c, READ, i % 10 == 0 ? large : small);
+            Request req = bed.req(c, READ, i % 10 == 0 ? large : small);
             List<String> said = new ArrayList<>(bed.ask(req, 0, 0.1));
             for (String s : said) {
                 if (s.startsWith("dispatch") && i >= 500)
                     units[s.endsWith(" cold") ? 1 : 0] += req.units;
             }
-            if (Bed.count(said, "dispatch") > 0) out.add(req);
-            if (out.size() > 4) bed.ends(out.remove(0), 0, End.GOOD, true);
+            if (DecisionFixture.count(said, "dispatch") > 0) out.add(req);
+            if (out.size() > 4) bed.ends(out.remove(0), 0, AttemptOutcome.SUCCESS, true);
             bed.pass(50);
         }
         double part = 3 * units[1] / units[0]; // 0.18 to 0.6 as it warms
@@ -383,30 +412,39 @@
     @DataProvider
     Object[][] warmEnds() {
         return new Object[][] {
-            {End.GOOD, true}, {End.FULL, false}, {End.TIMED_OUT, false}, {End.BROKEN, false}
+            {AttemptOutcome.SUCCESS, true},
+            {AttemptOutcome.OVERLOADED, false},
+            {AttemptOutcome.TIMED_OUT, false},
+            {AttemptOutcome.CONNECTION_LOST, false}
         };
     }
 
     /** What warm servers are sent beyond what they do tells nothing of what a cold one can do. */
     @Test(dataProvider = "warmEnds")
-    public void aColdServerEarnsByAnswersOfWarmOnes(End how, boolean earns) {
-        Bed bed = new Bed();
-        bed.srv("cold").born = bed.now;
+    public void aColdServerEarnsByAnswersOfWarmOnes(AttemptOutcome how, boolean earns) {
+        DecisionFixture bed = new DecisionFixture();
+        bed.srv("cold").startedAtMs = bed.now;
         bed.list("s1", "s2", "s3", "cold");
-        Customer c = Bed.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
+        Tenant c = DecisionFixture.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
         long sent = 0, toCold = 0;
         for (int i = 0; i < 40; i++) {
-            Req req = bed.req(c, READ, 0.1);
+            Request req = bed.req(c, READ, 0.1);
             List<String> said = new ArrayList<>(bed.ask(req, 0, 0.1));
-            for (int no = 0; Bed.count(said, "dispatch") > 0; no++) {
+            for (int no = 0; DecisionFixture.count(said, "dispatch") > 0; no++) {
                 boolean cold =
                         said.stream()
                                 .anyMatch(s -> s.startsWith("dispatch") && s.endsWith(" cold"));
                 if (cold) toCold++;
                 else sent++;
-                said = new ArrayList<>(bed.ends(req, no, cold ? End.VOID : how, how == End.GOOD));
+                said =
+                        new ArrayList<>(
+                                bed.ends(
+                                        req,
+                                        no,
+                                        cold ? AttemptOutcome.NOT_SENT : how,
+                                        how == AttemptOutcome.SUCCESS));
             }
-            bed.play(in -> in.left(req));
+            bed.play(in -> in.clientDisconnected(req));
             bed.pass(200);
         }
         assertTrue(sent >= 10, "" + sent);
@@ -415,46 +453,47 @@
 
     @Test
     public void whereNoneIsWarmWhatItsQuotaDeniesEarnsNothing() {
-        Bed bed = new Bed();
+        DecisionFixture bed = new DecisionFixture();
         String[] ids = {"c1", "c2", "c3", "c4", "c5"};
-        for (String id : ids) bed.srv(id).born = bed.now;
+        for (String id : ids) bed.srv(id).startedAtMs = bed.now;
         bed.list(ids);
-        Customer over = Bed.customer(HARD), within = new Customer(6, HARD, 2, 0);
+        Tenant over = DecisionFixture.customer(HARD), within = new Tenant(6, HARD, 2, 0);
         for (int i = 0; i < 60; i++)
-            assertEquals(Bed.count(bed.ask(bed.req(over, READ, 1), 0, 1e6), "deny"), 1);
+            assertEquals(DecisionFixture.count(bed.ask(bed.req(over, READ, 1), 0, 1e6), "deny"), 1);
         long sent = 0;
         for (int i = 1; i <= 5; i++)
-            sent += Bed.count(bed.ask(bed.req(within, READ, 1), 0, i), "dispatch");
+            sent += DecisionFixture.count(bed.ask(bed.req(within, READ, 1), 0, i), "dispatch");
         assertTrue(sent < 3, sent + " of 5 at once");
     }
 
     /** Else all gateways that have earned one send it to the same server. */
     @Test
     public void coldServersAreTriedInAnyOrder() {
-        Bed bed = new Bed();
-        List<Srv> cold = List.of(bed.srv("c1"), bed.srv("c2"), bed.srv("c3"), bed.srv("c4"));
-        Customer c = Bed.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
+        DecisionFixture bed = new DecisionFixture();
+        List<Server> cold = List.of(bed.srv("c1"), bed.srv("c2"), bed.srv("c3"), bed.srv("c4"));
+        Tenant c = DecisionFixture.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
         Map<String, Integer> firsts = new HashMap<>();
         for (int round = 0; round < 12; round++) {
-            List<Req> out = new ArrayList<>();
-            for (Srv s : cold) s.state = Srv.State.DRAINING;
-            bed.play(in -> in.listed(cold, false));
+            List<Request> out = new ArrayList<>();
+            for (Server s : cold) s.state = Server.State.DRAINING;
+            bed.play(in -> in.endpointsUpdated(cold, false));
             for (int i = 0; i < 6; i++) {
                 out.add(bed.req(c, READ, 1));
-                assertEquals(Bed.count(bed.ask(out.get(i), 0, 1), "dispatch"), 1);
+                assertEquals(DecisionFixture.count(bed.ask(out.get(i), 0, 1), "dispatch"), 1);
             }
-            for (Srv s : cold) {
-                s.state = Srv.State.UP;
-                s.born = bed.now - 8000;
+            for (Server s : cold) {
+                s.state = Server.State.UP;
+                s.startedAtMs = bed.now - 8000;
             }
-            bed.play(in -> in.listed(cold, false));
-            for (Req r : out) bed.ends(r, 0, End.GOOD, true); // each cold one earns a dispatch
-            Req req = bed.req(c, READ, 1);
+            bed.play(in -> in.endpointsUpdated(cold, false));
+            for (Request r : out)
+                bed.ends(r, 0, AttemptOutcome.SUCCESS, true); // each cold one earns a dispatch
+            Request req = bed.req(c, READ, 1);
             for (String s : bed.ask(req, 0, 1)) {
                 if (s.startsWith("dispatch"))
                     firsts.merge(s.substring(s.lastIndexOf(' ') + 1), 1, Integer::sum);
             }
-            bed.ends(req, 0, End.GOOD, true);
+            bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
         }
         assertEquals(firsts.values().stream().mapToInt(n -> n).sum(), 12, firsts.toString());
         assertTrue(
@@ -464,13 +503,13 @@
 
     @Test
     public void theCeilingHoldsWithoutTheCounterAndARestartRefillsNothing() {
-        Bed bed = new Bed(Bed.limits(false), false, false);
+        DecisionFixture bed = new DecisionFixture(DecisionFixture.limits(false), false, false);
         bed.list("s1", "s2", "s3");
-        Customer c = Bed.customer(Bed.plan(0.2, 0, 0, 4));
+        Tenant c = DecisionFixture.customer(DecisionFixture.plan(0.2, 0, 0, 4));
         long passed = 0;
         for (int i = 0; i < 100; i++) {
-            Req req = bed.req(c, READ, 1);
-            List<String> said = new ArrayList<>(bed.play(in -> in.arrived(req)));
+            Request req = bed.req(c, READ, 1);
+            List<String> said = new ArrayList<>(bed.play(in -> in.requestArrived(req)));
             said.addAll(bed.pass(50));
             for (String s : said) {
                 if (!s.startsWith("dispatch")) continue;
@@ -488,24 +527,27 @@
      */
     @Test
     public void whatFlowsIsAnswered() {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(Bed.plan(0, 1, 0, 0));
-        List<Req> flowing = new ArrayList<>();
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(DecisionFixture.plan(0, 1, 0, 0));
+        List<Request> flowing = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            Req req = bed.req(c, READ, 1);
-            if (Bed.count(bed.ask(req, 0, 1), "dispatch") == 0) continue;
+            Request req = bed.req(c, READ, 1);
+            if (DecisionFixture.count(bed.ask(req, 0, 1), "dispatch") == 0) continue;
             flowing.add(req);
             bed.now += 50;
-            bed.play(in -> in.began(req, 0));
+            bed.play(in -> in.responseStarted(req, 0));
         }
         assertEquals(flowing.size(), 5);
-        assertEquals(Bed.count(bed.pass(20_000), "d"), 0); // neither dispatched again nor denied
+        assertEquals(
+                DecisionFixture.count(bed.pass(20_000), "d"),
+                0); // neither dispatched again nor denied
         for (int i = 0; i < 40; i++) { // as many as ever have room beside them
-            Req req = bed.req(c, READ, 1);
-            assertEquals(Bed.count(bed.ask(req, 0, 1), "dispatch"), 1, "req " + i);
-            bed.ends(req, 0, End.GOOD, true);
+            Request req = bed.req(c, READ, 1);
+            assertEquals(DecisionFixture.count(bed.ask(req, 0, 1), "dispatch"), 1, "req " + i);
+            bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
         }
-        for (Req req : flowing) assertEquals(bed.ends(req, 0, End.BROKEN, true), List.of());
+        for (Request req : flowing)
+            assertEquals(bed.ends(req, 0, AttemptOutcome.CONNECTION_LOST, true), List.of());
     }
 
     @DataProvider
@@ -524,53 +566,59 @@
                 new Plan(
                         "p", 0, 0, 0, 1, 1, 0, 0.004, 20,
                         1); // a slice of 2 units a second, 10 at most
-        Customer c = Bed.customer(plan);
-        Bed old = new Bed();
+        Tenant c = DecisionFixture.customer(plan);
+        DecisionFixture old = new DecisionFixture();
         old.pass(alone);
-        Bed next = new Bed();
+        DecisionFixture next = new DecisionFixture();
         next.now = old.now;
         next.pass(beside);
         old.pass(beside);
-        old.play(in -> in.leaves());
-        next.play(in -> in.takesOver());
+        old.play(in -> in.drainingStarted());
+        next.play(in -> in.takeoverStarted());
         double most = Math.min(10, (alone + beside) * 0.002), passed = 0;
         for (int i = 0; i <= 8; i++) {
-            for (Bed bed : new Bed[] {old, next}) {
+            for (DecisionFixture bed : new DecisionFixture[] {old, next}) {
                 for (int k = 0; k < (i % 4 == 0 ? 12 : 1); k++) {
-                    Req req = bed.req(c, READ, 1);
-                    List<String> said = bed.play(in -> in.arrived(req));
-                    passed += Bed.count(said, "dispatch");
-                    if (Bed.count(said, "dispatch") > 0) bed.ends(req, 0, End.GOOD, true);
+                    Request req = bed.req(c, READ, 1);
+                    List<String> said = bed.play(in -> in.requestArrived(req));
+                    passed += DecisionFixture.count(said, "dispatch");
+                    if (DecisionFixture.count(said, "dispatch") > 0)
+                        bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
                 }
             }
             assertTrue(
                     passed <= most + i * 0.5 + 1e-6,
                     passed + " after " + i * 250 + " ms, from " + most);
-            passed += Bed.count(old.pass(250), "dispatch") + Bed.count(next.pass(250), "dispatch");
+            passed +=
+                    DecisionFixture.count(old.pass(250), "dispatch")
+                            + DecisionFixture.count(next.pass(250), "dispatch");
         }
         assertTrue(passed >= 2, "the other one fills: " + passed);
     }
 
     @Test
     public void theCapOnOpenReqsHolds() {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(Bed.plan(0, 1, 2, 0));
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(DecisionFixture.plan(0, 1, 2, 0));
         long passed = 0;
         for (int i = 1; i <= 6; i++)
-            passed += Bed.count(bed.ask(bed.req(c, READ, 1), 0, i), "dispatch");
+            passed += DecisionFixture.count(bed.ask(bed.req(c, READ, 1), 0, i), "dispatch");
         assertTrue(passed >= 1 && passed <= 2, "" + passed);
     }
 
     @Test
     public void allSlowIsNobodysFault() {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(Bed.plan(1, 0, 0, 0));
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(DecisionFixture.plan(1, 0, 0, 0));
         long passed = 0;
         for (int i = 0; i < 40; i++) {
-            Req req = bed.req(c, READ, 0.1);
-            if (Bed.count(bed.ask(req, 0, 0.1), "dispatch") > 0) {
+            Request req = bed.req(c, READ, 0.1);
+            if (DecisionFixture.count(bed.ask(req, 0, 0.1), "dispatch") > 0) {
                 passed++;
-                bed.play(in -> in.ended(req, 0, End.GOOD, 2500, true, 0, 0, null));
+                bed.play(
+                        in ->
+                                in.attemptEnded(
+                                        req, 0, AttemptOutcome.SUCCESS, 2500, true, 0, 0, null));
             }
             bed.pass(100);
         }
@@ -580,24 +628,30 @@
     /** What fails at once is free again at once: it must not draw what the others then lack. */
     @Test
     public void aServerThatFailsAtOnceIsAskedEverMoreRarely() {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(Bed.plan(1, 0, 0, 0));
-        List<Req> out = new ArrayList<>();
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(DecisionFixture.plan(1, 0, 0, 0));
+        List<Request> out = new ArrayList<>();
         long failed = 0;
         for (int i = 0; i < 400; i++) {
-            Req req = bed.req(c, READ, 0.1);
+            Request req = bed.req(c, READ, 0.1);
             for (String s : bed.ask(req, 0, 0.1)) {
                 if (!s.startsWith("dispatch")) continue;
                 if (s.endsWith(" s2")) {
                     failed++;
-                    bed.play(in -> in.ended(req, 0, End.ERROR, 2, false, 0, 0, null));
+                    bed.play(
+                            in ->
+                                    in.attemptEnded(
+                                            req, 0, AttemptOutcome.ERROR, 2, false, 0, 0, null));
                 } else {
                     out.add(req);
                 }
             }
             if (out.size() > 3) {
-                Req done = out.remove(0);
-                bed.play(in -> in.ended(done, 0, End.GOOD, 200, true, 0, 0, null));
+                Request done = out.remove(0);
+                bed.play(
+                        in ->
+                                in.attemptEnded(
+                                        done, 0, AttemptOutcome.SUCCESS, 200, true, 0, 0, null));
             }
             bed.pass(50);
         }
@@ -617,11 +671,12 @@
      */
     @Test(dataProvider = "speeds")
     public void fewReqsKeepToFewServers(double took, int most) {
-        Bed bed = new Bed(Bed.limits(false), true, false, 14);
+        DecisionFixture bed = new DecisionFixture(DecisionFixture.limits(false), true, false, 14);
         bed.list(IntStream.range(0, 60).mapToObj(i -> "s" + i).toArray(String[]::new));
         List<String> met = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
-            Req req = bed.req(Bed.customer(Bed.plan(1, 0, 0, 0)), READ, 0.1);
+            Request req =
+                    bed.req(DecisionFixture.customer(DecisionFixture.plan(1, 0, 0, 0)), READ, 0.1);
             met.add(
                     bed.ask(req, 0, 0.1).stream()
                             .filter(s -> s.startsWith("dispatch"))
@@ -630,7 +685,7 @@
                             .split(" ")[2]);
             double time = met.get(i).equals(met.get(0)) ? took : 200;
             bed.pass(250);
-            bed.play(in -> in.ended(req, 0, End.GOOD, time, true, 0, 0, null));
+            bed.play(in -> in.attemptEnded(req, 0, AttemptOutcome.SUCCESS, time, true, 0, 0, null));
         }
         long first = met.stream().filter(met.get(0)::equals).count(),
                 kinds = met.stream().distinct().count();
@@ -643,12 +698,12 @@
      */
     @Test
     public void whoGetsLargeReqsIsNotLeftForIt() {
-        Bed bed = new Bed(Bed.limits(false), true, false, 14);
+        DecisionFixture bed = new DecisionFixture(DecisionFixture.limits(false), true, false, 14);
         bed.list(IntStream.range(0, 60).mapToObj(i -> "s" + i).toArray(String[]::new));
-        Customer c = Bed.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
+        Tenant c = DecisionFixture.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
         List<String> met = new ArrayList<>();
         for (int i = 0; i < 240; i++) {
-            Req req = bed.req(c, READ, i % 10 == 0 ? 6 : 1);
+            Request req = bed.req(c, READ, i % 10 == 0 ? 6 : 1);
             met.add(
                     bed.ask(req, 0, 0.1).stream()
                             .filter(s -> s.startsWith("dispatch"))
@@ -657,7 +712,7 @@
                             .split(" ")[2]);
             double took = 200 * req.units;
             bed.pass(50);
-            bed.play(in -> in.ended(req, 0, End.GOOD, took, true, 0, 0, null));
+            bed.play(in -> in.attemptEnded(req, 0, AttemptOutcome.SUCCESS, took, true, 0, 0, null));
         }
         long kinds = met.subList(60, 240).stream().distinct().count();
         assertEquals(kinds, 1, met.toString());
@@ -674,17 +729,17 @@
      */
     @Test(dataProvider = "hurries")
     public void aReqIsGivenTheTimeOfItsSize(double units, double left, String then) {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(new Plan("p", 1, 1000, 0, 1, 1, 0, 0, 0, 0));
         for (int i = 0; i < 200; i++) {
-            Req req = bed.req(c, READ, 1 + i % 6);
-            if (Bed.count(bed.ask(req, 0, 0.1), "dispatch") == 0) continue;
+            Request req = bed.req(c, READ, 1 + i % 6);
+            if (DecisionFixture.count(bed.ask(req, 0, 0.1), "dispatch") == 0) continue;
             double took = 200 * req.units;
             bed.pass(50);
-            bed.play(in -> in.ended(req, 0, End.GOOD, took, true, 0, 0, null));
+            bed.play(in -> in.attemptEnded(req, 0, AttemptOutcome.SUCCESS, took, true, 0, 0, null));
         }
-        Req hurried = new Req(9999, READ, c, bed.now + left, units, false);
-        assertEquals(Bed.count(bed.ask(hurried, 0, 0.1), then), 1);
+        Request hurried = new Request(9999, READ, c, bed.now + left, units, false);
+        assertEquals(DecisionFixture.count(bed.ask(hurried, 0, 0.1), then), 1);
     }
 
     @DataProvider
@@ -695,34 +750,42 @@
     /** Kept connections that break under the next req are renewed while more than a few do. */
     @Test(dataProvider = "breaks")
     public void keptConnectionsAreRenewedWhileManyBreak(int oneIn, boolean renewed) {
-        Bed bed = new Bed();
+        DecisionFixture bed = new DecisionFixture();
         long closed = 0;
         for (int i = 1; i <= 120; i++) {
-            Req req = bed.req(Bed.customer(Bed.plan(1, 0, 0, 0)), READ, 0.1);
+            Request req =
+                    bed.req(DecisionFixture.customer(DecisionFixture.plan(1, 0, 0, 0)), READ, 0.1);
             bed.ask(req, 0, 0.1);
-            bed.ends(req, 0, i % oneIn == 0 ? End.BROKEN : End.GOOD, true);
-            closed += Bed.count(bed.pass(50), "close");
+            bed.ends(
+                    req,
+                    0,
+                    i % oneIn == 0 ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.SUCCESS,
+                    true);
+            closed += DecisionFixture.count(bed.pass(50), "close");
         }
         assertEquals(closed > 0, renewed, "" + closed);
     }
 
     @DataProvider
     Object[][] noTotals() {
-        return new Object[][] {{End.TIMED_OUT, 0}, {End.BROKEN, 1}};
+        return new Object[][] {{AttemptOutcome.TIMED_OUT, 0}, {AttemptOutcome.CONNECTION_LOST, 1}};
     }
 
     /** Answers that can't be read are no silence: the counter is still asked. */
     @Test(dataProvider = "noTotals")
-    public void aSpoiltTotalIsNoSilence(End how, int calls) {
-        Bed bed = new Bed();
+    public void aSpoiltTotalIsNoSilence(AttemptOutcome how, int calls) {
+        DecisionFixture bed = new DecisionFixture();
         for (int i = 0; i < 5; i++) {
-            Req req = bed.req(new Customer(i, HARD, 2, 0), READ, 1);
-            bed.play(in -> in.arrived(req));
+            Request req = bed.req(new Tenant(i, HARD, 2, 0), READ, 1);
+            bed.play(in -> in.requestArrived(req));
             bed.counterEnds(how);
         }
         assertEquals(
-                Bed.count(
-                        bed.play(in -> in.arrived(bed.req(new Customer(9, HARD, 2, 0), READ, 1))),
+                DecisionFixture.count(
+                        bed.play(
+                                in ->
+                                        in.requestArrived(
+                                                bed.req(new Tenant(9, HARD, 2, 0), READ, 1))),
                         "add "),
                 calls);
     }
@@ -746,20 +809,20 @@
     @Test(dataProvider = "lastTotals")
     public void theLastTotalHoldsForABurst(
             int width, double total, double ago, int asked, int passes) {
-        Bed bed = new Bed();
-        Customer c = new Customer(5, HARD, width, 0);
-        Req first = bed.req(c, READ, 0.1);
-        if (Bed.count(bed.ask(first, 0, total + 0.1), "dispatch") > 0)
-            bed.ends(first, 0, End.GOOD, true);
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = new Tenant(5, HARD, width, 0);
+        Request first = bed.req(c, READ, 0.1);
+        if (DecisionFixture.count(bed.ask(first, 0, total + 0.1), "dispatch") > 0)
+            bed.ends(first, 0, AttemptOutcome.SUCCESS, true);
         bed.now += ago;
         long passed = 0;
         for (int i = 0; i < asked; i++) {
-            Req req = bed.req(c, READ, 1);
-            List<String> said = new ArrayList<>(bed.play(in -> in.arrived(req)));
-            said.addAll(bed.counterEnds(End.TIMED_OUT));
-            if (Bed.count(said, "dispatch") == 0) continue;
+            Request req = bed.req(c, READ, 1);
+            List<String> said = new ArrayList<>(bed.play(in -> in.requestArrived(req)));
+            said.addAll(bed.counterEnds(AttemptOutcome.TIMED_OUT));
+            if (DecisionFixture.count(said, "dispatch") == 0) continue;
             passed++;
-            bed.ends(req, 0, End.GOOD, true);
+            bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
         }
         assertEquals(passed, passes);
     }
@@ -767,15 +830,16 @@
     /** Half of the calls find no answer: fewer are made, and no unit is lost by that. */
     @Test
     public void callsToAShortCounterArePaced() {
-        Bed bed = new Bed();
+        DecisionFixture bed = new DecisionFixture();
         double asked = 0, added = 0;
         long calls = 0;
         Random chance = new Random(1);
         for (int i = 0; i < 400; i++) {
-            Req req = bed.req(new Customer(i < 4 ? i : chance.nextInt(4), SOFT, 2, 0), READ, 0.01);
-            List<String> said = new ArrayList<>(bed.play(in -> in.arrived(req)));
+            Request req =
+                    bed.req(new Tenant(i < 4 ? i : chance.nextInt(4), SOFT, 2, 0), READ, 0.01);
+            List<String> said = new ArrayList<>(bed.play(in -> in.requestArrived(req)));
             boolean answered = i < 4 || i % 3 == 0;
-            for (List<String> now = said; Bed.count(now, "add ") > 0; ) {
+            for (List<String> now = said; DecisionFixture.count(now, "add ") > 0; ) {
                 for (String s : now) {
                     if (!s.startsWith("add ")) continue;
                     added += Double.parseDouble(s.split(" ")[2]);
@@ -785,11 +849,12 @@
                         new ArrayList<>(
                                 answered
                                         ? bed.answers(now, 0, added)
-                                        : bed.counterEnds(End.TIMED_OUT));
+                                        : bed.counterEnds(AttemptOutcome.TIMED_OUT));
                 said.addAll(now);
             }
             asked += 0.01;
-            if (Bed.count(said, "dispatch") > 0) bed.ends(req, 0, End.GOOD, true);
+            if (DecisionFixture.count(said, "dispatch") > 0)
+                bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
             bed.pass(10);
         }
         assertTrue(calls >= 4 && calls < 120, "" + calls);
@@ -802,17 +867,17 @@
      */
     @Test
     public void theLineAtAShortCounterIsKeptShort() {
-        Bed bed = new Bed();
-        Map<Long, Req> reqs = new HashMap<>();
+        DecisionFixture bed = new DecisionFixture();
+        Map<Long, Request> reqs = new HashMap<>();
         List<double[]> line = new ArrayList<>(); // name, made at, answered at
         double idle = 0;
         long made = 0, missed = 0;
         for (int i = 0; i < 20_000; i++, bed.now++) {
             List<String> said = i % 50 == 0 ? bed.pass(0.001) : new ArrayList<>();
             if (i % 5 == 0) {
-                Req req = bed.req(new Customer(i % 2000, HARD, 2, 0), READ, 0.01);
+                Request req = bed.req(new Tenant(i % 2000, HARD, 2, 0), READ, 0.01);
                 reqs.put(req.id, req);
-                said.addAll(bed.play(in -> in.arrived(req)));
+                said.addAll(bed.play(in -> in.requestArrived(req)));
             }
             for (double[] call : List.copyOf(line)) {
                 boolean late = bed.now - call[1] >= 50;
@@ -822,16 +887,18 @@
                 said.addAll(
                         bed.play(
                                 in ->
-                                        in.counted(
+                                        in.counterAnswered(
                                                 (long) call[0],
-                                                late ? End.TIMED_OUT : End.GOOD,
+                                                late
+                                                        ? AttemptOutcome.TIMED_OUT
+                                                        : AttemptOutcome.SUCCESS,
                                                 bed.now - call[1],
                                                 0.01)));
             }
             for (String s : said) {
                 String[] w = s.split(" ");
                 if (w[0].equals("dispatch"))
-                    bed.ends(reqs.get(Long.parseLong(w[1])), 0, End.GOOD, true);
+                    bed.ends(reqs.get(Long.parseLong(w[1])), 0, AttemptOutcome.SUCCESS, true);
                 if (!w[0].equals("add")) continue;
                 idle = Math.max(idle, bed.now) + 20;
                 line.add(new double[] {Long.parseLong(w[1]), bed.now, idle});
@@ -847,24 +914,29 @@
      */
     @Test
     public void shortCallsGoToPlansWhoseExcessCosts() {
-        Bed bed = new Bed();
+        DecisionFixture bed = new DecisionFixture();
         long[] calls = new long[2];
         double taken = 0; // the counter takes a call each 20 ms, a req comes each 5
         for (int i = 0; i < 800; i++) {
             int soft = i % 2;
-            Req req = bed.req(new Customer(i % 40, soft == 1 ? SOFT : HARD, 10, 0), READ, 0.01);
-            List<String> said = new ArrayList<>(bed.play(in -> in.arrived(req)));
+            Request req = bed.req(new Tenant(i % 40, soft == 1 ? SOFT : HARD, 10, 0), READ, 0.01);
+            List<String> said = new ArrayList<>(bed.play(in -> in.requestArrived(req)));
             boolean answered = bed.now - taken >= 20;
-            if (Bed.count(said, "add ") > 0) {
+            if (DecisionFixture.count(said, "add ") > 0) {
                 if (answered) taken = bed.now;
                 calls[soft] += i >= 200 ? 1 : 0;
             }
-            for (List<String> now = said; Bed.count(now, "add ") > 0; said.addAll(now)) {
+            for (List<String> now = said;
+                    DecisionFixture.count(now, "add ") > 0;
+                    said.addAll(now)) {
                 now =
                         new ArrayList<>(
-                                answered ? bed.answers(now, 0, 1) : bed.counterEnds(End.TIMED_OUT));
+                                answered
+                                        ? bed.answers(now, 0, 1)
+                                        : bed.counterEnds(AttemptOutcome.TIMED_OUT));
             }
-            if (Bed.count(said, "dispatch") > 0) bed.ends(req, 0, End.GOOD, true);
+            if (DecisionFixture.count(said, "dispatch") > 0)
+                bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
             bed.pass(5);
         }
         assertTrue(calls[0] > 3 * calls[1], calls[0] + " hard, " + calls[1] + " soft");
@@ -885,39 +957,39 @@
      */
     @Test(dataProvider = "windowsBefore")
     public void theWindowBeforeIsReadWhereItCanMatter(int missed, double total, int reads) {
-        Bed bed = new Bed();
+        DecisionFixture bed = new DecisionFixture();
         for (int i = 0; i < missed; i++) {
-            bed.play(in -> in.arrived(bed.req(new Customer(7, HARD, 2, 0), READ, 1)));
-            bed.counterEnds(End.TIMED_OUT);
+            bed.play(in -> in.requestArrived(bed.req(new Tenant(7, HARD, 2, 0), READ, 1)));
+            bed.counterEnds(AttemptOutcome.TIMED_OUT);
         }
         bed.pass(50);
-        List<String> said = bed.ask(bed.req(Bed.customer(HARD), READ, 0.1), 0, total);
+        List<String> said = bed.ask(bed.req(DecisionFixture.customer(HARD), READ, 0.1), 0, total);
         assertEquals(
                 said.stream().filter(s -> s.matches("add .* 0.0")).count(), reads, said.toString());
-        assertEquals(Bed.count(said, "dispatch"), 1, said.toString());
+        assertEquals(DecisionFixture.count(said, "dispatch"), 1, said.toString());
     }
 
     @Test
     public void trueUnitsAreSettledOnce() {
-        Bed bed = new Bed();
-        Customer c = Bed.customer(HARD);
-        Req req = bed.req(c, READ, 2);
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = DecisionFixture.customer(HARD);
+        Request req = bed.req(c, READ, 2);
         bed.ask(req, 0, 2);
-        bed.play(in -> in.ended(req, 0, End.GOOD, 100, true, 0, 5, null));
+        bed.play(in -> in.attemptEnded(req, 0, AttemptOutcome.SUCCESS, 100, true, 0, 5, null));
         assertTrue(
-                bed.play(in -> in.arrived(bed.req(c, READ, 1))).stream()
+                bed.play(in -> in.requestArrived(bed.req(c, READ, 1))).stream()
                         .anyMatch(s -> s.endsWith(" 4.0")));
         assertTrue(
-                bed.play(in -> in.arrived(bed.req(c, READ, 1))).stream()
+                bed.play(in -> in.requestArrived(bed.req(c, READ, 1))).stream()
                         .anyMatch(s -> s.endsWith(" 1.0")));
     }
 
     @Test
     public void aBrokenSubscriptionIsAskedForAgain() {
-        Bed bed = new Bed(Bed.limits(false), true, true);
-        assertEquals(Bed.count(bed.said, "watch true"), 1);
-        assertEquals(Bed.count(bed.play(Inbox::listRefused), "alarm"), 1);
-        assertEquals(Bed.count(bed.play(in -> in.alarm(2)), "watch true"), 1);
+        DecisionFixture bed = new DecisionFixture(DecisionFixture.limits(false), true, true);
+        assertEquals(DecisionFixture.count(bed.said, "watch true"), 1);
+        assertEquals(DecisionFixture.count(bed.play(GatewayEvents::discoveryFailed), "alarm"), 1);
+        assertEquals(DecisionFixture.count(bed.play(in -> in.timerFired(2)), "watch true"), 1);
     }
 
     @DataProvider
@@ -931,15 +1003,25 @@
      */
     @Test(dataProvider = "caps")
     public void whatEarnsNothingMoreIsGivenUp(double lateValue, double cap) {
-        Bed bed = new Bed();
-        Frontend f =
-                new Frontend(
-                        "f", 2000, 8000, 1, lateValue, Effect.IDEMPOTENT, Group.ALL, 3000, false);
-        Req req = bed.req(Bed.customer(HARD), f, 1);
+        DecisionFixture bed = new DecisionFixture();
+        RequestClass f =
+                new RequestClass(
+                        "f",
+                        2000,
+                        8000,
+                        1,
+                        lateValue,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        3000,
+                        false);
+        Request req = bed.req(DecisionFixture.customer(HARD), f, 1);
         bed.ask(req, 0, 1);
         assertEquals(bed.cap, cap);
         bed.now += 2500;
-        assertEquals(bed.ends(req, 0, End.TIMED_OUT, false), List.of("deny " + req.id + " 2000"));
+        assertEquals(
+                bed.ends(req, 0, AttemptOutcome.TIMED_OUT, false),
+                List.of("deny " + req.id + " 2000"));
     }
 
     @DataProvider
@@ -953,13 +1035,14 @@
 
     @Test(dataProvider = "widths")
     public void aSliceSmallerThanAReqHoldsOne(int width, int passes) {
-        Bed bed = new Bed();
-        Customer c = new Customer(5, HARD, width, 0);
+        DecisionFixture bed = new DecisionFixture();
+        Tenant c = new Tenant(5, HARD, width, 0);
         long passed = 0;
         for (int i = 0; i < 6; i++) {
-            List<String> said = new ArrayList<>(bed.play(in -> in.arrived(bed.req(c, READ, 1))));
-            said.addAll(bed.counterEnds(End.TIMED_OUT));
-            passed += Bed.count(said, "dispatch");
+            List<String> said =
+                    new ArrayList<>(bed.play(in -> in.requestArrived(bed.req(c, READ, 1))));
+            said.addAll(bed.counterEnds(AttemptOutcome.TIMED_OUT));
+            passed += DecisionFixture.count(said, "dispatch");
         }
         assertEquals(passed, passes);
     }
@@ -972,14 +1055,21 @@
     /** Three servers take five each over all gateways, or one slot a gateway where that is less. */
     @Test(dataProvider = "fleets")
     public void manyGatewaysDoNotOverdriveFewServers(int gateways, int least, int most) {
-        Bed bed = new Bed(Bed.limits(false), false, false, gateways);
+        DecisionFixture bed =
+                new DecisionFixture(DecisionFixture.limits(false), false, false, gateways);
         bed.list("s1", "s2", "s3");
         bed.pass(250);
         long out = 0;
         for (int i = 0; i < 40; i++) {
             out +=
-                    Bed.count(
-                            bed.play(in -> in.arrived(bed.req(Bed.customer(SOFT), READ, 0.1))),
+                    DecisionFixture.count(
+                            bed.play(
+                                    in ->
+                                            in.requestArrived(
+                                                    bed.req(
+                                                            DecisionFixture.customer(SOFT),
+                                                            READ,
+                                                            0.1))),
                             "dispatch");
         }
         assertTrue(out >= least && out <= most, gateways + " gateways: " + out);
@@ -987,11 +1077,11 @@
 
     @Test
     public void whatIsKeptStaysBounded() {
-        Bed bed = new Bed();
+        DecisionFixture bed = new DecisionFixture();
         for (int i = 0; i < 2000; i++) {
-            Req req = bed.req(new Customer(i, HARD, 2, 0), READ, 1);
+            Request req = bed.req(new Tenant(i, HARD, 2, 0), READ, 1);
             bed.ask(req, 0, 1);
-            bed.ends(req, 0, End.GOOD, true);
+            bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
             if (i % 20 == 0) bed.list("s1", "new" + i);
             bed.pass(200);
         }
--- a/gateway/src/test/java/tinford/Bed.java
+++ b/gateway/src/test/java/tinford/DecisionFixture.java
@@ -7,37 +7,38 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import tinford.api.*;
+import tinford.decision.DecisionEngine;
 
 /** A gateway with its decisions written down as text, one line each; time moves only when told. */
-public final class Bed implements Writer {
+public final class DecisionFixture implements GatewayActions {
     /** Hears everything and does nothing. */
-    public static class Deaf implements Inbox {
+    public static class Deaf implements GatewayEvents {
         @Override
         public void started() {}
 
         @Override
-        public void takesOver() {}
+        public void takeoverStarted() {}
 
         @Override
-        public void leaves() {}
+        public void drainingStarted() {}
 
         @Override
-        public void listed(List<Srv> entries, boolean whole) {}
+        public void endpointsUpdated(List<Server> entries, boolean whole) {}
 
         @Override
-        public void listRefused() {}
+        public void discoveryFailed() {}
 
         @Override
-        public void arrived(Req req) {}
+        public void requestArrived(Request req) {}
 
         @Override
-        public void began(Req req, int hop) {}
+        public void responseStarted(Request req, int hop) {}
 
         @Override
-        public void ended(
-                Req req,
+        public void attemptEnded(
+                Request req,
                 int hop,
-                End how,
+                AttemptOutcome how,
                 double took,
                 boolean closed,
                 int seenUse,
@@ -45,57 +46,57 @@
                 double[] load) {}
 
         @Override
-        public void left(Req req) {}
+        public void clientDisconnected(Request req) {}
 
         @Override
-        public void alarm(long token) {}
+        public void timerFired(long token) {}
 
         @Override
-        public void probed(Srv srv, End how, double took, double[] load) {}
+        public void healthCheckEnded(Server srv, AttemptOutcome how, double took, double[] load) {}
 
         @Override
-        public void heard(int peer, String text) {}
+        public void gossipReceived(int peer, String text) {}
 
         @Override
-        public void counted(long name, End how, double took, double total) {}
+        public void counterAnswered(long name, AttemptOutcome how, double took, double total) {}
 
         @Override
-        public void countedLate(long name, double total) {}
+        public void counterAnsweredLate(long name, double total) {}
     }
 
-    static final Rules RULES = new Rules(0.3, 10_000, 2, 1000);
+    static final SlowStartRules RULES = new SlowStartRules(0.3, 10_000, 2, 1000);
     final List<String> said = new ArrayList<>();
-    final Map<String, Srv> servers = new HashMap<>();
-    final Decide gateway;
+    final Map<String, Server> servers = new HashMap<>();
+    final DecisionEngine gateway;
     double now = 100_000;
     double cap;
     double within;
     private long ids;
 
-    Bed(Limits limits, boolean counter, boolean mustAsk) {
+    DecisionFixture(AttemptLimits limits, boolean counter, boolean mustAsk) {
         this(limits, counter, mustAsk, 2);
     }
 
-    Bed(Limits limits, boolean counter, boolean mustAsk, int gateways) {
+    DecisionFixture(AttemptLimits limits, boolean counter, boolean mustAsk, int gateways) {
         gateway =
-                new Decide(
+                new DecisionEngine(
                         7,
-                        new Place(0, gateways, "a", 1),
+                        new GatewayIdentity(0, gateways, "a", 1),
                         limits,
                         RULES,
-                        new CounterTerms(counter, 50, 6, true),
-                        new Goal(0.7, 0.3),
+                        new CounterSettings(counter, 50, 6, true),
+                        new Objectives(0.7, 0.3),
                         mustAsk);
-        play(Inbox::started);
+        play(GatewayEvents::started);
     }
 
-    Bed() {
+    DecisionFixture() {
         this(limits(false), true, false);
         list("s1", "s2", "s3");
     }
 
-    static Limits limits(boolean duplicate) {
-        return new Limits(3, duplicate, true, true, true, 1000);
+    static AttemptLimits limits(boolean duplicate) {
+        return new AttemptLimits(3, duplicate, true, true, true, 1000);
     }
 
     static Plan plan(double beyondValue, double beyondCost, int maxOut, double ceiling) {
@@ -103,17 +104,17 @@
                 "p", 0.002, 10, maxOut, 1, beyondValue, beyondCost, ceiling / 1000, 5 * ceiling, 1);
     }
 
-    static Frontend frontend(Effect effect, Group group) {
-        return new Frontend("f", 2000, 8000, 1, 0, effect, group, 3000, false);
+    static RequestClass frontend(Idempotency effect, DeduplicationScope group) {
+        return new RequestClass("f", 2000, 8000, 1, 0, effect, group, 3000, false);
     }
 
-    static Customer customer(Plan plan) {
-        return new Customer(5, plan, 2, 0);
+    static Tenant customer(Plan plan) {
+        return new Tenant(5, plan, 2, 0);
     }
 
-    List<String> play(Consumer<Inbox> input) {
+    List<String> play(Consumer<GatewayEvents> input) {
         said.clear();
-        gateway.round(now, input::accept, this);
+        gateway.handleBatch(now, input::accept, this);
         return said;
     }
 
@@ -122,39 +123,39 @@
         List<String> all = new ArrayList<>();
         for (double end = now + ms; now < end; ) {
             now = Math.min(end, now + 50);
-            all.addAll(play(in -> in.alarm(1)));
+            all.addAll(play(in -> in.timerFired(1)));
         }
         return all;
     }
 
     void list(String... ids) {
-        List<Srv> entries = new ArrayList<>();
+        List<Server> entries = new ArrayList<>();
         for (String id : ids) entries.add(srv(id));
-        play(in -> in.listed(entries, true));
+        play(in -> in.endpointsUpdated(entries, true));
     }
 
-    Srv srv(String id) {
+    Server srv(String id) {
         return servers.computeIfAbsent(
                 id,
                 k -> {
-                    Srv s = new Srv(k);
+                    Server s = new Server(k);
                     s.zone = k.startsWith("z") ? "b" : "a";
                     s.cell = k.startsWith("s1") ? 1 : 2;
-                    s.state = Srv.State.UP;
+                    s.state = Server.State.UP;
                     return s;
                 });
     }
 
-    Req req(Customer c, Frontend f, double units) {
-        return new Req(ids++, f, c, now + f.timeout, units, false);
+    Request req(Tenant c, RequestClass f, double units) {
+        return new Request(ids++, f, c, now + f.timeoutMs, units, false);
     }
 
     /**
      * Brings a req and answers its calls to the counter with the given totals: of the window
      * before, of this one.
      */
-    List<String> ask(Req req, double before, double total) {
-        List<String> all = new ArrayList<>(play(in -> in.arrived(req)));
+    List<String> ask(Request req, double before, double total) {
+        List<String> all = new ArrayList<>(play(in -> in.requestArrived(req)));
         for (List<String> calls = all; count(calls, "add ") > 0; all.addAll(calls))
             calls = answers(calls, before, total);
         return all;
@@ -172,26 +173,29 @@
                                 if (!s.startsWith("add ")) continue;
                                 String[] w = s.split(" ");
                                 boolean reads = Double.parseDouble(w[2]) == 0;
-                                in.counted(
-                                        Long.parseLong(w[1]), End.GOOD, 1, reads ? before : total);
+                                in.counterAnswered(
+                                        Long.parseLong(w[1]),
+                                        AttemptOutcome.SUCCESS,
+                                        1,
+                                        reads ? before : total);
                             }
                         }));
     }
 
     /** Ends each call of the last round on the counter this way. */
-    List<String> counterEnds(End how) {
+    List<String> counterEnds(AttemptOutcome how) {
         List<String> asked = new ArrayList<>(said);
         return play(
                 in -> {
                     for (String s : asked) {
                         if (s.startsWith("add "))
-                            in.counted(Long.parseLong(s.split(" ")[1]), how, 50, 0);
+                            in.counterAnswered(Long.parseLong(s.split(" ")[1]), how, 50, 0);
                     }
                 });
     }
 
-    List<String> ends(Req req, int hop, End how, boolean closed) {
-        return play(in -> in.ended(req, hop, how, 100, closed, 0, 0, null));
+    List<String> ends(Request req, int hop, AttemptOutcome how, boolean closed) {
+        return play(in -> in.attemptEnded(req, hop, how, 100, closed, 0, 0, null));
     }
 
     /** How many customers, servers and calls the gateway keeps notes of. */
@@ -206,7 +210,7 @@
     /** How many plans the gateway keeps notes of. */
     int plansKept() {
         try {
-            var tallies = Decide.class.getDeclaredField("tallies");
+            var tallies = DecisionEngine.class.getDeclaredField("tallies");
             tallies.setAccessible(true);
             return ((Map<?, ?>) tallies.get(gateway)).size();
         } catch (ReflectiveOperationException e) {
@@ -215,7 +219,7 @@
     }
 
     private int size(String part, String field) throws ReflectiveOperationException {
-        var of = Decide.class.getDeclaredField(part);
+        var of = DecisionEngine.class.getDeclaredField(part);
         of.setAccessible(true);
         var in = of.getType().getDeclaredField(field);
         in.setAccessible(true);
@@ -228,59 +232,59 @@
     }
 
     @Override
-    public void dispatch(Req req, Srv srv, double cap, double within) {
+    public void sendAttempt(Request req, Server srv, double cap, double within) {
         this.cap = cap;
         this.within = within;
         said.add("dispatch " + req.id + " " + srv.id);
     }
 
     @Override
-    public void cancel(Req req, int hop) {
+    public void cancelAttempt(Request req, int hop) {
         said.add("cancel " + req.id + " " + hop);
     }
 
     @Override
-    public void deny(Req req, double retryAfter) {
+    public void reject(Request req, double retryAfter) {
         said.add("deny " + req.id + " " + Math.round(retryAfter));
     }
 
     @Override
-    public void abort(Req req) {
+    public void fail(Request req) {
         said.add("abort " + req.id);
     }
 
     @Override
-    public void alarm(long token, double wait) {
+    public void setTimer(long token, double wait) {
         said.add("alarm");
     }
 
     @Override
-    public void probe(Srv srv) {
+    public void sendHealthCheck(Server srv) {
         said.add("probe");
     }
 
     @Override
-    public void closeIdle(Srv srv) {
+    public void closeIdleConnections(Server srv) {
         said.add("close");
     }
 
     @Override
-    public void tell(int peer, String text) {
+    public void sendGossip(int peer, String text) {
         said.add("tell " + peer + " " + text);
     }
 
     @Override
-    public void add(long name, double amount, double keep) {
+    public void incrementCounter(long name, double amount, double keep) {
         said.add("add " + name + " " + amount);
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpoints(boolean on) {
         said.add("watch " + on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         said.add("fetch");
     }
 
--- a/gateway/src/test/java/tinford/ViewTest.java
+++ b/gateway/src/test/java/tinford/FleetPolicyTest.java
@@ -10,12 +10,13 @@
 import tinford.api.*;
 
 /** What a fleet has settled binds the decisions, and they tell it what it needs to settle more. */
-public class ViewTest {
-    private static final Frontend READ = Bed.frontend(Effect.IDEMPOTENT, Group.ALL);
+public class FleetPolicyTest {
+    private static final RequestClass READ =
+            DecisionFixture.frontend(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
     private static final Plan FREE = new Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0);
 
     /** A view that bounds one thing, and notes what it is told. */
-    private static final class Bound extends View {
+    private static final class Bound extends FleetPolicy {
         final String what;
         final List<String> told = new ArrayList<>();
 
@@ -24,82 +25,82 @@
         }
 
         @Override
-        public double part(double worth) {
+        public double admittedShare(double worth) {
             return what.equals("part") ? 0 : 1;
         }
 
         @Override
-        public double further(double own) {
+        public double retryAllowance(double own) {
             return what.equals("further") ? 0 : own;
         }
 
         @Override
-        public boolean looksAfter(Srv srv) {
+        public boolean ownsProbing(Server srv) {
             return !what.equals("looksAfter");
         }
 
         @Override
-        public int mayHold(Srv srv) {
+        public int connectionLimit(Server srv) {
             return what.equals("hold") ? 0 : 9;
         }
 
         @Override
-        public int mayUse(Customer c) {
+        public int tenantAttemptLimit(Tenant c) {
             return what.equals("use") ? 0 : 9;
         }
 
         @Override
-        public boolean mayGo(Req req, Srv srv, Srv first) {
+        public boolean allowsServer(Request req, Server srv, Server first) {
             told.add("go " + (first == null ? "-" : first.id));
             return !what.equals("go") && (!what.equals("first") || first == null || first == srv);
         }
 
         @Override
-        public boolean goes(Req req) {
+        public boolean isRoutable(Request req) {
             return !what.equals("goes");
         }
 
         @Override
-        public double spread() {
+        public double retryAfterJitterMs() {
             return what.equals("part") ? 400 : 0;
         }
 
         @Override
-        public void asked(Req req, double worth) {
+        public void requestOffered(Request req, double worth) {
             told.add("asked");
         }
 
         @Override
-        public void sent(Req req, Srv srv, double worth, boolean further) {
+        public void attemptSent(Request req, Server srv, double worth, boolean further) {
             told.add(further ? "again" : "sent");
         }
 
         @Override
-        public void ended(Req req, Srv srv, End how, boolean late) {
+        public void attemptEnded(Request req, Server srv, AttemptOutcome how, boolean late) {
             told.add("ended " + how);
         }
 
         @Override
-        public void lacked(Req req) {
+        public void requestBlocked(Request req) {
             told.add("lacked");
         }
 
         @Override
-        public void ill(Srv srv, boolean ill) {
+        public void serverHealthChanged(Server srv, boolean ill) {
             told.add(ill ? "ill" : "well");
         }
     }
 
-    private static Bed bed(View view) {
-        Bed bed = new Bed(Bed.limits(false), false, false);
+    private static DecisionFixture bed(FleetPolicy view) {
+        DecisionFixture bed = new DecisionFixture(DecisionFixture.limits(false), false, false);
         bed.list("s1", "s2", "s3");
-        bed.play(in -> in.sees(view));
+        bed.play(in -> in.fleetPolicyChanged(view));
         return bed;
     }
 
-    private static Req one(Bed bed) {
-        Req req = bed.req(Bed.customer(FREE), READ, 1);
-        bed.play(in -> in.arrived(req));
+    private static Request one(DecisionFixture bed) {
+        Request req = bed.req(DecisionFixture.customer(FREE), READ, 1);
+        bed.play(in -> in.requestArrived(req));
         return req;
     }
 
@@ -118,7 +119,7 @@
     @Test(dataProvider = "bounds")
     public void aFirstDispatchIsBound(String what, String said, String told) {
         Bound view = new Bound(what);
-        Bed bed = bed(view);
+        DecisionFixture bed = bed(view);
         one(bed);
         assertEquals(
                 bed.said.stream().map(s -> s.split(" ")[0]).reduce("", String::concat),
@@ -126,13 +127,15 @@
                 bed.said.toString());
         assertTrue(view.told.contains(told), view.told.toString());
         assertEquals(
-                Bed.count(bed.pass(3000), "deny"), said.isEmpty() ? 1 : 0, "the one final answer");
+                DecisionFixture.count(bed.pass(3000), "deny"),
+                said.isEmpty() ? 1 : 0,
+                "the one final answer");
     }
 
     /** Those denied together are told to come back at times apart. */
     @Test
     public void timesToComeBackAreSpread() {
-        Bed bed = bed(new Bound("part"));
+        DecisionFixture bed = bed(new Bound("part"));
         List<Integer> waits = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             one(bed);
@@ -145,9 +148,9 @@
     @DataProvider
     public Object[][] furthers() {
         return new Object[][] {
-            {"nothing", End.ERROR, "dispatch"},
-            {"further", End.ERROR, "deny"},
-            {"further", End.FULL, "dispatch"},
+            {"nothing", AttemptOutcome.ERROR, "dispatch"},
+            {"further", AttemptOutcome.ERROR, "deny"},
+            {"further", AttemptOutcome.OVERLOADED, "dispatch"},
         };
     }
 
@@ -156,12 +159,13 @@
      * none.
      */
     @Test(dataProvider = "furthers")
-    public void furtherDispatchesAreTheFleets(String what, End how, String said) {
+    public void furtherDispatchesAreTheFleets(String what, AttemptOutcome how, String said) {
         Bound view = new Bound(what);
-        Bed bed = bed(view);
-        for (int i = 0; i < 12; i++) bed.ends(one(bed), 0, End.GOOD, true);
-        Req req = one(bed);
-        assertEquals(Bed.count(bed.ends(req, 0, how, false), said), 1, bed.said.toString());
+        DecisionFixture bed = bed(view);
+        for (int i = 0; i < 12; i++) bed.ends(one(bed), 0, AttemptOutcome.SUCCESS, true);
+        Request req = one(bed);
+        assertEquals(
+                DecisionFixture.count(bed.ends(req, 0, how, false), said), 1, bed.said.toString());
         assertEquals(view.told.contains("again"), said.equals("dispatch"));
     }
 
@@ -172,12 +176,13 @@
     @Test
     public void aFurtherDispatchKeepsToTheFirstGroup() {
         Bound view = new Bound("first");
-        Bed bed = bed(view);
-        for (int i = 0; i < 12; i++) bed.ends(one(bed), 0, End.GOOD, true);
-        Req req = one(bed);
+        DecisionFixture bed = bed(view);
+        for (int i = 0; i < 12; i++) bed.ends(one(bed), 0, AttemptOutcome.SUCCESS, true);
+        Request req = one(bed);
         String first = bed.said.get(0).split(" ")[2];
         assertEquals(
-                bed.ends(req, 0, End.ERROR, false), List.of("dispatch " + req.id + " " + first));
+                bed.ends(req, 0, AttemptOutcome.ERROR, false),
+                List.of("dispatch " + req.id + " " + first));
         assertTrue(view.told.contains("go " + first));
     }
 
@@ -188,18 +193,18 @@
     public void anIllServerIsLeftToItsOwner() {
         for (String what : List.of("nothing", "looksAfter")) {
             Bound view = new Bound(what);
-            Bed bed = new Bed(Bed.limits(false), false, false);
+            DecisionFixture bed = new DecisionFixture(DecisionFixture.limits(false), false, false);
             bed.list("s1");
-            bed.play(in -> in.sees(view));
-            bed.ends(one(bed), 0, End.UNREACHABLE, true);
+            bed.play(in -> in.fleetPolicyChanged(view));
+            bed.ends(one(bed), 0, AttemptOutcome.UNREACHABLE, true);
             assertTrue(view.told.contains("ill"));
             bed.pass(1000);
-            Req req = one(bed);
+            Request req = one(bed);
             assertEquals(
-                    Bed.count(bed.said, "dispatch"),
+                    DecisionFixture.count(bed.said, "dispatch"),
                     what.equals("nothing") ? 1 : 0,
                     bed.said.toString());
-            if (what.equals("nothing")) bed.ends(req, 0, End.GOOD, true);
+            if (what.equals("nothing")) bed.ends(req, 0, AttemptOutcome.SUCCESS, true);
             assertEquals(view.told.contains("well"), what.equals("nothing"));
         }
     }
--- a/gateway/src/test/java/tinford/PlanChangeTest.java
+++ b/gateway/src/test/java/tinford/PlanChangeTest.java
@@ -10,20 +10,21 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.Customer;
-import tinford.api.Effect;
-import tinford.api.End;
-import tinford.api.Frontend;
-import tinford.api.Group;
+import tinford.api.AttemptOutcome;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
-import tinford.api.Req;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.api.Tenant;
 
 /**
  * A customer moves to another plan in mid-window: what it has used counts under the new one, at one
  * gateway and at several that learn of the change at different moments.
  */
 public class PlanChangeTest {
-    private static final Frontend READ = Bed.frontend(Effect.IDEMPOTENT, Group.ALL);
+    private static final RequestClass READ =
+            DecisionFixture.frontend(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
     private static final double START = 1_700_000_000_000.0;
     private static final double STEP = 20;
     private static final long CUSTOMER = 5;
@@ -33,27 +34,28 @@
 
     /** Gateways on one counter, whose customer asks for a unit at each of them at every step. */
     private static final class Site {
-        final List<Bed> gateways = new ArrayList<>();
-        final Customer[] customers;
+        final List<DecisionFixture> gateways = new ArrayList<>();
+        final Tenant[] customers;
         final Map<Long, Double> counter = new HashMap<>();
         double now = START;
         int passed;
 
         Site(int size, Plan plan) {
-            customers = new Customer[size];
+            customers = new Tenant[size];
             for (int g = 0; g < size; g++) {
-                Bed bed = new Bed(Bed.limits(false), true, false, size);
+                DecisionFixture bed =
+                        new DecisionFixture(DecisionFixture.limits(false), true, false, size);
                 bed.now = now;
                 bed.list("s1", "s2", "s3");
                 gateways.add(bed);
-                customers[g] = new Customer(CUSTOMER, plan, size, 0, 1);
+                customers[g] = new Tenant(CUSTOMER, plan, size, 0, 1);
             }
         }
 
         void move(int gateway, Plan to) {
             long next = customers[gateway].revision + 1;
-            customers[gateway] = new Customer(CUSTOMER, to, gateways.size(), 0, next);
-            gateways.get(gateway).play(in -> in.plansInForce(Set.of(to)));
+            customers[gateway] = new Tenant(CUSTOMER, to, gateways.size(), 0, next);
+            gateways.get(gateway).play(in -> in.plansChanged(Set.of(to)));
         }
 
         void moveAll(Plan to) {
@@ -65,9 +67,9 @@
         void step(boolean asks) {
             now += STEP;
             for (int g = 0; g < customers.length; g++) {
-                Bed bed = gateways.get(g);
+                DecisionFixture bed = gateways.get(g);
                 bed.now = now;
-                settle(bed, bed.play(in -> in.alarm(1)));
+                settle(bed, bed.play(in -> in.timerFired(1)));
                 if (asks) {
                     ask(g, 1);
                 }
@@ -81,27 +83,27 @@
         }
 
         boolean ask(int gateway, double units) {
-            Bed bed = gateways.get(gateway);
-            Req req = bed.req(customers[gateway], READ, units);
-            boolean passes = settle(bed, bed.play(in -> in.arrived(req))) > 0;
+            DecisionFixture bed = gateways.get(gateway);
+            Request req = bed.req(customers[gateway], READ, units);
+            boolean passes = settle(bed, bed.play(in -> in.requestArrived(req))) > 0;
             if (passes) {
                 passed++;
-                settle(bed, bed.ends(req, 0, End.GOOD, true));
+                settle(bed, bed.ends(req, 0, AttemptOutcome.SUCCESS, true));
             }
             return passes;
         }
 
         /** The counter answers at once; returns the dispatches. */
-        private int settle(Bed bed, List<String> said) {
+        private int settle(DecisionFixture bed, List<String> said) {
             int dispatches = 0;
             for (List<String> now = new ArrayList<>(said); !now.isEmpty(); ) {
-                dispatches += (int) Bed.count(now, "dispatch");
+                dispatches += (int) DecisionFixture.count(now, "dispatch");
                 now = new ArrayList<>(answer(bed, now));
             }
             return dispatches;
         }
 
-        private List<String> answer(Bed bed, List<String> said) {
+        private List<String> answer(DecisionFixture bed, List<String> said) {
             List<String> calls = said.stream().filter(s -> s.startsWith("add ")).toList();
             if (calls.isEmpty()) {
                 return List.of();
@@ -113,7 +115,7 @@
                             long name = Long.parseLong(words[1]);
                             double amount = Double.parseDouble(words[2]);
                             double total = counter.merge(name, amount, Double::sum);
-                            in.counted(name, End.GOOD, 1, total);
+                            in.counterAnswered(name, AttemptOutcome.SUCCESS, 1, total);
                         }
                     });
         }
@@ -258,28 +260,28 @@
         Plan second = new Plan("p", 0.02, 100, 4, 1, 0, 1, 0.001, 5, 0);
         Site site = new Site(1, first);
         site.run(60_000, false);
-        Bed bed = site.gateways.get(0);
-        List<Req> out = new ArrayList<>();
+        DecisionFixture bed = site.gateways.get(0);
+        List<Request> out = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            Req req = bed.req(site.customers[0], READ, 1);
-            assertEquals(site.settle(bed, bed.play(in -> in.arrived(req))), 1);
+            Request req = bed.req(site.customers[0], READ, 1);
+            assertEquals(site.settle(bed, bed.play(in -> in.requestArrived(req))), 1);
             out.add(req);
         }
         site.moveAll(second);
-        Req fourth = bed.req(site.customers[0], READ, 1);
-        assertEquals(site.settle(bed, bed.play(in -> in.arrived(fourth))), 1);
-        Req fifth = bed.req(site.customers[0], READ, 1);
-        assertEquals(site.settle(bed, bed.play(in -> in.arrived(fifth))), 0, "four are out");
-        for (Req req : out) {
-            site.settle(bed, bed.ends(req, 0, End.GOOD, true));
+        Request fourth = bed.req(site.customers[0], READ, 1);
+        assertEquals(site.settle(bed, bed.play(in -> in.requestArrived(fourth))), 1);
+        Request fifth = bed.req(site.customers[0], READ, 1);
+        assertEquals(site.settle(bed, bed.play(in -> in.requestArrived(fifth))), 0, "four are out");
+        for (Request req : out) {
+            site.settle(bed, bed.ends(req, 0, AttemptOutcome.SUCCESS, true));
         }
         int passed = 0;
         for (int i = 0; i < 10; i++) {
-            Req req = bed.req(site.customers[0], READ, 1);
-            int sent = site.settle(bed, bed.play(in -> in.arrived(req)));
+            Request req = bed.req(site.customers[0], READ, 1);
+            int sent = site.settle(bed, bed.play(in -> in.requestArrived(req)));
             passed += sent;
             if (sent > 0) {
-                site.settle(bed, bed.ends(req, 0, End.GOOD, true));
+                site.settle(bed, bed.ends(req, 0, AttemptOutcome.SUCCESS, true));
             }
         }
         assertTrue(passed <= 1, passed + " more of a ceiling of five units, four of them used");
@@ -289,15 +291,16 @@
     @Test
     public void whatIsUnderWayIsJudgedOnce() {
         Site site = new Site(1, plan(20, 40));
-        Bed bed = site.gateways.get(0);
+        DecisionFixture bed = site.gateways.get(0);
         site.run(1000, true);
-        Req req = bed.req(site.customers[0], READ, 1);
-        List<String> asked = new ArrayList<>(bed.play(in -> in.arrived(req)));
+        Request req = bed.req(site.customers[0], READ, 1);
+        List<String> asked = new ArrayList<>(bed.play(in -> in.requestArrived(req)));
         site.moveAll(plan(10, 60));
         assertTrue(site.ask(0, 1));
         int sent = site.settle(bed, asked);
         assertEquals(sent, 1);
-        assertEquals(Bed.count(bed.ends(req, 0, End.GOOD, true), "deny"), 0);
+        assertEquals(
+                DecisionFixture.count(bed.ends(req, 0, AttemptOutcome.SUCCESS, true), "deny"), 0);
     }
 
     /** Plans come and go: nothing is kept of those that are no more. */
--- a/gateway/src/test/java/tinford/logs/LinesTest.java
+++ b/gateway/src/test/java/tinford/logging/LineLoggerTest.java
@@ -1,4 +1,4 @@
-package tinford.logs;
+package tinford.logging;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -13,9 +13,10 @@
 import org.jboss.logging.Logger;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import tinford.transport.EventLoop;
 
 /** Form, order and bounds of log lines. */
-public class LinesTest {
+public class LineLoggerTest {
     private static final String TIME = "\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d+Z ";
 
     @DataProvider
@@ -73,7 +74,7 @@
         System.setErr(new PrintStream(said, true));
         try {
             entry.run();
-            Lines.flush(10_000);
+            LineLogger.flush(10_000);
         } finally {
             System.setErr(before);
         }
@@ -92,7 +93,7 @@
                     new ProcessBuilder(
                                     System.getProperty("java.home") + "/bin/java",
                                     "-Xshare:auto",
-                                    "-Djavax.management.builder.initial=tinford.transport.NoBeans",
+                                    "-Djavax.management.builder.initial=tinford.transport.DisabledMBeanServerBuilder",
                                     "-Xlog:class+load:file=" + loaded,
                                     "-cp",
                                     System.getProperty("java.class.path"),
@@ -154,16 +155,16 @@
                 log.log(Level.INFO, "a long line " + "x".repeat(100));
             }
             System.out.println("said");
-            Lines.flush(10_000);
+            LineLogger.flush(10_000);
             log.log(Level.INFO, "a long line and the last");
-            Lines.flush(10_000);
+            LineLogger.flush(10_000);
         }
     }
 
     /** The loop of a gateway, as a process of its own. */
     public static final class Starts {
         public static void main(String[] args) throws Exception {
-            new tinford.transport.Loop(() -> {}, 1, 1, System::nanoTime).close();
+            new EventLoop(() -> {}, 1, 1, System::nanoTime).close();
         }
     }
 }
--- a/gateway/src/test/java/tinford/program/DescriptorsTest.java
+++ b/gateway/src/test/java/tinford/program/DescriptorsTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.transport.Turn;
+import tinford.transport.HandoverLock;
 
 /**
  * Crowds of idle clients against what the gateway itself needs, under the limit that the machine
@@ -106,7 +106,7 @@
         limit = sockets;
         if (beside) {
             share();
-            assertTrue(new Turn(shared, "n0").alone()); // this test is the other process
+            assertTrue(new HandoverLock(shared, "n0").alone()); // this test is the other process
             gateway = managed(free(), log);
         } else {
             up();
--- a/gateway/src/test/java/tinford/protocol/ListBoundsTest.java
+++ b/gateway/src/test/java/tinford/protocol/ListBoundsTest.java
@@ -33,19 +33,19 @@
      * is kept of one.
      */
     @Test(dataProvider = "endless")
-    public void whatNeverEndsIsRefused(String start) throws Malformed {
-        HttpLines lines = new HttpLines(MOST);
-        JsonLines objects = new JsonLines(new JsonFactory(), MOST);
+    public void whatNeverEndsIsRefused(String start) throws ProtocolException {
+        ChunkedLineReader lines = new ChunkedLineReader(MOST);
+        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MOST);
         AtomicInteger came = new AtomicInteger();
-        Malformed[] bad = new Malformed[1];
+        ProtocolException[] bad = new ProtocolException[1];
         byte[] head = (HEAD + start).getBytes(StandardCharsets.ISO_8859_1);
         byte[] more =
                 (start.contains("\n") ? "      \n" : "       ")
                         .repeat(100)
                         .getBytes(StandardCharsets.ISO_8859_1);
-        Malformed m =
+        ProtocolException m =
                 expectThrows(
-                        Malformed.class,
+                        ProtocolException.class,
                         () -> {
                             lines.read(
                                     head, 0, head.length, line -> bad[0] = refusal(objects, line));
@@ -67,11 +67,11 @@
         assertTrue(came.get() <= 7 * (MOST + more.length), "after " + came);
     }
 
-    private static Malformed refusal(JsonLines objects, String line) {
+    private static ProtocolException refusal(JsonObjectSplitter objects, String line) {
         try {
-            objects.take(line);
+            objects.addLine(line);
             return null;
-        } catch (Malformed e) {
+        } catch (ProtocolException e) {
             return e;
         }
     }
@@ -87,12 +87,12 @@
 
     @Test(dataProvider = "heaps")
     public void theLimitFollowsTheHeap(int heap, int limit) {
-        assertEquals(ListLimit.bytes((long) heap << 20), limit << 10);
+        assertEquals(EndpointListLimit.maxBytes((long) heap << 20), limit << 10);
     }
 
     /** Four thousand servers, spread over lines: read whole within the least limit. */
     @Test
-    public void aLargeListIsRead() throws Malformed {
+    public void aLargeListIsRead() throws ProtocolException {
         StringBuilder list = new StringBuilder("{\"seq\":43,\"whole\":true,\"hosts\":[");
         for (int i = 0; i < 4096; i++) {
             list.append(i == 0 ? "\n" : ",\n")
@@ -106,11 +106,11 @@
                             "\"health\": \"draining\", \"share\": 1.0, \"born_ms\":"
                                     + " 1764600000000}");
         }
-        JsonLines objects = new JsonLines(new JsonFactory(), MOST);
+        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MOST);
         String whole = null;
         for (String line : list.append("\n]}").toString().split("\n")) {
             assertEquals(whole, null);
-            whole = objects.take(line.strip());
+            whole = objects.addLine(line.strip());
         }
         assertTrue(whole.endsWith("]}\n") && whole.length() > 600_000, "of " + whole.length());
     }
@@ -120,45 +120,46 @@
      * reads.
      */
     @Test
-    public void theLargestFleetFitsASmallHeap() throws Malformed {
-        int limit = ListLimit.bytes(38L << 20);
+    public void theLargestFleetFitsASmallHeap() throws ProtocolException {
+        int limit = EndpointListLimit.maxBytes(38L << 20);
         String list = listOf(6000);
         byte[] answer = (HEAD + list + "\n").getBytes(StandardCharsets.ISO_8859_1);
-        JsonLines objects = new JsonLines(new JsonFactory(), limit);
+        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), limit);
         String[] read = new String[1];
-        new HttpLines(limit).read(answer, 0, answer.length, line -> read[0] = whole(objects, line));
+        new ChunkedLineReader(limit)
+                .read(answer, 0, answer.length, line -> read[0] = whole(objects, line));
         assertEquals(read[0], list);
         assertTrue(list.length() > 850_000, "of " + list.length());
     }
 
     /** Objects in one line and over several may follow one another. */
     @Test
-    public void objectsInOneLineAndOverSeveralTakeTurns() throws Malformed {
-        JsonLines objects = new JsonLines(new JsonFactory(), MOST);
+    public void objectsInOneLineAndOverSeveralTakeTurns() throws ProtocolException {
+        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MOST);
         for (int i = 0; i < 3; i++) {
-            assertEquals(objects.take("{\"a\":1}"), "{\"a\":1}");
-            assertEquals(objects.take(""), "");
-            assertEquals(objects.take("{\"a\":"), null);
-            assertEquals(objects.take(""), null);
-            assertEquals(objects.take("1}"), "{\"a\":\n\n1}\n");
+            assertEquals(objects.addLine("{\"a\":1}"), "{\"a\":1}");
+            assertEquals(objects.addLine(""), "");
+            assertEquals(objects.addLine("{\"a\":"), null);
+            assertEquals(objects.addLine(""), null);
+            assertEquals(objects.addLine("1}"), "{\"a\":\n\n1}\n");
         }
     }
 
     /** A long line leaves nothing behind that shortens or spoils the next. */
     @Test
-    public void aLongLineIsFollowedByShortOnes() throws Malformed {
+    public void aLongLineIsFollowedByShortOnes() throws ProtocolException {
         List<String> read = new ArrayList<>();
         String longLine = "x".repeat(200_000);
         String text = "a\n" + longLine + "\nb\n" + longLine + "\n\n";
         byte[] answer = (HEAD + text).getBytes(StandardCharsets.ISO_8859_1);
-        new HttpLines(MOST).read(answer, 0, answer.length, read::add);
+        new ChunkedLineReader(MOST).read(answer, 0, answer.length, read::add);
         assertEquals(read, List.of("a", longLine, "b", longLine, ""));
     }
 
-    private static String whole(JsonLines objects, String line) {
+    private static String whole(JsonObjectSplitter objects, String line) {
         try {
-            return objects.take(line);
-        } catch (Malformed e) {
+            return objects.addLine(line);
+        } catch (ProtocolException e) {
             throw new AssertionError(e);
         }
     }
--- a/gateway/src/test/java/tinford/protocol/ProtocolTest.java
+++ b/gateway/src/test/java/tinford/protocol/ProtocolTest.java
@@ -19,7 +19,7 @@
         return s.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static String shown(Resp r) {
+    private static String shown(RespReader r) {
         StringBuilder s = new StringBuilder(r.array() ? "*" : "");
         for (int i = 0; i < r.parts(); i++) {
             s.append(i > 0 ? " " : "")
@@ -44,9 +44,9 @@
     }
 
     @Test(dataProvider = "values")
-    public void valueIsFoundOnceWhole(String text, String shown) throws Malformed {
+    public void valueIsFoundOnceWhole(String text, String shown) throws ProtocolException {
         byte[] all = bytes("##" + text + "+next\r\n");
-        Resp resp = new Resp();
+        RespReader resp = new RespReader();
         for (int n = 0; n < text.length(); n++) {
             assertEquals(resp.parse(all, 2, 2 + n), 0, "after " + n + " bytes");
         }
@@ -75,40 +75,42 @@
 
     @Test(dataProvider = "garbage")
     public void garbageIsNamed(String text, String expected) {
-        Malformed m =
+        ProtocolException m =
                 expectThrows(
-                        Malformed.class, () -> new Resp().parse(bytes(text), 0, text.length()));
+                        ProtocolException.class,
+                        () -> new RespReader().parse(bytes(text), 0, text.length()));
         assertEquals(m.getMessage(), "expected " + expected);
     }
 
     private static final String TERMS = "c=read,t=gold,d=480,k=5c0f,units=2.5,spread=3,first=1";
 
-    private static Ask ask(String... words) throws Malformed {
+    private static ClientCommand ask(String... words) throws ProtocolException {
         StringBuilder s = new StringBuilder("*" + words.length + "\r\n");
         for (String w : words) {
             s.append("$").append(w.length()).append("\r\n").append(w).append("\r\n");
         }
         byte[] all = bytes("##" + s);
-        Resp resp = new Resp();
+        RespReader resp = new RespReader();
         int n = resp.parse(all, 2, all.length);
-        return new Ask(resp, all, 2, n);
+        return new ClientCommand(resp, all, 2, n);
     }
 
     @Test
-    public void askTellsItsTerms() throws Malformed {
-        Ask a = ask("Q.DO", "00000001b4d65521", "ffffffffaa5c7e2d", TERMS + ",r=1,new=7", "BODY");
+    public void askTellsItsTerms() throws ProtocolException {
+        ClientCommand a =
+                ask("Q.DO", "00000001b4d65521", "ffffffffaa5c7e2d", TERMS + ",r=1,new=7", "BODY");
         assertEquals(
                 Arrays.asList(
-                        a.resendable,
-                        a.customer,
+                        a.retryable,
+                        a.tenant,
                         a.id,
-                        a.frontend,
+                        a.requestClass,
                         a.plan,
-                        a.patience,
+                        a.timeoutMs,
                         a.units,
-                        a.width,
-                        a.first,
-                        a.resent),
+                        a.fanIn,
+                        a.firstGateway,
+                        a.markedAsRetry),
                 Arrays.asList(
                         false,
                         0x1b4d65521L,
@@ -150,7 +152,8 @@
     @Test(dataProvider = "badAsks")
     public void badAskIsNamed(
             String verb, String customer, String id, String terms, String expected) {
-        Malformed m = expectThrows(Malformed.class, () -> ask(verb, customer, id, terms));
+        ProtocolException m =
+                expectThrows(ProtocolException.class, () -> ask(verb, customer, id, terms));
         assertEquals(m.getMessage(), "expected " + expected);
     }
 
@@ -191,27 +194,27 @@
 
     @Test(dataProvider = "numbers")
     public void onlyPlainNumbersAreNumbers(String text, double value) {
-        assertEquals(Numbers.real(text), value);
+        assertEquals(NumberParser.parse(text), value);
     }
 
     @Test(dataProvider = "usages")
     public void usageIsReadByName(String text, String name, double value) {
-        assertEquals(Usage.of(text, name, -1), value);
+        assertEquals(UsageReport.value(text, name, -1), value);
     }
 
     @Test
     public void reportFollowsTheNamesGiven() {
         assertEquals(
-                Usage.report("queue=2,x=9,util=0.61", List.of("util", "queue", "qps")),
+                UsageReport.values("queue=2,x=9,util=0.61", List.of("util", "queue", "qps")),
                 new double[] {0.61, 2, 0});
-        assertEquals(Usage.report("cost=4", List.of("util")), null);
+        assertEquals(UsageReport.values("cost=4", List.of("util")), null);
     }
 
     private static final String HEAD =
             "HTTP/1.1 200 OK\r\nContent-Type: x\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     @Test
-    public void linesAreFoundWhereverChunksAndReadsEnd() throws Malformed {
+    public void linesAreFoundWhereverChunksAndReadsEnd() throws ProtocolException {
         String body = "{\"a\":1}\n\n{\"b\":\"\u00e9\"}\n";
         byte[] text = body.getBytes(StandardCharsets.UTF_8);
         for (int chunk = 1; chunk <= text.length; chunk++) {
@@ -226,7 +229,7 @@
             byte[] all = bytes(s + "0\r\n\r\n");
             for (int read = 1; read < all.length; read += 3) {
                 List<String> found = new ArrayList<>();
-                HttpLines lines = new HttpLines(MOST_LIST);
+                ChunkedLineReader lines = new ChunkedLineReader(MOST_LIST);
                 int from = 0;
                 for (int to = read;
                         from < all.length && !lines.done();
@@ -253,11 +256,11 @@
 
     @Test(dataProvider = "badHttp")
     public void badHttpIsNamed(String text, String expected) {
-        Malformed m =
+        ProtocolException m =
                 expectThrows(
-                        Malformed.class,
+                        ProtocolException.class,
                         () ->
-                                new HttpLines(MOST_LIST)
+                                new ChunkedLineReader(MOST_LIST)
                                         .read(bytes(text), 0, text.length(), line -> {}));
         assertEquals(m.getMessage(), "expected " + expected);
     }
@@ -280,16 +283,17 @@
     }
 
     @Test(dataProvider = "calls")
-    public void operatorsCallsAreReadOverAnySplit(String text, String shown) throws Malformed {
+    public void operatorsCallsAreReadOverAnySplit(String text, String shown)
+            throws ProtocolException {
         byte[] all = bytes(text);
         int head = Math.max(text.indexOf("\r\n\r\n"), text.indexOf("\n\n"));
         for (int n = 0; head > 0 && n < head; n++) {
-            assertEquals(HttpCall.read(all, 0, n), null);
+            assertEquals(HttpRequestHead.read(all, 0, n), null);
         }
         try {
-            HttpCall call = HttpCall.read(all, 0, all.length);
+            HttpRequestHead call = HttpRequestHead.read(all, 0, all.length);
             assertEquals(call == null ? null : call.method + " " + call.path, shown);
-        } catch (Malformed e) {
+        } catch (ProtocolException e) {
             assertEquals(e.getMessage(), shown);
         }
     }
--- a/gateway/src/test/java/tinford/routing/AddressesTest.java
+++ b/gateway/src/test/java/tinford/routing/AddressesTest.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.handed.BadInput;
-import tinford.handed.Fields;
+import tinford.settings.InvalidSettingsException;
+import tinford.settings.JsonFields;
 
 /** What stands for an address is read without asking anybody. */
 public class AddressesTest {
@@ -77,12 +77,13 @@
     /** What is complained of is kept for a while: of a text without end only its beginning. */
     @Test
     public void aLongOneIsNamedByItsBeginning() {
-        Fields in =
-                Fields.of(
+        JsonFields in =
+                JsonFields.of(
                         new JsonFactory(),
                         "discovery",
                         "{\"dial\":\"" + "1".repeat(1 << 20) + "\"}");
-        BadInput bad = expectThrows(BadInput.class, () -> Addresses.of(in, "dial"));
+        InvalidSettingsException bad =
+                expectThrows(InvalidSettingsException.class, () -> Addresses.of(in, "dial"));
         assertEquals(
                 bad.getMessage().replaceAll("1+$", ""),
                 "discovery: dial: expected a numeric host:port, not ");
--- a/gateway/src/test/java/tinford/routing/CatalogTest.java
+++ b/gateway/src/test/java/tinford/routing/CatalogTest.java
@@ -14,28 +14,37 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import tinford.Bed;
-import tinford.api.Effect;
-import tinford.api.Frontend;
-import tinford.api.Group;
+import tinford.DecisionFixture;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
-import tinford.protocol.Ask;
-import tinford.protocol.Malformed;
-import tinford.protocol.Resp;
+import tinford.api.RequestClass;
+import tinford.protocol.ClientCommand;
+import tinford.protocol.ProtocolException;
+import tinford.protocol.RespReader;
 
 /** What clients may ask for, and how another catalog comes into force. No connection is opened. */
 public class CatalogTest {
-    private static final Frontend READ = frontend("read", 8000);
-    private static final Frontend SLOW = frontend("slow", 20_000);
+    private static final RequestClass READ = frontend("read", 8000);
+    private static final RequestClass SLOW = frontend("slow", 20_000);
     private static final Plan FREE = plan("free");
     private static final Plan PAID = plan("paid");
     private static final long CUSTOMER = 0xabc;
     private final Set<Plan> told = new HashSet<>();
-    private Desk desk;
-    private Clients clients;
+    private RequestDispatcher desk;
+    private ClientPool clients;
 
-    private static Frontend frontend(String name, double timeout) {
-        return new Frontend(name, 2000, timeout, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false);
+    private static RequestClass frontend(String name, double timeout) {
+        return new RequestClass(
+                name,
+                2000,
+                timeout,
+                1,
+                0,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                false);
     }
 
     private static Plan plan(String name) {
@@ -45,12 +54,12 @@
     @BeforeMethod
     public void prepare() throws Exception {
         desk =
-                new Desk(
+                new RequestDispatcher(
                         (now, feed, out) ->
                                 feed.replay(
-                                        new Bed.Deaf() {
+                                        new DecisionFixture.Deaf() {
                                             @Override
-                                            public void plansInForce(Set<Plan> plans) {
+                                            public void plansChanged(Set<Plan> plans) {
                                                 told.addAll(plans);
                                             }
                                         }),
@@ -58,7 +67,7 @@
                         20,
                         1 << 20);
         clients =
-                new Clients(
+                new ClientPool(
                         desk,
                         new Catalog(Map.of("read", READ, "slow", SLOW), Map.of("free", FREE)),
                         1,
@@ -75,7 +84,7 @@
         desk.loop.close();
     }
 
-    private Exchange exchange(String frontend, String plan) throws Malformed {
+    private ClientRequest exchange(String frontend, String plan) throws ProtocolException {
         String[] words = {
             "Q.ASK",
             String.format("%016x", CUSTOMER),
@@ -87,55 +96,56 @@
             text.append("$").append(word.length()).append("\r\n").append(word).append("\r\n");
         }
         byte[] bytes = text.toString().getBytes(StandardCharsets.ISO_8859_1);
-        Resp resp = new Resp();
+        RespReader resp = new RespReader();
         int length = resp.parse(bytes, 0, bytes.length);
-        return clients.exchange(null, new Ask(resp, bytes, 0, length));
+        return clients.exchange(null, new ClientCommand(resp, bytes, 0, length));
     }
 
     @Test
     public void aRequestKeepsTheRevisionItWasAdmittedUnder() throws Exception {
-        Exchange before = exchange("slow", "free");
-        Frontend read = frontend("read", 9000);
+        ClientRequest before = exchange("slow", "free");
+        RequestClass read = frontend("read", 9000);
         clients.use(
                 new Catalog(
                         3,
                         Map.of("read", read),
                         Map.of("free", FREE, "paid", PAID),
                         Map.of(CUSTOMER, PAID)));
-        Exchange after = exchange("read", "free");
-        assertSame(before.frontend, SLOW);
-        assertSame(before.customer.plan, FREE);
-        assertEquals(before.customer.revision, 0);
-        assertSame(after.frontend, read);
-        assertSame(
-                after.customer.plan, PAID, "the configuration's plan, whatever the client names");
-        assertEquals(after.customer.revision, 3);
+        ClientRequest after = exchange("read", "free");
+        assertSame(before.requestClass, SLOW);
+        assertSame(before.tenant.plan, FREE);
+        assertEquals(before.tenant.revision, 0);
+        assertSame(after.requestClass, read);
+        assertSame(after.tenant.plan, PAID, "the configuration's plan, whatever the client names");
+        assertEquals(after.tenant.revision, 3);
     }
 
     @Test
     public void aRemovedRouteIsUnknownFromThenOn() throws Exception {
         clients.use(new Catalog(1, Map.of("read", READ), Map.of("free", FREE), Map.of()));
-        Malformed gone = expectThrows(Malformed.class, () -> exchange("slow", "free"));
+        ProtocolException gone =
+                expectThrows(ProtocolException.class, () -> exchange("slow", "free"));
         assertEquals(gone.getMessage(), "expected c to be one of [read]");
-        assertSame(exchange("read", "free").frontend, READ);
+        assertSame(exchange("read", "free").requestClass, READ);
     }
 
     @Test
     public void whoseCustomerIsNotListedHasThePlanItNames() throws Exception {
         clients.use(new Catalog(1, Map.of("read", READ), Map.of("free", FREE), Map.of(7L, PAID)));
-        assertSame(exchange("read", "free").customer.plan, FREE);
-        assertThrows(Malformed.class, () -> exchange("read", "paid"));
+        assertSame(exchange("read", "free").tenant.plan, FREE);
+        assertThrows(ProtocolException.class, () -> exchange("read", "paid"));
     }
 
     /** Guards an error line against thousands of names. */
     @Test
     public void manyNamesAreOnlyCounted() {
-        Map<String, Frontend> many = new LinkedHashMap<>();
+        Map<String, RequestClass> many = new LinkedHashMap<>();
         for (int i = 0; i < 1500; i++) {
             many.put("r" + i, frontend("r" + i, 8000));
         }
         clients.use(new Catalog(1, many, Map.of("free", FREE), Map.of()));
-        Malformed unknown = expectThrows(Malformed.class, () -> exchange("read", "free"));
+        ProtocolException unknown =
+                expectThrows(ProtocolException.class, () -> exchange("read", "free"));
         assertEquals(unknown.getMessage(), "expected c to be one of 1500 names");
     }
 
@@ -143,7 +153,7 @@
     public void theDecisionsHearWhichPlansAreInForce() throws Exception {
         desk.seat(clients, null, null, null, null);
         CountDownLatch used = new CountDownLatch(1);
-        desk.loop.enter(
+        desk.loop.execute(
                 () -> {
                     desk.use(new Catalog(1, Map.of(), Map.of("paid", PAID), Map.of()));
                     used.countDown();
--- a/gateway/src/test/java/tinford/routing/ClosingTest.java
+++ b/gateway/src/test/java/tinford/routing/ClosingTest.java
@@ -26,18 +26,18 @@
 import org.testng.annotations.Test;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
-import tinford.Bed;
-import tinford.api.Effect;
-import tinford.api.Frontend;
-import tinford.api.Gateway;
-import tinford.api.Group;
+import tinford.DecisionFixture;
+import tinford.api.DecisionModule;
+import tinford.api.DeduplicationScope;
+import tinford.api.GatewayActions;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
-import tinford.api.Req;
-import tinford.api.Writer;
-import tinford.transport.Descriptors;
-import tinford.transport.Ending;
-import tinford.transport.Link;
-import tinford.transport.Loop;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.transport.CloseReason;
+import tinford.transport.Connection;
+import tinford.transport.DescriptorBudget;
+import tinford.transport.EventLoop;
 
 /**
  * The gateway's own closes of client connections, turn by turn, on real connections and in driven
@@ -49,14 +49,14 @@
     private static final int PIECE = 64 << 10;
     private final AtomicLong nanos = new AtomicLong();
     private final List<AutoCloseable> open = new ArrayList<>();
-    private final LinkedBlockingQueue<Exchange> arrived = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<ClientRequest> arrived = new LinkedBlockingQueue<>();
     private final List<Long> heard = new CopyOnWriteArrayList<>(); // ids
     private final InetAddress here = InetAddress.getLoopbackAddress();
     private boolean answers; // at once, or not at all
     private boolean takesBack; // units of a req whose client has left
-    private Writer out;
-    private Desk desk;
-    private Clients clients;
+    private GatewayActions out;
+    private RequestDispatcher desk;
+    private ClientPool clients;
     private int port;
 
     @BeforeMethod
@@ -66,43 +66,43 @@
         nanos.set(0);
         arrived.clear();
         heard.clear();
-        Gateway gateway =
+        DecisionModule gateway =
                 (now, feed, to) -> {
                     out = to;
                     feed.replay(
-                            new Bed.Deaf() {
+                            new DecisionFixture.Deaf() {
                                 @Override
-                                public void arrived(Req req) {
+                                public void requestArrived(Request req) {
                                     heard.add(req.id);
-                                    arrived.add((Exchange) req);
+                                    arrived.add((ClientRequest) req);
                                     if (answers) {
-                                        to.abort(req);
+                                        to.fail(req);
                                     }
                                 }
 
                                 @Override
-                                public void left(Req req) {
+                                public void clientDisconnected(Request req) {
                                     if (takesBack) {
-                                        to.add(1, -1, 1000);
+                                        to.incrementCounter(1, -1, 1000);
                                     }
                                 }
                             });
                 };
-        desk = new Desk(gateway, 3, 20, 64 << 20, nanos::get);
+        desk = new RequestDispatcher(gateway, 3, 20, 64 << 20, nanos::get);
         clients =
-                new Clients(
+                new ClientPool(
                         desk,
                         new Catalog(
                                 Map.of(
                                         "f",
-                                        new Frontend(
+                                        new RequestClass(
                                                 "f",
                                                 2000,
                                                 LONGEST,
                                                 1,
                                                 0,
-                                                Effect.IDEMPOTENT,
-                                                Group.ALL,
+                                                Idempotency.IDEMPOTENT,
+                                                DeduplicationScope.ALL,
                                                 0,
                                                 false)),
                                 Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0))),
@@ -137,11 +137,11 @@
     }
 
     /** All of this in one turn; the next one is over as well when it returns. */
-    private void turn(Loop.Due what) throws Exception {
-        desk.loop.enter(what);
+    private void turn(EventLoop.Task what) throws Exception {
+        desk.loop.execute(what);
         for (int i = 0; i < 2; i++) {
             CountDownLatch over = new CountDownLatch(1);
-            desk.loop.enter(over::countDown);
+            desk.loop.execute(over::countDown);
             assertTrue(over.await(20, TimeUnit.SECONDS), "the loop stands");
         }
     }
@@ -207,7 +207,7 @@
         turn(() -> {});
     }
 
-    private Exchange next() throws InterruptedException {
+    private ClientRequest next() throws InterruptedException {
         return arrived.poll(20, TimeUnit.SECONDS);
     }
 
@@ -220,7 +220,7 @@
         answers = false;
         Socket c = client(0);
         say(c, ask(1) + "+nonsense\r\n");
-        Exchange e = next();
+        ClientRequest e = next();
         say(c, ask(2));
         turn(() -> {});
         turn(() -> clients.end(() -> {}));
@@ -241,7 +241,7 @@
     private int leaveWithAnAnswerUnread(Socket c) throws Exception {
         answers = false;
         say(c, ask(1));
-        Exchange e = next();
+        ClientRequest e = next();
         int[] put = new int[1];
         do { // until the machine takes no more
             turn(
@@ -259,7 +259,7 @@
                     clients.leaving = true;
                     e.client.flown();
                 });
-        assertTrue(!e.client.allWritten() && !e.client.over());
+        assertTrue(!e.client.allWritten() && !e.client.isClosed());
         return put[0] + 8 * PIECE + 2;
     }
 
@@ -300,7 +300,7 @@
         Socket other = client(0);
         say(c, ask(1));
         assertEquals(hear(c, ABORTED.length()), ABORTED);
-        ClientLink link = next().client;
+        ClientConnection link = next().client;
         say(other, ask(2).substring(0, 30));
         say(c, ask(3).substring(0, 30));
         turn(() -> {});
@@ -313,9 +313,9 @@
         assertEquals(
                 hear(other, ABORTED.length()), ABORTED); // its half is owed an answer, and had it
         turn(() -> {});
-        assertFalse(link.over());
+        assertFalse(link.isClosed());
         pass(1000);
-        assertTrue(link.over());
+        assertTrue(link.isClosed());
         assertEquals(heard, List.of(1L, 3L, 2L));
     }
 
@@ -333,7 +333,7 @@
         Socket c = client(0);
         say(c, ask(1));
         assertEquals(hear(c, ABORTED.length()), ABORTED);
-        ClientLink link = next().client;
+        ClientConnection link = next().client;
         turn(
                 () -> {
                     if (before) {
@@ -393,11 +393,11 @@
         answers = false;
         ServerSocket door = new ServerSocket(0, 1, here);
         open.add(door);
-        Counter counter =
-                new Counter(
+        CounterClient counter =
+                new CounterClient(
                         desk, new InetSocketAddress(here, door.getLocalPort()), 60_000, 60_000, 1);
         desk.seat(clients, null, counter, null, null);
-        turn(() -> out.add(1, 1, 1000));
+        turn(() -> out.incrementCounter(1, 1, 1000));
         Socket at = door.accept();
         open.add(at);
         assertEquals(hear(at, 41).length(), 41);
@@ -467,33 +467,33 @@
     public void smallWritesLeaveAtOnce() throws Exception {
         Socket c = client(0);
         say(c, ask(1));
-        ClientLink accepted = next().client;
+        ClientConnection accepted = next().client;
         assertEquals(hear(c, ABORTED.length()), ABORTED);
         assertTrue(unheld(accepted), "from clients");
         ServerSocket door = new ServerSocket(0, 1, here);
         open.add(door);
         CountDownLatch up = new CountDownLatch(1);
-        final class Opened extends Link { // as those to servers, counter and discovery
+        final class Opened extends Connection { // as those to servers, counter and discovery
             Opened() {
                 super(desk.loop, 100, 100);
                 open(new InetSocketAddress(here, door.getLocalPort()), 60_000);
             }
 
             @Override
-            protected Descriptors.Party party() {
-                return Descriptors.Party.SERVERS;
+            protected DescriptorBudget.Party party() {
+                return DescriptorBudget.Party.SERVERS;
             }
 
             @Override
-            protected void opened() {
+            protected void onOpened() {
                 up.countDown();
             }
 
             @Override
-            protected void received() {}
+            protected void onReceived() {}
 
             @Override
-            protected void ended(Ending how) {}
+            protected void onEnded(CloseReason how) {}
         }
 
         Opened[] link = new Opened[1];
@@ -502,8 +502,8 @@
         assertTrue(unheld(link[0]), "opened from here");
     }
 
-    private static boolean unheld(Link link) throws Exception {
-        var field = Link.class.getDeclaredField("connection");
+    private static boolean unheld(Connection link) throws Exception {
+        var field = Connection.class.getDeclaredField("connection");
         field.setAccessible(true);
         return ((StreamConnection) field.get(link)).getOption(Options.TCP_NODELAY);
     }
--- a/gateway/src/test/java/tinford/routing/LeavingTest.java
+++ b/gateway/src/test/java/tinford/routing/LeavingTest.java
@@ -23,17 +23,17 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.Bed;
-import tinford.api.Effect;
-import tinford.api.End;
-import tinford.api.Frontend;
-import tinford.api.Gateway;
-import tinford.api.Group;
+import tinford.DecisionFixture;
+import tinford.api.AttemptOutcome;
+import tinford.api.DecisionModule;
+import tinford.api.DeduplicationScope;
+import tinford.api.GatewayActions;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
-import tinford.api.Req;
-import tinford.api.Srv;
-import tinford.api.Writer;
-import tinford.handed.Fields;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.api.Server;
+import tinford.settings.JsonFields;
 
 /**
  * Clients that go and servers that leave while something still waits: what is heard of it, and what
@@ -49,11 +49,11 @@
     private InetSocketAddress at;
     private ServerSocket full; // nobody is let in there: a connection to it is never up
     private ServerSocket other;
-    private Desk desk;
-    private Servers servers;
-    private Clients clients;
-    private Writer writer;
-    private Srv first;
+    private RequestDispatcher desk;
+    private ServerPool servers;
+    private ClientPool clients;
+    private GatewayActions writer;
+    private Server first;
     private double within = Double.POSITIVE_INFINITY; // for a dispatch to leave
     private boolean sends; // each req goes to the first server at once
     private boolean looks; // each req's client is looked for as it comes
@@ -73,42 +73,42 @@
         other.bind(new InetSocketAddress(here, 0));
         other.setSoTimeout(PATIENCE);
         open.add(other);
-        Gateway gateway =
+        DecisionModule gateway =
                 (now, feed, out) -> {
                     writer = out;
                     feed.replay(
-                            new Bed.Deaf() {
+                            new DecisionFixture.Deaf() {
                                 @Override
-                                public void listed(List<Srv> entries, boolean whole) {
+                                public void endpointsUpdated(List<Server> entries, boolean whole) {
                                     first = first == null ? entries.get(0) : first;
                                 }
 
                                 @Override
-                                public void arrived(Req req) {
+                                public void requestArrived(Request req) {
                                     heard.add(
                                             "arrived"
                                                     + (looks
                                                             ? " "
                                                                     + req.id
-                                                                    + (req.gone()
+                                                                    + (req.clientGone()
                                                                             ? " and gone"
                                                                             : " and there")
                                                             : ""));
                                     if (sends) {
-                                        out.dispatch(req, first, 0, within);
+                                        out.sendAttempt(req, first, 0, within);
                                     }
                                 }
 
                                 @Override
-                                public void left(Req req) {
+                                public void clientDisconnected(Request req) {
                                     heard.add("left");
                                 }
 
                                 @Override
-                                public void ended(
-                                        Req req,
+                                public void attemptEnded(
+                                        Request req,
                                         int no,
-                                        End how,
+                                        AttemptOutcome how,
                                         double took,
                                         boolean closed,
                                         int seenUse,
@@ -118,34 +118,34 @@
                                 }
                             });
                 };
-        desk = new Desk(gateway, 3, 30, 1 << 26);
+        desk = new RequestDispatcher(gateway, 3, 30, 1 << 26);
         open.add(desk.loop::close);
-        servers = new Servers(desk, 2.0 * PATIENCE, 15_000, 10, List.of());
+        servers = new ServerPool(desk, 2.0 * PATIENCE, 15_000, 10, List.of());
         clients =
-                new Clients(
+                new ClientPool(
                         desk,
                         new Catalog(
                                 Map.of(
                                         "f",
-                                        new Frontend(
+                                        new RequestClass(
                                                 "f",
                                                 20_000,
                                                 80_000,
                                                 1,
                                                 0,
-                                                Effect.IDEMPOTENT,
-                                                Group.ALL,
+                                                Idempotency.IDEMPOTENT,
+                                                DeduplicationScope.ALL,
                                                 0,
                                                 false),
                                         "w",
-                                        new Frontend(
+                                        new RequestClass(
                                                 "w",
                                                 20_000,
                                                 80_000,
                                                 1,
                                                 0,
-                                                Effect.NON_IDEMPOTENT,
-                                                Group.ALL,
+                                                Idempotency.NON_IDEMPOTENT,
+                                                DeduplicationScope.ALL,
                                                 0,
                                                 false)),
                                 Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0))),
@@ -187,7 +187,7 @@
 
     private void list(boolean whole, String... entries) {
         servers.list(
-                Fields.of(
+                JsonFields.of(
                         new JsonFactory(),
                         "list",
                         "{\"seq\":1,\"whole\":"
@@ -200,7 +200,7 @@
     /** Within one turn of the loop: nothing that comes meanwhile has been read. */
     private void turn(Runnable what) {
         BlockingQueue<Object> done = new LinkedBlockingQueue<>();
-        desk.loop.enter(
+        desk.loop.execute(
                 () -> {
                     try {
                         what.run();
--- a/gateway/src/test/java/tinford/routing/RoutingTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingTest.java
@@ -18,48 +18,52 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.Bed;
-import tinford.api.Effect;
-import tinford.api.End;
-import tinford.api.Frontend;
-import tinford.api.Gateway;
-import tinford.api.Group;
+import tinford.DecisionFixture;
+import tinford.api.AttemptOutcome;
+import tinford.api.DecisionModule;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
-import tinford.api.Req;
-import tinford.transport.Ending;
-import tinford.transport.Loop;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.transport.CloseReason;
+import tinford.transport.EventLoop;
 
 /** What the ends of connections mean, addresses, and the messages between gateways. */
 public class RoutingTest {
     @DataProvider
     public Object[][] ends() {
         return new Object[][] {
-            {Ending.REFUSED, End.UNREACHABLE, End.UNREACHABLE},
-            {Ending.NEVER_UP, End.UNREACHABLE, End.UNREACHABLE},
-            {Ending.NO_ROOM, End.UNREACHABLE, End.UNREACHABLE},
-            {Ending.BROKEN, End.UNREACHABLE, End.BROKEN},
-            {Ending.ENDED, End.UNREACHABLE, End.BROKEN},
-            {Ending.MALFORMED, End.UNREACHABLE, End.BROKEN},
-            {Ending.OVERFULL, End.UNREACHABLE, End.BROKEN},
-            {Ending.RETIRED, End.UNREACHABLE, End.BROKEN},
-            {Ending.SILENT, End.UNREACHABLE, End.TIMED_OUT},
-            {Ending.PASSED_BY, End.UNREACHABLE, End.BROKEN},
-            {Ending.DROPPED, End.VOID, End.CANCELLED},
+            {CloseReason.REFUSED, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
+            {CloseReason.NEVER_UP, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
+            {CloseReason.NO_ROOM, AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE},
+            {CloseReason.BROKEN, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.ENDED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.MALFORMED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.OVERFULL, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.RETIRED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.SILENT, AttemptOutcome.UNREACHABLE, AttemptOutcome.TIMED_OUT},
+            {CloseReason.PASSED_BY, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST},
+            {CloseReason.DROPPED, AttemptOutcome.NOT_SENT, AttemptOutcome.CANCELLED},
         };
     }
 
     @Test(dataProvider = "ends")
-    public void endsSayWhatMayHaveRun(Ending how, End before, End after) {
-        assertEquals(Ends.ofDispatch(how, false), before);
-        assertEquals(Ends.ofDispatch(how, true), after);
+    public void endsSayWhatMayHaveRun(
+            CloseReason how, AttemptOutcome before, AttemptOutcome after) {
+        assertEquals(OutcomeMapping.ofDispatch(how, false), before);
+        assertEquals(OutcomeMapping.ofDispatch(how, true), after);
         assertEquals(
-                Ends.ofCall(how, false), how == Ending.SILENT ? End.TIMED_OUT : End.UNREACHABLE);
+                OutcomeMapping.ofCall(how, false),
+                how == CloseReason.SILENT ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE);
         // only silence in the whole of a call's time tells of what the counter bears
         assertEquals(
-                Ends.ofCall(how, true),
-                how == Ending.SILENT
-                        ? End.TIMED_OUT
-                        : after.mayHaveRun ? End.BROKEN : End.UNREACHABLE);
+                OutcomeMapping.ofCall(how, true),
+                how == CloseReason.SILENT
+                        ? AttemptOutcome.TIMED_OUT
+                        : after.mayHaveRun
+                                ? AttemptOutcome.CONNECTION_LOST
+                                : AttemptOutcome.UNREACHABLE);
     }
 
     /**
@@ -70,7 +74,8 @@
     public void aFleetTurnedAwayTogetherComesBackSpread() {
         int[] first = new int[10];
         for (int gateway = 0; gateway < 1000; gateway++) {
-            Again again = new Again(200, 500, new java.util.Random(gateway * 0x9E3779B97F4A7C15L));
+            Backoff again =
+                    new Backoff(200, 500, new java.util.Random(gateway * 0x9E3779B97F4A7C15L));
             double at = again.next();
             first[(int) ((at - 100) / 20)]++; // from 100 to 300 ms
             double mean = 200;
@@ -110,16 +115,16 @@
     public void onlyShortMessagesOfListedPeersAreHeard() throws Exception {
         InetAddress here = InetAddress.getLoopbackAddress();
         LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        Gateway gateway =
+        DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new Bed.Deaf() {
+                                new DecisionFixture.Deaf() {
                                     @Override
-                                    public void heard(int peer, String text) {
+                                    public void gossipReceived(int peer, String text) {
                                         heard.add(peer + " " + text);
-                                        out.tell(peer, "re " + text);
-                                        out.tell(peer, "x".repeat(257));
-                                        out.tell(-1, "all");
+                                        out.sendGossip(peer, "re " + text);
+                                        out.sendGossip(peer, "x".repeat(257));
+                                        out.sendGossip(-1, "all");
                                     }
                                 });
         try (DatagramSocket peer = new DatagramSocket(0, here);
@@ -129,9 +134,9 @@
             try (DatagramSocket free = new DatagramSocket(0, here)) {
                 listen = address(free);
             }
-            Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-            Peers peers =
-                    new Peers(
+            RequestDispatcher desk = new RequestDispatcher(gateway, 3, 10, 1 << 20);
+            PeerMessenger peers =
+                    new PeerMessenger(
                             desk,
                             listen,
                             List.of(new InetSocketAddress(here, 9), address(peer)),
@@ -159,30 +164,30 @@
      */
     @Test(dataProvider = "closes")
     public void aReqUnreadKeepsItsConnection(String how) throws Exception {
-        Gateway gateway =
+        DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new Bed.Deaf() {
+                                new DecisionFixture.Deaf() {
                                     @Override
-                                    public void arrived(Req req) {
-                                        out.abort(req);
+                                    public void requestArrived(Request req) {
+                                        out.fail(req);
                                     }
                                 });
-        Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-        Clients clients =
-                new Clients(
+        RequestDispatcher desk = new RequestDispatcher(gateway, 3, 10, 1 << 20);
+        ClientPool clients =
+                new ClientPool(
                         desk,
                         new Catalog(
                                 Map.of(
                                         "f",
-                                        new Frontend(
+                                        new RequestClass(
                                                 "f",
                                                 2000,
                                                 8000,
                                                 1,
                                                 0,
-                                                Effect.IDEMPOTENT,
-                                                Group.ALL,
+                                                Idempotency.IDEMPOTENT,
+                                                DeduplicationScope.ALL,
                                                 0,
                                                 false)),
                                 Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0))),
@@ -210,7 +215,7 @@
                         new String(s.getInputStream().readNBytes(7), StandardCharsets.US_ASCII),
                         "+PONG\r\n");
             }
-            Loop.Due write =
+            EventLoop.Task write =
                     () -> {
                         try {
                             longest.getOutputStream()
@@ -229,18 +234,18 @@
                             throw new UncheckedIOException(e);
                         }
                     };
-            desk.loop.enter(
+            desk.loop.execute(
                     () -> {
                         if (!how.endsWith("crossed")) {
-                            write.play();
+                            write.run();
                         }
                         switch (how.split(",")[0]) {
-                            case "room" -> clients.makeRoom(ClientLink.JUST_COME);
+                            case "room" -> clients.makeRoom(ClientConnection.JUST_COME);
                             case "end" -> clients.end(() -> {});
                             default -> clients.letGo();
                         }
                         if (how.endsWith("crossed")) {
-                            write.play();
+                            write.run();
                         }
                     });
             assertEquals(
@@ -257,32 +262,32 @@
      */
     @Test
     public void anAnswerOfThisTurnIsNotClosedUpon() throws Exception {
-        Clients[] clients = new Clients[1];
-        Gateway gateway =
+        ClientPool[] clients = new ClientPool[1];
+        DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new Bed.Deaf() {
+                                new DecisionFixture.Deaf() {
                                     @Override
-                                    public void arrived(Req req) {
-                                        out.abort(req);
-                                        clients[0].makeRoom(ClientLink.BUSY);
+                                    public void requestArrived(Request req) {
+                                        out.fail(req);
+                                        clients[0].makeRoom(ClientConnection.BUSY);
                                     }
                                 });
-        Desk desk = new Desk(gateway, 3, 10, 1 << 20);
+        RequestDispatcher desk = new RequestDispatcher(gateway, 3, 10, 1 << 20);
         clients[0] =
-                new Clients(
+                new ClientPool(
                         desk,
                         new Catalog(
                                 Map.of(
                                         "f",
-                                        new Frontend(
+                                        new RequestClass(
                                                 "f",
                                                 2000,
                                                 8000,
                                                 1,
                                                 0,
-                                                Effect.IDEMPOTENT,
-                                                Group.ALL,
+                                                Idempotency.IDEMPOTENT,
+                                                DeduplicationScope.ALL,
                                                 0,
                                                 false)),
                                 Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0))),
@@ -328,38 +333,41 @@
     @Test
     public void lateAnswerOfTheCounterIsNotTheNextOne() throws Exception {
         LinkedBlockingQueue<String> counted = new LinkedBlockingQueue<>();
-        Gateway gateway =
+        DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new Bed.Deaf() {
+                                new DecisionFixture.Deaf() {
                                     @Override
-                                    public void counted(
-                                            long name, End how, double took, double total) {
+                                    public void counterAnswered(
+                                            long name,
+                                            AttemptOutcome how,
+                                            double took,
+                                            double total) {
                                         counted.add(name + " " + how + " " + total);
                                     }
 
                                     @Override
-                                    public void countedLate(long name, double total) {
+                                    public void counterAnsweredLate(long name, double total) {
                                         counted.add(name + " late " + total);
                                     }
                                 });
         try (ServerSocket door = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-            Counter counter =
-                    new Counter(
+            RequestDispatcher desk = new RequestDispatcher(gateway, 3, 10, 1 << 20);
+            CounterClient counter =
+                    new CounterClient(
                             desk,
                             new InetSocketAddress(door.getInetAddress(), door.getLocalPort()),
                             60_000,
                             50,
                             1);
-            desk.loop.enter(() -> counter.add(1, 2.5, 1000));
+            desk.loop.execute(() -> counter.add(1, 2.5, 1000));
             try (Socket s = door.accept()) {
                 assertEquals(
                         new String(s.getInputStream().readNBytes(48), StandardCharsets.US_ASCII),
                         "*4\r\n$7\r\nCNT.ADD\r\n$1\r\n1\r\n$8\r\n2.500000\r\n$4\r\n1000\r\n");
                 assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 TIMED_OUT 0.0");
                 s.getOutputStream().write("$1\r\n4\r\n".getBytes(StandardCharsets.US_ASCII));
-                desk.loop.enter(() -> counter.add(2, 1, 1000));
+                desk.loop.execute(() -> counter.add(2, 1, 1000));
                 s.getInputStream().readNBytes(41);
                 s.getOutputStream().write("$1\r\n7\r\n".getBytes(StandardCharsets.US_ASCII));
                 assertEquals(counted.poll(10, TimeUnit.SECONDS), "1 late 4.0");
@@ -376,33 +384,36 @@
     @Test
     public void counterThatMovesKeepsTheOrderOfAnswers() throws Exception {
         LinkedBlockingQueue<String> counted = new LinkedBlockingQueue<>();
-        Gateway gateway =
+        DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new Bed.Deaf() {
+                                new DecisionFixture.Deaf() {
                                     @Override
-                                    public void counted(
-                                            long name, End how, double took, double total) {
+                                    public void counterAnswered(
+                                            long name,
+                                            AttemptOutcome how,
+                                            double took,
+                                            double total) {
                                         counted.add(name + " " + how + " " + total);
                                     }
                                 });
         InetAddress here = InetAddress.getLoopbackAddress();
         try (ServerSocket old = new ServerSocket(0, 1, here);
                 ServerSocket next = new ServerSocket(0, 1, here)) {
-            Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-            Counter counter =
-                    new Counter(
+            RequestDispatcher desk = new RequestDispatcher(gateway, 3, 10, 1 << 20);
+            CounterClient counter =
+                    new CounterClient(
                             desk,
                             new InetSocketAddress(here, old.getLocalPort()),
                             60_000,
                             60_000,
                             1);
-            desk.loop.enter(() -> counter.add(1, 1, 1000));
+            desk.loop.execute(() -> counter.add(1, 1, 1000));
             try (Socket before = old.accept()) {
                 before.getInputStream().readNBytes(41);
-                desk.loop.enter(
+                desk.loop.execute(
                         () -> counter.move(new InetSocketAddress(here, next.getLocalPort())));
-                desk.loop.enter(() -> counter.add(1, 2, 1000));
+                desk.loop.execute(() -> counter.add(1, 2, 1000));
                 try (Socket after = next.accept()) {
                     before.getOutputStream()
                             .write("$1\r\n4\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -441,27 +452,30 @@
     @Test(dataProvider = "spoiltTotals")
     public void spoiltTotalCostsItsConnectionOnly(String text, int answers) throws Exception {
         LinkedBlockingQueue<String> counted = new LinkedBlockingQueue<>();
-        Gateway gateway =
+        DecisionModule gateway =
                 (now, feed, out) ->
                         feed.replay(
-                                new Bed.Deaf() {
+                                new DecisionFixture.Deaf() {
                                     @Override
-                                    public void counted(
-                                            long name, End how, double took, double total) {
+                                    public void counterAnswered(
+                                            long name,
+                                            AttemptOutcome how,
+                                            double took,
+                                            double total) {
                                         counted.add(name + " " + how + " " + total);
                                     }
                                 });
         try (ServerSocket door = new ServerSocket(0, 2, InetAddress.getLoopbackAddress())) {
-            Desk desk = new Desk(gateway, 3, 10, 1 << 20);
-            Counter counter =
-                    new Counter(
+            RequestDispatcher desk = new RequestDispatcher(gateway, 3, 10, 1 << 20);
+            CounterClient counter =
+                    new CounterClient(
                             desk,
                             new InetSocketAddress(door.getInetAddress(), door.getLocalPort()),
                             60_000,
                             60_000,
                             1);
-            desk.loop.enter(() -> counter.add(1, 1, 1000));
-            desk.loop.enter(() -> counter.add(2, 1, 1000));
+            desk.loop.execute(() -> counter.add(1, 1, 1000));
+            desk.loop.execute(() -> counter.add(2, 1, 1000));
             try (Socket s = door.accept()) {
                 s.getInputStream().readNBytes(82);
                 s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -472,7 +486,7 @@
                         counted.poll(10, TimeUnit.SECONDS),
                         answers == 2 ? "2 GOOD 6.0" : "2 BROKEN 0.0");
                 try (Socket next = door.accept()) {
-                    desk.loop.enter(() -> counter.add(3, 1, 1000));
+                    desk.loop.execute(() -> counter.add(3, 1, 1000));
                     next.getInputStream().readNBytes(41);
                     next.getOutputStream().write("$1\r\n8\r\n".getBytes(StandardCharsets.US_ASCII));
                     assertEquals(counted.poll(10, TimeUnit.SECONDS), "3 GOOD 8.0");
@@ -489,15 +503,20 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        Desk desk = new Desk((now, feed, out) -> feed.replay(new Bed.Deaf()), 3, 10, 1 << 20);
-        Counter counter =
-                new Counter(
+        RequestDispatcher desk =
+                new RequestDispatcher(
+                        (now, feed, out) -> feed.replay(new DecisionFixture.Deaf()),
+                        3,
+                        10,
+                        1 << 20);
+        CounterClient counter =
+                new CounterClient(
                         desk,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                         20,
                         50,
                         1);
-        desk.loop.enter(counter::connect);
+        desk.loop.execute(counter::connect);
         try (ServerSocket door = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
             door.setSoTimeout(10_000);
             door.accept().close();
--- a/gateway/src/test/java/tinford/routing/BansTest.java
+++ b/gateway/src/test/java/tinford/routing/ServerExclusionsTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 
 /** What a record of the operators' calls says of a server. */
-public class BansTest {
+public class ServerExclusionsTest {
     @DataProvider
     public Object[][] records() {
         return new Object[][] {
@@ -37,7 +37,7 @@
      */
     @Test(dataProvider = "records")
     public void theLastCallCounts(List<String> lines, boolean out, double born, double listed) {
-        Bans bans = new Bans();
+        ServerExclusions bans = new ServerExclusions();
         lines.forEach(bans::take);
         assertEquals(bans.holds("s"), out);
         assertEquals(bans.born("s", 0), born);
@@ -51,11 +51,11 @@
      */
     @Test
     public void whatIsKeptIsBounded() {
-        Bans bans = new Bans();
-        bans.take(Bans.line("first", true, 0));
+        ServerExclusions bans = new ServerExclusions();
+        bans.take(ServerExclusions.line("first", true, 0));
         for (int i = 0; i < 10_000; i++) {
-            bans.take(Bans.line("s" + i, true, i));
-            bans.take(Bans.line("s" + i, false, i));
+            bans.take(ServerExclusions.line("s" + i, true, i));
+            bans.take(ServerExclusions.line("s" + i, false, i));
         }
         assertTrue(bans.holds("first"));
         int known = 0;
--- a/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
+++ b/gateway/src/test/java/tinford/routing/ServerTurnsTest.java
@@ -23,15 +23,15 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.Bed;
-import tinford.api.Effect;
-import tinford.api.End;
-import tinford.api.Frontend;
-import tinford.api.Group;
+import tinford.DecisionFixture;
+import tinford.api.AttemptOutcome;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
-import tinford.api.Req;
-import tinford.api.Srv;
-import tinford.handed.Fields;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.api.Server;
+import tinford.settings.JsonFields;
 
 /**
  * What comes from a server in the very turn in which something ends, or begins, here; dispatches
@@ -43,9 +43,9 @@
     private final AtomicLong nanos = new AtomicLong();
     private final List<AutoCloseable> open = new ArrayList<>();
     private final List<String> ended = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<Req> arrived = new LinkedBlockingQueue<>();
-    private Desk desk;
-    private Srv srv;
+    private final BlockingQueue<Request> arrived = new LinkedBlockingQueue<>();
+    private RequestDispatcher desk;
+    private Server srv;
     private ServerSocket door;
     private Socket client;
 
@@ -57,23 +57,23 @@
         door = new ServerSocket(0, 5, here);
         door.setSoTimeout(10_000);
         open.add(door);
-        Bed.Deaf inbox =
-                new Bed.Deaf() {
+        DecisionFixture.Deaf inbox =
+                new DecisionFixture.Deaf() {
                     @Override
-                    public void listed(List<Srv> entries, boolean whole) {
+                    public void endpointsUpdated(List<Server> entries, boolean whole) {
                         srv = entries.get(0);
                     }
 
                     @Override
-                    public void arrived(Req req) {
+                    public void requestArrived(Request req) {
                         arrived.add(req);
                     }
 
                     @Override
-                    public void ended(
-                            Req req,
+                    public void attemptEnded(
+                            Request req,
                             int hop,
-                            End how,
+                            AttemptOutcome how,
                             double took,
                             boolean closed,
                             int seenUse,
@@ -81,27 +81,29 @@
                             double[] load) {
                         ended.add(how + (closed ? " closed" : ""));
                         if (!closed) {
-                            desk.abort(req);
+                            desk.fail(req);
                         }
                     }
                 };
-        desk = new Desk((at, feed, out) -> feed.replay(inbox), 3, 100, 1 << 22, nanos::get);
+        desk =
+                new RequestDispatcher(
+                        (at, feed, out) -> feed.replay(inbox), 3, 100, 1 << 22, nanos::get);
         open.add(desk.loop::close);
-        Servers servers = new Servers(desk, 250, 15_000, 10, List.of());
-        Clients clients =
-                new Clients(
+        ServerPool servers = new ServerPool(desk, 250, 15_000, 10, List.of());
+        ClientPool clients =
+                new ClientPool(
                         desk,
                         new Catalog(
                                 Map.of(
                                         "f",
-                                        new Frontend(
+                                        new RequestClass(
                                                 "f",
                                                 2000,
                                                 8000,
                                                 1,
                                                 0,
-                                                Effect.NON_IDEMPOTENT,
-                                                Group.ALL,
+                                                Idempotency.NON_IDEMPOTENT,
+                                                DeduplicationScope.ALL,
                                                 0,
                                                 false)),
                                 Map.of("p", new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0))),
@@ -118,10 +120,10 @@
             port = free.getLocalPort();
         }
         clients.listen(new InetSocketAddress(here, port), false);
-        desk.loop.enter(
+        desk.loop.execute(
                 () ->
                         servers.list(
-                                Fields.of(
+                                JsonFields.of(
                                         new JsonFactory(),
                                         "known",
                                         "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s\","
@@ -153,7 +155,7 @@
         return new String(s.getInputStream().readNBytes(n), StandardCharsets.US_ASCII);
     }
 
-    private Req ask(int n) throws InterruptedException {
+    private Request ask(int n) throws InterruptedException {
         say(
                 client,
                 "*4\r\n$4\r\nQ.DO\r\n$16\r\n0000000000000007\r\n$16\r\n000000000000000"
@@ -201,14 +203,14 @@
     @Test(dataProvider = "timeOuts")
     public void anAnswerInTheTurnOfTheTimeOutIsNoSecondOne(String comes, boolean read)
             throws Exception {
-        Req req = ask(1);
-        desk.loop.enter(() -> desk.dispatch(req, srv, CAP, 1e9));
+        Request req = ask(1);
+        desk.loop.execute(() -> desk.sendAttempt(req, srv, CAP, 1e9));
         Socket server = accept(1);
-        desk.loop.enter(
+        desk.loop.execute(
                 () -> {
                     say(server, comes);
                     if (read) {
-                        ((Exchange) req).dispatches.get(0).link.quiet();
+                        ((ClientRequest) req).dispatches.get(0).link.isQuiet();
                     }
                     nanos.addAndGet((long) (2 * CAP * 1e6));
                 });
@@ -237,19 +239,19 @@
      */
     @Test
     public void aSecondAnswerInTheTurnOfTheNextDispatchIsNotItsAnswer() throws Exception {
-        Req first = ask(1);
-        desk.loop.enter(() -> desk.dispatch(first, srv, 0, 1e9));
+        Request first = ask(1);
+        desk.loop.execute(() -> desk.sendAttempt(first, srv, 0, 1e9));
         Socket server = accept(1);
         say(server, ONE);
         assertEquals(hear(client, 9), "$3\r\none\r\n");
         for (long until = System.nanoTime() + 30_000_000L; System.nanoTime() < until; ) {
             ping(); // until the connection has rested
         }
-        Req second = ask(2);
-        desk.loop.enter(
+        Request second = ask(2);
+        desk.loop.execute(
                 () -> {
                     say(server, ONE);
-                    desk.dispatch(second, srv, 0, 1e9);
+                    desk.sendAttempt(second, srv, 0, 1e9);
                 });
         Socket next = accept(2);
         say(next, ONE.replace("one", "two"));
--- a/gateway/src/test/java/tinford/routing/ServersListTest.java
+++ b/gateway/src/test/java/tinford/routing/ServersListTest.java
@@ -20,21 +20,21 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.Bed;
-import tinford.api.Srv;
-import tinford.api.View;
-import tinford.handed.Fields;
+import tinford.DecisionFixture;
+import tinford.api.FleetPolicy;
+import tinford.api.Server;
+import tinford.settings.JsonFields;
 
 /** The table of servers under lists: what is left and in which order, and whose names are known. */
 public class ServersListTest {
     private static final int FLEET = 6000;
     private static final int MOST_GONE = 4096;
     private final List<AutoCloseable> open = new ArrayList<>();
-    private final Map<String, Backend> held = new LinkedHashMap<>();
+    private final Map<String, PooledServer> held = new LinkedHashMap<>();
     private final List<String> left = new ArrayList<>();
     private ServerSocket full; // nobody is let in there: a connection to it is never up
-    private Desk desk;
-    private Servers servers;
+    private RequestDispatcher desk;
+    private ServerPool servers;
 
     @BeforeMethod
     public void prepare() throws Exception {
@@ -45,21 +45,21 @@
         for (int i = 0; i < 2; i++) {
             open.add(new Socket(full.getInetAddress(), full.getLocalPort()));
         }
-        Bed.Deaf inbox =
-                new Bed.Deaf() {
+        DecisionFixture.Deaf inbox =
+                new DecisionFixture.Deaf() {
                     @Override
-                    public void listed(List<Srv> entries, boolean whole) {
-                        entries.forEach(entry -> held.put(entry.id, (Backend) entry));
+                    public void endpointsUpdated(List<Server> entries, boolean whole) {
+                        entries.forEach(entry -> held.put(entry.id, (PooledServer) entry));
                     }
                 };
-        desk = new Desk((now, feed, out) -> feed.replay(inbox), 3, 100, 1 << 24);
+        desk = new RequestDispatcher((now, feed, out) -> feed.replay(inbox), 3, 100, 1 << 24);
         open.add(desk.loop::close);
-        servers = new Servers(desk, 60_000, 60_000, 100, List.of());
+        servers = new ServerPool(desk, 60_000, 60_000, 100, List.of());
         desk.seat(null, servers, null, null, null);
         desk.view =
-                new View() {
+                new FleetPolicy() {
                     @Override
-                    public void closed(Srv server) {
+                    public void connectionClosed(Server server) {
                         left.add(server.id);
                     }
                 };
@@ -147,8 +147,8 @@
 
     /** One connection to each, that does not come up. */
     private void connectToAll() {
-        for (Backend backend : held.values()) {
-            ServerLink link = new ServerLink(desk, servers, backend);
+        for (PooledServer backend : held.values()) {
+            ServerConnection link = new ServerConnection(desk, servers, backend);
             link.counts = true;
             backend.links++;
             backend.opening.add(link);
@@ -159,7 +159,7 @@
     private void list(boolean whole, Stream<String> entries) {
         List<String> hosts = entries.map(this::host).toList();
         servers.list(
-                Fields.of(
+                JsonFields.of(
                         new JsonFactory(),
                         "list",
                         "{\"seq\":1,\"whole\":"
@@ -183,7 +183,7 @@
     /** Within one turn of the loop. */
     private void onLoop(Runnable what) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        desk.loop.enter(
+        desk.loop.execute(
                 () -> {
                     try {
                         what.run();
--- a/gateway/src/test/java/tinford/routing/WatchBed.java
+++ b/gateway/src/test/java/tinford/routing/WatchBed.java
@@ -24,9 +24,10 @@
 import java.util.function.IntFunction;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
-import tinford.Bed;
-import tinford.api.Srv;
-import tinford.transport.Datagrams;
+import tinford.DecisionFixture;
+import tinford.api.Server;
+import tinford.settings.JsonFields;
+import tinford.transport.UdpSocket;
 
 /** A watch and a discovery that is played step by step, on real connections and in driven time. */
 abstract class WatchBed {
@@ -56,7 +57,7 @@
     final Semaphore looked = new Semaphore(0);
     final DatagramSocket probe = probe();
     final List<AutoCloseable> open = new ArrayList<>();
-    final Map<String, Srv> held = new TreeMap<>();
+    final Map<String, Server> held = new TreeMap<>();
     final List<Integer> opens = new ArrayList<>();
     final List<String> asked = new ArrayList<>();
     final List<Wire> wires = new ArrayList<>();
@@ -69,8 +70,8 @@
     ServerSocketChannel door;
     InetSocketAddress where; // a door that is shut was
     InetSocketAddress probed;
-    Desk desk;
-    Watch watch;
+    RequestDispatcher desk;
+    DiscoveryWatch watch;
 
     /**
      * One connection of the stand-in: says what its script tells, times counting from the req for
@@ -222,30 +223,32 @@
     }
 
     void start(long seed) throws Exception {
-        Bed.Deaf inbox =
-                new Bed.Deaf() {
+        DecisionFixture.Deaf inbox =
+                new DecisionFixture.Deaf() {
                     @Override
-                    public void listed(List<Srv> entries, boolean whole) {
+                    public void endpointsUpdated(List<Server> entries, boolean whole) {
                         if (whole) {
                             held.clear();
                         }
-                        entries.forEach(s -> held.put(((Backend) s).id, s));
-                        held.values().removeIf(s -> s.state == Srv.State.REMOVED);
+                        entries.forEach(s -> held.put(((PooledServer) s).id, s));
+                        held.values().removeIf(s -> s.state == Server.State.REMOVED);
                         takenAt = takenAt < 0 && !held.containsKey("s0") ? now : takenAt;
                     }
 
                     @Override
-                    public void listRefused() {
+                    public void discoveryFailed() {
                         refused++;
                     }
                 };
-        desk = new Desk((at, feed, out) -> feed.replay(inbox), 3, descriptors, 1 << 22, nanos::get);
+        desk =
+                new RequestDispatcher(
+                        (at, feed, out) -> feed.replay(inbox), 3, descriptors, 1 << 22, nanos::get);
         open.add(desk.loop::close);
         probed = new InetSocketAddress(InetAddress.getLoopbackAddress(), free());
-        new Datagrams(desk.loop, probed, 8, (from, bytes) -> looked.release());
-        Servers servers = new Servers(desk, 250, 15_000, 10, List.of());
+        new UdpSocket(desk.loop, probed, 8, (from, bytes) -> looked.release());
+        ServerPool servers = new ServerPool(desk, 250, 15_000, 10, List.of());
         watch =
-                new Watch(
+                new DiscoveryWatch(
                         desk,
                         at(),
                         connectWithin,
@@ -254,11 +257,10 @@
                         42,
                         new Random(seed));
         desk.seat(null, servers, null, watch, null);
-        desk.loop.enter(
+        desk.loop.execute(
                 () -> {
                     servers.list(
-                            tinford.handed.Fields.of(
-                                    new JsonFactory(), "known", list(42, true, "s0", "s1")));
+                            JsonFields.of(new JsonFactory(), "known", list(42, true, "s0", "s1")));
                     watch.want(true);
                 });
     }
--- a/gateway/src/test/java/tinford/routing/WatchOutageTest.java
+++ b/gateway/src/test/java/tinford/routing/WatchOutageTest.java
@@ -285,6 +285,6 @@
     }
 
     private void setAside(int connections) {
-        desk.loop.enter(() -> desk.loop.descriptors().setAside(connections));
+        desk.loop.execute(() -> desk.loop.descriptorBudget().reserve(connections));
     }
 }
--- a/gateway/src/test/java/tinford/routing/WatchTest.java
+++ b/gateway/src/test/java/tinford/routing/WatchTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.Srv;
+import tinford.api.Server;
 
 /** What the watch hears, and when it opens another beside a silent one. */
 public class WatchTest extends WatchBed {
@@ -353,7 +353,7 @@
         start(1);
         play(100, new String[] {"0", HEAD + chunk(text)}, GOOD);
         assertEquals(held.keySet(), Set.of("s0", "s1"));
-        assertEquals(held.get("s0").state, Srv.State.UP);
+        assertEquals(held.get("s0").state, Server.State.UP);
         play(1000, new String[][] {GOOD});
         assertTrue(takenAt >= 0 && takenAt <= 350, "taken at " + takenAt);
         assertTrue(asked.size() == 2 && asked.get(1).contains("&after=42 "), asked.toString());
@@ -387,7 +387,7 @@
         start(1);
         play(1000, new String[][] {lives});
         for (int call = 1; call <= 2; call++) {
-            desk.loop.enter(
+            desk.loop.execute(
                     () -> {
                         watch.fetch();
                         watch.fetch();
@@ -438,9 +438,9 @@
         List<Wire> old = wires.stream().filter(w -> w.channel.isOpen()).toList();
         takenAt = -1;
         door = door();
-        desk.loop.enter(
+        desk.loop.execute(
                 () -> {
-                    held.put("s0", new Backend("s0", 0));
+                    held.put("s0", new PooledServer("s0", 0));
                     try {
                         watch.move(at());
                     } catch (IOException e) {
@@ -491,15 +491,15 @@
         start(2);
         play(5000, new String[][] {before});
         takenAt = -1;
-        held.put("s0", new Backend("s0", 0));
+        held.put("s0", new PooledServer("s0", 0));
         ServerSocketChannel last = back ? door : door();
         door = door();
         InetSocketAddress between = at();
-        desk.loop.enter(() -> watch.move(between));
+        desk.loop.execute(() -> watch.move(between));
         play(5000 + apart, new String[][] {SILENT});
         door = last;
         InetSocketAddress to = at();
-        desk.loop.enter(() -> watch.move(to));
+        desk.loop.execute(() -> watch.move(to));
         opens.clear();
         asked.clear();
         play(5000 + apart + STEP, new String[][] {with(HEAD + chunk(list(44, true, "s1")))});
--- a/gateway/src/test/java/tinford/handed/HandedTest.java
+++ b/gateway/src/test/java/tinford/settings/SettingsReaderTest.java
@@ -1,4 +1,4 @@
-package tinford.handed;
+package tinford.settings;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -7,97 +7,103 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.CounterTerms;
-import tinford.api.Effect;
-import tinford.api.Frontend;
-import tinford.api.Gateway;
-import tinford.api.Goal;
-import tinford.api.Group;
-import tinford.api.Limits;
-import tinford.api.Place;
-import tinford.api.Plan;
-import tinford.api.Rules;
+import tinford.api.*;
 
 /**
  * Settings unlike those known: what may be missing, what it stands for then, and what is an error.
  */
-public class HandedTest {
+public class SettingsReaderTest {
     private static final String LEAST =
             "{\"Classes\":[{\"Name\":\"a\",\"HardLimitUs\":4000000,\"Effect\":\"read_like\"},"
                 + "{\"Name\":\"k\",\"HardLimitUs\":5000000,\"Effect\":\"idempotency_key\"}],\"Limits\":{\"MaxAttempts\":3},"
                 + "\"NInstances\":2,\"Rules\":{\"FallMultiple\":2},\"Tariffs\":[{\"Name\":\"p\"}]}";
 
-    private Rules rules;
-    private Goal goal;
+    private SlowStartRules rules;
+    private Objectives goal;
 
-    private Gateway make(
+    private DecisionModule make(
             long seed,
-            Place place,
-            Limits limits,
-            Rules cold,
-            CounterTerms counter,
-            Goal weighs,
+            GatewayIdentity place,
+            AttemptLimits limits,
+            SlowStartRules cold,
+            CounterSettings counter,
+            Objectives weighs,
             boolean mustAsk) {
         rules = cold;
         goal = weighs;
         return null;
     }
 
-    private static Fields read(String text) {
-        return Fields.of(new JsonFactory(), "configuration", "{\"settings\":" + text + "}")
-                .part("settings");
+    private static JsonFields read(String text) {
+        return JsonFields.of(new JsonFactory(), "configuration", "{\"settings\":" + text + "}")
+                .object("settings");
     }
 
     /** All that a start takes of them. */
-    private void take(Fields set) {
-        Handed.frontends(set);
-        Handed.plans(set);
-        Handed.connectWithin(set);
-        Handed.idleMost(set);
-        Handed.mostOpen(set);
-        Handed.mostUnits(set);
-        Handed.make(this::make, 1, set);
+    private void take(JsonFields set) {
+        SettingsReader.requestClasses(set);
+        SettingsReader.plans(set);
+        SettingsReader.connectTimeoutMs(set);
+        SettingsReader.idleTimeoutMs(set);
+        SettingsReader.maxOpenRequests(set);
+        SettingsReader.maxRequestUnits(set);
+        SettingsReader.createModule(this::make, 1, set);
     }
 
     @Test
     public void whatIsMissingHarmsNobody() {
-        Fields set = read(LEAST);
+        JsonFields set = read(LEAST);
         take(set);
-        Frontend a = Handed.frontends(set).get("a");
-        Frontend k = Handed.frontends(set).get("k");
+        RequestClass a = SettingsReader.requestClasses(set).get("a");
+        RequestClass k = SettingsReader.requestClasses(set).get("k");
         assertEquals(
-                new double[] {a.target, a.timeout, a.value, a.lateValue, k.target},
+                new double[] {
+                    a.latencyObjectiveMs,
+                    a.timeoutMs,
+                    a.priorityWeight,
+                    a.lateWeight,
+                    k.latencyObjectiveMs
+                },
                 new double[] {4000, 4000, 1, 0, 5000});
-        assertEquals(a.effect, Effect.IDEMPOTENT);
-        assertEquals(k.repeatWindow, 0.0); // none known: never again where it may have run
-        assertEquals(k.group, Group.CELL); // within any group
-        Plan p = Handed.plans(set).get("p");
+        assertEquals(a.idempotency, Idempotency.IDEMPOTENT);
+        assertEquals(k.deduplicationWindowMs, 0.0); // none known: never again where it may have run
+        assertEquals(k.deduplicationScope, DeduplicationScope.CELL); // within any group
+        Plan p = SettingsReader.plans(set).get("p");
         assertEquals(
                 new double[] {
-                    p.rate, p.maxOut, p.ceilingRate, p.price, p.beyondValue, p.beyondCost
+                    p.quotaPerMs,
+                    p.maxOpenRequests,
+                    p.hardLimitPerMs,
+                    p.priorityWeight,
+                    p.overQuotaWeight,
+                    p.overQuotaCost
                 },
                 new double[] {0, 0, 0, 1, 0, 0});
-        Limits limits = Handed.limits(set);
+        AttemptLimits limits = SettingsReader.attemptLimits(set);
         assertTrue(
-                !limits.mayDuplicate
-                        && !limits.cancel
-                        && !limits.peers
-                        && !limits.probes
-                        && limits.maxRetryAfter == 0);
-        CounterTerms counter = Handed.counter(set);
-        assertTrue(!counter.present && !counter.settles && !Handed.mustAsk(set));
-        assertEquals(Handed.place(set).zone, "");
+                !limits.hedgingAllowed
+                        && !limits.cancellationAllowed
+                        && !limits.gossipAllowed
+                        && !limits.healthChecksAllowed
+                        && limits.maxRetryAfterMs == 0);
+        CounterSettings counter = SettingsReader.counterSettings(set);
+        assertTrue(!counter.present && !counter.postPaid && !SettingsReader.watchRequired(set));
+        assertEquals(SettingsReader.gatewayIdentity(set).zone, "");
         assertEquals(
                 new double[] {
-                    Handed.connectWithin(set),
-                    Handed.idleMost(set),
-                    Handed.mostOpen(set),
-                    Handed.mostUnits(set)
+                    SettingsReader.connectTimeoutMs(set),
+                    SettingsReader.idleTimeoutMs(set),
+                    SettingsReader.maxOpenRequests(set),
+                    SettingsReader.maxRequestUnits(set)
                 },
                 new double[] {1000, 600_000, 20_000, 1e9});
         assertEquals(
                 new double[] {
-                    rules.coldFrom, rules.coldTime, rules.fallMultiple, goal.whole, goal.worstPlan
+                    rules.initialCapacityShare,
+                    rules.warmUpMs,
+                    rules.overloadMultiple,
+                    goal.overallWeight,
+                    goal.worstPlanWeight
                 },
                 new double[] {0, 30_000, 2, 1, 0});
     }
@@ -228,8 +234,10 @@
     @Test(dataProvider = "wrongOnes")
     public void whatIsWrongIsNamed(String part, String instead, String line) {
         assertTrue(LEAST.contains(part));
-        BadInput wrong =
-                expectThrows(BadInput.class, () -> take(read(LEAST.replace(part, instead))));
+        InvalidSettingsException wrong =
+                expectThrows(
+                        InvalidSettingsException.class,
+                        () -> take(read(LEAST.replace(part, instead))));
         assertEquals(wrong.getMessage(), "configuration: settings." + line);
     }
 }
--- a/gateway/src/test/java/tinford/benchlink/GoldenTranscriptTest.java
+++ b/gateway/src/test/java/tinford/simulator/GoldenTranscriptTest.java
@@ -1,4 +1,4 @@
-package tinford.benchlink;
+package tinford.simulator;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -17,7 +17,7 @@
 import java.util.zip.GZIPInputStream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.Decide;
+import tinford.decision.DecisionEngine;
 
 /**
  * Replays transcripts that {@link TranscriptRecorder} made with an earlier build: the decisions are
@@ -47,11 +47,11 @@
     public void repliesAsRecorded(String name) throws IOException {
         ByteArrayOutputStream reply = new ByteArrayOutputStream();
         int exitCode =
-                Bench.serve(
+                SimulatorSession.serve(
                         new ByteArrayInputStream(resource(name + INPUT)),
                         reply,
                         new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8),
-                        Decide::new);
+                        DecisionEngine::new);
         assertEquals(exitCode, 0);
         List<String> expected = lines(resource(name + REPLY));
         List<String> actual = lines(reply.toByteArray());
--- a/gateway/src/test/java/tinford/benchlink/TranscriptRecorder.java
+++ b/gateway/src/test/java/tinford/simulator/TranscriptRecorder.java
@@ -1,4 +1,4 @@
-package tinford.benchlink;
+package tinford.simulator;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
--- a/gateway/src/test/java/tinford/transport/BufTest.java
+++ b/gateway/src/test/java/tinford/transport/ConnectionBufferTest.java
@@ -14,7 +14,7 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /** The one buffer of a connection, and the clock. */
-public class BufTest {
+public class ConnectionBufferTest {
     private static <T> T conduit(Class<T> type, java.util.function.ToIntFunction<ByteBuffer> io) {
         return type.cast(
                 Proxy.newProxyInstance(
@@ -32,8 +32,8 @@
     @Test(dataProvider = "seeds")
     public void bothPartsKeepTheirBytes(long seed, int most) throws IOException {
         Random chance = new Random(seed);
-        Room room = new Room(1 << 22);
-        Buf buf = new Buf(room);
+        BufferBudget room = new BufferBudget(1 << 22);
+        ConnectionBuffer buf = new ConnectionBuffer(room);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int[] next = new int[2]; // the next byte to come in, and to be put
         StreamSourceConduit source =
@@ -71,15 +71,15 @@
                 default -> {
                     int n = chance.nextInt(buf.unread() + 1);
                     for (int i = 0; i < n; i++) {
-                        assertEquals(buf.bytes()[buf.from() + i], (byte) taken++);
+                        assertEquals(buf.bytes()[buf.readIndex() + i], (byte) taken++);
                     }
-                    buf.take(n);
+                    buf.consume(n);
                 }
             }
             if (buf.unread() + buf.unwritten() > 4 * most) {
                 buf.write(sink);
                 taken += buf.unread();
-                buf.take(buf.unread());
+                buf.consume(buf.unread());
             }
         }
         while (buf.unwritten() > 0) {
@@ -96,15 +96,15 @@
 
     @Test
     public void roomIsBounded() {
-        Room room = new Room(10_000);
-        Buf one = new Buf(room);
+        BufferBudget room = new BufferBudget(10_000);
+        ConnectionBuffer one = new ConnectionBuffer(room);
         one.put(new byte[5000], 0, 5000);
-        assertTrue(!room.overdrawn());
-        Buf two = new Buf(room);
+        assertTrue(!room.isExceeded());
+        ConnectionBuffer two = new ConnectionBuffer(room);
         two.put(new byte[5000], 0, 5000);
-        assertTrue(room.overdrawn());
+        assertTrue(room.isExceeded());
         two.free();
-        assertTrue(!room.overdrawn());
+        assertTrue(!room.isExceeded());
     }
 
     @Test
--- a/gateway/src/test/java/tinford/transport/DescriptorsTest.java
+++ b/gateway/src/test/java/tinford/transport/DescriptorBudgetTest.java
@@ -5,10 +5,10 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.transport.Descriptors.Party;
+import tinford.transport.DescriptorBudget.Party;
 
 /** Each party's part of the descriptors, also while another process has some. */
-public class DescriptorsTest {
+public class DescriptorBudgetTest {
     @DataProvider
     public Object[][] pools() {
         return new Object[][] {
@@ -18,9 +18,9 @@
 
     @Test(dataProvider = "pools")
     public void nobodyTakesWhatAnotherNeeds(int all, int aside) {
-        Descriptors pool = new Descriptors(all);
+        DescriptorBudget pool = new DescriptorBudget(all);
         for (int i = 0; i < 2; i++) {
-            pool.setAside(aside); // said twice it is taken away once
+            pool.reserve(aside); // said twice it is taken away once
         }
         int clients = take(pool, Party.CLIENTS);
         int servers = take(pool, Party.SERVERS);
@@ -29,14 +29,14 @@
         assertTrue(clients >= servers && servers >= clients - 1, clients + " and " + servers);
         assertTrue(
                 services == Math.min(12, Math.max(0, all - aside) / 2), services + " for services");
-        pool.setAside(0);
+        pool.reserve(0);
         int more = take(pool, Party.CLIENTS);
-        assertEquals(clients + more, pool.most(Party.CLIENTS));
-        pool.setAside(aside);
-        assertEquals(pool.lacking(Party.CLIENTS), more + 1); // those that are open stay
+        assertEquals(clients + more, pool.limit(Party.CLIENTS));
+        pool.reserve(aside);
+        assertEquals(pool.shortage(Party.CLIENTS), more + 1); // those that are open stay
     }
 
-    private static int take(Descriptors pool, Party with) {
+    private static int take(DescriptorBudget pool, Party with) {
         int n = 0;
         for (; pool.take(with); n++) {}
         return n;
--- a/lab/src/main/java/tinford/lab/FleetCommand.java
+++ b/lab/src/main/java/tinford/lab/FleetCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tinford.Decide;
+import tinford.decision.DecisionEngine;
 import tinford.lab.fleet.FleetBench;
 import tinford.lab.fleet.FleetScript;
 import tinford.lab.fleet.Program;
@@ -96,7 +96,7 @@
     }
 
     private Trace drawn(Scenario scenario) {
-        World world = new World(scenario, seed, Decide::new);
+        World world = new World(scenario, seed, DecisionEngine::new);
         world.run();
         return world.asked();
     }
--- a/lab/src/main/java/tinford/lab/RunCommand.java
+++ b/lab/src/main/java/tinford/lab/RunCommand.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import tinford.api.Gateway;
+import tinford.api.DecisionModule;
 import tinford.lab.model.Outcome;
 import tinford.lab.study.Study;
 import tinford.lab.study.Versions;
@@ -25,7 +25,7 @@
     @Override
     public Integer call() throws Exception {
         Study study = study();
-        Gateway.Maker maker = Versions.ofOrHere(jar);
+        DecisionModule.Factory maker = Versions.ofOrHere(jar);
         long from = System.nanoTime();
         List<Outcome> all = study.run(maker, seed, runs);
         double seconds = (System.nanoTime() - from) / NANOS_PER_SECOND;
--- a/lab/src/main/java/tinford/lab/SocketsCommand.java
+++ b/lab/src/main/java/tinford/lab/SocketsCommand.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import tinford.api.Gateway;
+import tinford.api.DecisionModule;
 import tinford.lab.model.Outcome;
 import tinford.lab.model.World;
 import tinford.lab.scenario.Scenario;
@@ -42,7 +42,7 @@
     @Override
     public Integer call() throws Exception {
         study(); // says what is wrong
-        Gateway.Maker maker = Versions.of(jar);
+        DecisionModule.Factory maker = Versions.of(jar);
         Scenario played = Scenario.read(scenario, set);
         Trace traffic = recorded(played);
         if (traffic == null) {
@@ -57,14 +57,14 @@
         return real.broken().isEmpty() ? exitCode(model) : Lab.RULE_BROKEN;
     }
 
-    private Trace drawn(Scenario played, Gateway.Maker maker) {
+    private Trace drawn(Scenario played, DecisionModule.Factory maker) {
         World world = new World(played, seed, maker);
         world.run();
         return world.asked();
     }
 
     /** As the stand-ins on sockets have it: a client asks once and stays. */
-    private List<Outcome> model(Trace traffic, Gateway.Maker maker) throws Exception {
+    private List<Outcome> model(Trace traffic, DecisionModule.Factory maker) throws Exception {
         Map<String, String> once = new LinkedHashMap<>(set);
         once.put("clients.retries", "0");
         once.put("clients.leave", "0");
--- a/lab/src/main/java/tinford/lab/SweepCommand.java
+++ b/lab/src/main/java/tinford/lab/SweepCommand.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import tinford.api.Gateway;
+import tinford.api.DecisionModule;
 import tinford.lab.model.Outcome;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.study.Plot;
@@ -53,9 +53,9 @@
 
     @Override
     public Integer call() throws Exception {
-        Map<String, Gateway.Maker> makers = makers();
+        Map<String, DecisionModule.Factory> makers = makers();
         Map<String, Study> studies = studies();
-        for (Map.Entry<String, Gateway.Maker> maker : makers.entrySet()) {
+        for (Map.Entry<String, DecisionModule.Factory> maker : makers.entrySet()) {
             for (Map.Entry<String, Study> study : studies.entrySet()) {
                 play(maker.getKey(), maker.getValue(), study.getKey(), study.getValue());
             }
@@ -65,8 +65,8 @@
         return exitCode(outcomes.values().stream().flatMap(List::stream).toList());
     }
 
-    private Map<String, Gateway.Maker> makers() throws Versions.Bad {
-        Map<String, Gateway.Maker> makers = new LinkedHashMap<>();
+    private Map<String, DecisionModule.Factory> makers() throws Versions.Bad {
+        Map<String, DecisionModule.Factory> makers = new LinkedHashMap<>();
         for (Path jar : jars) {
             makers.put(jar.getFileName().toString(), Versions.of(jar));
         }
@@ -87,7 +87,7 @@
         return studies;
     }
 
-    private void play(String version, Gateway.Maker maker, String value, Study study)
+    private void play(String version, DecisionModule.Factory maker, String value, Study study)
             throws Exception {
         List<Outcome> played = study.run(maker, seed, runs);
         Study.Mean mean = Study.means(played, level).get(figure);
--- a/lab/src/main/java/tinford/lab/control/ChangeDraw.java
+++ b/lab/src/main/java/tinford/lab/control/ChangeDraw.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.ChangeSet;
 import tinford.fleet.config.Configuration;
-import tinford.fleet.config.Plan;
-import tinford.fleet.config.Route;
-import tinford.fleet.config.Service;
-import tinford.fleet.config.Tenant;
+import tinford.fleet.config.PlanRecord;
+import tinford.fleet.config.RouteRecord;
+import tinford.fleet.config.ServiceRecord;
+import tinford.fleet.config.TenantRecord;
 
 /**
  * Draws a configuration of a given size and changes to it. What has another name than those drawn
@@ -38,7 +38,7 @@
     List<ChangeSet> load(ControlSize size, List<Change> more) {
         List<Change> all = new ArrayList<>(more);
         for (int i = 0; i < size.services(); i++) {
-            all.add(new Change.PutService(new Service(serviceName(i))));
+            all.add(new Change.PutService(new ServiceRecord(serviceName(i))));
         }
         for (int i = 0; i < PLANS; i++) {
             all.add(new Change.PutPlan(plan(planName(i))));
@@ -57,7 +57,7 @@
     List<ChangeSet> moveTenants(String id) {
         List<Change> all = new ArrayList<>();
         for (long tenant = FIRST_TENANT; tenant < nextTenant; tenant++) {
-            all.add(new Change.PutTenant(new Tenant(tenant, drawnPlan())));
+            all.add(new Change.PutTenant(new TenantRecord(tenant, drawnPlan())));
         }
         return sets(id, all);
     }
@@ -75,13 +75,13 @@
     ChangeSet next(String id, Configuration current) {
         int draw = random.nextInt(100);
         if (draw < 50) {
-            return set(id, new Change.PutTenant(new Tenant(drawnTenant(), drawnPlan())));
+            return set(id, new Change.PutTenant(new TenantRecord(drawnTenant(), drawnPlan())));
         } else if (draw < 65) {
             return set(id, newTenant());
         } else if (draw < 70) {
             return set(id, new Change.RemoveTenant(removableTenant(current)));
         } else if (draw < 90) {
-            Route route = drawnRoute(current);
+            RouteRecord route = drawnRoute(current);
             return set(id, new Change.PutRoute(route(route.name(), route.service())));
         } else if (draw < 95) {
             return set(id, new Change.PutPlan(plan(drawnPlan())));
@@ -89,7 +89,7 @@
         String added = "added-" + routesAdded++;
         return set(
                 id,
-                new Change.PutService(new Service(added)),
+                new Change.PutService(new ServiceRecord(added)),
                 new Change.PutRoute(route(added, added)));
     }
 
@@ -98,7 +98,7 @@
     }
 
     private Change newTenant() {
-        return new Change.PutTenant(new Tenant(nextTenant++, drawnPlan()));
+        return new Change.PutTenant(new TenantRecord(nextTenant++, drawnPlan()));
     }
 
     private long drawnTenant() {
@@ -113,9 +113,9 @@
         return id;
     }
 
-    private Route drawnRoute(Configuration current) {
+    private RouteRecord drawnRoute(Configuration current) {
         int number = random.nextInt(current.routes().size());
-        Route route = current.routes().get(routeName(number));
+        RouteRecord route = current.routes().get(routeName(number));
         return route != null ? route : current.routes().get(routeName(0));
     }
 
@@ -123,15 +123,24 @@
         return planName(random.nextInt(PLANS));
     }
 
-    private Plan plan(String name) {
+    private PlanRecord plan(String name) {
         double rate = 1 + random.nextInt(100);
-        return new Plan(name, rate, 4 * rate, 0, 1, 0.2, 0.2, 2 * rate, 10 * rate, 6);
+        return new PlanRecord(name, rate, 4 * rate, 0, 1, 0.2, 0.2, 2 * rate, 10 * rate, 6);
     }
 
-    private Route route(String name, String service) {
+    private RouteRecord route(String name, String service) {
         double target = 500 + random.nextInt(1_500);
-        return new Route(
-                name, service, target, 4 * target, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false);
+        return new RouteRecord(
+                name,
+                service,
+                target,
+                4 * target,
+                1,
+                0,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                false);
     }
 
     private static String serviceName(int number) {
--- a/lab/src/main/java/tinford/lab/control/ConfigurationOperator.java
+++ b/lab/src/main/java/tinford/lab/control/ConfigurationOperator.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import tinford.fleet.config.ConfigurationCodec;
-import tinford.fleet.config.Fault;
 import tinford.fleet.config.Outcome;
 import tinford.fleet.config.Proposal;
-import tinford.fleet.config.Refusal;
+import tinford.fleet.config.Rejection;
+import tinford.fleet.config.ValidationError;
 import tinford.lab.fleet.History;
 
 /**
@@ -96,11 +96,13 @@
         if (answer.statusCode() == STATUS_OK) {
             return new Outcome.Accepted(body.path("revision").asLong());
         }
-        List<Fault> faults = new ArrayList<>();
+        List<ValidationError> faults = new ArrayList<>();
         for (JsonNode fault : body.path("faults")) {
-            faults.add(new Fault(fault.path("key").asText(), fault.path("expected").asText()));
+            faults.add(
+                    new ValidationError(
+                            fault.path("key").asText(), fault.path("expected").asText()));
         }
-        return new Outcome.Refused(new Refusal(faults));
+        return new Outcome.Refused(new Rejection(faults));
     }
 
     private Outcome told(String id, Outcome outcome) {
--- a/lab/src/main/java/tinford/lab/control/ControlFaults.java
+++ b/lab/src/main/java/tinford/lab/control/ControlFaults.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.ChangeSet;
-import tinford.fleet.config.Route;
-import tinford.fleet.config.Service;
+import tinford.fleet.config.RouteRecord;
+import tinford.fleet.config.ServiceRecord;
 
 /** What goes wrong in a scenario, and when. */
 final class ControlFaults implements AutoCloseable {
@@ -165,7 +165,9 @@
                 12,
                 "the route is entered",
                 () -> {
-                    run.enter(REFUSED + "-service", new Change.PutService(new Service(REFUSED)));
+                    run.enter(
+                            REFUSED + "-service",
+                            new Change.PutService(new ServiceRecord(REFUSED)));
                     run.enter(REFUSED + "-route", new Change.PutRoute(refusedRoute()));
                 });
         at(
@@ -174,9 +176,18 @@
                 () -> run.enter(REFUSED + "-removed", new Change.RemoveRoute(REFUSED)));
     }
 
-    private static Route refusedRoute() {
-        return new Route(
-                REFUSED, REFUSED, 500, 2_000, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false);
+    private static RouteRecord refusedRoute() {
+        return new RouteRecord(
+                REFUSED,
+                REFUSED,
+                500,
+                2_000,
+                1,
+                0,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                false);
     }
 
     @Override
--- a/lab/src/main/java/tinford/lab/control/ControlFigures.java
+++ b/lab/src/main/java/tinford/lab/control/ControlFigures.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tinford.fleet.config.Plan;
+import tinford.fleet.config.PlanRecord;
 import tinford.lab.fleet.History;
 import tinford.lab.fleet.Judge;
 import tinford.lab.fleet.Promise;
@@ -157,8 +157,8 @@
 
     /** What was sent on for the plans that changed, by plan and phase. */
     private void quotas() {
-        List<Plan> whole = run.load().plansWithCeiling(1);
-        List<Plan> halved = run.load().plansWithCeiling(QuotaPhases.HALF);
+        List<PlanRecord> whole = run.load().plansWithCeiling(1);
+        List<PlanRecord> halved = run.load().plansWithCeiling(QuotaPhases.HALF);
         Map<Integer, Double> leastLeft = new TreeMap<>();
         for (int i = 0; i < whole.size(); i++) {
             List<QuotaUse.Phase> phases = new QuotaPhases(lines, whole.get(i), halved.get(i)).all();
