--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -15,15 +15,15 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import tinford.Decide;
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
+import tinford.decision.DecisionEngine;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Endpoint;
-import tinford.fleet.config.Plan;
-import tinford.fleet.config.Route;
-import tinford.fleet.config.Service;
-import tinford.fleet.config.Tenant;
+import tinford.fleet.config.PlanRecord;
+import tinford.fleet.config.RouteRecord;
+import tinford.fleet.config.ServiceRecord;
+import tinford.fleet.config.TenantRecord;
 import tinford.lab.fleet.FleetBench;
 import tinford.lab.fleet.FleetScript;
 import tinford.lab.fleet.History;
@@ -65,7 +65,7 @@
         this.gateways = gateways;
         this.folder = folder;
         scenario = scenario(gateways, seconds);
-        World drawn = new World(scenario, seed, Decide::new);
+        World drawn = new World(scenario, seed, DecisionEngine::new);
         drawn.run();
         trace = drawn.asked();
         List<String> words = program.java(Classpath.SMALL, HEAP_MB, MAIN_CLASS, "serve");
@@ -109,17 +109,17 @@
     /** What the control servers' configuration must hold for this load. */
     List<Change> configuration() {
         List<Change> all = new ArrayList<>();
-        all.add(new Change.PutService(new Service(SERVICE)));
+        all.add(new Change.PutService(new ServiceRecord(SERVICE)));
         scenario.frontends().forEach(f -> all.add(new Change.PutRoute(route(f))));
         scenario.plans().forEach(p -> all.add(new Change.PutPlan(plan(p, 1))));
         Map<Long, String> tenants = new TreeMap<>();
         trace.asks().forEach(ask -> tenants.put(ask.customer(), ask.plan()));
-        tenants.forEach((id, plan) -> all.add(new Change.PutTenant(new Tenant(id, plan))));
+        tenants.forEach((id, plan) -> all.add(new Change.PutTenant(new TenantRecord(id, plan))));
         return all;
     }
 
     /** The plans with a hard ceiling, with all their rates and bursts times a factor. */
-    List<Plan> plansWithCeiling(double factor) {
+    List<PlanRecord> plansWithCeiling(double factor) {
         return scenario.plans().stream()
                 .filter(plan -> plan.ceiling() > 0)
                 .map(plan -> plan(plan, factor))
@@ -131,23 +131,23 @@
         return scenario.clients().largest();
     }
 
-    private static Route route(Scenario.Frontend f) {
+    private static RouteRecord route(Scenario.Frontend f) {
         boolean keyed = f.effect() == Scenario.Effect.IDEMPOTENCY_KEY;
-        return new Route(
+        return new RouteRecord(
                 f.name(),
                 SERVICE,
                 f.target(),
                 f.timeout(),
                 f.value(),
                 0,
-                Effect.valueOf(f.effect().name()),
-                keyed ? Group.CELL : Group.ALL,
+                Idempotency.valueOf(f.effect().name()),
+                keyed ? DeduplicationScope.CELL : DeduplicationScope.ALL,
                 f.repeat_window(),
                 false);
     }
 
-    private static Plan plan(Scenario.Plan p, double factor) {
-        return new Plan(
+    private static PlanRecord plan(Scenario.Plan p, double factor) {
+        return new PlanRecord(
                 p.name(),
                 p.rate() * factor,
                 p.burst() * factor,
--- a/lab/src/main/java/tinford/lab/control/HollowFollower.java
+++ b/lab/src/main/java/tinford/lab/control/HollowFollower.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
-import tinford.fleet.config.InvalidConfiguration;
+import tinford.fleet.config.InvalidConfigurationException;
 import tinford.fleet.config.SnapshotCodec;
 import tinford.fleet.follow.ConfigurationClient;
 import tinford.fleet.follow.FollowerSettings;
@@ -98,7 +98,7 @@
         if (Files.exists(snapshot)) {
             try {
                 held = codec.decode(Files.readAllBytes(snapshot));
-            } catch (InvalidConfiguration e) {
+            } catch (InvalidConfigurationException e) {
                 throw new IOException("snapshot of follower " + spec.id(), e);
             }
         }
--- a/lab/src/main/java/tinford/lab/control/QuotaPhases.java
+++ b/lab/src/main/java/tinford/lab/control/QuotaPhases.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tinford.fleet.config.Plan;
+import tinford.fleet.config.PlanRecord;
 import tinford.lab.fleet.History;
 
 /**
@@ -26,7 +26,7 @@
     /**
      * @param whole one of the plans; {@code halved} the same while it is halved
      */
-    QuotaPhases(List<History.Line> lines, Plan whole, Plan halved) {
+    QuotaPhases(List<History.Line> lines, PlanRecord whole, PlanRecord halved) {
         phases.add(new QuotaUse.Phase(Double.NEGATIVE_INFINITY, whole));
         Map<String, Long> revisions = new HashMap<>();
         Set<String> waiting = new HashSet<>();
--- a/lab/src/main/java/tinford/lab/control/QuotaUse.java
+++ b/lab/src/main/java/tinford/lab/control/QuotaUse.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import tinford.fleet.config.Plan;
+import tinford.fleet.config.PlanRecord;
 import tinford.lab.fleet.History;
 
 /**
@@ -20,7 +20,7 @@
     private final Map<String, Bucket> quotas = new HashMap<>();
     private final Map<String, Bucket> ceilings = new HashMap<>();
     private final String planName;
-    private Plan plan;
+    private PlanRecord plan;
     private double units;
     private double unitsBeyond;
     private double leastLeft;
@@ -31,7 +31,7 @@
      * @param at when the last gateway had it in force, where it allows less than the one before;
      *     when it was entered, where it allows more
      */
-    record Phase(double at, Plan plan) {}
+    record Phase(double at, PlanRecord plan) {}
 
     /**
      * Of one phase.
@@ -40,7 +40,7 @@
      * @param leastLeft units that the customer nearest to its ceiling had left of it; below 0 it
      *     was over
      */
-    record Reading(Plan plan, double units, double beyond, double leastLeft) {
+    record Reading(PlanRecord plan, double units, double beyond, double leastLeft) {
         /**
          * Units by which the most blatant customer was over the ceiling and its slack; 0 or less is
          * none.
--- a/lab/src/main/java/tinford/lab/explore/ExplorationSettings.java
+++ b/lab/src/main/java/tinford/lab/explore/ExplorationSettings.java
@@ -1,15 +1,15 @@
 package tinford.lab.explore;
 
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.moves.MoveStatus;
-import tinford.fleet.moves.Route;
-import tinford.fleet.moves.TransitionRules;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.migration.MigrationRouter;
+import tinford.fleet.migration.MigrationStatus;
+import tinford.fleet.migration.TransitionRules;
 
 /** What is explored: how many faults, and what is broken on purpose, if anything. */
 final class ExplorationSettings {
     /** Makes the routing of one gateway; a test hands in a broken one. */
     interface RouteFactory {
-        Route create(Incarnation incarnation, MoveStatus status);
+        MigrationRouter create(Incarnation incarnation, MigrationStatus status);
     }
 
     /** Told now and then how far the exploration has come. */
@@ -18,7 +18,7 @@
     }
 
     TransitionRules rules = new TransitionRules();
-    RouteFactory routes = (incarnation, status) -> new Route(incarnation, status, 1);
+    RouteFactory routes = (incarnation, status) -> new MigrationRouter(incarnation, status, 1);
     Progress progress = (explored, found) -> {};
 
     /** By how much the clock of gateway 0 is behind, and by how much the leases allow for. */
--- a/lab/src/main/java/tinford/lab/explore/Explorer.java
+++ b/lab/src/main/java/tinford/lab/explore/Explorer.java
@@ -3,16 +3,17 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import tinford.fleet.moves.Entry;
-import tinford.fleet.moves.MoveStatus;
-import tinford.fleet.moves.Moves;
-import tinford.fleet.moves.Route;
+import tinford.fleet.migration.MigrationEntry;
+import tinford.fleet.migration.MigrationRouter;
+import tinford.fleet.migration.MigrationState;
+import tinford.fleet.migration.MigrationStatus;
 
 /**
  * Goes through everything that can happen to one plan of moves at small size, breadth-first:
  * entries in any order, late, lost or by a wrong leader, kills, restarts with and without a disk,
- * ended leases, halts, clocks that differ. Runs the real {@link Moves} and {@link Route}. Holds
- * every state that it found; its memory is bounded by the number of states in its settings.
+ * ended leases, halts, clocks that differ. Runs the real {@link MigrationState} and {@link
+ * MigrationRouter}. Holds every state that it found; its memory is bounded by the number of states
+ * in its settings.
  */
 final class Explorer {
     private static final int PROGRESS_EVERY = 100_000;
@@ -71,8 +72,9 @@
         String form = model.form();
         int number = graph.number(form);
         if (number == StateGraph.NONE) {
-            Moves.State state = model.moves.status().state();
-            boolean end = state == Moves.State.DONE || state == Moves.State.UNDONE;
+            MigrationState.State state = model.moves.status().state();
+            boolean end =
+                    state == MigrationState.State.DONE || state == MigrationState.State.UNDONE;
             number = graph.add(form, current, step, end);
             open.add(model);
         }
@@ -96,9 +98,9 @@
         }
         lead(model);
         operate(model);
-        MoveStatus status = model.moves.status();
-        Entry bad =
-                Entry.report(
+        MigrationStatus status = model.moves.status();
+        MigrationEntry bad =
+                MigrationEntry.report(
                         model.gateways.get(0).incarnation(),
                         status.turn(),
                         model.clock(0),
@@ -125,35 +127,39 @@
     }
 
     private void lead(FleetModel model) {
-        MoveStatus status = model.moves.status();
+        MigrationStatus status = model.moves.status();
         for (int to = status.position() - 2; to <= status.position() + 2; to++) {
-            Entry go = Entry.go(model.now, status.turn(), to, ALL_WARM);
+            MigrationEntry go = MigrationEntry.go(model.now, status.turn(), to, ALL_WARM);
             offer(model, go, "a leader: to step " + to, true);
         }
         int next = status.position() + 1;
-        Entry stale = Entry.go(model.now, status.turn() - 1, next, ALL_WARM);
+        MigrationEntry stale = MigrationEntry.go(model.now, status.turn() - 1, next, ALL_WARM);
         offer(model, stale, "a stale leader: to step " + next, true);
     }
 
     private void operate(FleetModel model) {
         long halts = model.moves.halts();
-        offer(model, Entry.resume("o", model.now, halts), "resume", true);
-        offer(model, Entry.resume("o", model.now, halts - 1), "resume of an earlier halt", false);
+        offer(model, MigrationEntry.resume("o", model.now, halts), "resume", true);
+        offer(
+                model,
+                MigrationEntry.resume("o", model.now, halts - 1),
+                "resume of an earlier halt",
+                false);
         if (halts < settings.maxHalts) {
-            offer(model, Entry.halt("o", model.now), "halt", false);
+            offer(model, MigrationEntry.halt("o", model.now), "halt", false);
         }
-        offer(model, Entry.back("o", model.now), "back", false);
+        offer(model, MigrationEntry.back("o", model.now), "back", false);
     }
 
     /**
      * Entries that alter nothing are no step of a story. A report alters something only when it
      * turns the moves back.
      */
-    private void offer(FleetModel model, Entry entry, String step, boolean faultless) {
+    private void offer(FleetModel model, MigrationEntry entry, String step, boolean faultless) {
         FleetModel next = new FleetModel(model);
         next.apply(entry);
-        MoveStatus before = model.moves.status();
-        MoveStatus after = next.moves.status();
+        MigrationStatus before = model.moves.status();
+        MigrationStatus after = next.moves.status();
         if (before.state() != after.state()
                 || before.turn() != after.turn()
                 || before.position() != after.position()
@@ -218,8 +224,8 @@
         }
     }
 
-    private static Entry ack(GatewayModel gateway, double sent) {
-        return Entry.ack(gateway.incarnation(), gateway.view.turn(), sent);
+    private static MigrationEntry ack(GatewayModel gateway, double sent) {
+        return MigrationEntry.ack(gateway.incarnation(), gateway.view.turn(), sent);
     }
 
     private void send(FleetModel model, GatewayModel gateway) {
@@ -229,7 +235,7 @@
         }
         boolean again = model.sentBefore();
         boolean retry = settings.retriesTold && again;
-        Route route = model.route(gateway);
+        MigrationRouter route = model.route(gateway);
         for (int to = FleetModel.OLD_GROUP; to <= FleetModel.NEW_GROUP; to++) {
             String group = to == FleetModel.OLD_GROUP ? "a" : "b";
             if (route.mayGo("needing", 1, retry, group, null, model.clock(gateway))) {
@@ -274,7 +280,7 @@
 
     private void restart(FleetModel model, GatewayModel gateway, boolean withDisk) {
         FleetModel next = new FleetModel(model);
-        MoveStatus known = withDisk ? gateway.view : next.newMoves().status();
+        MigrationStatus known = withDisk ? gateway.view : next.newMoves().status();
         next.gateways.get(gateway.number).restart(known, next.moves.status());
         String how = withDisk ? " restarts with its disk" : " restarts without its disk";
         reach(next, name(gateway) + how, false);
--- a/lab/src/main/java/tinford/lab/explore/FleetModel.java
+++ b/lab/src/main/java/tinford/lab/explore/FleetModel.java
@@ -4,14 +4,14 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Lease;
-import tinford.fleet.moves.Entry;
-import tinford.fleet.moves.LeaseHolders;
-import tinford.fleet.moves.MoveStatus;
-import tinford.fleet.moves.Moves;
-import tinford.fleet.moves.Plan;
-import tinford.fleet.moves.Route;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Lease;
+import tinford.fleet.migration.LeaseHolders;
+import tinford.fleet.migration.MigrationEntry;
+import tinford.fleet.migration.MigrationPlan;
+import tinford.fleet.migration.MigrationRouter;
+import tinford.fleet.migration.MigrationState;
+import tinford.fleet.migration.MigrationStatus;
 
 /**
  * One state of a small fleet that carries out a plan: the log's moves, the gateways, and one
@@ -36,7 +36,7 @@
 
     final ExplorationSettings settings;
     final List<GatewayModel> gateways = new ArrayList<>();
-    final Moves moves;
+    final MigrationState moves;
     double now = 10;
     int faults;
 
@@ -55,7 +55,7 @@
         this.settings = settings;
         this.lastCustomer = lastCustomer();
         moves = newMoves();
-        moves.apply(1, Entry.begin("o", now, plan()).bytes());
+        moves.apply(1, MigrationEntry.begin("o", now, plan()).bytes());
         for (int number = 0; number < settings.gateways; number++) {
             gateways.add(new GatewayModel(number, moves.status(), clock(number) + LEASE));
         }
@@ -74,20 +74,20 @@
 
     private static long lastCustomer() {
         long customer = 1;
-        while (Route.part(customer, "needed".hashCode()) < 0.5) {
+        while (MigrationRouter.part(customer, "needed".hashCode()) < 0.5) {
             customer++;
         }
         return customer;
     }
 
     /** Moves of which nothing is known but where frontends are at first. */
-    Moves newMoves() {
-        return new Moves(HOMES, this, settings.clockSkew, settings.rules);
+    MigrationState newMoves() {
+        return new MigrationState(HOMES, this, settings.clockSkew, settings.rules);
     }
 
-    private Plan plan() {
-        Plan.Mover needing =
-                new Plan.Mover(
+    private MigrationPlan plan() {
+        MigrationPlan.Mover needing =
+                new MigrationPlan.Mover(
                         "needing",
                         "a",
                         "b",
@@ -99,8 +99,8 @@
                         true,
                         settings.retriesTold,
                         WINDOW);
-        Plan.Mover needed =
-                new Plan.Mover(
+        MigrationPlan.Mover needed =
+                new MigrationPlan.Mover(
                         "needed",
                         "a",
                         "b",
@@ -112,8 +112,13 @@
                         false,
                         false,
                         0);
-        return new Plan(
-                "p", 0, 0.1, 1, List.of(needing, needed), Map.of("b", new Plan.Room(2, 2, 0.5)));
+        return new MigrationPlan(
+                "p",
+                0,
+                0.1,
+                1,
+                List.of(needing, needed),
+                Map.of("b", new MigrationPlan.Room(2, 2, 0.5)));
     }
 
     /** The time by the clock of a gateway. */
@@ -145,8 +150,8 @@
         return new Lease(incarnation, until, 0).surelyOver(since, settings.countedClockSkew);
     }
 
-    Route route(GatewayModel gateway) {
-        Route route = settings.routes.create(gateway.incarnation(), gateway.view);
+    MigrationRouter route(GatewayModel gateway) {
+        MigrationRouter route = settings.routes.create(gateway.incarnation(), gateway.view);
         route.see(gateway.view, new Lease(gateway.incarnation(), gateway.leaseSeen, 0), false);
         return route;
     }
@@ -181,28 +186,28 @@
     /**
      * Applies an entry, lets the gateways have it coming, and looks at what became of the position.
      */
-    void apply(Entry entry) {
-        MoveStatus before = moves.status();
+    void apply(MigrationEntry entry) {
+        MigrationStatus before = moves.status();
         long halts = moves.halts();
         moves.apply(1, entry.bytes());
-        MoveStatus after = moves.status();
+        MigrationStatus after = moves.status();
         if (after.turn() != before.turn() || after.position() != before.position()) {
             checkChange(before, after);
             gateways.forEach(gateway -> gateway.unread.add(GatewayModel.LogEvent.of(after)));
-        } else if (entry.kind() == Entry.Kind.RESUME
+        } else if (entry.kind() == MigrationEntry.Kind.RESUME
                 && entry.turn() != halts
                 && before.state() != after.state()) {
             broken = "a later halt is lifted by a resume that was meant for an earlier one";
         }
     }
 
-    private void checkChange(MoveStatus before, MoveStatus after) {
+    private void checkChange(MigrationStatus before, MigrationStatus after) {
         int by = after.position() - before.position();
         if (Math.abs(by) != 1) {
             broken = "from step " + before.position() + " to " + after.position();
         } else if (before.back() && by > 0) {
             broken = "goes back, but forward from " + before.position();
-        } else if (before.state() == Moves.State.HALTED) {
+        } else if (before.state() == MigrationState.State.HALTED) {
             broken = "moves while halted";
         }
     }
@@ -254,7 +259,7 @@
         int least = Integer.MAX_VALUE;
         int most = -1;
         for (GatewayModel gateway : gateways) {
-            Route route = route(gateway);
+            MigrationRouter route = route(gateway);
             double clock = clock(gateway);
             if (gateway.up && mayAct(gateway)) {
                 least = Math.min(least, gateway.view.position());
@@ -287,7 +292,7 @@
 
     private String form(int... order) {
         StringBuilder form = new StringBuilder(64);
-        MoveStatus status = moves.status();
+        MigrationStatus status = moves.status();
         form.append((char) ('A' + status.state().ordinal()))
                 .append(status.back() ? '-' : '+')
                 .append((char) status.position())
@@ -304,7 +309,7 @@
     }
 
     /** The longest that may be due at this position: acknowledgements that are older are alike. */
-    private double longestWait(MoveStatus status) {
+    private double longestWait(MigrationStatus status) {
         double back = settings.rules.waits(status.plan(), status.position(), true);
         double forward =
                 status.back() ? 0 : settings.rules.waits(status.plan(), status.position(), false);
--- a/lab/src/main/java/tinford/lab/explore/GatewayModel.java
+++ b/lab/src/main/java/tinford/lab/explore/GatewayModel.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.moves.MoveStatus;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.migration.MigrationStatus;
 
 /** One gateway of the model: whether it runs, and what of the log it has seen. */
 final class GatewayModel {
@@ -16,8 +16,8 @@
      * @param status of the moves; null where it is a grant of its own lease
      * @param leaseUntil where it is a grant
      */
-    record LogEvent(MoveStatus status, double leaseUntil) {
-        static LogEvent of(MoveStatus status) {
+    record LogEvent(MigrationStatus status, double leaseUntil) {
+        static LogEvent of(MigrationStatus status) {
             return new LogEvent(status, 0);
         }
 
@@ -40,7 +40,7 @@
     boolean cutOff;
 
     int start;
-    MoveStatus view;
+    MigrationStatus view;
 
     /** Until when it has a lease as far as it knows, and as the log has it. */
     double leaseSeen;
@@ -53,7 +53,7 @@
     final List<LogEvent> unread;
     final List<EarlierLease> earlier;
 
-    GatewayModel(int number, MoveStatus view, double lease) {
+    GatewayModel(int number, MigrationStatus view, double lease) {
         this.number = number;
         this.view = view;
         this.leaseSeen = lease;
@@ -84,7 +84,7 @@
     }
 
     /** A later incarnation, which knows nothing of its lease yet. */
-    void restart(MoveStatus known, MoveStatus head) {
+    void restart(MigrationStatus known, MigrationStatus head) {
         earlier.add(new EarlierLease(incarnation(), leaseGranted));
         up = true;
         start++;
--- a/lab/src/main/java/tinford/lab/fleet/Runs.java
+++ b/lab/src/main/java/tinford/lab/fleet/Runs.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import tinford.api.Effect;
-import tinford.api.End;
+import tinford.api.AttemptOutcome;
+import tinford.api.Idempotency;
 
 /**
  * A request that may have run runs again only where that does no harm: a uniqued one in its first
@@ -18,7 +18,8 @@
     @Override
     public void see(History.Line l, Lives lives, Finds finds) {
         String request = l.text("req");
-        if (l.kind().equals("dispatch") && !l.text("effect").equals(Effect.IDEMPOTENT.name())) {
+        if (l.kind().equals("dispatch")
+                && !l.text("effect").equals(Idempotency.IDEMPOTENT.name())) {
             List<History.Line> its = runs.computeIfAbsent(request, k -> new ArrayList<>());
             its.stream()
                     .filter(first -> harm(first, l))
@@ -36,14 +37,14 @@
                                             List.of(first, l)));
             its.add(l);
         } else if (l.kind().equals("ended")
-                && !End.valueOf(l.text("how")).mayHaveRun
+                && !AttemptOutcome.valueOf(l.text("how")).mayHaveRun
                 && runs.containsKey(request)) {
             runs.get(request).removeIf(run -> run.text("server").equals(l.text("server")));
         }
     }
 
     private static boolean harm(History.Line first, History.Line again) {
-        return again.text("effect").equals(Effect.NON_IDEMPOTENT.name())
+        return again.text("effect").equals(Idempotency.NON_IDEMPOTENT.name())
                 || !first.text("group").equals(again.text("group"))
                 || again.at() - first.at() > again.fields().path("window").asDouble();
     }
--- a/lab/src/main/java/tinford/lab/model/Customers.java
+++ b/lab/src/main/java/tinford/lab/model/Customers.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.api.Customer;
 import tinford.api.Plan;
+import tinford.api.Tenant;
 import tinford.lab.scenario.Scenario;
 
 /**
@@ -19,8 +19,8 @@
 
     private final Scenario scenario;
     private final List<Plan> plans;
-    private final List<Customer> drawn = new ArrayList<>();
-    private final Map<Long, Customer> recorded = new HashMap<>();
+    private final List<Tenant> drawn = new ArrayList<>();
+    private final Map<Long, Tenant> recorded = new HashMap<>();
 
     /** When a customer's spikes begin, or not a number where it has none. */
     private final double[] phases;
@@ -58,12 +58,12 @@
     private double drawOne(int number, UniformRandomProvider draw) {
         Scenario.Clients clients = scenario.clients();
         Plan plan = drawPlan(draw);
-        drawn.add(new Customer(number + 1, plan, clients.spread(), drawFirstGateway(draw)));
+        drawn.add(new Tenant(number + 1, plan, clients.spread(), drawFirstGateway(draw)));
         boolean heavy = draw.nextDouble() < clients.heavy();
         double use = heavy ? clients.heavy_times() : clients.use() * 2 * draw.nextDouble();
         boolean spikes = draw.nextDouble() < clients.spiky();
         phases[number] = spikes ? draw.nextDouble() * clients.spike_every_s() * MS : Double.NaN;
-        return use * plan.rate * (spikes ? clients.spike_times() : 1);
+        return use * plan.quotaPerMs * (spikes ? clients.spike_times() : 1);
     }
 
     private Plan drawPlan(UniformRandomProvider draw) {
@@ -91,7 +91,7 @@
         return cumulativeRates[cumulativeRates.length - 1];
     }
 
-    Customer get(int number) {
+    Tenant get(int number) {
         return drawn.get(number);
     }
 
@@ -128,35 +128,35 @@
      * Which of its gateways a request comes through, in an order that changes now and then, each
      * with less of its customer's requests than the one before.
      */
-    int way(Customer customer, double now, UniformRandomProvider draw) {
+    int way(Tenant customer, double now, UniformRandomProvider draw) {
         double skew = scenario.clients().skew();
         double left =
                 draw.nextDouble()
-                        * (1 - Math.exp(-skew * customer.width))
+                        * (1 - Math.exp(-skew * customer.fanIn))
                         / (1 - Math.exp(-skew - 1e-12));
         int k = 0;
-        for (double weight = 1; k < customer.width - 1 && left >= weight; k++) {
+        for (double weight = 1; k < customer.fanIn - 1 && left >= weight; k++) {
             left -= weight;
             weight *= Math.exp(-skew);
         }
         if (skew == 0) {
-            k = draw.nextInt(customer.width);
+            k = draw.nextInt(customer.fanIn);
         }
         long turn = (long) (now / (scenario.clients().shift_s() * MS));
         long shift = (customer.id * 31 + turn) * GOLDEN_RATIO >>> 33;
-        return (int) Math.floorMod(k + shift, (long) customer.width);
+        return (int) Math.floorMod(k + shift, (long) customer.fanIn);
     }
 
     /** The customer of a trace, the same for the same id. */
-    Customer recorded(long id, String planName) {
+    Tenant recorded(long id, String planName) {
         return recorded.computeIfAbsent(id, any -> makeRecorded(id, planName));
     }
 
-    private Customer makeRecorded(long id, String planName) {
+    private Tenant makeRecorded(long id, String planName) {
         Plan plan =
                 plans.stream().filter(each -> each.name.equals(planName)).findFirst().orElseThrow();
         int gateway = firstGateway(id, scenario.gateways());
-        return new Customer(id, plan, scenario.clients().spread(), gateway);
+        return new Tenant(id, plan, scenario.clients().spread(), gateway);
     }
 
     /** The first gateway of a customer that a trace names. */
--- a/lab/src/main/java/tinford/lab/model/Faults.java
+++ b/lab/src/main/java/tinford/lab/model/Faults.java
@@ -7,7 +7,7 @@
 import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
-import tinford.api.Srv;
+import tinford.api.Server;
 import tinford.lab.scenario.Scenario;
 
 /** What goes wrong, done to a model or to stand-ins on sockets alike. */
@@ -28,7 +28,7 @@
         double listLate();
 
         /** Discovery tells the gateways. */
-        void list(Machine m, Srv.State state);
+        void list(Machine m, Server.State state);
 
         int gateways();
 
@@ -75,11 +75,11 @@
                     agenda.after(
                             ms * i / gone.size(),
                             () -> {
-                                on.list(m, Srv.State.DRAINING);
+                                on.list(m, Server.State.DRAINING);
                                 agenda.after(
                                         DRAINS + on.listLate(),
                                         () -> {
-                                            on.list(m, Srv.State.REMOVED);
+                                            on.list(m, Server.State.REMOVED);
                                             m.die();
                                         });
                             });
@@ -139,7 +139,7 @@
                         ms,
                         () -> {
                             m.start();
-                            on.list(m, Srv.State.UP);
+                            on.list(m, Server.State.UP);
                         });
     }
 
--- a/lab/src/main/java/tinford/lab/model/Machine.java
+++ b/lab/src/main/java/tinford/lab/model/Machine.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import tinford.api.End;
+import tinford.api.AttemptOutcome;
 
 /**
  * A server: some cores, each with one piece of work at a time, and a waiting room; first come,
@@ -36,11 +36,11 @@
     /** One piece of work and whoever waits for its end. */
     public static final class Visit {
         final double work;
-        final Consumer<End> then;
+        final Consumer<AttemptOutcome> then;
         double began;
         boolean over;
 
-        public Visit(double work, Consumer<End> then) {
+        public Visit(double work, Consumer<AttemptOutcome> then) {
             this.work = work;
             this.then = then;
         }
@@ -91,13 +91,13 @@
 
     public void come(Visit v) {
         if (!up) {
-            v.then.accept(End.UNREACHABLE);
+            v.then.accept(AttemptOutcome.UNREACHABLE);
         } else if (working.size() < cores) {
             begin(v);
         } else if (waiting.size() < room) {
             waiting.add(v);
         } else {
-            v.then.accept(End.FULL);
+            v.then.accept(AttemptOutcome.OVERLOADED);
         }
     }
 
@@ -116,7 +116,7 @@
         working.remove(v);
         busy += agenda.now() - v.began;
         if (!hangs) {
-            v.then.accept(End.GOOD);
+            v.then.accept(AttemptOutcome.SUCCESS);
         }
         if (!waiting.isEmpty()) {
             begin(waiting.poll());
@@ -138,7 +138,7 @@
         waiting.clear();
         for (Visit v : all) {
             v.over = true;
-            v.then.accept(End.BROKEN);
+            v.then.accept(AttemptOutcome.CONNECTION_LOST);
         }
     }
 
--- a/lab/src/main/java/tinford/lab/model/Node.java
+++ b/lab/src/main/java/tinford/lab/model/Node.java
@@ -6,34 +6,34 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import tinford.api.End;
-import tinford.api.Gateway;
-import tinford.api.Inbox;
-import tinford.api.Req;
-import tinford.api.Srv;
-import tinford.api.Writer;
+import tinford.api.AttemptOutcome;
+import tinford.api.DecisionModule;
+import tinford.api.GatewayActions;
+import tinford.api.GatewayEvents;
+import tinford.api.Request;
+import tinford.api.Server;
 
 /**
  * A gateway: the decisions as they are, and a front that carries what they write over the model's
  * wires.
  */
-final class Node implements Writer {
+final class Node implements GatewayActions {
     final int number;
     private final World world;
-    private final Gateway.Maker maker;
-    private final Map<String, Srv> servers = new HashMap<>();
+    private final DecisionModule.Factory maker;
+    private final Map<String, Server> servers = new HashMap<>();
     private final Map<String, Double> drainToldAt = new HashMap<>();
-    private final Map<Machine, Srv.State> missed =
+    private final Map<Machine, Server.State> missed =
             new LinkedHashMap<>(); // told while it was down: what each came to last
-    private List<Consumer<Inbox>> came = new ArrayList<>();
-    private Gateway gateway;
+    private List<Consumer<GatewayEvents>> came = new ArrayList<>();
+    private DecisionModule gateway;
     private long life;
     private boolean due;
     boolean up;
     boolean cutOff; // from the counter
     long rounds;
 
-    Node(World world, int number, Gateway.Maker maker) {
+    Node(World world, int number, DecisionModule.Factory maker) {
         this.world = world;
         this.number = number;
         this.maker = maker;
@@ -52,42 +52,43 @@
         came = new ArrayList<>();
         due = false;
         gateway = world.make(maker, seed, number);
-        input(Inbox::started);
-        List<Srv> known = new ArrayList<>();
-        for (Srv old : servers.values()) {
-            Srv s = copy(old);
+        input(GatewayEvents::started);
+        List<Server> known = new ArrayList<>();
+        for (Server old : servers.values()) {
+            Server s = copy(old);
             known.add(s);
         }
         known.forEach(s -> servers.put(s.id, s));
         if (known.isEmpty()) {
-            world.machines().forEach(m -> servers.put(m.id, entry(m, Srv.State.UP)));
+            world.machines().forEach(m -> servers.put(m.id, entry(m, Server.State.UP)));
         }
-        List<Srv> all = servers.values().stream().sorted((a, b) -> a.id.compareTo(b.id)).toList();
-        input(in -> in.listed(all, true));
-        Map<Machine, Srv.State> late = new LinkedHashMap<>(missed);
+        List<Server> all =
+                servers.values().stream().sorted((a, b) -> a.id.compareTo(b.id)).toList();
+        input(in -> in.endpointsUpdated(all, true));
+        Map<Machine, Server.State> late = new LinkedHashMap<>(missed);
         missed.clear();
         if (!late.isEmpty()) {
             world.agenda.after(world.lateness(), () -> late.forEach(this::listed));
         }
     }
 
-    private static Srv copy(Srv old) {
-        Srv s = new Srv(old.id);
+    private static Server copy(Server old) {
+        Server s = new Server(old.id);
         s.zone = old.zone;
         s.cell = old.cell;
         s.state = old.state;
-        s.size = old.size;
-        s.born = old.born;
+        s.weight = old.weight;
+        s.startedAtMs = old.startedAtMs;
         return s;
     }
 
-    private static Srv entry(Machine m, Srv.State state) {
-        Srv s = new Srv(m.id);
+    private static Server entry(Machine m, Server.State state) {
+        Server s = new Server(m.id);
         s.zone = m.zone;
         s.cell = m.cell;
-        s.size = 1;
+        s.weight = 1;
         s.state = state;
-        s.born = m.born;
+        s.startedAtMs = m.born;
         return s;
     }
 
@@ -98,7 +99,7 @@
     }
 
     /** Plays it with all else that has come by the next tick. */
-    private void input(Consumer<Inbox> call) {
+    private void input(Consumer<GatewayEvents> call) {
         came.add(call);
         if (!due) {
             due = true;
@@ -118,13 +119,13 @@
     private void round() {
         due = false;
         rounds++;
-        List<Consumer<Inbox>> now = came;
+        List<Consumer<GatewayEvents>> now = came;
         came = new ArrayList<>();
-        gateway.round(world.agenda.now(), in -> now.forEach(c -> c.accept(in)), this);
+        gateway.handleBatch(world.agenda.now(), in -> now.forEach(c -> c.accept(in)), this);
     }
 
     /** Only while this very process lives. */
-    private void later(double ms, Consumer<Inbox> call) {
+    private void later(double ms, Consumer<GatewayEvents> call) {
         long mine = life;
         world.agenda.after(
                 ms,
@@ -136,43 +137,43 @@
     }
 
     void arrive(Try t) {
-        input(in -> in.arrived(t));
+        input(in -> in.requestArrived(t));
     }
 
     void left(Try t) {
         if (t.life == life && !t.over) {
             t.over = true;
             t.left = true;
-            input(in -> in.left(t));
+            input(in -> in.clientDisconnected(t));
         }
     }
 
     /** Discovery's word of one server. */
-    void listed(Machine m, Srv.State state) {
+    void listed(Machine m, Server.State state) {
         if (!up) {
             missed.put(m, state);
             return;
         }
-        Srv s = servers.computeIfAbsent(m.id, id -> entry(m, state));
+        Server s = servers.computeIfAbsent(m.id, id -> entry(m, state));
         s.state = state;
-        s.born = m.born;
-        if (state == Srv.State.UP) {
+        s.startedAtMs = m.born;
+        if (state == Server.State.UP) {
             drainToldAt.remove(m.id);
         } else {
             drainToldAt.putIfAbsent(m.id, world.agenda.now());
         }
-        if (state == Srv.State.REMOVED) {
+        if (state == Server.State.REMOVED) {
             servers.remove(m.id);
         }
-        input(in -> in.listed(List.of(s), false));
+        input(in -> in.endpointsUpdated(List.of(s), false));
     }
 
     @Override
-    public void dispatch(Req request, Srv srv, double cap, double within) {
+    public void sendAttempt(Request request, Server srv, double cap, double within) {
         Try t = (Try) request;
         double now = world.agenda.now();
         Machine m = world.machine(srv.id);
-        boolean told = srv.born == m.born;
+        boolean told = srv.startedAtMs == m.born;
         int no = t.hops.size();
         boolean first = t.hops.isEmpty();
         world.oracle.dispatched(
@@ -182,13 +183,13 @@
         }
         Try.Hop hop = new Try.Hop(m, now);
         t.hops.add(hop);
-        double left = t.expires - world.agenda.now();
+        double left = t.deadlineMs - world.agenda.now();
         double wait = cap == 0 ? left : Math.min(cap, left);
         hop.visit =
                 new Machine.Visit(
                         t.work,
                         end -> {
-                            if (end == End.GOOD) {
+                            if (end == AttemptOutcome.SUCCESS) {
                                 world.ran(t);
                             }
                             world.agenda.after(world.oneWay(), () -> ends(t, no, end));
@@ -196,7 +197,7 @@
         world.agenda.after(
                 world.oneWay(),
                 () -> {
-                    if (hop.end == null || hop.end == End.TIMED_OUT) {
+                    if (hop.end == null || hop.end == AttemptOutcome.TIMED_OUT) {
                         world.reaches(m, t, hop.visit, told);
                     }
                 });
@@ -205,12 +206,12 @@
                 () -> {
                     if (hop.end == null) {
                         m.withdraw(hop.visit);
-                        ends(t, no, End.TIMED_OUT);
+                        ends(t, no, AttemptOutcome.TIMED_OUT);
                     }
                 });
     }
 
-    private void ends(Try t, int no, End how) {
+    private void ends(Try t, int no, AttemptOutcome how) {
         Try.Hop hop = t.hops.get(no);
         if (hop.end != null) {
             return;
@@ -221,32 +222,32 @@
         }
         double now = world.agenda.now();
         t.tell(now, "hop " + no + " " + how);
-        if (how == End.GOOD && !t.over) {
+        if (how == AttemptOutcome.SUCCESS && !t.over) {
             t.over = true;
             world.oracle.answered(t, "passed", now);
             world.answer(t, "passed", 0);
         }
         boolean closed = t.over;
-        input(in -> in.ended(t, no, how, now - hop.at, closed, 0, 0, null));
+        input(in -> in.attemptEnded(t, no, how, now - hop.at, closed, 0, 0, null));
     }
 
     @Override
-    public void cancel(Req request, int no) {
+    public void cancelAttempt(Request request, int no) {
         Try t = (Try) request;
         Try.Hop hop = t.hops.get(no);
         if (hop.end == null) {
             hop.to.withdraw(hop.visit);
-            world.agenda.after(0, () -> ends(t, no, End.CANCELLED));
+            world.agenda.after(0, () -> ends(t, no, AttemptOutcome.CANCELLED));
         }
     }
 
     @Override
-    public void deny(Req request, double retryAfter) {
+    public void reject(Request request, double retryAfter) {
         finish((Try) request, "denied", retryAfter);
     }
 
     @Override
-    public void abort(Req request) {
+    public void fail(Request request) {
         finish((Try) request, "aborted", 0);
     }
 
@@ -259,23 +260,23 @@
     }
 
     @Override
-    public void alarm(long token, double wait) {
-        later(wait, in -> in.alarm(token));
+    public void setTimer(long token, double wait) {
+        later(wait, in -> in.timerFired(token));
     }
 
     @Override
-    public void probe(Srv srv) {
-        later(0, in -> in.probed(srv, End.VOID, 0, null));
+    public void sendHealthCheck(Server srv) {
+        later(0, in -> in.healthCheckEnded(srv, AttemptOutcome.NOT_SENT, 0, null));
     }
 
     @Override
-    public void closeIdle(Srv srv) {} // connections cost nothing in this model
+    public void closeIdleConnections(Server srv) {} // connections cost nothing in this model
 
     @Override
-    public void tell(int peer, String text) {} // gateways do not talk in this model
+    public void sendGossip(int peer, String text) {} // gateways do not talk in this model
 
     @Override
-    public void add(long name, double amount, double keep) {
+    public void incrementCounter(long name, double amount, double keep) {
         double at = world.agenda.now();
         boolean[] told = {false};
         world.counted();
@@ -284,13 +285,13 @@
                     if (!told[0]) {
                         told[0] = true;
                         double took = world.agenda.now() - at;
-                        End how = End.values()[(int) found[0]];
-                        input(in -> in.counted(name, how, took, found[1]));
-                    } else if (found[0] == End.GOOD.ordinal()) {
+                        AttemptOutcome how = AttemptOutcome.values()[(int) found[0]];
+                        input(in -> in.counterAnswered(name, how, took, found[1]));
+                    } else if (found[0] == AttemptOutcome.SUCCESS.ordinal()) {
                         input(
                                 in -> {
                                     try {
-                                        in.countedLate(name, found[1]);
+                                        in.counterAnsweredLate(name, found[1]);
                                     } catch (AbstractMethodError e) {
                                         // a version from before late totals were heard: it goes on
                                         // without
@@ -325,16 +326,16 @@
                 () -> {
                     if (mine == life && up && !told[0]) {
                         world.unanswered();
-                        answer.accept(new double[] {End.TIMED_OUT.ordinal(), 0});
+                        answer.accept(new double[] {AttemptOutcome.TIMED_OUT.ordinal(), 0});
                     }
                 });
     }
 
     @Override
-    public void watch(boolean on) {} // the list is pushed in this model
+    public void watchEndpoints(boolean on) {} // the list is pushed in this model
 
     @Override
-    public void fetchList() {}
+    public void fetchEndpoints() {}
 
     @Override
     public void log(String text) {}
--- a/lab/src/main/java/tinford/lab/model/Oracle.java
+++ b/lab/src/main/java/tinford/lab/model/Oracle.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
 
 /**
@@ -55,12 +55,15 @@
         t.tell(now, answer);
         if (t.answers++ > 0) {
             breaks("lost", t, "a second final answer");
-        } else if (now > t.expires + SLACK && !t.left && !t.gatewayGone()) {
+        } else if (now > t.deadlineMs + SLACK && !t.left && !t.gatewayGone()) {
             breaks("lost", t, "answered after the client timeout");
         }
-        if (answer.equals("denied") && t.frontend.effect != Effect.IDEMPOTENT && t.mayHaveRun()) {
+        if (answer.equals("denied")
+                && t.requestClass.idempotency != Idempotency.IDEMPOTENT
+                && t.mayHaveRun()) {
             boolean harmless =
-                    t.frontend.effect == Effect.IDEMPOTENCY_KEY && t.frontend.group == Group.ALL;
+                    t.requestClass.idempotency == Idempotency.IDEMPOTENCY_KEY
+                            && t.requestClass.deduplicationScope == DeduplicationScope.ALL;
             if (!harmless) {
                 breaks("effect", t, "denied though it may have run");
             }
@@ -94,12 +97,12 @@
             boolean may = h.end == null || h.end.mayHaveRun;
             if (h.end == null) {
                 breaks("effect", t, "two dispatches out at once");
-            } else if (may && t.frontend.effect == Effect.NON_IDEMPOTENT) {
+            } else if (may && t.requestClass.idempotency == Idempotency.NON_IDEMPOTENT) {
                 breaks("effect", t, "dispatched again though it may have run");
             } else if (may
-                    && t.frontend.effect == Effect.IDEMPOTENCY_KEY
-                    && (outside(t.frontend.group, h.to, m)
-                            || now - h.at > t.frontend.repeatWindow + SLACK)) {
+                    && t.requestClass.idempotency == Idempotency.IDEMPOTENCY_KEY
+                    && (outside(t.requestClass.deduplicationScope, h.to, m)
+                            || now - h.at > t.requestClass.deduplicationWindowMs + SLACK)) {
                 breaks("effect", t, "repeated where it is not recognised");
             }
         }
@@ -108,22 +111,22 @@
         }
     }
 
-    private static boolean outside(Group group, Machine a, Machine b) {
-        return group == Group.ZONE && !a.zone.equals(b.zone)
-                || group == Group.CELL && a.cell != b.cell;
+    private static boolean outside(DeduplicationScope group, Machine a, Machine b) {
+        return group == DeduplicationScope.ZONE && !a.zone.equals(b.zone)
+                || group == DeduplicationScope.CELL && a.cell != b.cell;
     }
 
     private void ceiling(Try t, double now) {
-        Plan p = t.customer.plan;
-        if (p.ceilingRate <= 0) {
+        Plan p = t.tenant.plan;
+        if (p.hardLimitPerMs <= 0) {
             return;
         }
         double[] c =
-                ceilings.computeIfAbsent(t.customer.id, id -> new double[] {p.ceilingBurst, now});
-        c[0] = Math.min(p.ceilingBurst, c[0] + (now - c[1]) * p.ceilingRate) - t.units;
+                ceilings.computeIfAbsent(t.tenant.id, id -> new double[] {p.hardLimitBurst, now});
+        c[0] = Math.min(p.hardLimitBurst, c[0] + (now - c[1]) * p.hardLimitPerMs) - t.units;
         c[1] = now;
-        if (c[0] < -p.ceilingSlack) {
-            breaks("ceiling", t, "customer " + t.customer.id + " is " + -c[0] + " below nought");
+        if (c[0] < -p.hardLimitSlack) {
+            breaks("ceiling", t, "customer " + t.tenant.id + " is " + -c[0] + " below nought");
         }
     }
 
--- a/lab/src/main/java/tinford/lab/model/Store.java
+++ b/lab/src/main/java/tinford/lab/model/Store.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
-import tinford.api.End;
+import tinford.api.AttemptOutcome;
 
 /** The counter: numbers by name, each kept for a time, on parts that serve their calls in turn. */
 public final class Store {
@@ -53,7 +53,8 @@
     /**
      * @param then hears of the end, and the total; never, while the counter is silent
      */
-    public void add(long name, double amount, double keep, BiConsumer<End, Double> then) {
+    public void add(
+            long name, double amount, double keep, BiConsumer<AttemptOutcome, Double> then) {
         calls++;
         if (silent) {
             return;
@@ -64,7 +65,7 @@
                                 Long.remainderUnsigned(
                                         name * 0x9E3779B97F4A7C15L >>> 17, parts.length)];
         if (p.line.size() >= most) {
-            then.accept(End.FULL, 0.0);
+            then.accept(AttemptOutcome.OVERLOADED, 0.0);
             return;
         }
         p.line.add(
@@ -77,7 +78,7 @@
                     had[0] += amount;
                     double total = had[0];
                     if (!silent) {
-                        then.accept(End.GOOD, total);
+                        then.accept(AttemptOutcome.SUCCESS, total);
                     }
                 });
         if (!p.busy) {
--- a/lab/src/main/java/tinford/lab/model/Try.java
+++ b/lab/src/main/java/tinford/lab/model/Try.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
-import tinford.api.Customer;
-import tinford.api.End;
-import tinford.api.Frontend;
-import tinford.api.Req;
+import tinford.api.AttemptOutcome;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.api.Tenant;
 
 /** One try of a client, with its history. */
-public final class Try extends Req {
+public final class Try extends Request {
     final Asked asked;
     final double work;
     final double arrived;
@@ -24,8 +24,8 @@
 
     /** What a client asked for first; its tries belong to it. */
     public static final class Asked {
-        final Customer customer;
-        final Frontend frontend;
+        final Tenant customer;
+        final RequestClass frontend;
         final double units;
         final double work;
         final double value;
@@ -34,13 +34,13 @@
         boolean passed;
 
         public Asked(
-                Customer customer, Frontend frontend, double units, double work, boolean inside) {
+                Tenant customer, RequestClass frontend, double units, double work, boolean inside) {
             this.customer = customer;
             this.frontend = frontend;
             this.units = units;
             this.work = work;
             this.inside = inside;
-            this.value = frontend.value * customer.plan.price * units;
+            this.value = frontend.priorityWeight * customer.plan.priorityWeight * units;
         }
     }
 
@@ -49,7 +49,7 @@
         final Machine to;
         final double at;
         Machine.Visit visit;
-        public End end;
+        public AttemptOutcome end;
 
         public Hop(Machine to, double at) {
             this.to = to;
@@ -66,7 +66,7 @@
                 id,
                 asked.frontend,
                 asked.customer,
-                now + asked.frontend.timeout,
+                now + asked.frontend.timeoutMs,
                 asked.units,
                 resent);
         this.asked = asked;
@@ -92,9 +92,9 @@
         return "req "
                 + id
                 + " ("
-                + frontend.name
+                + requestClass.name
                 + ", "
-                + customer.plan.name
+                + tenant.plan.name
                 + "): "
                 + String.join(", ", told);
     }
--- a/lab/src/main/java/tinford/lab/model/World.java
+++ b/lab/src/main/java/tinford/lab/model/World.java
@@ -9,17 +9,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import tinford.api.CounterTerms;
-import tinford.api.Customer;
-import tinford.api.Effect;
-import tinford.api.Frontend;
-import tinford.api.Gateway;
-import tinford.api.Goal;
-import tinford.api.Group;
-import tinford.api.Limits;
-import tinford.api.Place;
-import tinford.api.Rules;
-import tinford.api.Srv;
+import tinford.api.*;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 
@@ -42,11 +32,11 @@
     private final UniformRandomProvider seeds;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final List<Node> nodes = new ArrayList<>();
-    private final List<Frontend> frontends = new ArrayList<>();
-    private final Map<Frontend, ContinuousSampler> work = new HashMap<>();
+    private final List<RequestClass> frontends = new ArrayList<>();
+    private final Map<RequestClass, ContinuousSampler> work = new HashMap<>();
     private final Customers customers;
-    private final Map<Customer, Bucket> offered = new HashMap<>();
-    private final Map<Customer, Bucket> used = new HashMap<>();
+    private final Map<Tenant, Bucket> offered = new HashMap<>();
+    private final Map<Tenant, Bucket> used = new HashMap<>();
     private final Outcome outcome;
     private final Trace trace;
     private final List<Trace.Ask> asked = new ArrayList<>();
@@ -54,7 +44,7 @@
     private double counterAway;
     private long ids;
 
-    public World(Scenario s, long seed, Gateway.Maker maker) {
+    public World(Scenario s, long seed, DecisionModule.Factory maker) {
         this(s, seed, maker, null);
     }
 
@@ -62,7 +52,7 @@
      * @param trace the traffic, in place of drawn requests; its customers' gateways and all work
      *     are drawn all the same
      */
-    public World(Scenario s, long seed, Gateway.Maker maker, Trace trace) {
+    public World(Scenario s, long seed, DecisionModule.Factory maker, Trace trace) {
         this.trace = trace;
         this.s = s;
         this.streams = new Streams(seed);
@@ -102,15 +92,15 @@
                             s.servers().cold_time()));
         }
         for (Scenario.Frontend f : s.frontends()) {
-            Frontend made =
-                    new Frontend(
+            RequestClass made =
+                    new RequestClass(
                             f.name(),
                             f.target(),
                             f.timeout(),
                             f.value(),
                             0,
-                            Effect.valueOf(f.effect().name()),
-                            Group.CELL,
+                            Idempotency.valueOf(f.effect().name()),
+                            DeduplicationScope.CELL,
                             f.repeat_window(),
                             false);
             frontends.add(made);
@@ -140,7 +130,7 @@
         for (Scenario.Fault f : s.faults()) {
             agenda.after(f.at_s() * 1000, () -> Faults.begin(f, this, faults));
         }
-        double longest = frontends.stream().mapToDouble(f -> f.timeout).max().orElse(0);
+        double longest = frontends.stream().mapToDouble(f -> f.timeoutMs).max().orElse(0);
         agenda.run(end);
         double busy = machines.values().stream().mapToDouble(m -> m.busy).sum();
         outcome.load = busy / (s.length_s() * 1000 * s.servers().count() * s.servers().cores());
@@ -161,8 +151,8 @@
                 next,
                 () -> {
                     int number = customers.numberAt(draw.nextDouble());
-                    Customer customer = customers.get(number);
-                    Frontend frontend = frontend(draw.nextDouble());
+                    Tenant customer = customers.get(number);
+                    RequestClass frontend = frontend(draw.nextDouble());
                     double units = 1 + draw.nextInt((int) s.clients().largest());
                     int way = customers.way(customer, agenda.now(), draw);
                     if (customers.asks(number, agenda.now(), draw)) {
@@ -180,8 +170,8 @@
         agenda.after(
                 START + a.at() - agenda.now(),
                 () -> {
-                    Customer c = customers.recorded(a.customer(), a.plan());
-                    Frontend f =
+                    Tenant c = customers.recorded(a.customer(), a.plan());
+                    RequestClass f =
                             frontends.stream()
                                     .filter(k -> k.name.equals(a.frontend()))
                                     .findFirst()
@@ -196,10 +186,11 @@
         return Customers.firstGateway(customer, gateways);
     }
 
-    private void ask(Customer c, Frontend f, double units, int way, UniformRandomProvider draw) {
+    private void ask(Tenant c, RequestClass f, double units, int way, UniformRandomProvider draw) {
         asked.add(new Trace.Ask(agenda.now() - START, c.id, c.plan.name, f.name, units, way));
         boolean inside =
-                offered.computeIfAbsent(c, k -> new Bucket(c.plan.rate, c.plan.burst, agenda.now()))
+                offered.computeIfAbsent(
+                                c, k -> new Bucket(c.plan.quotaPerMs, c.plan.burst, agenda.now()))
                         .take(units, agenda.now());
         Try.Asked first = new Try.Asked(c, f, units, work.get(f).sample(), inside);
         if (inside) {
@@ -213,7 +204,7 @@
         return new Trace(List.copyOf(asked));
     }
 
-    private Frontend frontend(double at) {
+    private RequestClass frontend(double at) {
         double left = at * s.frontends().stream().mapToDouble(Scenario.Frontend::share).sum();
         for (int i = 0; i < frontends.size(); i++) {
             left -= s.frontends().get(i).share();
@@ -229,7 +220,7 @@
      *     client has
      */
     private void send(Try.Asked asked, int way, double stays) {
-        int at = (asked.customer.first + way) % nodes.size();
+        int at = (asked.customer.firstGateway + way) % nodes.size();
         asked.tries++;
         outcome.tries++;
         Node n = nodes.get(at);
@@ -243,7 +234,7 @@
         n.arrive(t);
         if (stays < 1) {
             agenda.after(
-                    stays * t.frontend.timeout,
+                    stays * t.requestClass.timeoutMs,
                     () -> {
                         if (!t.over && !t.gatewayGone()) {
                             outcome.unanswered++;
@@ -252,7 +243,7 @@
                     });
         }
         agenda.after(
-                t.frontend.timeout + 100,
+                t.requestClass.timeoutMs + 100,
                 () -> {
                     if (!t.over) {
                         t.over = true;
@@ -267,11 +258,11 @@
         if (answer.equals("passed")) {
             double took = agenda.now() - t.arrived;
             outcome.took.recordValue(Math.min(3_600_000, Math.round(took)));
-            if (took > t.frontend.target) {
+            if (took > t.requestClass.latencyObjectiveMs) {
                 outcome.late++;
             } else if (!t.asked.passed) {
                 t.asked.passed = true;
-                outcome.passed += t.asked.value * (t.beyond ? t.customer.plan.beyondValue : 1);
+                outcome.passed += t.asked.value * (t.beyond ? t.tenant.plan.overQuotaWeight : 1);
             }
             return;
         }
@@ -288,7 +279,7 @@
 
     private void again(Try.Asked asked, double ms) {
         if (asked.tries <= s.clients().retries()) {
-            int way = callers.nextInt(asked.customer.width);
+            int way = callers.nextInt(asked.customer.fanIn);
             agenda.after(ms, () -> send(asked, way, 1));
         }
     }
@@ -298,14 +289,15 @@
      * it.
      */
     void sentOn(Try t) {
-        Customer c = t.customer;
+        Tenant c = t.tenant;
         outcome.unitsOn += t.units;
         t.beyond =
-                !used.computeIfAbsent(c, k -> new Bucket(c.plan.rate, c.plan.burst, agenda.now()))
+                !used.computeIfAbsent(
+                                c, k -> new Bucket(c.plan.quotaPerMs, c.plan.burst, agenda.now()))
                         .take(t.units, agenda.now());
         if (t.beyond) {
             outcome.unitsBeyond += t.units;
-            outcome.beyondCost += t.asked.value * c.plan.beyondCost;
+            outcome.beyondCost += t.asked.value * c.plan.overQuotaCost;
         }
     }
 
@@ -330,7 +322,7 @@
 
     /** Discovery tells each gateway in its own time. */
     @Override
-    public void list(Machine m, Srv.State state) {
+    public void list(Machine m, Server.State state) {
         for (Node n : nodes) {
             agenda.after(lateness(), () -> n.listed(m, state));
         }
@@ -417,29 +409,29 @@
         return s.counter().timeout();
     }
 
-    Gateway make(Gateway.Maker maker, long seed, int number) {
-        return maker.make(
+    DecisionModule make(DecisionModule.Factory maker, long seed, int number) {
+        return maker.create(
                 seed,
-                new Place(
+                new GatewayIdentity(
                         number,
                         s.gateways(),
                         s.servers().zones().get(number % s.servers().zones().size()),
                         s.tick()),
-                new Limits(
+                new AttemptLimits(
                         s.rules().max_dispatches(),
                         false,
                         true,
                         false,
                         false,
                         s.rules().max_retry_after()),
-                new Rules(
+                new SlowStartRules(
                         s.servers().cold_from(),
                         s.servers().cold_time(),
                         s.rules().fall_multiple(),
                         s.rules().fall_time()),
-                new CounterTerms(
+                new CounterSettings(
                         s.counter().present(), s.counter().timeout(), s.clients().largest(), false),
-                new Goal(0.7, 0.3),
+                new Objectives(0.7, 0.3),
                 false);
     }
 }
--- a/lab/src/main/java/tinford/lab/overload/OverloadSimulation.java
+++ b/lab/src/main/java/tinford/lab/overload/OverloadSimulation.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Random;
-import tinford.api.Customer;
-import tinford.api.Effect;
-import tinford.api.Frontend;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
-import tinford.api.Req;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.api.Tenant;
 
 /**
  * A strain in virtual time: half of the servers are lost for {@link #LOST_MS}, clients of what is
@@ -56,9 +56,8 @@
     private final List<SimulatedServer> servers = new ArrayList<>();
     private final List<SimulatedGateway> gateways = new ArrayList<>();
     private final List<Integer> gatewayNumbers = new ArrayList<>();
-    private final List<Frontend> frontends = new ArrayList<>();
-    private final Customer customer =
-            new Customer(1, new Plan("p", 0, 0, 0, 1, 1, 0, 0, 0, 0), 1, 0);
+    private final List<RequestClass> frontends = new ArrayList<>();
+    private final Tenant customer = new Tenant(1, new Plan("p", 0, 0, 0, 1, 1, 0, 0, 0, 0), 1, 0);
     private final OverloadFigures figures = new OverloadFigures();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
@@ -115,15 +114,15 @@
         }
     }
 
-    private static Frontend frontend(double worth) {
-        return new Frontend(
+    private static RequestClass frontend(double worth) {
+        return new RequestClass(
                 "f" + worth,
                 TARGET_MS,
                 2 * TARGET_MS,
                 worth,
                 0,
-                Effect.IDEMPOTENT,
-                Group.ALL,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
                 0,
                 false);
     }
@@ -149,7 +148,8 @@
         int kind = (int) (WORTHS.length * Math.pow(random.nextDouble(), exponent));
         long id = numbers++;
         int units = 1 + random.nextInt(LARGEST_UNITS);
-        Req drawn = new Req(id, frontends.get(kind), customer, now + 2 * TARGET_MS, units, false);
+        Request drawn =
+                new Request(id, frontends.get(kind), customer, now + 2 * TARGET_MS, units, false);
         boolean counts = now >= LOSS_AT_MS + COUNT_AFTER_MS && now < RETURN_AT_MS;
         SimulatedRequest request = new SimulatedRequest(drawn, WORTHS[kind], 0, counts, now);
         SimulatedGateway gateway = gateways.get(number);
--- a/lab/src/main/java/tinford/lab/overload/SimulatedGateway.java
+++ b/lab/src/main/java/tinford/lab/overload/SimulatedGateway.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeSet;
-import tinford.api.End;
-import tinford.api.View;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Membership;
-import tinford.fleet.overload.Overload;
+import tinford.api.AttemptOutcome;
+import tinford.api.FleetPolicy;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.Membership;
+import tinford.fleet.overload.FleetOverloadPolicy;
 
 /**
  * A gateway that is simpler than the decisions: a learned limit on open dispatches, a queue by
@@ -48,8 +48,8 @@
     private final Random random;
     private final int number;
     private final OverloadSimulation.Mode mode;
-    private final Overload overload;
-    private final View view;
+    private final FleetOverloadPolicy overload;
+    private final FleetPolicy view;
     private final Map<Integer, GossipRecord> heard = new LinkedHashMap<>();
     private final Map<SimulatedServer, ServerState> servers = new LinkedHashMap<>();
     private final TreeSet<SimulatedRequest> waiting =
@@ -79,8 +79,9 @@
         this.mode = simulation.mode();
         Random own = new Random(random.nextLong());
         Incarnation incarnation = new Incarnation(number, 1);
-        overload = new Overload(0, incarnation, simulation.windowMs(), MOST_SENT_PART, own);
-        view = mode == OverloadSimulation.Mode.ALONE ? new View() : overload;
+        overload =
+                new FleetOverloadPolicy(0, incarnation, simulation.windowMs(), MOST_SENT_PART, own);
+        view = mode == OverloadSimulation.Mode.ALONE ? new FleetPolicy() : overload;
         simulation.servers().forEach(server -> servers.put(server, new ServerState()));
         limit = FIRST_LIMIT * servers.size() / gateways;
         leastLimit = LEAST_LIMIT * servers.size() / gateways;
@@ -165,8 +166,8 @@
 
     /** A client asks. */
     void arrive(SimulatedRequest request) {
-        view.asked(request.request, request.worth);
-        double part = view.part(request.worth);
+        view.requestOffered(request.request, request.worth);
+        double part = view.admittedShare(request.worth);
         if (part < 1 && random.nextDouble() >= part) {
             deny(request);
         } else {
@@ -188,7 +189,7 @@
         }
         servers.get(server).open++;
         open++;
-        view.sent(request.request, server.identity, request.worth, request.dispatches > 0);
+        view.attemptSent(request.request, server.identity, request.worth, request.dispatches > 0);
         if (!request.isFurther) {
             retriesSpared = Math.min(MOST_RETRIES_SPARED, retriesSpared + RETRIES_PER_REQUEST);
         }
@@ -220,7 +221,7 @@
     private boolean isUsable(SimulatedServer server, ServerState state) {
         return simulation.now() >= state.barredUntil
                 && !(state.unhealthy && state.open > 0)
-                && view.looksAfter(server.identity);
+                && view.ownsProbing(server.identity);
     }
 
     private void run(SimulatedRequest request, SimulatedServer server) {
@@ -234,21 +235,21 @@
                         + request.request.units / OverloadSimulation.UNITS_PER_MS;
         double longest = 2 * OverloadSimulation.TARGET_MS;
         double took = Math.min(server.freeAt - now + OverloadSimulation.LATENCY_MS, longest);
-        End how = took >= longest ? End.TIMED_OUT : End.GOOD;
+        AttemptOutcome how = took >= longest ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCESS;
         simulation.later(took, () -> answered(request, server, how, took));
     }
 
     /** Returns whether it is late. */
-    private boolean ended(SimulatedRequest request, SimulatedServer server, End how) {
+    private boolean ended(SimulatedRequest request, SimulatedServer server, AttemptOutcome how) {
         servers.get(server).open--;
         open--;
         boolean late = simulation.now() - request.askedAt > OverloadSimulation.TARGET_MS;
-        view.ended(request.request, server.identity, how, late);
+        view.attemptEnded(request.request, server.identity, how, late);
         return late;
     }
 
     private void answered(
-            SimulatedRequest request, SimulatedServer server, End how, double tookMs) {
+            SimulatedRequest request, SimulatedServer server, AttemptOutcome how, double tookMs) {
         boolean late = ended(request, server, how);
         meanMs += MEAN_WEIGHT * (tookMs - meanMs);
         ServerState state = servers.get(server);
@@ -258,14 +259,14 @@
             comeBack(request);
             return;
         }
-        view.ill(server.identity, false);
+        view.serverHealthChanged(server.identity, false);
         simulation.figures().passed(request, this, simulation.now());
     }
 
     private void failed(SimulatedRequest request, SimulatedServer server) {
-        ended(request, server, End.BROKEN);
+        ended(request, server, AttemptOutcome.CONNECTION_LOST);
         countFailure(server);
-        boolean mayRetry = view.further(retriesSpared) >= 1;
+        boolean mayRetry = view.retryAllowance(retriesSpared) >= 1;
         boolean inTime = waitedMs(request) < longestWaitMs();
         if (mayRetry && inTime && request.dispatches < MOST_DISPATCHES) {
             retriesSpared = Math.max(0, retriesSpared - 1);
@@ -283,13 +284,13 @@
         if (state.unhealthy) {
             int doublings = Math.min(MOST_DOUBLINGS, state.failures - FAILURES_UNTIL_UNHEALTHY);
             state.barredUntil = simulation.now() + BARRED_MS * (1 << doublings);
-            view.ill(server.identity, true);
+            view.serverHealthChanged(server.identity, true);
         }
     }
 
     private void deny(SimulatedRequest request) {
         if (request.dispatches == 0) {
-            view.denied(request.request, request.worth);
+            view.requestRejected(request.request, request.worth);
         }
         comeBack(request);
     }
@@ -301,7 +302,7 @@
         }
         List<SimulatedGateway> all = simulation.gateways();
         SimulatedGateway gateway = all.get(random.nextInt(all.size()));
-        double delay = BACK_AFTER_MS + view.spread() * random.nextDouble();
+        double delay = BACK_AFTER_MS + view.retryAfterJitterMs() * random.nextDouble();
         simulation.later(delay, () -> gateway.arrive(request.again(simulation.now())));
     }
 
--- a/lab/src/main/java/tinford/lab/overload/SimulatedRequest.java
+++ b/lab/src/main/java/tinford/lab/overload/SimulatedRequest.java
@@ -1,10 +1,10 @@
 package tinford.lab.overload;
 
-import tinford.api.Req;
+import tinford.api.Request;
 
 /** One attempt of a client, through one gateway. */
 final class SimulatedRequest {
-    final Req request;
+    final Request request;
     final double worth;
 
     /** How often its client has come back before. */
@@ -17,7 +17,7 @@
     boolean isFurther;
     int dispatches;
 
-    SimulatedRequest(Req request, double worth, int round, boolean counts, double askedAt) {
+    SimulatedRequest(Request request, double worth, int round, boolean counts, double askedAt) {
         this.request = request;
         this.worth = worth;
         this.round = round;
--- a/lab/src/main/java/tinford/lab/overload/SimulatedServer.java
+++ b/lab/src/main/java/tinford/lab/overload/SimulatedServer.java
@@ -1,14 +1,14 @@
 package tinford.lab.overload;
 
-import tinford.api.Srv;
+import tinford.api.Server;
 
 /** A server that works off its requests one after the other. */
 final class SimulatedServer {
-    final Srv identity;
+    final Server identity;
     double freeAt;
     boolean lost;
 
     SimulatedServer(int number) {
-        identity = new Srv("srv-" + number);
+        identity = new Server("srv-" + number);
     }
 }
--- a/lab/src/main/java/tinford/lab/scale/AppliedLedger.java
+++ b/lab/src/main/java/tinford/lab/scale/AppliedLedger.java
@@ -1,19 +1,19 @@
 package tinford.lab.scale;
 
-import tinford.fleet.budgets.Ledger;
-import tinford.fleet.store.Log;
+import tinford.fleet.budget.BudgetLedger;
+import tinford.fleet.store.ReplicatedLog;
 
 /** A member's ledger that counts what it was handed, and the time that it took. */
-final class AppliedLedger implements Log.Reader {
-    private final Ledger ledger;
+final class AppliedLedger implements ReplicatedLog.Reader {
+    private final BudgetLedger ledger;
     private long entries;
     private long nanos;
 
-    AppliedLedger(Ledger ledger) {
+    AppliedLedger(BudgetLedger ledger) {
         this.ledger = ledger;
     }
 
-    Ledger ledger() {
+    BudgetLedger ledger() {
         return ledger;
     }
 
--- a/lab/src/main/java/tinford/lab/scale/BudgetedServersMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/BudgetedServersMeasurement.java
@@ -2,10 +2,10 @@
 
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.budgets.Ledger;
-import tinford.fleet.budgets.LedgerEntry;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Leases;
+import tinford.fleet.budget.BudgetLedger;
+import tinford.fleet.budget.LedgerEntry;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.LeaseTable;
 
 /** The ledger by the number of servers that are offered to it: how many it takes, and its size. */
 final class BudgetedServersMeasurement implements Measurement {
@@ -39,10 +39,10 @@
 
     @Override
     public Sample measure(int servers, UniformRandomProvider random) {
-        Ledger ledger = LeaseDeployment.ledger(GATEWAYS);
+        BudgetLedger ledger = LeaseDeployment.ledger(GATEWAYS);
         long index = 0;
         for (Incarnation incarnation : LeaseDeployment.incarnations(GATEWAYS, (long) NOW_MS)) {
-            ledger.apply(++index, Leases.renew(incarnation, NOW_MS, LeaseDeployment.LEASE_MS));
+            ledger.apply(++index, LeaseTable.renew(incarnation, NOW_MS, LeaseDeployment.LEASE_MS));
         }
         long started = System.nanoTime();
         for (int server = 0; server < servers; server++) {
--- a/lab/src/main/java/tinford/lab/scale/CeilingSlice.java
+++ b/lab/src/main/java/tinford/lab/scale/CeilingSlice.java
@@ -1,6 +1,6 @@
 package tinford.lab.scale;
 
-import tinford.api.Customer;
+import tinford.api.Tenant;
 
 /**
  * One gateway's even slice of a tenant's hard ceiling, as the decisions hold it: empty at the start
@@ -12,10 +12,10 @@
     private double level;
     private double levelAt;
 
-    CeilingSlice(Customer tenant, double startedAt) {
-        double slice = 1.0 / Math.max(1, tenant.width);
-        this.rate = tenant.plan.ceilingRate * slice;
-        this.depth = tenant.plan.ceilingBurst * slice;
+    CeilingSlice(Tenant tenant, double startedAt) {
+        double slice = 1.0 / Math.max(1, tenant.fanIn);
+        this.rate = tenant.plan.hardLimitPerMs * slice;
+        this.depth = tenant.plan.hardLimitBurst * slice;
         this.levelAt = startedAt;
     }
 
--- a/lab/src/main/java/tinford/lab/scale/ConnectionPools.java
+++ b/lab/src/main/java/tinford/lab/scale/ConnectionPools.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tinford.api.End;
-import tinford.api.Req;
-import tinford.api.Srv;
+import tinford.api.AttemptOutcome;
+import tinford.api.Request;
+import tinford.api.Server;
 
 /**
  * The connections that gateways would hold to servers for the dispatches of a model, by the rules
@@ -24,7 +24,7 @@
     private final double idleMs;
     private final Map<Integer, Map<String, ArrayDeque<Double>>> idleSince = new HashMap<>();
     private final Set<Integer> restarted = new HashSet<>();
-    private final Map<Req, List<String>> servers = new IdentityHashMap<>();
+    private final Map<Request, List<String>> servers = new IdentityHashMap<>();
     private final List<Handshake> handshakes = new ArrayList<>();
     private final List<Double> dispatches = new ArrayList<>();
 
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void dispatched(int gateway, Req request, Srv server, double now) {
+    public void dispatched(int gateway, Request request, Server server, double now) {
         servers.computeIfAbsent(request, key -> new ArrayList<>(1)).add(server.id);
         dispatches.add(now);
         if (!reuses(pool(gateway, server.id), now)) {
@@ -66,9 +66,13 @@
     }
 
     @Override
-    public void dispatchEnded(int gateway, Req request, int dispatch, End end, double now) {
+    public void dispatchEnded(
+            int gateway, Request request, int dispatch, AttemptOutcome end, double now) {
         List<String> hops = servers.get(request);
-        boolean kept = end == End.GOOD || end == End.FULL || end == End.ERROR;
+        boolean kept =
+                end == AttemptOutcome.SUCCESS
+                        || end == AttemptOutcome.OVERLOADED
+                        || end == AttemptOutcome.ERROR;
         if (kept && hops != null) {
             pool(gateway, hops.get(dispatch)).addFirst(now);
         }
--- a/lab/src/main/java/tinford/lab/scale/CounterTraffic.java
+++ b/lab/src/main/java/tinford/lab/scale/CounterTraffic.java
@@ -1,8 +1,8 @@
 package tinford.lab.scale;
 
-import tinford.api.End;
-import tinford.api.Req;
-import tinford.api.Srv;
+import tinford.api.AttemptOutcome;
+import tinford.api.Request;
+import tinford.api.Server;
 
 /** What the calls of all gateways on the counter come to. */
 final class CounterTraffic implements DecisionListener {
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void arriving(int gateway, Req request, double now) {
+    public void arriving(int gateway, Request request, double now) {
         requests += counts(now) ? 1 : 0;
     }
 
@@ -47,11 +47,11 @@
     }
 
     @Override
-    public void counting(int gateway, long name, End end, double total, double now) {
+    public void counting(int gateway, long name, AttemptOutcome end, double total, double now) {
         if (!counts(now)) {
             return;
         }
-        if (end == End.GOOD) {
+        if (end == AttemptOutcome.SUCCESS) {
             answeredCalls++;
             receivedBytes += CounterCommand.answerBytes(total);
         } else {
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void dispatched(int gateway, Req request, Srv server, double now) {
+    public void dispatched(int gateway, Request request, Server server, double now) {
         dispatches += counts(now) ? 1 : 0;
     }
 
--- a/lab/src/main/java/tinford/lab/scale/CountingReader.java
+++ b/lab/src/main/java/tinford/lab/scale/CountingReader.java
@@ -1,10 +1,10 @@
 package tinford.lab.scale;
 
 import java.util.concurrent.atomic.LongAdder;
-import tinford.fleet.store.Log;
+import tinford.fleet.store.ReplicatedLog;
 
 /** A replicated state of no content: it only counts what it was handed. */
-final class CountingReader implements Log.Reader {
+final class CountingReader implements ReplicatedLog.Reader {
     private final LongAdder applied;
 
     /**
--- a/lab/src/main/java/tinford/lab/scale/DecisionMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/DecisionMeasurements.java
@@ -8,19 +8,19 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.api.Frontend;
-import tinford.handed.Fields;
-import tinford.handed.Handed;
+import tinford.api.RequestClass;
 import tinford.lab.scale.count.Cost;
 import tinford.lab.scale.count.LiveHeap;
 import tinford.lab.scale.gateway.DrivenGateway;
 import tinford.lab.scale.gateway.DrivenGateways;
 import tinford.lab.scale.gateway.ServerLists;
 import tinford.lab.scale.gateway.Traffic;
-import tinford.protocol.HttpLines;
-import tinford.protocol.JsonLines;
-import tinford.protocol.ListLimit;
-import tinford.protocol.Malformed;
+import tinford.protocol.ChunkedLineReader;
+import tinford.protocol.EndpointListLimit;
+import tinford.protocol.JsonObjectSplitter;
+import tinford.protocol.ProtocolException;
+import tinford.settings.JsonFields;
+import tinford.settings.SettingsReader;
 
 /**
  * What the decisions and the server table of one gateway cost, by servers, tenants and routes. The
@@ -48,7 +48,8 @@
 
     private static final double ROUND_GAP_MS = 60;
 
-    private static final int MOST_LIST = ListLimit.bytes(Runtime.getRuntime().maxMemory());
+    private static final int MOST_LIST =
+            EndpointListLimit.maxBytes(Runtime.getRuntime().maxMemory());
 
     private DecisionMeasurements() {}
 
@@ -120,7 +121,7 @@
     private static Cost changeOne(DrivenGateway gateway, int number) {
         gateway.list(ServerLists.read(ServerLists.changed(number, false)));
         gateway.pass(ROUND_GAP_MS);
-        Fields change = ServerLists.read(ServerLists.changed(number, true));
+        JsonFields change = ServerLists.read(ServerLists.changed(number, true));
         return Cost.of(() -> gateway.list(change));
     }
 
@@ -144,7 +145,7 @@
 
     /** The whole list once more, with nothing changed. */
     private static Cost listAgain(DrivenGateway gateway, int servers) {
-        Fields list = ServerLists.read(ServerLists.whole(servers));
+        JsonFields list = ServerLists.read(ServerLists.whole(servers));
         gateway.pass(ROUND_GAP_MS);
         return Cost.of(() -> gateway.list(list));
     }
@@ -164,16 +165,16 @@
     }
 
     private static void readAnswer(byte[] answer) {
-        JsonLines objects = new JsonLines(new JsonFactory(), MOST_LIST);
-        List<Fields> read = new ArrayList<>();
+        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MOST_LIST);
+        List<JsonFields> read = new ArrayList<>();
         try {
-            new HttpLines(MOST_LIST)
+            new ChunkedLineReader(MOST_LIST)
                     .read(
                             answer,
                             0,
                             answer.length,
                             line -> read.add(ServerLists.read(take(objects, line))));
-        } catch (Malformed e) {
+        } catch (ProtocolException e) {
             throw new IllegalStateException("a list of servers is refused", e);
         }
         if (read.size() != 1) {
@@ -181,10 +182,10 @@
         }
     }
 
-    private static String take(JsonLines objects, String line) {
+    private static String take(JsonObjectSplitter objects, String line) {
         try {
-            return objects.take(line);
-        } catch (Malformed e) {
+            return objects.addLine(line);
+        } catch (ProtocolException e) {
             throw new IllegalStateException("a list of servers is refused", e);
         }
     }
@@ -291,10 +292,10 @@
     private static Sample routes(int routes, UniformRandomProvider random) throws Exception {
         String text = routesText(routes);
         LiveHeap before = LiveHeap.now();
-        Fields settings = Fields.of(new JsonFactory(), "settings", text);
-        Map<String, Frontend> frontends = Handed.frontends(settings);
+        JsonFields settings = JsonFields.of(new JsonFactory(), "settings", text);
+        Map<String, RequestClass> frontends = SettingsReader.requestClasses(settings);
         LiveHeap held = LiveHeap.now().since(before);
-        if (frontends.size() != settings.parts("Classes").size()) {
+        if (frontends.size() != settings.objects("Classes").size()) {
             throw new IllegalStateException("both are held until here");
         }
         return heap(held);
--- a/lab/src/main/java/tinford/lab/scale/FirstDispatchTimes.java
+++ b/lab/src/main/java/tinford/lab/scale/FirstDispatchTimes.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import tinford.api.End;
-import tinford.api.Req;
-import tinford.api.Srv;
+import tinford.api.AttemptOutcome;
+import tinford.api.Request;
+import tinford.api.Server;
 
 /**
  * Tells apart where the time goes between the arrival of a request at a gateway and its first
@@ -71,7 +71,7 @@
     /** What is open at one gateway. */
     private static final class GatewayState {
         final double startedAt;
-        final Map<Req, Wait> waits = new IdentityHashMap<>();
+        final Map<Request, Wait> waits = new IdentityHashMap<>();
         final Map<Long, ArrayDeque<Wait>> calls = new HashMap<>();
         final Map<Long, CeilingSlice> ceilings = new HashMap<>();
         final Wait unobserved = new Wait(0, 0); // stands for what belongs to no request
@@ -88,14 +88,14 @@
     }
 
     @Override
-    public void arriving(int gateway, Req request, double now) {
+    public void arriving(int gateway, Request request, double now) {
         GatewayState state = states.get(gateway);
-        state.current = new Wait(request.expires - request.frontend.timeout, now);
+        state.current = new Wait(request.deadlineMs - request.requestClass.timeoutMs, now);
         state.waits.put(request, state.current);
     }
 
     @Override
-    public void arrived(int gateway, Req request, double now) {
+    public void arrived(int gateway, Request request, double now) {
         GatewayState state = states.get(gateway);
         state.current = state.unobserved;
     }
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void counting(int gateway, long name, End end, double total, double now) {
+    public void counting(int gateway, long name, AttemptOutcome end, double total, double now) {
         GatewayState state = states.get(gateway);
         ArrayDeque<Wait> queue = state.calls.get(name);
         Wait wait = queue == null ? null : queue.poll();
@@ -135,12 +135,12 @@
     }
 
     @Override
-    public void dropped(int gateway, Req request, double now) {
+    public void dropped(int gateway, Request request, double now) {
         states.get(gateway).waits.remove(request);
     }
 
     @Override
-    public void dispatched(int gateway, Req request, Srv server, double now) {
+    public void dispatched(int gateway, Request request, Server server, double now) {
         GatewayState state = states.get(gateway);
         Wait wait = state.waits.remove(request);
         if (wait == null) {
@@ -148,11 +148,11 @@
         }
         double decidedAt = decidedAt(wait, request, now);
         double ceilingAt = decidedAt;
-        if (request.customer.plan.ceilingRate > 0) {
+        if (request.tenant.plan.hardLimitPerMs > 0) {
             CeilingSlice slice =
                     state.ceilings.computeIfAbsent(
-                            request.customer.id,
-                            id -> new CeilingSlice(request.customer, state.startedAt));
+                            request.tenant.id,
+                            id -> new CeilingSlice(request.tenant, state.startedAt));
             ceilingAt = Math.min(now, Math.max(decidedAt, slice.roomSince(request.units)));
             slice.take(request.units, now);
         }
@@ -162,14 +162,15 @@
     }
 
     /** When the counter had said all that the decisions waited for. */
-    private static double decidedAt(Wait wait, Req request, double now) {
+    private static double decidedAt(Wait wait, Request request, double now) {
         if (!wait.called) {
             return wait.turnAt;
         }
         if (wait.openCalls == 0) {
             return wait.countedAt;
         }
-        double patience = COUNTER_PATIENCE * request.frontend.target + PATIENCE_TICK_MS;
+        double patience =
+                COUNTER_PATIENCE * request.requestClass.latencyObjectiveMs + PATIENCE_TICK_MS;
         return Math.min(now, wait.turnAt + patience);
     }
 
--- a/lab/src/main/java/tinford/lab/scale/GossipFleet.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipFleet.java
@@ -6,9 +6,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.IntPredicate;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.members.GossipRecord;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Members;
+import tinford.fleet.membership.GossipMembership;
+import tinford.fleet.membership.GossipRecord;
+import tinford.fleet.membership.Incarnation;
 import tinford.fleet.transport.InMemoryTransport;
 import tinford.fleet.transport.Transport;
 
@@ -39,7 +39,7 @@
             new InMemoryTransport.Link(30, 3, LOSS, 0, 0, 0);
 
     private final InMemoryTransport.Network network;
-    private final Members[] members;
+    private final GossipMembership[] members;
     private final Transport[] transports;
     private final boolean[] stopped;
     private final int[] sequence;
@@ -61,7 +61,7 @@
                 new InMemoryTransport.Network(
                         gateways, MESSAGE_BYTES, RECEIVE_ROOM, random.nextLong());
         network.advance(now);
-        members = new Members[gateways];
+        members = new GossipMembership[gateways];
         transports = new Transport[gateways];
         stopped = new boolean[gateways];
         sequence = new int[gateways];
@@ -94,8 +94,8 @@
     void start(int gateway) {
         Incarnation incarnation = new Incarnation(gateway, (long) now);
         Random own = new Random(chance.nextLong());
-        Members started =
-                new Members(
+        GossipMembership started =
+                new GossipMembership(
                         incarnation, members.length, ROUND_MS, FANOUT, suspectMs, suspectMs, own);
         members[gateway] = started;
         sequence[gateway] = 0;
@@ -106,7 +106,7 @@
                         network.at(gateway, (from, message) -> receive(started, from, message)));
     }
 
-    private void receive(Members to, int from, byte[] message) {
+    private void receive(GossipMembership to, int from, byte[] message) {
         long started = System.nanoTime();
         to.heard(message, from, network.now());
         receiveNanos += System.nanoTime() - started;
@@ -158,7 +158,7 @@
     }
 
     private void round(int gateway) {
-        Members own = members[gateway];
+        GossipMembership own = members[gateway];
         GossipRecord record = record(own.incarnation(gateway), sequence[gateway]++);
         long started = System.nanoTime();
         own.own(record, now);
@@ -177,7 +177,7 @@
         return record;
     }
 
-    Members members(int gateway) {
+    GossipMembership members(int gateway) {
         return members[gateway];
     }
 
--- a/lab/src/main/java/tinford/lab/scale/GossipSocketsMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipSocketsMeasurement.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Members;
+import tinford.fleet.membership.GossipMembership;
+import tinford.fleet.membership.Incarnation;
 import tinford.fleet.transport.UdpTransport;
 import tinford.lab.sockets.FreePort;
 
@@ -112,7 +112,7 @@
 
         private final ConcurrentLinkedQueue<Message> inbox = new ConcurrentLinkedQueue<>();
         private final Incarnation incarnation;
-        private final Members members;
+        private final GossipMembership members;
         private final UdpTransport transport;
         private int sequence;
         private long taken;
@@ -120,7 +120,7 @@
         Gateway(int number, List<InetSocketAddress> peers, Random chance) throws IOException {
             incarnation = new Incarnation(number, 0);
             members =
-                    new Members(
+                    new GossipMembership(
                             incarnation,
                             peers.size(),
                             GossipFleet.ROUND_MS,
--- a/lab/src/main/java/tinford/lab/scale/GossipTrafficMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipTrafficMeasurement.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 import java.util.Random;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.overload.Overload;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.overload.FleetOverloadPolicy;
 
 /** Gossip of a fleet at rest: messages, bytes, processor time and heap of one gateway. */
 final class GossipTrafficMeasurement implements Measurement {
@@ -91,8 +91,8 @@
     private static double overloadRoundMs(GossipFleet fleet) {
         Incarnation self = fleet.members(0).incarnation(0);
         double now = fleet.now();
-        Overload overload =
-                new Overload(now, self, OVERLOAD_WINDOW_MS, FURTHER_PART, new Random(1));
+        FleetOverloadPolicy overload =
+                new FleetOverloadPolicy(now, self, OVERLOAD_WINDOW_MS, FURTHER_PART, new Random(1));
         double measuredFrom = 0;
         for (int i = 0; i < 2 * OVERLOAD_ROUNDS; i++) {
             measuredFrom = i == OVERLOAD_ROUNDS ? ProcessorTime.threadMs() : measuredFrom;
--- a/lab/src/main/java/tinford/lab/scale/GrantEntryMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GrantEntryMeasurement.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.budgets.Ledger;
-import tinford.fleet.budgets.LedgerEntry;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Leases;
+import tinford.fleet.budget.BudgetLedger;
+import tinford.fleet.budget.LedgerEntry;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.LeaseTable;
 
 /**
  * The first grant that a leader proposes after a cold start, by gateways, with servers in
@@ -49,7 +49,7 @@
 
     @Override
     public Sample measure(int gateways, UniformRandomProvider random) {
-        Ledger ledger = demand(gateways);
+        BudgetLedger ledger = demand(gateways);
         double processorBefore = ProcessorTime.threadMs();
         double allocatedBefore = ProcessorTime.threadAllocatedBytes();
         byte[] grant = LeaseDeployment.proposer().propose(ledger, NOW_MS);
@@ -68,8 +68,8 @@
     }
 
     /** Each gateway has a lease and one open request for each of its accounts. */
-    private static Ledger demand(int gateways) {
-        Ledger ledger = LeaseDeployment.ledger(gateways);
+    private static BudgetLedger demand(int gateways) {
+        BudgetLedger ledger = LeaseDeployment.ledger(gateways);
         Map<Long, Integer> wanted = new LinkedHashMap<>();
         for (long account = 0; account < LeaseDeployment.ACCOUNTS; account++) {
             wanted.put(1L << WEIGHT_SHIFT | account, 1);
@@ -77,13 +77,13 @@
         List<Incarnation> incarnations = LeaseDeployment.incarnations(gateways, (long) NOW_MS);
         long index = 0;
         for (Incarnation incarnation : incarnations) {
-            ledger.apply(++index, Leases.renew(incarnation, NOW_MS, LeaseDeployment.LEASE_MS));
+            ledger.apply(++index, LeaseTable.renew(incarnation, NOW_MS, LeaseDeployment.LEASE_MS));
             ledger.apply(
                     ++index,
                     new LedgerEntry.Tell(incarnation, NOW_MS, 0, wanted, Map.of()).bytes());
         }
         int servers = (int) Math.ceil(gateways * SERVERS_PER_GATEWAY);
-        for (int server = 0; server < Math.min(servers, Ledger.MOST_SERVERS); server++) {
+        for (int server = 0; server < Math.min(servers, BudgetLedger.MOST_SERVERS); server++) {
             int offered = LeaseDeployment.CONNECTIONS_OFFERED;
             ledger.apply(
                     ++index, new LedgerEntry.Offer("server-" + server, 1, offered, NOW_MS).bytes());
--- a/lab/src/main/java/tinford/lab/scale/LeaseDeployment.java
+++ b/lab/src/main/java/tinford/lab/scale/LeaseDeployment.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import tinford.fleet.budgets.Ledger;
-import tinford.fleet.budgets.Proposer;
-import tinford.fleet.budgets.Share;
-import tinford.fleet.budgets.StaticShares;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Leases;
+import tinford.fleet.budget.BudgetLedger;
+import tinford.fleet.budget.GrantProposer;
+import tinford.fleet.budget.LocalBudget;
+import tinford.fleet.budget.StaticShares;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.LeaseTable;
 
 /** Ledgers and shares of many gateways by the operator file's own settings, in virtual time. */
 final class LeaseDeployment {
@@ -30,7 +30,7 @@
     /** The highest cap of an account that the operator file takes; its own value is 64. */
     private static final int MOST_CAP = 100_000;
 
-    private static final Proposer.Plan PLAN = new Proposer.Plan(1, 1, MOST_CAP);
+    private static final GrantProposer.Plan PLAN = new GrantProposer.Plan(1, 1, MOST_CAP);
 
     private LeaseDeployment() {}
 
@@ -38,18 +38,19 @@
         return new StaticShares(Map.of(), CONNECTIONS_OFFERED, STATIC_PART, gateways);
     }
 
-    static Ledger ledger(int gateways) {
-        return new Ledger(
-                new Leases(gateways, LEASE_MS, CLOCKS_APART_MS, LINGER_MS), staticShares(gateways));
+    static BudgetLedger ledger(int gateways) {
+        return new BudgetLedger(
+                new LeaseTable(gateways, LEASE_MS, CLOCKS_APART_MS, LINGER_MS),
+                staticShares(gateways));
     }
 
-    static Proposer proposer() {
-        return new Proposer(account -> PLAN, ROUND_MS);
+    static GrantProposer proposer() {
+        return new GrantProposer(account -> PLAN, ROUND_MS);
     }
 
     /** What one gateway asks of the log, as it sees the given ledger. */
-    static Share share(Ledger ledger, int gateways, Incarnation incarnation) {
-        return new Share(
+    static LocalBudget share(BudgetLedger ledger, int gateways, Incarnation incarnation) {
+        return new LocalBudget(
                 ledger,
                 staticShares(gateways),
                 account -> PLAN,
--- a/lab/src/main/java/tinford/lab/scale/LeaseRenewals.java
+++ b/lab/src/main/java/tinford/lab/scale/LeaseRenewals.java
@@ -5,11 +5,11 @@
 import java.util.Random;
 import java.util.random.RandomGenerator;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.budgets.Ledger;
-import tinford.fleet.budgets.Share;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.store.Log;
-import tinford.fleet.store.MemoryLogs;
+import tinford.fleet.budget.BudgetLedger;
+import tinford.fleet.budget.LocalBudget;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.store.InMemoryLogs;
+import tinford.fleet.store.ReplicatedLog;
 
 /**
  * Gateways that renew their leases through logs in memory, in virtual time. Their ticks are spread
@@ -26,18 +26,18 @@
 
     private final List<AppliedLedger> members = new ArrayList<>();
     private final List<Gateway> gateways = new ArrayList<>();
-    private final MemoryLogs logs;
+    private final InMemoryLogs logs;
     private double now = START_MS;
     private long entries;
     private long entryBytes;
 
     /** A gateway's share, and the member of the log that it hands its entries to. */
     private static final class Gateway {
-        private final Share share;
-        private final Log log;
+        private final LocalBudget share;
+        private final ReplicatedLog log;
         private double nextTick;
 
-        Gateway(Share share, Log log, double nextTick) {
+        Gateway(LocalBudget share, ReplicatedLog log, double nextTick) {
             this.share = share;
             this.log = log;
             this.nextTick = nextTick;
@@ -50,7 +50,7 @@
     LeaseRenewals(int gatewayCount, int voters, UniformRandomProvider random) {
         RandomGenerator chance = new Random(random.nextLong());
         logs =
-                new MemoryLogs(
+                new InMemoryLogs(
                         voters,
                         DELAY_MS,
                         SILENCE_MS,
@@ -58,7 +58,7 @@
                         IN_FLIGHT,
                         SNAPSHOT_ENTRIES,
                         chance);
-        List<Log> handles = new ArrayList<>();
+        List<ReplicatedLog> handles = new ArrayList<>();
         for (int member = 0; member < voters; member++) {
             AppliedLedger applied = new AppliedLedger(LeaseDeployment.ledger(gatewayCount));
             members.add(applied);
@@ -66,8 +66,8 @@
         }
         for (Incarnation incarnation : LeaseDeployment.incarnations(gatewayCount, START_MS)) {
             int member = incarnation.gateway() % voters;
-            Ledger ledger = members.get(member).ledger();
-            Share share = LeaseDeployment.share(ledger, gatewayCount, incarnation);
+            BudgetLedger ledger = members.get(member).ledger();
+            LocalBudget share = LeaseDeployment.share(ledger, gatewayCount, incarnation);
             double firstTick = START_MS + random.nextDouble() * LeaseDeployment.ROUND_MS;
             gateways.add(new Gateway(share, handles.get(member), firstTick));
         }
--- a/lab/src/main/java/tinford/lab/scale/ObservedDecisions.java
+++ b/lab/src/main/java/tinford/lab/scale/ObservedDecisions.java
@@ -1,67 +1,57 @@
 package tinford.lab.scale;
 
 import java.util.List;
-import tinford.api.CounterTerms;
-import tinford.api.End;
-import tinford.api.Gateway;
-import tinford.api.Goal;
-import tinford.api.Inbox;
-import tinford.api.Limits;
-import tinford.api.Place;
-import tinford.api.Req;
-import tinford.api.Rules;
-import tinford.api.Srv;
-import tinford.api.View;
-import tinford.api.Writer;
+import tinford.api.*;
 
 /**
  * Makes the decisions of every gateway of a model as they are, and lets listeners hear what passes
  * between them and their front. It changes neither.
  */
-final class ObservedDecisions implements Gateway.Maker {
-    private final Gateway.Maker maker;
+final class ObservedDecisions implements DecisionModule.Factory {
+    private final DecisionModule.Factory maker;
     private final List<DecisionListener> listeners;
 
-    ObservedDecisions(Gateway.Maker maker, List<DecisionListener> listeners) {
+    ObservedDecisions(DecisionModule.Factory maker, List<DecisionListener> listeners) {
         this.maker = maker;
         this.listeners = List.copyOf(listeners);
     }
 
     @Override
-    public Gateway make(
+    public DecisionModule create(
             long seed,
-            Place place,
-            Limits limits,
-            Rules rules,
-            CounterTerms counter,
-            Goal goal,
+            GatewayIdentity place,
+            AttemptLimits limits,
+            SlowStartRules rules,
+            CounterSettings counter,
+            Objectives goal,
             boolean mustAsk) {
-        Gateway decisions = maker.make(seed, place, limits, rules, counter, goal, mustAsk);
+        DecisionModule decisions = maker.create(seed, place, limits, rules, counter, goal, mustAsk);
         return new ObservedGateway(place.number, decisions);
     }
 
-    private final class ObservedGateway implements Gateway {
+    private final class ObservedGateway implements DecisionModule {
         private final int number;
-        private final Gateway decisions;
+        private final DecisionModule decisions;
 
-        ObservedGateway(int number, Gateway decisions) {
+        ObservedGateway(int number, DecisionModule decisions) {
             this.number = number;
             this.decisions = decisions;
         }
 
         @Override
-        public void round(double now, Feed feed, Writer out) {
-            Writer observed = new ObservedWriter(number, now, out);
-            decisions.round(now, in -> feed.replay(new ObservedInbox(number, now, in)), observed);
+        public void handleBatch(double now, EventBatch feed, GatewayActions out) {
+            GatewayActions observed = new ObservedWriter(number, now, out);
+            decisions.handleBatch(
+                    now, in -> feed.replay(new ObservedInbox(number, now, in)), observed);
         }
     }
 
-    private final class ObservedInbox implements Inbox {
+    private final class ObservedInbox implements GatewayEvents {
         private final int gateway;
         private final double now;
-        private final Inbox in;
+        private final GatewayEvents in;
 
-        ObservedInbox(int gateway, double now, Inbox in) {
+        ObservedInbox(int gateway, double now, GatewayEvents in) {
             this.gateway = gateway;
             this.now = now;
             this.in = in;
@@ -74,47 +64,47 @@
         }
 
         @Override
-        public void sees(View view) {
-            in.sees(view);
+        public void fleetPolicyChanged(FleetPolicy view) {
+            in.fleetPolicyChanged(view);
         }
 
         @Override
-        public void takesOver() {
-            in.takesOver();
+        public void takeoverStarted() {
+            in.takeoverStarted();
         }
 
         @Override
-        public void leaves() {
-            in.leaves();
+        public void drainingStarted() {
+            in.drainingStarted();
         }
 
         @Override
-        public void listed(List<Srv> entries, boolean whole) {
-            in.listed(entries, whole);
+        public void endpointsUpdated(List<Server> entries, boolean whole) {
+            in.endpointsUpdated(entries, whole);
         }
 
         @Override
-        public void listRefused() {
-            in.listRefused();
+        public void discoveryFailed() {
+            in.discoveryFailed();
         }
 
         @Override
-        public void arrived(Req request) {
+        public void requestArrived(Request request) {
             listeners.forEach(listener -> listener.arriving(gateway, request, now));
-            in.arrived(request);
+            in.requestArrived(request);
             listeners.forEach(listener -> listener.arrived(gateway, request, now));
         }
 
         @Override
-        public void began(Req request, int dispatch) {
-            in.began(request, dispatch);
+        public void responseStarted(Request request, int dispatch) {
+            in.responseStarted(request, dispatch);
         }
 
         @Override
-        public void ended(
-                Req request,
+        public void attemptEnded(
+                Request request,
                 int dispatch,
-                End how,
+                AttemptOutcome how,
                 double took,
                 boolean closed,
                 int seenUse,
@@ -122,111 +112,112 @@
                 double[] load) {
             listeners.forEach(
                     listener -> listener.dispatchEnded(gateway, request, dispatch, how, now));
-            in.ended(request, dispatch, how, took, closed, seenUse, settled, load);
+            in.attemptEnded(request, dispatch, how, took, closed, seenUse, settled, load);
         }
 
         @Override
-        public void left(Req request) {
+        public void clientDisconnected(Request request) {
             listeners.forEach(listener -> listener.dropped(gateway, request, now));
-            in.left(request);
+            in.clientDisconnected(request);
         }
 
         @Override
-        public void alarm(long token) {
-            in.alarm(token);
+        public void timerFired(long token) {
+            in.timerFired(token);
         }
 
         @Override
-        public void probed(Srv server, End how, double took, double[] load) {
-            in.probed(server, how, took, load);
+        public void healthCheckEnded(
+                Server server, AttemptOutcome how, double took, double[] load) {
+            in.healthCheckEnded(server, how, took, load);
         }
 
         @Override
-        public void heard(int peer, String text) {
-            in.heard(peer, text);
+        public void gossipReceived(int peer, String text) {
+            in.gossipReceived(peer, text);
         }
 
         @Override
-        public void counted(long name, End how, double took, double total) {
+        public void counterAnswered(long name, AttemptOutcome how, double took, double total) {
             listeners.forEach(listener -> listener.counting(gateway, name, how, total, now));
-            in.counted(name, how, took, total);
+            in.counterAnswered(name, how, took, total);
             listeners.forEach(listener -> listener.counted(gateway, now));
         }
 
         @Override
-        public void countedLate(long name, double total) {
-            in.countedLate(name, total);
+        public void counterAnsweredLate(long name, double total) {
+            in.counterAnsweredLate(name, total);
         }
     }
 
-    private final class ObservedWriter implements Writer {
+    private final class ObservedWriter implements GatewayActions {
         private final int gateway;
         private final double now;
-        private final Writer out;
+        private final GatewayActions out;
 
-        ObservedWriter(int gateway, double now, Writer out) {
+        ObservedWriter(int gateway, double now, GatewayActions out) {
             this.gateway = gateway;
             this.now = now;
             this.out = out;
         }
 
         @Override
-        public void dispatch(Req request, Srv server, double cap, double within) {
+        public void sendAttempt(Request request, Server server, double cap, double within) {
             listeners.forEach(listener -> listener.dispatched(gateway, request, server, now));
-            out.dispatch(request, server, cap, within);
+            out.sendAttempt(request, server, cap, within);
         }
 
         @Override
-        public void cancel(Req request, int dispatch) {
-            out.cancel(request, dispatch);
+        public void cancelAttempt(Request request, int dispatch) {
+            out.cancelAttempt(request, dispatch);
         }
 
         @Override
-        public void deny(Req request, double retryAfter) {
+        public void reject(Request request, double retryAfter) {
             listeners.forEach(listener -> listener.dropped(gateway, request, now));
-            out.deny(request, retryAfter);
+            out.reject(request, retryAfter);
         }
 
         @Override
-        public void abort(Req request) {
+        public void fail(Request request) {
             listeners.forEach(listener -> listener.dropped(gateway, request, now));
-            out.abort(request);
+            out.fail(request);
         }
 
         @Override
-        public void alarm(long token, double wait) {
-            out.alarm(token, wait);
+        public void setTimer(long token, double wait) {
+            out.setTimer(token, wait);
         }
 
         @Override
-        public void probe(Srv server) {
-            out.probe(server);
+        public void sendHealthCheck(Server server) {
+            out.sendHealthCheck(server);
         }
 
         @Override
-        public void closeIdle(Srv server) {
-            out.closeIdle(server);
+        public void closeIdleConnections(Server server) {
+            out.closeIdleConnections(server);
         }
 
         @Override
-        public void tell(int peer, String text) {
-            out.tell(peer, text);
+        public void sendGossip(int peer, String text) {
+            out.sendGossip(peer, text);
         }
 
         @Override
-        public void add(long name, double amount, double keep) {
+        public void incrementCounter(long name, double amount, double keep) {
             listeners.forEach(listener -> listener.calledCounter(gateway, name, amount, keep, now));
-            out.add(name, amount, keep);
+            out.incrementCounter(name, amount, keep);
         }
 
         @Override
-        public void watch(boolean on) {
-            out.watch(on);
+        public void watchEndpoints(boolean on) {
+            out.watchEndpoints(on);
         }
 
         @Override
-        public void fetchList() {
-            out.fetchList();
+        public void fetchEndpoints() {
+            out.fetchEndpoints();
         }
 
         @Override
--- a/lab/src/main/java/tinford/lab/scale/RaftAppendMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/RaftAppendMeasurement.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.store.Log;
+import tinford.fleet.store.ReplicatedLog;
 
 /** The replicated log by the number of its voters: messages, pace and processor time of appends. */
 final class RaftAppendMeasurement implements Measurement {
@@ -52,7 +52,7 @@
         try (RaftQuorum quorum =
                 new RaftQuorum(
                         voters, RaftQuorum.PATIENT_BOUNDS, () -> new CountingReader(applied))) {
-            Log leader = quorum.awaitLeader();
+            ReplicatedLog leader = quorum.awaitLeader();
             appendOne(leader, entry);
             double firstAppendMs = millisSince(started);
             Idle idle = idle();
@@ -101,7 +101,7 @@
                 1000 * (sent.appends() + sent.heartbeats()) / elapsedMs, processorMs / elapsedMs);
     }
 
-    private static OneByOne oneByOne(Log leader, byte[] entry) throws Exception {
+    private static OneByOne oneByOne(ReplicatedLog leader, byte[] entry) throws Exception {
         List<Double> latencies = new ArrayList<>();
         RaftTraffic before = RaftTraffic.now();
         double processorBefore = ProcessorTime.processMs();
@@ -121,7 +121,7 @@
                 processorMs / ONE_BY_ONE);
     }
 
-    private static Burst burst(Log leader, byte[] entry) throws Exception {
+    private static Burst burst(ReplicatedLog leader, byte[] entry) throws Exception {
         double processorBefore = ProcessorTime.processMs();
         long started = System.nanoTime();
         Semaphore inFlight = new Semaphore(IN_FLIGHT);
@@ -140,7 +140,7 @@
         return new Burst(1000 * BURST_ENTRIES / elapsedMs, processorMs / BURST_ENTRIES);
     }
 
-    private static void appendOne(Log leader, byte[] entry) throws Exception {
+    private static void appendOne(ReplicatedLog leader, byte[] entry) throws Exception {
         leader.append(entry).get(RaftQuorum.APPEND_WAIT_MS, TimeUnit.MILLISECONDS);
     }
 
--- a/lab/src/main/java/tinford/lab/scale/RaftQuorum.java
+++ b/lab/src/main/java/tinford/lab/scale/RaftQuorum.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
-import tinford.fleet.store.Log;
 import tinford.fleet.store.RaftLog;
+import tinford.fleet.store.ReplicatedLog;
 import tinford.lab.sockets.FreePort;
 
 /**
@@ -40,7 +40,8 @@
     private final List<RaftLog> members = new ArrayList<>();
 
     /** Starts all voters side by side; each has a reader of its own. */
-    RaftQuorum(int voters, RaftLog.Bounds bounds, Supplier<Log.Reader> readers) throws IOException {
+    RaftQuorum(int voters, RaftLog.Bounds bounds, Supplier<ReplicatedLog.Reader> readers)
+            throws IOException {
         folder = Files.createTempDirectory("raft-quorum");
         TreeMap<Integer, InetSocketAddress> addresses = addresses(voters);
         try {
@@ -68,10 +69,10 @@
     }
 
     /** The member that leads, as soon as there is one. */
-    Log awaitLeader() throws InterruptedException, TimeoutException {
+    ReplicatedLog awaitLeader() throws InterruptedException, TimeoutException {
         long deadline = System.currentTimeMillis() + LEADER_WAIT_MS;
         while (System.currentTimeMillis() < deadline) {
-            for (Log member : members) {
+            for (ReplicatedLog member : members) {
                 if (member.leads()) {
                     return member;
                 }
@@ -82,7 +83,7 @@
     }
 
     /** The member that the number falls to, by turns. */
-    Log member(int number) {
+    ReplicatedLog member(int number) {
         return members.get(number % members.size());
     }
 
--- a/lab/src/main/java/tinford/lab/scale/RaftRenewalMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/RaftRenewalMeasurement.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.members.Leases;
-import tinford.fleet.store.Log;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.membership.LeaseTable;
+import tinford.fleet.store.ReplicatedLog;
 
 /**
  * The renewals of so many gateways in real time, through a real quorum of five in this process: how
@@ -71,7 +71,8 @@
         for (Renewal renewal : renewals) {
             sleepUntil(started, renewal.atMs());
             byte[] entry =
-                    Leases.renew(renewal.incarnation(), renewal.atMs(), LeaseDeployment.LEASE_MS);
+                    LeaseTable.renew(
+                            renewal.incarnation(), renewal.atMs(), LeaseDeployment.LEASE_MS);
             bytes += entry.length;
             under.add(
                     offer(
@@ -121,7 +122,7 @@
     }
 
     private static CompletableFuture<?> offer(
-            Log log, byte[] entry, List<Double> latencies, LongAdder failures) {
+            ReplicatedLog log, byte[] entry, List<Double> latencies, LongAdder failures) {
         long offered = System.nanoTime();
         return log.append(entry)
                 .whenComplete(
--- a/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
@@ -4,7 +4,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
-import tinford.handed.Fields;
 import tinford.lab.model.Outcome;
 import tinford.lab.model.World;
 import tinford.lab.scale.configuration.ConfigurationState;
@@ -12,9 +11,10 @@
 import tinford.lab.scenario.Scenario;
 import tinford.lab.sockets.ServerList;
 import tinford.lab.sockets.SingleGateway;
-import tinford.protocol.HttpLines;
-import tinford.protocol.JsonLines;
-import tinford.protocol.ListLimit;
+import tinford.protocol.ChunkedLineReader;
+import tinford.protocol.EndpointListLimit;
+import tinford.protocol.JsonObjectSplitter;
+import tinford.settings.JsonFields;
 
 /** What restarts cost: of gateways (a rack, a zone, all) and of servers. */
 final class RestartMeasurements {
@@ -58,13 +58,13 @@
         String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         String chunk = Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n";
         byte[] answer = (head + chunk).getBytes(StandardCharsets.UTF_8);
-        int limit = ListLimit.bytes(Runtime.getRuntime().maxMemory());
+        int limit = EndpointListLimit.maxBytes(Runtime.getRuntime().maxMemory());
         JsonFactory json = new JsonFactory();
-        JsonLines objects = new JsonLines(json, limit);
+        JsonObjectSplitter objects = new JsonObjectSplitter(json, limit);
         String[] line = new String[1];
-        new HttpLines(limit).read(answer, 0, answer.length, text -> line[0] = text);
-        Fields read = Fields.of(json, "list", objects.take(line[0]));
-        return read.parts("hosts").size();
+        new ChunkedLineReader(limit).read(answer, 0, answer.length, text -> line[0] = text);
+        JsonFields read = JsonFields.of(json, "list", objects.addLine(line[0]));
+        return read.objects("hosts").size();
     }
 
     /** Computed from the measured size of one list: what discovery's agents send at once. */
--- a/lab/src/main/java/tinford/lab/scale/configuration/driver/ConfigurationDriver.java
+++ b/lab/src/main/java/tinford/lab/scale/configuration/driver/ConfigurationDriver.java
@@ -2,19 +2,19 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tinford.api.Effect;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.fleet.config.Change;
 import tinford.fleet.config.Configuration;
 import tinford.fleet.config.ConfigurationCodec;
-import tinford.fleet.config.Fault;
-import tinford.fleet.config.InvalidConfiguration;
-import tinford.fleet.config.Plan;
-import tinford.fleet.config.Route;
-import tinford.fleet.config.Service;
+import tinford.fleet.config.InvalidConfigurationException;
+import tinford.fleet.config.PlanRecord;
+import tinford.fleet.config.RouteRecord;
+import tinford.fleet.config.ServiceRecord;
 import tinford.fleet.config.SnapshotCodec;
-import tinford.fleet.config.Tenant;
+import tinford.fleet.config.TenantRecord;
 import tinford.fleet.config.Update;
+import tinford.fleet.config.ValidationError;
 import tinford.fleet.config.Validator;
 import tinford.fleet.config.WatchMessage;
 import tinford.lab.scale.configuration.ConfigurationState;
@@ -76,7 +76,7 @@
     public void decodeSnapshot(byte[] snapshot) {
         try {
             decoded = codec.decode(snapshot);
-        } catch (InvalidConfiguration e) {
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException("a snapshot is refused", e);
         }
         if (decoded.contentHash() != configuration.contentHash()) {
@@ -84,7 +84,7 @@
         }
     }
 
-    private static void expectSound(List<Fault> faults) {
+    private static void expectSound(List<ValidationError> faults) {
         if (!faults.isEmpty()) {
             throw new IllegalStateException(faults.toString());
         }
@@ -94,7 +94,7 @@
         List<Change> changes = new ArrayList<>();
         int services = Math.max(1, tenants / TENANTS_A_SERVICE);
         for (int i = 0; i < services; i++) {
-            changes.add(new Change.PutService(new Service("service-" + i)));
+            changes.add(new Change.PutService(new ServiceRecord("service-" + i)));
         }
         int routes = tenants / TENANTS_A_ROUTE;
         for (int i = 0; i < routes; i++) {
@@ -110,28 +110,28 @@
         return changes;
     }
 
-    private static Route route(int number, int services) {
+    private static RouteRecord route(int number, int services) {
         double timeoutMs = 200 + 10 * (number % 50);
-        return new Route(
+        return new RouteRecord(
                 "route-" + number,
                 "service-" + number % services,
                 timeoutMs / 4,
                 timeoutMs,
                 1 + number % 7,
                 0.25,
-                number % 3 == 0 ? Effect.NON_IDEMPOTENT : Effect.IDEMPOTENT,
-                Group.ALL,
+                number % 3 == 0 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
                 0,
                 number % 10 == 0);
     }
 
-    private static Plan plan(String name, int number) {
+    private static PlanRecord plan(String name, int number) {
         double rate = 10 * (1 + number);
-        return new Plan(name, rate, 2 * rate, 32, 1, 0.5, 0.1, 4 * rate, 8 * rate, 2);
+        return new PlanRecord(name, rate, 2 * rate, 32, 1, 0.5, 0.1, 4 * rate, 8 * rate, 2);
     }
 
     private static Change tenant(int number, int plan) {
         long id = FIRST_TENANT + number * TENANT_STEP;
-        return new Change.PutTenant(new Tenant(id, "plan-" + plan % PLANS));
+        return new Change.PutTenant(new TenantRecord(id, "plan-" + plan % PLANS));
     }
 }
--- a/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
+++ b/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
@@ -12,30 +12,30 @@
 import java.util.concurrent.ExecutionException;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.Decide;
-import tinford.api.CounterTerms;
-import tinford.api.Customer;
-import tinford.api.End;
-import tinford.api.Frontend;
-import tinford.api.Goal;
-import tinford.api.Inbox;
-import tinford.api.Limits;
-import tinford.api.Place;
-import tinford.api.Req;
-import tinford.api.Rules;
-import tinford.api.Srv;
-import tinford.api.Writer;
-import tinford.handed.Fields;
+import tinford.api.AttemptLimits;
+import tinford.api.AttemptOutcome;
+import tinford.api.CounterSettings;
+import tinford.api.GatewayActions;
+import tinford.api.GatewayEvents;
+import tinford.api.GatewayIdentity;
+import tinford.api.Objectives;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.api.Server;
+import tinford.api.SlowStartRules;
+import tinford.api.Tenant;
+import tinford.decision.DecisionEngine;
 import tinford.lab.scale.count.Cost;
 import tinford.lab.scale.gateway.DrivenGateway;
-import tinford.routing.Desk;
-import tinford.routing.Servers;
+import tinford.routing.RequestDispatcher;
+import tinford.routing.ServerPool;
+import tinford.settings.JsonFields;
 
 /**
  * Drives the decisions and the server table of one gateway. The counter answers each call in the
  * next round, servers after a service time with an exponential distribution.
  */
-public final class GatewayDriver implements DrivenGateway, Writer {
+public final class GatewayDriver implements DrivenGateway, GatewayActions {
     private static final double START = 100_000;
     private static final double TICK_MS = 50;
     private static final double SERVICE_MS = 20;
@@ -47,14 +47,14 @@
     private static final long BUFFER_BYTES = 16L << 20;
     private static final int TICKS_A_RANK = 4;
 
-    private final Decide decisions;
-    private final Desk desk;
-    private final Servers servers;
+    private final DecisionEngine decisions;
+    private final RequestDispatcher desk;
+    private final ServerPool servers;
     private final UniformRandomProvider random;
     private final PriorityQueue<Running> running = new PriorityQueue<>();
     private final Deque<Long> calls = new ArrayDeque<>();
     private final Map<Long, Double> totals = new HashMap<>();
-    private final Map<Req, Integer> dispatchesOf = new HashMap<>();
+    private final Map<Request, Integer> dispatchesOf = new HashMap<>();
     private DispatchListener listener = new NoListener();
     private Cost largestRound = Cost.NONE;
     private Cost requestRounds = Cost.NONE;
@@ -66,15 +66,15 @@
 
     private static final class NoListener implements DispatchListener {
         @Override
-        public void dispatched(Srv server, double at) {}
+        public void dispatched(Server server, double at) {}
 
         @Override
-        public void answered(Srv server, double at) {}
+        public void answered(Server server, double at) {}
     }
 
     /** A dispatch whose answer is due at some time. */
     private record Running(
-            double due, long sequence, Req req, Srv server, int number, double sentAt)
+            double due, long sequence, Request req, Server server, int number, double sentAt)
             implements Comparable<Running> {
         @Override
         public int compareTo(Running other) {
@@ -86,23 +86,23 @@
     public GatewayDriver(int gateways, UniformRandomProvider random) throws IOException {
         this.random = random;
         this.decisions =
-                new Decide(
+                new DecisionEngine(
                         random.nextLong(),
-                        new Place(0, gateways, "a", 1),
-                        new Limits(MOST_DISPATCHES, false, true, true, true, 1000),
-                        new Rules(0.3, COLD_MS, 2, 1000),
-                        new CounterTerms(true, COUNTER_TIMEOUT_MS, 6, false),
-                        new Goal(0.7, 0.3),
+                        new GatewayIdentity(0, gateways, "a", 1),
+                        new AttemptLimits(MOST_DISPATCHES, false, true, true, true, 1000),
+                        new SlowStartRules(0.3, COLD_MS, 2, 1000),
+                        new CounterSettings(true, COUNTER_TIMEOUT_MS, 6, false),
+                        new Objectives(0.7, 0.3),
                         false);
-        this.desk = new Desk(decisions, MOST_DISPATCHES, DESCRIPTORS, BUFFER_BYTES);
-        this.servers = new Servers(desk, COUNTER_TIMEOUT_MS, NEVER_MS, DESCRIPTORS, List.of());
+        this.desk = new RequestDispatcher(decisions, MOST_DISPATCHES, DESCRIPTORS, BUFFER_BYTES);
+        this.servers = new ServerPool(desk, COUNTER_TIMEOUT_MS, NEVER_MS, DESCRIPTORS, List.of());
         desk.seat(null, servers, null, null, null);
     }
 
     @Override
     public <T> T onIoThread(Callable<T> job) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        desk.loop.enter(
+        desk.loop.execute(
                 () -> {
                     try {
                         takeOverRound();
@@ -120,7 +120,7 @@
 
     /** From here to the end of the desk's turn the time is virtual and this is the writer. */
     private void takeOverRound() {
-        decisions.round(now, inbox -> {}, this);
+        decisions.handleBatch(now, inbox -> {}, this);
     }
 
     @Override
@@ -164,7 +164,7 @@
         ticks++;
         nextTick += TICK_MS;
         Cost before = requestRounds;
-        round(inbox -> inbox.alarm(1));
+        round(inbox -> inbox.timerFired(1));
         requestRounds = before;
         answerCalls();
     }
@@ -176,30 +176,44 @@
         }
         listener.answered(done.server(), now);
         double took = now - done.sentAt();
-        round(inbox -> inbox.ended(done.req(), done.number(), End.GOOD, took, true, 0, 0, null));
+        round(
+                inbox ->
+                        inbox.attemptEnded(
+                                done.req(),
+                                done.number(),
+                                AttemptOutcome.SUCCESS,
+                                took,
+                                true,
+                                0,
+                                0,
+                                null));
     }
 
     @Override
-    public void list(Fields list) {
+    public void list(JsonFields list) {
         servers.list(list);
     }
 
     @Override
-    public void request(Customer customer, Frontend frontend, double units) {
-        Req req = new Req(requests++, frontend, customer, now + frontend.timeout, units, false);
-        round(inbox -> inbox.arrived(req));
+    public void request(Tenant customer, RequestClass frontend, double units) {
+        Request req =
+                new Request(requests++, frontend, customer, now + frontend.timeoutMs, units, false);
+        round(inbox -> inbox.requestArrived(req));
         answerCalls();
     }
 
     private void answerCalls() {
         while (!calls.isEmpty()) {
             long name = calls.poll();
-            round(inbox -> inbox.counted(name, End.GOOD, 1, totals.get(name)));
+            round(
+                    inbox ->
+                            inbox.counterAnswered(
+                                    name, AttemptOutcome.SUCCESS, 1, totals.get(name)));
         }
     }
 
-    private void round(Consumer<Inbox> input) {
-        Cost cost = Cost.of(() -> decisions.round(now, input::accept, this));
+    private void round(Consumer<GatewayEvents> input) {
+        Cost cost = Cost.of(() -> decisions.handleBatch(now, input::accept, this));
         largestRound =
                 new Cost(
                         Math.max(largestRound.operations(), cost.operations()),
@@ -236,7 +250,7 @@
     }
 
     @Override
-    public void dispatch(Req req, Srv server, double cap, double within) {
+    public void sendAttempt(Request req, Server server, double cap, double within) {
         int number = dispatchesOf.merge(req, 1, Integer::sum) - 1;
         double service = -SERVICE_MS * Math.log(1 - random.nextDouble());
         running.add(new Running(now + service, dispatches++, req, server, number, now));
@@ -244,41 +258,41 @@
     }
 
     @Override
-    public void add(long name, double units, double keep) {
+    public void incrementCounter(long name, double units, double keep) {
         totals.merge(name, units, Double::sum);
         calls.add(name);
     }
 
     @Override
-    public void deny(Req req, double retryAfter) {
+    public void reject(Request req, double retryAfter) {
         dispatchesOf.remove(req);
     }
 
     @Override
-    public void abort(Req req) {
+    public void fail(Request req) {
         dispatchesOf.remove(req);
     }
 
     @Override
-    public void cancel(Req req, int hop) {}
+    public void cancelAttempt(Request req, int hop) {}
 
     @Override
-    public void alarm(long token, double wait) {}
+    public void setTimer(long token, double wait) {}
 
     @Override
-    public void probe(Srv server) {}
+    public void sendHealthCheck(Server server) {}
 
     @Override
-    public void closeIdle(Srv server) {}
+    public void closeIdleConnections(Server server) {}
 
     @Override
-    public void tell(int peer, String text) {}
+    public void sendGossip(int peer, String text) {}
 
     @Override
-    public void watch(boolean on) {}
+    public void watchEndpoints(boolean on) {}
 
     @Override
-    public void fetchList() {}
+    public void fetchEndpoints() {}
 
     @Override
     public void log(String text) {}
--- a/lab/src/main/java/tinford/lab/scale/gateway/ConnectionModel.java
+++ b/lab/src/main/java/tinford/lab/scale/gateway/ConnectionModel.java
@@ -5,19 +5,19 @@
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
-import tinford.api.Srv;
+import tinford.api.Server;
 
 /**
- * The connections that {@link tinford.routing.Servers} would hold: one dispatch at a time on each,
- * the last used that has rested goes first, and what stands idle too long is closed.
+ * The connections that {@link tinford.routing.ServerPool} would hold: one dispatch at a time on
+ * each, the last used that has rested goes first, and what stands idle too long is closed.
  */
 public final class ConnectionModel implements DrivenGateway.DispatchListener {
     private static final double REST_MS = 10;
     private static final double IDLE_PART = 0.75;
 
     private final double closedAfter;
-    private final Map<Srv, Deque<Double>> idleSince = new HashMap<>();
-    private final Map<Srv, Integer> requests = new HashMap<>();
+    private final Map<Server, Deque<Double>> idleSince = new HashMap<>();
+    private final Map<Server, Integer> requests = new HashMap<>();
     private long opened;
     private long dispatched;
     private long inUse;
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void dispatched(Srv server, double now) {
+    public void dispatched(Server server, double now) {
         dispatched++;
         inUse++;
         requests.merge(server, 1, Integer::sum);
@@ -40,12 +40,12 @@
     }
 
     @Override
-    public void answered(Srv server, double now) {
+    public void answered(Server server, double now) {
         inUse--;
         idle(server).addFirst(now);
     }
 
-    private Deque<Double> idle(Srv server) {
+    private Deque<Double> idle(Server server) {
         return idleSince.computeIfAbsent(server, key -> new ArrayDeque<>());
     }
 
--- a/lab/src/main/java/tinford/lab/scale/gateway/DrivenGateway.java
+++ b/lab/src/main/java/tinford/lab/scale/gateway/DrivenGateway.java
@@ -1,11 +1,11 @@
 package tinford.lab.scale.gateway;
 
 import java.util.concurrent.Callable;
-import tinford.api.Customer;
-import tinford.api.Frontend;
-import tinford.api.Srv;
-import tinford.handed.Fields;
+import tinford.api.RequestClass;
+import tinford.api.Server;
+import tinford.api.Tenant;
 import tinford.lab.scale.count.Cost;
+import tinford.settings.JsonFields;
 
 /**
  * One gateway's real decisions and server table, driven by hand in virtual time. All calls but
@@ -16,10 +16,10 @@
     /** Hears of each dispatch and of its answer, at their virtual times. */
     interface DispatchListener {
         /** A request leaves for the server. */
-        void dispatched(Srv server, double now);
+        void dispatched(Server server, double now);
 
         /** The server's answer has come. */
-        void answered(Srv server, double now);
+        void answered(Server server, double now);
     }
 
     /** Runs the job on the I/O thread, waits for its end, and hands on its result or fault. */
@@ -35,10 +35,10 @@
     Cost rank();
 
     /** A list in discovery's form, as a watch hands it to the server table. */
-    void list(Fields list);
+    void list(JsonFields list);
 
     /** One request arrives; the counter answers at once, the server after its service time. */
-    void request(Customer customer, Frontend frontend, double units);
+    void request(Tenant customer, RequestClass frontend, double units);
 
     /** The most that one round has taken since {@link #resetRounds}, field by field. */
     Cost largestRound();
--- a/lab/src/main/java/tinford/lab/scale/gateway/DrivenGateways.java
+++ b/lab/src/main/java/tinford/lab/scale/gateway/DrivenGateways.java
@@ -11,7 +11,7 @@
     private static final ClassLoader COUNTING =
             new CountingClassLoader(
                     PLAIN,
-                    List.of("tinford.Decide", "tinford.routing."),
+                    List.of("tinford.decision.", "tinford.routing."),
                     List.of("tinford.lab.scale.driver."));
 
     private DrivenGateways() {}
--- a/lab/src/main/java/tinford/lab/scale/gateway/ServerLists.java
+++ b/lab/src/main/java/tinford/lab/scale/gateway/ServerLists.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import tinford.handed.Fields;
+import tinford.settings.JsonFields;
 
 /** Lists of servers in discovery's form, with names and fields as long as those in use. */
 public final class ServerLists {
@@ -43,8 +43,8 @@
     }
 
     /** As the watch reads it. */
-    public static Fields read(String list) {
-        return Fields.of(JSON, "discovery", list);
+    public static JsonFields read(String list) {
+        return JsonFields.of(JSON, "discovery", list);
     }
 
     private static String host(int number, String health, double bornMs) {
--- a/lab/src/main/java/tinford/lab/scale/gateway/Traffic.java
+++ b/lab/src/main/java/tinford/lab/scale/gateway/Traffic.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinford.api.Customer;
-import tinford.api.Effect;
-import tinford.api.Frontend;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
+import tinford.api.RequestClass;
+import tinford.api.Tenant;
 
 /** Requests at a steady rate, from customers whose quotas have room, over some routes. */
 public final class Traffic {
@@ -23,10 +23,18 @@
 
     private final UniformRandomProvider random;
     private final double requestsASecond;
-    private final List<Customer> customers;
-    private final Frontend frontend =
-            new Frontend(
-                    "f", TARGET_MS, TIMEOUT_MS, 1, 0, Effect.IDEMPOTENT, Group.ALL, 3000, false);
+    private final List<Tenant> customers;
+    private final RequestClass frontend =
+            new RequestClass(
+                    "f",
+                    TARGET_MS,
+                    TIMEOUT_MS,
+                    1,
+                    0,
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.ALL,
+                    3000,
+                    false);
 
     /** At a gateway's part of the peak. */
     public Traffic(int customers, UniformRandomProvider random) {
@@ -38,7 +46,7 @@
         this.requestsASecond = requestsASecond;
         this.customers =
                 LongStream.range(0, customers)
-                        .mapToObj(id -> new Customer(id, PLAN, GATEWAYS, 0))
+                        .mapToObj(id -> new Tenant(id, PLAN, GATEWAYS, 0))
                         .toList();
     }
 
--- a/lab/src/main/java/tinford/lab/sockets/Bench.java
+++ b/lab/src/main/java/tinford/lab/sockets/Bench.java
@@ -14,11 +14,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import tinford.api.Effect;
-import tinford.api.Frontend;
-import tinford.api.Group;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
-import tinford.api.Srv;
+import tinford.api.RequestClass;
+import tinford.api.Server;
 import tinford.lab.model.Agenda;
 import tinford.lab.model.Faults;
 import tinford.lab.model.Machine;
@@ -129,19 +129,19 @@
         return plans;
     }
 
-    private static Map<String, Frontend> frontends(Scenario scenario) {
-        Map<String, Frontend> frontends = new HashMap<>();
+    private static Map<String, RequestClass> frontends(Scenario scenario) {
+        Map<String, RequestClass> frontends = new HashMap<>();
         for (Scenario.Frontend frontend : scenario.frontends()) {
             frontends.put(
                     frontend.name(),
-                    new Frontend(
+                    new RequestClass(
                             frontend.name(),
                             frontend.target(),
                             frontend.timeout(),
                             frontend.value(),
                             0,
-                            Effect.valueOf(frontend.effect().name()),
-                            Group.CELL,
+                            Idempotency.valueOf(frontend.effect().name()),
+                            DeduplicationScope.CELL,
                             frontend.repeat_window(),
                             false));
         }
@@ -274,7 +274,7 @@
     }
 
     @Override
-    public void list(Machine machine, Srv.State state) {
+    public void list(Machine machine, Server.State state) {
         live.agenda()
                 .after(
                         listLate(),
--- a/lab/src/main/java/tinford/lab/sockets/ClientLoad.java
+++ b/lab/src/main/java/tinford/lab/sockets/ClientLoad.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicLong;
-import tinford.api.Customer;
-import tinford.api.Frontend;
 import tinford.api.Plan;
+import tinford.api.RequestClass;
+import tinford.api.Tenant;
 import tinford.lab.model.Bucket;
 import tinford.lab.model.Try;
 import tinford.lab.model.World;
@@ -33,7 +33,7 @@
     private final RequestRecords records;
     private final List<GatewayProcess> gateways;
     private final Map<String, Plan> plans;
-    private final Map<String, Frontend> frontends;
+    private final Map<String, RequestClass> frontends;
     private final ClientFigures figures = new ClientFigures();
     private final AtomicLong ids = new AtomicLong();
     private final Map<Long, Bucket> quotas = new HashMap<>();
@@ -66,7 +66,7 @@
             RequestRecords records,
             List<GatewayProcess> gateways,
             Map<String, Plan> plans,
-            Map<String, Frontend> frontends) {
+            Map<String, RequestClass> frontends) {
         this.context = context;
         this.records = records;
         this.gateways = gateways;
@@ -179,8 +179,8 @@
 
     private Try request(Attempt attempt, GatewayProcess gateway) {
         Wish wish = attempt.wish;
-        Customer customer =
-                new Customer(
+        Tenant customer =
+                new Tenant(
                         wish.asked.customer(),
                         plans.get(wish.plan.name()),
                         context.scenario.clients().spread(),
--- a/lab/src/main/java/tinford/lab/sockets/CounterStandIn.java
+++ b/lab/src/main/java/tinford/lab/sockets/CounterStandIn.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.util.ArrayDeque;
-import tinford.api.End;
+import tinford.api.AttemptOutcome;
 import tinford.lab.model.Store;
 
 /** One gateway's way to the counter, whose store all gateways share. */
@@ -52,7 +52,10 @@
                 Double.parseDouble(call[2]),
                 Double.parseDouble(call[3]),
                 (how, total) -> {
-                    answer[0] = how == End.GOOD ? bulk(Double.toString(total)) : "-BUSY\r\n";
+                    answer[0] =
+                            how == AttemptOutcome.SUCCESS
+                                    ? bulk(Double.toString(total))
+                                    : "-BUSY\r\n";
                     sendReady(wire, answers);
                 });
     }
--- a/lab/src/main/java/tinford/lab/sockets/DiscoveryStandIn.java
+++ b/lab/src/main/java/tinford/lab/sockets/DiscoveryStandIn.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import tinford.api.Srv;
+import tinford.api.Server;
 
 /** Discovery for all gateways: one watch each, told of changes late. */
 final class DiscoveryStandIn {
@@ -113,7 +113,7 @@
                 server.machine().born);
     }
 
-    private static String health(Srv.State state) {
+    private static String health(Server.State state) {
         return switch (state) {
             case UP -> "ready";
             case DRAINING -> "draining";
--- a/lab/src/main/java/tinford/lab/sockets/RequestRecords.java
+++ b/lab/src/main/java/tinford/lab/sockets/RequestRecords.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
-import tinford.api.End;
+import tinford.api.AttemptOutcome;
 import tinford.api.Plan;
 import tinford.lab.model.Bucket;
 import tinford.lab.model.Machine;
@@ -76,10 +76,11 @@
 
     /** The first dispatch of a request draws its units from its customer's quota. */
     void drawUnits(Try request, double now) {
-        Plan plan = request.customer.plan;
+        Plan plan = request.tenant.plan;
         boolean inside =
                 used.computeIfAbsent(
-                                request.customer.id, id -> new Bucket(plan.rate, plan.burst, now))
+                                request.tenant.id,
+                                id -> new Bucket(plan.quotaPerMs, plan.burst, now))
                         .take(request.units, now);
         beyond.put(request.id, !inside);
         unitsServed += request.units;
@@ -102,7 +103,7 @@
         dispatches.put(port, dispatch);
         if (givenUp.containsKey(port)) {
             // it was held up on its way and comes after others: the histories judge it
-            dispatch.end = End.TIMED_OUT;
+            dispatch.end = AttemptOutcome.TIMED_OUT;
         } else if (request.hops.stream().anyMatch(earlier -> earlier.end == null)) {
             live.agenda().after(UNREAD, record);
         } else {
@@ -130,7 +131,7 @@
     void connectionGivenUp(int port) {
         Try.Hop dispatch = dispatches.get(port);
         if (dispatch != null && dispatch.end == null) {
-            dispatch.end = End.TIMED_OUT;
+            dispatch.end = AttemptOutcome.TIMED_OUT;
         } else if (givenUp.size() < MAX_GIVEN_UP) {
             givenUp.put(port, true);
         }
--- a/lab/src/main/java/tinford/lab/sockets/ServerStandIn.java
+++ b/lab/src/main/java/tinford/lab/sockets/ServerStandIn.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
-import tinford.api.End;
-import tinford.api.Srv;
+import tinford.api.AttemptOutcome;
+import tinford.api.Server;
 import tinford.lab.model.Machine;
 import tinford.lab.model.Try;
 import tinford.lab.scenario.Scenario;
@@ -37,7 +37,7 @@
     private boolean ill;
 
     /** As gateways were told: its state, since when it drains, and its last start. */
-    private Srv.State state = Srv.State.UP;
+    private Server.State state = Server.State.UP;
 
     private double drainToldAt = Double.POSITIVE_INFINITY;
     private double toldBorn;
@@ -69,16 +69,16 @@
         return port;
     }
 
-    Srv.State state() {
+    Server.State state() {
         return state;
     }
 
     /** What gateways are told now. */
-    void announce(Srv.State announced) {
+    void announce(Server.State announced) {
         state = announced;
         toldBorn = machine.born;
         drainToldAt =
-                announced == Srv.State.UP
+                announced == Server.State.UP
                         ? Double.POSITIVE_INFINITY
                         : Math.min(drainToldAt, context.live.agenda().now());
     }
@@ -182,7 +182,7 @@
         }
         Try.Hop dispatch = dispatches.remove(wire);
         if (dispatch != null && dispatch.end == null) {
-            dispatch.end = End.TIMED_OUT; // given up by its gateway; it may have run
+            dispatch.end = AttemptOutcome.TIMED_OUT; // given up by its gateway; it may have run
         }
     }
 
@@ -191,7 +191,7 @@
         String id = words[2];
         int from = wire.socket.getPort();
         Try request = records.request(Long.parseUnsignedLong(id, 16));
-        double works = work.get(request.frontend.name).sample();
+        double works = work.get(request.requestClass.name).sample();
         boolean further = records.reachedServer(request.id);
         tellDispatch(request, id, from, further);
         if (!further) {
@@ -217,9 +217,9 @@
                 "req",
                 id,
                 "frontend",
-                request.frontend.name,
+                request.requestClass.name,
                 "effect",
-                request.frontend.effect.name(),
+                request.requestClass.idempotency.name(),
                 "units",
                 request.units,
                 "further",
@@ -229,16 +229,16 @@
                 "class",
                 context.between.group(machine.id),
                 "window",
-                request.frontend.repeatWindow);
+                request.requestClass.deduplicationWindowMs);
     }
 
-    private void finish(Wire wire, String id, Try.Hop dispatch, End end) {
+    private void finish(Wire wire, String id, Try.Hop dispatch, AttemptOutcome end) {
         dispatch.end = dispatch.end == null ? end : dispatch.end;
         context.between.tell("ended", "server", machine.id, "req", id, "how", end.name());
         try {
             switch (end) {
-                case GOOD -> wire.say("*3\r\n$16\r\n" + id + "\r\n$-1\r\n$-1\r\n");
-                case FULL -> wire.say("-BUSY\r\n");
+                case SUCCESS -> wire.say("*3\r\n$16\r\n" + id + "\r\n$-1\r\n$-1\r\n");
+                case OVERLOADED -> wire.say("-BUSY\r\n");
                 default -> drop(wire);
             }
         } catch (IOException e) {
--- a/lab/src/main/java/tinford/lab/study/Study.java
+++ b/lab/src/main/java/tinford/lab/study/Study.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import org.apache.commons.statistics.distribution.TDistribution;
-import tinford.api.Gateway;
+import tinford.api.DecisionModule;
 import tinford.lab.model.Outcome;
 import tinford.lab.model.World;
 import tinford.lab.scenario.Scenario;
@@ -36,7 +36,7 @@
     }
 
     /** One outcome a seed, in the order of the seeds. */
-    public List<Outcome> run(Gateway.Maker maker, long firstSeed, int runs)
+    public List<Outcome> run(DecisionModule.Factory maker, long firstSeed, int runs)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
--- a/lab/src/main/java/tinford/lab/study/Versions.java
+++ b/lab/src/main/java/tinford/lab/study/Versions.java
@@ -8,20 +8,21 @@
 import java.net.URLClassLoader;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import tinford.Decide;
-import tinford.api.CounterTerms;
-import tinford.api.Gateway;
-import tinford.api.Goal;
-import tinford.api.Limits;
-import tinford.api.Place;
-import tinford.api.Rules;
+import tinford.api.AttemptLimits;
+import tinford.api.CounterSettings;
+import tinford.api.DecisionModule;
+import tinford.api.GatewayIdentity;
+import tinford.api.Objectives;
+import tinford.api.SlowStartRules;
+import tinford.decision.DecisionEngine;
 
 /**
  * The decisions of another version, from its jar: its own classes of the module, behind the
  * interface of this one.
  */
 public final class Versions {
-    private static final String MODULE = "tinford.Decide";
+    private static final String PACKAGE = "tinford.decision.";
+    private static final String MODULE = PACKAGE + "DecisionEngine";
 
     private Versions() {}
 
@@ -34,21 +35,21 @@
         }
     }
 
-    public static Gateway.Maker here() {
-        return Decide::new;
+    public static DecisionModule.Factory here() {
+        return DecisionEngine::new;
     }
 
     /**
      * @param jar null for the decisions of this version
      */
-    public static Gateway.Maker ofOrHere(Path jar) throws Bad {
+    public static DecisionModule.Factory ofOrHere(Path jar) throws Bad {
         return jar == null ? here() : of(jar);
     }
 
     /**
      * @param jar as a build leaves it; it stays open for the life of the process
      */
-    public static Gateway.Maker of(Path jar) throws Bad {
+    public static DecisionModule.Factory of(Path jar) throws Bad {
         if (!Files.isRegularFile(jar)) {
             throw new Bad(jar + ": expected the jar of a gateway");
         }
@@ -57,18 +58,18 @@
             Constructor<?> make =
                     module.getConstructor(
                             long.class,
-                            Place.class,
-                            Limits.class,
-                            Rules.class,
-                            CounterTerms.class,
-                            Goal.class,
+                            GatewayIdentity.class,
+                            AttemptLimits.class,
+                            SlowStartRules.class,
+                            CounterSettings.class,
+                            Objectives.class,
                             boolean.class);
-            if (!Gateway.class.isAssignableFrom(module)) {
+            if (!DecisionModule.class.isAssignableFrom(module)) {
                 throw new Bad(jar + ": " + MODULE + ": expected the interface of this version");
             }
             return (seed, place, limits, rules, counter, goal, mustAsk) -> {
                 try {
-                    return (Gateway)
+                    return (DecisionModule)
                             make.newInstance(seed, place, limits, rules, counter, goal, mustAsk);
                 } catch (InvocationTargetException e) {
                     throw new IllegalStateException(jar + ": " + e.getCause(), e.getCause());
@@ -98,7 +99,7 @@
 
         @Override
         protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-            if (!name.equals(MODULE) && !name.startsWith(MODULE + "$")) {
+            if (!name.startsWith(PACKAGE)) {
                 return super.loadClass(name, resolve);
             }
             synchronized (getClassLoadingLock(name)) {
--- a/lab/src/test/java/tinford/lab/Scenarios.java
+++ b/lab/src/test/java/tinford/lab/Scenarios.java
@@ -1,6 +1,6 @@
 package tinford.lab;
 
-import tinford.api.Effect;
+import tinford.api.Idempotency;
 import tinford.lab.scenario.Scenario;
 
 /** Small worlds for tests. */
@@ -8,18 +8,18 @@
     private Scenarios() {}
 
     public static Scenario small(double ceilings, String faults) throws Scenario.Bad {
-        return small(ceilings, faults, Effect.NON_IDEMPOTENT);
+        return small(ceilings, faults, Idempotency.NON_IDEMPOTENT);
     }
 
     /**
      * @param ceilings of the plan's rate, or 0 for none
      */
-    public static Scenario small(double ceilings, String faults, Effect effect)
+    public static Scenario small(double ceilings, String faults, Idempotency effect)
             throws Scenario.Bad {
         return Scenario.of("small", text(ceilings, faults, effect));
     }
 
-    public static String text(double ceilings, String faults, Effect effect) {
+    public static String text(double ceilings, String faults, Idempotency effect) {
         return """
                length_s = 10
                tick = 4
--- a/lab/src/test/java/tinford/lab/control/ConfigurationOperatorTest.java
+++ b/lab/src/test/java/tinford/lab/control/ConfigurationOperatorTest.java
@@ -19,8 +19,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import tinford.fleet.config.ChangeSet;
-import tinford.fleet.config.Fault;
 import tinford.fleet.config.Outcome;
+import tinford.fleet.config.ValidationError;
 import tinford.lab.fleet.History;
 
 /** The operator against servers that answer by a script. */
@@ -90,7 +90,9 @@
     public void aRefusalIsTold() throws Exception {
         URI server = answering(409, "{\"faults\":[{\"key\":\"a\",\"expected\":\"b\"}]}");
         Outcome outcome = operator(server).enter(SET, 10);
-        assertEquals(((Outcome.Refused) outcome).refusal().faults(), List.of(new Fault("a", "b")));
+        assertEquals(
+                ((Outcome.Refused) outcome).refusal().faults(),
+                List.of(new ValidationError("a", "b")));
         assertEquals(kinds(), List.of(Events.ENTERED, Events.REFUSED));
     }
 
--- a/lab/src/test/java/tinford/lab/control/QuotaUseTest.java
+++ b/lab/src/test/java/tinford/lab/control/QuotaUseTest.java
@@ -5,17 +5,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import tinford.fleet.config.Plan;
+import tinford.fleet.config.PlanRecord;
 import tinford.lab.fleet.History;
 
 /** Quotas across a change of plan, from histories made by hand. */
 public class QuotaUseTest {
-    private static final Plan WHOLE = plan(1);
-    private static final Plan HALF = plan(0.5);
+    private static final PlanRecord WHOLE = plan(1);
+    private static final PlanRecord HALF = plan(0.5);
 
     /** At a factor of 1: 10 units a second and 10 at once; a ceiling of twice that, slack 2. */
-    private static Plan plan(double factor) {
-        return new Plan("full", 10 * factor, 10 * factor, 0, 1, 0, 1, 20 * factor, 20 * factor, 2);
+    private static PlanRecord plan(double factor) {
+        return new PlanRecord(
+                "full", 10 * factor, 10 * factor, 0, 1, 0, 1, 20 * factor, 20 * factor, 2);
     }
 
     private static List<History.Line> sent(double from, int count, double everyMs) {
--- a/lab/src/test/java/tinford/lab/explore/ExplorerTest.java
+++ b/lab/src/test/java/tinford/lab/explore/ExplorerTest.java
@@ -8,12 +8,12 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.members.Incarnation;
-import tinford.fleet.moves.LeaseHolders;
-import tinford.fleet.moves.Plan;
-import tinford.fleet.moves.Route;
-import tinford.fleet.moves.Step;
-import tinford.fleet.moves.TransitionRules;
+import tinford.fleet.membership.Incarnation;
+import tinford.fleet.migration.LeaseHolders;
+import tinford.fleet.migration.MigrationPlan;
+import tinford.fleet.migration.MigrationRouter;
+import tinford.fleet.migration.MigrationStep;
+import tinford.fleet.migration.TransitionRules;
 
 /** Exhaustive exploration of small plans of staged moves. */
 public class ExplorerTest {
@@ -150,7 +150,7 @@
                 rules(
                         new TransitionRules() {
                             @Override
-                            public double waits(Plan plan, int at, boolean back) {
+                            public double waits(MigrationPlan plan, int at, boolean back) {
                                 return 0;
                             }
                         })
@@ -185,7 +185,8 @@
                                 settings ->
                                         settings.routes =
                                                 (incarnation, status) ->
-                                                        new Route(incarnation, status, 1) {
+                                                        new MigrationRouter(
+                                                                incarnation, status, 1) {
                                                             @Override
                                                             public boolean mayAct(double now) {
                                                                 return true;
@@ -199,16 +200,17 @@
                         settings ->
                                 settings.routes =
                                         (incarnation, status) ->
-                                                new Route(incarnation, status, 1) {
+                                                new MigrationRouter(incarnation, status, 1) {
                                                     @Override
                                                     protected String goes(
-                                                            Plan.Mover m,
-                                                            Step.Part part,
+                                                            MigrationPlan.Mover m,
+                                                            MigrationStep.Part part,
                                                             double at,
                                                             boolean retry) {
                                                         return at < part.until()
                                                                         && part.phase()
-                                                                                != Step.Phase.HOLD
+                                                                                != MigrationStep
+                                                                                        .Phase.HOLD
                                                                 ? m.to()
                                                                 : m.from();
                                                     }
@@ -222,11 +224,12 @@
                                 settings ->
                                         settings.routes =
                                                 (incarnation, status) ->
-                                                        new Route(incarnation, status, 1) {
+                                                        new MigrationRouter(
+                                                                incarnation, status, 1) {
                                                             @Override
                                                             protected String goes(
-                                                                    Plan.Mover m,
-                                                                    Step.Part part,
+                                                                    MigrationPlan.Mover m,
+                                                                    MigrationStep.Part part,
                                                                     double at,
                                                                     boolean retry) {
                                                                 return super.goes(
--- a/lab/src/test/java/tinford/lab/fleet/BudgetsTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/BudgetsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.Test;
-import tinford.Decide;
+import tinford.decision.DecisionEngine;
 import tinford.lab.model.World;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.sockets.Between;
@@ -46,7 +46,7 @@
         try {
             FleetScript script = FleetScript.of("faults", FAULTS);
             Scenario s = script.scenario(SCENARIOS.resolve("faults.toml"), 5);
-            World drawn = new World(s, 3, Decide::new);
+            World drawn = new World(s, 3, DecisionEngine::new);
             drawn.run();
             String operator = Files.readString(SCENARIOS.resolve("budgets-operator.toml"));
             List<String> words = new ArrayList<>(Between.JAVA);
--- a/lab/src/test/java/tinford/lab/fleet/FleetMovesTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/FleetMovesTest.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import org.testng.annotations.Test;
-import tinford.Decide;
-import tinford.api.Effect;
+import tinford.api.Idempotency;
+import tinford.decision.DecisionEngine;
 import tinford.lab.Scenarios;
 import tinford.lab.model.World;
 import tinford.lab.scenario.Scenario;
@@ -59,7 +59,7 @@
             both = true
             """;
 
-    private static String frontend(String name, Effect effect) {
+    private static String frontend(String name, Idempotency effect) {
         return """
                [[frontends]]
                name = "%s"
@@ -163,13 +163,13 @@
             Map<String, Double> figures)
             throws Exception {
         FleetScript script = FleetScript.of("faults", faults);
-        String text = Scenarios.text(0, "", Effect.IDEMPOTENCY_KEY);
+        String text = Scenarios.text(0, "", Idempotency.IDEMPOTENCY_KEY);
         int from = text.indexOf("[[frontends]]");
         text =
                 text.substring(0, from)
-                        + frontend("web", Effect.IDEMPOTENT)
-                        + frontend("mid", Effect.IDEMPOTENCY_KEY)
-                        + frontend("base", Effect.IDEMPOTENT)
+                        + frontend("web", Idempotency.IDEMPOTENT)
+                        + frontend("mid", Idempotency.IDEMPOTENCY_KEY)
+                        + frontend("base", Idempotency.IDEMPOTENT)
                         + text.substring(text.indexOf("[[plans]]"));
         Scenario s =
                 Scenario.of(
@@ -189,7 +189,7 @@
                                 "plans.p.rate",
                                 "2"));
         script.check("faults", s.length_s(), 3);
-        World drawn = new World(s, 5, Decide::new);
+        World drawn = new World(s, 5, DecisionEngine::new);
         drawn.run();
         Path file = folder.resolve("plan.toml");
         Files.writeString(file, plan);
--- a/lab/src/test/java/tinford/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/FleetTest.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import tinford.Decide;
-import tinford.api.Effect;
+import tinford.api.Idempotency;
+import tinford.decision.DecisionEngine;
 import tinford.lab.Scenarios;
 import tinford.lab.model.World;
 import tinford.lab.scenario.Scenario;
@@ -50,7 +50,7 @@
         Scenario s =
                 Scenario.of(
                         "small",
-                        Scenarios.text(0, "", Effect.IDEMPOTENCY_KEY),
+                        Scenarios.text(0, "", Idempotency.IDEMPOTENCY_KEY),
                         Map.of(
                                 "gateways",
                                 "5",
@@ -61,7 +61,7 @@
                                 "clients.leave",
                                 "0"));
         script.check("faults", s.length_s(), 5);
-        World drawn = new World(s, 5, Decide::new);
+        World drawn = new World(s, 5, DecisionEngine::new);
         drawn.run();
         List<String> words = new ArrayList<>(Between.JAVA);
         words.addAll(List.of("-cp", JAR.toString(), "tinford.Main", "serve"));
--- a/lab/src/test/java/tinford/lab/model/ColdBudgetStudy.java
+++ b/lab/src/test/java/tinford/lab/model/ColdBudgetStudy.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import tinford.api.Effect;
-import tinford.api.Gateway;
+import tinford.api.DecisionModule;
+import tinford.api.Idempotency;
 import tinford.lab.Scenarios;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.study.Versions;
@@ -155,7 +155,7 @@
         changes.putAll(SETTINGS.get(setting));
         changes.putAll(further);
         changes.putAll(more);
-        return Scenario.of("cold", Scenarios.text(0, faults, Effect.IDEMPOTENT), changes);
+        return Scenario.of("cold", Scenarios.text(0, faults, Idempotency.IDEMPOTENT), changes);
     }
 
     private static List<String> named(String word, Iterable<String> all) {
@@ -165,7 +165,7 @@
     }
 
     public static void main(String[] words) throws Exception {
-        Gateway.Maker maker =
+        DecisionModule.Factory maker =
                 words[0].equals("here") ? Versions.here() : Versions.of(Path.of(words[0]));
         int seeds = Integer.parseInt(words[4]);
         long first = Long.parseLong(words[5]);
--- a/lab/src/test/java/tinford/lab/model/ColdBudgetTest.java
+++ b/lab/src/test/java/tinford/lab/model/ColdBudgetTest.java
@@ -9,9 +9,10 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.Decide;
-import tinford.api.Gateway;
-import tinford.api.Rules;
+import tinford.api.DecisionModule;
+import tinford.api.Idempotency;
+import tinford.api.SlowStartRules;
+import tinford.decision.DecisionEngine;
 import tinford.lab.Scenarios;
 import tinford.lab.scenario.Scenario;
 
@@ -121,18 +122,18 @@
                         part = 0.6
                         size = 0
                         """,
-                        tinford.api.Effect.IDEMPOTENT),
+                        Idempotency.IDEMPOTENT),
                 changes);
     }
 
     /** Decisions that are told of other rules than those that hold. */
-    private static Gateway.Maker told(double coldFrom, double coldTime, double multiple) {
+    private static DecisionModule.Factory told(double coldFrom, double coldTime, double multiple) {
         return (seed, place, limits, rules, counter, goal, mustAsk) ->
-                new Decide(
+                new DecisionEngine(
                         seed,
                         place,
                         limits,
-                        new Rules(coldFrom, coldTime, multiple, rules.fallTime),
+                        new SlowStartRules(coldFrom, coldTime, multiple, rules.overloadWindowMs),
                         counter,
                         goal,
                         mustAsk);
@@ -140,7 +141,7 @@
 
     @DataProvider
     public Object[][] greedy() {
-        Gateway.Maker all =
+        DecisionModule.Factory all =
                 (seed, place, limits, rules, counter, goal, mustAsk) ->
                         new OracleTest.Rogue("cold");
         return new Object[][] {
@@ -152,7 +153,7 @@
     }
 
     @Test(dataProvider = "greedy")
-    public void greedyDecisionsAreCaught(String what, int gateways, Gateway.Maker maker)
+    public void greedyDecisionsAreCaught(String what, int gateways, DecisionModule.Factory maker)
             throws Exception {
         Outcome o = new World(cold(gateways, Map.of()), 1, maker).run();
         Map<String, Double> f = o.figures();
@@ -166,7 +167,7 @@
     public void theDecisionsStayUnder() throws Exception {
         for (int gateways : new int[] {4, 20}) {
             for (int seed = 1; seed <= 3; seed++) {
-                Outcome o = new World(cold(gateways, Map.of()), seed, Decide::new).run();
+                Outcome o = new World(cold(gateways, Map.of()), seed, DecisionEngine::new).run();
                 Map<String, Double> f = o.figures();
                 assertEquals(o.broken(), List.of(), gateways + " gateways, seed " + seed);
                 assertTrue(f.get("cold_blamed") > 0.1 && f.get("cold_blamed") < 0.9, f.toString());
@@ -180,7 +181,7 @@
     public void theDecisionsStayUnderWhereNoneIsWarm() throws Exception {
         for (int seed = 1; seed <= 3; seed++) {
             Scenario s = cold(20, Map.of("faults.2.part", "1", "faults.2.at_s", "3"));
-            Outcome o = new World(s, seed, Decide::new).run();
+            Outcome o = new World(s, seed, DecisionEngine::new).run();
             assertEquals(o.broken(), List.of(), "seed " + seed);
             assertTrue(o.figures().get("cold_blamed") > 0.1, o.figures().toString());
         }
@@ -212,7 +213,7 @@
                     new World(
                             ColdBudgetStudy.scenario("middle", what, gateways, Map.of()),
                             seed,
-                            Decide::new);
+                            DecisionEngine::new);
             w.run();
             ColdBudget.Approach a = w.oracle.cold().nearest();
             assertTrue(a.of() > 0.2 && a.of() < 0.85, "seed " + seed + ": " + a);
@@ -249,7 +250,7 @@
                         part = 1
                         size = 5
                         """,
-                        tinford.api.Effect.IDEMPOTENT);
+                        Idempotency.IDEMPOTENT);
         Scenario.Bad e =
                 expectThrows(
                         Scenario.Bad.class, () -> Scenario.of("cold", text, Map.of(key, value)));
--- a/lab/src/test/java/tinford/lab/model/OracleTest.java
+++ b/lab/src/test/java/tinford/lab/model/OracleTest.java
@@ -7,24 +7,24 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.Decide;
-import tinford.api.Effect;
-import tinford.api.End;
-import tinford.api.Gateway;
-import tinford.api.Inbox;
-import tinford.api.Req;
-import tinford.api.Srv;
-import tinford.api.Writer;
+import tinford.api.AttemptOutcome;
+import tinford.api.DecisionModule;
+import tinford.api.GatewayActions;
+import tinford.api.GatewayEvents;
+import tinford.api.Idempotency;
+import tinford.api.Request;
+import tinford.api.Server;
+import tinford.decision.DecisionEngine;
 import tinford.lab.Scenarios;
 import tinford.lab.scenario.Scenario;
 
 /** Decisions that break a rule on purpose are caught, and told with the story of a request. */
 public class OracleTest {
     /** Sends each request to the next server and passes on how it ends, but for one fault. */
-    static final class Rogue implements Gateway, Inbox {
+    static final class Rogue implements DecisionModule, GatewayEvents {
         private final String fault;
-        private final List<Srv> servers = new ArrayList<>();
-        private Writer out;
+        private final List<Server> servers = new ArrayList<>();
+        private GatewayActions out;
         private int next;
 
         Rogue(String fault) {
@@ -32,31 +32,31 @@
         }
 
         @Override
-        public void round(double now, Feed feed, Writer writer) {
+        public void handleBatch(double now, EventBatch feed, GatewayActions writer) {
             out = writer;
             feed.replay(this);
         }
 
         @Override
-        public void listed(List<Srv> entries, boolean whole) {
-            for (Srv s : entries) {
+        public void endpointsUpdated(List<Server> entries, boolean whole) {
+            for (Server s : entries) {
                 servers.remove(s);
-                if (s.state == Srv.State.UP || fault.equals("drain")) {
+                if (s.state == Server.State.UP || fault.equals("drain")) {
                     servers.add(s);
                 }
             }
         }
 
-        private void send(Req request) {
-            Srv s = servers.get(next++ % servers.size());
+        private void send(Request request) {
+            Server s = servers.get(next++ % servers.size());
             if (fault.equals("cold")) {
-                s = servers.stream().filter(x -> x.born > 0).findFirst().orElse(s);
+                s = servers.stream().filter(x -> x.startedAtMs > 0).findFirst().orElse(s);
             }
-            out.dispatch(request, s, 0, Double.POSITIVE_INFINITY);
+            out.sendAttempt(request, s, 0, Double.POSITIVE_INFINITY);
         }
 
         @Override
-        public void arrived(Req request) {
+        public void requestArrived(Request request) {
             if (fault.equals("silent") && next++ % 50 == 0) {
                 return;
             }
@@ -67,10 +67,10 @@
         }
 
         @Override
-        public void ended(
-                Req request,
+        public void attemptEnded(
+                Request request,
                 int hop,
-                End how,
+                AttemptOutcome how,
                 double took,
                 boolean closed,
                 int seenUse,
@@ -78,18 +78,18 @@
                 double[] load) {
             if (closed) {
                 if (fault.equals("twice") && next % 50 == 0) {
-                    out.abort(request);
+                    out.fail(request);
                 }
                 return;
             }
             if (how.mayHaveRun && fault.equals("denies")) {
-                out.deny(request, 0);
+                out.reject(request, 0);
             } else if (how.mayHaveRun && fault.equals("again") && hop == 0) {
                 send(request);
             } else if (how.mayHaveRun) {
-                out.abort(request);
+                out.fail(request);
             } else {
-                out.deny(request, 0);
+                out.reject(request, 0);
             }
         }
 
@@ -97,34 +97,34 @@
         public void started() {}
 
         @Override
-        public void takesOver() {}
+        public void takeoverStarted() {}
 
         @Override
-        public void leaves() {}
+        public void drainingStarted() {}
 
         @Override
-        public void listRefused() {}
+        public void discoveryFailed() {}
 
         @Override
-        public void began(Req request, int hop) {}
+        public void responseStarted(Request request, int hop) {}
 
         @Override
-        public void left(Req request) {}
+        public void clientDisconnected(Request request) {}
 
         @Override
-        public void alarm(long token) {}
+        public void timerFired(long token) {}
 
         @Override
-        public void probed(Srv srv, End how, double took, double[] load) {}
+        public void healthCheckEnded(Server srv, AttemptOutcome how, double took, double[] load) {}
 
         @Override
-        public void heard(int peer, String text) {}
+        public void gossipReceived(int peer, String text) {}
 
         @Override
-        public void counted(long name, End how, double took, double total) {}
+        public void counterAnswered(long name, AttemptOutcome how, double took, double total) {}
 
         @Override
-        public void countedLate(long name, double total) {}
+        public void counterAnsweredLate(long name, double total) {}
     }
 
     @DataProvider
@@ -206,9 +206,9 @@
                             part = 0
                             size = 1
                             """,
-                            Effect.valueOf(effect));
+                            Idempotency.valueOf(effect));
             for (int seed = 0; seed < 5; seed++) {
-                Outcome o = new World(s, seed, Decide::new).run();
+                Outcome o = new World(s, seed, DecisionEngine::new).run();
                 assertEquals(o.broken(), List.of(), effect + ", seed " + seed);
                 assertTrue(o.conserved(), "each try ends once");
                 assertTrue(o.service() > 0.3 && o.tries() > 500, o.figures().toString());
@@ -220,12 +220,12 @@
     public void theSameSeedIsTheSameDay() throws Exception {
         Scenario s = Scenarios.small(0.3, "");
         assertEquals(
-                new World(s, 9, Decide::new).run().figures(),
-                new World(s, 9, Decide::new).run().figures());
+                new World(s, 9, DecisionEngine::new).run().figures(),
+                new World(s, 9, DecisionEngine::new).run().figures());
         assertTrue(
-                !new World(s, 9, Decide::new)
+                !new World(s, 9, DecisionEngine::new)
                         .run()
                         .figures()
-                        .equals(new World(s, 10, Decide::new).run().figures()));
+                        .equals(new World(s, 10, DecisionEngine::new).run().figures()));
     }
 }
--- a/lab/src/test/java/tinford/lab/model/QueueTest.java
+++ b/lab/src/test/java/tinford/lab/model/QueueTest.java
@@ -8,7 +8,7 @@
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.api.End;
+import tinford.api.AttemptOutcome;
 import tinford.lab.study.Study;
 
 /** The server of the model against what is known of queues, before anything it says is believed. */
@@ -42,7 +42,7 @@
                             new Machine.Visit(
                                     takes.sample(),
                                     end -> {
-                                        assertEquals(end, End.GOOD);
+                                        assertEquals(end, AttemptOutcome.SUCCESS);
                                         sums[2] +=
                                                 (agenda.now() - sums[3])
                                                         * (m.inside()
@@ -142,15 +142,21 @@
     public void aColdServerGrowsAndADeadOneLosesWhatItHad() {
         Agenda agenda = new Agenda(1000);
         Machine m = new Machine(agenda, "m", "a", 0, 2, 1, 1, 0.25, 1000);
-        List<End> ends = new ArrayList<>();
+        List<AttemptOutcome> ends = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             m.come(new Machine.Visit(10, ends::add));
         }
-        assertEquals(ends, List.of(End.FULL));
+        assertEquals(ends, List.of(AttemptOutcome.OVERLOADED));
         m.die();
-        assertEquals(ends, List.of(End.FULL, End.BROKEN, End.BROKEN, End.BROKEN));
+        assertEquals(
+                ends,
+                List.of(
+                        AttemptOutcome.OVERLOADED,
+                        AttemptOutcome.CONNECTION_LOST,
+                        AttemptOutcome.CONNECTION_LOST,
+                        AttemptOutcome.CONNECTION_LOST));
         m.come(new Machine.Visit(10, ends::add));
-        assertEquals(ends.get(4), End.UNREACHABLE);
+        assertEquals(ends.get(4), AttemptOutcome.UNREACHABLE);
         m.start();
         assertEquals(m.capacity(), 0.5);
         agenda.run(1500);
--- a/lab/src/test/java/tinford/lab/scale/ConnectionPoolsTest.java
+++ b/lab/src/test/java/tinford/lab/scale/ConnectionPoolsTest.java
@@ -4,14 +4,14 @@
 
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import tinford.api.End;
-import tinford.api.Req;
-import tinford.api.Srv;
+import tinford.api.AttemptOutcome;
+import tinford.api.Request;
+import tinford.api.Server;
 
 /** When a dispatch needs a new connection. */
 public class ConnectionPoolsTest {
     private static final double KEEP_ALIVE_MS = 1000;
-    private static final Srv SERVER = new Srv("s");
+    private static final Server SERVER = new Server("s");
     private ConnectionPools pools;
 
     @BeforeMethod
@@ -21,8 +21,8 @@
         pools.started(1, 0);
     }
 
-    private void play(int gateway, double at, double until, End end) {
-        Req request = new Req(1, null, null, 0, 1, false);
+    private void play(int gateway, double at, double until, AttemptOutcome end) {
+        Request request = new Request(1, null, null, 0, 1, false);
         pools.dispatched(gateway, request, SERVER, at);
         pools.dispatchEnded(gateway, request, 0, end, until);
     }
@@ -33,36 +33,36 @@
 
     @Test
     public void oneThatHasRestedIsUsedAgain() {
-        play(0, 100, 200, End.GOOD);
-        play(0, 210, 300, End.GOOD);
+        play(0, 100, 200, AttemptOutcome.SUCCESS);
+        play(0, 210, 300, AttemptOutcome.SUCCESS);
         assertEquals(handshakes(), 1);
-        play(0, 305, 400, End.GOOD);
+        play(0, 305, 400, AttemptOutcome.SUCCESS);
         assertEquals(handshakes(), 2);
     }
 
     @Test
     public void oneAtATimeAndEachGatewayItsOwn() {
-        Req open = new Req(1, null, null, 0, 1, false);
+        Request open = new Request(1, null, null, 0, 1, false);
         pools.dispatched(0, open, SERVER, 100);
-        play(0, 120, 200, End.GOOD);
-        play(1, 300, 400, End.GOOD);
+        play(0, 120, 200, AttemptOutcome.SUCCESS);
+        play(1, 300, 400, AttemptOutcome.SUCCESS);
         assertEquals(handshakes(), 3);
         assertEquals(pools.mostAtAServer(0, 1000), 3);
     }
 
     @Test
     public void whatStoodIdleTooLongOrBrokeIsGone() {
-        play(0, 100, 200, End.GOOD);
-        play(0, 200 + 0.75 * KEEP_ALIVE_MS + 1, 1000, End.BROKEN);
-        play(0, 1100, 1200, End.GOOD);
+        play(0, 100, 200, AttemptOutcome.SUCCESS);
+        play(0, 200 + 0.75 * KEEP_ALIVE_MS + 1, 1000, AttemptOutcome.CONNECTION_LOST);
+        play(0, 1100, 1200, AttemptOutcome.SUCCESS);
         assertEquals(handshakes(), 3);
     }
 
     @Test
     public void aRestartedGatewayHasNone() {
-        play(0, 100, 200, End.GOOD);
+        play(0, 100, 200, AttemptOutcome.SUCCESS);
         pools.started(0, 300);
-        play(0, 400, 500, End.GOOD);
+        play(0, 400, 500, AttemptOutcome.SUCCESS);
         assertEquals(handshakes(), 2);
         assertEquals(pools.dispatches(0, 1000), 2);
         assertEquals(pools.handshakesOfRestarted(300, 1000), 1);
--- a/lab/src/test/java/tinford/lab/scale/FirstDispatchTimesTest.java
+++ b/lab/src/test/java/tinford/lab/scale/FirstDispatchTimesTest.java
@@ -4,14 +4,14 @@
 
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import tinford.api.Customer;
-import tinford.api.Effect;
-import tinford.api.End;
-import tinford.api.Frontend;
-import tinford.api.Group;
+import tinford.api.AttemptOutcome;
+import tinford.api.DeduplicationScope;
+import tinford.api.Idempotency;
 import tinford.api.Plan;
-import tinford.api.Req;
-import tinford.api.Srv;
+import tinford.api.Request;
+import tinford.api.RequestClass;
+import tinford.api.Server;
+import tinford.api.Tenant;
 import tinford.lab.scale.FirstDispatchTimes.Part;
 
 /** The parts of the time before a first dispatch, on constructed histories. */
@@ -19,7 +19,7 @@
     private static final double PRECISION_MS = 0.5;
     private static final double TIMEOUT = 6000;
     private static final long NAME = 17;
-    private static final Srv SERVER = new Srv("s");
+    private static final Server SERVER = new Server("s");
     private FirstDispatchTimes times;
 
     @BeforeMethod
@@ -28,14 +28,24 @@
         times.started(0, 0);
     }
 
-    private static Req request(double arrivedAt, double ceilingRate, double units) {
-        Frontend frontend =
-                new Frontend("f", 1500, TIMEOUT, 1, 0, Effect.IDEMPOTENT, Group.ALL, 0, false);
+    private static Request request(double arrivedAt, double ceilingRate, double units) {
+        RequestClass frontend =
+                new RequestClass(
+                        "f",
+                        1500,
+                        TIMEOUT,
+                        1,
+                        0,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        false);
         Plan plan = new Plan("p", 1, 10, 0, 1, 0, 0, ceilingRate, ceilingRate * 100, 0);
-        return new Req(1, frontend, new Customer(1, plan, 2, 0), arrivedAt + TIMEOUT, units, false);
+        return new Request(
+                1, frontend, new Tenant(1, plan, 2, 0), arrivedAt + TIMEOUT, units, false);
     }
 
-    private void arrive(Req request, double turnAt, boolean calls) {
+    private void arrive(Request request, double turnAt, boolean calls) {
         times.arriving(0, request, turnAt);
         if (calls) {
             times.calledCounter(0, NAME, request.units, 1000, turnAt);
@@ -49,9 +59,9 @@
 
     @Test
     public void theTurnTheCounterAndTheRoomAreToldApart() {
-        Req request = request(1000, 0, 1);
+        Request request = request(1000, 0, 1);
         arrive(request, 1003, true);
-        times.counting(0, NAME, End.GOOD, 1, 1013);
+        times.counting(0, NAME, AttemptOutcome.SUCCESS, 1, 1013);
         times.counted(0, 1013);
         times.dispatched(0, request, SERVER, 1053);
         check(Part.TURN, 3);
@@ -64,12 +74,12 @@
 
     @Test
     public void theWindowBeforeIsReadAsPartOfTheCounter() {
-        Req request = request(1000, 0, 1);
+        Request request = request(1000, 0, 1);
         arrive(request, 1000, true);
-        times.counting(0, NAME, End.GOOD, 1, 1010);
+        times.counting(0, NAME, AttemptOutcome.SUCCESS, 1, 1010);
         times.calledCounter(0, NAME - 1, 0, 1000, 1010);
         times.counted(0, 1010);
-        times.counting(0, NAME - 1, End.GOOD, 1, 1020);
+        times.counting(0, NAME - 1, AttemptOutcome.SUCCESS, 1, 1020);
         times.dispatched(0, request, SERVER, 1020);
         times.counted(0, 1020);
         check(Part.COUNTER, 20);
@@ -78,7 +88,7 @@
 
     @Test
     public void whatIsNotCounted() {
-        Req request = request(1000, 0, 1);
+        Request request = request(1000, 0, 1);
         arrive(request, 1000, false);
         times.dispatched(0, request, SERVER, 1000);
         check(Part.COUNTER, 0);
@@ -88,12 +98,12 @@
     /** The tenant comes through two gateways: of a ceiling of 0.1 a ms each holds 0.05. */
     @Test
     public void anEmptySliceOfTheCeilingIsNoLackOfRoom() {
-        Req first = request(1000, 0.1, 4);
+        Request first = request(1000, 0.1, 4);
         arrive(first, 1000, false);
         times.dispatched(0, first, SERVER, 1000);
         check(Part.CEILING, 0);
         // of a depth of 5 it left 1; 3 more take 60 ms
-        Req second = request(1010, 0.1, 4);
+        Request second = request(1010, 0.1, 4);
         arrive(second, 1010, false);
         times.dispatched(0, second, SERVER, 1070);
         check(Part.CEILING, 50);
@@ -102,7 +112,7 @@
 
     @Test
     public void aCallThatIsNotAwaitedAnyMoreIsNotTheLine() {
-        Req request = request(1000, 0, 1);
+        Request request = request(1000, 0, 1);
         arrive(request, 1000, true);
         times.dispatched(0, request, SERVER, 1400);
         check(Part.COUNTER, 125); // a twentieth of the target, and the tick that looks for it
@@ -111,11 +121,11 @@
 
     @Test
     public void furtherDispatchesAndWhatWasDroppedAreLeftOut() {
-        Req request = request(1000, 0, 1);
+        Request request = request(1000, 0, 1);
         arrive(request, 1000, false);
         times.dispatched(0, request, SERVER, 1000);
         times.dispatched(0, request, SERVER, 1500);
-        Req denied = request(1000, 0, 1);
+        Request denied = request(1000, 0, 1);
         arrive(denied, 1000, false);
         times.dropped(0, denied, 1200);
         assertEquals(times.count(), 1);
@@ -123,12 +133,12 @@
 
     @Test
     public void unitsGivenBackBelongToNoRequest() {
-        Req request = request(1000, 0, 1);
+        Request request = request(1000, 0, 1);
         times.calledCounter(0, NAME, -2, 1000, 999);
         arrive(request, 1000, true);
-        times.counting(0, NAME, End.GOOD, 0, 1005);
+        times.counting(0, NAME, AttemptOutcome.SUCCESS, 0, 1005);
         times.counted(0, 1005);
-        times.counting(0, NAME, End.GOOD, 1, 1012);
+        times.counting(0, NAME, AttemptOutcome.SUCCESS, 1, 1012);
         times.dispatched(0, request, SERVER, 1012);
         check(Part.COUNTER, 12);
     }
@@ -136,11 +146,11 @@
     @Test
     public void theSlowestKeepTheirParts() {
         for (int i = 0; i < 99; i++) {
-            Req quick = request(1000, 0, 1);
+            Request quick = request(1000, 0, 1);
             arrive(quick, 1001, false);
             times.dispatched(0, quick, SERVER, 1001);
         }
-        Req slow = request(1000, 0, 1);
+        Request slow = request(1000, 0, 1);
         arrive(slow, 1002, false);
         times.dispatched(0, slow, SERVER, 1102);
         assertEquals(times.meanOfSlowest(Part.ROOM, 99.5), 100, PRECISION_MS);
--- a/lab/src/test/java/tinford/lab/scale/LogMeasurementsTest.java
+++ b/lab/src/test/java/tinford/lab/scale/LogMeasurementsTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.fleet.budgets.Ledger;
+import tinford.fleet.budget.BudgetLedger;
 
 /** Growth of what the replicated log costs, by counted columns at small sizes. */
 public class LogMeasurementsTest {
@@ -58,9 +58,10 @@
     @Test
     public void theLedgerTakesNoMoreServersThanItsBound() {
         BudgetedServersMeasurement measurement = new BudgetedServersMeasurement();
-        int tooMany = Ledger.MOST_SERVERS + 100;
-        assertEquals(taken(measurement, Ledger.MOST_SERVERS), (double) Ledger.MOST_SERVERS);
-        assertEquals(taken(measurement, tooMany), (double) Ledger.MOST_SERVERS);
+        int tooMany = BudgetLedger.MOST_SERVERS + 100;
+        assertEquals(
+                taken(measurement, BudgetLedger.MOST_SERVERS), (double) BudgetLedger.MOST_SERVERS);
+        assertEquals(taken(measurement, tooMany), (double) BudgetLedger.MOST_SERVERS);
     }
 
     private static double taken(BudgetedServersMeasurement measurement, int servers) {
--- a/lab/src/test/java/tinford/lab/sockets/SocketsTest.java
+++ b/lab/src/test/java/tinford/lab/sockets/SocketsTest.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import tinford.Decide;
-import tinford.api.Effect;
+import tinford.api.Idempotency;
+import tinford.decision.DecisionEngine;
 import tinford.lab.Scenarios;
 import tinford.lab.model.Outcome;
 import tinford.lab.model.World;
@@ -70,14 +70,14 @@
                                 part = 0
                                 size = 1
                                 """,
-                                Effect.IDEMPOTENT),
+                                Idempotency.IDEMPOTENT),
                         Map.of("length_s", "5", "clients.retries", "0", "clients.leave", "0"));
-        World drawn = new World(s, 5, Decide::new);
+        World drawn = new World(s, 5, DecisionEngine::new);
         drawn.run();
         Trace trace = drawn.asked();
         List<String> broken = new java.util.ArrayList<>();
         Map<String, Double> sockets = play(s, trace, 5, broken);
-        Outcome model = new World(s, 5, Decide::new, trace).run();
+        Outcome model = new World(s, 5, DecisionEngine::new, trace).run();
         assertEquals(broken, List.of());
         assertEquals(model.broken(), List.of());
         assertEquals(sockets.get("tries"), (double) trace.asks().size());
@@ -106,9 +106,9 @@
                                 part = 0.5
                                 size = 0
                                 """,
-                                Effect.IDEMPOTENT),
+                                Idempotency.IDEMPOTENT),
                         Map.of("length_s", "5", "clients.retries", "0", "clients.leave", "0"));
-        World drawn = new World(s, 6, Decide::new);
+        World drawn = new World(s, 6, DecisionEngine::new);
         drawn.run();
         List<String> broken = new java.util.ArrayList<>();
         Map<String, Double> sockets = play(s, drawn.asked(), 6, broken);
@@ -154,7 +154,7 @@
                                 part = 0.3
                                 size = 0
                                 """,
-                                Effect.NON_IDEMPOTENT),
+                                Idempotency.NON_IDEMPOTENT),
                         Map.of(
                                 "length_s",
                                 "4",
@@ -164,7 +164,7 @@
                                 "0",
                                 "servers.cold_time",
                                 "1"));
-        World drawn = new World(s, 7, Decide::new);
+        World drawn = new World(s, 7, DecisionEngine::new);
         drawn.run();
         Path folder = Files.createTempDirectory("lab");
         String classes =
