--- a/fleet/src/test/java/tinford/fleet/store/StoreContract.java
+++ b/fleet/src/test/java/tinford/fleet/store/StoreContract.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** What each implementation of {@link Store} must do. */
+/** What each implementation of {@link CounterStore} must do. */
 abstract class StoreContract {
     static final int MAX_CONTENT_BYTES = 4096;
     static final double MAX_FUTURE_MS = 1000;
--- a/lab/src/main/java/tinford/lab/CompareCommand.java
+++ b/lab/src/main/java/tinford/lab/CompareCommand.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import tinford.lab.model.Outcome;
+import tinford.lab.model.RunResult;
 import tinford.lab.study.Study;
 import tinford.lab.study.Versions;
 
@@ -33,17 +33,17 @@
     @Override
     public Integer call() throws Exception {
         Study study = study();
-        List<Outcome> first = study.run(Versions.ofOrHere(firstJar), seed, runs);
-        List<Outcome> second = study.run(Versions.ofOrHere(secondJar), seed, runs);
+        List<RunResult> first = study.run(Versions.ofOrHere(firstJar), seed, runs);
+        List<RunResult> second = study.run(Versions.ofOrHere(secondJar), seed, runs);
         if (!first.get(0).figures().containsKey(figure)) {
             throw wrong("--figure: expected one of " + first.get(0).figures().keySet());
         }
         print(Study.compare(first, second, figure, level));
-        Map<String, List<Outcome>> versions = new LinkedHashMap<>();
+        Map<String, List<RunResult>> versions = new LinkedHashMap<>();
         versions.put("first", first);
         versions.put("second", second);
         writeFiles(versions);
-        List<Outcome> both = new ArrayList<>(first);
+        List<RunResult> both = new ArrayList<>(first);
         both.addAll(second);
         return exitCode(both);
     }
--- a/lab/src/main/java/tinford/lab/FleetCommand.java
+++ b/lab/src/main/java/tinford/lab/FleetCommand.java
@@ -18,11 +18,11 @@
 import tinford.decision.DecisionEngine;
 import tinford.lab.fleet.FleetBench;
 import tinford.lab.fleet.FleetScript;
-import tinford.lab.fleet.Program;
-import tinford.lab.model.World;
+import tinford.lab.fleet.GatewayProgram;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
-import tinford.lab.sockets.Between;
+import tinford.lab.sockets.BenchInterceptor;
 
 /** {@code lab fleet}: real gateways under a script of faults. */
 @Command(
@@ -96,17 +96,17 @@
     }
 
     private Trace drawn(Scenario scenario) {
-        World world = new World(scenario, seed, DecisionEngine::new);
+        Simulation world = new Simulation(scenario, seed, DecisionEngine::new);
         world.run();
         return world.asked();
     }
 
-    private Program program() throws IOException {
-        List<String> words = new ArrayList<>(Between.JAVA);
+    private GatewayProgram program() throws IOException {
+        List<String> words = new ArrayList<>(BenchInterceptor.JAVA);
         words.addAll(java);
         words.addAll(List.of("-jar", jar.toString(), "serve"));
         String template = operator == null ? null : Files.readString(operator);
-        return new Program(
+        return new GatewayProgram(
                 words, Map.of(), template == null ? null : seat -> seat.fill(template), !freePeers);
     }
 
--- a/lab/src/main/java/tinford/lab/RecordCommand.java
+++ b/lab/src/main/java/tinford/lab/RecordCommand.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import tinford.lab.model.World;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.study.Versions;
 
@@ -19,7 +19,7 @@
     @Override
     public Integer call() throws Exception {
         study(); // says what is wrong
-        World world = new World(Scenario.read(scenario, set), seed, Versions.here());
+        Simulation world = new Simulation(Scenario.read(scenario, set), seed, Versions.here());
         world.run();
         world.asked().write(to);
         out().println(world.asked().asks().size() + " requests");
--- a/lab/src/main/java/tinford/lab/RunCommand.java
+++ b/lab/src/main/java/tinford/lab/RunCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import tinford.api.DecisionModule;
-import tinford.lab.model.Outcome;
+import tinford.lab.model.RunResult;
 import tinford.lab.study.Study;
 import tinford.lab.study.Versions;
 
@@ -27,10 +27,10 @@
         Study study = study();
         DecisionModule.Factory maker = Versions.ofOrHere(jar);
         long from = System.nanoTime();
-        List<Outcome> all = study.run(maker, seed, runs);
+        List<RunResult> all = study.run(maker, seed, runs);
         double seconds = (System.nanoTime() - from) / NANOS_PER_SECOND;
         print(Study.means(all, level));
-        long events = all.stream().mapToLong(Outcome::events).sum();
+        long events = all.stream().mapToLong(RunResult::events).sum();
         out().printf(
                         Locale.ROOT,
                         "%d runs, %d events, %.1f s, %.0f events a second%n",
--- a/lab/src/main/java/tinford/lab/SocketsCommand.java
+++ b/lab/src/main/java/tinford/lab/SocketsCommand.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import tinford.api.DecisionModule;
-import tinford.lab.model.Outcome;
-import tinford.lab.model.World;
+import tinford.lab.model.RunResult;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
-import tinford.lab.sockets.Bench;
+import tinford.lab.sockets.SocketBench;
 import tinford.lab.study.Study;
 import tinford.lab.study.Versions;
 
@@ -48,7 +48,7 @@
         if (traffic == null) {
             traffic = drawn(played, maker);
         }
-        List<Outcome> model = model(traffic, maker);
+        List<RunResult> model = model(traffic, maker);
         Played real = real(played, traffic);
         print(real.figures(), Study.means(model, level));
         real.broken().stream()
@@ -58,13 +58,13 @@
     }
 
     private Trace drawn(Scenario played, DecisionModule.Factory maker) {
-        World world = new World(played, seed, maker);
+        Simulation world = new Simulation(played, seed, maker);
         world.run();
         return world.asked();
     }
 
     /** As the stand-ins on sockets have it: a client asks once and stays. */
-    private List<Outcome> model(Trace traffic, DecisionModule.Factory maker) throws Exception {
+    private List<RunResult> model(Trace traffic, DecisionModule.Factory maker) throws Exception {
         Map<String, String> once = new LinkedHashMap<>(set);
         once.put("clients.retries", "0");
         once.put("clients.leave", "0");
@@ -73,7 +73,7 @@
     }
 
     private Played real(Scenario played, Trace traffic) throws IOException, InterruptedException {
-        try (Bench bench = new Bench(played, seed, jar, folder())) {
+        try (SocketBench bench = new SocketBench(played, seed, jar, folder())) {
             Map<String, Double> figures = bench.run(traffic);
             return new Played(figures, bench.broken());
         }
--- a/lab/src/main/java/tinford/lab/StudyCommand.java
+++ b/lab/src/main/java/tinford/lab/StudyCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tinford.lab.model.Outcome;
+import tinford.lab.model.RunResult;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 import tinford.lab.study.Study;
@@ -110,7 +110,7 @@
     }
 
     /** The files that the options ask for. */
-    void writeFiles(Map<String, List<Outcome>> versions) throws IOException {
+    void writeFiles(Map<String, List<RunResult>> versions) throws IOException {
         if (csv != null) {
             StudyFiles.writeCsv(csv, versions);
         }
@@ -120,8 +120,8 @@
     }
 
     /** The exit code by the rules; prints those that were broken. */
-    int exitCode(List<Outcome> all) {
-        long broken = all.stream().mapToLong(Outcome::brokenCount).sum();
+    int exitCode(List<RunResult> all) {
+        long broken = all.stream().mapToLong(RunResult::brokenCount).sum();
         if (broken == 0) {
             return 0;
         }
--- a/lab/src/main/java/tinford/lab/StudyFiles.java
+++ b/lab/src/main/java/tinford/lab/StudyFiles.java
@@ -9,7 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tinford.lab.model.Outcome;
+import tinford.lab.model.RunResult;
 import tinford.lab.study.Study;
 
 /** Writes the runs of a study, by version, to files for other tools. */
@@ -19,10 +19,10 @@
     private StudyFiles() {}
 
     /** One line a run. */
-    static void writeCsv(Path to, Map<String, List<Outcome>> versions) throws IOException {
+    static void writeCsv(Path to, Map<String, List<RunResult>> versions) throws IOException {
         StringBuilder text = new StringBuilder();
-        for (Map.Entry<String, List<Outcome>> version : versions.entrySet()) {
-            for (Outcome outcome : version.getValue()) {
+        for (Map.Entry<String, List<RunResult>> version : versions.entrySet()) {
+            for (RunResult outcome : version.getValue()) {
                 if (text.isEmpty()) {
                     text.append("version,seed,")
                             .append(String.join(",", outcome.figures().keySet()))
@@ -41,11 +41,11 @@
      *
      * @param level of the intervals
      */
-    static void writeJson(Path to, Map<String, List<Outcome>> versions, double level)
+    static void writeJson(Path to, Map<String, List<RunResult>> versions, double level)
             throws IOException {
         Map<String, Object> all = new LinkedHashMap<>();
-        for (Map.Entry<String, List<Outcome>> version : versions.entrySet()) {
-            List<Outcome> outcomes = version.getValue();
+        for (Map.Entry<String, List<RunResult>> version : versions.entrySet()) {
+            List<RunResult> outcomes = version.getValue();
             List<Map<String, Object>> runs = outcomes.stream().map(StudyFiles::run).toList();
             all.put(version.getKey(), Map.of("means", Study.means(outcomes, level), "runs", runs));
         }
@@ -53,7 +53,7 @@
         write(to, mapper.writeValueAsString(all));
     }
 
-    private static Map<String, Object> run(Outcome outcome) {
+    private static Map<String, Object> run(RunResult outcome) {
         return Map.of(
                 "seed", outcome.seed, "figures", outcome.figures(), "broken", outcome.broken());
     }
--- a/lab/src/main/java/tinford/lab/SweepCommand.java
+++ b/lab/src/main/java/tinford/lab/SweepCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import tinford.api.DecisionModule;
-import tinford.lab.model.Outcome;
+import tinford.lab.model.RunResult;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.study.Plot;
 import tinford.lab.study.Study;
@@ -49,7 +49,7 @@
     Path plot;
 
     private final Map<String, List<Plot.Point>> lines = new LinkedHashMap<>();
-    private final Map<String, List<Outcome>> outcomes = new LinkedHashMap<>();
+    private final Map<String, List<RunResult>> outcomes = new LinkedHashMap<>();
 
     @Override
     public Integer call() throws Exception {
@@ -89,7 +89,7 @@
 
     private void play(String version, DecisionModule.Factory maker, String value, Study study)
             throws Exception {
-        List<Outcome> played = study.run(maker, seed, runs);
+        List<RunResult> played = study.run(maker, seed, runs);
         Study.Mean mean = Study.means(played, level).get(figure);
         if (mean == null) {
             throw wrong("--figure: expected one of " + played.get(0).figures().keySet());
--- a/lab/src/main/java/tinford/lab/control/AcknowledgedKept.java
+++ b/lab/src/main/java/tinford/lab/control/AcknowledgedKept.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import tinford.lab.fleet.History;
-import tinford.lab.fleet.Lives;
+import tinford.lab.fleet.IncarnationTracker;
 import tinford.lab.fleet.Promise;
 
 /**
@@ -23,7 +23,7 @@
     private final Set<String> refusing = new HashSet<>();
 
     @Override
-    public void see(History.Line line, Lives lives, Finds finds) {
+    public void see(History.Line line, IncarnationTracker lives, Finds finds) {
         String follower = line.text(Events.FOLLOWER);
         switch (line.kind()) {
             case Events.ACCEPTED -> accepted(line, finds);
--- a/lab/src/main/java/tinford/lab/control/ControlFigures.java
+++ b/lab/src/main/java/tinford/lab/control/ControlFigures.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import tinford.fleet.config.PlanRecord;
 import tinford.lab.fleet.History;
-import tinford.lab.fleet.Judge;
+import tinford.lab.fleet.HistoryJudge;
 import tinford.lab.fleet.Promise;
 import tinford.lab.fleet.TrafficMeter;
 
@@ -40,17 +40,17 @@
     }
 
     /** All promises that a control run is held to. */
-    static Judge judgeOfPromises() {
+    static HistoryJudge judgeOfPromises() {
         Map<String, Promise> promises = new LinkedHashMap<>();
         promises.put("revisions rise", new RevisionsRise());
         promises.put("one content", new OneContent());
         promises.put("acknowledged kept", new AcknowledgedKept());
-        return new Judge(promises);
+        return new HistoryJudge(promises);
     }
 
     private void judge() {
         result.broken().addAll(run.failures());
-        Judge judge = judgeOfPromises();
+        HistoryJudge judge = judgeOfPromises();
         lines.forEach(judge::see);
         judge.breaches().forEach(breach -> result.broken().add(breach.story(run.began())));
         inForce.missing().stream()
--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -26,9 +26,9 @@
 import tinford.fleet.config.TenantRecord;
 import tinford.lab.fleet.FleetBench;
 import tinford.lab.fleet.FleetScript;
+import tinford.lab.fleet.GatewayProgram;
 import tinford.lab.fleet.History;
-import tinford.lab.fleet.Program;
-import tinford.lab.model.World;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 
@@ -65,12 +65,12 @@
         this.gateways = gateways;
         this.folder = folder;
         scenario = scenario(gateways, seconds);
-        World drawn = new World(scenario, seed, DecisionEngine::new);
+        Simulation drawn = new Simulation(scenario, seed, DecisionEngine::new);
         drawn.run();
         trace = drawn.asked();
         List<String> words = program.java(Classpath.SMALL, HEAP_MB, MAIN_CLASS, "serve");
-        Program started =
-                new Program(
+        GatewayProgram started =
+                new GatewayProgram(
                         words,
                         Map.of(),
                         seat ->
@@ -160,7 +160,8 @@
                 p.slack());
     }
 
-    private static String operatorText(Program.Seat seat, String region, List<Endpoint> servers) {
+    private static String operatorText(
+            GatewayProgram.Seat seat, String region, List<Endpoint> servers) {
         String list =
                 servers.stream()
                         .map(server -> "\"" + server.region() + "=" + server + "\"")
--- a/lab/src/main/java/tinford/lab/control/OneContent.java
+++ b/lab/src/main/java/tinford/lab/control/OneContent.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import tinford.lab.fleet.History;
-import tinford.lab.fleet.Lives;
+import tinford.lab.fleet.IncarnationTracker;
 import tinford.lab.fleet.Promise;
 
 /**
@@ -15,7 +15,7 @@
     private final Map<String, Map<Long, History.Line>> expected = new HashMap<>();
 
     @Override
-    public void see(History.Line line, Lives lives, Finds finds) {
+    public void see(History.Line line, IncarnationTracker lives, Finds finds) {
         for (String field : List.of(Events.HASH, Events.DIGEST)) {
             if (line.fields().has(field)) {
                 compare(field, line, finds);
--- a/lab/src/main/java/tinford/lab/control/RevisionsRise.java
+++ b/lab/src/main/java/tinford/lab/control/RevisionsRise.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import tinford.lab.fleet.History;
-import tinford.lab.fleet.Lives;
+import tinford.lab.fleet.IncarnationTracker;
 import tinford.lab.fleet.Promise;
 
 /**
@@ -15,7 +15,7 @@
     private final Map<String, History.Line> held = new HashMap<>();
 
     @Override
-    public void see(History.Line line, Lives lives, Finds finds) {
+    public void see(History.Line line, IncarnationTracker lives, Finds finds) {
         String follower = line.text(Events.FOLLOWER);
         if (line.kind().equals(Events.STARTED) && line.text(Events.DISK).equals(Events.DISK_LOST)) {
             held.remove(follower);
--- a/lab/src/main/java/tinford/lab/explore/Explorer.java
+++ b/lab/src/main/java/tinford/lab/explore/Explorer.java
@@ -23,7 +23,7 @@
 
     private final ExplorationSettings settings;
     private final StateGraph graph = new StateGraph();
-    private final ArrayDeque<FleetModel> open = new ArrayDeque<>();
+    private final ArrayDeque<MigrationModel> open = new ArrayDeque<>();
 
     /** The number of the state that is being expanded. */
     private int current = StateGraph.NONE;
@@ -36,7 +36,7 @@
     }
 
     ExplorationResult run() {
-        reach(new FleetModel(settings), "begun", false);
+        reach(new MigrationModel(settings), "begun", false);
         for (current = 0;
                 !open.isEmpty() && broken == null && graph.states() < settings.maxStates;
                 current++) {
@@ -66,7 +66,7 @@
     /**
      * @param faultless whether it happens without a fault
      */
-    private void reach(FleetModel model, String step, boolean faultless) {
+    private void reach(MigrationModel model, String step, boolean faultless) {
         model.normalise();
         model.check();
         String form = model.form();
@@ -88,9 +88,9 @@
         }
     }
 
-    private void expand(FleetModel model) {
+    private void expand(MigrationModel model) {
         tick(model);
-        for (GatewayModel gateway : model.gateways) {
+        for (MigratingGatewayModel gateway : model.gateways) {
             if (gateway.up) {
                 act(model, gateway);
             }
@@ -115,18 +115,20 @@
         offer(model, bad, "gateway 0: bad", false);
     }
 
-    private void tick(FleetModel model) {
-        FleetModel next = new FleetModel(model);
+    private void tick(MigrationModel model) {
+        MigrationModel next = new MigrationModel(model);
         next.now++;
-        for (GatewayModel gateway : next.gateways) {
-            if (gateway.up && !gateway.cutOff && gateway.leaseGranted != GatewayModel.NEVER) {
+        for (MigratingGatewayModel gateway : next.gateways) {
+            if (gateway.up
+                    && !gateway.cutOff
+                    && gateway.leaseGranted != MigratingGatewayModel.NEVER) {
                 next.renew(gateway);
             }
         }
         reach(next, "a tick", true);
     }
 
-    private void lead(FleetModel model) {
+    private void lead(MigrationModel model) {
         MigrationStatus status = model.moves.status();
         for (int to = status.position() - 2; to <= status.position() + 2; to++) {
             MigrationEntry go = MigrationEntry.go(model.now, status.turn(), to, ALL_WARM);
@@ -137,7 +139,7 @@
         offer(model, stale, "a stale leader: to step " + next, true);
     }
 
-    private void operate(FleetModel model) {
+    private void operate(MigrationModel model) {
         long halts = model.moves.halts();
         offer(model, MigrationEntry.resume("o", model.now, halts), "resume", true);
         offer(
@@ -155,8 +157,8 @@
      * Entries that alter nothing are no step of a story. A report alters something only when it
      * turns the moves back.
      */
-    private void offer(FleetModel model, MigrationEntry entry, String step, boolean faultless) {
-        FleetModel next = new FleetModel(model);
+    private void offer(MigrationModel model, MigrationEntry entry, String step, boolean faultless) {
+        MigrationModel next = new MigrationModel(model);
         next.apply(entry);
         MigrationStatus before = model.moves.status();
         MigrationStatus after = next.moves.status();
@@ -169,19 +171,19 @@
     }
 
     /** All that a gateway may do next. */
-    private void act(FleetModel model, GatewayModel gateway) {
+    private void act(MigrationModel model, MigratingGatewayModel gateway) {
         if (!gateway.unread.isEmpty()) {
             read(model, gateway);
         }
         acknowledge(model, gateway);
-        if (gateway.leaseGranted == GatewayModel.NEVER && !gateway.cutOff) {
-            FleetModel next = new FleetModel(model);
+        if (gateway.leaseGranted == MigratingGatewayModel.NEVER && !gateway.cutOff) {
+            MigrationModel next = new MigrationModel(model);
             next.renew(next.gateways.get(gateway.number));
             reach(next, name(gateway) + " is granted its first lease", true);
         }
         if (gateway.cutOff) {
-            FleetModel next = new FleetModel(model);
-            GatewayModel heard = next.gateways.get(gateway.number);
+            MigrationModel next = new MigrationModel(model);
+            MigratingGatewayModel heard = next.gateways.get(gateway.number);
             heard.cutOff = false;
             next.renew(heard);
             reach(next, name(gateway) + " is heard again", true);
@@ -189,26 +191,26 @@
         send(model, gateway);
     }
 
-    private void read(FleetModel model, GatewayModel gateway) {
-        FleetModel next = new FleetModel(model);
-        GatewayModel reader = next.gateways.get(gateway.number);
+    private void read(MigrationModel model, MigratingGatewayModel gateway) {
+        MigrationModel next = new MigrationModel(model);
+        MigratingGatewayModel reader = next.gateways.get(gateway.number);
         int first = 0;
         for (int i = 0; settings.grantFirst && i < reader.unread.size(); i++) {
             first = reader.unread.get(i).isGrant() ? i : first;
         }
-        GatewayModel.LogEvent event = reader.unread.remove(first);
+        MigratingGatewayModel.LogEvent event = reader.unread.remove(first);
         next.see(reader, event);
         String what = event.isGrant() ? "its lease" : "step " + event.status().position();
         reach(next, name(gateway) + " sees " + what, true);
     }
 
-    private void acknowledge(FleetModel model, GatewayModel gateway) {
+    private void acknowledge(MigrationModel model, MigratingGatewayModel gateway) {
         if (model.mayAct(gateway)
                 && !gateway.cutOff
                 && model.clock(gateway) < gateway.leaseSeen
                 && !model.moves.acked(gateway.incarnation())
                 && (!settings.acksInFlight || !gateway.ackInFlight())) {
-            FleetModel next = new FleetModel(model);
+            MigrationModel next = new MigrationModel(model);
             if (settings.acksInFlight) {
                 next.gateways.get(gateway.number).ackSent = model.clock(gateway);
             } else {
@@ -217,18 +219,18 @@
             reach(next, name(gateway) + " acks step " + gateway.view.position(), true);
         }
         if (gateway.ackInFlight()) {
-            FleetModel next = new FleetModel(model);
+            MigrationModel next = new MigrationModel(model);
             next.apply(ack(gateway, gateway.ackSent));
-            next.gateways.get(gateway.number).ackSent = GatewayModel.NEVER;
+            next.gateways.get(gateway.number).ackSent = MigratingGatewayModel.NEVER;
             reach(next, "the ack of " + name(gateway) + " is in the log", true);
         }
     }
 
-    private static MigrationEntry ack(GatewayModel gateway, double sent) {
+    private static MigrationEntry ack(MigratingGatewayModel gateway, double sent) {
         return MigrationEntry.ack(gateway.incarnation(), gateway.view.turn(), sent);
     }
 
-    private void send(FleetModel model, GatewayModel gateway) {
+    private void send(MigrationModel model, MigratingGatewayModel gateway) {
         // before, all go to the old group
         if (!model.mayAct(gateway) || gateway.view.position() < settings.stages) {
             return;
@@ -236,10 +238,10 @@
         boolean again = model.sentBefore();
         boolean retry = settings.retriesTold && again;
         MigrationRouter route = model.route(gateway);
-        for (int to = FleetModel.OLD_GROUP; to <= FleetModel.NEW_GROUP; to++) {
-            String group = to == FleetModel.OLD_GROUP ? "a" : "b";
+        for (int to = MigrationModel.OLD_GROUP; to <= MigrationModel.NEW_GROUP; to++) {
+            String group = to == MigrationModel.OLD_GROUP ? "a" : "b";
             if (route.mayGo("needing", 1, retry, group, null, model.clock(gateway))) {
-                FleetModel next = new FleetModel(model);
+                MigrationModel next = new MigrationModel(model);
                 next.send(to);
                 String what = again ? "retry" : "request";
                 reach(next, name(gateway) + " sends the " + what + " to " + group, false);
@@ -248,7 +250,7 @@
     }
 
     /** All faults that a gateway may have next, and its restart. */
-    private void fail(FleetModel model, GatewayModel gateway) {
+    private void fail(MigrationModel model, MigratingGatewayModel gateway) {
         if (gateway.up && model.faults < settings.maxFaults) {
             kill(model, gateway);
             if (!gateway.cutOff) {
@@ -261,32 +263,32 @@
         }
     }
 
-    private void kill(FleetModel model, GatewayModel gateway) {
-        FleetModel next = new FleetModel(model);
-        GatewayModel killed = next.gateways.get(gateway.number);
+    private void kill(MigrationModel model, MigratingGatewayModel gateway) {
+        MigrationModel next = new MigrationModel(model);
+        MigratingGatewayModel killed = next.gateways.get(gateway.number);
         killed.up = false;
-        killed.ackSent = GatewayModel.NEVER;
+        killed.ackSent = MigratingGatewayModel.NEVER;
         killed.cutOff = false;
         next.faults++;
         reach(next, name(gateway) + " is killed", false);
     }
 
-    private void cutOff(FleetModel model, GatewayModel gateway) {
-        FleetModel next = new FleetModel(model);
+    private void cutOff(MigrationModel model, MigratingGatewayModel gateway) {
+        MigrationModel next = new MigrationModel(model);
         next.gateways.get(gateway.number).cutOff = true;
         next.faults++;
         reach(next, name(gateway) + " is cut off", false);
     }
 
-    private void restart(FleetModel model, GatewayModel gateway, boolean withDisk) {
-        FleetModel next = new FleetModel(model);
+    private void restart(MigrationModel model, MigratingGatewayModel gateway, boolean withDisk) {
+        MigrationModel next = new MigrationModel(model);
         MigrationStatus known = withDisk ? gateway.view : next.newMoves().status();
         next.gateways.get(gateway.number).restart(known, next.moves.status());
         String how = withDisk ? " restarts with its disk" : " restarts without its disk";
         reach(next, name(gateway) + how, false);
     }
 
-    private static String name(GatewayModel gateway) {
+    private static String name(MigratingGatewayModel gateway) {
         return "gateway " + gateway.number;
     }
 }
--- a/lab/src/main/java/tinford/lab/explore/GatewayModel.java
+++ b/lab/src/main/java/tinford/lab/explore/MigratingGatewayModel.java
@@ -6,7 +6,7 @@
 import tinford.fleet.migration.MigrationStatus;
 
 /** One gateway of the model: whether it runs, and what of the log it has seen. */
-final class GatewayModel {
+final class MigratingGatewayModel {
     /** No lease, or no acknowledgement under way. */
     static final double NEVER = -1e9;
 
@@ -53,7 +53,7 @@
     final List<LogEvent> unread;
     final List<EarlierLease> earlier;
 
-    GatewayModel(int number, MigrationStatus view, double lease) {
+    MigratingGatewayModel(int number, MigrationStatus view, double lease) {
         this.number = number;
         this.view = view;
         this.leaseSeen = lease;
@@ -62,7 +62,7 @@
         this.earlier = new ArrayList<>();
     }
 
-    GatewayModel(GatewayModel other) {
+    MigratingGatewayModel(MigratingGatewayModel other) {
         number = other.number;
         up = other.up;
         cutOff = other.cutOff;
--- a/lab/src/main/java/tinford/lab/explore/FleetModel.java
+++ b/lab/src/main/java/tinford/lab/explore/MigrationModel.java
@@ -17,7 +17,7 @@
  * One state of a small fleet that carries out a plan: the log's moves, the gateways, and one
  * request whose mark servers remember. Copied for each thing that may happen next.
  */
-final class FleetModel implements LeaseHolders {
+final class MigrationModel implements LeaseHolders {
     static final double LEASE = 2;
 
     /** How long servers remember a mark. */
@@ -35,7 +35,7 @@
     private static final Map<String, String> HOMES = Map.of("needed", "a", "needing", "a");
 
     final ExplorationSettings settings;
-    final List<GatewayModel> gateways = new ArrayList<>();
+    final List<MigratingGatewayModel> gateways = new ArrayList<>();
     final MigrationState moves;
     double now = 10;
     int faults;
@@ -51,21 +51,21 @@
     /** A customer whose part of the needed frontend moves in the last stage. */
     private final long lastCustomer;
 
-    FleetModel(ExplorationSettings settings) {
+    MigrationModel(ExplorationSettings settings) {
         this.settings = settings;
         this.lastCustomer = lastCustomer();
         moves = newMoves();
         moves.apply(1, MigrationEntry.begin("o", now, plan()).bytes());
         for (int number = 0; number < settings.gateways; number++) {
-            gateways.add(new GatewayModel(number, moves.status(), clock(number) + LEASE));
+            gateways.add(new MigratingGatewayModel(number, moves.status(), clock(number) + LEASE));
         }
     }
 
-    FleetModel(FleetModel other) {
+    MigrationModel(MigrationModel other) {
         settings = other.settings;
         lastCustomer = other.lastCustomer;
         moves = other.moves.copy(this);
-        other.gateways.forEach(gateway -> gateways.add(new GatewayModel(gateway)));
+        other.gateways.forEach(gateway -> gateways.add(new MigratingGatewayModel(gateway)));
         now = other.now;
         faults = other.faults;
         sentTo = other.sentTo;
@@ -126,18 +126,18 @@
         return number == 0 ? now - settings.clockSkew : now;
     }
 
-    double clock(GatewayModel gateway) {
+    double clock(MigratingGatewayModel gateway) {
         return clock(gateway.number);
     }
 
     @Override
     public Collection<Incarnation> mayHaveActed(double since) {
         List<Incarnation> found = new ArrayList<>();
-        for (GatewayModel gateway : gateways) {
+        for (MigratingGatewayModel gateway : gateways) {
             if (!surelyOver(gateway.incarnation(), gateway.leaseGranted, since)) {
                 found.add(gateway.incarnation());
             }
-            for (GatewayModel.EarlierLease lease : gateway.earlier) {
+            for (MigratingGatewayModel.EarlierLease lease : gateway.earlier) {
                 if (!surelyOver(lease.incarnation(), lease.until(), since)) {
                     found.add(lease.incarnation());
                 }
@@ -150,7 +150,7 @@
         return new Lease(incarnation, until, 0).surelyOver(since, settings.countedClockSkew);
     }
 
-    MigrationRouter route(GatewayModel gateway) {
+    MigrationRouter route(MigratingGatewayModel gateway) {
         MigrationRouter route = settings.routes.create(gateway.incarnation(), gateway.view);
         route.see(gateway.view, new Lease(gateway.incarnation(), gateway.leaseSeen, 0), false);
         return route;
@@ -160,26 +160,26 @@
      * One request for a lease at a time; without other entries ahead of it the grant is seen at
      * once, as later it would only be shorter.
      */
-    void renew(GatewayModel gateway) {
-        if (gateway.unread.stream().anyMatch(GatewayModel.LogEvent::isGrant)) {
+    void renew(MigratingGatewayModel gateway) {
+        if (gateway.unread.stream().anyMatch(MigratingGatewayModel.LogEvent::isGrant)) {
             return;
         }
         gateway.leaseGranted = clock(gateway) + LEASE;
         if (gateway.unread.isEmpty() && !settings.leaseFromAnswer) {
             gateway.leaseSeen = gateway.leaseGranted;
         } else {
-            gateway.unread.add(GatewayModel.LogEvent.grant(gateway.leaseGranted));
+            gateway.unread.add(MigratingGatewayModel.LogEvent.grant(gateway.leaseGranted));
         }
     }
 
     /** The gateway comes to what is next in the log. */
-    void see(GatewayModel gateway, GatewayModel.LogEvent event) {
+    void see(MigratingGatewayModel gateway, MigratingGatewayModel.LogEvent event) {
         if (event.isGrant()) {
             gateway.leaseSeen =
                     settings.leaseFromAnswer ? clock(gateway) + LEASE : event.leaseUntil();
         } else {
             gateway.view = event.status();
-            gateway.ackSent = GatewayModel.NEVER;
+            gateway.ackSent = MigratingGatewayModel.NEVER;
         }
     }
 
@@ -193,7 +193,8 @@
         MigrationStatus after = moves.status();
         if (after.turn() != before.turn() || after.position() != before.position()) {
             checkChange(before, after);
-            gateways.forEach(gateway -> gateway.unread.add(GatewayModel.LogEvent.of(after)));
+            gateways.forEach(
+                    gateway -> gateway.unread.add(MigratingGatewayModel.LogEvent.of(after)));
         } else if (entry.kind() == MigrationEntry.Kind.RESUME
                 && entry.turn() != halts
                 && before.state() != after.state()) {
@@ -230,17 +231,17 @@
 
     /** Brings to one form what can make no difference. */
     void normalise() {
-        for (GatewayModel gateway : gateways) {
+        for (MigratingGatewayModel gateway : gateways) {
             boolean acts = clock(gateway) < gateway.leaseSeen;
             if (!acts) {
                 gateway.skipStates();
             }
-            List<GatewayModel.LogEvent> unread = gateway.unread;
+            List<MigratingGatewayModel.LogEvent> unread = gateway.unread;
             if (unread.size() == 1 && !unread.get(0).isGrant() && !acts && !gateway.up) {
                 unread.clear(); // a restart begins its own
             }
             if (gateway.view.turn() != moves.status().turn() && !settings.rules.counts(1, 0)) {
-                gateway.ackSent = GatewayModel.NEVER;
+                gateway.ackSent = MigratingGatewayModel.NEVER;
             }
             gateway.earlier.removeIf(lease -> now - WINDOW >= lease.until() + settings.clockSkew);
         }
@@ -258,7 +259,7 @@
         boolean neededNotMoved = false;
         int least = Integer.MAX_VALUE;
         int most = -1;
-        for (GatewayModel gateway : gateways) {
+        for (MigratingGatewayModel gateway : gateways) {
             MigrationRouter route = route(gateway);
             double clock = clock(gateway);
             if (gateway.up && mayAct(gateway)) {
@@ -276,7 +277,7 @@
     }
 
     /** As its routing says. */
-    boolean mayAct(GatewayModel gateway) {
+    boolean mayAct(MigratingGatewayModel gateway) {
         return route(gateway).mayAct(clock(gateway));
     }
 
@@ -316,7 +317,7 @@
         return Math.max(back, forward);
     }
 
-    private void append(StringBuilder form, GatewayModel gateway, double longestWait) {
+    private void append(StringBuilder form, MigratingGatewayModel gateway, double longestWait) {
         double oldest = -WINDOW - settings.clockSkew;
         form.append(!gateway.up ? 'd' : gateway.cutOff ? 'c' : 'u')
                 .append((char) gateway.view.position())
@@ -329,14 +330,14 @@
                 OLDEST_ACK_IN_FLIGHT,
                 0);
         appendAck(form, gateway.incarnation(), longestWait);
-        for (GatewayModel.LogEvent event : gateway.unread) {
+        for (MigratingGatewayModel.LogEvent event : gateway.unread) {
             if (event.isGrant()) {
                 appendTime(form.append('g'), event.leaseUntil() - clock(gateway), 0, FARTHEST);
             } else {
                 form.append('p').append((char) event.status().position());
             }
         }
-        for (GatewayModel.EarlierLease lease : gateway.earlier) {
+        for (MigratingGatewayModel.EarlierLease lease : gateway.earlier) {
             appendTime(form.append('o'), lease.until() - now, oldest, FARTHEST);
             appendAck(form, lease.incarnation(), longestWait);
         }
--- a/lab/src/main/java/tinford/lab/fleet/Connections.java
+++ b/lab/src/main/java/tinford/lab/fleet/Connections.java
@@ -11,7 +11,7 @@
     private final Map<String, List<History.Line>> open = new HashMap<>();
 
     @Override
-    public void see(History.Line l, Lives lives, Finds finds) {
+    public void see(History.Line l, IncarnationTracker lives, Finds finds) {
         String server = l.text("server");
         switch (l.kind()) {
             case "offer" -> offers.put(server, l.number("offer"));
--- a/lab/src/main/java/tinford/lab/fleet/DatagramLink.java
+++ b/lab/src/main/java/tinford/lab/fleet/DatagramLink.java
@@ -28,12 +28,12 @@
                 DatagramChannel.open()
                         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         final SocketAddress gateway;
-        final Way from;
+        final LinkDirection from;
         End other;
 
         End(SocketAddress gateway, Random draw) throws IOException {
             this.gateway = gateway;
-            this.from = new Way(draw);
+            this.from = new LinkDirection(draw);
         }
 
         void ready() throws IOException {
@@ -112,7 +112,7 @@
     }
 
     /** The way on which what the left one (or else the right one) sends goes. */
-    Way from(boolean leftOne) {
+    LinkDirection from(boolean leftOne) {
         return leftOne ? left.from : right.from;
     }
 
--- a/lab/src/main/java/tinford/lab/fleet/Troubles.java
+++ b/lab/src/main/java/tinford/lab/fleet/FaultScriptRunner.java
@@ -6,15 +6,15 @@
 import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
-import tinford.lab.model.Faults;
-import tinford.lab.model.Machine;
+import tinford.lab.model.FaultInjector;
+import tinford.lab.model.ServerMachine;
 
 /**
  * Does the faults of a script to a model or to processes alike. Called on the thread of the
  * ground's agenda.
  */
-public final class Troubles {
-    private final Faults.Ground ground;
+public final class FaultScriptRunner {
+    private final FaultInjector.Ground ground;
     private final Fleet fleet;
     private final UniformRandomProvider draw;
 
@@ -45,7 +45,7 @@
         void tell(String kind, Object... fields);
     }
 
-    public Troubles(Faults.Ground ground, Fleet fleet, UniformRandomProvider draw) {
+    public FaultScriptRunner(FaultInjector.Ground ground, Fleet fleet, UniformRandomProvider draw) {
         this.ground = ground;
         this.fleet = fleet;
         this.draw = draw;
@@ -103,7 +103,7 @@
             case SERVERS_CUT -> {
                 List<String> which =
                         new ArrayList<>(
-                                ground.machines().stream().map((Machine m) -> m.id).toList());
+                                ground.machines().stream().map((ServerMachine m) -> m.id).toList());
                 if (f.part() > 0) {
                     ListSampler.shuffle(draw, which);
                     which =
@@ -118,7 +118,7 @@
                 fleet.counter(f, who, true);
                 later(f, () -> fleet.counter(f, who, false));
             }
-            default -> Faults.begin(f.ofScenario(), ground, draw);
+            default -> FaultInjector.begin(f.ofScenario(), ground, draw);
         }
     }
 
--- a/lab/src/main/java/tinford/lab/fleet/Answers.java
+++ b/lab/src/main/java/tinford/lab/fleet/FinalAnswerPromise.java
@@ -8,12 +8,12 @@
  * Every request has one final answer: none twice, none lost but by a gateway that was killed, stood
  * still or ended while it was out.
  */
-final class Answers implements Promise {
+final class FinalAnswerPromise implements Promise {
     private final Map<String, History.Line> asked = new HashMap<>();
     private final Map<String, History.Line> answered = new HashMap<>();
 
     @Override
-    public void see(History.Line l, Lives lives, Finds finds) {
+    public void see(History.Line l, IncarnationTracker lives, Finds finds) {
         String request = l.text("req");
         if (l.kind().equals("asked")) {
             asked.put(request, l);
--- a/lab/src/main/java/tinford/lab/fleet/FleetBench.java
+++ b/lab/src/main/java/tinford/lab/fleet/FleetBench.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tinford.lab.model.Streams;
+import tinford.lab.model.RandomStreams;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
-import tinford.lab.sockets.Bench;
-import tinford.lab.sockets.Between;
+import tinford.lab.sockets.BenchInterceptor;
+import tinford.lab.sockets.SocketBench;
 
 /**
  * A fleet of real processes on loopback under a script of faults, with a link between any two
@@ -21,14 +21,14 @@
  */
 public final class FleetBench implements AutoCloseable {
     private final FleetScript script;
-    private final Program program;
+    private final GatewayProgram program;
     private final Path folder;
     private final List<Path> histories = java.util.Collections.synchronizedList(new ArrayList<>());
     private final History history;
     private final Processes processes;
-    private final Links links;
-    private final Bench bench;
-    private final Troubles troubles;
+    private final FleetLinks links;
+    private final SocketBench bench;
+    private final FaultScriptRunner troubles;
     private final Parties parties = new Parties();
     private volatile double began; // by the clock of the histories
 
@@ -36,7 +36,7 @@
      * What is wrong is done to links and processes; what the bench's stand-ins meet goes through
      * them.
      */
-    private final class Parties implements Between, Troubles.Fleet {
+    private final class Parties implements BenchInterceptor, FaultScriptRunner.Fleet {
         @Override
         public Process start(int gateway, Path config, Path log) throws IOException {
             Path its = processes.of(gateway);
@@ -45,7 +45,7 @@
             Map<String, String> environment = new TreeMap<>(program.environment());
             environment.put("ROUTER_CONFIG", config.toString());
             environment.put("TINFORD_HISTORY", lines.toString());
-            Program.Seat seat = seat(gateway);
+            GatewayProgram.Seat seat = seat(gateway);
             if (program.operator() != null) {
                 Path file = its.resolve("fleet.json");
                 Files.writeString(file, program.operator().text(seat));
@@ -65,7 +65,7 @@
         public String group(String server) {
             List<String> all = script.groups();
             return all.isEmpty()
-                    ? Between.super.group(server)
+                    ? BenchInterceptor.super.group(server)
                     : all.get(Integer.parseInt(server.substring(1)) % all.size());
         }
 
@@ -85,7 +85,7 @@
 
         @Override
         public double idle() {
-            return script.idle() > 0 ? script.idle() : Between.super.idle();
+            return script.idle() > 0 ? script.idle() : BenchInterceptor.super.idle();
         }
 
         @Override
@@ -157,7 +157,8 @@
      * @param s the script's scenario, with as many gateways as there are to be
      * @param folder for configurations, disks, logs and histories
      */
-    public FleetBench(FleetScript script, Scenario s, Program program, long seed, Path folder)
+    public FleetBench(
+            FleetScript script, Scenario s, GatewayProgram program, long seed, Path folder)
             throws IOException {
         this.script = script;
         this.program = program;
@@ -167,13 +168,14 @@
         histories.add(lines);
         processes = new Processes(folder);
         try {
-            links = new Links(s.gateways(), seed, this::comes, this::left);
-            bench = new Bench(s, seed, parties, folder);
+            links = new FleetLinks(s.gateways(), seed, this::comes, this::left);
+            bench = new SocketBench(s, seed, parties, folder);
         } catch (IOException | UncheckedIOException e) {
             processes.close();
             throw e;
         }
-        troubles = new Troubles(bench, parties, new Streams(seed).of("fleet faults"));
+        troubles =
+                new FaultScriptRunner(bench, parties, new RandomStreams(seed).of("fleet faults"));
         bench.retries(s.clients().retries());
         bench.onBegin(
                 from -> {
@@ -195,22 +197,22 @@
     }
 
     private void comes(int port) {
-        Bench b = bench;
+        SocketBench b = bench;
         if (b != null) { // guards against connections while the bench is being made
             b.comes(port);
         }
     }
 
     private void left(int port) {
-        Bench b = bench;
+        SocketBench b = bench;
         if (b != null) {
             b.left(port);
         }
     }
 
     /** Where a gateway sits: all addresses that it is told are those of links. */
-    public Program.Seat seat(int gateway) throws IOException {
-        return new Program.Seat(
+    public GatewayProgram.Seat seat(int gateway) throws IOException {
+        return new GatewayProgram.Seat(
                 gateway,
                 bench.gateways(),
                 processes.of(gateway),
@@ -236,7 +238,7 @@
     /** What was broken: the promises by the histories, and the five rules by the oracle. */
     public List<String> broken() throws IOException {
         List<String> all = new ArrayList<>(bench.broken());
-        Judge judge = Judge.of(script);
+        HistoryJudge judge = HistoryJudge.of(script);
         history().forEach(judge::see);
         judge.breaches().forEach(b -> all.add(b.story(began)));
         return all;
--- a/lab/src/main/java/tinford/lab/fleet/Links.java
+++ b/lab/src/main/java/tinford/lab/fleet/FleetLinks.java
@@ -20,7 +20,7 @@
  * All links of a fleet: between gateways (datagrams, and streams for a log), to each server and to
  * the counter a gateway.
  */
-final class Links implements AutoCloseable {
+final class FleetLinks implements AutoCloseable {
     private final LinkLoop loop = new LinkLoop();
     private final Random draw;
     private final int gateways;
@@ -41,7 +41,7 @@
      *     before it does
      * @param left is told the port of one whose gateway has closed it
      */
-    Links(int gateways, long seed, IntConsumer comes, IntConsumer left) throws IOException {
+    FleetLinks(int gateways, long seed, IntConsumer comes, IntConsumer left) throws IOException {
         this.gateways = gateways;
         this.comes = comes;
         this.left = left;
@@ -194,7 +194,7 @@
     }
 
     private void way(int a, int b, Impairment i, boolean on) {
-        Way w = pairs[a][b].from(a > b);
+        LinkDirection w = pairs[a][b].from(a > b);
         if (on) {
             w.add(i);
         } else {
--- a/lab/src/main/java/tinford/lab/fleet/Program.java
+++ b/lab/src/main/java/tinford/lab/fleet/GatewayProgram.java
@@ -15,7 +15,7 @@
  * @param peers whether the gateway itself binds {@code peer_listen} (its settings' Limits.Peers);
  *     else the address is free for another use
  */
-public record Program(
+public record GatewayProgram(
         List<String> words, Map<String, String> environment, Operator operator, boolean peers) {
     /** Makes an operator file. */
     public interface Operator {
--- a/lab/src/main/java/tinford/lab/fleet/Judge.java
+++ b/lab/src/main/java/tinford/lab/fleet/HistoryJudge.java
@@ -10,11 +10,11 @@
  * Judges histories against the promises of a fleet. It knows nothing of the program but what the
  * lines say.
  */
-public final class Judge {
+public final class HistoryJudge {
     private static final int MOST_KEPT = 20; // of each promise
     private static final int MOST_TOLD = 10; // lines of a story
     private final Map<String, Promise> promises;
-    private final Lives lives = new Lives();
+    private final IncarnationTracker lives = new IncarnationTracker();
     private final List<Breach> breaches = new ArrayList<>();
     private final Map<String, Integer> counts = new HashMap<>();
 
@@ -55,24 +55,24 @@
     /**
      * @param promises by name
      */
-    public Judge(Map<String, Promise> promises) {
+    public HistoryJudge(Map<String, Promise> promises) {
         this.promises = promises;
     }
 
     /** All promises that the script makes. */
-    public static Judge of(FleetScript script) {
+    public static HistoryJudge of(FleetScript script) {
         Map<String, Promise> all = new java.util.LinkedHashMap<>();
         all.put("connections", new Connections());
-        all.put("answers", new Answers());
-        all.put("runs", new Runs());
-        all.put("stages", new Stages());
+        all.put("answers", new FinalAnswerPromise());
+        all.put("runs", new IdempotencyPromise());
+        all.put("stages", new StageOrderPromise());
         if (script.further() > 0) {
-            all.put("further", new Further(script.further()));
+            all.put("further", new RetryBudgetPromise(script.further()));
         }
         if (script.tries() > 0) {
-            all.put("tries", new Tries(script.tries()));
+            all.put("tries", new ProbeRatePromise(script.tries()));
         }
-        return new Judge(all);
+        return new HistoryJudge(all);
     }
 
     /** Lines come in the order of time. */
--- a/lab/src/main/java/tinford/lab/fleet/Runs.java
+++ b/lab/src/main/java/tinford/lab/fleet/IdempotencyPromise.java
@@ -10,12 +10,12 @@
  * A request that may have run runs again only where that does no harm: a uniqued one in its first
  * group and within its window, a non-replayable one nowhere.
  */
-final class Runs implements Promise {
+final class IdempotencyPromise implements Promise {
     private final Map<String, List<History.Line>> runs =
             new HashMap<>(); // of requests that are not replayable: what may have run
 
     @Override
-    public void see(History.Line l, Lives lives, Finds finds) {
+    public void see(History.Line l, IncarnationTracker lives, Finds finds) {
         String request = l.text("req");
         if (l.kind().equals("dispatch")
                 && !l.text("effect").equals(Idempotency.IDEMPOTENT.name())) {
--- a/lab/src/main/java/tinford/lab/fleet/Lives.java
+++ b/lab/src/main/java/tinford/lab/fleet/IncarnationTracker.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** Which gateways live and act, by what was done to them and by what they say of their terms. */
-public final class Lives {
+public final class IncarnationTracker {
     private final Set<Integer> up = new HashSet<>();
     private final Set<Integer> without = new HashSet<>(); // a term
     private final Map<Integer, Double> ends = new HashMap<>(); // of terms, where it is told
--- a/lab/src/main/java/tinford/lab/fleet/Way.java
+++ b/lab/src/main/java/tinford/lab/fleet/LinkDirection.java
@@ -8,13 +8,13 @@
  * One way of a link, with all that is wrong with it now, and when what enters it comes out. Belongs
  * to the loop's thread.
  */
-final class Way {
+final class LinkDirection {
     private final Random draw;
     private final List<Impairment> wrong = new ArrayList<>();
     private Impairment now = Impairment.NONE;
     private double freeAt;
 
-    Way(Random draw) {
+    LinkDirection(Random draw) {
         this.draw = draw;
     }
 
--- a/lab/src/main/java/tinford/lab/fleet/Tries.java
+++ b/lab/src/main/java/tinford/lab/fleet/ProbeRatePromise.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /** Tries at a server that has been ill for a while, of all gateways together, a second. */
-final class Tries implements Promise {
+final class ProbeRatePromise implements Promise {
     private static final double SPAN = 1000;
     private static final double FOUND = 2000; // ms by which a fleet has found it ill
     private final double most;
     private final Map<String, Double> ill = new HashMap<>();
     private final Map<String, ArrayDeque<History.Line>> recent = new HashMap<>();
 
-    Tries(double most) {
+    ProbeRatePromise(double most) {
         this.most = most;
     }
 
     @Override
-    public void see(History.Line l, Lives lives, Finds finds) {
+    public void see(History.Line l, IncarnationTracker lives, Finds finds) {
         String server = l.text("server");
         switch (l.kind()) {
             case "ill" -> ill.put(server, l.at());
--- a/lab/src/main/java/tinford/lab/fleet/Further.java
+++ b/lab/src/main/java/tinford/lab/fleet/RetryBudgetPromise.java
@@ -9,7 +9,7 @@
  * While any gateway says that it is strained, further dispatches of all of them are at most a part
  * of the first ones, second by second.
  */
-final class Further implements Promise {
+final class RetryBudgetPromise implements Promise {
     private static final double SPAN = 1000;
     private static final int FEW = 5; // of chance and of what was under way
     private final double part;
@@ -18,12 +18,12 @@
     private double since = Double.POSITIVE_INFINITY;
     private int further;
 
-    Further(double part) {
+    RetryBudgetPromise(double part) {
         this.part = part;
     }
 
     @Override
-    public void see(History.Line l, Lives lives, Finds finds) {
+    public void see(History.Line l, IncarnationTracker lives, Finds finds) {
         if (l.kind().equals("strained")) {
             boolean change = l.is("on") ? strained.add(l.gateway()) : strained.remove(l.gateway());
             if (change && l.is("on") && strained.size() == 1) {
--- a/lab/src/main/java/tinford/lab/fleet/Stages.java
+++ b/lab/src/main/java/tinford/lab/fleet/StageOrderPromise.java
@@ -13,13 +13,13 @@
  * what it needs has moved at all of them. One that was paused, killed or without its term counts
  * again from the next stage that it tells.
  */
-final class Stages implements Promise {
+final class StageOrderPromise implements Promise {
     private final Map<String, Map<Integer, History.Line>> stages =
             new LinkedHashMap<>(); // by move and gateway, the last told
     private final Map<String, List<String>> needs = new LinkedHashMap<>(); // by move and frontend
 
     @Override
-    public void see(History.Line l, Lives lives, Finds finds) {
+    public void see(History.Line l, IncarnationTracker lives, Finds finds) {
         stages.values().forEach(m -> m.keySet().removeIf(g -> !lives.acts(g)));
         String move = l.text("move");
         if (l.kind().equals("plan")) {
--- a/lab/src/main/java/tinford/lab/fleet/StreamLink.java
+++ b/lab/src/main/java/tinford/lab/fleet/StreamLink.java
@@ -26,8 +26,8 @@
     private final IntConsumer opened;
     private final IntConsumer left;
     private final Traffic traffic;
-    private final Way there;
-    private final Way back;
+    private final LinkDirection there;
+    private final LinkDirection back;
     private final int port;
     private final List<Pair> pairs = new ArrayList<>();
     private final List<SocketChannel> fillers = new ArrayList<>();
@@ -54,7 +54,7 @@
     private final class Flow {
         final SocketChannel from;
         final SocketChannel to;
-        final Way way;
+        final LinkDirection way;
         final Runnable pump;
         double wakes = Double.POSITIVE_INFINITY;
         final ArrayDeque<Object[]> held =
@@ -64,7 +64,7 @@
         boolean ended; // its end was read
         boolean over; // and passed on
 
-        Flow(SocketChannel from, SocketChannel to, Way way, Runnable pump) {
+        Flow(SocketChannel from, SocketChannel to, LinkDirection way, Runnable pump) {
             this.from = from;
             this.to = to;
             this.way = way;
@@ -252,8 +252,8 @@
         this.opened = opened;
         this.left = left;
         this.traffic = traffic;
-        there = new Way(draw);
-        back = new Way(draw);
+        there = new LinkDirection(draw);
+        back = new LinkDirection(draw);
         door =
                 ServerSocketChannel.open()
                         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200);
@@ -289,7 +289,7 @@
         List.copyOf(pairs).forEach(Pair::pump);
     }
 
-    private static void change(Way w, Impairment i, boolean on) {
+    private static void change(LinkDirection w, Impairment i, boolean on) {
         if (on) {
             w.add(i);
         } else {
--- a/lab/src/main/java/tinford/lab/model/Try.java
+++ b/lab/src/main/java/tinford/lab/model/ClientAttempt.java
@@ -9,7 +9,7 @@
 import tinford.api.Tenant;
 
 /** One try of a client, with its history. */
-public final class Try extends Request {
+public final class ClientAttempt extends Request {
     final Asked asked;
     final double work;
     final double arrived;
@@ -46,12 +46,12 @@
 
     /** A dispatch, as the wires show it. */
     public static final class Hop {
-        final Machine to;
+        final ServerMachine to;
         final double at;
-        Machine.Visit visit;
+        ServerMachine.Visit visit;
         public AttemptOutcome end;
 
-        public Hop(Machine to, double at) {
+        public Hop(ServerMachine to, double at) {
             this.to = to;
             this.at = at;
         }
@@ -61,7 +61,7 @@
      * @param gateway tells which life the gateway that takes it is in: one that has died owes
      *     nothing
      */
-    public Try(long id, Asked asked, LongSupplier gateway, double now, boolean resent) {
+    public ClientAttempt(long id, Asked asked, LongSupplier gateway, double now, boolean resent) {
         super(
                 id,
                 asked.frontend,
--- a/lab/src/main/java/tinford/lab/model/Store.java
+++ b/lab/src/main/java/tinford/lab/model/CounterStore.java
@@ -9,8 +9,8 @@
 import tinford.api.AttemptOutcome;
 
 /** The counter: numbers by name, each kept for a time, on parts that serve their calls in turn. */
-public final class Store {
-    private final Agenda agenda;
+public final class CounterStore {
+    private final EventQueue agenda;
     private final Part[] parts;
     private final ContinuousSampler takes;
     private final int most;
@@ -40,7 +40,7 @@
     /**
      * @param most calls that wait at one part
      */
-    public Store(Agenda agenda, int parts, ContinuousSampler takes, int most) {
+    public CounterStore(EventQueue agenda, int parts, ContinuousSampler takes, int most) {
         this.agenda = agenda;
         this.parts = new Part[parts];
         for (int i = 0; i < parts; i++) {
--- a/lab/src/main/java/tinford/lab/model/Dist.java
+++ b/lab/src/main/java/tinford/lab/model/Distribution.java
@@ -6,7 +6,7 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /** How amounts of work spread about their mean. */
-public enum Dist {
+public enum Distribution {
     CONSTANT {
         @Override
         public ContinuousSampler of(UniformRandomProvider chance, double mean, double cv) {
--- a/lab/src/main/java/tinford/lab/model/Agenda.java
+++ b/lab/src/main/java/tinford/lab/model/EventQueue.java
@@ -6,7 +6,7 @@
  * What is to happen, in virtual time, in milliseconds. What is due at the same time happens in the
  * order it was set.
  */
-public final class Agenda {
+public final class EventQueue {
     private final PriorityQueue<Item> items = new PriorityQueue<>();
     private double now;
     private long set;
@@ -19,7 +19,7 @@
         }
     }
 
-    public Agenda(double start) {
+    public EventQueue(double start) {
         now = start;
     }
 
--- a/lab/src/main/java/tinford/lab/model/Faults.java
+++ b/lab/src/main/java/tinford/lab/model/FaultInjector.java
@@ -11,24 +11,24 @@
 import tinford.lab.scenario.Scenario;
 
 /** What goes wrong, done to a model or to stand-ins on sockets alike. */
-public final class Faults {
+public final class FaultInjector {
     private static final double DOWN = 1000; // what starts anew in steps
     private static final double DRAINS = 2000; // from the word that it drains to its end
 
-    private Faults() {}
+    private FaultInjector() {}
 
     /** What faults are done to. */
     public interface Ground {
-        Agenda agenda();
+        EventQueue agenda();
 
-        Collection<Machine> machines();
+        Collection<ServerMachine> machines();
 
-        Store store();
+        CounterStore store();
 
         double listLate();
 
         /** Discovery tells the gateways. */
-        void list(Machine m, Server.State state);
+        void list(ServerMachine m, Server.State state);
 
         int gateways();
 
@@ -44,7 +44,7 @@
 
     public static void begin(Scenario.Fault f, Ground on, UniformRandomProvider draw) {
         double ms = f.for_s() * 1000;
-        Agenda agenda = on.agenda();
+        EventQueue agenda = on.agenda();
         switch (f.kind()) {
             case SERVERS_DIE ->
                     some(on.machines(), f.part(), draw).forEach(m -> restart(m, ms, on));
@@ -69,9 +69,9 @@
                                         agenda.after(ms, () -> m.hang(false));
                                     });
             case FLEET_SHRINKS -> {
-                List<Machine> gone = some(on.machines(), f.part(), draw);
+                List<ServerMachine> gone = some(on.machines(), f.part(), draw);
                 for (int i = 0; i < gone.size(); i++) {
-                    Machine m = gone.get(i);
+                    ServerMachine m = gone.get(i);
                     agenda.after(
                             ms * i / gone.size(),
                             () -> {
@@ -132,7 +132,7 @@
     }
 
     /** It is down for a time, and back cold. */
-    private static void restart(Machine m, double ms, Ground on) {
+    private static void restart(ServerMachine m, double ms, Ground on) {
         m.die();
         on.agenda()
                 .after(
@@ -143,7 +143,8 @@
                         });
     }
 
-    private static <T> void steps(List<T> all, Scenario.Fault f, Agenda agenda, Consumer<T> each) {
+    private static <T> void steps(
+            List<T> all, Scenario.Fault f, EventQueue agenda, Consumer<T> each) {
         int steps = (int) f.size();
         for (int i = 0; i < steps; i++) {
             List<T> some = all.subList(all.size() * i / steps, all.size() * (i + 1) / steps);
--- a/lab/src/main/java/tinford/lab/model/Node.java
+++ b/lab/src/main/java/tinford/lab/model/GatewayNode.java
@@ -17,13 +17,13 @@
  * A gateway: the decisions as they are, and a front that carries what they write over the model's
  * wires.
  */
-final class Node implements GatewayActions {
+final class GatewayNode implements GatewayActions {
     final int number;
-    private final World world;
+    private final Simulation world;
     private final DecisionModule.Factory maker;
     private final Map<String, Server> servers = new HashMap<>();
     private final Map<String, Double> drainToldAt = new HashMap<>();
-    private final Map<Machine, Server.State> missed =
+    private final Map<ServerMachine, Server.State> missed =
             new LinkedHashMap<>(); // told while it was down: what each came to last
     private List<Consumer<GatewayEvents>> came = new ArrayList<>();
     private DecisionModule gateway;
@@ -33,7 +33,7 @@
     boolean cutOff; // from the counter
     long rounds;
 
-    Node(World world, int number, DecisionModule.Factory maker) {
+    GatewayNode(Simulation world, int number, DecisionModule.Factory maker) {
         this.world = world;
         this.number = number;
         this.maker = maker;
@@ -65,7 +65,7 @@
         List<Server> all =
                 servers.values().stream().sorted((a, b) -> a.id.compareTo(b.id)).toList();
         input(in -> in.endpointsUpdated(all, true));
-        Map<Machine, Server.State> late = new LinkedHashMap<>(missed);
+        Map<ServerMachine, Server.State> late = new LinkedHashMap<>(missed);
         missed.clear();
         if (!late.isEmpty()) {
             world.agenda.after(world.lateness(), () -> late.forEach(this::listed));
@@ -80,7 +80,7 @@
         return s;
     }
 
-    private static Server entry(Machine m, Server.State state) {
+    private static Server entry(ServerMachine m, Server.State state) {
         Server s = new Server(m.id);
         s.updateAttributes(m.zone, m.cell, "", 1);
         s.updateState(state);
@@ -132,11 +132,11 @@
                 });
     }
 
-    void arrive(Try t) {
+    void arrive(ClientAttempt t) {
         input(in -> in.requestArrived(t));
     }
 
-    void left(Try t) {
+    void left(ClientAttempt t) {
         if (t.life == life && !t.over) {
             t.over = true;
             t.left = true;
@@ -145,7 +145,7 @@
     }
 
     /** Discovery's word of one server. */
-    void listed(Machine m, Server.State state) {
+    void listed(ServerMachine m, Server.State state) {
         if (!up) {
             missed.put(m, state);
             return;
@@ -166,9 +166,9 @@
 
     @Override
     public void sendAttempt(Request request, Server srv, double cap, double within) {
-        Try t = (Try) request;
+        ClientAttempt t = (ClientAttempt) request;
         double now = world.agenda.now();
-        Machine m = world.machine(srv.id);
+        ServerMachine m = world.machine(srv.id);
         boolean told = srv.startedAtMs() == m.born;
         int no = t.hops.size();
         boolean first = t.hops.isEmpty();
@@ -177,12 +177,12 @@
         if (first) {
             world.sentOn(t);
         }
-        Try.Hop hop = new Try.Hop(m, now);
+        ClientAttempt.Hop hop = new ClientAttempt.Hop(m, now);
         t.hops.add(hop);
         double left = t.deadlineMs - world.agenda.now();
         double wait = cap == 0 ? left : Math.min(cap, left);
         hop.visit =
-                new Machine.Visit(
+                new ServerMachine.Visit(
                         t.work,
                         end -> {
                             if (end == AttemptOutcome.SUCCESS) {
@@ -207,8 +207,8 @@
                 });
     }
 
-    private void ends(Try t, int no, AttemptOutcome how) {
-        Try.Hop hop = t.hops.get(no);
+    private void ends(ClientAttempt t, int no, AttemptOutcome how) {
+        ClientAttempt.Hop hop = t.hops.get(no);
         if (hop.end != null) {
             return;
         }
@@ -229,8 +229,8 @@
 
     @Override
     public void cancelAttempt(Request request, int no) {
-        Try t = (Try) request;
-        Try.Hop hop = t.hops.get(no);
+        ClientAttempt t = (ClientAttempt) request;
+        ClientAttempt.Hop hop = t.hops.get(no);
         if (hop.end == null) {
             hop.to.withdraw(hop.visit);
             world.agenda.after(0, () -> ends(t, no, AttemptOutcome.CANCELLED));
@@ -239,15 +239,15 @@
 
     @Override
     public void reject(Request request, double retryAfter) {
-        finish((Try) request, "denied", retryAfter);
+        finish((ClientAttempt) request, "denied", retryAfter);
     }
 
     @Override
     public void fail(Request request) {
-        finish((Try) request, "aborted", 0);
+        finish((ClientAttempt) request, "aborted", 0);
     }
 
-    private void finish(Try t, String answer, double retryAfter) {
+    private void finish(ClientAttempt t, String answer, double retryAfter) {
         world.oracle.answered(t, answer, world.agenda.now());
         if (!t.over) {
             t.over = true;
--- a/lab/src/main/java/tinford/lab/model/Oracle.java
+++ b/lab/src/main/java/tinford/lab/model/Oracle.java
@@ -17,7 +17,7 @@
     private static final int MOST_KEPT = 50;
     private static final double SLACK = 50; // for what is on its way
     private final double grace;
-    private final ColdBudget cold;
+    private final SlowStartBudget cold;
     private final List<String> broken = new ArrayList<>();
     private final Map<Long, double[]> ceilings = new HashMap<>(); // level, since
     private long count;
@@ -27,10 +27,10 @@
      */
     public Oracle(double grace, double fallMultiple, double fallTime, double meanWork) {
         this.grace = grace;
-        this.cold = new ColdBudget(fallMultiple, fallTime, meanWork);
+        this.cold = new SlowStartBudget(fallMultiple, fallTime, meanWork);
     }
 
-    ColdBudget cold() {
+    SlowStartBudget cold() {
         return cold;
     }
 
@@ -43,7 +43,7 @@
         return count;
     }
 
-    private void breaks(String rule, Try t, String what) {
+    private void breaks(String rule, ClientAttempt t, String what) {
         count++;
         if (broken.size() < MOST_KEPT) {
             broken.add(rule + ": " + what + (t == null ? "" : "; " + t.story()));
@@ -51,7 +51,7 @@
     }
 
     /** The final answer of a request, as it leaves its gateway. */
-    public void answered(Try t, String answer, double now) {
+    public void answered(ClientAttempt t, String answer, double now) {
         t.tell(now, answer);
         if (t.answers++ > 0) {
             breaks("lost", t, "a second final answer");
@@ -71,14 +71,15 @@
     }
 
     /** The client's time is over. */
-    public void expired(Try t, double now) {
+    public void expired(ClientAttempt t, double now) {
         if (t.answers == 0 && !t.left && !t.gatewayGone()) {
             breaks("lost", t, "no answer by the client timeout");
         }
     }
 
     /** A dispatch leaves its gateway. */
-    public void dispatched(Try t, Machine m, double now, double toldAt, boolean first) {
+    public void dispatched(
+            ClientAttempt t, ServerMachine m, double now, double toldAt, boolean first) {
         t.tell(now, "dispatch " + t.hops.size() + " to " + m.id);
         if (t.answers > 0) {
             breaks("lost", t, "a dispatch after the final answer");
@@ -93,7 +94,7 @@
                             + m.id
                             + " was told");
         }
-        for (Try.Hop h : t.hops) {
+        for (ClientAttempt.Hop h : t.hops) {
             boolean may = h.end == null || h.end.mayHaveRun;
             if (h.end == null) {
                 breaks("effect", t, "two dispatches out at once");
@@ -111,12 +112,12 @@
         }
     }
 
-    private static boolean outside(DeduplicationScope group, Machine a, Machine b) {
+    private static boolean outside(DeduplicationScope group, ServerMachine a, ServerMachine b) {
         return group == DeduplicationScope.ZONE && !a.zone.equals(b.zone)
                 || group == DeduplicationScope.CELL && a.cell != b.cell;
     }
 
-    private void ceiling(Try t, double now) {
+    private void ceiling(ClientAttempt t, double now) {
         Plan p = t.tenant.plan;
         if (p.hardLimitPerMs <= 0) {
             return;
@@ -135,8 +136,8 @@
      *
      * @param told whether the gateway that sent it knew of the server's start
      */
-    public boolean arrives(Machine m, double work, double now, boolean told) {
-        ColdBudget.Approach a = cold.arrives(m, work, now, told);
+    public boolean arrives(ServerMachine m, double work, double now, boolean told) {
+        SlowStartBudget.Approach a = cold.arrives(m, work, now, told);
         if (a.broken()) {
             breaks(
                     "cold",
--- a/lab/src/main/java/tinford/lab/model/Streams.java
+++ b/lab/src/main/java/tinford/lab/model/RandomStreams.java
@@ -7,10 +7,10 @@
  * Chance, a stream for each purpose: what one part of the world draws moves nothing in another, so
  * that two versions of the decisions see the same clients, work and faults.
  */
-public final class Streams {
+public final class RandomStreams {
     private final long seed;
 
-    public Streams(long seed) {
+    public RandomStreams(long seed) {
         this.seed = seed;
     }
 
--- a/lab/src/main/java/tinford/lab/model/Outcome.java
+++ b/lab/src/main/java/tinford/lab/model/RunResult.java
@@ -6,7 +6,7 @@
 import org.HdrHistogram.Histogram;
 
 /** What a run came to. Shares are of value, but for those that say units. */
-public final class Outcome {
+public final class RunResult {
     public final long seed;
     double offered;
     double passed;
@@ -28,7 +28,7 @@
     List<String> broken = List.of();
     long brokenCount;
 
-    Outcome(long seed) {
+    RunResult(long seed) {
         this.seed = seed;
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** How near cold servers came to their bound, in a run that began at {@code start}. */
-    void cold(ColdBudget b, double start) {
+    void cold(SlowStartBudget b, double start) {
         cold.put("cold_nearest", b.nearest().of());
         cold.put("cold_told", b.nearest().told());
         cold.put("cold_at_s", b.nearest().of() > 0 ? (b.nearest().at() - start) / 1000 : 0);
--- a/lab/src/main/java/tinford/lab/model/Machine.java
+++ b/lab/src/main/java/tinford/lab/model/ServerMachine.java
@@ -12,12 +12,12 @@
  * A server: some cores, each with one piece of work at a time, and a waiting room; first come,
  * first served. One that has just started is cold and grows to its full speed evenly.
  */
-public final class Machine {
+public final class ServerMachine {
     public final String id;
     public final String zone;
     public final int cell;
     final int cores;
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final int room;
     private final double speed;
     private final double coldFrom;
@@ -46,8 +46,8 @@
         }
     }
 
-    public Machine(
-            Agenda agenda,
+    public ServerMachine(
+            EventQueue agenda,
             String id,
             String zone,
             int cell,
--- a/lab/src/main/java/tinford/lab/model/World.java
+++ b/lab/src/main/java/tinford/lab/model/Simulation.java
@@ -14,7 +14,7 @@
 import tinford.lab.scenario.Trace;
 
 /** One run: the parties of a scenario, put together, with what goes wrong, from start to end. */
-public final class World implements Faults.Ground {
+public final class Simulation implements FaultInjector.Ground {
     /** When a run begins, ms: no party's clock begins at nought. */
     public static final double START = 1_000_000;
 
@@ -22,29 +22,29 @@
             2; // times the longest timeout that is waited for the last answers
     private static final double NOTICE =
             2000; // requests that would come to a dead gateway go on coming so long
-    final Agenda agenda = new Agenda(START);
+    final EventQueue agenda = new EventQueue(START);
     final Oracle oracle;
-    final Store store;
+    final CounterStore store;
     private final Scenario s;
-    private final Streams streams;
+    private final RandomStreams streams;
     private final UniformRandomProvider wires;
     private final UniformRandomProvider callers;
     private final UniformRandomProvider seeds;
-    private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final List<Node> nodes = new ArrayList<>();
+    private final Map<String, ServerMachine> machines = new LinkedHashMap<>();
+    private final List<GatewayNode> nodes = new ArrayList<>();
     private final List<RequestClass> frontends = new ArrayList<>();
     private final Map<RequestClass, ContinuousSampler> work = new HashMap<>();
-    private final Customers customers;
-    private final Map<Tenant, Bucket> offered = new HashMap<>();
-    private final Map<Tenant, Bucket> used = new HashMap<>();
-    private final Outcome outcome;
+    private final TenantPopulation customers;
+    private final Map<Tenant, TokenBucket> offered = new HashMap<>();
+    private final Map<Tenant, TokenBucket> used = new HashMap<>();
+    private final RunResult outcome;
     private final Trace trace;
     private final List<Trace.Ask> asked = new ArrayList<>();
     private double rise = 1;
     private double counterAway;
     private long ids;
 
-    public World(Scenario s, long seed, DecisionModule.Factory maker) {
+    public Simulation(Scenario s, long seed, DecisionModule.Factory maker) {
         this(s, seed, maker, null);
     }
 
@@ -52,11 +52,11 @@
      * @param trace the traffic, in place of drawn requests; its customers' gateways and all work
      *     are drawn all the same
      */
-    public World(Scenario s, long seed, DecisionModule.Factory maker, Trace trace) {
+    public Simulation(Scenario s, long seed, DecisionModule.Factory maker, Trace trace) {
         this.trace = trace;
         this.s = s;
-        this.streams = new Streams(seed);
-        this.outcome = new Outcome(seed);
+        this.streams = new RandomStreams(seed);
+        this.outcome = new RunResult(seed);
         this.wires = streams.of("wires");
         this.callers = streams.of("callers");
         this.seeds = streams.of("gateways");
@@ -67,7 +67,7 @@
                         s.rules().fall_time(),
                         s.meanWork());
         this.store =
-                new Store(
+                new CounterStore(
                         agenda,
                         s.counter().parts(),
                         ZigguratSampler.Exponential.of(streams.of("counter"), s.counter().takes()),
@@ -80,7 +80,7 @@
             String id = String.format("s%04d", i);
             machines.put(
                     id,
-                    new Machine(
+                    new ServerMachine(
                             agenda,
                             id,
                             s.servers().zones().get(i % s.servers().zones().size()),
@@ -106,14 +106,14 @@
             frontends.add(made);
             work.put(made, f.dist().of(streams.of("work " + f.name()), f.work(), f.cv()));
         }
-        customers = new Customers(s, streams.of("customers"));
+        customers = new TenantPopulation(s, streams.of("customers"));
         for (int i = 0; i < s.gateways(); i++) {
-            nodes.add(new Node(this, i, maker));
+            nodes.add(new GatewayNode(this, i, maker));
         }
     }
 
-    public Outcome run() {
-        for (Node n : nodes) {
+    public RunResult run() {
+        for (GatewayNode n : nodes) {
             n.start(seeds.nextLong());
         }
         double end = START + s.length_s() * 1000;
@@ -128,7 +128,7 @@
         }
         UniformRandomProvider faults = streams.of("faults");
         for (Scenario.Fault f : s.faults()) {
-            agenda.after(f.at_s() * 1000, () -> Faults.begin(f, this, faults));
+            agenda.after(f.at_s() * 1000, () -> FaultInjector.begin(f, this, faults));
         }
         double longest = frontends.stream().mapToDouble(f -> f.timeoutMs).max().orElse(0);
         agenda.run(end);
@@ -183,16 +183,18 @@
 
     /** The first gateway of a customer that a trace names. */
     public static int first(long customer, int gateways) {
-        return Customers.firstGateway(customer, gateways);
+        return TenantPopulation.firstGateway(customer, gateways);
     }
 
     private void ask(Tenant c, RequestClass f, double units, int way, UniformRandomProvider draw) {
         asked.add(new Trace.Ask(agenda.now() - START, c.id, c.plan.name, f.name, units, way));
         boolean inside =
                 offered.computeIfAbsent(
-                                c, k -> new Bucket(c.plan.quotaPerMs, c.plan.burst, agenda.now()))
+                                c,
+                                k -> new TokenBucket(c.plan.quotaPerMs, c.plan.burst, agenda.now()))
                         .take(units, agenda.now());
-        Try.Asked first = new Try.Asked(c, f, units, work.get(f).sample(), inside);
+        ClientAttempt.Asked first =
+                new ClientAttempt.Asked(c, f, units, work.get(f).sample(), inside);
         if (inside) {
             outcome.offered += first.value;
         }
@@ -219,18 +221,18 @@
      * @param way which of its customer's gateways; {@code stays} the share of its patience that the
      *     client has
      */
-    private void send(Try.Asked asked, int way, double stays) {
+    private void send(ClientAttempt.Asked asked, int way, double stays) {
         int at = (asked.customer.firstGateway + way) % nodes.size();
         asked.tries++;
         outcome.tries++;
-        Node n = nodes.get(at);
+        GatewayNode n = nodes.get(at);
         if (!n.up) {
             // nobody hears it: the front has not noticed yet
             outcome.unanswered++;
             again(asked, NOTICE);
             return;
         }
-        Try t = new Try(++ids, asked, n::life, agenda.now(), asked.tries > 1);
+        ClientAttempt t = new ClientAttempt(++ids, asked, n::life, agenda.now(), asked.tries > 1);
         n.arrive(t);
         if (stays < 1) {
             agenda.after(
@@ -254,7 +256,7 @@
     }
 
     /** The final answer of a try, as its client has it. */
-    void answer(Try t, String answer, double retryAfter) {
+    void answer(ClientAttempt t, String answer, double retryAfter) {
         if (answer.equals("passed")) {
             double took = agenda.now() - t.arrived;
             outcome.took.recordValue(Math.min(3_600_000, Math.round(took)));
@@ -277,7 +279,7 @@
         }
     }
 
-    private void again(Try.Asked asked, double ms) {
+    private void again(ClientAttempt.Asked asked, double ms) {
         if (asked.tries <= s.clients().retries()) {
             int way = callers.nextInt(asked.customer.fanIn);
             agenda.after(ms, () -> send(asked, way, 1));
@@ -288,12 +290,13 @@
      * The first dispatch of a try leaves: it is inside its quota, and takes its units, or beyond
      * it.
      */
-    void sentOn(Try t) {
+    void sentOn(ClientAttempt t) {
         Tenant c = t.tenant;
         outcome.unitsOn += t.units;
         t.beyond =
                 !used.computeIfAbsent(
-                                c, k -> new Bucket(c.plan.quotaPerMs, c.plan.burst, agenda.now()))
+                                c,
+                                k -> new TokenBucket(c.plan.quotaPerMs, c.plan.burst, agenda.now()))
                         .take(t.units, agenda.now());
         if (t.beyond) {
             outcome.unitsBeyond += t.units;
@@ -301,11 +304,11 @@
         }
     }
 
-    void ran(Try t) {
+    void ran(ClientAttempt t) {
         t.tell(agenda.now(), "ran");
     }
 
-    void reaches(Machine m, Try t, Machine.Visit v, boolean told) {
+    void reaches(ServerMachine m, ClientAttempt t, ServerMachine.Visit v, boolean told) {
         if (m.up() && oracle.arrives(m, t.work, agenda.now(), told)) {
             m.die();
         }
@@ -322,8 +325,8 @@
 
     /** Discovery tells each gateway in its own time. */
     @Override
-    public void list(Machine m, Server.State state) {
-        for (Node n : nodes) {
+    public void list(ServerMachine m, Server.State state) {
+        for (GatewayNode n : nodes) {
             agenda.after(lateness(), () -> n.listed(m, state));
         }
     }
@@ -335,12 +338,12 @@
     }
 
     @Override
-    public Agenda agenda() {
+    public EventQueue agenda() {
         return agenda;
     }
 
     @Override
-    public Store store() {
+    public CounterStore store() {
         return store;
     }
 
@@ -375,11 +378,11 @@
     }
 
     @Override
-    public java.util.Collection<Machine> machines() {
+    public java.util.Collection<ServerMachine> machines() {
         return machines.values();
     }
 
-    Machine machine(String id) {
+    ServerMachine machine(String id) {
         return machines.get(id);
     }
 
--- a/lab/src/main/java/tinford/lab/model/ColdBudget.java
+++ b/lab/src/main/java/tinford/lab/model/SlowStartBudget.java
@@ -10,7 +10,7 @@
  * it then. It keeps how near the run came. It holds the arrivals of one fall time for each server
  * that is cold.
  */
-final class ColdBudget {
+final class SlowStartBudget {
     private static final double BLAMED =
             2.0 / 3; // of the requests that come from gateways told of the start: beyond, it is
     // their fall
@@ -19,7 +19,7 @@
     private final double multiple;
     private final double time;
     private final double meanWork;
-    private final Map<Machine, Window> windows = new HashMap<>();
+    private final Map<ServerMachine, Window> windows = new HashMap<>();
     private Approach nearest = NONE;
     private Approach nearestBlamed = NONE;
     private long falls;
@@ -54,7 +54,7 @@
         }
     }
 
-    ColdBudget(double multiple, double time, double meanWork) {
+    SlowStartBudget(double multiple, double time, double meanWork) {
         this.multiple = multiple;
         this.time = time;
         this.meanWork = meanWork;
@@ -71,7 +71,7 @@
     /**
      * @param told whether the gateway that sent it knew of the server's start when it did
      */
-    Approach arrives(Machine m, double work, double now, boolean told) {
+    Approach arrives(ServerMachine m, double work, double now, boolean told) {
         if (!m.cold()) {
             windows.remove(m);
             return NONE;
--- a/lab/src/main/java/tinford/lab/model/Customers.java
+++ b/lab/src/main/java/tinford/lab/model/TenantPopulation.java
@@ -13,7 +13,7 @@
  * The customers of a scenario: which plan each has, how much it asks for, when it has a spike, and
  * through which of its gateways it comes.
  */
-final class Customers {
+final class TenantPopulation {
     private static final double MS = 1000;
     private static final long GOLDEN_RATIO = 0x9E3779B97F4A7C15L; // spreads consecutive numbers
 
@@ -28,9 +28,9 @@
     /** Units a millisecond, summed up to each customer. */
     private final double[] cumulativeRates;
 
-    Customers(Scenario scenario, UniformRandomProvider draw) {
+    TenantPopulation(Scenario scenario, UniformRandomProvider draw) {
         this.scenario = scenario;
-        this.plans = scenario.plans().stream().map(Customers::plan).toList();
+        this.plans = scenario.plans().stream().map(TenantPopulation::plan).toList();
         this.phases = new double[scenario.clients().customers()];
         this.cumulativeRates = new double[phases.length];
         double sum = 0;
--- a/lab/src/main/java/tinford/lab/model/Bucket.java
+++ b/lab/src/main/java/tinford/lab/model/TokenBucket.java
@@ -1,13 +1,13 @@
 package tinford.lab.model;
 
 /** The true quota of a customer, as one who saw all its requests would keep it: it starts full. */
-public final class Bucket {
+public final class TokenBucket {
     private final double rate;
     private final double burst;
     private double level;
     private double at;
 
-    public Bucket(double rate, double burst, double now) {
+    public TokenBucket(double rate, double burst, double now) {
         this.rate = rate;
         this.burst = burst;
         this.level = burst;
--- a/lab/src/main/java/tinford/lab/scale/AddedTimeMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/AddedTimeMeasurements.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tinford.lab.model.Outcome;
-import tinford.lab.model.World;
+import tinford.lab.model.RunResult;
+import tinford.lab.model.Simulation;
 import tinford.lab.scale.FirstDispatchTimes.Part;
 
 /**
@@ -47,7 +47,7 @@
                 new int[] {30, 45, 60, 75, 90, 105},
                 REPETITIONS,
                 Growth.CONSTANT,
-                (size, seed) -> play(new FleetModel(GATEWAYS).load(size), seed));
+                (size, seed) -> play(new ScaleFleetModel(GATEWAYS).load(size), seed));
     }
 
     private static Measurement byLoadWithoutCeilings() {
@@ -58,7 +58,8 @@
                 new int[] {30, 45, 60, 75, 90, 105},
                 REPETITIONS,
                 Growth.CONSTANT,
-                (size, seed) -> play(new FleetModel(GATEWAYS).load(size).withoutCeilings(), seed));
+                (size, seed) ->
+                        play(new ScaleFleetModel(GATEWAYS).load(size).withoutCeilings(), seed));
     }
 
     /** By the size of the fleet, at the peak. */
@@ -70,7 +71,7 @@
                 new int[] {8, 16, 33, 66},
                 3,
                 Growth.CONSTANT,
-                (size, seed) -> play(new FleetModel(size), seed));
+                (size, seed) -> play(new ScaleFleetModel(size), seed));
     }
 
     /** By the gateways that a tenant comes through: each holds an even slice of its ceiling. */
@@ -82,7 +83,8 @@
                 new int[] {1, 3, 6, 12, 24},
                 REPETITIONS,
                 Growth.LINEAR,
-                (size, seed) -> play(new FleetModel(Math.max(GATEWAYS, size)).width(size), seed));
+                (size, seed) ->
+                        play(new ScaleFleetModel(Math.max(GATEWAYS, size)).width(size), seed));
     }
 
     /**
@@ -100,13 +102,14 @@
                 (size, seed) -> play(thin(size, CALM_LOAD), seed));
     }
 
-    private static FleetModel thin(int gateways, double load) {
-        double whole = FleetModel.PEAK_REQUESTS * SMALL_FLEET * FleetModel.DEPLOYED_GATEWAYS;
-        double atPeak = whole / FleetModel.DEPLOYED_SERVERS / gateways;
-        return new FleetModel(gateways)
+    private static ScaleFleetModel thin(int gateways, double load) {
+        double whole =
+                ScaleFleetModel.PEAK_REQUESTS * SMALL_FLEET * ScaleFleetModel.DEPLOYED_GATEWAYS;
+        double atPeak = whole / ScaleFleetModel.DEPLOYED_SERVERS / gateways;
+        return new ScaleFleetModel(gateways)
                 .servers(SMALL_FLEET)
                 .tenants(SMALL_FLEET * 3)
-                .requests(atPeak * load / FleetModel.PEAK_LOAD)
+                .requests(atPeak * load / ScaleFleetModel.PEAK_LOAD)
                 .tick(BENCH_TICK_MS);
     }
 
@@ -133,7 +136,7 @@
                 Growth.SQUARE,
                 (size, seed) ->
                         play(
-                                new FleetModel(GATEWAYS)
+                                new ScaleFleetModel(GATEWAYS)
                                         .withoutCeilings()
                                         .counterLoad(size)
                                         .tick(BENCH_TICK_MS),
@@ -151,7 +154,7 @@
                 2,
                 Growth.LINEAR,
                 (size, seed) -> {
-                    FleetModel model = alone(size);
+                    ScaleFleetModel model = alone(size);
                     if (!counted) {
                         model.withoutCounter();
                     }
@@ -170,18 +173,18 @@
     }
 
     /** One gateway with its part of the servers; its load is that of its requests. */
-    static FleetModel alone(int requestsASecond) {
-        return new FleetModel(1)
-                .servers(2 * FleetModel.DEPLOYED_SERVERS / FleetModel.DEPLOYED_GATEWAYS)
+    static ScaleFleetModel alone(int requestsASecond) {
+        return new ScaleFleetModel(1)
+                .servers(2 * ScaleFleetModel.DEPLOYED_SERVERS / ScaleFleetModel.DEPLOYED_GATEWAYS)
                 .requests(requestsASecond)
                 .withoutCeilings()
                 .seconds(WARM_UP_SECONDS, MEASURED_SECONDS);
     }
 
-    private static Sample play(FleetModel model, long seed) {
-        double from = World.START + model.warmUpSeconds() * 1000;
+    private static Sample play(ScaleFleetModel model, long seed) {
+        double from = Simulation.START + model.warmUpSeconds() * 1000;
         FirstDispatchTimes times = new FirstDispatchTimes(from);
-        Outcome outcome = model.run(seed, times);
+        RunResult outcome = model.run(seed, times);
         Map<String, Double> reported = new TreeMap<>();
         for (Part part : Part.values()) {
             String name = part.name().toLowerCase(java.util.Locale.ROOT);
--- a/lab/src/main/java/tinford/lab/scale/ConfigurationMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/ConfigurationMeasurements.java
@@ -28,7 +28,7 @@
 
     /** One changed route at one real gateway: SIGHUP first, and a restart where that leaves it. */
     private static Measurement restart() {
-        int[] routes = {100, 400, 1_000, FleetModel.DEPLOYED_ROUTES};
+        int[] routes = {100, 400, 1_000, ScaleFleetModel.DEPLOYED_ROUTES};
         return new SampledMeasurement(
                 "configuration.restart",
                 "routes",
@@ -53,7 +53,7 @@
 
     /** Computed from the restart of one gateway: all gateways, at the day's changes. */
     private static Measurement fleet() {
-        int[] gateways = {5, 100, 400, FleetModel.DEPLOYED_GATEWAYS};
+        int[] gateways = {5, 100, 400, ScaleFleetModel.DEPLOYED_GATEWAYS};
         return new SampledMeasurement(
                 "configuration.fleet",
                 "gateways",
@@ -62,7 +62,7 @@
                 3,
                 Growth.LINEAR,
                 (size, seed) -> {
-                    Restart one = change(FleetModel.DEPLOYED_ROUTES);
+                    Restart one = change(ScaleFleetModel.DEPLOYED_ROUTES);
                     double restarts = (double) size * one.restarts;
                     double seconds = (one.endMs + one.startMs) / 1000;
                     return new Sample(
--- a/lab/src/main/java/tinford/lab/scale/CounterMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/CounterMeasurements.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Map;
-import tinford.lab.model.Outcome;
-import tinford.lab.model.World;
+import tinford.lab.model.RunResult;
+import tinford.lab.model.Simulation;
 
 /** What the shared counter is asked for, by the decisions as they are in a model of the fleet. */
 final class CounterMeasurements {
@@ -32,9 +32,9 @@
                 REPETITIONS,
                 Growth.LINEAR,
                 (size, seed) -> {
-                    FleetModel model = new FleetModel(size);
+                    ScaleFleetModel model = new ScaleFleetModel(size);
                     CounterTraffic traffic = play(model, seed).traffic;
-                    double peak = FleetModel.PEAK_REQUESTS;
+                    double peak = ScaleFleetModel.PEAK_REQUESTS;
                     return new Sample(
                             Map.of(
                                     "calls_a_request",
@@ -64,13 +64,13 @@
                 Growth.LINEAR,
                 (size, seed) -> {
                     int gateways = 4;
-                    FleetModel model =
-                            new FleetModel(gateways)
+                    ScaleFleetModel model =
+                            new ScaleFleetModel(gateways)
                                     .tenants(size)
                                     .servers(Math.max(8, size / 10))
                                     .requests(WINDOW_REQUESTS_A_TENANT * size / gateways)
                                     .seconds(0, WINDOWS_FILL_SECONDS);
-                    World world = model.world(seed);
+                    Simulation world = model.world(seed);
                     long[] held = new long[1];
                     world.agenda()
                             .after(WINDOWS_FILL_SECONDS * MS, () -> held[0] = world.store().held());
@@ -114,7 +114,7 @@
                 2,
                 Growth.CONSTANT,
                 (size, seed) -> {
-                    FleetModel model = AddedTimeMeasurements.alone(size);
+                    ScaleFleetModel model = AddedTimeMeasurements.alone(size);
                     try (GatewayOnSockets gateway =
                             new GatewayOnSockets(model.scenario(), seed, true)) {
                         gateway.run();
@@ -132,7 +132,7 @@
     }
 
     private static Sample away(int roundTripMs, long seed) {
-        Play play = play(new FleetModel(12).counterAway(roundTripMs), seed);
+        Play play = play(new ScaleFleetModel(12).counterAway(roundTripMs), seed);
         FirstDispatchTimes times = play.times;
         Map<String, Double> figures = play.outcome.figures();
         return new Sample(
@@ -158,10 +158,10 @@
                         figures.get("beyond_units")));
     }
 
-    private record Play(Outcome outcome, CounterTraffic traffic, FirstDispatchTimes times) {}
+    private record Play(RunResult outcome, CounterTraffic traffic, FirstDispatchTimes times) {}
 
-    private static Play play(FleetModel model, long seed) {
-        double from = World.START + model.warmUpSeconds() * MS;
+    private static Play play(ScaleFleetModel model, long seed) {
+        double from = Simulation.START + model.warmUpSeconds() * MS;
         CounterTraffic traffic = new CounterTraffic(from, from + model.seconds() * MS);
         FirstDispatchTimes times = new FirstDispatchTimes(from);
         return new Play(model.run(seed, traffic, times), traffic, times);
--- a/lab/src/main/java/tinford/lab/scale/GatewayOnSockets.java
+++ b/lab/src/main/java/tinford/lab/scale/GatewayOnSockets.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-import tinford.lab.model.World;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
-import tinford.lab.sockets.Bench;
-import tinford.lab.sockets.Between;
+import tinford.lab.sockets.BenchInterceptor;
+import tinford.lab.sockets.SocketBench;
 import tinford.lab.study.Versions;
 
 /**
@@ -46,18 +46,18 @@
     GatewayOnSockets(Scenario scenario, long seed, boolean relayed) throws IOException {
         this.scenario = scenario;
         this.relayed = relayed;
-        World drawn = new World(scenario, seed, Versions.here());
+        Simulation drawn = new Simulation(scenario, seed, Versions.here());
         drawn.run();
         this.trace = drawn.asked();
     }
 
     /** Hears from the bench when a request is asked and when it reaches a server. */
-    private final class Observer implements Between {
+    private final class Observer implements BenchInterceptor {
         private final Map<Object, Long> askedAt = new ConcurrentHashMap<>();
 
         @Override
         public Process start(int gateway, Path config, Path log) throws IOException {
-            List<String> words = new ArrayList<>(Between.JAVA);
+            List<String> words = new ArrayList<>(BenchInterceptor.JAVA);
             words.addAll(List.of("-cp", System.getProperty("java.class.path")));
             words.addAll(List.of("tinford.Main", "serve"));
             ProcessBuilder builder = new ProcessBuilder(words);
@@ -107,7 +107,7 @@
 
     /** Plays the load from its start to its end. */
     void run() throws IOException, InterruptedException {
-        try (Bench bench = new Bench(scenario, 1, observer, folder.path())) {
+        try (SocketBench bench = new SocketBench(scenario, 1, observer, folder.path())) {
             bench.onBegin(from -> begin());
             Map<String, Double> figures = bench.run(trace);
             usedAfter = used();
--- a/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
@@ -4,12 +4,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
-import tinford.lab.model.Outcome;
-import tinford.lab.model.World;
+import tinford.lab.model.RunResult;
+import tinford.lab.model.Simulation;
 import tinford.lab.scale.configuration.ConfigurationState;
 import tinford.lab.scale.configuration.ConfigurationStates;
 import tinford.lab.scenario.Scenario;
-import tinford.lab.sockets.ServerList;
+import tinford.lab.sockets.EndpointListDocument;
 import tinford.lab.sockets.SingleGateway;
 import tinford.protocol.ChunkedLineReader;
 import tinford.protocol.EndpointListLimit;
@@ -43,7 +43,7 @@
                 5,
                 Growth.LINEAR,
                 (size, seed) -> {
-                    String list = ServerList.whole(size);
+                    String list = EndpointListDocument.whole(size);
                     long began = System.nanoTime();
                     int hosts = readList(list);
                     double took = (System.nanoTime() - began) / 1e6;
@@ -77,7 +77,8 @@
                 2,
                 Growth.LINEAR,
                 (size, seed) -> {
-                    double bytes = ServerList.whole(FleetModel.DEPLOYED_SERVERS).length();
+                    double bytes =
+                            EndpointListDocument.whole(ScaleFleetModel.DEPLOYED_SERVERS).length();
                     return new Sample(Map.of("computed_list_bytes", size * bytes), Map.of());
                 });
     }
@@ -96,7 +97,7 @@
                 Growth.LINEAR,
                 (size, seed) -> {
                     ConfigurationState state =
-                            ConfigurationStates.timed(FleetModel.DEPLOYED_TENANTS);
+                            ConfigurationStates.timed(ScaleFleetModel.DEPLOYED_TENANTS);
                     double bytes = state.encodeSnapshot().length;
                     return new Sample(Map.of("computed_snapshot_bytes", size * bytes), Map.of());
                 });
@@ -115,7 +116,7 @@
                     try (ScratchFolder folder = new ScratchFolder();
                             SingleGateway gateway =
                                     new SingleGateway(
-                                            FleetModel.DEPLOYED_ROUTES, size, folder.path())) {
+                                            ScaleFleetModel.DEPLOYED_ROUTES, size, folder.path())) {
                         double startMs = gateway.start();
                         return new Sample(
                                 Map.of("counter_handshakes", (double) gateway.counterConnections()),
@@ -143,14 +144,14 @@
     }
 
     private static Sample restart(int restarted, long seed) {
-        FleetModel model = new FleetModel(Math.max(20, restarted * 3 / 2));
+        ScaleFleetModel model = new ScaleFleetModel(Math.max(20, restarted * 3 / 2));
         double at = model.warmUpSeconds();
         double part = (double) restarted / model.gateways();
         model.seconds(at, DOWN_SECONDS + AFTER_SECONDS)
                 .faults(new Scenario.Fault(Scenario.Kind.GATEWAYS_DIE, at, DOWN_SECONDS, part, 0));
         ConnectionPools pools = new ConnectionPools(KEEP_ALIVE_MS);
         model.run(seed, pools);
-        double killed = World.START + at * MS;
+        double killed = Simulation.START + at * MS;
         double back = killed + DOWN_SECONDS * MS;
         double end = back + AFTER_SECONDS * MS;
         double before = pools.handshakes(killed - MS, killed);
@@ -184,12 +185,12 @@
     }
 
     private static Sample coldRestart(int restarted, long seed) {
-        FleetModel model = new FleetModel(Math.max(8, restarted / 3));
+        ScaleFleetModel model = new ScaleFleetModel(Math.max(8, restarted / 3));
         double at = model.warmUpSeconds();
         double part = (double) restarted / model.servers();
         model.seconds(at, DOWN_SECONDS + AFTER_SECONDS)
                 .faults(new Scenario.Fault(Scenario.Kind.SERVERS_DIE, at, DOWN_SECONDS, part, 0));
-        Outcome outcome = model.run(seed);
+        RunResult outcome = model.run(seed);
         Map<String, Double> figures = outcome.figures();
         return new Sample(
                 Map.of("cold_falls", figures.get("cold_falls")),
--- a/lab/src/main/java/tinford/lab/scale/FleetModel.java
+++ b/lab/src/main/java/tinford/lab/scale/ScaleFleetModel.java
@@ -1,9 +1,9 @@
 package tinford.lab.scale;
 
 import java.util.List;
-import tinford.lab.model.Dist;
-import tinford.lab.model.Outcome;
-import tinford.lab.model.World;
+import tinford.lab.model.Distribution;
+import tinford.lab.model.RunResult;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.study.Versions;
 
@@ -11,7 +11,7 @@
  * The deployment in virtual time at a part of its size, with its proportions kept: servers, tenants
  * and requests a gateway. A builder: each setter changes the model and gives it back.
  */
-final class FleetModel {
+final class ScaleFleetModel {
     static final int DEPLOYED_GATEWAYS = 530;
     static final int DEPLOYED_SERVERS = 6_000;
     static final int DEPLOYED_TENANTS = 14_000;
@@ -64,7 +64,7 @@
     private List<Scenario.Fault> faults = List.of();
 
     /** At the deployment's proportions and its peak, for so many gateways. */
-    FleetModel(int gateways) {
+    ScaleFleetModel(int gateways) {
         this.gateways = gateways;
         this.servers = proportion(gateways, DEPLOYED_SERVERS);
         this.tenants = proportion(gateways, DEPLOYED_TENANTS);
@@ -78,24 +78,24 @@
     /**
      * @param percent of the servers' cores that the requests inside quotas take
      */
-    FleetModel load(double percent) {
+    ScaleFleetModel load(double percent) {
         return requests(PEAK_REQUESTS * percent / PEAK_LOAD);
     }
 
     /**
      * @param aSecond at each gateway
      */
-    FleetModel requests(double aSecond) {
+    ScaleFleetModel requests(double aSecond) {
         requestsASecond = aSecond;
         return this;
     }
 
-    FleetModel servers(int count) {
+    ScaleFleetModel servers(int count) {
         servers = count;
         return this;
     }
 
-    FleetModel tenants(int count) {
+    ScaleFleetModel tenants(int count) {
         tenants = count;
         return this;
     }
@@ -103,13 +103,13 @@
     /**
      * @param gatewaysATenant how many gateways each tenant comes through
      */
-    FleetModel width(int gatewaysATenant) {
+    ScaleFleetModel width(int gatewaysATenant) {
         width = gatewaysATenant;
         return this;
     }
 
     /** No plan has a hard ceiling. */
-    FleetModel withoutCeilings() {
+    ScaleFleetModel withoutCeilings() {
         ceilings = false;
         return this;
     }
@@ -117,13 +117,13 @@
     /**
      * @param roundTripMs that the counter is farther away than the servers
      */
-    FleetModel counterAway(double roundTripMs) {
+    ScaleFleetModel counterAway(double roundTripMs) {
         counterAwayMs = roundTripMs;
         return this;
     }
 
     /** Nothing is counted: all requests are inside. */
-    FleetModel withoutCounter() {
+    ScaleFleetModel withoutCounter() {
         counter = false;
         return this;
     }
@@ -131,7 +131,7 @@
     /**
      * @param ms between the turns of a gateway
      */
-    FleetModel tick(double ms) {
+    ScaleFleetModel tick(double ms) {
         tickMs = ms;
         return this;
     }
@@ -139,7 +139,7 @@
     /**
      * @param percent of what the counter can do that one call a request comes to
      */
-    FleetModel counterLoad(double percent) {
+    ScaleFleetModel counterLoad(double percent) {
         counterParts = 1;
         counterCallMs = percent / 100 * 1000 / (requestsASecond * gateways);
         return this;
@@ -148,13 +148,13 @@
     /**
      * @param warmUp seconds that are played before anything is measured
      */
-    FleetModel seconds(double warmUp, double measured) {
+    ScaleFleetModel seconds(double warmUp, double measured) {
         warmUpSeconds = warmUp;
         seconds = measured;
         return this;
     }
 
-    FleetModel faults(Scenario.Fault... all) {
+    ScaleFleetModel faults(Scenario.Fault... all) {
         faults = List.of(all);
         return this;
     }
@@ -176,9 +176,9 @@
     }
 
     /** A world of this model, with its listeners in place; it has not run yet. */
-    World world(long seed, DecisionListener... listeners) {
-        World world =
-                new World(
+    Simulation world(long seed, DecisionListener... listeners) {
+        Simulation world =
+                new Simulation(
                         scenario(),
                         seed,
                         new ObservedDecisions(Versions.here(), List.of(listeners)));
@@ -186,7 +186,7 @@
         return world;
     }
 
-    Outcome run(long seed, DecisionListener... listeners) {
+    RunResult run(long seed, DecisionListener... listeners) {
         return world(seed, listeners).run();
     }
 
@@ -229,7 +229,7 @@
                         "read",
                         0.8,
                         MEAN_WORK_MS,
-                        Dist.LOGNORMAL,
+                        Distribution.LOGNORMAL,
                         0.8,
                         1500,
                         6000,
@@ -240,7 +240,7 @@
                         "post",
                         0.2,
                         MEAN_WORK_MS,
-                        Dist.EXPONENTIAL,
+                        Distribution.EXPONENTIAL,
                         1,
                         2000,
                         8000,
--- a/lab/src/main/java/tinford/lab/scale/ScaleRunner.java
+++ b/lab/src/main/java/tinford/lab/scale/ScaleRunner.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tinford.lab.model.Streams;
+import tinford.lab.model.RandomStreams;
 
 /** Plays a measurement at all its sizes. */
 public final class ScaleRunner {
@@ -10,14 +10,14 @@
     public static final int LEAST_SIZES = 4;
 
     private final boolean full;
-    private final Streams streams;
+    private final RandomStreams streams;
 
     /**
      * @param full whether the sizes go up to the deployment's own
      */
     public ScaleRunner(boolean full, long seed) {
         this.full = full;
-        this.streams = new Streams(seed);
+        this.streams = new RandomStreams(seed);
     }
 
     /**
--- a/lab/src/main/java/tinford/lab/scenario/Scenario.java
+++ b/lab/src/main/java/tinford/lab/scenario/Scenario.java
@@ -13,7 +13,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import tinford.lab.model.Dist;
+import tinford.lab.model.Distribution;
 
 /**
  * A world to be tried: sizes, load, parties, and what goes wrong. Times are milliseconds unless the
@@ -63,7 +63,7 @@
             String name,
             double share,
             double work,
-            Dist dist,
+            Distribution dist,
             double cv,
             double target,
             double timeout,
--- a/lab/src/main/java/tinford/lab/sockets/BenchContext.java
+++ b/lab/src/main/java/tinford/lab/sockets/BenchContext.java
@@ -16,20 +16,20 @@
     private static final int BACKLOG = 50;
 
     final Scenario scenario;
-    final Between between;
+    final BenchInterceptor between;
 
     /** For configurations and logs. */
     final Path folder;
 
-    final Live live = new Live();
+    final WallClockEventQueue live = new WallClockEventQueue();
     final ExecutorService pool = Executors.newCachedThreadPool(BenchContext::thread);
 
     /** Takes a connection that was accepted; the next one waits until it returns. */
     interface ConnectionHandler {
-        void accepted(Wire wire) throws IOException;
+        void accepted(RespConnection wire) throws IOException;
     }
 
-    BenchContext(Scenario scenario, Between between, Path folder) {
+    BenchContext(Scenario scenario, BenchInterceptor between, Path folder) {
         this.scenario = scenario;
         this.between = between;
         this.folder = folder;
@@ -45,8 +45,8 @@
         return new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     }
 
-    static Wire connect(int port) throws IOException {
-        return new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
+    static RespConnection connect(int port) throws IOException {
+        return new RespConnection(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
     /** Accepts connections until the socket is closed, on a thread of its own. */
@@ -55,7 +55,7 @@
                 () -> {
                     try {
                         while (true) {
-                            handler.accepted(new Wire(listener.accept()));
+                            handler.accepted(new RespConnection(listener.accept()));
                         }
                     } catch (IOException e) {
                         // it was closed
--- a/lab/src/main/java/tinford/lab/sockets/GatewayProcess.java
+++ b/lab/src/main/java/tinford/lab/sockets/BenchGateway.java
@@ -6,10 +6,10 @@
 import java.nio.file.Path;
 import java.util.concurrent.ConcurrentLinkedDeque;
 import java.util.concurrent.TimeUnit;
-import tinford.lab.model.Store;
+import tinford.lab.model.CounterStore;
 
 /** A real gateway: its process, its own way to the counter, and the clients' connections to it. */
-final class GatewayProcess {
+final class BenchGateway {
     private static final int READY_WITHIN_MS = 20_000;
 
     /** Guards against another that listens there. */
@@ -22,7 +22,7 @@
     private final int port;
     private final int counterPort;
     private final CounterStandIn counter;
-    private final ConcurrentLinkedDeque<Wire> idle = new ConcurrentLinkedDeque<>();
+    private final ConcurrentLinkedDeque<RespConnection> idle = new ConcurrentLinkedDeque<>();
 
     /** Rises with each start and each end: it owes no answer to what overlaps one. */
     private volatile long incarnation;
@@ -34,10 +34,10 @@
 
     private volatile Process process;
 
-    GatewayProcess(
+    BenchGateway(
             BenchContext context,
             RequestRecords records,
-            Store store,
+            CounterStore store,
             int number,
             int discoveryPort)
             throws IOException {
@@ -91,9 +91,9 @@
     }
 
     private boolean answersPing() {
-        try (Wire wire = BenchContext.connect(port)) {
+        try (RespConnection wire = BenchContext.connect(port)) {
             wire.socket.setSoTimeout(PONG_WITHIN_MS);
-            wire.say(Wire.command("PING"));
+            wire.say(RespConnection.command("PING"));
             return "+PONG".equals(wire.answer());
         } catch (IOException e) {
             return false;
@@ -133,7 +133,7 @@
      * One that was kept may have been closed meanwhile: then a new one is tried.
      */
     String ask(String command, double patience) {
-        Wire kept = idle.poll();
+        RespConnection kept = idle.poll();
         if (kept != null) {
             try {
                 String answer = askOnKept(kept, command, patience);
@@ -151,7 +151,8 @@
         return askOnNew(command, patience);
     }
 
-    private String askOnKept(Wire wire, String command, double patience) throws IOException {
+    private String askOnKept(RespConnection wire, String command, double patience)
+            throws IOException {
         wire.socket.setSoTimeout(timeout(patience));
         if (wire.waits()) {
             records.strange("lost: gateway " + number + " answered once more than it was asked");
@@ -161,7 +162,7 @@
     }
 
     private String askOnNew(String command, double patience) {
-        Wire wire = null;
+        RespConnection wire = null;
         try {
             wire = BenchContext.connect(port);
             wire.socket.setSoTimeout(timeout(patience));
@@ -183,7 +184,7 @@
     }
 
     /** The connection is kept where an answer came. */
-    private String exchange(Wire wire, String command) throws IOException {
+    private String exchange(RespConnection wire, String command) throws IOException {
         wire.say(command);
         String answer = wire.answer();
         if (answer != null) {
@@ -197,6 +198,6 @@
             process.destroyForcibly();
         }
         counter.close();
-        idle.forEach(Wire::close);
+        idle.forEach(RespConnection::close);
     }
 }
--- a/lab/src/main/java/tinford/lab/sockets/Between.java
+++ b/lab/src/main/java/tinford/lab/sockets/BenchInterceptor.java
@@ -9,7 +9,7 @@
  * What stands between the parties of a bench, starts its gateways and hears what its stand-ins see.
  * Here: nothing, they meet directly.
  */
-public interface Between {
+public interface BenchInterceptor {
     /** What runs a gateway: small, quick to start. */
     List<String> JAVA =
             List.of(
--- a/lab/src/main/java/tinford/lab/sockets/ClientLoad.java
+++ b/lab/src/main/java/tinford/lab/sockets/ClientLoad.java
@@ -11,9 +11,9 @@
 import tinford.api.Plan;
 import tinford.api.RequestClass;
 import tinford.api.Tenant;
-import tinford.lab.model.Bucket;
-import tinford.lab.model.Try;
-import tinford.lab.model.World;
+import tinford.lab.model.ClientAttempt;
+import tinford.lab.model.Simulation;
+import tinford.lab.model.TokenBucket;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 
@@ -31,12 +31,12 @@
 
     private final BenchContext context;
     private final RequestRecords records;
-    private final List<GatewayProcess> gateways;
+    private final List<BenchGateway> gateways;
     private final Map<String, Plan> plans;
     private final Map<String, RequestClass> frontends;
     private final ClientFigures figures = new ClientFigures();
     private final AtomicLong ids = new AtomicLong();
-    private final Map<Long, Bucket> quotas = new HashMap<>();
+    private final Map<Long, TokenBucket> quotas = new HashMap<>();
     private int maxRetries;
 
     /** What a client wants, through all its tries. */
@@ -64,7 +64,7 @@
     ClientLoad(
             BenchContext context,
             RequestRecords records,
-            List<GatewayProcess> gateways,
+            List<BenchGateway> gateways,
             Map<String, Plan> plans,
             Map<String, RequestClass> frontends) {
         this.context = context;
@@ -131,12 +131,12 @@
         boolean inside =
                 quotas.computeIfAbsent(
                                 asked.customer(),
-                                id -> new Bucket(plan.rate() / SECOND, plan.burst(), due))
+                                id -> new TokenBucket(plan.rate() / SECOND, plan.burst(), due))
                         .take(asked.units(), due);
         if (inside) {
             figures.offered(value);
         }
-        int firstGateway = World.first(asked.customer(), scenario.gateways());
+        int firstGateway = Simulation.first(asked.customer(), scenario.gateways());
         return new Wish(asked, plan, frontend, ids.incrementAndGet(), firstGateway, value, inside);
     }
 
@@ -156,8 +156,8 @@
 
     private ClientAnswer ask(Attempt attempt) {
         Wish wish = attempt.wish;
-        GatewayProcess gateway = gateways.get((wish.firstGateway + attempt.way) % gateways.size());
-        Try request = request(attempt, gateway);
+        BenchGateway gateway = gateways.get((wish.firstGateway + attempt.way) % gateways.size());
+        ClientAttempt request = request(attempt, gateway);
         records.asked(request);
         boolean owed = gateway.owesAnswer();
         tellAsked(attempt, gateway);
@@ -177,7 +177,7 @@
         return answer;
     }
 
-    private Try request(Attempt attempt, GatewayProcess gateway) {
+    private ClientAttempt request(Attempt attempt, BenchGateway gateway) {
         Wish wish = attempt.wish;
         Tenant customer =
                 new Tenant(
@@ -185,10 +185,10 @@
                         plans.get(wish.plan.name()),
                         context.scenario.clients().spread(),
                         wish.firstGateway);
-        Try.Asked asked =
-                new Try.Asked(
+        ClientAttempt.Asked asked =
+                new ClientAttempt.Asked(
                         customer, frontends.get(wish.frontend.name()), wish.asked.units(), 0, true);
-        return new Try(attempt.id, asked, gateway::incarnation, attempt.due, false);
+        return new ClientAttempt(attempt.id, asked, gateway::incarnation, attempt.due, false);
     }
 
     private String command(Attempt attempt) {
@@ -208,14 +208,14 @@
                         + ",first="
                         + wish.firstGateway
                         + (effect == Scenario.Effect.IDEMPOTENCY_KEY ? ",k=" + attempt.hex() : "");
-        return Wire.command(
+        return RespConnection.command(
                 effect == Scenario.Effect.IDEMPOTENT ? "Q.ASK" : "Q.DO",
                 BenchContext.hex(wish.asked.customer()),
                 attempt.hex(),
                 terms);
     }
 
-    private void tellAsked(Attempt attempt, GatewayProcess gateway) {
+    private void tellAsked(Attempt attempt, BenchGateway gateway) {
         Wish wish = attempt.wish;
         context.between.tell(
                 "asked",
@@ -244,7 +244,7 @@
     }
 
     private void tellAnswered(
-            Attempt attempt, GatewayProcess gateway, ClientAnswer answer, double ended) {
+            Attempt attempt, BenchGateway gateway, ClientAnswer answer, double ended) {
         double ms = ended - attempt.due;
         context.between.tell(
                 "answered",
--- a/lab/src/main/java/tinford/lab/sockets/CounterStandIn.java
+++ b/lab/src/main/java/tinford/lab/sockets/CounterStandIn.java
@@ -4,16 +4,16 @@
 import java.net.ServerSocket;
 import java.util.ArrayDeque;
 import tinford.api.AttemptOutcome;
-import tinford.lab.model.Store;
+import tinford.lab.model.CounterStore;
 
 /** One gateway's way to the counter, whose store all gateways share. */
 final class CounterStandIn {
     private final BenchContext context;
-    private final Store store;
+    private final CounterStore store;
     private final ServerSocket listener = BenchContext.listen();
     private volatile boolean cutOff;
 
-    CounterStandIn(BenchContext context, Store store) throws IOException {
+    CounterStandIn(BenchContext context, CounterStore store) throws IOException {
         this.context = context;
         this.store = store;
         context.accept(listener, wire -> context.pool.execute(() -> serve(wire)));
@@ -28,7 +28,7 @@
         cutOff = on;
     }
 
-    private void serve(Wire wire) {
+    private void serve(RespConnection wire) {
         // of the agenda's thread: answers in the order of the calls
         ArrayDeque<String[]> answers = new ArrayDeque<>();
         try (wire) {
@@ -41,7 +41,7 @@
         }
     }
 
-    private void add(Wire wire, ArrayDeque<String[]> answers, String[] call) {
+    private void add(RespConnection wire, ArrayDeque<String[]> answers, String[] call) {
         String[] answer = new String[1];
         answers.add(answer);
         if (cutOff) {
@@ -64,7 +64,7 @@
         return "$" + text.length() + "\r\n" + text + "\r\n";
     }
 
-    private static void sendReady(Wire wire, ArrayDeque<String[]> answers) {
+    private static void sendReady(RespConnection wire, ArrayDeque<String[]> answers) {
         try {
             while (!answers.isEmpty() && answers.peek()[0] != null) {
                 wire.say(answers.poll()[0]);
--- a/lab/src/main/java/tinford/lab/sockets/DiscoveryStandIn.java
+++ b/lab/src/main/java/tinford/lab/sockets/DiscoveryStandIn.java
@@ -22,7 +22,7 @@
     /** By gateway. */
     private final List<ServerSocket> listeners = new ArrayList<>();
 
-    private final Map<Wire, Integer> watches = new ConcurrentHashMap<>();
+    private final Map<RespConnection, Integer> watches = new ConcurrentHashMap<>();
     private int sequence = 1;
 
     DiscoveryStandIn(BenchContext context, Collection<ServerStandIn> servers) throws IOException {
@@ -41,7 +41,7 @@
         return listeners.get(gateway).getLocalPort();
     }
 
-    private void beginWatch(Wire wire, int gateway) {
+    private void beginWatch(RespConnection wire, int gateway) {
         try {
             skipHeaders(wire);
             wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -55,7 +55,7 @@
         }
     }
 
-    private static void skipHeaders(Wire wire) throws IOException {
+    private static void skipHeaders(RespConnection wire) throws IOException {
         String line = wire.line();
         while (line != null && !line.isEmpty()) {
             line = wire.line();
@@ -72,7 +72,7 @@
         watches.forEach((wire, gateway) -> send(wire, list(gateway, List.of(server), false)));
     }
 
-    private void send(Wire wire, String text) {
+    private void send(RespConnection wire, String text) {
         try {
             wire.say(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
         } catch (IOException e) {
--- a/lab/src/main/java/tinford/lab/sockets/ServerList.java
+++ b/lab/src/main/java/tinford/lab/sockets/EndpointListDocument.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 
 /** A whole server list in discovery's form, drawn up for so many servers in services of twenty. */
-public final class ServerList {
+public final class EndpointListDocument {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int SERVERS_A_SERVICE = 20;
     private static final int ZONES = 10;
     private static final int CELLS = 8;
     private static final double LAST_START = 1_700_000_000_000.0;
 
-    private ServerList() {}
+    private EndpointListDocument() {}
 
     /** One line of JSON, without its end. */
     public static String whole(int servers) {
--- a/lab/src/main/java/tinford/lab/sockets/GatewayConfiguration.java
+++ b/lab/src/main/java/tinford/lab/sockets/GatewayConfiguration.java
@@ -15,7 +15,7 @@
     private static final double MICROS = 1000;
 
     private final Scenario scenario;
-    private final Between between;
+    private final BenchInterceptor between;
 
     GatewayConfiguration(BenchContext context) {
         this.scenario = context.scenario;
--- a/lab/src/main/java/tinford/lab/sockets/RequestRecords.java
+++ b/lab/src/main/java/tinford/lab/sockets/RequestRecords.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import tinford.api.AttemptOutcome;
 import tinford.api.Plan;
-import tinford.lab.model.Bucket;
-import tinford.lab.model.Machine;
+import tinford.lab.model.ClientAttempt;
 import tinford.lab.model.Oracle;
-import tinford.lab.model.Try;
+import tinford.lab.model.ServerMachine;
+import tinford.lab.model.TokenBucket;
 
 /**
  * What a bench has seen of each request, held against the rules. Belongs to the thread of the
@@ -23,20 +23,20 @@
 
     private static final int MAX_GIVEN_UP = 4096;
 
-    private final Live live;
+    private final WallClockEventQueue live;
     private final Oracle oracle;
-    private final Map<Long, Try> tries = new ConcurrentHashMap<>();
+    private final Map<Long, ClientAttempt> tries = new ConcurrentHashMap<>();
 
     /** Of requests that reached a server: whether their units were beyond the quota. */
     private final Map<Long, Boolean> beyond = new ConcurrentHashMap<>();
 
-    private final Map<Long, Bucket> used = new HashMap<>();
+    private final Map<Long, TokenBucket> used = new HashMap<>();
 
     /** Answers that are none. */
     private final List<String> strange = new CopyOnWriteArrayList<>();
 
     /** The last dispatch on each connection, by the port of its gateway's end. */
-    private final Map<Integer, Try.Hop> dispatches = new HashMap<>();
+    private final Map<Integer, ClientAttempt.Hop> dispatches = new HashMap<>();
 
     /** Given up by their gateway before their dispatch was here. */
     private final Map<Integer, Boolean> givenUp = new HashMap<>();
@@ -44,18 +44,18 @@
     private double unitsServed;
     private double unitsBeyond;
 
-    RequestRecords(Live live, Oracle oracle) {
+    RequestRecords(WallClockEventQueue live, Oracle oracle) {
         this.live = live;
         this.oracle = oracle;
     }
 
     /** From any thread. */
-    void asked(Try request) {
+    void asked(ClientAttempt request) {
         tries.put(request.id, request);
     }
 
     /** From any thread. */
-    Try request(long id) {
+    ClientAttempt request(long id) {
         return tries.get(id);
     }
 
@@ -75,12 +75,12 @@
     }
 
     /** The first dispatch of a request draws its units from its customer's quota. */
-    void drawUnits(Try request, double now) {
+    void drawUnits(ClientAttempt request, double now) {
         Plan plan = request.tenant.plan;
         boolean inside =
                 used.computeIfAbsent(
                                 request.tenant.id,
-                                id -> new Bucket(plan.quotaPerMs, plan.burst, now))
+                                id -> new TokenBucket(plan.quotaPerMs, plan.burst, now))
                         .take(request.units, now);
         beyond.put(request.id, !inside);
         unitsServed += request.units;
@@ -93,8 +93,9 @@
      * @param port of its gateway's end of the connection
      * @param drainTold when gateways were told that the server drains
      */
-    Try.Hop dispatched(Try request, Machine machine, int port, double now, double drainTold) {
-        Try.Hop dispatch = new Try.Hop(machine, now);
+    ClientAttempt.Hop dispatched(
+            ClientAttempt request, ServerMachine machine, int port, double now, double drainTold) {
+        ClientAttempt.Hop dispatch = new ClientAttempt.Hop(machine, now);
         Runnable record =
                 () -> {
                     oracle.dispatched(request, machine, now, drainTold, request.hops.isEmpty());
@@ -117,7 +118,7 @@
      *
      * @param startTold whether gateways knew of its last start
      */
-    boolean overloads(Machine machine, double work, double now, boolean startTold) {
+    boolean overloads(ServerMachine machine, double work, double now, boolean startTold) {
         return oracle.arrives(machine, work, now, startTold);
     }
 
@@ -129,7 +130,7 @@
 
     /** The gateway has closed its end of the connection from that port. */
     void connectionGivenUp(int port) {
-        Try.Hop dispatch = dispatches.get(port);
+        ClientAttempt.Hop dispatch = dispatches.get(port);
         if (dispatch != null && dispatch.end == null) {
             dispatch.end = AttemptOutcome.TIMED_OUT;
         } else if (givenUp.size() < MAX_GIVEN_UP) {
@@ -142,11 +143,11 @@
         givenUp.remove(port);
     }
 
-    void expired(Try request, double now) {
+    void expired(ClientAttempt request, double now) {
         oracle.expired(request, now);
     }
 
-    void answered(Try request, String how, double now) {
+    void answered(ClientAttempt request, String how, double now) {
         oracle.answered(request, how, now);
     }
 
--- a/lab/src/main/java/tinford/lab/sockets/Wire.java
+++ b/lab/src/main/java/tinford/lab/sockets/RespConnection.java
@@ -8,12 +8,12 @@
 import java.nio.charset.StandardCharsets;
 
 /** One connection, read value by value; what is said on it is said whole. */
-final class Wire implements AutoCloseable {
+final class RespConnection implements AutoCloseable {
     private static final int MOST = 4 << 20;
     final Socket socket;
     private final InputStream in;
 
-    Wire(Socket socket) throws IOException {
+    RespConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream(), 1 << 14);
--- a/lab/src/main/java/tinford/lab/sockets/ServerStandIn.java
+++ b/lab/src/main/java/tinford/lab/sockets/ServerStandIn.java
@@ -12,8 +12,8 @@
 import tinford.api.AttemptOutcome;
 import tinford.api.Server;
 import tinford.lab.fleet.HistoryOutcome;
-import tinford.lab.model.Machine;
-import tinford.lab.model.Try;
+import tinford.lab.model.ClientAttempt;
+import tinford.lab.model.ServerMachine;
 import tinford.lab.scenario.Scenario;
 
 /** A server: the model's machine behind a listening socket, which is closed while it is dead. */
@@ -26,13 +26,13 @@
     private final BenchContext context;
     private final RequestRecords records;
     private final Map<String, ContinuousSampler> work;
-    private final Machine machine;
+    private final ServerMachine machine;
     private final int port;
-    private final Map<Wire, Boolean> wires = new ConcurrentHashMap<>();
+    private final Map<RespConnection, Boolean> wires = new ConcurrentHashMap<>();
     private final AtomicInteger held = new AtomicInteger();
 
     /** The last dispatch on each connection. */
-    private final Map<Wire, Try.Hop> dispatches = new HashMap<>();
+    private final Map<RespConnection, ClientAttempt.Hop> dispatches = new HashMap<>();
 
     private ServerSocket listener;
     private boolean ill;
@@ -50,7 +50,7 @@
             BenchContext context,
             RequestRecords records,
             Map<String, ContinuousSampler> work,
-            Machine machine)
+            ServerMachine machine)
             throws IOException {
         this.context = context;
         this.records = records;
@@ -62,7 +62,7 @@
         context.live.post(this::look);
     }
 
-    Machine machine() {
+    ServerMachine machine() {
         return machine;
     }
 
@@ -140,7 +140,7 @@
                 .orElse(0);
     }
 
-    private void tellConnection(String kind, Wire wire, int count) {
+    private void tellConnection(String kind, RespConnection wire, int count) {
         context.between.tell(
                 kind,
                 "server",
@@ -151,8 +151,8 @@
                 count);
     }
 
-    private void serve(Wire wire) {
-        Machine.Visit[] visit = new Machine.Visit[1];
+    private void serve(RespConnection wire) {
+        ServerMachine.Visit[] visit = new ServerMachine.Visit[1];
         try {
             for (String[] words = wire.words(); words != null; words = wire.words()) {
                 String[] command = words;
@@ -167,7 +167,7 @@
     }
 
     /** Counted first: whoever sees the end may open another one at once. */
-    private void drop(Wire wire) {
+    private void drop(RespConnection wire) {
         synchronized (held) {
             if (wires.remove(wire) != null) {
                 tellConnection("closed", wire, held.decrementAndGet());
@@ -176,31 +176,32 @@
         wire.close();
     }
 
-    private void ended(Wire wire, Machine.Visit visit) {
+    private void ended(RespConnection wire, ServerMachine.Visit visit) {
         records.connectionEnded(wire.socket.getPort());
         if (visit != null) {
             machine.withdraw(visit);
         }
-        Try.Hop dispatch = dispatches.remove(wire);
+        ClientAttempt.Hop dispatch = dispatches.remove(wire);
         if (dispatch != null && dispatch.end == null) {
             dispatch.end = AttemptOutcome.TIMED_OUT; // given up by its gateway; it may have run
         }
     }
 
-    private Machine.Visit begin(Wire wire, String[] words) {
+    private ServerMachine.Visit begin(RespConnection wire, String[] words) {
         double now = context.live.agenda().now();
         String id = words[2];
         int from = wire.socket.getPort();
-        Try request = records.request(Long.parseUnsignedLong(id, 16));
+        ClientAttempt request = records.request(Long.parseUnsignedLong(id, 16));
         double works = work.get(request.requestClass.name).sample();
         boolean further = records.reachedServer(request.id);
         tellDispatch(request, id, from, further);
         if (!further) {
             records.drawUnits(request, now);
         }
-        Try.Hop dispatch = records.dispatched(request, machine, from, now, drainToldAt);
+        ClientAttempt.Hop dispatch = records.dispatched(request, machine, from, now, drainToldAt);
         dispatches.put(wire, dispatch);
-        Machine.Visit visit = new Machine.Visit(works, end -> finish(wire, id, dispatch, end));
+        ServerMachine.Visit visit =
+                new ServerMachine.Visit(works, end -> finish(wire, id, dispatch, end));
         if (records.overloads(machine, works, now, toldBorn == machine.born)) {
             machine.die();
         }
@@ -208,7 +209,7 @@
         return visit;
     }
 
-    private void tellDispatch(Try request, String id, int from, boolean further) {
+    private void tellDispatch(ClientAttempt request, String id, int from, boolean further) {
         context.between.tell(
                 "dispatch",
                 "server",
@@ -233,7 +234,8 @@
                 request.requestClass.deduplicationWindowMs);
     }
 
-    private void finish(Wire wire, String id, Try.Hop dispatch, AttemptOutcome end) {
+    private void finish(
+            RespConnection wire, String id, ClientAttempt.Hop dispatch, AttemptOutcome end) {
         dispatch.end = dispatch.end == null ? end : dispatch.end;
         context.between.tell(
                 "ended", "server", machine.id, "req", id, "how", HistoryOutcome.nameOf(end));
--- a/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
+++ b/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
@@ -50,7 +50,7 @@
             throws IOException {
         this.routes = routes;
         this.counterPort = otherCounter == 0 ? counter.getLocalPort() : otherCounter;
-        this.list = ServerList.whole(servers);
+        this.list = EndpointListDocument.whole(servers);
         this.configuration = folder.resolve("gateway.json");
         this.log = folder.resolve("gateway.log");
         accept(discovery, this::tellList);
@@ -86,7 +86,7 @@
 
     private void tellList(Socket socket) {
         try {
-            Wire wire = new Wire(socket);
+            RespConnection wire = new RespConnection(socket);
             for (String line = wire.line(); line != null && !line.isEmpty(); line = wire.line()) {}
             listsAsked.incrementAndGet();
             String chunk = Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n";
@@ -106,7 +106,7 @@
     /** Starts the process and waits until it answers a PING; gives how long that took, ms. */
     public double start() throws IOException, InterruptedException {
         long began = System.nanoTime();
-        List<String> words = new ArrayList<>(Between.JAVA);
+        List<String> words = new ArrayList<>(BenchInterceptor.JAVA);
         words.addAll(List.of("-cp", System.getProperty("java.class.path"), "tinford.Main"));
         words.add("serve");
         ProcessBuilder builder = new ProcessBuilder(words);
@@ -130,9 +130,10 @@
     }
 
     private boolean answersPing() {
-        try (Wire wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), port))) {
+        try (RespConnection wire =
+                new RespConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
             wire.socket.setSoTimeout(1000);
-            wire.say(Wire.command("PING"));
+            wire.say(RespConnection.command("PING"));
             return "+PONG".equals(wire.answer());
         } catch (IOException e) {
             return false; // not up yet
--- a/lab/src/main/java/tinford/lab/sockets/Bench.java
+++ b/lab/src/main/java/tinford/lab/sockets/SocketBench.java
@@ -19,12 +19,12 @@
 import tinford.api.Plan;
 import tinford.api.RequestClass;
 import tinford.api.Server;
-import tinford.lab.model.Agenda;
-import tinford.lab.model.Faults;
-import tinford.lab.model.Machine;
+import tinford.lab.model.CounterStore;
+import tinford.lab.model.EventQueue;
+import tinford.lab.model.FaultInjector;
 import tinford.lab.model.Oracle;
-import tinford.lab.model.Store;
-import tinford.lab.model.Streams;
+import tinford.lab.model.RandomStreams;
+import tinford.lab.model.ServerMachine;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 
@@ -32,7 +32,7 @@
  * A scenario on loopback sockets: real gateways, and stand-ins of servers, counter and discovery
  * that hold the model's own machines and store, under the open load of a trace.
  */
-public final class Bench implements Faults.Ground, AutoCloseable {
+public final class SocketBench implements FaultInjector.Ground, AutoCloseable {
     /** From when all gateways are ready until the first request, ms. */
     private static final double LEAD = 200;
 
@@ -41,41 +41,42 @@
 
     private final Scenario scenario;
     private final BenchContext context;
-    private final Live live;
+    private final WallClockEventQueue live;
     private final UniformRandomProvider faults;
     private final RequestRecords records;
-    private final Store store;
+    private final CounterStore store;
     private final Map<String, ServerStandIn> servers = new LinkedHashMap<>();
     private final DiscoveryStandIn discovery;
-    private final List<GatewayProcess> gateways = new ArrayList<>();
+    private final List<BenchGateway> gateways = new ArrayList<>();
     private final ClientLoad clients;
     private DoubleConsumer begun = from -> {};
 
     /**
      * @param jar of the gateway; {@code folder} for configurations and logs
      */
-    public Bench(Scenario s, long seed, Path jar, Path folder) throws IOException {
+    public SocketBench(Scenario s, long seed, Path jar, Path folder) throws IOException {
         this(s, seed, List.of("-cp", jar.toString(), "tinford.Main", "serve"), folder);
     }
 
     /**
      * @param program what java is to run as a gateway
      */
-    Bench(Scenario s, long seed, List<String> program, Path folder) throws IOException {
+    SocketBench(Scenario s, long seed, List<String> program, Path folder) throws IOException {
         this(s, seed, directly(program), folder);
     }
 
     /**
      * @param between starts the gateways, and stands between them and all others
      */
-    public Bench(Scenario s, long seed, Between between, Path folder) throws IOException {
+    public SocketBench(Scenario s, long seed, BenchInterceptor between, Path folder)
+            throws IOException {
         scenario = s;
         context = new BenchContext(s, between, folder);
         live = context.live;
-        Streams streams = new Streams(seed);
+        RandomStreams streams = new RandomStreams(seed);
         faults = streams.of("faults");
         store =
-                new Store(
+                new CounterStore(
                         live.agenda(),
                         s.counter().parts(),
                         ZigguratSampler.Exponential.of(streams.of("counter"), s.counter().takes()),
@@ -90,16 +91,15 @@
         addServers(streams);
         discovery = new DiscoveryStandIn(context, servers.values());
         for (int number = 0; number < s.gateways(); number++) {
-            gateways.add(
-                    new GatewayProcess(context, records, store, number, discovery.port(number)));
+            gateways.add(new BenchGateway(context, records, store, number, discovery.port(number)));
         }
         clients = new ClientLoad(context, records, gateways, plans(s), frontends(s));
     }
 
     /** Gateways that nothing stands between. */
-    private static Between directly(List<String> program) {
+    private static BenchInterceptor directly(List<String> program) {
         return (gateway, config, log) -> {
-            List<String> words = new ArrayList<>(Between.JAVA);
+            List<String> words = new ArrayList<>(BenchInterceptor.JAVA);
             words.addAll(program);
             ProcessBuilder builder = new ProcessBuilder(words);
             builder.environment().put("ROUTER_CONFIG", config.toString());
@@ -148,7 +148,7 @@
         return frontends;
     }
 
-    private void addServers(Streams streams) throws IOException {
+    private void addServers(RandomStreams streams) throws IOException {
         Map<String, ContinuousSampler> work = new HashMap<>();
         for (Scenario.Frontend frontend : scenario.frontends()) {
             String name = frontend.name();
@@ -158,15 +158,15 @@
         }
         UniformRandomProvider speeds = streams.of("speeds");
         for (int i = 0; i < scenario.servers().count(); i++) {
-            Machine machine = machine(i, speeds);
+            ServerMachine machine = machine(i, speeds);
             servers.put(machine.id, new ServerStandIn(context, records, work, machine));
         }
     }
 
-    private Machine machine(int number, UniformRandomProvider speeds) {
+    private ServerMachine machine(int number, UniformRandomProvider speeds) {
         Scenario.Servers all = scenario.servers();
         double speed = all.speed() * (1 + all.speed_spread() * (2 * speeds.nextDouble() - 1));
-        return new Machine(
+        return new ServerMachine(
                 live.agenda(),
                 String.format("s%04d", number),
                 all.zones().get(number % all.zones().size()),
@@ -180,10 +180,10 @@
 
     /** Plays the trace to its end; the figures have the model's names. */
     public Map<String, Double> run(Trace trace) throws IOException, InterruptedException {
-        for (GatewayProcess gateway : gateways) {
+        for (BenchGateway gateway : gateways) {
             gateway.start();
         }
-        for (GatewayProcess gateway : gateways) {
+        for (BenchGateway gateway : gateways) {
             gateway.awaitReady();
         }
         double from = live.now() + LEAD;
@@ -204,7 +204,7 @@
 
     private void set(Scenario.Fault fault, double from) {
         double after = from - live.now() + fault.at_s() * SECOND;
-        live.agenda().after(after, () -> Faults.begin(fault, this, faults));
+        live.agenda().after(after, () -> FaultInjector.begin(fault, this, faults));
     }
 
     /** Clients whose request was denied come again so many times; none do unless this says so. */
@@ -254,17 +254,17 @@
     }
 
     @Override
-    public Agenda agenda() {
+    public EventQueue agenda() {
         return live.agenda();
     }
 
     @Override
-    public Collection<Machine> machines() {
+    public Collection<ServerMachine> machines() {
         return servers.values().stream().map(ServerStandIn::machine).toList();
     }
 
     @Override
-    public Store store() {
+    public CounterStore store() {
         return store;
     }
 
@@ -274,7 +274,7 @@
     }
 
     @Override
-    public void list(Machine machine, Server.State state) {
+    public void list(ServerMachine machine, Server.State state) {
         live.agenda()
                 .after(
                         listLate(),
@@ -321,7 +321,7 @@
 
     @Override
     public void close() throws IOException {
-        for (GatewayProcess gateway : gateways) {
+        for (BenchGateway gateway : gateways) {
             gateway.close();
         }
         discovery.close();
--- a/lab/src/main/java/tinford/lab/sockets/Live.java
+++ b/lab/src/main/java/tinford/lab/sockets/WallClockEventQueue.java
@@ -3,14 +3,14 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
-import tinford.lab.model.Agenda;
+import tinford.lab.model.EventQueue;
 
 /**
  * An agenda that keeps to the wall clock, on a thread of its own; all that the stand-ins know
  * belongs to that thread.
  */
-final class Live implements AutoCloseable {
-    private final Agenda agenda = new Agenda(System.currentTimeMillis());
+final class WallClockEventQueue implements AutoCloseable {
+    private final EventQueue agenda = new EventQueue(System.currentTimeMillis());
     private final long from = System.nanoTime();
     private final double began = agenda.now();
     private final ArrayDeque<Runnable> posted = new ArrayDeque<>();
@@ -19,12 +19,12 @@
     private final List<String> faults = new CopyOnWriteArrayList<>();
     private boolean closed;
 
-    Live() {
+    WallClockEventQueue() {
         thread.setDaemon(true);
         thread.start();
     }
 
-    Agenda agenda() {
+    EventQueue agenda() {
         return agenda;
     }
 
--- a/lab/src/main/java/tinford/lab/study/Study.java
+++ b/lab/src/main/java/tinford/lab/study/Study.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.Future;
 import org.apache.commons.statistics.distribution.TDistribution;
 import tinford.api.DecisionModule;
-import tinford.lab.model.Outcome;
-import tinford.lab.model.World;
+import tinford.lab.model.RunResult;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 
@@ -36,17 +36,17 @@
     }
 
     /** One outcome a seed, in the order of the seeds. */
-    public List<Outcome> run(DecisionModule.Factory maker, long firstSeed, int runs)
+    public List<RunResult> run(DecisionModule.Factory maker, long firstSeed, int runs)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<Outcome>> all = new ArrayList<>();
+            List<Future<RunResult>> all = new ArrayList<>();
             for (int i = 0; i < runs; i++) {
                 long seed = firstSeed + i;
-                all.add(pool.submit(() -> new World(scenario, seed, maker, trace).run()));
+                all.add(pool.submit(() -> new Simulation(scenario, seed, maker, trace).run()));
             }
-            List<Outcome> done = new ArrayList<>();
-            for (Future<Outcome> f : all) {
+            List<RunResult> done = new ArrayList<>();
+            for (Future<RunResult> f : all) {
                 done.add(f.get());
             }
             return done;
@@ -97,7 +97,7 @@
     public record Comparison(Mean first, Mean second, Mean difference, Verdict verdict) {}
 
     public static Comparison compare(
-            List<Outcome> first, List<Outcome> second, String figure, double level) {
+            List<RunResult> first, List<RunResult> second, String figure, double level) {
         double[] a = values(first, figure);
         double[] b = values(second, figure);
         double[] d = new double[a.length];
@@ -115,12 +115,12 @@
         return new Comparison(mean(a, level), mean(b, level), diff, v);
     }
 
-    private static double[] values(List<Outcome> all, String figure) {
+    private static double[] values(List<RunResult> all, String figure) {
         return all.stream().mapToDouble(o -> o.figures().get(figure)).toArray();
     }
 
     /** The mean of each figure. */
-    public static Map<String, Mean> means(List<Outcome> all, double level) {
+    public static Map<String, Mean> means(List<RunResult> all, double level) {
         Map<String, Mean> found = new TreeMap<>();
         for (String f : all.get(0).figures().keySet()) {
             found.put(f, mean(values(all, f), level));
--- a/lab/src/test/java/tinford/lab/control/PromisesTest.java
+++ b/lab/src/test/java/tinford/lab/control/PromisesTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.lab.fleet.History;
-import tinford.lab.fleet.Judge;
+import tinford.lab.fleet.HistoryJudge;
 
 /** Histories made by hand: each breach is found, and its innocent neighbour is not. */
 public class PromisesTest {
@@ -189,7 +189,7 @@
 
     @Test(dataProvider = "histories")
     public void breachesAreFound(String what, String promise, List<History.Line> lines) {
-        Judge judge = ControlFigures.judgeOfPromises();
+        HistoryJudge judge = ControlFigures.judgeOfPromises();
         lines.forEach(judge::see);
         assertEquals(judge.counts(), promise == null ? Map.of() : Map.of(promise, 1), what);
     }
--- a/lab/src/test/java/tinford/lab/fleet/BudgetsTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/BudgetsTest.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 import tinford.decision.DecisionEngine;
-import tinford.lab.model.World;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
-import tinford.lab.sockets.Between;
+import tinford.lab.sockets.BenchInterceptor;
 
 /** Connections that servers offer, divided by real gateways with a real log among them. */
 public class BudgetsTest {
@@ -46,12 +46,13 @@
         try {
             FleetScript script = FleetScript.of("faults", FAULTS);
             Scenario s = script.scenario(SCENARIOS.resolve("faults.toml"), 5);
-            World drawn = new World(s, 3, DecisionEngine::new);
+            Simulation drawn = new Simulation(s, 3, DecisionEngine::new);
             drawn.run();
             String operator = Files.readString(SCENARIOS.resolve("budgets-operator.toml"));
-            List<String> words = new ArrayList<>(Between.JAVA);
+            List<String> words = new ArrayList<>(BenchInterceptor.JAVA);
             words.addAll(List.of("-jar", JAR.toString(), "serve"));
-            Program program = new Program(words, Map.of(), seat -> seat.fill(operator), true);
+            GatewayProgram program =
+                    new GatewayProgram(words, Map.of(), seat -> seat.fill(operator), true);
             try (FleetBench bench = new FleetBench(script, s, program, 3, folder)) {
                 Map<String, Double> figures = bench.run(drawn.asked());
                 assertEquals(bench.broken(), List.of(), bench.broken().toString());
--- a/lab/src/test/java/tinford/lab/fleet/LinksTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/FleetLinksTest.java
@@ -21,7 +21,7 @@
  * What links do to bytes. Silence is shown by what comes after it, or by a short wait where nothing
  * may come.
  */
-public class LinksTest {
+public class FleetLinksTest {
     private static final int SHORT = 150;
 
     private static InetSocketAddress address(String text) {
@@ -29,7 +29,7 @@
                 InetAddress.getLoopbackAddress(), Integer.parseInt(text.split(":")[1]));
     }
 
-    private static DatagramSocket gateway(Links links, int g) throws IOException {
+    private static DatagramSocket gateway(FleetLinks links, int g) throws IOException {
         DatagramSocket s = new DatagramSocket(address(links.peerListen(g)));
         s.setSoTimeout(5000);
         return s;
@@ -60,7 +60,7 @@
      */
     @Test
     public void datagramsKnowTheirSender() throws Exception {
-        try (Links links = new Links(3, 1, p -> {}, p -> {});
+        try (FleetLinks links = new FleetLinks(3, 1, p -> {}, p -> {});
                 DatagramSocket a = gateway(links, 0);
                 DatagramSocket b = gateway(links, 1);
                 DatagramSocket c = gateway(links, 2);
@@ -97,7 +97,7 @@
     /** Of 100 so many come, late as they should, and out of order only where that is wanted. */
     @Test(dataProvider = "impairments")
     public void datagramsSuffer(Impairment i, int least, int most) throws Exception {
-        try (Links links = new Links(2, 3, p -> {}, p -> {});
+        try (FleetLinks links = new FleetLinks(2, 3, p -> {}, p -> {});
                 DatagramSocket a = gateway(links, 0);
                 DatagramSocket b = gateway(links, 1)) {
             links.between(List.of(0), List.of(1), i, true, false);
@@ -139,7 +139,7 @@
     @Test
     public void streamsWaitAndHeal() throws Exception {
         List<Integer> left = new java.util.concurrent.CopyOnWriteArrayList<>();
-        try (Links links = new Links(2, 1, p -> {}, left::add);
+        try (FleetLinks links = new FleetLinks(2, 1, p -> {}, left::add);
                 ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             InetSocketAddress door = address(":" + links.server(1, "s", server.getLocalPort()));
             try (Socket near = new Socket(door.getAddress(), door.getPort());
@@ -198,7 +198,7 @@
      */
     @Test
     public void streamsKeepOrder() throws Exception {
-        try (Links links = new Links(1, 1, p -> {}, p -> {});
+        try (FleetLinks links = new FleetLinks(1, 1, p -> {}, p -> {});
                 ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             int port = links.counter(0, server.getLocalPort());
             links.counter(
--- a/lab/src/test/java/tinford/lab/fleet/FleetMovesTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/FleetMovesTest.java
@@ -13,9 +13,9 @@
 import tinford.api.Idempotency;
 import tinford.decision.DecisionEngine;
 import tinford.lab.Scenarios;
-import tinford.lab.model.World;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
-import tinford.lab.sockets.Between;
+import tinford.lab.sockets.BenchInterceptor;
 
 /**
  * Real processes move three frontends that need each other, under load, while gateways fail in each
@@ -189,15 +189,16 @@
                                 "plans.p.rate",
                                 "2"));
         script.check("faults", s.length_s(), 3);
-        World drawn = new World(s, 5, DecisionEngine::new);
+        Simulation drawn = new Simulation(s, 5, DecisionEngine::new);
         drawn.run();
         Path file = folder.resolve("plan.toml");
         Files.writeString(file, plan);
-        List<String> words = new ArrayList<>(Between.JAVA);
+        List<String> words = new ArrayList<>(BenchInterceptor.JAVA);
         words.remove("-Xmx64m");
         words.addAll(List.of("-Xmx160m", "-jar", JAR.toString(), "serve"));
-        Program program =
-                new Program(words, Map.of(), seat -> seat.fill(OPERATOR.formatted(file)), true);
+        GatewayProgram program =
+                new GatewayProgram(
+                        words, Map.of(), seat -> seat.fill(OPERATOR.formatted(file)), true);
         try (FleetBench bench = new FleetBench(script, s, program, 5, folder)) {
             Operators operators = new Operators(bench, folder);
             operators.start();
--- a/lab/src/test/java/tinford/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/FleetTest.java
@@ -13,9 +13,9 @@
 import tinford.api.Idempotency;
 import tinford.decision.DecisionEngine;
 import tinford.lab.Scenarios;
-import tinford.lab.model.World;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
-import tinford.lab.sockets.Between;
+import tinford.lab.sockets.BenchInterceptor;
 
 /** Real gateways with links between all parties. */
 public class FleetTest {
@@ -61,12 +61,13 @@
                                 "clients.leave",
                                 "0"));
         script.check("faults", s.length_s(), 5);
-        World drawn = new World(s, 5, DecisionEngine::new);
+        Simulation drawn = new Simulation(s, 5, DecisionEngine::new);
         drawn.run();
-        List<String> words = new ArrayList<>(Between.JAVA);
+        List<String> words = new ArrayList<>(BenchInterceptor.JAVA);
         words.addAll(List.of("-cp", JAR.toString(), "tinford.Main", "serve"));
         try (FleetBench bench =
-                new FleetBench(script, s, new Program(words, Map.of(), null, true), 5, folder)) {
+                new FleetBench(
+                        script, s, new GatewayProgram(words, Map.of(), null, true), 5, folder)) {
             Map<String, Double> figures = bench.run(drawn.asked());
             broken.addAll(bench.broken());
             lines.addAll(bench.history());
@@ -114,7 +115,7 @@
         String classes =
                 System.getProperty(
                         "surefire.test.class.path", System.getProperty("java.class.path"));
-        List<String> words = new ArrayList<>(Between.JAVA);
+        List<String> words = new ArrayList<>(BenchInterceptor.JAVA);
         words.addAll(
                 List.of("-Xmx256m", "-cp", classes, FleetTest.class.getName(), folder.toString()));
         Process harness =
--- a/lab/src/test/java/tinford/lab/fleet/JudgeTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/HistoryJudgeTest.java
@@ -12,7 +12,7 @@
 import tinford.lab.scenario.Scenario;
 
 /** Histories made by hand: each breach is found, and its innocent neighbour is not. */
-public class JudgeTest {
+public class HistoryJudgeTest {
     private static History.Line at(double ms, String kind, Object... fields) {
         return History.of(ms, kind, fields);
     }
@@ -260,14 +260,15 @@
     @Test(dataProvider = "histories")
     public void breachesAreFound(String promise, boolean broken, List<History.Line> history)
             throws Exception {
-        Judge judge = Judge.of(FleetScript.of("t", "scenario = \"x\"\nfurther = 0.1\ntries = 5"));
+        HistoryJudge judge =
+                HistoryJudge.of(FleetScript.of("t", "scenario = \"x\"\nfurther = 0.1\ntries = 5"));
         history.forEach(judge::see);
         assertEquals(
                 judge.counts().keySet(),
                 broken ? java.util.Set.of(promise) : java.util.Set.of(),
                 judge.breaches().toString());
         if (broken) {
-            Judge.Breach first = judge.breaches().get(0);
+            HistoryJudge.Breach first = judge.breaches().get(0);
             assertTrue(
                     first.lines().size() <= history.size()
                             && first.story(0).contains(first.lines().get(0).kind()),
--- a/lab/src/test/java/tinford/lab/model/OracleTest.java
+++ b/lab/src/test/java/tinford/lab/model/OracleTest.java
@@ -160,8 +160,8 @@
                         part = 0.3
                         size = 0
                         """);
-        Outcome o =
-                new World(
+        RunResult o =
+                new Simulation(
                                 s,
                                 3,
                                 (seed, place, limits, rules, counter, goal, mustAsk) ->
@@ -208,7 +208,7 @@
                             """,
                             Idempotency.valueOf(effect));
             for (int seed = 0; seed < 5; seed++) {
-                Outcome o = new World(s, seed, DecisionEngine::new).run();
+                RunResult o = new Simulation(s, seed, DecisionEngine::new).run();
                 assertEquals(o.broken(), List.of(), effect + ", seed " + seed);
                 assertTrue(o.conserved(), "each try ends once");
                 assertTrue(o.service() > 0.3 && o.tries() > 500, o.figures().toString());
@@ -220,12 +220,12 @@
     public void theSameSeedIsTheSameDay() throws Exception {
         Scenario s = Scenarios.small(0.3, "");
         assertEquals(
-                new World(s, 9, DecisionEngine::new).run().figures(),
-                new World(s, 9, DecisionEngine::new).run().figures());
+                new Simulation(s, 9, DecisionEngine::new).run().figures(),
+                new Simulation(s, 9, DecisionEngine::new).run().figures());
         assertTrue(
-                !new World(s, 9, DecisionEngine::new)
+                !new Simulation(s, 9, DecisionEngine::new)
                         .run()
                         .figures()
-                        .equals(new World(s, 10, DecisionEngine::new).run().figures()));
+                        .equals(new Simulation(s, 10, DecisionEngine::new).run().figures()));
     }
 }
--- a/lab/src/test/java/tinford/lab/model/QueueTest.java
+++ b/lab/src/test/java/tinford/lab/model/QueueTest.java
@@ -18,13 +18,14 @@
     private static final int COUNTED = 30_000;
 
     /** Time in the system: mean of one run, and the mean number inside by time. */
-    private static double[] run(long seed, int cores, double load, Dist dist, double cv) {
-        Agenda agenda = new Agenda(0);
-        Streams streams = new Streams(seed);
+    private static double[] run(long seed, int cores, double load, Distribution dist, double cv) {
+        EventQueue agenda = new EventQueue(0);
+        RandomStreams streams = new RandomStreams(seed);
         double work = 10;
-        Machine m = new Machine(agenda, "m", "a", 0, cores, Integer.MAX_VALUE, 1, 1, 0);
+        ServerMachine m = new ServerMachine(agenda, "m", "a", 0, cores, Integer.MAX_VALUE, 1, 1, 0);
         ContinuousSampler takes = dist.of(streams.of("work"), work, cv);
-        ContinuousSampler gap = Dist.EXPONENTIAL.of(streams.of("gaps"), work / cores / load, 1);
+        ContinuousSampler gap =
+                Distribution.EXPONENTIAL.of(streams.of("gaps"), work / cores / load, 1);
         double[] sums = new double[4]; // time inside, left, number inside by time, last change
         int[] came = {0};
         Runnable[] next = new Runnable[1];
@@ -39,7 +40,7 @@
                     double at = agenda.now();
                     count(sums, m, at);
                     m.come(
-                            new Machine.Visit(
+                            new ServerMachine.Visit(
                                     takes.sample(),
                                     end -> {
                                         assertEquals(end, AttemptOutcome.SUCCESS);
@@ -64,7 +65,7 @@
         };
     }
 
-    private static void count(double[] sums, Machine m, double now) {
+    private static void count(double[] sums, ServerMachine m, double now) {
         sums[2] += (now - sums[3]) * m.inside();
         sums[3] = now;
     }
@@ -74,11 +75,17 @@
         double e4 = erlangC(4, 4 * 0.8);
         return new Object[][] {
             // cores, load, work, its cv, mean time inside for work of 10
-            {1, 0.5, Dist.EXPONENTIAL, 1.0, 10 / (1 - 0.5)},
-            {1, 0.8, Dist.EXPONENTIAL, 1.0, 10 / (1 - 0.8)},
-            {4, 0.8, Dist.EXPONENTIAL, 1.0, 10 + e4 * 10 / (4 * (1 - 0.8))},
-            {1, 0.7, Dist.CONSTANT, 0.0, 10 + 0.7 * 10 / (2 * (1 - 0.7))},
-            {1, 0.6, Dist.LOGNORMAL, 1.5, 10 + 0.6 * 10 * (1 + 1.5 * 1.5) / (2 * (1 - 0.6))},
+            {1, 0.5, Distribution.EXPONENTIAL, 1.0, 10 / (1 - 0.5)},
+            {1, 0.8, Distribution.EXPONENTIAL, 1.0, 10 / (1 - 0.8)},
+            {4, 0.8, Distribution.EXPONENTIAL, 1.0, 10 + e4 * 10 / (4 * (1 - 0.8))},
+            {1, 0.7, Distribution.CONSTANT, 0.0, 10 + 0.7 * 10 / (2 * (1 - 0.7))},
+            {
+                1,
+                0.6,
+                Distribution.LOGNORMAL,
+                1.5,
+                10 + 0.6 * 10 * (1 + 1.5 * 1.5) / (2 * (1 - 0.6))
+            },
         };
     }
 
@@ -99,7 +106,7 @@
      */
     @Test(dataProvider = "queues")
     public void timesInsideAreThoseOfTheory(
-            int cores, double load, Dist dist, double cv, double theory) {
+            int cores, double load, Distribution dist, double cv, double theory) {
         double[] times = new double[RUNS];
         for (int i = 0; i < RUNS; i++) {
             double[] r = run(i, cores, load, dist, cv);
@@ -117,7 +124,7 @@
 
     @Test
     public void whatIsDueTogetherHappensInTheOrderItWasSet() {
-        Agenda agenda = new Agenda(5);
+        EventQueue agenda = new EventQueue(5);
         List<Integer> done = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             int n = i;
@@ -140,11 +147,11 @@
 
     @Test
     public void aColdServerGrowsAndADeadOneLosesWhatItHad() {
-        Agenda agenda = new Agenda(1000);
-        Machine m = new Machine(agenda, "m", "a", 0, 2, 1, 1, 0.25, 1000);
+        EventQueue agenda = new EventQueue(1000);
+        ServerMachine m = new ServerMachine(agenda, "m", "a", 0, 2, 1, 1, 0.25, 1000);
         List<AttemptOutcome> ends = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            m.come(new Machine.Visit(10, ends::add));
+            m.come(new ServerMachine.Visit(10, ends::add));
         }
         assertEquals(ends, List.of(AttemptOutcome.OVERLOADED));
         m.die();
@@ -155,7 +162,7 @@
                         AttemptOutcome.CONNECTION_LOST,
                         AttemptOutcome.CONNECTION_LOST,
                         AttemptOutcome.CONNECTION_LOST));
-        m.come(new Machine.Visit(10, ends::add));
+        m.come(new ServerMachine.Visit(10, ends::add));
         assertEquals(ends.get(4), AttemptOutcome.UNREACHABLE);
         m.start();
         assertEquals(m.capacity(), 0.5);
--- a/lab/src/test/java/tinford/lab/model/ColdBudgetStudy.java
+++ b/lab/src/test/java/tinford/lab/model/SlowStartBudgetStudy.java
@@ -22,7 +22,7 @@
  * of docs/lab.md. A line a run. Words: the jar of a gateway or "here", settings, cases and
  * processes (with commas between, or "all"), how many seeds, the first.
  */
-final class ColdBudgetStudy {
+final class SlowStartBudgetStudy {
     static final Map<String, Map<String, String>> SETTINGS = new LinkedHashMap<>();
     static final Map<String, Object[]> CASES = new LinkedHashMap<>();
 
@@ -88,7 +88,7 @@
         CASES.put("all, twice asked", new Object[] {1.0, 0, Map.of("clients.use", "2")});
     }
 
-    private ColdBudgetStudy() {}
+    private SlowStartBudgetStudy() {}
 
     static Scenario scenario(String setting, String name, int gateways, Map<String, String> more)
             throws Scenario.Bad {
@@ -183,8 +183,8 @@
                         lines.add(
                                 pool.submit(
                                         () -> {
-                                            World w =
-                                                    new World(
+                                            Simulation w =
+                                                    new Simulation(
                                                             scenario(
                                                                     setting,
                                                                     name,
@@ -192,9 +192,9 @@
                                                                     more),
                                                             s,
                                                             maker);
-                                            Outcome o = w.run();
-                                            ColdBudget b = w.oracle.cold();
-                                            ColdBudget.Approach n = b.nearest();
+                                            RunResult o = w.run();
+                                            SlowStartBudget b = w.oracle.cold();
+                                            SlowStartBudget.Approach n = b.nearest();
                                             Map<String, Double> f = o.figures();
                                             return String.format(
                                                     Locale.ROOT,
--- a/lab/src/test/java/tinford/lab/model/ColdBudgetTest.java
+++ b/lab/src/test/java/tinford/lab/model/SlowStartBudgetTest.java
@@ -19,7 +19,7 @@
 /**
  * The bound on cold servers: counted rightly, met by greedy decisions, and not by the real ones.
  */
-public class ColdBudgetTest {
+public class SlowStartBudgetTest {
     private static final double COLD = 10_000;
 
     @DataProvider
@@ -46,16 +46,16 @@
     @Test(dataProvider = "arrivals")
     public void whatCameWithinTheTimeIsCounted(
             int requests, int told, double apart, double work, boolean falls, boolean broken) {
-        Agenda agenda = new Agenda(1000);
-        Machine m = new Machine(agenda, "s", "a", 0, 2, 20, 1, 0.2, 1e9);
-        ColdBudget budget = new ColdBudget(2, 1000, 50);
+        EventQueue agenda = new EventQueue(1000);
+        ServerMachine m = new ServerMachine(agenda, "s", "a", 0, 2, 20, 1, 0.2, 1e9);
+        SlowStartBudget budget = new SlowStartBudget(2, 1000, 50);
         assertEquals(budget.arrives(m, 1e6, 1000, true).of(), 0.0, "a warm one bears what comes");
         m.start();
         boolean fell = false;
         boolean blamed = false;
         for (int i = 0; i < requests; i++) {
             // those that did not know come last: the fall is at the last one
-            ColdBudget.Approach a = budget.arrives(m, work, 1000 + i * apart, i < told);
+            SlowStartBudget.Approach a = budget.arrives(m, work, 1000 + i * apart, i < told);
             fell |= a.falls();
             blamed |= a.broken();
         }
@@ -69,9 +69,9 @@
     /** What came before a start is nothing to the server after it. */
     @Test
     public void aStartBeginsAnew() {
-        Agenda agenda = new Agenda(1000);
-        Machine m = new Machine(agenda, "s", "a", 0, 2, 20, 1, 0.2, COLD);
-        ColdBudget budget = new ColdBudget(2, 1000, 50);
+        EventQueue agenda = new EventQueue(1000);
+        ServerMachine m = new ServerMachine(agenda, "s", "a", 0, 2, 20, 1, 0.2, COLD);
+        SlowStartBudget budget = new SlowStartBudget(2, 1000, 50);
         m.start();
         for (int i = 0; i < 26; i++) {
             assertTrue(!budget.arrives(m, 50, 1000, true).falls());
@@ -155,7 +155,7 @@
     @Test(dataProvider = "greedy")
     public void greedyDecisionsAreCaught(String what, int gateways, DecisionModule.Factory maker)
             throws Exception {
-        Outcome o = new World(cold(gateways, Map.of()), 1, maker).run();
+        RunResult o = new Simulation(cold(gateways, Map.of()), 1, maker).run();
         Map<String, Double> f = o.figures();
         assertTrue(f.get("cold_blamed") > 1 && f.get("cold_falls") > 0, what + ": " + f);
         assertTrue(
@@ -167,7 +167,8 @@
     public void theDecisionsStayUnder() throws Exception {
         for (int gateways : new int[] {4, 20}) {
             for (int seed = 1; seed <= 3; seed++) {
-                Outcome o = new World(cold(gateways, Map.of()), seed, DecisionEngine::new).run();
+                RunResult o =
+                        new Simulation(cold(gateways, Map.of()), seed, DecisionEngine::new).run();
                 Map<String, Double> f = o.figures();
                 assertEquals(o.broken(), List.of(), gateways + " gateways, seed " + seed);
                 assertTrue(f.get("cold_blamed") > 0.1 && f.get("cold_blamed") < 0.9, f.toString());
@@ -181,7 +182,7 @@
     public void theDecisionsStayUnderWhereNoneIsWarm() throws Exception {
         for (int seed = 1; seed <= 3; seed++) {
             Scenario s = cold(20, Map.of("faults.2.part", "1", "faults.2.at_s", "3"));
-            Outcome o = new World(s, seed, DecisionEngine::new).run();
+            RunResult o = new Simulation(s, seed, DecisionEngine::new).run();
             assertEquals(o.broken(), List.of(), "seed " + seed);
             assertTrue(o.figures().get("cold_blamed") > 0.1, o.figures().toString());
         }
@@ -209,13 +210,13 @@
     public void theSumOfAllProcessesStaysUnder(String what, int gateways, int first)
             throws Exception {
         for (int seed = first; seed < first + 2; seed++) {
-            World w =
-                    new World(
-                            ColdBudgetStudy.scenario("middle", what, gateways, Map.of()),
+            Simulation w =
+                    new Simulation(
+                            SlowStartBudgetStudy.scenario("middle", what, gateways, Map.of()),
                             seed,
                             DecisionEngine::new);
             w.run();
-            ColdBudget.Approach a = w.oracle.cold().nearest();
+            SlowStartBudget.Approach a = w.oracle.cold().nearest();
             assertTrue(a.of() > 0.2 && a.of() < 0.85, "seed " + seed + ": " + a);
         }
     }
--- a/lab/src/test/java/tinford/lab/scale/AddedTimeScaleTest.java
+++ b/lab/src/test/java/tinford/lab/scale/AddedTimeScaleTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import org.testng.annotations.Test;
-import tinford.lab.model.Streams;
+import tinford.lab.model.RandomStreams;
 
 /** Where the time before a first dispatch goes, in small fleets. */
 public class AddedTimeScaleTest {
@@ -20,7 +20,7 @@
     public void withoutCeilingsTheBudgetHolds() throws Exception {
         Measurement load = ScaleTests.named("added.load_without_ceilings");
         for (int percent : new int[] {30, 75}) {
-            Sample sample = load.measure(percent, new Streams(1).of("load " + percent));
+            Sample sample = load.measure(percent, new RandomStreams(1).of("load " + percent));
             assertTrue(sample.timed().get("total_p99_ms") < AddedTimeMeasurements.BUDGET_MS);
             assertEquals(sample.timed().get("share_that_waits_for_a_ceiling"), 0, 0);
         }
@@ -29,8 +29,8 @@
     @Test
     public void aCeilingIsWaitedForOnlyWhereItIsSliced() throws Exception {
         Measurement width = ScaleTests.named("added.width");
-        Sample whole = width.measure(1, new Streams(1).of("whole"));
-        Sample sliced = width.measure(6, new Streams(1).of("sliced"));
+        Sample whole = width.measure(1, new RandomStreams(1).of("whole"));
+        Sample sliced = width.measure(6, new RandomStreams(1).of("sliced"));
         assertTrue(whole.timed().get("total_p99_ms") < AddedTimeMeasurements.BUDGET_MS);
         assertTrue(sliced.timed().get("ceiling_p99_ms") > AddedTimeMeasurements.BUDGET_MS);
     }
--- a/lab/src/test/java/tinford/lab/scale/RestartScaleTest.java
+++ b/lab/src/test/java/tinford/lab/scale/RestartScaleTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import org.testng.annotations.Test;
-import tinford.lab.model.Streams;
+import tinford.lab.model.RandomStreams;
 
 /** What restarts cost, at small sizes. */
 public class RestartScaleTest {
@@ -33,7 +33,8 @@
 
     @Test(timeOut = 60_000)
     public void aStartAsksForOneListAndOpensFourConnectionsToTheCounter() throws Exception {
-        Sample sample = ScaleTests.named("restarts.start").measure(60, new Streams(1).of("start"));
+        Sample sample =
+                ScaleTests.named("restarts.start").measure(60, new RandomStreams(1).of("start"));
         assertEquals(sample.counted().get("counter_handshakes"), 4, 0);
         assertTrue(sample.timed().get("lists_asked") >= 1);
     }
--- a/lab/src/test/java/tinford/lab/sockets/Rogue.java
+++ b/lab/src/test/java/tinford/lab/sockets/MisbehavingClient.java
@@ -15,17 +15,18 @@
  * A gateway that sends each request to the next server of its first list and passes on what comes,
  * but for one fault.
  */
-public final class Rogue {
+public final class MisbehavingClient {
     private static final AtomicInteger NEXT = new AtomicInteger();
 
-    private Rogue() {}
+    private MisbehavingClient() {}
 
     public static void main(String[] args) throws Exception {
         JsonNode config =
                 new ObjectMapper().readTree(Path.of(System.getenv("ROUTER_CONFIG")).toFile());
         List<Integer> servers = new ArrayList<>();
-        try (Wire discovery =
-                new Wire(new Socket(InetAddress.getLoopbackAddress(), port(config, "discovery")))) {
+        try (RespConnection discovery =
+                new RespConnection(
+                        new Socket(InetAddress.getLoopbackAddress(), port(config, "discovery")))) {
             discovery.say("GET /registry/instances?watch=1&after=0 HTTP/1.1\r\n\r\n");
             String line = discovery.line();
             while (!line.startsWith("{")) {
@@ -38,7 +39,7 @@
         try (ServerSocket door =
                 new ServerSocket(port(config, "listen"), 200, InetAddress.getLoopbackAddress())) {
             while (true) {
-                Wire client = new Wire(door.accept());
+                RespConnection client = new RespConnection(door.accept());
                 Thread t = new Thread(() -> talk(client, servers, args[0]));
                 t.start();
             }
@@ -49,7 +50,7 @@
         return Integer.parseInt(config.get(field).asText().split(":")[1]);
     }
 
-    private static void talk(Wire client, List<Integer> servers, String fault) {
+    private static void talk(RespConnection client, List<Integer> servers, String fault) {
         try (client) {
             for (String[] words = client.words(); words != null; words = client.words()) {
                 client.say(words.length == 1 ? "+PONG\r\n" : answer(words, servers, fault));
@@ -68,22 +69,22 @@
         if (fault.equals("invents") && n % 20 == 0) {
             return "$4\r\nmine\r\n";
         }
-        Wire copy = null;
+        RespConnection copy = null;
         if (fault.equals("copies") && n % 20 == 0) {
             copy =
-                    new Wire(
+                    new RespConnection(
                             new Socket(
                                     InetAddress.getLoopbackAddress(),
                                     servers.get((n + 1) % servers.size())));
-            copy.say(Wire.command(words));
+            copy.say(RespConnection.command(words));
         }
         for (int i = 0; i < 2; i++) {
-            try (Wire server =
-                    new Wire(
+            try (RespConnection server =
+                    new RespConnection(
                             new Socket(
                                     InetAddress.getLoopbackAddress(),
                                     servers.get((n + i) % servers.size())))) {
-                server.say(Wire.command(words));
+                server.say(RespConnection.command(words));
                 String head = server.line();
                 if (head != null && head.startsWith("*")) {
                     return server.answer().replaceFirst("^\\$(.*)", "\\$16\r\n$1\r\n");
--- a/lab/src/test/java/tinford/lab/sockets/SocketsTest.java
+++ b/lab/src/test/java/tinford/lab/sockets/SocketsTest.java
@@ -18,8 +18,8 @@
 import tinford.api.Idempotency;
 import tinford.decision.DecisionEngine;
 import tinford.lab.Scenarios;
-import tinford.lab.model.Outcome;
-import tinford.lab.model.World;
+import tinford.lab.model.RunResult;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 
@@ -31,7 +31,7 @@
     private static Map<String, Double> play(Scenario s, Trace trace, int seed, List<String> broken)
             throws Exception {
         Path folder = Files.createTempDirectory("lab");
-        try (Bench bench = new Bench(s, seed, JAR, folder)) {
+        try (SocketBench bench = new SocketBench(s, seed, JAR, folder)) {
             Map<String, Double> found = bench.run(trace);
             broken.addAll(bench.broken());
             return found;
@@ -72,12 +72,12 @@
                                 """,
                                 Idempotency.IDEMPOTENT),
                         Map.of("length_s", "5", "clients.retries", "0", "clients.leave", "0"));
-        World drawn = new World(s, 5, DecisionEngine::new);
+        Simulation drawn = new Simulation(s, 5, DecisionEngine::new);
         drawn.run();
         Trace trace = drawn.asked();
         List<String> broken = new java.util.ArrayList<>();
         Map<String, Double> sockets = play(s, trace, 5, broken);
-        Outcome model = new World(s, 5, DecisionEngine::new, trace).run();
+        RunResult model = new Simulation(s, 5, DecisionEngine::new, trace).run();
         assertEquals(broken, List.of());
         assertEquals(model.broken(), List.of());
         assertEquals(sockets.get("tries"), (double) trace.asks().size());
@@ -108,7 +108,7 @@
                                 """,
                                 Idempotency.IDEMPOTENT),
                         Map.of("length_s", "5", "clients.retries", "0", "clients.leave", "0"));
-        World drawn = new World(s, 6, DecisionEngine::new);
+        Simulation drawn = new Simulation(s, 6, DecisionEngine::new);
         drawn.run();
         List<String> broken = new java.util.ArrayList<>();
         Map<String, Double> sockets = play(s, drawn.asked(), 6, broken);
@@ -164,17 +164,17 @@
                                 "0",
                                 "servers.cold_time",
                                 "1"));
-        World drawn = new World(s, 7, DecisionEngine::new);
+        Simulation drawn = new Simulation(s, 7, DecisionEngine::new);
         drawn.run();
         Path folder = Files.createTempDirectory("lab");
         String classes =
                 System.getProperty(
                         "surefire.test.class.path", System.getProperty("java.class.path"));
-        try (Bench bench =
-                new Bench(
+        try (SocketBench bench =
+                new SocketBench(
                         s,
                         7,
-                        List.of("-cp", classes, "tinford.lab.sockets.Rogue", fault),
+                        List.of("-cp", classes, "tinford.lab.sockets.MisbehavingClient", fault),
                         folder)) {
             bench.run(drawn.asked());
             List<String> broken = bench.broken();
@@ -192,7 +192,7 @@
     /** What belongs to the agenda happens on its thread, in time, however it is posted. */
     @Test
     public void theLiveAgendaKeepsTime() throws Exception {
-        try (Live live = new Live()) {
+        try (WallClockEventQueue live = new WallClockEventQueue()) {
             CountDownLatch done = new CountDownLatch(3);
             double from = live.now();
             double[] at = new double[2];
@@ -223,12 +223,12 @@
     public void halfAnswersAreNone() throws Exception {
         for (String bytes : new String[] {"$5\r\nab", "$99999999\r\n", "+PO", "$x\r\n"}) {
             try (ServerSocket door = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                    Wire w =
-                            new Wire(
+                    RespConnection w =
+                            new RespConnection(
                                     new Socket(
                                             InetAddress.getLoopbackAddress(),
                                             door.getLocalPort()))) {
-                try (Wire other = new Wire(door.accept())) {
+                try (RespConnection other = new RespConnection(door.accept())) {
                     other.say(bytes);
                 }
                 boolean failed = false;
--- a/lab/src/test/java/tinford/lab/study/StudyTest.java
+++ b/lab/src/test/java/tinford/lab/study/StudyTest.java
@@ -23,7 +23,7 @@
 import tinford.decision.DecisionEngine;
 import tinford.lab.LabLine;
 import tinford.lab.Scenarios;
-import tinford.lab.model.Outcome;
+import tinford.lab.model.RunResult;
 import tinford.lab.scenario.Scenario;
 
 /** Studies: intervals, verdicts, files, and what is said of bad input. */
@@ -47,8 +47,8 @@
     @Test
     public void threadsChangeNothing() throws Exception {
         Scenario s = Scenarios.small(0, "");
-        List<Outcome> one = new Study(s, 1).run(DecisionEngine::new, 1, 6);
-        List<Outcome> four = new Study(s, 4).run(DecisionEngine::new, 1, 6);
+        List<RunResult> one = new Study(s, 1).run(DecisionEngine::new, 1, 6);
+        List<RunResult> four = new Study(s, 4).run(DecisionEngine::new, 1, 6);
         for (int i = 0; i < 6; i++) {
             assertEquals(one.get(i).figures(), four.get(i).figures());
         }
@@ -61,8 +61,8 @@
     @Test
     public void aKnownDifferenceIsRanked() throws Exception {
         Study study = new Study(Scenarios.small(0, ""), 4);
-        List<Outcome> good = study.run(DecisionEngine::new, 1, 8);
-        List<Outcome> bad =
+        List<RunResult> good = study.run(DecisionEngine::new, 1, 8);
+        List<RunResult> bad =
                 study.run(
                         (seed, place, limits, rules, counter, goal, mustAsk) -> {
                             DecisionEngine inner =
--- a/lab/src/test/java/tinford/lab/study/TraceTest.java
+++ b/lab/src/test/java/tinford/lab/study/TraceTest.java
@@ -20,8 +20,8 @@
 import tinford.decision.DecisionEngine;
 import tinford.lab.LabLine;
 import tinford.lab.Scenarios;
-import tinford.lab.model.Outcome;
-import tinford.lab.model.World;
+import tinford.lab.model.RunResult;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 
@@ -51,15 +51,15 @@
     @Test
     public void aReplayAsksWhatWasAsked() throws Exception {
         Scenario s = Scenarios.small(0, "");
-        World first = new World(s, 4, DecisionEngine::new);
-        Outcome drawn = first.run();
+        Simulation first = new Simulation(s, 4, DecisionEngine::new);
+        RunResult drawn = first.run();
         Trace trace = first.asked();
         Path file = folder.resolve("t");
         trace.write(file);
         assertEquals(Trace.read(file, s), trace);
         for (double rate : new double[] {1, 4}) {
-            World again = new World(s, 99, DecisionEngine::new, trace.atRate(rate));
-            Outcome o = again.run();
+            Simulation again = new Simulation(s, 99, DecisionEngine::new, trace.atRate(rate));
+            RunResult o = again.run();
             assertTrue(o.conserved());
             assertEquals(o.broken(), List.of());
             assertEquals(again.asked().asks().size(), trace.asks().size());
