--- a/lab/src/main/java/tinford/lab/FleetCommand.java
+++ b/lab/src/main/java/tinford/lab/FleetCommand.java
@@ -32,8 +32,8 @@
                 "Real gateways on loopback under a script of faults, with links between all; judged"
                         + " by their histories.")
 final class FleetCommand implements Callable<Integer> {
-    private static final int MOST_GATEWAYS = 64;
-    private static final int MOST_BROKEN_PRINTED = 5;
+    private static final int MAX_GATEWAYS = 64;
+    private static final int MAX_BROKEN_PRINTED = 5;
 
     @Parameters(
             index = "0",
@@ -81,9 +81,9 @@
 
     @Override
     public Integer call() throws Exception {
-        if (gateways < 1 || gateways > MOST_GATEWAYS) {
+        if (gateways < 1 || gateways > MAX_GATEWAYS) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "--gateways from 1 to " + MOST_GATEWAYS);
+                    spec.commandLine(), "--gateways from 1 to " + MAX_GATEWAYS);
         }
         FleetScript faults = FleetScript.read(script);
         Scenario scenario = faults.scenario(script, gateways);
@@ -107,7 +107,7 @@
         words.addAll(List.of("-jar", jar.toString(), "serve"));
         String template = operator == null ? null : Files.readString(operator);
         return new GatewayProgram(
-                words, Map.of(), template == null ? null : seat -> seat.fill(template), !freePeers);
+                words, Map.of(), template == null ? null : slot -> slot.fill(template), !freePeers);
     }
 
     private void print(Map<String, Double> figures, List<String> broken) {
@@ -117,7 +117,7 @@
                 broken.isEmpty()
                         ? "no rule and no promise broken"
                         : broken.size() + " broken; the first:");
-        broken.stream().limit(MOST_BROKEN_PRINTED).forEach(each -> out.println("  " + each));
+        broken.stream().limit(MAX_BROKEN_PRINTED).forEach(each -> out.println("  " + each));
         out.flush();
     }
 }
--- a/lab/src/main/java/tinford/lab/SocketsCommand.java
+++ b/lab/src/main/java/tinford/lab/SocketsCommand.java
@@ -26,7 +26,7 @@
                 "One seed on loopback sockets, against real gateways, beside the model on the same"
                         + " traffic.")
 final class SocketsCommand extends StudyCommand {
-    private static final int MOST_BROKEN_PRINTED = 5;
+    private static final int MAX_BROKEN_PRINTED = 5;
 
     @Option(names = "--jar", required = true, description = "the gateway's jar")
     Path jar;
@@ -52,7 +52,7 @@
         Played real = real(played, traffic);
         print(real.figures(), Study.means(model, level));
         real.broken().stream()
-                .limit(MOST_BROKEN_PRINTED)
+                .limit(MAX_BROKEN_PRINTED)
                 .forEach(broken -> out().println("  " + broken));
         return real.broken().isEmpty() ? exitCode(model) : Lab.RULE_BROKEN;
     }
--- a/lab/src/main/java/tinford/lab/StudyCommand.java
+++ b/lab/src/main/java/tinford/lab/StudyCommand.java
@@ -20,8 +20,8 @@
 
 /** A command that plays one scenario: the options that all of them share, and how they print. */
 abstract class StudyCommand implements Callable<Integer> {
-    private static final double MOST_RATE = 1e6;
-    private static final int MOST_RULES_PRINTED = 5;
+    private static final double MAX_RATE = 1e6;
+    private static final int MAX_RULES_PRINTED = 5;
 
     @Parameters(index = "0", paramLabel = "SCENARIO", description = "a scenario file (docs/lab.md)")
     Path scenario;
@@ -77,7 +77,7 @@
         if (runs < 1 || threads < 1 || !(level > 0 && level < 1)) {
             throw wrong("--runs and --threads from 1, --level between 0 and 1");
         }
-        if (!(rate > 0 && rate < MOST_RATE)) {
+        if (!(rate > 0 && rate < MAX_RATE)) {
             throw wrong("--rate above 0");
         }
         Scenario played = Scenario.read(scenario, changes);
@@ -128,7 +128,7 @@
         out().println("rules broken " + broken + " times; the first of each run:");
         all.stream()
                 .filter(outcome -> !outcome.broken().isEmpty())
-                .limit(MOST_RULES_PRINTED)
+                .limit(MAX_RULES_PRINTED)
                 .forEach(o -> out().println("  seed " + o.seed + ": " + o.broken().get(0)));
         return Lab.RULE_BROKEN;
     }
--- a/lab/src/main/java/tinford/lab/control/ControlCommand.java
+++ b/lab/src/main/java/tinford/lab/control/ControlCommand.java
@@ -22,7 +22,7 @@
                         + " and faults; judged by their histories.")
 public final class ControlCommand implements Callable<Integer> {
     private static final int BROKEN = 1;
-    private static final int MOST_TOLD = 5;
+    private static final int MAX_BROKEN_PRINTED = 5;
 
     /** For the start of all processes, the first configuration, settling and judging. */
     private static final double SETUP_SECONDS = 240;
@@ -161,7 +161,9 @@
     private void tell(ControlResult result) {
         PrintWriter out = spec.commandLine().getOut();
         out.println(result.summary());
-        result.broken().stream().limit(MOST_TOLD).forEach(b -> out.println("  broken: " + b));
+        result.broken().stream()
+                .limit(MAX_BROKEN_PRINTED)
+                .forEach(b -> out.println("  broken: " + b));
         result.missed().forEach(missed -> out.println("  missed: " + missed));
         out.flush();
     }
--- a/lab/src/main/java/tinford/lab/control/ControlServers.java
+++ b/lab/src/main/java/tinford/lab/control/ControlServers.java
@@ -32,7 +32,7 @@
     private static final String HOST = "127.0.0.1";
     private static final int HEAP_MB = 256;
     private static final Duration STATUS_TIMEOUT = Duration.ofSeconds(2);
-    private static final long LOOK_MS = 100;
+    private static final long POLL_INTERVAL_MS = 100;
     private final ControlSize size;
     private final Processes processes;
     private final StreamLinks links;
@@ -234,7 +234,7 @@
             if (System.nanoTime() > deadline) {
                 throw new IOException("the control servers are not ready, see " + folder);
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -38,7 +38,7 @@
     private static final String SCENARIO = "load.toml";
     private static final String MAIN_CLASS = "tinford.fleet.run.Main";
     private static final int HEAP_MB = 128;
-    private static final long LOOK_MS = 250;
+    private static final long POLL_INTERVAL_MS = 250;
     private final int gateways;
     private final Path folder;
     private final Scenario scenario;
@@ -73,11 +73,11 @@
                 new GatewayProgram(
                         words,
                         Map.of(),
-                        seat ->
+                        slot ->
                                 operatorText(
-                                        seat,
-                                        Regions.ofFollower(seat.number(), gateways),
-                                        endpoints.of(seat.number())),
+                                        slot,
+                                        Regions.ofFollower(slot.number(), gateways),
+                                        endpoints.of(slot.number())),
                         true);
         bench = new FleetBench(withoutFaults(), scenario, started, seed, folder);
     }
@@ -161,7 +161,7 @@
     }
 
     private static String operatorText(
-            GatewayProgram.Seat seat, String region, List<Endpoint> servers) {
+            GatewayProgram.GatewaySlot slot, String region, List<Endpoint> servers) {
         String list =
                 servers.stream()
                         .map(server -> "\"" + server.region() + "=" + server + "\"")
@@ -175,7 +175,7 @@
                 "fleet = \"" + ControlServers.FLEET_ID + "\"",
                 "region = \"" + region + "\"",
                 "servers = [" + list + "]",
-                "folder = \"" + seat.disk() + "\"",
+                "folder = \"" + slot.disk() + "\"",
                 "");
     }
 
@@ -223,7 +223,7 @@
                 throw new IOException(
                         "gateways did not get the configuration, see their logs in " + folder);
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
--- a/lab/src/main/java/tinford/lab/control/HeldRevisions.java
+++ b/lab/src/main/java/tinford/lab/control/HeldRevisions.java
@@ -13,7 +13,7 @@
 
 /** Which follower lives and holds which revision now, read from the histories as they grow. */
 final class HeldRevisions {
-    private static final long LOOK_MS = 50;
+    private static final long POLL_INTERVAL_MS = 50;
     private final List<HistoryTail> tails = new ArrayList<>();
     private final Map<String, Long> held = new HashMap<>();
     private final Set<String> living = new HashSet<>();
@@ -36,7 +36,7 @@
             if (System.nanoTime() > deadline) {
                 return false;
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         return true;
     }
--- a/lab/src/main/java/tinford/lab/fleet/FaultScriptRunner.java
+++ b/lab/src/main/java/tinford/lab/fleet/FaultScriptRunner.java
@@ -56,15 +56,15 @@
      */
     public void set(FleetScript script, double from) {
         for (FleetScript.Fault f : script.faults()) {
-            double after = from - ground.agenda().now() + f.at_s() * 1000;
+            double after = from - ground.events().now() + f.at_s() * 1000;
             if (f.kind() == FleetScript.Kind.GATEWAY_RESTARTED
                     && f.disk() == FleetScript.Disk.OLD) {
-                ground.agenda()
+                ground.events()
                         .after(
                                 Math.max(0, after - f.size() * 1000),
                                 () -> f.who().forEach(fleet::copyDisk));
             }
-            ground.agenda().after(after, () -> begin(f));
+            ground.events().after(after, () -> begin(f));
         }
     }
 
@@ -124,7 +124,7 @@
 
     private void later(FleetScript.Fault f, Runnable heal) {
         if (f.for_s() > 0) {
-            ground.agenda()
+            ground.events()
                     .after(
                             f.for_s() * 1000,
                             () -> {
--- a/lab/src/main/java/tinford/lab/fleet/FleetBench.java
+++ b/lab/src/main/java/tinford/lab/fleet/FleetBench.java
@@ -28,7 +28,7 @@
     private final Processes processes;
     private final FleetLinks links;
     private final SocketBench bench;
-    private final FaultScriptRunner troubles;
+    private final FaultScriptRunner faultScript;
     private final Parties parties = new Parties();
     private volatile double began; // by the clock of the histories
 
@@ -45,7 +45,7 @@
             Map<String, String> environment = new TreeMap<>(program.environment());
             environment.put("ROUTER_CONFIG", config.toString());
             environment.put("TINFORD_HISTORY", lines.toString());
-            GatewayProgram.Seat seat = seat(gateway);
+            GatewayProgram.GatewaySlot seat = seat(gateway);
             if (program.operator() != null) {
                 Path file = its.resolve("fleet.json");
                 Files.writeString(file, program.operator().text(seat));
@@ -174,7 +174,7 @@
             processes.close();
             throw e;
         }
-        troubles =
+        faultScript =
                 new FaultScriptRunner(bench, parties, new RandomStreams(seed).of("fleet faults"));
         bench.retries(s.clients().retries());
         bench.onBegin(
@@ -192,7 +192,7 @@
                                                         "offer",
                                                         script.offer()));
                     }
-                    bench.post(() -> troubles.set(script, from));
+                    bench.post(() -> faultScript.set(script, from));
                 });
     }
 
@@ -211,8 +211,8 @@
     }
 
     /** Where a gateway sits: all addresses that it is told are those of links. */
-    public GatewayProgram.Seat seat(int gateway) throws IOException {
-        return new GatewayProgram.Seat(
+    public GatewayProgram.GatewaySlot seat(int gateway) throws IOException {
+        return new GatewayProgram.GatewaySlot(
                 gateway,
                 bench.gateways(),
                 processes.of(gateway),
--- a/lab/src/main/java/tinford/lab/fleet/GatewayProgram.java
+++ b/lab/src/main/java/tinford/lab/fleet/GatewayProgram.java
@@ -19,7 +19,7 @@
         List<String> words, Map<String, String> environment, Operator operator, boolean peers) {
     /** Makes an operator file. */
     public interface Operator {
-        String text(Seat seat) throws IOException;
+        String text(GatewaySlot seat) throws IOException;
     }
 
     /**
@@ -29,7 +29,7 @@
      *     links' addresses, its own its own
      * @param memberListen where streams of a log reach it; {@code members} by number likewise
      */
-    public record Seat(
+    public record GatewaySlot(
             int number,
             int gateways,
             Path folder,
--- a/lab/src/main/java/tinford/lab/fleet/History.java
+++ b/lab/src/main/java/tinford/lab/fleet/History.java
@@ -20,7 +20,7 @@
  */
 public final class History implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MOST = 5_000_000;
+    private static final int MAX_LINE_BYTES = 5_000_000;
     private final BufferedWriter out;
 
     /**
@@ -130,8 +130,9 @@
                     if (n != null) {
                         all.add(parse(n));
                     }
-                    if (all.size() > MOST) {
-                        throw new IOException(f + ": expected at most " + MOST + " lines");
+                    if (all.size() > MAX_LINE_BYTES) {
+                        throw new IOException(
+                                f + ": expected at most " + MAX_LINE_BYTES + " lines");
                     }
                 }
             }
--- a/lab/src/main/java/tinford/lab/fleet/HistoryJudge.java
+++ b/lab/src/main/java/tinford/lab/fleet/HistoryJudge.java
@@ -11,8 +11,8 @@
  * lines say.
  */
 public final class HistoryJudge {
-    private static final int MOST_KEPT = 20; // of each promise
-    private static final int MOST_TOLD = 10; // lines of a story
+    private static final int MAX_BROKEN_KEPT = 20; // of each promise
+    private static final int MAX_LINES_PRINTED = 10; // lines of a story
     private final Map<String, Promise> promises;
     private final IncarnationTracker lives = new IncarnationTracker();
     private final List<Breach> breaches = new ArrayList<>();
@@ -26,7 +26,7 @@
         public String story(double began) {
             StringBuilder s = new StringBuilder(promise + ": " + what);
             List<History.Line> last =
-                    lines.subList(Math.max(0, lines.size() - MOST_TOLD), lines.size());
+                    lines.subList(Math.max(0, lines.size() - MAX_LINES_PRINTED), lines.size());
             if (last.size() < lines.size()) {
                 s.append("\n    ... ").append(lines.size() - last.size()).append(" lines before");
             }
@@ -84,7 +84,7 @@
                                 l,
                                 lives,
                                 (what, story) -> {
-                                    if (counts.merge(name, 1, Integer::sum) <= MOST_KEPT) {
+                                    if (counts.merge(name, 1, Integer::sum) <= MAX_BROKEN_KEPT) {
                                         breaches.add(new Breach(name, what, List.copyOf(story)));
                                     }
                                 }));
--- a/lab/src/main/java/tinford/lab/fleet/ProbeRatePromise.java
+++ b/lab/src/main/java/tinford/lab/fleet/ProbeRatePromise.java
@@ -10,7 +10,7 @@
     private static final double SPAN = 1000;
     private static final double FOUND = 2000; // ms by which a fleet has found it ill
     private final double most;
-    private final Map<String, Double> ill = new HashMap<>();
+    private final Map<String, Double> unhealthy = new HashMap<>();
     private final Map<String, ArrayDeque<History.Line>> recent = new HashMap<>();
 
     ProbeRatePromise(double most) {
@@ -21,16 +21,16 @@
     public void see(History.Line l, IncarnationTracker lives, Finds finds) {
         String server = l.text("server");
         switch (l.kind()) {
-            case "ill" -> ill.put(server, l.at());
+            case "ill" -> unhealthy.put(server, l.at());
             case "well" -> {
-                ill.remove(server);
+                unhealthy.remove(server);
                 recent.remove(server + " dispatch");
                 recent.remove(server + " try");
             }
             // a dead server sees nothing: gateways tell what they tried there
             case "dispatch", "try" -> {
-                if (l.at() - ill.getOrDefault(server, Double.POSITIVE_INFINITY) < FOUND
-                        || !ill.containsKey(server)) {
+                if (l.at() - unhealthy.getOrDefault(server, Double.POSITIVE_INFINITY) < FOUND
+                        || !unhealthy.containsKey(server)) {
                     return;
                 }
                 ArrayDeque<History.Line> its =
@@ -45,7 +45,7 @@
                                     + " tries within a second at "
                                     + server
                                     + ", ill for "
-                                    + Math.round(l.at() - ill.get(server))
+                                    + Math.round(l.at() - unhealthy.get(server))
                                     + " ms",
                             List.copyOf(its));
                 }
--- a/lab/src/main/java/tinford/lab/fleet/Promise.java
+++ b/lab/src/main/java/tinford/lab/fleet/Promise.java
@@ -9,5 +9,5 @@
         void breach(String what, List<History.Line> story);
     }
 
-    void see(History.Line l, IncarnationTracker lives, Finds finds);
+    void see(History.Line l, IncarnationTracker incarnations, Finds finds);
 }
--- a/lab/src/main/java/tinford/lab/model/ClientAttempt.java
+++ b/lab/src/main/java/tinford/lab/model/ClientAttempt.java
@@ -15,8 +15,8 @@
     final double arrived;
     private final LongSupplier gateway; // which life the gateway that took it is in
     final long life;
-    public final List<Hop> hops = new ArrayList<>(1);
-    private final List<String> told = new ArrayList<>(4);
+    public final List<ServerVisit> visits = new ArrayList<>(1);
+    private final List<String> events = new ArrayList<>(4);
     int answers;
     boolean left;
     boolean over;
@@ -45,13 +45,13 @@
     }
 
     /** A dispatch, as the wires show it. */
-    public static final class Hop {
+    public static final class ServerVisit {
         final ServerMachine to;
         final double at;
         ServerMachine.Visit visit;
         public AttemptOutcome end;
 
-        public Hop(ServerMachine to, double at) {
+        public ServerVisit(ServerMachine to, double at) {
             this.to = to;
             this.at = at;
         }
@@ -77,15 +77,15 @@
     }
 
     boolean mayHaveRun() {
-        return hops.stream().anyMatch(h -> h.end == null || h.end.mayHaveRun);
+        return visits.stream().anyMatch(h -> h.end == null || h.end.mayHaveRun);
     }
 
     boolean gatewayGone() {
         return gateway.getAsLong() != life;
     }
 
-    void tell(double now, String what) {
-        told.add(Math.round(now - arrived) + " ms " + what);
+    void record(double now, String what) {
+        events.add(Math.round(now - arrived) + " ms " + what);
     }
 
     String story() {
@@ -96,6 +96,6 @@
                 + ", "
                 + tenant.plan.name
                 + "): "
-                + String.join(", ", told);
+                + String.join(", ", events);
     }
 }
--- a/lab/src/main/java/tinford/lab/model/CounterStore.java
+++ b/lab/src/main/java/tinford/lab/model/CounterStore.java
@@ -10,7 +10,7 @@
 
 /** The counter: numbers by name, each kept for a time, on parts that serve their calls in turn. */
 public final class CounterStore {
-    private final EventQueue agenda;
+    private final EventQueue events;
     private final Part[] parts;
     private final ContinuousSampler takes;
     private final int most;
@@ -27,7 +27,7 @@
             Runnable call = line.poll();
             busy = call != null;
             if (busy) {
-                agenda.after(
+                events.after(
                         takes.sample() * slower,
                         () -> {
                             call.run();
@@ -41,7 +41,7 @@
      * @param most calls that wait at one part
      */
     public CounterStore(EventQueue agenda, int parts, ContinuousSampler takes, int most) {
-        this.agenda = agenda;
+        this.events = agenda;
         this.parts = new Part[parts];
         for (int i = 0; i < parts; i++) {
             this.parts[i] = new Part();
@@ -71,8 +71,8 @@
         p.line.add(
                 () -> {
                     double[] had = p.held.get(name);
-                    if (had == null || had[1] < agenda.now()) {
-                        had = new double[] {0, agenda.now() + Math.min(60_000, keep)};
+                    if (had == null || had[1] < events.now()) {
+                        had = new double[] {0, events.now() + Math.min(60_000, keep)};
                         p.held.put(name, had);
                     }
                     had[0] += amount;
@@ -90,7 +90,7 @@
     public long held() {
         return Arrays.stream(parts)
                 .flatMap(p -> p.held.values().stream())
-                .filter(entry -> entry[1] >= agenda.now())
+                .filter(entry -> entry[1] >= events.now())
                 .count();
     }
 
--- a/lab/src/main/java/tinford/lab/model/FaultInjector.java
+++ b/lab/src/main/java/tinford/lab/model/FaultInjector.java
@@ -19,7 +19,7 @@
 
     /** What faults are done to. */
     public interface Ground {
-        EventQueue agenda();
+        EventQueue events();
 
         Collection<ServerMachine> machines();
 
@@ -44,7 +44,7 @@
 
     public static void begin(Scenario.Fault f, Ground on, UniformRandomProvider draw) {
         double ms = f.for_s() * 1000;
-        EventQueue agenda = on.agenda();
+        EventQueue agenda = on.events();
         switch (f.kind()) {
             case SERVERS_DIE ->
                     some(on.machines(), f.part(), draw).forEach(m -> restart(m, ms, on));
@@ -134,7 +134,7 @@
     /** It is down for a time, and back cold. */
     private static void restart(ServerMachine m, double ms, Ground on) {
         m.die();
-        on.agenda()
+        on.events()
                 .after(
                         ms,
                         () -> {
--- a/lab/src/main/java/tinford/lab/model/GatewayNode.java
+++ b/lab/src/main/java/tinford/lab/model/GatewayNode.java
@@ -19,40 +19,40 @@
  */
 final class GatewayNode implements GatewayActions {
     final int number;
-    private final Simulation world;
-    private final DecisionModule.Factory maker;
+    private final Simulation simulation;
+    private final DecisionModule.Factory factory;
     private final Map<String, Server> servers = new HashMap<>();
-    private final Map<String, Double> drainToldAt = new HashMap<>();
-    private final Map<ServerMachine, Server.State> missed =
+    private final Map<String, Double> drainNotifiedAtMs = new HashMap<>();
+    private final Map<ServerMachine, Server.State> missedUpdates =
             new LinkedHashMap<>(); // told while it was down: what each came to last
-    private List<Consumer<GatewayEvents>> came = new ArrayList<>();
+    private List<Consumer<GatewayEvents>> pendingEvents = new ArrayList<>();
     private DecisionModule gateway;
-    private long life;
-    private boolean due;
+    private long incarnation;
+    private boolean batchScheduled;
     boolean up;
-    boolean cutOff; // from the counter
-    long rounds;
+    boolean disconnectedFromCounter; // from the counter
+    long batches;
 
     GatewayNode(Simulation world, int number, DecisionModule.Factory maker) {
-        this.world = world;
+        this.simulation = world;
         this.number = number;
-        this.maker = maker;
+        this.factory = maker;
     }
 
-    long life() {
-        return life;
+    long incarnation() {
+        return incarnation;
     }
 
     /**
      * From nothing, but for the list that it had last; what changed since it hears in its own time.
      */
     void start(long seed) {
-        life++;
+        incarnation++;
         up = true;
-        came = new ArrayList<>();
-        due = false;
-        gateway = world.make(maker, seed, number);
-        input(GatewayEvents::started);
+        pendingEvents = new ArrayList<>();
+        batchScheduled = false;
+        gateway = simulation.createModule(factory, seed, number);
+        addEvent(GatewayEvents::started);
         List<Server> known = new ArrayList<>();
         for (Server old : servers.values()) {
             Server s = copy(old);
@@ -60,15 +60,18 @@
         }
         known.forEach(s -> servers.put(s.id, s));
         if (known.isEmpty()) {
-            world.machines().forEach(m -> servers.put(m.id, entry(m, Server.State.UP)));
+            simulation
+                    .machines()
+                    .forEach(machine -> servers.put(machine.id, entry(machine, Server.State.UP)));
         }
         List<Server> all =
                 servers.values().stream().sorted((a, b) -> a.id.compareTo(b.id)).toList();
-        input(in -> in.endpointsUpdated(all, true));
-        Map<ServerMachine, Server.State> late = new LinkedHashMap<>(missed);
-        missed.clear();
+        addEvent(in -> in.endpointsUpdated(all, true));
+        Map<ServerMachine, Server.State> late = new LinkedHashMap<>(missedUpdates);
+        missedUpdates.clear();
         if (!late.isEmpty()) {
-            world.agenda.after(world.lateness(), () -> late.forEach(this::listed));
+            simulation.events.after(
+                    simulation.lateness(), () -> late.forEach(this::endpointChanged));
         }
     }
 
@@ -80,160 +83,168 @@
         return s;
     }
 
-    private static Server entry(ServerMachine m, Server.State state) {
-        Server s = new Server(m.id);
-        s.updateAttributes(m.zone, m.cell, "", 1);
+    private static Server entry(ServerMachine machine, Server.State state) {
+        Server s = new Server(machine.id);
+        s.updateAttributes(machine.zone, machine.cell, "", 1);
         s.updateState(state);
-        s.updateStartTime(m.born);
+        s.updateStartTime(machine.born);
         return s;
     }
 
     void kill() {
-        life++;
+        incarnation++;
         up = false;
         gateway = null;
     }
 
     /** Plays it with all else that has come by the next tick. */
-    private void input(Consumer<GatewayEvents> call) {
-        came.add(call);
-        if (!due) {
-            due = true;
-            long mine = life;
-            double tick = world.tick();
-            double now = world.agenda.now();
-            world.agenda.after(
+    private void addEvent(Consumer<GatewayEvents> call) {
+        pendingEvents.add(call);
+        if (!batchScheduled) {
+            batchScheduled = true;
+            long mine = incarnation;
+            double tick = simulation.tick();
+            double now = simulation.events.now();
+            simulation.events.after(
                     Math.ceil(now / tick + 1e-9) * tick - now,
                     () -> {
-                        if (mine == life) {
-                            round();
+                        if (mine == incarnation) {
+                            handleBatch();
                         }
                     });
         }
     }
 
-    private void round() {
-        due = false;
-        rounds++;
-        List<Consumer<GatewayEvents>> now = came;
-        came = new ArrayList<>();
-        gateway.handleBatch(world.agenda.now(), in -> now.forEach(c -> c.accept(in)), this);
+    private void handleBatch() {
+        batchScheduled = false;
+        batches++;
+        List<Consumer<GatewayEvents>> now = pendingEvents;
+        pendingEvents = new ArrayList<>();
+        gateway.handleBatch(simulation.events.now(), in -> now.forEach(c -> c.accept(in)), this);
     }
 
     /** Only while this very process lives. */
-    private void later(double ms, Consumer<GatewayEvents> call) {
-        long mine = life;
-        world.agenda.after(
+    private void scheduleEvent(double ms, Consumer<GatewayEvents> call) {
+        long mine = incarnation;
+        simulation.events.after(
                 ms,
                 () -> {
-                    if (mine == life && up) {
-                        input(call);
+                    if (mine == incarnation && up) {
+                        addEvent(call);
                     }
                 });
     }
 
-    void arrive(ClientAttempt t) {
-        input(in -> in.requestArrived(t));
+    void requestArrived(ClientAttempt attempt) {
+        addEvent(in -> in.requestArrived(attempt));
     }
 
-    void left(ClientAttempt t) {
-        if (t.life == life && !t.over) {
-            t.over = true;
-            t.left = true;
-            input(in -> in.clientDisconnected(t));
+    void clientLeft(ClientAttempt attempt) {
+        if (attempt.life == incarnation && !attempt.over) {
+            attempt.over = true;
+            attempt.left = true;
+            addEvent(in -> in.clientDisconnected(attempt));
         }
     }
 
     /** Discovery's word of one server. */
-    void listed(ServerMachine m, Server.State state) {
+    void endpointChanged(ServerMachine machine, Server.State state) {
         if (!up) {
-            missed.put(m, state);
+            missedUpdates.put(machine, state);
             return;
         }
-        Server s = servers.computeIfAbsent(m.id, id -> entry(m, state));
+        Server s = servers.computeIfAbsent(machine.id, id -> entry(machine, state));
         s.updateState(state);
-        s.updateStartTime(m.born);
+        s.updateStartTime(machine.born);
         if (state == Server.State.UP) {
-            drainToldAt.remove(m.id);
+            drainNotifiedAtMs.remove(machine.id);
         } else {
-            drainToldAt.putIfAbsent(m.id, world.agenda.now());
+            drainNotifiedAtMs.putIfAbsent(machine.id, simulation.events.now());
         }
         if (state == Server.State.REMOVED) {
-            servers.remove(m.id);
+            servers.remove(machine.id);
         }
-        input(in -> in.endpointsUpdated(List.of(s), false));
+        addEvent(in -> in.endpointsUpdated(List.of(s), false));
     }
 
     @Override
-    public void sendAttempt(Request request, Server srv, double cap, double within) {
-        ClientAttempt t = (ClientAttempt) request;
-        double now = world.agenda.now();
-        ServerMachine m = world.machine(srv.id);
-        boolean told = srv.startedAtMs() == m.born;
-        int no = t.hops.size();
-        boolean first = t.hops.isEmpty();
-        world.oracle.dispatched(
-                t, m, now, drainToldAt.getOrDefault(m.id, Double.POSITIVE_INFINITY), first);
+    public void sendAttempt(Request request, Server server, double cap, double within) {
+        ClientAttempt attempt = (ClientAttempt) request;
+        double now = simulation.events.now();
+        ServerMachine machine = simulation.machine(server.id);
+        boolean answered = server.startedAtMs() == machine.born;
+        int number = attempt.visits.size();
+        boolean first = attempt.visits.isEmpty();
+        simulation.oracle.dispatched(
+                attempt,
+                machine,
+                now,
+                drainNotifiedAtMs.getOrDefault(machine.id, Double.POSITIVE_INFINITY),
+                first);
         if (first) {
-            world.sentOn(t);
+            simulation.sentOn(attempt);
         }
-        ClientAttempt.Hop hop = new ClientAttempt.Hop(m, now);
-        t.hops.add(hop);
-        double left = t.deadlineMs - world.agenda.now();
+        ClientAttempt.ServerVisit visit = new ClientAttempt.ServerVisit(machine, now);
+        attempt.visits.add(visit);
+        double left = attempt.deadlineMs - simulation.events.now();
         double wait = cap == 0 ? left : Math.min(cap, left);
-        hop.visit =
+        visit.visit =
                 new ServerMachine.Visit(
-                        t.work,
+                        attempt.work,
                         end -> {
                             if (end == AttemptOutcome.SUCCESS) {
-                                world.ran(t);
+                                simulation.ran(attempt);
                             }
-                            world.agenda.after(world.oneWay(), () -> ends(t, no, end));
+                            simulation.events.after(
+                                    simulation.oneWay(), () -> endAttempt(attempt, number, end));
                         });
-        world.agenda.after(
-                world.oneWay(),
+        simulation.events.after(
+                simulation.oneWay(),
                 () -> {
-                    if (hop.end == null || hop.end == AttemptOutcome.TIMED_OUT) {
-                        world.reaches(m, t, hop.visit, told);
+                    if (visit.end == null || visit.end == AttemptOutcome.TIMED_OUT) {
+                        simulation.reaches(machine, attempt, visit.visit, answered);
                     }
                 });
-        world.agenda.after(
+        simulation.events.after(
                 wait,
                 () -> {
-                    if (hop.end == null) {
-                        m.withdraw(hop.visit);
-                        ends(t, no, AttemptOutcome.TIMED_OUT);
+                    if (visit.end == null) {
+                        machine.withdraw(visit.visit);
+                        endAttempt(attempt, number, AttemptOutcome.TIMED_OUT);
                     }
                 });
     }
 
-    private void ends(ClientAttempt t, int no, AttemptOutcome how) {
-        ClientAttempt.Hop hop = t.hops.get(no);
-        if (hop.end != null) {
+    private void endAttempt(ClientAttempt attempt, int number, AttemptOutcome outcome) {
+        ClientAttempt.ServerVisit visit = attempt.visits.get(number);
+        if (visit.end != null) {
             return;
         }
-        hop.end = how;
-        if (t.gatewayGone()) {
+        visit.end = outcome;
+        if (attempt.gatewayGone()) {
             return;
         }
-        double now = world.agenda.now();
-        t.tell(now, "hop " + no + " " + how);
-        if (how == AttemptOutcome.SUCCESS && !t.over) {
-            t.over = true;
-            world.oracle.answered(t, "passed", now);
-            world.answer(t, "passed", 0);
+        double now = simulation.events.now();
+        attempt.record(now, "hop " + number + " " + outcome);
+        if (outcome == AttemptOutcome.SUCCESS && !attempt.over) {
+            attempt.over = true;
+            simulation.oracle.answered(attempt, "passed", now);
+            simulation.answer(attempt, "passed", 0);
         }
-        boolean closed = t.over;
-        input(in -> in.attemptEnded(t, no, how, now - hop.at, closed, 0, 0, null));
+        boolean closed = attempt.over;
+        addEvent(
+                in ->
+                        in.attemptEnded(
+                                attempt, number, outcome, now - visit.at, closed, 0, 0, null));
     }
 
     @Override
-    public void cancelAttempt(Request request, int no) {
-        ClientAttempt t = (ClientAttempt) request;
-        ClientAttempt.Hop hop = t.hops.get(no);
-        if (hop.end == null) {
-            hop.to.withdraw(hop.visit);
-            world.agenda.after(0, () -> ends(t, no, AttemptOutcome.CANCELLED));
+    public void cancelAttempt(Request request, int number) {
+        ClientAttempt attempt = (ClientAttempt) request;
+        ClientAttempt.ServerVisit visit = attempt.visits.get(number);
+        if (visit.end == null) {
+            visit.to.withdraw(visit.visit);
+            simulation.events.after(0, () -> endAttempt(attempt, number, AttemptOutcome.CANCELLED));
         }
     }
 
@@ -247,44 +258,44 @@
         finish((ClientAttempt) request, "aborted", 0);
     }
 
-    private void finish(ClientAttempt t, String answer, double retryAfter) {
-        world.oracle.answered(t, answer, world.agenda.now());
-        if (!t.over) {
-            t.over = true;
-            world.answer(t, answer, retryAfter);
+    private void finish(ClientAttempt attempt, String answer, double retryAfter) {
+        simulation.oracle.answered(attempt, answer, simulation.events.now());
+        if (!attempt.over) {
+            attempt.over = true;
+            simulation.answer(attempt, answer, retryAfter);
         }
     }
 
     @Override
     public void setTimer(long token, double wait) {
-        later(wait, in -> in.timerFired(token));
+        scheduleEvent(wait, in -> in.timerFired(token));
     }
 
     @Override
-    public void sendHealthCheck(Server srv) {
-        later(0, in -> in.healthCheckEnded(srv, AttemptOutcome.NOT_SENT, 0, null));
+    public void sendHealthCheck(Server server) {
+        scheduleEvent(0, in -> in.healthCheckEnded(server, AttemptOutcome.NOT_SENT, 0, null));
     }
 
     @Override
-    public void closeIdleConnections(Server srv) {} // connections cost nothing in this model
+    public void closeIdleConnections(Server server) {} // connections cost nothing in this model
 
     @Override
     public void sendGossip(int peer, String text) {} // gateways do not talk in this model
 
     @Override
     public void incrementCounter(long name, double amount, double keep) {
-        double at = world.agenda.now();
-        boolean[] told = {false};
-        world.counted();
+        double at = simulation.events.now();
+        boolean[] answered = {false};
+        simulation.counted();
         Consumer<double[]> answer =
                 found -> {
-                    if (!told[0]) {
-                        told[0] = true;
-                        double took = world.agenda.now() - at;
-                        AttemptOutcome how = AttemptOutcome.values()[(int) found[0]];
-                        input(in -> in.counterAnswered(name, how, took, found[1]));
+                    if (!answered[0]) {
+                        answered[0] = true;
+                        double took = simulation.events.now() - at;
+                        AttemptOutcome outcome = AttemptOutcome.values()[(int) found[0]];
+                        addEvent(in -> in.counterAnswered(name, outcome, took, found[1]));
                     } else if (found[0] == AttemptOutcome.SUCCESS.ordinal()) {
-                        input(
+                        addEvent(
                                 in -> {
                                     try {
                                         in.counterAnsweredLate(name, found[1]);
@@ -295,33 +306,35 @@
                                 });
                     }
                 };
-        long mine = life;
-        world.agenda.after(
-                world.oneWayToCounter(),
+        long mine = incarnation;
+        simulation.events.after(
+                simulation.oneWayToCounter(),
                 () -> {
-                    if (!cutOff) {
-                        world.store.add(
+                    if (!disconnectedFromCounter) {
+                        simulation.store.add(
                                 name,
                                 amount,
                                 keep,
-                                (how, total) ->
-                                        world.agenda.after(
-                                                world.oneWayToCounter(),
+                                (outcome, total) ->
+                                        simulation.events.after(
+                                                simulation.oneWayToCounter(),
                                                 () -> {
-                                                    if (mine == life && up && !cutOff) {
+                                                    if (mine == incarnation
+                                                            && up
+                                                            && !disconnectedFromCounter) {
                                                         answer.accept(
                                                                 new double[] {
-                                                                    how.ordinal(), total
+                                                                    outcome.ordinal(), total
                                                                 });
                                                     }
                                                 }));
                     }
                 });
-        world.agenda.after(
-                world.counterTimeout(),
+        simulation.events.after(
+                simulation.counterTimeout(),
                 () -> {
-                    if (mine == life && up && !told[0]) {
-                        world.unanswered();
+                    if (mine == incarnation && up && !answered[0]) {
+                        simulation.unanswered();
                         answer.accept(new double[] {AttemptOutcome.TIMED_OUT.ordinal(), 0});
                     }
                 });
--- a/lab/src/main/java/tinford/lab/model/Oracle.java
+++ b/lab/src/main/java/tinford/lab/model/Oracle.java
@@ -14,7 +14,7 @@
  * decisions think.
  */
 public final class Oracle {
-    private static final int MOST_KEPT = 50;
+    private static final int MAX_BREAKS_KEPT = 50;
     private static final double SLACK = 50; // for what is on its way
     private final double grace;
     private final SlowStartBudget cold;
@@ -45,14 +45,14 @@
 
     private void breaks(String rule, ClientAttempt t, String what) {
         count++;
-        if (broken.size() < MOST_KEPT) {
+        if (broken.size() < MAX_BREAKS_KEPT) {
             broken.add(rule + ": " + what + (t == null ? "" : "; " + t.story()));
         }
     }
 
     /** The final answer of a request, as it leaves its gateway. */
     public void answered(ClientAttempt t, String answer, double now) {
-        t.tell(now, answer);
+        t.record(now, answer);
         if (t.answers++ > 0) {
             breaks("lost", t, "a second final answer");
         } else if (now > t.deadlineMs + SLACK && !t.left && !t.gatewayGone()) {
@@ -80,7 +80,7 @@
     /** A dispatch leaves its gateway. */
     public void dispatched(
             ClientAttempt t, ServerMachine m, double now, double toldAt, boolean first) {
-        t.tell(now, "dispatch " + t.hops.size() + " to " + m.id);
+        t.record(now, "dispatch " + t.visits.size() + " to " + m.id);
         if (t.answers > 0) {
             breaks("lost", t, "a dispatch after the final answer");
         }
@@ -94,7 +94,7 @@
                             + m.id
                             + " was told");
         }
-        for (ClientAttempt.Hop h : t.hops) {
+        for (ClientAttempt.ServerVisit h : t.visits) {
             boolean may = h.end == null || h.end.mayHaveRun;
             if (h.end == null) {
                 breaks("effect", t, "two dispatches out at once");
--- a/lab/src/main/java/tinford/lab/model/ServerMachine.java
+++ b/lab/src/main/java/tinford/lab/model/ServerMachine.java
@@ -17,7 +17,7 @@
     public final String zone;
     public final int cell;
     final int cores;
-    private final EventQueue agenda;
+    private final EventQueue events;
     private final int room;
     private final double speed;
     private final double coldFrom;
@@ -56,7 +56,7 @@
             double speed,
             double coldFrom,
             double coldTime) {
-        this.agenda = agenda;
+        this.events = agenda;
         this.id = id;
         this.zone = zone;
         this.cell = cell;
@@ -80,12 +80,12 @@
     }
 
     boolean cold() {
-        return born > 0 && agenda.now() - born < coldTime;
+        return born > 0 && events.now() - born < coldTime;
     }
 
     /** Work of a fresh core that it can do in a millisecond now. */
     double capacity() {
-        double age = coldTime <= 0 ? 1 : Math.min(1, (agenda.now() - born) / coldTime);
+        double age = coldTime <= 0 ? 1 : Math.min(1, (events.now() - born) / coldTime);
         return cores * speed * (born > 0 ? coldFrom + (1 - coldFrom) * age : 1) / slower;
     }
 
@@ -103,9 +103,9 @@
 
     private void begin(Visit v) {
         working.add(v);
-        v.began = agenda.now();
+        v.began = events.now();
         double takes = v.work * cores / capacity();
-        agenda.after(takes, () -> done(v));
+        events.after(takes, () -> done(v));
     }
 
     private void done(Visit v) {
@@ -114,7 +114,7 @@
         }
         v.over = true;
         working.remove(v);
-        busy += agenda.now() - v.began;
+        busy += events.now() - v.began;
         if (!hangs) {
             v.then.accept(AttemptOutcome.SUCCESS);
         }
@@ -145,7 +145,7 @@
     public void start() {
         up = true;
         hangs = false;
-        born = agenda.now();
+        born = events.now();
     }
 
     /**
--- a/lab/src/main/java/tinford/lab/model/Simulation.java
+++ b/lab/src/main/java/tinford/lab/model/Simulation.java
@@ -16,30 +16,30 @@
 /** One run: the parties of a scenario, put together, with what goes wrong, from start to end. */
 public final class Simulation implements FaultInjector.Ground {
     /** When a run begins, ms: no party's clock begins at nought. */
-    public static final double START = 1_000_000;
+    public static final double START_MS = 1_000_000;
 
-    private static final double SETTLES =
+    private static final double SETTLE_TIMEOUTS =
             2; // times the longest timeout that is waited for the last answers
-    private static final double NOTICE =
+    private static final double DEAD_GATEWAY_NOTICE_MS =
             2000; // requests that would come to a dead gateway go on coming so long
-    final EventQueue agenda = new EventQueue(START);
+    final EventQueue events = new EventQueue(START_MS);
     final Oracle oracle;
     final CounterStore store;
-    private final Scenario s;
-    private final RandomStreams streams;
-    private final UniformRandomProvider wires;
-    private final UniformRandomProvider callers;
-    private final UniformRandomProvider seeds;
+    private final Scenario scenario;
+    private final RandomStreams randomStreams;
+    private final UniformRandomProvider networkRandom;
+    private final UniformRandomProvider clientRandom;
+    private final UniformRandomProvider gatewaySeeds;
     private final Map<String, ServerMachine> machines = new LinkedHashMap<>();
-    private final List<GatewayNode> nodes = new ArrayList<>();
-    private final List<RequestClass> frontends = new ArrayList<>();
+    private final List<GatewayNode> gateways = new ArrayList<>();
+    private final List<RequestClass> requestClasses = new ArrayList<>();
     private final Map<RequestClass, ContinuousSampler> work = new HashMap<>();
-    private final TenantPopulation customers;
+    private final TenantPopulation tenants;
     private final Map<Tenant, TokenBucket> offered = new HashMap<>();
     private final Map<Tenant, TokenBucket> used = new HashMap<>();
     private final RunResult outcome;
     private final Trace trace;
-    private final List<Trace.Ask> asked = new ArrayList<>();
+    private final List<Trace.Ask> firstRequests = new ArrayList<>();
     private double rise = 1;
     private double counterAway;
     private long ids;
@@ -54,12 +54,12 @@
      */
     public Simulation(Scenario s, long seed, DecisionModule.Factory maker, Trace trace) {
         this.trace = trace;
-        this.s = s;
-        this.streams = new RandomStreams(seed);
+        this.scenario = s;
+        this.randomStreams = new RandomStreams(seed);
         this.outcome = new RunResult(seed);
-        this.wires = streams.of("wires");
-        this.callers = streams.of("callers");
-        this.seeds = streams.of("gateways");
+        this.networkRandom = randomStreams.of("wires");
+        this.clientRandom = randomStreams.of("callers");
+        this.gatewaySeeds = randomStreams.of("gateways");
         this.oracle =
                 new Oracle(
                         s.rules().drain_grace(),
@@ -68,11 +68,12 @@
                         s.meanWork());
         this.store =
                 new CounterStore(
-                        agenda,
+                        events,
                         s.counter().parts(),
-                        ZigguratSampler.Exponential.of(streams.of("counter"), s.counter().takes()),
+                        ZigguratSampler.Exponential.of(
+                                randomStreams.of("counter"), s.counter().takes()),
                         s.counter().line());
-        UniformRandomProvider speeds = streams.of("speeds");
+        UniformRandomProvider speeds = randomStreams.of("speeds");
         for (int i = 0; i < s.servers().count(); i++) {
             double speed =
                     s.servers().speed()
@@ -81,7 +82,7 @@
             machines.put(
                     id,
                     new ServerMachine(
-                            agenda,
+                            events,
                             id,
                             s.servers().zones().get(i % s.servers().zones().size()),
                             i % 8,
@@ -103,80 +104,85 @@
                             DeduplicationScope.CELL,
                             f.repeat_window(),
                             false);
-            frontends.add(made);
-            work.put(made, f.dist().of(streams.of("work " + f.name()), f.work(), f.cv()));
+            requestClasses.add(made);
+            work.put(made, f.dist().of(randomStreams.of("work " + f.name()), f.work(), f.cv()));
         }
-        customers = new TenantPopulation(s, streams.of("customers"));
+        tenants = new TenantPopulation(s, randomStreams.of("customers"));
         for (int i = 0; i < s.gateways(); i++) {
-            nodes.add(new GatewayNode(this, i, maker));
+            gateways.add(new GatewayNode(this, i, maker));
         }
     }
 
     public RunResult run() {
-        for (GatewayNode n : nodes) {
-            n.start(seeds.nextLong());
+        for (GatewayNode n : gateways) {
+            n.start(gatewaySeeds.nextLong());
         }
-        double end = START + s.length_s() * 1000;
-        double mean = (1 + s.clients().largest()) / 2;
+        double end = START_MS + scenario.length_s() * 1000;
+        double mean = (1 + scenario.clients().largest()) / 2;
         ContinuousSampler gap =
                 ZigguratSampler.Exponential.of(
-                        streams.of("arrivals"), mean / customers.unitsPerMs());
+                        randomStreams.of("arrivals"), mean / tenants.unitsPerMs());
         if (trace == null) {
-            arrive(gap, streams.of("asked"), end);
+            arrive(gap, randomStreams.of("asked"), end);
         } else {
-            replay(0, streams.of("asked"), end);
+            replay(0, randomStreams.of("asked"), end);
         }
-        UniformRandomProvider faults = streams.of("faults");
-        for (Scenario.Fault f : s.faults()) {
-            agenda.after(f.at_s() * 1000, () -> FaultInjector.begin(f, this, faults));
+        UniformRandomProvider faults = randomStreams.of("faults");
+        for (Scenario.Fault f : scenario.faults()) {
+            events.after(f.at_s() * 1000, () -> FaultInjector.begin(f, this, faults));
         }
-        double longest = frontends.stream().mapToDouble(f -> f.timeoutMs).max().orElse(0);
-        agenda.run(end);
+        double longest = requestClasses.stream().mapToDouble(f -> f.timeoutMs).max().orElse(0);
+        events.run(end);
         double busy = machines.values().stream().mapToDouble(m -> m.busy).sum();
-        outcome.load = busy / (s.length_s() * 1000 * s.servers().count() * s.servers().cores());
-        agenda.run(end + SETTLES * longest);
+        outcome.load =
+                busy
+                        / (scenario.length_s()
+                                * 1000
+                                * scenario.servers().count()
+                                * scenario.servers().cores());
+        events.run(end + SETTLE_TIMEOUTS * longest);
         outcome.broken = Collections.unmodifiableList(oracle.broken());
         outcome.brokenCount = oracle.count();
-        outcome.things = agenda.done();
-        outcome.cold(oracle.cold(), START);
+        outcome.things = events.done();
+        outcome.cold(oracle.cold(), START_MS);
         return outcome;
     }
 
     private void arrive(ContinuousSampler gap, UniformRandomProvider draw, double end) {
         double next = gap.sample() / rise;
-        if (agenda.now() + next > end) {
+        if (events.now() + next > end) {
             return;
         }
-        agenda.after(
+        events.after(
                 next,
                 () -> {
-                    int number = customers.numberAt(draw.nextDouble());
-                    Tenant customer = customers.get(number);
+                    int number = tenants.numberAt(draw.nextDouble());
+                    Tenant customer = tenants.get(number);
                     RequestClass frontend = frontend(draw.nextDouble());
-                    double units = 1 + draw.nextInt((int) s.clients().largest());
-                    int way = customers.way(customer, agenda.now(), draw);
-                    if (customers.asks(number, agenda.now(), draw)) {
-                        ask(customer, frontend, units, way, draw);
+                    double units = 1 + draw.nextInt((int) scenario.clients().largest());
+                    int way = tenants.way(customer, events.now(), draw);
+                    if (tenants.asks(number, events.now(), draw)) {
+                        firstRequest(customer, frontend, units, way, draw);
                     }
                     arrive(gap, draw, end);
                 });
     }
 
     private void replay(int i, UniformRandomProvider draw, double end) {
-        if (i >= trace.asks().size() || START + trace.asks().get(i).at() > end) {
+        if (i >= trace.asks().size() || START_MS + trace.asks().get(i).at() > end) {
             return;
         }
         Trace.Ask a = trace.asks().get(i);
-        agenda.after(
-                START + a.at() - agenda.now(),
+        events.after(
+                START_MS + a.at() - events.now(),
                 () -> {
-                    Tenant c = customers.recorded(a.customer(), a.plan());
+                    Tenant c = tenants.recorded(a.customer(), a.plan());
                     RequestClass f =
-                            frontends.stream()
+                            requestClasses.stream()
                                     .filter(k -> k.name.equals(a.frontend()))
                                     .findFirst()
                                     .orElseThrow();
-                    ask(c, f, a.units(), a.way(), draw);
+                    firstRequest(c, f, a.units(), a.way(), draw);
                     replay(i + 1, draw, end);
                 });
     }
@@ -186,35 +192,38 @@
         return TenantPopulation.firstGateway(customer, gateways);
     }
 
-    private void ask(Tenant c, RequestClass f, double units, int way, UniformRandomProvider draw) {
-        asked.add(new Trace.Ask(agenda.now() - START, c.id, c.plan.name, f.name, units, way));
+    private void firstRequest(
+            Tenant c, RequestClass f, double units, int way, UniformRandomProvider draw) {
+        firstRequests.add(
+                new Trace.Ask(events.now() - START_MS, c.id, c.plan.name, f.name, units, way));
         boolean inside =
                 offered.computeIfAbsent(
                                 c,
-                                k -> new TokenBucket(c.plan.quotaPerMs, c.plan.burst, agenda.now()))
-                        .take(units, agenda.now());
+                                k -> new TokenBucket(c.plan.quotaPerMs, c.plan.burst, events.now()))
+                        .take(units, events.now());
         ClientAttempt.Asked first =
                 new ClientAttempt.Asked(c, f, units, work.get(f).sample(), inside);
         if (inside) {
             outcome.offered += first.value;
         }
-        send(first, way, draw.nextDouble() < s.clients().leave() ? draw.nextDouble() : 1);
+        send(first, way, draw.nextDouble() < scenario.clients().leave() ? draw.nextDouble() : 1);
     }
 
     /** What was asked for first, after a run. */
     public Trace asked() {
-        return new Trace(List.copyOf(asked));
+        return new Trace(List.copyOf(firstRequests));
     }
 
     private RequestClass frontend(double at) {
-        double left = at * s.frontends().stream().mapToDouble(Scenario.Frontend::share).sum();
-        for (int i = 0; i < frontends.size(); i++) {
-            left -= s.frontends().get(i).share();
+        double left =
+                at * scenario.frontends().stream().mapToDouble(Scenario.Frontend::share).sum();
+        for (int i = 0; i < requestClasses.size(); i++) {
+            left -= scenario.frontends().get(i).share();
             if (left < 0) {
-                return frontends.get(i);
+                return requestClasses.get(i);
             }
         }
-        return frontends.get(frontends.size() - 1);
+        return requestClasses.get(requestClasses.size() - 1);
     }
 
     /**
@@ -222,35 +231,36 @@
      *     client has
      */
     private void send(ClientAttempt.Asked asked, int way, double stays) {
-        int at = (asked.customer.firstGateway + way) % nodes.size();
+        int at = (asked.customer.firstGateway + way) % gateways.size();
         asked.tries++;
         outcome.tries++;
-        GatewayNode n = nodes.get(at);
+        GatewayNode n = gateways.get(at);
         if (!n.up) {
             // nobody hears it: the front has not noticed yet
             outcome.unanswered++;
-            again(asked, NOTICE);
+            retry(asked, DEAD_GATEWAY_NOTICE_MS);
             return;
         }
-        ClientAttempt t = new ClientAttempt(++ids, asked, n::life, agenda.now(), asked.tries > 1);
-        n.arrive(t);
+        ClientAttempt t =
+                new ClientAttempt(++ids, asked, n::incarnation, events.now(), asked.tries > 1);
+        n.requestArrived(t);
         if (stays < 1) {
-            agenda.after(
+            events.after(
                     stays * t.requestClass.timeoutMs,
                     () -> {
                         if (!t.over && !t.gatewayGone()) {
                             outcome.unanswered++;
-                            n.left(t);
+                            n.clientLeft(t);
                         }
                     });
         }
-        agenda.after(
+        events.after(
                 t.requestClass.timeoutMs + 100,
                 () -> {
                     if (!t.over) {
                         t.over = true;
                         outcome.unanswered++;
-                        oracle.expired(t, agenda.now());
+                        oracle.expired(t, events.now());
                     }
                 });
     }
@@ -258,7 +268,7 @@
     /** The final answer of a try, as its client has it. */
     void answer(ClientAttempt t, String answer, double retryAfter) {
         if (answer.equals("passed")) {
-            double took = agenda.now() - t.arrived;
+            double took = events.now() - t.arrived;
             outcome.took.recordValue(Math.min(3_600_000, Math.round(took)));
             if (took > t.requestClass.latencyObjectiveMs) {
                 outcome.late++;
@@ -273,16 +283,16 @@
         } else {
             outcome.aborted++;
         }
-        boolean honours = callers.nextDouble() < s.clients().honour();
+        boolean honours = clientRandom.nextDouble() < scenario.clients().honour();
         if (answer.equals("denied")) {
-            again(t.asked, honours && retryAfter > 0 ? retryAfter : s.clients().backoff());
+            retry(t.asked, honours && retryAfter > 0 ? retryAfter : scenario.clients().backoff());
         }
     }
 
-    private void again(ClientAttempt.Asked asked, double ms) {
-        if (asked.tries <= s.clients().retries()) {
-            int way = callers.nextInt(asked.customer.fanIn);
-            agenda.after(ms, () -> send(asked, way, 1));
+    private void retry(ClientAttempt.Asked asked, double ms) {
+        if (asked.tries <= scenario.clients().retries()) {
+            int way = clientRandom.nextInt(asked.customer.fanIn);
+            events.after(ms, () -> send(asked, way, 1));
         }
     }
 
@@ -296,8 +306,8 @@
         t.beyond =
                 !used.computeIfAbsent(
                                 c,
-                                k -> new TokenBucket(c.plan.quotaPerMs, c.plan.burst, agenda.now()))
-                        .take(t.units, agenda.now());
+                                k -> new TokenBucket(c.plan.quotaPerMs, c.plan.burst, events.now()))
+                        .take(t.units, events.now());
         if (t.beyond) {
             outcome.unitsBeyond += t.units;
             outcome.beyondCost += t.asked.value * c.plan.overQuotaCost;
@@ -305,11 +315,11 @@
     }
 
     void ran(ClientAttempt t) {
-        t.tell(agenda.now(), "ran");
+        t.record(events.now(), "ran");
     }
 
     void reaches(ServerMachine m, ClientAttempt t, ServerMachine.Visit v, boolean told) {
-        if (m.up() && oracle.arrives(m, t.work, agenda.now(), told)) {
+        if (m.up() && oracle.arrives(m, t.work, events.now(), told)) {
             m.die();
         }
         m.come(v);
@@ -326,20 +336,22 @@
     /** Discovery tells each gateway in its own time. */
     @Override
     public void list(ServerMachine m, Server.State state) {
-        for (GatewayNode n : nodes) {
-            agenda.after(lateness(), () -> n.listed(m, state));
+        for (GatewayNode n : gateways) {
+            events.after(lateness(), () -> n.endpointChanged(m, state));
         }
     }
 
     /** How late one gateway hears of one change. */
     double lateness() {
-        return s.net().list_late()
-                * (1 - s.net().list_spread() + s.net().list_spread() * wires.nextDouble());
+        return scenario.net().list_late()
+                * (1
+                        - scenario.net().list_spread()
+                        + scenario.net().list_spread() * networkRandom.nextDouble());
     }
 
     @Override
-    public EventQueue agenda() {
-        return agenda;
+    public EventQueue events() {
+        return events;
     }
 
     @Override
@@ -349,27 +361,27 @@
 
     @Override
     public double listLate() {
-        return s.net().list_late();
+        return scenario.net().list_late();
     }
 
     @Override
     public int gateways() {
-        return nodes.size();
+        return gateways.size();
     }
 
     @Override
     public void kill(int gateway) {
-        nodes.get(gateway).kill();
+        gateways.get(gateway).kill();
     }
 
     @Override
     public void start(int gateway) {
-        nodes.get(gateway).start(seeds.nextLong());
+        gateways.get(gateway).start(gatewaySeeds.nextLong());
     }
 
     @Override
     public void cutOff(int gateway, boolean on) {
-        nodes.get(gateway).cutOff = on;
+        gateways.get(gateway).disconnectedFromCounter = on;
     }
 
     @Override
@@ -387,11 +399,12 @@
     }
 
     double tick() {
-        return s.tick();
+        return scenario.tick();
     }
 
     double oneWay() {
-        return s.net().one_way() * (1 + s.net().jitter() * (2 * wires.nextDouble() - 1));
+        return scenario.net().one_way()
+                * (1 + scenario.net().jitter() * (2 * networkRandom.nextDouble() - 1));
     }
 
     /**
@@ -409,31 +422,34 @@
     }
 
     double counterTimeout() {
-        return s.counter().timeout();
+        return scenario.counter().timeout();
     }
 
-    DecisionModule make(DecisionModule.Factory maker, long seed, int number) {
+    DecisionModule createModule(DecisionModule.Factory maker, long seed, int number) {
         return maker.create(
                 seed,
                 new GatewayIdentity(
                         number,
-                        s.gateways(),
-                        s.servers().zones().get(number % s.servers().zones().size()),
-                        s.tick()),
+                        scenario.gateways(),
+                        scenario.servers().zones().get(number % scenario.servers().zones().size()),
+                        scenario.tick()),
                 new AttemptLimits(
-                        s.rules().max_dispatches(),
+                        scenario.rules().max_dispatches(),
                         false,
                         true,
                         false,
                         false,
-                        s.rules().max_retry_after()),
+                        scenario.rules().max_retry_after()),
                 new SlowStartRules(
-                        s.servers().cold_from(),
-                        s.servers().cold_time(),
-                        s.rules().fall_multiple(),
-                        s.rules().fall_time()),
+                        scenario.servers().cold_from(),
+                        scenario.servers().cold_time(),
+                        scenario.rules().fall_multiple(),
+                        scenario.rules().fall_time()),
                 new CounterSettings(
-                        s.counter().present(), s.counter().timeout(), s.clients().largest(), false),
+                        scenario.counter().present(),
+                        scenario.counter().timeout(),
+                        scenario.clients().largest(),
+                        false),
                 new Objectives(0.7, 0.3),
                 false);
     }
--- a/lab/src/main/java/tinford/lab/overload/OverloadCommand.java
+++ b/lab/src/main/java/tinford/lab/overload/OverloadCommand.java
@@ -22,7 +22,7 @@
                         + " by the fleet's view.")
 public final class OverloadCommand implements Callable<Integer> {
     private static final long FIRST_SEED = 100;
-    private static final int MOST_GATEWAYS = 1000;
+    private static final int MAX_GATEWAYS = 1000;
 
     @Option(names = "--seeds", defaultValue = "5", description = "how many (${DEFAULT-VALUE})")
     int seeds;
@@ -57,9 +57,9 @@
 
     @Override
     public Integer call() {
-        if (seeds < 1 || !sizes.stream().allMatch(n -> n >= 1 && n <= MOST_GATEWAYS)) {
+        if (seeds < 1 || !sizes.stream().allMatch(n -> n >= 1 && n <= MAX_GATEWAYS)) {
             throw new ParameterException(
-                    spec.commandLine(), "--seeds from 1, --gateways from 1 to " + MOST_GATEWAYS);
+                    spec.commandLine(), "--seeds from 1, --gateways from 1 to " + MAX_GATEWAYS);
         }
         if (!(windowMs > 0)) {
             throw new ParameterException(spec.commandLine(), "--window above 0");
--- a/lab/src/main/java/tinford/lab/overload/SimulatedGateway.java
+++ b/lab/src/main/java/tinford/lab/overload/SimulatedGateway.java
@@ -18,7 +18,7 @@
  * worth, servers set aside after failures. Its view of the load is the fleet's own code.
  */
 final class SimulatedGateway implements Membership {
-    private static final double MOST_SENT_PART = 0.1;
+    private static final double MAX_SENT_SHARE = 0.1;
     private static final int GOSSIP_EVERY_STEPS = 10;
     private static final int LIMIT_EVERY_STEPS = 20;
     private static final double GOSSIP_LOST_PART = 0.1;
@@ -28,19 +28,19 @@
     private static final double FIRST_GOSSIP_MS = 500;
 
     private static final double FIRST_LIMIT = 5;
-    private static final double LEAST_LIMIT = 2.5;
+    private static final double MIN_LIMIT = 2.5;
     private static final double FIRST_MEAN_MS = 60;
     private static final double MEAN_WEIGHT = 0.1;
 
-    private static final int MOST_DISPATCHES = 3;
+    private static final int MAX_ATTEMPTS = 3;
     private static final double RETRIES_PER_REQUEST = 0.1;
-    private static final double MOST_RETRIES_SPARED = 10;
+    private static final double MAX_RETRIES_SAVED = 10;
     private static final int FAILURES_UNTIL_UNHEALTHY = 2;
-    private static final double BARRED_MS = 250;
-    private static final int MOST_DOUBLINGS = 4;
+    private static final double EJECTION_MS = 250;
+    private static final int MAX_EJECTION_DOUBLINGS = 4;
     private static final double BROKEN_AFTER_MS = 50;
 
-    private static final int MOST_ROUNDS = 3;
+    private static final int MAX_ROUNDS = 3;
     private static final double COMES_BACK = 0.67;
     private static final double BACK_AFTER_MS = 300;
 
@@ -54,7 +54,7 @@
     private final Map<SimulatedServer, ServerState> servers = new LinkedHashMap<>();
     private final TreeSet<SimulatedRequest> waiting =
             new TreeSet<>(SimulatedGateway::compareByWorth);
-    private final double leastLimit;
+    private final double minLimit;
     private double limit;
     private double meanMs = FIRST_MEAN_MS;
     private double retriesSpared;
@@ -80,11 +80,11 @@
         Random own = new Random(random.nextLong());
         Incarnation incarnation = new Incarnation(number, 1);
         overload =
-                new FleetOverloadPolicy(0, incarnation, simulation.windowMs(), MOST_SENT_PART, own);
+                new FleetOverloadPolicy(0, incarnation, simulation.windowMs(), MAX_SENT_SHARE, own);
         view = mode == OverloadSimulation.Mode.ALONE ? new FleetPolicy() : overload;
         simulation.servers().forEach(server -> servers.put(server, new ServerState()));
         limit = FIRST_LIMIT * servers.size() / gateways;
-        leastLimit = LEAST_LIMIT * servers.size() / gateways;
+        minLimit = MIN_LIMIT * servers.size() / gateways;
     }
 
     private static int compareByWorth(SimulatedRequest one, SimulatedRequest other) {
@@ -116,9 +116,9 @@
 
     private void adaptLimit() {
         if (meanMs > 0.4 * OverloadSimulation.TARGET_MS) {
-            limit = Math.max(leastLimit, limit * 0.9);
+            limit = Math.max(minLimit, limit * 0.9);
         } else if (open >= 0.7 * limit) {
-            limit = limit * 1.01 + leastLimit / 50;
+            limit = limit * 1.01 + minLimit / 50;
         }
     }
 
@@ -191,7 +191,7 @@
         open++;
         view.attemptSent(request.request, server.identity, request.worth, request.dispatches > 0);
         if (!request.isFurther) {
-            retriesSpared = Math.min(MOST_RETRIES_SPARED, retriesSpared + RETRIES_PER_REQUEST);
+            retriesSpared = Math.min(MAX_RETRIES_SAVED, retriesSpared + RETRIES_PER_REQUEST);
         }
         simulation.figures().dispatched(request, server, simulation.now());
         request.dispatches++;
@@ -268,7 +268,7 @@
         countFailure(server);
         boolean mayRetry = view.retryAllowance(retriesSpared) >= 1;
         boolean inTime = waitedMs(request) < longestWaitMs();
-        if (mayRetry && inTime && request.dispatches < MOST_DISPATCHES) {
+        if (mayRetry && inTime && request.dispatches < MAX_ATTEMPTS) {
             retriesSpared = Math.max(0, retriesSpared - 1);
             request.isFurther = true;
             sendOrQueue(request); // nobody else sends it meanwhile
@@ -282,8 +282,9 @@
         state.failures++;
         state.unhealthy = state.failures >= FAILURES_UNTIL_UNHEALTHY;
         if (state.unhealthy) {
-            int doublings = Math.min(MOST_DOUBLINGS, state.failures - FAILURES_UNTIL_UNHEALTHY);
-            state.barredUntil = simulation.now() + BARRED_MS * (1 << doublings);
+            int doublings =
+                    Math.min(MAX_EJECTION_DOUBLINGS, state.failures - FAILURES_UNTIL_UNHEALTHY);
+            state.barredUntil = simulation.now() + EJECTION_MS * (1 << doublings);
             view.serverHealthChanged(server.identity, true);
         }
     }
@@ -297,7 +298,7 @@
 
     /** Two in three clients come back, through any gateway, three times at most. */
     private void comeBack(SimulatedRequest request) {
-        if (request.round >= MOST_ROUNDS || random.nextDouble() > COMES_BACK) {
+        if (request.round >= MAX_ROUNDS || random.nextDouble() > COMES_BACK) {
             return;
         }
         List<SimulatedGateway> all = simulation.gateways();
--- a/lab/src/main/java/tinford/lab/scale/AddedTimeMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/AddedTimeMeasurements.java
@@ -182,7 +182,7 @@
     }
 
     private static Sample play(ScaleFleetModel model, long seed) {
-        double from = Simulation.START + model.warmUpSeconds() * 1000;
+        double from = Simulation.START_MS + model.warmUpSeconds() * 1000;
         FirstDispatchTimes times = new FirstDispatchTimes(from);
         RunResult outcome = model.run(seed, times);
         Map<String, Double> reported = new TreeMap<>();
--- a/lab/src/main/java/tinford/lab/scale/ConnectionPools.java
+++ b/lab/src/main/java/tinford/lab/scale/ConnectionPools.java
@@ -68,15 +68,15 @@
     @Override
     public void dispatchEnded(
             int gateway, Request request, int dispatch, AttemptOutcome end, double now) {
-        List<String> hops = servers.get(request);
+        List<String> attempts = servers.get(request);
         boolean kept =
                 end == AttemptOutcome.SUCCESS
                         || end == AttemptOutcome.OVERLOADED
                         || end == AttemptOutcome.ERROR;
-        if (kept && hops != null) {
-            pool(gateway, hops.get(dispatch)).addFirst(now);
+        if (kept && attempts != null) {
+            pool(gateway, attempts.get(dispatch)).addFirst(now);
         }
-        if (hops != null && hops.size() == dispatch + 1 && kept) {
+        if (attempts != null && attempts.size() == dispatch + 1 && kept) {
             servers.remove(request);
         }
     }
--- a/lab/src/main/java/tinford/lab/scale/CounterMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/CounterMeasurements.java
@@ -72,7 +72,7 @@
                                     .seconds(0, WINDOWS_FILL_SECONDS);
                     Simulation world = model.world(seed);
                     long[] held = new long[1];
-                    world.agenda()
+                    world.events()
                             .after(WINDOWS_FILL_SECONDS * MS, () -> held[0] = world.store().held());
                     world.run();
                     return new Sample(Map.of("windows_held", (double) held[0]), Map.of());
@@ -161,7 +161,7 @@
     private record Play(RunResult outcome, CounterTraffic traffic, FirstDispatchTimes times) {}
 
     private static Play play(ScaleFleetModel model, long seed) {
-        double from = Simulation.START + model.warmUpSeconds() * MS;
+        double from = Simulation.START_MS + model.warmUpSeconds() * MS;
         CounterTraffic traffic = new CounterTraffic(from, from + model.seconds() * MS);
         FirstDispatchTimes times = new FirstDispatchTimes(from);
         return new Play(model.run(seed, traffic, times), traffic, times);
--- a/lab/src/main/java/tinford/lab/scale/DecisionMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/DecisionMeasurements.java
@@ -48,7 +48,7 @@
 
     private static final double ROUND_GAP_MS = 60;
 
-    private static final int MOST_LIST =
+    private static final int MAX_LIST_BYTES =
             EndpointListLimit.maxBytes(Runtime.getRuntime().maxMemory());
 
     private DecisionMeasurements() {}
@@ -165,10 +165,10 @@
     }
 
     private static void readAnswer(byte[] answer) {
-        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MOST_LIST);
+        JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MAX_LIST_BYTES);
         List<JsonFields> read = new ArrayList<>();
         try {
-            new ChunkedLineReader(MOST_LIST)
+            new ChunkedLineReader(MAX_LIST_BYTES)
                     .read(
                             answer,
                             0,
--- a/lab/src/main/java/tinford/lab/scale/FirstDispatchTimes.java
+++ b/lab/src/main/java/tinford/lab/scale/FirstDispatchTimes.java
@@ -32,10 +32,10 @@
     }
 
     /** The decisions wait no longer for the counter than this part of a request's target ... */
-    private static final double COUNTER_PATIENCE = 0.05;
+    private static final double MAX_COUNTER_WAIT = 0.05;
 
     /** ... and look at it this often. */
-    private static final double PATIENCE_TICK_MS = 50;
+    private static final double COUNTER_WAIT_TICK_MS = 50;
 
     private static final double MICROS = 1000;
     private static final long LONGEST_MICROS = 60_000_000;
@@ -170,7 +170,7 @@
             return wait.countedAt;
         }
         double patience =
-                COUNTER_PATIENCE * request.requestClass.latencyObjectiveMs + PATIENCE_TICK_MS;
+                MAX_COUNTER_WAIT * request.requestClass.latencyObjectiveMs + COUNTER_WAIT_TICK_MS;
         return Math.min(now, wait.turnAt + patience);
     }
 
--- a/lab/src/main/java/tinford/lab/scale/GossipLossMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipLossMeasurement.java
@@ -6,7 +6,7 @@
 /** Virtual time until all know of a loss: one gateway, a restart, a zone, a cut of the regions. */
 final class GossipLossMeasurement implements Measurement {
     private static final double CUT_MS = 60_000;
-    private static final double MOST_MS = 300_000;
+    private static final double MAX_MS = 300_000;
 
     @Override
     public String name() {
@@ -45,13 +45,13 @@
     @Override
     public Sample measure(int gateways, UniformRandomProvider random) {
         GossipFleet fleet = new GossipFleet(gateways, suspicionMs(gateways), random);
-        fleet.playUntil(MOST_MS, fleet::allAgree);
+        fleet.playUntil(MAX_MS, fleet::allAgree);
         int victim = random.nextInt(gateways);
         fleet.kill(victim);
         Loss loss = awaitKnown(fleet, GossipFleet.region(victim));
         fleet.start(victim);
-        double restartMs = fleet.playUntil(MOST_MS, () -> fleet.allKnow(victim));
-        fleet.playUntil(MOST_MS, fleet::allAgree);
+        double restartMs = fleet.playUntil(MAX_MS, () -> fleet.allKnow(victim));
+        fleet.playUntil(MAX_MS, fleet::allAgree);
         double zoneMs = loseZone(fleet);
         double healMs = cutAndHeal(fleet);
         return new Sample(
@@ -78,7 +78,7 @@
         double began = fleet.now();
         double[] knownAt = {Double.NaN, Double.NaN};
         fleet.playUntil(
-                MOST_MS,
+                MAX_MS,
                 () -> {
                     for (int each = 0; each < GossipFleet.REGIONS; each++) {
                         if (Double.isNaN(knownAt[each]) && fleet.regionAgrees(each)) {
@@ -98,13 +98,13 @@
                 fleet.kill(gateway);
             }
         }
-        double knownMs = fleet.playUntil(MOST_MS, fleet::allAgree);
+        double knownMs = fleet.playUntil(MAX_MS, fleet::allAgree);
         for (int gateway = 0; gateway < fleet.size(); gateway++) {
             if (GossipFleet.zone(gateway) == 0) {
                 fleet.start(gateway);
             }
         }
-        fleet.playUntil(MOST_MS, fleet::allAgree);
+        fleet.playUntil(MAX_MS, fleet::allAgree);
         return knownMs;
     }
 
@@ -112,6 +112,6 @@
         fleet.cutRegions(true);
         fleet.play(CUT_MS);
         fleet.cutRegions(false);
-        return fleet.playUntil(MOST_MS, fleet::allAgree);
+        return fleet.playUntil(MAX_MS, fleet::allAgree);
     }
 }
--- a/lab/src/main/java/tinford/lab/scale/GossipSilenceMeasurement.java
+++ b/lab/src/main/java/tinford/lab/scale/GossipSilenceMeasurement.java
@@ -11,8 +11,8 @@
     /** What {@code deploy/fleet.toml} has. */
     private static final double DEFAULT_SUSPICION_MS = 2000;
 
-    private static final double LOOK_EVERY_MS = 1000;
-    private static final double MOST_START_MS = 120_000;
+    private static final double POLL_INTERVAL_MS = 1000;
+    private static final double MAX_START_MS = 120_000;
     private static final int LOOKS = 10;
 
     @Override
@@ -43,11 +43,11 @@
     @Override
     public Sample measure(int gateways, UniformRandomProvider random) {
         GossipFleet patient = new GossipFleet(gateways, GossipFleet.LONGEST_SUSPICION_MS, random);
-        double startMs = patient.playUntil(MOST_START_MS, patient::allAgree);
+        double startMs = patient.playUntil(MAX_START_MS, patient::allAgree);
         double largest = 0;
         double median = 0;
         for (int look = 0; look < LOOKS; look++) {
-            patient.play(LOOK_EVERY_MS);
+            patient.play(POLL_INTERVAL_MS);
             Quantiles silences = patient.silences();
             largest = Math.max(largest, silences.largest());
             median += silences.at(0.5) / LOOKS;
@@ -68,10 +68,10 @@
     /** The part of all pairs, on the mean over some seconds. */
     private static double suspectedAtDefault(int gateways, UniformRandomProvider random) {
         GossipFleet hasty = new GossipFleet(gateways, DEFAULT_SUSPICION_MS, random);
-        hasty.play(LOOKS * LOOK_EVERY_MS / 2);
+        hasty.play(LOOKS * POLL_INTERVAL_MS / 2);
         double suspected = 0;
         for (int look = 0; look < LOOKS; look++) {
-            hasty.play(LOOK_EVERY_MS / 2);
+            hasty.play(POLL_INTERVAL_MS / 2);
             suspected += hasty.wronglySuspected() / LOOKS;
         }
         return suspected;
--- a/lab/src/main/java/tinford/lab/scale/LeaseDeployment.java
+++ b/lab/src/main/java/tinford/lab/scale/LeaseDeployment.java
@@ -28,9 +28,9 @@
     private static final double KEEP_MS = 2000;
 
     /** The highest cap of an account that the operator file takes; its own value is 64. */
-    private static final int MOST_CAP = 100_000;
+    private static final int MAX_CAP = 100_000;
 
-    private static final GrantProposer.Plan PLAN = new GrantProposer.Plan(1, 1, MOST_CAP);
+    private static final GrantProposer.Plan PLAN = new GrantProposer.Plan(1, 1, MAX_CAP);
 
     private LeaseDeployment() {}
 
--- a/lab/src/main/java/tinford/lab/scale/Measurement.java
+++ b/lab/src/main/java/tinford/lab/scale/Measurement.java
@@ -11,7 +11,7 @@
     String sizeUnit();
 
     /**
-     * At least {@link ScaleRunner#LEAST_SIZES} sizes in ascending order.
+     * At least {@link ScaleRunner#MIN_SIZES} sizes in ascending order.
      *
      * @param full up to the deployment's own size where it fits on one machine; else sizes that CI
      *     plays within seconds
--- a/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
+++ b/lab/src/main/java/tinford/lab/scale/RestartMeasurements.java
@@ -154,7 +154,7 @@
                 .faults(new Scenario.Fault(Scenario.Kind.GATEWAYS_DIE, at, DOWN_SECONDS, part, 0));
         ConnectionPools pools = new ConnectionPools(KEEP_ALIVE_MS);
         model.run(seed, pools);
-        double killed = Simulation.START + at * MS;
+        double killed = Simulation.START_MS + at * MS;
         double back = killed + DOWN_SECONDS * MS;
         double end = back + AFTER_SECONDS * MS;
         double before = pools.handshakes(killed - MS, killed);
--- a/lab/src/main/java/tinford/lab/scale/ScaleRunner.java
+++ b/lab/src/main/java/tinford/lab/scale/ScaleRunner.java
@@ -7,7 +7,7 @@
 /** Plays a measurement at all its sizes. */
 public final class ScaleRunner {
     /** A growth is not told apart on fewer. */
-    public static final int LEAST_SIZES = 4;
+    public static final int MIN_SIZES = 4;
 
     private final boolean full;
     private final RandomStreams streams;
@@ -46,7 +46,7 @@
     }
 
     private static void checkSizes(Measurement measurement, int[] sizes) {
-        boolean ascending = sizes.length >= LEAST_SIZES && sizes[0] > 0;
+        boolean ascending = sizes.length >= MIN_SIZES && sizes[0] > 0;
         for (int i = 1; i < sizes.length; i++) {
             ascending &= sizes[i - 1] < sizes[i];
         }
--- a/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
+++ b/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
@@ -42,13 +42,13 @@
     private static final double COLD_MS = 10_000;
     private static final double COUNTER_TIMEOUT_MS = 50;
     private static final double NEVER_MS = 1e9;
-    private static final int MOST_DISPATCHES = 3;
+    private static final int MAX_ATTEMPTS = 3;
     private static final int DESCRIPTORS = 1000;
     private static final long BUFFER_BYTES = 16L << 20;
     private static final int TICKS_A_RANK = 4;
 
     private final DecisionEngine decisions;
-    private final RequestDispatcher desk;
+    private final RequestDispatcher dispatcher;
     private final ServerPool servers;
     private final UniformRandomProvider random;
     private final PriorityQueue<Running> running = new PriorityQueue<>();
@@ -89,21 +89,28 @@
                 new DecisionEngine(
                         random.nextLong(),
                         new GatewayIdentity(0, gateways, "a", 1),
-                        new AttemptLimits(MOST_DISPATCHES, false, true, true, true, 1000),
+                        new AttemptLimits(MAX_ATTEMPTS, false, true, true, true, 1000),
                         new SlowStartRules(0.3, COLD_MS, 2, 1000),
                         new CounterSettings(true, COUNTER_TIMEOUT_MS, 6, false),
                         new Objectives(0.7, 0.3),
                         false);
-        this.desk = new RequestDispatcher(decisions, MOST_DISPATCHES, DESCRIPTORS, BUFFER_BYTES);
+        this.dispatcher = new RequestDispatcher(decisions, MAX_ATTEMPTS, DESCRIPTORS, BUFFER_BYTES);
         this.servers =
-                new ServerPool(desk, desk, COUNTER_TIMEOUT_MS, NEVER_MS, DESCRIPTORS, List.of());
-        desk.attach(null, servers, null, null, null);
+                new ServerPool(
+                        dispatcher,
+                        dispatcher,
+                        COUNTER_TIMEOUT_MS,
+                        NEVER_MS,
+                        DESCRIPTORS,
+                        List.of());
+        dispatcher.attach(null, servers, null, null, null);
     }
 
     @Override
     public <T> T onIoThread(Callable<T> job) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        desk.loop()
+        dispatcher
+                .loop()
                 .execute(
                         () -> {
                             try {
@@ -198,9 +205,9 @@
 
     @Override
     public void request(Tenant customer, RequestClass frontend, double units) {
-        Request req =
+        Request request =
                 new Request(requests++, frontend, customer, now + frontend.timeoutMs, units, false);
-        round(inbox -> inbox.requestArrived(req));
+        round(inbox -> inbox.requestArrived(request));
         answerCalls();
     }
 
@@ -248,14 +255,14 @@
 
     @Override
     public void close() {
-        desk.loop().closeAndAwait(1000);
+        dispatcher.loop().closeAndAwait(1000);
     }
 
     @Override
-    public void sendAttempt(Request req, Server server, double cap, double within) {
-        int number = dispatchesOf.merge(req, 1, Integer::sum) - 1;
+    public void sendAttempt(Request request, Server server, double cap, double within) {
+        int number = dispatchesOf.merge(request, 1, Integer::sum) - 1;
         double service = -SERVICE_MS * Math.log(1 - random.nextDouble());
-        running.add(new Running(now + service, dispatches++, req, server, number, now));
+        running.add(new Running(now + service, dispatches++, request, server, number, now));
         listener.dispatched(server, now);
     }
 
@@ -266,17 +273,17 @@
     }
 
     @Override
-    public void reject(Request req, double retryAfter) {
-        dispatchesOf.remove(req);
+    public void reject(Request request, double retryAfter) {
+        dispatchesOf.remove(request);
     }
 
     @Override
-    public void fail(Request req) {
-        dispatchesOf.remove(req);
+    public void fail(Request request) {
+        dispatchesOf.remove(request);
     }
 
     @Override
-    public void cancelAttempt(Request req, int hop) {}
+    public void cancelAttempt(Request request, int attempt) {}
 
     @Override
     public void setTimer(long token, double wait) {}
--- a/lab/src/main/java/tinford/lab/sockets/BenchGateway.java
+++ b/lab/src/main/java/tinford/lab/sockets/BenchGateway.java
@@ -132,11 +132,11 @@
      * One request on a connection of its own while it lasts: its answer, or null where none came.
      * One that was kept may have been closed meanwhile: then a new one is tried.
      */
-    String ask(String command, double patience) {
+    String ask(String command, double timeoutMs) {
         RespConnection kept = idle.poll();
         if (kept != null) {
             try {
-                String answer = askOnKept(kept, command, patience);
+                String answer = askOnKept(kept, command, timeoutMs);
                 if (answer != null) {
                     return answer;
                 }
@@ -148,12 +148,12 @@
             }
             kept.close();
         }
-        return askOnNew(command, patience);
+        return askOnNew(command, timeoutMs);
     }
 
-    private String askOnKept(RespConnection wire, String command, double patience)
+    private String askOnKept(RespConnection wire, String command, double timeoutMs)
             throws IOException {
-        wire.socket.setSoTimeout(timeout(patience));
+        wire.socket.setSoTimeout(timeout(timeoutMs));
         if (wire.waits()) {
             records.strange("lost: gateway " + number + " answered once more than it was asked");
             context.between.tell("answered", "req", "", "via", number, "how", "again");
@@ -161,11 +161,11 @@
         return exchange(wire, command);
     }
 
-    private String askOnNew(String command, double patience) {
+    private String askOnNew(String command, double timeoutMs) {
         RespConnection wire = null;
         try {
             wire = BenchContext.connect(port);
-            wire.socket.setSoTimeout(timeout(patience));
+            wire.socket.setSoTimeout(timeout(timeoutMs));
             String answer = exchange(wire, command);
             if (answer != null) {
                 return answer;
@@ -179,8 +179,8 @@
         return null;
     }
 
-    private static int timeout(double patience) {
-        return (int) Math.max(1, patience);
+    private static int timeout(double timeoutMs) {
+        return (int) Math.max(1, timeoutMs);
     }
 
     /** The connection is kept where an answer came. */
--- a/lab/src/main/java/tinford/lab/sockets/ClientLoad.java
+++ b/lab/src/main/java/tinford/lab/sockets/ClientLoad.java
@@ -159,7 +159,7 @@
         BenchGateway gateway = gateways.get((wish.firstGateway + attempt.way) % gateways.size());
         ClientAttempt request = request(attempt, gateway);
         records.asked(request);
-        boolean owed = gateway.owesAnswer();
+        boolean unanswered = gateway.owesAnswer();
         tellAsked(attempt, gateway);
         String text = gateway.ask(command(attempt), wish.frontend.timeout() + GRACE);
         double ended = context.live.now();
@@ -167,7 +167,7 @@
         tellAnswered(attempt, gateway, answer, ended);
         context.live.post(
                 () -> {
-                    if (answer.none() && owed) {
+                    if (answer.none() && unanswered) {
                         records.expired(request, ended);
                     } else if (!answer.none()) {
                         records.answered(request, answer.ruling(), ended);
--- a/lab/src/main/java/tinford/lab/sockets/FreePort.java
+++ b/lab/src/main/java/tinford/lab/sockets/FreePort.java
@@ -11,8 +11,8 @@
  * else take it meanwhile.
  */
 public final class FreePort {
-    private static final int LEAST = 12_000;
-    private static final int MOST = 32_000;
+    private static final int FIRST_PORT = 12_000;
+    private static final int PORT_LIMIT = 32_000;
 
     private FreePort() {}
 
@@ -20,7 +20,7 @@
     public static int find() throws IOException {
         IOException last = null;
         for (int i = 0; i < 100; i++) {
-            int port = ThreadLocalRandom.current().nextInt(LEAST, MOST);
+            int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, PORT_LIMIT);
             try (ServerSocket stream = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
                     DatagramSocket datagrams =
                             new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
@@ -29,6 +29,6 @@
                 last = e;
             }
         }
-        throw new IOException("no free port from " + LEAST + " to " + MOST, last);
+        throw new IOException("no free port from " + FIRST_PORT + " to " + PORT_LIMIT, last);
     }
 }
--- a/lab/src/main/java/tinford/lab/sockets/RequestRecords.java
+++ b/lab/src/main/java/tinford/lab/sockets/RequestRecords.java
@@ -36,7 +36,7 @@
     private final List<String> strange = new CopyOnWriteArrayList<>();
 
     /** The last dispatch on each connection, by the port of its gateway's end. */
-    private final Map<Integer, ClientAttempt.Hop> dispatches = new HashMap<>();
+    private final Map<Integer, ClientAttempt.ServerVisit> dispatches = new HashMap<>();
 
     /** Given up by their gateway before their dispatch was here. */
     private final Map<Integer, Boolean> givenUp = new HashMap<>();
@@ -93,19 +93,19 @@
      * @param port of its gateway's end of the connection
      * @param drainTold when gateways were told that the server drains
      */
-    ClientAttempt.Hop dispatched(
+    ClientAttempt.ServerVisit dispatched(
             ClientAttempt request, ServerMachine machine, int port, double now, double drainTold) {
-        ClientAttempt.Hop dispatch = new ClientAttempt.Hop(machine, now);
+        ClientAttempt.ServerVisit dispatch = new ClientAttempt.ServerVisit(machine, now);
         Runnable record =
                 () -> {
-                    oracle.dispatched(request, machine, now, drainTold, request.hops.isEmpty());
-                    request.hops.add(dispatch);
+                    oracle.dispatched(request, machine, now, drainTold, request.visits.isEmpty());
+                    request.visits.add(dispatch);
                 };
         dispatches.put(port, dispatch);
         if (givenUp.containsKey(port)) {
             // it was held up on its way and comes after others: the histories judge it
             dispatch.end = AttemptOutcome.TIMED_OUT;
-        } else if (request.hops.stream().anyMatch(earlier -> earlier.end == null)) {
+        } else if (request.visits.stream().anyMatch(earlier -> earlier.end == null)) {
             live.agenda().after(UNREAD, record);
         } else {
             record.run();
@@ -130,7 +130,7 @@
 
     /** The gateway has closed its end of the connection from that port. */
     void connectionGivenUp(int port) {
-        ClientAttempt.Hop dispatch = dispatches.get(port);
+        ClientAttempt.ServerVisit dispatch = dispatches.get(port);
         if (dispatch != null && dispatch.end == null) {
             dispatch.end = AttemptOutcome.TIMED_OUT;
         } else if (givenUp.size() < MAX_GIVEN_UP) {
--- a/lab/src/main/java/tinford/lab/sockets/ServerStandIn.java
+++ b/lab/src/main/java/tinford/lab/sockets/ServerStandIn.java
@@ -21,7 +21,7 @@
     private static final int BACKLOG = 200;
 
     /** How often it is looked at whether the machine has died or is back, ms. */
-    private static final double LOOK_EVERY = 20;
+    private static final double POLL_INTERVAL_MS = 20;
 
     private final BenchContext context;
     private final RequestRecords records;
@@ -32,15 +32,15 @@
     private final AtomicInteger held = new AtomicInteger();
 
     /** The last dispatch on each connection. */
-    private final Map<RespConnection, ClientAttempt.Hop> dispatches = new HashMap<>();
+    private final Map<RespConnection, ClientAttempt.ServerVisit> dispatches = new HashMap<>();
 
     private ServerSocket listener;
-    private boolean ill;
+    private boolean unhealthy;
 
     /** As gateways were told: its state, since when it drains, and its last start. */
     private Server.State state = Server.State.UP;
 
-    private double drainToldAt = Double.POSITIVE_INFINITY;
+    private double drainNotifiedAtMs = Double.POSITIVE_INFINITY;
     private double toldBorn;
 
     /**
@@ -78,10 +78,10 @@
     void announce(Server.State announced) {
         state = announced;
         toldBorn = machine.born;
-        drainToldAt =
+        drainNotifiedAtMs =
                 announced == Server.State.UP
                         ? Double.POSITIVE_INFINITY
-                        : Math.min(drainToldAt, context.live.agenda().now());
+                        : Math.min(drainNotifiedAtMs, context.live.agenda().now());
     }
 
     void close() throws IOException {
@@ -93,9 +93,9 @@
     private void look() {
         try {
             boolean sick = !machine.up() || machine.hangs();
-            if (sick != ill) {
-                ill = sick;
-                context.between.tell(ill ? "ill" : "well", "server", machine.id);
+            if (sick != unhealthy) {
+                unhealthy = sick;
+                context.between.tell(unhealthy ? "ill" : "well", "server", machine.id);
             }
             if (!machine.up() && listener != null) {
                 context.between.shut(machine.id, true);
@@ -108,7 +108,7 @@
         } catch (IOException e) {
             listener = null; // tried again at the next look
         }
-        context.live.agenda().after(LOOK_EVERY, this::look);
+        context.live.agenda().after(POLL_INTERVAL_MS, this::look);
     }
 
     private void listenAgain() throws IOException {
@@ -181,7 +181,7 @@
         if (visit != null) {
             machine.withdraw(visit);
         }
-        ClientAttempt.Hop dispatch = dispatches.remove(wire);
+        ClientAttempt.ServerVisit dispatch = dispatches.remove(wire);
         if (dispatch != null && dispatch.end == null) {
             dispatch.end = AttemptOutcome.TIMED_OUT; // given up by its gateway; it may have run
         }
@@ -198,7 +198,8 @@
         if (!further) {
             records.drawUnits(request, now);
         }
-        ClientAttempt.Hop dispatch = records.dispatched(request, machine, from, now, drainToldAt);
+        ClientAttempt.ServerVisit dispatch =
+                records.dispatched(request, machine, from, now, drainNotifiedAtMs);
         dispatches.put(wire, dispatch);
         ServerMachine.Visit visit =
                 new ServerMachine.Visit(works, end -> finish(wire, id, dispatch, end));
@@ -235,7 +236,10 @@
     }
 
     private void finish(
-            RespConnection wire, String id, ClientAttempt.Hop dispatch, AttemptOutcome end) {
+            RespConnection wire,
+            String id,
+            ClientAttempt.ServerVisit dispatch,
+            AttemptOutcome end) {
         dispatch.end = dispatch.end == null ? end : dispatch.end;
         context.between.tell(
                 "ended", "server", machine.id, "req", id, "how", HistoryOutcome.nameOf(end));
--- a/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
+++ b/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
@@ -21,10 +21,10 @@
     private static final long READY_MS = 20_000;
     private static final long LOG_MS = 5_000;
     private static final long END_MS = 20_000;
-    private static final long LOOK_MS = 2;
+    private static final long POLL_INTERVAL_MS = 2;
 
     private static final int FIRST_TARGET_MS = 1500;
-    private static final String READ_AGAIN = "configuration reloaded";
+    private static final String CONFIGURATION_READ_LINE = "configuration reloaded";
     private final Path configuration;
     private final Path log;
     private final int port = FreePort.find();
@@ -125,7 +125,7 @@
             if (late || !process.isAlive()) {
                 throw new IOException("the gateway did not start: " + Files.readString(log));
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
@@ -142,21 +142,21 @@
 
     /** Sends SIGHUP, and gives the line in which the gateway says what it took over. */
     public String hangUp() throws IOException, InterruptedException {
-        long before = lines(READ_AGAIN).size();
+        long before = lines(CONFIGURATION_READ_LINE).size();
         new ProcessBuilder("sh", "-c", "kill -HUP \"$0\"", Long.toString(process.pid()))
                 .start()
                 .waitFor();
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LOG_MS);
-        while (lines(READ_AGAIN).size() == before) {
+        while (lines(CONFIGURATION_READ_LINE).size() == before) {
             if (System.nanoTime() > until) {
                 throw new IOException(
                         "no word of a new configuration, the process "
                                 + (process.isAlive() ? "lives: " : "has ended: ")
                                 + Files.readString(log));
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
-        List<String> found = lines(READ_AGAIN);
+        List<String> found = lines(CONFIGURATION_READ_LINE);
         return found.get(found.size() - 1);
     }
 
--- a/lab/src/main/java/tinford/lab/sockets/SocketBench.java
+++ b/lab/src/main/java/tinford/lab/sockets/SocketBench.java
@@ -254,7 +254,7 @@
     }
 
     @Override
-    public EventQueue agenda() {
+    public EventQueue events() {
         return live.agenda();
     }
 
--- a/lab/src/main/java/tinford/lab/sockets/WallClockEventQueue.java
+++ b/lab/src/main/java/tinford/lab/sockets/WallClockEventQueue.java
@@ -10,12 +10,12 @@
  * belongs to that thread.
  */
 final class WallClockEventQueue implements AutoCloseable {
-    private final EventQueue agenda = new EventQueue(System.currentTimeMillis());
+    private final EventQueue events = new EventQueue(System.currentTimeMillis());
     private final long from = System.nanoTime();
-    private final double began = agenda.now();
+    private final double began = events.now();
     private final ArrayDeque<Runnable> posted = new ArrayDeque<>();
     private final Thread thread = new Thread(this::run, "stand-ins");
-    private static final int MOST_FAULTS = 20;
+    private static final int MAX_FAULTS = 20;
     private final List<String> faults = new CopyOnWriteArrayList<>();
     private boolean closed;
 
@@ -25,7 +25,7 @@
     }
 
     EventQueue agenda() {
-        return agenda;
+        return events;
     }
 
     double now() {
@@ -40,14 +40,14 @@
 
     private void run() {
         while (true) {
-            guarded(() -> agenda.run(now()));
+            guarded(() -> events.run(now()));
             Runnable next;
             synchronized (this) {
                 if (closed) {
                     return;
                 }
                 next = posted.poll();
-                double wait = agenda.next() - now();
+                double wait = events.next() - now();
                 if (next == null && wait > 0) {
                     try {
                         wait((long) Math.max(1, Math.min(1000, wait)));
@@ -58,7 +58,7 @@
                 }
             }
             if (next != null) {
-                guarded(() -> agenda.run(now())); // guards its times: they count from now, however
+                guarded(() -> events.run(now())); // guards its times: they count from now, however
                 // long ago the agenda was looked at
                 guarded(next);
             }
@@ -73,7 +73,7 @@
         try {
             what.run();
         } catch (RuntimeException e) {
-            if (faults.size() < MOST_FAULTS) {
+            if (faults.size() < MAX_FAULTS) {
                 faults.add("a stand-in failed: " + e + " at " + e.getStackTrace()[0]);
             }
         }
--- a/lab/src/test/java/tinford/lab/fleet/BudgetsTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/BudgetsTest.java
@@ -52,7 +52,7 @@
             List<String> words = new ArrayList<>(BenchInterceptor.JAVA);
             words.addAll(List.of("-jar", JAR.toString(), "serve"));
             GatewayProgram program =
-                    new GatewayProgram(words, Map.of(), seat -> seat.fill(operator), true);
+                    new GatewayProgram(words, Map.of(), slot -> slot.fill(operator), true);
             try (FleetBench bench = new FleetBench(script, s, program, 3, folder)) {
                 Map<String, Double> figures = bench.run(drawn.asked());
                 assertEquals(bench.broken(), List.of(), bench.broken().toString());
--- a/lab/src/test/java/tinford/lab/fleet/FleetMovesTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/FleetMovesTest.java
@@ -198,7 +198,7 @@
         words.addAll(List.of("-Xmx160m", "-jar", JAR.toString(), "serve"));
         GatewayProgram program =
                 new GatewayProgram(
-                        words, Map.of(), seat -> seat.fill(OPERATOR.formatted(file)), true);
+                        words, Map.of(), slot -> slot.fill(OPERATOR.formatted(file)), true);
         try (FleetBench bench = new FleetBench(script, s, program, 5, folder)) {
             Operators operators = new Operators(bench, folder);
             operators.start();
--- a/lab/src/test/java/tinford/lab/scale/ScaleRunnerTest.java
+++ b/lab/src/test/java/tinford/lab/scale/ScaleRunnerTest.java
@@ -124,7 +124,7 @@
         for (Measurement measurement : all) {
             for (boolean full : new boolean[] {false, true}) {
                 assertTrue(
-                        measurement.sizes(full).length >= ScaleRunner.LEAST_SIZES,
+                        measurement.sizes(full).length >= ScaleRunner.MIN_SIZES,
                         measurement.name());
             }
             assertTrue(measurement.repetitions() >= 2, measurement.name());
