--- a/fleet/src/main/java/tinford/fleet/control/Replica.java
+++ b/fleet/src/main/java/tinford/fleet/control/Replica.java
@@ -19,8 +19,8 @@
 import tinford.fleet.follow.SnapshotFile;
 
 /**
- * Follows a voter, one of its own region where there is one, and serves what it holds; over a
- * restart from its last good snapshot on.
+ * Follows a voter, preferably one of its own region, and serves the same configuration. After a
+ * restart it serves its last good snapshot until a voter is reached.
  */
 final class Replica implements ControlRole {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
@@ -36,7 +36,9 @@
         snapshotSaver =
                 new SnapshotSaver(new SnapshotFile(settings.folder(), settings.fleet()), feed);
         snapshotSaver.load();
-        executor = Executors.newScheduledThreadPool(THREADS, Replica::newThread);
+        executor =
+                Executors.newScheduledThreadPool(
+                        THREADS, new DaemonThreadFactory("control-replica"));
         HttpClient http =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
@@ -55,12 +57,6 @@
         client.start();
     }
 
-    private static Thread newThread(Runnable task) {
-        Thread thread = new Thread(task, "control-replica");
-        thread.setDaemon(true);
-        return thread;
-    }
-
     private ApplyResult apply(Configuration configuration, List<Change> changes) {
         long before = feed.current().revision();
         if (changes == null) {
@@ -73,7 +69,7 @@
         return new ApplyResult.Applied();
     }
 
-    /** Replicas take none and forward none. */
+    /** A replica neither accepts nor forwards proposals. */
     @Override
     public CompletableFuture<ProposalResult> propose(Proposal proposal) {
         return CompletableFuture.completedFuture(
--- a/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
+++ b/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import tinford.fleet.transport.InMemoryTransport;
+import tinford.fleet.transport.InMemoryNetwork;
 import tinford.fleet.transport.Transport;
 
 /**
@@ -15,7 +15,7 @@
 final class SimulatedGossipFleet {
     static final double EVERY = 100;
     static final int FANOUT = 2;
-    final InMemoryTransport.Network net;
+    final InMemoryNetwork net;
     final GossipMembership[] members;
     final Transport[] transports;
     final boolean[] stopped;
@@ -32,7 +32,7 @@
     final double[] sees;
 
     SimulatedGossipFleet(int n, double suspectAfter, double freshFor, long seed) {
-        net = new InMemoryTransport.Network(n, 256, 200, seed);
+        net = new InMemoryNetwork(n, 256, 200, seed);
         net.advance(now);
         members = new GossipMembership[n];
         transports = new Transport[n];
@@ -63,7 +63,7 @@
         members[i] = m;
         seq[i] = 0;
         stopped[i] = false;
-        transports[i] = net.at(i, (from, message) -> m.heard(message, from, net.now()));
+        transports[i] = net.open(i, (from, message) -> m.receive(message, from, net.nowMs()));
     }
 
     void kill(int i) {
@@ -89,12 +89,12 @@
         seq[i]++;
         made.computeIfAbsent(s.incarnation, l -> new ArrayList<>()).add(now);
         for (int c = 4; c < 14; c++) {
-            s.asked[c] = 10 * sees[i];
-            s.sent[c] = c < 9 ? 0 : c == 9 ? 3 * sees[i] : s.asked[c];
+            s.offeredUnits[c] = 10 * sees[i];
+            s.admittedUnits[c] = c < 9 ? 0 : c == 9 ? 3 * sees[i] : s.offeredUnits[c];
         }
-        s.first = 50 * sees[i];
-        members[i].own(s, now);
-        members[i].round(now, transports[i]);
+        s.firstAttempts = 50 * sees[i];
+        members[i].setOwnRecord(s, now);
+        members[i].sendRound(now, transports[i]);
     }
 
     void run(double ms) {
--- a/gateway/src/test/java/tinford/routing/client/ForwardingFixture.java
+++ b/gateway/src/test/java/tinford/routing/client/ForwardingFixture.java
@@ -23,11 +23,11 @@
 import tinford.api.Idempotency;
 import tinford.api.Request;
 import tinford.api.Server;
-import tinford.decision.DecisionFixture;
 import tinford.routing.RoutingFixtures;
 import tinford.routing.dispatch.RequestDispatcher;
 import tinford.routing.upstream.ServerPool;
 import tinford.testing.FreePort;
+import tinford.testing.IgnoredEvents;
 
 /**
  * A gateway between real clients and two servers: one that no connection to is ever established,
@@ -106,7 +106,7 @@
     }
 
     /** Writes down what reaches the decision module. */
-    private final class Recorder extends DecisionFixture.Deaf {
+    private final class Recorder extends IgnoredEvents {
         private final GatewayActions actions;
 
         Recorder(GatewayActions actions) {
--- a/gateway/src/test/java/tinford/routing/client/RequestCatalogTest.java
+++ b/gateway/src/test/java/tinford/routing/client/RequestCatalogTest.java
@@ -19,13 +19,13 @@
 import tinford.api.Idempotency;
 import tinford.api.Plan;
 import tinford.api.RequestClass;
-import tinford.decision.DecisionFixture;
 import tinford.protocol.ClientCommand;
 import tinford.protocol.ProtocolException;
 import tinford.protocol.RespReader;
 import tinford.routing.RoutingFixtures;
 import tinford.routing.catalog.Catalog;
 import tinford.routing.dispatch.RequestDispatcher;
+import tinford.testing.IgnoredEvents;
 
 /**
  * Requests under the catalog in force, and how another one replaces it. No connection is opened.
@@ -46,7 +46,7 @@
                 new RequestDispatcher(
                         (now, batch, actions) ->
                                 batch.replay(
-                                        new DecisionFixture.Deaf() {
+                                        new IgnoredEvents() {
                                             @Override
                                             public void plansChanged(Set<Plan> plans) {
                                                 plansInForce.addAll(plans);
--- a/gateway/src/test/java/tinford/routing/counter/CounterClientTest.java
+++ b/gateway/src/test/java/tinford/routing/counter/CounterClientTest.java
@@ -15,10 +15,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import tinford.api.AttemptOutcome;
-import tinford.decision.DecisionFixture;
 import tinford.routing.RoutingFixtures;
 import tinford.routing.dispatch.RequestDispatcher;
 import tinford.testing.FreePort;
+import tinford.testing.IgnoredEvents;
 
 /** Calls on a shared counter that is late, moves, or sends what is no response. */
 public class CounterClientTest {
@@ -34,8 +34,8 @@
     @BeforeMethod
     public void start() throws Exception {
         reported.clear();
-        DecisionFixture.Deaf events =
-                new DecisionFixture.Deaf() {
+        IgnoredEvents events =
+                new IgnoredEvents() {
                     @Override
                     public void counterAnswered(
                             long key, AttemptOutcome outcome, double tookMs, double total) {
--- a/gateway/src/test/java/tinford/routing/peer/PeerMessengerTest.java
+++ b/gateway/src/test/java/tinford/routing/peer/PeerMessengerTest.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 import tinford.api.DecisionModule;
-import tinford.decision.DecisionFixture;
 import tinford.routing.dispatch.RequestDispatcher;
 import tinford.testing.FreePort;
+import tinford.testing.IgnoredEvents;
 
 /** Messages between gateways, on real sockets. */
 public class PeerMessengerTest {
@@ -27,7 +27,7 @@
         DecisionModule echo =
                 (now, batch, actions) ->
                         batch.replay(
-                                new DecisionFixture.Deaf() {
+                                new IgnoredEvents() {
                                     @Override
                                     public void gossipReceived(int peer, String text) {
                                         received.add(peer + " " + text);
--- a/gateway/src/test/java/tinford/routing/upstream/EndpointListTest.java
+++ b/gateway/src/test/java/tinford/routing/upstream/EndpointListTest.java
@@ -17,9 +17,9 @@
 import org.testng.annotations.Test;
 import tinford.api.FleetPolicy;
 import tinford.api.Server;
-import tinford.decision.DecisionFixture;
 import tinford.routing.RoutingFixtures;
 import tinford.routing.dispatch.RequestDispatcher;
+import tinford.testing.IgnoredEvents;
 
 /** Servers under endpoint lists: whose connections end, in which order, and which ids are known. */
 public class EndpointListTest {
@@ -40,8 +40,8 @@
         listed.clear();
         closed.clear();
         fullServer = RoutingFixtures.fullServer(open);
-        DecisionFixture.Deaf events =
-                new DecisionFixture.Deaf() {
+        IgnoredEvents events =
+                new IgnoredEvents() {
                     @Override
                     public void endpointsUpdated(List<Server> entries, boolean complete) {
                         entries.forEach(entry -> listed.put(entry.id, (PooledServer) entry));
--- a/lab/src/main/java/tinford/lab/control/GatewayLoad.java
+++ b/lab/src/main/java/tinford/lab/control/GatewayLoad.java
@@ -26,9 +26,9 @@
 import tinford.fleet.config.TenantRecord;
 import tinford.lab.fleet.FleetBench;
 import tinford.lab.fleet.FleetScript;
+import tinford.lab.fleet.GatewayProgram;
 import tinford.lab.fleet.History;
-import tinford.lab.fleet.Program;
-import tinford.lab.model.World;
+import tinford.lab.model.Simulation;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 
@@ -38,7 +38,7 @@
     private static final String SCENARIO = "load.toml";
     private static final String MAIN_CLASS = "tinford.fleet.run.Main";
     private static final int HEAP_MB = 128;
-    private static final long LOOK_MS = 250;
+    private static final long POLL_INTERVAL_MS = 250;
     private final int gateways;
     private final Path folder;
     private final Scenario scenario;
@@ -65,19 +65,19 @@
         this.gateways = gateways;
         this.folder = folder;
         scenario = scenario(gateways, seconds);
-        World drawn = new World(scenario, seed, DecisionEngine::new);
+        Simulation drawn = new Simulation(scenario, seed, DecisionEngine::new);
         drawn.run();
         trace = drawn.asked();
         List<String> words = program.java(Classpath.SMALL, HEAP_MB, MAIN_CLASS, "serve");
-        Program started =
-                new Program(
+        GatewayProgram started =
+                new GatewayProgram(
                         words,
                         Map.of(),
-                        seat ->
+                        slot ->
                                 operatorText(
-                                        seat,
-                                        Regions.ofFollower(seat.number(), gateways),
-                                        endpoints.of(seat.number())),
+                                        slot,
+                                        Regions.ofFollower(slot.number(), gateways),
+                                        endpoints.of(slot.number())),
                         true);
         bench = new FleetBench(withoutFaults(), scenario, started, seed, folder);
     }
@@ -160,7 +160,8 @@
                 p.slack());
     }
 
-    private static String operatorText(Program.Seat seat, String region, List<Endpoint> servers) {
+    private static String operatorText(
+            GatewayProgram.GatewaySlot slot, String region, List<Endpoint> servers) {
         String list =
                 servers.stream()
                         .map(server -> "\"" + server.region() + "=" + server + "\"")
@@ -174,7 +175,7 @@
                 "fleet = \"" + ControlServers.FLEET_ID + "\"",
                 "region = \"" + region + "\"",
                 "servers = [" + list + "]",
-                "folder = \"" + seat.disk() + "\"",
+                "folder = \"" + slot.disk() + "\"",
                 "");
     }
 
@@ -222,7 +223,7 @@
                 throw new IOException(
                         "gateways did not get the configuration, see their logs in " + folder);
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
--- a/lab/src/main/java/tinford/lab/fleet/Program.java
+++ b/lab/src/main/java/tinford/lab/fleet/GatewayProgram.java
@@ -15,11 +15,11 @@
  * @param peers whether the gateway itself binds {@code peer_listen} (its settings' Limits.Peers);
  *     else the address is free for another use
  */
-public record Program(
+public record GatewayProgram(
         List<String> words, Map<String, String> environment, Operator operator, boolean peers) {
     /** Makes an operator file. */
     public interface Operator {
-        String text(Seat seat) throws IOException;
+        String text(GatewaySlot seat) throws IOException;
     }
 
     /**
@@ -29,7 +29,7 @@
      *     links' addresses, its own its own
      * @param memberListen where streams of a log reach it; {@code members} by number likewise
      */
-    public record Seat(
+    public record GatewaySlot(
             int number,
             int gateways,
             Path folder,
--- a/lab/src/main/java/tinford/lab/fleet/Judge.java
+++ b/lab/src/main/java/tinford/lab/fleet/HistoryJudge.java
@@ -10,11 +10,11 @@
  * Judges histories against the promises of a fleet. It knows nothing of the program but what the
  * lines say.
  */
-public final class Judge {
-    private static final int MOST_KEPT = 20; // of each promise
-    private static final int MOST_TOLD = 10; // lines of a story
+public final class HistoryJudge {
+    private static final int MAX_BROKEN_KEPT = 20; // of each promise
+    private static final int MAX_LINES_PRINTED = 10; // lines of a story
     private final Map<String, Promise> promises;
-    private final Lives lives = new Lives();
+    private final IncarnationTracker lives = new IncarnationTracker();
     private final List<Breach> breaches = new ArrayList<>();
     private final Map<String, Integer> counts = new HashMap<>();
 
@@ -26,7 +26,7 @@
         public String story(double began) {
             StringBuilder s = new StringBuilder(promise + ": " + what);
             List<History.Line> last =
-                    lines.subList(Math.max(0, lines.size() - MOST_TOLD), lines.size());
+                    lines.subList(Math.max(0, lines.size() - MAX_LINES_PRINTED), lines.size());
             if (last.size() < lines.size()) {
                 s.append("\n    ... ").append(lines.size() - last.size()).append(" lines before");
             }
@@ -55,24 +55,24 @@
     /**
      * @param promises by name
      */
-    public Judge(Map<String, Promise> promises) {
+    public HistoryJudge(Map<String, Promise> promises) {
         this.promises = promises;
     }
 
     /** All promises that the script makes. */
-    public static Judge of(FleetScript script) {
+    public static HistoryJudge of(FleetScript script) {
         Map<String, Promise> all = new java.util.LinkedHashMap<>();
         all.put("connections", new Connections());
-        all.put("answers", new Answers());
-        all.put("runs", new Runs());
-        all.put("stages", new Stages());
+        all.put("answers", new FinalAnswerPromise());
+        all.put("runs", new IdempotencyPromise());
+        all.put("stages", new StageOrderPromise());
         if (script.further() > 0) {
-            all.put("further", new Further(script.further()));
+            all.put("further", new RetryBudgetPromise(script.further()));
         }
         if (script.tries() > 0) {
-            all.put("tries", new Tries(script.tries()));
+            all.put("tries", new ProbeRatePromise(script.tries()));
         }
-        return new Judge(all);
+        return new HistoryJudge(all);
     }
 
     /** Lines come in the order of time. */
@@ -84,7 +84,7 @@
                                 l,
                                 lives,
                                 (what, story) -> {
-                                    if (counts.merge(name, 1, Integer::sum) <= MOST_KEPT) {
+                                    if (counts.merge(name, 1, Integer::sum) <= MAX_BROKEN_KEPT) {
                                         breaches.add(new Breach(name, what, List.copyOf(story)));
                                     }
                                 }));
--- a/lab/src/main/java/tinford/lab/model/Try.java
+++ b/lab/src/main/java/tinford/lab/model/ClientAttempt.java
@@ -9,14 +9,14 @@
 import tinford.api.Tenant;
 
 /** One try of a client, with its history. */
-public final class Try extends Request {
+public final class ClientAttempt extends Request {
     final Asked asked;
     final double work;
     final double arrived;
     private final LongSupplier gateway; // which life the gateway that took it is in
     final long life;
-    public final List<Hop> hops = new ArrayList<>(1);
-    private final List<String> told = new ArrayList<>(4);
+    public final List<ServerVisit> visits = new ArrayList<>(1);
+    private final List<String> events = new ArrayList<>(4);
     int answers;
     boolean left;
     boolean over;
@@ -45,13 +45,13 @@
     }
 
     /** A dispatch, as the wires show it. */
-    public static final class Hop {
-        final Machine to;
+    public static final class ServerVisit {
+        final ServerMachine to;
         final double at;
-        Machine.Visit visit;
+        ServerMachine.Visit visit;
         public AttemptOutcome end;
 
-        public Hop(Machine to, double at) {
+        public ServerVisit(ServerMachine to, double at) {
             this.to = to;
             this.at = at;
         }
@@ -61,7 +61,7 @@
      * @param gateway tells which life the gateway that takes it is in: one that has died owes
      *     nothing
      */
-    public Try(long id, Asked asked, LongSupplier gateway, double now, boolean resent) {
+    public ClientAttempt(long id, Asked asked, LongSupplier gateway, double now, boolean resent) {
         super(
                 id,
                 asked.frontend,
@@ -77,15 +77,15 @@
     }
 
     boolean mayHaveRun() {
-        return hops.stream().anyMatch(h -> h.end == null || h.end.mayHaveRun);
+        return visits.stream().anyMatch(h -> h.end == null || h.end.mayHaveRun);
     }
 
     boolean gatewayGone() {
         return gateway.getAsLong() != life;
     }
 
-    void tell(double now, String what) {
-        told.add(Math.round(now - arrived) + " ms " + what);
+    void record(double now, String what) {
+        events.add(Math.round(now - arrived) + " ms " + what);
     }
 
     String story() {
@@ -96,6 +96,6 @@
                 + ", "
                 + tenant.plan.name
                 + "): "
-                + String.join(", ", told);
+                + String.join(", ", events);
     }
 }
--- a/lab/src/main/java/tinford/lab/model/Store.java
+++ b/lab/src/main/java/tinford/lab/model/CounterStore.java
@@ -9,8 +9,8 @@
 import tinford.api.AttemptOutcome;
 
 /** The counter: numbers by name, each kept for a time, on parts that serve their calls in turn. */
-public final class Store {
-    private final Agenda agenda;
+public final class CounterStore {
+    private final EventQueue events;
     private final Part[] parts;
     private final ContinuousSampler takes;
     private final int most;
@@ -27,7 +27,7 @@
             Runnable call = line.poll();
             busy = call != null;
             if (busy) {
-                agenda.after(
+                events.after(
                         takes.sample() * slower,
                         () -> {
                             call.run();
@@ -40,8 +40,8 @@
     /**
      * @param most calls that wait at one part
      */
-    public Store(Agenda agenda, int parts, ContinuousSampler takes, int most) {
-        this.agenda = agenda;
+    public CounterStore(EventQueue agenda, int parts, ContinuousSampler takes, int most) {
+        this.events = agenda;
         this.parts = new Part[parts];
         for (int i = 0; i < parts; i++) {
             this.parts[i] = new Part();
@@ -71,8 +71,8 @@
         p.line.add(
                 () -> {
                     double[] had = p.held.get(name);
-                    if (had == null || had[1] < agenda.now()) {
-                        had = new double[] {0, agenda.now() + Math.min(60_000, keep)};
+                    if (had == null || had[1] < events.now()) {
+                        had = new double[] {0, events.now() + Math.min(60_000, keep)};
                         p.held.put(name, had);
                     }
                     had[0] += amount;
@@ -90,7 +90,7 @@
     public long held() {
         return Arrays.stream(parts)
                 .flatMap(p -> p.held.values().stream())
-                .filter(entry -> entry[1] >= agenda.now())
+                .filter(entry -> entry[1] >= events.now())
                 .count();
     }
 
--- a/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
+++ b/lab/src/main/java/tinford/lab/sockets/SingleGateway.java
@@ -21,10 +21,10 @@
     private static final long READY_MS = 20_000;
     private static final long LOG_MS = 5_000;
     private static final long END_MS = 20_000;
-    private static final long LOOK_MS = 2;
+    private static final long POLL_INTERVAL_MS = 2;
 
     private static final int FIRST_TARGET_MS = 1500;
-    private static final String READ_AGAIN = "configuration reloaded";
+    private static final String CONFIGURATION_READ_LINE = "configuration reloaded";
     private final Path configuration;
     private final Path log;
     private final int port = FreePort.find();
@@ -50,7 +50,7 @@
             throws IOException {
         this.routes = routes;
         this.counterPort = otherCounter == 0 ? counter.getLocalPort() : otherCounter;
-        this.list = ServerList.whole(servers);
+        this.list = EndpointListDocument.whole(servers);
         this.configuration = folder.resolve("gateway.json");
         this.log = folder.resolve("gateway.log");
         accept(discovery, this::tellList);
@@ -86,7 +86,7 @@
 
     private void tellList(Socket socket) {
         try {
-            Wire wire = new Wire(socket);
+            RespConnection wire = new RespConnection(socket);
             for (String line = wire.line(); line != null && !line.isEmpty(); line = wire.line()) {}
             listsAsked.incrementAndGet();
             String chunk = Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n";
@@ -106,7 +106,7 @@
     /** Starts the process and waits until it answers a PING; gives how long that took, ms. */
     public double start() throws IOException, InterruptedException {
         long began = System.nanoTime();
-        List<String> words = new ArrayList<>(Between.JAVA);
+        List<String> words = new ArrayList<>(BenchInterceptor.JAVA);
         words.addAll(List.of("-cp", System.getProperty("java.class.path"), "tinford.Main"));
         words.add("serve");
         ProcessBuilder builder = new ProcessBuilder(words);
@@ -125,14 +125,15 @@
             if (late || !process.isAlive()) {
                 throw new IOException("the gateway did not start: " + Files.readString(log));
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
     private boolean answersPing() {
-        try (Wire wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), port))) {
+        try (RespConnection wire =
+                new RespConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
             wire.socket.setSoTimeout(1000);
-            wire.say(Wire.command("PING"));
+            wire.say(RespConnection.command("PING"));
             return "+PONG".equals(wire.answer());
         } catch (IOException e) {
             return false; // not up yet
@@ -141,21 +142,21 @@
 
     /** Sends SIGHUP, and gives the line in which the gateway says what it took over. */
     public String hangUp() throws IOException, InterruptedException {
-        long before = lines(READ_AGAIN).size();
+        long before = lines(CONFIGURATION_READ_LINE).size();
         new ProcessBuilder("sh", "-c", "kill -HUP \"$0\"", Long.toString(process.pid()))
                 .start()
                 .waitFor();
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LOG_MS);
-        while (lines(READ_AGAIN).size() == before) {
+        while (lines(CONFIGURATION_READ_LINE).size() == before) {
             if (System.nanoTime() > until) {
                 throw new IOException(
                         "no word of a new configuration, the process "
                                 + (process.isAlive() ? "lives: " : "has ended: ")
                                 + Files.readString(log));
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
-        List<String> found = lines(READ_AGAIN);
+        List<String> found = lines(CONFIGURATION_READ_LINE);
         return found.get(found.size() - 1);
     }
 
--- a/lab/src/main/java/tinford/lab/sockets/Live.java
+++ b/lab/src/main/java/tinford/lab/sockets/WallClockEventQueue.java
@@ -3,29 +3,29 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
-import tinford.lab.model.Agenda;
+import tinford.lab.model.EventQueue;
 
 /**
  * An agenda that keeps to the wall clock, on a thread of its own; all that the stand-ins know
  * belongs to that thread.
  */
-final class Live implements AutoCloseable {
-    private final Agenda agenda = new Agenda(System.currentTimeMillis());
+final class WallClockEventQueue implements AutoCloseable {
+    private final EventQueue events = new EventQueue(System.currentTimeMillis());
     private final long from = System.nanoTime();
-    private final double began = agenda.now();
+    private final double began = events.now();
     private final ArrayDeque<Runnable> posted = new ArrayDeque<>();
     private final Thread thread = new Thread(this::run, "stand-ins");
-    private static final int MOST_FAULTS = 20;
+    private static final int MAX_FAULTS = 20;
     private final List<String> faults = new CopyOnWriteArrayList<>();
     private boolean closed;
 
-    Live() {
+    WallClockEventQueue() {
         thread.setDaemon(true);
         thread.start();
     }
 
-    Agenda agenda() {
-        return agenda;
+    EventQueue agenda() {
+        return events;
     }
 
     double now() {
@@ -40,14 +40,14 @@
 
     private void run() {
         while (true) {
-            guarded(() -> agenda.run(now()));
+            guarded(() -> events.run(now()));
             Runnable next;
             synchronized (this) {
                 if (closed) {
                     return;
                 }
                 next = posted.poll();
-                double wait = agenda.next() - now();
+                double wait = events.next() - now();
                 if (next == null && wait > 0) {
                     try {
                         wait((long) Math.max(1, Math.min(1000, wait)));
@@ -58,7 +58,7 @@
                 }
             }
             if (next != null) {
-                guarded(() -> agenda.run(now())); // guards its times: they count from now, however
+                guarded(() -> events.run(now())); // guards its times: they count from now, however
                 // long ago the agenda was looked at
                 guarded(next);
             }
@@ -73,7 +73,7 @@
         try {
             what.run();
         } catch (RuntimeException e) {
-            if (faults.size() < MOST_FAULTS) {
+            if (faults.size() < MAX_FAULTS) {
                 faults.add("a stand-in failed: " + e + " at " + e.getStackTrace()[0]);
             }
         }
