--- a/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
@@ -69,6 +69,7 @@
         return copy;
     }
 
+    /** The status after the last entry that was applied. */
     public MigrationStatus status() {
         return new MigrationStatus(
                 progress.state,
--- a/gateway/src/main/java/tinford/routing/upstream/ServerAttempt.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerAttempt.java
@@ -35,6 +35,7 @@
         sendDeadline = timer;
     }
 
+    /** Stops all timers of the attempt. */
     public void cancelTimers() {
         if (timeout != null) {
             timeout.cancel();
--- a/gateway/src/main/java/tinford/transport/ConnectionBuffer.java
+++ b/gateway/src/main/java/tinford/transport/ConnectionBuffer.java
@@ -61,6 +61,7 @@
         return writeLimit - writeIndex;
     }
 
+    /** Drops so many of the unread bytes, the oldest first. */
     public void consume(int count) {
         readIndex += count;
         if (readIndex == readLimit) {
@@ -110,6 +111,7 @@
         writeLimit = readLimit;
     }
 
+    /** Appends bytes to what waits to be written. */
     public ConnectionBuffer put(byte[] source, int offset, int count) {
         ensureWritable(count);
         System.arraycopy(source, offset, bytes, writeLimit, count);
@@ -126,6 +128,7 @@
         return put(Long.toString(number));
     }
 
+    /** Appends CR LF. */
     public ConnectionBuffer putLineEnd() {
         ensureWritable(2);
         bytes[writeLimit++] = '\r';
--- a/lab/src/main/java/tinford/lab/fleet/FleetBench.java
+++ b/lab/src/main/java/tinford/lab/fleet/FleetBench.java
@@ -45,15 +45,15 @@
             Map<String, String> environment = new TreeMap<>(program.environment());
             environment.put("ROUTER_CONFIG", config.toString());
             environment.put("TINFORD_HISTORY", lines.toString());
-            GatewayProgram.GatewaySlot seat = seat(gateway);
+            GatewayProgram.GatewaySlot slot = slot(gateway);
             if (program.operator() != null) {
                 Path file = its.resolve("fleet.json");
-                Files.writeString(file, program.operator().text(seat));
+                Files.writeString(file, program.operator().text(slot));
                 environment.put("TINFORD_FLEET", file.toString());
             }
             tell("started", "who", gateway);
             return processes.start(
-                    gateway, program.words().stream().map(seat::fill).toList(), environment, log);
+                    gateway, program.words().stream().map(slot::fill).toList(), environment, log);
         }
 
         @Override
@@ -211,7 +211,7 @@
     }
 
     /** Where a gateway sits: all addresses that it is told are those of links. */
-    public GatewayProgram.GatewaySlot seat(int gateway) throws IOException {
+    public GatewayProgram.GatewaySlot slot(int gateway) throws IOException {
         return new GatewayProgram.GatewaySlot(
                 gateway,
                 bench.gateways(),
--- a/lab/src/main/java/tinford/lab/fleet/FleetFigures.java
+++ b/lab/src/main/java/tinford/lab/fleet/FleetFigures.java
@@ -29,7 +29,7 @@
         Set<String> passed = new HashSet<>();
         TreeMap<Integer, double[]> spans =
                 new TreeMap<>(); // worth asked, passed, by when it was asked first
-        Map<String, Double> ill = new HashMap<>();
+        Map<String, Double> unhealthy = new HashMap<>();
         Set<Integer> disturbed = new HashSet<>();
         TreeMap<Double, TreeMap<Integer, double[]>> shed =
                 new TreeMap<>(); // asked, denied, by worth and gateway
@@ -56,16 +56,19 @@
                     all += l.number("held") - (before == null ? 0 : before);
                     most = Math.max(most, all);
                 }
-                case "ill" -> ill.put(server, l.at());
+                case "ill" -> unhealthy.put(server, l.at());
                 case "well" ->
-                        illMs += Math.max(0, l.at() - ill.getOrDefault(server, l.at()) - FOUND);
+                        illMs +=
+                                Math.max(
+                                        0, l.at() - unhealthy.getOrDefault(server, l.at()) - FOUND);
                 case "dispatch", "try" -> {
                     if (l.kind().equals("dispatch")) {
                         dispatches++;
                         strainedDispatches += during ? 1 : 0;
                     }
                     tries +=
-                            l.at() - ill.getOrDefault(server, Double.POSITIVE_INFINITY) > FOUND
+                            l.at() - unhealthy.getOrDefault(server, Double.POSITIVE_INFINITY)
+                                            > FOUND
                                     ? 1
                                     : 0;
                 }
@@ -100,7 +103,7 @@
                 default -> {}
             }
             if (l.kind().equals("well")) {
-                ill.remove(server);
+                unhealthy.remove(server);
             }
         }
         Map<String, Double> figures = new TreeMap<>();
--- a/lab/src/main/java/tinford/lab/fleet/GatewayProgram.java
+++ b/lab/src/main/java/tinford/lab/fleet/GatewayProgram.java
@@ -19,7 +19,7 @@
         List<String> words, Map<String, String> environment, Operator operator, boolean peers) {
     /** Makes an operator file. */
     public interface Operator {
-        String text(GatewaySlot seat) throws IOException;
+        String text(GatewaySlot slot) throws IOException;
     }
 
     /**
--- a/lab/src/main/java/tinford/lab/model/Simulation.java
+++ b/lab/src/main/java/tinford/lab/model/Simulation.java
@@ -9,7 +9,17 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import tinford.api.*;
+import tinford.api.AttemptLimits;
+import tinford.api.CounterSettings;
+import tinford.api.DecisionModule;
+import tinford.api.DeduplicationScope;
+import tinford.api.GatewayIdentity;
+import tinford.api.Idempotency;
+import tinford.api.Objectives;
+import tinford.api.RequestClass;
+import tinford.api.Server;
+import tinford.api.SlowStartRules;
+import tinford.api.Tenant;
 import tinford.lab.scenario.Scenario;
 import tinford.lab.scenario.Trace;
 
--- a/lab/src/main/java/tinford/lab/scale/FirstDispatchTimes.java
+++ b/lab/src/main/java/tinford/lab/scale/FirstDispatchTimes.java
@@ -169,9 +169,9 @@
         if (wait.openCalls == 0) {
             return wait.countedAt;
         }
-        double patience =
+        double counterWaitMs =
                 MAX_COUNTER_WAIT * request.requestClass.latencyObjectiveMs + COUNTER_WAIT_TICK_MS;
-        return Math.min(now, wait.turnAt + patience);
+        return Math.min(now, wait.turnAt + counterWaitMs);
     }
 
     private void record(Wait wait, double decidedAt, double ceilingAt, double now) {
--- a/lab/src/main/java/tinford/lab/scale/ObservedDecisions.java
+++ b/lab/src/main/java/tinford/lab/scale/ObservedDecisions.java
@@ -1,7 +1,18 @@
 package tinford.lab.scale;
 
 import java.util.List;
-import tinford.api.*;
+import tinford.api.AttemptLimits;
+import tinford.api.AttemptOutcome;
+import tinford.api.CounterSettings;
+import tinford.api.DecisionModule;
+import tinford.api.FleetPolicy;
+import tinford.api.GatewayActions;
+import tinford.api.GatewayEvents;
+import tinford.api.GatewayIdentity;
+import tinford.api.Objectives;
+import tinford.api.Request;
+import tinford.api.Server;
+import tinford.api.SlowStartRules;
 
 /**
  * Makes the decisions of every gateway of a model as they are, and lets listeners hear what passes
--- a/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
+++ b/lab/src/main/java/tinford/lab/scale/driver/GatewayDriver.java
@@ -74,7 +74,7 @@
 
     /** A dispatch whose answer is due at some time. */
     private record Running(
-            double due, long sequence, Request req, Server server, int number, double sentAt)
+            double due, long sequence, Request request, Server server, int number, double sentAt)
             implements Comparable<Running> {
         @Override
         public int compareTo(Running other) {
@@ -179,7 +179,7 @@
     }
 
     private void answer(Running done) {
-        Integer open = dispatchesOf.remove(done.req());
+        Integer open = dispatchesOf.remove(done.request());
         if (open == null) {
             return;
         }
@@ -188,7 +188,7 @@
         round(
                 inbox ->
                         inbox.attemptEnded(
-                                done.req(),
+                                done.request(),
                                 done.number(),
                                 AttemptOutcome.SUCCESS,
                                 took,
--- a/lab/src/test/java/tinford/lab/fleet/HistoryJudgeTest.java
+++ b/lab/src/test/java/tinford/lab/fleet/HistoryJudgeTest.java
@@ -66,7 +66,7 @@
         return all;
     }
 
-    private static List<History.Line> strain(int further) {
+    private static List<History.Line> overload(int further) {
         List<History.Line> all = new ArrayList<>();
         all.add(at(0, "strained", "gateway", 0, "on", true));
         for (int i = 0; i < 200; i++) {
@@ -221,9 +221,9 @@
                 false,
                 lines(plan, stage(5, 0, 1, "d"), stage(6, 1, 1, "d"), stage(7, 0, 2, "d", "f"))
             },
-            {"further", true, lines(strain(50))},
-            {"further", false, lines(strain(10))},
-            {"further", false, lines(strain(50).subList(1, 201))},
+            {"further", true, lines(overload(50))},
+            {"further", false, lines(overload(10))},
+            {"further", false, lines(overload(50).subList(1, 201))},
             {
                 "tries",
                 true,
--- a/lab/src/test/java/tinford/lab/model/OracleTest.java
+++ b/lab/src/test/java/tinford/lab/model/OracleTest.java
@@ -69,7 +69,7 @@
         @Override
         public void attemptEnded(
                 Request request,
-                int hop,
+                int attempt,
                 AttemptOutcome how,
                 double took,
                 boolean closed,
@@ -84,7 +84,7 @@
             }
             if (how.mayHaveRun && fault.equals("denies")) {
                 out.reject(request, 0);
-            } else if (how.mayHaveRun && fault.equals("again") && hop == 0) {
+            } else if (how.mayHaveRun && fault.equals("again") && attempt == 0) {
                 send(request);
             } else if (how.mayHaveRun) {
                 out.fail(request);
@@ -106,7 +106,7 @@
         public void discoveryFailed() {}
 
         @Override
-        public void responseStarted(Request request, int hop) {}
+        public void responseStarted(Request request, int attempt) {}
 
         @Override
         public void clientDisconnected(Request request) {}
@@ -115,7 +115,8 @@
         public void timerFired(long token) {}
 
         @Override
-        public void healthCheckEnded(Server srv, AttemptOutcome how, double took, double[] load) {}
+        public void healthCheckEnded(
+                Server server, AttemptOutcome how, double took, double[] load) {}
 
         @Override
         public void gossipReceived(int peer, String text) {}
