--- a/fleet/src/main/java/tinford/fleet/budget/BudgetAllocation.java
+++ b/fleet/src/main/java/tinford/fleet/budget/BudgetAllocation.java
@@ -6,14 +6,15 @@
 import java.util.List;
 
 /**
- * Divides one pool: how many connections each gateway may hold at each server, and how many
- * attempts each account may have in flight through each gateway. Accounts get the weighted max-min
- * of all that can be used; the previous division is kept where possible. Matrices have a row for
- * each gateway and a column for each server. A gateway's static connections serve its own accounts
- * first; where these don't use their share of them, other demand at the gateway does.
+ * Allocates the connections of a pool of servers: how many connections each gateway may hold at
+ * each server, and how many attempts each account may have in flight through each gateway. Accounts
+ * share the usable connections by weighted max-min fairness; the previous allocation is kept where
+ * possible. Matrices have a row for each gateway and a column for each server. A gateway's static
+ * connections serve its own accounts first; connections that these leave unused serve other demand
+ * at the same gateway.
  */
 public final class BudgetAllocation {
-    /** An account with its demand and previous allocation at each of its gateways. */
+    /** An account with its demand and its previous allocation at each of its gateways. */
     public static final class Account {
         public final long id;
         final int weight;
@@ -23,11 +24,12 @@
         final int[] demands;
         final int[] previous;
 
-        /** The outcome, by {@code rows}. */
+        /** The result, in the order of {@code rows}. */
         public int[] allocated;
 
         /**
-         * @param rows gateways at which the account has demand or had an allocation
+         * @param rows of the gateways at which the account has demand or had an allocation; the
+         *     demands and previous allocations are in the same order
          */
         public Account(
                 long id,
@@ -63,28 +65,28 @@
     }
 
     /**
-     * An account's previous allocation at a gateway is kept while it differs from the even one by
-     * no more than this part of it, and one.
+     * An account's previous allocation at a gateway is kept while it differs from the one in
+     * proportion to demand by no more than this share of the latter plus one connection.
      */
     private static final double KEPT_DEVIATION = 0.25;
 
     private static final int MAX_PASSES = 64;
 
-    /** The division that is aimed at, once all gateways have let go. */
+    /** The grants to reach once all gateways have released what they hold beyond them. */
     public final int[][] target;
 
-    /** What may be granted now: no more in a column than is free. */
+    /** The grants that are possible now: in a column no more than is free is added. */
     public final int[][] next;
 
     private final int rows;
     private final int columns;
 
     /**
-     * @param pool by column: the capacity less the static part and what gateways outside these rows
-     *     may hold
+     * @param pool by column: the capacity less the static part, and less what gateways outside
+     *     these rows may hold
      * @param staticConnections by row
-     * @param granted the previous division
-     * @param maxHeld what may be held, at least what is granted
+     * @param granted the previous grants
+     * @param maxHeld the connections that may still be held, at least those granted
      */
     public BudgetAllocation(
             int[] pool,
@@ -109,7 +111,10 @@
         next = nextGrants(pool, granted, maxHeld);
     }
 
-    /** Allocates each account; returns what gateways need beyond their static connections. */
+    /**
+     * Allocates connections to each account; returns, by row, how many connections the gateway
+     * needs beyond its static ones.
+     */
     private int[] allocateAccounts(long pool, int[] staticConnections, List<Account> accounts) {
         long[] demand = new long[rows];
         for (Account account : accounts) {
@@ -119,8 +124,8 @@
         }
         long[] allocated = new long[rows];
         long usable = usable(pool, staticConnections, demand);
-        // static connections that a gateway can't use do not serve accounts at others: the total is
-        // reduced until the allocation fits
+        // Static connections that a gateway can't use don't serve accounts at other gateways: the
+        // total is reduced until the allocation fits.
         for (int pass = 0; pass < MAX_PASSES; pass++) {
             divide(usable, accounts, allocated);
             long fits = usable(pool, staticConnections, allocated);
@@ -137,7 +142,7 @@
         return needs;
     }
 
-    /** The pool, and the static connections that a use by row takes. */
+    /** The size of the pool plus the static connections that the given use, by row, takes up. */
     private static long usable(long pool, int[] staticConnections, long[] use) {
         long usable = pool;
         for (int row = 0; row < use.length; row++) {
@@ -168,10 +173,10 @@
         }
     }
 
-    /** Splits an account's part among its gateways by demand, near the previous split. */
+    /** Splits an account's share among its gateways by demand, close to the previous split. */
     private static void splitByGateway(Account account, int part) {
         int size = account.rows.length;
-        // where there is one for each gateway with demand, none is left without
+        // If there is one connection for each gateway, no gateway with demand is left without.
         int min = part >= size ? 1 : 0;
         long totalDemand = account.totalDemand();
         account.allocated = new int[size];
@@ -199,10 +204,10 @@
     }
 
     /**
-     * Adds one to, or takes one from, the gateways that are farthest off the even split, as many as
-     * needed.
+     * Adds one to, or takes one from, each of the gateways that deviate most from the split in
+     * proportion to demand, as many as needed.
      *
-     * @return the change of the sum
+     * @return the change of the sum; 0 if no gateway can change
      */
     private static int correctOnce(Account account, int part, int sum, int min) {
         int sign = sum < part ? 1 : -1;
@@ -228,7 +233,7 @@
         return sign * count;
     }
 
-    /** Static connections that a gateway's allocations leave go to unmet demand there. */
+    /** Allocates static connections that are left at a gateway to unmet demand there. */
     private void useStaticRest(
             int[] staticConnections, long[] allocatedByRow, List<Account> accounts) {
         List<List<AccountAtGateway>> unmetByRow = new ArrayList<>();
@@ -251,7 +256,7 @@
         }
     }
 
-    /** Returns how many were given. */
+    /** Returns how many connections were allocated. */
     private static long divideRest(long rest, List<AccountAtGateway> unmet) {
         int[] weights = new int[unmet.size()];
         int[] caps = new int[unmet.size()];
@@ -272,8 +277,8 @@
     }
 
     /**
-     * Changes the target until rows meet their needs and no column exceeds its capacity; what need
-     * not change stays.
+     * Changes the target until no row exceeds its need, no column exceeds its capacity, and rows
+     * meet their needs as far as capacity allows; the rest of the target is kept.
      */
     private final class Placement {
         private final int[] capacity;
@@ -314,7 +319,10 @@
             usedByRow[row] += by;
         }
 
-        /** The column that exceeds its capacity most; among equals the one with most of the row. */
+        /**
+         * The column that exceeds its capacity most; among equals the one in which the row has most
+         * connections.
+         */
         private int columnToReduce(int row) {
             int best = -1;
             for (int column = 0; column < columns; column++) {
@@ -344,7 +352,10 @@
             return best;
         }
 
-        /** Adds one in each column with room in turn; each row begins at another column. */
+        /**
+         * Adds one connection at a time in each column with free capacity in turn. Rows start at
+         * different columns, so that their connections spread over the servers.
+         */
         private void fill(int row) {
             int missing = needs[row] - usedByRow[row];
             int start = (int) ((long) row * columns / Math.max(1, rows));
--- a/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
+++ b/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
@@ -14,11 +14,11 @@
 import tinford.fleet.store.ReplicatedLog;
 
 /**
- * The grants of connections by the entries of the log; the same on every member. A grant is
- * accepted only where all connections that may be held, linger or are granted fit in the server's
- * capacity less its static part: whoever proposes, that promise is kept here alone. Bounds: {@link
- * #MAX_SERVERS} servers, {@link #MAX_ACCOUNTS} accounts an incarnation, and the incarnations of
- * {@link LeaseTable}.
+ * State machine of the grants of connections, which follow from the entries of the replicated log
+ * and are the same on every member. A grant is accepted only if all connections that may be held,
+ * that linger, or that are granted fit into the server's capacity less its static part. This class
+ * alone enforces that rule, whoever proposes the grant. Holds at most {@link #MAX_SERVERS} servers,
+ * {@link #MAX_ACCOUNTS} accounts per incarnation, and the incarnations of {@link LeaseTable}.
  */
 public class BudgetLedger implements ReplicatedLog.StateMachine {
     public static final int MAX_SERVERS = 4096;
@@ -78,7 +78,7 @@
         }
         GrantTable.Holder holder =
                 table.holders.computeIfAbsent(report.incarnation(), key -> new GrantTable.Holder());
-        // a late report of what was let go is still true, one of demand is not
+        // Even in an old report what was released stays released; its demand may be out of date.
         reduceHeld(holder, report);
         if (report.timestampMs() <= holder.reportedMs) {
             staleEntries++;
@@ -102,7 +102,9 @@
                         });
     }
 
-    /** Removes an account with 0, and ignores a new one beyond the bound. */
+    /**
+     * Sets the count of an account; 0 removes it, and a new account beyond the bound is ignored.
+     */
     private static void putBounded(Map<Long, Integer> counts, long account, int count) {
         if (count == 0) {
             counts.remove(account);
@@ -188,20 +190,23 @@
         nextReleaseMs = Math.min(nextReleaseMs, grant.releaseMs);
     }
 
-    /** Whether so many more fit beside all that may be held, so that no capacity is exceeded. */
+    /**
+     * Whether the server's capacity allows that many more connections in addition to all that may
+     * be held.
+     */
     boolean hasRoom(Incarnation incarnation, int server, int more) {
         return held(server) + more <= grantable(server);
     }
 
     /**
-     * The log's time from which the holder surely has let go of what was reduced, even if it never
-     * reported that.
+     * The log's time from which the holder is certain to have released what a grant was reduced by,
+     * even if it never reported that.
      */
     double releaseMs(Lease lease) {
         return lease.expiresAtMs() + leases.maxClockSkewMs() + leases.lingerMs();
     }
 
-    /** Whether no connection can be open that the incarnation was granted. */
+    /** Whether no connection that the incarnation was granted can still be open. */
     boolean isGone(Incarnation incarnation) {
         return leases.isClosed(incarnation);
     }
@@ -213,13 +218,13 @@
         }
     }
 
-    /** Connections that can be granted at a server in total. */
+    /** Connections that can be granted at a server in total: its capacity less the static part. */
     int grantable(int server) {
         GrantTable.Server entry = table.servers.get(server);
         return entry.capacity - staticShares.total(entry.name);
     }
 
-    /** Number of a server in this log; -1 where it is unknown. */
+    /** Number of a server in this log; -1 if it is unknown. */
     public int serverNumber(String server) {
         return table.serverNumber(server);
     }
@@ -233,27 +238,32 @@
         return leases;
     }
 
-    /** Entries of unknown kinds or format versions, each of which was skipped. */
+    /** Number of entries that were skipped because their kind or format version is unknown. */
     public long unknownEntries() {
         return unknownEntries;
     }
 
-    /** Entries that were torn or had values out of range. */
+    /** Number of entries that were truncated or had values out of range. */
     public long unreadableEntries() {
         return unreadableEntries;
     }
 
-    /** Entries and lines that came too late to count. */
+    /**
+     * Number of entries and lines of grants that were ignored because they were out of date or
+     * referred to a server or incarnation that is not held.
+     */
     public long staleEntries() {
         return staleEntries;
     }
 
-    /** Lines that would have exceeded a capacity. */
+    /**
+     * Number of lines of grants that were rejected because they would exceed a server's capacity.
+     */
     public long rejectedGrants() {
         return rejectedGrants;
     }
 
-    /** Accepted lines at servers. */
+    /** Number of accepted lines of grants at servers. */
     public long acceptedGrants() {
         return acceptedGrants;
     }
@@ -263,7 +273,7 @@
         return table.servers.get(server).held;
     }
 
-    /** Connections that an incarnation is granted at a server. */
+    /** Connections that an incarnation is granted at a server, in addition to its static share. */
     public int granted(Incarnation incarnation, int server) {
         GrantTable.ServerGrant grant = table.serverGrant(incarnation, server);
         return grant == null ? 0 : grant.granted;
@@ -275,7 +285,7 @@
         return holder == null ? 0 : holder.accountGrants.getOrDefault(account, 0);
     }
 
-    /** The incarnations to which more may be granted, by gateway. */
+    /** The incarnations to which more may be granted, in order of gateway and start. */
     List<Incarnation> eligibleIncarnations() {
         List<Incarnation> incarnations = new ArrayList<>();
         for (Incarnation incarnation : table.holders.keySet()) {
@@ -299,8 +309,8 @@
     }
 
     /**
-     * @throws UncheckedIOException the snapshot can't be read; as it came from a majority, nothing
-     *     can replace it
+     * @throws UncheckedIOException if the snapshot can't be read; as a majority has agreed on it,
+     *     there is nothing to replace it by
      */
     @Override
     public void restore(long index, byte[] snapshot) {
@@ -308,7 +318,7 @@
             if (input.readByte() != LedgerEntry.FORMAT_VERSION
                     || input.readByte() != LedgerEntry.FORMAT_VERSION) {
                 throw new IOException(
-                        "a snapshot of a form that is not known, expected "
+                        "snapshot of budgets: unknown format version, expected "
                                 + LedgerEntry.FORMAT_VERSION);
             }
             leases.read(input);
--- a/fleet/src/main/java/tinford/fleet/budget/GrantProposer.java
+++ b/fleet/src/main/java/tinford/fleet/budget/GrantProposer.java
@@ -8,14 +8,19 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * Proposes grants as the leader: the ledger as it knows it, divided anew. A wrong or stale proposal
- * does no harm, as the ledger checks each one.
+ * Computes the grants that the leader proposes, by a new allocation from its state of the ledger. A
+ * wrong or outdated proposal does no harm, as the ledger checks each one.
  */
 public final class GrantProposer {
-    /** An account's terms in the division. */
+    /**
+     * The part of an account's plan that determines its allocation.
+     *
+     * @param minimumShare connections that the account gets before others are served by weight
+     * @param cap the most attempts that it may have in flight
+     */
     public record Plan(int weight, int floor, int cap) {}
 
-    /** Lines at servers in one entry; the rest goes into the next. */
+    /** The most lines for servers in one entry; further ones follow with the next proposal. */
     public static final int MAX_LINES = 20_000;
 
     private final LongFunction<Plan> plans;
@@ -23,8 +28,8 @@
     private double nextProposalMs;
 
     /**
-     * @param plans by account; null for an unknown one, which gets nothing
-     * @param intervalMs between two proposals, at least
+     * @param plans by account; null for an unknown account, which gets no connections
+     * @param intervalMs minimum time between two proposals
      */
     public GrantProposer(LongFunction<Plan> plans, double intervalMs) {
         this.plans = plans;
@@ -32,9 +37,10 @@
     }
 
     /**
-     * Returns the entry to append, or null where nothing has to change or it is too early.
+     * Returns the entry to append, or null if no grant has to change or the interval has not
+     * passed.
      *
-     * @param nowMs the leader's own time
+     * @param nowMs by the leader's clock
      */
     public byte[] propose(BudgetLedger ledger, double nowMs) {
         if (nowMs < nextProposalMs) {
@@ -65,7 +71,9 @@
         int granted;
     }
 
-    /** The ledger as matrices with a row for each incarnation and a column for each server. */
+    /**
+     * An allocation, with a row for each incarnation and a column for each server of the ledger.
+     */
     private final class Division {
         private final List<Incarnation> incarnations;
         private final int[] pool;
@@ -107,7 +115,7 @@
             return sum;
         }
 
-        /** What these rows may hold is theirs to be divided anew, so it belongs to the pool. */
+        /** Adds what the row may hold to the pool, as this is allocated again. */
         private void readServerGrants(GrantTable.Holder holder, int row) {
             holder.serverGrants.forEach(
                     (column, grant) -> {
@@ -149,7 +157,7 @@
                             id, plan.weight(), plan.floor(), plan.cap(), rows, demands, previous);
         }
 
-        /** Changed grants at servers, those that are reduced first. */
+        /** The changed grants at servers, reduced ones first. */
         List<LedgerEntry.GrantLine> serverLines() {
             List<LedgerEntry.GrantLine> reduced = new ArrayList<>();
             List<LedgerEntry.GrantLine> raised = new ArrayList<>();
--- a/fleet/src/main/java/tinford/fleet/budget/GrantTable.java
+++ b/fleet/src/main/java/tinford/fleet/budget/GrantTable.java
@@ -13,31 +13,35 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * Data of the {@link BudgetLedger}: servers with their capacities, and what each incarnation holds.
- * Keeps the sum for each server; decides nothing.
+ * Data of the {@link BudgetLedger}: servers with their capacities, and what each incarnation
+ * demands, was granted and may hold. Keeps the sum of what may be held for each server. Contains no
+ * rules.
  */
 final class GrantTable {
-    /** What one incarnation has at one server, in connections. */
+    /** What one incarnation was granted and may hold at one server, in connections. */
     static final class ServerGrant {
         int granted;
 
-        /** What it may still hold of earlier grants; at least what is granted. */
+        /** What it may still hold, by earlier grants too; at least what is granted. */
         int maxHeld;
 
         /** Index of the last entry that reduced the grant. */
         long reducedIndex;
 
-        /** The log's time from which the holder surely holds no more than is granted. */
+        /** The log's time from which the holder is certain to hold no more than is granted. */
         double releaseMs;
 
-        /** Index of the last entry that granted. */
+        /** Index of the last entry that changed the grant. */
         long fencingToken;
     }
 
     /** A server; its number is its index in {@link #servers}. */
     static final class Server {
         final String name;
+
+        /** Start of the server whose capacity is known; a later one replaces it. */
         long start;
+
         int capacity;
 
         /** Sum of {@code maxHeld} over all incarnations. */
@@ -48,15 +52,15 @@
         }
     }
 
-    /** What one incarnation demands and was granted. */
+    /** What one incarnation demands, was granted and may hold. */
     static final class Holder {
         /** By server number. */
         final TreeMap<Integer, ServerGrant> serverGrants = new TreeMap<>();
 
-        /** By account. */
+        /** Attempts that it wants in flight, by account. */
         final TreeMap<Long, Integer> demands = new TreeMap<>();
 
-        /** By account. */
+        /** Attempts that may be in flight, by account. */
         final TreeMap<Long, Integer> accountGrants = new TreeMap<>();
 
         /** Time stamp of its last demand report. */
@@ -67,12 +71,12 @@
     final TreeMap<Incarnation, Holder> holders = new TreeMap<>();
     private final Map<String, Integer> numbers = new LinkedHashMap<>();
 
-    /** The number of a server, or -1 where it is unknown. */
+    /** The number of a server, or -1 if it is unknown. */
     int serverNumber(String server) {
         return numbers.getOrDefault(server, -1);
     }
 
-    /** Adds a server that is not there yet. */
+    /** Adds a server that is not in the table yet. */
     Server addServer(String name) {
         Server server = new Server(name);
         numbers.put(name, servers.size());
@@ -80,7 +84,7 @@
         return server;
     }
 
-    /** What an incarnation has at a server, or null. */
+    /** The grant of an incarnation at a server, or null. */
     ServerGrant serverGrant(Incarnation incarnation, int server) {
         Holder holder = holders.get(incarnation);
         return holder == null ? null : holder.serverGrants.get(server);
@@ -91,7 +95,7 @@
         grant.maxHeld = maxHeld;
     }
 
-    /** Removes the incarnations of which no connection can be open. */
+    /** Removes the incarnations of which no connection can still be open. */
     void removeHolders(Predicate<Incarnation> isGone) {
         for (Iterator<Map.Entry<Incarnation, Holder>> all = holders.entrySet().iterator();
                 all.hasNext(); ) {
@@ -106,9 +110,9 @@
     }
 
     /**
-     * Releases what was reduced and is surely no longer held.
+     * Releases connections that grants were reduced by and that are certain to be closed.
      *
-     * @return the earliest time at which more can be released
+     * @return the earliest time of the log at which more can be released
      */
     double release(double logTimeMs) {
         double nextReleaseMs = Double.POSITIVE_INFINITY;
@@ -143,9 +147,8 @@
 
     private static void write(DataOutputStream output, Holder holder) throws IOException {
         output.writeDouble(holder.reportedMs);
-        // when empty grants are removed is not part of a snapshot: they are left output, so that
-        // the
-        // snapshots of all members are the same
+        // Members may remove empty grants at different times; these are left out, so that the
+        // snapshots of all members are the same.
         List<Map.Entry<Integer, ServerGrant>> grants =
                 holder.serverGrants.entrySet().stream()
                         .filter(entry -> entry.getValue().maxHeld > 0)
--- a/fleet/src/main/java/tinford/fleet/budget/LedgerEntry.java
+++ b/fleet/src/main/java/tinford/fleet/budget/LedgerEntry.java
@@ -13,8 +13,8 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * An entry of the log about budgets. Encoded: the kind, the format version, and the body. Time
- * stamps are those of the proposer's clock, Unix ms.
+ * An entry of the log about budgets. The encoded form is the kind, the format version, and the
+ * body. Time stamps are of the proposer's clock, in Unix ms.
  */
 public sealed interface LedgerEntry {
     byte DEMAND_REPORT = 16;
@@ -33,17 +33,17 @@
         private static final long serialVersionUID = 1L;
 
         UnknownEntryException() {
-            super("an entry of another kind or form", null, false, false);
+            super("entry of an unknown kind or format version", null, false, false);
         }
     }
 
     /**
-     * An incarnation reports its demand and what it holds.
+     * An incarnation reports its demand and the connections that it holds.
      *
-     * @param lastReadIndex the last entry that it had applied
+     * @param lastReadIndex index of the last entry that it had applied
      * @param demands attempts that it wants in flight, by account, where that changed; 0 for none
-     * @param heldConnections what it holds beyond its static share, by server number, where it was
-     *     granted more before
+     * @param heldConnections connections that it holds beyond its static share, by server number,
+     *     where a grant was reduced
      */
     record DemandReport(
             Incarnation incarnation,
@@ -94,11 +94,11 @@
     }
 
     /**
-     * A server offers the fleet a capacity from now on.
+     * The capacity that a server offers the fleet from now on.
      *
-     * @param start of the server; a later one is another server under the same address, where
-     *     grants stay, as their holders may open connections to it
-     * @param capacity connections, the static part included
+     * @param start of the server; a later start is another server at the same address. The grants
+     *     remain, as their holders may open connections to it
+     * @param capacity in connections, including the static part
      */
     record CapacityOffer(String server, long start, int capacity, double timestampMs)
             implements LedgerEntry {
@@ -123,18 +123,18 @@
     }
 
     /**
-     * One line of a grant: the incarnation has that many from now on.
+     * One line of a grant: what the incarnation is granted from now on.
      *
      * @param target the number of a server, or an account
-     * @param connections at the server, or attempts in flight of the account
+     * @param connections at the server, or attempts of the account that may be in flight
      */
     record GrantLine(Incarnation incarnation, long target, int connections) {}
 
     /**
-     * The leader grants. Lines that reduce a grant come first.
+     * The leader's changes of grants. Lines that reduce a grant come first.
      *
-     * @param basisIndex the last entry that the proposal is based on; a grant after it makes the
-     *     proposal void
+     * @param basisIndex index of the last entry that the proposal is based on; the ledger ignores
+     *     the proposal if another grant follows that entry
      */
     record Grant(
             long basisIndex,
@@ -186,8 +186,8 @@
     /**
      * Decodes an entry of the log.
      *
-     * @throws UnknownEntryException it is of an unknown kind or format version
-     * @throws IOException it is torn or a value is out of range
+     * @throws UnknownEntryException if its kind or format version is unknown
+     * @throws IOException if it is truncated or a value is out of range
      */
     static LedgerEntry decode(byte[] entry) throws UnknownEntryException, IOException {
         if (entry.length < 2
@@ -210,7 +210,7 @@
         void write(DataOutputStream output) throws IOException;
     }
 
-    /** Writes a kind, the format version, and a body. */
+    /** Returns the bytes of a kind, the format version, and a body. */
     static byte[] write(byte kind, Body body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         try (DataOutputStream output = new DataOutputStream(bytes)) {
@@ -226,7 +226,7 @@
     private static double takeTimestamp(DataInputStream input) throws IOException {
         double timestampMs = input.readDouble();
         if (!(timestampMs >= 0 && timestampMs < Double.POSITIVE_INFINITY)) {
-            throw new IOException("a time: " + timestampMs + ", expected ms from 0");
+            throw new IOException("timestamp: expected ms from 0, got " + timestampMs);
         }
         return timestampMs;
     }
--- a/fleet/src/main/java/tinford/fleet/budget/LocalBudget.java
+++ b/fleet/src/main/java/tinford/fleet/budget/LocalBudget.java
@@ -11,18 +11,21 @@
 import tinford.fleet.membership.LeaseTable;
 
 /**
- * One gateway's own budget: what it may hold and use now, by its own clock, and the entries that it
- * appends to the log. Where its lease has expired, or expires within the margin, only its static
- * share is left. Holds {@link BudgetLedger#MAX_ACCOUNTS} accounts with demand and {@link
- * BudgetLedger#MAX_SERVERS} servers at most. Times are in ms.
+ * The budget of one gateway: what it may hold and use now, by its own clock, and the entries that
+ * it appends to the log. If its lease has expired, or expires within the margin, it may use only
+ * its static share. Holds at most {@link BudgetLedger#MAX_ACCOUNTS} accounts with demand and {@link
+ * BudgetLedger#MAX_SERVERS} servers. Times are in ms.
  */
 public class LocalBudget {
-    /** Demand of an account: the most attempts in flight in the present span, and before. */
+    /** Demand of an account: the maximum of its attempts in flight, by retention period. */
     private static final class Demand {
+        /** Maximum in the current period. */
         int present;
+
+        /** Maximum in the period before. */
         int previous;
 
-        /** Attempts that it may have in flight while this gateway has no lease. */
+        /** Attempts that the account may have in flight while this gateway has no lease. */
         int limitWithoutLease;
 
         int max() {
@@ -30,7 +33,9 @@
         }
     }
 
-    /** A demand that has fallen by less than this part of the reported one is not reported. */
+    /**
+     * A demand that has fallen by no more than the reported one divided by this is not reported.
+     */
     private static final int UNREPORTED_DIVISOR = 8;
 
     private final BudgetLedger ledger;
@@ -51,13 +56,15 @@
     private boolean left;
 
     /**
-     * @param ledger of this process, as the log is applied to it
+     * @param ledger of this process, which applies the log
      * @param leaseMs length of a lease
-     * @param marginMs by which what is granted is let go before the lease expires
-     * @param intervalMs between two calls that return entries, at least
-     * @param retentionMs for which a demand is reported on, so that short ones don't move grants
-     * @param staticFromMs from when the static share may be used: the start, where the last
-     *     incarnation of this gateway has surely closed all connections; else later by the linger
+     * @param marginMs how long before the lease expires the gateway stops using its grants
+     * @param intervalMs minimum time between two calls that return entries
+     * @param retentionMs how long a demand is still reported after it has ended, so that short
+     *     changes of demand don't change grants
+     * @param staticFromMs time from which the static share may be used: the start, if all
+     *     connections of this gateway's previous incarnation are certain to be closed; otherwise
+     *     later by the linger time
      */
     public LocalBudget(
             BudgetLedger ledger,
@@ -80,15 +87,15 @@
         this.staticFromMs = staticFromMs;
     }
 
-    /** Whether grants count now, by the own clock. */
+    /** Whether grants are in force now, by this gateway's clock. */
     public boolean hasLease(double nowMs) {
         Lease lease = ledger.leases().of(incarnation);
         return lease != null && lease.isHeldAt(nowMs + marginMs);
     }
 
     /**
-     * Connections that this gateway may hold at a server; to be asked before one is opened, and
-     * before each attempt.
+     * Connections that this gateway may hold at a server. To be checked before a connection is
+     * opened and before each attempt.
      */
     public int connectionLimit(String server, double nowMs) {
         if (left) {
@@ -103,15 +110,18 @@
         return nowMs >= staticFromMs ? staticShares.of(server, incarnation.gateway()) : 0;
     }
 
-    /** Connections to close: idle ones at once, busy ones once they are answered. */
+    /**
+     * Number of connections to close at a server: idle ones at once, busy ones once the response
+     * has arrived.
+     */
     public int excessConnections(String server, double nowMs) {
         int open = openConnections.getOrDefault(server, 0);
         return Math.max(0, open - connectionLimit(server, nowMs));
     }
 
     /**
-     * Attempts that an account may have in flight through this gateway; one for an account that the
-     * ledger does not know yet.
+     * Attempts that an account may have in flight through this gateway; at least one for an account
+     * that the ledger does not know yet.
      */
     public int attemptLimit(long account, double nowMs) {
         if (hasLease(nowMs)) {
@@ -123,14 +133,14 @@
         return demand == null ? 1 : Math.max(1, demand.limitWithoutLease);
     }
 
-    /** Null where the ledger has no report of this incarnation. */
+    /** Null if the ledger has no demand report of this incarnation. */
     private GrantTable.Holder holder() {
         return ledger.table.holders.get(incarnation);
     }
 
     /**
-     * Index of the last entry that granted at a server; never falls. No connection may be opened
-     * under a lower one.
+     * Index of the last entry that changed this gateway's grant at a server; never decreases. No
+     * connection may be opened with a lower one.
      */
     public long fencingToken(String server) {
         int number = ledger.serverNumber(server);
@@ -148,7 +158,8 @@
     }
 
     /**
-     * Notes that an account has, or without shortage would have, so many attempts in flight now.
+     * Records how many attempts of an account are in flight now, or would be if there were enough
+     * connections.
      */
     public void reportDemand(long account, int attempts) {
         Demand demand = demands.get(account);
@@ -162,19 +173,19 @@
         demand.present = Math.max(demand.present, attempts);
     }
 
-    /** Ends all demand; the gateway leaves once no connection is open. */
+    /** Reports no demand from now on; the gateway leaves the fleet once no connection is open. */
     public void startLeaving() {
         leaving = true;
     }
 
-    /** Whether the gateway has left, and holds nothing from then on. */
+    /** Whether the gateway has left the fleet; it then holds no connections. */
     public boolean hasLeft() {
         return left;
     }
 
     /**
-     * The entries to append now: two at most, no sooner than the interval after the last ones. A
-     * lost entry is made up for, as entries are derived from the state of the ledger.
+     * Returns the entries to append now: at most two, and none within the interval after the last
+     * ones. A lost entry does no harm, as the next ones are derived from the state of the ledger.
      */
     public List<byte[]> nextEntries(double nowMs) {
         if (nowMs < nextEntriesMs || left) {
@@ -221,7 +232,7 @@
         }
     }
 
-    /** Demands that differ from those that the ledger has; 0 for those that ended. */
+    /** Demands that differ from those in the ledger, by account; 0 for those that have ended. */
     private Map<Long, Integer> changedDemands(GrantTable.Holder holder) {
         Map<Long, Integer> changed = new LinkedHashMap<>();
         Map<Long, Integer> reported = holder == null ? Map.of() : holder.demands;
@@ -242,12 +253,15 @@
         return changed;
     }
 
-    /** A rise always is, a small fall is not. */
+    /** Any increase is reported, a small decrease is not. */
     private static boolean isWorthReporting(int demand, int reported) {
         return demand > reported || demand < reported - reported / UNREPORTED_DIVISOR;
     }
 
-    /** What is held where a grant was reduced and less is held than may be, by server number. */
+    /**
+     * Connections held beyond the static share, by server number, where a grant was reduced and
+     * fewer are held than the ledger assumes.
+     */
     private Map<Integer, Integer> heldBeyondGrants(GrantTable.Holder holder, double nowMs) {
         Map<Integer, Integer> heldByServer = new LinkedHashMap<>();
         holder.serverGrants.forEach(
@@ -262,7 +276,10 @@
         return heldByServer;
     }
 
-    /** Divides the static share among the accounts for times without a lease, by the same rule. */
+    /**
+     * Divides the static share among the accounts, by the same rule as the leader, for use while
+     * this gateway has no lease.
+     */
     private void divideStaticShare(double nowMs) {
         int pool = 0;
         for (GrantTable.Server server : ledger.table.servers) {
--- a/fleet/src/main/java/tinford/fleet/budget/MaxMinFairness.java
+++ b/fleet/src/main/java/tinford/fleet/budget/MaxMinFairness.java
@@ -4,14 +4,15 @@
 
 /**
  * Weighted max-min fairness over whole connections: the lowest ratio of connections to weight is as
- * high as possible, then the next lowest, and so on. Each one has its floor first, divided likewise
- * where the floors exceed the pool, and none has more than its cap. Among equals the earlier one
- * gets the odd connection. Takes n log n.
+ * high as possible, then the next lowest, and so on. Each participant gets its minimum share first;
+ * if the minimum shares exceed the pool, the pool is divided by weight up to these. None gets more
+ * than its cap. Among equal ratios the earlier participant gets the remaining connection. Takes O(n
+ * log n) time.
  */
 public final class MaxMinFairness {
     private static final int BISECTION_STEPS = 60;
 
-    /** Keeps the level below the exact one despite rounding. */
+    /** Keeps the computed level below the exact one despite rounding errors. */
     private static final double LEVEL_TOLERANCE = 1e-9;
 
     private final int[] weights;
@@ -29,9 +30,10 @@
      *
      * @param pool connections in total
      * @param weights above 0
-     * @param floors that come before weights; each counts up to its cap
-     * @param caps the most that each can use, its demand included
-     * @return for each its connections; in total the pool, or the caps where their sum is lower
+     * @param floors minimum shares, which take precedence over weights; each counts up to its cap
+     * @param caps the most that each can use: the lower of its limit and its demand
+     * @return the connections of each; their sum is the pool, or the sum of the caps if that is
+     *     lower
      */
     public static int[] divide(long pool, int[] weights, int[] floors, int[] caps) {
         int size = weights.length;
@@ -50,8 +52,8 @@
     }
 
     /**
-     * Gives each what it has at a level of connections a weight that the pool surely allows, and
-     * the rest one by one to the lowest ratio.
+     * Allocates to each what it gets at a level, in connections per unit of weight, that the pool
+     * certainly allows, and the remaining connections one by one to the lowest ratio.
      */
     private int[] fill(long pool) {
         double maxLevel = 1;
@@ -72,7 +74,7 @@
         return given;
     }
 
-    /** The highest level whose sum is within the pool, by bisection. */
+    /** Finds by bisection the highest level at which the total is within the pool. */
     private double highestLevel(long pool, double maxLevel) {
         double low = 0;
         double high = maxLevel;
@@ -105,7 +107,7 @@
         }
     }
 
-    /** Compares connections over weight without division. */
+    /** Compares the ratios of connections to weight, without division. */
     private int compareRatios(int[] given, int a, int b) {
         int order = Long.compare((long) given[a] * weights[b], (long) given[b] * weights[a]);
         return order != 0 ? order : Integer.compare(a, b);
--- a/fleet/src/main/java/tinford/fleet/budget/StaticShares.java
+++ b/fleet/src/main/java/tinford/fleet/budget/StaticShares.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 
 /**
- * The part of each server's capacity that is never granted: each gateway holds a fixed share of it
- * without a lease, by settings that all gateways have in common. The shares are even; odd
- * connections go to the gateways that come first in an order of the server's own (a hash of server
- * and gateway), so that the sum is exact. Keeps one array of gateways for each server.
+ * The static part of each server's capacity, which is never granted: each gateway may use a fixed
+ * share of it without a lease, by settings that are the same on all gateways. The shares are even;
+ * the remaining connections go to the gateways that come first in an order that differs by server
+ * (a hash of server and gateway), so that the sum is exact. Keeps one array for each server.
  */
 public final class StaticShares {
     private static final int MAX_SERVERS = BudgetLedger.MAX_SERVERS;
 
-    /** Keeps a product that should be whole from being rounded down. */
+    /** Keeps a product that is a whole number but for rounding errors from being rounded down. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private final Map<String, int[]> sharesByServer = new LinkedHashMap<>();
@@ -27,14 +27,14 @@
 
     /**
      * @param capacities by server, from the settings
-     * @param staticPart of a capacity, 0 to 1
+     * @param staticPart share of each capacity that is static, from 0 to 1
      */
     public StaticShares(Map<String, Integer> capacities, double staticPart, int gateways) {
         this(capacities, 0, staticPart, gateways);
     }
 
     /**
-     * @param defaultCapacity of each server that {@code capacities} does not name
+     * @param defaultCapacity of each server that {@code capacities} does not contain
      */
     public StaticShares(
             Map<String, Integer> capacities, int defaultCapacity, double staticPart, int gateways) {
@@ -71,7 +71,7 @@
         return order;
     }
 
-    /** The static share of a gateway at a server; 0 for a gateway that is none of the fleet. */
+    /** The static share of a gateway at a server; 0 for a gateway that is not of the fleet. */
     public int of(String server, int gateway) {
         int[] shares = sharesByServer.get(server);
         if (shares == null) {
@@ -80,7 +80,7 @@
         return gateway < 0 || gateway >= gateways ? 0 : shares[gateway];
     }
 
-    /** The static shares of all gateways at a server. */
+    /** The sum of the static shares of all gateways at a server. */
     public int total(String server) {
         Integer total = totalsByServer.get(server);
         return total != null ? total : Arrays.stream(divide(server, defaultCapacity)).sum();
--- a/fleet/src/main/java/tinford/fleet/budget/VarInts.java
+++ b/fleet/src/main/java/tinford/fleet/budget/VarInts.java
@@ -5,7 +5,10 @@
 import java.io.IOException;
 import tinford.fleet.membership.Incarnation;
 
-/** Whole numbers from 0 in 7 bits a byte, the lowest first; at most ten bytes. */
+/**
+ * Variable-length encoding of integers from 0: 7 bits per byte, the lowest first, at most ten
+ * bytes.
+ */
 final class VarInts {
     private static final int BITS_PER_BYTE = 7;
     private static final int VALUE_MASK = 0x7f;
@@ -31,16 +34,16 @@
                 return value;
             }
         }
-        throw new IOException("a whole number: longer than 10 bytes");
+        throw new IOException("variable-length integer: expected at most 10 bytes");
     }
 
     /**
-     * @throws IOException the number is not from 0 to {@code max}
+     * @throws IOException if the number is not from 0 to {@code max}
      */
     static int takeCount(DataInput input, int max) throws IOException {
         long value = take(input);
         if (value < 0 || value > max) {
-            throw new IOException("a count: " + value + ", expected 0 to " + max);
+            throw new IOException("count: expected 0 to " + max + ", got " + value);
         }
         return (int) value;
     }
--- a/fleet/src/main/java/tinford/fleet/budget/package-info.java
+++ b/fleet/src/main/java/tinford/fleet/budget/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections to servers divided among accounts and gateways by a replicated ledger. No I/O, no
- * threads, no clock.
+ * Budgets of connections to servers, which a replicated ledger grants to gateways and accounts.
+ * Uses no I/O, no threads and no clock.
  */
 package tinford.fleet.budget;
--- a/fleet/src/main/java/tinford/fleet/migration/LeaseHolders.java
+++ b/fleet/src/main/java/tinford/fleet/migration/LeaseHolders.java
@@ -4,13 +4,13 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * The leases as the migration sees them. They must follow from the entries of the same log, so that
- * every member answers alike.
+ * The leases as far as the migration needs them. The result must depend on the entries of the same
+ * log alone, so that it is the same on every member.
  */
 public interface LeaseHolders {
     /**
-     * All incarnations whose lease was not surely expired at a time of the log, including later
-     * ones. Any other incarnation has sent nothing since.
+     * Returns all incarnations whose lease was not certain to have expired at a time of the log,
+     * including later incarnations. No other incarnation has sent a request since then.
      */
     Collection<Incarnation> mayHaveActed(double sinceMs);
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationEntry.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationEntry.java
@@ -10,18 +10,19 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * One entry of the log about migrations, of at most 64 KiB. Encoded: a mark, the format version,
- * the kind, the proposer's time stamp, and the fields. A field that the kind doesn't use is zero or
- * empty.
+ * An entry of the log about migrations, of at most 64 KiB. The encoded form is a magic byte, the
+ * format version, the kind, the proposer's time stamp, and the fields. A field that the kind
+ * doesn't use is zero or empty.
  *
- * @param timestampMs the proposer's wall clock, Unix ms
+ * @param timestampMs by the proposer's wall clock, Unix ms
  * @param epoch that an acknowledgement, step or report belongs to; for {@code RESUME} the number of
- *     the halt to be lifted
- * @param targetStep for {@code GO}: the index of the step
- * @param operator for an operator's command: the name
- * @param outcomeCounts for {@code REPORT}: for each frontend answers and failures of the source
- *     group, then of the target group
- * @param warmUnits for {@code GO}: the warm capacity of each target group by name, units a second
+ *     the halt to lift
+ * @param targetStep for {@code GO}: the index of the proposed step
+ * @param operator for an operator's command: the operator's name
+ * @param outcomeCounts for {@code REPORT}: for each frontend the number of answers and of failures
+ *     of the source group, then of the target group
+ * @param warmUnits for {@code GO}: the warm capacity of each target group, in order of the groups'
+ *     names, in units per second
  * @param plan for {@code BEGIN}, else null
  */
 public record MigrationEntry(
@@ -34,15 +35,15 @@
         long[] outcomeCounts,
         double[] warmUnits,
         MigrationPlan plan) {
-    /** The kinds; their order is that of their numbers in the log. */
+    /** Kinds of entries. Their ordinals are written to the log, so their order must not change. */
     public enum Kind {
         /** An operator begins a plan. */
         BEGIN,
-        /** A gateway acts on the present step. */
+        /** A gateway acknowledges that it acts on the current step. */
         ACK,
         /** The leader proposes the next step. */
         GO,
-        /** A gateway reports outcomes of its attempts. */
+        /** A gateway reports the outcomes of its attempts. */
         REPORT,
         /** An operator halts the migration. */
         HALT,
@@ -54,7 +55,7 @@
 
     public static final int VERSION = 1;
 
-    /** First byte of each entry; entries of others in the same log have another one. */
+    /** First byte of each entry; other entries in the same log begin with other bytes. */
     public static final int MARK = 'M';
 
     private static final int MAX_ENTRY_BYTES = 64 << 10;
@@ -65,7 +66,7 @@
     private static final long[] NO_COUNTS = {};
     private static final double[] NO_UNITS = {};
 
-    /** The bytes are no entry, or one of an unknown version or kind. */
+    /** The bytes are not an entry, or one of an unknown version or kind. */
     static final class UnreadableEntryException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -74,22 +75,23 @@
         }
     }
 
-    /** The operator begins a plan. */
+    /** Returns the entry by which an operator begins a plan. */
     public static MigrationEntry begin(String operator, double timestampMs, MigrationPlan plan) {
         return new MigrationEntry(
                 Kind.BEGIN, timestampMs, NO_INCARNATION, 0, 0, operator, NO_COUNTS, NO_UNITS, plan);
     }
 
-    /** The incarnation acts on the step of an epoch. */
+    /** Returns the entry by which an incarnation acknowledges the step of an epoch. */
     public static MigrationEntry ack(Incarnation incarnation, long epoch, double timestampMs) {
         return new MigrationEntry(
                 Kind.ACK, timestampMs, incarnation, epoch, 0, "", NO_COUNTS, NO_UNITS, null);
     }
 
     /**
-     * The leader proposes a step.
+     * Returns the entry by which the leader proposes a step.
      *
-     * @param warmUnits of each target group, by name
+     * @param warmUnits warm capacity of each target group, in order of the groups' names, in units
+     *     per second
      */
     public static MigrationEntry go(
             double timestampMs, long epoch, int targetStep, double... warmUnits) {
@@ -105,24 +107,28 @@
                 null);
     }
 
-    /** The incarnation reports the outcomes that it has counted in an epoch. */
+    /** Returns the entry by which an incarnation reports the outcomes counted in an epoch. */
     public static MigrationEntry report(
             Incarnation incarnation, long epoch, double timestampMs, long... outcomeCounts) {
         return new MigrationEntry(
                 Kind.REPORT, timestampMs, incarnation, epoch, 0, "", outcomeCounts, NO_UNITS, null);
     }
 
+    /** Returns the entry by which an operator halts the migration. */
     public static MigrationEntry halt(String operator, double timestampMs) {
         return command(Kind.HALT, operator, timestampMs, 0);
     }
 
     /**
-     * @param haltCount the number of the halt that the operator saw; a later one is not lifted
+     * Returns the entry by which an operator lifts a halt.
+     *
+     * @param haltCount number of the halt that the operator saw; a later one is not lifted
      */
     public static MigrationEntry resume(String operator, double timestampMs, long haltCount) {
         return command(Kind.RESUME, operator, timestampMs, haltCount);
     }
 
+    /** Returns the entry by which an operator reverts the migration. */
     public static MigrationEntry back(String operator, double timestampMs) {
         return command(Kind.BACK, operator, timestampMs, 0);
     }
@@ -174,12 +180,15 @@
     /**
      * Decodes an entry of the log.
      *
-     * @throws UnreadableEntryException the bytes are no entry of a known version and kind
+     * @throws UnreadableEntryException if the bytes are not an entry of a known version and kind
      */
     static MigrationEntry decode(byte[] bytes) throws UnreadableEntryException {
         if (!hasKnownHeader(bytes)) {
             byte[] header = Arrays.copyOf(bytes, Math.min(HEADER_BYTES, bytes.length));
-            throw new UnreadableEntryException("mark, version or kind " + Arrays.toString(header));
+            throw new UnreadableEntryException(
+                    "unknown header or entry too long: expected a magic byte, version and kind, got"
+                            + " "
+                            + Arrays.toString(header));
         }
         try (DataInputStream input =
                 new DataInputStream(new ByteArrayInputStream(bytes, 2, bytes.length - 2))) {
@@ -187,7 +196,9 @@
             if (input.available() > 0
                     || !Double.isFinite(entry.timestampMs)
                     || entry.operator.length() > MAX_OPERATOR_LENGTH) {
-                throw new UnreadableEntryException("a length, a time or a name out of form");
+                throw new UnreadableEntryException(
+                        "expected a finite time stamp, an operator of at most 64 characters and"
+                                + " nothing after the last field");
             }
             return entry;
         } catch (IOException | PlanErrors.InvalidPlanException e) {
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationPlan.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationPlan.java
@@ -7,8 +7,8 @@
 import tinford.api.RequestClass;
 
 /**
- * A plan of a staged migration, which obeys the rules of {@link MigrationPlanRules}: at most {@link
- * #MAX_ITEMS} frontends with as many shares each.
+ * A plan of a staged migration that conforms to {@link MigrationPlanRules}: at most {@link
+ * #MAX_ITEMS} frontends, with at most as many shares each.
  */
 public final class MigrationPlan {
     public static final int MAX_ITEMS = 64;
@@ -16,14 +16,17 @@
     /**
      * How one frontend migrates.
      *
-     * @param dependencies frontends that have to move whole before this one begins
-     * @param firstStage the stage in which it begins, from 1; 0 for as early as its dependencies
-     *     allow
-     * @param shares of its tenants that have moved after each stage, ascending, the last one 1
-     * @param unitsPerSecond that all of it may need
-     * @param marksRetries whether its clients say which requests are retries
-     * @param deduplicationMs during which a request may still run, or its repeat would still be
-     *     dropped; 0 without idempotency keys
+     * @param dependencies frontends that have to be moved completely before this one begins
+     * @param firstStage stage in which the frontend begins, from 1; 0 for as early as its
+     *     dependencies allow
+     * @param shares of its tenants that have moved after each of its stages, ascending; the last is
+     *     1
+     * @param unitsPerSecond that all of its tenants together may need
+     * @param connections that all of its tenants together may need
+     * @param idempotencyKeyed whether its requests carry idempotency keys
+     * @param marksRetries whether its clients mark the requests that are retries
+     * @param deduplicationMs how long after an attempt was sent the attempt may still be executed,
+     *     or a retry still be dropped as a duplicate; 0 without idempotency keys
      */
     public record FrontendMigration(
             String name,
@@ -39,18 +42,19 @@
             double deduplicationMs) {}
 
     /**
-     * What a group can take in addition to the load that stays there.
+     * The load that a group can take in addition to the load that stays there.
      *
-     * @param unitsPerSecond when warm
-     * @param coldShare the part of them when cold
+     * @param unitsPerSecond when its servers are warm
+     * @param coldShare the share of these units that cold servers can take
      */
     public record GroupCapacity(double unitsPerSecond, int connections, double coldShare) {}
 
     /**
-     * What a plan is checked against.
+     * The settings against which a plan is checked.
      *
      * @param frontends that may migrate, by name
-     * @param homeGroups the present group of each
+     * @param homeGroups the current group of each frontend
+     * @param groups the capacity of each group, by name
      */
     public record ValidationContext(
             Map<String, RequestClass> frontends,
@@ -62,10 +66,13 @@
     /** How long a stage has to be observed before the next one begins. */
     public final double soakMs;
 
-    /** By how much the share of failed and late answers may be higher at the target group. */
+    /**
+     * By how much the share of failed and late answers at the target group may exceed that at the
+     * source group.
+     */
     public final double failureMargin;
 
-    /** From how many answers on a share counts. */
+    /** Number of answers from which on a share of failures is evaluated. */
     public final int minAnswers;
 
     public final List<FrontendMigration> frontends;
@@ -77,7 +84,8 @@
     private final Map<String, Integer> indexes = new HashMap<>();
 
     /**
-     * @throws PlanErrors.InvalidPlanException the plan breaks a rule of form
+     * @throws PlanErrors.InvalidPlanException if the plan breaks a rule of {@link
+     *     MigrationPlanRules}
      */
     public MigrationPlan(
             String name,
@@ -101,7 +109,7 @@
         steps = MigrationStages.of(this);
     }
 
-    /** Index of a frontend in the plan; -1 where the plan doesn't name it. */
+    /** Index of a frontend in the plan; -1 if the plan doesn't contain it. */
     public int indexOf(String frontend) {
         return indexes.getOrDefault(frontend, -1);
     }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationPlanCodec.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationPlanCodec.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Binary form of a plan, in entries and snapshots of the log. */
+/** Binary form of a plan in entries and snapshots of the log. */
 final class MigrationPlanCodec {
     private MigrationPlanCodec() {}
 
@@ -52,8 +52,8 @@
     }
 
     /**
-     * @throws IOException the plan is torn
-     * @throws PlanErrors.InvalidPlanException it breaks a rule of form
+     * @throws IOException if the plan is truncated
+     * @throws PlanErrors.InvalidPlanException if it breaks a rule of {@link MigrationPlanRules}
      */
     static MigrationPlan read(DataInputStream input) throws IOException {
         String name = input.readUTF();
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationPlanReader.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationPlanReader.java
@@ -14,8 +14,8 @@
 import tinford.api.RequestClass;
 
 /**
- * Reads a plan from TOML and checks it against the gateway's settings. A plan with any error is
- * rejected, with all of its errors.
+ * Reads a plan from TOML and checks it against the gateway's settings. A plan with errors is
+ * rejected, and all of its errors are reported.
  */
 public final class MigrationPlanReader {
     private static final Set<String> PLAN_KEYS = Set.of("plan", "soak_ms", "bad", "frontends");
@@ -41,13 +41,13 @@
     }
 
     /**
-     * @param file its path, for error texts
-     * @throws PlanErrors.InvalidPlanException with all errors
+     * @param file path of the plan, for error messages
+     * @throws PlanErrors.InvalidPlanException if the plan has errors; contains all of them
      */
     public MigrationPlan read(String file, String text) {
         PlanErrors errors = new PlanErrors(file, text);
         if (text.length() > MAX_CHARACTERS) {
-            errors.add(0, "text", "262144 characters at most");
+            errors.add(0, "text", "at most 262144 characters, not " + text.length());
             errors.throwIfAny();
         }
         JsonNode root = parse(text, errors);
@@ -81,7 +81,8 @@
 
     private List<MigrationPlan.FrontendMigration> readFrontends(JsonNode root, PlanErrors errors) {
         JsonNode list = root.path("frontends");
-        errors.require(list.isArray(), NO_FRONTEND, "frontends", "tables [[frontends]]");
+        errors.require(
+                list.isArray(), NO_FRONTEND, "frontends", "an array of tables [[frontends]]");
         List<MigrationPlan.FrontendMigration> frontends = new ArrayList<>();
         for (int i = 0; list.isArray() && i < list.size(); i++) {
             frontends.add(readFrontend(list.get(i), i, errors));
@@ -98,7 +99,7 @@
                 requestClass != null,
                 index,
                 "name",
-                "one of the frontends that may move, not " + name);
+                "one of the frontends that may migrate, not " + name);
         String sourceGroup = readSourceGroup(node, name, index, errors);
         boolean marksRetries = readMarksRetries(node, index, errors);
         List<Double> shares = readShares(node, index, errors);
@@ -126,7 +127,7 @@
                 !context.frontends().containsKey(frontend) || sourceGroup.equals(homeGroup),
                 index,
                 "from",
-                "where it is: " + homeGroup);
+                "the group that the frontend is in: " + homeGroup);
         return sourceGroup;
     }
 
@@ -148,7 +149,7 @@
             valid &= share.isNumber();
             shares.add(share.asDouble());
         }
-        errors.require(valid, index, "shares", "numbers in brackets");
+        errors.require(valid, index, "shares", "an array of numbers");
         return List.copyOf(shares);
     }
 
@@ -160,11 +161,11 @@
             valid &= dependency.isTextual();
             dependencies.add(dependency.asText());
         }
-        errors.require(valid, index, "needs", "names in brackets");
+        errors.require(valid, index, "needs", "an array of names");
         return List.copyOf(dependencies);
     }
 
-    /** The target groups; each must have capacity for all frontends that move there. */
+    /** The target groups; each must have capacity for all frontends that migrate to it. */
     private Map<String, MigrationPlan.GroupCapacity> targetGroups(
             List<MigrationPlan.FrontendMigration> frontends, PlanErrors errors) {
         Map<String, MigrationPlan.GroupCapacity> groups = new TreeMap<>();
@@ -202,19 +203,19 @@
     }
 
     private static String noMoreThan(Number capacity, String group) {
-        return "no more in all than the " + capacity + " that " + group + " has room for";
+        return "at most " + capacity + " in total, the capacity of group " + group;
     }
 
     private static void checkKeys(
             JsonNode node, Set<String> knownKeys, int index, PlanErrors errors) {
         for (Iterator<String> keys = node.fieldNames(); keys.hasNext(); ) {
             String key = keys.next();
-            errors.require(knownKeys.contains(key), index, key, "no such key");
+            errors.require(knownKeys.contains(key), index, key, "no key of this name");
         }
     }
 
     private static String readText(JsonNode node, String key, int index, PlanErrors errors) {
-        errors.require(node.path(key).isTextual(), index, key, "a text");
+        errors.require(node.path(key).isTextual(), index, key, "a string");
         return node.path(key).asText("");
     }
 
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationPlanRules.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationPlanRules.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The rules of form for a plan, which need nothing but the plan. */
+/** The rules for a plan that can be checked without the settings of the gateway. */
 final class MigrationPlanRules {
     private static final int MAX_NAME_LENGTH = 64;
     private static final int MAX_STAGE = 1000;
@@ -48,23 +48,27 @@
                 !name.isEmpty() && name.length() <= MAX_NAME_LENGTH,
                 PlanErrors.NO_FRONTEND,
                 "plan",
-                "a name of 1 to 64 characters");
+                "a name of 1 to 64 characters, not of " + name.length());
         errors.require(
                 soakMs >= 0 && soakMs <= MAX_DURATION_MS,
                 PlanErrors.NO_FRONTEND,
                 "soak_ms",
-                "ms from 0 to 1e9");
+                "ms from 0 to 1e9, not " + soakMs);
         errors.require(
                 failureMargin >= 0 && failureMargin <= 1,
                 PlanErrors.NO_FRONTEND,
                 "margin",
-                "a part from 0 to 1");
-        errors.require(minAnswers >= 1, PlanErrors.NO_FRONTEND, "answers", "a whole number from 1");
+                "a share from 0 to 1, not " + failureMargin);
+        errors.require(
+                minAnswers >= 1,
+                PlanErrors.NO_FRONTEND,
+                "answers",
+                "a whole number from 1, not " + minAnswers);
         errors.require(
                 !frontends.isEmpty() && frontends.size() <= MigrationPlan.MAX_ITEMS,
                 PlanErrors.NO_FRONTEND,
                 "frontends",
-                "1 to 64 of them");
+                "1 to 64 frontends, not " + frontends.size());
     }
 
     private void checkFrontend(int index) {
@@ -74,25 +78,32 @@
                 name.length() <= MAX_NAME_LENGTH && byName.putIfAbsent(name, frontend) == null,
                 index,
                 "name",
-                "each frontend once, not again " + name);
+                "a name of at most 64 characters, of no earlier frontend, not " + name);
         errors.require(
                 !frontend.sourceGroup().equals(frontend.targetGroup())
                         && frontend.targetGroup().length() <= MAX_NAME_LENGTH
                         && frontend.sourceGroup().length() <= MAX_NAME_LENGTH,
                 index,
                 "to",
-                "another group than " + frontend.sourceGroup());
+                "a group other than "
+                        + frontend.sourceGroup()
+                        + "; names of groups have at most 64 characters");
         errors.require(
                 frontend.unitsPerSecond() >= 0 && frontend.unitsPerSecond() < MAX_UNITS_PER_SECOND,
                 index,
                 "units",
-                "units a second from 0");
-        errors.require(frontend.connections() >= 0, index, "connections", "a whole number from 0");
+                "units per second from 0 to below 1e12, not " + frontend.unitsPerSecond());
+        errors.require(
+                frontend.connections() >= 0,
+                index,
+                "connections",
+                "a whole number from 0, not " + frontend.connections());
         errors.require(
                 frontend.deduplicationMs() >= 0 && frontend.deduplicationMs() <= MAX_DURATION_MS,
                 index,
                 "name",
-                "a repeat window of 1e9 ms at most");
+                "a deduplication window plus timeout of at most 1e9 ms, not "
+                        + frontend.deduplicationMs());
         checkShares(index, frontend.shares());
     }
 
@@ -107,8 +118,9 @@
                 ascending,
                 index,
                 "shares",
-                "1 to 64 parts above 0, each higher than the one before");
-        errors.require(shares.isEmpty() || last == 1, index, "shares", "1 as the last one");
+                "1 to 64 shares above 0 and at most 1, each higher than the one before");
+        errors.require(
+                shares.isEmpty() || last == 1, index, "shares", "1 as the last share, not " + last);
     }
 
     private void checkDependencies(int index) {
@@ -124,17 +136,17 @@
                 frontend.dependencies().size() <= MigrationPlan.MAX_ITEMS,
                 index,
                 "needs",
-                "64 at most");
+                "at most 64 names, not " + frontend.dependencies().size());
         errors.require(
                 !dependsOn(frontend.name(), frontend.name(), new HashSet<>()),
                 index,
                 "needs",
-                "no circle, but " + frontend.name() + " needs itself");
+                "no cycle, but " + frontend.name() + " depends on itself");
         errors.require(
                 frontend.firstStage() >= 0 && frontend.firstStage() <= MAX_STAGE,
                 index,
                 "begins",
-                "a stage from 1 to 1000, or 0");
+                "a stage from 1 to 1000, or 0 for the earliest one, not " + frontend.firstStage());
     }
 
     /** Whether one frontend depends on another, directly or through others. */
@@ -162,7 +174,7 @@
                     "begins",
                     "stage "
                             + (earliestStarts[i] + 1)
-                            + " or later: only then what it needs has moved");
+                            + " or later, when the frontends that it needs have moved");
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationProgress.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationProgress.java
@@ -4,40 +4,42 @@
 import java.util.TreeMap;
 import tinford.fleet.membership.Incarnation;
 
-/** The replicated data of {@link MigrationState}; times are in ms of the log. */
+/** The replicated data of {@link MigrationState}. Times are in ms of the log's time. */
 final class MigrationProgress {
     MigrationState.State state = MigrationState.State.IDLE;
 
-    /** Whether the steps are taken backwards. */
+    /** Whether the steps are taken in reverse order. */
     boolean reverting;
 
-    /** Rises with each change of the step, over all plans. */
+    /** Incremented with each change of the step, over all plans. */
     long epoch;
 
     int stepIndex;
 
-    /** The step of the epoch before, to which a return is harmless at once. */
+    /** The step of the previous epoch; returning to it is safe without waiting. */
     int previousStep;
 
-    /** Null before the first plan. */
+    /** The last plan that was begun; null before the first. */
     MigrationPlan plan;
 
+    /** Number of halts so far, over all plans. */
     long haltCount;
+
     double stepStartedMs;
 
-    /** The latest time stamp of any entry. */
+    /** The log's time: the latest time stamp of any entry. */
     double logTimeMs;
 
-    /** By frontend: the share of failed and late answers at the source group. */
+    /** By frontend: the last measured share of failed and late answers at the source group. */
     double[] baselineFailureShares = {};
 
-    /** The group of each frontend, but for what the present plan moves. */
+    /** The group of each frontend before the current plan. */
     final TreeMap<String, String> homeGroups;
 
-    /** When each incarnation acknowledged the present epoch. */
+    /** When each incarnation acknowledged the current epoch. */
     final TreeMap<Incarnation, Double> acknowledgements;
 
-    /** The latest outcome counts of each incarnation in the present epoch. */
+    /** The latest outcome counts of each incarnation in the current epoch. */
     final TreeMap<Incarnation, long[]> reports;
 
     MigrationProgress(Map<String, String> homeGroups) {
@@ -46,7 +48,7 @@
         this.reports = new TreeMap<>();
     }
 
-    /** An independent copy; plans and reported counts are never changed, and are shared. */
+    /** Creates an independent copy. Plans and reported counts are immutable, so they are shared. */
     MigrationProgress(MigrationProgress other) {
         this.homeGroups = new TreeMap<>(other.homeGroups);
         this.acknowledgements = new TreeMap<>(other.acknowledgements);
@@ -67,7 +69,7 @@
         return state == MigrationState.State.FORWARD || state == MigrationState.State.BACK;
     }
 
-    /** Goes to a step and starts a new epoch. */
+    /** Changes to a step and starts a new epoch. */
     void goTo(int step) {
         previousStep = stepIndex;
         stepIndex = step;
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationRouter.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationRouter.java
@@ -6,10 +6,10 @@
 import tinford.fleet.membership.Lease;
 
 /**
- * Routes the requests of frontends that may migrate through one gateway, and derives the entries
- * that this gateway appends: acknowledgements and reports. Called on the I/O thread only. Status
- * and lease come from entries that were applied in order, so a lease is never acted on with an
- * older status than it was granted after. Times are in ms of the gateway's own clock.
+ * Routes the requests of frontends that may migrate in one gateway, and creates the entries that
+ * this gateway appends: acknowledgements and reports. Called on the I/O thread only. Status and
+ * lease come from entries that were applied in order, so a lease is never used with a status that
+ * is older than its grant. Times are in ms of the gateway's own clock.
  */
 public class MigrationRouter {
     private static final int COUNTS_PER_FRONTEND = 4;
@@ -31,8 +31,8 @@
     private boolean hasUnreportedCounts;
 
     /**
-     * @param entryIntervalMs between reports, and until an acknowledgement that is not in the log
-     *     is appended again
+     * @param entryIntervalMs minimum time between reports, and time after which an acknowledgement
+     *     that is not in the log is appended again
      */
     public MigrationRouter(Incarnation self, MigrationStatus initial, double entryIntervalMs) {
         this.self = self;
@@ -44,8 +44,8 @@
     /**
      * To be called after each applied entry.
      *
-     * @param ownLease null where there is none
-     * @param isAcknowledged whether the log has this incarnation's acknowledgement of the epoch
+     * @param ownLease the lease of this incarnation, or null
+     * @param isAcknowledged whether this incarnation's acknowledgement of the epoch is in the log
      */
     public void update(MigrationStatus newStatus, Lease ownLease, boolean isAcknowledged) {
         if (status == null || status.epoch() != newStatus.epoch()) {
@@ -64,9 +64,9 @@
     }
 
     /**
-     * Whether a request may be sent to a group now. Without a lease that holds by its own clock a
-     * gateway sends no request of a frontend that may migrate. All requests of one tenant and
-     * frontend change groups together, so every gateway routes a retry alike.
+     * Whether a request may be sent to a group now. Without a lease that is valid by its own clock
+     * a gateway sends no request of a frontend that may migrate. All requests of one tenant and
+     * frontend change groups together, so every gateway routes a retry to the same group.
      *
      * @param isRetry whether the client marks the request as a retry
      * @param earlierGroup where an earlier attempt of this request may have run, or null
@@ -101,13 +101,13 @@
         return status.plan() == null ? -1 : status.plan().indexOf(frontend);
     }
 
-    /** Whether the own lease holds, by the own clock. */
+    /** Whether this gateway's lease is valid, by its own clock. */
     public boolean hasLease(double nowMs) {
         return lease != null && lease.isHeldAt(nowMs);
     }
 
     /**
-     * The group that a tenant's request goes to; null for none.
+     * Returns the group that a tenant's request goes to; null if it may go to no group now.
      *
      * @param tenantFraction see {@link #tenantFraction}
      */
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Hashes a tenant to a number from 0 to below 1, the same at every gateway; tenants below a
-     * share belong to it.
+     * Hashes a tenant to a number from 0 to below 1 that is the same at every gateway. A share of
+     * the tenants consists of those whose number is below it.
      */
     public static double tenantFraction(long tenant, int salt) {
         long hash = tenant * 0x9E3779B97F4A7C15L + salt * 0xBF58476D1CE4E5B9L;
@@ -140,7 +140,7 @@
     }
 
     /**
-     * Counts the outcome of an attempt at a server of a group.
+     * Counts the outcome of an attempt that was sent to a server of a group.
      *
      * @param success false for an attempt that failed or was late
      */
@@ -165,8 +165,8 @@
     }
 
     /**
-     * The entry that this gateway has to append now, or null: the acknowledgement of the epoch
-     * until the log has it, then reports of outcomes.
+     * Returns the entry that this gateway has to append now, or null: the acknowledgement of the
+     * epoch until the log contains it, then reports of outcomes.
      */
     public MigrationEntry nextEntry(double nowMs) {
         if (!hasLease(nowMs) || status.plan() == null) {
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationSnapshot.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationSnapshot.java
@@ -88,10 +88,10 @@
     }
 
     /**
-     * Replaces the data by a snapshot.
+     * Replaces the data by that of a snapshot.
      *
-     * @throws IllegalArgumentException the snapshot is of another format version
-     * @throws UncheckedIOException the snapshot is torn
+     * @throws IllegalArgumentException if the snapshot is of another format version
+     * @throws UncheckedIOException if the snapshot is truncated
      */
     static void restore(MigrationProgress progress, byte[] snapshot) {
         try (DataInputStream input = new DataInputStream(new ByteArrayInputStream(snapshot))) {
@@ -101,7 +101,7 @@
             readReports(input, progress);
             readPlan(input, progress);
         } catch (IOException e) {
-            throw new UncheckedIOException("snapshot of moves: expected a whole one", e);
+            throw new UncheckedIOException("migration snapshot: truncated or malformed", e);
         }
     }
 
@@ -110,9 +110,9 @@
         int version = input.readByte();
         if (version != MigrationEntry.VERSION) {
             throw new IllegalArgumentException(
-                    "snapshot of moves: version: expected "
+                    "migration snapshot: format version: expected "
                             + MigrationEntry.VERSION
-                            + ", not "
+                            + ", got "
                             + version);
         }
         progress.state = MigrationState.State.values()[input.readByte()];
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationStages.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStages.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Orders the steps of a plan. A frontend begins in a stage after the one in which all frontends
- * that it depends on have moved whole; independent frontends share stages. A stage in which
- * frontends with idempotency keys move has three steps, any other one.
+ * Derives the steps of a plan. A frontend begins in a stage after all frontends that it depends on
+ * have moved completely; independent frontends move in the same stages. A stage in which frontends
+ * with idempotency keys move has three steps, any other stage has one.
  */
 public final class MigrationStages {
     private static final List<MigrationStep.Phase> KEYED_PHASES =
@@ -19,7 +19,7 @@
 
     private MigrationStages() {}
 
-    /** The steps of a plan, the first one being before any tenant has moved. */
+    /** Returns the steps of a plan; the first one is the state before any tenant has moved. */
     public static List<MigrationStep> of(MigrationPlan plan) {
         int[] starts = earliestStarts(plan.frontends);
         int stages = 0;
@@ -40,12 +40,13 @@
     }
 
     /**
-     * The number of stages after which each frontend may begin at the earliest. The dependencies
-     * must have no cycle.
+     * Returns for each frontend the number of stages after which it may begin at the earliest. The
+     * dependencies must have no cycle.
      */
     static int[] earliestStarts(List<MigrationPlan.FrontendMigration> frontends) {
         int[] starts = new int[frontends.size()];
-        // the longest chain of dependencies has as many links as there are frontends
+        // The longest chain of dependencies contains each frontend at most once, so that this many
+        // rounds reach the last one.
         for (int round = 0; round < starts.length; round++) {
             for (int i = 0; i < starts.length; i++) {
                 starts[i] = Math.max(starts[i], endOfDependencies(frontends, starts, i));
@@ -101,7 +102,7 @@
                 moved, target, moved == target ? MigrationStep.Phase.SETTLED : phase);
     }
 
-    /** The share that has moved at the end of a stage. */
+    /** The share of a frontend's tenants that has moved at the end of a stage. */
     private static double share(MigrationPlan.FrontendMigration frontend, int start, int stage) {
         int completed = Math.min(stage - start, frontend.shares().size());
         return completed <= 0 ? 0 : frontend.shares().get(completed - 1);
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
@@ -7,24 +7,25 @@
 import tinford.fleet.store.ReplicatedLog;
 
 /**
- * State of the migration by the entries of the log, the same on every member. {@link #apply} is the
- * one place that enforces the rules: an entry that is not due changes nothing. Holds one plan, and
- * an acknowledgement and a report of each incarnation in the present epoch.
+ * State machine of the migration, which follows from the entries of the replicated log and is the
+ * same on every member. Only {@link #apply} enforces the rules: an entry that they don't allow now
+ * changes nothing. Holds one plan, and an acknowledgement and a report of each incarnation in the
+ * current epoch.
  */
 public final class MigrationState implements ReplicatedLog.StateMachine {
-    /** See the table in docs/moves.md. */
+    /** States of the migration; docs/moves.md has the table of transitions. */
     public enum State {
-        /** No plan was begun. */
+        /** No plan has begun yet. */
         IDLE,
-        /** Steps are taken forward. */
+        /** Steps are taken in the order of the plan. */
         FORWARD,
         /** An operator has halted the migration. */
         HALTED,
-        /** Steps are taken backwards. */
+        /** The migration is being reverted: steps are taken in reverse order. */
         BACK,
-        /** The plan is completed. */
+        /** The plan has been completed. */
         DONE,
-        /** The plan is reverted. */
+        /** The plan has been reverted. */
         UNDONE
     }
 
@@ -38,8 +39,8 @@
     private String lastOutcome = "";
 
     /**
-     * @param homeGroups the first group of each frontend that may migrate
-     * @param maxClockSkewMs by which clocks differ at most
+     * @param homeGroups the initial group of each frontend that may migrate
+     * @param maxClockSkewMs the most by which clocks of the fleet may differ
      */
     public MigrationState(
             Map<String, String> homeGroups, LeaseHolders leaseHolders, double maxClockSkewMs) {
@@ -47,7 +48,7 @@
     }
 
     /**
-     * @param rules tests and the lab replace one at a time by a broken one
+     * @param rules of transitions; tests and the lab replace single rules by faulty ones
      */
     public MigrationState(
             Map<String, String> homeGroups,
@@ -60,7 +61,7 @@
         this.progress = new MigrationProgress(homeGroups);
     }
 
-    /** Returns an independent copy with other leases, from which the lab explores. */
+    /** Returns an independent copy with other leases, which the lab uses to explore transitions. */
     public MigrationState copy(LeaseHolders otherLeaseHolders) {
         MigrationState copy =
                 new MigrationState(Map.of(), otherLeaseHolders, maxClockSkewMs, rules);
@@ -69,7 +70,7 @@
         return copy;
     }
 
-    /** The status after the last entry that was applied. */
+    /** Returns the status after the last applied entry. */
     public MigrationStatus status() {
         return new MigrationStatus(
                 progress.state,
@@ -80,34 +81,34 @@
                 progress.homeGroups);
     }
 
-    /** Number of the last halt, which an operator's resume names. */
+    /** Number of the last halt, which an operator has to pass to resume the migration. */
     public long haltCount() {
         return progress.haltCount;
     }
 
-    /** The outcome of the last entry, in one line, for operators and the log of the process. */
+    /** The outcome of the last entry, in one line, for operators and the process's log. */
     public String lastOutcome() {
         return lastOutcome;
     }
 
-    /** Whether an incarnation has acknowledged the present epoch. */
+    /** Whether an incarnation has acknowledged the current epoch. */
     public boolean hasAcknowledged(Incarnation incarnation) {
         return progress.acknowledgements.containsKey(incarnation);
     }
 
-    /** When each incarnation acknowledged the present epoch, by the log's time. */
+    /** When each incarnation acknowledged the current epoch, in the log's time. */
     public Map<Incarnation, Double> acknowledgements() {
         return Collections.unmodifiableMap(progress.acknowledgements);
     }
 
-    /** The step of the epoch before. */
+    /** Index of the step of the previous epoch. */
     public int previousStep() {
         return progress.previousStep;
     }
 
     /**
-     * Advances the log's time by that of its other entries, so that an incarnation that they have
-     * forgotten is past here too.
+     * Advances the log's time to that of other entries in the log, so that an incarnation whose
+     * lease has expired by them is not waited for here.
      */
     public void observeTime(double logTimeMs) {
         progress.logTimeMs = Math.max(progress.logTimeMs, logTimeMs);
@@ -125,7 +126,7 @@
         }
     }
 
-    /** Returns the outcome for operators. */
+    /** Returns the outcome, for operators. */
     private String apply(MigrationEntry entry) {
         return switch (entry.kind()) {
             case BEGIN -> begin(entry.plan());
@@ -134,19 +135,24 @@
             case REPORT -> report(entry);
             case HALT -> halt();
             case RESUME -> resume(entry);
-            case BACK -> revert("asked for by " + entry.operator());
+            case BACK -> revert("requested by " + entry.operator());
         };
     }
 
     private String begin(MigrationPlan next) {
         if (progress.isMoving() || progress.state == State.HALTED) {
-            return "refused, " + progress.plan.name + " is under way";
+            return "refused, plan " + progress.plan.name + " is in progress";
         }
         Map<String, String> presentGroups = presentGroups();
         for (MigrationPlan.FrontendMigration frontend : next.frontends) {
             String present = presentGroups.get(frontend.name());
             if (!frontend.sourceGroup().equals(present)) {
-                return "refused, " + frontend.name() + " is at " + present;
+                return "refused, frontend "
+                        + frontend.name()
+                        + ": expected to be in group "
+                        + frontend.sourceGroup()
+                        + ", is in "
+                        + present;
             }
         }
         progress.homeGroups.putAll(presentGroups);
@@ -159,7 +165,7 @@
         return "begun, " + (next.steps.size() - 1) + " steps";
     }
 
-    /** The group of each frontend, after the last plan. */
+    /** The current group of each frontend, with the last plan if that was completed. */
     private Map<String, String> presentGroups() {
         Map<String, String> groups = new TreeMap<>(progress.homeGroups);
         if (progress.state == State.DONE) {
@@ -172,29 +178,38 @@
 
     private String acknowledge(MigrationEntry entry) {
         if (progress.plan == null || !rules.isCurrentEpoch(progress.epoch, entry.epoch())) {
-            return "refused, not of this turn";
+            return "refused, expected epoch " + progress.epoch + ", got " + entry.epoch();
         }
         if (progress.acknowledgements.size() < MAX_INCARNATIONS) {
-            // the incarnation's clock may be behind the log's time
+            // The incarnation's clock may be behind the log's time by the skew.
             double acknowledgedMs =
                     Math.max(entry.timestampMs() + maxClockSkewMs, progress.stepStartedMs);
             progress.acknowledgements.putIfAbsent(entry.incarnation(), acknowledgedMs);
         }
-        return "ack " + progress.acknowledgements.size();
+        return "acknowledged by " + progress.acknowledgements.size() + " incarnations";
     }
 
     private String go(MigrationEntry entry) {
         if (!progress.isMoving()
                 || entry.epoch() != progress.epoch
                 || !rules.isNextStep(progress.stepIndex, entry.targetStep(), progress.reverting)) {
-            return "refused, not the next one";
+            return "refused, not the next step: at step "
+                    + progress.stepIndex
+                    + " of epoch "
+                    + progress.epoch
+                    + ", state "
+                    + progress.state
+                    + ", got step "
+                    + entry.targetStep()
+                    + " for epoch "
+                    + entry.epoch();
         }
         if (!rules.isReturn(progress.previousStep, progress.stepIndex, entry.targetStep())) {
             if (!allAcknowledged()) {
-                return "refused, not all have acknowledged, or not long enough ago";
+                return "refused, a gateway has not acknowledged the step, or not long enough ago";
             }
             if (isSoaking()) {
-                return "refused, it soaks";
+                return "refused, soak of the stage is not over";
             }
         }
         boolean ends = entry.targetStep() < 0 || entry.targetStep() >= progress.plan.steps.size();
@@ -203,7 +218,7 @@
             return progress.state.toString();
         }
         if (!progress.reverting && !hasCapacity(entry)) {
-            return "refused, too little of the group is warm";
+            return "refused, not enough warm capacity in a target group";
         }
         progress.goTo(entry.targetStep());
         return "at step " + progress.stepIndex;
@@ -233,7 +248,14 @@
                 || progress.state != State.FORWARD
                 || entry.outcomeCounts().length
                         != COUNTS_PER_FRONTEND * progress.plan.frontends.size()) {
-            return "refused, not of this turn";
+            return "refused, expected a report for epoch "
+                    + progress.epoch
+                    + " with "
+                    + COUNTS_PER_FRONTEND
+                    + " counts per frontend in state FORWARD, got epoch "
+                    + entry.epoch()
+                    + " in state "
+                    + progress.state;
         }
         if (progress.reports.size() < MAX_INCARNATIONS
                 || progress.reports.containsKey(entry.incarnation())) {
@@ -249,7 +271,7 @@
         return "counted";
     }
 
-    /** Outcomes of one frontend, over all reports of the epoch. */
+    /** Outcomes of one frontend, summed over all reports of the epoch. */
     private record OutcomeTotals(
             long sourceAnswers, long sourceFailures, long targetAnswers, long targetFailures) {}
 
@@ -278,17 +300,17 @@
 
     private String failureReason(int frontend, OutcomeTotals totals) {
         return progress.plan.frontends.get(frontend).name()
-                + " bad: "
+                + " failed or late in "
                 + totals.targetFailures
                 + " of "
                 + totals.targetAnswers
-                + " at the new group, usual "
+                + " answers at the target group, baseline share "
                 + Math.round(progress.baselineFailureShares[frontend] * 1000) / 1000.0;
     }
 
     private String halt() {
         if (!progress.isMoving()) {
-            return "nothing to halt";
+            return "no migration in progress to halt";
         }
         progress.state = State.HALTED;
         progress.haltCount++;
@@ -298,7 +320,7 @@
     private String resume(MigrationEntry entry) {
         boolean halted = progress.state == State.HALTED;
         if (!rules.liftsHalt(halted, progress.haltCount, entry.epoch())) {
-            return "refused, no such halt";
+            return "refused, not halted by halt " + entry.epoch() + ", state " + progress.state;
         }
         progress.state = progress.reverting ? State.BACK : State.FORWARD;
         progress.stepIndex = rules.stepAfterResume(progress.stepIndex);
@@ -309,11 +331,11 @@
         if (progress.plan == null
                 || progress.state == State.UNDONE
                 || progress.state == State.BACK) {
-            return "nothing to take back";
+            return "nothing to revert";
         }
         progress.state = State.BACK;
         progress.reverting = true;
-        return "goes back: " + reason;
+        return "reverting: " + reason;
     }
 
     @Override
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationStep.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationStep.java
@@ -3,27 +3,27 @@
 import java.util.List;
 
 /**
- * One step of a plan: which share of each frontend's tenants goes to its target group.
+ * A step of a plan: the share of each frontend's tenants that is routed to its target group.
  *
- * @param stage counted from 1; 0 is the stage before any tenant has moved
- * @param lastOfStage whether the migration soaks in this step
- * @param frontends in the plan's order
+ * @param stage number of the stage, from 1; 0 for the step before any tenant has moved
+ * @param lastOfStage whether this step completes its stage; the migration soaks in it
+ * @param frontends shares of the plan's frontends, in its order
  */
 public record MigrationStep(int stage, boolean lastOfStage, List<FrontendShare> frontends) {
-    /** How the tenants that change their group in this stage are routed. */
+    /** How the tenants that change their group in the stage are routed. */
     public enum Phase {
-        /** Each tenant has its group: below the moved share the target, above it the source. */
+        /** No tenant is moving: those below the moved share are in the target group. */
         SETTLED,
 
         /**
-         * First attempts of moving tenants still go to the source group, and retries nowhere. Where
-         * clients don't mark retries, nothing of these tenants goes anywhere.
+         * First attempts of moving tenants still go to the source group, and retries are not
+         * routed. If clients don't mark retries, no request of these tenants is routed.
          */
         HOLD,
 
         /**
-         * First attempts of moving tenants go to the target group, and retries nowhere. Where
-         * clients don't mark retries, all go to the target group.
+         * First attempts of moving tenants go to the target group, and retries are not routed. If
+         * clients don't mark retries, all requests of these tenants go to the target group.
          */
         OPEN
     }
@@ -31,11 +31,11 @@
     /**
      * Shares of one frontend's tenants.
      *
-     * @param movedShare tenants below it have moved
-     * @param movingShare tenants from {@code movedShare} to below this one are moving
+     * @param movedShare tenants whose fraction is below it have moved
+     * @param movingShare tenants whose fraction is from {@code movedShare} to below this are moving
      */
     public record FrontendShare(double movedShare, double movingShare, Phase phase) {
-        /** The share of the frontend's load that the target group has to bear. */
+        /** The share of the frontend's load that the target group has to take in this step. */
         double loadShare() {
             return phase == Phase.HOLD ? movedShare : movingShare;
         }
--- a/fleet/src/main/java/tinford/fleet/migration/PlanErrors.java
+++ b/fleet/src/main/java/tinford/fleet/migration/PlanErrors.java
@@ -5,11 +5,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Collects all errors of one plan, a line each: file, line where it is found, frontend, key, and
- * what was expected.
+ * Collects all errors of a plan. Each is one line: the file, the line if it is known, the frontend,
+ * the key, and what was expected.
  */
 public final class PlanErrors {
-    /** For errors that belong to no frontend. */
+    /** Index for errors that belong to no frontend. */
     static final int NO_FRONTEND = -1;
 
     private static final Pattern FRONTEND_HEADER =
@@ -19,7 +19,7 @@
     private final List<String> errors = new ArrayList<>();
 
     /**
-     * @param text of the file, where errors are located
+     * @param text content of the file, in which the lines of errors are found
      */
     PlanErrors(String file, String text) {
         this.file = file;
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Adds an error; an equal one is added once.
+     * Adds an error, unless an equal one was added before.
      *
-     * @param line counted from 1; 0 where it is unknown
+     * @param line from 1; 0 if it is unknown
      */
     void add(int line, String key, String expected) {
         String location = file + (line > 0 ? ":" + line : "");
@@ -56,7 +56,7 @@
     }
 
     /**
-     * @throws InvalidPlanException where there are errors
+     * @throws InvalidPlanException if there are errors
      */
     void throwIfAny() {
         if (!errors.isEmpty()) {
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Finds the line of a key, for people only: the plan is parsed by a library. 0 where it isn't
-     * found.
+     * Finds the line of a key, or else of the frontend's header; 0 if neither is found. Used in
+     * messages only; the plan itself is parsed by a library.
      */
     private int findLine(int frontend, String key) {
         Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(key) + "\\s*=.*");
@@ -84,7 +84,7 @@
         return frontend < 0 ? 0 : headerLine;
     }
 
-    /** A plan that is not accepted, with each error in a line of the message. */
+    /** A plan is invalid. The message contains one line for each error. */
     public static final class InvalidPlanException extends RuntimeException {
         private static final long serialVersionUID = 1L;
         private final ArrayList<String> errors;
@@ -94,6 +94,7 @@
             this.errors = new ArrayList<>(errors);
         }
 
+        /** The errors, one line each. */
         public List<String> errors() {
             return List.copyOf(errors);
         }
--- a/fleet/src/main/java/tinford/fleet/migration/TransitionRules.java
+++ b/fleet/src/main/java/tinford/fleet/migration/TransitionRules.java
@@ -5,32 +5,32 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * The rules that say when a step may be taken. {@link MigrationState} applies them in one place;
- * tests replace one at a time by a broken one.
+ * The rules that decide when a step may be taken. Only {@link MigrationState} applies them; they
+ * are separate so that tests can replace single rules by faulty ones.
  */
 public class TransitionRules {
     private static final double LOAD_TOLERANCE = 1e-9;
 
-    /** One step at a time, in the direction of the migration. */
+    /** Whether a step is the next one in the direction of the migration; no step is skipped. */
     public boolean isNextStep(int from, int to, boolean reverting) {
         return to == (reverting ? from - 1 : from + 1);
     }
 
-    /** An acknowledgement counts for the present epoch only. */
+    /** Whether an acknowledgement counts: it must be of the current epoch. */
     public boolean isCurrentEpoch(long currentEpoch, long acknowledgedEpoch) {
         return currentEpoch == acknowledgedEpoch;
     }
 
     /**
-     * Whether a step leads back to where the last one came from. A gateway that has not followed
-     * the last step is there already, so no acknowledgement is waited for.
+     * Whether the next step returns to the previous one. A gateway that has not followed the last
+     * step is still in the previous one, so no acknowledgements are needed.
      */
     public boolean isReturn(int previousStep, int step, int nextStep) {
         return previousStep == nextStep && previousStep != step;
     }
 
     /**
-     * Whether all incarnations that may have acted since a time had acknowledged the present step
+     * Whether all incarnations that may have acted since a time had acknowledged the current step
      * by then.
      */
     public boolean allAcknowledged(
@@ -46,9 +46,10 @@
     }
 
     /**
-     * How long after all have acknowledged a step the next one may be taken. Where clients mark
-     * retries, none goes anywhere in either step of a change, so the wait is due at its end; where
-     * they don't, nothing goes anywhere in HOLD, so the wait is due there.
+     * How long after all have acknowledged a step the next one may be taken, so that no request of
+     * a moving tenant can be executed by both groups. If clients mark retries, these are not routed
+     * in HOLD or OPEN, so the wait is at the end of the two. If clients don't, no request is routed
+     * in HOLD, so the wait is there.
      */
     public double waitMs(MigrationPlan plan, int stepIndex, boolean reverting) {
         double waitMs = 0;
@@ -66,9 +67,10 @@
     }
 
     /**
-     * Whether the target groups can bear their load of a step.
+     * Whether the target groups have capacity for their load in a step.
      *
-     * @param warmUnits warm capacity of each target group, by name, units a second
+     * @param warmUnits warm capacity of each target group, in order of the groups' names, in units
+     *     per second
      */
     public boolean hasCapacity(MigrationPlan plan, MigrationStep step, double[] warmUnits) {
         int index = 0;
@@ -85,7 +87,7 @@
         return true;
     }
 
-    /** Units a second that the frontends send to a target group in a step. */
+    /** Units per second that the frontends send to a target group in a step. */
     private static double load(MigrationPlan plan, MigrationStep step, String group) {
         double load = 0;
         for (int i = 0; i < plan.frontends.size(); i++) {
@@ -97,12 +99,15 @@
         return load;
     }
 
-    /** A resume lifts the halt that its operator saw, once. */
+    /**
+     * Whether a resume lifts the halt: only the halt that the operator saw is lifted, so that a
+     * repeated or delayed command does not lift a later one.
+     */
     public boolean liftsHalt(boolean halted, long haltCount, long seenHaltCount) {
         return halted && haltCount == seenHaltCount;
     }
 
-    /** The step after a resume: the same one. */
+    /** The step after a resume: the one at which the migration was halted. */
     public int stepAfterResume(int stepIndex) {
         return stepIndex;
     }
--- a/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
+++ b/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
@@ -5,42 +5,57 @@
 
 /**
  * The priority weight below which units are shed while the demand exceeds the capacity of the
- * servers. Every gateway computes it from the same gossip records.
+ * servers. Each gateway computes it independently from the gossip records.
  *
- * <p>The capacity is what the servers complete on time while they are strained. Each gateway
- * reports its estimate, and all move towards the median of the reported ones, so that gateways that
- * joined late or missed records arrive at the same threshold. Without strain the estimate grows,
- * slowly at first and then faster, until there is no threshold: whatever the demand, a threshold is
- * gone within two windows after its cause. Not thread-safe.
+ * <p>The capacity is estimated as the rate of units that the servers complete on time while they
+ * are overloaded. Each gateway reports its estimate, and all estimates converge to the median of
+ * the reported ones, so that gateways that joined late or missed records arrive at the same
+ * threshold. Once the servers are no longer overloaded, the estimate grows, slowly at first and
+ * then faster, until the threshold is removed: at any demand, a threshold is removed within two
+ * windows after the overload that caused it has ended. Not thread-safe.
  */
 public final class AdmissionThreshold {
     private static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
-    /** Mean queueing time that is no strain: bursts stay below it. */
+    /** Mean queueing time without overload; ordinary bursts stay below it. */
     private static final double USUAL_QUEUE_TIME_S = 0.05;
 
-    /** A queue longer than usual by this many standard deviations is strain, not chance. */
+    /**
+     * A queue that is longer than normal by this many standard deviations indicates overload rather
+     * than random variation.
+     */
     private static final double QUEUE_STANDARD_DEVIATIONS = 3;
 
-    /** Strain must last this long before there is a threshold: a start or a burst is shorter. */
+    /**
+     * How long overload must last before a threshold is set; the disturbance of a start or a burst
+     * is shorter.
+     */
     private static final double MIN_STRAIN_MS = 600;
 
-    /** Share of attempts that are late or failed; above that of one unhealthy server in five. */
+    /**
+     * Share of late and failed attempts above which the servers count as overloaded. Higher than
+     * the share that one unhealthy server in five causes.
+     */
     private static final double MAX_FAILED_SHARE = 0.25;
 
-    /** Smooths the estimate over several updates, or a single bad one would set it. */
+    /** Smooths the estimate over several updates, so that no single measurement determines it. */
     private static final double CAPACITY_SMOOTHING_MS = 400;
 
-    /** Slower than the growth, which outdated records of the others would otherwise hold back. */
+    /**
+     * Time constant of the convergence to the median. Slower than the growth of the estimate, which
+     * outdated records of the peers would otherwise hold back.
+     */
     private static final double AGREEMENT_SMOOTHING_MS = 2000;
 
-    /** Capacity over demand from which there is no threshold: it would admit all but bursts. */
+    /**
+     * Ratio of capacity to demand above which the threshold is removed; it would shed only bursts.
+     */
     private static final double OPEN_CAPACITY_FACTOR = 1.1;
 
-    /** Longest time that one update accounts for. */
+    /** Longest time since the previous update that an update takes into account. */
     private static final double MAX_STEP_MS = 1000;
 
-    /** The growing estimate starts from at least this part of the demand. */
+    /** While it grows, the estimate is at least the demand divided by this. */
     private static final double MIN_CAPACITY_DIVISOR = 64;
 
     private static final double MIN_CAPACITY = 1e-9;
@@ -56,30 +71,31 @@
     private double demand;
 
     /**
-     * @param windowMs without strain, a threshold is gone within two windows
+     * @param windowMs without overload, a threshold is removed within two windows
      */
     public AdmissionThreshold(double windowMs) {
         this.windowMs = windowMs;
     }
 
-    /** The priority weight below which nothing is admitted; 0 if all is. */
+    /** The priority weight below which nothing is admitted; 0 if everything is admitted. */
     public double threshold() {
         return threshold;
     }
 
-    /** The admitted share of the priority class that begins at the threshold. */
+    /** The admitted share of the priority class whose lower bound is the threshold. */
     public double shareAtThreshold() {
         return shareAtThreshold;
     }
 
     /**
-     * The estimated capacity of the servers in units per second, for the own record; 0 if unknown.
+     * The estimated capacity of the servers in units per second, as reported in this gateway's
+     * record; 0 if unknown.
      */
     public double capacity() {
         return capacity == UNLIMITED ? 0 : capacity;
     }
 
-    /** Demand over capacity; 0 without a threshold. */
+    /** Ratio of the demand to the capacity; 0 without a threshold. */
     public double demandToCapacity() {
         return capacity == UNLIMITED ? 0 : demand / Math.max(MIN_CAPACITY, capacity);
     }
@@ -108,7 +124,10 @@
         setThreshold(totals);
     }
 
-    /** The own record alone says nothing about the fleet. */
+    /**
+     * Whether no peer is alive, or no record of one is fresh: this gateway's own record alone says
+     * nothing about the fleet.
+     */
     private static boolean isAlone(Membership membership) {
         return membership.aliveCount() <= 1 || membership.freshRecords().size() < 2;
     }
@@ -117,7 +136,10 @@
         return totals.demand > 0 && (isQueueing(totals) || totals.failedShare > MAX_FAILED_SHARE);
     }
 
-    /** Depends on the admitted attempts: shedding shortens the queue, so it can't cause itself. */
+    /**
+     * Whether the admission queues are longer than the admitted attempts explain. Shedding shortens
+     * the queues, so a threshold can't keep itself in force.
+     */
     private static boolean isQueueing(FleetTotals totals) {
         double usual = USUAL_QUEUE_TIME_S * totals.firstAttempts;
         return totals.queued > usual + QUEUE_STANDARD_DEVIATIONS * Math.sqrt(Math.max(1, usual));
@@ -145,11 +167,12 @@
         }
     }
 
-    /** Moves the estimate towards the median of those that the gateways report. */
+    /** Moves the estimate towards the median of the estimates that the gateways report. */
     private void agree(Membership membership, double stepMs) {
         double median = medianCapacity(membership);
         if (median != UNLIMITED && capacity == UNLIMITED) {
-            // adopted by a gateway that joins, but not from older records after a threshold ended
+            // A joining gateway adopts the median. A gateway that has just removed its threshold
+            // does not: the records of its peers may still be older than that.
             capacity = updatedAtMs - openedAtMs > windowMs ? median : UNLIMITED;
         } else if (median != UNLIMITED) {
             capacity *= Math.pow(median / capacity, Math.min(1, stepMs / AGREEMENT_SMOOTHING_MS));
--- a/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
@@ -10,11 +10,11 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * Overload control by the fleet as one: bounds what is admitted and retried and who probes
- * unhealthy servers. No I/O; not thread-safe.
+ * Fleet-wide overload control: limits which requests are admitted, how many are retried, and which
+ * gateways probe unhealthy servers. Does no I/O; not thread-safe.
  */
 public final class FleetOverloadPolicy extends FleetPolicy {
-    /** Records don't arrive more often. */
+    /** Shorter intervals gain nothing: gossip records arrive no more often than this. */
     private static final double UPDATE_INTERVAL_MS = 100;
 
     private final Incarnation incarnation;
@@ -27,8 +27,10 @@
     private double updatedAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param windowMs some seconds: an admission threshold is gone two windows after its cause
-     * @param retryRatio retries per first attempt, for attempts that may have run
+     * @param windowMs an admission threshold is removed within two windows after the end of the
+     *     overload that caused it; some seconds
+     * @param retryRatio retries per first attempt, counting retries of attempts that may have been
+     *     executed
      */
     public FleetOverloadPolicy(
             double nowMs,
@@ -44,7 +46,7 @@
         this.retryJitter = new RetryJitter(windowMs / 2);
     }
 
-    /** Called once per batch, before the other calls of that batch. */
+    /** To be called once per batch, before the other calls of that batch. */
     public void update(double nowMs, Membership membership) {
         statistics.advance(nowMs);
         if (nowMs - updatedAtMs < UPDATE_INTERVAL_MS) {
@@ -57,7 +59,7 @@
         probeOwners.update(nowMs, incarnation, membership);
     }
 
-    /** The record that is sent to the peers. */
+    /** The gossip record that is sent to the peers. */
     public GossipRecord record(int sequence) {
         GossipRecord record = statistics.record(incarnation, sequence);
         record.capacity = admission.capacity();
@@ -66,17 +68,20 @@
         return record;
     }
 
-    /** The priority weight below which nothing is admitted; 0 if all is. */
+    /** The priority weight below which nothing is admitted; 0 if everything is admitted. */
     public double threshold() {
         return admission.threshold();
     }
 
-    /** The admitted share of the priority class that begins at the threshold. */
+    /** The admitted share of the priority class whose lower bound is the threshold. */
     public double shareAtThreshold() {
         return admission.shareAtThreshold();
     }
 
-    /** By priority class, so that gateways whose thresholds differ slightly shed alike. */
+    /**
+     * Compares priority classes rather than weights, so that gateways whose thresholds differ
+     * slightly shed the same requests.
+     */
     @Override
     public double admittedShare(double weight) {
         int priorityClass = GossipRecord.classOf(weight);
--- a/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
@@ -7,23 +7,23 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * Totals over the fleet: the mean of the fresh records times the number of gateways that are alive.
+ * Totals over the fleet: the mean of the fresh records times the number of live gateways.
  *
- * <p>A wrong record can do limited harm. Figures that are not finite count as 0, and one record
- * counts at most {@link #MAX_FACTOR_OF_MEAN} times the mean of the others, so that a wrong one
- * among n adds at most MAX_FACTOR_OF_MEAN/n to each total.
+ * <p>The effect of an erroneous record is bounded: values that are not finite count as 0, and each
+ * record counts at most {@link #MAX_FACTOR_OF_MEAN} times the mean without the largest records, so
+ * that one erroneous record among n adds at most a share of MAX_FACTOR_OF_MEAN/n to each total.
  */
 final class FleetTotals {
     /**
-     * An honest gateway with more demand counts as if it had no more; the threshold is then too
-     * low, and the gateways' own limits apply as they do without a fleet.
+     * A gateway whose demand really is higher counts with this multiple only. The threshold is then
+     * too low, and the gateways' own limits apply, as they do without a fleet.
      */
     static final double MAX_FACTOR_OF_MEAN = 2;
 
-    /** Larger figures are invalid. */
+    /** Values from this on are invalid and count as 0. */
     private static final double MAX_FIGURE = 1e12;
 
-    /** One in so many records, the largest, is left out of the mean. */
+    /** The largest one of this many records, at least one, is left out of the mean. */
     private static final int OUTLIER_DIVISOR = 20;
 
     private static final double MIN_ATTEMPTS = 1e-9;
@@ -34,16 +34,16 @@
     /** Units per second. */
     final double demand;
 
-    /** Per second. */
+    /** First attempts per second. */
     final double firstAttempts;
 
     /** Requests in the admission queues. */
     final double queued;
 
-    /** Units per second that were completed on time. */
+    /** Units per second that were completed within the latency objective. */
     final double onTimeUnits;
 
-    /** Share of the attempts that ended late or failed. */
+    /** Share of the ended attempts that were late or failed. */
     final double failedShare;
 
     FleetTotals(Membership membership) {
@@ -76,7 +76,7 @@
         return total;
     }
 
-    /** The figure, or 0 if it is negative, not a number or too large. */
+    /** Returns the value, or 0 if it is negative, not a number or too large. */
     static double sanitize(double figure) {
         return figure > 0 && figure < MAX_FIGURE ? figure : 0;
     }
@@ -89,7 +89,9 @@
         return sum;
     }
 
-    /** The largest value that counts: a multiple of the mean without the largest figures. */
+    /**
+     * The value to which larger ones are cut: a multiple of the mean without the largest values.
+     */
     private static double cap(double[] figures) {
         double[] sorted = figures.clone();
         Arrays.sort(sorted);
--- a/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
+++ b/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
@@ -6,15 +6,15 @@
 import tinford.fleet.membership.Incarnation;
 
 /**
- * What this gateway itself observed over the last second, in a ring of buckets of constant size.
- * Not thread-safe.
+ * What this gateway itself observed over the last second, in a ring of time buckets. Not
+ * thread-safe.
  */
 public final class LocalStatistics {
     private static final int BUCKETS = 5;
     private static final double BUCKET_MS = 200;
     private static final double MS_PER_SECOND = 1000;
 
-    /** What is counted in each bucket. */
+    /** The counters of each bucket. */
     private enum Counter {
         FIRST_ATTEMPTS,
         RETRIES,
@@ -41,7 +41,7 @@
         currentBucket = firstBucket;
     }
 
-    /** Advances the time and clears the buckets that are reused. */
+    /** Advances the time and clears the buckets whose time has passed. */
     public void advance(double toMs) {
         nowMs = Math.max(nowMs, toMs);
         long next = (long) Math.floor(nowMs / BUCKET_MS);
@@ -54,19 +54,19 @@
         }
     }
 
-    /** A request within its quota has arrived. */
+    /** To be called when a request within its quota has arrived. */
     public void requestOffered(double units, double weight) {
         offeredUnits[bucketIndex()][GossipRecord.classOf(weight)] += units;
         queued++;
     }
 
-    /** An offered request has ended without any attempt. */
+    /** To be called when an offered request has ended without any attempt. */
     public void requestRejected(double units, double weight) {
         rejectedUnits[bucketIndex()][GossipRecord.classOf(weight)] += units;
         queued = Math.max(0, queued - 1);
     }
 
-    /** A first attempt or a retry was sent. */
+    /** To be called when a first attempt or a retry was sent. */
     public void attemptSent(boolean retry) {
         count(retry ? Counter.RETRIES : Counter.FIRST_ATTEMPTS, 1);
         inFlight++;
@@ -75,7 +75,11 @@
         }
     }
 
-    /** An attempt has ended; {@code late} if that was after the latency objective. */
+    /**
+     * To be called when an attempt has ended.
+     *
+     * @param late whether it ended after the latency objective
+     */
     public void attemptEnded(double units, AttemptOutcome outcome, boolean late) {
         inFlight = Math.max(0, inFlight - 1);
         switch (outcome) {
@@ -88,12 +92,12 @@
             case TIMED_OUT -> count(Counter.LATE, 1);
             case ERROR, CONNECTION_LOST, OVERLOADED -> count(Counter.FAILED, 1);
             default -> {
-                // an unreachable server says nothing about the capacity of the others
+                // Failing to reach one server says nothing about the capacity of the others.
             }
         }
     }
 
-    /** The current record. Offered units that were not rejected count as admitted. */
+    /** Returns the current record. Offered units that were not rejected count as admitted. */
     public GossipRecord record(Incarnation incarnation, int sequence) {
         GossipRecord record = new GossipRecord(incarnation, sequence);
         double seconds = coveredMs() / MS_PER_SECOND;
@@ -119,8 +123,8 @@
     }
 
     /**
-     * The time that the buckets cover, the current one in part. At least one bucket, or the first
-     * request would look like a flood.
+     * The time that the buckets cover, the current one in part. At least the length of one bucket:
+     * otherwise the first request after the start would be reported as a very high rate.
      */
     private double coveredMs() {
         double covered =
--- a/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
@@ -12,43 +12,50 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * Which gateway probes an unhealthy server, so that the probes don't grow with the number of
- * gateways.
+ * Decides which gateway probes an unhealthy server, so that the number of probes does not grow with
+ * the number of gateways.
  *
- * <p>Rendezvous hashing over the live gateways chooses one owner per server. The others don't use
- * the server until it is reported healthy, or until its owner has not reported for {@link
- * #OWNER_TIMEOUT_MS}; then they probe at random times, all together at growing intervals of at most
- * {@link #MAX_PROBE_INTERVAL_MS}. A server that works for this gateway is avoided only if two peers
- * report it unhealthy. A wrong report of recovery costs one attempt per gateway, each time after
- * twice the wait. Memory: one entry per server for at most {@link #MAX_SERVERS}, which expires
- * {@link #EXPIRY_MS} after the last report. Not thread-safe.
+ * <p>Rendezvous hashing over the live gateways assigns one probe owner to each server. The other
+ * gateways don't use the server until a peer reports it healthy, except for probes at random times:
+ * together about one per {@link #MAX_PROBE_INTERVAL_MS} while the owner reports, and more, at
+ * growing intervals, once it has not reported for {@link #OWNER_TIMEOUT_MS}. A server that this
+ * gateway found healthy is avoided only if two peers report it unhealthy. A false report of
+ * recovery costs one attempt per gateway; the delay after which a gateway accepts the next report
+ * doubles each time. Holds at most {@link #MAX_SERVERS} servers, each until {@link #EXPIRY_MS}
+ * after its last report. Not thread-safe.
  */
 public final class ProbeOwners {
     private static final int MAX_SERVERS = 2048;
 
-    /** The longest ejection by the decisions, 4 s, and the time that records take. */
+    /**
+     * An owner that has not reported for this long is no longer waited for. Covers the longest time
+     * for which a gateway's decisions eject a server, 4 s, and the delay of gossip records.
+     */
     private static final double OWNER_TIMEOUT_MS = 6000;
 
     /**
-     * The first interval between probes of all gateways but the owner together; later ones are half
-     * of the time since the server was ejected.
+     * The shortest interval between probes of all gateways but the owner together. Later intervals
+     * are half of the time since the gateway began to wait for its next probe.
      */
     private static final double MIN_PROBE_INTERVAL_MS = 4000;
 
     private static final double MAX_PROBE_INTERVAL_MS = 30_000;
 
-    /** The gateways return to a recovered server spread over this time. */
+    /** The gateways resume using a recovered server at random times within this interval. */
     private static final double RETURN_JITTER_MS = 300;
 
-    /** For how long an own finding that a server is healthy outweighs the reports of peers. */
+    /**
+     * For how long this gateway's own observation that a server is healthy takes precedence over
+     * reports of its peers.
+     */
     private static final double OWN_FINDING_TRUST_MS = 2000;
 
     private static final double EXPIRY_MS = 120_000;
 
-    /** Reports of recovery within this time count as one. */
+    /** Reports of recovery that are less than this apart count as one. */
     private static final double MIN_RECOVERY_GAP_MS = 100;
 
-    /** Longest time that one update accounts for. */
+    /** Longest time since the previous update that an update takes into account. */
     private static final double MAX_STEP_MS = 1000;
 
     private final Random random;
@@ -58,7 +65,7 @@
     private double nowMs;
     private long updates;
 
-    /** Rotates over the servers that don't fit into one record. */
+    /** Offset into the servers to report, which rotates if they don't all fit into one record. */
     private int firstReported;
 
     public ProbeOwners(Random random) {
@@ -71,8 +78,8 @@
     }
 
     /**
-     * The live gateway with the highest hash: the same for all gateways with the same membership;
-     * when a gateway is lost, only its servers get another owner.
+     * The live gateway with the highest hash. All gateways with the same membership compute the
+     * same owner, and when a gateway is lost, only the servers that it owned get another owner.
      */
     static int owner(int serverHash, Membership membership) {
         int owner = -1;
@@ -87,7 +94,7 @@
         return owner;
     }
 
-    /** Evaluates the fresh records of the peers. */
+    /** Evaluates the peers' fresh records. To be called before the other methods. */
     public void update(double toMs, Incarnation self, Membership current) {
         double stepMs = Math.max(0, Math.min(toMs - nowMs, MAX_STEP_MS));
         nowMs = toMs;
@@ -152,7 +159,10 @@
         }
     }
 
-    /** The interval of all gateways but the owner together: long while the owner reports. */
+    /**
+     * The interval between probes of all gateways but the owner together: the longest one while the
+     * owner reports or this gateway has observed the server itself.
+     */
     private double probeIntervalMs(ProbedServer server) {
         double lastFindingAtMs = Math.max(server.ownerReportAtMs, server.ownFindingAtMs);
         if (nowMs - lastFindingAtMs < OWNER_TIMEOUT_MS) {
@@ -163,8 +173,8 @@
     }
 
     /**
-     * It takes two reports at first, and one later on: once all others avoid the server, only its
-     * owner has findings.
+     * A server becomes reported unhealthy by two reports and remains so by one: once the other
+     * gateways avoid it, only its owner still observes it.
      */
     private static boolean isReportedUnhealthy(ProbedServer server, int reports) {
         int needed = server.reportedUnhealthy ? 1 : 2;
@@ -172,8 +182,8 @@
     }
 
     /**
-     * This gateway found a server unhealthy or healthy. The latter matters only for servers that
-     * were found unhealthy by some gateway.
+     * To be called when this gateway found a server unhealthy or healthy. The latter matters only
+     * for servers that some gateway found unhealthy before.
      */
     public void serverHealthChanged(Server found, boolean unhealthy) {
         int hash = hashOf(found);
@@ -201,7 +211,10 @@
         }
     }
 
-    /** An attempt was sent to the server; if it was a probe, the next one is drawn. */
+    /**
+     * To be called when an attempt was sent to the server. If a probe was due, the attempt counts
+     * as the probe, and the time of the next one is drawn.
+     */
     public void attemptSent(Server target) {
         ProbedServer server = servers.get(hashOf(target));
         if (server != null && server.isProbeDue()) {
@@ -210,8 +223,8 @@
     }
 
     /**
-     * Whether this gateway may send attempts to the server: it is healthy or has recovered, this
-     * gateway is its owner, or a probe is due.
+     * Whether this gateway may send attempts to the server: the server is healthy or has recovered,
+     * this gateway is its owner or has no live peer, or a probe is due.
      */
     public boolean mayProbe(Server target) {
         ProbedServer server = servers.get(hashOf(target));
@@ -230,7 +243,9 @@
                 && nowMs - server.ownFindingAtMs > OWN_FINDING_TRUST_MS;
     }
 
-    /** Writes the own findings into the own record, in rotation if they don't all fit. */
+    /**
+     * Writes this gateway's own observations into its record, in rotation if they don't all fit.
+     */
     public void writeTo(GossipRecord record) {
         List<ProbedServer> found = new ArrayList<>();
         for (ProbedServer server : servers.values()) {
@@ -249,7 +264,7 @@
         firstReported = allFit ? 0 : firstReported + GossipRecord.MAX_SERVERS;
     }
 
-    /** Computed once per update, since it costs a hash per gateway. */
+    /** Returns the owner, computed once per update because that takes a hash per gateway. */
     private int ownerOf(ProbedServer server) {
         if (server.ownerComputedInUpdate != updates) {
             server.owner = owner(server.serverHash, membership);
@@ -259,14 +274,14 @@
     }
 
     /**
-     * Exponentially distributed: each gateway waits as many intervals as there are gateways on
-     * average, so that all together probe once per interval.
+     * Draws an exponentially distributed wait for the next probe. On average each gateway waits as
+     * many intervals as there are gateways, so that together they probe once per interval.
      */
     private void drawNextProbe(ProbedServer server, double sinceMs) {
         server.startWait(sinceMs, -Math.log(1 - random.nextDouble()));
     }
 
-    /** Null if there are too many servers. */
+    /** Returns null if the server is new and the maximum number of servers is reached. */
     private ProbedServer getOrAdd(int serverHash) {
         ProbedServer existing = servers.get(serverHash);
         if (existing != null || servers.size() >= MAX_SERVERS) {
@@ -279,7 +294,7 @@
         return server;
     }
 
-    /** Spreads the bits of a hash over all of it. */
+    /** Mixes the bits of a hash, so that each input bit affects all output bits. */
     private static int mix(int hash) {
         int mixed = (hash ^ hash >>> 16) * 0x7feb352d;
         mixed = (mixed ^ mixed >>> 15) * 0x846ca68b;
--- a/fleet/src/main/java/tinford/fleet/overload/ProbedServer.java
+++ b/fleet/src/main/java/tinford/fleet/overload/ProbedServer.java
@@ -1,42 +1,45 @@
 package tinford.fleet.overload;
 
-/** What one gateway knows about a server that it or its peers found unhealthy. */
+/** What this gateway knows about a server that it or a peer found unhealthy. */
 final class ProbedServer {
-    /** How much later than the own finding a report of recovery must be, at first. */
+    /**
+     * The initial delay after this gateway's own observation before which reports of recovery are
+     * ignored.
+     */
     static final double MIN_DISTRUST_MS = 250;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     final int serverHash;
 
-    /** As found by this gateway itself. */
+    /** By this gateway's own last observation. */
     boolean unhealthy;
 
-    /** As reported by the peers. */
+    /** By the reports of the peers. */
     boolean reportedUnhealthy;
 
     double ownFindingAtMs = NEVER;
     double ownerReportedUnhealthyAtMs = NEVER;
     double ownerReportAtMs = NEVER;
 
-    /** When a peer last reported that the server has recovered. */
+    /** Time of the latest observation of a peer that the server had recovered. */
     double reportedHealthyAtMs = NEVER;
 
-    /** From when on this gateway uses a server that was reported healthy. */
+    /** When this gateway resumes using a server that was reported healthy. */
     double returnAtMs;
 
-    /** Doubles with each report of recovery that proves wrong. */
+    /** Doubles with each report of recovery that proves false. */
     double distrustMs = MIN_DISTRUST_MS;
 
     double updatedAtMs;
 
-    /** The wait for the next probe, in intervals whose length changes. */
+    /** The wait for the next probe is measured in probe intervals, as their length changes. */
     double waitStartedAtMs;
 
     double waitedIntervals;
     double intervalsToWait;
 
-    /** The owner, and the update in which it was computed. */
+    /** The gateway that owns the probes, as computed in the update below. */
     int owner;
 
     long ownerComputedInUpdate = -1;
@@ -49,7 +52,7 @@
         return waitedIntervals >= intervalsToWait;
     }
 
-    /** Begins the wait for the next probe. */
+    /** Starts the wait for the next probe. */
     void startWait(double sinceMs, double intervals) {
         waitStartedAtMs = sinceMs;
         waitedIntervals = 0;
--- a/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
@@ -8,45 +8,49 @@
 import tinford.fleet.membership.Membership;
 
 /**
- * This gateway's account of the fleet's retry budget.
+ * This gateway's part of the fleet's retry budget.
  *
- * <p>First attempts add to the own account and retries draw on it. The surplus of a full account is
- * ceded to a gateway that sees failures, as a running total in the own record. The receiver adds
- * what the total rose by since it last looked, so a record that is lost, duplicated or outdated
- * transfers nothing twice: together the gateways never send more retries than the ratio allows,
- * whatever records each has received. Without messages each gateway lives on its own first
- * attempts. A gateway that reports a wrong total cedes at most twice the share of the median
- * gateway. Memory: two numbers per gateway, for at most {@link #MAX_PEERS}. Not thread-safe.
+ * <p>First attempts add to the budget and retries draw on it. What a full budget can't hold is
+ * ceded to a gateway that sees failures, as a running total in this gateway's record. The receiver
+ * adds the increase of the total since the last record that it evaluated, so that a record that is
+ * lost, duplicated or outdated transfers nothing twice: whatever records each gateway has received,
+ * together they never send more retries than the ratio allows. Without records each gateway uses
+ * only what its own first attempts add. A gateway that reports a wrong total can cede at most twice
+ * the share of the median gateway. Holds two accounts for each of at most {@link #MAX_PEERS} peers.
+ * Not thread-safe.
  */
 public final class RetryBudget {
     private static final int MAX_PEERS = 1024;
 
-    /** Retries that the whole fleet may save up. */
+    /** Retries that the whole fleet may accumulate. */
     private static final double FLEET_BURST = 40;
 
-    /** Retries that each gateway may save up: more would be a flood in a large fleet. */
+    /**
+     * Retries that each gateway may accumulate at least. In a large fleet a higher minimum would
+     * allow a surge of retries.
+     */
     private static final double MIN_GATEWAY_BURST = 2;
 
-    /** Free retries that are not used by then are forfeited. */
+    /** Unused free retries beyond this number are forfeited. */
     private static final int MAX_FREE_RETRIES = 100;
 
-    /** How long one receiver is kept, so that the records can reach it. */
+    /** How long a receiver is kept, so that the records that cede to it can reach it. */
     private static final double RECEIVER_INTERVAL_MS = 500;
 
-    /** Bounds the weight of a gateway that reports excessive failures. */
+    /** Bounds the weight of a gateway that reports excessive failures when a receiver is chosen. */
     private static final double MAX_NEED_PER_SECOND = 100;
 
-    /** Longest time that one update accounts for. */
+    /** Longest time since the previous update that an update takes into account. */
     private static final double MAX_STEP_MS = 1000;
 
     private static final double MS_PER_SECOND = 1000;
 
-    /** What was ceded to, or received from, one incarnation of a peer. */
+    /** What was ceded to, or received from, one incarnation of a peer in total. */
     private static final class Account {
         private final Incarnation peer;
         private double total;
 
-        /** What may still be received. */
+        /** What may still be received from the peer. */
         private double credit = 1;
 
         Account(Incarnation peer) {
@@ -80,8 +84,8 @@
     }
 
     /**
-     * Counts an attempt. A retry costs one, or nothing after an attempt that surely never ran: the
-     * attempts that may have run are bounded all the same.
+     * Counts an attempt. A retry costs 1, or nothing if an attempt is known not to have been
+     * executed: the number of attempts that may have been executed stays bounded.
      */
     public void attemptSent(boolean retry) {
         if (!retry) {
@@ -93,12 +97,15 @@
         }
     }
 
-    /** An attempt has ended that was surely not executed; its retry is free. */
+    /**
+     * To be called when an attempt has ended that is known not to have been executed; one retry is
+     * then free.
+     */
     public void attemptNeverRan() {
         freeRetries = Math.min(freeRetries + 1, MAX_FREE_RETRIES);
     }
 
-    /** Receives from the peers' records what they ceded, and cedes the own surplus. */
+    /** Receives what the peers ceded by their records, and cedes this gateway's surplus. */
     public void update(double nowMs, Incarnation own, Membership membership) {
         double stepMs =
                 updatedAtMs < 0 ? 0 : Math.max(0, Math.min(nowMs - updatedAtMs, MAX_STEP_MS));
@@ -142,15 +149,15 @@
         addReceived(received);
     }
 
-    /** Writes what was ceded into the own record. */
+    /** Writes what was ceded into this gateway's record. */
     public void writeTo(GossipRecord own) {
         own.retriesCededTo = receiver == null ? null : receiver.peer;
         own.retriesCeded = receiver == null ? 0 : receiver.total;
     }
 
     /**
-     * The account of a peer, new for a later incarnation; null for an earlier one, and if there are
-     * too many.
+     * Returns the account of a peer's incarnation, a new one if it is later than the known one;
+     * null if it is earlier, or if the maximum number of accounts is reached.
      */
     private static Account account(Map<Integer, Account> accounts, Incarnation peer) {
         Account existing = accounts.get(peer.gateway());
@@ -171,12 +178,15 @@
         level = Math.min(maxLevel, level);
     }
 
-    /** What was received is not ceded again, or it would circulate. */
+    /** Adds what was received. It is never ceded again, or it would circulate among gateways. */
     private void addReceived(double amount) {
         level = Math.min(maxLevel, level + amount);
     }
 
-    /** At random, in proportion to the failures that a gateway's own budget does not cover. */
+    /**
+     * Chooses a receiver at random, in proportion to the failures that the gateway's own budget
+     * does not cover.
+     */
     private void chooseReceiver(double nowMs, Incarnation own, Membership membership) {
         if (nowMs - receiverChosenAtMs < RECEIVER_INTERVAL_MS) {
             return;
--- a/fleet/src/main/java/tinford/fleet/overload/package-info.java
+++ b/fleet/src/main/java/tinford/fleet/overload/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Overload control by the fleet as one: an admission threshold by priority weight, a shared retry
- * budget, and owners of the probes of unhealthy servers. No I/O, no threads, no clock.
+ * Fleet-wide overload control: an admission threshold by priority weight, a shared retry budget,
+ * and probe owners for unhealthy servers. Uses no I/O, no threads and no clock.
  */
 package tinford.fleet.overload;
--- a/fleet/src/test/java/tinford/fleet/budget/BudgetFairnessTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/BudgetFairnessTest.java
@@ -10,58 +10,70 @@
 import java.util.function.LongFunction;
 import org.testng.annotations.Test;
 
-/** Division of connections among accounts: max-min fairness and its bounds. */
+/** Fair allocation of connections to accounts, and the time within which it is reached. */
 public class BudgetFairnessTest {
     private static final LongFunction<GrantProposer.Plan> PLANS =
             a -> new GrantProposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 40);
 
-    /** Log: offered, taken, read. */
+    /** Maximum time for an entry to be proposed, committed and applied. */
     private static final double LOG = 50 + SimulatedBudgetFleet.STEP_MS;
 
     /**
-     * An ask; the proposal; the let-go, once answered; the second proposal; each with its way
-     * through the log.
+     * Time within which an increase of demand is granted: a demand report, a proposal that reduces
+     * other grants, the report that the connections were released once their requests are answered,
+     * and a second proposal. Each takes an interval and the latency of the log.
      */
     static final double UP =
             4 * (SimulatedBudgetFleet.INTERVAL_MS + LOG) + SimulatedBudgetFleet.SERVICE_MS;
 
-    /** What is no longer wanted is told that long after. */
+    /** Time within which a decrease of demand, which is reported later, has taken effect. */
     static final double DOWN =
             UP + 2 * (SimulatedBudgetFleet.RETENTION_MS + SimulatedBudgetFleet.INTERVAL_MS);
 
     private static SimulatedBudgetFleet fleet(
-            int seed, int size, int servers, int offer, double part) {
-        Map<String, Integer> offers = new LinkedHashMap<>();
-        for (int s = 0; s < servers; s++) {
-            offers.put("s" + s, offer);
+            int seed, int size, int servers, int capacity, double staticPart) {
+        Map<String, Integer> capacities = new LinkedHashMap<>();
+        for (int server = 0; server < servers; server++) {
+            capacities.put("s" + server, capacity);
         }
-        SimulatedBudgetFleet f =
-                new SimulatedBudgetFleet(seed, size, offers, part, PLANS, null, null);
-        f.run(2000);
-        return f;
+        SimulatedBudgetFleet fleet =
+                new SimulatedBudgetFleet(seed, size, capacities, staticPart, PLANS, null, null);
+        fleet.run(2000);
+        return fleet;
     }
 
-    private static int[] exact(SimulatedBudgetFleet f, int accounts) {
-        int[][] in = new int[3][accounts];
-        for (int a = 0; a < accounts; a++) {
-            long id = a;
-            in[0][a] = PLANS.apply(a).weight();
-            in[1][a] = PLANS.apply(a).floor();
-            in[2][a] =
+    private static int[] exact(SimulatedBudgetFleet fleet, int accounts) {
+        int[][] inputs = new int[3][accounts];
+        for (int account = 0; account < accounts; account++) {
+            long id = account;
+            inputs[0][account] = PLANS.apply(account).weight();
+            inputs[1][account] = PLANS.apply(account).floor();
+            inputs[2][account] =
                     Math.min(
                             40,
-                            f.gateways.stream().mapToInt(g -> g.demands.getOrDefault(id, 0)).sum());
+                            fleet.gateways.stream()
+                                    .mapToInt(gateway -> gateway.demands.getOrDefault(id, 0))
+                                    .sum());
         }
         return MaxMinFairness.divide(
-                f.capacities.values().stream().mapToInt(n -> n).sum(), in[0], in[1], in[2]);
+                fleet.capacities.values().stream().mapToInt(capacity -> capacity).sum(),
+                inputs[0],
+                inputs[1],
+                inputs[2]);
     }
 
-    private static int off(SimulatedBudgetFleet f, int[] exact) {
-        int off = 0;
-        for (int a = 0; a < exact.length; a++) {
-            off = Math.max(off, exact[a] - Math.min(f.granted(a), f.attemptsInFlight(a)));
+    private static int off(SimulatedBudgetFleet fleet, int[] exact) {
+        int shortfall = 0;
+        for (int account = 0; account < exact.length; account++) {
+            shortfall =
+                    Math.max(
+                            shortfall,
+                            exact[account]
+                                    - Math.min(
+                                            fleet.granted(account),
+                                            fleet.attemptsInFlight(account)));
         }
-        return off;
+        return shortfall;
     }
 
     @Test
@@ -74,41 +86,41 @@
         exactWithinTheStatedTime(60, 5);
     }
 
-    private static void exactWithinTheStatedTime(int histories, long drawn) {
-        Random random = new Random(drawn);
-        double use = Double.MAX_VALUE;
+    private static void exactWithinTheStatedTime(int histories, long randomSeed) {
+        Random random = new Random(randomSeed);
+        double minUse = Double.MAX_VALUE;
         for (int seed = 0; seed < histories; seed++) {
             int size = 2 + random.nextInt(4);
-            SimulatedBudgetFleet f =
+            SimulatedBudgetFleet fleet =
                     fleet(seed, size, 1 + random.nextInt(4), 1 + random.nextInt(25), 0);
             for (int change = 0; change < 5; change++) {
-                for (SimulatedBudgetFleet.Gateway g : f.gateways) {
-                    g.demands.clear();
-                    for (long a = 0; a < 8; a++) {
+                for (SimulatedBudgetFleet.Gateway gateway : fleet.gateways) {
+                    gateway.demands.clear();
+                    for (long account = 0; account < 8; account++) {
                         if (random.nextInt(2) == 0) {
-                            g.demands.put(a, 1 + random.nextInt(30));
+                            gateway.demands.put(account, 1 + random.nextInt(30));
                         }
                     }
                 }
                 if (change == 3) {
-                    f.offer("s0", 1 + random.nextInt(25), 2);
+                    fleet.offer("s0", 1 + random.nextInt(25), 2);
                 }
-                int[] exact = exact(f, 8);
-                double start = f.nowMs;
+                int[] exact = exact(fleet, 8);
+                double start = fleet.nowMs;
                 double reached = start;
                 double used = 0;
                 int steps = 0;
-                while (f.nowMs < start + DOWN + 2000) {
-                    f.step();
-                    f.nowMs += SimulatedBudgetFleet.STEP_MS;
-                    int off = off(f, exact);
-                    if (off > 0) {
-                        reached = f.nowMs;
+                while (fleet.nowMs < start + DOWN + 2000) {
+                    fleet.step();
+                    fleet.nowMs += SimulatedBudgetFleet.STEP_MS;
+                    int shortfall = off(fleet, exact);
+                    if (shortfall > 0) {
+                        reached = fleet.nowMs;
                     }
-                    if (f.nowMs > start + DOWN) {
+                    if (fleet.nowMs > start + DOWN) {
                         steps++;
-                        for (long a = 0; a < 8; a++) {
-                            used += f.attemptsInFlight(a);
+                        for (long account = 0; account < 8; account++) {
+                            used += fleet.attemptsInFlight(account);
                         }
                     }
                 }
@@ -122,125 +134,134 @@
                                 + (reached - start)
                                 + " ms");
                 int sum = java.util.Arrays.stream(exact).sum();
-                use = Math.min(use, sum == 0 ? 1 : used / steps / sum);
+                minUse = Math.min(minUse, sum == 0 ? 1 : used / steps / sum);
             }
-            assertTrue(f.worstExcess <= 0);
+            assertTrue(fleet.worstExcess <= 0);
         }
-        assertTrue(use > 0.95, "use " + use);
+        assertTrue(minUse > 0.95, "share of the allocation in use: " + minUse);
     }
 
     @Test
     public void grantsAFloorWithinTheStatedTimeWhileOthersHoldAll() {
-        SimulatedBudgetFleet f = fleet(1, 3, 2, 12, 0);
-        for (SimulatedBudgetFleet.Gateway g : f.gateways) {
-            g.demands.put(3L, 99);
-            g.demands.put(7L, 99);
+        SimulatedBudgetFleet fleet = fleet(1, 3, 2, 12, 0);
+        for (SimulatedBudgetFleet.Gateway gateway : fleet.gateways) {
+            gateway.demands.put(3L, 99);
+            gateway.demands.put(7L, 99);
         }
-        f.run(6000);
-        f.gateways.get(0).demands.put(0L, 9);
-        double start = f.nowMs;
-        while (f.attemptsInFlight(0) < 2) {
-            f.run(SimulatedBudgetFleet.STEP_MS);
-            assertTrue(f.nowMs - start <= UP, "no floor after " + UP + " ms");
+        fleet.run(6000);
+        fleet.gateways.get(0).demands.put(0L, 9);
+        double start = fleet.nowMs;
+        while (fleet.attemptsInFlight(0) < 2) {
+            fleet.run(SimulatedBudgetFleet.STEP_MS);
+            assertTrue(fleet.nowMs - start <= UP, "minimum share not reached after " + UP + " ms");
         }
     }
 
     @Test
     public void changingDemandDoesNotMoveGrants() {
-        SimulatedBudgetFleet f = fleet(2, 3, 3, 10, 0.2);
-        for (int k = 0; k < 20; k++) {
-            f.gateways.get(0).demands.put(1L, 9);
-            f.gateways.get(1).demands.put(2L, k % 2 == 0 ? 20 : 1);
-            f.gateways.get(2).demands.put(3L, k % 2 == 0 ? 2 : 18);
-            long before = f.gateways.get(0).ledger.acceptedGrants();
-            f.run(700);
+        SimulatedBudgetFleet fleet = fleet(2, 3, 3, 10, 0.2);
+        for (int round = 0; round < 20; round++) {
+            fleet.gateways.get(0).demands.put(1L, 9);
+            fleet.gateways.get(1).demands.put(2L, round % 2 == 0 ? 20 : 1);
+            fleet.gateways.get(2).demands.put(3L, round % 2 == 0 ? 2 : 18);
+            long before = fleet.gateways.get(0).ledger.acceptedGrants();
+            fleet.run(700);
             assertTrue(
-                    k < 5 || f.gateways.get(0).ledger.acceptedGrants() == before,
-                    "grants flap in turn " + k);
+                    round < 5 || fleet.gateways.get(0).ledger.acceptedGrants() == before,
+                    "grants still change in round " + round);
         }
     }
 
     @Test
     public void releasesTheGrantsOfADeadGatewayAfterLeaseSkewAndLinger() {
-        SimulatedBudgetFleet f = fleet(3, 3, 2, 10, 0);
-        f.gateways.get(0).demands.put(3L, 40);
-        f.run(4000);
-        assertEquals(f.granted(3), 20);
-        SimulatedBudgetFleet.Gateway dead = f.gateways.get(0);
+        SimulatedBudgetFleet fleet = fleet(3, 3, 2, 10, 0);
+        fleet.gateways.get(0).demands.put(3L, 40);
+        fleet.run(4000);
+        assertEquals(fleet.granted(3), 20);
+        SimulatedBudgetFleet.Gateway dead = fleet.gateways.get(0);
         dead.deadUntilMs = Double.MAX_VALUE;
-        f.leader = 1;
-        f.gateways.get(1).demands.put(7L, 40);
-        double start = f.nowMs;
-        double stated =
+        fleet.leader = 1;
+        fleet.gateways.get(1).demands.put(7L, 40);
+        double start = fleet.nowMs;
+        double maxMs =
                 SimulatedBudgetFleet.LEASE_MS
                         + 2 * SimulatedBudgetFleet.CLOCK_SKEW_MS
                         + SimulatedBudgetFleet.LINGER_MS
                         + UP;
-        while (f.attemptsInFlight(7) < 18) {
-            f.run(SimulatedBudgetFleet.STEP_MS);
-            assertTrue(f.nowMs - start <= stated, "not back after " + stated);
+        while (fleet.attemptsInFlight(7) < 18) {
+            fleet.run(SimulatedBudgetFleet.STEP_MS);
+            assertTrue(
+                    fleet.nowMs - start <= maxMs,
+                    "grants of the dead gateway not released after " + maxMs + " ms");
         }
-        assertTrue(f.worstExcess <= 0);
+        assertTrue(fleet.worstExcess <= 0);
     }
 
     @Test
     public void withoutAMajorityEachGatewayUsesItsStaticShare() {
-        SimulatedBudgetFleet f = fleet(4, 4, 2, 13, 0.5);
-        for (SimulatedBudgetFleet.Gateway g : f.gateways) {
-            g.demands.put(1L, 20);
-            g.demands.put(2L, 20);
+        SimulatedBudgetFleet fleet = fleet(4, 4, 2, 13, 0.5);
+        for (SimulatedBudgetFleet.Gateway gateway : fleet.gateways) {
+            gateway.demands.put(1L, 20);
+            gateway.demands.put(2L, 20);
         }
-        f.run(4000);
-        f.noMajorityUntilMs = Double.MAX_VALUE;
-        f.run(SimulatedBudgetFleet.LEASE_MS + SimulatedBudgetFleet.LINGER_MS);
+        fleet.run(4000);
+        fleet.noMajorityUntilMs = Double.MAX_VALUE;
+        fleet.run(SimulatedBudgetFleet.LEASE_MS + SimulatedBudgetFleet.LINGER_MS);
         Map<String, Integer> sums = new TreeMap<>();
-        for (SimulatedBudgetFleet.Gateway g : f.gateways) {
-            f.capacities
+        for (SimulatedBudgetFleet.Gateway gateway : fleet.gateways) {
+            fleet.capacities
                     .keySet()
                     .forEach(
-                            s ->
+                            server ->
                                     sums.merge(
-                                            s,
-                                            g.budget.connectionLimit(s, f.nowMs + g.clockOffsetMs),
+                                            server,
+                                            gateway.budget.connectionLimit(
+                                                    server, fleet.nowMs + gateway.clockOffsetMs),
                                             Integer::sum));
             assertTrue(
-                    g.budget.attemptLimit(1, f.nowMs + g.clockOffsetMs) >= 1
-                            && g.budget.attemptLimit(2, f.nowMs + g.clockOffsetMs) >= 1);
+                    gateway.budget.attemptLimit(1, fleet.nowMs + gateway.clockOffsetMs) >= 1
+                            && gateway.budget.attemptLimit(2, fleet.nowMs + gateway.clockOffsetMs)
+                                    >= 1);
         }
         assertEquals(sums, Map.of("s0", 6, "s1", 6));
-        int out = 0;
-        for (int k = 0; k < 100; k++) {
-            f.run(SimulatedBudgetFleet.STEP_MS);
-            out += f.attemptsInFlight(1) + f.attemptsInFlight(2);
+        int inUse = 0;
+        for (int step = 0; step < 100; step++) {
+            fleet.run(SimulatedBudgetFleet.STEP_MS);
+            inUse += fleet.attemptsInFlight(1) + fleet.attemptsInFlight(2);
         }
-        assertTrue(out > 1100, "the static share is not used: " + out / 100.0 + " of 12");
+        assertTrue(
+                inUse > 1100, "static connections in use: " + inUse / 100.0 + " of 12 on average");
     }
 
     @Test
     public void dividesFewerConnectionsThanGatewaysAmongManyAccounts() {
-        SimulatedBudgetFleet f = fleet(6, 5, 1, 3, 1);
-        f.gateways.get(0).demands.put(9_999L, 5);
-        for (int g = 0; g < 5; g++) {
-            f.gateways.get(g).demands.put(1L + g * 2_000L, 5);
+        SimulatedBudgetFleet fleet = fleet(6, 5, 1, 3, 1);
+        fleet.gateways.get(0).demands.put(9_999L, 5);
+        for (int gateway = 0; gateway < 5; gateway++) {
+            fleet.gateways.get(gateway).demands.put(1L + gateway * 2_000L, 5);
         }
-        f.run(5000);
-        assertTrue(f.worstExcess <= 0);
+        fleet.run(5000);
+        assertTrue(fleet.worstExcess <= 0);
         assertEquals(
-                f.gateways.stream().mapToInt(g -> g.budget.connectionLimit("s0", f.nowMs)).sum(),
+                fleet.gateways.stream()
+                        .mapToInt(gateway -> gateway.budget.connectionLimit("s0", fleet.nowMs))
+                        .sum(),
                 3);
     }
 
     @Test
     public void anAccountOverAllGatewaysGetsNoMoreThanOneAtASingleGateway() {
-        SimulatedBudgetFleet f = fleet(7, 4, 2, 10, 0);
-        f.gateways.get(0).demands.put(3L, 40);
-        f.gateways.forEach(g -> g.demands.put(7L, 40));
-        f.run(6000);
-        assertEquals(f.granted(3), 10);
-        assertEquals(f.granted(7), 10);
-        f.offer("s0", 4, 9);
-        f.run(DOWN);
-        assertEquals(f.granted(3) + f.granted(7), 14);
-        assertTrue(f.openConnections("s0") <= 4, "an offer that shrank is given back");
+        SimulatedBudgetFleet fleet = fleet(7, 4, 2, 10, 0);
+        fleet.gateways.get(0).demands.put(3L, 40);
+        fleet.gateways.forEach(gateway -> gateway.demands.put(7L, 40));
+        fleet.run(6000);
+        assertEquals(fleet.granted(3), 10);
+        assertEquals(fleet.granted(7), 10);
+        fleet.offer("s0", 4, 9);
+        fleet.run(DOWN);
+        assertEquals(fleet.granted(3) + fleet.granted(7), 14);
+        assertTrue(
+                fleet.openConnections("s0") <= 4,
+                "connections beyond a reduced capacity are closed");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/budget/BudgetHistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/BudgetHistoriesTest.java
@@ -12,14 +12,14 @@
 import tinford.fleet.membership.Incarnation;
 import tinford.fleet.membership.Lease;
 
-/** Random histories of connection budgets under faults. */
+/** Connection budgets in random histories with faults. */
 public class BudgetHistoriesTest {
     private static final LongFunction<GrantProposer.Plan> PLANS =
             a -> new GrantProposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 60);
 
     /**
-     * Plays a random history; returns by how many connections a capacity was exceeded at most
-     * (below 0: how many were left).
+     * Runs a random history; returns the highest number of connections by which a capacity was
+     * exceeded, or, negative, the lowest number that was free.
      */
     private static int play(int seed, String defect) {
         return history(seed, defect).worstExcess;
@@ -28,46 +28,52 @@
     private static SimulatedBudgetFleet history(int seed, String defect) {
         Random random = new Random(seed * 31L);
         int size = 2 + random.nextInt(4);
-        Map<String, Integer> offers = new LinkedHashMap<>();
-        for (int s = 0; s < 1 + random.nextInt(3); s++) {
-            offers.put("s" + s, 1 + random.nextInt(30));
+        Map<String, Integer> capacities = new LinkedHashMap<>();
+        for (int server = 0; server < 1 + random.nextInt(3); server++) {
+            capacities.put("s" + server, 1 + random.nextInt(30));
         }
-        double part = random.nextBoolean() ? 0.2 : 0;
+        double staticPart = random.nextBoolean() ? 0.2 : 0;
         SimulatedBudgetFleet fleet =
                 new SimulatedBudgetFleet(
                         seed,
                         size,
-                        offers,
-                        part,
+                        capacities,
+                        staticPart,
                         PLANS,
-                        defect.isEmpty() ? null : s -> ledger(size, s, defect),
+                        defect.isEmpty()
+                                ? null
+                                : staticShares -> ledger(size, staticShares, defect),
                         !defect.equals("own clock ignored")
                                 ? null
-                                : (ledger, incarnation, from) ->
+                                : (ledger, incarnation, staticFromMs) ->
                                         new LocalBudget(
                                                 ledger,
-                                                new StaticShares(offers, part, size),
+                                                new StaticShares(capacities, staticPart, size),
                                                 PLANS,
                                                 incarnation,
                                                 SimulatedBudgetFleet.LEASE_MS,
                                                 -1e12,
                                                 SimulatedBudgetFleet.INTERVAL_MS,
                                                 SimulatedBudgetFleet.RETENTION_MS,
-                                                from));
+                                                staticFromMs));
         fleet.faults = true;
-        for (int k = 0; k < 12; k++) {
-            for (SimulatedBudgetFleet.Gateway g : fleet.gateways) {
-                g.demands.clear();
-                for (long a = 0; a < 6; a++) {
+        for (int round = 0; round < 12; round++) {
+            for (SimulatedBudgetFleet.Gateway gateway : fleet.gateways) {
+                gateway.demands.clear();
+                for (long account = 0; account < 6; account++) {
                     if (random.nextInt(3) == 0) {
-                        g.demands.put(a, random.nextInt(40));
+                        gateway.demands.put(account, random.nextInt(40));
                     }
                 }
             }
             if (random.nextInt(4) == 0) {
-                String s = "s" + random.nextInt(offers.size());
+                String server = "s" + random.nextInt(capacities.size());
                 fleet.offer(
-                        s, Math.max((int) (offers.get(s) * part) + 1, random.nextInt(30)), k + 1);
+                        server,
+                        Math.max(
+                                (int) (capacities.get(server) * staticPart) + 1,
+                                random.nextInt(30)),
+                        round + 1);
             }
             fleet.run(2500);
         }
@@ -78,22 +84,26 @@
         return new BudgetLedger(SimulatedBudgetFleet.leases(size), staticShares) {
             @Override
             boolean hasRoom(Incarnation incarnation, int server, int more) {
-                return defect.equals("no check") || super.hasRoom(incarnation, server, more);
+                return defect.equals("capacity not checked")
+                        || super.hasRoom(incarnation, server, more);
             }
 
             @Override
             double releaseMs(Lease lease) {
-                return defect.equals("no linger") ? leases().logTimeMs() : super.releaseMs(lease);
+                return defect.equals("linger time ignored")
+                        ? leases().logTimeMs()
+                        : super.releaseMs(lease);
             }
 
             @Override
             boolean isGone(Incarnation incarnation) {
                 return switch (defect) {
-                    case "no linger" -> super.isGone(incarnation) || !leases().mayAct(incarnation);
-                    case "a later incarnation frees the earlier's" ->
+                    case "linger time ignored" ->
+                            super.isGone(incarnation) || !leases().mayAct(incarnation);
+                    case "later incarnation releases grants of an earlier one" ->
                             super.isGone(incarnation)
                                     || leases().of(incarnation.gateway()).stream()
-                                            .anyMatch(l -> l.start() > incarnation.start());
+                                            .anyMatch(other -> other.start() > incarnation.start());
                     default -> super.isGone(incarnation);
                 };
             }
@@ -110,14 +120,14 @@
         checkCapacities(10, 200);
     }
 
-    private static void checkCapacities(int first, int end) {
-        int atFull = 0;
-        for (int seed = first; seed < end; seed++) {
-            int over = play(seed, "");
-            assertTrue(over <= 0, "history " + seed + ": " + over + " over");
-            atFull += over == 0 ? 1 : 0;
+    private static void checkCapacities(int firstSeed, int endSeed) {
+        int historiesAtCapacity = 0;
+        for (int seed = firstSeed; seed < endSeed; seed++) {
+            int excess = play(seed, "");
+            assertTrue(excess <= 0, "history " + seed + ": capacity exceeded by " + excess);
+            historiesAtCapacity += excess == 0 ? 1 : 0;
         }
-        assertTrue(atFull > 0, "none reaches the whole offer");
+        assertTrue(historiesAtCapacity > 0, "in no history is a whole capacity in use");
     }
 
     @Test
@@ -150,12 +160,12 @@
         byte[] grants = grants(restored);
         long index = fleet.log.size();
         for (byte[] entry : fleet.log) {
-            byte[] garbage = java.util.Arrays.copyOf(entry, 2 + random.nextInt(3));
-            restored.apply(++index, garbage);
-            garbage[random.nextInt(2)] = 99;
-            restored.apply(++index, garbage);
+            byte[] malformed = java.util.Arrays.copyOf(entry, 2 + random.nextInt(3));
+            restored.apply(++index, malformed);
+            malformed[random.nextInt(2)] = 99;
+            restored.apply(++index, malformed);
         }
-        assertEquals(grants(restored), grants, "garbage changed grants");
+        assertEquals(grants(restored), grants, "malformed entries changed grants");
         assertTrue(
                 restored.unreadableEntries() > 0
                         && restored.unknownEntries() > 0
@@ -163,26 +173,26 @@
     }
 
     private static byte[] grants(BudgetLedger ledger) {
-        StringBuilder all = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         ledger.table.holders.forEach(
-                (l, h) ->
-                        h.serverGrants.forEach(
-                                (s, c) ->
-                                        all.append(l)
-                                                .append(s)
+                (incarnation, holder) ->
+                        holder.serverGrants.forEach(
+                                (server, grant) ->
+                                        text.append(incarnation)
+                                                .append(server)
                                                 .append(' ')
-                                                .append(c.granted)
-                                                .append(c.maxHeld)));
-        return all.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+                                                .append(grant.granted)
+                                                .append(grant.maxHeld)));
+        return text.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
     }
 
     @DataProvider
     public Object[][] defects() {
         return new Object[][] {
-            {"no check"},
-            {"no linger"},
+            {"capacity not checked"},
+            {"linger time ignored"},
             {"own clock ignored"},
-            {"a later incarnation frees the earlier's"}
+            {"later incarnation releases grants of an earlier one"}
         };
     }
 
@@ -193,6 +203,6 @@
                 return;
             }
         }
-        assertEquals(defect, "caught");
+        assertEquals(defect, "detected");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/budget/MaxMinFairnessTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/MaxMinFairnessTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Max-min fairness against cases computed by hand, and a slow reference. */
+/** Max-min fairness against results computed by hand and by a slow reference implementation. */
 public class MaxMinFairnessTest {
     @DataProvider
     public Object[][] cases() {
@@ -27,74 +27,74 @@
 
     @Test(dataProvider = "cases")
     public void dividesByHandComputedCases(
-            int pool, int[] weight, int[] floor, int[] cap, int[] expected) {
-        assertEquals(MaxMinFairness.divide(pool, weight, floor, cap), expected);
+            int pool, int[] weights, int[] minimumShares, int[] caps, int[] expected) {
+        assertEquals(MaxMinFairness.divide(pool, weights, minimumShares, caps), expected);
     }
 
     @Test
     public void equalsAReferenceThatGivesOneAtATime() {
         Random random = new Random(7);
-        for (int k = 0; k < 3000; k++) {
-            int n = 1 + random.nextInt(12);
-            int[][] in = new int[3][n];
-            for (int i = 0; i < n; i++) {
-                in[0][i] = 1 + random.nextInt(random.nextBoolean() ? 3 : 1000);
-                in[1][i] = random.nextInt(6);
-                in[2][i] = random.nextInt(60);
+        for (int number = 0; number < 3000; number++) {
+            int size = 1 + random.nextInt(12);
+            int[][] inputs = new int[3][size];
+            for (int i = 0; i < size; i++) {
+                inputs[0][i] = 1 + random.nextInt(random.nextBoolean() ? 3 : 1000);
+                inputs[1][i] = random.nextInt(6);
+                inputs[2][i] = random.nextInt(60);
             }
             int pool = random.nextInt(300);
             assertEquals(
-                    MaxMinFairness.divide(pool, in[0], in[1], in[2]),
-                    divideOneByOne(pool, in[0], in[1], in[2]),
-                    "history " + k);
+                    MaxMinFairness.divide(pool, inputs[0], inputs[1], inputs[2]),
+                    divideOneByOne(pool, inputs[0], inputs[1], inputs[2]),
+                    "case " + number);
         }
     }
 
-    static int[] divideOneByOne(int pool, int[] weight, int[] floor, int[] cap) {
-        int[] given = new int[weight.length];
-        for (int p = 0; p < pool; p++) {
+    static int[] divideOneByOne(int pool, int[] weights, int[] minimumShares, int[] caps) {
+        int[] allocated = new int[weights.length];
+        for (int connection = 0; connection < pool; connection++) {
             int best = -1;
-            boolean low = false;
-            for (int i = 0; i < given.length; i++) {
-                boolean below = given[i] < Math.min(floor[i], cap[i]);
-                if (given[i] < cap[i]
+            boolean bestIsBelowMinimum = false;
+            for (int i = 0; i < allocated.length; i++) {
+                boolean belowMinimum = allocated[i] < Math.min(minimumShares[i], caps[i]);
+                if (allocated[i] < caps[i]
                         && (best < 0
-                                || below && !low
-                                || below == low
-                                        && (long) given[i] * weight[best]
-                                                < (long) given[best] * weight[i])) {
+                                || belowMinimum && !bestIsBelowMinimum
+                                || belowMinimum == bestIsBelowMinimum
+                                        && (long) allocated[i] * weights[best]
+                                                < (long) allocated[best] * weights[i])) {
                     best = i;
-                    low = below;
+                    bestIsBelowMinimum = belowMinimum;
                 }
             }
             if (best >= 0) {
-                given[best]++;
+                allocated[best]++;
             }
         }
-        return given;
+        return allocated;
     }
 
     @Test
     public void staticSharesSumExactlyAlsoWithFewerConnectionsThanGateways() {
         Random random = new Random(3);
-        for (int k = 0; k < 200; k++) {
+        for (int number = 0; number < 200; number++) {
             int gateways = 1 + random.nextInt(40);
-            int offer = random.nextInt(100);
-            StaticShares s =
+            int capacity = random.nextInt(100);
+            StaticShares shares =
                     new StaticShares(
-                            new LinkedHashMap<>(Map.of("a" + k, offer)),
+                            new LinkedHashMap<>(Map.of("a" + number, capacity)),
                             random.nextDouble(),
                             gateways);
             int sum = 0;
-            int most = 0;
-            int least = 100;
-            for (int g = 0; g < gateways; g++) {
-                sum += s.of("a" + k, g);
-                most = Math.max(most, s.of("a" + k, g));
-                least = Math.min(least, s.of("a" + k, g));
+            int highest = 0;
+            int lowest = 100;
+            for (int gateway = 0; gateway < gateways; gateway++) {
+                sum += shares.of("a" + number, gateway);
+                highest = Math.max(highest, shares.of("a" + number, gateway));
+                lowest = Math.min(lowest, shares.of("a" + number, gateway));
             }
-            assertEquals(sum, s.total("a" + k));
-            assertEquals(sum <= offer && most - least <= 1, true);
+            assertEquals(sum, shares.total("a" + number));
+            assertEquals(sum <= capacity && highest - lowest <= 1, true);
         }
     }
 }
--- a/fleet/src/test/java/tinford/fleet/budget/ProposalCost.java
+++ b/fleet/src/test/java/tinford/fleet/budget/ProposalCost.java
@@ -8,8 +8,8 @@
 import tinford.fleet.membership.LeaseTable;
 
 /**
- * Prints what one proposal and its entry cost in processor time as servers, gateways, accounts and
- * those awake grow.
+ * Prints the processor time of one proposal and of applying its entry, by the number of servers,
+ * gateways, accounts and active accounts.
  */
 public final class ProposalCost {
     private ProposalCost() {}
@@ -25,7 +25,7 @@
             {400, 400, 10_000, 10_000}
         };
         System.out.println(
-                "| servers | gateways | accounts | awake | first proposal ms | later ms | entry"
+                "| servers | gateways | accounts | active | first proposal ms | later ms | entry"
                         + " bytes, first, later | apply ms, first, later | snapshot bytes |\n"
                         + "| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (int i = 0; i < 20; i++) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Processor time, as the wall clock tells of what else runs. */
+    /** Processor time of this thread; wall-clock time would include other load on the machine. */
     private static long cpu() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
@@ -44,42 +44,43 @@
     private static void measure(int[] size, boolean print) {
         Random random = new Random(1);
         Map<String, Integer> offers = new LinkedHashMap<>();
-        for (int s = 0; s < size[0]; s++) {
-            offers.put("server-" + s, 100);
+        for (int server = 0; server < size[0]; server++) {
+            offers.put("server-" + server, 100);
         }
         BudgetLedger ledger =
                 new BudgetLedger(
                         new LeaseTable(size[1], 1e6, 100, 1000),
                         new StaticShares(offers, 0.1, size[1]));
         long index = 0;
-        for (Map.Entry<String, Integer> e : offers.entrySet()) {
+        for (Map.Entry<String, Integer> offer : offers.entrySet()) {
             ledger.apply(
                     ++index,
-                    new LedgerEntry.CapacityOffer(e.getKey(), 1, e.getValue(), 1).encode());
+                    new LedgerEntry.CapacityOffer(offer.getKey(), 1, offer.getValue(), 1).encode());
         }
-        double[] took = new double[6];
+        double[] results = new double[6];
         for (int round = 0; round < 12; round++) {
             boolean first = round == 0;
-            Map<Integer, Map<Long, Integer>> wanted = new LinkedHashMap<>();
-            for (int a = 0; a < (first ? size[3] : Math.max(1, size[3] / 20)); a++) {
+            Map<Integer, Map<Long, Integer>> demands = new LinkedHashMap<>();
+            for (int i = 0; i < (first ? size[3] : Math.max(1, size[3] / 20)); i++) {
                 long account = random.nextInt(size[2]);
-                for (int k = 0; k < 4; k++) {
-                    wanted.computeIfAbsent(random.nextInt(size[1]), g -> new LinkedHashMap<>())
+                for (int j = 0; j < 4; j++) {
+                    demands.computeIfAbsent(
+                                    random.nextInt(size[1]), gateway -> new LinkedHashMap<>())
                             .put(
                                     account,
                                     random.nextInt(Math.max(4, 2 * size[0] * 100 / size[3] / 4)));
                 }
             }
-            for (int g = 0; g < size[1]; g++) {
-                Incarnation incarnation = new Incarnation(g, 1);
+            for (int gateway = 0; gateway < size[1]; gateway++) {
+                Incarnation incarnation = new Incarnation(gateway, 1);
                 if (first) {
                     ledger.apply(++index, LeaseTable.renewalEntry(incarnation, 1, 1e6));
                 }
-                // All that was taken back is let go.
+                // All connections by which grants were reduced are released.
                 Map<Integer, Integer> held = new LinkedHashMap<>();
-                GrantTable.Holder h = ledger.table.holders.get(incarnation);
-                if (h != null) {
-                    h.serverGrants.forEach((s, c) -> held.put(s, c.granted));
+                GrantTable.Holder holder = ledger.table.holders.get(incarnation);
+                if (holder != null) {
+                    holder.serverGrants.forEach((server, grant) -> held.put(server, grant.granted));
                 }
                 ledger.apply(
                         ++index,
@@ -87,22 +88,23 @@
                                         incarnation,
                                         2 + round,
                                         index,
-                                        wanted.getOrDefault(g, Map.of()),
+                                        demands.getOrDefault(gateway, Map.of()),
                                         held)
                                 .encode());
             }
             GrantProposer proposer =
-                    new GrantProposer(a -> new GrantProposer.Plan(1 + (int) (a % 4), 1, 1000), 0);
-            long t = cpu();
+                    new GrantProposer(
+                            account -> new GrantProposer.Plan(1 + (int) (account % 4), 1, 1000), 0);
+            long startNs = cpu();
             byte[] entry = proposer.propose(ledger, 2 + round);
-            long u = cpu();
+            long proposedNs = cpu();
             if (entry != null) {
                 ledger.apply(++index, entry);
             }
-            long v = cpu();
-            took[first ? 0 : 1] += (u - t) / 1e6 / (first ? 1 : 11);
-            took[first ? 2 : 3] += (entry == null ? 0.0 : entry.length) / (first ? 1 : 11);
-            took[first ? 4 : 5] += (v - u) / 1e6 / (first ? 1 : 11);
+            long appliedNs = cpu();
+            results[first ? 0 : 1] += (proposedNs - startNs) / 1e6 / (first ? 1 : 11);
+            results[first ? 2 : 3] += (entry == null ? 0.0 : entry.length) / (first ? 1 : 11);
+            results[first ? 4 : 5] += (appliedNs - proposedNs) / 1e6 / (first ? 1 : 11);
         }
         if (print) {
             System.out.printf(
@@ -111,12 +113,12 @@
                     size[1],
                     size[2],
                     size[3],
-                    took[0],
-                    took[1],
-                    took[2],
-                    took[3],
-                    took[4],
-                    took[5],
+                    results[0],
+                    results[1],
+                    results[2],
+                    results[3],
+                    results[4],
+                    results[5],
                     ledger.snapshot().length);
         }
     }
