--- a/fleet/src/test/java/tinford/fleet/budget/SimulatedBudgetFleet.java
+++ b/fleet/src/test/java/tinford/fleet/budget/SimulatedBudgetFleet.java
@@ -12,8 +12,8 @@
 import tinford.fleet.membership.LeaseTable;
 
 /**
- * Gateways with their ledgers in driven time, over a log that loses, duplicates and delays what is
- * proposed, and servers that count connections.
+ * Gateways with their ledgers in simulated time, with a log that loses, duplicates and delays
+ * proposed entries, and servers that count connections.
  */
 final class SimulatedBudgetFleet {
     static final double LEASE_MS = 3000;
@@ -25,7 +25,7 @@
     static final double RETENTION_MS = 1500;
     static final double STEP_MS = 10;
 
-    /** A connection as its server sees it. */
+    /** An open connection, as its server counts it. */
     static final class Connection {
         final String server;
         double sentMs;
@@ -50,20 +50,22 @@
         double cutUntilMs;
         double deadUntilMs;
 
-        Gateway(int number, double offset) {
+        Gateway(int number, double clockOffsetMs) {
             this.number = number;
-            this.clockOffsetMs = offset;
+            this.clockOffsetMs = clockOffsetMs;
             start(0);
         }
 
-        void start(double linger) {
+        void start(double lingerMs) {
             ledger = ledgers.apply(staticShares);
             applied = 0;
-            double own = nowMs + clockOffsetMs;
-            budget = shares.make(ledger, new Incarnation(number, (long) own), own + linger);
+            double ownNowMs = nowMs + clockOffsetMs;
+            budget =
+                    shares.make(
+                            ledger, new Incarnation(number, (long) ownNowMs), ownNowMs + lingerMs);
             proposer = new GrantProposer(plans, INTERVAL_MS);
-            // Half of those that start are handed a snapshot of another's.
-            Gateway other = linger > 0 ? gateways.get((number + 1) % gateways.size()) : this;
+            // Half of the gateways that restart restore a snapshot of another gateway.
+            Gateway other = lingerMs > 0 ? gateways.get((number + 1) % gateways.size()) : this;
             if (other != this && other.ledger != null && random.nextBoolean()) {
                 ledger.restore(other.applied, other.ledger.snapshot());
                 applied = other.applied;
@@ -76,13 +78,16 @@
     }
 
     interface BudgetFactory {
-        LocalBudget make(BudgetLedger ledger, Incarnation incarnation, double staticFrom);
+        LocalBudget make(BudgetLedger ledger, Incarnation incarnation, double staticFromMs);
     }
 
     final Random random;
     final Map<String, Integer> capacities = new LinkedHashMap<>();
 
-    /** Highest offer lately, as what it was can't come back at once; and until when. */
+    /**
+     * By server, after its capacity was reduced: the highest recent capacity, as connections can't
+     * be released at once, and the time until which it still counts.
+     */
     private final Map<String, double[]> recentCapacities = new LinkedHashMap<>();
 
     final List<Gateway> gateways = new ArrayList<>();
@@ -107,27 +112,33 @@
             long seed,
             int size,
             Map<String, Integer> offers,
-            double part,
+            double staticPart,
             LongFunction<GrantProposer.Plan> plans,
             Function<StaticShares, BudgetLedger> ledgers,
             BudgetFactory shares) {
         random = new Random(seed);
         this.capacities.putAll(offers);
         this.plans = plans;
-        staticShares = new StaticShares(offers, part, size);
-        this.ledgers = ledgers != null ? ledgers : s -> new BudgetLedger(leases(size), s);
+        staticShares = new StaticShares(offers, staticPart, size);
+        this.ledgers =
+                ledgers != null ? ledgers : allShares -> new BudgetLedger(leases(size), allShares);
         this.shares = shares != null ? shares : this::share;
-        for (int g = 0; g < size; g++) {
-            gateways.add(new Gateway(g, size == 1 ? 0 : (g % 3 - 1) * CLOCK_SKEW_MS / 2));
+        for (int gateway = 0; gateway < size; gateway++) {
+            gateways.add(
+                    new Gateway(gateway, size == 1 ? 0 : (gateway % 3 - 1) * CLOCK_SKEW_MS / 2));
         }
-        offers.forEach((s, n) -> log.add(new LedgerEntry.CapacityOffer(s, 1, n, nowMs).encode()));
+        offers.forEach(
+                (server, capacity) ->
+                        log.add(
+                                new LedgerEntry.CapacityOffer(server, 1, capacity, nowMs)
+                                        .encode()));
     }
 
     static LeaseTable leases(int size) {
         return new LeaseTable(size, LEASE_MS, CLOCK_SKEW_MS, LINGER_MS);
     }
 
-    LocalBudget share(BudgetLedger ledger, Incarnation incarnation, double staticFrom) {
+    LocalBudget share(BudgetLedger ledger, Incarnation incarnation, double staticFromMs) {
         return new LocalBudget(
                 ledger,
                 staticShares,
@@ -137,17 +148,17 @@
                 MARGIN_MS,
                 INTERVAL_MS,
                 RETENTION_MS,
-                staticFrom);
+                staticFromMs);
     }
 
-    void offer(String server, int offer, long start) {
-        double[] l = recentCapacities.computeIfAbsent(server, s -> new double[2]);
-        if (offer < capacities.get(server)) {
-            l[0] = Math.max(nowMs < l[1] ? l[0] : 0, capacities.get(server));
-            l[1] = nowMs + 4 * INTERVAL_MS + 2 * (LEASE_MS + CLOCK_SKEW_MS + LINGER_MS);
+    void offer(String server, int capacity, long start) {
+        double[] recent = recentCapacities.computeIfAbsent(server, s -> new double[2]);
+        if (capacity < capacities.get(server)) {
+            recent[0] = Math.max(nowMs < recent[1] ? recent[0] : 0, capacities.get(server));
+            recent[1] = nowMs + 4 * INTERVAL_MS + 2 * (LEASE_MS + CLOCK_SKEW_MS + LINGER_MS);
         }
-        capacities.put(server, offer);
-        log.add(new LedgerEntry.CapacityOffer(server, start, offer, nowMs).encode());
+        capacities.put(server, capacity);
+        log.add(new LedgerEntry.CapacityOffer(server, start, capacity, nowMs).encode());
     }
 
     private void append(Gateway from, byte[] entry) {
@@ -165,37 +176,37 @@
         }
     }
 
-    private void schedule(byte[] entry, double after) {
-        pendingEntries.computeIfAbsent(nowMs + after, k -> new ArrayList<>()).add(entry);
+    private void schedule(byte[] entry, double delayMs) {
+        pendingEntries.computeIfAbsent(nowMs + delayMs, key -> new ArrayList<>()).add(entry);
     }
 
     private void fault() {
-        Gateway g = gateways.get(random.nextInt(gateways.size()));
-        double span = 100 + random.nextInt(9000);
+        Gateway gateway = gateways.get(random.nextInt(gateways.size()));
+        double durationMs = 100 + random.nextInt(9000);
         switch (random.nextInt(8)) {
-            case 0, 1 -> g.pausedUntilMs = nowMs + span;
-            case 2, 3 -> g.cutUntilMs = nowMs + span;
+            case 0, 1 -> gateway.pausedUntilMs = nowMs + durationMs;
+            case 2, 3 -> gateway.cutUntilMs = nowMs + durationMs;
             case 4 -> {
-                orphanedConnections.addAll(g.connections);
-                g.connections.clear();
-                g.deadUntilMs = nowMs + 1 + random.nextInt(400);
-                g.pausedUntilMs = 0;
-                g.ledger = null;
+                orphanedConnections.addAll(gateway.connections);
+                gateway.connections.clear();
+                gateway.deadUntilMs = nowMs + 1 + random.nextInt(400);
+                gateway.pausedUntilMs = 0;
+                gateway.ledger = null;
             }
-            case 5 -> noMajorityUntilMs = nowMs + span / 2;
-            case 6 -> appendWrongGrant(g);
+            case 5 -> noMajorityUntilMs = nowMs + durationMs / 2;
+            case 6 -> appendWrongGrant(gateway);
             default -> {
                 staleLeader = leader;
-                leader = g.number;
+                leader = gateway.number;
             }
         }
     }
 
-    /** One that leads wrongly gives someone far too much, out of the newest state. */
-    private void appendWrongGrant(Gateway g) {
-        if (g.ledger != null && !g.ledger.table.holders.isEmpty()) {
+    /** A faulty leader grants far too much, by the latest state of the ledger. */
+    private void appendWrongGrant(Gateway gateway) {
+        if (gateway.ledger != null && !gateway.ledger.table.holders.isEmpty()) {
             List<LedgerEntry.GrantLine> lines = new ArrayList<>();
-            for (Incarnation incarnation : g.ledger.table.holders.keySet()) {
+            for (Incarnation incarnation : gateway.ledger.table.holders.keySet()) {
                 lines.add(
                         new LedgerEntry.GrantLine(
                                 incarnation,
@@ -203,13 +214,14 @@
                                 random.nextInt(60)));
             }
             log.add(
-                    new LedgerEntry.Grant(log.size(), nowMs + g.clockOffsetMs, lines, List.of())
+                    new LedgerEntry.Grant(
+                                    log.size(), nowMs + gateway.clockOffsetMs, lines, List.of())
                             .encode());
         }
     }
 
-    void run(double span) {
-        for (double end = nowMs + span; nowMs < end; nowMs += STEP_MS) {
+    void run(double durationMs) {
+        for (double endMs = nowMs + durationMs; nowMs < endMs; nowMs += STEP_MS) {
             step();
         }
     }
@@ -224,133 +236,152 @@
             log.addAll(pendingEntries.pollFirstEntry().getValue());
         }
         if (!mayLead(gateways.get(leader))) {
-            gateways.stream().filter(this::mayLead).findFirst().ifPresent(g -> leader = g.number);
+            gateways.stream()
+                    .filter(this::mayLead)
+                    .findFirst()
+                    .ifPresent(gateway -> leader = gateway.number);
         }
         if (nowMs < noMajorityUntilMs || !mayLead(gateways.get(leader))) {
-            recentCapacities.values().forEach(l -> l[1] += STEP_MS);
+            recentCapacities.values().forEach(recent -> recent[1] += STEP_MS);
         }
-        orphanedConnections.removeIf(c -> nowMs >= c.sentMs + LINGER_MS);
-        for (Gateway g : gateways) {
-            if (g.ledger == null && nowMs >= g.deadUntilMs) {
-                g.start(LINGER_MS);
+        orphanedConnections.removeIf(connection -> nowMs >= connection.sentMs + LINGER_MS);
+        for (Gateway gateway : gateways) {
+            if (gateway.ledger == null && nowMs >= gateway.deadUntilMs) {
+                gateway.start(LINGER_MS);
             }
-            if (g.runs()) {
-                run(g);
+            if (gateway.runs()) {
+                run(gateway);
             } else {
-                g.connections.removeIf(
-                        c -> {
-                            boolean closed = nowMs >= c.sentMs + LINGER_MS;
-                            if (closed && g.budget != null) {
-                                g.budget.connectionClosed(c.server);
+                gateway.connections.removeIf(
+                        connection -> {
+                            boolean closed = nowMs >= connection.sentMs + LINGER_MS;
+                            if (closed && gateway.budget != null) {
+                                gateway.budget.connectionClosed(connection.server);
                             }
                             return closed;
                         });
             }
         }
-        for (Map.Entry<String, Integer> e : capacities.entrySet()) {
-            double[] l = recentCapacities.get(e.getKey());
-            int most =
-                    l != null && nowMs < l[1] ? (int) Math.max(e.getValue(), l[0]) : e.getValue();
-            worstExcess = Math.max(worstExcess, openConnections(e.getKey()) - most);
+        for (Map.Entry<String, Integer> entry : capacities.entrySet()) {
+            double[] recent = recentCapacities.get(entry.getKey());
+            int capacity =
+                    recent != null && nowMs < recent[1]
+                            ? (int) Math.max(entry.getValue(), recent[0])
+                            : entry.getValue();
+            worstExcess = Math.max(worstExcess, openConnections(entry.getKey()) - capacity);
         }
     }
 
-    private boolean mayLead(Gateway g) {
-        return g.ledger != null && g.runs() && nowMs >= g.cutUntilMs;
+    private boolean mayLead(Gateway gateway) {
+        return gateway.ledger != null && gateway.runs() && nowMs >= gateway.cutUntilMs;
     }
 
     int openConnections(String server) {
-        int n = (int) orphanedConnections.stream().filter(c -> c.server.equals(server)).count();
-        for (Gateway g : gateways) {
-            n += (int) g.connections.stream().filter(c -> c.server.equals(server)).count();
+        int count =
+                (int)
+                        orphanedConnections.stream()
+                                .filter(connection -> connection.server.equals(server))
+                                .count();
+        for (Gateway gateway : gateways) {
+            count +=
+                    (int)
+                            gateway.connections.stream()
+                                    .filter(connection -> connection.server.equals(server))
+                                    .count();
         }
-        return n;
+        return count;
     }
 
-    private void run(Gateway g) {
-        double own = nowMs + g.clockOffsetMs;
-        if (nowMs >= g.cutUntilMs && nowMs >= noMajorityUntilMs) {
-            // A replica may be some entries behind.
-            int to = faults && random.nextInt(3) == 0 ? g.applied : log.size();
-            for (; g.applied < to; g.applied++) {
-                g.ledger.apply(g.applied + 1, log.get(g.applied));
+    private void run(Gateway gateway) {
+        double ownNowMs = nowMs + gateway.clockOffsetMs;
+        if (nowMs >= gateway.cutUntilMs && nowMs >= noMajorityUntilMs) {
+            // A member may apply entries late.
+            int lastIndex = faults && random.nextInt(3) == 0 ? gateway.applied : log.size();
+            for (; gateway.applied < lastIndex; gateway.applied++) {
+                gateway.ledger.apply(gateway.applied + 1, log.get(gateway.applied));
             }
         }
-        Map<Long, Integer> out = new TreeMap<>();
-        for (Connection c : new ArrayList<>(g.connections)) {
-            // One that waits in use goes to its account again while both may; else it rests.
-            if (c.busyUntilMs > nowMs) {
-                out.merge(c.account, 1, Integer::sum);
-            } else if (g.budget.excessConnections(c.server, own) > 0
-                    || nowMs >= c.sentMs + LINGER_MS * 3 / 4) {
-                g.connections.remove(c);
-                g.budget.connectionClosed(c.server);
+        Map<Long, Integer> inFlight = new TreeMap<>();
+        for (Connection connection : new ArrayList<>(gateway.connections)) {
+            // An idle connection stays open for reuse unless the gateway holds too many or the
+            // connection has been idle for most of the linger time.
+            if (connection.busyUntilMs > nowMs) {
+                inFlight.merge(connection.account, 1, Integer::sum);
+            } else if (gateway.budget.excessConnections(connection.server, ownNowMs) > 0
+                    || nowMs >= connection.sentMs + LINGER_MS * 3 / 4) {
+                gateway.connections.remove(connection);
+                gateway.budget.connectionClosed(connection.server);
             }
         }
-        g.demands.forEach(
-                (a, want) -> {
-                    g.budget.reportDemand(a, want);
-                    for (int n = out.getOrDefault(a, 0);
-                            n < want && n < g.budget.attemptLimit(a, own);
-                            n++) {
-                        Connection conn = null;
-                        for (Connection c : g.connections) {
-                            conn =
-                                    c.busyUntilMs <= nowMs
-                                                    && g.budget.excessConnections(c.server, own)
+        gateway.demands.forEach(
+                (account, demand) -> {
+                    gateway.budget.reportDemand(account, demand);
+                    for (int attempts = inFlight.getOrDefault(account, 0);
+                            attempts < demand
+                                    && attempts < gateway.budget.attemptLimit(account, ownNowMs);
+                            attempts++) {
+                        Connection available = null;
+                        for (Connection connection : gateway.connections) {
+                            available =
+                                    connection.busyUntilMs <= nowMs
+                                                    && gateway.budget.excessConnections(
+                                                                    connection.server, ownNowMs)
                                                             == 0
-                                            ? c
-                                            : conn;
+                                            ? connection
+                                            : available;
                         }
-                        for (String s : capacities.keySet()) {
-                            if (conn == null
-                                    && g.connections.stream()
-                                                    .filter(c -> c.server.equals(s))
+                        for (String server : capacities.keySet()) {
+                            if (available == null
+                                    && gateway.connections.stream()
+                                                    .filter(
+                                                            connection ->
+                                                                    connection.server.equals(
+                                                                            server))
                                                     .count()
-                                            < g.budget.connectionLimit(s, own)) {
-                                conn = new Connection(s);
-                                g.connections.add(conn);
-                                g.budget.connectionOpened(s);
+                                            < gateway.budget.connectionLimit(server, ownNowMs)) {
+                                available = new Connection(server);
+                                gateway.connections.add(available);
+                                gateway.budget.connectionOpened(server);
                             }
                         }
-                        if (conn == null) {
+                        if (available == null) {
                             return;
                         }
-                        conn.account = a;
-                        conn.sentMs = nowMs;
-                        conn.busyUntilMs = nowMs + 20 + random.nextInt((int) SERVICE_MS - 20);
+                        available.account = account;
+                        available.sentMs = nowMs;
+                        available.busyUntilMs = nowMs + 20 + random.nextInt((int) SERVICE_MS - 20);
                     }
                 });
-        g.budget.nextEntries(own).forEach(e -> append(g, e));
-        if (g.number == leader || faults && g.number == staleLeader) {
-            byte[] entry = g.proposer.propose(g.ledger, own);
+        gateway.budget.nextEntries(ownNowMs).forEach(entry -> append(gateway, entry));
+        if (gateway.number == leader || faults && gateway.number == staleLeader) {
+            byte[] entry = gateway.proposer.propose(gateway.ledger, ownNowMs);
             if (entry != null) {
-                append(g, entry);
+                append(gateway, entry);
             }
         }
     }
 
-    /** Connections in use by an account, also those whose answer just came. */
+    /** Connections that an account uses, including those whose response has just arrived. */
     int attemptsInFlight(long account) {
-        int n = 0;
-        for (Gateway g : gateways) {
-            n +=
+        int count = 0;
+        for (Gateway gateway : gateways) {
+            count +=
                     (int)
-                            g.connections.stream()
+                            gateway.connections.stream()
                                     .filter(
-                                            c ->
-                                                    c.busyUntilMs > nowMs - STEP_MS
-                                                            && c.account == account)
+                                            connection ->
+                                                    connection.busyUntilMs > nowMs - STEP_MS
+                                                            && connection.account == account)
                                     .count();
         }
-        return n;
+        return count;
     }
 
-    /** Granted to an account through all that run. */
+    /** Attempts granted to an account through all gateways, by the leader's ledger. */
     int granted(long account) {
-        BudgetLedger l = gateways.get(leader).ledger;
-        return l.table.holders.values().stream()
-                .mapToInt(h -> h.accountGrants.getOrDefault(account, 0))
+        BudgetLedger ledger = gateways.get(leader).ledger;
+        return ledger.table.holders.values().stream()
+                .mapToInt(holder -> holder.accountGrants.getOrDefault(account, 0))
                 .sum();
     }
 }
--- a/fleet/src/test/java/tinford/fleet/migration/MigrationPlanTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationPlanTest.java
@@ -11,7 +11,7 @@
 import tinford.api.Idempotency;
 import tinford.api.RequestClass;
 
-/** Validation of plans of staged migrations. */
+/** Validation of plans of staged migrations, and the order of their steps. */
 public class MigrationPlanTest {
     static final String VALID_PLAN =
             """
@@ -61,7 +61,10 @@
     @Test
     public void aDependencyMovesWholeBeforeItsDependent() {
         MigrationPlan plan = reader().read("f", VALID_PLAN);
-        assertEquals(plan.steps.size(), 6, "start, three steps of store, two stages of web");
+        assertEquals(
+                plan.steps.size(),
+                6,
+                "the start, three steps for store, one step for each of the two stages of web");
         for (MigrationStep step : plan.steps) {
             assertTrue(
                     step.frontends().get(0).movingShare() == 0
@@ -74,20 +77,21 @@
     public Object[][] invalidPlans() {
         return new Object[][] {
             {"plan = \"p\"", "plan = ", "f:1: text: expected TOML"},
-            {"plan = \"p\"", "plan = 1", "f:1: plan: expected a text"},
-            {"margin = 0.1", "margin = 2", "f:4: margin: expected a part"},
+            {"plan = \"p\"", "plan = 1", "f:1: plan: expected a string"},
+            {"margin = 0.1", "margin = 2", "f:4: margin: expected a share from 0 to 1"},
             {"answers = 10", "answers = 0", "f:5: answers: expected"},
             {"soak_ms = 10", "soak_ms = -1", "f:2: soak_ms: expected"},
-            {"soak_ms = 10", "soak = 1\nsoak_ms = 10", "f:2: soak: expected no such key"},
+            {"soak_ms = 10", "soak = 1\nsoak_ms = 10", "f:2: soak: expected no key of this name"},
             {
                 "name = \"web\"",
                 "name = \"wob\"",
-                "f:7: frontends[1].name: expected one of the frontends that may move, not wob"
+                "f:7: frontends[1].name: expected one of the frontends that may migrate, not wob"
             },
             {
                 "name = \"web\"",
                 "name = \"store\"",
-                "f:15: frontends[2].name: expected each frontend once"
+                "f:15: frontends[2].name: expected a name of at most 64 characters, of no earlier"
+                        + " frontend, not store"
             },
             {
                 "needs = [\"store\"]",
@@ -97,33 +101,41 @@
             {
                 "needs = [\"store\"]",
                 "needs = [\"web\"]",
-                "f:10: frontends[1].needs: expected no circle"
+                "f:10: frontends[1].needs: expected no cycle, but web depends on itself"
             },
             {
                 "shares = [1.0]",
                 "needs = [\"web\"]\nshares = [1.0]",
-                "f:18: frontends[2].needs: expected no circle"
+                "f:18: frontends[2].needs: expected no cycle, but store depends on itself"
             },
             {
                 "needs = [\"store\"]",
                 "begins = 1\nneeds = [\"store\"]",
                 "f:10: frontends[1].begins: expected stage 2 or later"
             },
-            {"[0.5, 1.0]", "[0.5, 0.4, 1.0]", "f:11: frontends[1].shares: expected 1 to 64 parts"},
-            {"[0.5, 1.0]", "[0.5]", "f:11: frontends[1].shares: expected 1 as the last"},
+            {"[0.5, 1.0]", "[0.5, 0.4, 1.0]", "f:11: frontends[1].shares: expected 1 to 64 shares"},
+            {
+                "[0.5, 1.0]",
+                "[0.5]",
+                "f:11: frontends[1].shares: expected 1 as the last share, not 0.5"
+            },
             {"[0.5, 1.0]", "[]", "f:11: frontends[1].shares"},
-            {"to = \"b\"", "to = \"a\"", "f:9: frontends[1].to: expected another group"},
+            {"to = \"b\"", "to = \"a\"", "f:9: frontends[1].to: expected a group other than a"},
             {"to = \"b\"", "to = \"c\"", "f:9: frontends[1].to: expected a known group, not c"},
-            {"from = \"a\"", "from = \"c\"", "f:8: frontends[1].from: expected where it is: a"},
+            {
+                "from = \"a\"",
+                "from = \"c\"",
+                "f:8: frontends[1].from: expected the group that the frontend is in: a"
+            },
             {
                 "units = 10",
                 "units = 11",
-                "f:19: frontends[2].units: expected no more in all than the 20.0"
+                "f:19: frontends[2].units: expected at most 20.0 in total"
             },
             {
                 "connections = 5",
                 "connections = 6",
-                "f:20: frontends[2].connections: expected no more in all than the 10"
+                "f:20: frontends[2].connections: expected at most 10 in total"
             },
         };
     }
--- a/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
@@ -12,7 +12,7 @@
 import tinford.fleet.membership.Incarnation;
 import tinford.fleet.membership.Lease;
 
-/** A migration is begun, acknowledged, completed and reverted by entries of the log. */
+/** The transitions of a migration by entries of the log, and the routing without a lease. */
 public class MigrationStateTest {
     private static final Incarnation GATEWAY = new Incarnation(1, 5);
     private static final Map<String, String> HOMES = Map.of("web", "a", "store", "a");
@@ -27,9 +27,10 @@
     }
 
     /**
-     * Applies an entry for each letter: b begin, a acknowledge, A acknowledge another epoch, g next
-     * step, G a step too far, c next step without warm capacity, < previous step, h halt, r resume,
-     * o resume an earlier halt, x revert, ! report failures.
+     * Applies an entry for each letter: b begins a plan, a acknowledges, A acknowledges the
+     * previous epoch, g proposes the next step, G skips a step, c proposes the next step without
+     * warm capacity, &lt; proposes the previous step, h halts, r resumes, o resumes an earlier
+     * halt, x reverts, ! reports failures.
      */
     private static void play(MigrationState state, String letters, double[] nowMs) {
         for (char letter : letters.toCharArray()) {
@@ -136,10 +137,10 @@
                         Math.abs(state.status().stepIndex() - before.stepIndex()) <= 1
                                 || letter.equals("b"),
                         "seed " + seed);
-                byte[] garbage = begin().encode();
-                garbage[random.nextInt(3)] = (byte) (20 + random.nextInt(40));
+                byte[] malformed = begin().encode();
+                malformed[random.nextInt(3)] = (byte) (20 + random.nextInt(40));
                 byte[] snapshot = state.snapshot();
-                state.apply(1, garbage);
+                state.apply(1, malformed);
                 state.apply(1, new byte[random.nextInt(3)]);
                 assertEquals(state.snapshot(), snapshot);
                 assertTrue(state.lastOutcome().contains("refused"));
@@ -166,6 +167,6 @@
         assertEquals(router.nextEntry(50).kind(), MigrationEntry.Kind.ACK);
         assertTrue(
                 router.mayRoute("store", 1, true, "b", "b", 50),
-                "a keyed request stays with the group of its first attempt");
+                "a request with an idempotency key stays in the group of its first attempt");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
@@ -14,7 +14,7 @@
     private static final double WINDOW_MS = 4000;
     private static final double UPDATE_INTERVAL_MS = 100;
 
-    /** A demand of 100 units per second of each weight, of which some are completed on time. */
+    /** Returns a record with a demand of 100 units per second of each weight. */
     private static GossipRecord record(
             int gateway, double onTimeUnits, boolean queueing, double... weights) {
         GossipRecord record = new GossipRecord(new Incarnation(gateway, 1), 1);
@@ -28,7 +28,10 @@
         return record;
     }
 
-    /** Updates the threshold; the other gateways adopt its capacity. Returns the threshfirst. */
+    /**
+     * Updates the threshold until a time; the records of the other gateways adopt its capacity.
+     * Returns the threshold.
+     */
     private static double run(
             AdmissionThreshold admission,
             FixedMembership membership,
@@ -47,11 +50,11 @@
 
     @DataProvider
     public Object[][] strains() {
-        double inf = Double.POSITIVE_INFINITY;
+        double infinity = Double.POSITIVE_INFINITY;
         return new Object[][] {
             // name, records, bounds of the threshold, bounds of the share
             {
-                "even demand, capacity for half",
+                "same demand at both gateways, capacity for half",
                 new GossipRecord[] {
                     record(1, 200, true, 1, 2, 4, 8), record(2, 200, true, 1, 2, 4, 8)
                 },
@@ -61,7 +64,7 @@
                 1
             },
             {
-                "uneven: high weights at one gateway only",
+                "high weights at one gateway only",
                 new GossipRecord[] {record(1, 100, true, 8, 8), record(2, 100, true, 1, 1)},
                 1,
                 8,
@@ -69,7 +72,7 @@
                 1
             },
             {
-                "one class only",
+                "one priority class only",
                 new GossipRecord[] {record(1, 50, true, 3), record(2, 50, true, 3)},
                 2.8,
                 3,
@@ -85,7 +88,7 @@
                 0.55
             },
             {
-                "one gateway joins without demand",
+                "one gateway without demand",
                 new GossipRecord[] {
                     record(1, 200, true, 1, 2, 4, 8),
                     record(2, 200, true, 1, 2, 4, 8),
@@ -97,7 +100,7 @@
                 1
             },
             {
-                "calm",
+                "no overload",
                 new GossipRecord[] {
                     record(1, 400, false, 1, 2, 4, 8), record(2, 400, false, 1, 2, 4, 8)
                 },
@@ -106,11 +109,13 @@
                 1,
                 1
             },
-            {"no peer", new GossipRecord[] {record(1, 100, true, 1, 2, 4, 8)}, 0, 0, 1, 1},
+            {"no peer alive", new GossipRecord[] {record(1, 100, true, 1, 2, 4, 8)}, 0, 0, 1, 1},
             {
-                "figures that are not finite",
+                "values that are not finite",
                 new GossipRecord[] {
-                    record(1, Double.NaN, true, 1), record(2, inf, true, 1), record(3, 50, true, 1)
+                    record(1, Double.NaN, true, 1),
+                    record(2, infinity, true, 1),
+                    record(3, 50, true, 1)
                 },
                 0,
                 1,
@@ -146,16 +151,16 @@
     @Test
     public void thresholdIsGoneTwoWindowsAfterItsCauseWhateverTheDemand() {
         AdmissionThreshold admission = new AdmissionThreshold(WINDOW_MS);
-        FixedMembership strained =
+        FixedMembership overloaded =
                 new FixedMembership(2)
                         .add(record(1, 100, true, 1, 2, 4, 8))
                         .add(record(2, 100, true, 1, 2, 4, 8));
-        assertTrue(run(admission, strained, 0, 10_000) > 0);
-        FixedMembership calm =
+        assertTrue(run(admission, overloaded, 0, 10_000) > 0);
+        FixedMembership notOverloaded =
                 new FixedMembership(2)
                         .add(record(1, 100, false, 1, 2, 4, 8))
                         .add(record(2, 100, false, 1, 2, 4, 8));
-        assertEquals(run(admission, calm, 10_000, 10_000 + 2 * WINDOW_MS), 0.0);
+        assertEquals(run(admission, notOverloaded, 10_000, 10_000 + 2 * WINDOW_MS), 0.0);
     }
 
     @Test
@@ -188,8 +193,8 @@
     }
 
     /**
-     * One of ten gateways reports absurd figures: the totals change at most by the bound of a
-     * single record, and the threshold stays plausible.
+     * One of ten gateways reports excessive values: the totals change at most by the bound of a
+     * single record, and the threshold stays within the weights of the requests.
      */
     @Test
     public void oneLyingRecordChangesTotalsByItsBoundOnly() {
@@ -200,11 +205,11 @@
                 membership.add(record(gateway, 150 + random.nextInt(100), true, 1, 2, 4, 8));
             }
             FleetTotals without = new FleetTotals(membership);
-            GossipRecord wrong = record(10, 1e9 * random.nextDouble(), true, 8);
-            wrong.offeredUnits[GossipRecord.PRIORITY_CLASSES - 1] =
+            GossipRecord faulty = record(10, 1e9 * random.nextDouble(), true, 8);
+            faulty.offeredUnits[GossipRecord.PRIORITY_CLASSES - 1] =
                     Math.pow(10, random.nextInt(12));
-            wrong.capacity = Math.pow(10, 3 + random.nextInt(6));
-            membership.add(wrong);
+            faulty.capacity = Math.pow(10, 3 + random.nextInt(6));
+            membership.add(faulty);
             FleetTotals with = new FleetTotals(membership);
             assertTrue(
                     with.demand <= without.demand * (1 + FleetTotals.MAX_FACTOR_OF_MEAN / 9) + 1,
--- a/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/ProbeOwnersTest.java
@@ -11,7 +11,7 @@
 import tinford.fleet.membership.GossipRecord;
 import tinford.fleet.membership.Incarnation;
 
-/** Which gateway probes an unhealthy server. */
+/** Choice of the gateways that probe an unhealthy server, and when they do. */
 public class ProbeOwnersTest {
     private static final double UPDATE_INTERVAL_MS = 100;
     private static final int GATEWAYS = 5;
@@ -48,7 +48,7 @@
         return new Object[][] {{1}, {5}, {40}, {150}};
     }
 
-    /** The owner probes once a second; no gateway receives any findings of the others. */
+    /** The owner probes once per second; no gateway receives observations of the others. */
     @Test(dataProvider = "sizes")
     public void probesDoNotGrowWithTheNumberOfGateways(int gateways) {
         FixedMembership membership = fleet(0, gateways);
@@ -63,9 +63,9 @@
         double[] probedAtMs = new double[gateways];
         for (double nowMs = UPDATE_INTERVAL_MS; nowMs < 120_000; nowMs += UPDATE_INTERVAL_MS) {
             for (int gateway = 0; gateway < gateways; gateway++) {
-                ProbeOwners one = all[gateway];
-                one.update(nowMs, incarnation(gateway), membership);
-                if (nowMs - probedAtMs[gateway] < 1000 || !one.mayProbe(server)) {
+                ProbeOwners owners = all[gateway];
+                owners.update(nowMs, incarnation(gateway), membership);
+                if (nowMs - probedAtMs[gateway] < 1000 || !owners.mayProbe(server)) {
                     continue;
                 }
                 probedAtMs[gateway] = nowMs;
@@ -74,8 +74,8 @@
                 } else {
                     byOthers++;
                 }
-                one.attemptSent(server);
-                one.serverHealthChanged(server, true);
+                owners.attemptSent(server);
+                owners.serverHealthChanged(server, true);
             }
         }
         assertTrue(byOwner >= 100 && byOwner <= 120, "owner " + byOwner);
@@ -115,12 +115,12 @@
         ProbeOwners owners = new ProbeOwners(new Random(1));
         int owner = ProbeOwners.owner(serverHash, membership);
         int self = (owner + 1) % GATEWAYS;
-        for (int wrong = 1; wrong <= 2; wrong++) {
-            int peer = (owner + wrong) % GATEWAYS;
+        for (int reports = 1; reports <= 2; reports++) {
+            int peer = (owner + reports) % GATEWAYS;
             GossipRecord record = new GossipRecord(incarnation(peer == self ? owner : peer), 2);
             record.serverHealth.add(new GossipRecord.ServerHealth(serverHash, true, 0));
             owners.update(5000, incarnation(self), membership.add(record));
-            assertEquals(owners.mayProbe(server), wrong < 2);
+            assertEquals(owners.mayProbe(server), reports < 2);
         }
     }
 }
--- a/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
@@ -10,27 +10,29 @@
 import tinford.fleet.membership.GossipRecord;
 import tinford.fleet.membership.Incarnation;
 
-/** A gateway's account of the fleet's retry budget. */
+/** A gateway's part of the fleet's retry budget. */
 public class RetryBudgetTest {
     private static final double RETRY_RATIO = 0.1;
     private static final int RUNS = 60;
 
     /**
-     * Records are lost, duplicated, outdated and reordered, and gateways restart: together they
-     * never send more retries than the ratio allows.
+     * Records are lost, duplicated, outdated and reordered, and gateways restart: together the
+     * gateways must never send more retries than the ratio allows.
      */
     @Test
     public void retriesOfAllGatewaysNeverExceedTheFleetBudget() {
-        int helped = 0;
+        int runsWithCededRetries = 0;
         for (int seed = 0; seed < RUNS; seed++) {
-            helped += new RandomFleet(seed).run() ? 1 : 0;
+            runsWithCededRetries += new RandomFleet(seed).run() ? 1 : 0;
         }
         assertTrue(
-                helped > 30,
-                "a gateway with failures got more than an even share in " + helped + " of 60");
+                runsWithCededRetries > 30,
+                "the gateway with failures sent more retries than its own budget allows in "
+                        + runsWithCededRetries
+                        + " of 60 runs");
     }
 
-    /** Gateways that receive random records of each other; only gateway 0 sees failures. */
+    /** Gateways that receive random records of each other; only gateway 0 has failures. */
     private static final class RandomFleet {
         private final int seed;
         private final Random random;
@@ -56,7 +58,9 @@
             }
         }
 
-        /** Returns whether the gateway with failures got more than an even share. */
+        /**
+         * Returns whether the gateway with failures sent more retries than its own budget allows.
+         */
         boolean run() {
             for (int round = 1; round < 300; round++) {
                 int gateway = random.nextInt(gateways);
@@ -75,7 +79,7 @@
             return retriesOfFailing > RETRY_RATIO * firstAttemptsOfFailing + 1;
         }
 
-        /** Any earlier record of some of the other gateways. */
+        /** Returns a membership with any earlier record of some of the other gateways. */
         private FixedMembership received(int gateway) {
             FixedMembership membership = new FixedMembership(gateways);
             for (int peer = 0; peer < gateways; peer++) {
@@ -118,11 +122,11 @@
         Incarnation own = new Incarnation(1, 1);
         double retries = 0;
         for (int nowMs = 0; nowMs <= 10_000; nowMs += 100) {
-            GossipRecord wrong = new GossipRecord(new Incarnation(2, 1), nowMs);
-            wrong.firstAttempts = 100;
-            wrong.retriesCededTo = own;
-            wrong.retriesCeded = 1e9 + nowMs;
-            budget.update(nowMs, own, new FixedMembership(2).add(wrong));
+            GossipRecord faulty = new GossipRecord(new Incarnation(2, 1), nowMs);
+            faulty.firstAttempts = 100;
+            faulty.retriesCededTo = own;
+            faulty.retriesCeded = 1e9 + nowMs;
+            budget.update(nowMs, own, new FixedMembership(2).add(faulty));
             while (budget.level() >= 1) {
                 budget.attemptSent(true);
                 retries++;
