--- a/fleet/src/main/java/tinford/fleet/budget/BudgetAllocation.java
+++ b/fleet/src/main/java/tinford/fleet/budget/BudgetAllocation.java
@@ -18,7 +18,7 @@
     public static final class Account {
         public final long id;
         final int weight;
-        final int floor;
+        final int minimumShare;
         final int cap;
         final int[] rows;
         final int[] demands;
@@ -34,14 +34,14 @@
         public Account(
                 long id,
                 int weight,
-                int floor,
+                int minimumShare,
                 int cap,
                 int[] rows,
                 int[] demands,
                 int[] previous) {
             this.id = id;
             this.weight = weight;
-            this.floor = floor;
+            this.minimumShare = minimumShare;
             this.cap = cap;
             this.rows = rows;
             this.demands = demands;
@@ -68,15 +68,15 @@
      * An account's previous allocation at a gateway is kept while it differs from the one in
      * proportion to demand by no more than this share of the latter plus one connection.
      */
-    private static final double KEPT_DEVIATION = 0.25;
+    private static final double MAX_KEPT_DEVIATION = 0.25;
 
     private static final int MAX_PASSES = 64;
 
     /** The grants to reach once all gateways have released what they hold beyond them. */
-    public final int[][] target;
+    public final int[][] targetGrants;
 
     /** The grants that are possible now: in a column no more than is free is added. */
-    public final int[][] next;
+    public final int[][] possibleGrants;
 
     private final int rows;
     private final int columns;
@@ -103,12 +103,12 @@
             totalCapacity += capacity[column];
         }
         int[] needs = allocateAccounts(totalCapacity, staticConnections, accounts);
-        target = new int[rows][];
+        targetGrants = new int[rows][];
         for (int row = 0; row < rows; row++) {
-            target[row] = granted[row].clone();
+            targetGrants[row] = granted[row].clone();
         }
         new Placement(capacity, needs).place();
-        next = nextGrants(pool, granted, maxHeld);
+        possibleGrants = possibleGrants(pool, granted, maxHeld);
     }
 
     /**
@@ -123,18 +123,18 @@
             }
         }
         long[] allocated = new long[rows];
-        long usable = usable(pool, staticConnections, demand);
+        long usable = usableConnections(pool, staticConnections, demand);
         // Static connections that a gateway can't use don't serve accounts at other gateways: the
         // total is reduced until the allocation fits.
         for (int pass = 0; pass < MAX_PASSES; pass++) {
-            divide(usable, accounts, allocated);
-            long fits = usable(pool, staticConnections, allocated);
+            divideAmongAccounts(usable, accounts, allocated);
+            long fits = usableConnections(pool, staticConnections, allocated);
             if (fits >= usable) {
                 break;
             }
             usable = fits;
         }
-        useStaticRest(staticConnections, allocated, accounts);
+        allocateUnusedStaticConnections(staticConnections, allocated, accounts);
         int[] needs = new int[rows];
         for (int row = 0; row < rows; row++) {
             needs[row] = (int) Math.max(0, allocated[row] - staticConnections[row]);
@@ -143,7 +143,7 @@
     }
 
     /** The size of the pool plus the static connections that the given use, by row, takes up. */
-    private static long usable(long pool, int[] staticConnections, long[] use) {
+    private static long usableConnections(long pool, int[] staticConnections, long[] use) {
         long usable = pool;
         for (int row = 0; row < use.length; row++) {
             usable += Math.min(staticConnections[row], use[row]);
@@ -151,22 +151,23 @@
         return usable;
     }
 
-    private static void divide(long total, List<Account> accounts, long[] allocatedByRow) {
+    private static void divideAmongAccounts(
+            long total, List<Account> accounts, long[] allocatedByRow) {
         int size = accounts.size();
         int[] weights = new int[size];
-        int[] floors = new int[size];
+        int[] minimumShares = new int[size];
         int[] caps = new int[size];
         for (int i = 0; i < size; i++) {
             Account account = accounts.get(i);
             weights[i] = account.weight;
-            floors[i] = account.floor;
+            minimumShares[i] = account.minimumShare;
             caps[i] = (int) Math.min(account.cap, account.totalDemand());
         }
-        int[] parts = MaxMinFairness.divide(total, weights, floors, caps);
+        int[] shares = MaxMinFairness.divide(total, weights, minimumShares, caps);
         Arrays.fill(allocatedByRow, 0);
         for (int i = 0; i < size; i++) {
             Account account = accounts.get(i);
-            splitByGateway(account, parts[i]);
+            splitByGateway(account, shares[i]);
             for (int k = 0; k < account.rows.length; k++) {
                 allocatedByRow[account.rows[k]] += account.allocated[k];
             }
@@ -174,20 +175,21 @@
     }
 
     /** Splits an account's share among its gateways by demand, close to the previous split. */
-    private static void splitByGateway(Account account, int part) {
+    private static void splitByGateway(Account account, int share) {
         int size = account.rows.length;
         // If there is one connection for each gateway, no gateway with demand is left without.
-        int min = part >= size ? 1 : 0;
+        int min = share >= size ? 1 : 0;
         long totalDemand = account.totalDemand();
         account.allocated = new int[size];
         int sum = 0;
         for (int i = 0; i < size; i++) {
-            double even = totalDemand == 0 ? 0 : part * (double) account.demands[i] / totalDemand;
-            account.allocated[i] = nearPrevious(account, i, even, min);
+            double proportional =
+                    totalDemand == 0 ? 0 : share * (double) account.demands[i] / totalDemand;
+            account.allocated[i] = closestToPrevious(account, i, proportional, min);
             sum += account.allocated[i];
         }
-        while (sum != part) {
-            int changed = correctOnce(account, part, sum, min);
+        while (sum != share) {
+            int changed = adjustOnce(account, share, sum, min);
             if (changed == 0) {
                 return;
             }
@@ -195,10 +197,10 @@
         }
     }
 
-    private static int nearPrevious(Account account, int index, double even, int min) {
+    private static int closestToPrevious(Account account, int index, double proportional, int min) {
         int demand = account.demands[index];
-        int low = (int) Math.max(min, Math.ceil(even * (1 - KEPT_DEVIATION) - 1));
-        int high = (int) Math.min(demand, Math.floor(even * (1 + KEPT_DEVIATION) + 1));
+        int low = (int) Math.max(min, Math.ceil(proportional * (1 - MAX_KEPT_DEVIATION) - 1));
+        int high = (int) Math.min(demand, Math.floor(proportional * (1 + MAX_KEPT_DEVIATION) + 1));
         int upper = Math.min(Math.max(high, 1), demand);
         return Math.max(Math.min(low, demand), Math.min(upper, account.previous[index]));
     }
@@ -209,8 +211,8 @@
      *
      * @return the change of the sum; 0 if no gateway can change
      */
-    private static int correctOnce(Account account, int part, int sum, int min) {
-        int sign = sum < part ? 1 : -1;
+    private static int adjustOnce(Account account, int share, int sum, int min) {
+        int sign = sum < share ? 1 : -1;
         List<Integer> candidates = new ArrayList<>();
         for (int i = 0; i < account.rows.length; i++) {
             boolean canChange =
@@ -221,12 +223,12 @@
                 candidates.add(i);
             }
         }
-        double scale = part / (double) Math.max(1, account.totalDemand());
+        double scale = share / (double) Math.max(1, account.totalDemand());
         candidates.sort(
                 Comparator.<Integer>comparingDouble(
                                 i -> sign * (account.allocated[i] - scale * account.demands[i]))
                         .thenComparing(Comparator.naturalOrder()));
-        int count = Math.min(candidates.size(), Math.abs(part - sum));
+        int count = Math.min(candidates.size(), Math.abs(share - sum));
         for (int i : candidates.subList(0, count)) {
             account.allocated[i] += sign;
         }
@@ -234,7 +236,7 @@
     }
 
     /** Allocates static connections that are left at a gateway to unmet demand there. */
-    private void useStaticRest(
+    private void allocateUnusedStaticConnections(
             int[] staticConnections, long[] allocatedByRow, List<Account> accounts) {
         List<List<AccountAtGateway>> unmetByRow = new ArrayList<>();
         for (int row = 0; row < rows; row++) {
@@ -242,22 +244,22 @@
         }
         for (Account account : accounts) {
             for (int i = 0; i < account.rows.length; i++) {
-                AccountAtGateway use = new AccountAtGateway(account, i);
-                if (use.unmetDemand() > 0) {
-                    unmetByRow.get(account.rows[i]).add(use);
+                AccountAtGateway entry = new AccountAtGateway(account, i);
+                if (entry.unmetDemand() > 0) {
+                    unmetByRow.get(account.rows[i]).add(entry);
                 }
             }
         }
         for (int row = 0; row < rows; row++) {
-            long rest = staticConnections[row] - allocatedByRow[row];
-            if (rest > 0 && !unmetByRow.get(row).isEmpty()) {
-                allocatedByRow[row] += divideRest(rest, unmetByRow.get(row));
+            long unused = staticConnections[row] - allocatedByRow[row];
+            if (unused > 0 && !unmetByRow.get(row).isEmpty()) {
+                allocatedByRow[row] += divideUnused(unused, unmetByRow.get(row));
             }
         }
     }
 
     /** Returns how many connections were allocated. */
-    private static long divideRest(long rest, List<AccountAtGateway> unmet) {
+    private static long divideUnused(long unused, List<AccountAtGateway> unmet) {
         int[] weights = new int[unmet.size()];
         int[] caps = new int[unmet.size()];
         for (int i = 0; i < weights.length; i++) {
@@ -266,14 +268,14 @@
             long belowCap = account.cap - account.totalAllocated();
             caps[i] = (int) Math.min(unmet.get(i).unmetDemand(), belowCap);
         }
-        int[] more = MaxMinFairness.divide(rest, weights, new int[weights.length], caps);
-        long given = 0;
-        for (int i = 0; i < more.length; i++) {
-            AccountAtGateway use = unmet.get(i);
-            use.account.allocated[use.index] += more[i];
-            given += more[i];
+        int[] additional = MaxMinFairness.divide(unused, weights, new int[weights.length], caps);
+        long allocated = 0;
+        for (int i = 0; i < additional.length; i++) {
+            AccountAtGateway entry = unmet.get(i);
+            entry.account.allocated[entry.index] += additional[i];
+            allocated += additional[i];
         }
-        return given;
+        return allocated;
     }
 
     /**
@@ -291,8 +293,8 @@
             this.needs = needs;
             for (int row = 0; row < rows; row++) {
                 for (int column = 0; column < columns; column++) {
-                    usedByColumn[column] += target[row][column];
-                    usedByRow[row] += target[row][column];
+                    usedByColumn[column] += targetGrants[row][column];
+                    usedByRow[row] += targetGrants[row][column];
                 }
             }
         }
@@ -314,7 +316,7 @@
         }
 
         private void change(int row, int column, int by) {
-            target[row][column] += by;
+            targetGrants[row][column] += by;
             usedByColumn[column] += by;
             usedByRow[row] += by;
         }
@@ -326,16 +328,17 @@
         private int columnToReduce(int row) {
             int best = -1;
             for (int column = 0; column < columns; column++) {
-                if (target[row][column] > 0 && (best < 0 || isBetterToReduce(row, column, best))) {
+                if (targetGrants[row][column] > 0
+                        && (best < 0 || isBetterToReduce(row, column, best))) {
                     best = column;
                 }
             }
             return best;
         }
 
-        private boolean isBetterToReduce(int row, int column, int than) {
-            int order = Integer.compare(excess(column), excess(than));
-            return order > 0 || order == 0 && target[row][column] > target[row][than];
+        private boolean isBetterToReduce(int row, int column, int other) {
+            int order = Integer.compare(excess(column), excess(other));
+            return order > 0 || order == 0 && targetGrants[row][column] > targetGrants[row][other];
         }
 
         private int excess(int column) {
@@ -345,7 +348,7 @@
         private int rowToReduce(int column) {
             int best = 0;
             for (int row = 1; row < rows; row++) {
-                if (target[row][column] > target[best][column]) {
+                if (targetGrants[row][column] > targetGrants[best][column]) {
                     best = row;
                 }
             }
@@ -374,7 +377,7 @@
         }
     }
 
-    private int[][] nextGrants(int[] pool, int[][] granted, int[][] maxHeld) {
+    private int[][] possibleGrants(int[] pool, int[][] granted, int[][] maxHeld) {
         int[][] grants = new int[rows][columns];
         for (int column = 0; column < columns; column++) {
             long free = pool[column];
@@ -384,9 +387,10 @@
             for (int i = 0; i < rows; i++) {
                 int row = (column + i) % rows;
                 int held = Math.max(maxHeld[row][column], granted[row][column]);
-                int more = (int) Math.max(0, Math.min(target[row][column] - held, free));
-                free -= more;
-                grants[row][column] = Math.min(target[row][column], held + more);
+                int additional =
+                        (int) Math.max(0, Math.min(targetGrants[row][column] - held, free));
+                free -= additional;
+                grants[row][column] = Math.min(targetGrants[row][column], held + additional);
             }
         }
         return grants;
--- a/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
+++ b/fleet/src/main/java/tinford/fleet/budget/BudgetLedger.java
@@ -166,7 +166,7 @@
         GrantTable.ServerGrant grant =
                 holder.serverGrants.computeIfAbsent(server, key -> new GrantTable.ServerGrant());
         if (connections > grant.maxHeld
-                && !hasRoom(line.incarnation(), server, connections - grant.maxHeld)) {
+                && !hasCapacity(line.incarnation(), server, connections - grant.maxHeld)) {
             rejectedGrants++;
             return;
         }
@@ -194,8 +194,8 @@
      * Whether the server's capacity allows that many more connections in addition to all that may
      * be held.
      */
-    boolean hasRoom(Incarnation incarnation, int server, int more) {
-        return held(server) + more <= grantable(server);
+    boolean hasCapacity(Incarnation incarnation, int server, int additional) {
+        return maxHeld(server) + additional <= grantable(server);
     }
 
     /**
@@ -207,12 +207,12 @@
     }
 
     /** Whether no connection that the incarnation was granted can still be open. */
-    boolean isGone(Incarnation incarnation) {
+    boolean isReleased(Incarnation incarnation) {
         return leases.isClosed(incarnation);
     }
 
     private void release() {
-        table.removeHolders(this::isGone);
+        table.removeHolders(this::isReleased);
         if (leases.logTimeMs() >= nextReleaseMs) {
             nextReleaseMs = table.release(leases.logTimeMs());
         }
@@ -269,8 +269,8 @@
     }
 
     /** Connections that may be held at a server beyond the static part. */
-    public int held(int server) {
-        return table.servers.get(server).held;
+    public int maxHeld(int server) {
+        return table.servers.get(server).maxHeld;
     }
 
     /** Connections that an incarnation is granted at a server, in addition to its static share. */
@@ -302,8 +302,8 @@
                 LedgerEntry.FORMAT_VERSION,
                 output -> {
                     leases.write(output);
-                    VarInts.put(output, lastIndex);
-                    VarInts.put(output, lastGrantIndex);
+                    VarInts.write(output, lastIndex);
+                    VarInts.write(output, lastGrantIndex);
                     table.write(output);
                 });
     }
@@ -322,8 +322,8 @@
                                 + LedgerEntry.FORMAT_VERSION);
             }
             leases.read(input);
-            lastIndex = Math.max(index, VarInts.take(input));
-            lastGrantIndex = VarInts.take(input);
+            lastIndex = Math.max(index, VarInts.read(input));
+            lastGrantIndex = VarInts.read(input);
             table.read(input);
             nextReleaseMs = 0;
             release();
--- a/fleet/src/main/java/tinford/fleet/budget/GrantProposer.java
+++ b/fleet/src/main/java/tinford/fleet/budget/GrantProposer.java
@@ -18,7 +18,7 @@
      * @param minimumShare connections that the account gets before others are served by weight
      * @param cap the most attempts that it may have in flight
      */
-    public record Plan(int weight, int floor, int cap) {}
+    public record Plan(int weight, int minimumShare, int cap) {}
 
     /** The most lines for servers in one entry; further ones follow with the next proposal. */
     public static final int MAX_LINES = 20_000;
@@ -50,9 +50,9 @@
         if (incarnations.isEmpty() || ledger.table.servers.isEmpty()) {
             return null;
         }
-        Division division = new Division(ledger, incarnations);
-        List<LedgerEntry.GrantLine> serverLines = division.serverLines();
-        List<LedgerEntry.GrantLine> accountLines = division.accountLines();
+        LedgerAllocation allocation = new LedgerAllocation(ledger, incarnations);
+        List<LedgerEntry.GrantLine> serverLines = allocation.serverLines();
+        List<LedgerEntry.GrantLine> accountLines = allocation.accountLines();
         if (serverLines.isEmpty() && accountLines.isEmpty()) {
             return null;
         }
@@ -74,7 +74,7 @@
     /**
      * An allocation, with a row for each incarnation and a column for each server of the ledger.
      */
-    private final class Division {
+    private final class LedgerAllocation {
         private final List<Incarnation> incarnations;
         private final int[] pool;
         private final int[] staticConnections;
@@ -83,7 +83,7 @@
         private final List<BudgetAllocation.Account> accounts = new ArrayList<>();
         private final BudgetAllocation allocation;
 
-        Division(BudgetLedger ledger, List<Incarnation> incarnations) {
+        LedgerAllocation(BudgetLedger ledger, List<Incarnation> incarnations) {
             this.incarnations = incarnations;
             int rows = incarnations.size();
             int columns = ledger.table.servers.size();
@@ -92,7 +92,7 @@
             granted = new int[rows][columns];
             maxHeld = new int[rows][columns];
             for (int column = 0; column < columns; column++) {
-                pool[column] = ledger.grantable(column) - ledger.held(column);
+                pool[column] = ledger.grantable(column) - ledger.maxHeld(column);
             }
             TreeMap<Long, TreeMap<Integer, AccountUse>> uses = new TreeMap<>();
             for (int row = 0; row < rows; row++) {
@@ -154,7 +154,13 @@
             return plan == null
                     ? new BudgetAllocation.Account(id, 1, 0, 0, rows, demands, previous)
                     : new BudgetAllocation.Account(
-                            id, plan.weight(), plan.floor(), plan.cap(), rows, demands, previous);
+                            id,
+                            plan.weight(),
+                            plan.minimumShare(),
+                            plan.cap(),
+                            rows,
+                            demands,
+                            previous);
         }
 
         /** The changed grants at servers, reduced ones first. */
@@ -163,7 +169,7 @@
             List<LedgerEntry.GrantLine> raised = new ArrayList<>();
             for (int row = 0; row < granted.length; row++) {
                 for (int column = 0; column < pool.length; column++) {
-                    int next = allocation.next[row][column];
+                    int next = allocation.possibleGrants[row][column];
                     if (next != granted[row][column]) {
                         (next < granted[row][column] ? reduced : raised)
                                 .add(
--- a/fleet/src/main/java/tinford/fleet/budget/GrantTable.java
+++ b/fleet/src/main/java/tinford/fleet/budget/GrantTable.java
@@ -45,7 +45,7 @@
         int capacity;
 
         /** Sum of {@code maxHeld} over all incarnations. */
-        int held;
+        int maxHeld;
 
         Server(String name) {
             this.name = name;
@@ -91,20 +91,20 @@
     }
 
     void setMaxHeld(int server, ServerGrant grant, int maxHeld) {
-        servers.get(server).held += maxHeld - grant.maxHeld;
+        servers.get(server).maxHeld += maxHeld - grant.maxHeld;
         grant.maxHeld = maxHeld;
     }
 
     /** Removes the incarnations of which no connection can still be open. */
-    void removeHolders(Predicate<Incarnation> isGone) {
-        for (Iterator<Map.Entry<Incarnation, Holder>> all = holders.entrySet().iterator();
-                all.hasNext(); ) {
-            Map.Entry<Incarnation, Holder> holder = all.next();
-            if (isGone.test(holder.getKey())) {
+    void removeHolders(Predicate<Incarnation> isReleased) {
+        for (Iterator<Map.Entry<Incarnation, Holder>> iterator = holders.entrySet().iterator();
+                iterator.hasNext(); ) {
+            Map.Entry<Incarnation, Holder> holder = iterator.next();
+            if (isReleased.test(holder.getKey())) {
                 holder.getValue()
                         .serverGrants
                         .forEach((server, grant) -> setMaxHeld(server, grant, 0));
-                all.remove();
+                iterator.remove();
             }
         }
     }
@@ -132,15 +132,15 @@
 
     /** Writes the table as a part of a snapshot. */
     void write(DataOutputStream output) throws IOException {
-        VarInts.put(output, servers.size());
+        VarInts.write(output, servers.size());
         for (Server server : servers) {
             output.writeUTF(server.name);
-            VarInts.put(output, server.start);
-            VarInts.put(output, server.capacity);
+            VarInts.write(output, server.start);
+            VarInts.write(output, server.capacity);
         }
-        VarInts.put(output, holders.size());
+        VarInts.write(output, holders.size());
         for (Map.Entry<Incarnation, Holder> holder : holders.entrySet()) {
-            VarInts.put(output, holder.getKey());
+            VarInts.write(output, holder.getKey());
             write(output, holder.getValue());
         }
     }
@@ -153,15 +153,15 @@
                 holder.serverGrants.entrySet().stream()
                         .filter(entry -> entry.getValue().maxHeld > 0)
                         .toList();
-        VarInts.put(output, grants.size());
+        VarInts.write(output, grants.size());
         for (Map.Entry<Integer, ServerGrant> entry : grants) {
             ServerGrant grant = entry.getValue();
-            VarInts.put(output, entry.getKey());
-            VarInts.put(output, grant.granted);
-            VarInts.put(output, grant.maxHeld);
-            VarInts.put(output, grant.reducedIndex);
+            VarInts.write(output, entry.getKey());
+            VarInts.write(output, grant.granted);
+            VarInts.write(output, grant.maxHeld);
+            VarInts.write(output, grant.reducedIndex);
             output.writeDouble(grant.releaseMs);
-            VarInts.put(output, grant.fencingToken);
+            VarInts.write(output, grant.fencingToken);
         }
         writeCounts(output, holder.demands);
         writeCounts(output, holder.accountGrants);
@@ -169,10 +169,10 @@
 
     private static void writeCounts(DataOutputStream output, Map<Long, Integer> counts)
             throws IOException {
-        VarInts.put(output, counts.size());
+        VarInts.write(output, counts.size());
         for (Map.Entry<Long, Integer> account : counts.entrySet()) {
-            VarInts.put(output, account.getKey());
-            VarInts.put(output, account.getValue());
+            VarInts.write(output, account.getKey());
+            VarInts.write(output, account.getValue());
         }
     }
 
@@ -180,34 +180,34 @@
     void read(DataInputStream input) throws IOException {
         servers.clear();
         numbers.clear();
-        for (int remaining = VarInts.takeCount(input, BudgetLedger.MAX_SERVERS);
+        for (int remaining = VarInts.readCount(input, BudgetLedger.MAX_SERVERS);
                 remaining > 0;
                 remaining--) {
             Server server = addServer(input.readUTF());
-            server.start = VarInts.take(input);
-            server.capacity = VarInts.takeCount(input, LedgerEntry.MAX_COUNT);
+            server.start = VarInts.read(input);
+            server.capacity = VarInts.readCount(input, LedgerEntry.MAX_COUNT);
         }
         holders.clear();
-        for (int remaining = VarInts.takeCount(input, LedgerEntry.MAX_COUNT);
+        for (int remaining = VarInts.readCount(input, LedgerEntry.MAX_COUNT);
                 remaining > 0;
                 remaining--) {
-            holders.put(VarInts.takeIncarnation(input), readHolder(input));
+            holders.put(VarInts.readIncarnation(input), readHolder(input));
         }
     }
 
     private Holder readHolder(DataInputStream input) throws IOException {
         Holder holder = new Holder();
         holder.reportedMs = input.readDouble();
-        for (int remaining = VarInts.takeCount(input, BudgetLedger.MAX_SERVERS);
+        for (int remaining = VarInts.readCount(input, BudgetLedger.MAX_SERVERS);
                 remaining > 0;
                 remaining--) {
-            int server = VarInts.takeCount(input, servers.size() - 1);
+            int server = VarInts.readCount(input, servers.size() - 1);
             ServerGrant grant = new ServerGrant();
-            grant.granted = VarInts.takeCount(input, LedgerEntry.MAX_COUNT);
-            setMaxHeld(server, grant, VarInts.takeCount(input, LedgerEntry.MAX_COUNT));
-            grant.reducedIndex = VarInts.take(input);
+            grant.granted = VarInts.readCount(input, LedgerEntry.MAX_COUNT);
+            setMaxHeld(server, grant, VarInts.readCount(input, LedgerEntry.MAX_COUNT));
+            grant.reducedIndex = VarInts.read(input);
             grant.releaseMs = input.readDouble();
-            grant.fencingToken = VarInts.take(input);
+            grant.fencingToken = VarInts.read(input);
             holder.serverGrants.put(server, grant);
         }
         readCounts(input, holder.demands);
@@ -217,10 +217,10 @@
 
     private static void readCounts(DataInputStream input, Map<Long, Integer> counts)
             throws IOException {
-        for (int remaining = VarInts.takeCount(input, BudgetLedger.MAX_ACCOUNTS);
+        for (int remaining = VarInts.readCount(input, BudgetLedger.MAX_ACCOUNTS);
                 remaining > 0;
                 remaining--) {
-            counts.put(VarInts.take(input), VarInts.takeCount(input, LedgerEntry.MAX_COUNT));
+            counts.put(VarInts.read(input), VarInts.readCount(input, LedgerEntry.MAX_COUNT));
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budget/LedgerEntry.java
+++ b/fleet/src/main/java/tinford/fleet/budget/LedgerEntry.java
@@ -58,36 +58,36 @@
         }
 
         private void writeBody(DataOutputStream output) throws IOException {
-            VarInts.put(output, incarnation);
+            VarInts.write(output, incarnation);
             output.writeDouble(timestampMs);
-            VarInts.put(output, lastReadIndex);
-            VarInts.put(output, demands.size());
+            VarInts.write(output, lastReadIndex);
+            VarInts.write(output, demands.size());
             for (Map.Entry<Long, Integer> demand : demands.entrySet()) {
-                VarInts.put(output, demand.getKey());
-                VarInts.put(output, demand.getValue());
+                VarInts.write(output, demand.getKey());
+                VarInts.write(output, demand.getValue());
             }
-            VarInts.put(output, heldConnections.size());
+            VarInts.write(output, heldConnections.size());
             for (Map.Entry<Integer, Integer> held : heldConnections.entrySet()) {
-                VarInts.put(output, held.getKey());
-                VarInts.put(output, held.getValue());
+                VarInts.write(output, held.getKey());
+                VarInts.write(output, held.getValue());
             }
         }
 
         private static DemandReport readBody(DataInputStream input) throws IOException {
-            Incarnation incarnation = VarInts.takeIncarnation(input);
-            double timestampMs = takeTimestamp(input);
-            long lastReadIndex = VarInts.take(input);
+            Incarnation incarnation = VarInts.readIncarnation(input);
+            double timestampMs = readTimestamp(input);
+            long lastReadIndex = VarInts.read(input);
             Map<Long, Integer> demands = new LinkedHashMap<>();
-            int accounts = VarInts.takeCount(input, BudgetLedger.MAX_ACCOUNTS);
+            int accounts = VarInts.readCount(input, BudgetLedger.MAX_ACCOUNTS);
             for (int i = 0; i < accounts; i++) {
-                demands.put(VarInts.take(input), VarInts.takeCount(input, MAX_COUNT));
+                demands.put(VarInts.read(input), VarInts.readCount(input, MAX_COUNT));
             }
             Map<Integer, Integer> held = new LinkedHashMap<>();
-            int servers = VarInts.takeCount(input, BudgetLedger.MAX_SERVERS);
+            int servers = VarInts.readCount(input, BudgetLedger.MAX_SERVERS);
             for (int i = 0; i < servers; i++) {
                 held.put(
-                        VarInts.takeCount(input, BudgetLedger.MAX_SERVERS),
-                        VarInts.takeCount(input, MAX_COUNT));
+                        VarInts.readCount(input, BudgetLedger.MAX_SERVERS),
+                        VarInts.readCount(input, MAX_COUNT));
             }
             return new DemandReport(incarnation, timestampMs, lastReadIndex, demands, held);
         }
@@ -109,16 +109,16 @@
 
         private void writeBody(DataOutputStream output) throws IOException {
             output.writeUTF(server);
-            VarInts.put(output, start);
-            VarInts.put(output, capacity);
+            VarInts.write(output, start);
+            VarInts.write(output, capacity);
             output.writeDouble(timestampMs);
         }
 
         private static CapacityOffer readBody(DataInputStream input) throws IOException {
             String server = input.readUTF();
-            long start = VarInts.take(input);
-            int capacity = VarInts.takeCount(input, MAX_COUNT);
-            return new CapacityOffer(server, start, capacity, takeTimestamp(input));
+            long start = VarInts.read(input);
+            int capacity = VarInts.readCount(input, MAX_COUNT);
+            return new CapacityOffer(server, start, capacity, readTimestamp(input));
         }
     }
 
@@ -148,35 +148,35 @@
         }
 
         private void writeBody(DataOutputStream output) throws IOException {
-            VarInts.put(output, basisIndex);
+            VarInts.write(output, basisIndex);
             output.writeDouble(timestampMs);
             writeLines(output, serverLines);
             writeLines(output, accountLines);
         }
 
         private static Grant readBody(DataInputStream input) throws IOException {
-            long basisIndex = VarInts.take(input);
-            double timestampMs = takeTimestamp(input);
+            long basisIndex = VarInts.read(input);
+            double timestampMs = readTimestamp(input);
             return new Grant(basisIndex, timestampMs, readLines(input), readLines(input));
         }
 
         private static void writeLines(DataOutputStream output, List<GrantLine> lines)
                 throws IOException {
-            VarInts.put(output, lines.size());
+            VarInts.write(output, lines.size());
             for (GrantLine line : lines) {
-                VarInts.put(output, line.incarnation);
-                VarInts.put(output, line.target);
-                VarInts.put(output, line.connections);
+                VarInts.write(output, line.incarnation);
+                VarInts.write(output, line.target);
+                VarInts.write(output, line.connections);
             }
         }
 
         private static List<GrantLine> readLines(DataInputStream input) throws IOException {
             List<GrantLine> lines = new ArrayList<>();
-            int count = VarInts.takeCount(input, MAX_COUNT);
+            int count = VarInts.readCount(input, MAX_COUNT);
             for (int i = 0; i < count; i++) {
-                Incarnation incarnation = VarInts.takeIncarnation(input);
-                long target = VarInts.take(input);
-                int connections = VarInts.takeCount(input, MAX_COUNT);
+                Incarnation incarnation = VarInts.readIncarnation(input);
+                long target = VarInts.read(input);
+                int connections = VarInts.readCount(input, MAX_COUNT);
                 lines.add(new GrantLine(incarnation, target, connections));
             }
             return lines;
@@ -206,12 +206,12 @@
     }
 
     /** Writes the body of an entry. */
-    interface Body {
+    interface BodyWriter {
         void write(DataOutputStream output) throws IOException;
     }
 
     /** Returns the bytes of a kind, the format version, and a body. */
-    static byte[] write(byte kind, Body body) {
+    static byte[] write(byte kind, BodyWriter body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         try (DataOutputStream output = new DataOutputStream(bytes)) {
             output.writeByte(kind);
@@ -223,7 +223,7 @@
         return bytes.toByteArray();
     }
 
-    private static double takeTimestamp(DataInputStream input) throws IOException {
+    private static double readTimestamp(DataInputStream input) throws IOException {
         double timestampMs = input.readDouble();
         if (!(timestampMs >= 0 && timestampMs < Double.POSITIVE_INFINITY)) {
             throw new IOException("timestamp: expected ms from 0, got " + timestampMs);
--- a/fleet/src/main/java/tinford/fleet/budget/LocalBudget.java
+++ b/fleet/src/main/java/tinford/fleet/budget/LocalBudget.java
@@ -20,23 +20,23 @@
     /** Demand of an account: the maximum of its attempts in flight, by retention period. */
     private static final class Demand {
         /** Maximum in the current period. */
-        int present;
+        int currentMax;
 
         /** Maximum in the period before. */
-        int previous;
+        int previousMax;
 
         /** Attempts that the account may have in flight while this gateway has no lease. */
         int limitWithoutLease;
 
         int max() {
-            return Math.max(present, previous);
+            return Math.max(currentMax, previousMax);
         }
     }
 
     /**
      * A demand that has fallen by no more than the reported one divided by this is not reported.
      */
-    private static final int UNREPORTED_DIVISOR = 8;
+    private static final int UNREPORTED_DECREASE_DIVISOR = 8;
 
     private final BudgetLedger ledger;
     private final StaticShares staticShares;
@@ -51,7 +51,7 @@
     private final Map<String, Integer> openConnections = new LinkedHashMap<>();
     private final Map<String, Long> fencingTokens = new LinkedHashMap<>();
     private double nextEntriesMs;
-    private double nextSpanMs;
+    private double nextPeriodMs;
     private boolean leaving;
     private boolean left;
 
@@ -170,7 +170,7 @@
             demand = new Demand();
             demands.put(account, demand);
         }
-        demand.present = Math.max(demand.present, attempts);
+        demand.currentMax = Math.max(demand.currentMax, attempts);
     }
 
     /** Reports no demand from now on; the gateway leaves the fleet once no connection is open. */
@@ -205,19 +205,19 @@
         if (lease != null) {
             addDemandReport(nowMs, entries);
         }
-        if (nowMs >= nextSpanMs) {
-            startSpan(nowMs);
+        if (nowMs >= nextPeriodMs) {
+            startPeriod(nowMs);
         }
         return entries;
     }
 
-    private void startSpan(double nowMs) {
-        nextSpanMs = nowMs + retentionMs;
+    private void startPeriod(double nowMs) {
+        nextPeriodMs = nowMs + retentionMs;
         for (Demand demand : demands.values()) {
-            demand.previous = demand.present;
-            demand.present = 0;
+            demand.previousMax = demand.currentMax;
+            demand.currentMax = 0;
         }
-        demands.values().removeIf(demand -> demand.previous == 0);
+        demands.values().removeIf(demand -> demand.previousMax == 0);
     }
 
     private void addDemandReport(double nowMs, List<byte[]> entries) {
@@ -239,7 +239,7 @@
         if (!leaving) {
             demands.forEach(
                     (account, demand) -> {
-                        if (isWorthReporting(demand.max(), reported.getOrDefault(account, 0))) {
+                        if (mustReport(demand.max(), reported.getOrDefault(account, 0))) {
                             changed.put(account, demand.max());
                         }
                     });
@@ -254,8 +254,8 @@
     }
 
     /** Any increase is reported, a small decrease is not. */
-    private static boolean isWorthReporting(int demand, int reported) {
-        return demand > reported || demand < reported - reported / UNREPORTED_DIVISOR;
+    private static boolean mustReport(int demand, int reported) {
+        return demand > reported || demand < reported - reported / UNREPORTED_DECREASE_DIVISOR;
     }
 
     /**
@@ -286,17 +286,17 @@
             pool += staticShare(server.name, nowMs);
         }
         int[] weights = new int[demands.size()];
-        int[] floors = new int[demands.size()];
+        int[] minimumShares = new int[demands.size()];
         int[] caps = new int[demands.size()];
         int index = 0;
         for (Map.Entry<Long, Demand> entry : demands.entrySet()) {
             GrantProposer.Plan plan = plans.apply(entry.getKey());
             weights[index] = plan == null ? 1 : plan.weight();
-            floors[index] = plan == null ? 0 : plan.floor();
+            minimumShares[index] = plan == null ? 0 : plan.minimumShare();
             caps[index] = plan == null ? 0 : Math.min(plan.cap(), entry.getValue().max());
             index++;
         }
-        int[] limits = MaxMinFairness.divide(pool, weights, floors, caps);
+        int[] limits = MaxMinFairness.divide(pool, weights, minimumShares, caps);
         index = 0;
         for (Demand demand : demands.values()) {
             demand.limitWithoutLease = limits[index++];
--- a/fleet/src/main/java/tinford/fleet/budget/MaxMinFairness.java
+++ b/fleet/src/main/java/tinford/fleet/budget/MaxMinFairness.java
@@ -16,12 +16,12 @@
     private static final double LEVEL_TOLERANCE = 1e-9;
 
     private final int[] weights;
-    private final int[] floors;
+    private final int[] minimumShares;
     private final int[] caps;
 
-    private MaxMinFairness(int[] weights, int[] floors, int[] caps) {
+    private MaxMinFairness(int[] weights, int[] minimumShares, int[] caps) {
         this.weights = weights;
-        this.floors = floors;
+        this.minimumShares = minimumShares;
         this.caps = caps;
     }
 
@@ -30,48 +30,51 @@
      *
      * @param pool connections in total
      * @param weights above 0
-     * @param floors minimum shares, which take precedence over weights; each counts up to its cap
+     * @param minimumShares minimum shares, which take precedence over weights; each counts up to
+     *     its cap
      * @param caps the most that each can use: the lower of its limit and its demand
      * @return the connections of each; their sum is the pool, or the sum of the caps if that is
      *     lower
      */
-    public static int[] divide(long pool, int[] weights, int[] floors, int[] caps) {
+    public static int[] divide(long pool, int[] weights, int[] minimumShares, int[] caps) {
         int size = weights.length;
-        int[] effectiveFloors = new int[size];
+        int[] effectiveMinimumShares = new int[size];
         int[] effectiveCaps = new int[size];
-        long floorSum = 0;
+        long minimumShareSum = 0;
         for (int i = 0; i < size; i++) {
             effectiveCaps[i] = Math.max(0, caps[i]);
-            effectiveFloors[i] = Math.min(effectiveCaps[i], Math.max(0, floors[i]));
-            floorSum += effectiveFloors[i];
+            effectiveMinimumShares[i] = Math.min(effectiveCaps[i], Math.max(0, minimumShares[i]));
+            minimumShareSum += effectiveMinimumShares[i];
         }
-        if (floorSum <= pool) {
-            return new MaxMinFairness(weights, effectiveFloors, effectiveCaps).fill(pool);
+        if (minimumShareSum <= pool) {
+            return new MaxMinFairness(weights, effectiveMinimumShares, effectiveCaps)
+                    .allocate(pool);
         }
-        return new MaxMinFairness(weights, new int[size], effectiveFloors).fill(Math.max(0, pool));
+        return new MaxMinFairness(weights, new int[size], effectiveMinimumShares)
+                .allocate(Math.max(0, pool));
     }
 
     /**
      * Allocates to each what it gets at a level, in connections per unit of weight, that the pool
      * certainly allows, and the remaining connections one by one to the lowest ratio.
      */
-    private int[] fill(long pool) {
+    private int[] allocate(long pool) {
         double maxLevel = 1;
         for (int i = 0; i < weights.length; i++) {
             maxLevel = Math.max(maxLevel, caps[i] / (double) weights[i] + 1);
         }
-        if (sumAt(maxLevel) <= pool) {
+        if (totalAt(maxLevel) <= pool) {
             return caps.clone();
         }
         double level = highestLevel(pool, maxLevel) * (1 - LEVEL_TOLERANCE);
-        int[] given = new int[weights.length];
-        long rest = pool;
-        for (int i = 0; i < given.length; i++) {
-            given[i] = at(level, i);
-            rest -= given[i];
+        int[] allocated = new int[weights.length];
+        long remaining = pool;
+        for (int i = 0; i < allocated.length; i++) {
+            allocated[i] = allocationAt(level, i);
+            remaining -= allocated[i];
         }
-        fillByRatio(given, rest);
-        return given;
+        allocateByRatio(allocated, remaining);
+        return allocated;
     }
 
     /** Finds by bisection the highest level at which the total is within the pool. */
@@ -80,7 +83,7 @@
         double high = maxLevel;
         for (int step = 0; step < BISECTION_STEPS; step++) {
             double middle = (low + high) / 2;
-            if (sumAt(middle) <= pool) {
+            if (totalAt(middle) <= pool) {
                 low = middle;
             } else {
                 high = middle;
@@ -89,40 +92,41 @@
         return low;
     }
 
-    private void fillByRatio(int[] given, long rest) {
+    private void allocateByRatio(int[] allocated, long connections) {
         PriorityQueue<Integer> lowestFirst =
                 new PriorityQueue<>(
-                        Math.max(1, given.length), (a, b) -> compareRatios(given, a, b));
-        for (int i = 0; i < given.length; i++) {
-            if (given[i] < caps[i]) {
+                        Math.max(1, allocated.length), (a, b) -> compareRatios(allocated, a, b));
+        for (int i = 0; i < allocated.length; i++) {
+            if (allocated[i] < caps[i]) {
                 lowestFirst.add(i);
             }
         }
-        for (long left = rest; left > 0 && !lowestFirst.isEmpty(); left--) {
+        for (long remaining = connections; remaining > 0 && !lowestFirst.isEmpty(); remaining--) {
             int lowest = lowestFirst.poll();
-            given[lowest]++;
-            if (given[lowest] < caps[lowest]) {
+            allocated[lowest]++;
+            if (allocated[lowest] < caps[lowest]) {
                 lowestFirst.add(lowest);
             }
         }
     }
 
     /** Compares the ratios of connections to weight, without division. */
-    private int compareRatios(int[] given, int a, int b) {
-        int order = Long.compare((long) given[a] * weights[b], (long) given[b] * weights[a]);
+    private int compareRatios(int[] allocated, int a, int b) {
+        int order =
+                Long.compare((long) allocated[a] * weights[b], (long) allocated[b] * weights[a]);
         return order != 0 ? order : Integer.compare(a, b);
     }
 
-    private long sumAt(double level) {
+    private long totalAt(double level) {
         long sum = 0;
         for (int i = 0; i < weights.length; i++) {
-            sum += at(level, i);
+            sum += allocationAt(level, i);
         }
         return sum;
     }
 
-    private int at(double level, int index) {
+    private int allocationAt(double level, int index) {
         double connections = Math.min(caps[index], Math.ceil(level * weights[index]));
-        return (int) Math.max(floors[index], connections);
+        return (int) Math.max(minimumShares[index], connections);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/budget/VarInts.java
+++ b/fleet/src/main/java/tinford/fleet/budget/VarInts.java
@@ -16,7 +16,7 @@
 
     private VarInts() {}
 
-    static void put(DataOutput output, long value) throws IOException {
+    static void write(DataOutput output, long value) throws IOException {
         long rest = value;
         while ((rest & ~(long) VALUE_MASK) != 0) {
             output.writeByte((int) (rest & VALUE_MASK | CONTINUATION_BIT));
@@ -25,7 +25,7 @@
         output.writeByte((int) rest);
     }
 
-    static long take(DataInput input) throws IOException {
+    static long read(DataInput input) throws IOException {
         long value = 0;
         for (int shift = 0; shift < Long.SIZE; shift += BITS_PER_BYTE) {
             byte next = input.readByte();
@@ -40,20 +40,20 @@
     /**
      * @throws IOException if the number is not from 0 to {@code max}
      */
-    static int takeCount(DataInput input, int max) throws IOException {
-        long value = take(input);
+    static int readCount(DataInput input, int max) throws IOException {
+        long value = read(input);
         if (value < 0 || value > max) {
             throw new IOException("count: expected 0 to " + max + ", got " + value);
         }
         return (int) value;
     }
 
-    static void put(DataOutput output, Incarnation incarnation) throws IOException {
-        put(output, incarnation.gateway());
-        put(output, incarnation.start());
+    static void write(DataOutput output, Incarnation incarnation) throws IOException {
+        write(output, incarnation.gateway());
+        write(output, incarnation.start());
     }
 
-    static Incarnation takeIncarnation(DataInput input) throws IOException {
-        return new Incarnation(takeCount(input, Integer.MAX_VALUE), take(input));
+    static Incarnation readIncarnation(DataInput input) throws IOException {
+        return new Incarnation(readCount(input, Integer.MAX_VALUE), read(input));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationEntry.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationEntry.java
@@ -56,7 +56,7 @@
     public static final int VERSION = 1;
 
     /** First byte of each entry; other entries in the same log begin with other bytes. */
-    public static final int MARK = 'M';
+    public static final int MAGIC_BYTE = 'M';
 
     private static final int MAX_ENTRY_BYTES = 64 << 10;
     private static final int HEADER_BYTES = 3;
@@ -93,7 +93,7 @@
      * @param warmUnits warm capacity of each target group, in order of the groups' names, in units
      *     per second
      */
-    public static MigrationEntry go(
+    public static MigrationEntry proposeStep(
             double timestampMs, long epoch, int targetStep, double... warmUnits) {
         return new MigrationEntry(
                 Kind.GO,
@@ -129,7 +129,7 @@
     }
 
     /** Returns the entry by which an operator reverts the migration. */
-    public static MigrationEntry back(String operator, double timestampMs) {
+    public static MigrationEntry revert(String operator, double timestampMs) {
         return command(Kind.BACK, operator, timestampMs, 0);
     }
 
@@ -151,7 +151,7 @@
     public byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream output = new DataOutputStream(bytes)) {
-            output.writeByte(MARK);
+            output.writeByte(MAGIC_BYTE);
             output.writeByte(VERSION);
             output.writeByte(kind.ordinal());
             output.writeDouble(timestampMs);
@@ -209,7 +209,7 @@
     private static boolean hasKnownHeader(byte[] bytes) {
         return bytes.length <= MAX_ENTRY_BYTES
                 && bytes.length >= HEADER_BYTES
-                && bytes[0] == MARK
+                && bytes[0] == MAGIC_BYTE
                 && bytes[1] == VERSION
                 && bytes[2] >= 0
                 && bytes[2] < Kind.values().length;
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationProgress.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationProgress.java
@@ -65,12 +65,12 @@
         this.baselineFailureShares = other.baselineFailureShares.clone();
     }
 
-    boolean isMoving() {
+    boolean isInProgress() {
         return state == MigrationState.State.FORWARD || state == MigrationState.State.BACK;
     }
 
     /** Changes to a step and starts a new epoch. */
-    void goTo(int step) {
+    void changeStep(int step) {
         previousStep = stepIndex;
         stepIndex = step;
         epoch++;
--- a/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
+++ b/fleet/src/main/java/tinford/fleet/migration/MigrationState.java
@@ -131,7 +131,7 @@
         return switch (entry.kind()) {
             case BEGIN -> begin(entry.plan());
             case ACK -> acknowledge(entry);
-            case GO -> go(entry);
+            case GO -> takeStep(entry);
             case REPORT -> report(entry);
             case HALT -> halt();
             case RESUME -> resume(entry);
@@ -140,33 +140,33 @@
     }
 
     private String begin(MigrationPlan next) {
-        if (progress.isMoving() || progress.state == State.HALTED) {
+        if (progress.isInProgress() || progress.state == State.HALTED) {
             return "refused, plan " + progress.plan.name + " is in progress";
         }
-        Map<String, String> presentGroups = presentGroups();
+        Map<String, String> currentGroups = currentGroups();
         for (MigrationPlan.FrontendMigration frontend : next.frontends) {
-            String present = presentGroups.get(frontend.name());
-            if (!frontend.sourceGroup().equals(present)) {
+            String currentGroup = currentGroups.get(frontend.name());
+            if (!frontend.sourceGroup().equals(currentGroup)) {
                 return "refused, frontend "
                         + frontend.name()
                         + ": expected to be in group "
                         + frontend.sourceGroup()
                         + ", is in "
-                        + present;
+                        + currentGroup;
             }
         }
-        progress.homeGroups.putAll(presentGroups);
+        progress.homeGroups.putAll(currentGroups);
         progress.plan = next;
         progress.state = State.FORWARD;
         progress.reverting = false;
         progress.baselineFailureShares = new double[next.frontends.size()];
-        progress.goTo(0);
+        progress.changeStep(0);
         progress.previousStep = 0;
         return "begun, " + (next.steps.size() - 1) + " steps";
     }
 
     /** The current group of each frontend, with the last plan if that was completed. */
-    private Map<String, String> presentGroups() {
+    private Map<String, String> currentGroups() {
         Map<String, String> groups = new TreeMap<>(progress.homeGroups);
         if (progress.state == State.DONE) {
             for (MigrationPlan.FrontendMigration frontend : progress.plan.frontends) {
@@ -189,8 +189,8 @@
         return "acknowledged by " + progress.acknowledgements.size() + " incarnations";
     }
 
-    private String go(MigrationEntry entry) {
-        if (!progress.isMoving()
+    private String takeStep(MigrationEntry entry) {
+        if (!progress.isInProgress()
                 || entry.epoch() != progress.epoch
                 || !rules.isNextStep(progress.stepIndex, entry.targetStep(), progress.reverting)) {
             return "refused, not the next step: at step "
@@ -220,7 +220,7 @@
         if (!progress.reverting && !hasCapacity(entry)) {
             return "refused, not enough warm capacity in a target group";
         }
-        progress.goTo(entry.targetStep());
+        progress.changeStep(entry.targetStep());
         return "at step " + progress.stepIndex;
     }
 
@@ -309,7 +309,7 @@
     }
 
     private String halt() {
-        if (!progress.isMoving()) {
+        if (!progress.isInProgress()) {
             return "no migration in progress to halt";
         }
         progress.state = State.HALTED;
--- a/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
+++ b/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
@@ -18,7 +18,7 @@
     private static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
     /** Mean queueing time without overload; ordinary bursts stay below it. */
-    private static final double USUAL_QUEUE_TIME_S = 0.05;
+    private static final double NORMAL_QUEUE_TIME_S = 0.05;
 
     /**
      * A queue that is longer than normal by this many standard deviations indicates overload rather
@@ -30,7 +30,7 @@
      * How long overload must last before a threshold is set; the disturbance of a start or a burst
      * is shorter.
      */
-    private static final double MIN_STRAIN_MS = 600;
+    private static final double MIN_OVERLOAD_MS = 600;
 
     /**
      * Share of late and failed attempts above which the servers count as overloaded. Higher than
@@ -45,12 +45,12 @@
      * Time constant of the convergence to the median. Slower than the growth of the estimate, which
      * outdated records of the peers would otherwise hold back.
      */
-    private static final double AGREEMENT_SMOOTHING_MS = 2000;
+    private static final double MEDIAN_SMOOTHING_MS = 2000;
 
     /**
      * Ratio of capacity to demand above which the threshold is removed; it would shed only bursts.
      */
-    private static final double OPEN_CAPACITY_FACTOR = 1.1;
+    private static final double REMOVAL_CAPACITY_RATIO = 1.1;
 
     /** Longest time since the previous update that an update takes into account. */
     private static final double MAX_STEP_MS = 1000;
@@ -62,10 +62,10 @@
 
     private final double windowMs;
     private double capacity = UNLIMITED;
-    private double strainedForMs;
-    private double strainedAtMs;
+    private double overloadedForMs;
+    private double overloadedAtMs;
     private double updatedAtMs = -1;
-    private double openedAtMs = Double.NEGATIVE_INFINITY;
+    private double removedAtMs = Double.NEGATIVE_INFINITY;
     private double threshold;
     private double shareAtThreshold = 1;
     private double demand;
@@ -111,12 +111,12 @@
             return;
         }
         FleetTotals totals = new FleetTotals(membership);
-        agree(membership, stepMs);
-        boolean strained = isStrained(totals);
-        double strainedForNowMs = strainedForMs + (strained ? stepMs : -stepMs);
-        strainedForMs = Math.max(0, Math.min(MIN_STRAIN_MS, strainedForNowMs));
-        if (strained && (capacity != UNLIMITED || strainedForMs >= MIN_STRAIN_MS)) {
-            strainedAtMs = nowMs;
+        moveTowardsMedian(membership, stepMs);
+        boolean overloaded = isOverloaded(totals);
+        double newOverloadedForMs = overloadedForMs + (overloaded ? stepMs : -stepMs);
+        overloadedForMs = Math.max(0, Math.min(MIN_OVERLOAD_MS, newOverloadedForMs));
+        if (overloaded && (capacity != UNLIMITED || overloadedForMs >= MIN_OVERLOAD_MS)) {
+            overloadedAtMs = nowMs;
             measureCapacity(totals, stepMs);
         } else if (capacity != UNLIMITED) {
             growCapacity(totals, stepMs);
@@ -132,7 +132,7 @@
         return membership.aliveCount() <= 1 || membership.freshRecords().size() < 2;
     }
 
-    private static boolean isStrained(FleetTotals totals) {
+    private static boolean isOverloaded(FleetTotals totals) {
         return totals.demand > 0 && (isQueueing(totals) || totals.failedShare > MAX_FAILED_SHARE);
     }
 
@@ -141,8 +141,8 @@
      * the queues, so a threshold can't keep itself in force.
      */
     private static boolean isQueueing(FleetTotals totals) {
-        double usual = USUAL_QUEUE_TIME_S * totals.firstAttempts;
-        return totals.queued > usual + QUEUE_STANDARD_DEVIATIONS * Math.sqrt(Math.max(1, usual));
+        double normal = NORMAL_QUEUE_TIME_S * totals.firstAttempts;
+        return totals.queued > normal + QUEUE_STANDARD_DEVIATIONS * Math.sqrt(Math.max(1, normal));
     }
 
     private void measureCapacity(FleetTotals totals, double stepMs) {
@@ -156,28 +156,31 @@
     }
 
     private void growCapacity(FleetTotals totals, double stepMs) {
-        double calmMs = updatedAtMs - strainedAtMs;
-        double calmBeforeMs = Math.max(0, calmMs - stepMs);
-        double doublings = (calmMs * calmMs - calmBeforeMs * calmBeforeMs) / (windowMs * windowMs);
+        double sinceOverloadMs = updatedAtMs - overloadedAtMs;
+        double previousSinceOverloadMs = Math.max(0, sinceOverloadMs - stepMs);
+        double doublings =
+                (sinceOverloadMs * sinceOverloadMs
+                                - previousSinceOverloadMs * previousSinceOverloadMs)
+                        / (windowMs * windowMs);
         capacity =
                 Math.max(capacity, totals.demand / MIN_CAPACITY_DIVISOR) * Math.pow(2, doublings);
-        if (capacity > OPEN_CAPACITY_FACTOR * totals.demand) {
+        if (capacity > REMOVAL_CAPACITY_RATIO * totals.demand) {
             capacity = UNLIMITED;
-            openedAtMs = updatedAtMs;
+            removedAtMs = updatedAtMs;
         }
     }
 
     /** Moves the estimate towards the median of the estimates that the gateways report. */
-    private void agree(Membership membership, double stepMs) {
+    private void moveTowardsMedian(Membership membership, double stepMs) {
         double median = medianCapacity(membership);
         if (median != UNLIMITED && capacity == UNLIMITED) {
             // A joining gateway adopts the median. A gateway that has just removed its threshold
             // does not: the records of its peers may still be older than that.
-            capacity = updatedAtMs - openedAtMs > windowMs ? median : UNLIMITED;
+            capacity = updatedAtMs - removedAtMs > windowMs ? median : UNLIMITED;
         } else if (median != UNLIMITED) {
-            capacity *= Math.pow(median / capacity, Math.min(1, stepMs / AGREEMENT_SMOOTHING_MS));
+            capacity *= Math.pow(median / capacity, Math.min(1, stepMs / MEDIAN_SMOOTHING_MS));
         } else if (capacity != UNLIMITED) {
-            capacity *= 1 + stepMs / AGREEMENT_SMOOTHING_MS;
+            capacity *= 1 + stepMs / MEDIAN_SMOOTHING_MS;
         }
     }
 
@@ -200,13 +203,15 @@
         if (remaining == UNLIMITED) {
             return;
         }
-        for (int c = GossipRecord.PRIORITY_CLASSES - 1; c >= 0; c--) {
-            if (totals.demandByClass[c] > remaining) {
-                threshold = GossipRecord.minWeightOf(c);
-                shareAtThreshold = Math.max(0, remaining / totals.demandByClass[c]);
+        for (int priorityClass = GossipRecord.PRIORITY_CLASSES - 1;
+                priorityClass >= 0;
+                priorityClass--) {
+            if (totals.demandByClass[priorityClass] > remaining) {
+                threshold = GossipRecord.minWeightOf(priorityClass);
+                shareAtThreshold = Math.max(0, remaining / totals.demandByClass[priorityClass]);
                 return;
             }
-            remaining -= totals.demandByClass[c];
+            remaining -= totals.demandByClass[priorityClass];
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetTotals.java
@@ -21,7 +21,7 @@
     static final double MAX_FACTOR_OF_MEAN = 2;
 
     /** Values from this on are invalid and count as 0. */
-    private static final double MAX_FIGURE = 1e12;
+    private static final double MAX_VALUE = 1e12;
 
     /** The largest one of this many records, at least one, is left out of the mean. */
     private static final int OUTLIER_DIVISOR = 20;
@@ -62,14 +62,18 @@
 
     /** Fills {@link #demandByClass}; returns the sum over all classes. */
     private double addDemand(List<GossipRecord> records, double scale) {
-        double[] sizes = records.stream().mapToDouble(record -> sum(record.offeredUnits)).toArray();
-        double cap = cap(sizes);
+        double[] demands =
+                records.stream().mapToDouble(record -> sum(record.offeredUnits)).toArray();
+        double cap = cap(demands);
         double total = 0;
-        for (int i = 0; i < sizes.length; i++) {
-            double part = sizes[i] > cap ? cap / sizes[i] : 1;
-            for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
-                double units = sanitize(records.get(i).offeredUnits[c]) * part * scale;
-                demandByClass[c] += units;
+        for (int i = 0; i < demands.length; i++) {
+            double factor = demands[i] > cap ? cap / demands[i] : 1;
+            for (int priorityClass = 0;
+                    priorityClass < GossipRecord.PRIORITY_CLASSES;
+                    priorityClass++) {
+                double units =
+                        sanitize(records.get(i).offeredUnits[priorityClass]) * factor * scale;
+                demandByClass[priorityClass] += units;
                 total += units;
             }
         }
@@ -77,14 +81,14 @@
     }
 
     /** Returns the value, or 0 if it is negative, not a number or too large. */
-    static double sanitize(double figure) {
-        return figure > 0 && figure < MAX_FIGURE ? figure : 0;
+    static double sanitize(double value) {
+        return value > 0 && value < MAX_VALUE ? value : 0;
     }
 
-    private static double sum(double[] figures) {
+    private static double sum(double[] values) {
         double sum = 0;
-        for (double figure : figures) {
-            sum += sanitize(figure);
+        for (double value : values) {
+            sum += sanitize(value);
         }
         return sum;
     }
@@ -92,22 +96,24 @@
     /**
      * The value to which larger ones are cut: a multiple of the mean without the largest values.
      */
-    private static double cap(double[] figures) {
-        double[] sorted = figures.clone();
+    private static double cap(double[] values) {
+        double[] sorted = values.clone();
         Arrays.sort(sorted);
-        int counted = sorted.length - Math.max(1, sorted.length / OUTLIER_DIVISOR);
-        return counted < 1
+        int countedValues = sorted.length - Math.max(1, sorted.length / OUTLIER_DIVISOR);
+        return countedValues < 1
                 ? Double.MAX_VALUE
-                : MAX_FACTOR_OF_MEAN * Arrays.stream(sorted, 0, counted).sum() / counted;
+                : MAX_FACTOR_OF_MEAN
+                        * Arrays.stream(sorted, 0, countedValues).sum()
+                        / countedValues;
     }
 
     private static double cappedSum(
             List<GossipRecord> records, ToDoubleFunction<GossipRecord> field) {
-        double[] figures =
+        double[] values =
                 records.stream()
                         .mapToDouble(record -> sanitize(field.applyAsDouble(record)))
                         .toArray();
-        double cap = cap(figures);
-        return Arrays.stream(figures).map(figure -> Math.min(figure, cap)).sum();
+        double cap = cap(values);
+        return Arrays.stream(values).map(value -> Math.min(value, cap)).sum();
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
+++ b/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
@@ -101,15 +101,17 @@
     public GossipRecord record(Incarnation incarnation, int sequence) {
         GossipRecord record = new GossipRecord(incarnation, sequence);
         double seconds = coveredMs() / MS_PER_SECOND;
-        for (int c = 0; c < GossipRecord.PRIORITY_CLASSES; c++) {
+        for (int priorityClass = 0;
+                priorityClass < GossipRecord.PRIORITY_CLASSES;
+                priorityClass++) {
             double offered = 0;
             double rejected = 0;
             for (int bucket = 0; bucket < BUCKETS; bucket++) {
-                offered += offeredUnits[bucket][c];
-                rejected += rejectedUnits[bucket][c];
+                offered += offeredUnits[bucket][priorityClass];
+                rejected += rejectedUnits[bucket][priorityClass];
             }
-            record.offeredUnits[c] = offered / seconds;
-            record.admittedUnits[c] = Math.max(0, offered - rejected) / seconds;
+            record.offeredUnits[priorityClass] = offered / seconds;
+            record.admittedUnits[priorityClass] = Math.max(0, offered - rejected) / seconds;
         }
         record.firstAttempts = sum(Counter.FIRST_ATTEMPTS) / seconds;
         record.retries = sum(Counter.RETRIES) / seconds;
--- a/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
@@ -48,12 +48,12 @@
      * For how long this gateway's own observation that a server is healthy takes precedence over
      * reports of its peers.
      */
-    private static final double OWN_FINDING_TRUST_MS = 2000;
+    private static final double OWN_OBSERVATION_PRECEDENCE_MS = 2000;
 
     private static final double EXPIRY_MS = 120_000;
 
     /** Reports of recovery that are less than this apart count as one. */
-    private static final double MIN_RECOVERY_GAP_MS = 100;
+    private static final double MIN_RECOVERY_REPORT_GAP_MS = 100;
 
     /** Longest time since the previous update that an update takes into account. */
     private static final double MAX_STEP_MS = 1000;
@@ -61,12 +61,12 @@
     private final Random random;
     private final Map<Integer, ProbedServer> servers = new LinkedHashMap<>();
     private Membership membership;
-    private Incarnation own;
+    private Incarnation self;
     private double nowMs;
     private long updates;
 
     /** Offset into the servers to report, which rotates if they don't all fit into one record. */
-    private int firstReported;
+    private int reportOffset;
 
     public ProbeOwners(Random random) {
         this.random = random;
@@ -95,16 +95,16 @@
     }
 
     /** Evaluates the peers' fresh records. To be called before the other methods. */
-    public void update(double toMs, Incarnation self, Membership current) {
+    public void update(double toMs, Incarnation ownIncarnation, Membership current) {
         double stepMs = Math.max(0, Math.min(toMs - nowMs, MAX_STEP_MS));
         nowMs = toMs;
-        own = self;
+        self = ownIncarnation;
         membership = current;
         updates++;
         Map<Integer, Integer> unhealthyReports = new HashMap<>();
         for (GossipRecord record : current.freshRecords()) {
             int peer = record.incarnation.gateway();
-            if (peer == self.gateway()) {
+            if (peer == ownIncarnation.gateway()) {
                 continue;
             }
             for (GossipRecord.ServerHealth report : record.serverHealth) {
@@ -128,13 +128,13 @@
         server.updatedAtMs = nowMs;
         boolean validAge = report.agoMs() >= 0 && report.agoMs() < EXPIRY_MS;
         double ageMs = validAge ? report.agoMs() : EXPIRY_MS;
-        double foundAtMs = nowMs - ageMs;
+        double observedAtMs = nowMs - ageMs;
         boolean byOwner = ownerOf(server) == peer;
         if (byOwner) {
-            server.ownerReportAtMs = Math.max(server.ownerReportAtMs, foundAtMs);
+            server.ownerReportAtMs = Math.max(server.ownerReportAtMs, observedAtMs);
         }
         if (!report.unhealthy()) {
-            evaluateRecovery(server, foundAtMs);
+            evaluateRecovery(server, observedAtMs);
             return;
         }
         if (ageMs < OWNER_TIMEOUT_MS) {
@@ -142,19 +142,19 @@
         }
         if (byOwner) {
             server.ownerReportedUnhealthyAtMs =
-                    Math.max(server.ownerReportedUnhealthyAtMs, foundAtMs);
+                    Math.max(server.ownerReportedUnhealthyAtMs, observedAtMs);
         }
     }
 
-    private void evaluateRecovery(ProbedServer server, double foundAtMs) {
-        double unhealthyUntilMs =
+    private void evaluateRecovery(ProbedServer server, double observedAtMs) {
+        double ignoredUntilMs =
                 Math.max(
-                        server.ownFindingAtMs + server.distrustMs,
+                        server.ownObservationAtMs + server.recoveryDelayMs,
                         server.ownerReportedUnhealthyAtMs);
         if ((server.unhealthy || server.reportedUnhealthy)
-                && foundAtMs > unhealthyUntilMs
-                && foundAtMs > server.reportedHealthyAtMs + MIN_RECOVERY_GAP_MS) {
-            server.reportedHealthyAtMs = foundAtMs;
+                && observedAtMs > ignoredUntilMs
+                && observedAtMs > server.reportedHealthyAtMs + MIN_RECOVERY_REPORT_GAP_MS) {
+            server.reportedHealthyAtMs = observedAtMs;
             server.returnAtMs = nowMs + RETURN_JITTER_MS * random.nextDouble();
         }
     }
@@ -164,8 +164,8 @@
      * owner reports or this gateway has observed the server itself.
      */
     private double probeIntervalMs(ProbedServer server) {
-        double lastFindingAtMs = Math.max(server.ownerReportAtMs, server.ownFindingAtMs);
-        if (nowMs - lastFindingAtMs < OWNER_TIMEOUT_MS) {
+        double lastObservationAtMs = Math.max(server.ownerReportAtMs, server.ownObservationAtMs);
+        if (nowMs - lastObservationAtMs < OWNER_TIMEOUT_MS) {
             return MAX_PROBE_INTERVAL_MS;
         }
         double growing = (nowMs - server.waitStartedAtMs) / 2;
@@ -185,29 +185,29 @@
      * To be called when this gateway found a server unhealthy or healthy. The latter matters only
      * for servers that some gateway found unhealthy before.
      */
-    public void serverHealthChanged(Server found, boolean unhealthy) {
-        int hash = hashOf(found);
+    public void serverHealthChanged(Server target, boolean unhealthy) {
+        int hash = hashOf(target);
         ProbedServer server = unhealthy ? getOrAdd(hash) : servers.get(hash);
         if (server == null) {
             return;
         }
         if (unhealthy) {
-            distrustWrongRecovery(server);
+            extendRecoveryDelay(server);
             if (!server.unhealthy) {
                 drawNextProbe(server, nowMs);
             }
         } else {
-            server.distrustMs = ProbedServer.MIN_DISTRUST_MS;
+            server.recoveryDelayMs = ProbedServer.MIN_RECOVERY_DELAY_MS;
         }
         server.unhealthy = unhealthy;
-        server.ownFindingAtMs = nowMs;
+        server.ownObservationAtMs = nowMs;
         server.updatedAtMs = nowMs;
     }
 
-    private void distrustWrongRecovery(ProbedServer server) {
-        if (server.reportedHealthyAtMs > server.ownFindingAtMs
+    private void extendRecoveryDelay(ProbedServer server) {
+        if (server.reportedHealthyAtMs > server.ownObservationAtMs
                 && nowMs - server.reportedHealthyAtMs < OWNER_TIMEOUT_MS) {
-            server.distrustMs = Math.min(2 * server.distrustMs, MAX_PROBE_INTERVAL_MS);
+            server.recoveryDelayMs = Math.min(2 * server.recoveryDelayMs, MAX_PROBE_INTERVAL_MS);
         }
     }
 
@@ -231,37 +231,39 @@
         if (server == null || membership == null || membership.aliveCount() <= 1) {
             return true;
         }
-        return !isAvoided(server) || ownerOf(server) == own.gateway() || server.isProbeDue();
+        return !isAvoided(server) || ownerOf(server) == self.gateway() || server.isProbeDue();
     }
 
     private boolean isAvoided(ProbedServer server) {
         if (server.unhealthy) {
-            boolean recovered = server.reportedHealthyAtMs > server.ownFindingAtMs;
+            boolean recovered = server.reportedHealthyAtMs > server.ownObservationAtMs;
             return !(recovered && nowMs >= server.returnAtMs);
         }
         return (server.reportedUnhealthy || nowMs < server.returnAtMs)
-                && nowMs - server.ownFindingAtMs > OWN_FINDING_TRUST_MS;
+                && nowMs - server.ownObservationAtMs > OWN_OBSERVATION_PRECEDENCE_MS;
     }
 
     /**
      * Writes this gateway's own observations into its record, in rotation if they don't all fit.
      */
     public void writeTo(GossipRecord record) {
-        List<ProbedServer> found = new ArrayList<>();
+        List<ProbedServer> observed = new ArrayList<>();
         for (ProbedServer server : servers.values()) {
             double reportedForMs = server.unhealthy ? EXPIRY_MS : OWNER_TIMEOUT_MS;
-            if (nowMs - server.ownFindingAtMs < reportedForMs) {
-                found.add(server);
+            if (nowMs - server.ownObservationAtMs < reportedForMs) {
+                observed.add(server);
             }
         }
-        for (int i = 0; i < Math.min(GossipRecord.MAX_SERVERS, found.size()); i++) {
-            ProbedServer server = found.get(Math.floorMod(firstReported + i, found.size()));
+        for (int i = 0; i < Math.min(GossipRecord.MAX_SERVERS, observed.size()); i++) {
+            ProbedServer server = observed.get(Math.floorMod(reportOffset + i, observed.size()));
             record.serverHealth.add(
                     new GossipRecord.ServerHealth(
-                            server.serverHash, server.unhealthy, nowMs - server.ownFindingAtMs));
+                            server.serverHash,
+                            server.unhealthy,
+                            nowMs - server.ownObservationAtMs));
         }
-        boolean allFit = found.size() <= GossipRecord.MAX_SERVERS;
-        firstReported = allFit ? 0 : firstReported + GossipRecord.MAX_SERVERS;
+        boolean allFit = observed.size() <= GossipRecord.MAX_SERVERS;
+        reportOffset = allFit ? 0 : reportOffset + GossipRecord.MAX_SERVERS;
     }
 
     /** Returns the owner, computed once per update because that takes a hash per gateway. */
--- a/fleet/src/main/java/tinford/fleet/overload/ProbedServer.java
+++ b/fleet/src/main/java/tinford/fleet/overload/ProbedServer.java
@@ -6,7 +6,7 @@
      * The initial delay after this gateway's own observation before which reports of recovery are
      * ignored.
      */
-    static final double MIN_DISTRUST_MS = 250;
+    static final double MIN_RECOVERY_DELAY_MS = 250;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
@@ -18,7 +18,7 @@
     /** By the reports of the peers. */
     boolean reportedUnhealthy;
 
-    double ownFindingAtMs = NEVER;
+    double ownObservationAtMs = NEVER;
     double ownerReportedUnhealthyAtMs = NEVER;
     double ownerReportAtMs = NEVER;
 
@@ -29,7 +29,7 @@
     double returnAtMs;
 
     /** Doubles with each report of recovery that proves false. */
-    double distrustMs = MIN_DISTRUST_MS;
+    double recoveryDelayMs = MIN_RECOVERY_DELAY_MS;
 
     double updatedAtMs;
 
--- a/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
+++ b/fleet/src/main/java/tinford/fleet/overload/RetryBudget.java
@@ -106,7 +106,7 @@
     }
 
     /** Receives what the peers ceded by their records, and cedes this gateway's surplus. */
-    public void update(double nowMs, Incarnation own, Membership membership) {
+    public void update(double nowMs, Incarnation self, Membership membership) {
         double stepMs =
                 updatedAtMs < 0 ? 0 : Math.max(0, Math.min(nowMs - updatedAtMs, MAX_STEP_MS));
         updatedAtMs = nowMs;
@@ -115,12 +115,12 @@
         double median = medianFirstAttempts(membership);
         double newCredit = 2 * retryRatio * median * stepMs / MS_PER_SECOND;
         for (GossipRecord record : membership.freshRecords()) {
-            boolean isOwn = record.incarnation.gateway() == own.gateway();
-            if (!isOwn && own.equals(record.retriesCededTo)) {
+            boolean isOwn = record.incarnation.gateway() == self.gateway();
+            if (!isOwn && self.equals(record.retriesCededTo)) {
                 receive(record, newCredit);
             }
         }
-        chooseReceiver(nowMs, own, membership);
+        chooseReceiver(nowMs, self, membership);
         if (receiver != null) {
             receiver.total += surplus;
         }
@@ -150,9 +150,9 @@
     }
 
     /** Writes what was ceded into this gateway's record. */
-    public void writeTo(GossipRecord own) {
-        own.retriesCededTo = receiver == null ? null : receiver.peer;
-        own.retriesCeded = receiver == null ? 0 : receiver.total;
+    public void writeTo(GossipRecord record) {
+        record.retriesCededTo = receiver == null ? null : receiver.peer;
+        record.retriesCeded = receiver == null ? 0 : receiver.total;
     }
 
     /**
@@ -187,7 +187,7 @@
      * Chooses a receiver at random, in proportion to the failures that the gateway's own budget
      * does not cover.
      */
-    private void chooseReceiver(double nowMs, Incarnation own, Membership membership) {
+    private void chooseReceiver(double nowMs, Incarnation self, Membership membership) {
         if (nowMs - receiverChosenAtMs < RECEIVER_INTERVAL_MS) {
             return;
         }
@@ -196,7 +196,7 @@
         double total = 0;
         for (GossipRecord record : membership.freshRecords()) {
             double need = need(record);
-            if (record.incarnation.gateway() == own.gateway() || need <= 0) {
+            if (record.incarnation.gateway() == self.gateway() || need <= 0) {
                 continue;
             }
             total += need;
--- a/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
@@ -43,7 +43,7 @@
 
     @Override
     public void apply(long index, byte[] entry) {
-        if (entry.length > 0 && entry[0] == MigrationEntry.MARK) {
+        if (entry.length > 0 && entry[0] == MigrationEntry.MAGIC_BYTE) {
             migration.observeTime(leases.logTimeMs());
             migration.apply(index, entry);
         } else {
--- a/fleet/src/main/java/tinford/fleet/run/MigrationCommands.java
+++ b/fleet/src/main/java/tinford/fleet/run/MigrationCommands.java
@@ -82,7 +82,7 @@
         return switch (verb) {
             case "halt" -> MigrationEntry.halt(operator, nowMs);
             case "resume" -> MigrationEntry.resume(operator, nowMs, state.haltCount());
-            case "back" -> MigrationEntry.back(operator, nowMs);
+            case "back" -> MigrationEntry.revert(operator, nowMs);
             default -> null;
         };
     }
--- a/fleet/src/main/java/tinford/fleet/run/MigrationCoordinator.java
+++ b/fleet/src/main/java/tinford/fleet/run/MigrationCoordinator.java
@@ -106,7 +106,7 @@
         lastProposalMs = nowMs;
         int nextStep = status.stepIndex() + (isReverting ? -1 : 1);
         double[] warmUnits = warmCapacity.unitsPerSecond(status.plan(), nowMs);
-        log.accept(MigrationEntry.go(nowMs, status.epoch(), nextStep, warmUnits).encode());
+        log.accept(MigrationEntry.proposeStep(nowMs, status.epoch(), nextStep, warmUnits).encode());
     }
 
     /** Submits an operator's command; see {@link MigrationCommands#submit}. */
--- a/fleet/src/test/java/tinford/fleet/budget/BudgetFairnessTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/BudgetFairnessTest.java
@@ -16,19 +16,21 @@
             a -> new GrantProposer.Plan(1 + (int) (a % 4), a % 3 == 0 ? 2 : 0, 40);
 
     /** Maximum time for an entry to be proposed, committed and applied. */
-    private static final double LOG = 50 + SimulatedBudgetFleet.STEP_MS;
+    private static final double LOG_LATENCY_MS = 50 + SimulatedBudgetFleet.STEP_MS;
 
     /**
      * Time within which an increase of demand is granted: a demand report, a proposal that reduces
      * other grants, the report that the connections were released once their requests are answered,
      * and a second proposal. Each takes an interval and the latency of the log.
      */
-    static final double UP =
-            4 * (SimulatedBudgetFleet.INTERVAL_MS + LOG) + SimulatedBudgetFleet.SERVICE_MS;
+    static final double INCREASE_TIME_MS =
+            4 * (SimulatedBudgetFleet.INTERVAL_MS + LOG_LATENCY_MS)
+                    + SimulatedBudgetFleet.SERVICE_MS;
 
     /** Time within which a decrease of demand, which is reported later, has taken effect. */
-    static final double DOWN =
-            UP + 2 * (SimulatedBudgetFleet.RETENTION_MS + SimulatedBudgetFleet.INTERVAL_MS);
+    static final double DECREASE_TIME_MS =
+            INCREASE_TIME_MS
+                    + 2 * (SimulatedBudgetFleet.RETENTION_MS + SimulatedBudgetFleet.INTERVAL_MS);
 
     private static SimulatedBudgetFleet fleet(
             int seed, int size, int servers, int capacity, double staticPart) {
@@ -42,12 +44,12 @@
         return fleet;
     }
 
-    private static int[] exact(SimulatedBudgetFleet fleet, int accounts) {
+    private static int[] exactAllocation(SimulatedBudgetFleet fleet, int accounts) {
         int[][] inputs = new int[3][accounts];
         for (int account = 0; account < accounts; account++) {
             long id = account;
             inputs[0][account] = PLANS.apply(account).weight();
-            inputs[1][account] = PLANS.apply(account).floor();
+            inputs[1][account] = PLANS.apply(account).minimumShare();
             inputs[2][account] =
                     Math.min(
                             40,
@@ -62,7 +64,7 @@
                 inputs[2]);
     }
 
-    private static int off(SimulatedBudgetFleet fleet, int[] exact) {
+    private static int shortfall(SimulatedBudgetFleet fleet, int[] exact) {
         int shortfall = 0;
         for (int account = 0; account < exact.length; account++) {
             shortfall =
@@ -103,21 +105,21 @@
                     }
                 }
                 if (change == 3) {
-                    fleet.offer("s0", 1 + random.nextInt(25), 2);
+                    fleet.offerCapacity("s0", 1 + random.nextInt(25), 2);
                 }
-                int[] exact = exact(fleet, 8);
+                int[] exact = exactAllocation(fleet, 8);
                 double start = fleet.nowMs;
                 double reached = start;
                 double used = 0;
                 int steps = 0;
-                while (fleet.nowMs < start + DOWN + 2000) {
+                while (fleet.nowMs < start + DECREASE_TIME_MS + 2000) {
                     fleet.step();
                     fleet.nowMs += SimulatedBudgetFleet.STEP_MS;
-                    int shortfall = off(fleet, exact);
+                    int shortfall = shortfall(fleet, exact);
                     if (shortfall > 0) {
                         reached = fleet.nowMs;
                     }
-                    if (fleet.nowMs > start + DOWN) {
+                    if (fleet.nowMs > start + DECREASE_TIME_MS) {
                         steps++;
                         for (long account = 0; account < 8; account++) {
                             used += fleet.attemptsInFlight(account);
@@ -125,7 +127,7 @@
                     }
                 }
                 assertTrue(
-                        reached - start <= DOWN,
+                        reached - start <= DECREASE_TIME_MS,
                         "history "
                                 + seed
                                 + ", change "
@@ -136,13 +138,13 @@
                 int sum = java.util.Arrays.stream(exact).sum();
                 minUse = Math.min(minUse, sum == 0 ? 1 : used / steps / sum);
             }
-            assertTrue(fleet.worstExcess <= 0);
+            assertTrue(fleet.maxExcess <= 0);
         }
         assertTrue(minUse > 0.95, "share of the allocation in use: " + minUse);
     }
 
     @Test
-    public void grantsAFloorWithinTheStatedTimeWhileOthersHoldAll() {
+    public void grantsAMinimumShareWithinTheStatedTimeWhileOthersHoldAll() {
         SimulatedBudgetFleet fleet = fleet(1, 3, 2, 12, 0);
         for (SimulatedBudgetFleet.Gateway gateway : fleet.gateways) {
             gateway.demands.put(3L, 99);
@@ -153,12 +155,14 @@
         double start = fleet.nowMs;
         while (fleet.attemptsInFlight(0) < 2) {
             fleet.run(SimulatedBudgetFleet.STEP_MS);
-            assertTrue(fleet.nowMs - start <= UP, "minimum share not reached after " + UP + " ms");
+            assertTrue(
+                    fleet.nowMs - start <= INCREASE_TIME_MS,
+                    "minimum share not reached after " + INCREASE_TIME_MS + " ms");
         }
     }
 
     @Test
-    public void changingDemandDoesNotMoveGrants() {
+    public void changingDemandDoesNotChangeGrants() {
         SimulatedBudgetFleet fleet = fleet(2, 3, 3, 10, 0.2);
         for (int round = 0; round < 20; round++) {
             fleet.gateways.get(0).demands.put(1L, 9);
@@ -187,14 +191,14 @@
                 SimulatedBudgetFleet.LEASE_MS
                         + 2 * SimulatedBudgetFleet.CLOCK_SKEW_MS
                         + SimulatedBudgetFleet.LINGER_MS
-                        + UP;
+                        + INCREASE_TIME_MS;
         while (fleet.attemptsInFlight(7) < 18) {
             fleet.run(SimulatedBudgetFleet.STEP_MS);
             assertTrue(
                     fleet.nowMs - start <= maxMs,
                     "grants of the dead gateway not released after " + maxMs + " ms");
         }
-        assertTrue(fleet.worstExcess <= 0);
+        assertTrue(fleet.maxExcess <= 0);
     }
 
     @Test
@@ -241,7 +245,7 @@
             fleet.gateways.get(gateway).demands.put(1L + gateway * 2_000L, 5);
         }
         fleet.run(5000);
-        assertTrue(fleet.worstExcess <= 0);
+        assertTrue(fleet.maxExcess <= 0);
         assertEquals(
                 fleet.gateways.stream()
                         .mapToInt(gateway -> gateway.budget.connectionLimit("s0", fleet.nowMs))
@@ -257,8 +261,8 @@
         fleet.run(6000);
         assertEquals(fleet.granted(3), 10);
         assertEquals(fleet.granted(7), 10);
-        fleet.offer("s0", 4, 9);
-        fleet.run(DOWN);
+        fleet.offerCapacity("s0", 4, 9);
+        fleet.run(DECREASE_TIME_MS);
         assertEquals(fleet.granted(3) + fleet.granted(7), 14);
         assertTrue(
                 fleet.openConnections("s0") <= 4,
--- a/fleet/src/test/java/tinford/fleet/budget/BudgetHistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/BudgetHistoriesTest.java
@@ -21,11 +21,11 @@
      * Runs a random history; returns the highest number of connections by which a capacity was
      * exceeded, or, negative, the lowest number that was free.
      */
-    private static int play(int seed, String defect) {
-        return history(seed, defect).worstExcess;
+    private static int maxExcess(int seed, String defect) {
+        return runHistory(seed, defect).maxExcess;
     }
 
-    private static SimulatedBudgetFleet history(int seed, String defect) {
+    private static SimulatedBudgetFleet runHistory(int seed, String defect) {
         Random random = new Random(seed * 31L);
         int size = 2 + random.nextInt(4);
         Map<String, Integer> capacities = new LinkedHashMap<>();
@@ -56,7 +56,7 @@
                                                 SimulatedBudgetFleet.INTERVAL_MS,
                                                 SimulatedBudgetFleet.RETENTION_MS,
                                                 staticFromMs));
-        fleet.faults = true;
+        fleet.injectsFaults = true;
         for (int round = 0; round < 12; round++) {
             for (SimulatedBudgetFleet.Gateway gateway : fleet.gateways) {
                 gateway.demands.clear();
@@ -68,7 +68,7 @@
             }
             if (random.nextInt(4) == 0) {
                 String server = "s" + random.nextInt(capacities.size());
-                fleet.offer(
+                fleet.offerCapacity(
                         server,
                         Math.max(
                                 (int) (capacities.get(server) * staticPart) + 1,
@@ -83,9 +83,9 @@
     private static BudgetLedger ledger(int size, StaticShares staticShares, String defect) {
         return new BudgetLedger(SimulatedBudgetFleet.leases(size), staticShares) {
             @Override
-            boolean hasRoom(Incarnation incarnation, int server, int more) {
+            boolean hasCapacity(Incarnation incarnation, int server, int more) {
                 return defect.equals("capacity not checked")
-                        || super.hasRoom(incarnation, server, more);
+                        || super.hasCapacity(incarnation, server, more);
             }
 
             @Override
@@ -96,15 +96,15 @@
             }
 
             @Override
-            boolean isGone(Incarnation incarnation) {
+            boolean isReleased(Incarnation incarnation) {
                 return switch (defect) {
                     case "linger time ignored" ->
-                            super.isGone(incarnation) || !leases().mayAct(incarnation);
+                            super.isReleased(incarnation) || !leases().mayAct(incarnation);
                     case "later incarnation releases grants of an earlier one" ->
-                            super.isGone(incarnation)
+                            super.isReleased(incarnation)
                                     || leases().of(incarnation.gateway()).stream()
                                             .anyMatch(other -> other.start() > incarnation.start());
-                    default -> super.isGone(incarnation);
+                    default -> super.isReleased(incarnation);
                 };
             }
         };
@@ -123,7 +123,7 @@
     private static void checkCapacities(int firstSeed, int endSeed) {
         int historiesAtCapacity = 0;
         for (int seed = firstSeed; seed < endSeed; seed++) {
-            int excess = play(seed, "");
+            int excess = maxExcess(seed, "");
             assertTrue(excess <= 0, "history " + seed + ": capacity exceeded by " + excess);
             historiesAtCapacity += excess == 0 ? 1 : 0;
         }
@@ -131,8 +131,8 @@
     }
 
     @Test
-    public void restoresASnapshotOfAnyPointAndIgnoresGarbage() {
-        SimulatedBudgetFleet fleet = history(3, "");
+    public void restoresASnapshotOfAnyPointAndIgnoresMalformedEntries() {
+        SimulatedBudgetFleet fleet = runHistory(3, "");
         BudgetLedger continuous =
                 new BudgetLedger(
                         SimulatedBudgetFleet.leases(fleet.gateways.size()), fleet.staticShares);
@@ -199,7 +199,7 @@
     @Test(dataProvider = "defects")
     public void detectsEachDeliberateDefect(String defect) {
         for (int seed = 0; seed < 40; seed++) {
-            if (play(seed, defect) > 0) {
+            if (maxExcess(seed, defect) > 0) {
                 return;
             }
         }
--- a/fleet/src/test/java/tinford/fleet/budget/SimulatedBudgetFleet.java
+++ b/fleet/src/test/java/tinford/fleet/budget/SimulatedBudgetFleet.java
@@ -47,7 +47,7 @@
         final Map<Long, Integer> demands = new TreeMap<>();
         int applied;
         double pausedUntilMs;
-        double cutUntilMs;
+        double partitionedUntilMs;
         double deadUntilMs;
 
         Gateway(int number, double clockOffsetMs) {
@@ -57,11 +57,11 @@
         }
 
         void start(double lingerMs) {
-            ledger = ledgers.apply(staticShares);
+            ledger = ledgerFactory.apply(staticShares);
             applied = 0;
             double ownNowMs = nowMs + clockOffsetMs;
             budget =
-                    shares.make(
+                    budgetFactory.create(
                             ledger, new Incarnation(number, (long) ownNowMs), ownNowMs + lingerMs);
             proposer = new GrantProposer(plans, INTERVAL_MS);
             // Half of the gateways that restart restore a snapshot of another gateway.
@@ -72,13 +72,13 @@
             }
         }
 
-        boolean runs() {
+        boolean isRunning() {
             return nowMs >= pausedUntilMs && nowMs >= deadUntilMs;
         }
     }
 
     interface BudgetFactory {
-        LocalBudget make(BudgetLedger ledger, Incarnation incarnation, double staticFromMs);
+        LocalBudget create(BudgetLedger ledger, Incarnation incarnation, double staticFromMs);
     }
 
     final Random random;
@@ -96,38 +96,40 @@
     private final TreeMap<Double, List<byte[]>> pendingEntries = new TreeMap<>();
     final StaticShares staticShares;
     final LongFunction<GrantProposer.Plan> plans;
-    Function<StaticShares, BudgetLedger> ledgers;
-    BudgetFactory shares;
-    boolean faults;
+    Function<StaticShares, BudgetLedger> ledgerFactory;
+    BudgetFactory budgetFactory;
+    boolean injectsFaults;
     double nowMs = 1_000_000;
     double noMajorityUntilMs;
     int leader;
     int staleLeader;
     long appended;
-    int worstExcess = Integer.MIN_VALUE;
+    int maxExcess = Integer.MIN_VALUE;
     double used;
     double couldUse;
 
     SimulatedBudgetFleet(
             long seed,
             int size,
-            Map<String, Integer> offers,
+            Map<String, Integer> capacities,
             double staticPart,
             LongFunction<GrantProposer.Plan> plans,
-            Function<StaticShares, BudgetLedger> ledgers,
-            BudgetFactory shares) {
+            Function<StaticShares, BudgetLedger> ledgerFactory,
+            BudgetFactory budgetFactory) {
         random = new Random(seed);
-        this.capacities.putAll(offers);
+        this.capacities.putAll(capacities);
         this.plans = plans;
-        staticShares = new StaticShares(offers, staticPart, size);
-        this.ledgers =
-                ledgers != null ? ledgers : allShares -> new BudgetLedger(leases(size), allShares);
-        this.shares = shares != null ? shares : this::share;
+        staticShares = new StaticShares(capacities, staticPart, size);
+        this.ledgerFactory =
+                ledgerFactory != null
+                        ? ledgerFactory
+                        : allShares -> new BudgetLedger(leases(size), allShares);
+        this.budgetFactory = budgetFactory != null ? budgetFactory : this::newLocalBudget;
         for (int gateway = 0; gateway < size; gateway++) {
             gateways.add(
                     new Gateway(gateway, size == 1 ? 0 : (gateway % 3 - 1) * CLOCK_SKEW_MS / 2));
         }
-        offers.forEach(
+        capacities.forEach(
                 (server, capacity) ->
                         log.add(
                                 new LedgerEntry.CapacityOffer(server, 1, capacity, nowMs)
@@ -138,7 +140,7 @@
         return new LeaseTable(size, LEASE_MS, CLOCK_SKEW_MS, LINGER_MS);
     }
 
-    LocalBudget share(BudgetLedger ledger, Incarnation incarnation, double staticFromMs) {
+    LocalBudget newLocalBudget(BudgetLedger ledger, Incarnation incarnation, double staticFromMs) {
         return new LocalBudget(
                 ledger,
                 staticShares,
@@ -151,7 +153,7 @@
                 staticFromMs);
     }
 
-    void offer(String server, int capacity, long start) {
+    void offerCapacity(String server, int capacity, long start) {
         double[] recent = recentCapacities.computeIfAbsent(server, s -> new double[2]);
         if (capacity < capacities.get(server)) {
             recent[0] = Math.max(nowMs < recent[1] ? recent[0] : 0, capacities.get(server));
@@ -165,12 +167,12 @@
         appended++;
         boolean lost =
                 nowMs < noMajorityUntilMs
-                        || nowMs < from.cutUntilMs
-                        || faults && random.nextInt(12) == 0;
-        if (!lost || faults && random.nextInt(8) == 0) {
-            boolean late = faults && random.nextInt(12) == 0;
+                        || nowMs < from.partitionedUntilMs
+                        || injectsFaults && random.nextInt(12) == 0;
+        if (!lost || injectsFaults && random.nextInt(8) == 0) {
+            boolean late = injectsFaults && random.nextInt(12) == 0;
             schedule(entry, late || lost ? 200 + random.nextInt(4000) : 5 + random.nextInt(40));
-            if (faults && random.nextInt(12) == 0) {
+            if (injectsFaults && random.nextInt(12) == 0) {
                 schedule(entry, random.nextInt(5000));
             }
         }
@@ -180,12 +182,12 @@
         pendingEntries.computeIfAbsent(nowMs + delayMs, key -> new ArrayList<>()).add(entry);
     }
 
-    private void fault() {
+    private void injectFault() {
         Gateway gateway = gateways.get(random.nextInt(gateways.size()));
         double durationMs = 100 + random.nextInt(9000);
         switch (random.nextInt(8)) {
             case 0, 1 -> gateway.pausedUntilMs = nowMs + durationMs;
-            case 2, 3 -> gateway.cutUntilMs = nowMs + durationMs;
+            case 2, 3 -> gateway.partitionedUntilMs = nowMs + durationMs;
             case 4 -> {
                 orphanedConnections.addAll(gateway.connections);
                 gateway.connections.clear();
@@ -194,7 +196,7 @@
                 gateway.ledger = null;
             }
             case 5 -> noMajorityUntilMs = nowMs + durationMs / 2;
-            case 6 -> appendWrongGrant(gateway);
+            case 6 -> appendFaultyGrant(gateway);
             default -> {
                 staleLeader = leader;
                 leader = gateway.number;
@@ -203,7 +205,7 @@
     }
 
     /** A faulty leader grants far too much, by the latest state of the ledger. */
-    private void appendWrongGrant(Gateway gateway) {
+    private void appendFaultyGrant(Gateway gateway) {
         if (gateway.ledger != null && !gateway.ledger.table.holders.isEmpty()) {
             List<LedgerEntry.GrantLine> lines = new ArrayList<>();
             for (Incarnation incarnation : gateway.ledger.table.holders.keySet()) {
@@ -227,8 +229,8 @@
     }
 
     void step() {
-        if (faults && random.nextInt(60) == 0) {
-            fault();
+        if (injectsFaults && random.nextInt(60) == 0) {
+            injectFault();
         }
         while (nowMs >= noMajorityUntilMs
                 && !pendingEntries.isEmpty()
@@ -249,7 +251,7 @@
             if (gateway.ledger == null && nowMs >= gateway.deadUntilMs) {
                 gateway.start(LINGER_MS);
             }
-            if (gateway.runs()) {
+            if (gateway.isRunning()) {
                 run(gateway);
             } else {
                 gateway.connections.removeIf(
@@ -268,12 +270,12 @@
                     recent != null && nowMs < recent[1]
                             ? (int) Math.max(entry.getValue(), recent[0])
                             : entry.getValue();
-            worstExcess = Math.max(worstExcess, openConnections(entry.getKey()) - capacity);
+            maxExcess = Math.max(maxExcess, openConnections(entry.getKey()) - capacity);
         }
     }
 
     private boolean mayLead(Gateway gateway) {
-        return gateway.ledger != null && gateway.runs() && nowMs >= gateway.cutUntilMs;
+        return gateway.ledger != null && gateway.isRunning() && nowMs >= gateway.partitionedUntilMs;
     }
 
     int openConnections(String server) {
@@ -294,9 +296,9 @@
 
     private void run(Gateway gateway) {
         double ownNowMs = nowMs + gateway.clockOffsetMs;
-        if (nowMs >= gateway.cutUntilMs && nowMs >= noMajorityUntilMs) {
+        if (nowMs >= gateway.partitionedUntilMs && nowMs >= noMajorityUntilMs) {
             // A member may apply entries late.
-            int lastIndex = faults && random.nextInt(3) == 0 ? gateway.applied : log.size();
+            int lastIndex = injectsFaults && random.nextInt(3) == 0 ? gateway.applied : log.size();
             for (; gateway.applied < lastIndex; gateway.applied++) {
                 gateway.ledger.apply(gateway.applied + 1, log.get(gateway.applied));
             }
@@ -353,7 +355,7 @@
                     }
                 });
         gateway.budget.nextEntries(ownNowMs).forEach(entry -> append(gateway, entry));
-        if (gateway.number == leader || faults && gateway.number == staleLeader) {
+        if (gateway.number == leader || injectsFaults && gateway.number == staleLeader) {
             byte[] entry = gateway.proposer.propose(gateway.ledger, ownNowMs);
             if (entry != null) {
                 append(gateway, entry);
--- a/fleet/src/test/java/tinford/fleet/migration/MigrationPlanTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationPlanTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    public void aDependencyMovesWholeBeforeItsDependent() {
+    public void aDependencyMovesCompletelyBeforeItsDependent() {
         MigrationPlan plan = reader().read("f", VALID_PLAN);
         assertEquals(
                 plan.steps.size(),
@@ -141,7 +141,7 @@
     }
 
     @Test(dataProvider = "invalidPlans")
-    public void rejectsAnInvalidPlanWithItsPlace(
+    public void reportsTheLineOfAnInvalidPlan(
             String valid, String replacement, String expectedError) {
         int begin = VALID_PLAN.indexOf(valid);
         String text =
--- a/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
@@ -15,10 +15,10 @@
 /** The transitions of a migration by entries of the log, and the routing without a lease. */
 public class MigrationStateTest {
     private static final Incarnation GATEWAY = new Incarnation(1, 5);
-    private static final Map<String, String> HOMES = Map.of("web", "a", "store", "a");
+    private static final Map<String, String> HOME_GROUPS = Map.of("web", "a", "store", "a");
 
     private static MigrationState newState() {
-        return new MigrationState(HOMES, since -> List.of(GATEWAY), 0);
+        return new MigrationState(HOME_GROUPS, since -> List.of(GATEWAY), 0);
     }
 
     private static MigrationEntry begin() {
@@ -32,7 +32,7 @@
      * warm capacity, &lt; proposes the previous step, h halts, r resumes, o resumes an earlier
      * halt, x reverts, ! reports failures.
      */
-    private static void play(MigrationState state, String letters, double[] nowMs) {
+    private static void applyEntries(MigrationState state, String letters, double[] nowMs) {
         for (char letter : letters.toCharArray()) {
             nowMs[0] += 10_000;
             MigrationStatus status = state.status();
@@ -42,19 +42,21 @@
                         case 'a' -> MigrationEntry.ack(GATEWAY, status.epoch(), nowMs[0]);
                         case 'A' -> MigrationEntry.ack(GATEWAY, status.epoch() - 1, nowMs[0]);
                         case 'g' ->
-                                MigrationEntry.go(
+                                MigrationEntry.proposeStep(
                                         nowMs[0], status.epoch(), status.stepIndex() + 1, 20);
                         case 'G' ->
-                                MigrationEntry.go(
+                                MigrationEntry.proposeStep(
                                         nowMs[0], status.epoch(), status.stepIndex() + 2, 20);
                         case 'c' ->
-                                MigrationEntry.go(nowMs[0], status.epoch(), status.stepIndex() + 1);
+                                MigrationEntry.proposeStep(
+                                        nowMs[0], status.epoch(), status.stepIndex() + 1);
                         case '<' ->
-                                MigrationEntry.go(nowMs[0], status.epoch(), status.stepIndex() - 1);
+                                MigrationEntry.proposeStep(
+                                        nowMs[0], status.epoch(), status.stepIndex() - 1);
                         case 'h' -> MigrationEntry.halt("o", nowMs[0]);
                         case 'r' -> MigrationEntry.resume("o", nowMs[0], state.haltCount());
                         case 'o' -> MigrationEntry.resume("o", nowMs[0], state.haltCount() - 1);
-                        case 'x' -> MigrationEntry.back("o", nowMs[0]);
+                        case 'x' -> MigrationEntry.revert("o", nowMs[0]);
                         default ->
                                 MigrationEntry.report(
                                         GATEWAY,
@@ -113,7 +115,7 @@
     @Test(dataProvider = "transitions")
     public void appliesEntriesByTheTableOfTransitions(String letters, String expected) {
         MigrationState state = newState();
-        play(state, letters, new double[1]);
+        applyEntries(state, letters, new double[1]);
         assertEquals(
                 state.status().state() + " " + state.status().stepIndex(),
                 expected,
@@ -121,7 +123,7 @@
     }
 
     @Test
-    public void staysTheSameOverSnapshotsAndIgnoresGarbageInRandomHistories() {
+    public void staysTheSameOverSnapshotsAndIgnoresMalformedEntriesInRandomHistories() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             MigrationState state = newState();
@@ -131,8 +133,8 @@
             for (int i = 0; i < 60; i++) {
                 String letter = "baaAgggGc<<hrrox!".charAt(random.nextInt(17)) + "";
                 MigrationStatus before = state.status();
-                play(state, letter, nowMs);
-                play(other, letter, otherNowMs);
+                applyEntries(state, letter, nowMs);
+                applyEntries(other, letter, otherNowMs);
                 assertTrue(
                         Math.abs(state.status().stepIndex() - before.stepIndex()) <= 1
                                 || letter.equals("b"),
@@ -162,7 +164,7 @@
         assertTrue(router.mayRoute("web", 1, false, "a", null, 99));
         assertFalse(router.mayRoute("web", 1, false, "b", null, 99));
         assertFalse(router.mayRoute("web", 1, false, "a", null, 100));
-        play(state, "b", new double[1]);
+        applyEntries(state, "b", new double[1]);
         router.update(state.status(), new Lease(GATEWAY, 100, 1), false);
         assertEquals(router.nextEntry(50).kind(), MigrationEntry.Kind.ACK);
         assertTrue(
--- a/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
@@ -49,7 +49,7 @@
     }
 
     @DataProvider
-    public Object[][] strains() {
+    public Object[][] fleetStates() {
         double infinity = Double.POSITIVE_INFINITY;
         return new Object[][] {
             // name, records, bounds of the threshold, bounds of the share
@@ -125,7 +125,7 @@
         };
     }
 
-    @Test(dataProvider = "strains")
+    @Test(dataProvider = "fleetStates")
     public void thresholdAdmitsByPriorityWeight(
             String name,
             GossipRecord[] records,
@@ -149,7 +149,7 @@
     }
 
     @Test
-    public void thresholdIsGoneTwoWindowsAfterItsCauseWhateverTheDemand() {
+    public void thresholdIsRemovedTwoWindowsAfterOverloadAtAnyDemand() {
         AdmissionThreshold admission = new AdmissionThreshold(WINDOW_MS);
         FixedMembership overloaded =
                 new FixedMembership(2)
@@ -197,7 +197,7 @@
      * single record, and the threshold stays within the weights of the requests.
      */
     @Test
-    public void oneLyingRecordChangesTotalsByItsBoundOnly() {
+    public void oneFaultyRecordChangesTotalsByItsBoundOnly() {
         Random random = new Random(5);
         for (int run = 0; run < 200; run++) {
             FixedMembership membership = new FixedMembership(10);
--- a/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/RetryBudgetTest.java
@@ -117,7 +117,7 @@
     }
 
     @Test
-    public void lyingGatewayCedesAtMostTwiceAMedianShare() {
+    public void faultyGatewayCedesAtMostTwiceAMedianShare() {
         RetryBudget budget = new RetryBudget(RETRY_RATIO, new Random(1));
         Incarnation own = new Incarnation(1, 1);
         double retries = 0;
--- a/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/FleetStateMachineTest.java
@@ -52,10 +52,10 @@
         machine.apply(
                 7,
                 new byte[] {
-                    MigrationEntry.MARK, 99, 1
+                    MigrationEntry.MAGIC_BYTE, 99, 1
                 }); // each entry of its own gives the migration the log's time
         byte[] migration = machine.migration.snapshot();
-        machine.apply(8, new byte[] {MigrationEntry.MARK, 99, 1});
+        machine.apply(8, new byte[] {MigrationEntry.MAGIC_BYTE, 99, 1});
         assertEquals(
                 machine.ledger.unknownEntries(), 0, "the ledger skips entries of the migration");
         assertEquals(machine.ledger.lastIndex(), 6);
--- a/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
@@ -143,11 +143,11 @@
             {"06-lease-leave", LeaseTable.departureEntry(SECOND, 10_040)},
             {"07-migration-begin", MigrationEntry.begin("ann", 10_050, plan()).encode()},
             {"08-migration-ack", MigrationEntry.ack(FIRST, 1, 10_060).encode()},
-            {"09-migration-go", MigrationEntry.go(10_500, 1, 1, 20).encode()},
+            {"09-migration-go", MigrationEntry.proposeStep(10_500, 1, 1, 20).encode()},
             {"10-migration-report", MigrationEntry.report(FIRST, 2, 10_510, 20, 1, 5, 0).encode()},
             {"11-migration-halt", MigrationEntry.halt("ann", 10_520).encode()},
             {"12-migration-resume", MigrationEntry.resume("ann", 10_530, 1).encode()},
-            {"13-migration-back", MigrationEntry.back("ann", 10_540).encode()},
+            {"13-migration-back", MigrationEntry.revert("ann", 10_540).encode()},
         };
     }
 
--- a/lab/src/main/java/tinford/lab/explore/Explorer.java
+++ b/lab/src/main/java/tinford/lab/explore/Explorer.java
@@ -131,11 +131,12 @@
     private void lead(MigrationModel model) {
         MigrationStatus status = model.moves.status();
         for (int to = status.stepIndex() - 2; to <= status.stepIndex() + 2; to++) {
-            MigrationEntry go = MigrationEntry.go(model.now, status.epoch(), to, ALL_WARM);
+            MigrationEntry go = MigrationEntry.proposeStep(model.now, status.epoch(), to, ALL_WARM);
             offer(model, go, "a leader: to step " + to, true);
         }
         int next = status.stepIndex() + 1;
-        MigrationEntry stale = MigrationEntry.go(model.now, status.epoch() - 1, next, ALL_WARM);
+        MigrationEntry stale =
+                MigrationEntry.proposeStep(model.now, status.epoch() - 1, next, ALL_WARM);
         offer(model, stale, "a stale leader: to step " + next, true);
     }
 
@@ -150,7 +151,7 @@
         if (halts < settings.maxHalts) {
             offer(model, MigrationEntry.halt("o", model.now), "halt", false);
         }
-        offer(model, MigrationEntry.back("o", model.now), "back", false);
+        offer(model, MigrationEntry.revert("o", model.now), "back", false);
     }
 
     /**
