--- a/fleet/src/test/java/tinford/fleet/budget/BudgetHistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/budget/BudgetHistoriesTest.java
@@ -100,7 +100,7 @@
                 return switch (defect) {
                     case "linger time ignored" ->
                             super.isReleased(incarnation) || !leases().mayAct(incarnation);
-                    case "later incarnation releases grants of an earlier one" ->
+                    case "grants of an earlier incarnation released by a later one" ->
                             super.isReleased(incarnation)
                                     || leases().of(incarnation.gateway()).stream()
                                             .anyMatch(other -> other.start() > incarnation.start());
@@ -192,7 +192,7 @@
             {"capacity not checked"},
             {"linger time ignored"},
             {"own clock ignored"},
-            {"later incarnation releases grants of an earlier one"}
+            {"grants of an earlier incarnation released by a later one"}
         };
     }
 
