--- a/fleet/src/main/java/tinford/fleet/budget/VarInts.java
+++ b/fleet/src/main/java/tinford/fleet/budget/VarInts.java
@@ -5,7 +5,10 @@
 import java.io.IOException;
 import tinford.fleet.membership.Incarnation;
 
-/** Whole numbers from 0 in 7 bits a byte, the lowest first; at most ten bytes. */
+/**
+ * Variable-length encoding of integers from 0: 7 bits per byte, the lowest first, at most ten
+ * bytes.
+ */
 final class VarInts {
     private static final int BITS_PER_BYTE = 7;
     private static final int VALUE_MASK = 0x7f;
@@ -13,7 +16,7 @@
 
     private VarInts() {}
 
-    static void put(DataOutput output, long value) throws IOException {
+    static void write(DataOutput output, long value) throws IOException {
         long rest = value;
         while ((rest & ~(long) VALUE_MASK) != 0) {
             output.writeByte((int) (rest & VALUE_MASK | CONTINUATION_BIT));
@@ -22,7 +25,7 @@
         output.writeByte((int) rest);
     }
 
-    static long take(DataInput input) throws IOException {
+    static long read(DataInput input) throws IOException {
         long value = 0;
         for (int shift = 0; shift < Long.SIZE; shift += BITS_PER_BYTE) {
             byte next = input.readByte();
@@ -31,26 +34,26 @@
                 return value;
             }
         }
-        throw new IOException("a whole number: longer than 10 bytes");
+        throw new IOException("variable-length integer: expected at most 10 bytes");
     }
 
     /**
-     * @throws IOException the number is not from 0 to {@code max}
+     * @throws IOException if the number is not from 0 to {@code max}
      */
-    static int takeCount(DataInput input, int max) throws IOException {
-        long value = take(input);
+    static int readCount(DataInput input, int max) throws IOException {
+        long value = read(input);
         if (value < 0 || value > max) {
-            throw new IOException("a count: " + value + ", expected 0 to " + max);
+            throw new IOException("count: expected 0 to " + max + ", got " + value);
         }
         return (int) value;
     }
 
-    static void put(DataOutput output, Incarnation incarnation) throws IOException {
-        put(output, incarnation.gateway());
-        put(output, incarnation.start());
+    static void write(DataOutput output, Incarnation incarnation) throws IOException {
+        write(output, incarnation.gateway());
+        write(output, incarnation.start());
     }
 
-    static Incarnation takeIncarnation(DataInput input) throws IOException {
-        return new Incarnation(takeCount(input, Integer.MAX_VALUE), take(input));
+    static Incarnation readIncarnation(DataInput input) throws IOException {
+        return new Incarnation(readCount(input, Integer.MAX_VALUE), read(input));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
+++ b/fleet/src/main/java/tinford/fleet/overload/AdmissionThreshold.java
@@ -5,81 +5,97 @@
 
 /**
  * The priority weight below which units are shed while the demand exceeds the capacity of the
- * servers. Every gateway computes it from the same gossip records.
+ * servers. Each gateway computes it independently from the gossip records.
  *
- * <p>The capacity is what the servers complete on time while they are strained. Each gateway
- * reports its estimate, and all move towards the median of the reported ones, so that gateways that
- * joined late or missed records arrive at the same threshold. Without strain the estimate grows,
- * slowly at first and then faster, until there is no threshold: whatever the demand, a threshold is
- * gone within two windows after its cause. Not thread-safe.
+ * <p>The capacity is estimated as the rate of units that the servers complete on time while they
+ * are overloaded. Each gateway reports its estimate, and all estimates converge to the median of
+ * the reported ones, so that gateways that joined late or missed records arrive at the same
+ * threshold. Once the servers are no longer overloaded, the estimate grows, slowly at first and
+ * then faster, until the threshold is removed: at any demand, a threshold is removed within two
+ * windows after the overload that caused it has ended. Not thread-safe.
  */
 public final class AdmissionThreshold {
     private static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
-    /** Mean queueing time that is no strain: bursts stay below it. */
-    private static final double USUAL_QUEUE_TIME_S = 0.05;
+    /** Mean queueing time without overload; ordinary bursts stay below it. */
+    private static final double NORMAL_QUEUE_TIME_S = 0.05;
 
-    /** A queue longer than usual by this many standard deviations is strain, not chance. */
+    /**
+     * A queue that is longer than normal by this many standard deviations indicates overload rather
+     * than random variation.
+     */
     private static final double QUEUE_STANDARD_DEVIATIONS = 3;
 
-    /** Strain must last this long before there is a threshold: a start or a burst is shorter. */
-    private static final double MIN_STRAIN_MS = 600;
+    /**
+     * How long overload must last before a threshold is set; the disturbance of a start or a burst
+     * is shorter.
+     */
+    private static final double MIN_OVERLOAD_MS = 600;
 
-    /** Share of attempts that are late or failed; above that of one unhealthy server in five. */
+    /**
+     * Share of late and failed attempts above which the servers count as overloaded. Higher than
+     * the share that one unhealthy server in five causes.
+     */
     private static final double MAX_FAILED_SHARE = 0.25;
 
-    /** Smooths the estimate over several updates, or a single bad one would set it. */
+    /** Smooths the estimate over several updates, so that no single measurement determines it. */
     private static final double CAPACITY_SMOOTHING_MS = 400;
 
-    /** Slower than the growth, which outdated records of the others would otherwise hold back. */
-    private static final double AGREEMENT_SMOOTHING_MS = 2000;
+    /**
+     * Time constant of the convergence to the median. Slower than the growth of the estimate, which
+     * outdated records of the peers would otherwise hold back.
+     */
+    private static final double MEDIAN_SMOOTHING_MS = 2000;
 
-    /** Capacity over demand from which there is no threshold: it would admit all but bursts. */
-    private static final double OPEN_CAPACITY_FACTOR = 1.1;
+    /**
+     * Ratio of capacity to demand above which the threshold is removed; it would shed only bursts.
+     */
+    private static final double REMOVAL_CAPACITY_RATIO = 1.1;
 
-    /** Longest time that one update accounts for. */
+    /** Longest time since the previous update that an update takes into account. */
     private static final double MAX_STEP_MS = 1000;
 
-    /** The growing estimate starts from at least this part of the demand. */
+    /** While it grows, the estimate is at least the demand divided by this. */
     private static final double MIN_CAPACITY_DIVISOR = 64;
 
     private static final double MIN_CAPACITY = 1e-9;
 
     private final double windowMs;
     private double capacity = UNLIMITED;
-    private double strainedForMs;
-    private double strainedAtMs;
+    private double overloadedForMs;
+    private double overloadedAtMs;
     private double updatedAtMs = -1;
-    private double openedAtMs = Double.NEGATIVE_INFINITY;
+    private double removedAtMs = Double.NEGATIVE_INFINITY;
     private double threshold;
     private double shareAtThreshold = 1;
     private double demand;
 
     /**
-     * @param windowMs without strain, a threshold is gone within two windows
+     * @param windowMs without overload, a threshold is removed within two windows
      */
     public AdmissionThreshold(double windowMs) {
         this.windowMs = windowMs;
     }
 
-    /** The priority weight below which nothing is admitted; 0 if all is. */
+    /** The priority weight below which nothing is admitted; 0 if everything is admitted. */
     public double threshold() {
         return threshold;
     }
 
-    /** The admitted share of the priority class that begins at the threshold. */
+    /** The admitted share of the priority class whose lower bound is the threshold. */
     public double shareAtThreshold() {
         return shareAtThreshold;
     }
 
     /**
-     * The estimated capacity of the servers in units per second, for the own record; 0 if unknown.
+     * The estimated capacity of the servers in units per second, as reported in this gateway's
+     * record; 0 if unknown.
      */
     public double capacity() {
         return capacity == UNLIMITED ? 0 : capacity;
     }
 
-    /** Demand over capacity; 0 without a threshold. */
+    /** Ratio of the demand to the capacity; 0 without a threshold. */
     public double demandToCapacity() {
         return capacity == UNLIMITED ? 0 : demand / Math.max(MIN_CAPACITY, capacity);
     }
@@ -95,12 +111,12 @@
             return;
         }
         FleetTotals totals = new FleetTotals(membership);
-        agree(membership, stepMs);
-        boolean strained = isStrained(totals);
-        double strainedForNowMs = strainedForMs + (strained ? stepMs : -stepMs);
-        strainedForMs = Math.max(0, Math.min(MIN_STRAIN_MS, strainedForNowMs));
-        if (strained && (capacity != UNLIMITED || strainedForMs >= MIN_STRAIN_MS)) {
-            strainedAtMs = nowMs;
+        moveTowardsMedian(membership, stepMs);
+        boolean overloaded = isOverloaded(totals);
+        double newOverloadedForMs = overloadedForMs + (overloaded ? stepMs : -stepMs);
+        overloadedForMs = Math.max(0, Math.min(MIN_OVERLOAD_MS, newOverloadedForMs));
+        if (overloaded && (capacity != UNLIMITED || overloadedForMs >= MIN_OVERLOAD_MS)) {
+            overloadedAtMs = nowMs;
             measureCapacity(totals, stepMs);
         } else if (capacity != UNLIMITED) {
             growCapacity(totals, stepMs);
@@ -108,19 +124,25 @@
         setThreshold(totals);
     }
 
-    /** The own record alone says nothing about the fleet. */
+    /**
+     * Whether no peer is alive, or no record of one is fresh: this gateway's own record alone says
+     * nothing about the fleet.
+     */
     private static boolean isAlone(Membership membership) {
         return membership.aliveCount() <= 1 || membership.freshRecords().size() < 2;
     }
 
-    private static boolean isStrained(FleetTotals totals) {
+    private static boolean isOverloaded(FleetTotals totals) {
         return totals.demand > 0 && (isQueueing(totals) || totals.failedShare > MAX_FAILED_SHARE);
     }
 
-    /** Depends on the admitted attempts: shedding shortens the queue, so it can't cause itself. */
+    /**
+     * Whether the admission queues are longer than the admitted attempts explain. Shedding shortens
+     * the queues, so a threshold can't keep itself in force.
+     */
     private static boolean isQueueing(FleetTotals totals) {
-        double usual = USUAL_QUEUE_TIME_S * totals.firstAttempts;
-        return totals.queued > usual + QUEUE_STANDARD_DEVIATIONS * Math.sqrt(Math.max(1, usual));
+        double normal = NORMAL_QUEUE_TIME_S * totals.firstAttempts;
+        return totals.queued > normal + QUEUE_STANDARD_DEVIATIONS * Math.sqrt(Math.max(1, normal));
     }
 
     private void measureCapacity(FleetTotals totals, double stepMs) {
@@ -134,27 +156,31 @@
     }
 
     private void growCapacity(FleetTotals totals, double stepMs) {
-        double calmMs = updatedAtMs - strainedAtMs;
-        double calmBeforeMs = Math.max(0, calmMs - stepMs);
-        double doublings = (calmMs * calmMs - calmBeforeMs * calmBeforeMs) / (windowMs * windowMs);
+        double sinceOverloadMs = updatedAtMs - overloadedAtMs;
+        double previousSinceOverloadMs = Math.max(0, sinceOverloadMs - stepMs);
+        double doublings =
+                (sinceOverloadMs * sinceOverloadMs
+                                - previousSinceOverloadMs * previousSinceOverloadMs)
+                        / (windowMs * windowMs);
         capacity =
                 Math.max(capacity, totals.demand / MIN_CAPACITY_DIVISOR) * Math.pow(2, doublings);
-        if (capacity > OPEN_CAPACITY_FACTOR * totals.demand) {
+        if (capacity > REMOVAL_CAPACITY_RATIO * totals.demand) {
             capacity = UNLIMITED;
-            openedAtMs = updatedAtMs;
+            removedAtMs = updatedAtMs;
         }
     }
 
-    /** Moves the estimate towards the median of those that the gateways report. */
-    private void agree(Membership membership, double stepMs) {
+    /** Moves the estimate towards the median of the estimates that the gateways report. */
+    private void moveTowardsMedian(Membership membership, double stepMs) {
         double median = medianCapacity(membership);
         if (median != UNLIMITED && capacity == UNLIMITED) {
-            // adopted by a gateway that joins, but not from older records after a threshold ended
-            capacity = updatedAtMs - openedAtMs > windowMs ? median : UNLIMITED;
+            // A joining gateway adopts the median. A gateway that has just removed its threshold
+            // does not: the records of its peers may still be older than that.
+            capacity = updatedAtMs - removedAtMs > windowMs ? median : UNLIMITED;
         } else if (median != UNLIMITED) {
-            capacity *= Math.pow(median / capacity, Math.min(1, stepMs / AGREEMENT_SMOOTHING_MS));
+            capacity *= Math.pow(median / capacity, Math.min(1, stepMs / MEDIAN_SMOOTHING_MS));
         } else if (capacity != UNLIMITED) {
-            capacity *= 1 + stepMs / AGREEMENT_SMOOTHING_MS;
+            capacity *= 1 + stepMs / MEDIAN_SMOOTHING_MS;
         }
     }
 
@@ -177,13 +203,15 @@
         if (remaining == UNLIMITED) {
             return;
         }
-        for (int c = GossipRecord.PRIORITY_CLASSES - 1; c >= 0; c--) {
-            if (totals.demandByClass[c] > remaining) {
-                threshold = GossipRecord.minWeightOf(c);
-                shareAtThreshold = Math.max(0, remaining / totals.demandByClass[c]);
+        for (int priorityClass = GossipRecord.PRIORITY_CLASSES - 1;
+                priorityClass >= 0;
+                priorityClass--) {
+            if (totals.demandByClass[priorityClass] > remaining) {
+                threshold = GossipRecord.minWeightOf(priorityClass);
+                shareAtThreshold = Math.max(0, remaining / totals.demandByClass[priorityClass]);
                 return;
             }
-            remaining -= totals.demandByClass[c];
+            remaining -= totals.demandByClass[priorityClass];
         }
     }
 }
--- a/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
+++ b/fleet/src/test/java/tinford/fleet/migration/MigrationStateTest.java
@@ -12,13 +12,13 @@
 import tinford.fleet.membership.Incarnation;
 import tinford.fleet.membership.Lease;
 
-/** A migration is begun, acknowledged, completed and reverted by entries of the log. */
+/** The transitions of a migration by entries of the log, and the routing without a lease. */
 public class MigrationStateTest {
     private static final Incarnation GATEWAY = new Incarnation(1, 5);
-    private static final Map<String, String> HOMES = Map.of("web", "a", "store", "a");
+    private static final Map<String, String> HOME_GROUPS = Map.of("web", "a", "store", "a");
 
     private static MigrationState newState() {
-        return new MigrationState(HOMES, since -> List.of(GATEWAY), 0);
+        return new MigrationState(HOME_GROUPS, since -> List.of(GATEWAY), 0);
     }
 
     private static MigrationEntry begin() {
@@ -27,11 +27,12 @@
     }
 
     /**
-     * Applies an entry for each letter: b begin, a acknowledge, A acknowledge another epoch, g next
-     * step, G a step too far, c next step without warm capacity, < previous step, h halt, r resume,
-     * o resume an earlier halt, x revert, ! report failures.
+     * Applies an entry for each letter: b begins a plan, a acknowledges, A acknowledges the
+     * previous epoch, g proposes the next step, G skips a step, c proposes the next step without
+     * warm capacity, &lt; proposes the previous step, h halts, r resumes, o resumes an earlier
+     * halt, x reverts, ! reports failures.
      */
-    private static void play(MigrationState state, String letters, double[] nowMs) {
+    private static void applyEntries(MigrationState state, String letters, double[] nowMs) {
         for (char letter : letters.toCharArray()) {
             nowMs[0] += 10_000;
             MigrationStatus status = state.status();
@@ -41,19 +42,21 @@
                         case 'a' -> MigrationEntry.ack(GATEWAY, status.epoch(), nowMs[0]);
                         case 'A' -> MigrationEntry.ack(GATEWAY, status.epoch() - 1, nowMs[0]);
                         case 'g' ->
-                                MigrationEntry.go(
+                                MigrationEntry.proposeStep(
                                         nowMs[0], status.epoch(), status.stepIndex() + 1, 20);
                         case 'G' ->
-                                MigrationEntry.go(
+                                MigrationEntry.proposeStep(
                                         nowMs[0], status.epoch(), status.stepIndex() + 2, 20);
                         case 'c' ->
-                                MigrationEntry.go(nowMs[0], status.epoch(), status.stepIndex() + 1);
+                                MigrationEntry.proposeStep(
+                                        nowMs[0], status.epoch(), status.stepIndex() + 1);
                         case '<' ->
-                                MigrationEntry.go(nowMs[0], status.epoch(), status.stepIndex() - 1);
+                                MigrationEntry.proposeStep(
+                                        nowMs[0], status.epoch(), status.stepIndex() - 1);
                         case 'h' -> MigrationEntry.halt("o", nowMs[0]);
                         case 'r' -> MigrationEntry.resume("o", nowMs[0], state.haltCount());
                         case 'o' -> MigrationEntry.resume("o", nowMs[0], state.haltCount() - 1);
-                        case 'x' -> MigrationEntry.back("o", nowMs[0]);
+                        case 'x' -> MigrationEntry.revert("o", nowMs[0]);
                         default ->
                                 MigrationEntry.report(
                                         GATEWAY,
@@ -112,7 +115,7 @@
     @Test(dataProvider = "transitions")
     public void appliesEntriesByTheTableOfTransitions(String letters, String expected) {
         MigrationState state = newState();
-        play(state, letters, new double[1]);
+        applyEntries(state, letters, new double[1]);
         assertEquals(
                 state.status().state() + " " + state.status().stepIndex(),
                 expected,
@@ -120,7 +123,7 @@
     }
 
     @Test
-    public void staysTheSameOverSnapshotsAndIgnoresGarbageInRandomHistories() {
+    public void staysTheSameOverSnapshotsAndIgnoresMalformedEntriesInRandomHistories() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             MigrationState state = newState();
@@ -130,16 +133,16 @@
             for (int i = 0; i < 60; i++) {
                 String letter = "baaAgggGc<<hrrox!".charAt(random.nextInt(17)) + "";
                 MigrationStatus before = state.status();
-                play(state, letter, nowMs);
-                play(other, letter, otherNowMs);
+                applyEntries(state, letter, nowMs);
+                applyEntries(other, letter, otherNowMs);
                 assertTrue(
                         Math.abs(state.status().stepIndex() - before.stepIndex()) <= 1
                                 || letter.equals("b"),
                         "seed " + seed);
-                byte[] garbage = begin().encode();
-                garbage[random.nextInt(3)] = (byte) (20 + random.nextInt(40));
+                byte[] malformed = begin().encode();
+                malformed[random.nextInt(3)] = (byte) (20 + random.nextInt(40));
                 byte[] snapshot = state.snapshot();
-                state.apply(1, garbage);
+                state.apply(1, malformed);
                 state.apply(1, new byte[random.nextInt(3)]);
                 assertEquals(state.snapshot(), snapshot);
                 assertTrue(state.lastOutcome().contains("refused"));
@@ -161,11 +164,11 @@
         assertTrue(router.mayRoute("web", 1, false, "a", null, 99));
         assertFalse(router.mayRoute("web", 1, false, "b", null, 99));
         assertFalse(router.mayRoute("web", 1, false, "a", null, 100));
-        play(state, "b", new double[1]);
+        applyEntries(state, "b", new double[1]);
         router.update(state.status(), new Lease(GATEWAY, 100, 1), false);
         assertEquals(router.nextEntry(50).kind(), MigrationEntry.Kind.ACK);
         assertTrue(
                 router.mayRoute("store", 1, true, "b", "b", 50),
-                "a keyed request stays with the group of its first attempt");
+                "a request with an idempotency key stays in the group of its first attempt");
     }
 }
