--- a/gateway/src/main/java/tinford/api/AttemptOutcome.java
+++ b/gateway/src/main/java/tinford/api/AttemptOutcome.java
@@ -6,11 +6,11 @@
     SUCCESS(true),
     /** A response that reports an error of the server. */
     ERROR(true),
-    /** The server rejected the attempt without running it, as it is overloaded. */
+    /** The server is overloaded and rejected the attempt without running it. */
     OVERLOADED(false),
     /** No complete response within the timeout. */
     TIMED_OUT(true),
-    /** No connection came up, so nothing was sent. */
+    /** No connection could be established, so nothing was sent. */
     UNREACHABLE(false),
     /** The connection broke, or its data could not be read, before the response was complete. */
     CONNECTION_LOST(true),
@@ -19,7 +19,7 @@
     /** The attempt was withdrawn before its last byte was sent. */
     NOT_SENT(false);
 
-    /** False where the outcome proves that the server did not run the request. */
+    /** Whether the server may have run the request; false only if it certainly did not. */
     public final boolean mayHaveRun;
 
     AttemptOutcome(boolean mayHaveRun) {
--- a/gateway/src/main/java/tinford/api/CounterSettings.java
+++ b/gateway/src/main/java/tinford/api/CounterSettings.java
@@ -4,8 +4,8 @@
  * Settings of the shared counter that holds the usage of all gateways.
  *
  * @param present whether the gateway has a shared counter
- * @param timeoutMs time in ms after which a call to the counter counts as unanswered
- * @param maxRequestUnits units of the largest request
+ * @param timeoutMs timeout of a call to the counter in ms
+ * @param maxRequestUnits largest number of units that one request may have
  * @param postPaid whether the actual units of a request are known only after its first successful
  *     response
  */
--- a/gateway/src/main/java/tinford/api/DecisionModule.java
+++ b/gateway/src/main/java/tinford/api/DecisionModule.java
@@ -1,9 +1,10 @@
 package tinford.api;
 
 /**
- * The decisions of one gateway: which requests are admitted, where their attempts go and which are
- * retried. The front calls {@link #handleBatch} once for all events of one moment. The module does
- * no I/O, reads no clock and starts no thread.
+ * The decision logic of one gateway: which requests are admitted, to which servers their attempts
+ * are sent and which are retried. The I/O layer (the network gateway or the simulator) calls {@link
+ * #handleBatch} once for all events of an iteration. The module does no I/O, reads no clock and
+ * starts no thread.
  */
 public interface DecisionModule {
     /**
@@ -15,7 +16,7 @@
      */
     void handleBatch(double nowMs, EventBatch batch, GatewayActions actions);
 
-    /** The events of one moment. */
+    /** The events that are handled together, at one time. */
     interface EventBatch {
         /** Makes one call on {@code events} for each event, in the order of arrival. */
         void replay(GatewayEvents events);
@@ -29,7 +30,7 @@
          * @param seed seed of the module's random numbers
          * @param identity number, zone and clock tick of the gateway
          * @param limits limits on attempts
-         * @param slowStart rules on servers that are warming up
+         * @param slowStart rules for servers that are warming up
          * @param counter settings of the shared counter
          * @param objectives the operators' objectives
          * @param watchRequired whether changes of the endpoint list arrive only while watched
--- a/gateway/src/main/java/tinford/api/FleetPolicy.java
+++ b/gateway/src/main/java/tinford/api/FleetPolicy.java
@@ -1,14 +1,14 @@
 package tinford.api;
 
 /**
- * What a fleet of gateways has agreed on, as the decision module of one gateway consults it, and
- * the events that this gateway reports to the fleet. The methods of this class are the policy of a
- * gateway without a fleet: nothing is limited and events are ignored. All calls come on the I/O
- * thread, while a batch is handled.
+ * Limits that a fleet of gateways has agreed on, as queried by the decision module of one gateway,
+ * and callbacks for the events that this gateway reports to the fleet. The defaults are the policy
+ * of a gateway without a fleet: nothing is limited and events are ignored. All calls are made on
+ * the I/O thread, while a batch is handled.
  */
 public class FleetPolicy {
     /**
-     * Returns the share of the units that is admitted at present, from 0 to 1.
+     * Returns the share of the offered units that is currently admitted, from 0 to 1.
      *
      * @param weight priority weight of the units
      */
@@ -43,7 +43,7 @@
     /**
      * Returns whether the request may be sent to the server now.
      *
-     * @param earlierServer where an earlier attempt of the request may have run, or null
+     * @param earlierServer server at which an earlier attempt of the request may have run, or null
      */
     public boolean allowsServer(Request request, Server server, Server earlierServer) {
         return true;
--- a/gateway/src/main/java/tinford/api/GatewayActions.java
+++ b/gateway/src/main/java/tinford/api/GatewayActions.java
@@ -1,34 +1,38 @@
 package tinford.api;
 
-/** Receives the actions that a decision module decides on; the front carries them out in order. */
+/** Receives the actions of a decision module; the I/O layer carries them out in order. */
 public interface GatewayActions {
     /**
      * Sends an attempt of a request. The attempts of a request are numbered 0, 1, 2 ... in the
      * order of these calls.
      *
-     * @param timeoutMs timeout of this attempt in ms, or 0 where only the request's deadline holds
+     * @param timeoutMs timeout of this attempt in ms, or 0 if only the request's deadline applies
      * @param sendWithinMs time in ms within which the attempt's last byte has to be sent; after it
      *     the attempt ends as {@link AttemptOutcome#NOT_SENT}
      */
     void sendAttempt(Request request, Server server, double timeoutMs, double sendWithinMs);
 
-    /** Cancels an attempt in flight, named by its number. */
+    /**
+     * Cancels an attempt in flight.
+     *
+     * @param attempt number of the attempt
+     */
     void cancelAttempt(Request request, int attempt);
 
     /**
-     * Answers the client that the request is rejected.
+     * Tells the client that the request is rejected.
      *
      * @param retryAfterMs time in ms after which the client may send it again
      */
     void reject(Request request, double retryAfterMs);
 
-    /** Answers the client that the request has failed. */
+    /** Tells the client that the request has failed. */
     void fail(Request request);
 
     /**
-     * Sets a timer that ends with {@link GatewayEvents#timerFired}.
+     * Sets a timer that is reported to {@link GatewayEvents#timerFired} when it fires.
      *
-     * @param token names the timer; setting it again moves it
+     * @param token identifies the timer; setting it again reschedules it
      * @param delayMs time in ms until it fires
      */
     void setTimer(long token, double delayMs);
@@ -47,10 +51,10 @@
     void sendGossip(int peer, String text);
 
     /**
-     * Adds to a total on the shared counter and reads it.
+     * Adds to a total on the shared counter and reads the new total.
      *
      * @param counterKey key of the total
-     * @param amount units to add; 0 only reads and a negative amount takes units back
+     * @param amount units to add; 0 only reads the total and a negative amount returns units
      * @param ttlMs time in ms for which the counter has to keep the total
      */
     void incrementCounter(long counterKey, double amount, double ttlMs);
--- a/gateway/src/main/java/tinford/api/GatewayEvents.java
+++ b/gateway/src/main/java/tinford/api/GatewayEvents.java
@@ -3,44 +3,44 @@
 import java.util.List;
 import java.util.Set;
 
-/** Receives the events that can reach a gateway, one call each. */
+/** Receives the events of a gateway, one call per event. */
 public interface GatewayEvents {
-    /** The gateway has started. This is its first event, and a chance to set timers. */
+    /** The gateway has started. This is its first event; timers may be set from here on. */
     void started();
 
-    /** The fleet's policy is in force from now on; a gateway starts without a fleet. */
+    /** The policy applies from now on; until the first call a gateway has no fleet. */
     default void fleetPolicyChanged(FleetPolicy policy) {}
 
-    /** Tenants have only these plans from now on; state of other plans may be dropped. */
+    /** The complete set of plans has changed; state of any other plan may be dropped. */
     default void plansChanged(Set<Plan> plans) {}
 
-    /** This process takes over the requests that another process of the gateway received so far. */
+    /** This process takes over from another process of the gateway and receives its requests. */
     void takeoverStarted();
 
     /**
-     * Another process of the gateway accepts the client connections from now on; this one completes
-     * the requests on the connections that it has.
+     * Another process of the gateway accepts client connections from now on; this one completes the
+     * requests on its open connections.
      */
     void drainingStarted();
 
     /**
      * The endpoint list has changed. The servers are already up to date.
      *
-     * @param entries the servers that the update names
-     * @param complete whether servers that are not among the entries have been removed
+     * @param entries the servers in the update
+     * @param complete whether the update is a full list, so that any other server was removed
      */
     void endpointsUpdated(List<Server> entries, boolean complete);
 
     /** A call to service discovery has failed, or its subscription has ended. */
     void discoveryFailed();
 
-    /** A request has arrived; it is to get exactly one final answer. */
+    /** A request has arrived; it must get exactly one final response. */
     void requestArrived(Request request);
 
     /**
-     * The response of a streamed request has begun to reach the client.
+     * The response of a streamed request has started to be forwarded to the client.
      *
-     * @param attempt number of the attempt that it comes from
+     * @param attempt number of the attempt that the response belongs to
      */
     void responseStarted(Request request, int attempt);
 
@@ -49,7 +49,7 @@
      *
      * @param attempt number of the attempt
      * @param tookMs time in ms since the attempt was sent
-     * @param requestEnded whether the client has its final answer
+     * @param requestEnded whether the client has received its final response
      * @param meteredUse 1 + the tenant's metered use in percent of its quota, or 0 if unknown
      * @param settledUnits actual units of the request, reported with its first successful response,
      *     or 0
@@ -65,10 +65,10 @@
             double settledUnits,
             double[] loadReport);
 
-    /** The client has disconnected before its final answer. */
+    /** The client has disconnected before it received its final response. */
     void clientDisconnected(Request request);
 
-    /** A timer has fired that {@link GatewayActions#setTimer} set. */
+    /** A timer that was set with {@link GatewayActions#setTimer} has fired. */
     void timerFired(long token);
 
     /**
@@ -98,7 +98,7 @@
     void counterAnswered(long counterKey, AttemptOutcome outcome, double tookMs, double total);
 
     /**
-     * The shared counter has answered a call that was reported before as {@link
+     * The shared counter has answered a call that was already reported as {@link
      * AttemptOutcome#TIMED_OUT}.
      *
      * @param total total in units after the call
--- a/gateway/src/main/java/tinford/api/Objectives.java
+++ b/gateway/src/main/java/tinford/api/Objectives.java
@@ -1,9 +1,9 @@
 package tinford.api;
 
 /**
- * The operators' objectives and their weights relative to each other.
+ * The relative weights of the operators' objectives.
  *
- * @param overallWeight weight of the priority-weighted units served over all plans
- * @param worstPlanWeight weight of the share that the worst-served plan gets of its demand
+ * @param overallWeight weight of the priority-weighted units served across all plans
+ * @param worstPlanWeight weight of the share of its demand that the worst-served plan gets
  */
 public record Objectives(double overallWeight, double worstPlanWeight) {}
--- a/gateway/src/main/java/tinford/api/Plan.java
+++ b/gateway/src/main/java/tinford/api/Plan.java
@@ -1,8 +1,8 @@
 package tinford.api;
 
 /**
- * A plan: the limits that each of its tenants has over all gateways together. Plans are compared by
- * identity, so two plans with equal values stay distinct map keys.
+ * The limits of each tenant of a plan, summed over all gateways. Plans are compared by identity, so
+ * two plans with equal values are distinct map keys.
  */
 public final class Plan {
     /** Name of the plan. */
@@ -11,7 +11,7 @@
     /** Quota in units per ms, or 0 without a quota. */
     public final double quotaPerMs;
 
-    /** Units that may be used at once beyond the steady quota. */
+    /** Units that may be used at once on top of the steady quota. */
     public final double burst;
 
     /**
--- a/gateway/src/main/java/tinford/api/Request.java
+++ b/gateway/src/main/java/tinford/api/Request.java
@@ -1,6 +1,6 @@
 package tinford.api;
 
-/** A client's request; a front may extend the class with what it needs. */
+/** A client's request; the I/O layer may extend the class with its own state. */
 public class Request {
     /** Identifier of the request, unique within a gateway. */
     public final long id;
@@ -14,7 +14,9 @@
     /** Time in ms at which the client stops waiting for a response. */
     public final double deadlineMs;
 
-    /** Units that the request takes of the quota; an estimate where actual units are settled. */
+    /**
+     * Units that the request uses of the quota; an estimate if the actual units are settled later.
+     */
     public final double units;
 
     /** Whether the client marked the request as a retry of its own. */
@@ -38,12 +40,12 @@
         this.markedAsRetry = markedAsRetry;
     }
 
-    /** Returns what the decision module stores with this request, or null. */
+    /** Returns the state that the decision module keeps for this request, or null. */
     public final DecisionState decisionState() {
         return decisionState;
     }
 
-    /** Stores the decision module's state with this request; only that module calls this. */
+    /** Attaches the decision module's state; called only by that module. */
     public final void attach(DecisionState state) {
         decisionState = state;
     }
--- a/gateway/src/main/java/tinford/api/RequestClass.java
+++ b/gateway/src/main/java/tinford/api/RequestClass.java
@@ -1,6 +1,6 @@
 package tinford.api;
 
-/** A class of requests, as the operators configured it. */
+/** A class of requests, as configured by the operators. */
 public final class RequestClass {
     /** Name of the class. */
     public final String name;
@@ -8,19 +8,19 @@
     /** Latency objective in ms: responses within it count as on time. */
     public final double latencyObjectiveMs;
 
-    /** Time in ms after which a client no longer waits. */
+    /** Time in ms after which a client stops waiting. */
     public final double timeoutMs;
 
     /** Priority weight of a unit whose response is on time. */
     public final double priorityWeight;
 
-    /** Fraction of the priority weight that a late response still earns. */
+    /** Fraction of the priority weight that a late response earns. */
     public final double lateWeight;
 
     /** Whether a request may run more than once. */
     public final Idempotency idempotency;
 
-    /** Servers that drop repeats with the same idempotency key. */
+    /** Scope within which servers drop repeats with the same idempotency key. */
     public final DeduplicationScope deduplicationScope;
 
     /** Time in ms for which servers drop such repeats. */
--- a/gateway/src/main/java/tinford/api/Server.java
+++ b/gateway/src/main/java/tinford/api/Server.java
@@ -1,18 +1,18 @@
 package tinford.api;
 
 /**
- * A back-end server as the endpoint list last described it to this gateway. The front owns the
- * description and updates it before it reports {@link GatewayEvents#endpointsUpdated}; a front may
- * extend the class with what it needs. All calls come on the I/O thread.
+ * A back-end server, as described by the latest endpoint list of this gateway. The I/O layer owns
+ * the description and updates it before it reports {@link GatewayEvents#endpointsUpdated}; it may
+ * extend the class with its own state. All calls are made on the I/O thread.
  */
 public class Server {
     /** The state that the endpoint list gives a server. */
     public enum State {
-        /** Takes requests. */
+        /** Accepts requests. */
         UP,
-        /** Completes the attempts in flight and takes no new ones. */
+        /** Completes the attempts in flight and gets no new ones. */
         DRAINING,
-        /** Is no longer part of the back end. */
+        /** No longer part of the back end. */
         REMOVED
     }
 
@@ -27,7 +27,7 @@
     private double startedAtMs;
     private DecisionState decisionState;
 
-    /** Creates a server whose description is still empty. */
+    /** Creates a server without a description. */
     public Server(String id) {
         this.id = id;
     }
@@ -42,7 +42,7 @@
         return cell;
     }
 
-    /** Returns the server group that the server belongs to, or an empty text without one. */
+    /** Returns the server group that the server belongs to, or an empty string without one. */
     public final String group() {
         return group;
     }
@@ -57,17 +57,17 @@
         return weight;
     }
 
-    /** Returns the time of the last start in ms, or 0 where it is unknown or long ago. */
+    /** Returns the time of the last start in ms, or 0 if it is unknown or long ago. */
     public final double startedAtMs() {
         return startedAtMs;
     }
 
     /**
-     * Takes over the description of an endpoint list entry.
+     * Applies the description of an endpoint list entry.
      *
      * @param zone availability zone
      * @param cell number of the cell
-     * @param group server group; empty where the entry names none
+     * @param group server group; empty if the entry has none
      * @param weight share of the traffic relative to the weights of the other servers
      */
     public final void updateAttributes(String zone, int cell, String group, double weight) {
@@ -77,22 +77,22 @@
         this.weight = weight;
     }
 
-    /** Takes over the state of an endpoint list entry, or of an operator's exclusion. */
+    /** Applies the state of an endpoint list entry, or of an operator's exclusion of the server. */
     public final void updateState(State state) {
         this.state = state;
     }
 
-    /** Records the server's last start, in ms; 0 where it is unknown or long ago. */
+    /** Records the server's last start, in ms; 0 if it is unknown or long ago. */
     public final void updateStartTime(double startedAtMs) {
         this.startedAtMs = startedAtMs;
     }
 
-    /** Returns what the decision module stores with this server, or null. */
+    /** Returns the state that the decision module keeps for this server, or null. */
     public final DecisionState decisionState() {
         return decisionState;
     }
 
-    /** Stores the decision module's state with this server; only that module calls this. */
+    /** Attaches the decision module's state; called only by that module. */
     public final void attach(DecisionState state) {
         decisionState = state;
     }
--- a/gateway/src/main/java/tinford/api/SlowStartRules.java
+++ b/gateway/src/main/java/tinford/api/SlowStartRules.java
@@ -1,12 +1,12 @@
 package tinford.api;
 
 /**
- * The operators' rules on servers that are warming up.
+ * The operators' rules for servers that are warming up.
  *
- * @param initialCapacityShare least part of its full capacity that a server starts with, from 0 to
- *     1
+ * @param initialCapacityShare minimum share of its full capacity that a server has at its start,
+ *     from 0 to 1
  * @param warmUpMs longest time in ms from its start until a server has its full capacity
- * @param overloadMultiple multiple of its present capacity beyond which a server that is warming up
+ * @param overloadMultiple multiple of its current capacity beyond which a server that is warming up
  *     fails
  * @param overloadWindowMs time in ms for which that overload has to last
  */
--- a/gateway/src/main/java/tinford/api/Tenant.java
+++ b/gateway/src/main/java/tinford/api/Tenant.java
@@ -1,8 +1,8 @@
 package tinford.api;
 
 /**
- * The tenant of a request. Its requests come through {@code fanIn} gateways with consecutive
- * numbers, from {@code firstGateway} on; the last gateway is followed by number 0.
+ * The tenant of a request. Its requests arrive at {@code fanIn} gateways with consecutive numbers,
+ * starting at {@code firstGateway}; numbering wraps around from the last gateway to number 0.
  */
 public final class Tenant {
     /** Identifier of the tenant. */
@@ -11,7 +11,7 @@
     /** The tenant's plan. */
     public final Plan plan;
 
-    /** Number of gateways that the tenant's requests come through. */
+    /** Number of gateways at which the tenant's requests arrive. */
     public final int fanIn;
 
     /** Number of the first of these gateways. */
@@ -19,7 +19,7 @@
 
     /**
      * Revision of the configuration that gives the tenant its plan; a later revision with another
-     * plan moves the tenant to that plan. 0 without a configuration.
+     * plan moves the tenant to that plan. 0 if the plan comes from no configuration.
      */
     public final long revision;
 
--- a/gateway/src/main/java/tinford/decision/AdmissionController.java
+++ b/gateway/src/main/java/tinford/decision/AdmissionController.java
@@ -4,8 +4,8 @@
 import tinford.api.AttemptOutcome;
 
 /**
- * Sends requests within their quotas to servers, queues them while no slot is free, and sheds what
- * would be late.
+ * Sends requests that are within their quotas to servers, queues them while no slot is free, and
+ * rejects those that could not be answered in time.
  */
 final class AdmissionController {
     private final AdmissionQueue queue;
@@ -16,7 +16,7 @@
     private final FinalAnswers answers;
     private final Random random;
 
-    /** Attempts that succeeded: slots become free as often. */
+    /** Successful attempts; their rate estimates how often a slot becomes free. */
     private final RollingSum completed;
 
     AdmissionController(
@@ -38,7 +38,7 @@
         this.random = random;
     }
 
-    /** Sends, queues or rejects a request that is within its quota, or is to be retried. */
+    /** Sends, queues or rejects a request that was admitted by its quota or is to be retried. */
     void admit(Batch batch, PendingRequest pending) {
         boolean first = pending.isFirstAttempt();
         double nowMs = batch.nowMs;
@@ -71,8 +71,8 @@
     }
 
     /**
-     * What the whole fleet sheds is shed at once, wherever it enters; so is what no server may
-     * take.
+     * Returns whether the fleet sheds the request. Requests that no server may currently receive
+     * are always shed.
      */
     private boolean isShedByFleet(Batch batch, PendingRequest pending) {
         double share =
@@ -90,7 +90,7 @@
         return queue.countAhead(pending) * slotIntervalMs;
     }
 
-    /** Sends what is queued, as far as slots are free. */
+    /** Sends queued requests while slots are free. */
     void drainQueue(Batch batch) {
         for (PendingRequest pending : queue.inOrder()) {
             if (sender.send(batch, pending, balancer.pick(batch, pending))) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Answers queued requests that can't be served in time any more. */
+    /** Completes queued requests that can no longer be served in time. */
     void expireQueued(Batch batch) {
         for (PendingRequest pending : queue.inOrder()) {
             if (batch.nowMs >= pending.latestSendMs) {
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Retries a request whose attempts have all ended, where time and budget allow it; else answers
-     * it.
+     * Retries a request whose attempts have all ended if time and retry budget allow it; otherwise
+     * completes it.
      */
     void retry(Batch batch, PendingRequest pending, AttemptOutcome outcome) {
         pending.planLatestSend(balancer.typicalMs(pending.request));
@@ -125,7 +125,7 @@
             admit(batch, pending);
             return;
         }
-        // a request that hangs wherever it goes is to stay away for another objective
+        // a request that times out at any server should not be retried within another objective
         boolean inTime = batch.nowMs < pending.objectiveAtMs;
         double waitMs = inTime ? 0 : pending.request.requestClass.latencyObjectiveMs;
         answers.answer(batch, pending, waitMs);
--- a/gateway/src/main/java/tinford/decision/AdmissionQueue.java
+++ b/gateway/src/main/java/tinford/decision/AdmissionQueue.java
@@ -6,8 +6,8 @@
 import java.util.TreeSet;
 
 /**
- * Requests within their quotas that wait for a slot at a server: the highest weight first, then in
- * order of arrival.
+ * Admitted requests that wait for a slot at a server, ordered by descending priority weight and
+ * then by arrival.
  */
 final class AdmissionQueue {
     private static final Comparator<PendingRequest> BY_PRIORITY =
@@ -26,12 +26,12 @@
         requests.remove(pending);
     }
 
-    /** How many would be served before the request. */
+    /** Returns the number of requests that would be served before this one. */
     int countAhead(PendingRequest pending) {
         return requests.headSet(pending).size();
     }
 
-    /** A copy in order, so that requests may be removed meanwhile. */
+    /** Returns an ordered copy, so that requests may be removed during iteration. */
     List<PendingRequest> inOrder() {
         return new ArrayList<>(requests);
     }
--- a/gateway/src/main/java/tinford/decision/Attempt.java
+++ b/gateway/src/main/java/tinford/decision/Attempt.java
@@ -8,21 +8,25 @@
     final ServerStats server;
     final double sentAtMs;
 
-    /** What the request takes compared with one of mean size. */
+    /** Expected latency of the request, as a multiple of that of a request of mean size. */
     final double relativeSize;
 
-    /** Null while it runs. */
+    /** Outcome of the attempt, or null while it is in flight. */
     AttemptOutcome outcome;
 
-    /** It ran past the latency objective and has been counted as a failure of its server. */
+    /**
+     * Whether the attempt exceeded the latency objective and has been counted as a failure of its
+     * server.
+     */
     boolean countedLate;
 
     /**
-     * It has run far longer than answers take now, and occupies no slot of the gateway any more.
+     * Whether the attempt has been in flight for far longer than responses currently take, and no
+     * longer occupies a slot of the gateway.
      */
     boolean stalled;
 
-    /** Its streamed response has started. */
+    /** Whether the streamed response has started. */
     boolean responseStarted;
 
     Attempt(PendingRequest pending, ServerStats server, double sentAtMs, double relativeSize) {
@@ -32,7 +36,7 @@
         this.relativeSize = relativeSize;
     }
 
-    /** How long it has run, relative to the class's objective. */
+    /** Returns the time in flight, relative to the latency objective of the request class. */
     double relativeLatency(double nowMs) {
         return (nowMs - sentAtMs) / pending.request.requestClass.latencyObjectiveMs;
     }
--- a/gateway/src/main/java/tinford/decision/AttemptGuard.java
+++ b/gateway/src/main/java/tinford/decision/AttemptGuard.java
@@ -7,14 +7,14 @@
 import tinford.api.RequestClass;
 import tinford.api.Server;
 
-/** Every rule on attempts in one place; every attempt passes it. */
+/** Checks all rules on attempts; no attempt is sent without its approval. */
 final class AttemptGuard {
     private final AttemptLimits limits;
     private final SlowStart slowStart;
     private final double tickMs;
 
     /**
-     * @param tickMs how late this gateway may hear and act
+     * @param tickMs upper bound of the delay in ms with which this gateway handles an event
      */
     AttemptGuard(AttemptLimits limits, SlowStart slowStart, double tickMs) {
         this.limits = limits;
@@ -22,7 +22,7 @@
         this.tickMs = tickMs;
     }
 
-    /** Whether the request may be sent to the server now. */
+    /** Returns whether the request may be sent to the server now. */
     boolean allows(Batch batch, PendingRequest pending, ServerStats server) {
         double nowMs = batch.nowMs;
         if (pending.over
--- a/gateway/src/main/java/tinford/decision/AttemptSender.java
+++ b/gateway/src/main/java/tinford/decision/AttemptSender.java
@@ -4,10 +4,11 @@
 import tinford.api.Request;
 import tinford.api.RequestClass;
 
-/** The one place from which attempts are sent. */
+/** Sends attempts and updates the accounting of quotas, retry budget and servers. */
 final class AttemptSender {
     /**
-     * An attempt whose late answer earns nothing is given up this part of the objective past it.
+     * Share of the latency objective after which an attempt times out past the objective, if late
+     * responses of its request class have no weight.
      */
     private static final double LATE_SHARE_OF_OBJECTIVE = 0.25;
 
@@ -28,8 +29,8 @@
     /**
      * Sends the request to the server if the rules allow it.
      *
-     * @param server null where none was found
-     * @return whether it was sent
+     * @param server the server, or null if none is available
+     * @return whether an attempt was sent
      */
     boolean send(Batch batch, PendingRequest pending, ServerStats server) {
         Request request = pending.request;
@@ -62,8 +63,8 @@
     }
 
     /**
-     * A request that hangs wherever it goes keeps no server and no slot for an answer that earns
-     * nothing.
+     * Returns the timeout of an attempt, or 0 for none. Attempts whose late responses have no
+     * weight time out, so that a request that never completes does not hold a server and a slot.
      */
     private static double timeoutMs(PendingRequest pending, double nowMs) {
         RequestClass requestClass = pending.request.requestClass;
--- a/gateway/src/main/java/tinford/decision/Batch.java
+++ b/gateway/src/main/java/tinford/decision/Batch.java
@@ -4,8 +4,8 @@
 import tinford.api.GatewayActions;
 
 /**
- * The batch of events that is being handled: when it came, what the fleet allows, and where
- * decisions go.
+ * Context of the batch of events that is being handled: its time, the receiver of actions and the
+ * fleet's policy.
  */
 final class Batch {
     final double nowMs;
--- a/gateway/src/main/java/tinford/decision/BurstHeadroom.java
+++ b/gateway/src/main/java/tinford/decision/BurstHeadroom.java
@@ -3,23 +3,30 @@
 import tinford.api.Plan;
 
 /**
- * By how much a tenant's current total may rise, as reads of the counter tell. The bound within a
- * window is taken from each earlier read as well: otherwise a calm stretch would save up several
- * bursts.
+ * The units by which a tenant's total on the counter may currently rise: a token bucket that is
+ * corrected by each read of the counter. Every read bounds the later ones within a window;
+ * otherwise a tenant could accumulate several bursts while it sends little.
  */
 final class BurstHeadroom {
-    /** Part of the difference between the least and the most that an unseen rise may have cost. */
+    /**
+     * Weight of the lower estimate of the headroom against the upper one, after units were used at
+     * unknown times.
+     */
     private static final double UNSEEN_RISE_WEIGHT = 0.5;
 
     private double units;
     private double updatedAtMs;
     private double unitsAtLastRead;
 
-    /** What is left now, after the total has risen by so many units unseen. */
+    /**
+     * Refills the bucket and returns its level.
+     *
+     * @param risenUnits rise of the total since the last read that this gateway did not cause
+     */
     double refill(Plan plan, double risenUnits, double nowMs) {
         double full = units + (nowMs - updatedAtMs) * plan.quotaPerMs;
         double most = Math.min(plan.burst, full - risenUnits);
-        // what rose unseen may have come last, out of a full bucket
+        // the units may have been used at the end of the interval, out of a full bucket
         double least = Math.max(0, Math.min(plan.burst, full) - risenUnits);
         set(most - UNSEEN_RISE_WEIGHT * Math.max(0, most - least), nowMs);
         return units;
@@ -31,16 +38,17 @@
     }
 
     /**
-     * Takes in a read.
+     * Applies a read of the total.
      *
+     * @param risenUnits rise of the total since the last read that this gateway did not cause
      * @param ownUnits units of the request whose call read the total
      */
     void read(Plan plan, double risenUnits, double ownUnits, double nowMs) {
-        // what was forwarded beyond the quota takes nothing from it: never below 0
+        // units that were forwarded beyond the quota leave no debt, so the level is at least 0
         units = Math.max(0, refill(plan, risenUnits, nowMs)) - ownUnits;
     }
 
-    /** Remembers what is left as of a read. */
+    /** Stores the current level as the level at the last read. */
     void markRead() {
         unitsAtLastRead = units;
     }
--- a/gateway/src/main/java/tinford/decision/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/tinford/decision/ConcurrencyLimiter.java
@@ -3,13 +3,14 @@
 import java.util.Random;
 
 /**
- * How many attempts of this gateway one server takes at once, learned from latency by additive
- * increase and multiplicative decrease. Latency is relative to the class's objective.
+ * Limits the attempts that this gateway has in flight at one server. The limit adapts to latency by
+ * additive increase and multiplicative decrease; latency is relative to the latency objective of
+ * the request class.
  */
 final class ConcurrencyLimiter {
     private static final double MAX_LIMIT = 200;
 
-    /** Lowest limit, as a part of the initial one. */
+    /** Minimum of the limit, as a share of the initial limit. */
     private static final double MIN_SHARE_OF_INITIAL = 0.5;
 
     private static final double DECREASE_FACTOR = 0.9;
@@ -17,35 +18,36 @@
     private static final double INCREASE_SHARE_OF_INITIAL = 0.01;
 
     /**
-     * Latency above which the limit shrinks: this, or the multiple of the baseline if that is
-     * lower.
+     * The limit decreases if the latency exceeds this value or {@link #DECREASE_ABOVE_BASELINE}
+     * times the baseline latency, whichever is lower.
      */
     private static final double MAX_GOOD_LATENCY = 0.4;
 
     private static final double DECREASE_ABOVE_BASELINE = 1.6;
     private static final double INCREASE_BELOW_BASELINE = 1.2;
 
-    /** The limit grows only while the gateway uses this much of all limits together. */
+    /** The limit grows only while the gateway uses at least this share of the sum of all limits. */
     private static final double MIN_UTILIZATION_TO_GROW = 0.7;
 
     private static final double FAST_BASELINE_GAIN = 0.05;
     private static final double SLOW_BASELINE_GAIN = 0.004;
     private static final double UNKNOWN = -1;
 
-    /** Others only read it. */
+    /** The limit; other classes only read it. */
     double limit;
 
-    /** The limit as a whole number, rounded by chance; others only read it. */
+    /** The limit as an integer, rounded randomly; other classes only read it. */
     int slots = 1;
 
     private double initial;
     private double baselineLatency = UNKNOWN;
 
     /**
-     * @param initialLimit where the limit starts, by the server's weight
-     * @param latency mean relative latency of the server's recent answers
-     * @param peakOpen most attempts that the gateway had open since the last update
-     * @param limitSum limits of all servers together
+     * @param initialLimit initial limit, in proportion to the server's weight
+     * @param latency mean relative latency of the server's recent responses
+     * @param peakOpen maximum number of attempts that the gateway had in flight since the last
+     *     update
+     * @param limitSum sum of the limits of all servers
      */
     void update(double initialLimit, double latency, int peakOpen, double limitSum, Random random) {
         initial = initialLimit;
@@ -53,7 +55,7 @@
             limit = initial;
         }
         updateBaseline(latency);
-        // queueing at a server only makes it slower: shrink fast, grow slowly
+        // queueing at a server only adds latency, so the limit decreases fast and increases slowly
         if (latency > Math.min(MAX_GOOD_LATENCY, DECREASE_ABOVE_BASELINE * baselineLatency)) {
             limit = Math.max(MIN_SHARE_OF_INITIAL * initial, limit * DECREASE_FACTOR);
         } else if (latency < INCREASE_BELOW_BASELINE * baselineLatency
@@ -67,8 +69,8 @@
     }
 
     /**
-     * The baseline falls fast and rises slowly; at the lowest limit no queue explains latency, so
-     * it rises fast too.
+     * Updates the baseline latency, which falls fast and rises slowly. At the minimum limit higher
+     * latency can't come from queueing, so the baseline rises fast too.
      */
     private void updateBaseline(double latency) {
         if (baselineLatency < 0) {
--- a/gateway/src/main/java/tinford/decision/CounterCall.java
+++ b/gateway/src/main/java/tinford/decision/CounterCall.java
@@ -1,13 +1,13 @@
 package tinford.decision;
 
 /**
- * A call on the counter that has not been answered.
+ * A call to the counter that has not been answered.
  *
- * @param pending the request whose units it adds or whose answer waits for it; null where it takes
- *     units back
- * @param amount units that it adds
- * @param unreportedUnits part of the amount that earlier requests used
- * @param readsOnly it adds nothing and reads the window before
+ * @param pending the request whose units the call adds or whose decision depends on it; null if the
+ *     call returns units
+ * @param amount units that the call adds
+ * @param unreportedUnits part of the amount that is unreported usage of earlier requests
+ * @param readsOnly whether the call adds nothing and only reads the previous window
  */
 record CounterCall(
         TenantQuota quota,
@@ -18,7 +18,7 @@
         boolean readsOnly) {
     private static final int KEY_BITS_FOR_WINDOW = 30;
 
-    /** The counter's key for a tenant's window. */
+    /** Returns the key of a tenant's window on the counter. */
     static long key(TenantQuota quota, CounterWindow window) {
         return (quota.tenant().id << KEY_BITS_FOR_WINDOW)
                 + (window.index & (1 << KEY_BITS_FOR_WINDOW) - 1);
--- a/gateway/src/main/java/tinford/decision/CounterCalls.java
+++ b/gateway/src/main/java/tinford/decision/CounterCalls.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 
 /**
- * Calls on the shared counter that have not been answered, by key; answers of one key come in the
- * order of its calls.
+ * Calls to the shared counter that have not been answered, by key. The calls of one key are
+ * answered in the order in which they were made.
  */
 final class CounterCalls {
-    /** For how long the counter keeps a total after the two windows in which it counts. */
+    /** Time for which the counter keeps a total beyond the two windows in which it is used. */
     private static final double EXTRA_TTL_MS = 1000;
 
     private final Map<Long, ArrayDeque<CounterCall>> callsByKey = new HashMap<>();
 
-    /** Adds the units of the request, and in the current window what is unreported. */
+    /** Sends a call that adds units, plus the tenant's unreported usage in the current window. */
     void add(
             Batch batch,
             TenantQuota quota,
@@ -35,12 +35,12 @@
                 key, call.amount(), 2 * call.quota().windowMs() + EXTRA_TTL_MS);
     }
 
-    /** Keys with a call under way. */
+    /** Returns the number of keys with unanswered calls. */
     int size() {
         return callsByKey.size();
     }
 
-    /** The oldest call of the key, which is then no longer under way; null where there is none. */
+    /** Removes and returns the oldest call of the key, or returns null if there is none. */
     CounterCall takeOldest(long key) {
         ArrayDeque<CounterCall> calls = callsByKey.get(key);
         if (calls == null) {
--- a/gateway/src/main/java/tinford/decision/CounterPacer.java
+++ b/gateway/src/main/java/tinford/decision/CounterPacer.java
@@ -4,39 +4,41 @@
 import tinford.api.CounterSettings;
 
 /**
- * Keeps a gap between calls on a counter that bears fewer than one a request: fewer calls are made,
- * and more of them answered in time. Also tells when the counter is silent.
+ * Spaces out the calls to a counter that can't handle one per request, so that more of the
+ * remaining calls are answered in time. Also detects that the counter is unresponsive.
  */
 final class CounterPacer {
-    /** Unanswered calls in a row after which the counter is silent. */
+    /** Consecutive unanswered calls after which the counter counts as unresponsive. */
     private static final int SILENCE_THRESHOLD = 4;
 
-    /** All gateways together look this often whether a silent counter is back. */
+    /** Interval at which all gateways together probe an unresponsive counter. */
     private static final double PROBE_INTERVAL_MS = 50;
 
     private static final double MAX_PROBE_INTERVAL_MS = 4000;
 
-    /** Time in which answers shrink the gap, and the most that one answer shrinks it by. */
+    /** Time constant with which timely answers shrink the gap. */
     private static final double GAP_DECAY_MS = 700;
 
+    /** Maximum share of the gap by which one answer shrinks it. */
     private static final double MAX_GAP_DECREASE = 0.3;
     private static final double GAP_INCREASE_FACTOR = 1.5;
     private static final double MIN_GAP_MS = 1;
 
     /**
-     * A call that takes this part of the time-out longer than the quickest has waited in a queue at
-     * the counter.
+     * A call that takes longer than the fastest call by this share of the timeout has been queued
+     * at the counter.
      */
     private static final double QUEUED_SHARE_OF_TIMEOUT = 0.35;
 
     /**
-     * Queueing counts only from this gap on: a gateway that makes many calls queues behind its own.
+     * Queueing is only considered above this gap, as a share of the timeout: with a smaller gap a
+     * gateway's calls queue behind its own earlier ones.
      */
     private static final double QUEUEING_GAP_SHARE_OF_TIMEOUT = 1.0 / 8;
 
     private static final double QUICKEST_PERIOD_MS = 10_000;
 
-    /** A counter that gave late answers so recently is slow, not silent. */
+    /** A counter that answered late within this period is slow rather than unreachable. */
     private static final double LATE_ANSWER_PERIOD_MS = 1000;
 
     private final CounterSettings settings;
@@ -59,22 +61,22 @@
         return unanswered >= SILENCE_THRESHOLD;
     }
 
-    /** Whether the counter adds late what it does not answer in time. */
+    /** Returns whether calls that time out are likely to be counted nevertheless. */
     boolean isSlow(double nowMs) {
         return !isSilent() || nowMs - lastLateAnswerMs < LATE_ANSWER_PERIOD_MS;
     }
 
-    /** Whether the counter bears fewer calls than there are requests. */
+    /** Returns whether calls are spaced out, so that not every request makes one. */
     boolean isGapKept() {
         return gapMs >= MIN_GAP_MS;
     }
 
-    /** For how long no further call may be made to a silent counter. */
+    /** Returns this gateway's interval between probes of an unresponsive counter. */
     double probeIntervalMs() {
         return Math.min(MAX_PROBE_INTERVAL_MS, PROBE_INTERVAL_MS * gatewayCount);
     }
 
-    /** The gap between calls; below 1 ms none is kept. */
+    /** Returns the minimum time between calls; below 1 ms calls are not spaced out. */
     double gapMs() {
         return gapMs;
     }
@@ -95,7 +97,7 @@
         boolean answered = outcome == AttemptOutcome.SUCCESS;
         boolean lost = outcome == AttemptOutcome.CONNECTION_LOST;
         unanswered = answered || lost ? 0 : unanswered + 1;
-        // a connection that ends under a call is no sign of load
+        // a connection that breaks during a call does not indicate load
         if (!lost) {
             updateGap(answered, tookMs, nowMs);
         }
@@ -122,8 +124,8 @@
     }
 
     /**
-     * Each of many gateways sees the queue at the counter grow by the time of its calls, before any
-     * is missed.
+     * Returns whether the latency of a call shows that it was queued at the counter. With many
+     * gateways this shows overload before any call times out.
      */
     private boolean hasQueued(double tookMs) {
         return gapMs > settings.timeoutMs() * QUEUEING_GAP_SHARE_OF_TIMEOUT
--- a/gateway/src/main/java/tinford/decision/CounterWindow.java
+++ b/gateway/src/main/java/tinford/decision/CounterWindow.java
@@ -1,50 +1,61 @@
 package tinford.decision;
 
-/** One window of one tenant on the shared counter, as this gateway knows it. */
+/** This gateway's view of one counter window of one tenant. */
 final class CounterWindow {
-    /** Counted from the start of the clock, in windows of the tenant's length. */
+    /**
+     * Number of the window since the start of the clock, in units of the tenant's window length.
+     */
     final long index;
 
     /**
-     * Units used by all gateways: as last read, with what a reset of the counter lost and what was
-     * added since.
+     * Units used by all gateways: the total as last read, plus {@link #lostUnits} and the units
+     * that this gateway has added since.
      */
     double total;
 
     double readAtMs = Double.NEGATIVE_INFINITY;
 
-    /** Units that this gateway added, less what it took back. */
+    /** Units that this gateway has added, less the units that it has returned. */
     double ownUnits;
 
-    /** Units that a reset of the counter took off the total. */
+    /**
+     * Units on top of the counter's total: units that the counter lost in a reset, or units that
+     * were used under an earlier plan.
+     */
     double lostUnits;
 
-    /** This gateway's share of what was used under another plan before. */
+    /** This gateway's share of the units that were used under an earlier plan. */
     double migratedUnits;
 
-    /** Whether the total has been read at all. */
+    /** Whether the total has been read from the counter. */
     boolean wasRead;
 
     CounterWindow(long index) {
         this.index = index;
     }
 
-    /** What this gateway is known to have used itself. */
+    /** Returns the units that this gateway is known to have used itself. */
     double ownUse() {
         return Math.max(0, ownUnits);
     }
 
-    /** What is left of its weight in an estimate that slides over the window after it. */
+    /**
+     * Returns the part of the total that still counts in the sliding window estimate.
+     *
+     * @param elapsedShare share of the following window that has elapsed
+     */
     double slidingTotal(double elapsedShare) {
         return total * (1 - elapsedShare);
     }
 
     /**
-     * Takes in the total after a call that added the amount. A total below what this gateway alone
-     * has added means that the counter was reset: what was known before is kept on top of the
-     * counter's total from then on.
+     * Detects from a call's result whether the counter was reset. A total below the units that this
+     * gateway alone has added shows a reset; the usage known before is then kept on top of the
+     * counter's total.
      *
-     * @param toleranceUnits by how much the total may be lower before it counts as reset
+     * @param counterTotal total that the counter returned
+     * @param amount units that the call added
+     * @param toleranceUnits shortfall of the total up to which it does not count as a reset
      */
     void detectReset(double counterTotal, double amount, double toleranceUnits) {
         ownUnits += amount;
--- a/gateway/src/main/java/tinford/decision/DecisionEngine.java
+++ b/gateway/src/main/java/tinford/decision/DecisionEngine.java
@@ -18,15 +18,15 @@
 import tinford.api.SlowStartRules;
 
 /**
- * The decision module of one gateway: takes the events of a batch in order and passes each to the
- * parts that decide (docs/design.md). It knows nothing of sockets or of the simulator's wire; the
- * same seed and events give the same actions.
+ * The decision module of one gateway: handles the events of a batch in order and delegates each to
+ * the components that decide (docs/design.md). It is independent of sockets and of the simulator
+ * protocol, and deterministic: the same seed and events give the same actions.
  */
 public final class DecisionEngine implements DecisionModule, GatewayEvents, QuotaVerdicts {
     private static final long TICK_TIMER = 1;
     private static final long WATCH_TIMER = 2;
 
-    /** Waits and the queue are looked at this often. */
+    /** Interval at which waits for the counter and queued requests are checked. */
     private static final double TICK_MS = 50;
 
     private static final double WATCH_RETRY_MS = 500;
@@ -35,7 +35,8 @@
     private static final int TICKS_PER_QUOTA_CLEANUP = 200;
 
     /**
-     * Idle connections are closed where more than this many attempts break for each that succeeds.
+     * Idle connections are closed while more than this many attempts per successful one lose their
+     * connection.
      */
     private static final double MAX_BROKEN_PER_COMPLETED = 0.08;
 
@@ -107,7 +108,7 @@
         fairness.retainPlans(plans);
     }
 
-    /** No hard limit has filled here while another process drew on it. */
+    /** New hard-limit buckets are empty as of now, as another process used the limits until now. */
     @Override
     public void takeoverStarted() {
         lifecycle.start(batch.nowMs);
@@ -169,7 +170,7 @@
         pending.planLatestSend(balancer.typicalMs(request));
         request.attach(pending);
         retries.requestArrived(pending.weight);
-        // a client that is about to give up is not left to wait for the counter
+        // too close to the deadline to wait for the counter
         if (nowMs >= pending.latestSendMs) {
             answers.answer(batch, pending, 0);
         } else {
@@ -245,7 +246,7 @@
         }
     }
 
-    /** Tenants, calls on the counter and servers that are kept: bounded, whatever comes. */
+    /** Returns the number of tracked tenants, counter calls and servers, which stays bounded. */
     int trackedEntries() {
         return quotas.trackedEntries() + balancer.serverCount();
     }
--- a/gateway/src/main/java/tinford/decision/FinalAnswers.java
+++ b/gateway/src/main/java/tinford/decision/FinalAnswers.java
@@ -5,7 +5,7 @@
 import tinford.api.Idempotency;
 import tinford.api.RequestClass;
 
-/** The one place of final answers, and of everything that ends with a request. */
+/** Sends final responses and releases the state of completed requests. */
 final class FinalAnswers {
     private static final double MIN_RETRY_AFTER_MS = 100;
 
@@ -20,8 +20,10 @@
     }
 
     /**
-     * Answers the request: rejected where the rules let that promise that a retry is harmless, else
-     * failed.
+     * Completes a request without a server's response. It is rejected if its client may safely send
+     * it again, and failed otherwise.
+     *
+     * @param waitMs expected time in ms until a retry may succeed
      */
     void answer(Batch batch, PendingRequest pending, double waitMs) {
         close(batch, pending);
@@ -46,7 +48,8 @@
     }
 
     /**
-     * Nothing more is done for the request; units that were counted but never sent are taken back.
+     * Ends the processing of a request. Units that were counted are returned if no attempt was
+     * sent.
      */
     void close(Batch batch, PendingRequest pending) {
         boolean neverSent = pending.attempts.isEmpty();
--- a/gateway/src/main/java/tinford/decision/GatewayLifecycle.java
+++ b/gateway/src/main/java/tinford/decision/GatewayLifecycle.java
@@ -1,13 +1,14 @@
 package tinford.decision;
 
 /**
- * Since when this process takes requests, and since when another process of the gateway takes them.
+ * The times at which this process began to accept requests and at which another process of the
+ * gateway took over.
  */
 final class GatewayLifecycle {
     private double startedAtMs;
     private double drainingSinceMs = Double.POSITIVE_INFINITY;
 
-    /** The process starts, or takes over from another one. */
+    /** Records that this process starts or takes over from another process. */
     void start(double nowMs) {
         startedAtMs = nowMs;
     }
@@ -20,7 +21,7 @@
         return startedAtMs;
     }
 
-    /** Infinite while no other process takes the requests. */
+    /** Returns the start of draining, or infinity while this process accepts requests. */
     double drainingSinceMs() {
         return drainingSinceMs;
     }
--- a/gateway/src/main/java/tinford/decision/HardLimitBucket.java
+++ b/gateway/src/main/java/tinford/decision/HardLimitBucket.java
@@ -3,9 +3,9 @@
 import tinford.api.Plan;
 
 /**
- * This gateway's even share of a tenant's hard rate limit: a token bucket that is empty at the
- * start and needs no counter. While another process of the gateway draws on the same share, this
- * one drains at the rate at which the other one fills.
+ * The per-gateway share of a tenant's hard rate limit: a token bucket that starts empty and needs
+ * no counter. After a handover, the bucket of the draining process drains at the rate at which the
+ * bucket of the other process fills, so that both together stay within the share.
  */
 final class HardLimitBucket {
     private final GatewayLifecycle lifecycle;
@@ -20,14 +20,14 @@
     }
 
     /**
-     * @param share this gateway's part of the tenant's limit
+     * @param share share of the tenant's limit that this gateway has
      */
     void configure(Plan plan, double share) {
         ratePerMs = plan.hardLimitPerMs * share;
         size = plan.hardLimitBurst * share;
     }
 
-    /** How long until the units are there; 0 or less where they are, or where there is no limit. */
+    /** Returns the time until the units are available; 0 or less if they are or without a limit. */
     double waitMs(double units, double nowMs) {
         if (ratePerMs <= 0) {
             level = 0;
--- a/gateway/src/main/java/tinford/decision/LoadBalancer.java
+++ b/gateway/src/main/java/tinford/decision/LoadBalancer.java
@@ -9,16 +9,17 @@
 import tinford.api.Request;
 import tinford.api.Server;
 
-/** Picks a server for each attempt, and learns from how attempts end. */
+/** Picks a server for each attempt and updates server statistics from the outcomes. */
 final class LoadBalancer {
     /**
-     * Servers are filled to a third of their limits first, then to two thirds, then to the limits.
+     * Number of passes over the ranked servers: they are filled up to a third of their concurrency
+     * limits first, then to two thirds, then to the full limits.
      */
     private static final int FILL_PASSES = 3;
 
     /**
-     * The usual time of an attempt, as a multiple of the fleet's mean latency, and its bounds
-     * relative to the objective.
+     * Typical latency of an attempt as a multiple of the mean latency of all servers; it is bounded
+     * relative to the latency objective by the next two constants.
      */
     private static final double TYPICAL_MULTIPLE = 1.3;
 
@@ -33,7 +34,7 @@
     private final OutlierDetector outliers = new OutlierDetector();
     private final ServerRanking ranking;
 
-    /** In the order of the lists: random numbers are drawn in it. */
+    /** In endpoint list order, as random numbers are drawn in iteration order. */
     private final Set<ServerStats> servers = new LinkedHashSet<>();
 
     LoadBalancer(
@@ -50,7 +51,7 @@
     }
 
     /**
-     * @param complete whether servers that are not named are gone
+     * @param complete whether servers without an entry have been removed
      */
     void updateEndpoints(List<Server> entries, boolean complete, double nowMs) {
         Set<Server> named = new HashSet<>(entries);
@@ -84,8 +85,8 @@
     }
 
     /**
-     * Connections that were just opened or used are the least likely to break under the next
-     * request.
+     * Closes the idle connections to all servers. Connections that were opened or used recently are
+     * the least likely to break during the next request.
      */
     void closeIdleConnections(Batch batch) {
         for (ServerStats known : servers) {
@@ -93,7 +94,7 @@
         }
     }
 
-    /** What an attempt for the request usually takes. */
+    /** Returns the typical latency of an attempt for the request in ms. */
     double typicalMs(Request request) {
         double relative =
                 TYPICAL_MULTIPLE * ranking.fleetLatency() * sizes.relativeSize(request.units);
@@ -102,7 +103,8 @@
     }
 
     /**
-     * Whether any server has a free slot; a gateway among many has part of a slot at each server.
+     * Returns whether any server has a free slot. The gateway's own limit is checked as well: with
+     * many gateways each one's limit at a server may be below one slot.
      */
     boolean hasFreeSlot() {
         return !openAttempts.isFull()
@@ -110,13 +112,12 @@
                         .anyMatch(server -> server.running.size() < server.limiter.slots);
     }
 
-    /** The server for the next attempt of the request, or null where it has to wait. */
+    /** Returns the server for the next attempt of the request, or null if it has to wait. */
     ServerStats pick(Batch batch, PendingRequest pending) {
         if (openAttempts.isFull()) {
             return null;
         }
-        // what holds the request back at every server alike is asked once: the queue may be waiting
-        // for it
+        // independent of the server: checked once here, as the whole queue may be waiting for it
         if (pending.isFirstAttempt()
                 && !pending.quota.mayOpen(pending.request.units, batch.nowMs)) {
             return null;
@@ -148,7 +149,7 @@
         return null;
     }
 
-    /** Notes that an attempt leaves for the server. */
+    /** Records that an attempt is sent to the server. */
     Attempt startAttempt(PendingRequest pending, ServerStats server, double nowMs) {
         double units = pending.request.units;
         Attempt attempt = new Attempt(pending, server, nowMs, sizes.relativeSize(units));
@@ -161,7 +162,8 @@
     }
 
     /**
-     * Where no server is warm, each request within its quota counts as the answer of a warm one.
+     * Called for each request within its quota. While all servers are warming up, it stands in for
+     * the successful response of a warm server that would earn them credit.
      */
     void requestOffered(double nowMs) {
         if (ranking.warmingUp().size() == ranking.ranked().size()) {
@@ -174,8 +176,8 @@
     }
 
     /**
-     * Learns from an attempt that has ended, or whose streamed response has started: how long the
-     * rest takes is up to its client.
+     * Updates the statistics with an attempt that has ended or whose streamed response has started;
+     * how long the rest of a stream takes depends on its client.
      */
     void finishAttempt(
             Batch batch, Attempt attempt, AttemptOutcome outcome, double tookMs, double units) {
@@ -214,8 +216,8 @@
     }
 
     /**
-     * What fails at once is free at once: an outlier is left alone, or it would get many attempts a
-     * second.
+     * Ejects the server if it is an outlier. A server that fails immediately always has free slots
+     * and would otherwise attract many attempts per second.
      */
     private void recordError(Batch batch, Attempt attempt) {
         ServerStats server = attempt.server;
@@ -227,7 +229,7 @@
         }
     }
 
-    /** An overloaded server is not unhealthy: all of them may be full. */
+    /** Ejects the server. An overloaded server is not unhealthy, as all servers may be full. */
     private static void recordRefusal(Batch batch, ServerStats server, AttemptOutcome outcome) {
         server.eject(batch.nowMs);
         if (outcome == AttemptOutcome.UNREACHABLE) {
--- a/gateway/src/main/java/tinford/decision/LocalBucket.java
+++ b/gateway/src/main/java/tinford/decision/LocalBucket.java
@@ -3,9 +3,9 @@
 import tinford.api.Plan;
 
 /**
- * This gateway's even share of a tenant's quota, for when the counter says nothing. It is full at
- * first. Where shares are smaller than a request it holds one mean request, or no gateway would
- * ever admit any.
+ * The per-gateway share of a tenant's quota, used while the counter gives no totals: a token bucket
+ * that starts full. It holds at least one request of mean size; with a smaller size no gateway
+ * would ever admit one.
  */
 final class LocalBucket {
     private final RequestSizeModel sizes;
@@ -22,7 +22,7 @@
     }
 
     /**
-     * @param share this gateway's part of the tenant's quota
+     * @param share share of the tenant's quota that this gateway has
      */
     void configure(Plan plan, double share) {
         this.plan = plan;
--- a/gateway/src/main/java/tinford/decision/OpenAttempts.java
+++ b/gateway/src/main/java/tinford/decision/OpenAttempts.java
@@ -2,9 +2,9 @@
 
 import java.util.Random;
 
-/** How many attempts this gateway has open at all servers together, and how many it may have. */
+/** Counts and limits the attempts that this gateway has in flight at all servers together. */
 final class OpenAttempts {
-    /** An attempt that runs for this multiple of what answers take now is stalled. */
+    /** Multiple of the current mean latency after which an attempt counts as stalled. */
     private static final double STALLED_MULTIPLE = 3;
 
     private int open;
@@ -17,12 +17,12 @@
         return open >= limit;
     }
 
-    /** Most that were open at once since the limit was last set. */
+    /** Returns the maximum number of open attempts since the last update of the limit. */
     int peak() {
         return peak;
     }
 
-    /** Sum of the servers' limits, from which this limit was last set. */
+    /** Returns the sum of the servers' limits as of the last update of the limit. */
     double limitSum() {
         return limitSum;
     }
@@ -40,8 +40,9 @@
     }
 
     /**
-     * A stalled attempt occupies no slot, so that a gateway of few slots is not blocked by the few
-     * servers that keep them; at most as many as there are slots are treated so.
+     * Marks an attempt as stalled if it has been in flight for too long. A stalled attempt occupies
+     * no slot, so that a few hanging servers can't block a gateway with few slots. The number of
+     * stalled attempts is bounded by the limit.
      */
     void checkStalled(Attempt attempt, double latency, double fleetLatency) {
         if (latency > STALLED_MULTIPLE * fleetLatency * attempt.relativeSize
@@ -53,7 +54,7 @@
         }
     }
 
-    /** The limit is the sum of the servers' limits and its square root, rounded by chance. */
+    /** Sets the limit to the sum of the servers' limits plus its square root, rounded randomly. */
     void updateLimit(double sumOfLimits, Random random) {
         limitSum = sumOfLimits;
         limit = Math.max(1, (int) (limitSum + Math.sqrt(limitSum) + random.nextDouble()));
--- a/gateway/src/main/java/tinford/decision/OutlierDetector.java
+++ b/gateway/src/main/java/tinford/decision/OutlierDetector.java
@@ -4,26 +4,26 @@
 import java.util.List;
 
 /**
- * Finds servers that fail more than the others. Failures are compared with the fleet's median: when
- * all servers are slow, none of them is at fault.
+ * Detects servers that fail more often than the others. Failure rates are compared with the median
+ * of all servers, so that no server is an outlier while all of them are slow.
  */
 final class OutlierDetector {
     private static final double MIN_FAILURES = 2;
     private static final double MIN_ANSWERS = 4;
 
-    /** By how much a server's share of failures has to exceed the median. */
+    /** Difference by which the failure share of an outlier exceeds the median. */
     private static final double MARGIN = 0.3;
 
     private double medianFailureShare;
 
-    /** Whether the server fails more than the others, by what is known of it now. */
+    /** Returns whether the server is an outlier by its current totals and the last median. */
     boolean isOutlier(ServerStats server, double nowMs) {
         double answers = server.answers.total(nowMs);
         return server.failures.total(nowMs) >= MIN_FAILURES
                 && failureShare(server, answers, nowMs) > medianFailureShare + MARGIN;
     }
 
-    /** Finds the outliers anew; expects the servers' totals to be up to date. */
+    /** Updates the median and all outlier flags; the servers' totals have to be up to date. */
     void update(List<ServerStats> servers, double nowMs) {
         double[] shares = new double[servers.size()];
         for (int i = 0; i < shares.length; i++) {
--- a/gateway/src/main/java/tinford/decision/PendingRequest.java
+++ b/gateway/src/main/java/tinford/decision/PendingRequest.java
@@ -5,18 +5,18 @@
 import tinford.api.DecisionState;
 import tinford.api.Request;
 
-/** A request that this gateway owes an answer or still expects outcomes for. */
+/** A request without a final response, or with attempts whose outcomes are still expected. */
 final class PendingRequest implements DecisionState {
-    /** Stands for a deduplication window of a request that has no attempt that may have run. */
+    /** Remaining deduplication window if no attempt of the request may have run. */
     static final double UNBOUNDED_MS = 1e9;
 
-    /** What is left before the client gives up, for the answer to reach it. */
+    /** Time before the client deadline that is reserved for the response to reach the client. */
     private static final double CLIENT_MARGIN_MS = 100;
 
     final Request request;
     final TenantQuota quota;
 
-    /** In the order of arrival at this gateway. */
+    /** Sequence number of the arrival at this gateway. */
     final long sequence;
 
     final double arrivedAtMs;
@@ -24,36 +24,38 @@
     final List<Attempt> attempts = new ArrayList<>(1);
 
     /**
-     * For each unit: the class's and the plan's weight, boosted, less where it is over its quota.
+     * Priority weight of each unit: the product of the request class's weight, the plan's weight
+     * and the priority boost, reduced if the request is over its quota.
      */
     double weight;
 
     /**
-     * The latest time at which an attempt would still be answered within objective and deadline.
+     * Latest time at which an attempt can be sent and is still expected to complete within latency
+     * objective and deadline.
      */
     double latestSendMs;
 
-    /** Where its units were counted, or null; they can be taken back from there. */
+    /** Window in which the units were counted and can be returned, or null. */
     CounterWindow countedIn;
 
-    /** The counter's total right after its units were added. */
+    /** Total of the window right after the units were added. */
     double countedTotal;
 
-    /** It waits for the total of the window before. */
+    /** Whether the request waits for the total of the previous window. */
     boolean awaitsPreviousWindow;
 
-    /** Its quota has been decided: nothing is awaited from the counter any more. */
+    /** Whether the counter call that adds the request's units is no longer waited for. */
     boolean quotaDecided;
 
-    /** It was admitted by the fallback, without a total from the counter. */
+    /** Whether the fallback admitted the request, without a total from the counter. */
     boolean admittedByFallback;
 
-    /** It was within its quota when it was admitted. */
+    /** Whether the request passed the quota check and was reported to the fleet as offered. */
     boolean withinQuota;
 
     boolean responseStarted;
 
-    /** Nothing more is done for it. */
+    /** Whether the processing of the request has ended. */
     boolean over;
 
     private final double priorityBoost;
@@ -74,13 +76,13 @@
     }
 
     /**
-     * @param typicalMs what an attempt for it usually takes
+     * @param typicalMs typical latency of an attempt for the request
      */
     void planLatestSend(double typicalMs) {
         latestSendMs = Math.min(objectiveAtMs, request.deadlineMs - CLIENT_MARGIN_MS) - typicalMs;
     }
 
-    /** Its weight without this gateway's own boost: comparable over the whole fleet. */
+    /** Returns the weight without this gateway's priority boost, comparable across the fleet. */
     double fleetWeight() {
         return weight / priorityBoost;
     }
@@ -98,8 +100,8 @@
     }
 
     /**
-     * For how long servers still recognise a further attempt as a repeat, counted from the first
-     * attempt that may have run.
+     * Returns the time for which servers still recognise a further attempt as a repeat, measured
+     * from the first attempt that may have run.
      */
     double deduplicationLeftMs(double nowMs, double tickMs) {
         double windowMs = request.requestClass.deduplicationWindowMs;
--- a/gateway/src/main/java/tinford/decision/PlanFairness.java
+++ b/gateway/src/main/java/tinford/decision/PlanFairness.java
@@ -7,8 +7,8 @@
 import tinford.api.Plan;
 
 /**
- * Keeps the cheapest plan from starving in the admission queue: the worst served one gets a higher
- * priority.
+ * Boosts the priority of the worst-served plan, so that plans with a low priority weight do not
+ * starve in the admission queue.
  */
 final class PlanFairness {
     private static final double MAX_SCARCITY = 20;
@@ -16,7 +16,7 @@
 
     private final double worstPlanWeight;
 
-    /** By identity, in the order in which the plans were first used. */
+    /** Keyed by plan identity, in the order in which the plans were first used. */
     private final Map<Plan, PlanUsage> usageByPlan = new LinkedHashMap<>();
 
     PlanFairness(Objectives objectives) {
--- a/gateway/src/main/java/tinford/decision/QuotaLimiter.java
+++ b/gateway/src/main/java/tinford/decision/QuotaLimiter.java
@@ -11,15 +11,15 @@
 import tinford.api.Tenant;
 
 /**
- * Holds tenants to their quotas. The ordinary path adds a request's units to the tenant's window on
- * the shared counter and decides by the total that comes back; where the counter is silent, slow or
- * short of calls, a fallback decides by this gateway's own knowledge.
+ * Enforces the tenants' quotas. Normally a request's units are added to the tenant's window on the
+ * shared counter, and the returned total decides. If the counter is unresponsive, slow or
+ * overloaded with calls, a fallback decides from the state of this gateway.
  */
 final class QuotaLimiter {
-    /** An exhausted quota is believed for so long without another call. */
+    /** Time for which a total that shows an exhausted quota is used without another call. */
     private static final double EXHAUSTED_TRUST_MS = 500;
 
-    /** Longest wait for the counter, as a part of the latency objective. */
+    /** Maximum wait for the counter, as a share of the latency objective. */
     private static final double MAX_WAIT_SHARE_OF_OBJECTIVE = 0.05;
 
     private final CounterSettings settings;
@@ -32,7 +32,7 @@
     private final CounterCalls calls = new CounterCalls();
     private final Map<Long, TenantQuota> quotas = new HashMap<>();
 
-    /** Requests that may wait for the counter, in the order of arrival. */
+    /** Requests that may be waiting for the counter, in the order of arrival. */
     private final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
 
     QuotaLimiter(
@@ -52,7 +52,7 @@
         this.pacer = new CounterPacer(settings, gatewayCount);
     }
 
-    /** The tenant's quota, under the plan that the tenant has now. */
+    /** Returns the tenant's quota, under the tenant's current plan. */
     TenantQuota quotaOf(Tenant tenant, double nowMs) {
         TenantQuota quota = quotas.get(tenant.id);
         if (quota == null) {
@@ -63,17 +63,17 @@
         return quota;
     }
 
-    /** Bounds memory: after two windows without a request no count of a tenant matters any more. */
+    /** Bounds memory: after two windows without a request a tenant's totals no longer count. */
     void forgetIdleTenants(double nowMs) {
         quotas.values().removeIf(quota -> quota.isForgettable(nowMs));
     }
 
-    /** Tenants and calls that are kept. */
+    /** Returns the number of tracked tenants and counter calls. */
     int trackedEntries() {
         return quotas.size() + calls.size();
     }
 
-    /** Asks the counter about a request that has arrived, or decides without it. */
+    /** Calls the counter for a request that has arrived, or decides without the counter. */
     void check(Batch batch, PendingRequest pending) {
         double nowMs = batch.nowMs;
         TenantQuota quota = pending.quota;
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Ends waits that have lasted too long, whichever window's answer is missing. */
+    /** Ends waits for the counter that have lasted too long, whichever window is missing. */
     void expireWaits(Batch batch) {
         while (!waiting.isEmpty()) {
             PendingRequest pending = waiting.peek();
@@ -127,10 +127,7 @@
         return !pending.quotaDecided || pending.awaitsPreviousWindow;
     }
 
-    /**
-     * Decides for a request whose answer from the counter is not awaited any more, if nothing has
-     * decided yet.
-     */
+    /** Decides without the counter for a request that is still undecided. */
     private void decideByFallback(Batch batch, PendingRequest pending) {
         if (!pending.quotaDecided) {
             pending.quotaDecided = true;
@@ -138,7 +135,7 @@
         }
     }
 
-    /** The counter's answer to the oldest call of a key, or the news that there is none. */
+    /** Handles the result of the oldest call of a key. */
     void counterAnswered(
             Batch batch, long key, AttemptOutcome outcome, double tookMs, double total) {
         CounterCall call = calls.takeOldest(key);
@@ -176,11 +173,12 @@
             decideByFallback(batch, pending);
         }
         if (!outcome.mayHaveRun) {
-            // what is used, or to be taken back, goes with the next call
+            // the next call reports the usage or returns the units
             boolean used = pending == null || pending.admittedByFallback;
             quota.addUnreported(used ? call.amount() : call.unreportedUnits());
         } else if (pacer.isSlow(batch.nowMs) && pending != null && !pending.admittedByFallback) {
-            // a slow counter adds it all the same: what was rejected is taken off again
+            // a slow counter adds the units after the timeout; those of a rejected request are
+            // returned
             quota.addUnreported(-pending.request.units);
         }
     }
@@ -205,7 +203,7 @@
         }
     }
 
-    /** A counter that is short of calls is spared those that can't change an answer. */
+    /** While calls are spaced out, none is made that can't change the decision. */
     private boolean needsPreviousWindow(CounterCall call, double nowMs) {
         TenantQuota quota = call.quota();
         return !call.pending().over
@@ -215,8 +213,8 @@
     }
 
     /**
-     * A total that comes after its call was given up is true all the same; what is unreported is
-     * not in it.
+     * Applies a total that arrived after the call timed out. It is still valid, but does not
+     * include unreported usage.
      */
     void counterAnsweredLate(long key, double total, double nowMs) {
         TenantQuota quota = quotas.get(CounterCall.tenantOf(key));
@@ -253,7 +251,7 @@
         }
     }
 
-    /** Takes the units of a request that was never sent off the counter again. */
+    /** Returns to the counter the units of a request for which no attempt was sent. */
     void takeBack(Batch batch, PendingRequest pending) {
         double units = pending.request.units;
         pending.quota.spend(pending.countedIn, -units);
@@ -262,8 +260,8 @@
     }
 
     /**
-     * Decides when the counter says nothing: plans whose excess costs nothing fail open, others
-     * live on the counter's last word or on an even share.
+     * Decides without a total from the counter. Plans for which usage beyond the quota has no cost
+     * fail open; for others a recent total or the per-gateway share decides.
      *
      * @return whether the request was within its quota
      */
@@ -276,7 +274,7 @@
         if (!within) {
             pending.weight *= plan.overQuotaWeight;
         }
-        // it is unreported, or was added without an answer: as if it had been read
+        // counted like a read total: the units are unreported, or were added by an unanswered call
         if (within && metered && settings.present()) {
             pending.countedIn = quota.current();
             quota.spend(quota.current(), request.units);
@@ -289,7 +287,7 @@
         return within;
     }
 
-    /** The true units are known: the difference goes with the tenant's next call. */
+    /** Adds the difference to the actual units of a request to the tenant's next call. */
     void settle(PendingRequest pending, double settledUnits) {
         if (pending.countedIn != null) {
             pending.quota.addUnreported(settledUnits - pending.request.units);
--- a/gateway/src/main/java/tinford/decision/QuotaVerdicts.java
+++ b/gateway/src/main/java/tinford/decision/QuotaVerdicts.java
@@ -1,14 +1,14 @@
 package tinford.decision;
 
-/** Hears what the quota of a request came to. */
+/** Receives the quota decision of each request. */
 interface QuotaVerdicts {
-    /** The request may go to a server. */
+    /** The quota admits the request. */
     void admit(Batch batch, PendingRequest pending);
 
     /**
      * The request is over its quota.
      *
-     * @param waitMs until its units are expected to fit
+     * @param waitMs expected time in ms until the request fits the quota
      */
     void reject(Batch batch, PendingRequest pending, double waitMs);
 }
--- a/gateway/src/main/java/tinford/decision/RequestSizeModel.java
+++ b/gateway/src/main/java/tinford/decision/RequestSizeModel.java
@@ -1,14 +1,15 @@
 package tinford.decision;
 
 /**
- * How much longer a request takes than one of mean size: a line of latency over units, fitted to
- * recent answers. Latency is relative to the class's objective.
+ * Estimates the latency of a request relative to one of mean size, by a linear regression of
+ * latency over units of recent responses. Latency is relative to the latency objective of the
+ * request class.
  */
 final class RequestSizeModel {
-    /** Relative latency that is assumed until answers tell otherwise. */
+    /** Relative latency that is assumed before the first responses. */
     static final double INITIAL_RELATIVE_LATENCY = 0.12;
 
-    /** Weight of one answer in the moving means. */
+    /** Weight of one response in the exponential moving averages. */
     private static final double GAIN = 0.02;
 
     private static final double MIN_UNITS_VARIANCE = 0.01;
@@ -31,14 +32,16 @@
         meanUnitsTimesLatency += GAIN * (units * relativeLatency - meanUnitsTimesLatency);
     }
 
-    /** What a request of so many units takes, as a multiple of one of mean units. */
+    /**
+     * Returns the expected latency of a request, as a multiple of that of a request of mean units.
+     */
     double relativeSize(double units) {
         double variance = meanUnitsSquared - meanUnits * meanUnits;
         double slope =
                 variance < MIN_UNITS_VARIANCE
                         ? 0
                         : (meanUnitsTimesLatency - meanUnits * meanLatency) / variance;
-        // a request of no units takes no less than no time
+        // the regression line must not be negative at 0 units
         slope = Math.max(0, Math.min(slope, meanLatency / meanUnits));
         return Math.max(
                 MIN_RELATIVE_SIZE,
--- a/gateway/src/main/java/tinford/decision/RetryBudget.java
+++ b/gateway/src/main/java/tinford/decision/RetryBudget.java
@@ -4,16 +4,16 @@
 import tinford.api.FleetPolicy;
 
 /**
- * A budget of retries of what may have run, fed by the weight of first attempts, so that failures
- * can't multiply the load. A retry of what surely never ran is free.
+ * A budget for retries of attempts that may have run. It grows with the weight of first attempts,
+ * so that failures can't multiply the load. Retries of attempts that did not run are free.
  */
 final class RetryBudget {
-    /** Retries that a first attempt of mean weight adds. */
+    /** Retries that a first attempt of mean weight adds to the budget. */
     private static final double RETRIES_PER_FIRST_ATTEMPT = 0.1;
 
     private static final double MAX_RETRIES = 10;
 
-    /** Weight of one request in the mean: it reaches back some fifty requests. */
+    /** Weight of one request in the moving average, which spans about 50 requests. */
     private static final double MEAN_GAIN = 0.02;
 
     private double retries;
--- a/gateway/src/main/java/tinford/decision/RollingSum.java
+++ b/gateway/src/main/java/tinford/decision/RollingSum.java
@@ -1,14 +1,14 @@
 package tinford.decision;
 
 /**
- * The sum of what was added within the last few seconds, in fixed buckets of time that are reused
- * in a ring.
+ * The sum of the amounts that were added within the last few seconds, in a ring of buckets of fixed
+ * duration.
  */
 final class RollingSum {
     private static final int BUCKETS = 8;
     private static final double BUCKET_MS = 500;
 
-    /** How far back the sum reaches. */
+    /** Time span of the sum in ms. */
     static final double SPAN_MS = BUCKETS * BUCKET_MS;
 
     private final double[] sums = new double[BUCKETS];
@@ -25,7 +25,7 @@
 
     double total(double nowMs) {
         long epoch = (long) (nowMs / BUCKET_MS);
-        // most servers of a large fleet have seen nothing lately
+        // fast path: most servers of a large fleet have no recent responses
         if (epoch - lastEpoch >= BUCKETS) {
             return 0;
         }
--- a/gateway/src/main/java/tinford/decision/ServerRanking.java
+++ b/gateway/src/main/java/tinford/decision/ServerRanking.java
@@ -7,12 +7,12 @@
 import java.util.Random;
 import tinford.api.Server;
 
-/** The order in which servers are filled, renewed by a timer from what was measured since. */
+/** The order in which servers are filled, updated periodically from recent statistics. */
 final class ServerRanking {
-    /** Attempts at a server of middling weight at first, over all gateways together. */
+    /** Initial concurrency limit of a server of mean weight, summed over all gateways. */
     private static final double INITIAL_LIMIT_OVER_ALL_GATEWAYS = 5;
 
-    /** Answers that the initial latency counts for. */
+    /** Number of responses as which the initial latency is weighted. */
     private static final double PRIOR_ANSWERS = 4;
 
     private final SlowStart slowStart;
@@ -37,24 +37,24 @@
         this.initialLimit = INITIAL_LIMIT_OVER_ALL_GATEWAYS / gatewayCount;
     }
 
-    /** Servers that are up, the best first. */
+    /** Returns the servers that are up, best first. */
     List<ServerStats> ranked() {
         return ranked;
     }
 
-    /** Of these, the servers that are warming up, in random order. */
+    /** Returns the servers that are warming up, in random order. */
     List<ServerStats> warmingUp() {
         return warmingUp;
     }
 
-    /** Mean relative latency over all servers. */
+    /** Returns the mean relative latency over all servers. */
     double fleetLatency() {
         return fleetLatency;
     }
 
     void update(Collection<ServerStats> servers, double nowMs) {
         collect(servers, nowMs);
-        // all gateways have the same list: none of its servers is to be the first at all of them
+        // all gateways have the same endpoint list and must not all prefer the same server
         Collections.shuffle(warmingUp, random);
         updateLimits(nowMs);
         outliers.update(ranked, nowMs);
--- a/gateway/src/main/java/tinford/decision/ServerStats.java
+++ b/gateway/src/main/java/tinford/decision/ServerStats.java
@@ -7,22 +7,22 @@
 import tinford.api.Server;
 
 /**
- * What this gateway knows of one server, and what it has running there. Latency is relative to the
- * class's objective.
+ * This gateway's statistics of one server and its attempts in flight there. Latency is relative to
+ * the latency objective of the request class.
  */
 final class ServerStats implements DecisionState {
     private static final double MAX_RELATIVE_LATENCY = 2;
     private static final double INITIAL_MEAN_LATENCY = 0.2;
 
-    /** Weight of one answer in the ratio to the fleet. */
+    /** Weight of one response in the latency ratio to the fleet. */
     private static final double RATIO_GAIN = 0.1;
 
     private static final double MAX_RATIO = 4;
 
-    /** Answers that the fleet's latency counts for in the mean of one server. */
+    /** Number of responses as which the prior, derived from the fleet's latency, is weighted. */
     private static final double PRIOR_ANSWERS = 4;
 
-    /** How far a server's place in the order is drawn apart at each gateway. */
+    /** Size of the random spread of a server's rank, which differs between gateways. */
     private static final double ORDER_SPREAD = 0.8;
 
     private static final double FIRST_EJECTION_MS = 250;
@@ -35,36 +35,39 @@
     final List<Attempt> running = new ArrayList<>();
     final ConcurrencyLimiter limiter = new ConcurrencyLimiter();
 
-    /** Sends at most one attempt at a time to a server with far more failures than the others. */
+    /** Whether the server is an outlier; it then gets at most one attempt at a time. */
     boolean outlier;
 
     double ejectedUntilMs;
 
-    /** Attempts that the server refused or could not be reached for, since its last success. */
+    /** Ejections since the last successful attempt; each doubles the time of the next one. */
     int consecutiveRefusals;
 
-    /** Parts of an attempt that a server that is warming up has earned. */
+    /** Attempts, with fractions, that a server that is warming up has earned. */
     double slowStartCredit;
 
     double meanLatency = INITIAL_MEAN_LATENCY;
 
-    /** Answers within the last seconds, as of the last {@link #updateTotals}. */
+    /** Number of recent responses, as of the last {@link #updateTotals}. */
     double recentAnswers;
 
-    /** Sum of their relative latencies. */
+    /** Sum of the relative latencies of the recent responses. */
     double recentLatencySum;
 
-    /** Place in the order of servers: the lowest goes first. */
+    /** Sort key of the server; the lowest comes first. */
     double rank;
 
     private double latencyRatioToFleet = 1;
     private double knownStartMs;
 
-    /** Drawn once, so that gateways prefer different servers and each keeps few connections. */
+    /**
+     * Random part of the rank. It is drawn once, so that gateways prefer different servers and each
+     * keeps few connections.
+     */
     private final double orderDraw;
 
     /**
-     * @param orderDraw evenly from 0 to 1
+     * @param orderDraw random part of the rank, uniformly distributed from 0 to 1
      */
     ServerStats(Server server, double orderDraw) {
         this.server = server;
@@ -75,14 +78,15 @@
         return (ServerStats) server.decisionState();
     }
 
-    /** Leaves the server alone for a while, ever longer until it succeeds. */
+    /** Ejects the server, with an exponential backoff that ends with its next success. */
     void eject(double nowMs) {
         int doublings = Math.min(MAX_EJECTION_DOUBLINGS, consecutiveRefusals++);
         ejectedUntilMs = nowMs + FIRST_EJECTION_MS * (1 << doublings);
     }
 
     /**
-     * A server that was ejected is tried again by the gateway of the fleet that owns its probing.
+     * Returns whether the server may get an attempt. After an ejection only its probe owner tries
+     * it again.
      */
     boolean mayBeTried(double nowMs, FleetPolicy policy) {
         return nowMs >= ejectedUntilMs
@@ -90,7 +94,7 @@
                 && (!outlier && consecutiveRefusals == 0 || policy.ownsProbing(server));
     }
 
-    /** Whether the server was started again since this was last asked. */
+    /** Returns whether the server has restarted since the last call. */
     boolean hasRestarted() {
         if (knownStartMs == server.startedAtMs()) {
             return false;
@@ -99,7 +103,7 @@
         return true;
     }
 
-    /** Forgets refusals of the process before; what it had earned is drawn anew. */
+    /** Resets the ejection state after a restart of the server and sets its slow-start credit. */
     void reset(double credit) {
         slowStartCredit = credit;
         consecutiveRefusals = 0;
@@ -116,15 +120,15 @@
         }
     }
 
-    /** Takes the sums over its recent answers anew. */
+    /** Updates the sums over the recent responses. */
     void updateTotals(double nowMs) {
         recentAnswers = answers.total(nowMs);
         recentLatencySum = latencySum.total(nowMs);
     }
 
     /**
-     * Takes the mean latency anew from the totals. Attempts that have run longer than the mean
-     * count as answers: a stalled server shows in them first.
+     * Updates the mean latency from the totals. Attempts in flight that already exceed the mean
+     * count as responses, as a stalled server shows in them first.
      */
     void updateMeanLatency(double nowMs, double fleetLatency, OpenAttempts openAttempts) {
         double count = recentAnswers;
--- a/gateway/src/main/java/tinford/decision/SlowStart.java
+++ b/gateway/src/main/java/tinford/decision/SlowStart.java
@@ -5,17 +5,18 @@
 import tinford.api.SlowStartRules;
 
 /**
- * Bounds what servers that are warming up are sent. Each earns a part of an attempt with each good
- * answer of a warm server, and is sent one when a whole attempt has been earned.
+ * Limits the attempts at servers that are warming up. Each successful response of a warm server
+ * adds a fraction of an attempt to the credit of each warming server, which gets an attempt once
+ * its credit reaches a whole one.
  */
 final class SlowStart {
     /**
-     * Part of the rule's multiple that is used: the slowest servers do half of the mean, and work
-     * is uneven.
+     * Share of the overload multiple that is used. The margin is needed because the slowest servers
+     * have half of the mean capacity and requests differ in size.
      */
     private static final double CAPACITY_MARGIN = 0.3;
 
-    /** At most one attempt is saved up. */
+    /** Maximum number of attempts that a server can accumulate. */
     private static final double MAX_CREDIT = 1;
 
     private final SlowStartRules rules;
@@ -29,9 +30,9 @@
     }
 
     /**
-     * Credits every server that is warming up for one answer of a warm one.
+     * Adds credit to every server that is warming up, for one response of a warm server.
      *
-     * @param ranked how many servers are up, warming ones included
+     * @param ranked number of servers that are up, warming ones included
      */
     void earn(List<ServerStats> warmingUp, int ranked, double nowMs) {
         int warm = ranked > warmingUp.size() ? ranked - warmingUp.size() : Math.max(1, ranked);
@@ -44,8 +45,8 @@
     }
 
     /**
-     * What the server may be sent, as a part of what a warm one gets; stays under the rule's
-     * multiple.
+     * Returns the traffic that the server may get as a share of that of a warm server. It stays
+     * below the multiple of its capacity at which a server fails.
      */
     private double share(Server server, double nowMs) {
         double age = Math.max(0, nowMs - server.startedAtMs()) / rules.warmUpMs();
--- a/gateway/src/main/java/tinford/decision/TenantQuota.java
+++ b/gateway/src/main/java/tinford/decision/TenantQuota.java
@@ -5,16 +5,18 @@
 import tinford.api.Tenant;
 
 /**
- * A tenant's quota as this gateway knows it: a sliding estimate over two windows on the shared
- * counter, a bound within the window, and this gateway's shares for when the counter says nothing.
+ * This gateway's state of a tenant's quota: a sliding window estimate over two counter windows, a
+ * bound within the current window, and the per-gateway shares that apply without the counter.
  */
 final class TenantQuota {
-    /** Longest window: two of them fit the minute for which the counter keeps a total. */
+    /**
+     * Maximum window length; two windows fit into the minute for which the counter keeps a total.
+     */
     static final double MAX_WINDOW_MS = 29_000;
 
     /**
-     * Length of a window in times in which the burst fills: a burst may go beyond the quota at each
-     * edge.
+     * Window length as a multiple of the time in which the burst refills. One burst beyond the
+     * quota is possible at each window boundary.
      */
     private static final double BURST_TIMES_PER_WINDOW = 6;
 
@@ -22,12 +24,13 @@
     private static final double ROUNDING_UNITS = 1e-6;
     private static final double AVOID_ZERO = 1e-9;
 
-    /** Gateways of a tenant among which one may use what was free at the last read. */
+    /** Maximum fan-in at which a gateway may use the units that were free at the last read. */
     private static final double MAX_FAN_IN_FOR_FRESH_READS = 4;
 
-    /** Factors on the gap between calls to the counter. */
+    /** Factor on the gap between calls for tenants whose decisions hardly depend on the total. */
     private static final double RELAXED_GAP = 4;
 
+    /** Factor on the gap between calls for tenants whose quota is unknown or nearly used up. */
     private static final double URGENT_GAP = 0.5;
 
     private final PlanFairness fairness;
@@ -97,15 +100,15 @@
         return windowMs;
     }
 
-    /** The tenant sends a request. */
+    /** Records the time of a request of the tenant. */
     void touch(double nowMs) {
         lastRequestMs = nowMs;
     }
 
     /**
-     * Moves to the plan of a later revision of the configuration. What was used stays as a floor
-     * under the new plan's total, up to all that the new plan allows by now, and opens no burst at
-     * each gateway.
+     * Changes to the plan of a later configuration revision. Usage under the old plan is carried
+     * over into the new plan's total, up to the units that the new plan allows by now. The unused
+     * burst is carried over as well, so that the change does not grant a new burst at each gateway.
      */
     void moveTo(Tenant changed, double nowMs) {
         if (changed.revision <= tenant.revision || changed.plan == plan) {
@@ -121,7 +124,7 @@
         CounterWindow oldWindow = current;
         follow(changed);
         roll(nowMs);
-        // a window of another length has another key on the counter
+        // windows of different lengths have different keys on the counter
         if (current != oldWindow) {
             double allowed = plan.burst + plan.quotaPerMs * intoWindowMs(nowMs);
             current.lostUnits = Math.max(0, Math.min(used, allowed));
@@ -131,7 +134,7 @@
         headroom.set(Math.max(0, Math.min(oldBurst, plan.burst) - spent), nowMs);
     }
 
-    /** Opens the window that the time lies in. */
+    /** Makes the window that contains the time the current one. */
     void roll(double nowMs) {
         long index = (long) Math.floor(nowMs / windowMs);
         if (current != null && current.index == index) {
@@ -149,12 +152,12 @@
         return Math.min(windowMs, nowMs - current.index * windowMs);
     }
 
-    /** Most units that a window may hold. */
+    /** Returns the maximum number of units that a window admits. */
     private double windowCapacity() {
         return plan.quotaPerMs * windowMs + plan.burst;
     }
 
-    /** Whether a current total is within the quota. */
+    /** Returns whether a total of the current window is within the quota. */
     boolean fits(double total, double nowMs) {
         double intoMs = intoWindowMs(nowMs);
         return previous.slidingTotal(intoMs / windowMs) + total <= windowCapacity()
@@ -162,19 +165,23 @@
                 && total - current.total <= headroom.refill(plan, 0, nowMs) + ROUNDING_UNITS;
     }
 
-    /** Whether so many more units are known not to fit, by a total read so recently. */
+    /**
+     * Returns whether a recent total shows that the units exceed the quota.
+     *
+     * @param maxAgeMs maximum age of the total in ms
+     */
     boolean isKnownExhausted(double units, double maxAgeMs, double nowMs) {
         return current.wasRead
                 && nowMs - current.readAtMs < maxAgeMs
                 && !fits(current.total + units, nowMs);
     }
 
-    /** Whether the window before could deny anything now, if it had admitted all that it may. */
+    /** Returns whether the previous window could cause a rejection, assuming that it was full. */
     boolean previousWindowMatters(double nowMs) {
         return current.total > windowCapacity() * Math.min(1, nowMs / windowMs - current.index);
     }
 
-    /** How long until so many units will fit, if nobody else asks. */
+    /** Returns the time until the units are within the quota if nothing else is used meanwhile. */
     double fitsInMs(double units, double nowMs) {
         double intoMs = nowMs - current.index * windowMs;
         double total = current.total + units;
@@ -190,15 +197,16 @@
     }
 
     /**
-     * What is beyond the quota earns something and costs nothing: it is admitted while the counter
-     * is silent.
+     * Returns whether requests are admitted without a total from the counter: usage beyond the
+     * quota earns weight under this plan and has no cost.
      */
     boolean failsOpen() {
         return plan.overQuotaWeight > 0 && plan.overQuotaCost <= 0;
     }
 
     /**
-     * Whether the last total may be relied on; of many gateways each would use all that was free.
+     * Returns whether the last total is recent enough to decide by. It never is with a large
+     * fan-in, where each gateway would use all the units that were free.
      */
     private boolean isFresh(double nowMs) {
         return MAX_FAN_IN_FOR_FRESH_READS * share >= 1
@@ -207,8 +215,9 @@
     }
 
     /**
-     * Factor on the gap between calls where these are short: those tell most whose quota is unknown
-     * or nearly used up, and none where requests are admitted either way.
+     * Returns a factor on the gap between calls, which directs the limited calls to tenants whose
+     * quota is unknown or nearly used up. A fail-open tenant's requests are admitted with or
+     * without a total.
      */
     double callGapFactor(double nowMs) {
         boolean relaxed =
@@ -217,9 +226,11 @@
     }
 
     /**
-     * Takes units without the counter: after a recent total as if the others had used their shares
-     * of what has come free since, else from the own share. A share smaller than the request is
-     * drawn for by chance, so that over all gateways the shares admit what they hold.
+     * Takes units without the counter and returns whether they were available. With a recent total,
+     * the other gateways are assumed to have used their shares of the units that became free since;
+     * otherwise the per-gateway share decides. A request larger than the remaining share is
+     * admitted with a proportional probability, so that all gateways together admit the sum of
+     * their shares.
      */
     boolean takeWithoutCounter(double units, Random random, double nowMs) {
         boolean fresh = isFresh(nowMs);
@@ -238,23 +249,23 @@
     }
 
     /**
-     * The own share tells what is left of it when the counter falls silent: counted units come off
-     * it as well.
+     * Charges units that the counter has admitted to the per-gateway share, so that its level is
+     * correct when the counter becomes unresponsive.
      */
     void chargeLocalBucket(double units, double nowMs) {
         localBucket.charge(units, nowMs);
     }
 
-    /** Counts units that are not on the counter yet, or takes them back. */
+    /** Adds units that are not in the last read total, or returns units if negative. */
     void spend(CounterWindow window, double units) {
         window.total += units;
         headroom.spend(units);
     }
 
     /**
-     * Takes in a total.
+     * Applies a total that was read.
      *
-     * @param units of the request whose call read it, or 0
+     * @param units units of the request whose call read the total, or 0
      */
     void updateTotal(CounterWindow window, double total, double units, double nowMs) {
         if (window == current || window.wasRead) {
@@ -270,7 +281,9 @@
         return unreportedUnits;
     }
 
-    /** Units that the next call adds; below 0 where it takes units back. */
+    /**
+     * Adds units to the unreported usage, which the next call reports; negative to return units.
+     */
     void addUnreported(double units) {
         unreportedUnits += units;
     }
@@ -301,13 +314,16 @@
         return hardLimit.waitMs(units, nowMs);
     }
 
-    /** Hard rate limit and limit on open requests, for a first attempt. */
+    /** Returns whether hard rate limit and limit on open requests allow a first attempt. */
     boolean mayOpen(double units, double nowMs) {
         return hardLimit.waitMs(units, nowMs) <= 0
                 && (plan.maxOpenRequests <= 0 || openAttempts + 0.5 < openRequestShare());
     }
 
-    /** The limit on open requests is divided by the use that the counter shows, evenly at first. */
+    /**
+     * Returns this gateway's share of the limit on open requests, in proportion to its share of the
+     * usage on the counter; initially the limit is divided evenly.
+     */
     private double openRequestShare() {
         double own =
                 current.ownUse()
@@ -319,7 +335,7 @@
         return Math.max(1, plan.maxOpenRequests * Math.min(1, part));
     }
 
-    /** Whether nothing that is kept here matters any more. */
+    /** Returns whether this state no longer affects any decision and can be dropped. */
     boolean isForgettable(double nowMs) {
         return nowMs - lastRequestMs > 2 * MAX_WINDOW_MS
                 && openAttempts == 0
--- a/gateway/src/main/java/tinford/simulator/OpenRequests.java
+++ b/gateway/src/main/java/tinford/simulator/OpenRequests.java
@@ -5,8 +5,8 @@
 import tinford.api.Request;
 
 /**
- * The requests of a simulated gateway that later messages may still name: those without a final
- * answer, and those with attempts in flight.
+ * The requests of a simulated gateway that later messages may still refer to: those without a final
+ * response, and those with attempts in flight.
  */
 final class OpenRequests {
     private static final class OpenRequest {
@@ -25,13 +25,13 @@
         requests.put(request.id, new OpenRequest(request));
     }
 
-    /** Returns the request with this id, or null if it is not known any more. */
+    /** Returns the request with this id, or null if it is no longer tracked. */
     Request find(long id) {
         OpenRequest open = requests.get(id);
         return open == null ? null : open.request;
     }
 
-    /** Returns the request with this id, or null if it has its final answer or is not known. */
+    /** Returns the request with this id, or null if it has its final response or is not tracked. */
     Request findUnanswered(long id) {
         OpenRequest open = requests.get(id);
         return open == null || open.answered ? null : open.request;
@@ -44,7 +44,7 @@
     /**
      * Records the end of an attempt.
      *
-     * @param requestEnded whether the request has its final answer by now
+     * @param requestEnded whether the request has its final response by now
      */
     void attemptEnded(Request request, boolean requestEnded) {
         OpenRequest open = requests.get(request.id);
@@ -52,7 +52,7 @@
         open.answered |= requestEnded;
     }
 
-    /** Records the final answer; the request is kept while attempts are in flight. */
+    /** Records the final response; the request is kept while attempts are in flight. */
     void answered(Request request) {
         OpenRequest open = requests.get(request.id);
         if (open != null) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Drops a request that has its final answer and no attempt in flight. */
+    /** Drops a request that has its final response and no attempt in flight. */
     void removeIfDone(Request request) {
         OpenRequest open = requests.get(request.id);
         if (open != null && open.answered) {
--- a/gateway/src/main/java/tinford/simulator/ReplyWriter.java
+++ b/gateway/src/main/java/tinford/simulator/ReplyWriter.java
@@ -11,7 +11,7 @@
 import tinford.api.Request;
 import tinford.api.Server;
 
-/** Writes the actions of decision modules as messages of the simulator's wire, one a line. */
+/** Writes the actions of decision modules as messages of the simulator protocol, one per line. */
 final class ReplyWriter implements GatewayActions {
     private static final int WRITE_BUFFER_BYTES = 1 << 16;
     private static final double US_PER_MS = 1000;
@@ -20,14 +20,14 @@
     private final JsonGenerator json;
     private SimulatedGateway gateway;
 
-    /** Creates a writer; the stream stays the caller's to close. */
+    /** Creates a writer; the caller remains responsible for closing the stream. */
     ReplyWriter(JsonFactory factory, OutputStream out) throws IOException {
         this.out = new BufferedOutputStream(out, WRITE_BUFFER_BYTES);
         this.json = factory.createGenerator(this.out);
         json.setRootValueSeparator(new SerializedString(""));
     }
 
-    /** Returns this writer, for the actions of the gateway until the next call. */
+    /** Returns this writer, which attributes actions to the gateway until the next call. */
     GatewayActions actionsOf(SimulatedGateway actingGateway) {
         gateway = actingGateway;
         return this;
--- a/gateway/src/main/java/tinford/simulator/SimulatedGateway.java
+++ b/gateway/src/main/java/tinford/simulator/SimulatedGateway.java
@@ -17,9 +17,9 @@
 import tinford.settings.SettingsReader;
 
 /**
- * A gateway of the simulation: translates the messages of its wire into events of its decision
- * module. The names of the wire are mapped to the gateway's terms in this class and in {@link
- * ReplyWriter}.
+ * A gateway of the simulation: translates the simulator's messages into events of its decision
+ * module. The field names of the protocol are mapped to the gateway's terms in this class and in
+ * {@link ReplyWriter}.
  */
 final class SimulatedGateway implements DecisionModule.EventBatch {
     private final String name;
@@ -44,7 +44,7 @@
         batch.add(up);
     }
 
-    /** Returns the gateway's name on the wire. */
+    /** Returns the gateway's name in the protocol. */
     String name() {
         return name;
     }
@@ -65,7 +65,7 @@
         requests.attemptSent(request);
     }
 
-    /** Records that the module has given the request its final answer. */
+    /** Records that the module has sent the final response of a request. */
     void answered(Request request) {
         requests.answered(request);
     }
@@ -91,7 +91,7 @@
                     events.gossipReceived(
                             (int) message.integer("SrcPeer", 0), message.text("Blob"));
             case "Added" -> counterAnswered(message, events);
-            default -> throw message.unexpected("a message of the wire");
+            default -> throw message.unexpected("a known event type");
         }
     }
 
@@ -138,11 +138,11 @@
     private void requestArrived(WireMessage message, GatewayEvents events) {
         RequestClass requestClass = requestClasses.get(message.text("Service"));
         if (requestClass == null) {
-            throw message.invalid("Service", "a class of the settings");
+            throw message.invalid("Service", "the name of a request class in the settings");
         }
         Plan plan = plans.get(message.text("Terms"));
         if (plan == null) {
-            throw message.invalid("Terms", "a plan of the settings");
+            throw message.invalid("Terms", "the name of a plan in the settings");
         }
         Tenant tenant =
                 new Tenant(
@@ -197,7 +197,7 @@
         }
     }
 
-    /** The answer of a server that has been removed in the meantime is ignored. */
+    /** The result is ignored if the server has been removed in the meantime. */
     private void healthCheckEnded(WireMessage message, GatewayEvents events) {
         Server server = servers.get(message.text("Server"));
         if (server != null) {
@@ -227,7 +227,11 @@
             case "broken" -> AttemptOutcome.CONNECTION_LOST;
             case "withdrawn" -> AttemptOutcome.CANCELLED;
             case "void" -> AttemptOutcome.NOT_SENT;
-            default -> throw message.invalid("How", "one of the outcomes of the wire");
+            default ->
+                    throw message.invalid(
+                            "How",
+                            "success, failure, overloaded, timed_out, unreachable, broken,"
+                                    + " withdrawn or void");
         };
     }
 }
--- a/gateway/src/main/java/tinford/simulator/SimulatorSession.java
+++ b/gateway/src/main/java/tinford/simulator/SimulatorSession.java
@@ -18,8 +18,8 @@
 import tinford.settings.JsonFields;
 
 /**
- * Serves the simulator's wire: reads batches of events for many gateways, one message a line, and
- * writes the actions of each batch as one reply.
+ * Serves the simulator protocol: reads batches of events for many gateways, one message per line,
+ * and writes the actions of each batch as one reply.
  */
 public final class SimulatorSession {
     private static final int READ_BUFFER_CHARS = 1 << 16;
@@ -33,7 +33,7 @@
     /** Endpoint lists by number; a number may be reused. */
     private final Map<Long, List<JsonFields>> endpointLists = new HashMap<>();
 
-    /** The gateways with events in the current batch, in the order of their first one. */
+    /** The gateways with events in the current batch, in the order of their first event. */
     private final Set<SimulatedGateway> gatewaysInBatch = new LinkedHashSet<>();
 
     /** The message that opened the current batch, or null between batches. */
@@ -50,8 +50,8 @@
     /**
      * Serves until the input ends.
      *
-     * @param err receives a line that says what was wrong with the input
-     * @return the exit code: 0, or 1 where the input was not valid
+     * @param err receives one line that describes the error if the input is invalid
+     * @return the exit code: 0, or 1 if the input is invalid
      * @throws IOException if the input can't be read or the reply can't be written
      */
     public static int serve(
@@ -139,7 +139,7 @@
     private void attachEndpointList(WireMessage event) {
         List<JsonFields> entries = endpointLists.get(event.integer("Sheet", 0));
         if (entries == null) {
-            throw event.invalid("Sheet", "the number of a Table sent before");
+            throw event.invalid("Sheet", "the number of a Table that was sent before");
         }
         event.attachEndpointEntries(entries);
     }
--- a/gateway/src/main/java/tinford/simulator/WireMessage.java
+++ b/gateway/src/main/java/tinford/simulator/WireMessage.java
@@ -10,7 +10,7 @@
 import tinford.settings.JsonFields;
 import tinford.settings.JsonValueParser;
 
-/** A message of the simulator: one line of its wire, with a type and fields. */
+/** A message of the simulator protocol: one line with a type and fields. */
 final class WireMessage extends JsonFields {
     private final String source;
     private final String type;
@@ -26,7 +26,7 @@
      * Parses a line.
      *
      * @param lineNumber number of the line for error messages, counted from 1
-     * @throws InvalidSettingsException if the line is not one message
+     * @throws InvalidSettingsException if the line is not exactly one message
      */
     static WireMessage parse(JsonFactory json, int lineNumber, String line) {
         String source = source(lineNumber);
@@ -50,12 +50,12 @@
         }
     }
 
-    /** Returns how error messages name a line of the input. */
+    /** Returns the location of an input line, for error messages. */
     static String source(int lineNumber) {
         return "line " + lineNumber;
     }
 
-    /** Returns the message's type, as the wire names it. */
+    /** Returns the message's type, as named in the protocol. */
     String type() {
         return type;
     }
@@ -73,7 +73,7 @@
         endpointEntries = entries;
     }
 
-    /** Returns the attached entries, or null where the message refers to no endpoint list. */
+    /** Returns the attached entries, or null if the message refers to no endpoint list. */
     List<JsonFields> endpointEntries() {
         return endpointEntries;
     }
--- a/gateway/src/test/java/tinford/decision/AttemptGuardTest.java
+++ b/gateway/src/test/java/tinford/decision/AttemptGuardTest.java
@@ -21,9 +21,9 @@
 import tinford.api.SlowStartRules;
 import tinford.api.Tenant;
 
-/** Attempts that the rules do not allow are not sent. */
+/** Attempts that violate a rule are not sent. */
 public class AttemptGuardTest {
-    /** A request whose client is known to have disconnected, or not. */
+    /** Returns a request whose client is already known to have disconnected, or not. */
     private static Request request(DecisionFixture gateway, boolean clientGone) {
         Tenant tenant = tenant(FAIL_CLOSED_PLAN);
         return new Request(7, READ, tenant, gateway.nowMs + 8000, 1, false) {
@@ -41,7 +41,9 @@
         };
     }
 
-    /** The guard checks it itself, although the ranking leaves out servers that are not up. */
+    /**
+     * The guard checks the state itself, although the ranking only contains servers that are up.
+     */
     @Test(dataProvider = "serverStates")
     public void onlyAServerThatIsUpMayBeSentAnAttempt(Server.State state, boolean allowed) {
         double nowMs = 100_000;
@@ -61,7 +63,7 @@
         assertEquals(guard.allows(batch, pending, new ServerStats(server, 0.5)), allowed);
     }
 
-    /** The front may know that the client is gone before it reports the event. */
+    /** The I/O layer may know of the disconnect before it reports the event. */
     @Test
     public void nothingIsSentForADisconnectedClient() {
         for (boolean clientGone : new boolean[] {true, false}) {
@@ -74,7 +76,7 @@
         }
     }
 
-    /** State of the server, whether the full endpoint list still has it. */
+    /** State of the server, whether the full endpoint list still contains it. */
     @DataProvider
     Object[][] leavingServers() {
         return new Object[][] {
--- a/gateway/src/test/java/tinford/decision/CounterOutageTest.java
+++ b/gateway/src/test/java/tinford/decision/CounterOutageTest.java
@@ -20,8 +20,8 @@
 import tinford.decision.DecisionFixture.CounterIncrement;
 
 /**
- * Decides without answers of the shared counter: fail-open plans admit, fail-closed plans live on
- * the last total or on the gateway's share of the quota.
+ * Decisions without answers of the shared counter: fail-open plans admit, fail-closed plans use the
+ * last total or the per-gateway share of the quota.
  */
 public class CounterOutageTest {
     /** Sends requests of one unit whose counter calls all fail; returns how many are admitted. */
@@ -45,7 +45,7 @@
     Object[][] fallbacks() {
         return new Object[][] {
             {FAIL_OPEN_PLAN, AttemptOutcome.TIMED_OUT, 20},
-            // the gateway's share of a burst holds 5 units
+            // the per-gateway share of the burst is 5 units
             {FAIL_CLOSED_PLAN, AttemptOutcome.TIMED_OUT, 5},
             {FAIL_CLOSED_PLAN, AttemptOutcome.UNREACHABLE, 5},
             {FAIL_CLOSED_PLAN, AttemptOutcome.OVERLOADED, 5},
@@ -69,16 +69,16 @@
         assertEquals(
                 rejections(gateway.arrive(urgent)),
                 1,
-                "its deadline passes before it could be answered");
+                "the deadline is too close for a response");
     }
 
-    /** Total that arrives after four timed-out calls, requests of one unit then admitted of 6. */
+    /** Late total after four timed-out calls, requests of one unit out of 6 admitted after it. */
     @DataProvider
     Object[][] lateTotals() {
         return new Object[][] {{2.0, 6}, {20.0, 5}, {34.5, 1}, {36.7, 0}};
     }
 
-    /** A late total still bounds what is left, where the share would admit what is used up. */
+    /** A late total still bounds the usage, where the per-gateway share would exceed the quota. */
     @Test(dataProvider = "lateTotals")
     public void lateTotalIsUsed(double total, int admitted) {
         DecisionFixture gateway = new DecisionFixture();
@@ -103,7 +103,7 @@
         assertEquals(actual, admitted);
     }
 
-    /** Outcome of five calls, calls that the next request makes. */
+    /** Outcome of five calls, number of calls for the next request. */
     @DataProvider
     Object[][] missingTotals() {
         return new Object[][] {{AttemptOutcome.TIMED_OUT, 0}, {AttemptOutcome.CONNECTION_LOST, 1}};
@@ -122,8 +122,9 @@
     }
 
     /**
-     * Fan-in of the tenant, last total of all gateways, its age in ms, requests of one unit that
-     * are sent while no call is answered, requests admitted where the share is five units.
+     * Fan-in of the tenant, last total of all gateways, its age in ms, requests of one unit while
+     * no call is answered, requests admitted. With a fan-in of two the per-gateway share is five
+     * units.
      */
     @DataProvider
     Object[][] lastTotals() {
@@ -136,7 +137,7 @@
         };
     }
 
-    /** A recent total tells more than an even share of the quota. */
+    /** A recent total decides instead of the per-gateway share until the burst has refilled. */
     @Test(dataProvider = "lastTotals")
     public void recentTotalDecidesForTheLengthOfABurst(
             int fanIn, double total, double ageMs, int requests, int admitted) {
@@ -151,7 +152,7 @@
         assertEquals(actual, admitted);
     }
 
-    /** Fan-in of the tenant, requests of one unit that are admitted of 6 at once. */
+    /** Fan-in of the tenant, requests of one unit admitted out of 6 at once. */
     @DataProvider
     Object[][] fanIns() {
         return new Object[][] {{2, 5}, {10, 1}, {100, 1}};
--- a/gateway/src/test/java/tinford/decision/CounterPacerTest.java
+++ b/gateway/src/test/java/tinford/decision/CounterPacerTest.java
@@ -19,9 +19,9 @@
 import tinford.api.Tenant;
 import tinford.decision.DecisionFixture.CounterIncrement;
 
-/** Paces the calls to a shared counter that bears fewer calls than there are requests. */
+/** Calls are spaced out if the shared counter can handle fewer calls than there are requests. */
 public class CounterPacerTest {
-    /** Two of three calls stay unanswered: fewer are made, and each unit is still counted. */
+    /** With two of three calls unanswered, fewer calls are made and all units are still counted. */
     @Test
     public void unansweredCallsAreSpacedOutWithoutLosingUnits() {
         DecisionFixture gateway = new DecisionFixture();
@@ -54,10 +54,12 @@
             gateway.advance(10);
         }
         assertTrue(lateCalls >= 4 && lateCalls < 120, "calls: " + lateCalls);
-        assertTrue(Math.abs(requested - counted) < 1.2, requested + " and " + counted);
+        assertTrue(
+                Math.abs(requested - counted) < 1.2,
+                "units requested: " + requested + ", counted: " + counted);
     }
 
-    /** A counter that handles one call in 20 ms, in order, and answers each of them. */
+    /** A counter that handles one call per 20 ms, in order, and answers every call. */
     private static final class SlowCounter {
         private static final double SERVICE_TIME_MS = 20;
         private static final double TIMEOUT_MS = 50;
@@ -78,7 +80,7 @@
             queue.add(new Call(counterKey, nowMs, idleAtMs));
         }
 
-        /** Ends the calls that are answered or have timed out by now; returns the actions. */
+        /** Ends the calls that have been answered or have timed out, and returns the actions. */
         List<String> answer(DecisionFixture gateway, boolean measured) {
             List<String> actions = new ArrayList<>();
             for (Call call : List.copyOf(queue)) {
@@ -130,10 +132,10 @@
         }
         assertTrue(
                 counter.calls > 300 && counter.missedCalls < 0.15 * counter.calls,
-                counter.missedCalls + " of " + counter.calls + " calls missed");
+                counter.missedCalls + " of " + counter.calls + " calls timed out");
     }
 
-    /** A fail-open tenant's requests are admitted with a total or without. */
+    /** A fail-open tenant's requests are admitted with or without a total. */
     @Test
     public void scarceCallsGoToFailClosedPlans() {
         DecisionFixture gateway = new DecisionFixture();
@@ -145,7 +147,7 @@
             Plan plan = failOpen ? FAIL_OPEN_PLAN : FAIL_CLOSED_PLAN;
             Request request = gateway.request(new Tenant(i % 40, plan, 10, 0), READ, 0.01);
             List<String> actions = gateway.arrive(request);
-            // the counter takes a call each 20 ms, a request arrives each 5 ms
+            // the counter handles one call per 20 ms, a request arrives every 5 ms
             boolean answered = gateway.nowMs - lastAnsweredMs >= 20;
             if (!increments(actions).isEmpty()) {
                 if (answered) {
--- a/gateway/src/test/java/tinford/decision/DecisionEngineTest.java
+++ b/gateway/src/test/java/tinford/decision/DecisionEngineTest.java
@@ -19,11 +19,11 @@
 import tinford.api.Request;
 import tinford.api.Tenant;
 
-/** What the engine does beside deciding on requests: idle connections, discovery, its memory. */
+/** Idle connections, discovery and bounded memory of the decision engine. */
 public class DecisionEngineTest {
     private static final int DISCOVERY_TIMER = 2;
 
-    /** One attempt in so many loses its connection, whether idle connections are closed. */
+    /** N, where one of N attempts loses its connection; whether idle connections are closed. */
     @DataProvider
     Object[][] connectionLossRates() {
         return new Object[][] {{100, false}, {8, true}};
--- a/gateway/src/test/java/tinford/decision/DecisionFixture.java
+++ b/gateway/src/test/java/tinford/decision/DecisionFixture.java
@@ -22,7 +22,7 @@
 import tinford.api.Tenant;
 
 /**
- * A decision engine whose actions are recorded as text, one line each: the kind of action and its
+ * A decision engine whose actions are recorded as text, one line per action with its kind and
  * arguments. Time passes only when a test advances it.
  */
 public final class DecisionFixture implements GatewayActions {
@@ -33,10 +33,10 @@
     static final String CLOSE_IDLE = "close-idle";
     static final String WATCH = "watch ";
 
-    /** A fail-closed plan: units beyond its quota earn nothing and cost their weight. */
+    /** A fail-closed plan: units beyond the quota earn no weight and cost their full weight. */
     static final Plan FAIL_CLOSED_PLAN = plan(0, 1, 0, 0);
 
-    /** A fail-open plan: units beyond its quota earn something and cost nothing. */
+    /** A fail-open plan: units beyond the quota earn some weight and have no cost. */
     static final Plan FAIL_OPEN_PLAN = plan(0.2, 0, 0, 0);
 
     /** A plan with a quota that the tests do not exhaust. */
@@ -117,7 +117,7 @@
     /**
      * A plan with a quota of 2 units per second and a burst of 10 units.
      *
-     * @param hardLimitPerS hard rate limit in units per second, or 0; it holds 5 s of that
+     * @param hardLimitPerS hard rate limit in units per second, or 0; its bucket holds 5 s of it
      */
     static Plan plan(
             double overQuotaWeight,
@@ -137,12 +137,14 @@
                 1);
     }
 
-    /** A class with a latency objective of 2 s, a timeout of 8 s and a deduplication of 3 s. */
+    /**
+     * A class with a latency objective of 2 s, a timeout of 8 s and a deduplication window of 3 s.
+     */
     static RequestClass requestClass(Idempotency idempotency, DeduplicationScope scope) {
         return new RequestClass("f", 2000, 8000, 1, 0, idempotency, scope, 3000, false);
     }
 
-    /** A tenant of the plan with requests at two gateways. */
+    /** A tenant of the plan with a fan-in of two gateways. */
     static Tenant tenant(Plan plan) {
         return new Tenant(5, plan, 2, 0);
     }
@@ -154,7 +156,7 @@
         return new ArrayList<>(actions);
     }
 
-    /** Lets time pass while the engine's periodic timer fires. */
+    /** Advances the time, firing the engine's periodic timer. */
     List<String> advance(double durationMs) {
         List<String> all = new ArrayList<>();
         double endMs = nowMs + durationMs;
@@ -175,8 +177,8 @@
     }
 
     /**
-     * Returns the server with this id. The first letter decides its zone ("z" differs), "s1" at the
-     * start its cell.
+     * Returns the server with this id. Ids that start with "z" are in zone "b", others in zone "a";
+     * ids that start with "s1" are in cell 1, others in cell 2.
      */
     Server server(String id) {
         return servers.computeIfAbsent(id, DecisionFixture::newServer);
@@ -197,7 +199,7 @@
         return new Request(nextRequestId++, requestClass, tenant, deadlineMs, units, false);
     }
 
-    /** Lets a request arrive and returns the actions; calls to the counter stay open. */
+    /** Lets a request arrive and returns the actions; calls to the counter stay unanswered. */
     List<String> arrive(Request request) {
         return handle(events -> events.requestArrived(request));
     }
@@ -275,12 +277,12 @@
         endAttempt(request, 0, AttemptOutcome.SUCCESS, tookMs, true);
     }
 
-    /** Number of tenants, servers and counter calls that the engine keeps state of. */
+    /** Returns the number of tenants, servers and counter calls that the engine tracks. */
     int trackedEntries() {
         return engine.trackedEntries();
     }
 
-    /** Number of plans that the engine keeps state of. */
+    /** Returns the number of plans that the engine tracks. */
     int trackedPlans() {
         return engine.trackedPlans();
     }
@@ -289,17 +291,17 @@
         return actions.stream().filter(action -> action.startsWith(kind)).count();
     }
 
-    /** Number of attempts among the actions. */
+    /** Returns the number of attempts among the actions. */
     static long attempts(List<String> actions) {
         return count(actions, ATTEMPT);
     }
 
-    /** Number of rejections among the actions. */
+    /** Returns the number of rejections among the actions. */
     static long rejections(List<String> actions) {
         return count(actions, REJECT);
     }
 
-    /** The servers of the attempts among the actions, in their order. */
+    /** Returns the servers of the attempts among the actions, in order. */
     static List<String> attemptedServers(List<String> actions) {
         return actions.stream()
                 .filter(action -> action.startsWith(ATTEMPT))
@@ -307,7 +309,7 @@
                 .toList();
     }
 
-    /** The calls to the counter among the actions, in their order. */
+    /** Returns the calls to the counter among the actions, in order. */
     static List<CounterIncrement> increments(List<String> actions) {
         return actions.stream()
                 .filter(action -> action.startsWith(INCREMENT))
@@ -315,7 +317,7 @@
                 .toList();
     }
 
-    /** Whether a call to the counter takes so many units back. */
+    /** Returns whether a call to the counter returns this number of units. */
     static boolean takesBack(List<String> actions, double units) {
         return increments(actions).stream().anyMatch(call -> call.amount() == -units);
     }
--- a/gateway/src/test/java/tinford/decision/FinalAnswersTest.java
+++ b/gateway/src/test/java/tinford/decision/FinalAnswersTest.java
@@ -22,11 +22,13 @@
 import tinford.api.RequestClass;
 import tinford.api.Tenant;
 
-/** When a request gets its final answer, and which one. */
+/** When a request gets its final response, and which one. */
 public class FinalAnswersTest {
     private final Tenant tenant = tenant(FAIL_CLOSED_PLAN);
 
-    /** A response that its client reads slowly is no fault of its server. */
+    /**
+     * A client that reads a streamed response slowly does not affect the statistics of its server.
+     */
     @Test
     public void startedResponseIsTheFinalAnswer() {
         DecisionFixture gateway = new DecisionFixture();
@@ -43,7 +45,7 @@
         List<String> actions = gateway.advance(20_000);
         assertEquals(attempts(actions), 0, actions.toString());
         assertEquals(rejections(actions), 0, actions.toString());
-        // the responses in progress take none of the servers' capacity
+        // responses in progress occupy no slots of the servers
         for (int i = 0; i < 40; i++) {
             Request request = gateway.request(tenant, READ, 1);
             assertEquals(attempts(gateway.arrive(request, 0, 1)), 1, "request " + i);
@@ -56,13 +58,13 @@
         }
     }
 
-    /** Units of a request, time to its deadline in ms, the action that follows. */
+    /** Units of a request, time to its deadline in ms, expected action. */
     @DataProvider
     Object[][] deadlines() {
         return new Object[][] {{1, 900, ATTEMPT}, {6, 900, REJECT}, {6, 1900, ATTEMPT}};
     }
 
-    /** The time that a request will take is estimated by its units. */
+    /** The latency of a request is estimated from its units. */
     @Test(dataProvider = "deadlines")
     public void requestThatCannotMeetItsDeadlineIsRejectedAtOnce(
             double units, double timeLeftMs, String action) {
@@ -80,13 +82,13 @@
         assertEquals(count(gateway.arrive(urgent, 0, 0.1), action), 1);
     }
 
-    /** Weight of a late response, timeout of the attempt in ms or 0 for none. */
+    /** Weight of a late response, timeout of the attempt in ms, or 0 for none. */
     @DataProvider
     Object[][] lateWeights() {
         return new Object[][] {{0.0, 2500.0}, {0.2, 0.0}};
     }
 
-    /** An attempt times out once its response earns nothing; the client is told when to retry. */
+    /** An attempt times out once its response earns no weight; the client is told when to retry. */
     @Test(dataProvider = "lateWeights")
     public void attemptTimesOutWhenItsResponseIsWorthless(double lateWeight, double timeoutMs) {
         RequestClass requestClass =
--- a/gateway/src/test/java/tinford/decision/FleetPolicyTest.java
+++ b/gateway/src/test/java/tinford/decision/FleetPolicyTest.java
@@ -23,11 +23,11 @@
 import tinford.api.Server;
 import tinford.api.Tenant;
 
-/** Decisions keep to the fleet's policy, and the fleet is notified of what it decides by. */
+/** Decisions comply with the fleet's policy, and the fleet is notified of events. */
 public class FleetPolicyTest {
     private static final Plan UNLIMITED_PLAN = new Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0);
 
-    /** The one thing that a policy restricts. */
+    /** The restriction that a policy applies. */
     private enum Restriction {
         NOTHING,
         ADMITTED_SHARE,
@@ -138,14 +138,14 @@
         return request;
     }
 
-    /** Succeeds with as many requests as fill the gateway's own retry budget. */
+    /** Completes enough requests to fill the gateway's own retry budget. */
     private static void fillRetryBudget(DecisionFixture gateway) {
         for (int i = 0; i < 12; i++) {
             gateway.succeed(arrive(gateway));
         }
     }
 
-    /** Restriction, the one action at a request's arrival or none, a notification. */
+    /** Restriction, the only action at a request's arrival or none, a notification. */
     @DataProvider
     Object[][] restrictions() {
         return new Object[][] {
@@ -159,8 +159,8 @@
     }
 
     /**
-     * What is shed or not routable is rejected at once; what lacks a connection waits while it can
-     * meet its latency objective.
+     * Shed or unroutable requests are rejected at once; requests without an available connection
+     * wait while they can still meet their latency objective.
      */
     @Test(dataProvider = "restrictions")
     public void firstAttemptKeepsToThePolicy(
@@ -172,7 +172,7 @@
         assertEquals(gateway.actions.size(), waits ? 0 : 1, gateway.actions.toString());
         assertEquals(count(gateway.actions, action), waits ? 0 : 1, gateway.actions.toString());
         assertTrue(policy.notifications.contains(notification), policy.notifications.toString());
-        assertEquals(rejections(gateway.advance(3000)), waits ? 1 : 0, "the one final answer");
+        assertEquals(rejections(gateway.advance(3000)), waits ? 1 : 0, "one final response");
     }
 
     @Test
@@ -189,7 +189,7 @@
         assertTrue(retryAfterMs.stream().distinct().count() > 15, retryAfterMs.toString());
     }
 
-    /** Restriction, outcome of the first attempt, the action that follows. */
+    /** Restriction, outcome of the first attempt, expected action. */
     @DataProvider
     Object[][] retries() {
         return new Object[][] {
@@ -199,9 +199,7 @@
         };
     }
 
-    /**
-     * The fleet's retry budget holds for attempts that may have run, not for those that did not.
-     */
+    /** The fleet's retry budget applies to retries of attempts that may have run, not of others. */
     @Test(dataProvider = "retries")
     public void retriesKeepToTheFleetsBudget(
             Restriction restriction, AttemptOutcome outcome, String action) {
@@ -214,7 +212,9 @@
         assertEquals(policy.notifications.contains("retried"), action.equals(ATTEMPT));
     }
 
-    /** The policy learns where an earlier attempt may have run, and keeps retries there. */
+    /**
+     * The policy is given the server of an earlier attempt that may have run, and decides by it.
+     */
     @Test
     public void retryGoesWhereThePolicyAllowsIt() {
         RestrictingPolicy policy = new RestrictingPolicy(Restriction.OTHER_SERVERS_ON_RETRY);
--- a/gateway/src/test/java/tinford/decision/HardLimitTest.java
+++ b/gateway/src/test/java/tinford/decision/HardLimitTest.java
@@ -14,7 +14,7 @@
 import tinford.api.Request;
 import tinford.api.Tenant;
 
-/** The hard rate limit holds without the counter, after restarts and during handovers. */
+/** The hard rate limit is enforced without the counter, after restarts and during handovers. */
 public class HardLimitTest {
     @Test
     public void hardLimitHoldsWithoutTheCounterFromAnEmptyBucket() {
@@ -27,10 +27,12 @@
         }
         assertTrue(
                 admitted > 0 && admitted <= 10,
-                "a share of 2 units per second, for 5 s: " + admitted);
+                "admitted in 5 s at a share of 2 units per second: " + admitted);
     }
 
-    /** Time in ms that the old process ran alone, time that the new one then ran beside it. */
+    /**
+     * Time in ms that the old process runs alone, time in ms that both then run before draining.
+     */
     @DataProvider
     Object[][] handovers() {
         return new Object[][] {{0, 0}, {2000, 1000}, {6000, 3000}, {20_000, 6000}};
@@ -39,7 +41,7 @@
     /** During a handover both processes together admit no more than one of them would. */
     @Test(dataProvider = "handovers")
     public void processesOfAHandoverShareOneHardLimit(double aloneMs, double besideMs) {
-        // the gateway's share is 2 units per second and a burst of 10
+        // the per-gateway share is 2 units per second with a burst of 10
         Plan plan = new Plan("p", 0, 0, 0, 1, 1, 0, 0.004, 20, 1);
         Tenant tenant = tenant(plan);
         DecisionFixture draining = new DecisionFixture();
@@ -58,7 +60,7 @@
             admitted += admit(successor, tenant, requests);
             assertTrue(
                     admitted <= initialUnits + i * 0.5 + 1e-6,
-                    admitted + " after " + i * 250 + " ms, from " + initialUnits);
+                    "admitted " + admitted + " within " + i * 250 + " ms, from " + initialUnits);
             admitted += attempts(draining.advance(250)) + attempts(successor.advance(250));
         }
         assertTrue(admitted >= 2, "the successor's bucket fills: " + admitted);
--- a/gateway/src/test/java/tinford/decision/LoadBalancerTest.java
+++ b/gateway/src/test/java/tinford/decision/LoadBalancerTest.java
@@ -20,12 +20,12 @@
 import tinford.api.Request;
 import tinford.api.Tenant;
 
-/** Chooses servers by their latency, detects outliers and limits what a gateway has in flight. */
+/** Choice of servers by latency, outlier detection and the limit on a gateway's open attempts. */
 public class LoadBalancerTest {
     /** A plan that admits every request of a test. */
     private final Tenant tenant = tenant(plan(1, 0, 0, 0));
 
-    /** One of 14 gateways, with many more servers than its traffic needs. */
+    /** Returns one of 14 gateways, with far more servers than its traffic needs. */
     private static DecisionFixture gatewayWithSixtyServers() {
         DecisionFixture gateway = new DecisionFixture(limits(false), true, false, 14);
         String[] ids = IntStream.range(0, 60).mapToObj(i -> "s" + i).toArray(String[]::new);
@@ -52,7 +52,10 @@
         assertEquals(sent, 40);
     }
 
-    /** A server that fails at once is free at once, and would draw more and more requests. */
+    /**
+     * A server that fails immediately always has free slots, and would attract most requests if it
+     * were not ejected.
+     */
     @Test
     public void serverThatFailsAtOnceGetsFewAttempts() {
         DecisionFixture gateway = new DecisionFixture();
@@ -73,16 +76,17 @@
             }
             gateway.advance(50);
         }
-        assertTrue(failed >= 2 && failed <= 6, "tried again, ever more rarely: " + failed);
+        assertTrue(
+                failed >= 2 && failed <= 6, "retried with growing backoff, attempts: " + failed);
     }
 
-    /** Latency of the first server that is chosen in ms, attempts it may get out of 120. */
+    /** Latency of the first chosen server in ms, maximum number of attempts it may get of 120. */
     @DataProvider
     Object[][] firstServerLatencies() {
         return new Object[][] {{200, 120}, {1400, 12}};
     }
 
-    /** A gateway with little traffic uses few servers, and leaves one that is slow. */
+    /** A gateway with little traffic uses few servers, and stops using one that is slow. */
     @Test(dataProvider = "firstServerLatencies")
     public void littleTrafficKeepsToFewGoodServers(double firstLatencyMs, int maxAttempts) {
         DecisionFixture gateway = gatewayWithSixtyServers();
@@ -100,7 +104,7 @@
         assertTrue(servers <= 6, servers + " servers: " + chosen);
     }
 
-    /** Latency is judged by the units of a request: a large one takes long at any server. */
+    /** Latency is normalised by the units of a request, as a large one is slow at any server. */
     @Test
     public void largeRequestsDoNotMakeAServerSlow() {
         DecisionFixture gateway = gatewayWithSixtyServers();
@@ -116,13 +120,13 @@
         assertEquals(servers, 1, chosen.toString());
     }
 
-    /** Number of gateways, least and most attempts in flight of 40 requests. */
+    /** Number of gateways, minimum and maximum number of attempts in flight for 40 requests. */
     @DataProvider
     Object[][] gatewayCounts() {
         return new Object[][] {{2, 6, 30}, {100, 1, 2}, {330, 1, 2}};
     }
 
-    /** Three servers take five attempts each over all gateways, or one of each gateway. */
+    /** Three servers take five attempts each over all gateways, at least one per gateway. */
     @Test(dataProvider = "gatewayCounts")
     public void attemptsInFlightStayWithinTheGatewaysPartOfTheCapacity(
             int gatewayCount, int min, int max) {
--- a/gateway/src/test/java/tinford/decision/ModuleTranscript.java
+++ b/gateway/src/test/java/tinford/decision/ModuleTranscript.java
@@ -26,17 +26,17 @@
 import tinford.api.Tenant;
 
 /**
- * Runs a small random scenario against one decision module, through its interface, and records
- * every action and every call on the fleet's policy, one line each. It covers what the simulator's
- * wire does not carry: changes of plan, a fleet's policy, answers of the counter after their
- * timeout, and two processes of one gateway that overlap.
+ * Runs a small random scenario against one decision module, through its public interface, and
+ * records every action and every call to the fleet's policy, one per line. It covers what the
+ * simulator protocol does not support: plan changes, a fleet policy, answers of the counter after
+ * the timeout, and two overlapping processes of one gateway.
  */
 final class ModuleTranscript implements GatewayActions {
     private static final double TICK_MS = 2;
     private static final double START_MS = 100_000;
     private static final double COUNTER_TIMEOUT_MS = 50;
 
-    /** What a scenario adds to the usual traffic. */
+    /** The events that are added to the base traffic. */
     enum Scenario {
         PLAN_CHANGE(11),
         FLEET_POLICY(12),
--- a/gateway/src/test/java/tinford/decision/ModuleTranscriptTest.java
+++ b/gateway/src/test/java/tinford/decision/ModuleTranscriptTest.java
@@ -17,8 +17,9 @@
 import org.testng.annotations.Test;
 
 /**
- * The scenarios of {@link ModuleTranscript} give the lines that an earlier build gave. A change
- * that is meant to alter decisions records them anew with {@link #main}.
+ * Replays the scenarios of {@link ModuleTranscript} and compares them with the lines that an
+ * earlier build recorded. A change that intentionally alters decisions re-records them with {@link
+ * #main}.
  */
 public class ModuleTranscriptTest {
     @DataProvider
@@ -49,7 +50,7 @@
     /**
      * Records all scenarios.
      *
-     * @param args the folder to write to
+     * @param args path of the output folder
      */
     public static void main(String[] args) throws IOException {
         for (ModuleTranscript.Scenario scenario : ModuleTranscript.Scenario.values()) {
--- a/gateway/src/test/java/tinford/decision/PlanChangeTest.java
+++ b/gateway/src/test/java/tinford/decision/PlanChangeTest.java
@@ -22,8 +22,8 @@
 import tinford.decision.DecisionFixture.CounterIncrement;
 
 /**
- * A tenant moves to another plan within a window: what it has used counts under the new plan, at
- * one gateway and at several that learn of the change at different times.
+ * A tenant changes to another plan within a window: its usage counts under the new plan, at one
+ * gateway and at several that learn of the change at different times.
  */
 public class PlanChangeTest {
     private static final double START_MS = 1_700_000_000_000.0;
@@ -33,7 +33,7 @@
     /** Requests that are decided in one batch may each exceed the quota by less than a unit. */
     private static final double ROUNDING_UNITS = 1;
 
-    /** Gateways that share a counter, and a tenant with requests at each of them. */
+    /** Gateways that share a counter, and a tenant that sends requests to all of them. */
     private static final class Deployment {
         private final List<DecisionFixture> gateways = new ArrayList<>();
         private final Tenant[] tenants;
@@ -53,7 +53,7 @@
             }
         }
 
-        /** Lets one gateway learn that the tenant has another plan. */
+        /** Notifies one gateway of the tenant's new plan. */
         void changePlan(int gateway, Plan plan) {
             long nextRevision = tenants[gateway].revision + 1;
             tenants[gateway] = new Tenant(TENANT_ID, plan, gateways.size(), 0, nextRevision);
@@ -66,7 +66,7 @@
             }
         }
 
-        /** Lets a step's time pass, with a request of one unit at each gateway or with none. */
+        /** Advances the time by one step, optionally with a request of one unit at each gateway. */
         void step(boolean withRequests) {
             nowMs += STEP_MS;
             for (int i = 0; i < tenants.length; i++) {
@@ -86,7 +86,7 @@
             }
         }
 
-        /** Sends a request of one unit; an admitted one succeeds at once. */
+        /** Sends a request of one unit, which succeeds at once if it is admitted. */
         boolean request(int gatewayIndex) {
             DecisionFixture gateway = gateways.get(gatewayIndex);
             Request request = newRequest(gatewayIndex);
@@ -98,7 +98,7 @@
             return isAdmitted;
         }
 
-        /** Sends requests until one is not admitted; returns how many were. */
+        /** Sends requests until one is rejected; returns the number of admitted ones. */
         int requestUntilRejected() {
             int requests = 0;
             while (request(0)) {
@@ -120,7 +120,9 @@
             answerCounter(gateway, gateway.endAttempt(request, 0, AttemptOutcome.SUCCESS, true));
         }
 
-        /** Answers the calls to the counter at once; returns the attempts of all batches. */
+        /**
+         * Answers the calls to the counter at once; returns the number of attempts of all batches.
+         */
         int answerCounter(DecisionFixture gateway, List<String> actions) {
             int attempts = (int) attempts(actions);
             List<CounterIncrement> calls = increments(actions);
@@ -149,25 +151,25 @@
         return new Plan("p", quotaPerS / 1000, burst, 0, 1, 0, 1, 0, 0, 0);
     }
 
-    /** Old quota per second and burst, new ones: windows of equal and of other lengths. */
+    /** Old quota per second and burst, new ones; the window length stays equal or changes. */
     @DataProvider
     Object[][] planChanges() {
         return new Object[][] {
-            // windows of 12 s and 12 s: the same keys on the counter
+            // windows of 12 s before and after: the same keys on the counter
             {20.0, 40.0, 10.0, 20.0},
             {10.0, 20.0, 20.0, 40.0},
-            // 12 s and 24 s
+            // windows of 12 s and 24 s
             {20.0, 40.0, 2.0, 8.0},
             {2.0, 8.0, 20.0, 40.0},
-            // 24 s and 3 s
+            // windows of 24 s and 3 s
             {20.0, 80.0, 20.0, 10.0},
             {20.0, 10.0, 20.0, 80.0},
-            // 12 s and 29 s
+            // windows of 12 s and 29 s
             {5.0, 10.0, 5.0, 60.0},
         };
     }
 
-    /** Wherever in its windows the change falls, only what the new quota adds is admitted. */
+    /** At any offset of the change within a window, only the new quota is admitted from then on. */
     @Test(dataProvider = "planChanges")
     public void exhaustedTenantStartsTheNewPlanWithoutABurst(
             double oldQuotaPerS, double oldBurst, double newQuotaPerS, double newBurst) {
@@ -179,7 +181,7 @@
         }
     }
 
-    /** Asserts that from now on only so many units at once and so many per second are admitted. */
+    /** Asserts that from now on at most the burst plus the quota over time is admitted. */
     private static void assertAdmitsAtMost(
             Deployment deployment,
             double durationMs,
@@ -220,7 +222,7 @@
         };
     }
 
-    /** The smaller of both bursts is available at once; a larger one fills. */
+    /** The smaller of both bursts is available at once; a larger new burst has to refill. */
     @Test(dataProvider = "plansWithAndWithoutALargerBurst")
     public void idleTenantHasTheSmallerBurst(Plan oldPlan, Plan newPlan) {
         Deployment deployment = new Deployment(1, oldPlan);
@@ -231,10 +233,10 @@
     }
 
     /**
-     * Gateways that learn of the change at different times, up to the 13 s within which a
-     * configuration is in force everywhere, count under two keys meanwhile. Together they admit at
-     * most the old quota until the last one has learned of it, the new quota from the first one on,
-     * and one new burst.
+     * Gateways learn of the change at different times, up to 13 s apart, the time within which a
+     * configuration is in force everywhere. Until then they count under two different keys.
+     * Together they admit at most the old quota until the last gateway has learned of the change,
+     * the new quota from the first one on, and one new burst.
      */
     @Test(dataProvider = "planChanges")
     public void gatewaysThatChangeAtDifferentTimesKeepToBothPlans(
@@ -277,7 +279,7 @@
         }
     }
 
-    /** What was taken from the hard rate limit, and what is in flight, count under the new plan. */
+    /** Usage of the hard rate limit and requests in flight count under the new plan. */
     @Test
     public void hardLimitAndOpenRequestsAreCarriedOver() {
         Plan oldPlan = new Plan("p", 0.02, 400, 4, 1, 0, 1, 0.001, 5, 0);
@@ -292,8 +294,8 @@
             inFlight.add(request);
         }
         deployment.changePlanEverywhere(newPlan);
-        assertEquals(deployment.arrive(gateway, deployment.newRequest(0)), 1, "the fourth");
-        assertEquals(deployment.arrive(gateway, deployment.newRequest(0)), 0, "four in flight");
+        assertEquals(deployment.arrive(gateway, deployment.newRequest(0)), 1, "fourth request");
+        assertEquals(deployment.arrive(gateway, deployment.newRequest(0)), 0, "four are in flight");
         for (Request request : inFlight) {
             deployment.succeed(gateway, request);
         }
@@ -306,10 +308,12 @@
                 deployment.succeed(gateway, request);
             }
         }
-        assertTrue(admitted <= 1, admitted + " more of a bucket of five, four of them used");
+        assertTrue(
+                admitted <= 1,
+                "admitted " + admitted + " more, with four of five units of the bucket used");
     }
 
-    /** The answer to a call that was made under the old plan decides, and its units stay used. */
+    /** The answer to a call made under the old plan decides, and its units remain counted. */
     @Test
     public void callInFlightIsDecidedOnce() {
         Deployment deployment = new Deployment(1, plan(20, 40));
--- a/gateway/src/test/java/tinford/decision/QuotaLimiterTest.java
+++ b/gateway/src/test/java/tinford/decision/QuotaLimiterTest.java
@@ -19,8 +19,9 @@
 import tinford.decision.DecisionFixture.CounterIncrement;
 
 /**
- * Holds tenants to their quotas by totals of the shared counter. The plan has 2 units per second
- * and a burst of 10: its windows are 29 s long and hold 68 units, and at 100 s one is 13 s old.
+ * Quotas are enforced by the totals of the shared counter. The plan has 2 units per second and a
+ * burst of 10, so its windows are 29 s long and admit 68 units; at the start time of 100 s the
+ * current window is 13 s old.
  */
 public class QuotaLimiterTest {
     private final Tenant tenant = tenant(FAIL_CLOSED_PLAN);
@@ -31,11 +32,11 @@
         return new Object[][] {
             {0, 1, 1, true},
             {0, 35, 1, true},
-            // within the quota, but other gateways may have admitted beyond it
+            // within the quota, but units of other gateways may have exceeded it
             {0, 36, 1, false},
             // burst + rate x time since the window's start
             {0, 37, 1, false},
-            // a first read allows one burst at most, however old the window is
+            // the first read allows at most one burst, independent of the age of the window
             {0, 11, 11, false},
             {58, 5, 1, true},
             // about half of the previous window still counts
@@ -51,7 +52,7 @@
         List<String> actions = gateway.arrive(request, previousTotal, currentTotal);
         assertEquals(attempts(actions), admitted ? 1 : 0, actions.toString());
         assertEquals(rejections(actions), admitted ? 0 : 1, actions.toString());
-        assertEquals(takesBack(actions, units), !admitted, "a rejection takes its units back");
+        assertEquals(takesBack(actions, units), !admitted, "a rejection returns its units");
     }
 
     @Test
@@ -113,8 +114,8 @@
     }
 
     /**
-     * Units that other gateways used between two reads, time between the reads in ms, units that
-     * are requested a second later, whether they are admitted.
+     * Units that other gateways use between two reads, time between the reads in ms, units of a
+     * later request, whether it is admitted.
      */
     @DataProvider
     Object[][] usageElsewhere() {
@@ -128,8 +129,8 @@
     }
 
     /**
-     * Other gateways may have used their units last and out of a full bucket; what they forwarded
-     * beyond the quota leaves no debt.
+     * Other gateways may have used their units just before the read, out of a full bucket; units
+     * that they forwarded beyond the quota leave no debt.
      */
     @Test(dataProvider = "usageElsewhere")
     public void usageElsewhereLeavesTheBurstNeitherFullNorNegative(
@@ -149,7 +150,7 @@
         assertEquals(attempts(actions), admitted ? 1 : 0);
     }
 
-    /** Unanswered calls before, total of the current window, reads of the previous window. */
+    /** Earlier unanswered calls, total of the current window, reads of the previous window. */
     @DataProvider
     Object[][] previousWindowReads() {
         return new Object[][] {
@@ -157,7 +158,7 @@
         };
     }
 
-    /** A counter short of calls is asked for the previous window only where it may matter. */
+    /** While calls are spaced out, the previous window is read only if it can cause a rejection. */
     @Test(dataProvider = "previousWindowReads")
     public void previousWindowIsReadWhereItCanChangeTheDecision(
             int unanswered, double currentTotal, int reads) {
--- a/gateway/src/test/java/tinford/decision/RetryTest.java
+++ b/gateway/src/test/java/tinford/decision/RetryTest.java
@@ -25,7 +25,7 @@
 import tinford.api.Server;
 import tinford.api.Tenant;
 
-/** Retries keep to the idempotency of the request and to its deduplication scope and window. */
+/** Retries respect the idempotency of the request and its deduplication scope and window. */
 public class RetryTest {
     private static final RequestClass NON_IDEMPOTENT =
             requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
@@ -38,7 +38,7 @@
 
     private final Tenant tenant = tenant(FAIL_CLOSED_PLAN);
 
-    /** Request class, outcome of the first attempt, the one action that follows at once. */
+    /** Request class, outcome of the first attempt, the only immediate action. */
     @DataProvider
     Object[][] firstOutcomes() {
         return new Object[][] {
@@ -55,7 +55,7 @@
         };
     }
 
-    /** Without a retry budget only attempts that did not run are repeated. */
+    /** With an empty retry budget only attempts that did not run are retried. */
     @Test(dataProvider = "firstOutcomes")
     public void idempotencyDecidesBetweenRetryRejectionAndFailure(
             RequestClass requestClass, AttemptOutcome outcome, String action) {
@@ -68,7 +68,7 @@
         assertEquals(decisions, 1, actions.toString());
     }
 
-    /** With a full retry budget a request that may have run is repeated within its cell only. */
+    /** With a full retry budget a request that may have run is retried only within its cell. */
     @Test
     public void keyedRequestIsRetriedWithinItsDeduplicationScope() {
         DecisionFixture gateway = new DecisionFixture();
@@ -91,7 +91,7 @@
         assertTrue(retries > 0);
     }
 
-    /** Two servers, request class, whether a lost attempt at one is repeated at the other. */
+    /** Two servers, request class, whether a lost attempt at one is retried at the other. */
     @DataProvider
     Object[][] scopes() {
         return new Object[][] {
@@ -128,7 +128,10 @@
         }
     }
 
-    /** A retry that waits for its connection has to be sent within the window of the first. */
+    /**
+     * A retry that waits for a connection must be sent within the deduplication window that the
+     * first attempt started.
+     */
     @Test
     public void retryIsSentWithinTheDeduplicationWindow() {
         DecisionFixture gateway = new DecisionFixture();
--- a/gateway/src/test/java/tinford/decision/SlowStartTest.java
+++ b/gateway/src/test/java/tinford/decision/SlowStartTest.java
@@ -21,17 +21,17 @@
 import tinford.api.Server;
 import tinford.api.Tenant;
 
-/** Servers that are warming up get a part of a warm server's traffic. */
+/** Servers that are warming up get a share of a warm server's traffic. */
 public class SlowStartTest {
     private final Tenant tenant = tenant(LARGE_PLAN);
 
-    /** Units of nine requests out of ten, units of the tenth. */
+    /** Units of nine out of ten requests, units of the tenth. */
     @DataProvider
     Object[][] requestSizes() {
         return new Object[][] {{0.1, 0.1}, {0.1, 0.9}, {0.1, 2.0}};
     }
 
-    /** Its share rises from 0.18 to 0.6 of a warm server's units, whatever the request sizes. */
+    /** The share rises from 0.18 to 0.6 of a warm server's units, independent of request sizes. */
     @Test(dataProvider = "requestSizes")
     public void warmingServerGetsItsShareOfTheUnits(double small, double large) {
         DecisionFixture gateway = new DecisionFixture();
@@ -63,7 +63,7 @@
         assertTrue(share > 0.26 && share < 0.6, "share: " + share);
     }
 
-    /** Outcome of the attempts at warm servers, whether a warming one earns attempts by it. */
+    /** Outcome of the attempts at warm servers, whether it earns a warming server attempts. */
     @DataProvider
     Object[][] warmOutcomes() {
         return new Object[][] {
@@ -74,7 +74,7 @@
         };
     }
 
-    /** What overloads warm servers says nothing about the capacity of a warming one. */
+    /** Only successes earn credit: failing warm servers show no spare capacity of warming ones. */
     @Test(dataProvider = "warmOutcomes")
     public void warmingServerEarnsAttemptsBySuccessesOfWarmOnes(
             AttemptOutcome outcome, boolean earns) {
@@ -102,7 +102,9 @@
             gateway.advance(200);
         }
         assertTrue(toWarm >= 10, "to warm servers: " + toWarm);
-        assertTrue(earns ? toWarming > 1 : toWarming == 0, toWarming + " beside " + toWarm);
+        assertTrue(
+                earns ? toWarming > 1 : toWarming == 0,
+                toWarming + " to the warming server, " + toWarm + " to warm servers");
     }
 
     @Test
@@ -123,10 +125,10 @@
         for (int i = 1; i <= 5; i++) {
             sent += attempts(gateway.arrive(gateway.request(withinQuota, READ, 1), 0, i));
         }
-        assertTrue(sent < 3, sent + " of 5 at once");
+        assertTrue(sent < 3, "sent at once: " + sent + " of 5");
     }
 
-    /** Otherwise all gateways would send the first attempt that they earn to the same server. */
+    /** Guards against all gateways sending their first earned attempt to the same server. */
     @Test
     public void warmingServersAreChosenInRandomOrder() {
         DecisionFixture gateway = new DecisionFixture();
--- a/gateway/src/test/java/tinford/decision/TranscriptPolicy.java
+++ b/gateway/src/test/java/tinford/decision/TranscriptPolicy.java
@@ -6,7 +6,7 @@
 import tinford.api.Server;
 import tinford.api.Tenant;
 
-/** A policy that restricts everything a little and records its notifications as lines. */
+/** A policy that applies every kind of restriction and records its notifications as lines. */
 final class TranscriptPolicy extends FleetPolicy {
     /** Receives the lines. */
     interface LineRecorder {
--- a/gateway/src/test/java/tinford/simulator/GoldenTranscriptTest.java
+++ b/gateway/src/test/java/tinford/simulator/GoldenTranscriptTest.java
@@ -20,9 +20,8 @@
 import tinford.decision.DecisionEngine;
 
 /**
- * Replays transcripts that {@link TranscriptRecorder} made with an earlier build: the decisions are
- * deterministic, so a change that is meant to keep them has to give the same replies, byte for
- * byte.
+ * Replays transcripts that {@link TranscriptRecorder} recorded with an earlier build. Decisions are
+ * deterministic, so a change that preserves behaviour gives the same replies, byte for byte.
  */
 public class GoldenTranscriptTest {
     private static final String INPUT = ".input.jsonl.gz";
--- a/gateway/src/test/java/tinford/simulator/Recording.java
+++ b/gateway/src/test/java/tinford/simulator/Recording.java
@@ -5,12 +5,12 @@
 import java.util.Random;
 import tinford.simulator.RecordingScenario.FaultKind;
 
-/** State that the parts of a simulated deployment share: time, chance and the batch to send. */
+/** Shared state of a simulated deployment: time, random numbers and the batch to send. */
 final class Recording {
     final RecordingScenario scenario;
     final ScriptedTimeline timeline = new ScriptedTimeline();
 
-    /** Drawn from in the order of the events, so that a seed repeats its recording. */
+    /** Used in the order of the events, so that a recording is reproducible from its seed. */
     final Random random;
 
     private final List<String> batch = new ArrayList<>();
--- a/gateway/src/test/java/tinford/simulator/RecordingScenario.java
+++ b/gateway/src/test/java/tinford/simulator/RecordingScenario.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What happens in one recording: a small deployment, its traffic and its faults. */
+/** Definition of one recording: a small deployment, its traffic and its faults. */
 final class RecordingScenario {
-    /** What a fault affects. Faults of servers affect one server in three. */
+    /** Kinds of faults. Faults of servers affect one server in three. */
     enum FaultKind {
         COUNTER_SILENT,
         COUNTER_LATE,
@@ -256,7 +256,7 @@
         return faults;
     }
 
-    /** Whether a fault of this kind lasts at a time in seconds from the start. */
+    /** Returns whether a fault of this kind is active at a time in seconds from the start. */
     boolean isDuring(FaultKind kind, double atS) {
         return faults.stream()
                 .anyMatch(
--- a/gateway/src/test/java/tinford/simulator/ScriptedDeployment.java
+++ b/gateway/src/test/java/tinford/simulator/ScriptedDeployment.java
@@ -11,8 +11,8 @@
 import tinford.simulator.RecordingScenario.FaultKind;
 
 /**
- * A deployment of a recording: makes the events of its clients, discovery and faults, and carries
- * out the actions of its gateways.
+ * A deployment of a recording: generates the events of clients, discovery and faults, and carries
+ * out the actions of the gateways.
  */
 final class ScriptedDeployment {
     private static final Pattern MESSAGE = Pattern.compile("\\{\"(\\w+)\":\\{(.*)\\}\\}");
@@ -24,7 +24,7 @@
     private static final int MAX_WATCH_EVENT_DELAY_US = 200_000;
     private static final int ENDPOINT_LIST_NUMBERS = 16;
 
-    /** Traffic beyond the scenario's requests per second, so that quotas and servers are full. */
+    /** Factor on the scenario's requests per second, which saturates quotas and servers. */
     private static final double LOAD_FACTOR = 2.2;
 
     private static final double BURST_FACTOR = 4;
@@ -62,7 +62,7 @@
             case SERVERS_RESTART -> scheduleServerRestarts(fromUs, stepUs);
             case GATEWAYS_KILLED -> scheduleGatewayRestarts(fromUs, stepUs);
             default -> {
-                // lasts from its start to its end, see Recording.isDuring
+                // applied while active, see Recording.isDuring
             }
         }
     }
@@ -223,7 +223,7 @@
     void handleAction(String line) {
         Matcher message = MESSAGE.matcher(line);
         if (!message.matches()) {
-            throw new IllegalArgumentException("not a message: " + line);
+            throw new IllegalArgumentException("expected a message, got: " + line);
         }
         Map<String, String> fields = new HashMap<>();
         Matcher field = FIELD.matcher(message.group(2));
--- a/gateway/src/test/java/tinford/simulator/ScriptedGateway.java
+++ b/gateway/src/test/java/tinford/simulator/ScriptedGateway.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A gateway instance of a recording, as the simulator sees it. */
+/** The simulator's view of a gateway instance of a recording. */
 final class ScriptedGateway {
     final String name;
     final int number;
--- a/gateway/src/test/java/tinford/simulator/ScriptedRequest.java
+++ b/gateway/src/test/java/tinford/simulator/ScriptedRequest.java
@@ -23,7 +23,7 @@
     final double units;
     final List<Attempt> attempts = new ArrayList<>();
 
-    /** Whether the client has its final answer, or has disconnected. */
+    /** Whether the client has received its final response or has disconnected. */
     boolean over;
 
     boolean responseStarted;
--- a/gateway/src/test/java/tinford/simulator/ScriptedServers.java
+++ b/gateway/src/test/java/tinford/simulator/ScriptedServers.java
@@ -5,7 +5,7 @@
 import tinford.simulator.RecordingScenario.FaultKind;
 import tinford.simulator.ScriptedRequest.Attempt;
 
-/** The servers of a recording: how long their attempts take and how they end. */
+/** The servers of a recording, which determine the latency and the outcome of attempts. */
 final class ScriptedServers {
     private static final long INITIAL_UPTIME_US = 1_000_000;
     private static final long WARM_UP_US = 4_000_000;
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Draws the time that the server would take, then applies its state and the faults. */
+    /** Draws the service time of an attempt, then applies the server's state and the faults. */
     private Result result(ScriptedServer server, ScriptedRequest request) {
         long tookUs =
                 ScriptedTimeline.TICK_US
--- a/gateway/src/test/java/tinford/simulator/ScriptedTimeline.java
+++ b/gateway/src/test/java/tinford/simulator/ScriptedTimeline.java
@@ -4,7 +4,7 @@
 
 /** The simulated clock of a recording, and the actions that are due at its times. */
 final class ScriptedTimeline {
-    /** Length of a step, and the shortest delay of what a gateway sends. */
+    /** Length of a step, and the minimum network delay of messages from a gateway. */
     static final long TICK_US = 2_000;
 
     private static final long START_US = 5_000_000;
@@ -32,7 +32,7 @@
         return (nowUs - START_US) / US_PER_S;
     }
 
-    /** Whether so many seconds have passed since the start. */
+    /** Returns whether this number of seconds has passed since the start. */
     boolean hasPassed(double durationS) {
         return nowUs >= START_US + (long) (durationS * US_PER_S);
     }
@@ -41,7 +41,9 @@
         nowUs += TICK_US;
     }
 
-    /** Runs an action at the first step after the delay; equal times keep their order. */
+    /**
+     * Runs an action at the first step after the delay; actions due at the same time keep order.
+     */
     void schedule(long delayUs, Runnable action) {
         queue.add(new DueAction(nowUs + Math.max(0, delayUs), nextOrder++, action));
     }
--- a/gateway/src/test/java/tinford/simulator/SimulatorSessionTest.java
+++ b/gateway/src/test/java/tinford/simulator/SimulatorSessionTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 import tinford.decision.DecisionEngine;
 
-/** Batches without events, and input that is not valid. */
+/** Batches without events, and invalid input. */
 public class SimulatorSessionTest {
     private static final String BATCH_START = "{\"Mark\":{\"TUs\":5000,\"n\":1}}\n";
     private static final String BATCH_END = "{\"Eob\":{}}\n";
@@ -42,7 +42,7 @@
         assertEquals(reply.size(), 0);
     }
 
-    /** Input, what is wrong with it. */
+    /** Input, expected error message. */
     @DataProvider
     Object[][] invalidInputs() {
         return new Object[][] {
--- a/gateway/src/test/java/tinford/simulator/TranscriptRecorder.java
+++ b/gateway/src/test/java/tinford/simulator/TranscriptRecorder.java
@@ -12,11 +12,11 @@
 import java.util.zip.GZIPOutputStream;
 
 /**
- * Records what a build of the gateway replies on the simulator's wire. It runs a small random
- * deployment in closed loop against {@code java -jar JAR benchlink} and writes both directions,
- * compressed.
+ * Records the replies of a gateway build in the simulator protocol. It runs a small random
+ * deployment in closed loop against {@code java -jar JAR benchlink} and writes the messages of both
+ * directions to compressed files.
  *
- * <p>Usage, after the module's test classes are compiled: {@code java -cp target/test-classes
+ * <p>Usage, after the module's test classes have been compiled: {@code java -cp target/test-classes
  * tinford.simulator.TranscriptRecorder JAR FOLDER}
  */
 public final class TranscriptRecorder {
@@ -66,7 +66,8 @@
         }
         int exitCode = process.waitFor();
         if (exitCode != 0) {
-            throw new IOException(scenario.name() + ": exit code " + exitCode);
+            throw new IOException(
+                    scenario.name() + ": gateway process failed with exit code " + exitCode);
         }
     }
 
@@ -109,7 +110,9 @@
             String line = fromProcess.readLine();
             if (line == null) {
                 throw new IOException(
-                        recording.scenario.name() + ": the process ended in batch " + batchNumber);
+                        recording.scenario.name()
+                                + ": gateway process ended before its reply to batch "
+                                + batchNumber);
             }
             reply.write(line + "\n");
             if (line.startsWith("{\"Done\"")) {
