--- a/gateway/src/main/java/tinford/decision/AdmissionController.java
+++ b/gateway/src/main/java/tinford/decision/AdmissionController.java
@@ -13,11 +13,11 @@
     private final AttemptSender sender;
     private final AttemptGuard guard;
     private final RetryBudget retries;
-    private final FinalAnswers answers;
+    private final RequestCompletion completion;
     private final Random random;
 
     /** Successful attempts; their rate estimates how often a slot becomes free. */
-    private final RollingSum completed;
+    private final RollingSum successes;
 
     AdmissionController(
             AdmissionQueue queue,
@@ -25,16 +25,16 @@
             AttemptSender sender,
             AttemptGuard guard,
             RetryBudget retries,
-            FinalAnswers answers,
-            RollingSum completed,
+            RequestCompletion completion,
+            RollingSum successes,
             Random random) {
         this.queue = queue;
         this.balancer = balancer;
         this.sender = sender;
         this.guard = guard;
         this.retries = retries;
-        this.answers = answers;
-        this.completed = completed;
+        this.completion = completion;
+        this.successes = successes;
         this.random = random;
     }
 
@@ -45,9 +45,9 @@
         double hardLimitWaitMs =
                 first ? pending.quota.hardLimitWaitMs(pending.request.units, nowMs) : 0;
         if (first) {
-            offer(batch, pending);
+            recordOffered(batch, pending);
             if (isShedByFleet(batch, pending)) {
-                answers.answer(batch, pending, 0);
+                completion.rejectOrFail(batch, pending, 0);
                 return;
             }
         }
@@ -57,16 +57,16 @@
         double queueWaitMs = queueWaitMs(pending, nowMs);
         if (nowMs + queueWaitMs > pending.latestSendMs
                 || nowMs + hardLimitWaitMs > pending.latestSendMs) {
-            answers.answer(batch, pending, queueWaitMs);
+            completion.rejectOrFail(batch, pending, queueWaitMs);
         } else {
             queue.add(pending);
         }
     }
 
-    private void offer(Batch batch, PendingRequest pending) {
+    private void recordOffered(Batch batch, PendingRequest pending) {
         pending.quota.usage().offered.add(batch.nowMs, pending.weight * pending.request.units);
         batch.policy.requestOffered(pending.request, pending.fleetWeight());
-        pending.withinQuota = true;
+        pending.offered = true;
         balancer.requestOffered(batch.nowMs);
     }
 
@@ -85,7 +85,7 @@
     private double queueWaitMs(PendingRequest pending, double nowMs) {
         double slotIntervalMs =
                 Math.min(
-                        RollingSum.SPAN_MS / completed.total(nowMs),
+                        RollingSum.SPAN_MS / successes.total(nowMs),
                         pending.request.requestClass.latencyObjectiveMs);
         return queue.countAhead(pending) * slotIntervalMs;
     }
@@ -105,7 +105,7 @@
     void expireQueued(Batch batch) {
         for (PendingRequest pending : queue.inOrder()) {
             if (batch.nowMs >= pending.latestSendMs) {
-                answers.answer(batch, pending, 0);
+                completion.rejectOrFail(batch, pending, 0);
             }
         }
     }
@@ -115,10 +115,10 @@
      * completes it.
      */
     void retry(Batch batch, PendingRequest pending, AttemptOutcome outcome) {
-        pending.planLatestSend(balancer.typicalMs(pending.request));
+        pending.updateLatestSend(balancer.typicalLatencyMs(pending.request));
         boolean mayRetry =
                 batch.nowMs < pending.latestSendMs
-                        && !guard.hasNoAttemptLeft(pending)
+                        && !guard.isAttemptLimitReached(pending)
                         && retries.allows(outcome, batch.policy);
         if (mayRetry) {
             retries.spend(outcome);
@@ -128,6 +128,6 @@
         // a request that times out at any server should not be retried within another objective
         boolean inTime = batch.nowMs < pending.objectiveAtMs;
         double waitMs = inTime ? 0 : pending.request.requestClass.latencyObjectiveMs;
-        answers.answer(batch, pending, waitMs);
+        completion.rejectOrFail(batch, pending, waitMs);
     }
 }
--- a/gateway/src/main/java/tinford/decision/AttemptGuard.java
+++ b/gateway/src/main/java/tinford/decision/AttemptGuard.java
@@ -25,7 +25,7 @@
     /** Returns whether the request may be sent to the server now. */
     boolean allows(Batch batch, PendingRequest pending, ServerStats server) {
         double nowMs = batch.nowMs;
-        if (pending.over
+        if (pending.completed
                 || pending.responseStarted
                 || nowMs >= pending.request.deadlineMs
                 || server.server.state() != Server.State.UP
@@ -34,11 +34,11 @@
         }
         Server earlier = null;
         if (pending.attempts.isEmpty()) {
-            if (!pending.quota.mayOpen(pending.request.units, nowMs)) {
+            if (!pending.quota.allowsNewRequest(pending.request.units, nowMs)) {
                 return false;
             }
         } else {
-            if (!mayBeRepeatedAt(pending, server.server, nowMs)) {
+            if (!mayRetryAt(pending, server.server, nowMs)) {
                 return false;
             }
             earlier = lastServerThatMayHaveRun(pending);
@@ -47,11 +47,11 @@
                 && (!slowStart.isWarmingUp(server.server, nowMs) || server.slowStartCredit >= 1);
     }
 
-    boolean hasNoAttemptLeft(PendingRequest pending) {
+    boolean isAttemptLimitReached(PendingRequest pending) {
         return pending.attempts.size() >= limits.maxAttempts();
     }
 
-    private boolean mayBeRepeatedAt(PendingRequest pending, Server server, double nowMs) {
+    private boolean mayRetryAt(PendingRequest pending, Server server, double nowMs) {
         RequestClass requestClass = pending.request.requestClass;
         for (Attempt earlier : pending.attempts) {
             if (earlier.outcome == null && !limits.hedgingAllowed()) {
--- a/gateway/src/main/java/tinford/decision/AttemptSender.java
+++ b/gateway/src/main/java/tinford/decision/AttemptSender.java
@@ -10,7 +10,7 @@
      * Share of the latency objective after which an attempt times out past the objective, if late
      * responses of its request class have no weight.
      */
-    private static final double LATE_SHARE_OF_OBJECTIVE = 0.25;
+    private static final double LATE_TIMEOUT_SHARE_OF_OBJECTIVE = 0.25;
 
     private static final double MIN_TIMEOUT_MS = 50;
 
@@ -39,7 +39,7 @@
         }
         boolean retry = !pending.isFirstAttempt();
         if (!retry) {
-            firstAttempt(pending, batch.nowMs);
+            recordFirstAttempt(pending, batch.nowMs);
         }
         batch.policy.attemptSent(request, server.server, pending.fleetWeight(), retry);
         double sendWithinMs = sendWithinMs(pending, batch.nowMs);
@@ -50,7 +50,7 @@
         return true;
     }
 
-    private void firstAttempt(PendingRequest pending, double nowMs) {
+    private void recordFirstAttempt(PendingRequest pending, double nowMs) {
         double units = pending.request.units;
         pending.quota.takeFromHardLimit(units);
         pending.quota.usage().forwarded.add(nowMs, pending.weight * units);
@@ -74,7 +74,7 @@
         double usefulMs =
                 pending.objectiveAtMs
                         - nowMs
-                        + LATE_SHARE_OF_OBJECTIVE * requestClass.latencyObjectiveMs;
+                        + LATE_TIMEOUT_SHARE_OF_OBJECTIVE * requestClass.latencyObjectiveMs;
         return Math.max(usefulMs, MIN_TIMEOUT_MS);
     }
 }
--- a/gateway/src/main/java/tinford/decision/BurstHeadroom.java
+++ b/gateway/src/main/java/tinford/decision/BurstHeadroom.java
@@ -12,7 +12,7 @@
      * Weight of the lower estimate of the headroom against the upper one, after units were used at
      * unknown times.
      */
-    private static final double UNSEEN_RISE_WEIGHT = 0.5;
+    private static final double LOWER_ESTIMATE_WEIGHT = 0.5;
 
     private double units;
     private double updatedAtMs;
@@ -24,11 +24,13 @@
      * @param risenUnits rise of the total since the last read that this gateway did not cause
      */
     double refill(Plan plan, double risenUnits, double nowMs) {
-        double full = units + (nowMs - updatedAtMs) * plan.quotaPerMs;
-        double most = Math.min(plan.burst, full - risenUnits);
+        double refilled = units + (nowMs - updatedAtMs) * plan.quotaPerMs;
+        double upperEstimate = Math.min(plan.burst, refilled - risenUnits);
         // the units may have been used at the end of the interval, out of a full bucket
-        double least = Math.max(0, Math.min(plan.burst, full) - risenUnits);
-        set(most - UNSEEN_RISE_WEIGHT * Math.max(0, most - least), nowMs);
+        double lowerEstimate = Math.max(0, Math.min(plan.burst, refilled) - risenUnits);
+        set(
+                upperEstimate - LOWER_ESTIMATE_WEIGHT * Math.max(0, upperEstimate - lowerEstimate),
+                nowMs);
         return units;
     }
 
@@ -43,7 +45,7 @@
      * @param risenUnits rise of the total since the last read that this gateway did not cause
      * @param ownUnits units of the request whose call read the total
      */
-    void read(Plan plan, double risenUnits, double ownUnits, double nowMs) {
+    void applyRead(Plan plan, double risenUnits, double ownUnits, double nowMs) {
         // units that were forwarded beyond the quota leave no debt, so the level is at least 0
         units = Math.max(0, refill(plan, risenUnits, nowMs)) - ownUnits;
     }
--- a/gateway/src/main/java/tinford/decision/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/tinford/decision/ConcurrencyLimiter.java
@@ -18,20 +18,20 @@
     private static final double INCREASE_SHARE_OF_INITIAL = 0.01;
 
     /**
-     * The limit decreases if the latency exceeds this value or {@link #DECREASE_ABOVE_BASELINE}
+     * The limit decreases if the latency exceeds this value or {@link #DECREASE_BASELINE_MULTIPLE}
      * times the baseline latency, whichever is lower.
      */
-    private static final double MAX_GOOD_LATENCY = 0.4;
+    private static final double DECREASE_ABOVE_LATENCY = 0.4;
 
-    private static final double DECREASE_ABOVE_BASELINE = 1.6;
-    private static final double INCREASE_BELOW_BASELINE = 1.2;
+    private static final double DECREASE_BASELINE_MULTIPLE = 1.6;
+    private static final double INCREASE_BASELINE_MULTIPLE = 1.2;
 
     /** The limit grows only while the gateway uses at least this share of the sum of all limits. */
     private static final double MIN_UTILIZATION_TO_GROW = 0.7;
 
     private static final double FAST_BASELINE_GAIN = 0.05;
     private static final double SLOW_BASELINE_GAIN = 0.004;
-    private static final double UNKNOWN = -1;
+    private static final double UNKNOWN_LATENCY = -1;
 
     /** The limit; other classes only read it. */
     double limit;
@@ -40,7 +40,7 @@
     int slots = 1;
 
     private double initial;
-    private double baselineLatency = UNKNOWN;
+    private double baselineLatency = UNKNOWN_LATENCY;
 
     /**
      * @param initialLimit initial limit, in proportion to the server's weight
@@ -56,9 +56,10 @@
         }
         updateBaseline(latency);
         // queueing at a server only adds latency, so the limit decreases fast and increases slowly
-        if (latency > Math.min(MAX_GOOD_LATENCY, DECREASE_ABOVE_BASELINE * baselineLatency)) {
+        if (latency
+                > Math.min(DECREASE_ABOVE_LATENCY, DECREASE_BASELINE_MULTIPLE * baselineLatency)) {
             limit = Math.max(MIN_SHARE_OF_INITIAL * initial, limit * DECREASE_FACTOR);
-        } else if (latency < INCREASE_BELOW_BASELINE * baselineLatency
+        } else if (latency < INCREASE_BASELINE_MULTIPLE * baselineLatency
                 && peakOpen >= MIN_UTILIZATION_TO_GROW * limitSum) {
             limit =
                     Math.min(
--- a/gateway/src/main/java/tinford/decision/CounterCall.java
+++ b/gateway/src/main/java/tinford/decision/CounterCall.java
@@ -7,7 +7,7 @@
  *     call returns units
  * @param amount units that the call adds
  * @param unreportedUnits part of the amount that is unreported usage of earlier requests
- * @param readsOnly whether the call adds nothing and only reads the previous window
+ * @param readOnly whether the call adds nothing and only reads the previous window
  */
 record CounterCall(
         TenantQuota quota,
@@ -15,7 +15,7 @@
         PendingRequest pending,
         double amount,
         double unreportedUnits,
-        boolean readsOnly) {
+        boolean readOnly) {
     private static final int KEY_BITS_FOR_WINDOW = 30;
 
     /** Returns the key of a tenant's window on the counter. */
@@ -24,7 +24,7 @@
                 + (window.index & (1 << KEY_BITS_FOR_WINDOW) - 1);
     }
 
-    static long tenantOf(long key) {
+    static long tenantIdOf(long key) {
         return key >> KEY_BITS_FOR_WINDOW;
     }
 }
--- a/gateway/src/main/java/tinford/decision/CounterCalls.java
+++ b/gateway/src/main/java/tinford/decision/CounterCalls.java
@@ -22,10 +22,10 @@
             PendingRequest pending,
             double units) {
         double unreported = window == quota.current() ? quota.takeUnreported() : 0;
-        boolean readsOnly = pending != null && units == 0;
+        boolean readOnly = pending != null && units == 0;
         send(
                 batch,
-                new CounterCall(quota, window, pending, units + unreported, unreported, readsOnly));
+                new CounterCall(quota, window, pending, units + unreported, unreported, readOnly));
     }
 
     private void send(Batch batch, CounterCall call) {
--- a/gateway/src/main/java/tinford/decision/CounterPacer.java
+++ b/gateway/src/main/java/tinford/decision/CounterPacer.java
@@ -9,7 +9,7 @@
  */
 final class CounterPacer {
     /** Consecutive unanswered calls after which the counter counts as unresponsive. */
-    private static final int SILENCE_THRESHOLD = 4;
+    private static final int UNRESPONSIVE_THRESHOLD = 4;
 
     /** Interval at which all gateways together probe an unresponsive counter. */
     private static final double PROBE_INTERVAL_MS = 50;
@@ -21,6 +21,7 @@
 
     /** Maximum share of the gap by which one answer shrinks it. */
     private static final double MAX_GAP_DECREASE = 0.3;
+
     private static final double GAP_INCREASE_FACTOR = 1.5;
     private static final double MIN_GAP_MS = 1;
 
@@ -36,38 +37,38 @@
      */
     private static final double QUEUEING_GAP_SHARE_OF_TIMEOUT = 1.0 / 8;
 
-    private static final double QUICKEST_PERIOD_MS = 10_000;
+    private static final double MIN_LATENCY_PERIOD_MS = 10_000;
 
     /** A counter that answered late within this period is slow rather than unreachable. */
     private static final double LATE_ANSWER_PERIOD_MS = 1000;
 
     private final CounterSettings settings;
     private final int gatewayCount;
-    private int unanswered;
+    private int consecutiveUnanswered;
     private double lastCallMs = Double.NEGATIVE_INFINITY;
     private double lastIncreaseMs = Double.NEGATIVE_INFINITY;
     private double lastLateAnswerMs = Double.NEGATIVE_INFINITY;
     private double gapMs;
-    private double quickestMs = Double.POSITIVE_INFINITY;
-    private double quickestBeforeMs = Double.POSITIVE_INFINITY;
-    private double quickestSinceMs;
+    private double minLatencyMs = Double.POSITIVE_INFINITY;
+    private double previousMinLatencyMs = Double.POSITIVE_INFINITY;
+    private double minLatencySinceMs;
 
     CounterPacer(CounterSettings settings, int gatewayCount) {
         this.settings = settings;
         this.gatewayCount = gatewayCount;
     }
 
-    boolean isSilent() {
-        return unanswered >= SILENCE_THRESHOLD;
+    boolean isUnresponsive() {
+        return consecutiveUnanswered >= UNRESPONSIVE_THRESHOLD;
     }
 
     /** Returns whether calls that time out are likely to be counted nevertheless. */
     boolean isSlow(double nowMs) {
-        return !isSilent() || nowMs - lastLateAnswerMs < LATE_ANSWER_PERIOD_MS;
+        return !isUnresponsive() || nowMs - lastLateAnswerMs < LATE_ANSWER_PERIOD_MS;
     }
 
     /** Returns whether calls are spaced out, so that not every request makes one. */
-    boolean isGapKept() {
+    boolean isPacing() {
         return gapMs >= MIN_GAP_MS;
     }
 
@@ -81,22 +82,22 @@
         return gapMs;
     }
 
-    boolean hasPassed(double pauseMs, double nowMs) {
-        return nowMs - lastCallMs >= pauseMs;
+    boolean hasIntervalPassed(double intervalMs, double nowMs) {
+        return nowMs - lastCallMs >= intervalMs;
     }
 
     void callSent(double nowMs) {
         lastCallMs = nowMs;
     }
 
-    void lateAnswer(double nowMs) {
+    void lateAnswerReceived(double nowMs) {
         lastLateAnswerMs = nowMs;
     }
 
     void callEnded(AttemptOutcome outcome, double tookMs, double nowMs) {
         boolean answered = outcome == AttemptOutcome.SUCCESS;
         boolean lost = outcome == AttemptOutcome.CONNECTION_LOST;
-        unanswered = answered || lost ? 0 : unanswered + 1;
+        consecutiveUnanswered = answered || lost ? 0 : consecutiveUnanswered + 1;
         // a connection that breaks during a call does not indicate load
         if (!lost) {
             updateGap(answered, tookMs, nowMs);
@@ -104,15 +105,15 @@
     }
 
     private void updateGap(boolean answered, double tookMs, double nowMs) {
-        if (nowMs - quickestSinceMs > QUICKEST_PERIOD_MS) {
-            quickestBeforeMs = quickestMs;
-            quickestMs = Double.POSITIVE_INFINITY;
-            quickestSinceMs = nowMs;
+        if (nowMs - minLatencySinceMs > MIN_LATENCY_PERIOD_MS) {
+            previousMinLatencyMs = minLatencyMs;
+            minLatencyMs = Double.POSITIVE_INFINITY;
+            minLatencySinceMs = nowMs;
         }
         if (answered) {
-            quickestMs = Math.min(quickestMs, tookMs);
+            minLatencyMs = Math.min(minLatencyMs, tookMs);
         }
-        if (answered && !hasQueued(tookMs)) {
+        if (answered && !wasQueued(tookMs)) {
             gapMs *= 1 - Math.min(MAX_GAP_DECREASE, gapMs / GAP_DECAY_MS);
         } else if (nowMs - lastIncreaseMs >= settings.timeoutMs()) {
             gapMs =
@@ -127,10 +128,10 @@
      * Returns whether the latency of a call shows that it was queued at the counter. With many
      * gateways this shows overload before any call times out.
      */
-    private boolean hasQueued(double tookMs) {
+    private boolean wasQueued(double tookMs) {
         return gapMs > settings.timeoutMs() * QUEUEING_GAP_SHARE_OF_TIMEOUT
                 && tookMs
-                        > Math.min(quickestMs, quickestBeforeMs)
+                        > Math.min(minLatencyMs, previousMinLatencyMs)
                                 + QUEUED_SHARE_OF_TIMEOUT * settings.timeoutMs();
     }
 }
--- a/gateway/src/main/java/tinford/decision/CounterWindow.java
+++ b/gateway/src/main/java/tinford/decision/CounterWindow.java
@@ -8,7 +8,7 @@
     final long index;
 
     /**
-     * Units used by all gateways: the total as last read, plus {@link #lostUnits} and the units
+     * Units used by all gateways: the total as last read, plus {@link #offsetUnits} and the units
      * that this gateway has added since.
      */
     double total;
@@ -22,10 +22,10 @@
      * Units on top of the counter's total: units that the counter lost in a reset, or units that
      * were used under an earlier plan.
      */
-    double lostUnits;
+    double offsetUnits;
 
     /** This gateway's share of the units that were used under an earlier plan. */
-    double migratedUnits;
+    double carriedOverUnits;
 
     /** Whether the total has been read from the counter. */
     boolean wasRead;
@@ -35,7 +35,7 @@
     }
 
     /** Returns the units that this gateway is known to have used itself. */
-    double ownUse() {
+    double ownUsage() {
         return Math.max(0, ownUnits);
     }
 
@@ -60,7 +60,7 @@
     void detectReset(double counterTotal, double amount, double toleranceUnits) {
         ownUnits += amount;
         if (counterTotal < ownUnits - toleranceUnits) {
-            lostUnits = Math.max(lostUnits, total - Math.max(0, counterTotal - amount));
+            offsetUnits = Math.max(offsetUnits, total - Math.max(0, counterTotal - amount));
             ownUnits = counterTotal;
         }
     }
--- a/gateway/src/main/java/tinford/decision/DecisionEngine.java
+++ b/gateway/src/main/java/tinford/decision/DecisionEngine.java
@@ -22,7 +22,7 @@
  * the components that decide (docs/design.md). It is independent of sockets and of the simulator
  * protocol, and deterministic: the same seed and events give the same actions.
  */
-public final class DecisionEngine implements DecisionModule, GatewayEvents, QuotaVerdicts {
+public final class DecisionEngine implements DecisionModule, GatewayEvents, QuotaDecisionHandler {
     private static final long TICK_TIMER = 1;
     private static final long WATCH_TIMER = 2;
 
@@ -38,7 +38,7 @@
      * Idle connections are closed while more than this many attempts per successful one lose their
      * connection.
      */
-    private static final double MAX_BROKEN_PER_COMPLETED = 0.08;
+    private static final double MAX_LOST_PER_SUCCESS = 0.08;
 
     private final boolean watchRequired;
     private final PlanFairness fairness;
@@ -46,10 +46,10 @@
     private final QuotaLimiter quotas;
     private final LoadBalancer balancer;
     private final RetryBudget retries = new RetryBudget();
-    private final FinalAnswers answers;
+    private final RequestCompletion completion;
     private final AdmissionController admission;
-    private final RollingSum completed = new RollingSum();
-    private final RollingSum broken = new RollingSum();
+    private final RollingSum successes = new RollingSum();
+    private final RollingSum lostConnections = new RollingSum();
     private FleetPolicy policy = new FleetPolicy();
     private Batch batch;
     private long arrivals;
@@ -74,11 +74,11 @@
                 new QuotaLimiter(
                         counter, identity.gatewayCount(), this, fairness, sizes, lifecycle, random);
         AdmissionQueue queue = new AdmissionQueue();
-        this.answers = new FinalAnswers(queue, quotas, random);
+        this.completion = new RequestCompletion(queue, quotas, random);
         AttemptSender sender = new AttemptSender(guard, balancer, retries, identity.tickMs());
         this.admission =
                 new AdmissionController(
-                        queue, balancer, sender, guard, retries, answers, completed, random);
+                        queue, balancer, sender, guard, retries, completion, successes, random);
     }
 
     @Override
@@ -129,7 +129,7 @@
     @Override
     public void endpointsUpdated(List<Server> entries, boolean complete) {
         balancer.updateEndpoints(entries, complete, batch.nowMs);
-        fairness.rebalance(batch.nowMs);
+        fairness.updateBoosts(batch.nowMs);
     }
 
     @Override
@@ -147,19 +147,19 @@
         quotas.expireWaits(batch);
         if (ticks++ % TICKS_PER_RANKING == 0) {
             balancer.updateRanking(nowMs);
-            fairness.rebalance(nowMs);
+            fairness.updateBoosts(nowMs);
         }
-        if (ticks % TICKS_PER_CONNECTION_CHECK == 0 && connectionsBreak(nowMs)) {
+        if (ticks % TICKS_PER_CONNECTION_CHECK == 0 && isLosingConnections(nowMs)) {
             balancer.closeIdleConnections(batch);
         }
         if (ticks % TICKS_PER_QUOTA_CLEANUP == 0) {
-            quotas.forgetIdleTenants(nowMs);
+            quotas.evictIdleTenants(nowMs);
         }
         admission.expireQueued(batch);
     }
 
-    private boolean connectionsBreak(double nowMs) {
-        return broken.total(nowMs) > MAX_BROKEN_PER_COMPLETED * completed.total(nowMs);
+    private boolean isLosingConnections(double nowMs) {
+        return lostConnections.total(nowMs) > MAX_LOST_PER_SUCCESS * successes.total(nowMs);
     }
 
     @Override
@@ -167,14 +167,14 @@
         double nowMs = batch.nowMs;
         TenantQuota quota = quotas.quotaOf(request.tenant, nowMs);
         PendingRequest pending = new PendingRequest(request, quota, arrivals++, nowMs);
-        pending.planLatestSend(balancer.typicalMs(request));
+        pending.updateLatestSend(balancer.typicalLatencyMs(request));
         request.attach(pending);
         retries.requestArrived(pending.weight);
         // too close to the deadline to wait for the counter
         if (nowMs >= pending.latestSendMs) {
-            answers.answer(batch, pending, 0);
+            completion.rejectOrFail(batch, pending, 0);
         } else {
-            quotas.check(batch, pending);
+            quotas.checkQuota(batch, pending);
         }
     }
 
@@ -189,12 +189,12 @@
         attempt.responseStarted = true;
         double tookMs = batch.nowMs - attempt.sentAtMs;
         balancer.finishAttempt(batch, attempt, AttemptOutcome.SUCCESS, tookMs, request.units);
-        completed.add(batch.nowMs, 1);
+        successes.add(batch.nowMs, 1);
     }
 
     @Override
     public void clientDisconnected(Request request) {
-        answers.close(batch, PendingRequest.of(request));
+        completion.complete(batch, PendingRequest.of(request));
     }
 
     @Override
@@ -226,23 +226,23 @@
         if (!attempt.responseStarted) {
             double units = settledUnits > 0 ? settledUnits : request.units;
             balancer.finishAttempt(batch, attempt, outcome, tookMs, units);
-            countOutcome(outcome);
+            recordOutcome(outcome);
         }
         if (outcome == AttemptOutcome.SUCCESS && settledUnits > 0) {
             quotas.settle(pending, settledUnits);
         }
         if (requestEnded) {
-            answers.close(batch, pending);
-        } else if (!pending.over && !pending.hasRunningAttempt()) {
+            completion.complete(batch, pending);
+        } else if (!pending.completed && !pending.hasRunningAttempt()) {
             admission.retry(batch, pending, outcome);
         }
     }
 
-    private void countOutcome(AttemptOutcome outcome) {
+    private void recordOutcome(AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.SUCCESS) {
-            completed.add(batch.nowMs, 1);
+            successes.add(batch.nowMs, 1);
         } else if (outcome == AttemptOutcome.CONNECTION_LOST) {
-            broken.add(batch.nowMs, 1);
+            lostConnections.add(batch.nowMs, 1);
         }
     }
 
@@ -262,6 +262,6 @@
 
     @Override
     public void reject(Batch current, PendingRequest pending, double waitMs) {
-        answers.answer(current, pending, waitMs);
+        completion.rejectOrFail(current, pending, waitMs);
     }
 }
--- a/gateway/src/main/java/tinford/decision/LoadBalancer.java
+++ b/gateway/src/main/java/tinford/decision/LoadBalancer.java
@@ -21,10 +21,10 @@
      * Typical latency of an attempt as a multiple of the mean latency of all servers; it is bounded
      * relative to the latency objective by the next two constants.
      */
-    private static final double TYPICAL_MULTIPLE = 1.3;
+    private static final double TYPICAL_LATENCY_MULTIPLE = 1.3;
 
-    private static final double MIN_TYPICAL = 0.1;
-    private static final double MAX_TYPICAL = 0.8;
+    private static final double MIN_TYPICAL_LATENCY = 0.1;
+    private static final double MAX_TYPICAL_LATENCY = 0.8;
 
     private final AttemptGuard guard;
     private final SlowStart slowStart;
@@ -95,10 +95,12 @@
     }
 
     /** Returns the typical latency of an attempt for the request in ms. */
-    double typicalMs(Request request) {
+    double typicalLatencyMs(Request request) {
         double relative =
-                TYPICAL_MULTIPLE * ranking.fleetLatency() * sizes.relativeSize(request.units);
-        return Math.min(MAX_TYPICAL, Math.max(MIN_TYPICAL, relative))
+                TYPICAL_LATENCY_MULTIPLE
+                        * ranking.fleetLatency()
+                        * sizes.relativeSize(request.units);
+        return Math.min(MAX_TYPICAL_LATENCY, Math.max(MIN_TYPICAL_LATENCY, relative))
                 * request.requestClass.latencyObjectiveMs;
     }
 
@@ -119,11 +121,11 @@
         }
         // independent of the server: checked once here, as the whole queue may be waiting for it
         if (pending.isFirstAttempt()
-                && !pending.quota.mayOpen(pending.request.units, batch.nowMs)) {
+                && !pending.quota.allowsNewRequest(pending.request.units, batch.nowMs)) {
             return null;
         }
-        ServerStats earned = pickWarmingUp(batch, pending);
-        return earned != null ? earned : pickRanked(batch, pending);
+        ServerStats warmingUp = pickWarmingUp(batch, pending);
+        return warmingUp != null ? warmingUp : pickRanked(batch, pending);
     }
 
     private ServerStats pickWarmingUp(Batch batch, PendingRequest pending) {
@@ -140,7 +142,7 @@
             for (ServerStats server : ranking.ranked()) {
                 if (server.running.size()
                                 < Math.ceil(server.limiter.slots * pass / (double) FILL_PASSES)
-                        && server.mayBeTried(batch.nowMs, batch.policy)
+                        && server.isEligible(batch.nowMs, batch.policy)
                         && guard.allows(batch, pending, server)) {
                     return server;
                 }
@@ -167,12 +169,12 @@
      */
     void requestOffered(double nowMs) {
         if (ranking.warmingUp().size() == ranking.ranked().size()) {
-            earnSlowStartCredit(nowMs);
+            grantSlowStartCredit(nowMs);
         }
     }
 
-    private void earnSlowStartCredit(double nowMs) {
-        slowStart.earn(ranking.warmingUp(), ranking.ranked().size(), nowMs);
+    private void grantSlowStartCredit(double nowMs) {
+        slowStart.grantCredit(ranking.warmingUp(), ranking.ranked().size(), nowMs);
     }
 
     /**
@@ -189,13 +191,13 @@
             if (tookMs <= objectiveMs) {
                 batch.policy.serverHealthChanged(server.server, false);
             }
-            server.consecutiveRefusals = 0;
+            server.consecutiveEjections = 0;
         }
         double latency = tookMs / objectiveMs;
         switch (outcome) {
             case SUCCESS -> recordSuccess(attempt, latency, units, batch.nowMs);
             case TIMED_OUT ->
-                    recordAnswer(
+                    recordResponse(
                             attempt,
                             Math.max(1, latency / attempt.relativeSize),
                             !attempt.countedLate,
@@ -208,11 +210,11 @@
 
     private void recordSuccess(Attempt attempt, double latency, double units, double nowMs) {
         if (!slowStart.isWarmingUp(attempt.server.server, nowMs)) {
-            earnSlowStartCredit(nowMs);
+            grantSlowStartCredit(nowMs);
         }
         sizes.observe(units, latency);
         boolean failure = latency > 1 && !attempt.countedLate;
-        recordAnswer(attempt, latency / sizes.relativeSize(units), failure, nowMs);
+        recordResponse(attempt, latency / sizes.relativeSize(units), failure, nowMs);
     }
 
     /**
@@ -221,7 +223,7 @@
      */
     private void recordError(Batch batch, Attempt attempt) {
         ServerStats server = attempt.server;
-        recordAnswer(attempt, server.meanLatency, true, batch.nowMs);
+        recordResponse(attempt, server.meanLatency, true, batch.nowMs);
         server.outlier = outliers.isOutlier(server, batch.nowMs);
         if (server.outlier) {
             server.eject(batch.nowMs);
@@ -237,7 +239,7 @@
         }
     }
 
-    private void recordAnswer(Attempt attempt, double latency, boolean failure, double nowMs) {
-        attempt.server.recordAnswer(nowMs, latency, ranking.fleetLatency(), failure);
+    private void recordResponse(Attempt attempt, double latency, boolean failure, double nowMs) {
+        attempt.server.recordResponse(nowMs, latency, ranking.fleetLatency(), failure);
     }
 }
--- a/gateway/src/main/java/tinford/decision/PendingRequest.java
+++ b/gateway/src/main/java/tinford/decision/PendingRequest.java
@@ -11,7 +11,7 @@
     static final double UNBOUNDED_MS = 1e9;
 
     /** Time before the client deadline that is reserved for the response to reach the client. */
-    private static final double CLIENT_MARGIN_MS = 100;
+    private static final double CLIENT_DEADLINE_MARGIN_MS = 100;
 
     final Request request;
     final TenantQuota quota;
@@ -36,7 +36,7 @@
     double latestSendMs;
 
     /** Window in which the units were counted and can be returned, or null. */
-    CounterWindow countedIn;
+    CounterWindow countedWindow;
 
     /** Total of the window right after the units were added. */
     double countedTotal;
@@ -51,12 +51,12 @@
     boolean admittedByFallback;
 
     /** Whether the request passed the quota check and was reported to the fleet as offered. */
-    boolean withinQuota;
+    boolean offered;
 
     boolean responseStarted;
 
     /** Whether the processing of the request has ended. */
-    boolean over;
+    boolean completed;
 
     private final double priorityBoost;
 
@@ -78,8 +78,10 @@
     /**
      * @param typicalMs typical latency of an attempt for the request
      */
-    void planLatestSend(double typicalMs) {
-        latestSendMs = Math.min(objectiveAtMs, request.deadlineMs - CLIENT_MARGIN_MS) - typicalMs;
+    void updateLatestSend(double typicalLatencyMs) {
+        latestSendMs =
+                Math.min(objectiveAtMs, request.deadlineMs - CLIENT_DEADLINE_MARGIN_MS)
+                        - typicalLatencyMs;
     }
 
     /** Returns the weight without this gateway's priority boost, comparable across the fleet. */
--- a/gateway/src/main/java/tinford/decision/PlanFairness.java
+++ b/gateway/src/main/java/tinford/decision/PlanFairness.java
@@ -11,7 +11,7 @@
  * starve in the admission queue.
  */
 final class PlanFairness {
-    private static final double MAX_SCARCITY = 20;
+    private static final double MAX_INVERSE_DEMAND_SHARE = 20;
     private static final double MIN_OVERALL_WEIGHT = 0.01;
 
     private final double worstPlanWeight;
@@ -37,7 +37,7 @@
         usageByPlan.keySet().retainAll(plans);
     }
 
-    void rebalance(double nowMs) {
+    void updateBoosts(double nowMs) {
         double allOffered =
                 usageByPlan.values().stream()
                         .mapToDouble(usage -> usage.offered.total(nowMs))
@@ -52,6 +52,9 @@
 
     private void boost(PlanUsage worst, double allOffered, double nowMs) {
         worst.priorityBoost +=
-                worstPlanWeight * Math.min(MAX_SCARCITY, worst.scarcity(allOffered, nowMs));
+                worstPlanWeight
+                        * Math.min(
+                                MAX_INVERSE_DEMAND_SHARE,
+                                worst.inverseDemandShare(allOffered, nowMs));
     }
 }
--- a/gateway/src/main/java/tinford/decision/PlanUsage.java
+++ b/gateway/src/main/java/tinford/decision/PlanUsage.java
@@ -4,7 +4,7 @@
  * Recent demand of one plan's tenants within their quotas, and the part of it that was forwarded.
  */
 final class PlanUsage {
-    private static final double AVOID_ZERO = 1e-9;
+    private static final double EPSILON = 1e-9;
 
     /** Priority-weighted units that were offered within quotas. */
     final RollingSum offered = new RollingSum();
@@ -16,11 +16,11 @@
     double priorityBoost = 1;
 
     double forwardedShare(double nowMs) {
-        return (forwarded.total(nowMs) + AVOID_ZERO) / (offered.total(nowMs) + AVOID_ZERO);
+        return (forwarded.total(nowMs) + EPSILON) / (offered.total(nowMs) + EPSILON);
     }
 
     /** Returns the units offered over all plans, as a multiple of those offered by this plan. */
-    double scarcity(double allOffered, double nowMs) {
-        return allOffered / (offered.total(nowMs) + AVOID_ZERO);
+    double inverseDemandShare(double allOffered, double nowMs) {
+        return allOffered / (offered.total(nowMs) + EPSILON);
     }
 }
--- a/gateway/src/main/java/tinford/decision/QuotaVerdicts.java
+++ b/gateway/src/main/java/tinford/decision/QuotaDecisionHandler.java
@@ -1,7 +1,7 @@
 package tinford.decision;
 
 /** Receives the quota decision of each request. */
-interface QuotaVerdicts {
+interface QuotaDecisionHandler {
     /** The quota admits the request. */
     void admit(Batch batch, PendingRequest pending);
 
--- a/gateway/src/main/java/tinford/decision/QuotaLimiter.java
+++ b/gateway/src/main/java/tinford/decision/QuotaLimiter.java
@@ -17,13 +17,13 @@
  */
 final class QuotaLimiter {
     /** Time for which a total that shows an exhausted quota is used without another call. */
-    private static final double EXHAUSTED_TRUST_MS = 500;
+    private static final double EXHAUSTED_TOTAL_VALIDITY_MS = 500;
 
     /** Maximum wait for the counter, as a share of the latency objective. */
     private static final double MAX_WAIT_SHARE_OF_OBJECTIVE = 0.05;
 
     private final CounterSettings settings;
-    private final QuotaVerdicts verdicts;
+    private final QuotaDecisionHandler decisionHandler;
     private final PlanFairness fairness;
     private final RequestSizeModel sizes;
     private final GatewayLifecycle lifecycle;
@@ -38,13 +38,13 @@
     QuotaLimiter(
             CounterSettings settings,
             int gatewayCount,
-            QuotaVerdicts verdicts,
+            QuotaDecisionHandler decisionHandler,
             PlanFairness fairness,
             RequestSizeModel sizes,
             GatewayLifecycle lifecycle,
             Random random) {
         this.settings = settings;
-        this.verdicts = verdicts;
+        this.decisionHandler = decisionHandler;
         this.fairness = fairness;
         this.sizes = sizes;
         this.lifecycle = lifecycle;
@@ -59,13 +59,13 @@
             quota = new TenantQuota(tenant, fairness, sizes, lifecycle, nowMs);
             quotas.put(tenant.id, quota);
         }
-        quota.moveTo(tenant, nowMs);
+        quota.changePlan(tenant, nowMs);
         return quota;
     }
 
     /** Bounds memory: after two windows without a request a tenant's totals no longer count. */
-    void forgetIdleTenants(double nowMs) {
-        quotas.values().removeIf(quota -> quota.isForgettable(nowMs));
+    void evictIdleTenants(double nowMs) {
+        quotas.values().removeIf(quota -> quota.isEvictable(nowMs));
     }
 
     /** Returns the number of tracked tenants and counter calls. */
@@ -74,24 +74,24 @@
     }
 
     /** Calls the counter for a request that has arrived, or decides without the counter. */
-    void check(Batch batch, PendingRequest pending) {
+    void checkQuota(Batch batch, PendingRequest pending) {
         double nowMs = batch.nowMs;
         TenantQuota quota = pending.quota;
         double units = pending.request.units;
-        quota.roll(nowMs);
-        quota.touch(nowMs);
+        quota.rollWindows(nowMs);
+        quota.recordRequest(nowMs);
         if (quota.plan().quotaPerMs <= 0 || !settings.present()) {
             decideWithoutCounter(batch, pending);
             return;
         }
-        if (quota.isKnownExhausted(units, EXHAUSTED_TRUST_MS, nowMs)) {
-            verdicts.reject(batch, pending, quota.fitsInMs(units, nowMs));
+        if (quota.isKnownExhausted(units, EXHAUSTED_TOTAL_VALIDITY_MS, nowMs)) {
+            decisionHandler.reject(batch, pending, quota.timeUntilAvailableMs(units, nowMs));
             return;
         }
-        boolean silent = pacer.isSilent();
-        double pauseMs =
-                silent ? pacer.probeIntervalMs() : pacer.gapMs() * quota.callGapFactor(nowMs);
-        if (!pacer.hasPassed(pauseMs, nowMs)) {
+        boolean unresponsive = pacer.isUnresponsive();
+        double intervalMs =
+                unresponsive ? pacer.probeIntervalMs() : pacer.gapMs() * quota.callGapFactor(nowMs);
+        if (!pacer.hasIntervalPassed(intervalMs, nowMs)) {
             if (decideWithoutCounter(batch, pending)) {
                 quota.addUnreported(units);
             }
@@ -99,7 +99,7 @@
         }
         pacer.callSent(nowMs);
         calls.add(batch, quota, quota.current(), pending, units);
-        if (silent) {
+        if (unresponsive) {
             decideByFallback(batch, pending);
         } else {
             waiting.add(pending);
@@ -131,7 +131,7 @@
     private void decideByFallback(Batch batch, PendingRequest pending) {
         if (!pending.quotaDecided) {
             pending.quotaDecided = true;
-            pending.admittedByFallback = !pending.over && decideWithoutCounter(batch, pending);
+            pending.admittedByFallback = !pending.completed && decideWithoutCounter(batch, pending);
         }
     }
 
@@ -147,7 +147,7 @@
         if (answered) {
             readTotal(call, total, batch.nowMs);
         }
-        if (call.readsOnly()) {
+        if (call.readOnly()) {
             if (call.pending().awaitsPreviousWindow) {
                 decideByTotals(batch, call.pending());
             }
@@ -161,9 +161,9 @@
     private void readTotal(CounterCall call, double total, double nowMs) {
         CounterWindow window = call.window();
         window.detectReset(total, call.amount(), settings.maxRequestUnits());
-        boolean addsRequest = !call.readsOnly() && call.pending() != null;
+        boolean addsRequest = !call.readOnly() && call.pending() != null;
         double units = addsRequest ? call.pending().request.units : 0;
-        call.quota().updateTotal(window, total + window.lostUnits, units, nowMs);
+        call.quota().updateTotal(window, total + window.offsetUnits, units, nowMs);
     }
 
     private void additionFailed(Batch batch, CounterCall call, AttemptOutcome outcome) {
@@ -188,7 +188,7 @@
         if (pending == null || pending.admittedByFallback) {
             return;
         }
-        pending.countedIn = call.window();
+        pending.countedWindow = call.window();
         pending.countedTotal = call.window().total;
         if (pending.quotaDecided) {
             takeBack(batch, pending);
@@ -206,10 +206,10 @@
     /** While calls are spaced out, none is made that can't change the decision. */
     private boolean needsPreviousWindow(CounterCall call, double nowMs) {
         TenantQuota quota = call.quota();
-        return !call.pending().over
+        return !call.pending().completed
                 && call.window() == quota.current()
                 && !quota.previous().wasRead
-                && (!pacer.isGapKept() || quota.previousWindowMatters(nowMs));
+                && (!pacer.isPacing() || quota.previousWindowMatters(nowMs));
     }
 
     /**
@@ -217,15 +217,15 @@
      * include unreported usage.
      */
     void counterAnsweredLate(long key, double total, double nowMs) {
-        TenantQuota quota = quotas.get(CounterCall.tenantOf(key));
+        TenantQuota quota = quotas.get(CounterCall.tenantIdOf(key));
         if (quota == null) {
             return;
         }
-        quota.roll(nowMs);
-        pacer.lateAnswer(nowMs);
+        quota.rollWindows(nowMs);
+        pacer.lateAnswerReceived(nowMs);
         CounterWindow current = quota.current();
         if (key == CounterCall.key(quota, current)) {
-            double known = total + current.lostUnits + quota.unreportedUnits();
+            double known = total + current.offsetUnits + quota.unreportedUnits();
             quota.updateTotal(current, known, 0, nowMs);
         }
     }
@@ -233,30 +233,30 @@
     private void decideByTotals(Batch batch, PendingRequest pending) {
         double nowMs = batch.nowMs;
         TenantQuota quota = pending.quota;
-        quota.roll(nowMs);
+        quota.rollWindows(nowMs);
         pending.awaitsPreviousWindow = false;
-        if (pending.over) {
-            if (pending.countedIn != null) {
+        if (pending.completed) {
+            if (pending.countedWindow != null) {
                 takeBack(batch, pending);
             }
             return;
         }
         CounterWindow current = quota.current();
-        double total = current == pending.countedIn ? pending.countedTotal : current.total;
-        if (quota.fits(total, nowMs)) {
+        double total = current == pending.countedWindow ? pending.countedTotal : current.total;
+        if (quota.isWithinQuota(total, nowMs)) {
             quota.chargeLocalBucket(pending.request.units, nowMs);
-            verdicts.admit(batch, pending);
+            decisionHandler.admit(batch, pending);
         } else {
-            verdicts.reject(batch, pending, quota.fitsInMs(0, nowMs));
+            decisionHandler.reject(batch, pending, quota.timeUntilAvailableMs(0, nowMs));
         }
     }
 
     /** Returns to the counter the units of a request for which no attempt was sent. */
     void takeBack(Batch batch, PendingRequest pending) {
         double units = pending.request.units;
-        pending.quota.spend(pending.countedIn, -units);
-        calls.add(batch, pending.quota, pending.countedIn, null, -units);
-        pending.countedIn = null;
+        pending.quota.addUsage(pending.countedWindow, -units);
+        calls.add(batch, pending.quota, pending.countedWindow, null, -units);
+        pending.countedWindow = null;
     }
 
     /**
@@ -276,22 +276,22 @@
         }
         // counted like a read total: the units are unreported, or were added by an unanswered call
         if (within && metered && settings.present()) {
-            pending.countedIn = quota.current();
-            quota.spend(quota.current(), request.units);
+            pending.countedWindow = quota.current();
+            quota.addUsage(quota.current(), request.units);
         }
         if (within || quota.failsOpen()) {
-            verdicts.admit(batch, pending);
+            decisionHandler.admit(batch, pending);
         } else {
-            verdicts.reject(batch, pending, request.units / plan.quotaPerMs);
+            decisionHandler.reject(batch, pending, request.units / plan.quotaPerMs);
         }
         return within;
     }
 
     /** Adds the difference to the actual units of a request to the tenant's next call. */
     void settle(PendingRequest pending, double settledUnits) {
-        if (pending.countedIn != null) {
+        if (pending.countedWindow != null) {
             pending.quota.addUnreported(settledUnits - pending.request.units);
         }
-        pending.countedIn = null;
+        pending.countedWindow = null;
     }
 }
--- a/gateway/src/main/java/tinford/decision/FinalAnswers.java
+++ b/gateway/src/main/java/tinford/decision/RequestCompletion.java
@@ -6,14 +6,14 @@
 import tinford.api.RequestClass;
 
 /** Sends final responses and releases the state of completed requests. */
-final class FinalAnswers {
+final class RequestCompletion {
     private static final double MIN_RETRY_AFTER_MS = 100;
 
     private final AdmissionQueue queue;
     private final QuotaLimiter quotas;
     private final Random random;
 
-    FinalAnswers(AdmissionQueue queue, QuotaLimiter quotas, Random random) {
+    RequestCompletion(AdmissionQueue queue, QuotaLimiter quotas, Random random) {
         this.queue = queue;
         this.quotas = quotas;
         this.random = random;
@@ -25,21 +25,21 @@
      *
      * @param waitMs expected time in ms until a retry may succeed
      */
-    void answer(Batch batch, PendingRequest pending, double waitMs) {
-        close(batch, pending);
+    void rejectOrFail(Batch batch, PendingRequest pending, double waitMs) {
+        complete(batch, pending);
         double retryAfterMs = Math.max(waitMs, MIN_RETRY_AFTER_MS);
         double jitterMs = batch.policy.retryAfterJitterMs();
         if (jitterMs > 0) {
             retryAfterMs += jitterMs * random.nextDouble();
         }
-        if (isRetryHarmless(pending)) {
+        if (isClientRetrySafe(pending)) {
             batch.actions.reject(pending.request, retryAfterMs);
         } else {
             batch.actions.fail(pending.request);
         }
     }
 
-    private static boolean isRetryHarmless(PendingRequest pending) {
+    private static boolean isClientRetrySafe(PendingRequest pending) {
         RequestClass requestClass = pending.request.requestClass;
         return requestClass.idempotency == Idempotency.IDEMPOTENT
                 || !pending.mayHaveRun()
@@ -51,14 +51,14 @@
      * Ends the processing of a request. Units that were counted are returned if no attempt was
      * sent.
      */
-    void close(Batch batch, PendingRequest pending) {
+    void complete(Batch batch, PendingRequest pending) {
         boolean neverSent = pending.attempts.isEmpty();
-        if (pending.withinQuota && neverSent && !pending.over) {
+        if (pending.offered && neverSent && !pending.completed) {
             batch.policy.requestRejected(pending.request, pending.fleetWeight());
         }
-        pending.over = true;
+        pending.completed = true;
         queue.remove(pending);
-        if (pending.countedIn != null && neverSent) {
+        if (pending.countedWindow != null && neverSent) {
             quotas.takeBack(batch, pending);
         }
     }
--- a/gateway/src/main/java/tinford/decision/RequestSizeModel.java
+++ b/gateway/src/main/java/tinford/decision/RequestSizeModel.java
@@ -14,7 +14,7 @@
 
     private static final double MIN_UNITS_VARIANCE = 0.01;
     private static final double MIN_RELATIVE_SIZE = 0.1;
-    private static final double AVOID_ZERO = 1e-9;
+    private static final double EPSILON = 1e-9;
 
     private double meanUnits = 1;
     private double meanLatency = INITIAL_RELATIVE_LATENCY;
@@ -45,6 +45,6 @@
         slope = Math.max(0, Math.min(slope, meanLatency / meanUnits));
         return Math.max(
                 MIN_RELATIVE_SIZE,
-                1 + slope * (units - meanUnits) / Math.max(AVOID_ZERO, meanLatency));
+                1 + slope * (units - meanUnits) / Math.max(EPSILON, meanLatency));
     }
 }
--- a/gateway/src/main/java/tinford/decision/ServerRanking.java
+++ b/gateway/src/main/java/tinford/decision/ServerRanking.java
@@ -13,7 +13,7 @@
     private static final double INITIAL_LIMIT_OVER_ALL_GATEWAYS = 5;
 
     /** Number of responses as which the initial latency is weighted. */
-    private static final double PRIOR_ANSWERS = 4;
+    private static final double PRIOR_RESPONSES = 4;
 
     private final SlowStart slowStart;
     private final OutlierDetector outliers;
@@ -65,24 +65,24 @@
     private void collect(Collection<ServerStats> servers, double nowMs) {
         ranked.clear();
         warmingUp.clear();
-        double latencySum = PRIOR_ANSWERS * RequestSizeModel.INITIAL_RELATIVE_LATENCY;
-        double answers = PRIOR_ANSWERS;
+        double latencySum = PRIOR_RESPONSES * RequestSizeModel.INITIAL_RELATIVE_LATENCY;
+        double responses = PRIOR_RESPONSES;
         for (ServerStats server : servers) {
             if (server.server.state() != Server.State.UP) {
                 continue;
             }
             ranked.add(server);
             if (server.hasRestarted()) {
-                server.reset(random.nextDouble());
+                server.resetAfterRestart(random.nextDouble());
             }
             if (slowStart.isWarmingUp(server.server, nowMs)) {
                 warmingUp.add(server);
             }
             server.updateTotals(nowMs);
             latencySum += server.recentLatencySum;
-            answers += server.recentAnswers;
+            responses += server.recentResponses;
         }
-        fleetLatency = latencySum / answers;
+        fleetLatency = latencySum / responses;
     }
 
     private void updateLimits(double nowMs) {
--- a/gateway/src/main/java/tinford/decision/ServerStats.java
+++ b/gateway/src/main/java/tinford/decision/ServerStats.java
@@ -20,16 +20,16 @@
     private static final double MAX_RATIO = 4;
 
     /** Number of responses as which the prior, derived from the fleet's latency, is weighted. */
-    private static final double PRIOR_ANSWERS = 4;
+    private static final double PRIOR_RESPONSES = 4;
 
     /** Size of the random spread of a server's rank, which differs between gateways. */
-    private static final double ORDER_SPREAD = 0.8;
+    private static final double RANK_SPREAD = 0.8;
 
     private static final double FIRST_EJECTION_MS = 250;
     private static final int MAX_EJECTION_DOUBLINGS = 4;
 
     final Server server;
-    final RollingSum answers = new RollingSum();
+    final RollingSum responses = new RollingSum();
     final RollingSum failures = new RollingSum();
     final RollingSum latencySum = new RollingSum();
     final List<Attempt> running = new ArrayList<>();
@@ -41,7 +41,7 @@
     double ejectedUntilMs;
 
     /** Ejections since the last successful attempt; each doubles the time of the next one. */
-    int consecutiveRefusals;
+    int consecutiveEjections;
 
     /** Attempts, with fractions, that a server that is warming up has earned. */
     double slowStartCredit;
@@ -49,7 +49,7 @@
     double meanLatency = INITIAL_MEAN_LATENCY;
 
     /** Number of recent responses, as of the last {@link #updateTotals}. */
-    double recentAnswers;
+    double recentResponses;
 
     /** Sum of the relative latencies of the recent responses. */
     double recentLatencySum;
@@ -58,20 +58,20 @@
     double rank;
 
     private double latencyRatioToFleet = 1;
-    private double knownStartMs;
+    private double lastSeenStartMs;
 
     /**
      * Random part of the rank. It is drawn once, so that gateways prefer different servers and each
      * keeps few connections.
      */
-    private final double orderDraw;
+    private final double rankJitter;
 
     /**
-     * @param orderDraw random part of the rank, uniformly distributed from 0 to 1
+     * @param rankJitter random part of the rank, uniformly distributed from 0 to 1
      */
-    ServerStats(Server server, double orderDraw) {
+    ServerStats(Server server, double rankJitter) {
         this.server = server;
-        this.orderDraw = orderDraw;
+        this.rankJitter = rankJitter;
     }
 
     static ServerStats of(Server server) {
@@ -80,7 +80,7 @@
 
     /** Ejects the server, with an exponential backoff that ends with its next success. */
     void eject(double nowMs) {
-        int doublings = Math.min(MAX_EJECTION_DOUBLINGS, consecutiveRefusals++);
+        int doublings = Math.min(MAX_EJECTION_DOUBLINGS, consecutiveEjections++);
         ejectedUntilMs = nowMs + FIRST_EJECTION_MS * (1 << doublings);
     }
 
@@ -88,30 +88,30 @@
      * Returns whether the server may get an attempt. After an ejection only its probe owner tries
      * it again.
      */
-    boolean mayBeTried(double nowMs, FleetPolicy policy) {
+    boolean isEligible(double nowMs, FleetPolicy policy) {
         return nowMs >= ejectedUntilMs
                 && (!outlier || running.isEmpty())
-                && (!outlier && consecutiveRefusals == 0 || policy.ownsProbing(server));
+                && (!outlier && consecutiveEjections == 0 || policy.ownsProbing(server));
     }
 
     /** Returns whether the server has restarted since the last call. */
     boolean hasRestarted() {
-        if (knownStartMs == server.startedAtMs()) {
+        if (lastSeenStartMs == server.startedAtMs()) {
             return false;
         }
-        knownStartMs = server.startedAtMs();
+        lastSeenStartMs = server.startedAtMs();
         return true;
     }
 
     /** Resets the ejection state after a restart of the server and sets its slow-start credit. */
-    void reset(double credit) {
+    void resetAfterRestart(double credit) {
         slowStartCredit = credit;
-        consecutiveRefusals = 0;
+        consecutiveEjections = 0;
         ejectedUntilMs = 0;
     }
 
-    void recordAnswer(double nowMs, double latency, double fleetLatency, boolean failure) {
-        answers.add(nowMs, 1);
+    void recordResponse(double nowMs, double latency, double fleetLatency, boolean failure) {
+        responses.add(nowMs, 1);
         latencySum.add(nowMs, Math.min(latency, MAX_RELATIVE_LATENCY));
         latencyRatioToFleet +=
                 RATIO_GAIN * (Math.min(MAX_RATIO, latency / fleetLatency) - latencyRatioToFleet);
@@ -122,7 +122,7 @@
 
     /** Updates the sums over the recent responses. */
     void updateTotals(double nowMs) {
-        recentAnswers = answers.total(nowMs);
+        recentResponses = responses.total(nowMs);
         recentLatencySum = latencySum.total(nowMs);
     }
 
@@ -131,7 +131,7 @@
      * count as responses, as a stalled server shows in them first.
      */
     void updateMeanLatency(double nowMs, double fleetLatency, OpenAttempts openAttempts) {
-        double count = recentAnswers;
+        double count = recentResponses;
         double sum = recentLatencySum;
         for (Attempt attempt : running) {
             double latency = attempt.relativeLatency(nowMs);
@@ -147,11 +147,11 @@
             attempt.countedLate |= latency > 1;
         }
         meanLatency =
-                (sum + fleetLatency * latencyRatioToFleet * PRIOR_ANSWERS)
-                        / (count + PRIOR_ANSWERS);
+                (sum + fleetLatency * latencyRatioToFleet * PRIOR_RESPONSES)
+                        / (count + PRIOR_RESPONSES);
     }
 
     void updateRank() {
-        rank = meanLatency * (1 + ORDER_SPREAD / limiter.limit * orderDraw);
+        rank = meanLatency * (1 + RANK_SPREAD / limiter.limit * rankJitter);
     }
 }
--- a/gateway/src/main/java/tinford/decision/SlowStart.java
+++ b/gateway/src/main/java/tinford/decision/SlowStart.java
@@ -34,13 +34,17 @@
      *
      * @param ranked number of servers that are up, warming ones included
      */
-    void earn(List<ServerStats> warmingUp, int ranked, double nowMs) {
-        int warm = ranked > warmingUp.size() ? ranked - warmingUp.size() : Math.max(1, ranked);
+    void grantCredit(List<ServerStats> warmingUp, int rankedCount, double nowMs) {
+        int warmCount =
+                rankedCount > warmingUp.size()
+                        ? rankedCount - warmingUp.size()
+                        : Math.max(1, rankedCount);
         for (ServerStats server : warmingUp) {
             server.slowStartCredit =
                     Math.min(
                             MAX_CREDIT,
-                            server.slowStartCredit + share(server.server, nowMs) / warm);
+                            server.slowStartCredit
+                                    + trafficShare(server.server, nowMs) / warmCount);
         }
     }
 
@@ -48,7 +52,7 @@
      * Returns the traffic that the server may get as a share of that of a warm server. It stays
      * below the multiple of its capacity at which a server fails.
      */
-    private double share(Server server, double nowMs) {
+    private double trafficShare(Server server, double nowMs) {
         double age = Math.max(0, nowMs - server.startedAtMs()) / rules.warmUpMs();
         return CAPACITY_MARGIN
                 * rules.overloadMultiple()
--- a/gateway/src/main/java/tinford/decision/TenantQuota.java
+++ b/gateway/src/main/java/tinford/decision/TenantQuota.java
@@ -18,20 +18,20 @@
      * Window length as a multiple of the time in which the burst refills. One burst beyond the
      * quota is possible at each window boundary.
      */
-    private static final double BURST_TIMES_PER_WINDOW = 6;
+    private static final double BURST_REFILLS_PER_WINDOW = 6;
 
     private static final double MIN_RETRY_AFTER_MS = 1;
     private static final double ROUNDING_UNITS = 1e-6;
-    private static final double AVOID_ZERO = 1e-9;
+    private static final double EPSILON = 1e-9;
 
     /** Maximum fan-in at which a gateway may use the units that were free at the last read. */
     private static final double MAX_FAN_IN_FOR_FRESH_READS = 4;
 
     /** Factor on the gap between calls for tenants whose decisions hardly depend on the total. */
-    private static final double RELAXED_GAP = 4;
+    private static final double RELAXED_GAP_FACTOR = 4;
 
     /** Factor on the gap between calls for tenants whose quota is unknown or nearly used up. */
-    private static final double URGENT_GAP = 0.5;
+    private static final double URGENT_GAP_FACTOR = 0.5;
 
     private final PlanFairness fairness;
     private final HardLimitBucket hardLimit;
@@ -40,7 +40,7 @@
     private Tenant tenant;
     private Plan plan;
     private PlanUsage usage;
-    private double share;
+    private double gatewayShare;
     private double windowMs;
     private CounterWindow current;
     private CounterWindow previous;
@@ -58,22 +58,22 @@
         this.hardLimit = new HardLimitBucket(lifecycle);
         this.localBucket =
                 new LocalBucket(sizes, tenant.plan, 1.0 / Math.max(1, tenant.fanIn), nowMs);
-        follow(tenant);
+        configure(tenant);
     }
 
-    private void follow(Tenant changed) {
+    private void configure(Tenant changed) {
         tenant = changed;
         plan = changed.plan;
         usage = fairness.usageOf(plan);
-        share = 1.0 / Math.max(1, changed.fanIn);
-        hardLimit.configure(plan, share);
-        localBucket.configure(plan, share);
+        gatewayShare = 1.0 / Math.max(1, changed.fanIn);
+        hardLimit.configure(plan, gatewayShare);
+        localBucket.configure(plan, gatewayShare);
         windowMs =
                 plan.quotaPerMs <= 0
                         ? MAX_WINDOW_MS
                         : Math.min(
                                 MAX_WINDOW_MS,
-                                BURST_TIMES_PER_WINDOW * plan.burst / plan.quotaPerMs);
+                                BURST_REFILLS_PER_WINDOW * plan.burst / plan.quotaPerMs);
     }
 
     Tenant tenant() {
@@ -101,7 +101,7 @@
     }
 
     /** Records the time of a request of the tenant. */
-    void touch(double nowMs) {
+    void recordRequest(double nowMs) {
         lastRequestMs = nowMs;
     }
 
@@ -110,32 +110,32 @@
      * over into the new plan's total, up to the units that the new plan allows by now. The unused
      * burst is carried over as well, so that the change does not grant a new burst at each gateway.
      */
-    void moveTo(Tenant changed, double nowMs) {
+    void changePlan(Tenant changed, double nowMs) {
         if (changed.revision <= tenant.revision || changed.plan == plan) {
             return;
         }
-        roll(nowMs);
+        rollWindows(nowMs);
         double oldBurst = plan.burst;
         double spent = oldBurst - headroom.refill(plan, 0, nowMs);
         double used =
-                previous.slidingTotal(intoWindowMs(nowMs) / windowMs)
+                previous.slidingTotal(elapsedInWindowMs(nowMs) / windowMs)
                         + current.total
                         - unreportedUnits;
         CounterWindow oldWindow = current;
-        follow(changed);
-        roll(nowMs);
+        configure(changed);
+        rollWindows(nowMs);
         // windows of different lengths have different keys on the counter
         if (current != oldWindow) {
-            double allowed = plan.burst + plan.quotaPerMs * intoWindowMs(nowMs);
-            current.lostUnits = Math.max(0, Math.min(used, allowed));
-            current.migratedUnits = current.lostUnits * share;
-            current.total = current.lostUnits + unreportedUnits;
+            double allowed = plan.burst + plan.quotaPerMs * elapsedInWindowMs(nowMs);
+            current.offsetUnits = Math.max(0, Math.min(used, allowed));
+            current.carriedOverUnits = current.offsetUnits * gatewayShare;
+            current.total = current.offsetUnits + unreportedUnits;
         }
         headroom.set(Math.max(0, Math.min(oldBurst, plan.burst) - spent), nowMs);
     }
 
     /** Makes the window that contains the time the current one. */
-    void roll(double nowMs) {
+    void rollWindows(double nowMs) {
         long index = (long) Math.floor(nowMs / windowMs);
         if (current != null && current.index == index) {
             return;
@@ -148,7 +148,7 @@
         }
     }
 
-    private double intoWindowMs(double nowMs) {
+    private double elapsedInWindowMs(double nowMs) {
         return Math.min(windowMs, nowMs - current.index * windowMs);
     }
 
@@ -158,10 +158,10 @@
     }
 
     /** Returns whether a total of the current window is within the quota. */
-    boolean fits(double total, double nowMs) {
-        double intoMs = intoWindowMs(nowMs);
-        return previous.slidingTotal(intoMs / windowMs) + total <= windowCapacity()
-                && total <= plan.burst + plan.quotaPerMs * intoMs
+    boolean isWithinQuota(double total, double nowMs) {
+        double elapsedMs = elapsedInWindowMs(nowMs);
+        return previous.slidingTotal(elapsedMs / windowMs) + total <= windowCapacity()
+                && total <= plan.burst + plan.quotaPerMs * elapsedMs
                 && total - current.total <= headroom.refill(plan, 0, nowMs) + ROUNDING_UNITS;
     }
 
@@ -173,7 +173,7 @@
     boolean isKnownExhausted(double units, double maxAgeMs, double nowMs) {
         return current.wasRead
                 && nowMs - current.readAtMs < maxAgeMs
-                && !fits(current.total + units, nowMs);
+                && !isWithinQuota(current.total + units, nowMs);
     }
 
     /** Returns whether the previous window could cause a rejection, assuming that it was full. */
@@ -182,16 +182,16 @@
     }
 
     /** Returns the time until the units are within the quota if nothing else is used meanwhile. */
-    double fitsInMs(double units, double nowMs) {
-        double intoMs = nowMs - current.index * windowMs;
+    double timeUntilAvailableMs(double units, double nowMs) {
+        double elapsedMs = nowMs - current.index * windowMs;
         double total = current.total + units;
         double waitMs =
                 Math.max(
-                        (total - plan.burst) / plan.quotaPerMs - intoMs,
+                        (total - plan.burst) / plan.quotaPerMs - elapsedMs,
                         (units - headroom.refill(plan, 0, nowMs)) / plan.quotaPerMs);
         if (previous.total > 0) {
-            double slidesInMs = windowMs * (1 - (windowCapacity() - total) / previous.total);
-            waitMs = Math.max(waitMs, slidesInMs - intoMs);
+            double slidingWaitMs = windowMs * (1 - (windowCapacity() - total) / previous.total);
+            waitMs = Math.max(waitMs, slidingWaitMs - elapsedMs);
         }
         return Math.max(MIN_RETRY_AFTER_MS, waitMs);
     }
@@ -208,8 +208,8 @@
      * Returns whether the last total is recent enough to decide by. It never is with a large
      * fan-in, where each gateway would use all the units that were free.
      */
-    private boolean isFresh(double nowMs) {
-        return MAX_FAN_IN_FOR_FRESH_READS * share >= 1
+    private boolean isLastTotalFresh(double nowMs) {
+        return MAX_FAN_IN_FOR_FRESH_READS * gatewayShare >= 1
                 && current.wasRead
                 && nowMs - current.readAtMs < plan.burst / plan.quotaPerMs;
     }
@@ -221,8 +221,10 @@
      */
     double callGapFactor(double nowMs) {
         boolean relaxed =
-                failsOpen() || isFresh(nowMs) && fits(current.total + plan.burst / 2, nowMs);
-        return relaxed ? RELAXED_GAP : URGENT_GAP;
+                failsOpen()
+                        || isLastTotalFresh(nowMs)
+                                && isWithinQuota(current.total + plan.burst / 2, nowMs);
+        return relaxed ? RELAXED_GAP_FACTOR : URGENT_GAP_FACTOR;
     }
 
     /**
@@ -233,10 +235,11 @@
      * their shares.
      */
     boolean takeWithoutCounter(double units, Random random, double nowMs) {
-        boolean fresh = isFresh(nowMs);
+        boolean fresh = isLastTotalFresh(nowMs);
         boolean taken =
                 fresh
-                        ? fits(current.total + units, nowMs) && units <= freeSinceRead(nowMs)
+                        ? isWithinQuota(current.total + units, nowMs)
+                                && units <= availableUnits(nowMs)
                         : localBucket.level(nowMs) >= units * random.nextDouble();
         if (taken || !fresh) {
             localBucket.charge(units, nowMs);
@@ -244,8 +247,9 @@
         return taken;
     }
 
-    private double freeSinceRead(double nowMs) {
-        return headroom.unitsAtLastRead() + share * plan.quotaPerMs * (nowMs - current.readAtMs);
+    private double availableUnits(double nowMs) {
+        return headroom.unitsAtLastRead()
+                + gatewayShare * plan.quotaPerMs * (nowMs - current.readAtMs);
     }
 
     /**
@@ -257,7 +261,7 @@
     }
 
     /** Adds units that are not in the last read total, or returns units if negative. */
-    void spend(CounterWindow window, double units) {
+    void addUsage(CounterWindow window, double units) {
         window.total += units;
         headroom.spend(units);
     }
@@ -269,7 +273,7 @@
      */
     void updateTotal(CounterWindow window, double total, double units, double nowMs) {
         if (window == current || window.wasRead) {
-            headroom.read(plan, total - window.total - units, units, nowMs);
+            headroom.applyRead(plan, total - window.total - units, units, nowMs);
         }
         window.total = total;
         window.wasRead = true;
@@ -315,7 +319,7 @@
     }
 
     /** Returns whether hard rate limit and limit on open requests allow a first attempt. */
-    boolean mayOpen(double units, double nowMs) {
+    boolean allowsNewRequest(double units, double nowMs) {
         return hardLimit.waitMs(units, nowMs) <= 0
                 && (plan.maxOpenRequests <= 0 || openAttempts + 0.5 < openRequestShare());
     }
@@ -326,17 +330,17 @@
      */
     private double openRequestShare() {
         double own =
-                current.ownUse()
-                        + previous.ownUse()
-                        + current.migratedUnits
-                        + previous.migratedUnits;
+                current.ownUsage()
+                        + previous.ownUsage()
+                        + current.carriedOverUnits
+                        + previous.carriedOverUnits;
         double all = current.total + previous.total;
-        double part = (own + plan.burst * share) / (all + plan.burst + AVOID_ZERO);
+        double part = (own + plan.burst * gatewayShare) / (all + plan.burst + EPSILON);
         return Math.max(1, plan.maxOpenRequests * Math.min(1, part));
     }
 
     /** Returns whether this state no longer affects any decision and can be dropped. */
-    boolean isForgettable(double nowMs) {
+    boolean isEvictable(double nowMs) {
         return nowMs - lastRequestMs > 2 * MAX_WINDOW_MS
                 && openAttempts == 0
                 && hardLimit.isFull(nowMs);
--- a/gateway/src/main/java/tinford/decision/package-info.java
+++ b/gateway/src/main/java/tinford/decision/package-info.java
@@ -7,6 +7,6 @@
  * shared counter, {@link tinford.decision.LoadBalancer} the servers and the attempts in flight,
  * {@link tinford.decision.AdmissionController} the admission queue, and {@link
  * tinford.decision.RetryBudget} the budget for retries. {@link tinford.decision.AttemptGuard}
- * checks every attempt and {@link tinford.decision.FinalAnswers} sends every final response.
+ * checks every attempt and {@link tinford.decision.RequestCompletion} sends every final response.
  */
 package tinford.decision;
--- a/gateway/src/test/java/tinford/decision/AttemptGuardTest.java
+++ b/gateway/src/test/java/tinford/decision/AttemptGuardTest.java
@@ -8,7 +8,7 @@
 import static tinford.decision.DecisionFixture.attemptedServers;
 import static tinford.decision.DecisionFixture.attempts;
 import static tinford.decision.DecisionFixture.plan;
-import static tinford.decision.DecisionFixture.takesBack;
+import static tinford.decision.DecisionFixture.returnsUnits;
 import static tinford.decision.DecisionFixture.tenant;
 
 import java.util.List;
@@ -52,7 +52,7 @@
         TenantQuota quota =
                 new TenantQuota(
                         tenant, fairness, new RequestSizeModel(), new GatewayLifecycle(), nowMs);
-        quota.roll(nowMs);
+        quota.rollWindows(nowMs);
         Request request = new Request(7, READ, tenant, nowMs + 8000, 1, false);
         PendingRequest pending = new PendingRequest(request, quota, 0, nowMs);
         Server server = new Server("s1");
@@ -72,7 +72,7 @@
             List<String> actions = gateway.arrive(request, 0, 1);
             assertEquals(attempts(actions), clientGone ? 0 : 1);
             actions.addAll(gateway.handle(events -> events.clientDisconnected(request)));
-            assertEquals(takesBack(actions, 1), clientGone, actions.toString());
+            assertEquals(returnsUnits(actions, 1), clientGone, actions.toString());
         }
     }
 
@@ -89,7 +89,7 @@
     @Test(dataProvider = "leavingServers")
     public void noAttemptIsSentToALeavingServer(Server.State state, boolean listed) {
         DecisionFixture gateway = new DecisionFixture();
-        gateway.listServers("s1", "s2");
+        gateway.setEndpointList("s1", "s2");
         Server remaining = gateway.server("s1");
         Server leaving = gateway.server("s2");
         leaving.updateState(state);
--- a/gateway/src/test/java/tinford/decision/CounterOutageTest.java
+++ b/gateway/src/test/java/tinford/decision/CounterOutageTest.java
@@ -67,9 +67,7 @@
         assertEquals(attempts(gateway.advance(500)), 1);
         Request urgent = new Request(99, READ, tenant, gateway.nowMs + 20, 1, false);
         assertEquals(
-                rejections(gateway.arrive(urgent)),
-                1,
-                "the deadline is too close for a response");
+                rejections(gateway.arrive(urgent)), 1, "the deadline is too close for a response");
     }
 
     /** Late total after four timed-out calls, requests of one unit out of 6 admitted after it. */
@@ -110,7 +108,7 @@
     }
 
     @Test(dataProvider = "missingTotals")
-    public void unreadableAnswersAreNoOutage(AttemptOutcome outcome, int calls) {
+    public void lostConnectionsAreNoOutage(AttemptOutcome outcome, int calls) {
         DecisionFixture gateway = new DecisionFixture();
         for (int i = 0; i < 5; i++) {
             gateway.arrive(gateway.request(new Tenant(i, FAIL_CLOSED_PLAN, 2, 0), READ, 1));
@@ -139,7 +137,7 @@
 
     /** A recent total decides instead of the per-gateway share until the burst has refilled. */
     @Test(dataProvider = "lastTotals")
-    public void recentTotalDecidesForTheLengthOfABurst(
+    public void recentTotalDecidesUntilTheBurstHasRefilled(
             int fanIn, double total, double ageMs, int requests, int admitted) {
         DecisionFixture gateway = new DecisionFixture();
         Tenant tenant = new Tenant(5, FAIL_CLOSED_PLAN, fanIn, 0);
@@ -159,7 +157,7 @@
     }
 
     @Test(dataProvider = "fanIns")
-    public void shareSmallerThanARequestHoldsOne(int fanIn, int admitted) {
+    public void shareSmallerThanARequestAdmitsOne(int fanIn, int admitted) {
         DecisionFixture gateway = new DecisionFixture();
         Tenant tenant = new Tenant(5, FAIL_CLOSED_PLAN, fanIn, 0);
         long actual = 0;
--- a/gateway/src/test/java/tinford/decision/CounterPacerTest.java
+++ b/gateway/src/test/java/tinford/decision/CounterPacerTest.java
@@ -137,7 +137,7 @@
 
     /** A fail-open tenant's requests are admitted with or without a total. */
     @Test
-    public void scarceCallsGoToFailClosedPlans() {
+    public void limitedCallsGoToFailClosedPlans() {
         DecisionFixture gateway = new DecisionFixture();
         long failOpenCalls = 0;
         long failClosedCalls = 0;
--- a/gateway/src/test/java/tinford/decision/DecisionEngineTest.java
+++ b/gateway/src/test/java/tinford/decision/DecisionEngineTest.java
@@ -63,7 +63,7 @@
             gateway.arrive(request, 0, 1);
             gateway.succeed(request);
             if (i % 20 == 0) {
-                gateway.listServers("s1", "new" + i);
+                gateway.setEndpointList("s1", "new" + i);
             }
             gateway.advance(200);
         }
--- a/gateway/src/test/java/tinford/decision/DecisionFixture.java
+++ b/gateway/src/test/java/tinford/decision/DecisionFixture.java
@@ -100,13 +100,13 @@
     /** A gateway of two, with a shared counter and three servers. */
     DecisionFixture() {
         this(limits(false), true, false);
-        listServers(THREE_SERVERS);
+        setEndpointList(THREE_SERVERS);
     }
 
     /** A gateway of two without a shared counter, with three servers. */
     static DecisionFixture withoutCounter() {
         DecisionFixture fixture = new DecisionFixture(limits(false), false, false);
-        fixture.listServers(THREE_SERVERS);
+        fixture.setEndpointList(THREE_SERVERS);
         return fixture;
     }
 
@@ -168,7 +168,7 @@
     }
 
     /** Makes these servers the full endpoint list. */
-    void listServers(String... ids) {
+    void setEndpointList(String... ids) {
         List<Server> entries = new ArrayList<>();
         for (String id : ids) {
             entries.add(server(id));
@@ -318,7 +318,7 @@
     }
 
     /** Returns whether a call to the counter returns this number of units. */
-    static boolean takesBack(List<String> actions, double units) {
+    static boolean returnsUnits(List<String> actions, double units) {
         return increments(actions).stream().anyMatch(call -> call.amount() == -units);
     }
 
--- a/gateway/src/test/java/tinford/decision/FleetPolicyTest.java
+++ b/gateway/src/test/java/tinford/decision/FleetPolicyTest.java
@@ -123,7 +123,7 @@
 
     private static DecisionFixture gateway(FleetPolicy policy, String... servers) {
         DecisionFixture gateway = new DecisionFixture(limits(false), false, false);
-        gateway.listServers(servers);
+        gateway.setEndpointList(servers);
         gateway.handle(events -> events.fleetPolicyChanged(policy));
         return gateway;
     }
@@ -163,7 +163,7 @@
      * wait while they can still meet their latency objective.
      */
     @Test(dataProvider = "restrictions")
-    public void firstAttemptKeepsToThePolicy(
+    public void firstAttemptCompliesWithThePolicy(
             Restriction restriction, String action, String notification) {
         RestrictingPolicy policy = new RestrictingPolicy(restriction);
         DecisionFixture gateway = gateway(policy);
@@ -201,7 +201,7 @@
 
     /** The fleet's retry budget applies to retries of attempts that may have run, not of others. */
     @Test(dataProvider = "retries")
-    public void retriesKeepToTheFleetsBudget(
+    public void retriesComplyWithTheFleetsBudget(
             Restriction restriction, AttemptOutcome outcome, String action) {
         RestrictingPolicy policy = new RestrictingPolicy(restriction);
         DecisionFixture gateway = gateway(policy);
@@ -229,7 +229,7 @@
     }
 
     @Test
-    public void ejectedServerIsLeftToItsProbeOwner() {
+    public void onlyTheProbeOwnerRetriesAnEjectedServer() {
         for (Restriction restriction : List.of(Restriction.NOTHING, Restriction.PROBING)) {
             boolean ownsProbing = restriction == Restriction.NOTHING;
             RestrictingPolicy policy = new RestrictingPolicy(restriction);
--- a/gateway/src/test/java/tinford/decision/LoadBalancerTest.java
+++ b/gateway/src/test/java/tinford/decision/LoadBalancerTest.java
@@ -29,7 +29,7 @@
     private static DecisionFixture gatewayWithSixtyServers() {
         DecisionFixture gateway = new DecisionFixture(limits(false), true, false, 14);
         String[] ids = IntStream.range(0, 60).mapToObj(i -> "s" + i).toArray(String[]::new);
-        gateway.listServers(ids);
+        gateway.setEndpointList(ids);
         return gateway;
     }
 
@@ -57,7 +57,7 @@
      * were not ejected.
      */
     @Test
-    public void serverThatFailsAtOnceGetsFewAttempts() {
+    public void immediatelyFailingServerGetsFewAttempts() {
         DecisionFixture gateway = new DecisionFixture();
         List<Request> inFlight = new ArrayList<>();
         long failed = 0;
@@ -76,8 +76,7 @@
             }
             gateway.advance(50);
         }
-        assertTrue(
-                failed >= 2 && failed <= 6, "retried with growing backoff, attempts: " + failed);
+        assertTrue(failed >= 2 && failed <= 6, "retried with growing backoff, attempts: " + failed);
     }
 
     /** Latency of the first chosen server in ms, maximum number of attempts it may get of 120. */
@@ -88,7 +87,7 @@
 
     /** A gateway with little traffic uses few servers, and stops using one that is slow. */
     @Test(dataProvider = "firstServerLatencies")
-    public void littleTrafficKeepsToFewGoodServers(double firstLatencyMs, int maxAttempts) {
+    public void lowTrafficUsesFewFastServers(double firstLatencyMs, int maxAttempts) {
         DecisionFixture gateway = gatewayWithSixtyServers();
         List<String> chosen = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
@@ -131,7 +130,7 @@
     public void attemptsInFlightStayWithinTheGatewaysPartOfTheCapacity(
             int gatewayCount, int min, int max) {
         DecisionFixture gateway = new DecisionFixture(limits(false), false, false, gatewayCount);
-        gateway.listServers("s1", "s2", "s3");
+        gateway.setEndpointList("s1", "s2", "s3");
         gateway.advance(250);
         Tenant openTenant = tenant(FAIL_OPEN_PLAN);
         long inFlight = 0;
--- a/gateway/src/test/java/tinford/decision/ModuleTranscript.java
+++ b/gateway/src/test/java/tinford/decision/ModuleTranscript.java
@@ -87,7 +87,7 @@
     private List<Plan> plans = plans(1);
     private double nowMs = START_MS;
     private long order;
-    private long lastRequest;
+    private long lastRequestId;
 
     ModuleTranscript(Scenario scenario) {
         this.scenario = scenario;
@@ -198,7 +198,7 @@
                     new Tenant(number, plans.get(number % 3), 1 + number % 2 * 2, 1, revision);
             Request request =
                     new Request(
-                            ++lastRequest,
+                            ++lastRequestId,
                             classes.get(random.nextInt(classes.size())),
                             tenant,
                             nowMs + 100 + random.nextInt(1100),
@@ -206,8 +206,8 @@
                             false);
             requests.put(request, new Progress());
             after(0, events -> events.requestArrived(request));
-            double staysMs = random.nextInt(12) == 0 ? random.nextInt(200) : 1300;
-            after(staysMs, events -> disconnect(events, request));
+            double disconnectDelayMs = random.nextInt(12) == 0 ? random.nextInt(200) : 1300;
+            after(disconnectDelayMs, events -> disconnect(events, request));
         }
     }
 
--- a/gateway/src/test/java/tinford/decision/ModuleTranscriptTest.java
+++ b/gateway/src/test/java/tinford/decision/ModuleTranscriptTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test(dataProvider = "scenarios")
-    public void linesAsRecorded(ModuleTranscript.Scenario scenario) throws IOException {
+    public void linesMatchRecording(ModuleTranscript.Scenario scenario) throws IOException {
         List<String> expected = recorded(scenario);
         List<String> actual = new ModuleTranscript(scenario).run();
         for (int i = 0; i < Math.min(expected.size(), actual.size()); i++) {
--- a/gateway/src/test/java/tinford/decision/PlanChangeTest.java
+++ b/gateway/src/test/java/tinford/decision/PlanChangeTest.java
@@ -47,7 +47,7 @@
                 DecisionFixture gateway =
                         new DecisionFixture(limits(false), true, false, gatewayCount);
                 gateway.nowMs = nowMs;
-                gateway.listServers("s1", "s2", "s3");
+                gateway.setEndpointList("s1", "s2", "s3");
                 gateways.add(gateway);
                 tenants[i] = new Tenant(TENANT_ID, plan, gatewayCount, 0, 1);
             }
@@ -239,7 +239,7 @@
      * the new quota from the first one on, and one new burst.
      */
     @Test(dataProvider = "planChanges")
-    public void gatewaysThatChangeAtDifferentTimesKeepToBothPlans(
+    public void gatewaysThatChangeAtDifferentTimesComplyWithBothPlans(
             double oldQuotaPerS, double oldBurst, double newQuotaPerS, double newBurst) {
         double spreadMs = 13_000;
         for (int offset = 0; offset < 4; offset++) {
@@ -329,7 +329,7 @@
     }
 
     @Test
-    public void formerPlansAreForgotten() {
+    public void stateOfFormerPlansIsDropped() {
         Deployment deployment = new Deployment(1, plan(20, 40));
         for (int i = 0; i < 500; i++) {
             deployment.request(0);
--- a/gateway/src/test/java/tinford/decision/QuotaLimiterTest.java
+++ b/gateway/src/test/java/tinford/decision/QuotaLimiterTest.java
@@ -7,7 +7,7 @@
 import static tinford.decision.DecisionFixture.attempts;
 import static tinford.decision.DecisionFixture.increments;
 import static tinford.decision.DecisionFixture.rejections;
-import static tinford.decision.DecisionFixture.takesBack;
+import static tinford.decision.DecisionFixture.returnsUnits;
 import static tinford.decision.DecisionFixture.tenant;
 
 import java.util.List;
@@ -52,11 +52,11 @@
         List<String> actions = gateway.arrive(request, previousTotal, currentTotal);
         assertEquals(attempts(actions), admitted ? 1 : 0, actions.toString());
         assertEquals(rejections(actions), admitted ? 0 : 1, actions.toString());
-        assertEquals(takesBack(actions, units), !admitted, "a rejection returns its units");
+        assertEquals(returnsUnits(actions, units), !admitted, "a rejection returns its units");
     }
 
     @Test
-    public void idleTenantSavesOneBurst() {
+    public void idleTenantAccumulatesOneBurst() {
         DecisionFixture gateway = new DecisionFixture();
         Request first = gateway.request(tenant, READ, 1);
         gateway.arrive(first, 0, 1);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void clientThatLeavesDuringTheCounterCallGetsItsUnitsBack() {
+    public void disconnectDuringTheCounterCallReturnsTheUnits() {
         DecisionFixture gateway = new DecisionFixture();
         Request request = gateway.request(tenant, READ, 3);
         List<CounterIncrement> calls = increments(gateway.arrive(request));
@@ -87,12 +87,12 @@
                                         call.counterKey(), AttemptOutcome.SUCCESS, 1, 3);
                             }
                         });
-        assertTrue(takesBack(actions, 3), actions.toString());
+        assertTrue(returnsUnits(actions, 3), actions.toString());
         assertEquals(attempts(actions), 0);
     }
 
     @Test
-    public void clientThatLeavesDuringTheReadOfThePreviousWindowGetsItsUnitsBackOnce() {
+    public void disconnectDuringTheReadOfThePreviousWindowReturnsTheUnitsOnce() {
         DecisionFixture gateway = new DecisionFixture();
         Request request = gateway.request(tenant, READ, 3);
         List<String> reads = gateway.answerCounter(gateway.arrive(request), 0, 33);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    public void counterResetOpensNoNewWindow() {
+    public void counterResetDoesNotRestoreTheQuota() {
         DecisionFixture gateway = new DecisionFixture();
         for (int i = 0; i < 5; i++) {
             gateway.arrive(gateway.request(tenant, READ, 2), 0, 2 * i + 2);
--- a/gateway/src/test/java/tinford/decision/FinalAnswersTest.java
+++ b/gateway/src/test/java/tinford/decision/RequestCompletionTest.java
@@ -23,14 +23,14 @@
 import tinford.api.Tenant;
 
 /** When a request gets its final response, and which one. */
-public class FinalAnswersTest {
+public class RequestCompletionTest {
     private final Tenant tenant = tenant(FAIL_CLOSED_PLAN);
 
     /**
      * A client that reads a streamed response slowly does not affect the statistics of its server.
      */
     @Test
-    public void startedResponseIsTheFinalAnswer() {
+    public void startedResponseIsTheFinalResponse() {
         DecisionFixture gateway = new DecisionFixture();
         List<Request> streaming = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -90,7 +90,7 @@
 
     /** An attempt times out once its response earns no weight; the client is told when to retry. */
     @Test(dataProvider = "lateWeights")
-    public void attemptTimesOutWhenItsResponseIsWorthless(double lateWeight, double timeoutMs) {
+    public void attemptTimesOutWhenItsResponseEarnsNoWeight(double lateWeight, double timeoutMs) {
         RequestClass requestClass =
                 new RequestClass(
                         "f",
--- a/gateway/src/test/java/tinford/decision/RetryTest.java
+++ b/gateway/src/test/java/tinford/decision/RetryTest.java
@@ -72,7 +72,7 @@
     @Test
     public void keyedRequestIsRetriedWithinItsDeduplicationScope() {
         DecisionFixture gateway = new DecisionFixture();
-        gateway.listServers("s1a", "s1b", "s2");
+        gateway.setEndpointList("s1a", "s1b", "s2");
         int retries = 0;
         for (int i = 0; i < 40; i++) {
             Request request = gateway.request(tenant, KEYED_IN_CELL, 0.1);
@@ -108,7 +108,7 @@
     public void retryNeverLeavesTheDeduplicationScope(
             String server, String otherServer, RequestClass requestClass, boolean retried) {
         DecisionFixture gateway = new DecisionFixture();
-        gateway.listServers(server, otherServer);
+        gateway.setEndpointList(server, otherServer);
         fillRetryBudget(gateway);
         Request request = gateway.request(tenant, requestClass, 0.1);
         String first = attemptedServers(gateway.arrive(request, 0, 4)).get(0);
@@ -135,7 +135,7 @@
     @Test
     public void retryIsSentWithinTheDeduplicationWindow() {
         DecisionFixture gateway = new DecisionFixture();
-        gateway.listServers("s1a", "s1b");
+        gateway.setEndpointList("s1a", "s1b");
         // fills the retry budget
         for (int i = 0; i < 40; i++) {
             Request request = gateway.request(tenant, READ, 0.1);
--- a/gateway/src/test/java/tinford/decision/SlowStartTest.java
+++ b/gateway/src/test/java/tinford/decision/SlowStartTest.java
@@ -41,7 +41,7 @@
         for (int i = 0; i < 700; i++) {
             if (i == 500) {
                 gateway.server("cold").updateStartTime(gateway.nowMs);
-                gateway.listServers("s1", "s2", "s3", "cold");
+                gateway.setEndpointList("s1", "s2", "s3", "cold");
             }
             Request request = gateway.request(tenant, READ, i % 10 == 0 ? large : small);
             List<String> servers = attemptedServers(gateway.arrive(request, 0, 0.1));
@@ -80,7 +80,7 @@
             AttemptOutcome outcome, boolean earns) {
         DecisionFixture gateway = new DecisionFixture();
         gateway.server("cold").updateStartTime(gateway.nowMs);
-        gateway.listServers("s1", "s2", "s3", "cold");
+        gateway.setEndpointList("s1", "s2", "s3", "cold");
         long toWarm = 0;
         long toWarming = 0;
         for (int i = 0; i < 40; i++) {
@@ -108,13 +108,13 @@
     }
 
     @Test
-    public void rejectedRequestsEarnNothingWhereNoServerIsWarm() {
+    public void rejectedRequestsEarnNoCreditWhenNoServerIsWarm() {
         DecisionFixture gateway = new DecisionFixture();
         String[] ids = {"c1", "c2", "c3", "c4", "c5"};
         for (String id : ids) {
             gateway.server(id).updateStartTime(gateway.nowMs);
         }
-        gateway.listServers(ids);
+        gateway.setEndpointList(ids);
         Tenant exhausted = tenant(FAIL_CLOSED_PLAN);
         for (int i = 0; i < 60; i++) {
             Request request = gateway.request(exhausted, READ, 1);
--- a/gateway/src/test/java/tinford/simulator/GoldenTranscriptTest.java
+++ b/gateway/src/test/java/tinford/simulator/GoldenTranscriptTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test(dataProvider = "transcripts")
-    public void repliesAsRecorded(String name) throws IOException {
+    public void repliesMatchRecording(String name) throws IOException {
         ByteArrayOutputStream reply = new ByteArrayOutputStream();
         int exitCode =
                 SimulatorSession.serve(
--- a/gateway/src/test/java/tinford/simulator/ScriptedDeployment.java
+++ b/gateway/src/test/java/tinford/simulator/ScriptedDeployment.java
@@ -168,8 +168,8 @@
         if (!gateway.up) {
             return;
         }
-        boolean impatient = recording.random.nextInt(20) == 0;
-        long timeoutUs = impatient ? 60_000 : 400_000 + recording.random.nextInt(1_000_000);
+        boolean shortTimeout = recording.random.nextInt(20) == 0;
+        long timeoutUs = shortTimeout ? 60_000 : 400_000 + recording.random.nextInt(1_000_000);
         boolean streamed = scenario.isStreamed() && requestClass.equals("post");
         ScriptedRequest request =
                 new ScriptedRequest(
@@ -177,11 +177,12 @@
         nextRequestId++;
         gateway.requests.put(request.id, request);
         sendRequest(gateway, request, requestClass, tenant, fanIn, firstGateway);
-        boolean leaves =
+        boolean disconnects =
                 recording.isDuring(FaultKind.CLIENTS_DISCONNECT)
                         && recording.random.nextInt(4) == 0;
-        long staysUs = leaves ? recording.random.nextInt((int) timeoutUs) : timeoutUs + 100_000;
-        gateway.schedule(staysUs, () -> disconnect(gateway, request));
+        long disconnectDelayUs =
+                disconnects ? recording.random.nextInt((int) timeoutUs) : timeoutUs + 100_000;
+        gateway.schedule(disconnectDelayUs, () -> disconnect(gateway, request));
     }
 
     private static void sendRequest(
