--- a/gateway/src/main/java/tinford/decision/QuotaLimiter.java
+++ b/gateway/src/main/java/tinford/decision/QuotaLimiter.java
@@ -191,7 +191,7 @@
         pending.countedWindow = call.window();
         pending.countedTotal = call.window().total;
         if (pending.quotaDecided) {
-            takeBack(batch, pending);
+            returnUnits(batch, pending);
             return;
         }
         pending.quotaDecided = true;
@@ -237,7 +237,7 @@
         pending.awaitsPreviousWindow = false;
         if (pending.completed) {
             if (pending.countedWindow != null) {
-                takeBack(batch, pending);
+                returnUnits(batch, pending);
             }
             return;
         }
@@ -252,7 +252,7 @@
     }
 
     /** Returns to the counter the units of a request for which no attempt was sent. */
-    void takeBack(Batch batch, PendingRequest pending) {
+    void returnUnits(Batch batch, PendingRequest pending) {
         double units = pending.request.units;
         pending.quota.addUsage(pending.countedWindow, -units);
         calls.add(batch, pending.quota, pending.countedWindow, null, -units);
--- a/gateway/src/main/java/tinford/decision/RequestCompletion.java
+++ b/gateway/src/main/java/tinford/decision/RequestCompletion.java
@@ -59,7 +59,7 @@
         pending.completed = true;
         queue.remove(pending);
         if (pending.countedWindow != null && neverSent) {
-            quotas.takeBack(batch, pending);
+            quotas.returnUnits(batch, pending);
         }
     }
 }
