--- a/gateway/src/main/java/tinford/decision/AdmissionController.java
+++ b/gateway/src/main/java/tinford/decision/AdmissionController.java
@@ -4,8 +4,8 @@
 import tinford.api.AttemptOutcome;
 
 /**
- * Sends requests within their quotas to servers, queues them while no slot is free, and sheds what
- * would be late.
+ * Sends requests that are within their quotas to servers, queues them while no slot is free, and
+ * rejects those that could not be answered in time.
  */
 final class AdmissionController {
     private final AdmissionQueue queue;
@@ -13,11 +13,11 @@
     private final AttemptSender sender;
     private final AttemptGuard guard;
     private final RetryBudget retries;
-    private final FinalAnswers answers;
+    private final RequestCompletion completion;
     private final Random random;
 
-    /** Attempts that succeeded: slots become free as often. */
-    private final RollingSum completed;
+    /** Successful attempts; their rate estimates how often a slot becomes free. */
+    private final RollingSum successes;
 
     AdmissionController(
             AdmissionQueue queue,
@@ -25,29 +25,29 @@
             AttemptSender sender,
             AttemptGuard guard,
             RetryBudget retries,
-            FinalAnswers answers,
-            RollingSum completed,
+            RequestCompletion completion,
+            RollingSum successes,
             Random random) {
         this.queue = queue;
         this.balancer = balancer;
         this.sender = sender;
         this.guard = guard;
         this.retries = retries;
-        this.answers = answers;
-        this.completed = completed;
+        this.completion = completion;
+        this.successes = successes;
         this.random = random;
     }
 
-    /** Sends, queues or rejects a request that is within its quota, or is to be retried. */
+    /** Sends, queues or rejects a request that was admitted by its quota or is to be retried. */
     void admit(Batch batch, PendingRequest pending) {
         boolean first = pending.isFirstAttempt();
         double nowMs = batch.nowMs;
         double hardLimitWaitMs =
                 first ? pending.quota.hardLimitWaitMs(pending.request.units, nowMs) : 0;
         if (first) {
-            offer(batch, pending);
+            recordOffered(batch, pending);
             if (isShedByFleet(batch, pending)) {
-                answers.answer(batch, pending, 0);
+                completion.rejectOrFail(batch, pending, 0);
                 return;
             }
         }
@@ -57,22 +57,22 @@
         double queueWaitMs = queueWaitMs(pending, nowMs);
         if (nowMs + queueWaitMs > pending.latestSendMs
                 || nowMs + hardLimitWaitMs > pending.latestSendMs) {
-            answers.answer(batch, pending, queueWaitMs);
+            completion.rejectOrFail(batch, pending, queueWaitMs);
         } else {
             queue.add(pending);
         }
     }
 
-    private void offer(Batch batch, PendingRequest pending) {
+    private void recordOffered(Batch batch, PendingRequest pending) {
         pending.quota.usage().offered.add(batch.nowMs, pending.weight * pending.request.units);
         batch.policy.requestOffered(pending.request, pending.fleetWeight());
-        pending.withinQuota = true;
+        pending.offered = true;
         balancer.requestOffered(batch.nowMs);
     }
 
     /**
-     * What the whole fleet sheds is shed at once, wherever it enters; so is what no server may
-     * take.
+     * Returns whether the fleet sheds the request. Requests that no server may currently receive
+     * are always shed.
      */
     private boolean isShedByFleet(Batch batch, PendingRequest pending) {
         double share =
@@ -85,12 +85,12 @@
     private double queueWaitMs(PendingRequest pending, double nowMs) {
         double slotIntervalMs =
                 Math.min(
-                        RollingSum.SPAN_MS / completed.total(nowMs),
+                        RollingSum.SPAN_MS / successes.total(nowMs),
                         pending.request.requestClass.latencyObjectiveMs);
         return queue.countAhead(pending) * slotIntervalMs;
     }
 
-    /** Sends what is queued, as far as slots are free. */
+    /** Sends queued requests while slots are free. */
     void drainQueue(Batch batch) {
         for (PendingRequest pending : queue.inOrder()) {
             if (sender.send(batch, pending, balancer.pick(batch, pending))) {
@@ -101,33 +101,33 @@
         }
     }
 
-    /** Answers queued requests that can't be served in time any more. */
+    /** Completes queued requests that can no longer be served in time. */
     void expireQueued(Batch batch) {
         for (PendingRequest pending : queue.inOrder()) {
             if (batch.nowMs >= pending.latestSendMs) {
-                answers.answer(batch, pending, 0);
+                completion.rejectOrFail(batch, pending, 0);
             }
         }
     }
 
     /**
-     * Retries a request whose attempts have all ended, where time and budget allow it; else answers
-     * it.
+     * Retries a request whose attempts have all ended if time and retry budget allow it; otherwise
+     * completes it.
      */
     void retry(Batch batch, PendingRequest pending, AttemptOutcome outcome) {
-        pending.planLatestSend(balancer.typicalMs(pending.request));
+        pending.updateLatestSend(balancer.typicalLatencyMs(pending.request));
         boolean mayRetry =
                 batch.nowMs < pending.latestSendMs
-                        && !guard.hasNoAttemptLeft(pending)
+                        && !guard.isAttemptLimitReached(pending)
                         && retries.allows(outcome, batch.policy);
         if (mayRetry) {
             retries.spend(outcome);
             admit(batch, pending);
             return;
         }
-        // a request that hangs wherever it goes is to stay away for another objective
+        // a request that times out at any server should not be retried within another objective
         boolean inTime = batch.nowMs < pending.objectiveAtMs;
         double waitMs = inTime ? 0 : pending.request.requestClass.latencyObjectiveMs;
-        answers.answer(batch, pending, waitMs);
+        completion.rejectOrFail(batch, pending, waitMs);
     }
 }
--- a/gateway/src/main/java/tinford/decision/AttemptGuard.java
+++ b/gateway/src/main/java/tinford/decision/AttemptGuard.java
@@ -7,14 +7,14 @@
 import tinford.api.RequestClass;
 import tinford.api.Server;
 
-/** Every rule on attempts in one place; every attempt passes it. */
+/** Checks all rules on attempts; no attempt is sent without its approval. */
 final class AttemptGuard {
     private final AttemptLimits limits;
     private final SlowStart slowStart;
     private final double tickMs;
 
     /**
-     * @param tickMs how late this gateway may hear and act
+     * @param tickMs upper bound of the delay in ms with which this gateway handles an event
      */
     AttemptGuard(AttemptLimits limits, SlowStart slowStart, double tickMs) {
         this.limits = limits;
@@ -22,10 +22,10 @@
         this.tickMs = tickMs;
     }
 
-    /** Whether the request may be sent to the server now. */
+    /** Returns whether the request may be sent to the server now. */
     boolean allows(Batch batch, PendingRequest pending, ServerStats server) {
         double nowMs = batch.nowMs;
-        if (pending.over
+        if (pending.completed
                 || pending.responseStarted
                 || nowMs >= pending.request.deadlineMs
                 || server.server.state() != Server.State.UP
@@ -34,11 +34,11 @@
         }
         Server earlier = null;
         if (pending.attempts.isEmpty()) {
-            if (!pending.quota.mayOpen(pending.request.units, nowMs)) {
+            if (!pending.quota.allowsNewRequest(pending.request.units, nowMs)) {
                 return false;
             }
         } else {
-            if (!mayBeRepeatedAt(pending, server.server, nowMs)) {
+            if (!mayRetryAt(pending, server.server, nowMs)) {
                 return false;
             }
             earlier = lastServerThatMayHaveRun(pending);
@@ -47,11 +47,11 @@
                 && (!slowStart.isWarmingUp(server.server, nowMs) || server.slowStartCredit >= 1);
     }
 
-    boolean hasNoAttemptLeft(PendingRequest pending) {
+    boolean isAttemptLimitReached(PendingRequest pending) {
         return pending.attempts.size() >= limits.maxAttempts();
     }
 
-    private boolean mayBeRepeatedAt(PendingRequest pending, Server server, double nowMs) {
+    private boolean mayRetryAt(PendingRequest pending, Server server, double nowMs) {
         RequestClass requestClass = pending.request.requestClass;
         for (Attempt earlier : pending.attempts) {
             if (earlier.outcome == null && !limits.hedgingAllowed()) {
--- a/gateway/src/main/java/tinford/decision/LoadBalancer.java
+++ b/gateway/src/main/java/tinford/decision/LoadBalancer.java
@@ -9,21 +9,22 @@
 import tinford.api.Request;
 import tinford.api.Server;
 
-/** Picks a server for each attempt, and learns from how attempts end. */
+/** Picks a server for each attempt and updates server statistics from the outcomes. */
 final class LoadBalancer {
     /**
-     * Servers are filled to a third of their limits first, then to two thirds, then to the limits.
+     * Number of passes over the ranked servers: they are filled up to a third of their concurrency
+     * limits first, then to two thirds, then to the full limits.
      */
     private static final int FILL_PASSES = 3;
 
     /**
-     * The usual time of an attempt, as a multiple of the fleet's mean latency, and its bounds
-     * relative to the objective.
+     * Typical latency of an attempt as a multiple of the mean latency of all servers; it is bounded
+     * relative to the latency objective by the next two constants.
      */
-    private static final double TYPICAL_MULTIPLE = 1.3;
+    private static final double TYPICAL_LATENCY_MULTIPLE = 1.3;
 
-    private static final double MIN_TYPICAL = 0.1;
-    private static final double MAX_TYPICAL = 0.8;
+    private static final double MIN_TYPICAL_LATENCY = 0.1;
+    private static final double MAX_TYPICAL_LATENCY = 0.8;
 
     private final AttemptGuard guard;
     private final SlowStart slowStart;
@@ -33,7 +34,7 @@
     private final OutlierDetector outliers = new OutlierDetector();
     private final ServerRanking ranking;
 
-    /** In the order of the lists: random numbers are drawn in it. */
+    /** In endpoint list order, as random numbers are drawn in iteration order. */
     private final Set<ServerStats> servers = new LinkedHashSet<>();
 
     LoadBalancer(
@@ -50,7 +51,7 @@
     }
 
     /**
-     * @param complete whether servers that are not named are gone
+     * @param complete whether servers without an entry have been removed
      */
     void updateEndpoints(List<Server> entries, boolean complete, double nowMs) {
         Set<Server> named = new HashSet<>(entries);
@@ -84,8 +85,8 @@
     }
 
     /**
-     * Connections that were just opened or used are the least likely to break under the next
-     * request.
+     * Closes the idle connections to all servers. Connections that were opened or used recently are
+     * the least likely to break during the next request.
      */
     void closeIdleConnections(Batch batch) {
         for (ServerStats known : servers) {
@@ -93,16 +94,19 @@
         }
     }
 
-    /** What an attempt for the request usually takes. */
-    double typicalMs(Request request) {
+    /** Returns the typical latency of an attempt for the request in ms. */
+    double typicalLatencyMs(Request request) {
         double relative =
-                TYPICAL_MULTIPLE * ranking.fleetLatency() * sizes.relativeSize(request.units);
-        return Math.min(MAX_TYPICAL, Math.max(MIN_TYPICAL, relative))
+                TYPICAL_LATENCY_MULTIPLE
+                        * ranking.fleetLatency()
+                        * sizes.relativeSize(request.units);
+        return Math.min(MAX_TYPICAL_LATENCY, Math.max(MIN_TYPICAL_LATENCY, relative))
                 * request.requestClass.latencyObjectiveMs;
     }
 
     /**
-     * Whether any server has a free slot; a gateway among many has part of a slot at each server.
+     * Returns whether any server has a free slot. The gateway's own limit is checked as well: with
+     * many gateways each one's limit at a server may be below one slot.
      */
     boolean hasFreeSlot() {
         return !openAttempts.isFull()
@@ -110,19 +114,18 @@
                         .anyMatch(server -> server.running.size() < server.limiter.slots);
     }
 
-    /** The server for the next attempt of the request, or null where it has to wait. */
+    /** Returns the server for the next attempt of the request, or null if it has to wait. */
     ServerStats pick(Batch batch, PendingRequest pending) {
         if (openAttempts.isFull()) {
             return null;
         }
-        // what holds the request back at every server alike is asked once: the queue may be waiting
-        // for it
+        // independent of the server: checked once here, as the whole queue may be waiting for it
         if (pending.isFirstAttempt()
-                && !pending.quota.mayOpen(pending.request.units, batch.nowMs)) {
+                && !pending.quota.allowsNewRequest(pending.request.units, batch.nowMs)) {
             return null;
         }
-        ServerStats earned = pickWarmingUp(batch, pending);
-        return earned != null ? earned : pickRanked(batch, pending);
+        ServerStats warmingUp = pickWarmingUp(batch, pending);
+        return warmingUp != null ? warmingUp : pickRanked(batch, pending);
     }
 
     private ServerStats pickWarmingUp(Batch batch, PendingRequest pending) {
@@ -139,7 +142,7 @@
             for (ServerStats server : ranking.ranked()) {
                 if (server.running.size()
                                 < Math.ceil(server.limiter.slots * pass / (double) FILL_PASSES)
-                        && server.mayBeTried(batch.nowMs, batch.policy)
+                        && server.isEligible(batch.nowMs, batch.policy)
                         && guard.allows(batch, pending, server)) {
                     return server;
                 }
@@ -148,7 +151,7 @@
         return null;
     }
 
-    /** Notes that an attempt leaves for the server. */
+    /** Records that an attempt is sent to the server. */
     Attempt startAttempt(PendingRequest pending, ServerStats server, double nowMs) {
         double units = pending.request.units;
         Attempt attempt = new Attempt(pending, server, nowMs, sizes.relativeSize(units));
@@ -161,21 +164,22 @@
     }
 
     /**
-     * Where no server is warm, each request within its quota counts as the answer of a warm one.
+     * Called for each request within its quota. While all servers are warming up, it stands in for
+     * the successful response of a warm server that would earn them credit.
      */
     void requestOffered(double nowMs) {
         if (ranking.warmingUp().size() == ranking.ranked().size()) {
-            earnSlowStartCredit(nowMs);
+            grantSlowStartCredit(nowMs);
         }
     }
 
-    private void earnSlowStartCredit(double nowMs) {
-        slowStart.earn(ranking.warmingUp(), ranking.ranked().size(), nowMs);
+    private void grantSlowStartCredit(double nowMs) {
+        slowStart.grantCredit(ranking.warmingUp(), ranking.ranked().size(), nowMs);
     }
 
     /**
-     * Learns from an attempt that has ended, or whose streamed response has started: how long the
-     * rest takes is up to its client.
+     * Updates the statistics with an attempt that has ended or whose streamed response has started;
+     * how long the rest of a stream takes depends on its client.
      */
     void finishAttempt(
             Batch batch, Attempt attempt, AttemptOutcome outcome, double tookMs, double units) {
@@ -187,13 +191,13 @@
             if (tookMs <= objectiveMs) {
                 batch.policy.serverHealthChanged(server.server, false);
             }
-            server.consecutiveRefusals = 0;
+            server.consecutiveEjections = 0;
         }
         double latency = tookMs / objectiveMs;
         switch (outcome) {
             case SUCCESS -> recordSuccess(attempt, latency, units, batch.nowMs);
             case TIMED_OUT ->
-                    recordAnswer(
+                    recordResponse(
                             attempt,
                             Math.max(1, latency / attempt.relativeSize),
                             !attempt.countedLate,
@@ -206,20 +210,20 @@
 
     private void recordSuccess(Attempt attempt, double latency, double units, double nowMs) {
         if (!slowStart.isWarmingUp(attempt.server.server, nowMs)) {
-            earnSlowStartCredit(nowMs);
+            grantSlowStartCredit(nowMs);
         }
         sizes.observe(units, latency);
         boolean failure = latency > 1 && !attempt.countedLate;
-        recordAnswer(attempt, latency / sizes.relativeSize(units), failure, nowMs);
+        recordResponse(attempt, latency / sizes.relativeSize(units), failure, nowMs);
     }
 
     /**
-     * What fails at once is free at once: an outlier is left alone, or it would get many attempts a
-     * second.
+     * Ejects the server if it is an outlier. A server that fails immediately always has free slots
+     * and would otherwise attract many attempts per second.
      */
     private void recordError(Batch batch, Attempt attempt) {
         ServerStats server = attempt.server;
-        recordAnswer(attempt, server.meanLatency, true, batch.nowMs);
+        recordResponse(attempt, server.meanLatency, true, batch.nowMs);
         server.outlier = outliers.isOutlier(server, batch.nowMs);
         if (server.outlier) {
             server.eject(batch.nowMs);
@@ -227,7 +231,7 @@
         }
     }
 
-    /** An overloaded server is not unhealthy: all of them may be full. */
+    /** Ejects the server. An overloaded server is not unhealthy, as all servers may be full. */
     private static void recordRefusal(Batch batch, ServerStats server, AttemptOutcome outcome) {
         server.eject(batch.nowMs);
         if (outcome == AttemptOutcome.UNREACHABLE) {
@@ -235,7 +239,7 @@
         }
     }
 
-    private void recordAnswer(Attempt attempt, double latency, boolean failure, double nowMs) {
-        attempt.server.recordAnswer(nowMs, latency, ranking.fleetLatency(), failure);
+    private void recordResponse(Attempt attempt, double latency, boolean failure, double nowMs) {
+        attempt.server.recordResponse(nowMs, latency, ranking.fleetLatency(), failure);
     }
 }
--- a/gateway/src/main/java/tinford/decision/PlanFairness.java
+++ b/gateway/src/main/java/tinford/decision/PlanFairness.java
@@ -7,16 +7,16 @@
 import tinford.api.Plan;
 
 /**
- * Keeps the cheapest plan from starving in the admission queue: the worst served one gets a higher
- * priority.
+ * Boosts the priority of the worst-served plan, so that plans with a low priority weight do not
+ * starve in the admission queue.
  */
 final class PlanFairness {
-    private static final double MAX_SCARCITY = 20;
+    private static final double MAX_INVERSE_DEMAND_SHARE = 20;
     private static final double MIN_OVERALL_WEIGHT = 0.01;
 
     private final double worstPlanWeight;
 
-    /** By identity, in the order in which the plans were first used. */
+    /** Keyed by plan identity, in the order in which the plans were first used. */
     private final Map<Plan, PlanUsage> usageByPlan = new LinkedHashMap<>();
 
     PlanFairness(Objectives objectives) {
@@ -37,7 +37,7 @@
         usageByPlan.keySet().retainAll(plans);
     }
 
-    void rebalance(double nowMs) {
+    void updateBoosts(double nowMs) {
         double allOffered =
                 usageByPlan.values().stream()
                         .mapToDouble(usage -> usage.offered.total(nowMs))
@@ -52,6 +52,9 @@
 
     private void boost(PlanUsage worst, double allOffered, double nowMs) {
         worst.priorityBoost +=
-                worstPlanWeight * Math.min(MAX_SCARCITY, worst.scarcity(allOffered, nowMs));
+                worstPlanWeight
+                        * Math.min(
+                                MAX_INVERSE_DEMAND_SHARE,
+                                worst.inverseDemandShare(allOffered, nowMs));
     }
 }
--- a/gateway/src/main/java/tinford/decision/QuotaLimiter.java
+++ b/gateway/src/main/java/tinford/decision/QuotaLimiter.java
@@ -11,19 +11,19 @@
 import tinford.api.Tenant;
 
 /**
- * Holds tenants to their quotas. The ordinary path adds a request's units to the tenant's window on
- * the shared counter and decides by the total that comes back; where the counter is silent, slow or
- * short of calls, a fallback decides by this gateway's own knowledge.
+ * Enforces the tenants' quotas. Normally a request's units are added to the tenant's window on the
+ * shared counter, and the returned total decides. If the counter is unresponsive, slow or
+ * overloaded with calls, a fallback decides from the state of this gateway.
  */
 final class QuotaLimiter {
-    /** An exhausted quota is believed for so long without another call. */
-    private static final double EXHAUSTED_TRUST_MS = 500;
+    /** Time for which a total that shows an exhausted quota is used without another call. */
+    private static final double EXHAUSTED_TOTAL_VALIDITY_MS = 500;
 
-    /** Longest wait for the counter, as a part of the latency objective. */
+    /** Maximum wait for the counter, as a share of the latency objective. */
     private static final double MAX_WAIT_SHARE_OF_OBJECTIVE = 0.05;
 
     private final CounterSettings settings;
-    private final QuotaVerdicts verdicts;
+    private final QuotaDecisionHandler decisionHandler;
     private final PlanFairness fairness;
     private final RequestSizeModel sizes;
     private final GatewayLifecycle lifecycle;
@@ -32,19 +32,19 @@
     private final CounterCalls calls = new CounterCalls();
     private final Map<Long, TenantQuota> quotas = new HashMap<>();
 
-    /** Requests that may wait for the counter, in the order of arrival. */
+    /** Requests that may be waiting for the counter, in the order of arrival. */
     private final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
 
     QuotaLimiter(
             CounterSettings settings,
             int gatewayCount,
-            QuotaVerdicts verdicts,
+            QuotaDecisionHandler decisionHandler,
             PlanFairness fairness,
             RequestSizeModel sizes,
             GatewayLifecycle lifecycle,
             Random random) {
         this.settings = settings;
-        this.verdicts = verdicts;
+        this.decisionHandler = decisionHandler;
         this.fairness = fairness;
         this.sizes = sizes;
         this.lifecycle = lifecycle;
@@ -52,46 +52,46 @@
         this.pacer = new CounterPacer(settings, gatewayCount);
     }
 
-    /** The tenant's quota, under the plan that the tenant has now. */
+    /** Returns the tenant's quota, under the tenant's current plan. */
     TenantQuota quotaOf(Tenant tenant, double nowMs) {
         TenantQuota quota = quotas.get(tenant.id);
         if (quota == null) {
             quota = new TenantQuota(tenant, fairness, sizes, lifecycle, nowMs);
             quotas.put(tenant.id, quota);
         }
-        quota.moveTo(tenant, nowMs);
+        quota.changePlan(tenant, nowMs);
         return quota;
     }
 
-    /** Bounds memory: after two windows without a request no count of a tenant matters any more. */
-    void forgetIdleTenants(double nowMs) {
-        quotas.values().removeIf(quota -> quota.isForgettable(nowMs));
+    /** Bounds memory: after two windows without a request a tenant's totals no longer count. */
+    void evictIdleTenants(double nowMs) {
+        quotas.values().removeIf(quota -> quota.isEvictable(nowMs));
     }
 
-    /** Tenants and calls that are kept. */
+    /** Returns the number of tracked tenants and counter calls. */
     int trackedEntries() {
         return quotas.size() + calls.size();
     }
 
-    /** Asks the counter about a request that has arrived, or decides without it. */
-    void check(Batch batch, PendingRequest pending) {
+    /** Calls the counter for a request that has arrived, or decides without the counter. */
+    void checkQuota(Batch batch, PendingRequest pending) {
         double nowMs = batch.nowMs;
         TenantQuota quota = pending.quota;
         double units = pending.request.units;
-        quota.roll(nowMs);
-        quota.touch(nowMs);
+        quota.rollWindows(nowMs);
+        quota.recordRequest(nowMs);
         if (quota.plan().quotaPerMs <= 0 || !settings.present()) {
             decideWithoutCounter(batch, pending);
             return;
         }
-        if (quota.isKnownExhausted(units, EXHAUSTED_TRUST_MS, nowMs)) {
-            verdicts.reject(batch, pending, quota.fitsInMs(units, nowMs));
+        if (quota.isKnownExhausted(units, EXHAUSTED_TOTAL_VALIDITY_MS, nowMs)) {
+            decisionHandler.reject(batch, pending, quota.timeUntilAvailableMs(units, nowMs));
             return;
         }
-        boolean silent = pacer.isSilent();
-        double pauseMs =
-                silent ? pacer.probeIntervalMs() : pacer.gapMs() * quota.callGapFactor(nowMs);
-        if (!pacer.hasPassed(pauseMs, nowMs)) {
+        boolean unresponsive = pacer.isUnresponsive();
+        double intervalMs =
+                unresponsive ? pacer.probeIntervalMs() : pacer.gapMs() * quota.callGapFactor(nowMs);
+        if (!pacer.hasIntervalPassed(intervalMs, nowMs)) {
             if (decideWithoutCounter(batch, pending)) {
                 quota.addUnreported(units);
             }
@@ -99,14 +99,14 @@
         }
         pacer.callSent(nowMs);
         calls.add(batch, quota, quota.current(), pending, units);
-        if (silent) {
+        if (unresponsive) {
             decideByFallback(batch, pending);
         } else {
             waiting.add(pending);
         }
     }
 
-    /** Ends waits that have lasted too long, whichever window's answer is missing. */
+    /** Ends waits for the counter that have lasted too long, whichever window is missing. */
     void expireWaits(Batch batch) {
         while (!waiting.isEmpty()) {
             PendingRequest pending = waiting.peek();
@@ -127,18 +127,15 @@
         return !pending.quotaDecided || pending.awaitsPreviousWindow;
     }
 
-    /**
-     * Decides for a request whose answer from the counter is not awaited any more, if nothing has
-     * decided yet.
-     */
+    /** Decides without the counter for a request that is still undecided. */
     private void decideByFallback(Batch batch, PendingRequest pending) {
         if (!pending.quotaDecided) {
             pending.quotaDecided = true;
-            pending.admittedByFallback = !pending.over && decideWithoutCounter(batch, pending);
+            pending.admittedByFallback = !pending.completed && decideWithoutCounter(batch, pending);
         }
     }
 
-    /** The counter's answer to the oldest call of a key, or the news that there is none. */
+    /** Handles the result of the oldest call of a key. */
     void counterAnswered(
             Batch batch, long key, AttemptOutcome outcome, double tookMs, double total) {
         CounterCall call = calls.takeOldest(key);
@@ -150,7 +147,7 @@
         if (answered) {
             readTotal(call, total, batch.nowMs);
         }
-        if (call.readsOnly()) {
+        if (call.readOnly()) {
             if (call.pending().awaitsPreviousWindow) {
                 decideByTotals(batch, call.pending());
             }
@@ -164,9 +161,9 @@
     private void readTotal(CounterCall call, double total, double nowMs) {
         CounterWindow window = call.window();
         window.detectReset(total, call.amount(), settings.maxRequestUnits());
-        boolean addsRequest = !call.readsOnly() && call.pending() != null;
+        boolean addsRequest = !call.readOnly() && call.pending() != null;
         double units = addsRequest ? call.pending().request.units : 0;
-        call.quota().updateTotal(window, total + window.lostUnits, units, nowMs);
+        call.quota().updateTotal(window, total + window.offsetUnits, units, nowMs);
     }
 
     private void additionFailed(Batch batch, CounterCall call, AttemptOutcome outcome) {
@@ -176,11 +173,12 @@
             decideByFallback(batch, pending);
         }
         if (!outcome.mayHaveRun) {
-            // what is used, or to be taken back, goes with the next call
+            // the next call reports the usage or returns the units
             boolean used = pending == null || pending.admittedByFallback;
             quota.addUnreported(used ? call.amount() : call.unreportedUnits());
         } else if (pacer.isSlow(batch.nowMs) && pending != null && !pending.admittedByFallback) {
-            // a slow counter adds it all the same: what was rejected is taken off again
+            // a slow counter adds the units after the timeout; those of a rejected request are
+            // returned
             quota.addUnreported(-pending.request.units);
         }
     }
@@ -190,10 +188,10 @@
         if (pending == null || pending.admittedByFallback) {
             return;
         }
-        pending.countedIn = call.window();
+        pending.countedWindow = call.window();
         pending.countedTotal = call.window().total;
         if (pending.quotaDecided) {
-            takeBack(batch, pending);
+            returnUnits(batch, pending);
             return;
         }
         pending.quotaDecided = true;
@@ -205,29 +203,29 @@
         }
     }
 
-    /** A counter that is short of calls is spared those that can't change an answer. */
+    /** While calls are spaced out, none is made that can't change the decision. */
     private boolean needsPreviousWindow(CounterCall call, double nowMs) {
         TenantQuota quota = call.quota();
-        return !call.pending().over
+        return !call.pending().completed
                 && call.window() == quota.current()
                 && !quota.previous().wasRead
-                && (!pacer.isGapKept() || quota.previousWindowMatters(nowMs));
+                && (!pacer.isPacing() || quota.previousWindowMatters(nowMs));
     }
 
     /**
-     * A total that comes after its call was given up is true all the same; what is unreported is
-     * not in it.
+     * Applies a total that arrived after the call timed out. It is still valid, but does not
+     * include unreported usage.
      */
     void counterAnsweredLate(long key, double total, double nowMs) {
-        TenantQuota quota = quotas.get(CounterCall.tenantOf(key));
+        TenantQuota quota = quotas.get(CounterCall.tenantIdOf(key));
         if (quota == null) {
             return;
         }
-        quota.roll(nowMs);
-        pacer.lateAnswer(nowMs);
+        quota.rollWindows(nowMs);
+        pacer.lateAnswerReceived(nowMs);
         CounterWindow current = quota.current();
         if (key == CounterCall.key(quota, current)) {
-            double known = total + current.lostUnits + quota.unreportedUnits();
+            double known = total + current.offsetUnits + quota.unreportedUnits();
             quota.updateTotal(current, known, 0, nowMs);
         }
     }
@@ -235,35 +233,35 @@
     private void decideByTotals(Batch batch, PendingRequest pending) {
         double nowMs = batch.nowMs;
         TenantQuota quota = pending.quota;
-        quota.roll(nowMs);
+        quota.rollWindows(nowMs);
         pending.awaitsPreviousWindow = false;
-        if (pending.over) {
-            if (pending.countedIn != null) {
-                takeBack(batch, pending);
+        if (pending.completed) {
+            if (pending.countedWindow != null) {
+                returnUnits(batch, pending);
             }
             return;
         }
         CounterWindow current = quota.current();
-        double total = current == pending.countedIn ? pending.countedTotal : current.total;
-        if (quota.fits(total, nowMs)) {
+        double total = current == pending.countedWindow ? pending.countedTotal : current.total;
+        if (quota.isWithinQuota(total, nowMs)) {
             quota.chargeLocalBucket(pending.request.units, nowMs);
-            verdicts.admit(batch, pending);
+            decisionHandler.admit(batch, pending);
         } else {
-            verdicts.reject(batch, pending, quota.fitsInMs(0, nowMs));
+            decisionHandler.reject(batch, pending, quota.timeUntilAvailableMs(0, nowMs));
         }
     }
 
-    /** Takes the units of a request that was never sent off the counter again. */
-    void takeBack(Batch batch, PendingRequest pending) {
+    /** Returns to the counter the units of a request for which no attempt was sent. */
+    void returnUnits(Batch batch, PendingRequest pending) {
         double units = pending.request.units;
-        pending.quota.spend(pending.countedIn, -units);
-        calls.add(batch, pending.quota, pending.countedIn, null, -units);
-        pending.countedIn = null;
+        pending.quota.addUsage(pending.countedWindow, -units);
+        calls.add(batch, pending.quota, pending.countedWindow, null, -units);
+        pending.countedWindow = null;
     }
 
     /**
-     * Decides when the counter says nothing: plans whose excess costs nothing fail open, others
-     * live on the counter's last word or on an even share.
+     * Decides without a total from the counter. Plans for which usage beyond the quota has no cost
+     * fail open; for others a recent total or the per-gateway share decides.
      *
      * @return whether the request was within its quota
      */
@@ -276,24 +274,24 @@
         if (!within) {
             pending.weight *= plan.overQuotaWeight;
         }
-        // it is unreported, or was added without an answer: as if it had been read
+        // counted like a read total: the units are unreported, or were added by an unanswered call
         if (within && metered && settings.present()) {
-            pending.countedIn = quota.current();
-            quota.spend(quota.current(), request.units);
+            pending.countedWindow = quota.current();
+            quota.addUsage(quota.current(), request.units);
         }
         if (within || quota.failsOpen()) {
-            verdicts.admit(batch, pending);
+            decisionHandler.admit(batch, pending);
         } else {
-            verdicts.reject(batch, pending, request.units / plan.quotaPerMs);
+            decisionHandler.reject(batch, pending, request.units / plan.quotaPerMs);
         }
         return within;
     }
 
-    /** The true units are known: the difference goes with the tenant's next call. */
+    /** Adds the difference to the actual units of a request to the tenant's next call. */
     void settle(PendingRequest pending, double settledUnits) {
-        if (pending.countedIn != null) {
+        if (pending.countedWindow != null) {
             pending.quota.addUnreported(settledUnits - pending.request.units);
         }
-        pending.countedIn = null;
+        pending.countedWindow = null;
     }
 }
--- a/gateway/src/main/java/tinford/decision/FinalAnswers.java
+++ b/gateway/src/main/java/tinford/decision/RequestCompletion.java
@@ -5,39 +5,41 @@
 import tinford.api.Idempotency;
 import tinford.api.RequestClass;
 
-/** The one place of final answers, and of everything that ends with a request. */
-final class FinalAnswers {
+/** Sends final responses and releases the state of completed requests. */
+final class RequestCompletion {
     private static final double MIN_RETRY_AFTER_MS = 100;
 
     private final AdmissionQueue queue;
     private final QuotaLimiter quotas;
     private final Random random;
 
-    FinalAnswers(AdmissionQueue queue, QuotaLimiter quotas, Random random) {
+    RequestCompletion(AdmissionQueue queue, QuotaLimiter quotas, Random random) {
         this.queue = queue;
         this.quotas = quotas;
         this.random = random;
     }
 
     /**
-     * Answers the request: rejected where the rules let that promise that a retry is harmless, else
-     * failed.
+     * Completes a request without a server's response. It is rejected if its client may safely send
+     * it again, and failed otherwise.
+     *
+     * @param waitMs expected time in ms until a retry may succeed
      */
-    void answer(Batch batch, PendingRequest pending, double waitMs) {
-        close(batch, pending);
+    void rejectOrFail(Batch batch, PendingRequest pending, double waitMs) {
+        complete(batch, pending);
         double retryAfterMs = Math.max(waitMs, MIN_RETRY_AFTER_MS);
         double jitterMs = batch.policy.retryAfterJitterMs();
         if (jitterMs > 0) {
             retryAfterMs += jitterMs * random.nextDouble();
         }
-        if (isRetryHarmless(pending)) {
+        if (isClientRetrySafe(pending)) {
             batch.actions.reject(pending.request, retryAfterMs);
         } else {
             batch.actions.fail(pending.request);
         }
     }
 
-    private static boolean isRetryHarmless(PendingRequest pending) {
+    private static boolean isClientRetrySafe(PendingRequest pending) {
         RequestClass requestClass = pending.request.requestClass;
         return requestClass.idempotency == Idempotency.IDEMPOTENT
                 || !pending.mayHaveRun()
@@ -46,17 +48,18 @@
     }
 
     /**
-     * Nothing more is done for the request; units that were counted but never sent are taken back.
+     * Ends the processing of a request. Units that were counted are returned if no attempt was
+     * sent.
      */
-    void close(Batch batch, PendingRequest pending) {
+    void complete(Batch batch, PendingRequest pending) {
         boolean neverSent = pending.attempts.isEmpty();
-        if (pending.withinQuota && neverSent && !pending.over) {
+        if (pending.offered && neverSent && !pending.completed) {
             batch.policy.requestRejected(pending.request, pending.fleetWeight());
         }
-        pending.over = true;
+        pending.completed = true;
         queue.remove(pending);
-        if (pending.countedIn != null && neverSent) {
-            quotas.takeBack(batch, pending);
+        if (pending.countedWindow != null && neverSent) {
+            quotas.returnUnits(batch, pending);
         }
     }
 }
--- a/gateway/src/main/java/tinford/decision/TenantQuota.java
+++ b/gateway/src/main/java/tinford/decision/TenantQuota.java
@@ -5,30 +5,33 @@
 import tinford.api.Tenant;
 
 /**
- * A tenant's quota as this gateway knows it: a sliding estimate over two windows on the shared
- * counter, a bound within the window, and this gateway's shares for when the counter says nothing.
+ * This gateway's state of a tenant's quota: a sliding window estimate over two counter windows, a
+ * bound within the current window, and the per-gateway shares that apply without the counter.
  */
 final class TenantQuota {
-    /** Longest window: two of them fit the minute for which the counter keeps a total. */
+    /**
+     * Maximum window length; two windows fit into the minute for which the counter keeps a total.
+     */
     static final double MAX_WINDOW_MS = 29_000;
 
     /**
-     * Length of a window in times in which the burst fills: a burst may go beyond the quota at each
-     * edge.
+     * Window length as a multiple of the time in which the burst refills. One burst beyond the
+     * quota is possible at each window boundary.
      */
-    private static final double BURST_TIMES_PER_WINDOW = 6;
+    private static final double BURST_REFILLS_PER_WINDOW = 6;
 
     private static final double MIN_RETRY_AFTER_MS = 1;
     private static final double ROUNDING_UNITS = 1e-6;
-    private static final double AVOID_ZERO = 1e-9;
+    private static final double EPSILON = 1e-9;
 
-    /** Gateways of a tenant among which one may use what was free at the last read. */
+    /** Maximum fan-in at which a gateway may use the units that were free at the last read. */
     private static final double MAX_FAN_IN_FOR_FRESH_READS = 4;
 
-    /** Factors on the gap between calls to the counter. */
-    private static final double RELAXED_GAP = 4;
+    /** Factor on the gap between calls for tenants whose decisions hardly depend on the total. */
+    private static final double RELAXED_GAP_FACTOR = 4;
 
-    private static final double URGENT_GAP = 0.5;
+    /** Factor on the gap between calls for tenants whose quota is unknown or nearly used up. */
+    private static final double URGENT_GAP_FACTOR = 0.5;
 
     private final PlanFairness fairness;
     private final HardLimitBucket hardLimit;
@@ -37,7 +40,7 @@
     private Tenant tenant;
     private Plan plan;
     private PlanUsage usage;
-    private double share;
+    private double gatewayShare;
     private double windowMs;
     private CounterWindow current;
     private CounterWindow previous;
@@ -55,22 +58,22 @@
         this.hardLimit = new HardLimitBucket(lifecycle);
         this.localBucket =
                 new LocalBucket(sizes, tenant.plan, 1.0 / Math.max(1, tenant.fanIn), nowMs);
-        follow(tenant);
+        configure(tenant);
     }
 
-    private void follow(Tenant changed) {
+    private void configure(Tenant changed) {
         tenant = changed;
         plan = changed.plan;
         usage = fairness.usageOf(plan);
-        share = 1.0 / Math.max(1, changed.fanIn);
-        hardLimit.configure(plan, share);
-        localBucket.configure(plan, share);
+        gatewayShare = 1.0 / Math.max(1, changed.fanIn);
+        hardLimit.configure(plan, gatewayShare);
+        localBucket.configure(plan, gatewayShare);
         windowMs =
                 plan.quotaPerMs <= 0
                         ? MAX_WINDOW_MS
                         : Math.min(
                                 MAX_WINDOW_MS,
-                                BURST_TIMES_PER_WINDOW * plan.burst / plan.quotaPerMs);
+                                BURST_REFILLS_PER_WINDOW * plan.burst / plan.quotaPerMs);
     }
 
     Tenant tenant() {
@@ -97,42 +100,42 @@
         return windowMs;
     }
 
-    /** The tenant sends a request. */
-    void touch(double nowMs) {
+    /** Records the time of a request of the tenant. */
+    void recordRequest(double nowMs) {
         lastRequestMs = nowMs;
     }
 
     /**
-     * Moves to the plan of a later revision of the configuration. What was used stays as a floor
-     * under the new plan's total, up to all that the new plan allows by now, and opens no burst at
-     * each gateway.
+     * Changes to the plan of a later configuration revision. Usage under the old plan is carried
+     * over into the new plan's total, up to the units that the new plan allows by now. The unused
+     * burst is carried over as well, so that the change does not grant a new burst at each gateway.
      */
-    void moveTo(Tenant changed, double nowMs) {
+    void changePlan(Tenant changed, double nowMs) {
         if (changed.revision <= tenant.revision || changed.plan == plan) {
             return;
         }
-        roll(nowMs);
+        rollWindows(nowMs);
         double oldBurst = plan.burst;
         double spent = oldBurst - headroom.refill(plan, 0, nowMs);
         double used =
-                previous.slidingTotal(intoWindowMs(nowMs) / windowMs)
+                previous.slidingTotal(elapsedInWindowMs(nowMs) / windowMs)
                         + current.total
                         - unreportedUnits;
         CounterWindow oldWindow = current;
-        follow(changed);
-        roll(nowMs);
-        // a window of another length has another key on the counter
+        configure(changed);
+        rollWindows(nowMs);
+        // windows of different lengths have different keys on the counter
         if (current != oldWindow) {
-            double allowed = plan.burst + plan.quotaPerMs * intoWindowMs(nowMs);
-            current.lostUnits = Math.max(0, Math.min(used, allowed));
-            current.migratedUnits = current.lostUnits * share;
-            current.total = current.lostUnits + unreportedUnits;
+            double allowed = plan.burst + plan.quotaPerMs * elapsedInWindowMs(nowMs);
+            current.offsetUnits = Math.max(0, Math.min(used, allowed));
+            current.carriedOverUnits = current.offsetUnits * gatewayShare;
+            current.total = current.offsetUnits + unreportedUnits;
         }
         headroom.set(Math.max(0, Math.min(oldBurst, plan.burst) - spent), nowMs);
     }
 
-    /** Opens the window that the time lies in. */
-    void roll(double nowMs) {
+    /** Makes the window that contains the time the current one. */
+    void rollWindows(double nowMs) {
         long index = (long) Math.floor(nowMs / windowMs);
         if (current != null && current.index == index) {
             return;
@@ -145,87 +148,98 @@
         }
     }
 
-    private double intoWindowMs(double nowMs) {
+    private double elapsedInWindowMs(double nowMs) {
         return Math.min(windowMs, nowMs - current.index * windowMs);
     }
 
-    /** Most units that a window may hold. */
+    /** Returns the maximum number of units that a window admits. */
     private double windowCapacity() {
         return plan.quotaPerMs * windowMs + plan.burst;
     }
 
-    /** Whether a current total is within the quota. */
-    boolean fits(double total, double nowMs) {
-        double intoMs = intoWindowMs(nowMs);
-        return previous.slidingTotal(intoMs / windowMs) + total <= windowCapacity()
-                && total <= plan.burst + plan.quotaPerMs * intoMs
+    /** Returns whether a total of the current window is within the quota. */
+    boolean isWithinQuota(double total, double nowMs) {
+        double elapsedMs = elapsedInWindowMs(nowMs);
+        return previous.slidingTotal(elapsedMs / windowMs) + total <= windowCapacity()
+                && total <= plan.burst + plan.quotaPerMs * elapsedMs
                 && total - current.total <= headroom.refill(plan, 0, nowMs) + ROUNDING_UNITS;
     }
 
-    /** Whether so many more units are known not to fit, by a total read so recently. */
+    /**
+     * Returns whether a recent total shows that the units exceed the quota.
+     *
+     * @param maxAgeMs maximum age of the total in ms
+     */
     boolean isKnownExhausted(double units, double maxAgeMs, double nowMs) {
         return current.wasRead
                 && nowMs - current.readAtMs < maxAgeMs
-                && !fits(current.total + units, nowMs);
+                && !isWithinQuota(current.total + units, nowMs);
     }
 
-    /** Whether the window before could deny anything now, if it had admitted all that it may. */
+    /** Returns whether the previous window could cause a rejection, assuming that it was full. */
     boolean previousWindowMatters(double nowMs) {
         return current.total > windowCapacity() * Math.min(1, nowMs / windowMs - current.index);
     }
 
-    /** How long until so many units will fit, if nobody else asks. */
-    double fitsInMs(double units, double nowMs) {
-        double intoMs = nowMs - current.index * windowMs;
+    /** Returns the time until the units are within the quota if nothing else is used meanwhile. */
+    double timeUntilAvailableMs(double units, double nowMs) {
+        double elapsedMs = nowMs - current.index * windowMs;
         double total = current.total + units;
         double waitMs =
                 Math.max(
-                        (total - plan.burst) / plan.quotaPerMs - intoMs,
+                        (total - plan.burst) / plan.quotaPerMs - elapsedMs,
                         (units - headroom.refill(plan, 0, nowMs)) / plan.quotaPerMs);
         if (previous.total > 0) {
-            double slidesInMs = windowMs * (1 - (windowCapacity() - total) / previous.total);
-            waitMs = Math.max(waitMs, slidesInMs - intoMs);
+            double slidingWaitMs = windowMs * (1 - (windowCapacity() - total) / previous.total);
+            waitMs = Math.max(waitMs, slidingWaitMs - elapsedMs);
         }
         return Math.max(MIN_RETRY_AFTER_MS, waitMs);
     }
 
     /**
-     * What is beyond the quota earns something and costs nothing: it is admitted while the counter
-     * is silent.
+     * Returns whether requests are admitted without a total from the counter: usage beyond the
+     * quota earns weight under this plan and has no cost.
      */
     boolean failsOpen() {
         return plan.overQuotaWeight > 0 && plan.overQuotaCost <= 0;
     }
 
     /**
-     * Whether the last total may be relied on; of many gateways each would use all that was free.
+     * Returns whether the last total is recent enough to decide by. It never is with a large
+     * fan-in, where each gateway would use all the units that were free.
      */
-    private boolean isFresh(double nowMs) {
-        return MAX_FAN_IN_FOR_FRESH_READS * share >= 1
+    private boolean isLastTotalFresh(double nowMs) {
+        return MAX_FAN_IN_FOR_FRESH_READS * gatewayShare >= 1
                 && current.wasRead
                 && nowMs - current.readAtMs < plan.burst / plan.quotaPerMs;
     }
 
     /**
-     * Factor on the gap between calls where these are short: those tell most whose quota is unknown
-     * or nearly used up, and none where requests are admitted either way.
+     * Returns a factor on the gap between calls, which directs the limited calls to tenants whose
+     * quota is unknown or nearly used up. A fail-open tenant's requests are admitted with or
+     * without a total.
      */
     double callGapFactor(double nowMs) {
         boolean relaxed =
-                failsOpen() || isFresh(nowMs) && fits(current.total + plan.burst / 2, nowMs);
-        return relaxed ? RELAXED_GAP : URGENT_GAP;
+                failsOpen()
+                        || isLastTotalFresh(nowMs)
+                                && isWithinQuota(current.total + plan.burst / 2, nowMs);
+        return relaxed ? RELAXED_GAP_FACTOR : URGENT_GAP_FACTOR;
     }
 
     /**
-     * Takes units without the counter: after a recent total as if the others had used their shares
-     * of what has come free since, else from the own share. A share smaller than the request is
-     * drawn for by chance, so that over all gateways the shares admit what they hold.
+     * Takes units without the counter and returns whether they were available. With a recent total,
+     * the other gateways are assumed to have used their shares of the units that became free since;
+     * otherwise the per-gateway share decides. A request larger than the remaining share is
+     * admitted with a proportional probability, so that all gateways together admit the sum of
+     * their shares.
      */
     boolean takeWithoutCounter(double units, Random random, double nowMs) {
-        boolean fresh = isFresh(nowMs);
+        boolean fresh = isLastTotalFresh(nowMs);
         boolean taken =
                 fresh
-                        ? fits(current.total + units, nowMs) && units <= freeSinceRead(nowMs)
+                        ? isWithinQuota(current.total + units, nowMs)
+                                && units <= availableUnits(nowMs)
                         : localBucket.level(nowMs) >= units * random.nextDouble();
         if (taken || !fresh) {
             localBucket.charge(units, nowMs);
@@ -233,32 +247,33 @@
         return taken;
     }
 
-    private double freeSinceRead(double nowMs) {
-        return headroom.unitsAtLastRead() + share * plan.quotaPerMs * (nowMs - current.readAtMs);
+    private double availableUnits(double nowMs) {
+        return headroom.unitsAtLastRead()
+                + gatewayShare * plan.quotaPerMs * (nowMs - current.readAtMs);
     }
 
     /**
-     * The own share tells what is left of it when the counter falls silent: counted units come off
-     * it as well.
+     * Charges units that the counter has admitted to the per-gateway share, so that its level is
+     * correct when the counter becomes unresponsive.
      */
     void chargeLocalBucket(double units, double nowMs) {
         localBucket.charge(units, nowMs);
     }
 
-    /** Counts units that are not on the counter yet, or takes them back. */
-    void spend(CounterWindow window, double units) {
+    /** Adds units that are not in the last read total, or returns units if negative. */
+    void addUsage(CounterWindow window, double units) {
         window.total += units;
         headroom.spend(units);
     }
 
     /**
-     * Takes in a total.
+     * Applies a total that was read.
      *
-     * @param units of the request whose call read it, or 0
+     * @param units units of the request whose call read the total, or 0
      */
     void updateTotal(CounterWindow window, double total, double units, double nowMs) {
         if (window == current || window.wasRead) {
-            headroom.read(plan, total - window.total - units, units, nowMs);
+            headroom.applyRead(plan, total - window.total - units, units, nowMs);
         }
         window.total = total;
         window.wasRead = true;
@@ -270,7 +285,9 @@
         return unreportedUnits;
     }
 
-    /** Units that the next call adds; below 0 where it takes units back. */
+    /**
+     * Adds units to the unreported usage, which the next call reports; negative to return units.
+     */
     void addUnreported(double units) {
         unreportedUnits += units;
     }
@@ -301,26 +318,29 @@
         return hardLimit.waitMs(units, nowMs);
     }
 
-    /** Hard rate limit and limit on open requests, for a first attempt. */
-    boolean mayOpen(double units, double nowMs) {
+    /** Returns whether hard rate limit and limit on open requests allow a first attempt. */
+    boolean allowsNewRequest(double units, double nowMs) {
         return hardLimit.waitMs(units, nowMs) <= 0
                 && (plan.maxOpenRequests <= 0 || openAttempts + 0.5 < openRequestShare());
     }
 
-    /** The limit on open requests is divided by the use that the counter shows, evenly at first. */
+    /**
+     * Returns this gateway's share of the limit on open requests, in proportion to its share of the
+     * usage on the counter; initially the limit is divided evenly.
+     */
     private double openRequestShare() {
         double own =
-                current.ownUse()
-                        + previous.ownUse()
-                        + current.migratedUnits
-                        + previous.migratedUnits;
+                current.ownUsage()
+                        + previous.ownUsage()
+                        + current.carriedOverUnits
+                        + previous.carriedOverUnits;
         double all = current.total + previous.total;
-        double part = (own + plan.burst * share) / (all + plan.burst + AVOID_ZERO);
+        double part = (own + plan.burst * gatewayShare) / (all + plan.burst + EPSILON);
         return Math.max(1, plan.maxOpenRequests * Math.min(1, part));
     }
 
-    /** Whether nothing that is kept here matters any more. */
-    boolean isForgettable(double nowMs) {
+    /** Returns whether this state no longer affects any decision and can be dropped. */
+    boolean isEvictable(double nowMs) {
         return nowMs - lastRequestMs > 2 * MAX_WINDOW_MS
                 && openAttempts == 0
                 && hardLimit.isFull(nowMs);
--- a/gateway/src/test/java/tinford/decision/AttemptGuardTest.java
+++ b/gateway/src/test/java/tinford/decision/AttemptGuardTest.java
@@ -8,7 +8,7 @@
 import static tinford.decision.DecisionFixture.attemptedServers;
 import static tinford.decision.DecisionFixture.attempts;
 import static tinford.decision.DecisionFixture.plan;
-import static tinford.decision.DecisionFixture.takesBack;
+import static tinford.decision.DecisionFixture.returnsUnits;
 import static tinford.decision.DecisionFixture.tenant;
 
 import java.util.List;
@@ -21,9 +21,9 @@
 import tinford.api.SlowStartRules;
 import tinford.api.Tenant;
 
-/** Attempts that the rules do not allow are not sent. */
+/** Attempts that violate a rule are not sent. */
 public class AttemptGuardTest {
-    /** A request whose client is known to have disconnected, or not. */
+    /** Returns a request whose client is already known to have disconnected, or not. */
     private static Request request(DecisionFixture gateway, boolean clientGone) {
         Tenant tenant = tenant(FAIL_CLOSED_PLAN);
         return new Request(7, READ, tenant, gateway.nowMs + 8000, 1, false) {
@@ -41,7 +41,9 @@
         };
     }
 
-    /** The guard checks it itself, although the ranking leaves out servers that are not up. */
+    /**
+     * The guard checks the state itself, although the ranking only contains servers that are up.
+     */
     @Test(dataProvider = "serverStates")
     public void onlyAServerThatIsUpMayBeSentAnAttempt(Server.State state, boolean allowed) {
         double nowMs = 100_000;
@@ -50,7 +52,7 @@
         TenantQuota quota =
                 new TenantQuota(
                         tenant, fairness, new RequestSizeModel(), new GatewayLifecycle(), nowMs);
-        quota.roll(nowMs);
+        quota.rollWindows(nowMs);
         Request request = new Request(7, READ, tenant, nowMs + 8000, 1, false);
         PendingRequest pending = new PendingRequest(request, quota, 0, nowMs);
         Server server = new Server("s1");
@@ -61,7 +63,7 @@
         assertEquals(guard.allows(batch, pending, new ServerStats(server, 0.5)), allowed);
     }
 
-    /** The front may know that the client is gone before it reports the event. */
+    /** The I/O layer may know of the disconnect before it reports the event. */
     @Test
     public void nothingIsSentForADisconnectedClient() {
         for (boolean clientGone : new boolean[] {true, false}) {
@@ -70,11 +72,11 @@
             List<String> actions = gateway.arrive(request, 0, 1);
             assertEquals(attempts(actions), clientGone ? 0 : 1);
             actions.addAll(gateway.handle(events -> events.clientDisconnected(request)));
-            assertEquals(takesBack(actions, 1), clientGone, actions.toString());
+            assertEquals(returnsUnits(actions, 1), clientGone, actions.toString());
         }
     }
 
-    /** State of the server, whether the full endpoint list still has it. */
+    /** State of the server, whether the full endpoint list still contains it. */
     @DataProvider
     Object[][] leavingServers() {
         return new Object[][] {
@@ -87,7 +89,7 @@
     @Test(dataProvider = "leavingServers")
     public void noAttemptIsSentToALeavingServer(Server.State state, boolean listed) {
         DecisionFixture gateway = new DecisionFixture();
-        gateway.listServers("s1", "s2");
+        gateway.setEndpointList("s1", "s2");
         Server remaining = gateway.server("s1");
         Server leaving = gateway.server("s2");
         leaving.updateState(state);
--- a/gateway/src/test/java/tinford/decision/SlowStartTest.java
+++ b/gateway/src/test/java/tinford/decision/SlowStartTest.java
@@ -21,17 +21,17 @@
 import tinford.api.Server;
 import tinford.api.Tenant;
 
-/** Servers that are warming up get a part of a warm server's traffic. */
+/** Servers that are warming up get a share of a warm server's traffic. */
 public class SlowStartTest {
     private final Tenant tenant = tenant(LARGE_PLAN);
 
-    /** Units of nine requests out of ten, units of the tenth. */
+    /** Units of nine out of ten requests, units of the tenth. */
     @DataProvider
     Object[][] requestSizes() {
         return new Object[][] {{0.1, 0.1}, {0.1, 0.9}, {0.1, 2.0}};
     }
 
-    /** Its share rises from 0.18 to 0.6 of a warm server's units, whatever the request sizes. */
+    /** The share rises from 0.18 to 0.6 of a warm server's units, independent of request sizes. */
     @Test(dataProvider = "requestSizes")
     public void warmingServerGetsItsShareOfTheUnits(double small, double large) {
         DecisionFixture gateway = new DecisionFixture();
@@ -41,7 +41,7 @@
         for (int i = 0; i < 700; i++) {
             if (i == 500) {
                 gateway.server("cold").updateStartTime(gateway.nowMs);
-                gateway.listServers("s1", "s2", "s3", "cold");
+                gateway.setEndpointList("s1", "s2", "s3", "cold");
             }
             Request request = gateway.request(tenant, READ, i % 10 == 0 ? large : small);
             List<String> servers = attemptedServers(gateway.arrive(request, 0, 0.1));
@@ -63,7 +63,7 @@
         assertTrue(share > 0.26 && share < 0.6, "share: " + share);
     }
 
-    /** Outcome of the attempts at warm servers, whether a warming one earns attempts by it. */
+    /** Outcome of the attempts at warm servers, whether it earns a warming server attempts. */
     @DataProvider
     Object[][] warmOutcomes() {
         return new Object[][] {
@@ -74,13 +74,13 @@
         };
     }
 
-    /** What overloads warm servers says nothing about the capacity of a warming one. */
+    /** Only successes earn credit: failing warm servers show no spare capacity of warming ones. */
     @Test(dataProvider = "warmOutcomes")
     public void warmingServerEarnsAttemptsBySuccessesOfWarmOnes(
             AttemptOutcome outcome, boolean earns) {
         DecisionFixture gateway = new DecisionFixture();
         gateway.server("cold").updateStartTime(gateway.nowMs);
-        gateway.listServers("s1", "s2", "s3", "cold");
+        gateway.setEndpointList("s1", "s2", "s3", "cold");
         long toWarm = 0;
         long toWarming = 0;
         for (int i = 0; i < 40; i++) {
@@ -102,17 +102,19 @@
             gateway.advance(200);
         }
         assertTrue(toWarm >= 10, "to warm servers: " + toWarm);
-        assertTrue(earns ? toWarming > 1 : toWarming == 0, toWarming + " beside " + toWarm);
+        assertTrue(
+                earns ? toWarming > 1 : toWarming == 0,
+                toWarming + " to the warming server, " + toWarm + " to warm servers");
     }
 
     @Test
-    public void rejectedRequestsEarnNothingWhereNoServerIsWarm() {
+    public void rejectedRequestsEarnNoCreditWhenNoServerIsWarm() {
         DecisionFixture gateway = new DecisionFixture();
         String[] ids = {"c1", "c2", "c3", "c4", "c5"};
         for (String id : ids) {
             gateway.server(id).updateStartTime(gateway.nowMs);
         }
-        gateway.listServers(ids);
+        gateway.setEndpointList(ids);
         Tenant exhausted = tenant(FAIL_CLOSED_PLAN);
         for (int i = 0; i < 60; i++) {
             Request request = gateway.request(exhausted, READ, 1);
@@ -123,10 +125,10 @@
         for (int i = 1; i <= 5; i++) {
             sent += attempts(gateway.arrive(gateway.request(withinQuota, READ, 1), 0, i));
         }
-        assertTrue(sent < 3, sent + " of 5 at once");
+        assertTrue(sent < 3, "sent at once: " + sent + " of 5");
     }
 
-    /** Otherwise all gateways would send the first attempt that they earn to the same server. */
+    /** Guards against all gateways sending their first earned attempt to the same server. */
     @Test
     public void warmingServersAreChosenInRandomOrder() {
         DecisionFixture gateway = new DecisionFixture();
