--- a/gateway/src/main/java/tinford/protocol/ChunkedLineReader.java
+++ b/gateway/src/main/java/tinford/protocol/ChunkedLineReader.java
@@ -6,17 +6,17 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the lines of text in an HTTP/1.1 response with chunked transfer encoding. Lines may extend
- * over several chunks, and chunks over several reads.
+ * Reads lines of text from an HTTP/1.1 response with chunked transfer encoding. A line may span
+ * several chunks, and a chunk several reads.
  */
 public final class ChunkedLineReader {
     private static final int MAX_HEAD_BYTES = 8 << 10;
     private static final int INITIAL_LINE_BYTES = 1024;
 
-    /** A longer line's buffer is released together with the line. */
-    private static final int MAX_KEPT_LINE_BYTES = 64 << 10;
+    /** A line buffer longer than this is released when its line is complete. */
+    private static final int MAX_RETAINED_LINE_BYTES = 64 << 10;
 
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     private enum State {
         RESPONSE_HEAD,
@@ -33,31 +33,31 @@
     private long remainingChunkBytes;
 
     /**
-     * @param maxLineBytes the length of the longest line that is accepted
+     * @param maxLineBytes the maximum length of a line
      */
     public ChunkedLineReader(int maxLineBytes) {
         this.maxLineBytes = maxLineBytes;
     }
 
-    /** Whether the response's last chunk has been read. */
+    /** Whether the last chunk of the response has been read. */
     public boolean isComplete() {
         return state == State.COMPLETE;
     }
 
     /**
-     * Reads as much as it can.
+     * Reads as many of the bytes as possible.
      *
-     * @param lines called with each complete line, without the white space around it
-     * @return how many bytes were consumed; the others are to be passed again, with more behind
-     *     them
+     * @param lineHandler called with each complete line, without surrounding white space
+     * @return how many bytes were consumed; the caller passes the others again, followed by more
+     *     input
      */
-    public int read(byte[] bytes, int from, int to, Consumer<String> lines)
+    public int read(byte[] bytes, int from, int to, Consumer<String> lineHandler)
             throws ProtocolException {
         int position = from;
         while (state != State.COMPLETE && position < to) {
             int consumed =
                     state == State.CHUNK_DATA
-                            ? readChunkData(bytes, position, to, lines)
+                            ? readChunkData(bytes, position, to, lineHandler)
                             : readControlLine(bytes, position, to);
             if (consumed == 0) {
                 break;
@@ -67,10 +67,10 @@
         return position - from;
     }
 
-    private int readChunkData(byte[] bytes, int from, int to, Consumer<String> lines)
+    private int readChunkData(byte[] bytes, int from, int to, Consumer<String> lineHandler)
             throws ProtocolException {
         int count = (int) Math.min(remainingChunkBytes, to - from);
-        readText(bytes, from, from + count, lines);
+        readText(bytes, from, from + count, lineHandler);
         remainingChunkBytes -= count;
         if (remainingChunkBytes == 0) {
             state = State.CHUNK_END;
@@ -78,7 +78,11 @@
         return count;
     }
 
-    /** The response's head, a chunk's size, or the line end behind a chunk; 0 if incomplete. */
+    /**
+     * Reads the response head, a chunk size line, or the line end after a chunk.
+     *
+     * @return the number of bytes consumed, or 0 if the input is incomplete
+     */
     private int readControlLine(byte[] bytes, int from, int to) throws ProtocolException {
         int end =
                 state == State.RESPONSE_HEAD
@@ -86,7 +90,8 @@
                         : endOfLine(bytes, from, to);
         if (end < 0) {
             if (to - from > MAX_HEAD_BYTES) {
-                throw new ProtocolException("a head of under " + MAX_HEAD_BYTES + " bytes");
+                throw new ProtocolException(
+                        "a response head or chunk line of under " + MAX_HEAD_BYTES + " bytes");
             }
             return 0;
         }
@@ -101,10 +106,10 @@
 
     private void readResponseHead(String head) throws ProtocolException {
         if (!head.startsWith("HTTP/1.1 200 ")) {
-            throw new ProtocolException("HTTP/1.1 200");
+            throw new ProtocolException("status line HTTP/1.1 200");
         }
         if (!head.toLowerCase(Locale.ROOT).contains("\r\ntransfer-encoding: chunked\r\n")) {
-            throw new ProtocolException("an answer in chunks");
+            throw new ProtocolException("a response with Transfer-Encoding: chunked");
         }
         state = State.CHUNK_SIZE;
     }
@@ -113,24 +118,24 @@
         int extension = text.indexOf(';');
         int digitsEnd = extension < 0 ? text.length() - 2 : extension;
         try {
-            remainingChunkBytes = Long.parseLong(text.substring(0, digitsEnd).trim(), HEX);
+            remainingChunkBytes = Long.parseLong(text.substring(0, digitsEnd).trim(), HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw new ProtocolException("the size of a chunk in hex digits");
+            throw new ProtocolException("a chunk size in hex digits");
         }
         if (remainingChunkBytes < 0) {
-            throw new ProtocolException("the size of a chunk");
+            throw new ProtocolException("a chunk size from 0 on");
         }
         state = remainingChunkBytes == 0 ? State.COMPLETE : State.CHUNK_DATA;
     }
 
     private void readChunkEnd(String text) throws ProtocolException {
         if (!text.equals("\r\n")) {
-            throw new ProtocolException("the end of a line behind a chunk");
+            throw new ProtocolException("CR LF after the chunk data");
         }
         state = State.CHUNK_SIZE;
     }
 
-    /** The index behind the first CR LF, or -1. */
+    /** The index after the first CR LF, or -1. */
     private static int endOfLine(byte[] bytes, int from, int to) {
         for (int i = from; i + 2 <= to; i++) {
             if (isLineEnd(bytes, i)) {
@@ -140,7 +145,7 @@
         return -1;
     }
 
-    /** The index behind the first two CR LF in a row, or -1. */
+    /** The index after the first two consecutive CR LF, or -1. */
     private static int endOfEmptyLine(byte[] bytes, int from, int to) {
         for (int i = from; i + 4 <= to; i++) {
             if (isLineEnd(bytes, i) && isLineEnd(bytes, i + 2)) {
@@ -154,24 +159,24 @@
         return bytes[index] == '\r' && bytes[index + 1] == '\n';
     }
 
-    private void readText(byte[] bytes, int from, int to, Consumer<String> lines)
+    private void readText(byte[] bytes, int from, int to, Consumer<String> lineHandler)
             throws ProtocolException {
         int start = from;
         for (int i = from; i < to; i++) {
             if (bytes[i] == '\n') {
                 appendToLine(bytes, start, i);
-                lines.accept(takeLine());
+                lineHandler.accept(takeLine());
                 start = i + 1;
             }
         }
         appendToLine(bytes, start, to);
     }
 
-    /** Releases a long buffer before the line is handled: its handler needs the memory. */
+    /** Returns the line, and releases a long buffer: the line's handler needs the memory. */
     private String takeLine() {
         String text = new String(line, 0, lineLength, StandardCharsets.UTF_8).strip();
         lineLength = 0;
-        if (line.length > MAX_KEPT_LINE_BYTES) {
+        if (line.length > MAX_RETAINED_LINE_BYTES) {
             line = new byte[INITIAL_LINE_BYTES];
         }
         return text;
--- a/gateway/src/main/java/tinford/protocol/ClientCommand.java
+++ b/gateway/src/main/java/tinford/protocol/ClientCommand.java
@@ -9,25 +9,25 @@
 
 /**
  * A client's request command: its fields, and its bytes, from which the command to a server is
- * made. On the wire the fields follow the verb as customer, id and terms (name=value, separated by
- * commas); a body may follow them.
+ * built. On the wire the verb is followed by the customer (the tenant), the id and the terms
+ * (name=value, separated by commas), and optionally by a body.
  */
 public final class ClientCommand {
     private static final String READ_VERB = "Q.ASK";
     private static final String WRITE_VERB = "Q.DO";
-    private static final int PARTS = 4;
-    private static final int PARTS_WITH_BODY = 5;
-    private static final int TERMS_PART = 3;
+    private static final int ELEMENT_COUNT = 4;
+    private static final int ELEMENT_COUNT_WITH_BODY = 5;
+    private static final int TERMS_ELEMENT = 3;
     private static final int TENANT_BITS = 33;
     private static final double MAX_TIMEOUT_MS = 1e9;
     private static final double MIN_UNITS = 1e-6;
     private static final double MAX_UNITS = 1e9;
     private static final double MAX_GATEWAYS = 1e6;
 
-    /** A longer rest of a command is written in pieces. */
-    private static final int MAX_WHOLE_WRITE_BYTES = RespReader.MAX_VALUE_BYTES;
+    /** The longest rest of a command that is put in one step; a longer one is put in chunks. */
+    private static final int MAX_SINGLE_WRITE_BYTES = RespReader.MAX_VALUE_BYTES;
 
-    private static final int PIECE_BYTES = 32 << 10;
+    private static final int WRITE_CHUNK_BYTES = 32 << 10;
     private static final Pattern HEX_ID = Pattern.compile("[0-9a-f]{16}");
     public final boolean retryable;
     public final long tenant;
@@ -44,13 +44,13 @@
     /** The array that holds the command, or null once its bytes are released. */
     private byte[] raw;
 
-    /** Where the command begins in the array; all other positions count from here. */
+    /** The index of the command in the array; all other positions are relative to it. */
     private int start;
 
     private final int length;
 
-    /** Where the length line of the terms begins, and the terms themselves. */
-    private final int termsHead;
+    /** The position of the length line ($ and digits) of the terms. */
+    private final int termsLengthStart;
 
     private final int termsStart;
     private final int termsEnd;
@@ -58,25 +58,25 @@
     private int timeoutEnd;
 
     /**
-     * Refers to the bytes until {@link #copyBytes} gives it bytes of its own.
+     * Creates a command that refers to the given array until {@link #copyBytes} is called.
      *
-     * @param parsed the command's parts
-     * @param from where the command begins in the bytes
-     * @param length of the command in bytes
-     * @throws ProtocolException if a field is missing or out of its range
+     * @param parsed the elements of the command
+     * @param from the index of the command in the array
+     * @param length the length of the command in bytes
+     * @throws ProtocolException if a field is missing or out of range
      */
     public ClientCommand(RespReader parsed, byte[] bytes, int from, int length)
             throws ProtocolException {
         retryable = isRetryable(parsed.text(0));
-        checkPartCount(parsed.partCount());
+        checkElementCount(parsed.partCount());
         tenant = parseTenant(parsed.text(1));
         id = parseId(parsed.text(2), "id");
         raw = bytes;
         start = from;
         this.length = length;
-        termsStart = parsed.offset(TERMS_PART) - from;
-        termsEnd = termsStart + parsed.length(TERMS_PART);
-        termsHead = lastIndexOf('$', termsStart - "$\r\n".length());
+        termsStart = parsed.offset(TERMS_ELEMENT) - from;
+        termsEnd = termsStart + parsed.length(TERMS_ELEMENT);
+        termsLengthStart = lastIndexOf('$', termsStart - "$\r\n".length());
         parseTerms();
         if (requestClass == null || plan == null || timeoutMs < 0) {
             throw new ProtocolException("the terms c, t and d");
@@ -91,10 +91,11 @@
         };
     }
 
-    private void checkPartCount(int parts) throws ProtocolException {
-        if (parts != PARTS && (retryable || parts != PARTS_WITH_BODY)) {
+    private void checkElementCount(int count) throws ProtocolException {
+        if (count != ELEMENT_COUNT && (retryable || count != ELEMENT_COUNT_WITH_BODY)) {
             throw new ProtocolException(
-                    "customer, id and terms" + (retryable ? "" : ", and a body at most"));
+                    "the arguments customer, id and terms"
+                            + (retryable ? "" : ", and at most a body"));
         }
     }
 
@@ -121,7 +122,7 @@
         return index;
     }
 
-    /** The first index of the character in the terms, from {@code from} on, or {@code to}. */
+    /** The first position of the character from {@code from} on, or {@code to} if there is none. */
     private int indexOf(char character, int from, int to) {
         int index = from;
         while (index < to && raw[start + index] != character) {
@@ -140,9 +141,9 @@
                 throw new ProtocolException("terms as name=value,name=value");
             }
             String name = text(termStart, equals);
-            // a server might use the other one of two terms than the one that was checked
+            // of two terms of the same name, a server might use the one that was not checked here
             if (!names.add(name)) {
-                throw new ProtocolException("each term once");
+                throw new ProtocolException("each term at most once");
             }
             setTerm(name, equals + 1, end);
             termStart = end + 1;
@@ -165,7 +166,7 @@
             case "k" -> hasIdempotencyKey = !value.isEmpty();
             case "r" -> markedAsRetry = value.equals("1");
             default -> {
-                // left to the server
+                // other terms are only interpreted by the server
             }
         }
     }
@@ -192,32 +193,32 @@
         return (int) number;
     }
 
-    /** The length of the command in bytes, as it came from the client. */
+    /** The length of the command in bytes, as received from the client. */
     public int length() {
         return length;
     }
 
-    /** Copies the bytes, so that the array that they were parsed from may be used again. */
+    /** Copies the bytes, so that the array from which they were parsed can be reused. */
     public void copyBytes() {
         raw = Arrays.copyOfRange(raw, start, start + length);
         start = 0;
     }
 
-    /** Gives the bytes up; nothing can be written from then on. */
+    /** Releases the bytes; the command can't be written afterwards. */
     public void releaseBytes() {
         raw = null;
     }
 
     /**
-     * Puts the command for a server: the same bytes, with another timeout.
+     * Puts the command to a server into the buffer: the client's bytes, with another timeout.
      *
-     * @return how many of the {@link #length} bytes are put; the rest of a long command follows
+     * @return how many of the {@link #length} bytes were put; the rest of a long command is put
      *     with {@link #write(ConnectionBuffer, int)}
      */
     public int write(ConnectionBuffer target, long timeoutMsForServer) {
         String timeout = Long.toString(timeoutMsForServer);
         int oldTimeoutLength = timeoutEnd - timeoutStart;
-        target.put(raw, start, termsHead)
+        target.put(raw, start, termsLengthStart)
                 .put("$")
                 .put(termsEnd - termsStart - oldTimeoutLength + timeout.length())
                 .putLineEnd()
@@ -226,10 +227,14 @@
         return write(target, timeoutEnd);
     }
 
-    /** Puts the next piece, from that byte on; the result is as above. */
+    /**
+     * Puts the next bytes of a long command into the buffer, from that position on.
+     *
+     * @return as for {@link #write(ConnectionBuffer, long)}
+     */
     public int write(ConnectionBuffer target, int from) {
         int rest = length - from;
-        int count = rest <= MAX_WHOLE_WRITE_BYTES ? rest : PIECE_BYTES;
+        int count = rest <= MAX_SINGLE_WRITE_BYTES ? rest : WRITE_CHUNK_BYTES;
         target.put(raw, start + from, count);
         return from + count;
     }
--- a/gateway/src/main/java/tinford/protocol/EndpointListLimit.java
+++ b/gateway/src/main/java/tinford/protocol/EndpointListLimit.java
@@ -1,8 +1,9 @@
 package tinford.protocol;
 
 /**
- * The length limit of one endpoint list, derived from the heap. Reading a list takes about eight
- * times its text: a limit of a thirty-second of the heap leaves three quarters for all else.
+ * The maximum length of an endpoint list, derived from the heap size. Reading a list takes about
+ * eight times the size of its text, so a limit of 1/32 of the heap leaves three quarters of the
+ * heap for everything else.
  */
 public final class EndpointListLimit {
     private static final long HEAP_DIVISOR = 32;
@@ -11,7 +12,7 @@
 
     private EndpointListLimit() {}
 
-    /** The limit for a heap of that size: from 1 to 16 MiB. */
+    /** The limit for a heap of that size, between 1 and 16 MiB. */
     public static int maxBytes(long heapBytes) {
         long limit = heapBytes / HEAP_DIVISOR;
         return (int) Math.max(MIN_LIMIT_BYTES, Math.min(MAX_LIMIT_BYTES, limit));
--- a/gateway/src/main/java/tinford/protocol/HttpRequestHead.java
+++ b/gateway/src/main/java/tinford/protocol/HttpRequestHead.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Method and path of an HTTP/1.1 request. Query, header fields and body are ignored. */
+/** The method and path of an HTTP/1.1 request; query, header fields and body are ignored. */
 public final class HttpRequestHead {
     private static final int MAX_HEAD_BYTES = 8 << 10;
     private static final int REQUEST_LINE_PARTS = 3;
@@ -16,14 +16,14 @@
         this.path = path;
     }
 
-    /** The head at the start of the bytes, or null when it is not complete yet. */
+    /** Parses the request head at the start of the range; returns null while it is incomplete. */
     public static HttpRequestHead parse(byte[] bytes, int from, int to) throws ProtocolException {
         int end = endOfHead(bytes, from, to);
         if (end >= 0) {
             return parseHead(new String(bytes, from, end - from, StandardCharsets.ISO_8859_1));
         }
         if (to - from > MAX_HEAD_BYTES) {
-            throw new ProtocolException("a head of under " + MAX_HEAD_BYTES + " bytes");
+            throw new ProtocolException("a request head of under " + MAX_HEAD_BYTES + " bytes");
         }
         return null;
     }
@@ -40,7 +40,7 @@
         return new HttpRequestHead(parts[0], query < 0 ? target : target.substring(0, query));
     }
 
-    /** The index behind the last header line, or -1; lines may end with LF or CR LF. */
+    /** The index after the last header line, or -1; lines may end with LF or CR LF. */
     private static int endOfHead(byte[] bytes, int from, int to) {
         for (int i = from; i < to; i++) {
             if (bytes[i] == '\n' && isEmptyLine(bytes, i + 1, to)) {
--- a/gateway/src/main/java/tinford/protocol/JsonObjectSplitter.java
+++ b/gateway/src/main/java/tinford/protocol/JsonObjectSplitter.java
@@ -9,8 +9,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Finds JSON objects in lines of text. An object may take one line or several; its length is
- * bounded.
+ * Splits lines of text into JSON objects. An object may span several lines; its length is limited.
  */
 public final class JsonObjectSplitter {
     private static final byte[] LINE_END = {'\n'};
@@ -18,20 +17,20 @@
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
 
-    /** The lines of the object that is not complete yet. */
+    /** The lines received so far of an object that is not complete yet. */
     private StringBuilder incomplete = new StringBuilder();
 
     private int depth;
 
     /**
-     * @param maxObjectChars the length of the longest object that is accepted
+     * @param maxObjectChars the maximum length of an object
      */
-    public JsonObjectSplitter(JsonFactory json, int maxObjectChars) {
+    public JsonObjectSplitter(JsonFactory jsonFactory, int maxObjectChars) {
         this.maxObjectChars = maxObjectChars;
         try {
-            parser = json.createNonBlockingByteArrayParser();
+            parser = jsonFactory.createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // declared only: no input is read here
+            throw new UncheckedIOException(e); // declared by Jackson, but no input is read here
         }
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
@@ -39,24 +38,24 @@
     /**
      * Adds a line, without its line end.
      *
-     * @return the object that it completes; an empty text for an empty line between objects; null
-     *     when the object is not complete yet
+     * @return the object that the line completes, an empty string for an empty line between
+     *     objects, or null if the object is not complete yet
      */
     public String addLine(String line) throws ProtocolException {
         if (line.isEmpty() && incomplete.length() == 0) {
             return line;
         }
         if (incomplete.length() + line.length() + 1 > maxObjectChars) {
-            throw new ProtocolException("an object of under " + maxObjectChars + " bytes");
+            throw new ProtocolException("a JSON object of under " + maxObjectChars + " bytes");
         }
         try {
             feed(line.getBytes(StandardCharsets.UTF_8));
             feed(LINE_END);
         } catch (IOException e) {
-            throw new ProtocolException("JSON");
+            throw new ProtocolException("valid JSON");
         }
         if (depth <= 0 && incomplete.length() == 0) {
-            return line; // the usual case, without a copy
+            return line; // an object on a single line, the usual case, is returned without a copy
         }
         incomplete.append(line).append('\n');
         if (depth > 0) {
--- a/gateway/src/main/java/tinford/protocol/RespReader.java
+++ b/gateway/src/main/java/tinford/protocol/RespReader.java
@@ -3,36 +3,44 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Parses one RESP2 value at a time where it lies in a byte array, without copying: a simple value,
- * or an array of simple values. After a parse its parts are read by index; a simple value has one.
+ * Parses one RESP2 value at a time in place, without copying it out of its byte array. The value is
+ * a simple string, error, integer or bulk string, or an array of these. After a parse its elements
+ * are accessed by index; a value that is not an array has one element.
  */
 public final class RespReader {
-    private static final int MAX_PARTS = 16;
+    private static final int MAX_ELEMENTS = 16;
     private static final int MAX_LINE_BYTES = 1024;
     private static final int MAX_BULK_BYTES = 64 << 10;
     private static final int MAX_LONG_BULK_BYTES = 4 << 20;
     private static final int MAX_LENGTH_DIGITS = 9;
     private static final int LINE_END_BYTES = 2;
 
-    /** The part of a command that may be a long body. */
-    private static final int BODY_PART = 4;
+    /** The element of a command that may be a long body. */
+    private static final int BODY_ELEMENT = 4;
 
-    /** A part that is no long body, with its prefix and line ends. */
-    private static final int MAX_PART_OVERHEAD_BYTES = 1100;
+    /**
+     * The size allowed for each element other than a long bulk string, including its prefix and
+     * line ends.
+     */
+    private static final int MAX_ELEMENT_OVERHEAD_BYTES = 1100;
 
-    /** The longest value that is parsed whole, but for commands with a long body. */
-    public static final int MAX_VALUE_BYTES = MAX_BULK_BYTES + MAX_PARTS * MAX_PART_OVERHEAD_BYTES;
+    /**
+     * The maximum length of a value that is parsed in one piece, except for commands with a long
+     * body.
+     */
+    public static final int MAX_VALUE_BYTES =
+            MAX_BULK_BYTES + MAX_ELEMENTS * MAX_ELEMENT_OVERHEAD_BYTES;
 
-    /** The longest command with a long body. */
+    /** The maximum length of a command with a long body. */
     public static final int MAX_COMMAND_BYTES = MAX_LONG_BULK_BYTES + MAX_VALUE_BYTES;
 
-    /** The kind of a null bulk string. */
-    private static final byte NULL_KIND = 0;
+    /** The type of a null bulk string. */
+    private static final byte NULL_TYPE = 0;
 
     private final boolean allowsLongBody;
-    private final int[] partStart = new int[MAX_PARTS];
-    private final int[] partEnd = new int[MAX_PARTS];
-    private final byte[] partKind = new byte[MAX_PARTS];
+    private final int[] elementStart = new int[MAX_ELEMENTS];
+    private final int[] elementEnd = new int[MAX_ELEMENTS];
+    private final byte[] elementType = new byte[MAX_ELEMENTS];
     private byte[] bytes;
     private int valueStart;
     private int position;
@@ -56,7 +64,7 @@
     /**
      * Parses the value at the start of the range.
      *
-     * @return its length, or 0 when it is not complete yet
+     * @return its length, or 0 if it is incomplete
      */
     public int parse(byte[] source, int from, int to) throws ProtocolException {
         setSource(source, from, to);
@@ -69,12 +77,12 @@
             if (count < 0) {
                 return 0;
             }
-            if (count == 0 || count > MAX_PARTS) {
-                throw new ProtocolException("an array of 1 to " + MAX_PARTS + " parts");
+            if (count == 0 || count > MAX_ELEMENTS) {
+                throw new ProtocolException("an array of 1 to " + MAX_ELEMENTS + " elements");
             }
             partCount = (int) count;
         }
-        return parseParts(0) ? position - from : 0;
+        return parseElements(0) ? position - from : 0;
     }
 
     private void setSource(byte[] source, int from, int to) {
@@ -83,24 +91,24 @@
         limit = to;
     }
 
-    private boolean parseParts(int first) throws ProtocolException {
+    private boolean parseElements(int first) throws ProtocolException {
         for (int i = first; i < partCount; i++) {
-            if (!parsePart(i)) {
+            if (!parseElement(i)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** False when the part is not complete yet. */
-    private boolean parsePart(int i) throws ProtocolException {
+    /** Returns false if the element is incomplete. */
+    private boolean parseElement(int i) throws ProtocolException {
         if (position >= limit) {
             return false;
         }
-        partKind[i] = bytes[position];
-        return switch (partKind[i]) {
+        elementType[i] = bytes[position];
+        return switch (elementType[i]) {
             case '$' -> isNegativeLength() ? parseNullBulk(i) : parseBulk(i);
-            case '+', '-', ':' -> parseLinePart(i);
+            case '+', '-', ':' -> parseLineElement(i);
             default -> throw new ProtocolException("a RESP2 value");
         };
     }
@@ -114,7 +122,7 @@
         if (length < 0) {
             return false;
         }
-        int maxLength = allowsLongBody && i == BODY_PART ? MAX_LONG_BULK_BYTES : MAX_BULK_BYTES;
+        int maxLength = allowsLongBody && i == BODY_ELEMENT ? MAX_LONG_BULK_BYTES : MAX_BULK_BYTES;
         if (length > maxLength) {
             throw new ProtocolException("a value of at most " + maxLength + " bytes");
         }
@@ -123,19 +131,19 @@
             requiredBytes = length > MAX_BULK_BYTES ? position - valueStart + withLineEnd : 0;
             return false;
         }
-        setPart(i, position, position + (int) length);
-        if (!isLineEnd(partEnd[i])) {
-            throw new ProtocolException("the end of a line behind a value");
+        setElement(i, position, position + (int) length);
+        if (!isLineEnd(elementEnd[i])) {
+            throw new ProtocolException("CR LF after a bulk string");
         }
         return true;
     }
 
-    private boolean parseLinePart(int i) throws ProtocolException {
+    private boolean parseLineElement(int i) throws ProtocolException {
         int lineEnd = findLineEnd();
         if (lineEnd < 0) {
             return false;
         }
-        setPart(i, position + 1, lineEnd);
+        setElement(i, position + 1, lineEnd);
         return true;
     }
 
@@ -147,15 +155,15 @@
         if (lineEnd - position != "$-1".length() || bytes[position + 2] != '1') {
             throw new ProtocolException("$-1 for no value");
         }
-        partKind[i] = NULL_KIND;
-        setPart(i, lineEnd, lineEnd);
+        elementType[i] = NULL_TYPE;
+        setElement(i, lineEnd, lineEnd);
         return true;
     }
 
-    /** Records the part, and goes on behind the line end that follows it. */
-    private void setPart(int i, int start, int end) {
-        partStart[i] = start;
-        partEnd[i] = end;
+    /** Records the element, and moves the position past the line end that follows it. */
+    private void setElement(int i, int start, int end) {
+        elementStart[i] = start;
+        elementEnd[i] = end;
         position = end + LINE_END_BYTES;
     }
 
@@ -164,8 +172,10 @@
     }
 
     /**
-     * The length behind the type character at the present position, or -1 when its line is not
-     * complete; goes on behind the line.
+     * Parses the length after the type character at the current position, and moves the position
+     * past its line.
+     *
+     * @return the length, or -1 if its line is incomplete
      */
     private long parseLength() throws ProtocolException {
         int lineEnd = findLineEnd();
@@ -179,7 +189,7 @@
         long length = 0;
         for (int i = first; i < lineEnd; i++) {
             if (bytes[i] < '0' || bytes[i] > '9') {
-                throw new ProtocolException("a length in digits");
+                throw new ProtocolException("a length in decimal digits");
             }
             length = length * 10 + bytes[i] - '0';
         }
@@ -201,11 +211,12 @@
     }
 
     /**
-     * Parses the head of an answer with a long value: an array whose first part is a bulk string of
-     * more bytes than are read whole. {@link #longValueBytes} is then its length.
+     * Parses the head of a response with a long value: an array whose first element is a bulk
+     * string that is too long to be parsed in one piece. Its length is then returned by {@link
+     * #longValueBytes}.
      *
-     * @return the length of the head, behind which the value's bytes begin, or 0 when there is no
-     *     such head
+     * @return the length of the head, after which the bytes of the long value begin, or 0 if there
+     *     is no such head
      */
     public int parseLongValueHead(byte[] source, int from, int to) throws ProtocolException {
         setSource(source, from, to);
@@ -213,7 +224,7 @@
             return 0;
         }
         long count = parseLength();
-        if (count < 1 || count > MAX_PARTS || position >= limit || bytes[position] != '$') {
+        if (count < 1 || count > MAX_ELEMENTS || position >= limit || bytes[position] != '$') {
             return 0;
         }
         partCount = (int) count;
@@ -228,8 +239,8 @@
     }
 
     /**
-     * After an incomplete {@link #parse}: the length of the whole command when it has a long body,
-     * else 0.
+     * After {@link #parse} returned 0: the length of the complete command if it has a long body,
+     * otherwise 0.
      */
     public int requiredBytes() {
         return requiredBytes;
@@ -240,30 +251,31 @@
     }
 
     /**
-     * Parses what follows a long value in an array of so many parts: its line end and the other
-     * parts. The long value itself is then an empty part.
+     * Parses what follows the long value in an array: its line end and the other elements. The long
+     * value itself is then represented by an empty element.
      *
-     * @return the length of what follows, or 0 when it is not complete yet
+     * @param elements the number of elements of the array, including the long value
+     * @return the length of what follows the long value, or 0 if it is incomplete
      */
-    public int parseAfterLongValue(int parts, byte[] source, int from, int to)
+    public int parseAfterLongValue(int elements, byte[] source, int from, int to)
             throws ProtocolException {
         setSource(source, from, to);
-        partCount = parts;
+        partCount = elements;
         isArray = true;
         int available = limit - position;
         if (available >= 1 && bytes[position] != '\r'
                 || available >= 2 && bytes[position + 1] != '\n') {
-            throw new ProtocolException("the end of a line behind a value");
+            throw new ProtocolException("CR LF after a bulk string");
         }
-        partKind[0] = '$';
-        setPart(0, position, position);
+        elementType[0] = '$';
+        setElement(0, position, position);
         if (position > limit) {
             return 0;
         }
-        return parseParts(1) ? position - from : 0;
+        return parseElements(1) ? position - from : 0;
     }
 
-    /** The array that was parsed last. */
+    /** The byte array that was parsed last. */
     public byte[] bytes() {
         return bytes;
     }
@@ -276,28 +288,29 @@
         return partCount;
     }
 
-    /** The type character of a part: '$', '+', '-' or ':', or 0 for a null bulk string. */
-    public byte kind(int part) {
-        return partKind[part];
+    /** The type character of an element ('$', '+', '-' or ':'), or 0 for a null bulk string. */
+    public byte kind(int element) {
+        return elementType[element];
     }
 
-    /** Where the content of a part begins in {@link #bytes}. */
-    public int offset(int part) {
-        return partStart[part];
+    /** The index of an element's content in {@link #bytes}. */
+    public int offset(int element) {
+        return elementStart[element];
     }
 
-    public int length(int part) {
-        return partEnd[part] - partStart[part];
+    public int length(int element) {
+        return elementEnd[element] - elementStart[element];
     }
 
-    public String text(int part) {
-        return new String(bytes, partStart[part], length(part), StandardCharsets.ISO_8859_1);
+    public String text(int element) {
+        return new String(
+                bytes, elementStart[element], length(element), StandardCharsets.ISO_8859_1);
     }
 
     /** Whether the value is an array of bulk strings. */
     public boolean isCommand() {
         for (int i = 0; i < partCount; i++) {
-            if (partKind[i] != '$') {
+            if (elementType[i] != '$') {
                 return false;
             }
         }
--- a/gateway/src/main/java/tinford/protocol/UsageReport.java
+++ b/gateway/src/main/java/tinford/protocol/UsageReport.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** The figures that a server reports with its answer, as name=value,name=value. */
+/** The figures that a server reports with its response, as name=value,name=value. */
 public final class UsageReport {
     private UsageReport() {}
 
-    /** The value with that name; {@code absent} when there is none, or no number from 0 on. */
-    public static double value(String text, String name, double absent) {
+    /** The value with that name, or the default if it is missing, negative or not a number. */
+    public static double value(String text, String name, double defaultValue) {
         int position = 0;
         while (position < text.length()) {
             int comma = text.indexOf(',', position);
@@ -15,16 +15,16 @@
             int equals = position + name.length();
             if (text.startsWith(name, position) && equals < end && text.charAt(equals) == '=') {
                 double value = NumberParser.parse(text.substring(equals + 1, end));
-                return value >= 0 ? value : absent;
+                return value >= 0 ? value : defaultValue;
             }
             position = end + 1;
         }
-        return absent;
+        return defaultValue;
     }
 
     /**
-     * A load report: the values with those names, in their order and 0 for absent ones, or null
-     * when the text has none of them.
+     * Parses a load report: the values with the given names, in the order of the names, with 0 for
+     * missing ones; null if the text has none of them.
      */
     public static double[] loadReport(String text, List<String> names) {
         double[] values = new double[names.size()];
--- a/gateway/src/main/java/tinford/protocol/package-info.java
+++ b/gateway/src/main/java/tinford/protocol/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Parsers for what clients, servers, the counter, discovery and operators send. They do no I/O and
- * bound what they buffer.
+ * Parsers for the input from clients, servers, the counter, discovery and operators. They perform
+ * no I/O, and limit how much they buffer.
  */
 package tinford.protocol;
--- a/gateway/src/test/java/tinford/protocol/EndpointListBoundsTest.java
+++ b/gateway/src/test/java/tinford/protocol/EndpointListBoundsTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How much of an endpoint list is buffered while it is received. */
+/** The limits on how much of an endpoint list is buffered while it is received. */
 public class EndpointListBoundsTest {
     private static final int MAX_BYTES = 1 << 20;
     private static final String HEAD =
@@ -25,19 +25,19 @@
         };
     }
 
-    /** A line, or an object over several lines, that does not end. */
+    /** A line, or an object over several lines, that never ends must be rejected at the limit. */
     @Test(dataProvider = "endlessInputs")
     public void endlessInputIsRejected(String start) throws ProtocolException {
         ChunkedLineReader lines = new ChunkedLineReader(MAX_BYTES);
         JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MAX_BYTES);
-        AtomicInteger came = new AtomicInteger();
-        ProtocolException[] bad = new ProtocolException[1];
+        AtomicInteger received = new AtomicInteger();
+        ProtocolException[] failure = new ProtocolException[1];
         byte[] head = (HEAD + start).getBytes(StandardCharsets.ISO_8859_1);
         byte[] more =
                 (start.contains("\n") ? "      \n" : "       ")
                         .repeat(100)
                         .getBytes(StandardCharsets.ISO_8859_1);
-        ProtocolException m =
+        ProtocolException thrown =
                 expectThrows(
                         ProtocolException.class,
                         () -> {
@@ -45,21 +45,24 @@
                                     head,
                                     0,
                                     head.length,
-                                    line -> bad[0] = addLineExpectingFailure(objects, line));
-                            // blanks around the lines of an object are not buffered
-                            while (came.addAndGet(more.length) < 2 * MAX_BYTES * 7) {
+                                    line -> failure[0] = addLineExpectingFailure(objects, line));
+                            // white space around the lines of an object is not buffered
+                            while (received.addAndGet(more.length) < 2 * MAX_BYTES * 7) {
                                 lines.read(
                                         more,
                                         0,
                                         more.length,
-                                        line -> bad[0] = addLineExpectingFailure(objects, line));
-                                if (bad[0] != null) {
-                                    throw bad[0];
+                                        line ->
+                                                failure[0] =
+                                                        addLineExpectingFailure(objects, line));
+                                if (failure[0] != null) {
+                                    throw failure[0];
                                 }
                             }
                         });
-        assertTrue(m.getMessage().contains("under " + MAX_BYTES + " bytes"), m.getMessage());
-        assertTrue(came.get() <= 7 * (MAX_BYTES + more.length), "after " + came);
+        assertTrue(
+                thrown.getMessage().contains("under " + MAX_BYTES + " bytes"), thrown.getMessage());
+        assertTrue(received.get() <= 7 * (MAX_BYTES + more.length), "after " + received);
     }
 
     private static ProtocolException addLineExpectingFailure(
@@ -75,17 +78,17 @@
     @DataProvider
     public Object[][] heaps() {
         return new Object[][] {
-            // MiB of heap; KiB of the longest list: from 1 to 16 MiB
+            // heap size in MiB, limit of the list in KiB (1 to 16 MiB)
             {8, 1024}, {28, 1024}, {38, 1216}, {57, 1824}, {307, 9824}, {4096, 16_384}
         };
     }
 
     @Test(dataProvider = "heaps")
-    public void limitFollowsTheHeap(int heap, int limit) {
-        assertEquals(EndpointListLimit.maxBytes((long) heap << 20), limit << 10);
+    public void limitDependsOnTheHeapSize(int heapMib, int limitKib) {
+        assertEquals(EndpointListLimit.maxBytes((long) heapMib << 20), limitKib << 10);
     }
 
-    /** 4096 servers fit into the lowest limit. */
+    /** A list of 4096 servers must fit the lowest limit. */
     @Test
     public void largeListOverSeveralLinesIsRead() throws ProtocolException {
         StringBuilder list = new StringBuilder("{\"seq\":43,\"whole\":true,\"hosts\":[");
@@ -102,30 +105,33 @@
                                     + " 1764600000000}");
         }
         JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MAX_BYTES);
-        String whole = null;
+        String object = null;
         for (String line : list.append("\n]}").toString().split("\n")) {
-            assertEquals(whole, null);
-            whole = objects.addLine(line.strip());
+            assertEquals(object, null);
+            object = objects.addLine(line.strip());
         }
-        assertTrue(whole.endsWith("]}\n") && whole.length() > 600_000, "of " + whole.length());
+        assertTrue(
+                object.endsWith("]}\n") && object.length() > 600_000, "length " + object.length());
     }
 
-    /** 6000 servers in one line, as discovery sends them, fit the limit of a machine of 128 MB. */
+    /**
+     * 6000 servers on one line, as discovery sends them, must fit the limit on a 128 MB machine.
+     */
     @Test
-    public void largestFleetFitsASmallHeap() throws ProtocolException {
+    public void largestFleetFitsSmallHeap() throws ProtocolException {
         int limit = EndpointListLimit.maxBytes(38L << 20);
         String list = listOf(6000);
-        byte[] answer = (HEAD + list + "\n").getBytes(StandardCharsets.ISO_8859_1);
+        byte[] response = (HEAD + list + "\n").getBytes(StandardCharsets.ISO_8859_1);
         JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), limit);
         String[] read = new String[1];
         new ChunkedLineReader(limit)
-                .read(answer, 0, answer.length, line -> read[0] = addLine(objects, line));
+                .read(response, 0, response.length, line -> read[0] = addLine(objects, line));
         assertEquals(read[0], list);
-        assertTrue(list.length() > 850_000, "of " + list.length());
+        assertTrue(list.length() > 850_000, "length " + list.length());
     }
 
     @Test
-    public void objectsInOneLineAndOverSeveralMayAlternate() throws ProtocolException {
+    public void objectsOnOneLineAndOverSeveralLinesMayAlternate() throws ProtocolException {
         JsonObjectSplitter objects = new JsonObjectSplitter(new JsonFactory(), MAX_BYTES);
         for (int i = 0; i < 3; i++) {
             assertEquals(objects.addLine("{\"a\":1}"), "{\"a\":1}");
@@ -137,12 +143,12 @@
     }
 
     @Test
-    public void longLineLeavesNothingBehind() throws ProtocolException {
+    public void longLineDoesNotAffectNextLine() throws ProtocolException {
         List<String> read = new ArrayList<>();
         String longLine = "x".repeat(200_000);
         String text = "a\n" + longLine + "\nb\n" + longLine + "\n\n";
-        byte[] answer = (HEAD + text).getBytes(StandardCharsets.ISO_8859_1);
-        new ChunkedLineReader(MAX_BYTES).read(answer, 0, answer.length, read::add);
+        byte[] response = (HEAD + text).getBytes(StandardCharsets.ISO_8859_1);
+        new ChunkedLineReader(MAX_BYTES).read(response, 0, response.length, read::add);
         assertEquals(read, List.of("a", longLine, "b", longLine, ""));
     }
 
--- a/gateway/src/test/java/tinford/protocol/ProtocolTest.java
+++ b/gateway/src/test/java/tinford/protocol/ProtocolTest.java
@@ -11,21 +11,22 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The parsers, with the input split at every byte. */
+/** Tests the parsers, with input that is split at every byte. */
 public class ProtocolTest {
     private static final int MAX_LINE_BYTES = 1 << 20;
 
-    private static byte[] bytes(String s) {
-        return s.getBytes(StandardCharsets.ISO_8859_1);
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static String describe(RespReader r) {
-        StringBuilder s = new StringBuilder(r.isArray() ? "*" : "");
-        for (int i = 0; i < r.partCount(); i++) {
-            s.append(i > 0 ? " " : "")
-                    .append(r.kind(i) == 0 ? "null" : (char) r.kind(i) + r.text(i));
+    private static String describe(RespReader reader) {
+        StringBuilder description = new StringBuilder(reader.isArray() ? "*" : "");
+        for (int i = 0; i < reader.partCount(); i++) {
+            description
+                    .append(i > 0 ? " " : "")
+                    .append(reader.kind(i) == 0 ? "null" : (char) reader.kind(i) + reader.text(i));
         }
-        return s.toString();
+        return description.toString();
     }
 
     @DataProvider
@@ -44,15 +45,15 @@
     }
 
     @Test(dataProvider = "values")
-    public void valueIsParsedOnceComplete(String text, String shown) throws ProtocolException {
+    public void valueIsParsedOnceComplete(String text, String expected) throws ProtocolException {
         byte[] all = bytes("##" + text + "+next\r\n");
-        RespReader resp = new RespReader();
+        RespReader reader = new RespReader();
         for (int n = 0; n < text.length(); n++) {
-            assertEquals(resp.parse(all, 2, 2 + n), 0, "after " + n + " bytes");
+            assertEquals(reader.parse(all, 2, 2 + n), 0, "after " + n + " bytes");
         }
         for (int stop = 2 + text.length(); stop <= all.length; stop++) {
-            assertEquals(resp.parse(all, 2, stop), text.length());
-            assertEquals(describe(resp), shown);
+            assertEquals(reader.parse(all, 2, stop), text.length());
+            assertEquals(describe(reader), expected);
         }
     }
 
@@ -60,14 +61,14 @@
     public Object[][] malformedValues() {
         return new Object[][] {
             {"hello\r\n", "a RESP2 value"},
-            {"*0\r\n", "an array of 1 to 16 parts"},
-            {"*17\r\n", "an array of 1 to 16 parts"},
-            {"*-1\r\n", "a length in digits"},
-            {"*x\r\n", "a length in digits"},
+            {"*0\r\n", "an array of 1 to 16 elements"},
+            {"*17\r\n", "an array of 1 to 16 elements"},
+            {"*-1\r\n", "a length in decimal digits"},
+            {"*x\r\n", "a length in decimal digits"},
             {"$1234567890\r\n", "a length of 1 to 9 digits"},
             {"$65537\r\n", "a value of at most 65536 bytes"},
             {"$-2\r\n", "$-1 for no value"},
-            {"$2\r\nabcd", "the end of a line behind a value"},
+            {"$2\r\nabcd", "CR LF after a bulk string"},
             {"*1\r\n*1\r\n$1\r\na\r\n", "a RESP2 value"},
             {"+" + "x".repeat(2000), "a line of under 1024 bytes"},
         };
@@ -75,29 +76,29 @@
 
     @Test(dataProvider = "malformedValues")
     public void malformedValueIsReported(String text, String expected) {
-        ProtocolException m =
+        ProtocolException thrown =
                 expectThrows(
                         ProtocolException.class,
                         () -> new RespReader().parse(bytes(text), 0, text.length()));
-        assertEquals(m.getMessage(), "expected " + expected);
+        assertEquals(thrown.getMessage(), "expected " + expected);
     }
 
     private static final String TERMS = "c=read,t=gold,d=480,k=5c0f,units=2.5,spread=3,first=1";
 
-    private static ClientCommand command(String... words) throws ProtocolException {
-        StringBuilder s = new StringBuilder("*" + words.length + "\r\n");
-        for (String w : words) {
-            s.append("$").append(w.length()).append("\r\n").append(w).append("\r\n");
+    private static ClientCommand command(String... elements) throws ProtocolException {
+        StringBuilder text = new StringBuilder("*" + elements.length + "\r\n");
+        for (String element : elements) {
+            text.append("$").append(element.length()).append("\r\n").append(element).append("\r\n");
         }
-        byte[] all = bytes("##" + s);
-        RespReader resp = new RespReader();
-        int n = resp.parse(all, 2, all.length);
-        return new ClientCommand(resp, all, 2, n);
+        byte[] all = bytes("##" + text);
+        RespReader reader = new RespReader();
+        int length = reader.parse(all, 2, all.length);
+        return new ClientCommand(reader, all, 2, length);
     }
 
     @Test
-    public void commandHasItsTerms() throws ProtocolException {
-        ClientCommand a =
+    public void commandContainsItsTerms() throws ProtocolException {
+        ClientCommand command =
                 command(
                         "Q.DO",
                         "00000001b4d65521",
@@ -106,16 +107,16 @@
                         "BODY");
         assertEquals(
                 Arrays.asList(
-                        a.retryable,
-                        a.tenant,
-                        a.id,
-                        a.requestClass,
-                        a.plan,
-                        a.timeoutMs,
-                        a.units,
-                        a.fanIn,
-                        a.firstGateway,
-                        a.markedAsRetry),
+                        command.retryable,
+                        command.tenant,
+                        command.id,
+                        command.requestClass,
+                        command.plan,
+                        command.timeoutMs,
+                        command.units,
+                        command.fanIn,
+                        command.firstGateway,
+                        command.markedAsRetry),
                 Arrays.asList(
                         false,
                         0x1b4d65521L,
@@ -147,7 +148,7 @@
             {"Q.ASK", id, id, "c=read,t=gold,d=1,units=0", "units from 0 to 1000000000"},
             {"Q.ASK", id, id, "c=read,t=gold,d=1,units=lots", "units from 0 to 1000000000"},
             {"Q.ASK", id, id, "c=read,t=gold,d=1,first=-1", "first from 0 to 1000000"},
-            {"Q.ASK", id, id, "c=read,t=gold,d=1,d=2", "each term once"},
+            {"Q.ASK", id, id, "c=read,t=gold,d=1,d=2", "each term at most once"},
             {"Q.ASK", id, "+000000b4d655210", TERMS, "id of 16 hex digits"},
             {"Q.ASK", id, "", TERMS, "id of 16 hex digits"},
             {"Q.ASK", id, id, "c=read,what", "terms as name=value,name=value"},
@@ -157,9 +158,9 @@
     @Test(dataProvider = "malformedCommands")
     public void malformedCommandIsReported(
             String verb, String customer, String id, String terms, String expected) {
-        ProtocolException m =
+        ProtocolException thrown =
                 expectThrows(ProtocolException.class, () -> command(verb, customer, id, terms));
-        assertEquals(m.getMessage(), "expected " + expected);
+        assertEquals(thrown.getMessage(), "expected " + expected);
     }
 
     @DataProvider
@@ -219,19 +220,19 @@
             "HTTP/1.1 200 OK\r\nContent-Type: x\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     @Test
-    public void linesAreFoundHoweverChunkedAndSplit() throws ProtocolException {
+    public void linesAreFoundForAnyChunkAndReadSize() throws ProtocolException {
         String body = "{\"a\":1}\n\n{\"b\":\"\u00e9\"}\n";
         byte[] text = body.getBytes(StandardCharsets.UTF_8);
         for (int chunk = 1; chunk <= text.length; chunk++) {
-            StringBuilder s = new StringBuilder(HEAD);
+            StringBuilder response = new StringBuilder(HEAD);
             for (int at = 0; at < text.length; at += chunk) {
                 int n = Math.min(chunk, text.length - at);
-                s.append(Integer.toHexString(n))
+                response.append(Integer.toHexString(n))
                         .append(";x=1\r\n")
                         .append(new String(text, at, n, StandardCharsets.ISO_8859_1))
                         .append("\r\n");
             }
-            byte[] all = bytes(s + "0\r\n\r\n");
+            byte[] all = bytes(response + "0\r\n\r\n");
             for (int read = 1; read < all.length; read += 3) {
                 List<String> found = new ArrayList<>();
                 ChunkedLineReader lines = new ChunkedLineReader(MAX_LINE_BYTES);
@@ -250,24 +251,27 @@
     @DataProvider
     public Object[][] malformedResponses() {
         return new Object[][] {
-            {"HTTP/1.1 503 Busy\r\n\r\n", "HTTP/1.1 200"},
-            {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n", "an answer in chunks"},
-            {HEAD + "zz\r\n", "the size of a chunk in hex digits"},
-            {HEAD + "-1\r\n", "the size of a chunk"},
-            {HEAD + "1\r\nxyz\r\n", "the end of a line behind a chunk"},
-            {"x".repeat(9000), "a head of under 8192 bytes"},
+            {"HTTP/1.1 503 Busy\r\n\r\n", "status line HTTP/1.1 200"},
+            {
+                "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n",
+                "a response with Transfer-Encoding: chunked"
+            },
+            {HEAD + "zz\r\n", "a chunk size in hex digits"},
+            {HEAD + "-1\r\n", "a chunk size from 0 on"},
+            {HEAD + "1\r\nxyz\r\n", "CR LF after the chunk data"},
+            {"x".repeat(9000), "a response head or chunk line of under 8192 bytes"},
         };
     }
 
     @Test(dataProvider = "malformedResponses")
     public void malformedResponseIsReported(String text, String expected) {
-        ProtocolException m =
+        ProtocolException thrown =
                 expectThrows(
                         ProtocolException.class,
                         () ->
                                 new ChunkedLineReader(MAX_LINE_BYTES)
                                         .read(bytes(text), 0, text.length(), line -> {}));
-        assertEquals(m.getMessage(), "expected " + expected);
+        assertEquals(thrown.getMessage(), "expected " + expected);
     }
 
     @DataProvider
@@ -283,12 +287,12 @@
             {"hello\r\n\r\n", "expected METHOD /path HTTP/1.1"},
             {"GET v1 HTTP/1.1\r\n\r\n", "expected METHOD /path HTTP/1.1"},
             {"GET /a b HTTP/1.1\r\n\r\n", "expected METHOD /path HTTP/1.1"},
-            {"x".repeat(9000), "expected a head of under 8192 bytes"},
+            {"x".repeat(9000), "expected a request head of under 8192 bytes"},
         };
     }
 
     @Test(dataProvider = "requestHeads")
-    public void requestHeadIsParsedOnceComplete(String text, String shown)
+    public void requestHeadIsParsedOnceComplete(String text, String expected)
             throws ProtocolException {
         byte[] all = bytes(text);
         int head = Math.max(text.indexOf("\r\n\r\n"), text.indexOf("\n\n"));
@@ -296,10 +300,10 @@
             assertEquals(HttpRequestHead.parse(all, 0, n), null);
         }
         try {
-            HttpRequestHead call = HttpRequestHead.parse(all, 0, all.length);
-            assertEquals(call == null ? null : call.method + " " + call.path, shown);
+            HttpRequestHead request = HttpRequestHead.parse(all, 0, all.length);
+            assertEquals(request == null ? null : request.method + " " + request.path, expected);
         } catch (ProtocolException e) {
-            assertEquals(e.getMessage(), shown);
+            assertEquals(e.getMessage(), expected);
         }
     }
 }
