--- a/gateway/src/main/java/org/xnio/nio/SharedPort.java
+++ b/gateway/src/main/java/org/xnio/nio/SharedPort.java
@@ -13,9 +13,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * A listening socket of XNIO that may share its address with another process. XNIO has no option
- * for SO_REUSEPORT, so this class opens the socket as XNIO's worker does, with that option set; it
- * is in XNIO's package because the classes it needs are package-private.
+ * A listening XNIO socket that can share its address with another process. XNIO has no option for
+ * SO_REUSEPORT, so this class opens the socket as XNIO's worker does, but with that option set. It
+ * is in XNIO's package because the classes that it needs are package-private.
  */
 public final class SharedPort {
     private final NioTcpServer tcpServer;
@@ -30,7 +30,7 @@
     }
 
     /**
-     * @param shared whether another process may listen at the address at the same time
+     * @param shared whether another process may listen at the same address (SO_REUSEPORT)
      */
     public static SharedPort open(
             XnioWorker worker,
@@ -71,21 +71,23 @@
     }
 
     /**
-     * Accepts what is in the backlog, closes the socket, and then runs the task; a close alone
-     * would reset the connections in the backlog. A channel that is registered with a selector
-     * stays open, and goes on accepting, until the next select; hence it is deregistered first.
+     * Accepts the connections in the backlog, closes the socket, and then runs the task. Closing
+     * alone would reset the connections in the backlog. The channel is deregistered first, because
+     * a channel that is registered with a selector stays open, and keeps accepting, until the next
+     * select.
      */
-    public void close(Runnable then) {
+    public void close(Runnable afterClose) {
         queuedServer
                 .getAcceptThread()
                 .execute(
                         () -> {
                             deregister();
                             queuedServer.handleReady();
-                            // at once: what connects between these two calls is reset
+                            // closed immediately, because connections that arrive between
+                            // these two calls are reset
                             IoUtils.safeClose(channel);
                             IoUtils.safeClose(queuedServer);
-                            then.run();
+                            afterClose.run();
                         });
     }
 
@@ -95,7 +97,7 @@
         try {
             handle.getWorkerThread().getSelector().selectNow();
         } catch (IOException e) {
-            // the socket is then closed with the next select
+            // the socket is then closed by the next select
         }
     }
 }
--- a/gateway/src/main/java/tinford/transport/BufferBudget.java
+++ b/gateway/src/main/java/tinford/transport/BufferBudget.java
@@ -1,11 +1,11 @@
 package tinford.transport;
 
 /**
- * The bytes that the buffers of all connections may take together. A reservation never fails: a
- * connection that finds the budget exceeded closes itself and so releases its part.
+ * The limit on the bytes that the buffers of all connections may use together. A reservation never
+ * fails: a connection that finds the budget exceeded closes itself, which releases its bytes.
  */
 public final class BufferBudget {
-    /** Below this part of the limit the budget counts as nearly exhausted. */
+    /** The budget is nearly exhausted when less than the limit divided by this is available. */
     private static final int NEARLY_EXHAUSTED_DIVISOR = 4;
 
     private final long limitBytes;
@@ -28,7 +28,7 @@
         return availableBytes < 0;
     }
 
-    /** Whether input should be left in the sockets wherever that is possible. */
+    /** Whether input should be left in the sockets where possible. */
     public boolean isNearlyExhausted() {
         return availableBytes < limitBytes / NEARLY_EXHAUSTED_DIVISOR;
     }
--- a/gateway/src/main/java/tinford/transport/CloseReason.java
+++ b/gateway/src/main/java/tinford/transport/CloseReason.java
@@ -2,28 +2,28 @@
 
 /** Why a connection was closed. */
 public enum CloseReason {
-    /** The connect was refused, or the address could not be reached. */
+    /** The connect was refused, or the address was unreachable. */
     CONNECT_REFUSED,
-    /** The connect was not completed within its timeout. */
+    /** The connect did not complete within its timeout. */
     CONNECT_TIMEOUT,
-    /** The descriptor budget allowed no connection more. */
+    /** The descriptor budget allowed no further connection. */
     NO_DESCRIPTOR,
-    /** Reset by the peer, or a read or write failed. */
+    /** The peer reset the connection, or a read or write failed. */
     IO_ERROR,
-    /** The peer has shut down its sending. */
+    /** The peer has shut down its sending side. */
     CLOSED_BY_PEER,
-    /** The peer sent what its protocol does not allow. */
+    /** The peer violated its protocol. */
     PROTOCOL_ERROR,
-    /** More bytes are unread or unwritten than the connection's limits allow. */
+    /** The unread or unwritten bytes exceeded the connection's limits or the buffer budget. */
     BUFFER_LIMIT_EXCEEDED,
-    /** The connection stayed open, but the answer did not come in time. */
+    /** The connection stayed open, but the response did not arrive in time. */
     RESPONSE_TIMEOUT,
-    /** No answer, while parallel connections to the same peer had answers to later requests. */
+    /** No response, while other connections to the same peer got responses to later requests. */
     STALLED,
-    /** Given up by this process while a request was in flight on it. */
+    /** Closed by this process while a request was in flight. */
     CANCELLED,
-    /** Closed by this process while no request was in flight on it. */
+    /** Closed by this process while no request was in flight. */
     CLOSED_IDLE,
-    /** This process failed while it handled an event of the connection. */
+    /** This process failed to handle an event of the connection. */
     INTERNAL_ERROR
 }
--- a/gateway/src/main/java/tinford/transport/ConnectAttempt.java
+++ b/gateway/src/main/java/tinford/transport/ConnectAttempt.java
@@ -6,7 +6,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** One attempt to connect, which reports to its connection how it ended. */
+/** An attempt to connect, which reports its result to its {@link Connection}. */
 final class ConnectAttempt {
     private static final OptionMap SOCKET_OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
     private final Connection connection;
@@ -32,7 +32,7 @@
         connection.connected(established);
     }
 
-    /** Gives it up; without effect once it has ended. */
+    /** Cancels the attempt; has no effect once it has ended. */
     void cancel() {
         timeout.cancel();
         future.cancel();
--- a/gateway/src/main/java/tinford/transport/Connection.java
+++ b/gateway/src/main/java/tinford/transport/Connection.java
@@ -8,13 +8,13 @@
 import org.xnio.StreamConnection;
 
 /**
- * One TCP connection, accepted or opened by this process. Its owner extends it; all callbacks come
- * on the I/O thread, within a batch of the event loop.
+ * A TCP connection that this process accepted or opened. Subclasses implement the callbacks, which
+ * are invoked on the I/O thread within a batch of the event loop.
  */
 public abstract class Connection implements EventLoop.Task {
     private static final int NOT_AWAITED = -1;
 
-    /** What the next call of {@link #run} passes on to the owner. */
+    /** An event that the next call of {@link #run} reports to the subclass. */
     private enum Event {
         OPENED,
         RECEIVED,
@@ -32,10 +32,10 @@
     private StreamConnection connection;
     private ConnectAttempt connectAttempt;
 
-    /** Why it is to be closed with the next call of {@link #run}, or null. */
-    private CloseReason failure;
+    /** The reason to close this connection in the next call of {@link #run}, or null. */
+    private CloseReason pendingCloseReason;
 
-    /** The owner is to be called once no more bytes than these are unwritten. */
+    /** {@link #onDrained} is due once at most this many bytes are unwritten. */
     private int awaitedUnwrittenBytes = NOT_AWAITED;
 
     private boolean isSubmitted;
@@ -44,8 +44,9 @@
     private boolean isReadSuspended;
 
     /**
-     * @param maxUnreadBytes received and not consumed; a connection that exceeds it is closed
-     * @param maxUnwrittenBytes the same for bytes that the peer does not take
+     * @param maxUnreadBytes limit for bytes received but not consumed; the connection is closed
+     *     when it is exceeded
+     * @param maxUnwrittenBytes the same for bytes that the peer has not accepted yet
      */
     protected Connection(EventLoop loop, int maxUnreadBytes, int maxUnwrittenBytes) {
         this.loop = loop;
@@ -56,30 +57,33 @@
         this.maxUnwrittenBytes = maxUnwrittenBytes;
     }
 
-    /** The part of the descriptor budget that it counts against. */
+    /** The kind of peer whose share of the descriptor budget this connection uses. */
     protected abstract DescriptorBudget.PeerKind party();
 
-    /** The connection opened with {@link #open} is established. */
+    /** Called when a connection opened with {@link #open} is established. */
     protected abstract void onOpened();
 
-    /** Bytes were received; those that are not consumed stay in the buffer. */
+    /** Called after bytes were received; bytes that are not consumed stay in the buffer. */
     protected abstract void onReceived();
 
-    /** Bytes came after the end of the sending, and are dropped: they crossed that end. */
+    /** Called when input that crossed a graceful close arrives; the input is discarded. */
     protected void onLateInput() {}
 
-    /** No more bytes are unwritten than {@link #awaitDrain} asked for. */
+    /** Called once the unwritten bytes have fallen to the limit given to {@link #awaitDrain}. */
     protected void onDrained() {}
 
-    /** The last callback of every connection, but for {@link #onDescriptorReleased}. */
+    /** The last callback of every connection, except for {@link #onDescriptorReleased}. */
     protected abstract void onClosed(CloseReason reason);
 
-    /** Whether its descriptor is kept until the peer has seen the close. */
+    /**
+     * Whether to keep the descriptor after a close until the peer has closed its side too, or a
+     * timeout has passed.
+     */
     protected boolean waitsForPeerClose() {
         return false;
     }
 
-    /** The socket is closed, after the wait that {@link #waitsForPeerClose} may ask for. */
+    /** Called when the socket is closed, after the wait for the peer's close if there is one. */
     protected void onDescriptorReleased() {}
 
     public final boolean isOpen() {
@@ -90,15 +94,16 @@
         return state == ConnectionState.CLOSED;
     }
 
-    /** Whether the operating system has taken every byte that was put for writing. */
+    /** Whether the operating system has accepted every byte that was put into the buffer. */
     public final boolean isAllWritten() {
         return connection != null && buffer.unwrittenBytes() == 0;
     }
 
     /**
-     * Connects.
+     * Starts connecting.
      *
-     * @param timeoutMs 0 closes the connection at once with {@link CloseReason#NO_DESCRIPTOR}
+     * @param timeoutMs the connect timeout; if it is not positive, the connection fails with {@link
+     *     CloseReason#NO_DESCRIPTOR} without an attempt
      */
     protected final void open(InetSocketAddress address, double timeoutMs) {
         holdsDescriptor = timeoutMs > 0 && loop.descriptorBudget.tryAcquire(party());
@@ -131,7 +136,7 @@
         holdsDescriptor = true;
     }
 
-    /** Reads once; true when bytes were received. */
+    /** Reads from the socket once; returns true if bytes were received. */
     final boolean read() {
         try {
             int received = buffer.read(connection.getSourceChannel().getConduit());
@@ -153,9 +158,11 @@
         }
     }
 
-    /** Reads the socket once more; true when nothing was received and the peer has not closed. */
+    /**
+     * Reads from the socket once; returns true if no input is pending and the peer has not closed.
+     */
     public final boolean isQuiet() {
-        if (isOpen() && failure == null && !pendingEvents.contains(Event.RECEIVED)) {
+        if (isOpen() && pendingCloseReason == null && !pendingEvents.contains(Event.RECEIVED)) {
             read();
         }
         return !isPeerCloseSeen()
@@ -164,8 +171,8 @@
     }
 
     /**
-     * Reads ahead, within bounds, to find out whether the peer has closed or reset the connection
-     * behind what it sent before.
+     * Reads ahead, within bounds, to detect that the peer has closed or reset the connection after
+     * input that is still unread.
      */
     protected final boolean pollPeerClosed() {
         readAhead.poll();
@@ -176,9 +183,12 @@
         return connection != null && !isReadSuspended;
     }
 
-    /** Whether it is closed, or is about to be: the peer's close or a failure was read. */
+    /**
+     * Whether the connection is closed or about to be closed, because the peer closed it or it
+     * failed.
+     */
     protected final boolean isPeerCloseSeen() {
-        return isClosed() || failure != null;
+        return isClosed() || pendingCloseReason != null;
     }
 
     private void writable() {
@@ -190,7 +200,7 @@
         }
     }
 
-    /** What was put into the buffer is written at the end of this batch. */
+    /** Schedules the unwritten bytes of the buffer to be written at the end of this batch. */
     protected final void scheduleFlush() {
         if (!isFlushScheduled && !isClosed()) {
             isFlushScheduled = true;
@@ -224,10 +234,10 @@
     }
 
     /**
-     * The last byte before the end of the sending is to arrive together with that end: a peer that
-     * has everything might write its next command before it learns of the end. So the byte is
-     * written on its own, which the system holds back while the bytes before it are not
-     * acknowledged, and the end of the sending pushes both out.
+     * Lets the last byte arrive together with the FIN. A peer that has received everything but not
+     * yet the FIN might send its next command on this connection. With TCP_NODELAY off, a last byte
+     * that is written separately is held back while earlier bytes are unacknowledged, and the
+     * shutdown of the sending side sends it with the FIN.
      */
     private void holdBackLastByte() throws IOException {
         if (gracefulClose.isActive()
@@ -251,7 +261,7 @@
     private void halfClose() throws IOException {
         if (gracefulClose.yieldsToInput() && !isQuiet()) {
             gracefulClose.callOff();
-            connection.setOption(Options.TCP_NODELAY, true); // sends what was held back
+            connection.setOption(Options.TCP_NODELAY, true); // sends the byte that was held back
             return;
         }
         state = ConnectionState.HALF_CLOSED;
@@ -260,8 +270,8 @@
     }
 
     final void fail(CloseReason reason) {
-        if (failure == null) {
-            failure = reason;
+        if (pendingCloseReason == null) {
+            pendingCloseReason = reason;
         }
         submitEvents();
     }
@@ -269,11 +279,11 @@
     private void submitEvents() {
         if (!isSubmitted && !isClosed()) {
             loop.submit(this);
-            isSubmitted = true; // behind the call, which may fail for lack of memory
+            isSubmitted = true; // only after the call, which may throw an OutOfMemoryError
         }
     }
 
-    /** Passes the pending events on to the owner; called by the event loop. */
+    /** Reports the pending events to the subclass; called by the event loop. */
     @Override
     public final void run() {
         isSubmitted = false;
@@ -287,12 +297,12 @@
         if (takeEvent(Event.DRAINED)) {
             onDrained();
         }
-        if (failure != null) {
-            close(gracefulClose.reasonOr(failure));
+        if (pendingCloseReason != null) {
+            close(gracefulClose.reasonOr(pendingCloseReason));
         }
     }
 
-    /** An event could not be handled: nothing may wait for this connection in vain. */
+    /** Closes the connection after a failed event, so that nothing keeps waiting for it. */
     @Override
     public final void abort() {
         close(CloseReason.INTERNAL_ERROR);
@@ -318,15 +328,15 @@
     }
 
     /**
-     * {@link #onDrained} is called once when no more bytes than these are unwritten, after the end
-     * of this batch at the earliest.
+     * Requests one call of {@link #onDrained} when at most this many bytes are unwritten. The call
+     * comes after the end of this batch at the earliest.
      */
     public final void awaitDrain(int unwrittenBytes) {
         awaitedUnwrittenBytes = unwrittenBytes;
         scheduleFlush();
     }
 
-    /** Stops reading: what the peer sends stays in the socket's buffer. */
+    /** Stops reading; further input stays in the socket's receive buffer. */
     protected final void suspendReads() {
         if (isOpen()) {
             isReadSuspended = true;
@@ -342,9 +352,9 @@
     }
 
     /**
-     * Shuts down the sending once all is written, and closes the connection when the peer has shut
-     * down its own. An immediate close could become a reset, by which the peer would lose the last
-     * answer.
+     * Shuts down the sending side once all bytes are written, and closes the connection when the
+     * peer has shut down its sending side too. An immediate close could reset the connection, and
+     * the peer could lose the last response.
      */
     protected final void closeGracefully(CloseReason reason) {
         if (!isClosed() && !gracefulClose.isActive()) {
@@ -354,8 +364,8 @@
     }
 
     /**
-     * As {@link #closeGracefully}, but called off when input comes before the sending is shut down:
-     * the owner receives it, and may call again.
+     * As {@link #closeGracefully}, but cancelled if input arrives before the sending side is shut
+     * down. The input is then passed to {@link #onReceived}, and this method may be called again.
      */
     protected final void closeGracefullyIfQuiet(CloseReason reason) {
         gracefulClose.setYieldsToInput();
@@ -363,8 +373,8 @@
     }
 
     /**
-     * As {@link #closeGracefully} for a peer that may send without end: no more input is passed on,
-     * and the connection is closed soon after its last line.
+     * As {@link #closeGracefully}, for a peer that may never stop sending: further input is
+     * discarded, and the connection is closed after a short timeout.
      */
     protected final void closeDiscardingInput(CloseReason reason) {
         gracefulClose.setDiscardsInput();
@@ -375,7 +385,7 @@
         }
     }
 
-    /** Drops all further input, read at a slow pace, until the peer closes. */
+    /** Discards all further input, reading it at a limited rate, until the peer closes. */
     protected final void discardInput() {
         if (isOpen() && !readAhead.isDiscarding()) {
             connection.getSourceChannel().suspendReads();
@@ -388,19 +398,19 @@
         pendingEvents.remove(Event.RECEIVED);
     }
 
-    /** Closes the connection, whatever state it is in; only the first call has an effect. */
+    /** Closes the connection in any state; only the first call has an effect. */
     public final void close(CloseReason reason) {
         if (isClosed()) {
             return;
         }
         state = ConnectionState.CLOSED;
         gracefulClose.cancelTimeout();
-        boolean closesAtOnce =
+        boolean closesImmediately =
                 connection == null
                         || reason == CloseReason.CLOSED_BY_PEER
                         || reason == CloseReason.IO_ERROR
                         || !waitsForPeerClose();
-        if (closesAtOnce) {
+        if (closesImmediately) {
             closeSocket();
             releaseDescriptor(); // before onClosed, which may open another connection
         } else {
@@ -410,7 +420,7 @@
             onClosed(reason);
         } finally {
             buffer.release();
-            if (closesAtOnce) {
+            if (closesImmediately) {
                 onDescriptorReleased();
             }
         }
--- a/gateway/src/main/java/tinford/transport/ConnectionBuffer.java
+++ b/gateway/src/main/java/tinford/transport/ConnectionBuffer.java
@@ -7,17 +7,17 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * The one buffer of a connection, for both directions. Received bytes that are not consumed yet lie
- * to the left of the bytes that are to be written. Both parts are moved within the array as space
- * is needed, and the array grows when moving is not enough.
+ * The buffer of a connection, one array for both directions. The unread bytes (received but not yet
+ * consumed) come before the unwritten bytes. Both regions are moved within the array as space is
+ * needed, and the array grows when moving them is not enough.
  */
 public final class ConnectionBuffer {
     private static final int MIN_CAPACITY_BYTES = 512;
 
-    /** Free space ensured before each read. */
+    /** The minimum free space before each read. */
     private static final int READ_BYTES = 4096;
 
-    /** Up to this capacity the array is doubled; beyond it, made exactly as long as needed. */
+    /** Above this capacity the array grows to exactly the needed length instead of doubling. */
     private static final int MAX_DOUBLED_BYTES = 256 << 10;
 
     /** A larger array is released as soon as it is empty. */
@@ -37,7 +37,7 @@
     }
 
     /**
-     * The array that holds the received bytes, from {@link #readIndex} to {@link #readLimit}. Any
+     * The array that holds the unread bytes, from {@link #readIndex} to {@link #readLimit}. Any
      * put, read or consume may move them.
      */
     public byte[] bytes() {
@@ -52,7 +52,7 @@
         return readLimit;
     }
 
-    /** How many received bytes are not consumed yet. */
+    /** The number of bytes received but not yet consumed. */
     public int unreadBytes() {
         return readLimit - readIndex;
     }
@@ -61,7 +61,7 @@
         return writeLimit - writeIndex;
     }
 
-    /** Drops so many of the unread bytes, the oldest first. */
+    /** Removes that many unread bytes, the oldest first. */
     public void consume(int count) {
         readIndex += count;
         if (readIndex == readLimit) {
@@ -71,12 +71,12 @@
         }
     }
 
-    /** Sets how much space is made for a read when the array has to be rearranged. */
+    /** Sets how much space is freed for a read when the array has to be rearranged. */
     public void setMaxReadBytes(int maxBytes) {
         maxReadBytes = Math.max(READ_BYTES, maxBytes);
     }
 
-    /** Reads once: the number of bytes received, or -1 at the end of the stream. */
+    /** Reads once; returns the number of bytes received, or -1 at the end of the stream. */
     int read(StreamSourceConduit source) throws IOException {
         if (readEnd() - readLimit < READ_BYTES) {
             rearrange(maxReadBytes, 0);
@@ -87,25 +87,25 @@
         return received;
     }
 
-    /** Where the space for received bytes ends. */
+    /** The end of the space that is available for received bytes. */
     private int readEnd() {
         return unwrittenBytes() == 0 ? bytes.length : writeIndex;
     }
 
-    /** Writes until nothing is left or the socket takes no more. */
+    /** Writes until nothing is left or the socket accepts no more. */
     void write(StreamSinkConduit sink) throws IOException {
         if (writeUpTo(writeLimit, sink)) {
-            resetWritePart();
+            resetWriteRegion();
             releaseIfLargeAndEmpty();
         }
     }
 
-    /** As {@link #write}, but leaves the last byte, for a write of its own. */
+    /** As {@link #write}, but leaves the last byte for a separate write. */
     void writeAllButLast(StreamSinkConduit sink) throws IOException {
         writeUpTo(writeLimit - 1, sink);
     }
 
-    /** False if the socket takes no more before that. */
+    /** Returns false if the socket stops accepting bytes before the limit is reached. */
     private boolean writeUpTo(int limit, StreamSinkConduit sink) throws IOException {
         while (writeIndex < limit) {
             view.limit(limit).position(writeIndex);
@@ -118,12 +118,12 @@
         return true;
     }
 
-    private void resetWritePart() {
+    private void resetWriteRegion() {
         writeIndex = readLimit;
         writeLimit = readLimit;
     }
 
-    /** Appends bytes to what waits to be written. */
+    /** Appends bytes to the unwritten bytes. */
     public ConnectionBuffer put(byte[] source, int offset, int count) {
         ensureWritable(count);
         System.arraycopy(source, offset, bytes, writeLimit, count);
@@ -131,7 +131,7 @@
         return this;
     }
 
-    /** Puts text that consists of ASCII characters. */
+    /** Appends ASCII text to the unwritten bytes. */
     public ConnectionBuffer put(String text) {
         return put(text.getBytes(StandardCharsets.ISO_8859_1), 0, text.length());
     }
@@ -150,14 +150,14 @@
 
     private void ensureWritable(int count) {
         if (unwrittenBytes() == 0) {
-            resetWritePart();
+            resetWriteRegion();
         }
         if (bytes.length - writeLimit < count) {
             rearrange(0, count);
         }
     }
 
-    /** Makes room at once for so many unread bytes, and for a read behind them. */
+    /** Makes room in one step for that many unread bytes and for a further read after them. */
     public void reserveForRead(int unreadBytes) {
         if (unreadBytes > unreadBytes()
                 && bytes.length < unreadBytes + 2 * READ_BYTES + unwrittenBytes()) {
@@ -166,8 +166,9 @@
     }
 
     /**
-     * Makes room for more received bytes, or for more bytes to write. The write part is placed at
-     * the end of the array in the first case, and right behind the read part in the second.
+     * Makes room for more received bytes or for more bytes to write. In the first case the
+     * unwritten bytes are placed at the end of the array, in the second directly after the unread
+     * bytes.
      */
     private void rearrange(int moreToRead, int moreToWrite) {
         int unread = unreadBytes();
@@ -175,7 +176,7 @@
         int capacity = capacityFor(unread + moreToRead + unwritten + moreToWrite);
         byte[] target = capacity == bytes.length ? bytes : new byte[capacity];
         int writeStart = moreToRead > 0 ? capacity - unwritten : unread;
-        // the part that moves to the right goes first, so that neither overwrites the other
+        // the region that moves to the right is copied first, so that neither overwrites the other
         if (writeStart > writeIndex) {
             System.arraycopy(bytes, writeIndex, target, writeStart, unwritten);
         }
@@ -205,7 +206,10 @@
         }
     }
 
-    /** Leaves the array to what was consumed from it last; the rest moves to another one. */
+    /**
+     * Moves the unread and unwritten bytes to a new array, so that the caller can keep the old one
+     * with the bytes that it consumed last.
+     */
     public void detachArray() {
         int unread = unreadBytes();
         int unwritten = unwrittenBytes();
@@ -219,7 +223,7 @@
         writeLimit = unread + unwritten;
     }
 
-    /** Drops the content, and gives the array back to the budget. */
+    /** Discards the content, and returns the array's bytes to the budget. */
     void release() {
         setArray(new byte[0]);
         readIndex = 0;
--- a/gateway/src/main/java/tinford/transport/ConnectionState.java
+++ b/gateway/src/main/java/tinford/transport/ConnectionState.java
@@ -1,10 +1,10 @@
 package tinford.transport;
 
-/** The stages in the life of a {@link Connection}, in their order. */
+/** The states of a {@link Connection}, in the order in which it passes through them. */
 enum ConnectionState {
     CONNECTING,
     OPEN,
-    /** The sending is shut down; the peer may still send. */
+    /** The sending side is shut down; the peer may still send. */
     HALF_CLOSED,
     CLOSED;
 
--- a/gateway/src/main/java/tinford/transport/DescriptorBudget.java
+++ b/gateway/src/main/java/tinford/transport/DescriptorBudget.java
@@ -1,26 +1,29 @@
 package tinford.transport;
 
 /**
- * The file descriptors that all connections together may hold, with a limit for each kind of peer.
- * The limits keep descriptors for discovery and the counter, and for servers, however many clients
- * are connected.
+ * The file descriptors that all connections together may use, with a limit for each kind of peer.
+ * The limits keep descriptors available for discovery, the counter and servers, however many
+ * clients are connected.
  */
 public final class DescriptorBudget {
-    /** What a connection's other side is. */
+    /** The kind of peer at the other end of a connection. */
     public enum PeerKind {
         /** Discovery and the counter. */
         SERVICES,
         SERVERS,
         CLIENTS,
-        /** Counted outside the budget; their listener limits them. */
+        /** Callers of the admin API; not counted in the budget, but limited by their listener. */
         ADMINS
     }
 
-    /** Two watches and a list fetch; the counter's, at its old and its new address. */
+    /**
+     * Enough for two watches and an endpoint list fetch, and for the counter's connections at its
+     * old and its new address.
+     */
     private static final int MAX_SERVICES = 12;
 
     private final int total;
-    private final int[] acquired = new int[PeerKind.values().length];
+    private final int[] acquiredByKind = new int[PeerKind.values().length];
     private int reservedForOtherProcess;
 
     DescriptorBudget(int total) {
@@ -28,8 +31,8 @@
     }
 
     /**
-     * How many connections of that kind may be open now. Servers and clients have half each of what
-     * the services leave.
+     * How many connections of that kind may be open now. Servers and clients each get half of what
+     * remains after the services.
      */
     public int limit(PeerKind kind) {
         int available = Math.max(0, total - reservedForOtherProcess);
@@ -42,14 +45,14 @@
         };
     }
 
-    /** How many connections of that kind have to be closed before one more can be opened. */
+    /** How many connections of that kind must be closed before one more can be opened. */
     public int shortage(PeerKind kind) {
-        return Math.max(0, acquired[kind.ordinal()] + 1 - limit(kind));
+        return Math.max(0, acquiredByKind[kind.ordinal()] + 1 - limit(kind));
     }
 
     /**
-     * Sets how many descriptors belong to another process of this gateway. Connections that are
-     * open already stay open.
+     * Sets how many descriptors are reserved for another process of this gateway. Connections that
+     * are already open stay open.
      */
     public void setReservedForOtherProcess(int descriptors) {
         reservedForOtherProcess = descriptors;
@@ -58,12 +61,12 @@
     boolean tryAcquire(PeerKind kind) {
         boolean available = shortage(kind) == 0;
         if (available) {
-            acquired[kind.ordinal()]++;
+            acquiredByKind[kind.ordinal()]++;
         }
         return available;
     }
 
     void release(PeerKind kind) {
-        acquired[kind.ordinal()]--;
+        acquiredByKind[kind.ordinal()]--;
     }
 }
--- a/gateway/src/main/java/tinford/transport/DisabledMBeanServerBuilder.java
+++ b/gateway/src/main/java/tinford/transport/DisabledMBeanServerBuilder.java
@@ -4,8 +4,8 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * Keeps the JVM from making an MBean server, which XNIO would otherwise start and register with.
- * Named by the system property {@code javax.management.builder.initial}.
+ * Prevents the JVM from creating an MBean server, which XNIO would otherwise start and register
+ * with. Selected by the system property {@code javax.management.builder.initial}.
  */
 public final class DisabledMBeanServerBuilder extends MBeanServerBuilder {
     @Override
--- a/gateway/src/main/java/tinford/transport/EventLoop.java
+++ b/gateway/src/main/java/tinford/transport/EventLoop.java
@@ -14,24 +14,24 @@
 import org.xnio.XnioWorker;
 
 /**
- * The I/O thread. Its sockets' events are only queued as tasks when the thread wakes up; then one
- * batch runs them in the order of their arrival, and the connections that have something to write
- * are flushed after the batch.
+ * The event loop of the I/O thread. Socket events are first only queued as tasks; then one batch
+ * runs the tasks in the order of their arrival, and the connections with unwritten bytes are
+ * flushed after the batch.
  */
 public final class EventLoop {
     private static final double NANOS_PER_MS = 1e6;
 
-    /** Some decades; longer delays from settings would overflow the clock. */
+    /** About 30 years; longer delays from settings would overflow the clock. */
     private static final double MAX_DELAY_MS = 1e12;
 
     private static final long IO_THREAD_STACK_BYTES = 256L << 10;
-    private static final long NO_ALARM = Long.MAX_VALUE;
+    private static final long NO_WAKEUP = Long.MAX_VALUE;
 
-    /** Work for the I/O thread, run once within a batch. */
+    /** A task for the I/O thread, run once within a batch. */
     public interface Task {
         void run();
 
-        /** Called when {@link #run} has thrown: ends what the task worked on. */
+        /** Called when {@link #run} has thrown, to clean up what the task worked on. */
         default void abort() {}
     }
 
@@ -49,11 +49,11 @@
     private final TaskIsolation isolation = new TaskIsolation();
     private final LongSupplier nanoClock;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final List<Task> submitted = new ArrayList<>();
-    private final List<Task> running = new ArrayList<>();
-    private final List<Connection> unflushed = new ArrayList<>();
-    private XnioExecutor.Key alarm;
-    private long alarmNanos = NO_ALARM;
+    private final List<Task> submittedTasks = new ArrayList<>();
+    private final List<Task> runningTasks = new ArrayList<>();
+    private final List<Connection> unflushedConnections = new ArrayList<>();
+    private XnioExecutor.Key wakeupKey;
+    private long wakeupNanos = NO_WAKEUP;
     private boolean isBatchScheduled;
     private boolean isClosed;
     private volatile Thread.UncaughtExceptionHandler threadEndHandler;
@@ -81,10 +81,10 @@
     }
 
     /**
-     * @param descriptors how many connections may be open, to all kinds of peers but admins
-     * @param bufferBytes that the buffers of all connections may take
-     * @param nanoClock the clock of the timers; whoever sets it by hand wakes the loop up with
-     *     {@link #execute}
+     * @param descriptors how many connections may be open to all kinds of peers except admins
+     * @param bufferBytes how many bytes the buffers of all connections may use
+     * @param nanoClock the clock of the timers; a caller that advances it manually has to wake the
+     *     loop up with {@link #execute}
      */
     public EventLoop(
             BatchHandler batchHandler, int descriptors, long bufferBytes, LongSupplier nanoClock)
@@ -108,48 +108,49 @@
     }
 
     /**
-     * Before any connection is open: sets what is called when a thread of this loop ends by a
-     * failure, or can't go on, so that nothing is served any more.
+     * Sets the handler that is called when a thread of this event loop terminates with an uncaught
+     * exception or can't continue, so that nothing is served any more. To be called before any
+     * connection is open.
      */
     public void setThreadEndHandler(Thread.UncaughtExceptionHandler handler) {
         threadEndHandler = handler;
         thread.setUncaughtExceptionHandler(handler);
     }
 
-    /** Null if none is set. */
+    /** The handler, or null if none is set. */
     Thread.UncaughtExceptionHandler threadEndHandler() {
         return threadEndHandler;
     }
 
-    /** From any thread: submits the task on the I/O thread. */
+    /** Submits the task to the I/O thread; may be called from any thread. */
     public void execute(Task task) {
         thread.execute(() -> submit(task));
     }
 
-    /** On the I/O thread: runs the task with the next batch. */
+    /** Runs the task in the next batch; called on the I/O thread. */
     public void submit(Task task) {
-        submitted.add(task);
+        submittedTasks.add(task);
         scheduleBatch();
     }
 
-    /** On the I/O thread: runs the task with the first batch after the delay. */
+    /** Runs the task in the first batch after the delay; called on the I/O thread. */
     public Timer schedule(double delayMs, Task task) {
         double boundedMs = Math.min(MAX_DELAY_MS, Math.max(0, delayMs));
         Timer timer = new Timer(nanoClock.getAsLong() + (long) (boundedMs * NANOS_PER_MS), task);
         timers.add(timer);
-        scheduleBatch(); // only the end of a batch sets the alarm
+        scheduleBatch(); // the wake-up is only set at the end of a batch
         return timer;
     }
 
-    /** Runs the timers that are due, then the submitted tasks, each once. */
+    /** Runs the due timers and then the submitted tasks, each once. */
     public void runDueTasks() {
         takeDueTimers();
-        running.addAll(submitted);
-        submitted.clear();
-        for (int i = 0; i < running.size(); i++) {
-            isolation.run(running.get(i));
+        runningTasks.addAll(submittedTasks);
+        submittedTasks.clear();
+        for (int i = 0; i < runningTasks.size(); i++) {
+            isolation.run(runningTasks.get(i));
         }
-        running.clear();
+        runningTasks.clear();
     }
 
     private void takeDueTimers() {
@@ -157,34 +158,34 @@
         while (!timers.isEmpty() && (timers.peek().task == null || timers.peek().dueNanos <= now)) {
             Task task = timers.poll().task;
             if (task != null) {
-                running.add(task);
+                runningTasks.add(task);
             }
         }
     }
 
-    /** Within a batch: logs a failure whose consequences the caller sees to. */
+    /** Logs a failure whose consequences the caller handles; called within a batch. */
     public void logFailure(Throwable failure) {
         isolation.logAndRestore(TaskIsolation.TASK_FAILED, failure);
     }
 
-    /** Closes a connection of which an event could not be handled, with the next batch. */
+    /** Closes, in the next batch, a connection whose event could not be handled. */
     void closeFailed(Connection connection, Throwable failure) {
         try {
             isolation.closeFailed(connection, failure);
             scheduleBatch();
         } catch (RuntimeException | Error e) {
-            reportThreadEnd(e);
+            reportThreadFailure(e);
             throw e;
         }
     }
 
-    private void reportThreadEnd(Throwable failure) {
+    private void reportThreadFailure(Throwable failure) {
         if (threadEndHandler != null) {
             threadEndHandler.uncaughtException(thread, failure);
         }
     }
 
-    /** From any thread: stops the I/O thread; no task runs any more. */
+    /** Stops the I/O thread, after which no task runs; may be called from any thread. */
     public void close() {
         thread.execute(
                 () -> {
@@ -194,8 +195,8 @@
     }
 
     /**
-     * As {@link #close}, and waits until the threads are gone or the time is over. The JVM exits
-     * 0.3 s later while a thread still waits in the operating system.
+     * As {@link #close}, and waits until the threads have ended or the timeout has passed. The exit
+     * of the JVM takes 0.3 s longer while a thread still waits in the operating system.
      */
     public void closeAndAwait(double timeoutMs) {
         close();
@@ -215,7 +216,7 @@
     }
 
     void flushAfterBatch(Connection connection) {
-        unflushed.add(connection);
+        unflushedConnections.add(connection);
         scheduleBatch();
     }
 
@@ -223,7 +224,7 @@
         if (isBatchScheduled || isClosed) {
             return;
         }
-        // Before the call: while the process starts it comes from another thread.
+        // Set before the call: during start-up this method is called from another thread.
         isBatchScheduled = true;
         try {
             thread.execute(batch);
@@ -247,58 +248,61 @@
     }
 
     private void flushAll() {
-        for (int i = 0; i < unflushed.size(); i++) {
-            Connection connection = unflushed.get(i);
+        for (int i = 0; i < unflushedConnections.size(); i++) {
+            Connection connection = unflushedConnections.get(i);
             try {
                 connection.flush();
             } catch (RuntimeException | Error e) {
                 isolation.closeFailed(connection, e);
             }
         }
-        unflushed.clear();
+        unflushedConnections.clear();
     }
 
-    /** Without a next batch or an alarm the thread would sleep on with work to do. */
+    /**
+     * Schedules the next batch or wake-up; without either the thread would stay asleep with work
+     * pending.
+     */
     private void scheduleNext() {
         try {
             isBatchScheduled = false;
-            if (!submitted.isEmpty()) {
+            if (!submittedTasks.isEmpty()) {
                 scheduleBatch();
             }
-            setAlarm();
+            scheduleWakeup();
         } catch (RuntimeException | Error e) {
-            reportThreadEnd(e);
+            reportThreadFailure(e);
             throw e;
         }
     }
 
-    /** Wakes the thread up for the next timer; needless wake-ups are avoided, as they cost time. */
-    private void setAlarm() {
+    /** Wakes the thread up for the next timer; avoids needless wake-ups, as they cost time. */
+    private void scheduleWakeup() {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
-        long nextNanos = timers.isEmpty() ? NO_ALARM : timers.peek().dueNanos;
-        if (alarmNanos == nextNanos) {
+        long nextNanos = timers.isEmpty() ? NO_WAKEUP : timers.peek().dueNanos;
+        if (wakeupNanos == nextNanos) {
             return;
         }
-        if (alarm != null) {
-            alarm.remove();
-            alarm = null;
+        if (wakeupKey != null) {
+            wakeupKey.remove();
+            wakeupKey = null;
         }
-        alarmNanos = nextNanos;
+        wakeupNanos = nextNanos;
         if (!timers.isEmpty()) {
-            alarm = thread.executeAfter(this::alarmFired, delayMs(), TimeUnit.MILLISECONDS);
+            wakeupKey = thread.executeAfter(this::onWakeup, delayMs(), TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Rounded up: an alarm that fires early would find no timer due. */
+    /** The delay is rounded up: after an early wake-up no timer would be due. */
     private long delayMs() {
-        return Math.max(0, (alarmNanos - nanoClock.getAsLong() + 999_999) / 1_000_000);
+        return Math.max(0, (wakeupNanos - nanoClock.getAsLong() + 999_999) / 1_000_000);
     }
 
-    private void alarmFired() {
-        alarm = null;
-        alarmNanos = NO_ALARM;
+    private void onWakeup() {
+        wakeupKey = null;
+        wakeupNanos = NO_WAKEUP;
         scheduleBatch();
     }
 }
--- a/gateway/src/main/java/tinford/transport/GracefulClose.java
+++ b/gateway/src/main/java/tinford/transport/GracefulClose.java
@@ -3,22 +3,25 @@
 import java.util.function.Consumer;
 
 /**
- * The orderly close of one connection: its reason, how it proceeds, and the timeout after which the
+ * The state of a connection's graceful close: its reason, its mode, and the timeout after which the
  * connection is closed in any case.
  */
 final class GracefulClose {
-    /** How long the peer may take to read what was written before. */
+    /** How long the peer may take to read the bytes that were written before the close. */
     private static final double PEER_READ_TIMEOUT_MS = 20_000;
 
-    /** The same where input is discarded. */
-    private static final double DISCARDED_PEER_READ_TIMEOUT_MS = 50;
+    /** As {@link #PEER_READ_TIMEOUT_MS}, in the mode that discards input. */
+    private static final double PEER_READ_TIMEOUT_WHEN_DISCARDING_MS = 50;
 
     private enum Mode {
-        /** Shuts down the sending, and waits for the peer to do the same. */
+        /** Shuts down the sending side, and waits for the peer to do the same. */
         AWAIT_PEER,
-        /** The same, but called off when input comes before the sending is shut down. */
-        UNLESS_INPUT,
-        /** Input is discarded, and the peer has only a short time to read what was written. */
+        /**
+         * As {@link #AWAIT_PEER}, but cancelled if input arrives before the sending side is shut
+         * down.
+         */
+        CANCEL_ON_INPUT,
+        /** Discards input, and gives the peer only a short time to read what was written. */
         DISCARD_INPUT
     }
 
@@ -37,27 +40,27 @@
         return reason != null;
     }
 
-    /** The reason of the close that is under way, or else this one. */
+    /** The reason of the active close, or the given one if no close is active. */
     CloseReason reasonOr(CloseReason other) {
         return reason != null ? reason : other;
     }
 
-    /** Whether input calls it off, as long as the sending is not shut down. */
+    /** Whether a close is active that input cancels until the sending side is shut down. */
     boolean yieldsToInput() {
-        return reason != null && mode == Mode.UNLESS_INPUT;
+        return reason != null && mode == Mode.CANCEL_ON_INPUT;
     }
 
     void setYieldsToInput() {
-        mode = Mode.UNLESS_INPUT;
+        mode = Mode.CANCEL_ON_INPUT;
     }
 
     void setDiscardsInput() {
         mode = Mode.DISCARD_INPUT;
     }
 
-    void start(CloseReason why) {
-        reason = why;
-        restartTimeout(PEER_READ_TIMEOUT_MS, why);
+    void start(CloseReason closeReason) {
+        reason = closeReason;
+        restartTimeout(PEER_READ_TIMEOUT_MS, closeReason);
     }
 
     void callOff() {
@@ -65,12 +68,12 @@
         timeout.cancel();
     }
 
-    /** Leaves only a short time, for a peer that may send without end. */
-    void shortenTimeout(CloseReason why) {
-        restartTimeout(DISCARDED_PEER_READ_TIMEOUT_MS, why);
+    /** Switches to the short timeout, for a peer that may never stop sending. */
+    void shortenTimeout(CloseReason closeReason) {
+        restartTimeout(PEER_READ_TIMEOUT_WHEN_DISCARDING_MS, closeReason);
     }
 
-    /** The peer's time counts anew: until now it may have been busy reading. */
+    /** Restarts the timeout: until now the peer may have been busy reading. */
     void onHalfClosed() {
         if (mode != Mode.DISCARD_INPUT) {
             restartTimeout(LingeringClose.PEER_CLOSE_TIMEOUT_MS, reason);
@@ -83,8 +86,8 @@
         }
     }
 
-    private void restartTimeout(double timeoutMs, CloseReason why) {
+    private void restartTimeout(double timeoutMs, CloseReason closeReason) {
         cancelTimeout();
-        timeout = loop.schedule(timeoutMs, () -> onTimeout.accept(why));
+        timeout = loop.schedule(timeoutMs, () -> onTimeout.accept(closeReason));
     }
 }
--- a/gateway/src/main/java/tinford/transport/HandoverLock.java
+++ b/gateway/src/main/java/tinford/transport/HandoverLock.java
@@ -11,9 +11,9 @@
 import java.util.List;
 
 /**
- * What two processes of one gateway share in a folder: file locks, which say which of them accepts
- * clients, and a log of lines. The operating system releases the locks of a process that dies. No
- * call blocks.
+ * The files that two processes of one gateway share in a folder: a lock file, whose locks determine
+ * which process accepts clients, and a shared log of text lines. The operating system releases the
+ * locks of a process that dies. No call blocks.
  */
 public final class HandoverLock {
     private static final int ACCEPTING = 0;
@@ -24,23 +24,23 @@
     private final FileChannel lockFile;
     private final FileChannel logReader;
 
-    /** Appends, whichever process wrote last. */
+    /** Opened for appending, so lines go to the end whichever process wrote last. */
     private final FileChannel logWriter;
 
     private final FileLock[] locks = new FileLock[LOCK_COUNT];
     private long readBytes;
 
     /**
-     * @param gatewayName so that several gateways may share the folder
+     * @param gatewayName makes the file names unique, so that several gateways can share the folder
      */
     public HandoverLock(Path folder, String gatewayName) throws IOException {
-        String stem = "tinford-" + gatewayName.replaceAll("[^A-Za-z0-9_.-]", "_");
+        String fileNamePrefix = "tinford-" + gatewayName.replaceAll("[^A-Za-z0-9_.-]", "_");
         lockFile =
                 FileChannel.open(
-                        folder.resolve(stem + ".turn"),
+                        folder.resolve(fileNamePrefix + ".turn"),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE);
-        Path log = folder.resolve(stem + ".record");
+        Path log = folder.resolve(fileNamePrefix + ".record");
         logWriter = FileChannel.open(log, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         logReader = FileChannel.open(log, StandardOpenOption.READ);
     }
@@ -59,26 +59,27 @@
         }
     }
 
-    /** Whether this process is the one that accepts clients. */
+    /** Tries to become, or stay, the process that accepts clients; returns whether it is. */
     public boolean tryAcquire() throws IOException {
         return tryAcquire(ACCEPTING);
     }
 
     /**
-     * Tells the predecessor that this process is listening.
+     * Announces to the predecessor that this process is listening.
      *
-     * @return false while the predecessor is checking for it: to be called again
+     * @return false if the predecessor is just checking whether a successor listens; the caller has
+     *     to try again
      */
     public boolean tryAnnounceListening() throws IOException {
         return tryAcquire(LISTENING);
     }
 
-    /** Whether the predecessor has exited, or there was none. */
+    /** Whether the predecessor has exited or there was none. */
     public boolean isOnlyProcess() throws IOException {
         return tryAcquire(ALIVE);
     }
 
-    /** Lets a successor, if there is one, accept clients. */
+    /** Lets a successor accept clients, if there is one. */
     public void release() throws IOException {
         release(ACCEPTING);
         release(LISTENING);
@@ -92,14 +93,14 @@
     }
 
     /**
-     * Appends a line to the shared log, in one write. The line end before it closes a line that a
-     * killed process may have left incomplete.
+     * Appends a line to the shared log in a single write. It starts with a line end, which
+     * terminates a line that a killed process may have left incomplete.
      */
     public void appendLine(String line) throws IOException {
         logWriter.write(ByteBuffer.wrap(("\n" + line + "\n").getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** The complete lines of the shared log that were appended since the last call. */
+    /** Returns the complete lines that were appended to the shared log since the last call. */
     public List<String> readNewLines() throws IOException {
         List<String> lines = new ArrayList<>();
         while (logReader.size() > readBytes) {
--- a/gateway/src/main/java/tinford/transport/LingeringClose.java
+++ b/gateway/src/main/java/tinford/transport/LingeringClose.java
@@ -7,8 +7,9 @@
 import org.xnio.StreamConnection;
 
 /**
- * Closes a connection in two steps: shuts down the sending, and closes the socket once the peer has
- * done the same or {@value #PEER_CLOSE_TIMEOUT_MS} ms have passed. What still comes in is dropped.
+ * Closes a connection in two steps: it shuts down the sending side, and closes the socket once the
+ * peer has done the same or {@value #PEER_CLOSE_TIMEOUT_MS} ms have passed. Input that arrives in
+ * between is discarded.
  */
 final class LingeringClose {
     static final double PEER_CLOSE_TIMEOUT_MS = 1000;
@@ -16,12 +17,12 @@
     private final EventLoop loop;
     private final StreamConnection connection;
     private final Runnable onClosed;
-    private final ByteBuffer discarded = ByteBuffer.allocate(DISCARD_BUFFER_BYTES);
+    private final ByteBuffer discardBuffer = ByteBuffer.allocate(DISCARD_BUFFER_BYTES);
     private EventLoop.Timer timeout;
     private boolean closed;
 
     /**
-     * @param onClosed called once, within a batch, after the socket is closed
+     * @param onClosed called once, within a batch, after the socket was closed
      */
     LingeringClose(EventLoop loop, StreamConnection connection, Runnable onClosed) {
         this.loop = loop;
@@ -35,7 +36,7 @@
                 .getSourceChannel()
                 .setReadListener(
                         channel -> {
-                            if (isAtEnd(channel)) {
+                            if (discardUntilEnd(channel)) {
                                 channel.suspendReads();
                                 submitClose();
                             }
@@ -48,12 +49,12 @@
         }
     }
 
-    /** Drops what has come in; true when the peer has shut down its sending or reset. */
-    private boolean isAtEnd(ReadableByteChannel channel) {
+    /** Discards the input; returns true if the peer has shut down its sending side or reset. */
+    private boolean discardUntilEnd(ReadableByteChannel channel) {
         try {
             int read;
             do {
-                read = channel.read(discarded.clear());
+                read = channel.read(discardBuffer.clear());
             } while (read > 0);
             return read < 0;
         } catch (IOException e) {
--- a/gateway/src/main/java/tinford/transport/Listener.java
+++ b/gateway/src/main/java/tinford/transport/Listener.java
@@ -10,27 +10,29 @@
 import org.xnio.channels.AcceptingChannel;
 import org.xnio.nio.SharedPort;
 
-/** A listening address, whose accepted connections are taken over by {@link Connection}s. */
+/** Listens at an address, and passes each accepted socket to a new {@link Connection}. */
 public final class Listener {
     private static final int BACKLOG = 512;
     private final EventLoop loop;
-    private final Supplier<? extends Connection> connections;
+    private final Supplier<? extends Connection> connectionFactory;
     private final SharedPort port;
 
     /**
-     * @param shared whether another process may listen at the same address
-     * @param maxConnections that may be open through it at once; more wait in the backlog
-     * @param connections makes the owner of an accepted connection, or null to have it closed
+     * @param shared whether another process may listen at the same address (SO_REUSEPORT)
+     * @param maxConnections how many accepted connections may be open at once; further ones wait in
+     *     the backlog
+     * @param connectionFactory creates the connection for an accepted socket, or returns null to
+     *     have the socket closed
      */
     public Listener(
             EventLoop loop,
             InetSocketAddress address,
             boolean shared,
             int maxConnections,
-            Supplier<? extends Connection> connections)
+            Supplier<? extends Connection> connectionFactory)
             throws IOException {
         this.loop = loop;
-        this.connections = connections;
+        this.connectionFactory = connectionFactory;
         port =
                 SharedPort.open(
                         loop.worker, address, shared, options(maxConnections), this::acceptAll);
@@ -41,8 +43,8 @@
     }
 
     /**
-     * XNIO compares the low water mark with the count before a close: with a lower mark than the
-     * high one, a full listener would not accept again after a single close.
+     * The low water mark equals the high one, because XNIO compares it with the count before a
+     * close: with a lower mark, a full listener would not resume accepting after a single close.
      */
     private static OptionMap options(int maxConnections) {
         return OptionMap.builder()
@@ -57,15 +59,15 @@
         try {
             for (StreamConnection c = channel.accept(); c != null; c = channel.accept()) {
                 StreamConnection accepted = c;
-                loop.submit(() -> handOver(accepted));
+                loop.submit(() -> adopt(accepted));
             }
         } catch (IOException e) {
-            // the listener was closed meanwhile
+            // the listener has been closed in the meantime
         }
     }
 
-    private void handOver(StreamConnection accepted) {
-        Connection connection = connections.get();
+    private void adopt(StreamConnection accepted) {
+        Connection connection = connectionFactory.get();
         if (connection == null) {
             IoUtils.safeClose(accepted);
         } else if (loop.descriptorBudget.tryAcquire(connection.party())) {
@@ -78,8 +80,8 @@
     }
 
     /**
-     * Accepts what is in the backlog, then closes the listener. The task runs within a batch, after
-     * the connections accepted last were handed over.
+     * Accepts the connections in the backlog, then closes the listener. The task runs within a
+     * batch, after the last accepted sockets were passed to their connections.
      */
     public void closeAfterAccepting(EventLoop.Task task) {
         port.close(() -> loop.execute(() -> loop.submit(task)));
--- a/gateway/src/main/java/tinford/transport/ReadAhead.java
+++ b/gateway/src/main/java/tinford/transport/ReadAhead.java
@@ -1,8 +1,8 @@
 package tinford.transport;
 
 /**
- * Reads one connection beyond what its owner has consumed: to find the peer's close behind unread
- * input, and to drop the input of a peer whose connection is about to be closed.
+ * Reads more input of a connection than has been consumed: to detect the peer's close after unread
+ * input, and to discard the input of a peer whose connection is about to be closed.
  */
 final class ReadAhead {
     private static final int MAX_READS_PER_POLL = 64;
@@ -17,7 +17,7 @@
         this.connection = connection;
     }
 
-    /** Reads, within bounds, until nothing more has come in or the peer's close is seen. */
+    /** Reads, within bounds, until no input is left or the peer's close is detected. */
     void poll() {
         boolean mayHaveMore = connection.isReadable();
         for (int i = 0; i < MAX_READS_PER_POLL && mayHaveMore && mayReadMore(); i++) {
@@ -38,7 +38,7 @@
         return isDiscarding;
     }
 
-    /** From now on drops all input, read at a slow pace, until the peer closes. */
+    /** Discards all further input, reading it at a limited rate, until the peer closes. */
     void startDiscarding() {
         isDiscarding = true;
         connection.discardReceived();
--- a/gateway/src/main/java/tinford/transport/TaskIsolation.java
+++ b/gateway/src/main/java/tinford/transport/TaskIsolation.java
@@ -3,9 +3,9 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Runs tasks so that one that fails does not stop the others. What a failed task worked on is
- * ended, and the failure is logged. Both take memory, of which some is kept back for the case that
- * none is left.
+ * Runs tasks so that a failing one does not stop the others. A failed task is aborted, and its
+ * failure is logged. Both need memory, so a reserve is allocated in advance and released while a
+ * failure is handled, in case the heap is exhausted.
  */
 final class TaskIsolation {
     private static final System.Logger LOG = System.getLogger("tinford.transport");
@@ -13,10 +13,10 @@
     static final String TASK_FAILED = "task failed on the I/O thread";
     static final String BATCH_FAILED = "batch failed on the I/O thread";
 
-    /** Enough to close a connection and to format a stack trace. */
+    /** Enough memory to close a connection and to format a stack trace. */
     private static final int RESERVE_BYTES = 64 << 10;
 
-    private byte[] reserve = new byte[RESERVE_BYTES];
+    private byte[] memoryReserve = new byte[RESERVE_BYTES];
 
     void run(EventLoop.Task task) {
         try {
@@ -26,9 +26,9 @@
         }
     }
 
-    /** The task has failed: ends what it worked on. */
+    /** Aborts a task that has failed, and logs the failure. */
     void abort(EventLoop.Task task, Throwable failure) {
-        reserve = null;
+        memoryReserve = null;
         try {
             task.abort();
         } catch (RuntimeException | Error e) {
@@ -37,9 +37,9 @@
         logAndRestore(TASK_FAILED, failure);
     }
 
-    /** A socket's event could not be handled: its connection is closed with the next batch. */
+    /** Closes, in the next batch, a connection whose socket event could not be handled. */
     void closeFailed(Connection connection, Throwable failure) {
-        reserve = null;
+        memoryReserve = null;
         try {
             connection.fail(CloseReason.INTERNAL_ERROR);
         } finally {
@@ -47,22 +47,25 @@
         }
     }
 
-    /** Logs a failure of a whole batch, or of a task whose caller sees to the consequences. */
-    void logAndRestore(String event, Throwable failure) {
-        reserve = null;
-        log(event, failure);
+    /**
+     * Logs a failure of a batch, or of a task whose caller handles the consequences, and allocates
+     * the memory reserve again.
+     */
+    void logAndRestore(String message, Throwable failure) {
+        memoryReserve = null;
+        log(message, failure);
         try {
-            reserve = new byte[RESERVE_BYTES];
+            memoryReserve = new byte[RESERVE_BYTES];
         } catch (OutOfMemoryError e) {
-            reserve = null; // the next failure has to do without
+            memoryReserve = null; // the next failure is handled without a reserve
         }
     }
 
-    private static void log(String event, Throwable failure) {
+    private static void log(String message, Throwable failure) {
         try {
-            LOG.log(Level.ERROR, event, failure);
+            LOG.log(Level.ERROR, message, failure);
         } catch (RuntimeException | Error e) {
-            // No line for lack of memory: the failure must not end the thread.
+            // Out of memory, so nothing is logged; the failure must not end the thread.
         }
     }
 }
--- a/gateway/src/main/java/tinford/transport/UdpSocket.java
+++ b/gateway/src/main/java/tinford/transport/UdpSocket.java
@@ -8,7 +8,7 @@
 import org.xnio.channels.MulticastMessageChannel;
 import org.xnio.channels.SocketAddressBuffer;
 
-/** A UDP socket on the I/O thread. Datagrams that can't be read or sent at once are lost. */
+/** A UDP socket on the I/O thread. Datagrams that can't be read or sent immediately are lost. */
 public final class UdpSocket {
     private static final int MAX_DATAGRAMS_PER_WAKEUP = 64;
 
@@ -25,7 +25,7 @@
     private final SocketAddressBuffer addresses = new SocketAddressBuffer();
 
     /**
-     * @param maxBytes of one datagram; longer ones are dropped
+     * @param maxBytes the maximum size of a datagram; larger ones are dropped
      */
     public UdpSocket(
             EventLoop loop, InetSocketAddress address, int maxBytes, DatagramHandler handler)
@@ -47,11 +47,11 @@
                 }
             }
         } catch (IOException e) {
-            // one datagram less: the protocol above allows for losses
+            // the datagram is lost, which the protocol on top of UDP tolerates
         }
     }
 
-    /** False when nothing is left to read. */
+    /** Receives one datagram; returns false if there is none. */
     private boolean receive() throws IOException {
         buffer.clear();
         int length = channel.receiveFrom(addresses, buffer);
@@ -69,12 +69,12 @@
         return true;
     }
 
-    /** Sends the datagram at once, or drops it. */
+    /** Sends the datagram immediately, or drops it. */
     public void send(InetSocketAddress receiver, byte[] bytes) {
         try {
             channel.sendTo(receiver, ByteBuffer.wrap(bytes));
         } catch (IOException e) {
-            // lost, as any datagram may be
+            // the datagram is lost, which the protocol on top of UDP tolerates
         }
     }
 }
--- a/gateway/src/main/java/tinford/transport/package-info.java
+++ b/gateway/src/main/java/tinford/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections, listeners and datagrams on the one I/O thread, the budgets that bound them, and the
- * lock by which two processes of a gateway agree on which of them accepts clients.
+ * TCP connections, listeners and UDP sockets on the single I/O thread, the budgets that limit them,
+ * and the handover lock by which two processes of a gateway agree on which one accepts clients.
  */
 package tinford.transport;
--- a/gateway/src/test/java/tinford/transport/ConnectionBufferTest.java
+++ b/gateway/src/test/java/tinford/transport/ConnectionBufferTest.java
@@ -13,14 +13,15 @@
 import org.xnio.conduits.StreamSinkConduit;
 import org.xnio.conduits.StreamSourceConduit;
 
-/** The buffer of a connection, and the clock. */
+/** Tests {@link ConnectionBuffer}, {@link BufferBudget} and {@link Clock}. */
 public class ConnectionBufferTest {
-    private static <T> T conduit(Class<T> type, java.util.function.ToIntFunction<ByteBuffer> io) {
+    private static <T> T conduit(
+            Class<T> type, java.util.function.ToIntFunction<ByteBuffer> operation) {
         return type.cast(
                 Proxy.newProxyInstance(
                         type.getClassLoader(),
                         new Class<?>[] {type},
-                        (self, method, args) -> io.applyAsInt((ByteBuffer) args[0])));
+                        (self, method, args) -> operation.applyAsInt((ByteBuffer) args[0])));
     }
 
     @DataProvider
@@ -28,21 +29,19 @@
         return new Object[][] {{1L, 50}, {2L, 3000}, {3L, 70_000}};
     }
 
-    /**
-     * Random reads, puts and writes of any size: each direction keeps its bytes and their order.
-     */
+    /** Random reads, puts and writes of any size must keep the bytes of each direction in order. */
     @Test(dataProvider = "seeds")
-    public void bothDirectionsKeepTheirBytes(long seed, int most) throws IOException {
-        Random chance = new Random(seed);
-        BufferBudget room = new BufferBudget(1 << 22);
-        ConnectionBuffer buf = new ConnectionBuffer(room);
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        int[] next = new int[2]; // the next byte to come in, and to be put
+    public void bothDirectionsKeepTheirBytes(long seed, int maxSize) throws IOException {
+        Random random = new Random(seed);
+        BufferBudget budget = new BufferBudget(1 << 22);
+        ConnectionBuffer buffer = new ConnectionBuffer(budget);
+        ByteArrayOutputStream sent = new ByteArrayOutputStream();
+        int[] next = new int[2]; // the next byte to be received and the next to be put
         StreamSourceConduit source =
                 conduit(
                         StreamSourceConduit.class,
                         b -> {
-                            int n = Math.min(b.remaining(), chance.nextInt(most));
+                            int n = Math.min(b.remaining(), random.nextInt(maxSize));
                             for (int i = 0; i < n; i++) {
                                 b.put((byte) next[0]++);
                             }
@@ -52,65 +51,65 @@
                 conduit(
                         StreamSinkConduit.class,
                         b -> {
-                            int n = Math.min(b.remaining(), chance.nextInt(most) / 2);
+                            int n = Math.min(b.remaining(), random.nextInt(maxSize) / 2);
                             for (int i = 0; i < n; i++) {
-                                out.write(b.get());
+                                sent.write(b.get());
                             }
                             return n;
                         });
-        int taken = 0;
+        int consumed = 0;
         for (int step = 0; step < 3000; step++) {
-            switch (chance.nextInt(4)) {
-                case 0 -> buf.read(source);
+            switch (random.nextInt(4)) {
+                case 0 -> buffer.read(source);
                 case 1 -> {
-                    byte[] more = new byte[chance.nextInt(most)];
-                    for (int i = 0; i < more.length; i++) {
-                        more[i] = (byte) next[1]++;
+                    byte[] input = new byte[random.nextInt(maxSize)];
+                    for (int i = 0; i < input.length; i++) {
+                        input[i] = (byte) next[1]++;
                     }
-                    buf.put(more, 0, more.length);
+                    buffer.put(input, 0, input.length);
                 }
-                case 2 -> buf.write(sink);
+                case 2 -> buffer.write(sink);
                 default -> {
-                    int n = chance.nextInt(buf.unreadBytes() + 1);
+                    int n = random.nextInt(buffer.unreadBytes() + 1);
                     for (int i = 0; i < n; i++) {
-                        assertEquals(buf.bytes()[buf.readIndex() + i], (byte) taken++);
+                        assertEquals(buffer.bytes()[buffer.readIndex() + i], (byte) consumed++);
                     }
-                    buf.consume(n);
+                    buffer.consume(n);
                 }
             }
-            if (buf.unreadBytes() + buf.unwrittenBytes() > 4 * most) {
-                buf.write(sink);
-                taken += buf.unreadBytes();
-                buf.consume(buf.unreadBytes());
+            if (buffer.unreadBytes() + buffer.unwrittenBytes() > 4 * maxSize) {
+                buffer.write(sink);
+                consumed += buffer.unreadBytes();
+                buffer.consume(buffer.unreadBytes());
             }
         }
-        while (buf.unwrittenBytes() > 0) {
-            buf.write(sink);
+        while (buffer.unwrittenBytes() > 0) {
+            buffer.write(sink);
         }
-        byte[] written = out.toByteArray();
+        byte[] written = sent.toByteArray();
         assertEquals(written.length, next[1]);
         for (int i = 0; i < written.length; i++) {
             assertEquals(written[i], (byte) i);
         }
-        buf.release();
-        assertEquals(room.availableBytes(), 1 << 22, "all bytes are released");
+        buffer.release();
+        assertEquals(budget.availableBytes(), 1 << 22, "all bytes are released");
     }
 
     @Test
     public void budgetIsExceededByTwoLargeBuffers() {
-        BufferBudget room = new BufferBudget(10_000);
-        ConnectionBuffer one = new ConnectionBuffer(room);
-        one.put(new byte[5000], 0, 5000);
-        assertTrue(!room.isExceeded());
-        ConnectionBuffer two = new ConnectionBuffer(room);
-        two.put(new byte[5000], 0, 5000);
-        assertTrue(room.isExceeded());
-        two.release();
-        assertTrue(!room.isExceeded());
+        BufferBudget budget = new BufferBudget(10_000);
+        ConnectionBuffer first = new ConnectionBuffer(budget);
+        first.put(new byte[5000], 0, 5000);
+        assertTrue(!budget.isExceeded());
+        ConnectionBuffer second = new ConnectionBuffer(budget);
+        second.put(new byte[5000], 0, 5000);
+        assertTrue(budget.isExceeded());
+        second.release();
+        assertTrue(!budget.isExceeded());
     }
 
     @Test
-    public void clockNeverStepsBackAndFollowsTheWallClock() {
+    public void clockNeverGoesBackwardsAndFollowsTheWallClock() {
         Clock clock = new Clock();
         double last = 0;
         for (int i = 0; i < 100_000; i++) {
--- a/gateway/src/test/java/tinford/transport/DescriptorBudgetTest.java
+++ b/gateway/src/test/java/tinford/transport/DescriptorBudgetTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 import tinford.transport.DescriptorBudget.PeerKind;
 
-/** The limit of each kind of peer, also while another process runs. */
+/** The limit of each kind of peer, with and without descriptors reserved for another process. */
 public class DescriptorBudgetTest {
     @DataProvider
     public Object[][] budgets() {
@@ -17,28 +17,29 @@
     }
 
     @Test(dataProvider = "budgets")
-    public void eachPeerKindHasItsLimit(int all, int aside) {
-        DescriptorBudget pool = new DescriptorBudget(all);
+    public void eachPeerKindHasItsLimit(int total, int reserved) {
+        DescriptorBudget budget = new DescriptorBudget(total);
         for (int i = 0; i < 2; i++) {
-            pool.setReservedForOtherProcess(aside); // the second call changes nothing
+            budget.setReservedForOtherProcess(reserved); // a repeated call has no further effect
         }
-        int clients = acquireAll(pool, PeerKind.CLIENTS);
-        int servers = acquireAll(pool, PeerKind.SERVERS);
-        int services = acquireAll(pool, PeerKind.SERVICES);
-        assertEquals(clients + servers + services, Math.max(0, all - aside));
+        int clients = acquireAll(budget, PeerKind.CLIENTS);
+        int servers = acquireAll(budget, PeerKind.SERVERS);
+        int services = acquireAll(budget, PeerKind.SERVICES);
+        assertEquals(clients + servers + services, Math.max(0, total - reserved));
         assertTrue(clients >= servers && servers >= clients - 1, clients + " and " + servers);
         assertTrue(
-                services == Math.min(12, Math.max(0, all - aside) / 2), services + " for services");
-        pool.setReservedForOtherProcess(0);
-        int more = acquireAll(pool, PeerKind.CLIENTS);
-        assertEquals(clients + more, pool.limit(PeerKind.CLIENTS));
-        pool.setReservedForOtherProcess(aside);
-        assertEquals(pool.shortage(PeerKind.CLIENTS), more + 1); // open connections stay
+                services == Math.min(12, Math.max(0, total - reserved) / 2),
+                services + " for services");
+        budget.setReservedForOtherProcess(0);
+        int more = acquireAll(budget, PeerKind.CLIENTS);
+        assertEquals(clients + more, budget.limit(PeerKind.CLIENTS));
+        budget.setReservedForOtherProcess(reserved);
+        assertEquals(budget.shortage(PeerKind.CLIENTS), more + 1); // open connections stay open
     }
 
-    private static int acquireAll(DescriptorBudget pool, PeerKind with) {
-        int n = 0;
-        for (; pool.tryAcquire(with); n++) {}
-        return n;
+    private static int acquireAll(DescriptorBudget budget, PeerKind kind) {
+        int count = 0;
+        for (; budget.tryAcquire(kind); count++) {}
+        return count;
     }
 }
--- a/gateway/src/test/java/tinford/transport/EventLoopTest.java
+++ b/gateway/src/test/java/tinford/transport/EventLoopTest.java
@@ -14,9 +14,9 @@
 import org.testng.annotations.Test;
 import tinford.testing.FreePort;
 
-/** The isolation of tasks from one another. */
+/** A failing task or connection must not affect others. */
 public class EventLoopTest {
-    /** Nothing can be told of it: what would print it fails in its turn. */
+    /** An error that can't be logged, because converting it to a string fails too. */
     private static final class UnprintableError extends OutOfMemoryError {
         private static final long serialVersionUID = 1;
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Named, as a test's parameters are printed. */
+    /** The failures as an enum, because TestNG prints a test's parameters. */
     private enum Fault {
         ILLEGAL_STATE,
         STACK_OVERFLOW,
@@ -50,40 +50,41 @@
                 .toArray(Object[][]::new);
     }
 
-    /** Tasks of the same batch and of later ones run. */
+    /** Other tasks of the same batch and of later batches must still run. */
     @Test(dataProvider = "faults")
-    public void failingTaskStopsNoOther(Fault fault) throws Exception {
+    public void failingTaskDoesNotStopOthers(Fault fault) throws Exception {
         EventLoop[] loop = new EventLoop[1];
         loop[0] = new EventLoop(() -> loop[0].runDueTasks(), 4, 1 << 16, System::nanoTime);
-        CountDownLatch beside = new CountDownLatch(1);
-        CountDownLatch later = new CountDownLatch(1);
+        CountDownLatch sameBatch = new CountDownLatch(1);
+        CountDownLatch laterBatch = new CountDownLatch(1);
         loop[0].execute(
                 () -> {
                     loop[0].submit(fault::raise);
-                    loop[0].submit(beside::countDown);
+                    loop[0].submit(sameBatch::countDown);
                 });
-        assertTrue(beside.await(10, TimeUnit.SECONDS), "the task of the same batch");
-        loop[0].schedule(1, later::countDown);
+        assertTrue(
+                sameBatch.await(10, TimeUnit.SECONDS), "the other task of the batch did not run");
+        loop[0].schedule(1, laterBatch::countDown);
         loop[0].execute(() -> {});
-        assertTrue(later.await(10, TimeUnit.SECONDS), "a later task");
+        assertTrue(laterBatch.await(10, TimeUnit.SECONDS), "the later task did not run");
         loop[0].close();
     }
 
-    /** Guards against a process that lives on, and serves no one, without its I/O thread. */
+    /** Guards against a process that keeps running, but serves nothing, without its I/O thread. */
     @Test
-    public void endOfTheThreadIsReported() throws Exception {
+    public void threadFailureIsReported() throws Exception {
         EventLoop loop = new EventLoop(() -> {}, 4, 1 << 16, System::nanoTime);
         CompletableFuture<Thread> ended = new CompletableFuture<>();
         loop.setThreadEndHandler((thread, failure) -> ended.complete(thread));
         loop.thread.execute(
                 () -> {
-                    throw new UnprintableError(); // XNIO's own attempt to log it ends the thread
+                    throw new UnprintableError(); // ends the thread when XNIO tries to log it
                 });
         assertSame(ended.get(10, TimeUnit.SECONDS), loop.thread);
-        loop.worker.shutdownNow(); // the other thread
+        loop.worker.shutdownNow(); // stops the accept thread
     }
 
-    /** Guards against a client that waits for an answer on a connection that was given up. */
+    /** Guards against a client that waits for a response on a connection whose event failed. */
     @Test(dataProvider = "faults")
     public void connectionWhoseEventFailsIsClosed(Fault fault) throws Exception {
         EventLoop[] loop = new EventLoop[1];
