--- a/gateway/src/main/java/tinford/Main.java
+++ b/gateway/src/main/java/tinford/Main.java
@@ -6,10 +6,10 @@
 import tinford.program.GatewayProcess;
 import tinford.simulator.SimulatorSession;
 
-/** Runs the gateway, or answers the simulator on standard input and output. */
+/** Runs the gateway, or serves the simulator on standard input and output. */
 public final class Main {
     private static final double LOG_FLUSH_TIMEOUT_MS = 100;
-    private static final int USAGE_ERROR = 2;
+    private static final int USAGE_ERROR_EXIT_CODE = 2;
 
     private Main() {}
 
@@ -27,6 +27,6 @@
                     SimulatorSession.serve(System.in, System.out, System.err, DecisionEngine::new));
         }
         System.err.println("usage: java -jar tinford.jar serve | benchlink");
-        System.exit(USAGE_ERROR);
+        System.exit(USAGE_ERROR_EXIT_CODE);
     }
 }
--- a/gateway/src/main/java/tinford/logging/JBossLogBridge.java
+++ b/gateway/src/main/java/tinford/logging/JBossLogBridge.java
@@ -7,8 +7,8 @@
 import org.jboss.logging.LoggerProvider;
 
 /**
- * Sends the log entries of XNIO and JBoss Threads to the {@link LineLogger}. Diagnostic contexts
- * (MDC, NDC), which this program does not use, are ignored.
+ * Forwards the log entries of XNIO and JBoss Threads to {@link LineLogger}. Diagnostic contexts
+ * (MDC and NDC) are ignored, as this program does not use them.
  */
 public final class JBossLogBridge implements LoggerProvider {
     @Override
--- a/gateway/src/main/java/tinford/logging/LineLogger.java
+++ b/gateway/src/main/java/tinford/logging/LineLogger.java
@@ -8,12 +8,15 @@
 import java.util.ResourceBundle;
 
 /**
- * The {@link System.Logger} of this program: each entry is one line on standard error, with time,
- * level and logger name. The JDK's own logging takes a quarter of the processor time of a start, so
- * it is not used.
+ * Provides the {@link System.Logger}s of this program. Each entry is one line on standard error,
+ * with time, level and logger name. The JDK's own logging is not used, because it takes a quarter
+ * of the CPU time of start-up.
  */
 public final class LineLogger extends System.LoggerFinder {
-    /** Loggers of this program; libraries are logged from warnings on. */
+    /**
+     * The name prefix of this program's own loggers, which log from INFO on; those of libraries log
+     * from WARNING on.
+     */
     private static final String OWN_PREFIX = "tinford";
 
     private static final int TYPICAL_LINE_LENGTH = 120;
@@ -23,7 +26,7 @@
         return new NamedLogger(name);
     }
 
-    /** Whether entries of that logger and level are written. */
+    /** Whether entries of that logger and level are logged. */
     static boolean isLoggable(String loggerName, System.Logger.Level level) {
         System.Logger.Level lowest =
                 loggerName.startsWith(OWN_PREFIX)
@@ -35,7 +38,7 @@
     /**
      * Queues one entry for standard error; never blocks.
      *
-     * @param thrown whose stack trace follows in further lines, or null
+     * @param thrown a throwable whose stack trace follows on further lines, or null
      */
     static void write(String loggerName, System.Logger.Level level, String text, Throwable thrown) {
         StringBuilder line =
@@ -56,16 +59,15 @@
     }
 
     /**
-     * Queues a line that is encoded already, for a caller that may have no memory left; never
-     * blocks.
+     * Queues a line that is already encoded, for callers that may be out of memory; never blocks.
      *
-     * @param line with its end
+     * @param line the encoded line, including its line end
      */
     public static void writeEncoded(byte[] line) {
         LogWriter.offer(line);
     }
 
-    /** Waits until all queued lines are written, but no longer than the timeout. */
+    /** Waits until all queued lines are written or the timeout has passed. */
     public static void flush(double timeoutMs) {
         LogWriter.flush(timeoutMs);
     }
--- a/gateway/src/main/java/tinford/logging/LogWriter.java
+++ b/gateway/src/main/java/tinford/logging/LogWriter.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Writes log lines to standard error from a thread of its own. Standard error may be a pipe that is
- * not read, and the I/O thread must not wait for it: lines that do not fit into the queue are
+ * Writes log lines to standard error on its own thread, because standard error may be a pipe that
+ * nobody reads, and the I/O thread must not block on it. Lines that do not fit into the queue are
  * dropped, and their number is logged before the next line that is written.
  */
 final class LogWriter {
@@ -18,7 +18,7 @@
             new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private static final AtomicLong DROPPED = new AtomicLong();
 
-    /** Lines that were queued and are not written yet. */
+    /** The number of lines that are queued but not yet written. */
     private static final AtomicLong UNWRITTEN = new AtomicLong();
 
     static {
@@ -30,7 +30,7 @@
     private LogWriter() {}
 
     /**
-     * @param line encoded, with its end
+     * @param line the encoded line, including its line end
      */
     static void offer(byte[] line) {
         UNWRITTEN.incrementAndGet();
@@ -53,14 +53,14 @@
             try {
                 line = QUEUE.take();
             } catch (InterruptedException e) {
-                return; // the JVM does not interrupt this thread
+                return; // nothing interrupts this thread
             }
             try {
                 writeDropped();
                 System.err.write(line, 0, line.length);
                 System.err.flush();
             } catch (RuntimeException | Error e) {
-                // The thread has to outlive a lack of memory: without it no line would follow.
+                // The thread must survive an OutOfMemoryError, or nothing more is logged.
                 DROPPED.incrementAndGet();
             } finally {
                 UNWRITTEN.decrementAndGet();
--- a/gateway/src/main/java/tinford/logging/package-info.java
+++ b/gateway/src/main/java/tinford/logging/package-info.java
@@ -1,2 +1,2 @@
-/** The log on standard error, behind {@link java.lang.System.Logger} and JBoss Logging. */
+/** Logging to standard error, used through {@link java.lang.System.Logger} and JBoss Logging. */
 package tinford.logging;
--- a/gateway/src/test/java/tinford/ArchitectureTest.java
+++ b/gateway/src/test/java/tinford/ArchitectureTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** The layers of docs/architecture.md, as far as they concern the gateway. */
+/** Checks the layering that docs/architecture.md describes, for the gateway module. */
 public class ArchitectureTest {
     private JavaClasses gateway;
 
@@ -21,9 +21,9 @@
                         .importPackages("tinford", "org.xnio.nio");
     }
 
-    /** Neither I/O nor threads nor a clock: time and randomness are handed in. */
+    /** Decisions use no I/O, threads or clock; time and randomness are passed in. */
     @Test
-    public void decisionsUseOnlyTheInterfaceAndCollections() {
+    public void decisionsDependOnlyOnApiAndCollections() {
         classes()
                 .that()
                 .resideInAPackage("tinford.decision..")
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void theInterfaceDependsOnNothing() {
+    public void apiDependsOnNoOtherPackage() {
         classes()
                 .that()
                 .resideInAPackage("tinford.api..")
@@ -66,7 +66,7 @@
     }
 
     @Test
-    public void onlyTheProgramKnowsAllParts() {
+    public void onlyMainDependsOnProgramDecisionAndSimulator() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("tinford", "tinford.program..")
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void transportAndProtocolKnowNoRequests() {
+    public void transportAndProtocolDependOnNoHigherLayer() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
--- a/gateway/src/test/java/tinford/WireNamesTest.java
+++ b/gateway/src/test/java/tinford/WireNamesTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Names of the simulator's wire and of the settings are mapped to the code's terms at the edge, and
- * go no further in.
+ * The names that the simulator's protocol and the settings use are mapped to the code's terms in
+ * the packages that read or write them, and must not be used in other packages.
  */
 public class WireNamesTest {
     private static final Path SOURCES = Path.of("src", "main", "java", "tinford");
@@ -87,29 +87,30 @@
                     "TickUs");
 
     @DataProvider
-    public Object[][] edges() {
+    public Object[][] boundaryPackages() {
         return new Object[][] {{"simulator", SIMULATOR_NAMES}, {"settings", SETTINGS_NAMES}};
     }
 
-    @Test(dataProvider = "edges")
-    public void namesStayAtTheEdge(String edge, Set<String> names) throws IOException {
+    @Test(dataProvider = "boundaryPackages")
+    public void namesAreOnlyUsedInTheirPackage(String packageName, Set<String> names)
+            throws IOException {
         List<String> found = new ArrayList<>();
-        boolean usedAtTheEdge = false;
+        boolean usedInPackage = false;
         for (Path file : sources()) {
-            boolean atTheEdge = file.startsWith(SOURCES.resolve(edge));
+            boolean inPackage = file.startsWith(SOURCES.resolve(packageName));
             Matcher literal = STRING_LITERAL.matcher(Files.readString(file));
             while (literal.find()) {
                 if (!names.contains(literal.group(1))) {
                     continue;
                 }
-                usedAtTheEdge |= atTheEdge;
-                if (!atTheEdge) {
+                usedInPackage |= inPackage;
+                if (!inPackage) {
                     found.add(file + ": " + literal.group(1));
                 }
             }
         }
         assertEquals(found, List.of());
-        assertTrue(usedAtTheEdge, "none of the names is read or written in " + edge);
+        assertTrue(usedInPackage, "none of the names is read or written in " + packageName);
     }
 
     private static List<Path> sources() throws IOException {
--- a/gateway/src/test/java/tinford/logging/LineLoggerTest.java
+++ b/gateway/src/test/java/tinford/logging/LineLoggerTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 import tinford.transport.EventLoop;
 
-/** The form of log lines, and what happens when they are not read. */
+/** The format of log lines, and the handling of a log that nobody reads. */
 public class LineLoggerTest {
     private static final String TIME = "\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d+Z ";
 
@@ -68,25 +68,28 @@
     }
 
     @Test(dataProvider = "entries")
-    public void entryIsOneLine(Runnable entry, String expected) {
-        PrintStream before = System.err;
+    public void entryHasExpectedFormat(Runnable entry, String expected) {
+        PrintStream original = System.err;
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         System.setErr(new PrintStream(output, true));
         try {
             entry.run();
             LineLogger.flush(10_000);
         } finally {
-            System.setErr(before);
+            System.setErr(original);
         }
         assertTrue(output.toString().matches(expected), output.toString());
     }
 
-    /** With a part of one core, they would take a third of the time of a start. */
+    /**
+     * Guards against a slow start: with only a fraction of a core, java.util.logging and JMX would
+     * take a third of the start-up time.
+     */
     @Test
     public void startLoadsNeitherJavaLoggingNorManagementBeans() throws Exception {
         Path loaded = Files.createTempFile("tinford", ".classes");
         try {
-            Process p =
+            Process process =
                     new ProcessBuilder(
                                     System.getProperty("java.home") + "/bin/java",
                                     "-Xshare:auto",
@@ -97,24 +100,27 @@
                                     EventLoopProgram.class.getName())
                             .inheritIO()
                             .start();
-            assertEquals(p.waitFor(), 0);
+            assertEquals(process.waitFor(), 0);
             List<String> lines = Files.readAllLines(loaded);
             assertTrue(lines.stream().anyMatch(l -> l.contains("org.xnio.XnioWorker ")));
-            for (String none :
+            for (String unwantedClass :
                     List.of(
                             "java.util.logging.LogManager ",
                             "com.sun.jmx.mbeanserver.JmxMBeanServer ")) {
-                assertFalse(lines.stream().anyMatch(l -> l.contains(none)), none);
+                assertFalse(lines.stream().anyMatch(l -> l.contains(unwantedClass)), unwantedClass);
             }
         } finally {
             Files.delete(loaded);
         }
     }
 
-    /** The pipe of standard error is full long before all lines are logged. */
+    /**
+     * Guards against a logger that blocks: the pipe of standard error is full long before all lines
+     * are logged.
+     */
     @Test
     public void unreadLogDoesNotBlock() throws Exception {
-        Process p =
+        Process process =
                 new ProcessBuilder(
                                 System.getProperty("java.home") + "/bin/java",
                                 "-cp",
@@ -122,10 +128,10 @@
                                 ManyLinesProgram.class.getName())
                         .start();
         assertEquals(
-                new String(p.getInputStream().readNBytes(5)),
-                "done\n"); // only then is the log read
-        String output = new String(p.getErrorStream().readAllBytes());
-        assertEquals(p.waitFor(), 0);
+                new String(process.getInputStream().readNBytes(5)),
+                "done\n"); // the log is only read after this line
+        String output = new String(process.getErrorStream().readAllBytes());
+        assertEquals(process.waitFor(), 0);
         long written = output.lines().filter(l -> l.contains(" a long line ")).count();
         long dropped =
                 output.lines()
@@ -137,7 +143,7 @@
                 written + " written, " + dropped + " dropped");
     }
 
-    /** Logs more than the pipe and the queue hold, reports that, and logs one line more. */
+    /** Logs more lines than the pipe and the queue hold, prints "done", and logs one more line. */
     public static final class ManyLinesProgram {
         static final int LINES = 5000;
 
@@ -148,12 +154,12 @@
             }
             System.out.println("done");
             LineLogger.flush(10_000);
-            log.log(Level.INFO, "a long line and the last");
+            log.log(Level.INFO, "a long line at the end");
             LineLogger.flush(10_000);
         }
     }
 
-    /** A gateway's event loop, in a process of its own. */
+    /** Runs an event loop in a separate process. */
     public static final class EventLoopProgram {
         public static void main(String[] args) throws Exception {
             new EventLoop(() -> {}, 1, 1, System::nanoTime).close();
--- a/gateway/src/test/java/tinford/testing/Eventually.java
+++ b/gateway/src/test/java/tinford/testing/Eventually.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Waits, within a bound, for what another thread or process brings about. */
+/** Waits, with a timeout, for a condition that another thread or process makes true. */
 public final class Eventually {
-    /** Far longer than anything takes: it only ends a test that hangs. */
+    /** Much longer than any expected wait; only ends a test that hangs. */
     public static final int DEFAULT_TIMEOUT_MS = 20_000;
 
     private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
@@ -24,7 +24,8 @@
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         while (!condition.call()) {
             if (System.nanoTime() >= deadlineNanos) {
-                throw new AssertionError("not within " + timeoutMs + " ms: " + expected);
+                throw new AssertionError(
+                        "condition not met within " + timeoutMs + " ms: " + expected);
             }
             LockSupport.parkNanos(POLL_NANOS);
         }
--- a/gateway/src/test/java/tinford/testing/FreePort.java
+++ b/gateway/src/test/java/tinford/testing/FreePort.java
@@ -7,20 +7,21 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * A port for a program to listen at later. It lies below the range from which the system gives
- * ports to connections: one of that range could be taken between the look and the bind.
+ * Finds a port at which a program can listen later. The port lies below the system's range of
+ * ephemeral ports, because a port of that range could be assigned to an outgoing connection between
+ * the check and the bind.
  */
 public final class FreePort {
     private static final int FIRST_PORT = 12_000;
     private static final int PORT_LIMIT = 32_000;
-    private static final int MAX_TRIES = 100;
+    private static final int MAX_ATTEMPTS = 100;
 
     private FreePort() {}
 
-    /** A port that was free for streams and datagrams on loopback when it was looked at. */
+    /** A port that was free for TCP and UDP on the loopback interface when it was checked. */
     public static int find() throws IOException {
         IOException last = null;
-        for (int i = 0; i < MAX_TRIES; i++) {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, PORT_LIMIT);
             InetAddress loopback = InetAddress.getLoopbackAddress();
             try (ServerSocket stream = new ServerSocket(port, 1, loopback);
@@ -30,6 +31,6 @@
                 last = e;
             }
         }
-        throw new IOException("no free port from " + FIRST_PORT + " to " + PORT_LIMIT, last);
+        throw new IOException("no free port found from " + FIRST_PORT + " to " + PORT_LIMIT, last);
     }
 }
--- a/gateway/src/test/java/tinford/testing/IgnoredEvents.java
+++ b/gateway/src/test/java/tinford/testing/IgnoredEvents.java
@@ -6,7 +6,7 @@
 import tinford.api.Request;
 import tinford.api.Server;
 
-/** Ignores every event; tests override the events that they observe. */
+/** Ignores all events; tests override the methods of the events that they observe. */
 public class IgnoredEvents implements GatewayEvents {
     @Override
     public void started() {}
