--- a/gateway/src/main/java/tinford/program/FatalExit.java
+++ b/gateway/src/main/java/tinford/program/FatalExit.java
@@ -24,7 +24,7 @@
 
     /** From now on the process ends with the loop's threads. */
     static void install(EventLoop loop) {
-        loop.setThreadEndHandler(new FatalExit());
+        loop.setThreadFailureHandler(new FatalExit());
     }
 
     @Override
--- a/gateway/src/main/java/tinford/protocol/ClientCommand.java
+++ b/gateway/src/main/java/tinford/protocol/ClientCommand.java
@@ -68,7 +68,7 @@
     public ClientCommand(RespReader parsed, byte[] bytes, int from, int length)
             throws ProtocolException {
         retryable = isRetryable(parsed.text(0));
-        checkElementCount(parsed.partCount());
+        checkElementCount(parsed.elementCount());
         tenant = parseTenant(parsed.text(1));
         id = parseId(parsed.text(2), "id");
         raw = bytes;
--- a/gateway/src/main/java/tinford/protocol/RespReader.java
+++ b/gateway/src/main/java/tinford/protocol/RespReader.java
@@ -46,7 +46,7 @@
     private int position;
     private int limit;
     private boolean isArray;
-    private int partCount;
+    private int elementCount;
     private int requiredBytes;
     private long longValueBytes;
 
@@ -70,7 +70,7 @@
         setSource(source, from, to);
         valueStart = from;
         requiredBytes = 0;
-        partCount = 1;
+        elementCount = 1;
         isArray = position < limit && bytes[position] == '*';
         if (isArray) {
             long count = parseLength();
@@ -80,7 +80,7 @@
             if (count == 0 || count > MAX_ELEMENTS) {
                 throw new ProtocolException("an array of 1 to " + MAX_ELEMENTS + " elements");
             }
-            partCount = (int) count;
+            elementCount = (int) count;
         }
         return parseElements(0) ? position - from : 0;
     }
@@ -92,7 +92,7 @@
     }
 
     private boolean parseElements(int first) throws ProtocolException {
-        for (int i = first; i < partCount; i++) {
+        for (int i = first; i < elementCount; i++) {
             if (!parseElement(i)) {
                 return false;
             }
@@ -227,7 +227,7 @@
         if (count < 1 || count > MAX_ELEMENTS || position >= limit || bytes[position] != '$') {
             return 0;
         }
-        partCount = (int) count;
+        elementCount = (int) count;
         longValueBytes = isNegativeLength() ? 0 : parseLength();
         if (longValueBytes <= MAX_BULK_BYTES) {
             return 0;
@@ -260,7 +260,7 @@
     public int parseAfterLongValue(int elements, byte[] source, int from, int to)
             throws ProtocolException {
         setSource(source, from, to);
-        partCount = elements;
+        elementCount = elements;
         isArray = true;
         int available = limit - position;
         if (available >= 1 && bytes[position] != '\r'
@@ -284,12 +284,12 @@
         return isArray;
     }
 
-    public int partCount() {
-        return partCount;
+    public int elementCount() {
+        return elementCount;
     }
 
     /** The type character of an element ('$', '+', '-' or ':'), or 0 for a null bulk string. */
-    public byte kind(int element) {
+    public byte type(int element) {
         return elementType[element];
     }
 
@@ -309,7 +309,7 @@
 
     /** Whether the value is an array of bulk strings. */
     public boolean isCommand() {
-        for (int i = 0; i < partCount; i++) {
+        for (int i = 0; i < elementCount; i++) {
             if (elementType[i] != '$') {
                 return false;
             }
--- a/gateway/src/main/java/tinford/routing/admin/AdminCall.java
+++ b/gateway/src/main/java/tinford/routing/admin/AdminCall.java
@@ -21,7 +21,7 @@
     }
 
     @Override
-    protected DescriptorBudget.PeerKind party() {
+    protected DescriptorBudget.PeerKind peerKind() {
         return DescriptorBudget.PeerKind.ADMINS;
     }
 
--- a/gateway/src/main/java/tinford/routing/client/ClientConnection.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientConnection.java
@@ -110,7 +110,7 @@
     }
 
     @Override
-    protected DescriptorBudget.PeerKind party() {
+    protected DescriptorBudget.PeerKind peerKind() {
         return DescriptorBudget.PeerKind.CLIENTS;
     }
 
@@ -120,7 +120,7 @@
     @Override
     protected void onReceived() {
         // A client that has closed does not wait for what it sent right before.
-        if (isPeerCloseSeen()) {
+        if (isClosedOrClosing()) {
             return;
         }
         try {
@@ -274,7 +274,8 @@
      * @return whether it is closed
      */
     boolean closeIfQuiet() {
-        if ((pendingClose != null || isQuiet() || isIdle()) && buffer.unwrittenBytes() == 0) {
+        if ((pendingClose != null || hasNoPendingInput() || isIdle())
+                && buffer.unwrittenBytes() == 0) {
             close(CloseReason.CLOSED_IDLE);
         }
         return isClosed();
@@ -286,7 +287,7 @@
      */
     private void handle(RespReader reader, int length, boolean hasReservedBuffer) {
         int from = buffer.readIndex();
-        if (reader.partCount() == 1 && reader.text(0).equals("PING")) {
+        if (reader.elementCount() == 1 && reader.text(0).equals("PING")) {
             buffer.consume(length);
             answerLine(newSlot(), "+PONG");
             return;
@@ -395,8 +396,8 @@
         }
         if (pendingClose == CloseReason.PROTOCOL_ERROR) {
             closeDiscardingInput(pendingClose);
-        } else if (isQuiet() || isIdle()) {
-            closeGracefullyIfQuiet(pendingClose);
+        } else if (hasNoPendingInput() || isIdle()) {
+            closeGracefullyUnlessInput(pendingClose);
         }
     }
 
--- a/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    protected DescriptorBudget.PeerKind party() {
+    protected DescriptorBudget.PeerKind peerKind() {
         return DescriptorBudget.PeerKind.SERVICES;
     }
 
@@ -184,11 +184,11 @@
     /** A total that can be read is valid, in whatever form; any other text has no known meaning. */
     private AttemptOutcome outcomeOf(RespReader reader) throws ProtocolException {
         if (!reader.isArray()
-                && reader.kind(0) == '$'
+                && reader.type(0) == '$'
                 && !Double.isNaN(NumberParser.parse(reader.text(0)))) {
             return AttemptOutcome.SUCCESS;
         }
-        String line = reader.kind(0) == '-' ? reader.text(0) : "";
+        String line = reader.type(0) == '-' ? reader.text(0) : "";
         if (line.equals("BUSY") || line.startsWith("BUSY ")) {
             return AttemptOutcome.OVERLOADED;
         }
--- a/gateway/src/main/java/tinford/routing/discovery/DiscoveryConnection.java
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryConnection.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    protected DescriptorBudget.PeerKind party() {
+    protected DescriptorBudget.PeerKind peerKind() {
         return DescriptorBudget.PeerKind.SERVICES;
     }
 
--- a/gateway/src/main/java/tinford/routing/upstream/ServerConnection.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerConnection.java
@@ -123,7 +123,7 @@
     }
 
     @Override
-    protected DescriptorBudget.PeerKind party() {
+    protected DescriptorBudget.PeerKind peerKind() {
         return DescriptorBudget.PeerKind.SERVERS;
     }
 
@@ -197,7 +197,7 @@
         if (headLength <= 0) {
             return false;
         }
-        startStream(headLength, reader.longValueBytes(), reader.partCount());
+        startStream(headLength, reader.longValueBytes(), reader.elementCount());
         return true;
     }
 
@@ -299,8 +299,8 @@
         String usage;
         String load;
         if (outcome == AttemptOutcome.SUCCESS) {
-            usage = reader.partCount() > 1 ? reader.text(1) : "";
-            load = reader.partCount() > 2 ? reader.text(2) : "";
+            usage = reader.elementCount() > 1 ? reader.text(1) : "";
+            load = reader.elementCount() > 2 ? reader.text(2) : "";
         } else {
             String[] words = reader.text(0).split(" ");
             usage = words.length > 2 ? words[2] : "";
@@ -325,12 +325,12 @@
     /** What the protocol does not know is no response: another error line may mean anything. */
     private static AttemptOutcome outcomeOf(RespReader reader) throws ProtocolException {
         if (reader.isArray()) {
-            if (reader.kind(0) == '$') {
+            if (reader.type(0) == '$') {
                 return AttemptOutcome.SUCCESS;
             }
             throw new ProtocolException("a value first");
         }
-        String line = reader.kind(0) == '-' ? reader.text(0) : "";
+        String line = reader.type(0) == '-' ? reader.text(0) : "";
         if (line.equals("BUSY") || line.startsWith("BUSY ")) {
             return AttemptOutcome.OVERLOADED;
         }
--- a/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
@@ -215,7 +215,8 @@
     private ServerConnection takeReusable(PooledServer server) {
         double nowMs = context.nowMs();
         for (ServerConnection connection : server.idle) {
-            if (nowMs - connection.idleSinceMs >= REUSE_DELAY_MS && connection.isQuiet()) {
+            if (nowMs - connection.idleSinceMs >= REUSE_DELAY_MS
+                    && connection.hasNoPendingInput()) {
                 server.idle.remove(connection);
                 return connection;
             }
--- a/gateway/src/main/java/tinford/transport/ConnectAttempt.java
+++ b/gateway/src/main/java/tinford/transport/ConnectAttempt.java
@@ -17,7 +17,7 @@
             EventLoop loop, InetSocketAddress address, double timeoutMs, Connection connection) {
         this.connection = connection;
         timeout = loop.schedule(timeoutMs, () -> connection.close(CloseReason.CONNECT_TIMEOUT));
-        future = loop.thread.openStreamConnection(address, this::connected, SOCKET_OPTIONS);
+        future = loop.ioThread.openStreamConnection(address, this::onConnected, SOCKET_OPTIONS);
         future.addNotifier(
                 (result, attachment) -> {
                     if (result.getStatus() == IoFuture.Status.FAILED) {
@@ -27,9 +27,9 @@
                 null);
     }
 
-    private void connected(StreamConnection established) {
+    private void onConnected(StreamConnection established) {
         timeout.cancel();
-        connection.connected(established);
+        connection.onConnected(established);
     }
 
     /** Cancels the attempt; has no effect once it has ended. */
--- a/gateway/src/main/java/tinford/transport/Connection.java
+++ b/gateway/src/main/java/tinford/transport/Connection.java
@@ -58,7 +58,7 @@
     }
 
     /** The kind of peer whose share of the descriptor budget this connection uses. */
-    protected abstract DescriptorBudget.PeerKind party();
+    protected abstract DescriptorBudget.PeerKind peerKind();
 
     /** Called when a connection opened with {@link #open} is established. */
     protected abstract void onOpened();
@@ -106,7 +106,7 @@
      *     CloseReason#NO_DESCRIPTOR} without an attempt
      */
     protected final void open(InetSocketAddress address, double timeoutMs) {
-        holdsDescriptor = timeoutMs > 0 && loop.descriptorBudget.tryAcquire(party());
+        holdsDescriptor = timeoutMs > 0 && loop.descriptorBudget.tryAcquire(peerKind());
         if (!holdsDescriptor) {
             fail(CloseReason.NO_DESCRIPTOR);
             return;
@@ -114,7 +114,7 @@
         connectAttempt = new ConnectAttempt(loop, address, timeoutMs, this);
     }
 
-    final void connected(StreamConnection established) {
+    final void onConnected(StreamConnection established) {
         if (isClosed()) {
             IoUtils.safeClose(established);
             return;
@@ -128,7 +128,7 @@
         connection = established;
         state = ConnectionState.OPEN;
         established.getSourceChannel().setReadListener(channel -> read());
-        established.getSinkChannel().setWriteListener(channel -> writable());
+        established.getSinkChannel().setWriteListener(channel -> onWritable());
         established.getSourceChannel().resumeReads();
     }
 
@@ -161,11 +161,11 @@
     /**
      * Reads from the socket once; returns true if no input is pending and the peer has not closed.
      */
-    public final boolean isQuiet() {
+    public final boolean hasNoPendingInput() {
         if (isOpen() && pendingCloseReason == null && !pendingEvents.contains(Event.RECEIVED)) {
             read();
         }
-        return !isPeerCloseSeen()
+        return !isClosedOrClosing()
                 && !pendingEvents.contains(Event.RECEIVED)
                 && buffer.unreadBytes() == 0;
     }
@@ -176,7 +176,7 @@
      */
     protected final boolean pollPeerClosed() {
         readAhead.poll();
-        return isPeerCloseSeen();
+        return isClosedOrClosing();
     }
 
     final boolean isReadable() {
@@ -187,11 +187,11 @@
      * Whether the connection is closed or about to be closed, because the peer closed it or it
      * failed.
      */
-    protected final boolean isPeerCloseSeen() {
+    protected final boolean isClosedOrClosing() {
         return isClosed() || pendingCloseReason != null;
     }
 
-    private void writable() {
+    private void onWritable() {
         connection.getSinkChannel().suspendWrites();
         try {
             flush();
@@ -259,8 +259,8 @@
     }
 
     private void halfClose() throws IOException {
-        if (gracefulClose.yieldsToInput() && !isQuiet()) {
-            gracefulClose.callOff();
+        if (gracefulClose.isCancelledByInput() && !hasNoPendingInput()) {
+            gracefulClose.cancel();
             connection.setOption(Options.TCP_NODELAY, true); // sends the byte that was held back
             return;
         }
@@ -292,7 +292,7 @@
             scheduleFlush();
         }
         if (takeEvent(Event.RECEIVED)) {
-            received();
+            handleReceived();
         }
         if (takeEvent(Event.DRAINED)) {
             onDrained();
@@ -312,9 +312,9 @@
         return !isClosed() && pendingEvents.remove(event);
     }
 
-    private void received() {
-        if (gracefulClose.yieldsToInput() && state == ConnectionState.OPEN) {
-            gracefulClose.callOff();
+    private void handleReceived() {
+        if (gracefulClose.isCancelledByInput() && state == ConnectionState.OPEN) {
+            gracefulClose.cancel();
         }
         if (gracefulClose.isActive()) {
             buffer.consume(buffer.unreadBytes());
@@ -367,8 +367,8 @@
      * As {@link #closeGracefully}, but cancelled if input arrives before the sending side is shut
      * down. The input is then passed to {@link #onReceived}, and this method may be called again.
      */
-    protected final void closeGracefullyIfQuiet(CloseReason reason) {
-        gracefulClose.setYieldsToInput();
+    protected final void closeGracefullyUnlessInput(CloseReason reason) {
+        gracefulClose.setCancelOnInput();
         closeGracefully(reason);
     }
 
@@ -377,7 +377,7 @@
      * discarded, and the connection is closed after a short timeout.
      */
     protected final void closeDiscardingInput(CloseReason reason) {
-        gracefulClose.setDiscardsInput();
+        gracefulClose.setDiscardInput();
         discardInput();
         closeGracefully(reason);
         if (!isClosed()) {
@@ -414,7 +414,7 @@
             closeSocket();
             releaseDescriptor(); // before onClosed, which may open another connection
         } else {
-            new LingeringClose(loop, connection, this::lingeringCloseEnded).start();
+            new LingeringClose(loop, connection, this::onLingeringCloseEnded).start();
         }
         try {
             onClosed(reason);
@@ -434,14 +434,14 @@
         }
     }
 
-    private void lingeringCloseEnded() {
+    private void onLingeringCloseEnded() {
         releaseDescriptor();
         onDescriptorReleased();
     }
 
     private void releaseDescriptor() {
         if (holdsDescriptor) {
-            loop.descriptorBudget.release(party());
+            loop.descriptorBudget.release(peerKind());
         }
     }
 }
--- a/gateway/src/main/java/tinford/transport/EventLoop.java
+++ b/gateway/src/main/java/tinford/transport/EventLoop.java
@@ -41,12 +41,12 @@
     }
 
     final XnioWorker worker;
-    final XnioIoThread thread;
+    final XnioIoThread ioThread;
     final BufferBudget bufferBudget;
     final DescriptorBudget descriptorBudget;
     private final BatchHandler batchHandler;
     private final Runnable batch = this::runBatch;
-    private final TaskIsolation isolation = new TaskIsolation();
+    private final TaskIsolation taskIsolation = new TaskIsolation();
     private final LongSupplier nanoClock;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final List<Task> submittedTasks = new ArrayList<>();
@@ -56,7 +56,7 @@
     private long wakeupNanos = NO_WAKEUP;
     private boolean isBatchScheduled;
     private boolean isClosed;
-    private volatile Thread.UncaughtExceptionHandler threadEndHandler;
+    private volatile Thread.UncaughtExceptionHandler threadFailureHandler;
 
     /** A scheduled task. */
     public static final class Timer implements Comparable<Timer> {
@@ -94,7 +94,7 @@
         this.bufferBudget = new BufferBudget(bufferBytes);
         this.descriptorBudget = new DescriptorBudget(descriptors);
         worker = Xnio.getInstance("nio").createWorker(workerOptions());
-        thread = worker.getIoThread();
+        ioThread = worker.getIoThread();
     }
 
     private static OptionMap workerOptions() {
@@ -112,19 +112,19 @@
      * exception or can't continue, so that nothing is served any more. To be called before any
      * connection is open.
      */
-    public void setThreadEndHandler(Thread.UncaughtExceptionHandler handler) {
-        threadEndHandler = handler;
-        thread.setUncaughtExceptionHandler(handler);
+    public void setThreadFailureHandler(Thread.UncaughtExceptionHandler handler) {
+        threadFailureHandler = handler;
+        ioThread.setUncaughtExceptionHandler(handler);
     }
 
     /** The handler, or null if none is set. */
-    Thread.UncaughtExceptionHandler threadEndHandler() {
-        return threadEndHandler;
+    Thread.UncaughtExceptionHandler threadFailureHandler() {
+        return threadFailureHandler;
     }
 
     /** Submits the task to the I/O thread; may be called from any thread. */
     public void execute(Task task) {
-        thread.execute(() -> submit(task));
+        ioThread.execute(() -> submit(task));
     }
 
     /** Runs the task in the next batch; called on the I/O thread. */
@@ -148,7 +148,7 @@
         runningTasks.addAll(submittedTasks);
         submittedTasks.clear();
         for (int i = 0; i < runningTasks.size(); i++) {
-            isolation.run(runningTasks.get(i));
+            taskIsolation.run(runningTasks.get(i));
         }
         runningTasks.clear();
     }
@@ -165,13 +165,13 @@
 
     /** Logs a failure whose consequences the caller handles; called within a batch. */
     public void logFailure(Throwable failure) {
-        isolation.logAndRestore(TaskIsolation.TASK_FAILED, failure);
+        taskIsolation.logAndRestore(TaskIsolation.TASK_FAILED, failure);
     }
 
     /** Closes, in the next batch, a connection whose event could not be handled. */
     void closeFailed(Connection connection, Throwable failure) {
         try {
-            isolation.closeFailed(connection, failure);
+            taskIsolation.closeFailed(connection, failure);
             scheduleBatch();
         } catch (RuntimeException | Error e) {
             reportThreadFailure(e);
@@ -180,14 +180,14 @@
     }
 
     private void reportThreadFailure(Throwable failure) {
-        if (threadEndHandler != null) {
-            threadEndHandler.uncaughtException(thread, failure);
+        if (threadFailureHandler != null) {
+            threadFailureHandler.uncaughtException(ioThread, failure);
         }
     }
 
     /** Stops the I/O thread, after which no task runs; may be called from any thread. */
     public void close() {
-        thread.execute(
+        ioThread.execute(
                 () -> {
                     isClosed = true;
                     worker.shutdownNow();
@@ -227,7 +227,7 @@
         // Set before the call: during start-up this method is called from another thread.
         isBatchScheduled = true;
         try {
-            thread.execute(batch);
+            ioThread.execute(batch);
         } catch (RuntimeException | Error e) {
             isBatchScheduled = false;
             throw e;
@@ -241,7 +241,7 @@
         try {
             batchHandler.run();
         } catch (RuntimeException | Error e) {
-            isolation.logAndRestore(TaskIsolation.BATCH_FAILED, e);
+            taskIsolation.logAndRestore(TaskIsolation.BATCH_FAILED, e);
         }
         flushAll();
         scheduleNext();
@@ -253,7 +253,7 @@
             try {
                 connection.flush();
             } catch (RuntimeException | Error e) {
-                isolation.closeFailed(connection, e);
+                taskIsolation.closeFailed(connection, e);
             }
         }
         unflushedConnections.clear();
@@ -291,7 +291,7 @@
         }
         wakeupNanos = nextNanos;
         if (!timers.isEmpty()) {
-            wakeupKey = thread.executeAfter(this::onWakeup, delayMs(), TimeUnit.MILLISECONDS);
+            wakeupKey = ioThread.executeAfter(this::onWakeup, delayMs(), TimeUnit.MILLISECONDS);
         }
     }
 
--- a/gateway/src/main/java/tinford/transport/GracefulClose.java
+++ b/gateway/src/main/java/tinford/transport/GracefulClose.java
@@ -46,15 +46,15 @@
     }
 
     /** Whether a close is active that input cancels until the sending side is shut down. */
-    boolean yieldsToInput() {
+    boolean isCancelledByInput() {
         return reason != null && mode == Mode.CANCEL_ON_INPUT;
     }
 
-    void setYieldsToInput() {
+    void setCancelOnInput() {
         mode = Mode.CANCEL_ON_INPUT;
     }
 
-    void setDiscardsInput() {
+    void setDiscardInput() {
         mode = Mode.DISCARD_INPUT;
     }
 
@@ -63,7 +63,7 @@
         restartTimeout(PEER_READ_TIMEOUT_MS, closeReason);
     }
 
-    void callOff() {
+    void cancel() {
         reason = null;
         timeout.cancel();
     }
--- a/gateway/src/main/java/tinford/transport/Listener.java
+++ b/gateway/src/main/java/tinford/transport/Listener.java
@@ -15,7 +15,7 @@
     private static final int BACKLOG = 512;
     private final EventLoop loop;
     private final Supplier<? extends Connection> connectionFactory;
-    private final SharedPort port;
+    private final SharedPort serverSocket;
 
     /**
      * @param shared whether another process may listen at the same address (SO_REUSEPORT)
@@ -33,13 +33,13 @@
             throws IOException {
         this.loop = loop;
         this.connectionFactory = connectionFactory;
-        port =
+        serverSocket =
                 SharedPort.open(
                         loop.worker, address, shared, options(maxConnections), this::acceptAll);
-        if (loop.threadEndHandler() != null) {
-            port.acceptThread().setUncaughtExceptionHandler(loop.threadEndHandler());
+        if (loop.threadFailureHandler() != null) {
+            serverSocket.acceptThread().setUncaughtExceptionHandler(loop.threadFailureHandler());
         }
-        port.resumeAccepts();
+        serverSocket.resumeAccepts();
     }
 
     /**
@@ -70,7 +70,7 @@
         Connection connection = connectionFactory.get();
         if (connection == null) {
             IoUtils.safeClose(accepted);
-        } else if (loop.descriptorBudget.tryAcquire(connection.party())) {
+        } else if (loop.descriptorBudget.tryAcquire(connection.peerKind())) {
             connection.markDescriptorAcquired();
             connection.adopt(accepted);
         } else {
@@ -84,6 +84,6 @@
      * batch, after the last accepted sockets were passed to their connections.
      */
     public void closeAfterAccepting(EventLoop.Task task) {
-        port.close(() -> loop.execute(() -> loop.submit(task)));
+        serverSocket.close(() -> loop.execute(() -> loop.submit(task)));
     }
 }
--- a/gateway/src/main/java/tinford/transport/ReadAhead.java
+++ b/gateway/src/main/java/tinford/transport/ReadAhead.java
@@ -29,7 +29,7 @@
     }
 
     private boolean mayReadMore() {
-        return !connection.isPeerCloseSeen()
+        return !connection.isClosedOrClosing()
                 && connection.buffer.unreadBytes() <= MAX_UNREAD_BYTES
                 && !loop.bufferBudget.isNearlyExhausted();
     }
@@ -47,7 +47,7 @@
 
     private void discardPeriodically() {
         poll();
-        if (!connection.isPeerCloseSeen()) {
+        if (!connection.isClosedOrClosing()) {
             loop.schedule(DISCARD_INTERVAL_MS, this::discardPeriodically);
         }
     }
--- a/gateway/src/test/java/tinford/protocol/ProtocolTest.java
+++ b/gateway/src/test/java/tinford/protocol/ProtocolTest.java
@@ -21,10 +21,10 @@
 
     private static String describe(RespReader reader) {
         StringBuilder description = new StringBuilder(reader.isArray() ? "*" : "");
-        for (int i = 0; i < reader.partCount(); i++) {
+        for (int i = 0; i < reader.elementCount(); i++) {
             description
                     .append(i > 0 ? " " : "")
-                    .append(reader.kind(i) == 0 ? "null" : (char) reader.kind(i) + reader.text(i));
+                    .append(reader.type(i) == 0 ? "null" : (char) reader.type(i) + reader.text(i));
         }
         return description.toString();
     }
--- a/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
@@ -198,7 +198,7 @@
         }
 
         @Override
-        protected DescriptorBudget.PeerKind party() {
+        protected DescriptorBudget.PeerKind peerKind() {
             return DescriptorBudget.PeerKind.SERVERS;
         }
 
--- a/gateway/src/test/java/tinford/routing/upstream/ServerResponseTest.java
+++ b/gateway/src/test/java/tinford/routing/upstream/ServerResponseTest.java
@@ -190,7 +190,7 @@
                         () -> {
                             write(socket, response);
                             if (read) {
-                                ((ClientRequest) request).attempt(0).connection.isQuiet();
+                                ((ClientRequest) request).attempt(0).connection.hasNoPendingInput();
                             }
                             nanoTime.addAndGet((long) (2 * TIMEOUT_MS * 1e6));
                         });
--- a/gateway/src/test/java/tinford/transport/EventLoopTest.java
+++ b/gateway/src/test/java/tinford/transport/EventLoopTest.java
@@ -75,12 +75,12 @@
     public void threadFailureIsReported() throws Exception {
         EventLoop loop = new EventLoop(() -> {}, 4, 1 << 16, System::nanoTime);
         CompletableFuture<Thread> ended = new CompletableFuture<>();
-        loop.setThreadEndHandler((thread, failure) -> ended.complete(thread));
-        loop.thread.execute(
+        loop.setThreadFailureHandler((thread, failure) -> ended.complete(thread));
+        loop.ioThread.execute(
                 () -> {
                     throw new UnprintableError(); // ends the thread when XNIO tries to log it
                 });
-        assertSame(ended.get(10, TimeUnit.SECONDS), loop.thread);
+        assertSame(ended.get(10, TimeUnit.SECONDS), loop.ioThread);
         loop.worker.shutdownNow(); // stops the accept thread
     }
 
@@ -111,7 +111,7 @@
         }
 
         @Override
-        protected DescriptorBudget.PeerKind party() {
+        protected DescriptorBudget.PeerKind peerKind() {
             return DescriptorBudget.PeerKind.CLIENTS;
         }
 
