--- a/gateway/src/main/java/tinford/transport/ConnectAttempt.java
+++ b/gateway/src/main/java/tinford/transport/ConnectAttempt.java
@@ -6,7 +6,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** One attempt to connect, which reports to its connection how it ended. */
+/** An attempt to connect, which reports its result to its {@link Connection}. */
 final class ConnectAttempt {
     private static final OptionMap SOCKET_OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
     private final Connection connection;
@@ -17,7 +17,7 @@
             EventLoop loop, InetSocketAddress address, double timeoutMs, Connection connection) {
         this.connection = connection;
         timeout = loop.schedule(timeoutMs, () -> connection.close(CloseReason.CONNECT_TIMEOUT));
-        future = loop.thread.openStreamConnection(address, this::connected, SOCKET_OPTIONS);
+        future = loop.ioThread.openStreamConnection(address, this::onConnected, SOCKET_OPTIONS);
         future.addNotifier(
                 (result, attachment) -> {
                     if (result.getStatus() == IoFuture.Status.FAILED) {
@@ -27,12 +27,12 @@
                 null);
     }
 
-    private void connected(StreamConnection established) {
+    private void onConnected(StreamConnection established) {
         timeout.cancel();
-        connection.connected(established);
+        connection.onConnected(established);
     }
 
-    /** Gives it up; without effect once it has ended. */
+    /** Cancels the attempt; has no effect once it has ended. */
     void cancel() {
         timeout.cancel();
         future.cancel();
