--- a/gateway/src/main/java/tinford/routing/Addresses.java
+++ b/gateway/src/main/java/tinford/routing/Addresses.java
@@ -6,18 +6,18 @@
 import java.util.regex.Pattern;
 import tinford.settings.JsonFields;
 
-/** Reads addresses of the form {@code host:port} with a numeric host. */
+/** Parses addresses of the form {@code host:port} with a numeric host. */
 public final class Addresses {
     /**
-     * A numeric host as the JDK takes it without a name lookup, which would block. Text that only
-     * resembles four numbers, such as {@code 999.1.1.1}, would be looked up.
+     * A numeric host that the JDK resolves without a name lookup, which would block the I/O thread.
+     * The JDK would look up text that merely resembles an IPv4 address, such as {@code 999.1.1.1}.
      */
     private static final Pattern NUMERIC_HOST =
             Pattern.compile(
                     "(25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(25[0-5]|2[0-4]\\d|1?\\d?\\d)){3}"
                             + "|\\[[0-9a-fA-F:.]+\\]");
 
-    /** Characters of an invalid address that an error message repeats. */
+    /** Longest part of an invalid address that an error message quotes. */
     private static final int MAX_QUOTED_CHARS = 60;
 
     private static final int MAX_PORT = 65_535;
@@ -25,9 +25,10 @@
     private Addresses() {}
 
     /**
-     * Reads the address in a field.
+     * Parses the address in a field.
      *
-     * @throws tinford.settings.InvalidSettingsException if the field is missing or no address
+     * @throws tinford.settings.InvalidSettingsException if the field is missing or is not a numeric
+     *     {@code host:port}
      */
     public static InetSocketAddress of(JsonFields fields, String field) {
         String text = fields.text(field);
@@ -39,7 +40,7 @@
         return address;
     }
 
-    /** The address that the text names, or null if it names none. */
+    /** Parses an address; returns null if the text is not a numeric {@code host:port}. */
     public static InetSocketAddress of(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1 || !NUMERIC_HOST.matcher(text.substring(0, colon)).matches()) {
--- a/gateway/src/main/java/tinford/routing/OutcomeMapping.java
+++ b/gateway/src/main/java/tinford/routing/OutcomeMapping.java
@@ -3,14 +3,15 @@
 import tinford.api.AttemptOutcome;
 import tinford.transport.CloseReason;
 
-/** Maps the end of a connection to the outcome of what was in flight on it. */
+/** Maps the reason why a connection closed to the outcome of the call in flight on it. */
 public final class OutcomeMapping {
     private OutcomeMapping() {}
 
     /**
-     * Outcome of an attempt at a server.
+     * Returns the outcome of an attempt at a server.
      *
-     * @param sent whether the command was written to its last byte: only then can it have run
+     * @param sent whether the last byte of the command was written; a server cannot have executed a
+     *     command that it received only in part
      */
     public static AttemptOutcome ofAttempt(CloseReason reason, boolean sent) {
         return switch (reason) {
@@ -29,13 +30,15 @@
     }
 
     /**
-     * Outcome of a call on the shared counter. Whatever may have been added is {@code
-     * CONNECTION_LOST}, however that came to be unknown.
+     * Returns the outcome of a call to the shared counter. If the connection ended after the call
+     * was sent, the counter may have added the amount: the outcome is {@code CONNECTION_LOST},
+     * whatever the reason.
      *
-     * <p>A call without an answer in its time is {@code TIMED_OUT} even if it was never sent. If it
-     * counted as surely not added, all usage admitted during a counter outage would be reported
-     * with the first call after it, and tenants with quota left would be rejected. Only a time-out
-     * says something about the load that the counter can take; the end of a connection does not.
+     * <p>A call that is not answered within its timeout is {@code TIMED_OUT} even if it was never
+     * sent. If it were reported as certainly not added, all usage admitted during a counter outage
+     * would be added with the first call after the outage, and tenants with remaining quota would
+     * be rejected. Only a timeout indicates that the counter is overloaded; the end of a connection
+     * does not.
      */
     public static AttemptOutcome ofCounterCall(CloseReason reason, boolean sent) {
         if (reason == CloseReason.RESPONSE_TIMEOUT) {
--- a/gateway/src/main/java/tinford/routing/RoutingContext.java
+++ b/gateway/src/main/java/tinford/routing/RoutingContext.java
@@ -4,27 +4,27 @@
 import tinford.api.GatewayEvents;
 import tinford.transport.EventLoop;
 
-/** What each part of the request path sees of the event loop iteration in which it is called. */
+/** The event loop, and the batch in which the classes of the request path are called. */
 public interface RoutingContext {
     EventLoop loop();
 
-    /** Time of the current batch. */
+    /** Start time of the current batch. */
     double nowMs();
 
-    /** Time of the batch before: what is read in this one arrived after it. */
+    /** Start time of the previous batch. Data read in the current batch arrived after it. */
     double previousBatchMs();
 
-    /** Where to report what came in during the current batch. */
+    /** Receives the events of the current batch. */
     GatewayEvents events();
 
-    /** The policy of the fleet in force; the default one while the gateway is alone. */
+    /** The fleet policy in force; the default policy while the gateway is not part of a fleet. */
     FleetPolicy fleetPolicy();
 
     /**
      * Logs a warning, at most once a minute for the same event and cause.
      *
-     * @param event what went wrong
-     * @param subject what it happened to, as {@code key=value}, or empty
+     * @param event the failure, as constant text
+     * @param subject the peer or object concerned, as {@code key=value}, or empty
      */
     void warn(String event, String subject, Exception cause);
 }
--- a/gateway/src/main/java/tinford/routing/admin/AdminApi.java
+++ b/gateway/src/main/java/tinford/routing/admin/AdminApi.java
@@ -11,16 +11,16 @@
 import tinford.transport.Listener;
 
 /**
- * The operators' HTTP/1.1 API, with one call a connection. Its descriptors are its own, so that it
- * can be reached however many clients there are.
+ * The HTTP/1.1 API for operators, with one call per connection. Its descriptors are not part of the
+ * budget for other connections, so that it stays reachable however many clients are connected.
  */
 public final class AdminApi {
-    /** Places for new calls; the oldest call that does not end is closed for one. */
+    /** Connections kept free for new calls, by closing the oldest call. */
     private static final int MAX_HEADROOM_CONNECTIONS = 4;
 
     private static final int HEADROOM_DIVISOR = 4;
 
-    /** Calls arrive through the gateway's other process as well; they take effect in a second. */
+    /** Calls that the gateway's other process receives must take effect within a second. */
     private static final double LOG_POLL_INTERVAL_MS = 50;
 
     private static final String SERVERS_PREFIX = "/v1/servers/";
@@ -38,8 +38,9 @@
     private boolean ready = true;
 
     /**
-     * @param exclusionLog shared with the gateway's other process, or null where there is none
-     * @param maxConnections at once, four at least
+     * @param exclusionLog log shared with the gateway's other process, or null if there is no other
+     *     process
+     * @param maxConnections limit on concurrent connections; at least 4
      */
     public AdminApi(
             RoutingContext context,
@@ -52,7 +53,10 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Within a batch, before the first endpoint list: applies the exclusions in the log. */
+    /**
+     * Applies the exclusions in the log, and starts to poll it. To be called within a batch, before
+     * the first endpoint list.
+     */
     public void start() {
         applyNewExclusions();
         scheduleLogPoll();
@@ -61,7 +65,7 @@
     /**
      * Starts to accept calls.
      *
-     * @throws IOException if the address can't be listened at
+     * @throws IOException if the listener cannot be bound to the address
      */
     public void listen(InetSocketAddress address) throws IOException {
         new Listener(context.loop(), address, false, maxConnections, this::accept);
@@ -81,7 +85,10 @@
         calls.remove(call);
     }
 
-    /** Within a batch: this process takes no more clients, and is no longer ready. */
+    /**
+     * Reports this process as not ready from now on, as it accepts no more clients. To be called
+     * within a batch.
+     */
     public void startDraining() {
         ready = false;
     }
@@ -111,7 +118,7 @@
         context.warn("exclusion log not accessible", "", cause);
     }
 
-    /** Acts on a call and gives the status line without the version. */
+    /** Executes a call; returns the status code and reason phrase. */
     String handle(HttpRequestHead call) {
         if (call.path.equals("/v1/readyz")) {
             return readiness(call);
@@ -141,7 +148,7 @@
         return ready ? OK : "503 Service Unavailable";
     }
 
-    /** Fails if the exclusion would not outlive this process. */
+    /** Excludes or readmits a server; fails if that cannot be stored in the log. */
     private String setExcluded(String serverId, boolean excluded) {
         String exclusion = ServerExclusions.toRecord(serverId, excluded, context.nowMs());
         if (exclusionLog == null) {
--- a/gateway/src/main/java/tinford/routing/admin/AdminCall.java
+++ b/gateway/src/main/java/tinford/routing/admin/AdminCall.java
@@ -7,7 +7,7 @@
 import tinford.transport.DescriptorBudget;
 import tinford.transport.EventLoop;
 
-/** One HTTP call on the admin API, which has its connection to itself. */
+/** A connection to the admin API, which serves a single HTTP call. */
 final class AdminCall extends Connection {
     private static final double TIMEOUT_MS = 10_000;
     private static final int MAX_HEAD_BYTES = 16 << 10;
--- a/gateway/src/main/java/tinford/routing/admin/HandoverLog.java
+++ b/gateway/src/main/java/tinford/routing/admin/HandoverLog.java
@@ -3,19 +3,19 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Lines that outlive a process of a gateway and are shared with its successor. */
+/** A log of lines that outlives a gateway process and is shared with its successor. */
 public interface HandoverLog {
     /**
      * Appends a line.
      *
-     * @throws IOException if it is not stored
+     * @throws IOException if the line cannot be stored
      */
     void append(String line) throws IOException;
 
     /**
-     * The lines appended since the last call, by either process.
+     * Returns the lines that either process has appended since the last call.
      *
-     * @throws IOException if they can't be read; they then follow with a later call
+     * @throws IOException if the lines cannot be read; a later call returns them
      */
     List<String> readNew() throws IOException;
 }
--- a/gateway/src/main/java/tinford/routing/admin/package-info.java
+++ b/gateway/src/main/java/tinford/routing/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The admin API, by which operators exclude servers and ask for readiness. */
+/** The admin API, through which operators exclude servers and query readiness. */
 package tinford.routing.admin;
--- a/gateway/src/main/java/tinford/routing/catalog/Catalog.java
+++ b/gateway/src/main/java/tinford/routing/catalog/Catalog.java
@@ -9,17 +9,18 @@
 import tinford.protocol.ProtocolException;
 
 /**
- * What clients may name at one revision of the configuration: request classes and plans, and the
- * plans of tenants. Immutable: built on any thread, and brought into force as a whole.
+ * The request classes and plans that clients may name, and the plans assigned to tenants, at one
+ * revision of the configuration. Immutable: a catalog can be built on any thread, and replaces the
+ * previous one as a whole.
  */
 public final class Catalog {
-    /** With more names than these an error line says only how many there are. */
+    /** Longest list of valid names in an error line; a longer one is replaced by its length. */
     private static final int MAX_LISTED_NAMES = 20;
 
-    /** The wire's name of the field that names a request class. */
+    /** Name of the request class field in client commands. */
     private static final String REQUEST_CLASS_FIELD = "c";
 
-    /** The wire's name of the field that names a plan. */
+    /** Name of the plan field in client commands. */
     private static final String PLAN_FIELD = "t";
 
     private final long revision;
@@ -29,16 +30,16 @@
     private final Set<Plan> plansInForce;
     private final double longestTimeoutMs;
 
-    /** The catalog of a gateway's settings, in force until a configuration comes. */
+    /** The catalog from a gateway's settings, in force until it receives a configuration. */
     public Catalog(Map<String, RequestClass> requestClasses, Map<String, Plan> plans) {
         this(0, requestClasses, plans, Map.of());
     }
 
     /**
-     * The maps must not change any more.
+     * The maps are not copied: they must not be modified afterwards.
      *
-     * @param plansByTenant plans, out of {@code plans}, by tenant id; a tenant not among them has
-     *     the plan that its requests name
+     * @param plansByTenant plans by tenant id, all of them contained in {@code plans}; a tenant
+     *     without an entry has the plan that its requests name
      */
     public Catalog(
             long revision,
@@ -73,22 +74,25 @@
         return plansInForce;
     }
 
-    /** The longest time that a client waits; 0 without request classes. */
+    /** The longest timeout of all request classes, or 0 if there are none. */
     public double longestTimeoutMs() {
         return longestTimeoutMs;
     }
 
     /**
-     * @throws ProtocolException if there is no request class of that name
+     * Returns the request class with a name.
+     *
+     * @throws ProtocolException if there is no request class with this name
      */
     public RequestClass requestClass(String name) throws ProtocolException {
         return checkKnown(requestClasses.get(name), REQUEST_CLASS_FIELD, requestClasses.keySet());
     }
 
     /**
-     * The plan that the configuration gives a tenant, else the one named.
+     * Returns the plan that the configuration assigns to a tenant, or else the plan with the name.
      *
-     * @throws ProtocolException if it gives none and there is no plan of that name
+     * @throws ProtocolException if the configuration assigns none and there is no plan with this
+     *     name
      */
     public Plan planFor(long tenant, String name) throws ProtocolException {
         Plan configured = plansByTenant.isEmpty() ? null : plansByTenant.get(tenant);
--- a/gateway/src/main/java/tinford/routing/catalog/package-info.java
+++ b/gateway/src/main/java/tinford/routing/catalog/package-info.java
@@ -1,2 +1,2 @@
-/** The request classes and plans that clients may name. */
+/** The request classes and plans that clients may name in their requests. */
 package tinford.routing.catalog;
--- a/gateway/src/main/java/tinford/routing/client/ClientConnection.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientConnection.java
@@ -7,55 +7,60 @@
 import tinford.transport.Connection;
 import tinford.transport.DescriptorBudget;
 
-/** One client connection: commands in, responses out in the order of the commands. */
+/** A client connection, whose responses are sent in the order of the commands. */
 final class ClientConnection extends Connection {
-    /** Until the first command; an error or a close is due within 3 s. */
+    /** Time to wait for the first command; an error or a close must follow within 3 s. */
     private static final double FIRST_COMMAND_TIMEOUT_MS = 2000;
 
-    /** For the rest of a command that has arrived in part; clients may take 2 s for one. */
+    /** Time to wait for the rest of a partial command; clients may take 2 s to send one. */
     private static final double PARTIAL_COMMAND_TIMEOUT_MS = 2300;
 
     private static final double JUST_OPENED_MS = 250;
     private static final double READ_TIMEOUT_MS = 20_000;
     private static final int MAX_UNWRITTEN_BYTES = 1 << 20;
 
-    /** Of a streamed response. */
+    /** Limit on the unwritten bytes of a streamed response. */
     private static final int MAX_UNWRITTEN_STREAM_BYTES = 32 << 10;
 
     private static final int STREAM_RESUME_BYTES = 8 << 10;
 
-    /** Commands of one connection that wait; a client opens another when all are busy. */
+    /**
+     * Limit on the unanswered commands of a connection. Clients open another one when all are busy.
+     */
     private static final int MAX_WAITING_COMMANDS = 64;
 
-    /** Nothing of the command was read: its client may send it again. */
+    /** Response to a command that was not executed, so that the client may send it again. */
     private static final String REJECTED = "-BUSY";
 
     private final ClientPool pool;
     private final ResponseQueue responses;
 
-    /** Why it ends once everything is answered, or null. */
+    /**
+     * Reason for closing the connection once all commands are answered, or null to keep it open.
+     */
     private CloseReason pendingClose;
 
-    /** Bytes of a long command for which no buffer is reserved yet. */
+    /** Size of a long command that waits for the reservation of a buffer, or 0. */
     private int awaitedBytes;
 
-    /** Bytes reserved for a long command. */
+    /** Size of the buffer reserved for a long command, or 0. */
     private int reservedBytes;
 
-    /** Bytes still to come of a command that was rejected unread. */
+    /** Remaining bytes of a command that was rejected unread, which are to be discarded. */
     private int discardBytes;
 
-    /** Since when a command has arrived in part, or 0. */
+    /** Time since which a partial command has been waiting for its rest, or 0. */
     private double partialSinceMs;
 
-    /** Whether it was accepted while the process drained, for a client that had to come again. */
+    /** Whether it was accepted while this process was draining, from a client that reconnected. */
     private final boolean acceptedWhileDraining;
 
     private boolean commandSeen;
 
     /**
-     * Whether it has had a response. From the second one on the end of the connection arrives
-     * together with the response: the first one is acknowledged at once, see {@link Connection}.
+     * Whether a response has been written. From the second response on, the client receives the end
+     * of the connection together with the response; the first response is acknowledged at once, see
+     * {@link Connection}.
      */
     private boolean hasAnswered;
 
@@ -77,7 +82,7 @@
         return lastUseMs;
     }
 
-    /** How active it is, for the choice of connections to close where they are scarce. */
+    /** How active the connection is, which decides the order in which connections are reclaimed. */
     ConnectionActivity activity(double nowMs) {
         if (!isIdle() || buffer.unwrittenBytes() > 0) {
             return ConnectionActivity.BUSY;
@@ -96,14 +101,14 @@
                 : ConnectionActivity.JUST_OPENED;
     }
 
-    /** Whether a command has come on it, and no other is under way. */
+    /** Whether the connection has received a command, and is now between requests. */
     boolean isIdleAfterUse() {
         return commandSeen && isIdle();
     }
 
     /**
-     * Whether its client has gone, looked for anew, also behind what is not read yet: servers are
-     * not to work for a client that does not wait.
+     * Whether the client has disconnected. Reads ahead on the socket to find a disconnect behind
+     * unprocessed data, so that servers do not work for a client that no longer waits.
      */
     boolean isClientGone() {
         return pollPeerClosed();
@@ -119,7 +124,7 @@
 
     @Override
     protected void onReceived() {
-        // A client that has closed does not wait for what it sent right before.
+        // A client that has closed does not wait for answers to the commands it sent just before.
         if (isPeerCloseSeen()) {
             return;
         }
@@ -134,7 +139,7 @@
         }
     }
 
-    /** Reads the next command; false if none is complete. */
+    /** Reads the next command; returns false if none is complete. */
     private boolean readCommand() throws ProtocolException {
         RespReader reader = pool.respReader;
         int length = reader.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
@@ -153,7 +158,7 @@
             lastUseMs = pool.context.nowMs();
             handle(reader, length, hasReservedBuffer);
         } finally {
-            // Only now the command has its place among those held, and its buffer is free.
+            // Only now are the command's bytes counted as held, and its buffer is free.
             pool.commandBuffers.serveWaiting();
         }
         return true;
@@ -171,9 +176,10 @@
     }
 
     /**
-     * A long command is read once a buffer is reserved for all of it; until then it stays with its
-     * client. That is not so while earlier requests are open: on a connection that is not read the
-     * end of their client would not be seen. The command is then rejected and passed over.
+     * Reserves a buffer for a long command. Until a buffer is available, the connection is not
+     * read, so that the command stays with the client. If earlier requests are open, the command is
+     * rejected and discarded instead, because a disconnect of the client would not be noticed on a
+     * connection that is not read.
      */
     private void reserveBuffer(int bytes) {
         if (reservedBytes > 0 || awaitedBytes > 0) {
@@ -193,7 +199,7 @@
         discard();
     }
 
-    /** Frees a buffer that a long command arrived in, before its reservation goes to another. */
+    /** Frees the buffer of a partial long command, before its reservation is passed to another. */
     private void dropUnread() {
         buffer.consume(buffer.unreadBytes());
     }
@@ -204,12 +210,12 @@
         buffer.consume(length);
     }
 
-    /** Bytes for which it waits for a buffer. */
+    /** Size of the buffer that the connection waits for, or 0. */
     int awaitedBytes() {
         return awaitedBytes;
     }
 
-    /** The buffer that it waited for is reserved. */
+    /** Called when the buffer that the connection waited for has been reserved. */
     void onBufferReserved() {
         reservedBytes = awaitedBytes;
         awaitedBytes = 0;
@@ -218,7 +224,7 @@
         resumeReads();
     }
 
-    /** Ends the reservation, or the wait for one; those that wait are not served yet. */
+    /** Ends the reservation or the wait for one, without serving other waiting connections yet. */
     private void releaseReservation() {
         if (reservedBytes > 0 || awaitedBytes > 0) {
             int released = reservedBytes;
@@ -233,7 +239,10 @@
         pool.commandBuffers.serveWaiting();
     }
 
-    /** What follows can't be read: one error line behind the outstanding responses, and the end. */
+    /**
+     * Sends an error line after the outstanding responses, and then closes the connection: the
+     * input behind a malformed command cannot be parsed.
+     */
     private void rejectAsMalformed(ProtocolException cause) {
         closeWithLine("-ERR " + cause.getMessage());
     }
@@ -246,7 +255,7 @@
         setPendingClose(CloseReason.PROTOCOL_ERROR);
     }
 
-    /** Ends what takes room from others: connections unused, half a command, responses unread. */
+    /** Enforces the timeouts for idle connections, partial commands and unread responses. */
     void checkTimeouts(double nowMs) {
         boolean malformed = pendingClose == CloseReason.PROTOCOL_ERROR;
         boolean partialTooLong = nowMs - partialSinceMs >= PARTIAL_COMMAND_TIMEOUT_MS;
@@ -268,10 +277,10 @@
     }
 
     /**
-     * Closes it unless a command has arrived since the sockets were last read, which then counts as
-     * taken, or a response is not written yet.
+     * Closes the connection unless a response is unwritten, or a command has arrived since the
+     * socket was last read. Such a command is accepted.
      *
-     * @return whether it is closed
+     * @return whether the connection is closed
      */
     boolean closeIfQuiet() {
         if ((pendingClose != null || isQuiet() || isIdle()) && buffer.unwrittenBytes() == 0) {
@@ -281,8 +290,8 @@
     }
 
     /**
-     * @param hasReservedBuffer whether the command is a long one that has arrived in a buffer of
-     *     its own, which it then keeps: a copy would need its memory twice
+     * @param hasReservedBuffer whether the command is a long one with a reserved buffer, which the
+     *     request then takes over: a copy would need the memory twice
      */
     private void handle(RespReader reader, int length, boolean hasReservedBuffer) {
         int from = buffer.readIndex();
@@ -311,38 +320,38 @@
         pool.submit(request, responses.size() > MAX_WAITING_COMMANDS);
     }
 
-    /** A slot for a response that needs no decision. */
+    /** Adds a slot for a response that does not depend on the decision module. */
     private ResponseSlot newSlot() {
         ResponseSlot slot = new ResponseSlot(null);
         responses.add(slot);
         return slot;
     }
 
-    /** Answers with one line, given without its end. */
+    /** Answers with a line. The line is given without its line end. */
     void answerLine(ResponseSlot slot, String line) {
         if (responses.putLine(slot, line)) {
             advance();
         }
     }
 
-    /** Answers with a value, which is copied. */
+    /** Answers with a value. The bytes are copied. */
     void answerValue(ResponseSlot slot, byte[] value, int from, int length) {
         if (responses.putValue(slot, value, from, length)) {
             advance();
         }
     }
 
-    /** Whether all responses before this one are complete. */
+    /** Whether all responses before a slot are complete. */
     boolean isNextToAnswer(ResponseSlot slot) {
         return slot == responses.first();
     }
 
-    /** Begins a streamed value as the next response. */
+    /** Starts a streamed value as the next response. */
     void startStream(long length) {
         buffer.put("$").put(length).putLineEnd();
     }
 
-    /** Writes a part of the value; false if no more fits: the source is resumed later. */
+    /** Writes a part of the value; returns false if the source must wait until it is resumed. */
     boolean writeStreamPart(byte[] bytes, int from, int length) {
         buffer.put(bytes, from, length);
         scheduleFlush();
@@ -354,7 +363,7 @@
         return false;
     }
 
-    /** Ends the streamed value. */
+    /** Completes the streamed value. */
     void endStream() {
         responses.first().source = null;
         buffer.putLineEnd();
@@ -373,7 +382,7 @@
         }
     }
 
-    /** The first response is written: goes on to the next ones. */
+    /** Called when the first response is written: continues with the next ones, or closes. */
     private void advance() {
         responses.completeFirst();
         lastUseMs = pool.context.nowMs();
@@ -400,14 +409,17 @@
         }
     }
 
-    /** Closes it between requests; its client sends once more what crosses that. */
+    /**
+     * Closes the connection once all requests are answered. A request that the client sends before
+     * it sees the close is not read, and the client sends it again on another connection.
+     */
     void closeWhenAnswered() {
         setPendingClose(CloseReason.CLOSED_IDLE);
     }
 
     /**
-     * Closes it if it has brought nothing for that time. A client that has just read a response may
-     * be about to write: its connection ends together with its next response.
+     * Closes the connection if it has been idle for a time. A client that has just read a response
+     * may be about to send a request: its connection is closed with the next response instead.
      */
     void closeIfIdleFor(double quietMs) {
         if (pendingClose == null && isIdle() && pool.context.nowMs() - lastUseMs >= quietMs) {
@@ -420,7 +432,7 @@
         pool.clientExpected();
     }
 
-    /** The first reason counts: behind a malformed command nothing is to be read. */
+    /** Keeps the first reason, since nothing may be read behind a malformed command. */
     private void setPendingClose(CloseReason reason) {
         if (pendingClose == null) {
             pendingClose = reason;
@@ -430,7 +442,7 @@
         }
     }
 
-    /** The process ends: answers all open requests, and rejects a command that is incomplete. */
+    /** Answers all open requests and rejects a partial command, as the process is about to end. */
     void terminate() {
         for (ResponseSlot slot = responses.first(); slot != null; slot = slot.next) {
             if (slot.request != null && !slot.request.isFinished()) {
--- a/gateway/src/main/java/tinford/routing/client/ClientLimits.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientLimits.java
@@ -1,15 +1,18 @@
 package tinford.routing.client;
 
 /**
- * What clients of a gateway may use.
+ * Limits for the clients of a gateway.
  *
- * @param gatewayCount gateways that a tenant's requests may come through
- * @param maxUnits of one request
- * @param idleTimeoutMs how long a connection that has sent a command may stand idle
- * @param maxOpenRequests at once
- * @param maxHeldBytes of open requests and of responses that wait for earlier ones, together
- * @param maxConnections at once; fewer while there are fewer descriptors for clients
- * @param reclaimThreshold connections from which on idle ones are closed for new ones
+ * @param gatewayCount number of gateways that a tenant's requests may arrive at
+ * @param maxUnits largest number of units of a request
+ * @param idleTimeoutMs how long a connection may be idle after a command
+ * @param maxOpenRequests largest number of open requests
+ * @param maxHeldBytes limit on the bytes of open requests and of responses that wait for earlier
+ *     ones, together
+ * @param maxConnections limit on open connections; lower while fewer descriptors are available for
+ *     clients
+ * @param reclaimThreshold number of connections from which an idle connection is closed for each
+ *     new one
  */
 public record ClientLimits(
         int gatewayCount,
--- a/gateway/src/main/java/tinford/routing/client/ClientPool.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientPool.java
@@ -14,26 +14,26 @@
 import tinford.transport.EventLoop;
 import tinford.transport.Listener;
 
-/** The client connections, and the requests that are open on them. */
+/** The client connections and their open requests. */
 public final class ClientPool {
-    /** Places for new connections while older ones take their time to close. */
+    /** Connections kept free for new clients while older connections are being closed. */
     private static final int MAX_HEADROOM_CONNECTIONS = 16;
 
     private static final int HEADROOM_DIVISOR = 8;
     private static final double CHECK_INTERVAL_MS = 250;
 
-    /** At the end of the process, a client that waits longer is answered after this time. */
+    /** Longest wait for open requests when the process ends; those still open then are answered. */
     private static final double MAX_FINAL_WAIT_MS = 3000;
 
-    /** After the longest client time-out no client waits for an answer any more. */
+    /** Time after the longest client timeout at which no client waits for an answer any more. */
     private static final double FINAL_ANSWER_GRACE_MS = 20;
 
-    /** Connections that have brought nothing for so long end between requests. */
+    /** Idle time after which a connection is closed between requests while draining. */
     private static final double MIN_IDLE_BEFORE_CLOSE_MS = 50;
 
     private static final double CLOSE_IDLE_INTERVAL_MS = 10;
 
-    /** Time to read the last responses. */
+    /** Time for clients to read the last responses before the process ends. */
     private static final double FINAL_READ_MS = 20;
 
     final RoutingContext context;
@@ -50,13 +50,13 @@
     private boolean accepting;
     private boolean terminating;
 
-    /** When a client last connected, or was seen to have to connect again. */
+    /** Time at which a client last connected, or was last seen to have to reconnect. */
     private double lastArrivalMs;
 
     private int crossedCloses;
 
     /**
-     * @param catalog in force until another one comes
+     * @param catalog the catalog in force until {@link #useCatalog}
      */
     public ClientPool(RoutingContext context, Catalog catalog, ClientLimits limits) {
         this.context = context;
@@ -67,7 +67,7 @@
         this.requestFactory = new ClientRequestFactory(context, limits, openRequests, catalog);
     }
 
-    /** For requests from now on; open ones keep their request class and plan. */
+    /** Sets the catalog for new requests. Open requests keep their request class and plan. */
     public void useCatalog(Catalog next) {
         requestFactory.useCatalog(next);
     }
@@ -75,8 +75,8 @@
     /**
      * Starts to accept client connections.
      *
-     * @param shared whether another process of this gateway may listen there at the same time
-     * @throws IOException if the address can't be listened at
+     * @param shared whether another process of this gateway may listen at the address concurrently
+     * @throws IOException if the listener cannot be bound to the address
      */
     public void listen(InetSocketAddress address, boolean shared) throws IOException {
         checkConnections();
@@ -87,9 +87,9 @@
     }
 
     /**
-     * A connection for a client that connects, or null: it is then closed unread, so that the
-     * client tries another gateway. Clients may keep connections that they will not use again, so
-     * idle ones are closed for a new one.
+     * Returns the connection for a new client. If it returns null, the socket is closed unread, so
+     * that the client tries another gateway. Clients may keep connections open that they never use
+     * again, so idle connections are closed for new ones.
      */
     private ClientConnection accept() {
         lastArrivalMs = context.nowMs();
@@ -113,19 +113,18 @@
                 limits.maxConnections(), descriptors.limit(DescriptorBudget.PeerKind.CLIENTS));
     }
 
-    /** Connections from which on no headroom is left for new ones. */
+    /** Number of connections above which the headroom for new connections is in use. */
     private int highWater() {
         int max = maxConnections();
         return max - Math.min(MAX_HEADROOM_CONNECTIONS, max / HEADROOM_DIVISOR + 1);
     }
 
     private void checkConnections() {
-        context.loop()
-                .schedule(CHECK_INTERVAL_MS, this::checkConnections); // also if this one fails
+        context.loop().schedule(CHECK_INTERVAL_MS, this::checkConnections); // first: this may throw
         for (ClientConnection connection : new ArrayList<>(connections)) {
             connection.checkTimeouts(context.nowMs());
         }
-        // Clients in the backlog are not accepted, so nothing else closes connections for them.
+        // Clients in the backlog are not accepted, so accept() closes no connections for them.
         shrinkTo(highWater());
     }
 
@@ -138,8 +137,9 @@
     }
 
     /**
-     * Closes one connection less active than the limit, the least active first. A close between
-     * requests costs no request: what crosses it is sent once more by its client.
+     * Closes one connection that is less active than the limit, preferring the least active. No
+     * request is lost by a close between requests: the client sends a request that it crosses
+     * again.
      */
     void reclaimConnections(ConnectionActivity limit) {
         ClientConnection connection = findReclaimable(limit);
@@ -149,7 +149,8 @@
     }
 
     /**
-     * The connection least active, and of these the one used longest ago; null if none is below.
+     * Returns the least recently used of the least active connections, or null if none is less
+     * active than the limit.
      */
     private ClientConnection findReclaimable(ConnectionActivity limit) {
         ClientConnection candidate = null;
@@ -170,9 +171,9 @@
     }
 
     /**
-     * Makes a request from a command.
+     * Creates a request from a command.
      *
-     * @throws ProtocolException if the command does not fit the catalog or the limits
+     * @throws ProtocolException if the command does not comply with the catalog or the limits
      */
     ClientRequest newRequest(ClientConnection connection, ClientCommand command)
             throws ProtocolException {
@@ -180,9 +181,9 @@
     }
 
     /**
-     * Hands a request to the decision module, or rejects it where limits are exceeded.
+     * Passes a request to the decision module, or rejects it if limits are exceeded.
      *
-     * @param tooManyWaiting on its connection
+     * @param tooManyWaiting whether too many commands of its connection are unanswered
      */
     void submit(ClientRequest request, boolean tooManyWaiting) {
         openRequests.add(request);
@@ -194,14 +195,14 @@
             context.events().requestArrived(request);
         } catch (RuntimeException | Error e) {
             context.loop().logFailure(e);
-            fail(request); // no decision would follow
+            fail(request); // the decision module will not decide on it any more
         }
     }
 
     /**
-     * Within a batch: answers a request as rejected, unless it is finished.
+     * Answers a request as rejected, unless it is finished. To be called within a batch.
      *
-     * @param retryAfterMs when its client may come again, or 0 for no advice
+     * @param retryAfterMs time after which the client may retry, or 0 to state none
      */
     public void reject(ClientRequest request, long retryAfterMs) {
         if (finish(request)) {
@@ -210,21 +211,26 @@
         }
     }
 
-    /** Within a batch: answers a request as failed, unless it is finished. */
+    /** Answers a request as failed, unless it is finished. To be called within a batch. */
     public void fail(ClientRequest request) {
         if (finish(request)) {
             request.connection.answerLine(request.slot, "-ERR aborted");
         }
     }
 
-    /** A request's client is gone: attempts of which something is unsent are given up. */
+    /**
+     * Called when the client of a request has disconnected: cancels attempts not sent completely.
+     */
     void clientDisconnected(ClientRequest request) {
         finish(request);
         context.events().clientDisconnected(request);
         request.closeUnsentAttempts();
     }
 
-    /** Within a batch: a request has its final answer; false if it had one before. */
+    /**
+     * Marks a request as finished, as it has its final answer; returns false if it was finished
+     * before. To be called within a batch.
+     */
     public boolean finish(ClientRequest request) {
         if (request.isFinished()) {
             return false;
@@ -235,7 +241,7 @@
         return true;
     }
 
-    /** Counts bytes of responses that wait for earlier ones, or no longer do if below 0. */
+    /** Adds the bytes of a response that waits for earlier ones, or removes them if negative. */
     void addHeldBytes(int bytes) {
         heldBytes.add(bytes);
         if (bytes < 0) {
@@ -246,7 +252,7 @@
     void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
         if (onAllClosed != null && connections.isEmpty()) {
-            // What this close caused, such as units given back, is written before that.
+            // Submitted, so that data caused by this close, such as returned units, is sent first.
             context.loop().submit(onAllClosed::run);
         }
     }
@@ -256,47 +262,51 @@
     }
 
     /**
-     * Whether a connection is to end behind its next response. One that came while the process
-     * drained stays as long as clients can connect: else its client would come again and again, and
-     * be among those that the end of the listener may reset.
+     * Whether a connection is closed after its next response. A connection that was accepted while
+     * draining stays open as long as new ones are accepted: otherwise its client would reconnect
+     * repeatedly, and could be among those that are reset when the listener closes.
      */
     boolean closesBehindResponse(boolean acceptedWhileDraining) {
         return draining && !(accepting && acceptedWhileDraining);
     }
 
-    /** A request crossed the close of its connection: its client is to connect again. */
+    /** Called when a request crossed the close of its connection, so its client must reconnect. */
     void clientExpected() {
         crossedCloses++;
         lastArrivalMs = context.nowMs();
     }
 
-    /** How many closes of connections were crossed by requests, which are not read. */
+    /** Number of closes that a request crossed. Such requests are not read. */
     public int crossedCloses() {
         return crossedCloses;
     }
 
-    /** Within a batch: for how long no client has connected, or had to connect again. */
+    /**
+     * Returns the time since a client last connected, or was last seen to have to reconnect. To be
+     * called within a batch.
+     */
     public double sinceLastArrivalMs() {
         return context.nowMs() - lastArrivalMs;
     }
 
     /**
-     * Within a batch: another process of this gateway accepts clients, so this one stops. Each
-     * connection ends right behind its next response, when its client is not about to write; the
-     * others after {@code graceMs}.
+     * Stops accepting clients because another process of this gateway accepts them. Each connection
+     * is closed right after its next response, when the client is not about to send a request, or
+     * after {@code graceMs} if there is none. To be called within a batch.
      *
      * @param onDone called once all connections are closed
      */
     public void drainToSuccessor(double graceMs, Runnable onDone) {
         draining = true;
-        // Both processes together have the descriptors of one.
+        // Both processes together may use only the descriptors of one.
         shrinkTo(Math.min(limits.reclaimThreshold(), highWater()));
         stopAccepting(graceMs, onDone);
     }
 
     /**
-     * Within a batch: connections between requests end, the others right behind their next
-     * response. New ones are still accepted, for the clients of requests that cross that.
+     * Closes connections that are between requests now, and the others right after their next
+     * response. New connections are still accepted, for clients whose requests cross a close. To be
+     * called within a batch.
      */
     public void closeIdleConnections() {
         draining = true;
@@ -308,8 +318,8 @@
     }
 
     /**
-     * Within a batch: accepts no more connections. Those open may stay for {@code graceMs}, then
-     * each ends once all on it is answered.
+     * Stops accepting connections. Open connections may stay for {@code graceMs}; then each is
+     * closed once all its requests are answered. To be called within a batch.
      *
      * @param onDone called once all connections are closed
      */
@@ -318,13 +328,13 @@
     }
 
     /**
-     * As the other method.
+     * Like the other method, for a grace period that ends later than planned.
      *
-     * @param lateMs by how much the end of the grace period is later than planned, and the last
-     *     answers are to be given sooner after it
+     * @param lateMs delay of the end of the grace period, by which the time for the last answers is
+     *     shortened
      */
     public void stopAccepting(double graceMs, double lateMs, Runnable onDone) {
-        // Connections that the system accepted last may be taken over only after the grace period.
+        // The last connections in the backlog may be accepted only after the grace period.
         EventLoop.Task closeAfterBoth =
                 new EventLoop.Task() {
                     private int runs;
@@ -342,7 +352,7 @@
         context.loop().schedule(graceMs, closeAfterBoth);
     }
 
-    /** Each connection ends once all on it is answered, and for lack of time in any case. */
+    /** Closes each connection once all its requests are answered, or when the time is up. */
     void closeWhenAnswered(Runnable onDone) {
         closeWhenAnswered(0, onDone);
     }
@@ -368,8 +378,8 @@
     }
 
     /**
-     * Ends the process in time where clients neither read nor close, so that it is not killed with
-     * requests unanswered: open ones are answered now, and those read from now on rejected.
+     * Ends in time if requests are still open or clients do not close, so that the process is not
+     * killed with unanswered requests: open requests are answered now, and new ones are rejected.
      */
     private void terminate(Runnable onDone) {
         terminating = true;
@@ -379,7 +389,7 @@
         context.loop().schedule(FINAL_READ_MS, onDone::run);
     }
 
-    /** Gives a request its final answer; to the decision module its client is gone. */
+    /** Gives a request its final answer, and reports its client as disconnected. */
     void terminate(ClientRequest request) {
         if (request.hasAttempts()) {
             fail(request);
--- a/gateway/src/main/java/tinford/routing/client/ClientRequest.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientRequest.java
@@ -10,7 +10,7 @@
 import tinford.routing.upstream.ServerAttempt;
 import tinford.transport.CloseReason;
 
-/** A request with its client's connection, its place in the order of responses and its attempts. */
+/** A client's request, with its connection, its response slot and its attempts. */
 public final class ClientRequest extends ForwardedRequest {
     final ClientConnection connection;
     final ResponseSlot slot = new ResponseSlot(this);
@@ -34,7 +34,7 @@
         return attempt;
     }
 
-    /** The attempt of that number, counted from 0. */
+    /** Returns the attempt with a number, counted from 0. */
     public ServerAttempt attempt(int number) {
         return attempts.get(number);
     }
@@ -43,7 +43,7 @@
         return !attempts.isEmpty();
     }
 
-    /** Gives up the attempts that cannot have run. */
+    /** Abandons attempts that servers cannot have executed, as they are not sent completely. */
     void closeUnsentAttempts() {
         attempts.forEach(ServerAttempt::closeIfUnsent);
     }
@@ -53,7 +53,7 @@
         return finished;
     }
 
-    /** Nothing of it is sent any more, so the bytes of its command are released. */
+    /** Marks the request as finished, and releases its command, which is not sent any more. */
     void markFinished() {
         finished = true;
         command.releaseBytes();
--- a/gateway/src/main/java/tinford/routing/client/ClientRequestFactory.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientRequestFactory.java
@@ -9,7 +9,7 @@
 import tinford.routing.RoutingContext;
 import tinford.routing.catalog.Catalog;
 
-/** Makes requests from commands, as the catalog in force and the limits allow. */
+/** Creates requests from commands that comply with the catalog in force and the limits. */
 final class ClientRequestFactory {
     private final RoutingContext context;
     private final ClientLimits limits;
@@ -28,19 +28,21 @@
         useCatalog(catalog);
     }
 
-    /** For requests from now on; open ones keep their request class and plan. */
+    /** Sets the catalog for new requests. Open requests keep their request class and plan. */
     void useCatalog(Catalog next) {
         catalog = next;
         longestTimeoutMs = Math.max(longestTimeoutMs, next.longestTimeoutMs());
     }
 
-    /** The longest time that a client waits, under any catalog so far. */
+    /** The longest timeout of the request classes in all catalogs so far. */
     double longestTimeoutMs() {
         return longestTimeoutMs;
     }
 
     /**
-     * @throws ProtocolException if the command does not fit the catalog or the limits
+     * Creates a request.
+     *
+     * @throws ProtocolException if the command does not comply with the catalog or the limits
      */
     ClientRequest create(ClientConnection connection, ClientCommand command)
             throws ProtocolException {
@@ -75,7 +77,7 @@
         if (idempotency == Idempotency.IDEMPOTENCY_KEY && !command.hasIdempotencyKey) {
             throw new ProtocolException("k, the mark against repeats");
         }
-        // Servers and client would take one of two requests with the same id for the other.
+        // Servers and clients could not tell two open requests with the same id apart.
         if (openRequests.containsId(command.id)) {
             throw new ProtocolException("an id of its own");
         }
--- a/gateway/src/main/java/tinford/routing/client/CommandBuffers.java
+++ b/gateway/src/main/java/tinford/routing/client/CommandBuffers.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** Reserves buffers for long commands that arrive in parts, in order of arrival. */
+/** Reserves buffers for long commands while they are received, in order of arrival. */
 final class CommandBuffers {
     private final HeldBytes heldBytes;
     private final ArrayDeque<ClientConnection> waiting = new ArrayDeque<>();
@@ -11,7 +11,7 @@
         this.heldBytes = heldBytes;
     }
 
-    /** Reserves what the connection awaits and notifies it, or adds it to those that wait. */
+    /** Reserves the buffer that a connection needs and notifies it, or adds it to the queue. */
     boolean tryReserve(ClientConnection connection) {
         boolean othersFirst = !waiting.isEmpty() && waiting.peek() != connection;
         if (othersFirst || !heldBytes.tryReserve(connection.awaitedBytes())) {
@@ -25,16 +25,18 @@
         return true;
     }
 
-    /** Ends what a connection has reserved or waits for; {@link #serveWaiting} is to follow. */
+    /**
+     * Releases a reservation, or ends the wait for one. The caller must call {@link #serveWaiting}.
+     */
     void release(ClientConnection connection, int bytes) {
         heldBytes.releaseReserved(bytes);
         waiting.remove(connection);
     }
 
-    /** Reserves buffers for those that wait, as far as there is room. */
+    /** Reserves buffers for waiting connections while the limit allows it. */
     void serveWaiting() {
         while (!waiting.isEmpty() && tryReserve(waiting.peek())) {
-            // Each call serves the next one.
+            // Each call of the condition serves one connection.
         }
     }
 }
--- a/gateway/src/main/java/tinford/routing/client/ConnectionActivity.java
+++ b/gateway/src/main/java/tinford/routing/client/ConnectionActivity.java
@@ -1,17 +1,17 @@
 package tinford.routing.client;
 
-/** How active a client connection is; where connections are scarce the least active go first. */
+/** How active a client connection is, in the order in which connections are reclaimed. */
 enum ConnectionActivity {
-    /** It ends as soon as its responses are written. */
+    /** To be closed as soon as its responses are written. */
     CLOSING,
-    /** No command has come on it, though it was opened a while ago. */
+    /** Opened a while ago, without a command since. */
     NEVER_USED,
-    /** Between requests for long. */
+    /** Between requests for a long time. */
     IDLE,
-    /** Between requests, lately used. */
+    /** Between requests, and recently used. */
     RECENTLY_USED,
-    /** Just opened: its first command may be on its way. */
+    /** Just opened, so that its first command may be in transit. */
     JUST_OPENED,
-    /** A command is on it, or a response not yet written. */
+    /** Has a command that is unread or unanswered, or a response that is unwritten. */
     BUSY
 }
--- a/gateway/src/main/java/tinford/routing/client/HeldBytes.java
+++ b/gateway/src/main/java/tinford/routing/client/HeldBytes.java
@@ -1,9 +1,9 @@
 package tinford.routing.client;
 
 /**
- * The bytes that requests hold on the heap, within one limit: their commands, responses that wait
- * for earlier ones, and buffers reserved for long commands that are still arriving. A reserved
- * buffer becomes the command that arrived in it, so that each long command counts once.
+ * Accounts for the heap memory of requests, with a single limit: commands, responses that wait for
+ * earlier ones, and buffers reserved for long commands that are being received. A complete long
+ * command takes over its reserved buffer, so that it is counted only once.
  */
 final class HeldBytes {
     private final long limitBytes;
@@ -14,16 +14,16 @@
         this.limitBytes = limitBytes;
     }
 
-    /** Counts bytes of commands and responses, or no longer if below 0. */
+    /** Adds bytes of commands and responses, or removes them if negative. */
     void add(long bytes) {
         heldBytes += bytes;
     }
 
     /**
-     * Reserves a buffer for a long command. Commands that are still arriving may take half of the
-     * limit, and one may take more, as those that are complete need their place too.
+     * Reserves a buffer for a long command. Commands that are being received may use half of the
+     * limit, because complete ones need memory too; a single command may exceed that half.
      *
-     * @return whether the limit has room for it now
+     * @return whether the limits allow the reservation now
      */
     boolean tryReserve(int bytes) {
         boolean fits = heldBytes + reservedBytes + bytes <= limitBytes;
--- a/gateway/src/main/java/tinford/routing/client/OpenRequests.java
+++ b/gateway/src/main/java/tinford/routing/client/OpenRequests.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The requests without a final answer so far, within the limits on their number and bytes. */
+/** The requests without a final answer, and the limits on their number and bytes. */
 final class OpenRequests {
     private final ClientLimits limits;
     private final Set<Long> ids = new HashSet<>();
--- a/gateway/src/main/java/tinford/routing/client/ResponseQueue.java
+++ b/gateway/src/main/java/tinford/routing/client/ResponseQueue.java
@@ -5,8 +5,8 @@
 import tinford.transport.ConnectionBuffer;
 
 /**
- * The outstanding responses of a connection, in the order of its commands. One that is ready before
- * an earlier one is kept, and counts among the bytes held for clients.
+ * The outstanding responses of a connection, in the order of its commands. A response that is ready
+ * before an earlier one is kept until it can be written, and counts as held bytes.
  */
 final class ResponseQueue {
     private final ClientPool pool;
@@ -16,7 +16,7 @@
     private int size;
 
     /**
-     * @param buffer that responses are written to
+     * @param buffer the buffer that responses are written to
      */
     ResponseQueue(ClientPool pool, ConnectionBuffer buffer) {
         this.pool = pool;
@@ -31,7 +31,7 @@
         return size;
     }
 
-    /** The slot that is answered next, or null. */
+    /** Returns the slot to be answered next, or null. */
     ResponseSlot first() {
         return first;
     }
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Writes a line if all responses before it are complete, else keeps it.
+     * Writes a line if all earlier responses are complete; otherwise keeps it.
      *
-     * @param line without its end
+     * @param line the line without its line end
      * @return whether it was written
      */
     boolean putLine(ResponseSlot slot, String line) {
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Writes a value if all responses before it are complete, else keeps a copy.
+     * Writes a value if all earlier responses are complete; otherwise keeps a copy.
      *
      * @return whether it was written
      */
@@ -89,7 +89,9 @@
         pool.addHeldBytes(response.length);
     }
 
-    /** The first response is written: removes it, and writes those kept behind it. */
+    /**
+     * Removes the first slot, whose response is written, and writes the kept responses behind it.
+     */
     void completeFirst() {
         removeFirst();
         while (first != null && first.response != null) {
--- a/gateway/src/main/java/tinford/routing/client/ResponseSlot.java
+++ b/gateway/src/main/java/tinford/routing/client/ResponseSlot.java
@@ -2,17 +2,17 @@
 
 import tinford.routing.upstream.ResponseSource;
 
-/** The place of one response in the order in which a connection's commands are answered. */
+/** The position of a response in the order in which a connection's commands are answered. */
 final class ResponseSlot {
-    /** Null for a response that needs no decision. */
+    /** The request, or null for a response that does not depend on the decision module. */
     final ClientRequest request;
 
     ResponseSlot next;
 
-    /** The response, once known, while earlier ones are missing. */
+    /** A response that is kept until all earlier ones are complete, or null. */
     byte[] response;
 
-    /** What streams the response, or waits to, or null. */
+    /** The source of a streamed response, which may be waiting for earlier ones, or null. */
     ResponseSource source;
 
     ResponseSlot(ClientRequest request) {
--- a/gateway/src/main/java/tinford/routing/client/package-info.java
+++ b/gateway/src/main/java/tinford/routing/client/package-info.java
@@ -1,2 +1,2 @@
-/** Client connections: commands in, responses out in the order of the commands. */
+/** Client connections, and the requests and responses on them. */
 package tinford.routing.client;
--- a/gateway/src/main/java/tinford/routing/counter/CounterClient.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterClient.java
@@ -10,16 +10,16 @@
 import tinford.transport.EventLoop;
 
 /**
- * Calls on the shared counter, over a few parallel connections. All calls on one key use the same
- * connection, so that their responses keep the order of the calls; one that hangs does not delay
- * the calls on the others. A call that timed out keeps its place until its response has come or the
- * connection has ended.
+ * A client of the shared counter that uses several parallel connections. All calls for one key use
+ * the same connection, so that their responses arrive in the order of the calls; a connection that
+ * hangs does not delay calls on the others. A call that has timed out keeps its place in the order
+ * until its response arrives or the connection ends.
  */
 public final class CounterClient {
-    /** A timer may run out this much early, as the loop's clock and the batch's differ. */
+    /** A timer may fire early by up to this time, as the event loop and batches use two clocks. */
     static final double TIMER_TOLERANCE_MS = 0.5;
 
-    /** Spreads neighbouring keys over the lanes: 2^64 divided by the golden ratio. */
+    /** Distributes consecutive keys among the lanes: 2^64 divided by the golden ratio. */
     private static final long KEY_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     final RoutingContext context;
@@ -28,19 +28,19 @@
     final RespReader respReader = new RespReader();
     private final CounterLane[] lanes;
 
-    /** Calls without a reported outcome, the oldest first. */
+    /** Calls whose outcome has not been reported, oldest first. */
     private final ArrayDeque<IncrementCall> unreported = new ArrayDeque<>();
 
     private InetSocketAddress address;
 
-    /** When the latest call that was answered in time was made. */
+    /** Time at which the latest call was made that has been answered within its timeout. */
     private double lastAnsweredCallMs = Double.NEGATIVE_INFINITY;
 
     private EventLoop.Timer timeoutCheck;
 
     /**
-     * @param callTimeoutMs after which a call is reported as timed out
-     * @param connections how many stand side by side
+     * @param callTimeoutMs time after which a call is reported as timed out
+     * @param connections number of parallel connections
      */
     public CounterClient(
             RoutingContext context,
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Within a batch: opens the connections, so that the first calls find them ready. */
+    /** Opens the connections ahead of the first calls. To be called within a batch. */
     public void connect() {
         for (CounterLane lane : lanes) {
             lane.connect();
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Within a batch: new calls go to that address. Responses to those sent before are still
-     * awaited from the old one.
+     * Sends new calls to another address. Responses to calls that were sent before are still
+     * received from the old address. To be called within a batch.
      */
     public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -83,7 +83,7 @@
         return address;
     }
 
-    /** Within a batch: increments a key, which the counter then keeps for the TTL. */
+    /** Increments a key, which the counter then keeps for the TTL. To be called within a batch. */
     public void increment(long counterKey, double amount, double ttlMs) {
         int index = Math.floorMod(Long.hashCode(counterKey * KEY_MULTIPLIER), lanes.length);
         CounterLane lane = lanes[index];
@@ -127,7 +127,8 @@
     }
 
     /**
-     * Reports the outcome of a call; one that timed out before only if it has a total after all.
+     * Reports the outcome of a call. For a call that was reported before, only a total is reported,
+     * as a late answer.
      */
     void report(IncrementCall call, AttemptOutcome outcome, double total) {
         if (call.reported) {
@@ -146,14 +147,14 @@
         context.events().counterAnswered(call.counterKey, outcome, tookMs, total);
     }
 
-    /** A response to a call has come, in time or late. */
+    /** Called when the response to a call has arrived, in time or late. */
     void responseArrived(IncrementCall call) {
         if (!call.reported) {
             lastAnsweredCallMs = Math.max(lastAnsweredCallMs, call.madeAtMs);
         }
     }
 
-    /** Whether a call made after that time has been answered in time, on any connection. */
+    /** Whether a call made after a time has been answered within its timeout, on any connection. */
     boolean hasAnsweredCallSince(double timeMs) {
         return lastAnsweredCallMs > timeMs;
     }
--- a/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
@@ -15,12 +15,12 @@
 import tinford.transport.DescriptorBudget;
 import tinford.transport.EventLoop;
 
-/** One connection to the shared counter: calls out, responses in, in the same order. */
+/** A connection to the shared counter, whose responses arrive in the order of the calls. */
 final class CounterConnection extends Connection {
     private static final int MAX_UNREAD_BYTES = 1 << 14;
     private static final int MAX_UNWRITTEN_BYTES = 1 << 18;
 
-    /** A total has a few digits, an error a few words. */
+    /** Longest response that is accepted: a total has a few digits, an error a few words. */
     private static final int MAX_RESPONSE_BYTES = 64;
 
     private static final double PARTIAL_RESPONSE_TIMEOUT_MS = 10;
@@ -32,12 +32,12 @@
     private final CounterLane lane;
     private final InetSocketAddress address;
 
-    /** Calls without a response so far, the oldest first. */
+    /** Calls that have been sent but not answered, oldest first. */
     private final ArrayDeque<IncrementCall> sent = new ArrayDeque<>();
 
     private double lastReceivedMs = Double.NEGATIVE_INFINITY;
 
-    /** Runs while a response has arrived in part. */
+    /** Active while a response has been received only in part. */
     private EventLoop.Timer partialTimeout;
 
     CounterConnection(CounterClient client, CounterLane lane) {
@@ -58,7 +58,7 @@
         sendCalls();
     }
 
-    /** Sends what its lane has to send. */
+    /** Sends the unsent calls of its lane. */
     void sendCalls() {
         for (IncrementCall call = lane.pollUnsent(); call != null; call = lane.pollUnsent()) {
             writeCommand(call);
@@ -88,7 +88,7 @@
                 .toPlainString();
     }
 
-    /** Whether the decision module still waits for the outcome of a call sent on it. */
+    /** Whether a call was sent on this connection whose outcome has not been reported. */
     boolean hasUnreportedCalls() {
         return sent.stream().anyMatch(call -> !call.reported);
     }
@@ -100,7 +100,7 @@
         }
     }
 
-    /** When it counts as silent; infinite while no response is due. */
+    /** Time after which the connection counts as silent; infinite while no response is due. */
     double silentAtMs() {
         return sent.isEmpty()
                 ? Double.POSITIVE_INFINITY
@@ -108,8 +108,9 @@
     }
 
     /**
-     * Closes it if its response is overdue while the counter has answered later calls elsewhere, or
-     * if the machine at its other end may be gone, which only a new connection shows.
+     * Closes the connection if a response is overdue although the counter has answered later calls
+     * on other connections, or if the connection is silent: the counter's machine may be down,
+     * which only an attempt to connect can show.
      */
     void closeIfStalled() {
         double nowMs = client.context.nowMs();
@@ -141,7 +142,7 @@
         client.context.warn("invalid response from counter", "counter=" + address, cause);
     }
 
-    /** Reads the next response; false if none is complete. */
+    /** Reads the next response; returns false if none is complete. */
     private boolean readResponse() throws ProtocolException {
         RespReader reader = client.respReader;
         int length = reader.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
@@ -150,7 +151,7 @@
             return false;
         }
         if (sent.isEmpty()) {
-            throw new ProtocolException("an answer to a call only");
+            throw new ProtocolException("no data while no call is outstanding");
         }
         AttemptOutcome outcome = outcomeOf(reader);
         double total = outcome == AttemptOutcome.SUCCESS ? NumberParser.parse(reader.text(0)) : 0;
@@ -162,10 +163,10 @@
         return true;
     }
 
-    /** Responses arrive in one piece: one that does not end must not block those behind it. */
+    /** Limits the size and time of an incomplete response, so that it does not block later ones. */
     private void awaitRest() throws ProtocolException {
         if (buffer.unreadBytes() > MAX_RESPONSE_BYTES) {
-            throw new ProtocolException("an answer of under " + MAX_RESPONSE_BYTES + " bytes");
+            throw new ProtocolException("a response of at most " + MAX_RESPONSE_BYTES + " bytes");
         }
         if (buffer.unreadBytes() > 0 && partialTimeout == null) {
             partialTimeout =
@@ -181,7 +182,9 @@
         }
     }
 
-    /** A total that can be read is valid, in whatever form; any other text has no known meaning. */
+    /**
+     * Accepts a total in any number format; rejects responses that the protocol does not define.
+     */
     private AttemptOutcome outcomeOf(RespReader reader) throws ProtocolException {
         if (!reader.isArray()
                 && reader.kind(0) == '$'
@@ -193,10 +196,10 @@
             return AttemptOutcome.OVERLOADED;
         }
         if (line.startsWith("ERR ")) {
-            warnInvalid(new ProtocolException("a total or -BUSY, not -" + line));
+            warnInvalid(new ProtocolException("a total or -BUSY as the response, not -" + line));
             return AttemptOutcome.OVERLOADED;
         }
-        throw new ProtocolException("a total, -BUSY or -ERR");
+        throw new ProtocolException("a total, -BUSY or -ERR as the response");
     }
 
     @Override
--- a/gateway/src/main/java/tinford/routing/counter/CounterLane.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterLane.java
@@ -4,15 +4,15 @@
 import tinford.routing.OutcomeMapping;
 import tinford.transport.CloseReason;
 
-/** A part of the counter keys, and the connection for the calls on them. */
+/** A partition of the counter keys, with the connection for calls on these keys. */
 final class CounterLane {
     private final CounterClient client;
     private final ArrayDeque<IncrementCall> unsent = new ArrayDeque<>();
 
-    /** To the current address, or null. */
+    /** The connection to the current address, or null. */
     private CounterConnection connection;
 
-    /** To the address before, while responses are awaited from it, or null. */
+    /** The connection to the previous address while responses are due on it, or null. */
     private CounterConnection oldConnection;
 
     CounterLane(CounterClient client) {
@@ -37,19 +37,22 @@
         }
     }
 
-    /** The next call to send, or null: there is none, or earlier ones await responses elsewhere. */
+    /**
+     * Removes and returns the next call to send. Returns null if there is none, or if responses are
+     * still due from the previous address.
+     */
     IncrementCall pollUnsent() {
         return oldConnection == null ? unsent.poll() : null;
     }
 
-    /** Takes a call back; false if it has been sent. */
+    /** Removes an unsent call; returns false if the call has been sent. */
     boolean withdraw(IncrementCall call) {
         return unsent.remove(call);
     }
 
-    /** Opens a connection to the client's new address beside the old one. */
+    /** Opens a connection to the client's new address in addition to the old connection. */
     void reconnect() {
-        // The second move within the time of a call.
+        // The address has changed again while responses from the old address are still due.
         if (oldConnection != null) {
             oldConnection.close(CloseReason.CANCELLED);
         }
@@ -60,8 +63,8 @@
     }
 
     /**
-     * Closes the connection to the old address once it awaits nothing: only then its successor
-     * sends, so that the responses for a key keep the order of the calls.
+     * Closes the connection to the old address once no outcome is due on it. The new connection
+     * sends only then, so that the responses for a key keep the order of the calls.
      */
     void closeOldIfSettled() {
         if (oldConnection != null && !oldConnection.hasUnreportedCalls()) {
@@ -69,7 +72,7 @@
         }
     }
 
-    /** When its connection counts as silent; infinite while no response is due. */
+    /** Time after which its connection counts as silent; infinite while no response is due. */
     double silentAtMs() {
         return connection == null ? Double.POSITIVE_INFINITY : connection.silentAtMs();
     }
@@ -102,7 +105,7 @@
         }
     }
 
-    /** For other reasons calls not sent have the rest of their time. */
+    /** Reports unsent calls as failed. For other close reasons they wait until their timeout. */
     private void failUnsent(CloseReason reason) {
         for (IncrementCall call = unsent.poll(); call != null; call = unsent.poll()) {
             client.report(call, OutcomeMapping.ofCounterCall(reason, false), 0);
@@ -110,8 +113,9 @@
     }
 
     /**
-     * Whether a connection took its time to end like this, so that the next one may follow at once:
-     * one that ends immediately is not to be retried faster than one that is silent.
+     * Whether a connection with this close reason ended only after a delay, so that the next one
+     * may be opened at once. A connection that fails immediately must not be retried faster than
+     * one that is silent.
      */
     private static boolean isDelayed(CloseReason reason) {
         return reason == CloseReason.CONNECT_TIMEOUT
--- a/gateway/src/main/java/tinford/routing/counter/IncrementCall.java
+++ b/gateway/src/main/java/tinford/routing/counter/IncrementCall.java
@@ -1,6 +1,6 @@
 package tinford.routing.counter;
 
-/** One call that increments a counter key. */
+/** A call that increments a counter key. */
 final class IncrementCall {
     final CounterLane lane;
     final long counterKey;
@@ -8,7 +8,7 @@
     final double ttlMs;
     final double madeAtMs;
 
-    /** Whether its outcome has been reported; its response may still follow. */
+    /** Whether the outcome has been reported. The response may still arrive later. */
     boolean reported;
 
     IncrementCall(CounterLane lane, long counterKey, double amount, double ttlMs, double madeAtMs) {
--- a/gateway/src/main/java/tinford/routing/counter/package-info.java
+++ b/gateway/src/main/java/tinford/routing/counter/package-info.java
@@ -1,2 +1,2 @@
-/** Calls on the shared counter over a few parallel connections. */
+/** Calls to the shared counter over several parallel connections. */
 package tinford.routing.counter;
--- a/gateway/src/main/java/tinford/routing/discovery/Backoff.java
+++ b/gateway/src/main/java/tinford/routing/discovery/Backoff.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Exponential backoff with jitter, so that a fleet of gateways that was rejected together does not
- * retry together.
+ * Exponential backoff with jitter, so that gateways whose calls failed at the same time do not
+ * retry at the same time.
  */
 final class Backoff {
     private static final double MIN_JITTER = 0.5;
@@ -15,8 +15,8 @@
     private double meanMs;
 
     /**
-     * @param firstMeanMs mean wait after the first failure; twice as long after each further one,
-     *     up to {@code maxMeanMs}
+     * @param firstMeanMs mean wait after the first failure; doubled after each further failure, up
+     *     to {@code maxMeanMs}
      */
     Backoff(double firstMeanMs, double maxMeanMs, RandomGenerator random) {
         this.firstMeanMs = firstMeanMs;
@@ -25,14 +25,14 @@
         this.meanMs = firstMeanMs;
     }
 
-    /** The wait after a failure: between half and one and a half of the mean. */
+    /** Returns the wait after a failure: 0.5 to 1.5 times the current mean. */
     double nextWaitMs() {
         double waitMs = meanMs * (MIN_JITTER + random.nextDouble());
         meanMs = Math.min(maxMeanMs, GROWTH * meanMs);
         return waitMs;
     }
 
-    /** After a success. */
+    /** To be called after a success. */
     void reset() {
         meanMs = firstMeanMs;
     }
--- a/gateway/src/main/java/tinford/routing/discovery/DiscoveryConnection.java
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryConnection.java
@@ -9,7 +9,7 @@
 import tinford.transport.Connection;
 import tinford.transport.DescriptorBudget;
 
-/** One HTTP call to discovery: a watch, or the full list once. */
+/** An HTTP call to discovery: a watch, or a single fetch of the complete endpoint list. */
 final class DiscoveryConnection extends Connection {
     private static final int MAX_UNREAD_BYTES = 64 << 10;
     private static final int MAX_UNWRITTEN_BYTES = 4096;
@@ -21,11 +21,11 @@
     private final JsonObjectSplitter objects;
     private boolean listReceived;
 
-    /** Set while lines are read: the callback for a line can't throw a checked exception. */
+    /** Set by the callback for a line, which cannot throw a checked exception; else null. */
     private ProtocolException failure;
 
     /**
-     * @param fetch whether to fetch the full list once, rather than to watch
+     * @param fetch whether to fetch the complete list once, rather than to watch it
      */
     DiscoveryConnection(DiscoveryWatch watch, boolean fetch) {
         super(watch.context.loop(), MAX_UNREAD_BYTES, MAX_UNWRITTEN_BYTES);
@@ -81,7 +81,7 @@
     }
 
     /**
-     * @param object a list, empty for a heartbeat, or null while an object is incomplete
+     * @param object text of an endpoint list, empty for a heartbeat, or null if incomplete
      */
     private void handle(String object) throws ProtocolException {
         if (object == null) {
--- a/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
@@ -11,20 +11,28 @@
 import tinford.transport.EventLoop;
 
 /**
- * The watch on discovery's endpoint list. Discovery sends a line every two seconds at least. When
- * none arrives, a second watch is opened beside the silent one, and the first to send a line is
- * kept: there are two connections at most, besides one that fetches the list once.
+ * The watch on discovery's endpoint list. Discovery sends a line at least every two seconds. If
+ * none arrives, a second watch connection is opened in addition to the silent one, and the first of
+ * them to send a line is kept. There are at most two watch connections, and one that fetches the
+ * complete list once.
  */
 public final class DiscoveryWatch {
-    /** A watch event published anew must be seen within 6 s; a line is due every 2 s. */
+    /**
+     * Time without a line after which another watch is opened. A line is due every 2 s, and a
+     * change that discovery publishes must be in force within 6 s.
+     */
     private static final double LINE_TIMEOUT_MS = 2600;
 
-    /** For the first line, before another watch is opened; then a quarter longer each time. */
+    /**
+     * Time to wait for the first line of a watch before another watch is opened. Each further watch
+     * waits a quarter longer, until a line arrives.
+     */
     private static final double FIRST_LINE_TIMEOUT_MS = 1300;
 
     /**
-     * Twice this and the longest backoff is 5.5 s. So the list is current 6 s after discovery can
-     * be reached again, even if the last call of an outage and the first one after it are lost.
+     * Twice the sum of this and the longest backoff (750 ms) is 5.5 s. So the list is up to date
+     * within 6 s after discovery becomes reachable again, even if both the last call of the outage
+     * and the first call after it are lost.
      */
     private static final double MAX_FIRST_LINE_TIMEOUT_MS = 2000;
 
@@ -33,7 +41,10 @@
     private static final double BACKOFF_FIRST_MEAN_MS = 200;
     private static final double BACKOFF_MAX_MEAN_MS = 500;
 
-    /** A watch that sends a line and ends at once, each time, does not reset the backoff. */
+    /**
+     * Time after its first line at which a watch resets the backoff. Watches that each send a line
+     * and then end at once do not reset it.
+     */
     private static final double STABLE_AFTER_MS = 2000;
 
     final RoutingContext context;
@@ -45,13 +56,13 @@
     private long version;
     private boolean wanted;
 
-    /** The newest watch, or the one that sends lines. */
+    /** The newest watch connection, or the one that sends lines; null if none is open. */
     private DiscoveryConnection current;
 
-    /** Silent so far, though it may only be slow, or null. */
+    /** An older watch connection that is silent, but may only be slow, or null. */
     private DiscoveryConnection previous;
 
-    /** Fetches the full list once beside the watches, or null. */
+    /** The connection that fetches the complete list, or null. */
     private DiscoveryConnection fetching;
 
     private double firstLineTimeoutMs = FIRST_LINE_TIMEOUT_MS;
@@ -62,7 +73,7 @@
     private Runnable onFirstLine = () -> {};
 
     /**
-     * @param version of the endpoint list already in force
+     * @param version version of the endpoint list already in force
      */
     public DiscoveryWatch(
             RoutingContext context,
@@ -81,7 +92,7 @@
         this.backoff = new Backoff(BACKOFF_FIRST_MEAN_MS, BACKOFF_MAX_MEAN_MS, random);
     }
 
-    /** Within a batch: starts the watch, or ends it. */
+    /** Starts or stops the watch. To be called within a batch. */
     public void setWanted(boolean wanted) {
         this.wanted = wanted;
         if (!wanted) {
@@ -91,12 +102,12 @@
         }
     }
 
-    /** Sets what is called each time the watch has fallen silent or was ended by discovery. */
+    /** Sets a callback for each time that the watch becomes silent, or discovery ends it. */
     public void onLost(Runnable callback) {
         onLost = callback;
     }
 
-    /** Sets what is called once, at the first line or after {@code maxWaitMs} without one. */
+    /** Sets a callback that is called once, at the first line or after {@code maxWaitMs}. */
     public void onFirstLine(double maxWaitMs, Runnable callback) {
         onFirstLine = callback;
         context.loop().schedule(maxWaitMs, this::runOnFirstLine);
@@ -108,7 +119,10 @@
         callback.run();
     }
 
-    /** Within a batch: watches at that address from now on; the list in force stays. */
+    /**
+     * Watches discovery at another address from now on. The list in force is kept. To be called
+     * within a batch.
+     */
     public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
@@ -122,14 +136,14 @@
         return address;
     }
 
-    /** Version of the list in force. */
+    /** Version of the endpoint list in force. */
     long version() {
         return version;
     }
 
     /**
-     * Within a batch: fetches the full list once. There is one such call at a time; a request for
-     * another one while it runs is served by it.
+     * Fetches the complete list once. Has no effect while a fetch is in progress. To be called
+     * within a batch.
      */
     public void fetch() {
         if (fetching == null) {
@@ -144,7 +158,7 @@
         reopening = null;
         DiscoveryConnection oldest = previous;
         previous = current;
-        // Closed first: the new one may need its descriptor.
+        // The new connection may need the descriptor of the oldest one, so close that first.
         if (oldest != null) {
             oldest.close(CloseReason.CLOSED_IDLE);
         }
@@ -154,13 +168,13 @@
                 Math.min(MAX_FIRST_LINE_TIMEOUT_MS, FIRST_LINE_TIMEOUT_GROWTH * firstLineTimeoutMs);
     }
 
-    /** Only a complete line shows that a watch is alive. */
+    /** Restarts the timeout for the next line; only a complete line shows that a watch is alive. */
     private void startLineTimeout(double timeoutMs) {
         cancel(lineTimeout);
         lineTimeout = context.loop().schedule(timeoutMs, this::reopen);
     }
 
-    /** Opens the next watch after the backoff. */
+    /** Schedules the next watch connection after the backoff. */
     private void reopen() {
         cancel(lineTimeout);
         cancel(stableTimer);
@@ -168,11 +182,11 @@
         if (wanted && reopening == null) {
             reopening = context.loop().schedule(backoff.nextWaitMs(), this::open);
         }
-        // Last: a fault in it must not keep the next watch from being opened.
+        // Called last, so that an exception in the callback does not prevent the next watch.
         onLost.run();
     }
 
-    /** A watch has sent a complete line: it is kept, the other one closed. */
+    /** Called when a watch has sent a complete line: keeps it and closes the other watch. */
     void lineReceived(DiscoveryConnection alive) {
         DiscoveryConnection other = alive == current ? previous : current;
         current = alive;
@@ -215,21 +229,26 @@
     }
 
     /**
-     * Brings a list into force, unless it is older than the one in force: a late one would restore
-     * servers that are gone.
+     * Applies a list, unless it is older than the one in force: an outdated list would restore
+     * servers that have been removed.
      */
     void listReceived(String text) throws ProtocolException {
         try {
             JsonFields list = JsonFields.of(json, "discovery", text);
             long listVersion = list.integer("seq");
             if (listVersion < version) {
-                warnInvalid(new ProtocolException("no list older than the one held"));
+                warnInvalid(
+                        new ProtocolException(
+                                "an endpoint list of version "
+                                        + version
+                                        + " or later, not "
+                                        + listVersion));
                 return;
             }
             handler.updateEndpoints(list);
             version = listVersion;
         } catch (InvalidSettingsException e) {
-            throw new ProtocolException(e.getMessage());
+            throw new ProtocolException("a valid endpoint list: " + e.getMessage());
         }
     }
 
@@ -237,7 +256,7 @@
         context.warn("invalid response from discovery", "discovery=" + address, cause);
     }
 
-    /** The call that fetches the list has ended. */
+    /** Called when the connection that fetches the list has closed. */
     void fetchEnded(boolean listReceived) {
         fetching = null;
         if (!listReceived) {
--- a/gateway/src/main/java/tinford/routing/discovery/EndpointListHandler.java
+++ b/gateway/src/main/java/tinford/routing/discovery/EndpointListHandler.java
@@ -2,14 +2,14 @@
 
 import tinford.settings.JsonFields;
 
-/** Takes the endpoint lists that discovery sends. */
+/** Receives the endpoint lists that discovery sends. */
 @FunctionalInterface
 public interface EndpointListHandler {
     /**
-     * Brings a list into force.
+     * Applies a list.
      *
-     * @throws tinford.settings.InvalidSettingsException if it can't be read; then none of it is in
-     *     force
+     * @throws tinford.settings.InvalidSettingsException if the list is invalid; nothing is applied
+     *     then
      */
     void updateEndpoints(JsonFields list);
 }
--- a/gateway/src/main/java/tinford/routing/discovery/package-info.java
+++ b/gateway/src/main/java/tinford/routing/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The watch on discovery, which keeps the endpoint list current. */
+/** The watch on discovery, which keeps the endpoint list up to date. */
 package tinford.routing.discovery;
--- a/gateway/src/main/java/tinford/routing/dispatch/RateLimitedWarnings.java
+++ b/gateway/src/main/java/tinford/routing/dispatch/RateLimitedWarnings.java
@@ -6,8 +6,9 @@
 import java.util.Set;
 
 /**
- * Logs warnings about other parties, each event and cause once a minute: a party that misbehaves
- * does so with every request. If several do the same, the first one is named.
+ * Logs warnings about peers, at most once a minute for the same event and cause, since a faulty
+ * peer may cause one with every request. If several peers cause the same warning, only the first of
+ * them is logged.
  */
 final class RateLimitedWarnings {
     private static final int MAX_DISTINCT_WARNINGS = 100;
@@ -21,8 +22,8 @@
     }
 
     /**
-     * @param subject what it happened to, as {@code key=value}, or empty; it does not make a
-     *     warning another
+     * @param subject the peer or object concerned, as {@code key=value}, or empty; warnings that
+     *     differ only in the subject count as the same
      */
     void log(double nowMs, String event, String subject, Exception cause) {
         if (nowMs - intervalStartMs > REPEAT_INTERVAL_MS) {
--- a/gateway/src/main/java/tinford/routing/dispatch/RequestDispatcher.java
+++ b/gateway/src/main/java/tinford/routing/dispatch/RequestDispatcher.java
@@ -26,8 +26,9 @@
 import tinford.transport.EventLoop;
 
 /**
- * Connects the decision module to the sockets. All input of one event loop iteration becomes one
- * batch of events for the module; its actions become calls on the parts of the request path.
+ * Connects the decision module to the network. All input of one event loop iteration is passed to
+ * the module as one batch of events. The module's actions are delegated to the other classes of the
+ * request path.
  */
 public final class RequestDispatcher implements RoutingContext, AttemptListener, GatewayActions {
     private static final System.Logger LOG = System.getLogger("tinford.routing");
@@ -47,10 +48,10 @@
     private double previousBatchMs = nowMs;
 
     /**
-     * @param maxAttempts of one request
-     * @param descriptors limit on open connections, those of the admin API not counted
+     * @param maxAttempts limit on the attempts of one request
+     * @param descriptors limit on open connections, not counting those of the admin API
      * @param bufferBytes limit on the buffers of all connections together
-     * @throws IOException if the event loop can't be started
+     * @throws IOException if the event loop cannot be started
      */
     public RequestDispatcher(
             DecisionModule decisions, int maxAttempts, int descriptors, long bufferBytes)
@@ -59,9 +60,9 @@
     }
 
     /**
-     * As the other constructor, with the clock that timers follow.
+     * Like the other constructor, but with a given clock for timers.
      *
-     * @param nanoTime time in nanoseconds since any moment
+     * @param nanoTime time in nanoseconds from an arbitrary origin, as {@link System#nanoTime}
      */
     public RequestDispatcher(
             DecisionModule decisions,
@@ -75,7 +76,10 @@
         this.loop = new EventLoop(this::runBatch, descriptors, bufferBytes, nanoTime);
     }
 
-    /** Sets the parts that actions go to, once, before the first batch; null for those unused. */
+    /**
+     * Sets the objects that actions are delegated to. To be called once, before the first batch.
+     * Objects that are not used may be null.
+     */
     public void attach(
             ClientPool clients,
             ServerPool servers,
@@ -89,29 +93,35 @@
         this.peers = peers;
     }
 
-    /** Starts the decision module: the first call within the first batch. */
+    /** Starts the decision module. Must be the first call within the first batch. */
     public void start() {
         events.started();
     }
 
-    /** Within a batch: brings the policy of a fleet into force. */
+    /** Applies the policy of a fleet. To be called within a batch. */
     public void joinFleet(FleetPolicy policy) {
         fleetPolicy = policy;
         events.fleetPolicyChanged(policy);
     }
 
-    /** Within a batch: brings the catalog into force. */
+    /** Replaces the catalog in force. To be called within a batch. */
     public void useCatalog(Catalog catalog) {
         clients.useCatalog(catalog);
         events.plansChanged(catalog.plansInForce());
     }
 
-    /** Within a batch: this process takes the requests over from another one of this gateway. */
+    /**
+     * Notifies the decision module that this process takes over the requests from another process
+     * of this gateway. To be called within a batch.
+     */
     public void startTakeover() {
         events.takeoverStarted();
     }
 
-    /** Within a batch: another process of this gateway takes the requests over. */
+    /**
+     * Notifies the decision module that another process of this gateway takes over the requests. To
+     * be called within a batch.
+     */
     public void startDraining() {
         events.drainingStarted();
     }
@@ -192,7 +202,7 @@
                     loadReport);
         } catch (RuntimeException | Error e) {
             loop.logFailure(e);
-            clients.fail(request); // no decision would follow
+            clients.fail(request); // the decision module will not decide on it any more
         }
     }
 
@@ -244,7 +254,7 @@
         loop.schedule(delayMs, () -> events.timerFired(token));
     }
 
-    /** The wire protocol has no health check: it ends as not sent. */
+    /** Reports the health check as not sent, as the protocol to servers has no health check. */
     @Override
     public void sendHealthCheck(Server server) {
         loop.submit(() -> events.healthCheckEnded(server, AttemptOutcome.NOT_SENT, 0, null));
--- a/gateway/src/main/java/tinford/routing/dispatch/package-info.java
+++ b/gateway/src/main/java/tinford/routing/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** The dispatcher between the decision module and the parts of the request path. */
+/** The dispatcher, which connects the decision module to the other packages of the request path. */
 package tinford.routing.dispatch;
--- a/gateway/src/main/java/tinford/routing/package-info.java
+++ b/gateway/src/main/java/tinford/routing/package-info.java
@@ -1,21 +1,21 @@
 /**
- * The request path on the sockets. What all its parts share lies in this package; each subpackage
- * is one concern and knows the others only as far as this list says:
+ * Request routing over network connections. This package holds what all subpackages share. Each
+ * subpackage has one responsibility and depends on other subpackages only as stated here:
  *
  * <ul>
- *   <li>{@code dispatch}: turns what came in into events for the decision module, and its actions
- *       into calls on the other parts; knows all of them but {@code admin};
- *   <li>{@code client}: client connections and the requests on them; knows {@code catalog} and
+ *   <li>{@code dispatch}: passes network input to the decision module as events, and carries out
+ *       the actions of the decision module; depends on all other subpackages except {@code admin};
+ *   <li>{@code client}: client connections and their requests; depends on {@code catalog} and
  *       {@code upstream};
  *   <li>{@code upstream}: the servers and the connections to them;
- *   <li>{@code counter}: calls on the shared counter;
+ *   <li>{@code counter}: calls to the shared counter;
  *   <li>{@code discovery}: the watch on the endpoint list;
  *   <li>{@code peer}: gossip between gateways;
- *   <li>{@code admin}: the admin API; knows {@code upstream};
+ *   <li>{@code admin}: the admin API; depends on {@code upstream};
  *   <li>{@code catalog}: the request classes and plans in force.
  * </ul>
  *
- * <p>All of it runs on the one I/O thread. Times are milliseconds on the gateways' shared clock,
- * unless a name says otherwise.
+ * <p>All classes are confined to the I/O thread, unless their documentation says otherwise. Times
+ * are in milliseconds on the clock that the gateways share, unless a name states another unit.
  */
 package tinford.routing;
--- a/gateway/src/main/java/tinford/routing/peer/PeerMessenger.java
+++ b/gateway/src/main/java/tinford/routing/peer/PeerMessenger.java
@@ -7,7 +7,7 @@
 import tinford.routing.RoutingContext;
 import tinford.transport.UdpSocket;
 
-/** Sends and receives short messages between the gateways, as datagrams. */
+/** Sends and receives short gossip messages between gateways as UDP datagrams. */
 public final class PeerMessenger {
     private static final int MAX_MESSAGE_BYTES = 256;
     private final RoutingContext context;
@@ -16,9 +16,10 @@
     private final UdpSocket socket;
 
     /**
-     * @param peers by their numbers; datagrams from other addresses are ignored
-     * @param allPeers where a message to all peers is sent
-     * @throws IOException if the address can't be listened at
+     * @param peers addresses of the peers, indexed by gateway number; datagrams from other
+     *     addresses are ignored
+     * @param allPeers address for messages to all peers
+     * @throws IOException if the socket cannot be bound to the listen address
      */
     public PeerMessenger(
             RoutingContext context,
@@ -41,9 +42,9 @@
     }
 
     /**
-     * Sends a message; one that is too long is dropped.
+     * Sends a message. A message of more than 256 bytes is dropped.
      *
-     * @param peer its number, or below 0 for all peers
+     * @param peer number of the gateway, or a negative number for all peers
      */
     public void send(int peer, String text) {
         byte[] message = text.getBytes(StandardCharsets.UTF_8);
--- a/gateway/src/main/java/tinford/routing/peer/package-info.java
+++ b/gateway/src/main/java/tinford/routing/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Gossip between the gateways, as datagrams. */
+/** Gossip between gateways over UDP. */
 package tinford.routing.peer;
--- a/gateway/src/main/java/tinford/routing/upstream/AttemptListener.java
+++ b/gateway/src/main/java/tinford/routing/upstream/AttemptListener.java
@@ -2,19 +2,21 @@
 
 import tinford.api.AttemptOutcome;
 
-/** Notified when an attempt's response starts to flow, and when the attempt ends. */
+/** Notified when a streamed response starts, and when an attempt ends. */
 public interface AttemptListener {
     /**
-     * A streamed response begins to flow to its client: this is the request's final answer, and no
-     * time limit applies to it any more.
+     * A streamed response starts to be forwarded to the client. It is the final answer to the
+     * request, and the attempt's timeout no longer applies.
      */
     void responseStarted(ServerAttempt attempt);
 
     /**
-     * An attempt has ended; of several calls for one attempt the first one counts.
+     * An attempt has ended. If this is called more than once for an attempt, only the first call
+     * has an effect.
      *
-     * @param meteredUse 1 + the tenant's metered use in percent of its rate, or 0
-     * @param settledUnits true units, reported with the first successful response, or 0
+     * @param meteredUse 1 + the tenant's metered use in percent of its quota, or 0 if unknown
+     * @param settledUnits actual units of the request, reported with its first successful response,
+     *     or 0
      * @param loadReport the server's load report, or null
      */
     void attemptEnded(
--- a/gateway/src/main/java/tinford/routing/upstream/EndpointEntry.java
+++ b/gateway/src/main/java/tinford/routing/upstream/EndpointEntry.java
@@ -6,12 +6,14 @@
 import tinford.settings.JsonFields;
 
 /**
- * One server on an endpoint list; of one removed only id and state are read. Field names on the
- * wire: {@code host} for the id, {@code dial} for the address, {@code site} for the zone, {@code
- * block} for the cell, {@code class} for the group, {@code share} for the weight.
+ * An entry of an endpoint list. For a removed server only id and state are read.
  *
- * @param startedAtMs its last start, or 0 for one long past
- * @param group empty where none is listed
+ * <p>The JSON field names are {@code host} for the id, {@code health} for the state, {@code dial}
+ * for the address, {@code born_ms} for the start time, {@code site} for the zone, {@code block} for
+ * the cell, {@code class} for the group, and {@code share} for the weight.
+ *
+ * @param startedAtMs time of the server's last start, or 0 if it started long ago
+ * @param group empty if the entry has no group
  */
 record EndpointEntry(
         String id,
@@ -25,7 +27,7 @@
     /**
      * Reads an entry.
      *
-     * @throws tinford.settings.InvalidSettingsException if a field is missing or of another kind
+     * @throws tinford.settings.InvalidSettingsException if a field is missing or invalid
      */
     static EndpointEntry read(JsonFields fields) {
         String id = fields.text("host");
--- a/gateway/src/main/java/tinford/routing/upstream/ForwardedRequest.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ForwardedRequest.java
@@ -6,7 +6,7 @@
 import tinford.protocol.ClientCommand;
 import tinford.transport.CloseReason;
 
-/** A request as the servers' side sees it: the command to send, and where the response goes. */
+/** A request to be sent to a server: the command, and the destination of the response. */
 public abstract class ForwardedRequest extends Request {
     public final ClientCommand command;
 
@@ -16,31 +16,35 @@
         this.command = command;
     }
 
-    /** Whether it has its final answer, or its client is gone. */
+    /** Whether the request has its final answer, or its client has disconnected. */
     public abstract boolean isFinished();
 
-    /** Whether all requests before it on its connection are answered. */
+    /** Whether all earlier requests on the same client connection have been answered. */
     protected abstract boolean isNextToAnswer();
 
-    /** Answers it with a value, which is copied. */
+    /** Answers the request with a value. The bytes are copied. */
     protected abstract void answer(byte[] value, int from, int length);
 
-    /** Sets the connection that streams the response, or null once none does. */
+    /** Sets the source of a streamed response, or null when the stream has ended. */
     protected abstract void setResponseSource(ResponseSource source);
 
-    /** Begins a streamed response; only while {@link #isNextToAnswer}. */
+    /** Starts a streamed response. May be called only if {@link #isNextToAnswer} is true. */
     protected abstract void startStream(long length);
 
     /**
-     * Writes a part of the streamed response.
+     * Writes a part of a streamed response.
      *
-     * @return whether the client can take more; if not, {@link ResponseSource#resume} follows
+     * @return whether the client can receive more; if false, {@link ResponseSource#resume} is
+     *     called once it can
      */
     protected abstract boolean writeStreamPart(byte[] bytes, int from, int length);
 
-    /** Ends a streamed response that is complete. */
+    /** Completes a streamed response. */
     protected abstract void endStream();
 
-    /** Breaks a streamed response off, which only the end of the client's connection can show. */
+    /**
+     * Aborts a streamed response by closing the client's connection. The protocol has no other way
+     * to indicate that a response which has been started is incomplete.
+     */
     protected abstract void abortStream(CloseReason reason);
 }
--- a/gateway/src/main/java/tinford/routing/upstream/PooledServer.java
+++ b/gateway/src/main/java/tinford/routing/upstream/PooledServer.java
@@ -6,31 +6,37 @@
 import java.util.Set;
 import tinford.api.Server;
 
-/** A server on the endpoint list, with the connections to it. */
+/** A server on the endpoint list, and the connections to it. */
 public final class PooledServer extends Server {
     InetSocketAddress address;
 
-    /** As the endpoint list has it; {@code state} also counts what operators have excluded. */
+    /**
+     * State on the endpoint list; {@code state()} also takes operators' exclusions into account.
+     */
     Server.State listedState;
 
     /**
-     * As the endpoint list has it; {@code startedAtMs} also counts what operators have excluded.
+     * Start time on the endpoint list; {@code startedAtMs()} also takes operators' exclusions into
+     * account.
      */
     double listedStartedAtMs;
 
-    /** Connections with nothing in flight, the last used first. */
+    /** Connections without an attempt in flight, most recently used first. */
     final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
 
-    /** Connections not yet established, each with an attempt of which nothing is sent. */
+    /** Connections not yet established, each with an attempt whose command is still unsent. */
     final Set<ServerConnection> opening = new LinkedHashSet<>();
 
-    /** Connections that the server may count: also those opening, and those not seen closed. */
+    /**
+     * Connections that the server may regard as open. Includes connections not yet established, and
+     * connections closed by this side whose close the server may not have seen.
+     */
     int connectionCount;
 
-    /** Of these, the ones that are closed by this side, though the server may not know it yet. */
+    /** Connections in {@link #connectionCount} that this side has closed. */
     int closingCount;
 
-    /** Its place in the order in which servers were first listed. */
+    /** Position in the order in which servers were first listed. */
     final long sequence;
 
     PooledServer(String id, long sequence) {
@@ -38,12 +44,12 @@
         this.sequence = sequence;
     }
 
-    /** Connections that are neither closed nor closing. */
+    /** The number of connections that this side has not closed. */
     int liveCount() {
         return connectionCount - closingCount;
     }
 
-    /** Takes over what the endpoint list says of a server that is not removed. */
+    /** Applies an endpoint list entry of a server that is not removed. */
     void update(EndpointEntry entry, double startedAtMs) {
         address = entry.address();
         listedStartedAtMs = entry.startedAtMs();
--- a/gateway/src/main/java/tinford/routing/upstream/RecentIds.java
+++ b/gateway/src/main/java/tinford/routing/upstream/RecentIds.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A set of ids that forgets the oldest one when it is full. */
+/** A bounded set of ids that evicts the oldest id when it is full. */
 final class RecentIds {
     private final Set<String> ids;
 
--- a/gateway/src/main/java/tinford/routing/upstream/ResponseSource.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ResponseSource.java
@@ -2,11 +2,11 @@
 
 import tinford.transport.CloseReason;
 
-/** Where a streamed response comes from, as its client's side sees it. */
+/** The source of a streamed response, controlled by the client connection that receives it. */
 public interface ResponseSource {
-    /** The client can take more of the response. */
+    /** Continues the stream: the client connection can accept more bytes. */
     void resume();
 
-    /** The client takes no more of the response. */
+    /** Ends the stream: the client connection accepts no more bytes. */
     void close(CloseReason reason);
 }
--- a/gateway/src/main/java/tinford/routing/upstream/ServerAttempt.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerAttempt.java
@@ -3,16 +3,16 @@
 import tinford.transport.CloseReason;
 import tinford.transport.EventLoop;
 
-/** One attempt of a request at a server. */
+/** One attempt to execute a request at a server. */
 public final class ServerAttempt {
     public final ForwardedRequest request;
 
-    /** Counts the attempts of the request from 0. */
+    /** Index of this attempt among the attempts of the request, from 0. */
     public final int number;
 
     public final double startedAtMs;
 
-    /** The connection it was sent on, or null before it was sent. */
+    /** The connection that the attempt was assigned to, or null if none. */
     ServerConnection connection;
 
     private EventLoop.Timer timeout;
@@ -25,12 +25,12 @@
         this.startedAtMs = startedAtMs;
     }
 
-    /** Sets the timer of its time-out, which ends with it. */
+    /** Sets the timeout timer, which is cancelled when the attempt ends. */
     public void setTimeout(EventLoop.Timer timer) {
         timeout = timer;
     }
 
-    /** Sets the timer of when its last byte is to be written, which ends with it. */
+    /** Sets the timer by which the last byte must be written; cancelled when the attempt ends. */
     public void setSendDeadline(EventLoop.Timer timer) {
         sendDeadline = timer;
     }
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Marks it as ended and cancels its timers; false if it had ended before. */
+    /** Marks the attempt as ended and cancels its timers; returns false if it had already ended. */
     public boolean markEnded() {
         if (ended) {
             return false;
@@ -55,14 +55,17 @@
         return true;
     }
 
-    /** Gives it up by closing its connection. */
+    /** Abandons the attempt by closing its connection, unless the attempt has ended. */
     public void close(CloseReason reason) {
         if (!ended && connection != null) {
             connection.close(reason);
         }
     }
 
-    /** Gives it up if its command is not written to the last byte: then it cannot have run. */
+    /**
+     * Abandons the attempt if the last byte of its command has not been written. The server cannot
+     * have executed it then.
+     */
     public void closeIfUnsent() {
         if (!ended && connection != null && !connection.isSent()) {
             connection.close(CloseReason.CANCELLED);
--- a/gateway/src/main/java/tinford/routing/upstream/ServerConnection.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerConnection.java
@@ -11,16 +11,16 @@
 import tinford.transport.EventLoop;
 
 /**
- * One connection to a server. It carries one attempt at a time, so that giving one up costs no
- * other.
+ * A connection to a server. It carries one attempt at a time, because an attempt is cancelled by
+ * closing its connection, which must not affect other attempts.
  */
 final class ServerConnection extends Connection implements ResponseSource {
     private static final int MAX_UNWRITTEN_BYTES = 2 * RespReader.MAX_VALUE_BYTES;
 
-    /** The next part of a long command is written once no more than this is unwritten. */
+    /** The next part of a long command is written once at most this many bytes are unwritten. */
     private static final int WRITE_RESUME_BYTES = 8 << 10;
 
-    /** Bytes within which a response shows that it carries a long value. */
+    /** A response shows within this many bytes whether it carries a long value. */
     private static final int STREAM_HEAD_BYTES = 16;
 
     private static final int STREAM_BUFFER_BYTES = 16 << 10;
@@ -29,13 +29,13 @@
     private static final long NO_STREAM = -1;
     final PooledServer server;
 
-    /** When it last became idle. */
+    /** Time at which the connection last became idle. */
     double idleSinceMs;
 
-    /** Whether it counts among its server's connections. */
+    /** Whether the connection is included in {@link PooledServer#connectionCount}. */
     boolean counted;
 
-    /** Is opened once the server has seen this one's end, or null. */
+    /** Connection to be opened once the server has seen this one close, or null. */
     ServerConnection successor;
 
     private final ServerPool pool;
@@ -43,22 +43,22 @@
     /** The attempt in flight, or null. */
     private ServerAttempt attempt;
 
-    /** Bytes of the command handed to the buffer so far. */
+    /** Number of command bytes copied to the write buffer so far. */
     private int commandOffset;
 
-    /** Runs while a response has arrived in part. */
+    /** Active while a response has been received only in part. */
     private EventLoop.Timer responseTimeout;
 
-    /** Bytes of a streamed value still to come, or {@link #NO_STREAM}. */
+    /** Bytes of the streamed value that have not been forwarded, or {@link #NO_STREAM}. */
     private long streamRemaining = NO_STREAM;
 
-    /** Parts of the streamed response, the value counted. */
+    /** Number of elements in the streamed response, including the value. */
     private int streamParts;
 
-    /** Whether the client has had the beginning of the streamed response. */
+    /** Whether the beginning of the streamed response has been written to the client. */
     private boolean streamStarted;
 
-    /** When some of the streamed response last arrived or could be passed on. */
+    /** Time at which the stream last made progress, or the client could last accept more. */
     private double streamMovedAtMs;
 
     ServerConnection(ServerPool pool, PooledServer server) {
@@ -68,7 +68,7 @@
     }
 
     /**
-     * @param timeoutMs 0 if none is to be opened: then it fails for want of a descriptor
+     * @param timeoutMs 0 to open no connection, and to fail with {@link CloseReason#NO_DESCRIPTOR}
      */
     void connect(double timeoutMs) {
         open(server.address, timeoutMs);
@@ -77,7 +77,7 @@
     /**
      * Sends the command of an attempt.
      *
-     * @param timeoutMs how long the sender waits, which the server is informed of
+     * @param timeoutMs how long the gateway waits for the response; sent to the server
      */
     void send(ServerAttempt next, long timeoutMs) {
         attempt = next;
@@ -87,14 +87,14 @@
         scheduleFlush();
     }
 
-    /** A long command is written in parts, as fast as its server reads them. */
+    /** Arranges for the next part of a long command to be written once the server reads on. */
     private void awaitWriteIfUnfinished() {
         if (commandOffset < attempt.request.command.length()) {
             awaitDrain(WRITE_RESUME_BYTES);
         }
     }
 
-    /** Whether its command is written to the last byte. */
+    /** Whether the last byte of the command has been written. */
     boolean isSent() {
         return attempt != null
                 && commandOffset >= attempt.request.command.length()
@@ -115,7 +115,7 @@
         scheduleFlush();
     }
 
-    /** The request has its final answer, so the rest of its command is not sent. */
+    /** Closes the connection if the rest of its command is no longer needed. */
     private void endUnfinishedWrite() {
         if (!isSent() && streamRemaining == NO_STREAM) {
             close(CloseReason.CANCELLED);
@@ -154,20 +154,23 @@
         RespReader reader = pool.respReader;
         int length = reader.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (attempt == null) {
-            throw new ProtocolException("an answer to a command only");
+            throw new ProtocolException("no data while no command is in flight");
         }
         if (length == 0) {
             awaitRest();
             return;
         }
-        // The first successful response goes to the client straight from the read buffer.
+        // The first successful response is copied to the client directly from the read buffer.
         if (outcomeOf(reader) == AttemptOutcome.SUCCESS && !attempt.request.isFinished()) {
             attempt.request.answer(reader.bytes(), reader.offset(0), reader.length(0));
         }
         completeAttempt(reader, length);
     }
 
-    /** The rest of a response follows at once, unless its length promises more than is sent. */
+    /**
+     * Limits the wait for the rest of a response. The rest follows at once, unless the response
+     * states a greater length than is sent.
+     */
     private void awaitRest() {
         cancelResponseTimeout();
         responseTimeout =
@@ -182,10 +185,11 @@
     }
 
     /**
-     * Starts to stream a value that is too long to be buffered. Its server has done its work with
-     * the first bytes; the rest arrives as fast as the client reads, and no time-out applies to it.
+     * Starts to stream a value that is too long to be buffered. The server has executed the request
+     * when the first bytes arrive. The rest is read no faster than the client accepts it, so the
+     * attempt's timeout does not apply.
      *
-     * @return false if what has arrived is not the beginning of a long value
+     * @return false if the received bytes are not the beginning of a long value
      */
     private boolean startStreamIfLong() throws ProtocolException {
         if (attempt == null || buffer.unreadBytes() <= STREAM_HEAD_BYTES) {
@@ -218,7 +222,7 @@
         passStreamOn();
     }
 
-    /** The client can take more, or the responses before this one are complete. */
+    /** Called when the client can accept more, or when all earlier responses are complete. */
     @Override
     public void resume() {
         streamMovedAtMs = pool.context.nowMs();
@@ -256,7 +260,7 @@
         }
     }
 
-    /** Passes on what has arrived of the value; false if it then waits for the client. */
+    /** Forwards the received part of the value; returns false if it must wait for the client. */
     private boolean writeStreamPart(ForwardedRequest request) {
         int length = (int) Math.min(streamRemaining, buffer.unreadBytes());
         if (length == 0) {
@@ -273,7 +277,7 @@
         return false;
     }
 
-    /** Closes a stream that stands still, which would occupy both sides' connections for good. */
+    /** Closes a stalled stream, which would otherwise occupy two connections indefinitely. */
     private void checkStreamStalled() {
         if (isClosed() || streamRemaining == NO_STREAM) {
             return;
@@ -287,14 +291,14 @@
     }
 
     /**
-     * Ends the attempt with what the response says beside its value.
+     * Ends the attempt with the outcome and the reports in the response.
      *
-     * @param length of what the read buffer holds of the response
+     * @param length number of bytes of the response in the read buffer
      */
     private void completeAttempt(RespReader reader, int length) throws ProtocolException {
         AttemptOutcome outcome = outcomeOf(reader);
-        // What follows a response must not become that of the next command, nor may the rest of a
-        // command that was answered early follow the next one.
+        // Bytes behind the response must not be taken for the response to the next command, and
+        // the unsent rest of a command that was answered early must not precede the next command.
         boolean reusable = buffer.unreadBytes() == length && isSent();
         String usage;
         String load;
@@ -322,13 +326,13 @@
                 pool.readLoadReport(load));
     }
 
-    /** What the protocol does not know is no response: another error line may mean anything. */
+    /** Rejects other error lines than those of the protocol, whose meaning is unknown. */
     private static AttemptOutcome outcomeOf(RespReader reader) throws ProtocolException {
         if (reader.isArray()) {
             if (reader.kind(0) == '$') {
                 return AttemptOutcome.SUCCESS;
             }
-            throw new ProtocolException("a value first");
+            throw new ProtocolException("an array that starts with a bulk string");
         }
         String line = reader.kind(0) == '-' ? reader.text(0) : "";
         if (line.equals("BUSY") || line.startsWith("BUSY ")) {
@@ -337,7 +341,7 @@
         if (line.equals("ERR failed") || line.startsWith("ERR failed ")) {
             return AttemptOutcome.ERROR;
         }
-        throw new ProtocolException("an array, -ERR failed or -BUSY");
+        throw new ProtocolException("an array, -ERR failed or -BUSY as the response");
     }
 
     private void clearAttempt() {
@@ -347,7 +351,10 @@
         streamStarted = false;
     }
 
-    /** Where the fleet limits connections, one that its server still counts is not replaced yet. */
+    /**
+     * If the fleet limits connections, a closed connection counts against the limit until the
+     * server has seen the close.
+     */
     @Override
     protected boolean waitsForPeerClose() {
         return pool.context.fleetPolicy().connectionLimit(server) < Integer.MAX_VALUE;
--- a/gateway/src/main/java/tinford/routing/upstream/ServerExclusions.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerExclusions.java
@@ -4,14 +4,21 @@
 import java.util.Map;
 
 /**
- * Which servers the operators have excluded, from records that both processes of a gateway read
- * alike: one line a call, of which the later one counts. Does no I/O.
+ * The servers that operators have excluded. The state is built from a log of records, one line for
+ * each call of the admin API, which both processes of a gateway read during a handover. The last
+ * record for a server takes precedence. This class does no I/O.
  */
 public final class ServerExclusions {
-    /** Beyond it the exclusions that were lifted longest ago are forgotten. */
+    /**
+     * If there are more exclusions than this, lifted ones are dropped, starting with the server
+     * that was excluded first.
+     */
     private static final int MAX_EXCLUSIONS = 4096;
 
-    /** By then discovery has long reported a start from before the exclusion was lifted. */
+    /**
+     * How long a lifted exclusion is retained. Discovery has by then reported a restart that
+     * happened while the server was excluded.
+     */
     private static final double RETENTION_MS = 600_000;
 
     private static final String EXCLUDE = "suspend";
@@ -31,15 +38,16 @@
         }
     }
 
-    /** The record of a call; ids on the endpoint list contain no blank. */
+    /** Formats the record of a call. Ids on the endpoint list contain no spaces. */
     public static String toRecord(String serverId, boolean exclude, double nowMs) {
         return (exclude ? EXCLUDE : READMIT) + " " + (long) nowMs + " " + serverId;
     }
 
     /**
-     * Applies a record. One that is cut short, as by a killed process, is ignored.
+     * Applies a record. A malformed record is ignored: it may be truncated if the process that
+     * wrote it was killed.
      *
-     * @return the id of the server that it names, or null if it was ignored
+     * @return the id of the server in the record, or null if the record was ignored
      */
     String apply(String serverRecord) {
         String[] words = serverRecord.split(" ", 3);
@@ -59,7 +67,7 @@
         return serverId;
     }
 
-    /** A repeated call changes nothing. */
+    /** Repeated calls have no effect: the exclusion keeps its start time. */
     private void exclude(String serverId, double atMs) {
         if (!isExcluded(serverId)) {
             exclusions.put(serverId, new Exclusion(atMs));
@@ -87,15 +95,16 @@
         return exclusion != null && exclusion.isInForce();
     }
 
-    /** Whether a server is or was excluded, as far as that is remembered. */
+    /** Whether a server is excluded, or was excluded and the exclusion is still retained. */
     boolean isKnown(String serverId) {
         return exclusions.containsKey(serverId);
     }
 
     /**
-     * When a server started, as far as that is safe to say. It may have been restarted while it was
-     * excluded, which discovery reports late: until then it counts as started when it was
-     * readmitted, so that a cold server is not taken for the warm one that it was.
+     * Returns the latest time at which a server may have started. It may have been restarted while
+     * it was excluded, and discovery may not have reported that yet. Until discovery reports a
+     * start during the exclusion, the server is assumed to have started when it was readmitted, so
+     * that a cold server is not taken for a warm one.
      */
     double startedAtMs(String serverId, double listedStartedAtMs) {
         Exclusion exclusion = exclusions.get(serverId);
--- a/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
@@ -18,18 +18,20 @@
 /** The servers on the endpoint list, and the connections to them. */
 public final class ServerPool {
     /**
-     * A connection rests this long before it is used again: what the server sent behind a response
-     * has arrived by then.
+     * Time for which a connection must be idle before it is reused. Data that the server sent after
+     * a response has arrived by then, so that it is not taken for the next response.
      */
     private static final double REUSE_DELAY_MS = 10;
 
-    /** Idle connections are closed after this part of the server's own idle time-out. */
+    /** Idle connections are closed after this fraction of the server's own idle timeout. */
     private static final double IDLE_TIMEOUT_SHARE = 0.75;
 
     private static final int IDLE_CHECKS_PER_TIMEOUT = 16;
     private static final int MAX_REMOVED_IDS = 4096;
 
-    /** With this connect time-out none is opened: it fails for want of a descriptor. */
+    /**
+     * Connect timeout with which a connection is not opened, but fails for lack of a descriptor.
+     */
     private static final double NO_CONNECT_MS = 0;
 
     final RoutingContext context;
@@ -46,10 +48,10 @@
     private long nextSequence;
 
     /**
-     * @param idleTimeoutMs how long a connection may stand idle before its server closes it
-     * @param maxConnections to all servers together
+     * @param idleTimeoutMs how long a connection may be idle before its server closes it
+     * @param maxConnections limit on the connections to all servers together
      * @param loadFields names of the load report's fields in the order in which the decision module
-     *     takes them; empty if it takes none
+     *     expects them; empty if it uses no load reports
      */
     public ServerPool(
             RoutingContext context,
@@ -68,10 +70,11 @@
     }
 
     /**
-     * Within a batch: brings an endpoint list into force, complete or as changes to the one before.
+     * Applies an endpoint list, which is either complete or a set of changes. To be called within a
+     * batch.
      *
-     * @throws tinford.settings.InvalidSettingsException if it can't be read; then none of it is in
-     *     force
+     * @throws tinford.settings.InvalidSettingsException if the list is invalid; nothing is applied
+     *     then
      */
     public void updateEndpoints(JsonFields list) {
         List<JsonFields> hosts = list.objects("hosts");
@@ -94,7 +97,11 @@
         dropUnlisted(new HashSet<>(listed), complete);
     }
 
-    /** Whether what runs at the server's address is another process than before. */
+    /**
+     * Applies an entry to its server.
+     *
+     * @return whether the server is now another process than before, as it has moved or restarted
+     */
     private boolean update(PooledServer server, EndpointEntry entry) {
         server.listedState = entry.state();
         server.updateState(effectiveState(server));
@@ -108,7 +115,7 @@
         return replaced;
     }
 
-    /** Closes what leads to servers that take nothing new, and forgets those that are gone. */
+    /** Closes connections to servers that accept no new attempts, and removes unlisted servers. */
     private void dropUnlisted(Set<Server> listed, boolean complete) {
         List<PooledServer> affected =
                 complete ? new ArrayList<>(servers.values()) : inListedOrder(listed);
@@ -129,7 +136,7 @@
         return new PooledServer(id, nextSequence++);
     }
 
-    /** The order in which they were first listed decides which attempts end first. */
+    /** Sorts servers by when they were first listed, so that attempts end in a defined order. */
     private static List<PooledServer> inListedOrder(Set<Server> listed) {
         List<PooledServer> sorted = new ArrayList<>(listed.size());
         listed.forEach(server -> sorted.add((PooledServer) server));
@@ -137,21 +144,21 @@
         return sorted;
     }
 
-    /** A server that operators have excluded drains, whatever the endpoint list says. */
+    /** The listed state, except that a server which operators have excluded is draining. */
     private Server.State effectiveState(PooledServer server) {
         return server.listedState == Server.State.UP && exclusions.isExcluded(server.id)
                 ? Server.State.DRAINING
                 : server.listedState;
     }
 
-    /** Whether a server is or was on the endpoint list, or was excluded. */
+    /** Whether a server is or recently was on the endpoint list, or is or was excluded. */
     public boolean isKnown(String serverId) {
         return servers.containsKey(serverId)
                 || removedIds.contains(serverId)
                 || exclusions.isKnown(serverId);
     }
 
-    /** Within a batch: applies a record made by {@link ServerExclusions#toRecord}. */
+    /** Applies a record made by {@link ServerExclusions#toRecord}. To be called within a batch. */
     public void applyExclusion(String serverRecord) {
         PooledServer server = servers.get(exclusions.apply(serverRecord));
         if (server == null || server.state() == effectiveState(server)) {
@@ -166,7 +173,7 @@
     /**
      * Sends an attempt on an idle connection, or on a new one.
      *
-     * @param timeoutMs how long the sender waits, which the server is informed of
+     * @param timeoutMs how long the gateway waits for the response; sent to the server
      */
     public void send(ServerAttempt attempt, PooledServer server, long timeoutMs) {
         ServerConnection reusable = takeReusable(server);
@@ -195,7 +202,10 @@
         return server.connectionCount >= context.fleetPolicy().connectionLimit(server);
     }
 
-    /** The only place that opens connections, within what the fleet allows at a server. */
+    /**
+     * Opens a connection if the limits allow it. All connections are opened here, so that the
+     * fleet's connection limit for the server is observed.
+     */
     private void open(ServerConnection connection) {
         PooledServer server = connection.server;
         boolean allowed = !isAtLimit(server) && connectionCount < maxConnections;
@@ -209,8 +219,9 @@
     }
 
     /**
-     * Takes an idle connection out that can be used again: it has rested, and nothing has arrived
-     * on it meanwhile. A late or second response must not become that of the next command.
+     * Removes and returns an idle connection that can be reused, or returns null. It must have been
+     * idle for {@link #REUSE_DELAY_MS} without receiving anything: a late or duplicate response
+     * must not be taken for the response to the next command.
      */
     private ServerConnection takeReusable(PooledServer server) {
         double nowMs = context.nowMs();
@@ -232,7 +243,7 @@
         }
     }
 
-    /** Nothing is in flight on a connection any more: it becomes idle or is closed. */
+    /** Called when an attempt has ended: the connection becomes idle or is closed. */
     void release(ServerConnection connection) {
         PooledServer server = connection.server;
         if (server.state() == Server.State.UP
@@ -244,7 +255,7 @@
         }
     }
 
-    /** A connection is closed by this side. */
+    /** Called when this side has closed a connection. */
     void connectionClosed(ServerConnection connection, CloseReason reason) {
         PooledServer server = connection.server;
         if (connection.counted) {
@@ -252,13 +263,15 @@
         }
         server.idle.remove(connection);
         server.opening.remove(connection);
-        // Idle connections may lead to a machine that is gone: none can be opened to it.
+        // The machine may be down, as no connection can be opened: the idle ones may be dead.
         if (reason == CloseReason.CONNECT_REFUSED || reason == CloseReason.CONNECT_TIMEOUT) {
             closeIdleConnections(server);
         }
     }
 
-    /** A connection is closed, and its server has seen that or had its time to. */
+    /**
+     * Called when the server has seen the close of a connection, or the wait for it has expired.
+     */
     void descriptorReleased(ServerConnection connection) {
         if (connection.counted) {
             PooledServer server = connection.server;
@@ -274,8 +287,8 @@
     }
 
     /**
-     * Within a batch: the fleet may allow fewer connections than before. Idle ones are closed now,
-     * the others behind their responses.
+     * Closes connections if the fleet allows fewer than before: idle ones now, the others after
+     * their responses. To be called within a batch.
      */
     public void closeExcessConnections() {
         for (PooledServer server : servers.values()) {
@@ -286,7 +299,7 @@
         }
     }
 
-    /** Sends nothing new to a server, not even attempts that wait for their connection. */
+    /** Closes idle connections to a server, and cancels attempts that wait for a connection. */
     private void stopUsing(PooledServer server) {
         closeIdleConnections(server);
         for (ServerConnection connection : new ArrayList<>(server.opening)) {
@@ -294,14 +307,17 @@
         }
     }
 
-    /** Within a batch: closes the connections to a server that have nothing in flight. */
+    /** Closes the idle connections to a server. To be called within a batch. */
     public void closeIdleConnections(PooledServer server) {
         while (!server.idle.isEmpty()) {
             server.idle.peekFirst().close(CloseReason.CLOSED_IDLE);
         }
     }
 
-    /** Closes idle connections before their servers do: a command could cross a server's close. */
+    /**
+     * Closes idle connections before their servers do, as a command sent while its server closes
+     * the connection would be lost.
+     */
     private void closeLongIdle() {
         double nowMs = context.nowMs();
         double maxIdleMs = IDLE_TIMEOUT_SHARE * idleTimeoutMs;
@@ -314,7 +330,7 @@
         context.loop().schedule(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT, this::closeLongIdle);
     }
 
-    /** The values of a load report, or null if none are taken or the text has none. */
+    /** The values of a load report, or null if load reports are unused or the text has none. */
     double[] readLoadReport(String text) {
         return loadFields.isEmpty() ? null : UsageReport.loadReport(text, loadFields);
     }
--- a/gateway/src/main/java/tinford/routing/upstream/package-info.java
+++ b/gateway/src/main/java/tinford/routing/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** The servers on the endpoint list, the connections to them and the attempts on these. */
+/** The servers on the endpoint list, the connections to them, and attempts. */
 package tinford.routing.upstream;
--- a/gateway/src/test/java/tinford/routing/AddressesTest.java
+++ b/gateway/src/test/java/tinford/routing/AddressesTest.java
@@ -14,9 +14,9 @@
 import tinford.settings.InvalidSettingsException;
 import tinford.settings.JsonFields;
 
-/** Addresses are read without a name lookup. */
+/** Addresses are parsed without a name lookup, which would block. */
 public class AddressesTest {
-    /** Prints the address that its argument names. */
+    /** Parses its argument as an address, and prints the result. */
     public static final class AddressPrinter {
         private AddressPrinter() {}
 
@@ -30,7 +30,7 @@
         return new Object[][] {{"999.1.1.1"}, {"256.0.0.1"}, {"1.2.3.4.5"}, {"1.2.3.4."}};
     }
 
-    /** Runs in a process with such a name in its hosts file, so that a lookup would find it. */
+    /** Runs in a process whose hosts file contains the name, so that a lookup would succeed. */
     @Test(dataProvider = "misleadingNames")
     public void nameIsNotLookedUp(String name) throws Exception {
         Path hosts = Files.createTempFile("hosts", "");
@@ -93,7 +93,7 @@
         assertEquals(Addresses.of(text) != null, valid);
     }
 
-    /** Warnings are kept for a while: of a text without end only its beginning. */
+    /** Logged warnings are retained for a while, so their length must be bounded. */
     @Test
     public void errorQuotesOnlyTheBeginningOfALongText() {
         JsonFields fields =
@@ -106,6 +106,6 @@
         assertEquals(
                 error.getMessage().replaceAll("1+$", ""),
                 "discovery: dial: expected a numeric host:port, not ");
-        assertTrue(error.getMessage().length() < 120, "of " + error.getMessage().length());
+        assertTrue(error.getMessage().length() < 120, "length: " + error.getMessage().length());
     }
 }
--- a/gateway/src/test/java/tinford/routing/OutcomeMappingTest.java
+++ b/gateway/src/test/java/tinford/routing/OutcomeMappingTest.java
@@ -12,9 +12,9 @@
 import tinford.api.AttemptOutcome;
 import tinford.transport.CloseReason;
 
-/** What the end of a connection means to what was in flight on it. */
+/** The outcome of a call whose connection ends before the response. */
 public class OutcomeMappingTest {
-    /** Close reason; outcome where the command was not sent completely, and where it was. */
+    /** Close reason; outcome if the command was not sent completely; outcome if it was. */
     @DataProvider
     public Object[][] closeReasons() {
         return new Object[][] {
@@ -39,7 +39,7 @@
         assertEquals(OutcomeMapping.ofAttempt(reason, true), sent);
         boolean silent = reason == CloseReason.RESPONSE_TIMEOUT;
         assertEquals(OutcomeMapping.ofCounterCall(reason, false), silent ? TIMED_OUT : UNREACHABLE);
-        // Only a time-out says something about the load that the counter can take.
+        // Only a timeout indicates that the counter is overloaded.
         AttemptOutcome unknown = sent.mayHaveRun ? CONNECTION_LOST : UNREACHABLE;
         assertEquals(OutcomeMapping.ofCounterCall(reason, true), silent ? TIMED_OUT : unknown);
     }
--- a/gateway/src/test/java/tinford/routing/RoutingFixtures.java
+++ b/gateway/src/test/java/tinford/routing/RoutingFixtures.java
@@ -25,9 +25,9 @@
 import tinford.settings.JsonFields;
 import tinford.transport.EventLoop;
 
-/** What tests of the request path share: settings, commands, endpoint lists and batches. */
+/** Settings, commands, endpoint lists and batches for tests of the request path. */
 public final class RoutingFixtures {
-    /** Only ends a test that hangs. */
+    /** Limit on the time of a test step that hangs; no test depends on its value. */
     public static final int TIMEOUT_MS = 20_000;
 
     public static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -39,7 +39,7 @@
 
     private RoutingFixtures() {}
 
-    /** A decision module that passes all events to the given ones. */
+    /** A decision module that passes all events to a given receiver. */
     public static DecisionModule decisions(GatewayEvents events) {
         return (nowMs, batch, actions) -> batch.replay(events);
     }
@@ -62,7 +62,7 @@
         return new Plan(name, 0, 0, 0, 1, 0, 0, 0, 0, 0);
     }
 
-    /** With the plan "p". */
+    /** A catalog with the given request classes and the plan "p". */
     public static Catalog catalog(RequestClass... classes) {
         Map<String, RequestClass> byName = new LinkedHashMap<>();
         for (RequestClass requestClass : classes) {
@@ -71,7 +71,7 @@
         return new Catalog(byName, Map.of("p", plan("p")));
     }
 
-    /** For one gateway, ten open requests, eight connections. */
+    /** Limits for one gateway, ten open requests and eight connections. */
     public static ClientLimits clientLimits(long maxHeldBytes) {
         return new ClientLimits(1, 6, 15_000, 10, maxHeldBytes, 8, 8);
     }
@@ -84,12 +84,12 @@
         return text.toString();
     }
 
-    /** A request of class "f" and plan "p" that may run again. */
+    /** The command of an idempotent request of class "f" and plan "p". */
     public static String ask(int id, int timeoutMs) {
         return command("Q.ASK", TENANT, hexId(id), "c=f,t=p,d=" + timeoutMs);
     }
 
-    /** A request that must not run again, with further words behind its terms. */
+    /** The command of a request that is not idempotent, with further words after its terms. */
     public static String doOnce(int id, String requestClass, int timeoutMs, String... body) {
         String[] words = new String[4 + body.length];
         words[0] = "Q.DO";
@@ -112,16 +112,16 @@
         }
     }
 
-    /** That many characters, or fewer at the end of the stream. */
+    /** Reads a number of characters, or fewer if the stream ends before. */
     public static String read(Socket socket, int length) throws IOException {
         return new String(socket.getInputStream().readNBytes(length), StandardCharsets.ISO_8859_1);
     }
 
     /**
-     * A server that accepts nothing and has its backlog full, so that no connection to it is ever
-     * established.
+     * A server that accepts no connections and has a full backlog, so that no further connection to
+     * it is ever established.
      *
-     * @param open where its sockets are added, to be closed at the end of the test
+     * @param resources list that its sockets are added to, to be closed at the end of the test
      */
     public static ServerSocket fullServer(List<AutoCloseable> open) throws IOException {
         ServerSocket full = new ServerSocket(0, 1, LOOPBACK);
@@ -155,7 +155,7 @@
         return JsonFields.of(new JsonFactory(), "list", text);
     }
 
-    /** Runs it within one batch: nothing that arrives meanwhile is read before its end. */
+    /** Runs a task within one batch: data that arrives while it runs is not read before its end. */
     public static void runInBatch(RequestDispatcher dispatcher, EventLoop.Task task)
             throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
--- a/gateway/src/test/java/tinford/routing/RoutingPackagesTest.java
+++ b/gateway/src/test/java/tinford/routing/RoutingPackagesTest.java
@@ -39,7 +39,7 @@
                 .check(routing);
     }
 
-    /** Only these may know others than the shared package; see its documentation. */
+    /** The dependencies allowed are listed in the documentation of the shared package. */
     @Test
     public void subpackagesKnowOnlyWhatTheyNeed() {
         noClasses()
--- a/gateway/src/test/java/tinford/routing/client/ClientDisconnectTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ClientDisconnectTest.java
@@ -14,16 +14,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The end of a client is seen, also behind what is not read yet. */
+/** The disconnect of a client is noticed even behind data that has not been read. */
 public class ClientDisconnectTest extends ForwardingFixture {
     private static final int PARTIAL_LENGTH = 70_000;
 
     @DataProvider
     public Object[][] disconnects() {
-        return new Object[][] {{"closes"}, {"resets"}, {"ends its sending"}};
+        return new Object[][] {{"closes"}, {"resets"}, {"shuts down its output"}};
     }
 
-    /** Looked for before each attempt, when neither the end nor what is before it may be read. */
+    /** The disconnect is looked for before each attempt, even if the socket has not been read. */
     @Test(dataProvider = "disconnects")
     public void disconnectIsSeenBeforeItIsRead(String way) throws Exception {
         checksClients = true;
@@ -35,13 +35,14 @@
                 });
         write(connect(), ask(2));
         String event = nextEvent();
-        while (!event.equals("arrived 2 and there")) {
-            assertTrue(event.equals("arrived 1 and gone") || event.equals("left"), event);
+        while (!event.equals("arrived 2, client connected")) {
+            assertTrue(
+                    event.equals("arrived 1, client gone") || event.equals("disconnected"), event);
             event = nextEvent();
         }
     }
 
-    /** The beginning of a command that takes all room for those that arrive. */
+    /** The beginning of a command that takes all the memory for commands being received. */
     private static String partialCommand(int id) {
         return longCommand(id).substring(0, PARTIAL_LENGTH);
     }
@@ -64,14 +65,14 @@
             {"noise"},
             {"noise without end"},
             {"a command that there is no room for"},
-            {"many that wait"}
+            {"many unanswered commands"}
         };
     }
 
-    /** While a request is open, whatever lies before the end on the connection. */
+    /** The disconnect is noticed while a request is open, whatever was sent before the close. */
     @Test(dataProvider = "unreadKinds", timeOut = 3 * TIMEOUT_MS)
     public void disconnectIsSeenBehindWhatIsNotRead(String kind) throws Exception {
-        // Takes the room, and never ends.
+        // Takes all the memory for commands being received, and is never completed.
         write(connect(), partialCommand(8));
         Socket client = connect();
         write(client, ask(1));
@@ -82,10 +83,10 @@
         while (event.equals("arrived")) {
             event = nextEvent();
         }
-        assertEquals(event, "left");
+        assertEquals(event, "disconnected");
     }
 
-    /** A command without room behind an open request is rejected; what follows it is read. */
+    /** A long command without a buffer is rejected behind an open request; later ones are read. */
     @Test(timeOut = 3 * TIMEOUT_MS)
     public void commandBehindADiscardedOneIsAnsweredInOrder() throws Exception {
         write(connect(), partialCommand(8));
--- a/gateway/src/test/java/tinford/routing/client/ClosingFixture.java
+++ b/gateway/src/test/java/tinford/routing/client/ClosingFixture.java
@@ -33,7 +33,10 @@
 import tinford.testing.IgnoredEvents;
 import tinford.transport.EventLoop;
 
-/** Clients on real connections, batch by batch, in driven time; requests fail or stay open. */
+/**
+ * A gateway with clients on real connections. Time is simulated, and tests run single batches.
+ * Requests fail at once or stay open.
+ */
 abstract class ClosingFixture {
     static final int LONGEST_TIMEOUT_MS = 8000;
     private static final int REQUEST_TIMEOUT_MS = 900;
@@ -42,10 +45,10 @@
     final List<Long> arrivedIds = new CopyOnWriteArrayList<>();
     private final LinkedBlockingQueue<ClientRequest> arrived = new LinkedBlockingQueue<>();
 
-    /** Whether requests fail as they arrive; else they stay open. */
+    /** Whether requests fail on arrival; otherwise they stay open. */
     boolean failsAtOnce;
 
-    /** Whether a unit is given back to the counter when a client disconnects. */
+    /** Whether a unit is returned to the counter when a client disconnects. */
     boolean returnsUnits;
 
     GatewayActions actions;
@@ -113,13 +116,15 @@
         dispatcher.loop().close();
     }
 
-    /** Runs the task in one batch; the next one is over as well when this returns. */
+    /** Runs a task in one batch, and returns when the next batch has ended as well. */
     void runBatch(EventLoop.Task task) throws Exception {
         dispatcher.loop().execute(task);
         for (int i = 0; i < 2; i++) {
             CountDownLatch over = new CountDownLatch(1);
             dispatcher.loop().execute(over::countDown);
-            assertTrue(over.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "the loop stands");
+            assertTrue(
+                    over.await(TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                    "the event loop ran no batch within the time limit");
         }
     }
 
@@ -133,7 +138,7 @@
     }
 
     /**
-     * @param receiveBufferBytes 0 for the system's default
+     * @param receiveBufferBytes size of the socket's receive buffer, or 0 for the default
      */
     Socket connect(int receiveBufferBytes) throws IOException {
         Socket socket = new Socket();
@@ -147,7 +152,7 @@
         return socket;
     }
 
-    /** All up to the end of the stream; a reset is an end as well. */
+    /** Reads up to the end of the stream. A reset counts as an end. */
     static String readToEnd(Socket socket) throws IOException {
         StringBuilder text = new StringBuilder();
         try {
@@ -157,7 +162,7 @@
                 next = socket.getInputStream().read();
             }
         } catch (SocketException e) {
-            // The text so far is all there is.
+            // The connection was reset: return the text received before.
         }
         return text.toString();
     }
@@ -166,7 +171,10 @@
         return RoutingFixtures.ask(id, REQUEST_TIMEOUT_MS);
     }
 
-    /** Returns once what was written before, on any connection, is read and its batch is over. */
+    /**
+     * Returns once data that was written before on any connection has been read, and its batch has
+     * ended.
+     */
     void settle() throws Exception {
         for (int i = 0; i < 2; i++) {
             Socket other = connect();
--- a/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
@@ -25,12 +25,12 @@
 import tinford.transport.Connection;
 import tinford.transport.DescriptorBudget;
 
-/** Closes of client connections by the gateway: responses are complete, no request is lost. */
+/** Closes of client connections by the gateway: responses are complete and no request is lost. */
 public class ConnectionCloseTest extends ClosingFixture {
     private static final int PART_BYTES = 64 << 10;
     private static final int SMALL_BUFFER_BYTES = 4096;
 
-    /** The response before a malformed command is still due when the connection is to end. */
+    /** The connection is to close while the response before a malformed command is still due. */
     @Test
     public void commandBehindAMalformedOneIsNotRead() throws Exception {
         failsAtOnce = false;
@@ -51,16 +51,17 @@
     }
 
     /**
-     * Answers a request with so much that its end is not written when the connection is to close.
+     * Answers a request with a response so long that its end is unwritten when the connection is to
+     * close.
      *
-     * @return bytes of the response
+     * @return length of the response in bytes
      */
     private int closeBehindUnreadResponse(Socket client) throws Exception {
         failsAtOnce = false;
         write(client, ask(1));
         ClientRequest request = nextArrived();
         int[] written = new int[1];
-        do { // until the system takes no more
+        do { // until the socket's send buffer is full
             runBatch(
                     () -> {
                         clients.finish(request);
@@ -69,7 +70,7 @@
                     });
         } while (request.connection.isAllWritten());
         failsAtOnce = true;
-        // Far more than the system would still take.
+        // Far more than fits into the socket's send buffer.
         byte[] rest = new byte[8 * PART_BYTES];
         runBatch(
                 () -> {
@@ -81,7 +82,7 @@
         return written[0] + rest.length + 2;
     }
 
-    /** The client reads nothing for a while, and then everything. */
+    /** The client reads nothing for a while, and then the complete response. */
     @Test
     public void responseReadLateIsCompleteBeforeTheEnd() throws Exception {
         Socket client = connect(SMALL_BUFFER_BYTES);
@@ -91,7 +92,7 @@
         assertEquals(client.getInputStream().read(), -1);
     }
 
-    /** The client can't know yet that the connection is to close: what it writes is answered. */
+    /** The client cannot know yet that the connection is to close, so its request is answered. */
     @Test
     public void requestBeforeTheEndOfSendingIsAnswered() throws Exception {
         Socket client = connect(SMALL_BUFFER_BYTES);
@@ -103,7 +104,7 @@
         assertEquals(arrivedIds, List.of(1L, 2L));
     }
 
-    /** The client has seen the end: no request is read any more, and the connection closes soon. */
+    /** After the client has seen the end of the stream, no request is read any more. */
     @Test
     public void requestBehindTheEndOfSendingIsNeverForwarded() throws Exception {
         Socket client = connect();
@@ -119,7 +120,7 @@
         runBatch(clients::closeIdleConnections);
         assertEquals(client.getInputStream().read(), -1);
         write(client, ask(4) + "x".repeat(200_000) + ask(5));
-        // A command that had arrived in part is answered.
+        // A command that had arrived in part before the close is answered.
         write(other, ask(2).substring(30));
         assertEquals(read(other, ABORTED.length()), ABORTED);
         runBatch(() -> {});
@@ -134,7 +135,7 @@
         return new Object[][] {{true}, {false}};
     }
 
-    /** A request that crosses the close of an idle connection. */
+    /** A request crosses the close of an idle connection. */
     @Test(dataProvider = "writtenBeforeClose")
     public void requestThatCrossesAnIdleCloseIsAnsweredOrNeverRead(boolean before)
             throws Exception {
@@ -152,7 +153,7 @@
                         try {
                             write(client, ask(2));
                         } catch (UncheckedIOException e) {
-                            // The client sees the close while it writes.
+                            // The client has seen the close and cannot write.
                         }
                     }
                 });
@@ -164,7 +165,7 @@
         }
     }
 
-    /** The system must not hold back a small write, which a close by reset would discard. */
+    /** Nagle's algorithm must be off: a reset would discard a small write that it delays. */
     @Test
     public void smallWritesAreSentAtOnce() throws Exception {
         Socket client = connect();
@@ -187,7 +188,7 @@
         return ((StreamConnection) field.get(connection)).getOption(Options.TCP_NODELAY);
     }
 
-    /** As those to servers, counter and discovery. */
+    /** An outgoing connection like those to servers, the counter and discovery. */
     private final class OutgoingConnection extends Connection {
         private final CountDownLatch established;
 
--- a/gateway/src/test/java/tinford/routing/client/ConnectionReclaimTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionReclaimTest.java
@@ -24,7 +24,10 @@
 import tinford.testing.FreePort;
 import tinford.testing.IgnoredEvents;
 
-/** Connections closed for others, or at the end, while something is on them. */
+/**
+ * Connections that are closed for new ones, or at the end of the process, while a request arrives
+ * or a response is unwritten.
+ */
 public class ConnectionReclaimTest {
     private static final int REQUEST_TIMEOUT_MS = 900;
     private RequestDispatcher dispatcher;
@@ -66,12 +69,15 @@
 
     @DataProvider
     public Object[][] closes() {
-        return new Object[][] {{"room"}, {"end"}, {"end, crossed"}, {"let go, crossed"}};
+        return new Object[][] {
+            {"reclaim"}, {"process end"}, {"process end, crossed"}, {"close idle, crossed"}
+        };
     }
 
     /**
-     * A request that has arrived by the time its connection would be closed is answered, though it
-     * is not read yet; so is one that arrives in the very batch in which the close is begun.
+     * A request is answered if it has arrived before its connection would be closed, even if it has
+     * not been read yet. So is a request that arrives in the same batch, just after the start of
+     * the close.
      */
     @Test(dataProvider = "closes")
     public void unreadRequestKeepsItsConnection(String how) throws Exception {
@@ -102,8 +108,8 @@
 
     private void beginClose(String how) {
         switch (how) {
-            case "room" -> clients.reclaimConnections(ConnectionActivity.JUST_OPENED);
-            case "end" -> clients.closeWhenAnswered(() -> {});
+            case "reclaim" -> clients.reclaimConnections(ConnectionActivity.JUST_OPENED);
+            case "process end" -> clients.closeWhenAnswered(() -> {});
             default -> clients.closeIdleConnections();
         }
     }
--- a/gateway/src/test/java/tinford/routing/client/DecisionFailureTest.java
+++ b/gateway/src/test/java/tinford/routing/client/DecisionFailureTest.java
@@ -9,9 +9,9 @@
 import java.net.Socket;
 import org.testng.annotations.Test;
 
-/** Requests get their final answer where the decision module fails. */
+/** Requests get a final answer if the decision module throws. */
 public class DecisionFailureTest extends ForwardingFixture {
-    /** Guards against a request that was read and is never answered. */
+    /** Guards against a request that is never answered because its arrival was not handled. */
     @Test
     public void requestThatIsNotDecidedOnIsAnsweredAsFailed() throws Exception {
         arrivalFailure = new OutOfMemoryError();
@@ -24,7 +24,10 @@
         assertEquals(nextEvent(), "arrived");
     }
 
-    /** Guards against a request whose only attempt has ended without a decision on what follows. */
+    /**
+     * Guards against a request that is never answered because the end of its only attempt was not
+     * handled.
+     */
     @Test
     public void requestWhoseAttemptEndsWithoutADecisionIsAnsweredAsFailed() throws Exception {
         forwards = true;
--- a/gateway/src/test/java/tinford/routing/client/ForwardingFixture.java
+++ b/gateway/src/test/java/tinford/routing/client/ForwardingFixture.java
@@ -30,15 +30,16 @@
 import tinford.testing.IgnoredEvents;
 
 /**
- * A gateway between real clients and two servers: one that no connection to is ever established,
- * and one that reads slowly. Requests are not decided on, but sent to the first server if asked.
+ * A gateway with clients and two servers on real sockets. Connections to one server are never
+ * established; the other server reads slowly. The decision module of the tests does nothing with a
+ * request, or sends it to the first server if a test asks for it.
  */
 abstract class ForwardingFixture {
     static final int TIMEOUT_MS = RoutingFixtures.TIMEOUT_MS / 2;
     static final int REQUEST_TIMEOUT_MS = 60_000;
     static final int LONG_BODY_BYTES = 4 << 20;
 
-    /** Half of it is for commands that arrive, so that there is room for one long command. */
+    /** Half of it is available to commands being received, which is enough for one long command. */
     private static final int MAX_HELD_BYTES = 6_000_000;
 
     final List<AutoCloseable> open = new ArrayList<>();
@@ -50,22 +51,22 @@
     ServerPool servers;
     ClientPool clients;
 
-    /** The first server listed since this was last null. */
+    /** The first server listed since this was last set to null. */
     volatile Server firstServer;
 
-    /** Within which an attempt has to be written. */
+    /** Time within which an attempt must be written. */
     volatile double sendWithinMs;
 
     /** Whether each request is sent to the first server. */
     volatile boolean forwards;
 
-    /** What the decision module fails with as a request arrives, or null. */
+    /** Thrown by the decision module when a request arrives, or null. */
     volatile Error arrivalFailure;
 
-    /** What the decision module fails with as an attempt ends, or null. */
+    /** Thrown by the decision module when an attempt ends, or null. */
     volatile Error attemptEndFailure;
 
-    /** Whether the events say if the client of a request is seen to be gone as it arrives. */
+    /** Whether arrival events state if the client of the request has disconnected. */
     volatile boolean checksClients;
 
     @BeforeMethod
@@ -113,7 +114,7 @@
         open.clear();
     }
 
-    /** Writes down what reaches the decision module. */
+    /** Records the events that the decision module receives. */
     private final class Recorder extends IgnoredEvents {
         private final GatewayActions actions;
 
@@ -138,12 +139,12 @@
         }
 
         private static String clientState(Request request) {
-            return request.clientGone() ? " and gone" : " and there";
+            return request.clientGone() ? ", client gone" : ", client connected";
         }
 
         @Override
         public void clientDisconnected(Request request) {
-            events.add("left");
+            events.add("disconnected");
         }
 
         @Override
@@ -163,7 +164,7 @@
         }
     }
 
-    /** The event of an attempt that ended so. */
+    /** The event of an attempt that ended with an outcome. */
     static String ended(AttemptOutcome outcome) {
         return "ended " + outcome;
     }
@@ -180,7 +181,7 @@
         servers.updateEndpoints(RoutingFixtures.endpointList(complete, List.of(entries)));
     }
 
-    /** Lists the slow server alone, which requests then go to. */
+    /** Lists the slow server only, so that requests are sent to it. */
     void useSlowServer() throws Exception {
         firstServer = null;
         runBatch(() -> updateEndpoints(true, hostEntry("s1", slowServer, "ready", 0)));
@@ -203,12 +204,12 @@
         return RoutingFixtures.ask(id, REQUEST_TIMEOUT_MS);
     }
 
-    /** A command whose body is too long for the sockets' buffers. */
+    /** A command whose body exceeds the buffers of the sockets. */
     static String longCommand(int id) {
         return RoutingFixtures.doOnce(id, "w", REQUEST_TIMEOUT_MS, "x".repeat(LONG_BODY_BYTES));
     }
 
-    /** A client goes; the ways are those of the tests' data providers. */
+    /** Disconnects a client in one of the ways of the tests' data providers. */
     static void disconnect(Socket socket, String way) {
         try {
             switch (way) {
--- a/gateway/src/test/java/tinford/routing/client/HeldBytesTest.java
+++ b/gateway/src/test/java/tinford/routing/client/HeldBytesTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Guards against more long commands in memory than what is promised for them. */
+/** Guards against holding more bytes of long commands in memory than the limit allows. */
 public class HeldBytesTest {
     private static final int LIMIT = 100;
 
@@ -15,12 +15,12 @@
     public Object[][] reservations() {
         return new Object[][] {
             {0, 0, 40, true},
-            {0, 0, 100, true}, // one may take more than half
+            {0, 0, 100, true}, // a single command may exceed half of the limit
             {0, 0, 101, false},
             {0, 20, 30, true},
-            {0, 20, 31, false}, // half is for those that are complete
+            {0, 20, 31, false}, // the other half is reserved for complete commands
             {50, 0, 50, true},
-            {50, 0, 51, false}, // complete ones count too
+            {50, 0, 51, false}, // complete commands count against the limit
             {50, 25, 25, true},
             {51, 25, 25, false},
         };
--- a/gateway/src/test/java/tinford/routing/client/ProcessEndTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ProcessEndTest.java
@@ -21,12 +21,12 @@
 import org.testng.annotations.Test;
 import tinford.routing.counter.CounterClient;
 
-/** The end of the process: everything read is answered, everything due is written. */
+/** End of the process: all requests read are answered, and all pending data is written. */
 public class ProcessEndTest extends ClosingFixture {
-    /** Of a command with a key and an amount of one digit and a TTL of four. */
+    /** Length of a command with a one-digit key, a one-digit amount and a four-digit TTL. */
     private static final int COMMAND_LENGTH = 41;
 
-    /** The grace period ends before connections accepted last could be taken over. */
+    /** The grace period ends before the last connections in the backlog have been accepted. */
     @Test
     public void connectionsAcceptedLastAreAnsweredBeforeTheEnd() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
@@ -49,7 +49,7 @@
         assertFalse(early[0], "ended before the request arrived");
     }
 
-    /** While the batch holds the I/O thread. */
+    /** Connects while the batch occupies the I/O thread. */
     private Socket connectWithinBatch() {
         try {
             return connect();
@@ -58,7 +58,7 @@
         }
     }
 
-    /** What the last disconnect causes is written before the process may end. */
+    /** Counter calls caused by the last disconnect are written before the process may end. */
     @Test
     public void unitsAreGivenBackBeforeTheEnd() throws Exception {
         returnsUnits = true;
@@ -83,7 +83,7 @@
         assertTrue(command != null && command.contains("\r\n-1\r\n"), command);
     }
 
-    /** Waits no longer: what is not written by now would not be written any more. */
+    /** Reads with a short timeout: data not written by now would be lost with the process. */
     private static String readCommand(Socket counterSocket) {
         try {
             counterSocket.setSoTimeout(1000);
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Open requests are answered, later and incomplete ones rejected. */
+    /** Open requests are answered; later requests and partial commands are rejected. */
     @Test
     public void nothingReadIsLeftUnansweredAtTheEnd() throws Exception {
         failsAtOnce = false;
--- a/gateway/src/test/java/tinford/routing/client/RequestCatalogTest.java
+++ b/gateway/src/test/java/tinford/routing/client/RequestCatalogTest.java
@@ -28,7 +28,8 @@
 import tinford.testing.IgnoredEvents;
 
 /**
- * Requests under the catalog in force, and how another one replaces it. No connection is opened.
+ * Creation of requests from the catalog in force, and replacement of the catalog. No connection is
+ * opened.
  */
 public class RequestCatalogTest {
     private static final RequestClass READ = requestClass("read", 8000, Idempotency.IDEMPOTENT);
@@ -95,7 +96,10 @@
         assertSame(before.tenant.plan, FREE);
         assertEquals(before.tenant.revision, 0);
         assertSame(after.requestClass, read);
-        assertSame(after.tenant.plan, PAID, "the configured plan, whatever the client names");
+        assertSame(
+                after.tenant.plan,
+                PAID,
+                "a configured plan takes precedence over the one in the request");
         assertEquals(after.tenant.revision, 3);
     }
 
@@ -116,7 +120,7 @@
         assertThrows(ProtocolException.class, () -> request("read", "paid"));
     }
 
-    /** An error line must not list thousands of names. */
+    /** The length of an error line is bounded: it does not list thousands of names. */
     @Test
     public void errorOnlyCountsManyNames() {
         Map<String, RequestClass> many = new LinkedHashMap<>();
--- a/gateway/src/test/java/tinford/routing/client/UnsentAttemptTest.java
+++ b/gateway/src/test/java/tinford/routing/client/UnsentAttemptTest.java
@@ -13,14 +13,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Attempts of which something is unsent when client, process, server or time ends. */
+/**
+ * Attempts whose command is not sent completely when the client disconnects, the process ends, the
+ * server leaves, or the time to send expires.
+ */
 public class UnsentAttemptTest extends ForwardingFixture {
     @DataProvider
     public Object[][] disconnects() {
-        return new Object[][] {{"closes"}, {"resets"}, {"ends its sending"}};
+        return new Object[][] {{"closes"}, {"resets"}, {"shuts down its output"}};
     }
 
-    /** Its connection may be established long after: it must not be sent then. */
+    /** The attempt must not be sent if its connection is established after the disconnect. */
     @Test(dataProvider = "disconnects")
     public void attemptThatWaitsForAConnectionEndsWithItsClient(String way) throws Exception {
         forwards = true;
@@ -28,7 +31,7 @@
         write(client, ask(1));
         assertEquals(nextEvent(), "arrived");
         disconnect(client, way);
-        assertEquals(nextEvent(), "left");
+        assertEquals(nextEvent(), "disconnected");
         assertEquals(nextEvent(), ended(NOT_SENT));
     }
 
@@ -41,7 +44,7 @@
         assertEquals(nextEvent(), "arrived");
         runBatch(() -> clients.closeWhenAnswered(() -> {}));
         assertEquals(read(client, ABORTED.length()), ABORTED);
-        assertEquals(nextEvent(), "left");
+        assertEquals(nextEvent(), "disconnected");
         assertEquals(nextEvent(), ended(NOT_SENT));
     }
 
@@ -52,7 +55,7 @@
         };
     }
 
-    /** Nothing of it is sent, so it can go to another server rather than to one that leaves. */
+    /** An attempt that has not been sent yet must not be sent to a server that is leaving. */
     @Test(dataProvider = "serverChanges")
     public void attemptThatWaitsForAConnectionDoesNotReachALeavingServer(String change)
             throws Exception {
@@ -73,7 +76,7 @@
         }
     }
 
-    /** An attempt with a send deadline is given up after it, however long its connection takes. */
+    /** An attempt ends at its send deadline, even if its connection is not established by then. */
     @Test
     public void attemptNotSentInItsTimeIsGivenUp() throws Exception {
         forwards = true;
@@ -91,7 +94,7 @@
         assertEquals(nextEvent(), ended(SUCCESS));
     }
 
-    /** A command that its server does not read is not sent completely, and the rest never is. */
+    /** The rest of a command is never sent if the client disconnects before the server reads it. */
     @Test
     public void longCommandHalfWrittenEndsWithItsClient() throws Exception {
         forwards = true;
@@ -101,7 +104,7 @@
         acceptAtSlowServer();
         assertEquals(nextEvent(), "arrived");
         disconnect(client, "closes");
-        assertEquals(nextEvent(), "left");
+        assertEquals(nextEvent(), "disconnected");
         assertEquals(nextEvent(), ended(NOT_SENT));
     }
 }
--- a/gateway/src/test/java/tinford/routing/counter/CounterClientTest.java
+++ b/gateway/src/test/java/tinford/routing/counter/CounterClientTest.java
@@ -20,12 +20,12 @@
 import tinford.testing.FreePort;
 import tinford.testing.IgnoredEvents;
 
-/** Calls on a shared counter that is late, moves, or sends what is no response. */
+/** Calls to a shared counter that is late, changes its address, or sends malformed responses. */
 public class CounterClientTest {
     private static final double LONG_MS = 60_000;
     private static final double SHORT_MS = 50;
 
-    /** Of a command with a key and an amount of one digit and a TTL of four. */
+    /** Length of a command with a one-digit key, a one-digit amount and a four-digit TTL. */
     private static final int COMMAND_LENGTH = 41;
 
     private final LinkedBlockingQueue<String> reported = new LinkedBlockingQueue<>();
@@ -68,7 +68,7 @@
         return reported.poll(10, TimeUnit.SECONDS);
     }
 
-    /** A call that timed out keeps its place: its late response is not taken for the next one's. */
+    /** A late response must be attributed to the call that timed out, not to the next call. */
     @Test
     public void lateResponseIsNotTakenForTheNextOne() throws Exception {
         try (ServerSocket counter = new ServerSocket(0, 1, LOOPBACK)) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Responses due from the old address are awaited, and later calls do not overtake them. */
+    /** Responses due from the old address are awaited before calls are sent to the new address. */
     @Test
     public void moveKeepsTheOrderOfResponses() throws Exception {
         try (ServerSocket old = new ServerSocket(0, 1, LOOPBACK);
@@ -113,7 +113,7 @@
         }
     }
 
-    /** What the counter sends, and how many of two calls are answered by it. */
+    /** Text that the counter sends; how many of two calls it answers. */
     @DataProvider
     public Object[][] malformedResponses() {
         return new Object[][] {
@@ -130,7 +130,7 @@
         };
     }
 
-    /** Calls without a readable total may have been counted; later ones go on a new connection. */
+    /** Calls without a valid total may have been counted; later ones use a new connection. */
     @Test(dataProvider = "malformedResponses")
     public void malformedResponseCostsOnlyItsConnection(String text, int answered)
             throws Exception {
@@ -155,7 +155,7 @@
         }
     }
 
-    /** No call has to fail first. */
+    /** The client reconnects without a call that fails first. */
     @Test
     public void connectsAgainWhenTheCounterComesBack() throws Exception {
         int port = FreePort.find();
--- a/gateway/src/test/java/tinford/routing/discovery/BackoffTest.java
+++ b/gateway/src/test/java/tinford/routing/discovery/BackoffTest.java
@@ -5,24 +5,26 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** How a fleet of gateways spreads its retries. */
+/** Distribution of the retries of a fleet of gateways. */
 public class BackoffTest {
     private static final int GATEWAYS = 1000;
     private static final int INTERVALS = 10;
 
-    /** Gateways rejected together retry each at its own time, and less and less often. */
+    /** Gateways whose calls fail together retry at different times and decreasing rate. */
     @Test
     public void retriesOfAFleetAreSpreadAndGrowRarer() {
         int[] firstRetries = new int[INTERVALS];
         for (int gateway = 0; gateway < GATEWAYS; gateway++) {
             Backoff backoff = new Backoff(200, 500, new Random(gateway * 0x9E3779B97F4A7C15L));
-            // From 100 to 300 ms.
+            // The first wait is between 100 and 300 ms.
             firstRetries[(int) ((backoff.nextWaitMs() - 100) / 20)]++;
             double meanMs = 200;
             for (int retry = 0; retry < 6; retry++) {
                 meanMs = Math.min(500, 2 * meanMs);
                 double waitMs = backoff.nextWaitMs();
-                assertTrue(waitMs >= 0.5 * meanMs && waitMs < 1.5 * meanMs, retry + ": " + waitMs);
+                assertTrue(
+                        waitMs >= 0.5 * meanMs && waitMs < 1.5 * meanMs,
+                        "retry " + retry + " after " + waitMs + " ms");
             }
             backoff.reset();
             assertTrue(backoff.nextWaitMs() < 300);
@@ -30,7 +32,7 @@
         for (int retries : firstRetries) {
             assertTrue(
                     retries > 50 && retries < 150,
-                    retries + " of a thousand in a tenth of the time");
+                    retries + " first retries in a tenth of the time range");
         }
     }
 }
--- a/gateway/src/test/java/tinford/routing/discovery/DiscoveryFixture.java
+++ b/gateway/src/test/java/tinford/routing/discovery/DiscoveryFixture.java
@@ -37,19 +37,19 @@
 import tinford.transport.UdpSocket;
 
 /**
- * A watch and a scripted discovery, step by step on real connections and in driven time. The watch
- * starts with the servers s0 and s1 at version 42.
+ * A watch and a scripted discovery on real connections. Time is simulated and advances in steps.
+ * The watch starts with the servers s0 and s1 at version 42.
  */
 abstract class DiscoveryFixture {
     static final int STEP_MS = 50;
 
-    /** A change must be in force this long after discovery can be reached. */
+    /** Time within which a change must be in force once discovery is reachable. */
     static final int DEADLINE_MS = 6000;
 
     static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     static final String HEARTBEAT = chunk("\n");
 
-    /** Version 43, without s0. */
+    /** The endpoint list of version 43, which does not contain s0. */
     static final String LIST_WITHOUT_S0 = list(43, true, "s1", "s2");
 
     static final Script HEARTBEATS =
@@ -72,7 +72,7 @@
     final List<ScriptedConnection> connections = new ArrayList<>();
     int nowMs;
 
-    /** When s0 was no longer on the list in force, or -1. */
+    /** Time at which s0 was removed from the list in force, or -1. */
     int removedAtMs;
 
     int failedFetches;
@@ -81,7 +81,7 @@
     boolean accepts;
     ServerSocketChannel listener;
 
-    /** Where a listener that is closed was. */
+    /** Address of a closed listener. */
     InetSocketAddress closedAddress;
 
     RequestDispatcher dispatcher;
@@ -90,7 +90,7 @@
     private final DatagramSocket probeSocket = openProbeSocket();
     private InetSocketAddress probeAddress;
 
-    /** One connection that discovery has accepted. */
+    /** A connection that discovery has accepted. */
     final class ScriptedConnection {
         final SocketChannel channel;
         private String received = "";
@@ -110,13 +110,15 @@
             return channel.isOpen();
         }
 
-        /** Goes on with this script from now on. */
+        /** Continues with another script, which starts now. */
         void restart(Script script) {
             steps = script.delayedBy(nowMs - calledAtMs).steps();
             nextStep = 0;
         }
 
-        /** Reads, and does what is due of its script, which begins with the complete request. */
+        /**
+         * Reads, and performs the due steps of the script, which starts at the complete request.
+         */
         void play(IntFunction<Script> scripts) throws IOException {
             read();
             if (!isCalled() && received.endsWith("\r\n\r\n")) {
@@ -174,7 +176,7 @@
                 + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
-    /** A list of servers that are ready, given by id, or as an entry. */
+    /** An endpoint list. Servers are given as an entry, or as the id of a server that is ready. */
     static String list(int version, boolean complete, String... servers) {
         List<String> entries = new ArrayList<>();
         for (String server : servers) {
@@ -193,13 +195,13 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** One object over many lines, with empty ones among them. */
+    /** Formats an object over several lines, with empty lines in between. */
     static String indented(String list) {
         return list.strip().replace("{", "{\n  ").replace(",", ",\n\n    ").replace("]", "\n]")
                 + "\n";
     }
 
-    /** The text over and over, a byte at a time. */
+    /** Sends a text repeatedly, one byte at a time. */
     static Script trickle(String head, String text) {
         String all = text.repeat(2 + TRICKLE_LENGTH / text.length()).substring(0, TRICKLE_LENGTH);
         List<String> chunks = new ArrayList<>();
@@ -210,7 +212,7 @@
         return Script.every(TRICKLE_INTERVAL_MS, chunks);
     }
 
-    /** This, and the heartbeats behind it. */
+    /** A script followed by heartbeats. */
     static Script aliveAfter(Script first) {
         return first.followedBy(HEARTBEATS);
     }
@@ -293,7 +295,7 @@
                         });
     }
 
-    /** Follows the list in force. */
+    /** Records the list in force. */
     private final class ListRecorder extends IgnoredEvents {
         @Override
         public void endpointsUpdated(List<Server> entries, boolean complete) {
@@ -313,7 +315,10 @@
         }
     }
 
-    /** Returns once the gateway has read what was there before: datagrams are read in order. */
+    /**
+     * Returns once the gateway has read all data that was sent before. It uses datagrams, which are
+     * read in the order of their arrival.
+     */
     private void settle() throws Exception {
         for (int i = 0; i < 3; i++) {
             probeSocket.send(new DatagramPacket(new byte[1], 1, probeAddress));
@@ -321,12 +326,12 @@
         }
     }
 
-    /** Plays until then; the calls on discovery get these scripts in turn, then the last one. */
+    /** Runs until a time; calls to discovery get the scripts in turn, and then the last script. */
     void play(int untilMs, Script... scripts) throws Exception {
         play(untilMs, call -> scripts[Math.min(call, scripts.length - 1)]);
     }
 
-    /** Plays until then; a call on discovery gets the script for the number of calls before it. */
+    /** Runs until a time; each call gets the script for the number of calls before it. */
     void play(int untilMs, IntFunction<Script> scripts) throws Exception {
         while (nowMs < untilMs) {
             settle();
--- a/gateway/src/test/java/tinford/routing/discovery/DiscoveryMoveTest.java
+++ b/gateway/src/test/java/tinford/routing/discovery/DiscoveryMoveTest.java
@@ -12,18 +12,18 @@
 import org.testng.annotations.Test;
 import tinford.api.Server;
 
-/** Discovery moves to another address. */
+/** Moves of discovery to another address. */
 public class DiscoveryMoveTest extends DiscoveryFixture {
     private static final int MOVE_MS = 5000;
 
-    /** With one silent call at the new address. */
+    /** Time until the second watch connection if the first one at the new address is silent. */
     private static final int SECOND_WATCH_MS = 1650;
 
     private static final Script ONE_HEARTBEAT = Script.at(0, HEAD + HEARTBEAT);
     private static final Script NEXT_LIST =
             aliveAfter(Script.at(0, HEAD + chunk(list(44, true, "s1"))));
 
-    /** What the watch meets before the move; silent calls at the new address. */
+    /** Script of the calls before the move; number of silent calls at the new address. */
     @DataProvider
     public Object[][] moves() {
         return new Object[][] {
@@ -31,7 +31,7 @@
         };
     }
 
-    /** In whatever state the watch is when it moves. */
+    /** The list is in force in time, whatever the state of the watch when it moves. */
     @Test(dataProvider = "moves")
     public void listAtTheNewAddressIsInForceInTime(Script before, int silentCalls)
             throws Exception {
@@ -61,18 +61,19 @@
                 "removed at " + removedAtMs + ", called at " + callTimesMs);
         checkFirstRequest(before);
         for (ScriptedConnection connection : old) {
-            assertFalse(connection.isOpen(), "left open");
+            assertFalse(connection.isOpen(), "connection to the old address is still open");
         }
     }
 
-    /** The version in force is kept over a move. */
+    /** The first call after a move asks from the version in force. */
     private void checkFirstRequest(Script before) {
         String version = before == ALIVE ? "&after=43 " : "&after=42 ";
         assertTrue(requestLines.get(0).contains(version), requestLines.toString());
     }
 
     /**
-     * What the watch meets before it moves; ms between two moves; whether the second leads back.
+     * Script of the calls before the moves; ms between the two moves; whether the second move leads
+     * back to the original address.
      */
     @DataProvider
     public Object[][] doubleMoves() {
@@ -86,7 +87,7 @@
         return all.toArray(Object[][]::new);
     }
 
-    /** Moved in each state, and again while the call to the new address is open. */
+    /** The second move happens while the call to the first new address is open. */
     @Test(dataProvider = "doubleMoves")
     public void lastOfTwoMovesCounts(Script before, int intervalMs, boolean back) throws Exception {
         start(2);
--- a/gateway/src/test/java/tinford/routing/discovery/DiscoveryOutageTest.java
+++ b/gateway/src/test/java/tinford/routing/discovery/DiscoveryOutageTest.java
@@ -14,23 +14,24 @@
 import org.testng.annotations.Test;
 
 /**
- * Discovery is down in many ways, and back at many instants: its list is in force within 6 s of its
- * return, whatever became of the calls before. docs/standing.md derives the bounds.
+ * Guards against an outdated endpoint list after an outage of discovery: the new list must be in
+ * force within 6 s of the end of the outage, whatever happened to the calls before. The outages
+ * differ in kind, length and start. docs/standing.md derives the bounds.
  */
 public class DiscoveryOutageTest extends DiscoveryFixture {
-    /** The longest backoff between a call that has ended and the next. */
+    /** The longest backoff between the end of a call and the next call. */
     private static final int MAX_BACKOFF_MS = 750;
 
-    /** From a call without a line to the next call. */
+    /** Longest time from a call that receives no line to the next call. */
     private static final int NO_LINE_MS = 2000 + MAX_BACKOFF_MS;
 
-    /** From the last line of a watch to the next call. */
+    /** Longest time from the last line of a watch to the next call. */
     private static final int AFTER_LINES_MS = 2600 + 300;
 
-    /** What the call itself may take besides. */
+    /** Time that discovery takes to answer a call after the outage. */
     private static final int CALL_MS = 400;
 
-    /** When the first watch opened before an outage has sent two or three lines. */
+    /** Start of an outage before which the first watch has sent two or three lines. */
     private static final int MIDWAY_MS = 4050;
 
     private static final Script HALF_LINE =
@@ -51,20 +52,20 @@
     private static final Script HALF_LINE_THEN_END = HALF_LINE.thenClose(300);
     private static final Script BYTES_WITHOUT_LINE = trickle(HEAD, "{\"x\":3,");
 
-    /** How discovery is down. */
+    /** Kind of outage. */
     private enum Outage {
-        /** Nothing listens. */
+        /** Connections are refused, as there is no listener. */
         REFUSED,
-        /** The backlog is full. */
+        /** Connections are never established, as the listener's backlog is full. */
         FULL,
-        /** The gateway has no descriptor left. */
+        /** The gateway has no descriptor for a connection. */
         NO_DESCRIPTOR,
-        /** Connections are accepted, and get scripts. */
+        /** Connections are accepted, and answered with scripts. */
         SCRIPTED
     }
 
     /**
-     * Name; how it is down; the connect time-out; the longest wait without the call's own time;
+     * Name; kind of outage; connect timeout; longest time to the next call after the outage;
      * scripts for the calls during the outage, in turn.
      */
     @DataProvider
@@ -119,8 +120,8 @@
     }
 
     /**
-     * Outages from the first call on, and outages that begin midway, between two lines, by silence
-     * or a reset of the watch.
+     * Covers outages from the first call on, and outages that start while a watch is open, which is
+     * then silent or is reset.
      */
     @Test(dataProvider = "outages")
     public void listIsInForceInTimeAfterAnOutage(
@@ -150,7 +151,7 @@
         assertTrue(longestMidwayMs < DEADLINE_MS, name);
     }
 
-    /** The first call behind the return is lost too, on a connection that stays open. */
+    /** The first call after the outage is lost too, on a connection that stays open. */
     @Test
     public void listIsInForceInTimeThoughTheFirstCallAfterIsLost() throws Exception {
         int worstMs = 0;
@@ -184,12 +185,12 @@
     }
 
     /**
-     * One outage.
+     * An outage and its parameters.
      *
      * @param scripts for the calls during the outage, in turn
-     * @param fromMs when it begins; a watch opened before sends lines until then
-     * @param resets whether that watch is reset then, rather than left open and silent
-     * @param lostCalls after the outage
+     * @param fromMs start of the outage; a watch that was opened before sends lines until then
+     * @param resets whether that watch is reset at the start, rather than left open and silent
+     * @param lostCalls number of calls after the outage that are not answered
      */
     private record OutagePlay(
             Outage outage,
@@ -204,7 +205,7 @@
         }
     }
 
-    /** How long after an outage the change was in force. */
+    /** Runs an outage; returns the time from its end until the change was in force. */
     private int recoveryMs(OutagePlay play, long seed) throws Exception {
         clear();
         prepare();
@@ -223,21 +224,21 @@
             }
         }
         play(play.endMs(), scripts);
-        assertTrue(removedAtMs < 0, "a change that was not sent");
+        assertTrue(removedAtMs < 0, "s0 removed before the list was sent");
         endOutage(play.outage());
         while (removedAtMs < 0 && nowMs <= play.endMs() + DEADLINE_MS) {
             play(nowMs + STEP_MS, scripts);
         }
         assertTrue(
                 removedAtMs >= 0,
-                "not in force in time: outage of "
+                "list not in force in time: outage length in ms: "
                         + play.lengthMs()
-                        + " from "
+                        + ", start: "
                         + play.fromMs()
-                        + ", called at "
+                        + ", calls at: "
                         + callTimesMs);
         long alive = connections.stream().filter(c -> c.isCalled() && c.isOpen()).count();
-        assertTrue(alive <= 2, alive + " at once");
+        assertTrue(alive <= 2, alive + " connections open at once");
         return removedAtMs - play.endMs();
     }
 
@@ -256,7 +257,7 @@
         };
     }
 
-    /** Heartbeats 2 s apart, as far as they come before that time. */
+    /** Heartbeats every 2 s until a time. */
     private static Script linesBefore(int untilMs) {
         List<String> texts = List.of(HEAD + HEARTBEAT, HEARTBEAT, HEARTBEAT);
         int count = Math.min(texts.size(), 1 + (untilMs - 1) / 2000);
@@ -264,7 +265,7 @@
     }
 
     /**
-     * @param beforeStart whether the watch is not started yet
+     * @param beforeStart whether the watch has not been started yet
      */
     private void beginOutage(Outage outage, boolean beforeStart) throws IOException {
         accepts = outage != Outage.FULL && outage != Outage.REFUSED;
@@ -282,7 +283,7 @@
         }
     }
 
-    /** Closes the listener; its port stays bound, so that no other process gets it meanwhile. */
+    /** Closes the listener, but keeps its port bound, so that no other process can bind to it. */
     private void closeListener() throws IOException {
         InetSocketAddress address = address();
         listener.close();
--- a/gateway/src/test/java/tinford/routing/discovery/DiscoveryWatchTest.java
+++ b/gateway/src/test/java/tinford/routing/discovery/DiscoveryWatchTest.java
@@ -8,15 +8,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What the watch takes from discovery, and when it opens another beside a silent one. */
+/** Responses that the watch accepts, and when it opens a second connection to discovery. */
 public class DiscoveryWatchTest extends DiscoveryFixture {
-    /** Until another watch is opened beside one that never sent a line. */
+    /** Time until a second watch connection is opened if the first never sent a line. */
     private static final int SECOND_WATCH_MS = 1650;
 
-    /** Until another is opened beside one that sent lines before. */
+    /** Time after the last line until a second watch connection is opened. */
     private static final int AFTER_LINES_MS = 2950;
 
-    /** Until a third watch, where the second one is silent too. */
+    /** Time until a third watch connection is opened if the second one is silent too. */
     private static final int THIRD_WATCH_MS = 4800;
 
     private static final String FIRST_HEARTBEAT = HEAD + HEARTBEAT;
@@ -28,7 +28,7 @@
     private static final String S0_REMOVED =
             list(43, false, "{\"host\":\"s0\",\"health\":\"gone\"}");
 
-    /** When the silence begins; within which the change is in force; connections; scripts. */
+    /** Name; start of the silence; time for the change to be in force; connections; scripts. */
     @DataProvider
     public Object[][] silences() {
         Script stopsMidway =
@@ -113,7 +113,7 @@
         return Script.every(1000, texts);
     }
 
-    /** When a call fails; within which the change is in force; connections; scripts. */
+    /** Name; time of the failure; time for the change to be in force; connections; scripts. */
     @DataProvider
     public Object[][] failures() {
         Script firstHeartbeatThenEnd = Script.at(0, FIRST_HEARTBEAT + "0\r\n\r\n");
@@ -139,7 +139,7 @@
         };
     }
 
-    /** Lists in unusual forms: the change is in force at once, on the first connection. */
+    /** Name; time for the change to be in force; script of the first and only connection. */
     @DataProvider
     public Object[][] forms() {
         String indented = indented(LIST_WITHOUT_S0);
@@ -183,7 +183,9 @@
         return chunks.toString();
     }
 
-    /** A watch that sends no complete line is not trusted; the next one is in time. */
+    /**
+     * A watch that sends no complete line is replaced early enough for the change to be in time.
+     */
     @Test(dataProvider = "silences")
     public void changeIsInForceInTimeWhenAWatchIsSilent(
             String name, int fromMs, int withinMs, int calls, Script[] scripts) throws Exception {
@@ -208,16 +210,18 @@
             prepare();
             start(seed);
             play(11_000, scripts);
-            String seen = "removed at " + removedAtMs + ", called at " + callTimesMs;
+            String seen = "s0 removed at " + removedAtMs + " ms, called at " + callTimesMs;
             boolean inTime = removedAtMs >= 0 && removedAtMs - fromMs <= withinMs;
             assertTrue(inTime && withinMs <= DEADLINE_MS, seen);
             assertEquals(callTimesMs.size(), calls, "called at " + callTimesMs);
-            assertTrue(!listed.containsKey("s0") && listed.containsKey("s1"), "restored");
+            assertTrue(
+                    !listed.containsKey("s0") && listed.containsKey("s1"),
+                    "servers listed: " + listed);
             assertTrue(requestLines.get(0).contains("&after=42 "), requestLines.toString());
         }
     }
 
-    /** What each call meets; most calls in 20 s; within which its end is seen. */
+    /** Script of each call; most calls in 20 s; time within which the end of the outage is seen. */
     @DataProvider
     public Object[][] outages() {
         return new Object[][] {
@@ -231,7 +235,8 @@
     }
 
     /**
-     * Called less and less often, on two connections at most; the list at its end counts at once.
+     * During an outage discovery is called at decreasing rate, on at most two connections. The list
+     * that is sent after the outage is in force at once.
      */
     @Test(dataProvider = "outages")
     public void longOutageIsPolledRarelyAndItsEndSeen(Script outage, int maxCalls, int withinMs)
@@ -242,10 +247,10 @@
             start(3);
             play(20_000, outage);
             int calls = callTimesMs.size();
-            assertTrue(calls >= 5 && calls <= maxCalls, calls + " connections");
+            assertTrue(calls >= 5 && calls <= maxCalls, calls + " calls");
             List<ScriptedConnection> left =
                     connections.stream().filter(ScriptedConnection::isOpen).toList();
-            assertTrue(left.size() <= 2, left.size() + " at once");
+            assertTrue(left.size() <= 2, left.size() + " connections open at once");
             if (resumes) {
                 Script rest = aliveAfter(Script.at(0, chunk(LIST_WITHOUT_S0)));
                 boolean headSent = !outage.steps().isEmpty();
@@ -254,15 +259,15 @@
             play(24_000, ALIVE);
             int tookMs = removedAtMs - 20_000;
             int limitMs = resumes && !left.isEmpty() ? 0 : withinMs;
-            assertTrue(tookMs >= 0 && tookMs <= limitMs, "seen after " + tookMs);
+            assertTrue(tookMs >= 0 && tookMs <= limitMs, "list in force after ms: " + tookMs);
         }
     }
 
-    /** With descriptors for two connections only, the third has that of the first at once. */
+    /** If only two descriptors are available, the third watch uses the one of the first at once. */
     @Test
     public void thirdWatchTakesTheDescriptorOfTheFirst() throws Exception {
         List<List<Integer>> seen = new ArrayList<>();
-        for (int budget : new int[] {20, 4}) { // of four, two are for discovery
+        for (int budget : new int[] {20, 4}) { // of 4 descriptors, 2 are for discovery
             clear();
             prepare();
             descriptors = budget;
@@ -285,7 +290,7 @@
         assertTrue(removedAtMs >= 0 && removedAtMs <= SECOND_WATCH_MS, "removed at " + removedAtMs);
     }
 
-    /** Connections that are never established are retried by their time-out. */
+    /** A connection that is not established is retried after its connect timeout. */
     @Test
     public void connectionNeverEstablishedIsRetried() throws Exception {
         accepts = false;
@@ -295,7 +300,7 @@
         assertEquals(callTimesMs, List.of());
         accepts = true;
         play(5000, ALIVE);
-        // 250 ms of a connect time-out, 750 ms of backoff.
+        // 250 ms of connect timeout and 750 ms of backoff.
         assertTrue(removedAtMs <= 4050, "removed at " + removedAtMs);
     }
 }
--- a/gateway/src/test/java/tinford/routing/discovery/EndpointListFetchTest.java
+++ b/gateway/src/test/java/tinford/routing/discovery/EndpointListFetchTest.java
@@ -11,9 +11,9 @@
 import org.testng.annotations.Test;
 import tinford.api.Server;
 
-/** Endpoint lists that can't be read, and calls that fetch the list once. */
+/** Invalid endpoint lists, and calls that fetch the list once. */
 public class EndpointListFetchTest extends DiscoveryFixture {
-    /** Lists with an entry that can't be read between others, or of a wrong form. */
+    /** Lists with an invalid entry between valid ones, and lists of an invalid form. */
     @DataProvider
     public Object[][] invalidLists() {
         String valid = host("s5", "ready");
@@ -50,7 +50,7 @@
         return all.toArray(Object[][]::new);
     }
 
-    /** Nothing of it is in force, and the next watch asks from the version that is. */
+    /** No entry of an invalid list is applied; the next watch asks from the version in force. */
     @Test(dataProvider = "invalidLists")
     public void invalidListIsRequestedAgain(String text) throws Exception {
         start(1);
@@ -64,7 +64,7 @@
                 requestLines.toString());
     }
 
-    /** What a call that fetches the list meets; how often it is reported as failed. */
+    /** Script of a call that fetches the list; how often it is reported as failed. */
     @DataProvider
     public Object[][] fetches() {
         return new Object[][] {
@@ -79,7 +79,10 @@
         };
     }
 
-    /** Each ends within 2 s, reported once; one at a time, whose descriptor the next one takes. */
+    /**
+     * Each fetch ends within 2 s and is reported once. There is one at a time, and the next one
+     * uses its descriptor.
+     */
     @Test(dataProvider = "fetches")
     public void fetchEndsAndIsReportedOnce(Script script, int failures) throws Exception {
         Script watchScript =
@@ -87,7 +90,7 @@
                         .then(2000, HEARTBEAT)
                         .then(4000, HEARTBEAT)
                         .then(6000, HEARTBEAT);
-        descriptors = 4; // two of them for discovery
+        descriptors = 4; // 2 of them for discovery
         start(1);
         play(1000, watchScript);
         for (int call = 1; call <= 2; call++) {
@@ -101,7 +104,7 @@
             play(1000 + 2500 * call, script);
             assertEquals(callTimesMs.size(), 1 + call);
             assertEquals(requestLines.get(call), "GET /registry/instances HTTP/1.1");
-            assertFalse(connections.get(call).isOpen(), "left open");
+            assertFalse(connections.get(call).isOpen(), "connection of the fetch is still open");
             assertEquals(failedFetches, failures * call);
             assertEquals(removedAtMs >= 0, failures == 0);
         }
