--- a/gateway/src/test/java/tinford/routing/discovery/Script.java
+++ b/gateway/src/test/java/tinford/routing/discovery/Script.java
@@ -3,12 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What discovery does on one connection, each step at its time after the request. */
+/** The steps that discovery performs on a connection, with their times after the request. */
 final class Script {
-    /** Sends nothing, and stays open. */
+    /** Sends nothing, and keeps the connection open. */
     static final Script SILENT = new Script(List.of());
 
-    /** What a step does. */
     enum Action {
         SEND,
         CLOSE,
@@ -16,7 +15,7 @@
     }
 
     /**
-     * @param text what is sent; empty for other actions
+     * @param text the text to send; empty for other actions
      */
     record Step(int atMs, Action action, String text) {}
 
@@ -38,7 +37,7 @@
         return SILENT.thenReset(atMs);
     }
 
-    /** These texts, that many milliseconds apart. */
+    /** Sends texts at a fixed interval, starting at once. */
     static Script every(int intervalMs, List<String> texts) {
         Script script = SILENT;
         for (int i = 0; i < texts.size(); i++) {
@@ -65,7 +64,7 @@
         return new Script(all);
     }
 
-    /** The same steps, each that much later. */
+    /** Returns the same steps, with a delay added to each time. */
     Script delayedBy(int ms) {
         return new Script(
                 steps.stream().map(s -> new Step(s.atMs + ms, s.action, s.text)).toList());
--- a/gateway/src/test/java/tinford/routing/peer/PeerMessengerTest.java
+++ b/gateway/src/test/java/tinford/routing/peer/PeerMessengerTest.java
@@ -17,7 +17,7 @@
 import tinford.testing.FreePort;
 import tinford.testing.IgnoredEvents;
 
-/** Messages between gateways, on real sockets. */
+/** Gossip messages between gateways, on real sockets. */
 public class PeerMessengerTest {
     private static final int TOO_LONG = 257;
     private final LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
--- a/gateway/src/test/java/tinford/routing/upstream/EndpointListTest.java
+++ b/gateway/src/test/java/tinford/routing/upstream/EndpointListTest.java
@@ -21,7 +21,7 @@
 import tinford.routing.dispatch.RequestDispatcher;
 import tinford.testing.IgnoredEvents;
 
-/** Servers under endpoint lists: whose connections end, in which order, and which ids are known. */
+/** Effects of endpoint lists: which connections are closed in which order, and known ids. */
 public class EndpointListTest {
     private static final int FLEET_SIZE = 6000;
     private static final int MAX_REMOVED_IDS = 4096;
@@ -69,7 +69,7 @@
         open.clear();
     }
 
-    /** Complete or not; entries with their health; whose connections end, in which order. */
+    /** Whether the list is complete; its entries; servers whose connections close, in order. */
     @DataProvider
     public Object[][] lists() {
         return new Object[][] {
@@ -99,7 +99,7 @@
         assertEquals(closedIds(), "7 0");
     }
 
-    /** Operators of a large fleet exclude servers by id. */
+    /** Operators exclude servers by id, so each listed id must be known, also in a large fleet. */
     @Test
     public void eachListedServerIsKnownHoweverMany() throws Exception {
         runBatch(() -> update(true, IntStream.range(0, FLEET_SIZE).mapToObj(i -> i + " ready")));
@@ -112,7 +112,7 @@
                 });
     }
 
-    /** The last ones are remembered, besides those listed. */
+    /** The most recently removed ids are known, in addition to the listed ones. */
     @Test
     public void removedServersRememberedAreBounded() throws Exception {
         runBatch(() -> update(true, IntStream.range(0, FLEET_SIZE).mapToObj(i -> i + " ready")));
@@ -143,7 +143,7 @@
         return ids[0];
     }
 
-    /** Opens one connection to each server, which is never established. */
+    /** Starts one connection to each server. The connections are never established. */
     private void connectToAll() {
         for (PooledServer server : listed.values()) {
             ServerConnection connection = new ServerConnection(servers, server);
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Entries are a number and a health. */
+    /** Applies a list whose entries consist of a server number and a health value. */
     private void update(boolean complete, Stream<String> entries) {
         List<String> hosts = entries.map(this::hostEntry).toList();
         servers.updateEndpoints(RoutingFixtures.endpointList(complete, hosts));
--- a/gateway/src/test/java/tinford/routing/upstream/ServerExclusionsTest.java
+++ b/gateway/src/test/java/tinford/routing/upstream/ServerExclusionsTest.java
@@ -7,9 +7,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What records of the operators' calls say of a server. */
+/** Exclusion state of a server according to the records of admin API calls. */
 public class ServerExclusionsTest {
-    /** Records; whether s is excluded; its start where the list says 0, and where it says 1500. */
+    /**
+     * Records; whether s is excluded; its start time if the list states 0, and if it states 1500.
+     */
     @DataProvider
     public Object[][] records() {
         return new Object[][] {
@@ -31,8 +33,8 @@
     }
 
     /**
-     * A server readmitted counts as started no earlier than that, unless the list has a start while
-     * it was excluded.
+     * A readmitted server counts as started when it was readmitted, unless the list states a start
+     * during the exclusion.
      */
     @Test(dataProvider = "records")
     public void lastRecordCounts(
@@ -47,7 +49,7 @@
                 records.stream().anyMatch(line -> line.matches("suspend \\d+ s")));
     }
 
-    /** However many are excluded and readmitted; those still excluded are never forgotten. */
+    /** Lifted exclusions are retained up to a limit; exclusions in force are never dropped. */
     @Test
     public void exclusionsRememberedAreBounded() {
         ServerExclusions exclusions = new ServerExclusions();
@@ -61,6 +63,6 @@
         for (int i = 0; i < 10_000; i++) {
             known += exclusions.isKnown("s" + i) ? 1 : 0;
         }
-        assertTrue(known > 0 && known <= 4200, "" + known);
+        assertTrue(known > 0 && known <= 4200, "known: " + known);
     }
 }
--- a/gateway/src/test/java/tinford/routing/upstream/ServerResponseTest.java
+++ b/gateway/src/test/java/tinford/routing/upstream/ServerResponseTest.java
@@ -39,8 +39,9 @@
 import tinford.testing.IgnoredEvents;
 
 /**
- * Responses that arrive in the very batch in which an attempt times out or the next one is sent.
- * The test sends the attempts itself.
+ * Guards against responses that are attributed to the wrong attempt or answer a request twice. The
+ * responses arrive in the same batch in which an attempt times out or the next one is sent. The
+ * test sends the attempts itself.
  */
 public class ServerResponseTest {
     private static final String ONE = "*1\r\n$3\r\none\r\n";
@@ -50,7 +51,7 @@
     private static final int REQUEST_TIMEOUT_MS = 7000;
     private static final int COMMAND_LINES = 9;
 
-    /** Until a connection may be used again. */
+    /** Time after which a connection may be reused. */
     private static final long REST_NANOS = 30_000_000L;
 
     private final AtomicLong nanoTime = new AtomicLong();
@@ -101,7 +102,7 @@
         open.clear();
     }
 
-    /** Notes what arrives and ends; a request whose attempt ended without an answer fails. */
+    /** Records requests and outcomes; fails a request whose attempt ended without an answer. */
     private final class Recorder extends IgnoredEvents {
         @Override
         public void endpointsUpdated(List<Server> entries, boolean complete) {
@@ -135,7 +136,7 @@
         return arrived.poll(10, TimeUnit.SECONDS);
     }
 
-    /** The server's next connection, on which the command with that id has come. */
+    /** Accepts the server's next connection, and reads the command with the id from it. */
     private Socket acceptCommand(int id) throws IOException {
         Socket socket = serverSocket.accept();
         socket.setSoTimeout(10_000);
@@ -150,13 +151,13 @@
         return socket;
     }
 
-    /** The client gets the answer to this, and nothing before it. */
+    /** Sends a PING, and checks that its answer is the next data that the client receives. */
     private void ping() throws IOException {
         write(client, PING);
         assertEquals(read(client, PONG.length()), PONG);
     }
 
-    /** What has arrived by the time-out, and whether the sockets had been read before that. */
+    /** Response that has arrived by the timeout; whether the socket is read before the timeout. */
     @DataProvider
     public Object[][] responsesAtTheTimeout() {
         String streamed = "*1\r\n$70000\r\n" + "x".repeat(200);
@@ -172,7 +173,10 @@
         };
     }
 
-    /** Timers run first: the request has its one final answer, and the response is discarded. */
+    /**
+     * Timers run before received data is handled: the request gets a single final answer, and the
+     * response is discarded.
+     */
     @Test(dataProvider = "responsesAtTheTimeout")
     public void responseInTheBatchOfTheTimeoutIsNoSecondAnswer(String response, boolean read)
             throws Exception {
@@ -195,13 +199,13 @@
                             nanoTime.addAndGet((long) (2 * TIMEOUT_MS * 1e6));
                         });
         String head = read(client, 3);
-        // Unless read, it may be read before the timer's batch, and then is the answer.
+        // Otherwise the response may be read before the timer's batch, and then is the answer.
         boolean inTime = !read && !head.equals("-ER");
         String answer = response.equals(ONE) ? ANSWER_ONE : "$70000\r\n";
         String expected = inTime ? answer : ABORTED;
         assertEquals(head + read(client, expected.length() - head.length()), expected);
         if (inTime && !response.equals(ONE)) {
-            return; // a streamed response, to which no time-out applies
+            return; // a streamed response, to which no timeout applies
         }
         ping();
         assertEquals(
@@ -215,7 +219,10 @@
         }
     }
 
-    /** The next attempt then goes on another connection, and has its own response. */
+    /**
+     * A duplicate response arrives on an idle connection just before the next attempt is sent: the
+     * attempt must use another connection and get its own response.
+     */
     @Test
     public void secondResponseIsNotTakenForThatOfTheNextAttempt() throws Exception {
         Request first = request(1);
