--- a/gateway/src/main/java/tinford/program/StartSequence.java
+++ b/gateway/src/main/java/tinford/program/StartSequence.java
@@ -91,7 +91,7 @@
     private void joinFleet() throws IOException {
         JsonFields settings = configuration.settings();
         extension.setCatalogConsumer(components.dispatcher::useCatalog);
-        components.dispatcher.joinFleet(
+        components.dispatcher.applyFleetPolicy(
                 extension.join(SettingsReader.gatewayIdentity(settings), loop::execute));
         scheduleTick();
     }
@@ -112,7 +112,7 @@
         components.watch.onFirstLine(
                 isWatchRequired ? 0 : FIRST_LIST_TIMEOUT_MS, this::listenOrStandBy);
         if (!isWatchRequired) {
-            components.watch.setWanted(true);
+            components.watch.setEnabled(true);
         }
     }
 
--- a/gateway/src/main/java/tinford/routing/client/ClientConnection.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientConnection.java
@@ -15,8 +15,8 @@
     /** Time to wait for the rest of a partial command; clients may take 2 s to send one. */
     private static final double PARTIAL_COMMAND_TIMEOUT_MS = 2300;
 
-    private static final double JUST_OPENED_MS = 250;
-    private static final double READ_TIMEOUT_MS = 20_000;
+    private static final double MAX_JUST_OPENED_MS = 250;
+    private static final double UNREAD_RESPONSE_TIMEOUT_MS = 20_000;
     private static final int MAX_UNWRITTEN_BYTES = 1 << 20;
 
     /** Limit on the unwritten bytes of a streamed response. */
@@ -27,7 +27,7 @@
     /**
      * Limit on the unanswered commands of a connection. Clients open another one when all are busy.
      */
-    private static final int MAX_WAITING_COMMANDS = 64;
+    private static final int MAX_UNANSWERED_COMMANDS = 64;
 
     /** Response to a command that was not executed, so that the client may send it again. */
     private static final String REJECTED = "-BUSY";
@@ -55,7 +55,7 @@
     /** Whether it was accepted while this process was draining, from a client that reconnected. */
     private final boolean acceptedWhileDraining;
 
-    private boolean commandSeen;
+    private boolean commandReceived;
 
     /**
      * Whether a response has been written. From the second response on, the client receives the end
@@ -91,19 +91,19 @@
             return ConnectionActivity.CLOSING;
         }
         double quietMs = nowMs - lastUseMs;
-        if (commandSeen) {
+        if (commandReceived) {
             return quietMs >= FIRST_COMMAND_TIMEOUT_MS
                     ? ConnectionActivity.IDLE
                     : ConnectionActivity.RECENTLY_USED;
         }
-        return quietMs >= JUST_OPENED_MS
+        return quietMs >= MAX_JUST_OPENED_MS
                 ? ConnectionActivity.NEVER_USED
                 : ConnectionActivity.JUST_OPENED;
     }
 
     /** Whether the connection has received a command, and is now between requests. */
-    boolean isIdleAfterUse() {
-        return commandSeen && isIdle();
+    boolean isIdleAfterCommand() {
+        return commandReceived && isIdle();
     }
 
     /**
@@ -131,7 +131,7 @@
         try {
             boolean more = true;
             while (more && !isClosed() && pendingClose != CloseReason.PROTOCOL_ERROR) {
-                discard();
+                discardRejectedCommand();
                 more = discardBytes == 0 && readCommand();
             }
         } catch (ProtocolException e) {
@@ -144,7 +144,7 @@
         RespReader reader = pool.respReader;
         int length = reader.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (length == 0) {
-            awaitRest(reader.requiredBytes());
+            trackPartialCommand(reader.requiredBytes());
             return false;
         }
         partialSinceMs = 0;
@@ -154,7 +154,7 @@
             if (!reader.isCommand()) {
                 throw new ProtocolException("an array of bulk strings");
             }
-            commandSeen = true;
+            commandReceived = true;
             lastUseMs = pool.context.nowMs();
             handle(reader, length, hasReservedBuffer);
         } finally {
@@ -164,7 +164,7 @@
         return true;
     }
 
-    private void awaitRest(int neededBytes) {
+    private void trackPartialCommand(int neededBytes) {
         if (buffer.unreadBytes() == 0) {
             partialSinceMs = 0;
         } else if (partialSinceMs == 0 || reservedBytes > 0) {
@@ -196,15 +196,15 @@
         releaseBuffer();
         discardBytes = bytes;
         answerLine(newSlot(), REJECTED);
-        discard();
+        discardRejectedCommand();
     }
 
     /** Frees the buffer of a partial long command, before its reservation is passed to another. */
-    private void dropUnread() {
+    private void discardUnread() {
         buffer.consume(buffer.unreadBytes());
     }
 
-    private void discard() {
+    private void discardRejectedCommand() {
         int length = Math.min(discardBytes, buffer.unreadBytes());
         discardBytes -= length;
         buffer.consume(length);
@@ -248,7 +248,7 @@
     }
 
     private void closeWithLine(String line) {
-        dropUnread();
+        discardUnread();
         releaseBuffer();
         answerLine(newSlot(), line);
         discardInput();
@@ -265,7 +265,9 @@
         } else if (!malformed && partialSinceMs > 0 && partialTooLong) {
             long limitMs = (long) PARTIAL_COMMAND_TIMEOUT_MS;
             rejectAsMalformed(new ProtocolException("a whole command within " + limitMs + " ms"));
-        } else if (isIdle() && buffer.unwrittenBytes() > 0 && quietMs >= READ_TIMEOUT_MS) {
+        } else if (isIdle()
+                && buffer.unwrittenBytes() > 0
+                && quietMs >= UNREAD_RESPONSE_TIMEOUT_MS) {
             close(CloseReason.BUFFER_LIMIT_EXCEEDED);
         } else if (pendingClose == null && isIdle() && quietMs >= idleTimeoutMs()) {
             closeIfQuiet();
@@ -273,7 +275,7 @@
     }
 
     private double idleTimeoutMs() {
-        return commandSeen ? pool.limits.idleTimeoutMs() : FIRST_COMMAND_TIMEOUT_MS;
+        return commandReceived ? pool.limits.idleTimeoutMs() : FIRST_COMMAND_TIMEOUT_MS;
     }
 
     /**
@@ -317,7 +319,7 @@
             buffer.consume(length);
         }
         responses.add(request.slot);
-        pool.submit(request, responses.size() > MAX_WAITING_COMMANDS);
+        pool.submit(request, responses.size() > MAX_UNANSWERED_COMMANDS);
     }
 
     /** Adds a slot for a response that does not depend on the decision module. */
@@ -330,14 +332,14 @@
     /** Answers with a line. The line is given without its line end. */
     void answerLine(ResponseSlot slot, String line) {
         if (responses.putLine(slot, line)) {
-            advance();
+            completeResponse();
         }
     }
 
     /** Answers with a value. The bytes are copied. */
     void answerValue(ResponseSlot slot, byte[] value, int from, int length) {
         if (responses.putValue(slot, value, from, length)) {
-            advance();
+            completeResponse();
         }
     }
 
@@ -367,7 +369,7 @@
     void endStream() {
         responses.first().source = null;
         buffer.putLineEnd();
-        advance();
+        completeResponse();
     }
 
     @Override
@@ -383,15 +385,13 @@
     }
 
     /** Called when the first response is written: continues with the next ones, or closes. */
-    private void advance() {
+    private void completeResponse() {
         responses.completeFirst();
         lastUseMs = pool.context.nowMs();
         scheduleFlush();
         resumeSource();
         boolean staysOpen = acceptedWhileDraining && !hasAnswered;
-        if (pendingClose == null
-                && !staysOpen
-                && pool.closesBehindResponse(acceptedWhileDraining)) {
+        if (pendingClose == null && !staysOpen && pool.closesAfterResponse(acceptedWhileDraining)) {
             pendingClose = CloseReason.CLOSED_IDLE;
         }
         hasAnswered = true;
@@ -429,7 +429,7 @@
 
     @Override
     protected void onLateInput() {
-        pool.clientExpected();
+        pool.reconnectExpected();
     }
 
     /** Keeps the first reason, since nothing may be read behind a malformed command. */
@@ -456,7 +456,7 @@
 
     @Override
     protected void onClosed(CloseReason reason) {
-        dropUnread();
+        discardUnread();
         pool.connectionClosed(this);
         releaseBuffer();
         for (ResponseSlot slot = responses.first(); slot != null; slot = slot.next) {
--- a/gateway/src/main/java/tinford/routing/client/ClientPool.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientPool.java
@@ -34,7 +34,7 @@
     private static final double CLOSE_IDLE_INTERVAL_MS = 10;
 
     /** Time for clients to read the last responses before the process ends. */
-    private static final double FINAL_READ_MS = 20;
+    private static final double FINAL_READ_TIME_MS = 20;
 
     final RoutingContext context;
     final RespReader respReader = new RespReader(true);
@@ -93,9 +93,9 @@
      */
     private ClientConnection accept() {
         lastArrivalMs = context.nowMs();
-        if (connections.size() >= Math.min(limits.reclaimThreshold(), highWater())) {
+        if (connections.size() >= Math.min(limits.reclaimThreshold(), highWaterMark())) {
             reclaimConnections(
-                    connections.size() >= highWater()
+                    connections.size() >= highWaterMark()
                             ? ConnectionActivity.BUSY
                             : ConnectionActivity.JUST_OPENED);
         }
@@ -114,7 +114,7 @@
     }
 
     /** Number of connections above which the headroom for new connections is in use. */
-    private int highWater() {
+    private int highWaterMark() {
         int max = maxConnections();
         return max - Math.min(MAX_HEADROOM_CONNECTIONS, max / HEADROOM_DIVISOR + 1);
     }
@@ -125,10 +125,10 @@
             connection.checkTimeouts(context.nowMs());
         }
         // Clients in the backlog are not accepted, so accept() closes no connections for them.
-        shrinkTo(highWater());
+        reclaimDownTo(highWaterMark());
     }
 
-    private void shrinkTo(int count) {
+    private void reclaimDownTo(int count) {
         boolean closed = true;
         while (closed && connections.size() > count) {
             ClientConnection connection = findReclaimable(ConnectionActivity.BUSY);
@@ -183,11 +183,11 @@
     /**
      * Passes a request to the decision module, or rejects it if limits are exceeded.
      *
-     * @param tooManyWaiting whether too many commands of its connection are unanswered
+     * @param tooManyUnanswered whether too many commands of its connection are unanswered
      */
-    void submit(ClientRequest request, boolean tooManyWaiting) {
+    void submit(ClientRequest request, boolean tooManyUnanswered) {
         openRequests.add(request);
-        if (terminating || tooManyWaiting || openRequests.exceedLimits()) {
+        if (terminating || tooManyUnanswered || openRequests.exceedLimits()) {
             reject(request, 0);
             return;
         }
@@ -266,12 +266,12 @@
      * draining stays open as long as new ones are accepted: otherwise its client would reconnect
      * repeatedly, and could be among those that are reset when the listener closes.
      */
-    boolean closesBehindResponse(boolean acceptedWhileDraining) {
+    boolean closesAfterResponse(boolean acceptedWhileDraining) {
         return draining && !(accepting && acceptedWhileDraining);
     }
 
     /** Called when a request crossed the close of its connection, so its client must reconnect. */
-    void clientExpected() {
+    void reconnectExpected() {
         crossedCloses++;
         lastArrivalMs = context.nowMs();
     }
@@ -299,7 +299,7 @@
     public void drainToSuccessor(double graceMs, Runnable onDone) {
         draining = true;
         // Both processes together may use only the descriptors of one.
-        shrinkTo(Math.min(limits.reclaimThreshold(), highWater()));
+        reclaimDownTo(Math.min(limits.reclaimThreshold(), highWaterMark()));
         stopAccepting(graceMs, onDone);
     }
 
@@ -311,7 +311,7 @@
     public void closeIdleConnections() {
         draining = true;
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            if (connection.isIdleAfterUse()) {
+            if (connection.isIdleAfterCommand()) {
                 connection.closeWhenAnswered();
             }
         }
@@ -386,7 +386,7 @@
         for (ClientConnection connection : new ArrayList<>(connections)) {
             connection.terminate();
         }
-        context.loop().schedule(FINAL_READ_MS, onDone::run);
+        context.loop().schedule(FINAL_READ_TIME_MS, onDone::run);
     }
 
     /** Gives a request its final answer, and reports its client as disconnected. */
--- a/gateway/src/main/java/tinford/routing/counter/CounterClient.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterClient.java
@@ -102,7 +102,7 @@
         double nextMs =
                 unreported.isEmpty()
                         ? Double.POSITIVE_INFINITY
-                        : unreported.peek().madeAtMs + callTimeoutMs;
+                        : unreported.peek().createdAtMs + callTimeoutMs;
         for (CounterLane lane : lanes) {
             nextMs = Math.min(nextMs, lane.silentAtMs());
         }
@@ -118,9 +118,9 @@
         }
         double nowMs = context.nowMs();
         while (!unreported.isEmpty()
-                && nowMs - unreported.peek().madeAtMs >= callTimeoutMs - TIMER_TOLERANCE_MS) {
+                && nowMs - unreported.peek().createdAtMs >= callTimeoutMs - TIMER_TOLERANCE_MS) {
             IncrementCall call = unreported.peek();
-            boolean sent = !call.lane.withdraw(call);
+            boolean sent = !call.lane.removeUnsent(call);
             report(call, OutcomeMapping.ofCounterCall(CloseReason.RESPONSE_TIMEOUT, sent), 0);
         }
         scheduleTimeoutCheck();
@@ -142,15 +142,15 @@
         if (unreported.isEmpty()) {
             scheduleTimeoutCheck();
         }
-        call.lane.closeOldIfSettled();
-        double tookMs = context.nowMs() - call.madeAtMs;
+        call.lane.closeOldIfAllReported();
+        double tookMs = context.nowMs() - call.createdAtMs;
         context.events().counterAnswered(call.counterKey, outcome, tookMs, total);
     }
 
     /** Called when the response to a call has arrived, in time or late. */
     void responseArrived(IncrementCall call) {
         if (!call.reported) {
-            lastAnsweredCallMs = Math.max(lastAnsweredCallMs, call.madeAtMs);
+            lastAnsweredCallMs = Math.max(lastAnsweredCallMs, call.createdAtMs);
         }
     }
 
--- a/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
@@ -27,13 +27,13 @@
     private static final double MAX_TTL_MS = 60_000;
     private static final int AMOUNT_DECIMALS = 6;
     private static final double MAX_PLAIN_INTEGER = 1e9;
-    private static final String COMMAND_HEAD = "*4\r\n$7\r\nCNT.ADD\r\n";
+    private static final String COMMAND_PREFIX = "*4\r\n$7\r\nCNT.ADD\r\n";
     private final CounterClient client;
     private final CounterLane lane;
     private final InetSocketAddress address;
 
     /** Calls that have been sent but not answered, oldest first. */
-    private final ArrayDeque<IncrementCall> sent = new ArrayDeque<>();
+    private final ArrayDeque<IncrementCall> unanswered = new ArrayDeque<>();
 
     private double lastReceivedMs = Double.NEGATIVE_INFINITY;
 
@@ -62,21 +62,21 @@
     void sendCalls() {
         for (IncrementCall call = lane.pollUnsent(); call != null; call = lane.pollUnsent()) {
             writeCommand(call);
-            sent.add(call);
+            unanswered.add(call);
         }
         scheduleFlush();
     }
 
     private void writeCommand(IncrementCall call) {
         double ttlMs = Math.min(MAX_TTL_MS, Math.max(1, Math.ceil(call.ttlMs)));
-        buffer.put(COMMAND_HEAD);
-        writeWord(buffer, Long.toString(call.counterKey));
-        writeWord(buffer, formatAmount(call.amount));
-        writeWord(buffer, Long.toString((long) ttlMs));
+        buffer.put(COMMAND_PREFIX);
+        writeBulkString(buffer, Long.toString(call.counterKey));
+        writeBulkString(buffer, formatAmount(call.amount));
+        writeBulkString(buffer, Long.toString((long) ttlMs));
     }
 
-    private static void writeWord(ConnectionBuffer to, String word) {
-        to.put("$").put(word.length()).putLineEnd().put(word).putLineEnd();
+    private static void writeBulkString(ConnectionBuffer to, String text) {
+        to.put("$").put(text.length()).putLineEnd().put(text).putLineEnd();
     }
 
     private static String formatAmount(double amount) {
@@ -90,21 +90,21 @@
 
     /** Whether a call was sent on this connection whose outcome has not been reported. */
     boolean hasUnreportedCalls() {
-        return sent.stream().anyMatch(call -> !call.reported);
+        return unanswered.stream().anyMatch(call -> !call.reported);
     }
 
-    void reportSentCalls(CloseReason reason) {
+    void reportUnansweredCalls(CloseReason reason) {
         AttemptOutcome outcome = OutcomeMapping.ofCounterCall(reason, true);
-        for (IncrementCall call : sent) {
+        for (IncrementCall call : unanswered) {
             client.report(call, outcome, 0);
         }
     }
 
     /** Time after which the connection counts as silent; infinite while no response is due. */
     double silentAtMs() {
-        return sent.isEmpty()
+        return unanswered.isEmpty()
                 ? Double.POSITIVE_INFINITY
-                : sent.peek().madeAtMs + client.callTimeoutMs + client.connectTimeoutMs;
+                : unanswered.peek().createdAtMs + client.callTimeoutMs + client.connectTimeoutMs;
     }
 
     /**
@@ -114,7 +114,10 @@
      */
     void closeIfStalled() {
         double nowMs = client.context.nowMs();
-        double sinceMs = sent.isEmpty() ? nowMs : Math.max(sent.peek().madeAtMs, lastReceivedMs);
+        double sinceMs =
+                unanswered.isEmpty()
+                        ? nowMs
+                        : Math.max(unanswered.peek().createdAtMs, lastReceivedMs);
         boolean overdue =
                 nowMs - sinceMs >= client.callTimeoutMs - CounterClient.TIMER_TOLERANCE_MS;
         if (overdue && client.hasAnsweredCallSince(sinceMs)) {
@@ -147,24 +150,24 @@
         RespReader reader = client.respReader;
         int length = reader.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (length == 0) {
-            awaitRest();
+            checkPartialResponse();
             return false;
         }
-        if (sent.isEmpty()) {
+        if (unanswered.isEmpty()) {
             throw new ProtocolException("no data while no call is outstanding");
         }
         AttemptOutcome outcome = outcomeOf(reader);
         double total = outcome == AttemptOutcome.SUCCESS ? NumberParser.parse(reader.text(0)) : 0;
         buffer.consume(length);
         cancelPartialTimeout();
-        IncrementCall call = sent.poll();
+        IncrementCall call = unanswered.poll();
         client.responseArrived(call);
         client.report(call, outcome, total);
         return true;
     }
 
     /** Limits the size and time of an incomplete response, so that it does not block later ones. */
-    private void awaitRest() throws ProtocolException {
+    private void checkPartialResponse() throws ProtocolException {
         if (buffer.unreadBytes() > MAX_RESPONSE_BYTES) {
             throw new ProtocolException("a response of at most " + MAX_RESPONSE_BYTES + " bytes");
         }
--- a/gateway/src/main/java/tinford/routing/counter/CounterLane.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterLane.java
@@ -46,7 +46,7 @@
     }
 
     /** Removes an unsent call; returns false if the call has been sent. */
-    boolean withdraw(IncrementCall call) {
+    boolean removeUnsent(IncrementCall call) {
         return unsent.remove(call);
     }
 
@@ -59,14 +59,14 @@
         oldConnection = connection;
         connection = null;
         connect();
-        closeOldIfSettled();
+        closeOldIfAllReported();
     }
 
     /**
      * Closes the connection to the old address once no outcome is due on it. The new connection
      * sends only then, so that the responses for a key keep the order of the calls.
      */
-    void closeOldIfSettled() {
+    void closeOldIfAllReported() {
         if (oldConnection != null && !oldConnection.hasUnreportedCalls()) {
             oldConnection.close(CloseReason.CLOSED_IDLE);
         }
@@ -90,7 +90,7 @@
         } else {
             connection = null;
         }
-        ended.reportSentCalls(reason);
+        ended.reportUnansweredCalls(reason);
         if (old) {
             sendIfOpen();
             return;
@@ -98,7 +98,7 @@
         if (reason == CloseReason.CONNECT_REFUSED || reason == CloseReason.NO_DESCRIPTOR) {
             failUnsent(reason);
         }
-        if (isDelayed(reason) || !unsent.isEmpty()) {
+        if (endsAfterDelay(reason) || !unsent.isEmpty()) {
             connect();
         } else {
             client.context.loop().schedule(client.connectTimeoutMs, this::connect);
@@ -117,7 +117,7 @@
      * may be opened at once. A connection that fails immediately must not be retried faster than
      * one that is silent.
      */
-    private static boolean isDelayed(CloseReason reason) {
+    private static boolean endsAfterDelay(CloseReason reason) {
         return reason == CloseReason.CONNECT_TIMEOUT
                 || reason == CloseReason.RESPONSE_TIMEOUT
                 || reason == CloseReason.STALLED
--- a/gateway/src/main/java/tinford/routing/counter/IncrementCall.java
+++ b/gateway/src/main/java/tinford/routing/counter/IncrementCall.java
@@ -6,16 +6,17 @@
     final long counterKey;
     final double amount;
     final double ttlMs;
-    final double madeAtMs;
+    final double createdAtMs;
 
     /** Whether the outcome has been reported. The response may still arrive later. */
     boolean reported;
 
-    IncrementCall(CounterLane lane, long counterKey, double amount, double ttlMs, double madeAtMs) {
+    IncrementCall(
+            CounterLane lane, long counterKey, double amount, double ttlMs, double createdAtMs) {
         this.lane = lane;
         this.counterKey = counterKey;
         this.amount = amount;
         this.ttlMs = ttlMs;
-        this.madeAtMs = madeAtMs;
+        this.createdAtMs = createdAtMs;
     }
 }
--- a/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
@@ -54,20 +54,20 @@
     private final Backoff backoff;
     private InetSocketAddress address;
     private long version;
-    private boolean wanted;
+    private boolean enabled;
 
     /** The newest watch connection, or the one that sends lines; null if none is open. */
-    private DiscoveryConnection current;
+    private DiscoveryConnection currentWatch;
 
     /** An older watch connection that is silent, but may only be slow, or null. */
-    private DiscoveryConnection previous;
+    private DiscoveryConnection previousWatch;
 
     /** The connection that fetches the complete list, or null. */
-    private DiscoveryConnection fetching;
+    private DiscoveryConnection fetchConnection;
 
     private double firstLineTimeoutMs = FIRST_LINE_TIMEOUT_MS;
-    private EventLoop.Timer lineTimeout;
-    private EventLoop.Timer reopening;
+    private EventLoop.Timer lineTimer;
+    private EventLoop.Timer reopenTimer;
     private EventLoop.Timer stableTimer;
     private Runnable onLost = () -> {};
     private Runnable onFirstLine = () -> {};
@@ -93,11 +93,11 @@
     }
 
     /** Starts or stops the watch. To be called within a batch. */
-    public void setWanted(boolean wanted) {
-        this.wanted = wanted;
-        if (!wanted) {
+    public void setEnabled(boolean enabled) {
+        this.enabled = enabled;
+        if (!enabled) {
             closeAll();
-        } else if (current == null && reopening == null) {
+        } else if (currentWatch == null && reopenTimer == null) {
             open();
         }
     }
@@ -129,7 +129,7 @@
         }
         address = newAddress;
         closeAll();
-        setWanted(wanted);
+        setEnabled(enabled);
     }
 
     InetSocketAddress address() {
@@ -146,23 +146,23 @@
      * within a batch.
      */
     public void fetch() {
-        if (fetching == null) {
+        if (fetchConnection == null) {
             DiscoveryConnection call = new DiscoveryConnection(this, true);
-            fetching = call;
+            fetchConnection = call;
             context.loop()
                     .schedule(FETCH_TIMEOUT_MS, () -> call.close(CloseReason.RESPONSE_TIMEOUT));
         }
     }
 
     private void open() {
-        reopening = null;
-        DiscoveryConnection oldest = previous;
-        previous = current;
+        reopenTimer = null;
+        DiscoveryConnection oldest = previousWatch;
+        previousWatch = currentWatch;
         // The new connection may need the descriptor of the oldest one, so close that first.
         if (oldest != null) {
             oldest.close(CloseReason.CLOSED_IDLE);
         }
-        current = new DiscoveryConnection(this, false);
+        currentWatch = new DiscoveryConnection(this, false);
         startLineTimeout(firstLineTimeoutMs);
         firstLineTimeoutMs =
                 Math.min(MAX_FIRST_LINE_TIMEOUT_MS, FIRST_LINE_TIMEOUT_GROWTH * firstLineTimeoutMs);
@@ -170,32 +170,32 @@
 
     /** Restarts the timeout for the next line; only a complete line shows that a watch is alive. */
     private void startLineTimeout(double timeoutMs) {
-        cancel(lineTimeout);
-        lineTimeout = context.loop().schedule(timeoutMs, this::reopen);
+        cancel(lineTimer);
+        lineTimer = context.loop().schedule(timeoutMs, this::reopen);
     }
 
     /** Schedules the next watch connection after the backoff. */
     private void reopen() {
-        cancel(lineTimeout);
+        cancel(lineTimer);
         cancel(stableTimer);
         stableTimer = null;
-        if (wanted && reopening == null) {
-            reopening = context.loop().schedule(backoff.nextWaitMs(), this::open);
+        if (enabled && reopenTimer == null) {
+            reopenTimer = context.loop().schedule(backoff.nextWaitMs(), this::open);
         }
         // Called last, so that an exception in the callback does not prevent the next watch.
         onLost.run();
     }
 
     /** Called when a watch has sent a complete line: keeps it and closes the other watch. */
-    void lineReceived(DiscoveryConnection alive) {
-        DiscoveryConnection other = alive == current ? previous : current;
-        current = alive;
-        previous = null;
+    void lineReceived(DiscoveryConnection sender) {
+        DiscoveryConnection other = sender == currentWatch ? previousWatch : currentWatch;
+        currentWatch = sender;
+        previousWatch = null;
         if (other != null) {
             other.close(CloseReason.CLOSED_IDLE);
         }
-        cancel(reopening);
-        reopening = null;
+        cancel(reopenTimer);
+        reopenTimer = null;
         if (stableTimer == null) {
             stableTimer = context.loop().schedule(STABLE_AFTER_MS, backoff::reset);
         }
@@ -205,16 +205,16 @@
     }
 
     private void closeAll() {
-        cancel(lineTimeout);
-        cancel(reopening);
+        cancel(lineTimer);
+        cancel(reopenTimer);
         cancel(stableTimer);
-        reopening = null;
+        reopenTimer = null;
         stableTimer = null;
         backoff.reset();
         firstLineTimeoutMs = FIRST_LINE_TIMEOUT_MS;
-        DiscoveryConnection[] open = {current, previous};
-        current = null;
-        previous = null;
+        DiscoveryConnection[] open = {currentWatch, previousWatch};
+        currentWatch = null;
+        previousWatch = null;
         for (DiscoveryConnection connection : open) {
             if (connection != null) {
                 connection.close(CloseReason.CLOSED_IDLE);
@@ -258,18 +258,18 @@
 
     /** Called when the connection that fetches the list has closed. */
     void fetchEnded(boolean listReceived) {
-        fetching = null;
+        fetchConnection = null;
         if (!listReceived) {
             context.events().discoveryFailed();
         }
     }
 
     void watchEnded(DiscoveryConnection ended) {
-        if (ended == previous) {
-            previous = null;
-        } else if (ended == current) {
-            current = previous;
-            previous = null;
+        if (ended == previousWatch) {
+            previousWatch = null;
+        } else if (ended == currentWatch) {
+            currentWatch = previousWatch;
+            previousWatch = null;
             reopen();
         }
     }
--- a/gateway/src/main/java/tinford/routing/dispatch/RateLimitedWarnings.java
+++ b/gateway/src/main/java/tinford/routing/dispatch/RateLimitedWarnings.java
@@ -32,8 +32,8 @@
         }
         String message = cause.getMessage();
         if (logged.size() < MAX_DISTINCT_WARNINGS && logged.add(event + message)) {
-            String where = subject.isEmpty() ? "" : " " + subject;
-            logger.log(Level.WARNING, event + where + " error=\"" + message + "\"");
+            String subjectSuffix = subject.isEmpty() ? "" : " " + subject;
+            logger.log(Level.WARNING, event + subjectSuffix + " error=\"" + message + "\"");
         }
     }
 }
--- a/gateway/src/main/java/tinford/routing/dispatch/RequestDispatcher.java
+++ b/gateway/src/main/java/tinford/routing/dispatch/RequestDispatcher.java
@@ -99,7 +99,7 @@
     }
 
     /** Applies the policy of a fleet. To be called within a batch. */
-    public void joinFleet(FleetPolicy policy) {
+    public void applyFleetPolicy(FleetPolicy policy) {
         fleetPolicy = policy;
         events.fleetPolicyChanged(policy);
     }
@@ -131,8 +131,8 @@
         nowMs = clock.nowMs();
         decisions.handleBatch(
                 nowMs,
-                inbox -> {
-                    events = inbox;
+                batchEvents -> {
+                    events = batchEvents;
                     loop.runDueTasks();
                 },
                 this);
@@ -277,7 +277,7 @@
 
     @Override
     public void watchEndpoints(boolean enabled) {
-        watch.setWanted(enabled);
+        watch.setEnabled(enabled);
     }
 
     @Override
--- a/gateway/src/main/java/tinford/routing/upstream/PooledServer.java
+++ b/gateway/src/main/java/tinford/routing/upstream/PooledServer.java
@@ -22,10 +22,10 @@
     double listedStartedAtMs;
 
     /** Connections without an attempt in flight, most recently used first. */
-    final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
+    final ArrayDeque<ServerConnection> idleConnections = new ArrayDeque<>();
 
     /** Connections not yet established, each with an attempt whose command is still unsent. */
-    final Set<ServerConnection> opening = new LinkedHashSet<>();
+    final Set<ServerConnection> openingConnections = new LinkedHashSet<>();
 
     /**
      * Connections that the server may regard as open. Includes connections not yet established, and
@@ -34,7 +34,7 @@
     int connectionCount;
 
     /** Connections in {@link #connectionCount} that this side has closed. */
-    int closingCount;
+    int closedConnectionCount;
 
     /** Position in the order in which servers were first listed. */
     final long sequence;
@@ -45,8 +45,8 @@
     }
 
     /** The number of connections that this side has not closed. */
-    int liveCount() {
-        return connectionCount - closingCount;
+    int liveConnectionCount() {
+        return connectionCount - closedConnectionCount;
     }
 
     /** Applies an endpoint list entry of a server that is not removed. */
--- a/gateway/src/main/java/tinford/routing/upstream/ServerConnection.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerConnection.java
@@ -59,7 +59,7 @@
     private boolean streamStarted;
 
     /** Time at which the stream last made progress, or the client could last accept more. */
-    private double streamMovedAtMs;
+    private double lastStreamProgressMs;
 
     ServerConnection(ServerPool pool, PooledServer server) {
         super(pool.context.loop(), RespReader.MAX_VALUE_BYTES, MAX_UNWRITTEN_BYTES);
@@ -129,14 +129,14 @@
 
     @Override
     protected void onOpened() {
-        server.opening.remove(this);
+        server.openingConnections.remove(this);
     }
 
     @Override
     protected void onReceived() {
         try {
             if (streamRemaining != NO_STREAM) {
-                passStreamOn();
+                forwardStream();
             } else if (!startStreamIfLong()) {
                 readResponse();
             }
@@ -157,7 +157,7 @@
             throw new ProtocolException("no data while no command is in flight");
         }
         if (length == 0) {
-            awaitRest();
+            startResponseTimeout();
             return;
         }
         // The first successful response is copied to the client directly from the read buffer.
@@ -171,7 +171,7 @@
      * Limits the wait for the rest of a response. The rest follows at once, unless the response
      * states a greater length than is sent.
      */
-    private void awaitRest() {
+    private void startResponseTimeout() {
         cancelResponseTimeout();
         responseTimeout =
                 loop.schedule(pool.connectTimeoutMs, () -> close(CloseReason.PROTOCOL_ERROR));
@@ -215,26 +215,26 @@
         buffer.setMaxReadBytes(STREAM_BUFFER_BYTES);
         streamRemaining = valueLength;
         streamParts = parts;
-        streamMovedAtMs = pool.context.nowMs();
+        lastStreamProgressMs = pool.context.nowMs();
         attempt.request.setResponseSource(this);
-        pool.attempts.responseStarted(attempt);
+        pool.attemptListener.responseStarted(attempt);
         checkStreamStalled();
-        passStreamOn();
+        forwardStream();
     }
 
     /** Called when the client can accept more, or when all earlier responses are complete. */
     @Override
     public void resume() {
-        streamMovedAtMs = pool.context.nowMs();
+        lastStreamProgressMs = pool.context.nowMs();
         resumeReads();
         try {
-            passStreamOn();
+            forwardStream();
         } catch (ProtocolException e) {
             closeAsMalformed(e);
         }
     }
 
-    private void passStreamOn() throws ProtocolException {
+    private void forwardStream() throws ProtocolException {
         ForwardedRequest request = attempt.request;
         if (!request.isNextToAnswer()) {
             suspendReads();
@@ -266,11 +266,11 @@
         if (length == 0) {
             return true;
         }
-        streamMovedAtMs = pool.context.nowMs();
+        lastStreamProgressMs = pool.context.nowMs();
         streamRemaining -= length;
-        boolean takesMore = request.writeStreamPart(buffer.bytes(), buffer.readIndex(), length);
+        boolean canAcceptMore = request.writeStreamPart(buffer.bytes(), buffer.readIndex(), length);
         buffer.consume(length);
-        if (takesMore || streamRemaining == 0) {
+        if (canAcceptMore || streamRemaining == 0) {
             return true;
         }
         suspendReads();
@@ -282,7 +282,7 @@
         if (isClosed() || streamRemaining == NO_STREAM) {
             return;
         }
-        if (pool.context.nowMs() - streamMovedAtMs > STREAM_STALL_TIMEOUT_MS) {
+        if (pool.context.nowMs() - lastStreamProgressMs > STREAM_STALL_TIMEOUT_MS) {
             close(CloseReason.RESPONSE_TIMEOUT);
         } else {
             loop.schedule(
@@ -318,7 +318,7 @@
         } else {
             close(CloseReason.CLOSED_IDLE);
         }
-        pool.attempts.attemptEnded(
+        pool.attemptListener.attemptEnded(
                 ended,
                 outcome,
                 1 + (int) UsageReport.value(usage, "used", -1),
@@ -369,16 +369,17 @@
     protected void onClosed(CloseReason reason) {
         pool.connectionClosed(this, reason);
         ServerAttempt ended = attempt;
-        boolean streamCut = streamStarted;
+        boolean streamInterrupted = streamStarted;
         boolean sent = isSent();
         clearAttempt();
         if (ended == null) {
             return;
         }
         ended.request.setResponseSource(null);
-        if (streamCut) {
+        if (streamInterrupted) {
             ended.request.abortStream(reason);
         }
-        pool.attempts.attemptEnded(ended, OutcomeMapping.ofAttempt(reason, sent), 0, 0, null);
+        pool.attemptListener.attemptEnded(
+                ended, OutcomeMapping.ofAttempt(reason, sent), 0, 0, null);
     }
 }
--- a/gateway/src/main/java/tinford/routing/upstream/ServerExclusions.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerExclusions.java
@@ -63,7 +63,7 @@
                 return null;
             }
         }
-        forgetLifted(atMs);
+        dropLifted(atMs);
         return serverId;
     }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    private void forgetLifted(double nowMs) {
+    private void dropLifted(double nowMs) {
         exclusions
                 .values()
                 .removeIf(
--- a/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
@@ -24,7 +24,7 @@
     private static final double REUSE_DELAY_MS = 10;
 
     /** Idle connections are closed after this fraction of the server's own idle timeout. */
-    private static final double IDLE_TIMEOUT_SHARE = 0.75;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
     private static final int IDLE_CHECKS_PER_TIMEOUT = 16;
     private static final int MAX_REMOVED_IDS = 4096;
@@ -35,7 +35,7 @@
     private static final double NO_CONNECT_MS = 0;
 
     final RoutingContext context;
-    final AttemptListener attempts;
+    final AttemptListener attemptListener;
     final RespReader respReader = new RespReader();
     final double connectTimeoutMs;
     private final Map<String, PooledServer> servers = new LinkedHashMap<>();
@@ -55,18 +55,18 @@
      */
     public ServerPool(
             RoutingContext context,
-            AttemptListener attempts,
+            AttemptListener attemptListener,
             double connectTimeoutMs,
             double idleTimeoutMs,
             int maxConnections,
             List<String> loadFields) {
         this.context = context;
-        this.attempts = attempts;
+        this.attemptListener = attemptListener;
         this.connectTimeoutMs = connectTimeoutMs;
         this.idleTimeoutMs = idleTimeoutMs;
         this.maxConnections = maxConnections;
         this.loadFields = loadFields;
-        closeLongIdle();
+        closeExpiredIdle();
     }
 
     /**
@@ -94,7 +94,7 @@
         }
         context.events().endpointsUpdated(listed, complete);
         replaced.forEach(this::stopUsing);
-        dropUnlisted(new HashSet<>(listed), complete);
+        closeAndRemoveUnlisted(new HashSet<>(listed), complete);
     }
 
     /**
@@ -116,9 +116,9 @@
     }
 
     /** Closes connections to servers that accept no new attempts, and removes unlisted servers. */
-    private void dropUnlisted(Set<Server> listed, boolean complete) {
+    private void closeAndRemoveUnlisted(Set<Server> listed, boolean complete) {
         List<PooledServer> affected =
-                complete ? new ArrayList<>(servers.values()) : inListedOrder(listed);
+                complete ? new ArrayList<>(servers.values()) : sortedByFirstListing(listed);
         for (PooledServer server : affected) {
             boolean absent = complete && !listed.contains(server);
             if (server.state() != Server.State.UP || absent) {
@@ -137,7 +137,7 @@
     }
 
     /** Sorts servers by when they were first listed, so that attempts end in a defined order. */
-    private static List<PooledServer> inListedOrder(Set<Server> listed) {
+    private static List<PooledServer> sortedByFirstListing(Set<Server> listed) {
         List<PooledServer> sorted = new ArrayList<>(listed.size());
         listed.forEach(server -> sorted.add((PooledServer) server));
         sorted.sort(Comparator.comparingLong(server -> server.sequence));
@@ -187,12 +187,12 @@
             closeAnyIdle();
         }
         ServerConnection connection = new ServerConnection(this, server);
-        server.opening.add(connection);
+        server.openingConnections.add(connection);
         connection.send(attempt, timeoutMs);
-        if (isAtLimit(server) && !server.idle.isEmpty()) {
-            ServerConnection resting = server.idle.peekLast();
-            resting.successor = connection;
-            resting.close(CloseReason.CLOSED_IDLE);
+        if (isAtLimit(server) && !server.idleConnections.isEmpty()) {
+            ServerConnection idleConnection = server.idleConnections.peekLast();
+            idleConnection.successor = connection;
+            idleConnection.close(CloseReason.CLOSED_IDLE);
         } else {
             open(connection);
         }
@@ -225,9 +225,9 @@
      */
     private ServerConnection takeReusable(PooledServer server) {
         double nowMs = context.nowMs();
-        for (ServerConnection connection : server.idle) {
+        for (ServerConnection connection : server.idleConnections) {
             if (nowMs - connection.idleSinceMs >= REUSE_DELAY_MS && connection.isQuiet()) {
-                server.idle.remove(connection);
+                server.idleConnections.remove(connection);
                 return connection;
             }
         }
@@ -236,8 +236,8 @@
 
     private void closeAnyIdle() {
         for (PooledServer server : servers.values()) {
-            if (!server.idle.isEmpty()) {
-                server.idle.peekLast().close(CloseReason.CLOSED_IDLE);
+            if (!server.idleConnections.isEmpty()) {
+                server.idleConnections.peekLast().close(CloseReason.CLOSED_IDLE);
                 return;
             }
         }
@@ -247,9 +247,9 @@
     void release(ServerConnection connection) {
         PooledServer server = connection.server;
         if (server.state() == Server.State.UP
-                && server.liveCount() <= context.fleetPolicy().connectionLimit(server)) {
+                && server.liveConnectionCount() <= context.fleetPolicy().connectionLimit(server)) {
             connection.idleSinceMs = context.nowMs();
-            server.idle.addFirst(connection);
+            server.idleConnections.addFirst(connection);
         } else {
             connection.close(CloseReason.CLOSED_IDLE);
         }
@@ -259,10 +259,10 @@
     void connectionClosed(ServerConnection connection, CloseReason reason) {
         PooledServer server = connection.server;
         if (connection.counted) {
-            server.closingCount++;
+            server.closedConnectionCount++;
         }
-        server.idle.remove(connection);
-        server.opening.remove(connection);
+        server.idleConnections.remove(connection);
+        server.openingConnections.remove(connection);
         // The machine may be down, as no connection can be opened: the idle ones may be dead.
         if (reason == CloseReason.CONNECT_REFUSED || reason == CloseReason.CONNECT_TIMEOUT) {
             closeIdleConnections(server);
@@ -277,7 +277,7 @@
             PooledServer server = connection.server;
             connectionCount--;
             server.connectionCount--;
-            server.closingCount--;
+            server.closedConnectionCount--;
             context.fleetPolicy().connectionClosed(server);
         }
         ServerConnection successor = connection.successor;
@@ -292,9 +292,9 @@
      */
     public void closeExcessConnections() {
         for (PooledServer server : servers.values()) {
-            while (server.liveCount() > context.fleetPolicy().connectionLimit(server)
-                    && !server.idle.isEmpty()) {
-                server.idle.peekLast().close(CloseReason.CLOSED_IDLE);
+            while (server.liveConnectionCount() > context.fleetPolicy().connectionLimit(server)
+                    && !server.idleConnections.isEmpty()) {
+                server.idleConnections.peekLast().close(CloseReason.CLOSED_IDLE);
             }
         }
     }
@@ -302,15 +302,15 @@
     /** Closes idle connections to a server, and cancels attempts that wait for a connection. */
     private void stopUsing(PooledServer server) {
         closeIdleConnections(server);
-        for (ServerConnection connection : new ArrayList<>(server.opening)) {
+        for (ServerConnection connection : new ArrayList<>(server.openingConnections)) {
             connection.close(CloseReason.CANCELLED);
         }
     }
 
     /** Closes the idle connections to a server. To be called within a batch. */
     public void closeIdleConnections(PooledServer server) {
-        while (!server.idle.isEmpty()) {
-            server.idle.peekFirst().close(CloseReason.CLOSED_IDLE);
+        while (!server.idleConnections.isEmpty()) {
+            server.idleConnections.peekFirst().close(CloseReason.CLOSED_IDLE);
         }
     }
 
@@ -318,16 +318,16 @@
      * Closes idle connections before their servers do, as a command sent while its server closes
      * the connection would be lost.
      */
-    private void closeLongIdle() {
+    private void closeExpiredIdle() {
         double nowMs = context.nowMs();
-        double maxIdleMs = IDLE_TIMEOUT_SHARE * idleTimeoutMs;
+        double maxIdleMs = IDLE_TIMEOUT_FRACTION * idleTimeoutMs;
         for (PooledServer server : servers.values()) {
-            while (!server.idle.isEmpty()
-                    && nowMs - server.idle.peekLast().idleSinceMs > maxIdleMs) {
-                server.idle.peekLast().close(CloseReason.CLOSED_IDLE);
+            while (!server.idleConnections.isEmpty()
+                    && nowMs - server.idleConnections.peekLast().idleSinceMs > maxIdleMs) {
+                server.idleConnections.peekLast().close(CloseReason.CLOSED_IDLE);
             }
         }
-        context.loop().schedule(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT, this::closeLongIdle);
+        context.loop().schedule(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT, this::closeExpiredIdle);
     }
 
     /** The values of a load report, or null if load reports are unused or the text has none. */
--- a/gateway/src/test/java/tinford/routing/RoutingFixtures.java
+++ b/gateway/src/test/java/tinford/routing/RoutingFixtures.java
@@ -85,12 +85,12 @@
     }
 
     /** The command of an idempotent request of class "f" and plan "p". */
-    public static String ask(int id, int timeoutMs) {
+    public static String askCommand(int id, int timeoutMs) {
         return command("Q.ASK", TENANT, hexId(id), "c=f,t=p,d=" + timeoutMs);
     }
 
     /** The command of a request that is not idempotent, with further words after its terms. */
-    public static String doOnce(int id, String requestClass, int timeoutMs, String... body) {
+    public static String doCommand(int id, String requestClass, int timeoutMs, String... body) {
         String[] words = new String[4 + body.length];
         words[0] = "Q.DO";
         words[1] = TENANT;
@@ -123,11 +123,12 @@
      *
      * @param resources list that its sockets are added to, to be closed at the end of the test
      */
-    public static ServerSocket fullServer(List<AutoCloseable> open) throws IOException {
+    public static ServerSocket serverWithFullBacklog(List<AutoCloseable> resources)
+            throws IOException {
         ServerSocket full = new ServerSocket(0, 1, LOOPBACK);
-        open.add(full);
+        resources.add(full);
         for (int i = 0; i < 2; i++) {
-            open.add(new Socket(LOOPBACK, full.getLocalPort()));
+            resources.add(new Socket(LOOPBACK, full.getLocalPort()));
         }
         return full;
     }
--- a/gateway/src/test/java/tinford/routing/client/ClientDisconnectTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ClientDisconnectTest.java
@@ -30,10 +30,10 @@
         Socket client = connect();
         runBatch(
                 () -> {
-                    write(client, ask(1));
+                    write(client, askCommand(1));
                     disconnect(client, way);
                 });
-        write(connect(), ask(2));
+        write(connect(), askCommand(2));
         String event = nextEvent();
         while (!event.equals("arrived 2, client connected")) {
             assertTrue(
@@ -54,7 +54,7 @@
             case "a command that there is no room for" -> partialCommand(9);
             default ->
                     IntStream.range(2, 80)
-                            .mapToObj(ForwardingFixture::ask)
+                            .mapToObj(ForwardingFixture::askCommand)
                             .collect(Collectors.joining());
         };
     }
@@ -75,7 +75,7 @@
         // Takes all the memory for commands being received, and is never completed.
         write(connect(), partialCommand(8));
         Socket client = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         assertEquals(nextEvent(), "arrived");
         write(client, unreadText(kind));
         disconnect(client, "closes");
@@ -91,9 +91,9 @@
     public void commandBehindADiscardedOneIsAnsweredInOrder() throws Exception {
         write(connect(), partialCommand(8));
         Socket client = connect();
-        forwards = true;
+        forwardsRequests = true;
         useSlowServer();
-        write(client, ask(1));
+        write(client, askCommand(1));
         Socket server = acceptAtSlowServer();
         write(client, longCommand(9) + PING);
         write(server, "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
--- a/gateway/src/test/java/tinford/routing/client/ClosingFixture.java
+++ b/gateway/src/test/java/tinford/routing/client/ClosingFixture.java
@@ -41,12 +41,12 @@
     static final int LONGEST_TIMEOUT_MS = 8000;
     private static final int REQUEST_TIMEOUT_MS = 900;
     final AtomicLong nanoTime = new AtomicLong();
-    final List<AutoCloseable> open = new ArrayList<>();
+    final List<AutoCloseable> resources = new ArrayList<>();
     final List<Long> arrivedIds = new CopyOnWriteArrayList<>();
-    private final LinkedBlockingQueue<ClientRequest> arrived = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<ClientRequest> requests = new LinkedBlockingQueue<>();
 
     /** Whether requests fail on arrival; otherwise they stay open. */
-    boolean failsAtOnce;
+    boolean failsRequests;
 
     /** Whether a unit is returned to the counter when a client disconnects. */
     boolean returnsUnits;
@@ -58,10 +58,10 @@
 
     @BeforeMethod
     public void start() throws Exception {
-        failsAtOnce = true;
+        failsRequests = true;
         returnsUnits = false;
         nanoTime.set(0);
-        arrived.clear();
+        requests.clear();
         arrivedIds.clear();
         dispatcher = new RequestDispatcher(decisions(), 3, 20, 64 << 20, nanoTime::get);
         clients =
@@ -91,8 +91,8 @@
                         @Override
                         public void requestArrived(Request request) {
                             arrivedIds.add(request.id);
-                            arrived.add((ClientRequest) request);
-                            if (failsAtOnce) {
+                            requests.add((ClientRequest) request);
+                            if (failsRequests) {
                                 to.fail(request);
                             }
                         }
@@ -109,10 +109,10 @@
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
-        open.clear();
+        resources.clear();
         dispatcher.loop().close();
     }
 
@@ -142,7 +142,7 @@
      */
     Socket connect(int receiveBufferBytes) throws IOException {
         Socket socket = new Socket();
-        open.add(socket);
+        resources.add(socket);
         if (receiveBufferBytes > 0) {
             socket.setReceiveBufferSize(receiveBufferBytes);
         }
@@ -167,15 +167,15 @@
         return text.toString();
     }
 
-    static String ask(int id) {
-        return RoutingFixtures.ask(id, REQUEST_TIMEOUT_MS);
+    static String askCommand(int id) {
+        return RoutingFixtures.askCommand(id, REQUEST_TIMEOUT_MS);
     }
 
     /**
      * Returns once data that was written before on any connection has been read, and its batch has
      * ended.
      */
-    void settle() throws Exception {
+    void awaitInputProcessed() throws Exception {
         for (int i = 0; i < 2; i++) {
             Socket other = connect();
             write(other, PING);
@@ -185,7 +185,7 @@
         runBatch(() -> {});
     }
 
-    ClientRequest nextArrived() throws InterruptedException {
-        return arrived.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    ClientRequest nextRequest() throws InterruptedException {
+        return requests.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
@@ -33,11 +33,11 @@
     /** The connection is to close while the response before a malformed command is still due. */
     @Test
     public void commandBehindAMalformedOneIsNotRead() throws Exception {
-        failsAtOnce = false;
+        failsRequests = false;
         Socket client = connect();
-        write(client, ask(1) + "+nonsense\r\n");
-        ClientRequest request = nextArrived();
-        write(client, ask(2));
+        write(client, askCommand(1) + "+nonsense\r\n");
+        ClientRequest request = nextRequest();
+        write(client, askCommand(2));
         runBatch(() -> {});
         runBatch(() -> clients.closeWhenAnswered(() -> {}));
         runBatch(() -> clients.fail(request));
@@ -57,9 +57,9 @@
      * @return length of the response in bytes
      */
     private int closeBehindUnreadResponse(Socket client) throws Exception {
-        failsAtOnce = false;
-        write(client, ask(1));
-        ClientRequest request = nextArrived();
+        failsRequests = false;
+        write(client, askCommand(1));
+        ClientRequest request = nextRequest();
         int[] written = new int[1];
         do { // until the socket's send buffer is full
             runBatch(
@@ -69,7 +69,7 @@
                         written[0] += PART_BYTES;
                     });
         } while (request.connection.isAllWritten());
-        failsAtOnce = true;
+        failsRequests = true;
         // Far more than fits into the socket's send buffer.
         byte[] rest = new byte[8 * PART_BYTES];
         runBatch(
@@ -97,8 +97,8 @@
     public void requestBeforeTheEndOfSendingIsAnswered() throws Exception {
         Socket client = connect(SMALL_BUFFER_BYTES);
         int length = closeBehindUnreadResponse(client);
-        write(client, ask(2));
-        settle();
+        write(client, askCommand(2));
+        awaitInputProcessed();
         assertEquals(client.getInputStream().readNBytes(length).length, length);
         assertEquals(readToEnd(client), ABORTED);
         assertEquals(arrivedIds, List.of(1L, 2L));
@@ -109,19 +109,19 @@
     public void requestBehindTheEndOfSendingIsNeverForwarded() throws Exception {
         Socket client = connect();
         Socket other = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         assertEquals(read(client, ABORTED.length()), ABORTED);
-        ClientConnection connection = nextArrived().connection;
-        write(other, ask(2).substring(0, 30));
-        write(client, ask(3).substring(0, 30));
+        ClientConnection connection = nextRequest().connection;
+        write(other, askCommand(2).substring(0, 30));
+        write(client, askCommand(3).substring(0, 30));
         runBatch(() -> {});
-        write(client, ask(3).substring(30));
+        write(client, askCommand(3).substring(30));
         assertEquals(read(client, ABORTED.length()), ABORTED);
         runBatch(clients::closeIdleConnections);
         assertEquals(client.getInputStream().read(), -1);
-        write(client, ask(4) + "x".repeat(200_000) + ask(5));
+        write(client, askCommand(4) + "x".repeat(200_000) + askCommand(5));
         // A command that had arrived in part before the close is answered.
-        write(other, ask(2).substring(30));
+        write(other, askCommand(2).substring(30));
         assertEquals(read(other, ABORTED.length()), ABORTED);
         runBatch(() -> {});
         assertFalse(connection.isClosed());
@@ -140,18 +140,18 @@
     public void requestThatCrossesAnIdleCloseIsAnsweredOrNeverRead(boolean before)
             throws Exception {
         Socket client = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         assertEquals(read(client, ABORTED.length()), ABORTED);
-        ClientConnection connection = nextArrived().connection;
+        ClientConnection connection = nextRequest().connection;
         runBatch(
                 () -> {
                     if (before) {
-                        write(client, ask(2));
+                        write(client, askCommand(2));
                     }
                     connection.checkTimeouts(dispatcher.nowMs() + 15_000);
                     if (!before) {
                         try {
-                            write(client, ask(2));
+                            write(client, askCommand(2));
                         } catch (UncheckedIOException e) {
                             // The client has seen the close and cannot write.
                         }
@@ -169,12 +169,12 @@
     @Test
     public void smallWritesAreSentAtOnce() throws Exception {
         Socket client = connect();
-        write(client, ask(1));
-        ClientConnection accepted = nextArrived().connection;
+        write(client, askCommand(1));
+        ClientConnection accepted = nextRequest().connection;
         assertEquals(read(client, ABORTED.length()), ABORTED);
         assertTrue(hasNoDelay(accepted), "accepted");
         ServerSocket server = new ServerSocket(0, 1, LOOPBACK);
-        open.add(server);
+        resources.add(server);
         CountDownLatch established = new CountDownLatch(1);
         OutgoingConnection[] outgoing = new OutgoingConnection[1];
         runBatch(() -> outgoing[0] = new OutgoingConnection(server, established));
--- a/gateway/src/test/java/tinford/routing/client/ConnectionReclaimTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionReclaimTest.java
@@ -5,7 +5,7 @@
 import static tinford.routing.RoutingFixtures.LOOPBACK;
 import static tinford.routing.RoutingFixtures.PING;
 import static tinford.routing.RoutingFixtures.PONG;
-import static tinford.routing.RoutingFixtures.ask;
+import static tinford.routing.RoutingFixtures.askCommand;
 import static tinford.routing.RoutingFixtures.read;
 import static tinford.routing.RoutingFixtures.write;
 
@@ -82,8 +82,8 @@
     @Test(dataProvider = "closes")
     public void unreadRequestKeepsItsConnection(String how) throws Exception {
         try (Socket longestIdle = new Socket(LOOPBACK, port);
-                Socket next = new Socket(LOOPBACK, port)) {
-            for (Socket socket : List.of(longestIdle, next)) {
+                Socket recentlyUsed = new Socket(LOOPBACK, port)) {
+            for (Socket socket : List.of(longestIdle, recentlyUsed)) {
                 socket.setSoTimeout(10_000);
                 write(socket, PING);
                 assertEquals(read(socket, PONG.length()), PONG);
@@ -94,15 +94,15 @@
                     .execute(
                             () -> {
                                 if (!crossed) {
-                                    write(longestIdle, ask(1, REQUEST_TIMEOUT_MS));
+                                    write(longestIdle, askCommand(1, REQUEST_TIMEOUT_MS));
                                 }
                                 beginClose(how.split(",")[0]);
                                 if (crossed) {
-                                    write(longestIdle, ask(1, REQUEST_TIMEOUT_MS));
+                                    write(longestIdle, askCommand(1, REQUEST_TIMEOUT_MS));
                                 }
                             });
             assertEquals(read(longestIdle, ABORTED.length()), ABORTED);
-            assertEquals(next.getInputStream().read(), -1);
+            assertEquals(recentlyUsed.getInputStream().read(), -1);
         }
     }
 
@@ -120,7 +120,7 @@
         onAnswered = () -> clients.reclaimConnections(ConnectionActivity.BUSY);
         try (Socket socket = new Socket(LOOPBACK, port)) {
             socket.setSoTimeout(10_000);
-            write(socket, ask(1, REQUEST_TIMEOUT_MS));
+            write(socket, askCommand(1, REQUEST_TIMEOUT_MS));
             assertEquals(read(socket, ABORTED.length()), ABORTED);
         }
     }
--- a/gateway/src/test/java/tinford/routing/client/DecisionFailureTest.java
+++ b/gateway/src/test/java/tinford/routing/client/DecisionFailureTest.java
@@ -16,10 +16,10 @@
     public void requestThatIsNotDecidedOnIsAnsweredAsFailed() throws Exception {
         arrivalFailure = new OutOfMemoryError();
         Socket client = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         assertEquals(read(client, ABORTED.length()), ABORTED);
         arrivalFailure = null;
-        write(client, ask(2));
+        write(client, askCommand(2));
         assertEquals(nextEvent(), "arrived");
         assertEquals(nextEvent(), "arrived");
     }
@@ -30,13 +30,13 @@
      */
     @Test
     public void requestWhoseAttemptEndsWithoutADecisionIsAnsweredAsFailed() throws Exception {
-        forwards = true;
+        forwardsRequests = true;
         useSlowServer();
         attemptEndFailure = new OutOfMemoryError();
         Socket client = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         Socket server = acceptAtSlowServer();
-        read(server, ask(1).length());
+        read(server, askCommand(1).length());
         server.close();
         assertEquals(read(client, ABORTED.length()), ABORTED);
         assertEquals(nextEvent(), "arrived");
--- a/gateway/src/test/java/tinford/routing/client/ForwardingFixture.java
+++ b/gateway/src/test/java/tinford/routing/client/ForwardingFixture.java
@@ -1,9 +1,9 @@
 package tinford.routing.client;
 
 import static tinford.routing.RoutingFixtures.LOOPBACK;
-import static tinford.routing.RoutingFixtures.fullServer;
 import static tinford.routing.RoutingFixtures.hostEntry;
 import static tinford.routing.RoutingFixtures.requestClass;
+import static tinford.routing.RoutingFixtures.serverWithFullBacklog;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -42,7 +42,7 @@
     /** Half of it is available to commands being received, which is enough for one long command. */
     private static final int MAX_HELD_BYTES = 6_000_000;
 
-    final List<AutoCloseable> open = new ArrayList<>();
+    final List<AutoCloseable> resources = new ArrayList<>();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private InetSocketAddress address;
     ServerSocket fullServer;
@@ -58,7 +58,7 @@
     volatile double sendWithinMs;
 
     /** Whether each request is sent to the first server. */
-    volatile boolean forwards;
+    volatile boolean forwardsRequests;
 
     /** Thrown by the decision module when a request arrives, or null. */
     volatile Error arrivalFailure;
@@ -71,21 +71,21 @@
 
     @BeforeMethod
     public void start() throws Exception {
-        forwards = false;
+        forwardsRequests = false;
         checksClients = false;
         arrivalFailure = null;
         attemptEndFailure = null;
         sendWithinMs = Double.POSITIVE_INFINITY;
         events.clear();
-        fullServer = fullServer(open);
+        fullServer = serverWithFullBacklog(resources);
         slowServer = new ServerSocket();
         slowServer.setReceiveBufferSize(4096);
         slowServer.bind(new InetSocketAddress(LOOPBACK, 0));
         slowServer.setSoTimeout(TIMEOUT_MS);
-        open.add(slowServer);
+        resources.add(slowServer);
         DecisionModule decisions = (now, batch, to) -> batch.replay(new Recorder(to));
         dispatcher = new RequestDispatcher(decisions, 3, 30, 1 << 26);
-        open.add(dispatcher.loop()::close);
+        resources.add(dispatcher.loop()::close);
         servers = new ServerPool(dispatcher, dispatcher, 2.0 * TIMEOUT_MS, 15_000, 10, List.of());
         clients =
                 new ClientPool(
@@ -108,10 +108,10 @@
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
-        open.clear();
+        resources.clear();
     }
 
     /** Records the events that the decision module receives. */
@@ -133,7 +133,7 @@
             if (arrivalFailure != null) {
                 throw arrivalFailure;
             }
-            if (forwards) {
+            if (forwardsRequests) {
                 actions.sendAttempt(request, firstServer, 0, sendWithinMs);
             }
         }
@@ -189,24 +189,24 @@
 
     Socket acceptAtSlowServer() throws IOException {
         Socket socket = slowServer.accept();
-        open.add(socket);
+        resources.add(socket);
         return socket;
     }
 
     Socket connect() throws IOException {
         Socket socket = new Socket(LOOPBACK, address.getPort());
         socket.setSoTimeout(TIMEOUT_MS);
-        open.add(socket);
+        resources.add(socket);
         return socket;
     }
 
-    static String ask(int id) {
-        return RoutingFixtures.ask(id, REQUEST_TIMEOUT_MS);
+    static String askCommand(int id) {
+        return RoutingFixtures.askCommand(id, REQUEST_TIMEOUT_MS);
     }
 
     /** A command whose body exceeds the buffers of the sockets. */
     static String longCommand(int id) {
-        return RoutingFixtures.doOnce(id, "w", REQUEST_TIMEOUT_MS, "x".repeat(LONG_BODY_BYTES));
+        return RoutingFixtures.doCommand(id, "w", REQUEST_TIMEOUT_MS, "x".repeat(LONG_BODY_BYTES));
     }
 
     /** Disconnects a client in one of the ways of the tests' data providers. */
--- a/gateway/src/test/java/tinford/routing/client/ProcessEndTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ProcessEndTest.java
@@ -35,7 +35,7 @@
         runBatch(
                 () -> {
                     client[0] = connectWithinBatch();
-                    write(client[0], ask(1));
+                    write(client[0], askCommand(1));
                     clients.stopAccepting(
                             0,
                             () -> {
@@ -62,20 +62,20 @@
     @Test
     public void unitsAreGivenBackBeforeTheEnd() throws Exception {
         returnsUnits = true;
-        failsAtOnce = false;
+        failsRequests = false;
         ServerSocket counterServer = new ServerSocket(0, 1, LOOPBACK);
-        open.add(counterServer);
+        resources.add(counterServer);
         InetSocketAddress address = new InetSocketAddress(LOOPBACK, counterServer.getLocalPort());
         CounterClient counter = new CounterClient(dispatcher, address, 60_000, 60_000, 1);
         dispatcher.attach(clients, null, counter, null, null);
         runBatch(() -> actions.incrementCounter(1, 1, 1000));
         Socket counterSocket = counterServer.accept();
-        open.add(counterSocket);
+        resources.add(counterSocket);
         assertEquals(read(counterSocket, COMMAND_LENGTH).length(), COMMAND_LENGTH);
         write(counterSocket, "$1\r\n1\r\n");
         Socket client = connect();
-        write(client, ask(1));
-        nextArrived();
+        write(client, askCommand(1));
+        nextRequest();
         LinkedBlockingQueue<String> counted = new LinkedBlockingQueue<>();
         runBatch(() -> clients.closeWhenAnswered(() -> counted.add(readCommand(counterSocket))));
         client.close();
@@ -96,17 +96,17 @@
     /** Open requests are answered; later requests and partial commands are rejected. */
     @Test
     public void nothingReadIsLeftUnansweredAtTheEnd() throws Exception {
-        failsAtOnce = false;
+        failsRequests = false;
         Socket waiting = connect();
         Socket partial = connect();
         Socket both = connect();
-        write(waiting, ask(1) + ask(2));
-        write(partial, ask(3).substring(0, 40));
-        write(both, ask(4) + ask(5).substring(0, 40));
-        nextArrived();
-        nextArrived();
-        nextArrived();
-        settle();
+        write(waiting, askCommand(1) + askCommand(2));
+        write(partial, askCommand(3).substring(0, 40));
+        write(both, askCommand(4) + askCommand(5).substring(0, 40));
+        nextRequest();
+        nextRequest();
+        nextRequest();
+        awaitInputProcessed();
         CountDownLatch ended = new CountDownLatch(1);
         runBatch(() -> clients.closeWhenAnswered(ended::countDown));
         advanceTime(3019);
@@ -114,7 +114,7 @@
         assertEquals(available, 0);
         runBatch(
                 () -> {
-                    write(waiting, ask(7));
+                    write(waiting, askCommand(7));
                     nanoTime.addAndGet(1_000_000L);
                 });
         assertEquals(readToEnd(waiting), REJECTED.repeat(3));
--- a/gateway/src/test/java/tinford/routing/client/UnsentAttemptTest.java
+++ b/gateway/src/test/java/tinford/routing/client/UnsentAttemptTest.java
@@ -26,9 +26,9 @@
     /** The attempt must not be sent if its connection is established after the disconnect. */
     @Test(dataProvider = "disconnects")
     public void attemptThatWaitsForAConnectionEndsWithItsClient(String way) throws Exception {
-        forwards = true;
+        forwardsRequests = true;
         Socket client = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         assertEquals(nextEvent(), "arrived");
         disconnect(client, way);
         assertEquals(nextEvent(), "disconnected");
@@ -38,9 +38,9 @@
     /** The request is answered at the end of the process, so its attempt must not be sent. */
     @Test
     public void attemptThatWaitsForAConnectionEndsWithTheProcess() throws Exception {
-        forwards = true;
+        forwardsRequests = true;
         Socket client = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         assertEquals(nextEvent(), "arrived");
         runBatch(() -> clients.closeWhenAnswered(() -> {}));
         assertEquals(read(client, ABORTED.length()), ABORTED);
@@ -59,8 +59,8 @@
     @Test(dataProvider = "serverChanges")
     public void attemptThatWaitsForAConnectionDoesNotReachALeavingServer(String change)
             throws Exception {
-        forwards = true;
-        write(connect(), ask(1));
+        forwardsRequests = true;
+        write(connect(), askCommand(1));
         assertEquals(nextEvent(), "arrived");
         runBatch(() -> changeServer(change));
         assertEquals(nextEvent(), ended(NOT_SENT));
@@ -79,16 +79,16 @@
     /** An attempt ends at its send deadline, even if its connection is not established by then. */
     @Test
     public void attemptNotSentInItsTimeIsGivenUp() throws Exception {
-        forwards = true;
+        forwardsRequests = true;
         sendWithinMs = 50;
-        write(connect(), ask(1));
+        write(connect(), askCommand(1));
         assertEquals(nextEvent(), "arrived");
         assertEquals(nextEvent(), ended(NOT_SENT));
         useSlowServer();
         sendWithinMs = TIMEOUT_MS;
-        write(connect(), ask(2));
+        write(connect(), askCommand(2));
         Socket server = acceptAtSlowServer();
-        assertTrue(read(server, ask(2).length()).startsWith("*4"));
+        assertTrue(read(server, askCommand(2).length()).startsWith("*4"));
         assertEquals(nextEvent(), "arrived");
         write(server, "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
         assertEquals(nextEvent(), ended(SUCCESS));
@@ -97,7 +97,7 @@
     /** The rest of a command is never sent if the client disconnects before the server reads it. */
     @Test
     public void longCommandHalfWrittenEndsWithItsClient() throws Exception {
-        forwards = true;
+        forwardsRequests = true;
         useSlowServer();
         Socket client = connect();
         write(client, longCommand(1));
--- a/gateway/src/test/java/tinford/routing/discovery/DiscoveryFixture.java
+++ b/gateway/src/test/java/tinford/routing/discovery/DiscoveryFixture.java
@@ -62,7 +62,7 @@
     private static final int TRICKLE_LENGTH = 120;
     private static final int TRICKLE_INTERVAL_MS = 100;
     final AtomicLong nanoTime = new AtomicLong();
-    final List<AutoCloseable> open = new ArrayList<>();
+    final List<AutoCloseable> resources = new ArrayList<>();
 
     /** Servers on the list in force, by id. */
     final Map<String, Server> listed = new TreeMap<>();
@@ -78,7 +78,7 @@
     int failedFetches;
     int descriptors;
     double connectTimeoutMs;
-    boolean accepts;
+    boolean acceptsConnections;
     ServerSocketChannel listener;
 
     /** Address of a closed listener. */
@@ -225,7 +225,7 @@
         failedFetches = 0;
         descriptors = 20;
         connectTimeoutMs = 250;
-        accepts = true;
+        acceptsConnections = true;
         listener = listen();
     }
 
@@ -236,7 +236,7 @@
     ServerSocketChannel listen(InetSocketAddress address) throws IOException {
         ServerSocketChannel opened = ServerSocketChannel.open().bind(address, 1);
         opened.configureBlocking(false);
-        open.add(opened);
+        resources.add(opened);
         return opened;
     }
 
@@ -253,7 +253,7 @@
         for (int i = 0; i < 2; i++) {
             Socket filler = new Socket();
             filler.connect(address());
-            open.add(filler);
+            resources.add(filler);
         }
     }
 
@@ -269,7 +269,7 @@
                         descriptors,
                         1 << 22,
                         nanoTime::get);
-        open.add(dispatcher.loop()::close);
+        resources.add(dispatcher.loop()::close);
         probeAddress = new InetSocketAddress(LOOPBACK, FreePort.find());
         new UdpSocket(
                 dispatcher.loop(), probeAddress, 8, (from, bytes) -> probesReceived.release());
@@ -291,7 +291,7 @@
                 .execute(
                         () -> {
                             servers.updateEndpoints(known);
-                            watch.setWanted(true);
+                            watch.setEnabled(true);
                         });
     }
 
@@ -319,7 +319,7 @@
      * Returns once the gateway has read all data that was sent before. It uses datagrams, which are
      * read in the order of their arrival.
      */
-    private void settle() throws Exception {
+    private void awaitInputProcessed() throws Exception {
         for (int i = 0; i < 3; i++) {
             probeSocket.send(new DatagramPacket(new byte[1], 1, probeAddress));
             assertTrue(probesReceived.tryAcquire(TIMEOUT_MS, TimeUnit.MILLISECONDS));
@@ -334,23 +334,23 @@
     /** Runs until a time; each call gets the script for the number of calls before it. */
     void play(int untilMs, IntFunction<Script> scripts) throws Exception {
         while (nowMs < untilMs) {
-            settle();
+            awaitInputProcessed();
             acceptAll();
-            settle();
+            awaitInputProcessed();
             for (ScriptedConnection connection : connections) {
                 connection.play(scripts);
             }
-            settle();
+            awaitInputProcessed();
             nowMs += STEP_MS;
             nanoTime.set(nowMs * 1_000_000L);
         }
     }
 
     private void acceptAll() throws IOException {
-        SocketChannel channel = accepts ? listener.accept() : null;
+        SocketChannel channel = acceptsConnections ? listener.accept() : null;
         while (channel != null) {
             channel.configureBlocking(false);
-            open.add(channel);
+            resources.add(channel);
             connections.add(new ScriptedConnection(channel));
             channel = listener.accept();
         }
@@ -358,10 +358,10 @@
 
     @AfterMethod(alwaysRun = true)
     public void clear() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
-        open.clear();
+        resources.clear();
         listed.clear();
         callTimesMs.clear();
         requestLines.clear();
--- a/gateway/src/test/java/tinford/routing/discovery/DiscoveryOutageTest.java
+++ b/gateway/src/test/java/tinford/routing/discovery/DiscoveryOutageTest.java
@@ -130,8 +130,9 @@
         int worstMs = 0;
         for (int seed = 1; seed <= 3; seed++) {
             for (int lengthMs = 150 * seed; lengthMs <= 7000; lengthMs += 1400) {
-                OutagePlay play = new OutagePlay(outage, connectMs, scripts, 0, false, lengthMs, 0);
-                worstMs = Math.max(worstMs, recoveryMs(play, seed));
+                OutageCase outageCase =
+                        new OutageCase(outage, connectMs, scripts, 0, false, lengthMs, 0);
+                worstMs = Math.max(worstMs, recoveryMs(outageCase, seed));
             }
         }
         int worstMidwayMs = 0;
@@ -139,9 +140,9 @@
             int fromMs = MIDWAY_MS + 600 * (seed - 1);
             boolean resets = seed % 2 == 0;
             for (int lengthMs = 150 * seed; lengthMs <= 6000; lengthMs += 3000) {
-                OutagePlay play =
-                        new OutagePlay(outage, connectMs, scripts, fromMs, resets, lengthMs, 0);
-                worstMidwayMs = Math.max(worstMidwayMs, recoveryMs(play, seed));
+                OutageCase outageCase =
+                        new OutageCase(outage, connectMs, scripts, fromMs, resets, lengthMs, 0);
+                worstMidwayMs = Math.max(worstMidwayMs, recoveryMs(outageCase, seed));
             }
         }
         Reporter.log(name + ": at most " + worstMs + " ms, midway " + worstMidwayMs, true);
@@ -158,10 +159,10 @@
         int worstMidwayMs = 0;
         for (int seed = 1; seed <= 4; seed++) {
             for (int lengthMs = 150 * seed; lengthMs <= 10_000; lengthMs += 1100) {
-                worstMs = Math.max(worstMs, recoveryMs(silentPlay(0, lengthMs), seed));
+                worstMs = Math.max(worstMs, recoveryMs(silentOutage(0, lengthMs), seed));
             }
             for (int lengthMs = STEP_MS; lengthMs <= 3000; lengthMs += 600) {
-                int tookMs = recoveryMs(silentPlay(MIDWAY_MS, lengthMs), seed);
+                int tookMs = recoveryMs(silentOutage(MIDWAY_MS, lengthMs), seed);
                 worstMidwayMs = Math.max(worstMidwayMs, tookMs);
             }
         }
@@ -179,8 +180,8 @@
         assertTrue(worstMidwayMs <= longestMidwayMs, "midway at most " + worstMidwayMs);
     }
 
-    private static OutagePlay silentPlay(int fromMs, int lengthMs) {
-        return new OutagePlay(
+    private static OutageCase silentOutage(int fromMs, int lengthMs) {
+        return new OutageCase(
                 Outage.SCRIPTED, 250, scripts(Script.SILENT), fromMs, false, lengthMs, 1);
     }
 
@@ -192,7 +193,7 @@
      * @param resets whether that watch is reset at the start, rather than left open and silent
      * @param lostCalls number of calls after the outage that are not answered
      */
-    private record OutagePlay(
+    private record OutageCase(
             Outage outage,
             int connectTimeoutMs,
             Script[] scripts,
@@ -206,50 +207,50 @@
     }
 
     /** Runs an outage; returns the time from its end until the change was in force. */
-    private int recoveryMs(OutagePlay play, long seed) throws Exception {
+    private int recoveryMs(OutageCase outageCase, long seed) throws Exception {
         clear();
         prepare();
-        connectTimeoutMs = play.connectTimeoutMs();
-        IntFunction<Script> scripts = scriptsOf(play);
-        if (play.fromMs() == 0) {
-            beginOutage(play.outage(), true);
+        connectTimeoutMs = outageCase.connectTimeoutMs();
+        IntFunction<Script> scripts = scriptsOf(outageCase);
+        if (outageCase.fromMs() == 0) {
+            beginOutage(outageCase.outage(), true);
             start(seed);
         } else {
             start(seed);
-            play(play.fromMs(), scripts);
+            play(outageCase.fromMs(), scripts);
             assertEquals(callTimesMs, List.of(0));
-            beginOutage(play.outage(), false);
-            if (play.resets()) {
+            beginOutage(outageCase.outage(), false);
+            if (outageCase.resets()) {
                 connections.get(0).reset();
             }
         }
-        play(play.endMs(), scripts);
+        play(outageCase.endMs(), scripts);
         assertTrue(removedAtMs < 0, "s0 removed before the list was sent");
-        endOutage(play.outage());
-        while (removedAtMs < 0 && nowMs <= play.endMs() + DEADLINE_MS) {
+        endOutage(outageCase.outage());
+        while (removedAtMs < 0 && nowMs <= outageCase.endMs() + DEADLINE_MS) {
             play(nowMs + STEP_MS, scripts);
         }
         assertTrue(
                 removedAtMs >= 0,
                 "list not in force in time: outage length in ms: "
-                        + play.lengthMs()
+                        + outageCase.lengthMs()
                         + ", start: "
-                        + play.fromMs()
+                        + outageCase.fromMs()
                         + ", calls at: "
                         + callTimesMs);
         long alive = connections.stream().filter(c -> c.isCalled() && c.isOpen()).count();
         assertTrue(alive <= 2, alive + " connections open at once");
-        return removedAtMs - play.endMs();
+        return removedAtMs - outageCase.endMs();
     }
 
-    private IntFunction<Script> scriptsOf(OutagePlay play) {
-        int[] lostCalls = {play.lostCalls()};
+    private IntFunction<Script> scriptsOf(OutageCase outageCase) {
+        int[] lostCalls = {outageCase.lostCalls()};
         return call -> {
-            if (nowMs < play.fromMs()) {
-                return linesBefore(play.fromMs());
+            if (nowMs < outageCase.fromMs()) {
+                return linesBefore(outageCase.fromMs());
             }
-            if (nowMs < play.endMs()) {
-                return play.scripts()[call % play.scripts().length];
+            if (nowMs < outageCase.endMs()) {
+                return outageCase.scripts()[call % outageCase.scripts().length];
             }
             boolean lost = lostCalls[0] > 0;
             lostCalls[0]--;
@@ -268,7 +269,7 @@
      * @param beforeStart whether the watch has not been started yet
      */
     private void beginOutage(Outage outage, boolean beforeStart) throws IOException {
-        accepts = outage != Outage.FULL && outage != Outage.REFUSED;
+        acceptsConnections = outage != Outage.FULL && outage != Outage.REFUSED;
         switch (outage) {
             case REFUSED -> closeListener();
             case FULL -> fillBacklog();
@@ -289,12 +290,12 @@
         listener.close();
         SocketChannel holder =
                 SocketChannel.open().setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        open.add(holder.bind(address));
+        resources.add(holder.bind(address));
         closedAddress = address;
     }
 
     private void endOutage(Outage outage) throws IOException {
-        accepts = true;
+        acceptsConnections = true;
         if (outage == Outage.REFUSED) {
             listener = listen(closedAddress);
         } else if (outage == Outage.NO_DESCRIPTOR) {
--- a/gateway/src/test/java/tinford/routing/discovery/DiscoveryWatchTest.java
+++ b/gateway/src/test/java/tinford/routing/discovery/DiscoveryWatchTest.java
@@ -293,12 +293,12 @@
     /** A connection that is not established is retried after its connect timeout. */
     @Test
     public void connectionNeverEstablishedIsRetried() throws Exception {
-        accepts = false;
+        acceptsConnections = false;
         fillBacklog();
         start(1);
         play(3000, ALIVE);
         assertEquals(callTimesMs, List.of());
-        accepts = true;
+        acceptsConnections = true;
         play(5000, ALIVE);
         // 250 ms of connect timeout and 750 ms of backoff.
         assertTrue(removedAtMs <= 4050, "removed at " + removedAtMs);
--- a/gateway/src/test/java/tinford/routing/upstream/EndpointListTest.java
+++ b/gateway/src/test/java/tinford/routing/upstream/EndpointListTest.java
@@ -25,7 +25,7 @@
 public class EndpointListTest {
     private static final int FLEET_SIZE = 6000;
     private static final int MAX_REMOVED_IDS = 4096;
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private final Map<String, PooledServer> listed = new LinkedHashMap<>();
 
     /** Ids of the servers whose connections were closed, in order. */
@@ -39,7 +39,7 @@
     public void start() throws Exception {
         listed.clear();
         closed.clear();
-        fullServer = RoutingFixtures.fullServer(open);
+        fullServer = RoutingFixtures.serverWithFullBacklog(resources);
         IgnoredEvents events =
                 new IgnoredEvents() {
                     @Override
@@ -48,7 +48,7 @@
                     }
                 };
         dispatcher = new RequestDispatcher(RoutingFixtures.decisions(events), 3, 100, 1 << 24);
-        open.add(dispatcher.loop()::close);
+        resources.add(dispatcher.loop()::close);
         servers = new ServerPool(dispatcher, dispatcher, 60_000, 60_000, 100, List.of());
         dispatcher.attach(null, servers, null, null, null);
         FleetPolicy policy =
@@ -58,15 +58,15 @@
                         closed.add(server.id);
                     }
                 };
-        runBatch(() -> dispatcher.joinFleet(policy));
+        runBatch(() -> dispatcher.applyFleetPolicy(policy));
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
-        open.clear();
+        resources.clear();
     }
 
     /** Whether the list is complete; its entries; servers whose connections close, in order. */
@@ -86,7 +86,7 @@
     public void connectionsCloseInTheOrderOfFirstListing(
             boolean complete, String entries, String expected) throws Exception {
         String[] each = entries.isEmpty() ? new String[0] : entries.split(",");
-        assertEquals(closedBy(complete, each), expected);
+        assertEquals(closedIdsAfter(complete, each), expected);
     }
 
     @Test
@@ -130,7 +130,7 @@
                 });
     }
 
-    private String closedBy(boolean complete, String... entries) throws Exception {
+    private String closedIdsAfter(boolean complete, String... entries) throws Exception {
         runBatch(() -> update(true, IntStream.range(0, 8).mapToObj(i -> i + " ready")));
         runBatch(this::connectToAll);
         runBatch(() -> update(complete, Stream.of(entries)));
@@ -149,7 +149,7 @@
             ServerConnection connection = new ServerConnection(servers, server);
             connection.counted = true;
             server.connectionCount++;
-            server.opening.add(connection);
+            server.openingConnections.add(connection);
             connection.connect(60_000);
         }
     }
--- a/gateway/src/test/java/tinford/routing/upstream/ServerResponseTest.java
+++ b/gateway/src/test/java/tinford/routing/upstream/ServerResponseTest.java
@@ -6,7 +6,7 @@
 import static tinford.routing.RoutingFixtures.LOOPBACK;
 import static tinford.routing.RoutingFixtures.PING;
 import static tinford.routing.RoutingFixtures.PONG;
-import static tinford.routing.RoutingFixtures.doOnce;
+import static tinford.routing.RoutingFixtures.doCommand;
 import static tinford.routing.RoutingFixtures.endpointList;
 import static tinford.routing.RoutingFixtures.hostEntry;
 import static tinford.routing.RoutingFixtures.read;
@@ -52,12 +52,12 @@
     private static final int COMMAND_LINES = 9;
 
     /** Time after which a connection may be reused. */
-    private static final long REST_NANOS = 30_000_000L;
+    private static final long REUSE_DELAY_NANOS = 30_000_000L;
 
     private final AtomicLong nanoTime = new AtomicLong();
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private final List<String> ended = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<Request> arrived = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
     private RequestDispatcher dispatcher;
     private volatile Server server;
     private ServerSocket serverSocket;
@@ -66,14 +66,14 @@
     @BeforeMethod
     public void start() throws Exception {
         ended.clear();
-        arrived.clear();
+        requests.clear();
         serverSocket = new ServerSocket(0, 5, LOOPBACK);
         serverSocket.setSoTimeout(10_000);
-        open.add(serverSocket);
+        resources.add(serverSocket);
         dispatcher =
                 new RequestDispatcher(
                         RoutingFixtures.decisions(new Recorder()), 3, 100, 1 << 22, nanoTime::get);
-        open.add(dispatcher.loop()::close);
+        resources.add(dispatcher.loop()::close);
         ServerPool servers = new ServerPool(dispatcher, dispatcher, 250, 15_000, 10, List.of());
         ClientPool clients =
                 new ClientPool(
@@ -91,15 +91,15 @@
                 .execute(() -> servers.updateEndpoints(endpointList(true, List.of(entry))));
         client = new Socket(LOOPBACK, port);
         client.setSoTimeout(10_000);
-        open.add(client);
+        resources.add(client);
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
-        open.clear();
+        resources.clear();
     }
 
     /** Records requests and outcomes; fails a request whose attempt ended without an answer. */
@@ -111,7 +111,7 @@
 
         @Override
         public void requestArrived(Request request) {
-            arrived.add(request);
+            requests.add(request);
         }
 
         @Override
@@ -132,15 +132,15 @@
     }
 
     private Request request(int id) throws InterruptedException {
-        write(client, doOnce(id, "f", REQUEST_TIMEOUT_MS));
-        return arrived.poll(10, TimeUnit.SECONDS);
+        write(client, doCommand(id, "f", REQUEST_TIMEOUT_MS));
+        return requests.poll(10, TimeUnit.SECONDS);
     }
 
     /** Accepts the server's next connection, and reads the command with the id from it. */
     private Socket acceptCommand(int id) throws IOException {
         Socket socket = serverSocket.accept();
         socket.setSoTimeout(10_000);
-        open.add(socket);
+        resources.add(socket);
         StringBuilder command = new StringBuilder();
         int lines = 0;
         while (lines < COMMAND_LINES) {
@@ -232,7 +232,7 @@
         Socket socket = acceptCommand(1);
         write(socket, ONE);
         assertEquals(read(client, ANSWER_ONE.length()), ANSWER_ONE);
-        long restedAt = System.nanoTime() + REST_NANOS;
+        long restedAt = System.nanoTime() + REUSE_DELAY_NANOS;
         while (System.nanoTime() < restedAt) {
             ping();
         }
