--- a/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
@@ -248,7 +248,7 @@
             handler.updateEndpoints(list);
             version = listVersion;
         } catch (InvalidSettingsException e) {
-            throw new ProtocolException("a valid endpoint list: " + e.getMessage());
+            throw new ProtocolException(e.getMessage());
         }
     }
 
