--- a/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
+++ b/gateway/src/main/java/tinford/routing/counter/CounterConnection.java
@@ -15,29 +15,29 @@
 import tinford.transport.DescriptorBudget;
 import tinford.transport.EventLoop;
 
-/** One connection to the shared counter: calls out, responses in, in the same order. */
+/** A connection to the shared counter, whose responses arrive in the order of the calls. */
 final class CounterConnection extends Connection {
     private static final int MAX_UNREAD_BYTES = 1 << 14;
     private static final int MAX_UNWRITTEN_BYTES = 1 << 18;
 
-    /** A total has a few digits, an error a few words. */
+    /** Longest response that is accepted: a total has a few digits, an error a few words. */
     private static final int MAX_RESPONSE_BYTES = 64;
 
     private static final double PARTIAL_RESPONSE_TIMEOUT_MS = 10;
     private static final double MAX_TTL_MS = 60_000;
     private static final int AMOUNT_DECIMALS = 6;
     private static final double MAX_PLAIN_INTEGER = 1e9;
-    private static final String COMMAND_HEAD = "*4\r\n$7\r\nCNT.ADD\r\n";
+    private static final String COMMAND_PREFIX = "*4\r\n$7\r\nCNT.ADD\r\n";
     private final CounterClient client;
     private final CounterLane lane;
     private final InetSocketAddress address;
 
-    /** Calls without a response so far, the oldest first. */
-    private final ArrayDeque<IncrementCall> sent = new ArrayDeque<>();
+    /** Calls that have been sent but not answered, oldest first. */
+    private final ArrayDeque<IncrementCall> unanswered = new ArrayDeque<>();
 
     private double lastReceivedMs = Double.NEGATIVE_INFINITY;
 
-    /** Runs while a response has arrived in part. */
+    /** Active while a response has been received only in part. */
     private EventLoop.Timer partialTimeout;
 
     CounterConnection(CounterClient client, CounterLane lane) {
@@ -58,25 +58,25 @@
         sendCalls();
     }
 
-    /** Sends what its lane has to send. */
+    /** Sends the unsent calls of its lane. */
     void sendCalls() {
         for (IncrementCall call = lane.pollUnsent(); call != null; call = lane.pollUnsent()) {
             writeCommand(call);
-            sent.add(call);
+            unanswered.add(call);
         }
         scheduleFlush();
     }
 
     private void writeCommand(IncrementCall call) {
         double ttlMs = Math.min(MAX_TTL_MS, Math.max(1, Math.ceil(call.ttlMs)));
-        buffer.put(COMMAND_HEAD);
-        writeWord(buffer, Long.toString(call.counterKey));
-        writeWord(buffer, formatAmount(call.amount));
-        writeWord(buffer, Long.toString((long) ttlMs));
+        buffer.put(COMMAND_PREFIX);
+        writeBulkString(buffer, Long.toString(call.counterKey));
+        writeBulkString(buffer, formatAmount(call.amount));
+        writeBulkString(buffer, Long.toString((long) ttlMs));
     }
 
-    private static void writeWord(ConnectionBuffer to, String word) {
-        to.put("$").put(word.length()).putLineEnd().put(word).putLineEnd();
+    private static void writeBulkString(ConnectionBuffer to, String text) {
+        to.put("$").put(text.length()).putLineEnd().put(text).putLineEnd();
     }
 
     private static String formatAmount(double amount) {
@@ -88,32 +88,36 @@
                 .toPlainString();
     }
 
-    /** Whether the decision module still waits for the outcome of a call sent on it. */
+    /** Whether a call was sent on this connection whose outcome has not been reported. */
     boolean hasUnreportedCalls() {
-        return sent.stream().anyMatch(call -> !call.reported);
+        return unanswered.stream().anyMatch(call -> !call.reported);
     }
 
-    void reportSentCalls(CloseReason reason) {
+    void reportUnansweredCalls(CloseReason reason) {
         AttemptOutcome outcome = OutcomeMapping.ofCounterCall(reason, true);
-        for (IncrementCall call : sent) {
+        for (IncrementCall call : unanswered) {
             client.report(call, outcome, 0);
         }
     }
 
-    /** When it counts as silent; infinite while no response is due. */
+    /** Time after which the connection counts as silent; infinite while no response is due. */
     double silentAtMs() {
-        return sent.isEmpty()
+        return unanswered.isEmpty()
                 ? Double.POSITIVE_INFINITY
-                : sent.peek().madeAtMs + client.callTimeoutMs + client.connectTimeoutMs;
+                : unanswered.peek().createdAtMs + client.callTimeoutMs + client.connectTimeoutMs;
     }
 
     /**
-     * Closes it if its response is overdue while the counter has answered later calls elsewhere, or
-     * if the machine at its other end may be gone, which only a new connection shows.
+     * Closes the connection if a response is overdue although the counter has answered later calls
+     * on other connections, or if the connection is silent: the counter's machine may be down,
+     * which only an attempt to connect can show.
      */
     void closeIfStalled() {
         double nowMs = client.context.nowMs();
-        double sinceMs = sent.isEmpty() ? nowMs : Math.max(sent.peek().madeAtMs, lastReceivedMs);
+        double sinceMs =
+                unanswered.isEmpty()
+                        ? nowMs
+                        : Math.max(unanswered.peek().createdAtMs, lastReceivedMs);
         boolean overdue =
                 nowMs - sinceMs >= client.callTimeoutMs - CounterClient.TIMER_TOLERANCE_MS;
         if (overdue && client.hasAnsweredCallSince(sinceMs)) {
@@ -141,31 +145,31 @@
         client.context.warn("invalid response from counter", "counter=" + address, cause);
     }
 
-    /** Reads the next response; false if none is complete. */
+    /** Reads the next response; returns false if none is complete. */
     private boolean readResponse() throws ProtocolException {
         RespReader reader = client.respReader;
         int length = reader.parse(buffer.bytes(), buffer.readIndex(), buffer.readLimit());
         if (length == 0) {
-            awaitRest();
+            checkPartialResponse();
             return false;
         }
-        if (sent.isEmpty()) {
-            throw new ProtocolException("an answer to a call only");
+        if (unanswered.isEmpty()) {
+            throw new ProtocolException("no data while no call is outstanding");
         }
         AttemptOutcome outcome = outcomeOf(reader);
         double total = outcome == AttemptOutcome.SUCCESS ? NumberParser.parse(reader.text(0)) : 0;
         buffer.consume(length);
         cancelPartialTimeout();
-        IncrementCall call = sent.poll();
+        IncrementCall call = unanswered.poll();
         client.responseArrived(call);
         client.report(call, outcome, total);
         return true;
     }
 
-    /** Responses arrive in one piece: one that does not end must not block those behind it. */
-    private void awaitRest() throws ProtocolException {
+    /** Limits the size and time of an incomplete response, so that it does not block later ones. */
+    private void checkPartialResponse() throws ProtocolException {
         if (buffer.unreadBytes() > MAX_RESPONSE_BYTES) {
-            throw new ProtocolException("an answer of under " + MAX_RESPONSE_BYTES + " bytes");
+            throw new ProtocolException("a response of at most " + MAX_RESPONSE_BYTES + " bytes");
         }
         if (buffer.unreadBytes() > 0 && partialTimeout == null) {
             partialTimeout =
@@ -181,7 +185,9 @@
         }
     }
 
-    /** A total that can be read is valid, in whatever form; any other text has no known meaning. */
+    /**
+     * Accepts a total in any number format; rejects responses that the protocol does not define.
+     */
     private AttemptOutcome outcomeOf(RespReader reader) throws ProtocolException {
         if (!reader.isArray()
                 && reader.type(0) == '$'
@@ -193,10 +199,10 @@
             return AttemptOutcome.OVERLOADED;
         }
         if (line.startsWith("ERR ")) {
-            warnInvalid(new ProtocolException("a total or -BUSY, not -" + line));
+            warnInvalid(new ProtocolException("a total or -BUSY as the response, not -" + line));
             return AttemptOutcome.OVERLOADED;
         }
-        throw new ProtocolException("a total, -BUSY or -ERR");
+        throw new ProtocolException("a total, -BUSY or -ERR as the response");
     }
 
     @Override
--- a/gateway/src/main/java/tinford/routing/counter/IncrementCall.java
+++ b/gateway/src/main/java/tinford/routing/counter/IncrementCall.java
@@ -1,21 +1,22 @@
 package tinford.routing.counter;
 
-/** One call that increments a counter key. */
+/** A call that increments a counter key. */
 final class IncrementCall {
     final CounterLane lane;
     final long counterKey;
     final double amount;
     final double ttlMs;
-    final double madeAtMs;
+    final double createdAtMs;
 
-    /** Whether its outcome has been reported; its response may still follow. */
+    /** Whether the outcome has been reported. The response may still arrive later. */
     boolean reported;
 
-    IncrementCall(CounterLane lane, long counterKey, double amount, double ttlMs, double madeAtMs) {
+    IncrementCall(
+            CounterLane lane, long counterKey, double amount, double ttlMs, double createdAtMs) {
         this.lane = lane;
         this.counterKey = counterKey;
         this.amount = amount;
         this.ttlMs = ttlMs;
-        this.madeAtMs = madeAtMs;
+        this.createdAtMs = createdAtMs;
     }
 }
--- a/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
+++ b/gateway/src/main/java/tinford/routing/upstream/ServerPool.java
@@ -18,22 +18,24 @@
 /** The servers on the endpoint list, and the connections to them. */
 public final class ServerPool {
     /**
-     * A connection rests this long before it is used again: what the server sent behind a response
-     * has arrived by then.
+     * Time for which a connection must be idle before it is reused. Data that the server sent after
+     * a response has arrived by then, so that it is not taken for the next response.
      */
     private static final double REUSE_DELAY_MS = 10;
 
-    /** Idle connections are closed after this part of the server's own idle time-out. */
-    private static final double IDLE_TIMEOUT_SHARE = 0.75;
+    /** Idle connections are closed after this fraction of the server's own idle timeout. */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
     private static final int IDLE_CHECKS_PER_TIMEOUT = 16;
     private static final int MAX_REMOVED_IDS = 4096;
 
-    /** With this connect time-out none is opened: it fails for want of a descriptor. */
+    /**
+     * Connect timeout with which a connection is not opened, but fails for lack of a descriptor.
+     */
     private static final double NO_CONNECT_MS = 0;
 
     final RoutingContext context;
-    final AttemptListener attempts;
+    final AttemptListener attemptListener;
     final RespReader respReader = new RespReader();
     final double connectTimeoutMs;
     private final Map<String, PooledServer> servers = new LinkedHashMap<>();
@@ -46,32 +48,33 @@
     private long nextSequence;
 
     /**
-     * @param idleTimeoutMs how long a connection may stand idle before its server closes it
-     * @param maxConnections to all servers together
+     * @param idleTimeoutMs how long a connection may be idle before its server closes it
+     * @param maxConnections limit on the connections to all servers together
      * @param loadFields names of the load report's fields in the order in which the decision module
-     *     takes them; empty if it takes none
+     *     expects them; empty if it uses no load reports
      */
     public ServerPool(
             RoutingContext context,
-            AttemptListener attempts,
+            AttemptListener attemptListener,
             double connectTimeoutMs,
             double idleTimeoutMs,
             int maxConnections,
             List<String> loadFields) {
         this.context = context;
-        this.attempts = attempts;
+        this.attemptListener = attemptListener;
         this.connectTimeoutMs = connectTimeoutMs;
         this.idleTimeoutMs = idleTimeoutMs;
         this.maxConnections = maxConnections;
         this.loadFields = loadFields;
-        closeLongIdle();
+        closeExpiredIdle();
     }
 
     /**
-     * Within a batch: brings an endpoint list into force, complete or as changes to the one before.
+     * Applies an endpoint list, which is either complete or a set of changes. To be called within a
+     * batch.
      *
-     * @throws tinford.settings.InvalidSettingsException if it can't be read; then none of it is in
-     *     force
+     * @throws tinford.settings.InvalidSettingsException if the list is invalid; nothing is applied
+     *     then
      */
     public void updateEndpoints(JsonFields list) {
         List<JsonFields> hosts = list.objects("hosts");
@@ -91,10 +94,14 @@
         }
         context.events().endpointsUpdated(listed, complete);
         replaced.forEach(this::stopUsing);
-        dropUnlisted(new HashSet<>(listed), complete);
+        closeAndRemoveUnlisted(new HashSet<>(listed), complete);
     }
 
-    /** Whether what runs at the server's address is another process than before. */
+    /**
+     * Applies an entry to its server.
+     *
+     * @return whether the server is now another process than before, as it has moved or restarted
+     */
     private boolean update(PooledServer server, EndpointEntry entry) {
         server.listedState = entry.state();
         server.updateState(effectiveState(server));
@@ -108,10 +115,10 @@
         return replaced;
     }
 
-    /** Closes what leads to servers that take nothing new, and forgets those that are gone. */
-    private void dropUnlisted(Set<Server> listed, boolean complete) {
+    /** Closes connections to servers that accept no new attempts, and removes unlisted servers. */
+    private void closeAndRemoveUnlisted(Set<Server> listed, boolean complete) {
         List<PooledServer> affected =
-                complete ? new ArrayList<>(servers.values()) : inListedOrder(listed);
+                complete ? new ArrayList<>(servers.values()) : sortedByFirstListing(listed);
         for (PooledServer server : affected) {
             boolean absent = complete && !listed.contains(server);
             if (server.state() != Server.State.UP || absent) {
@@ -129,29 +136,29 @@
         return new PooledServer(id, nextSequence++);
     }
 
-    /** The order in which they were first listed decides which attempts end first. */
-    private static List<PooledServer> inListedOrder(Set<Server> listed) {
+    /** Sorts servers by when they were first listed, so that attempts end in a defined order. */
+    private static List<PooledServer> sortedByFirstListing(Set<Server> listed) {
         List<PooledServer> sorted = new ArrayList<>(listed.size());
         listed.forEach(server -> sorted.add((PooledServer) server));
         sorted.sort(Comparator.comparingLong(server -> server.sequence));
         return sorted;
     }
 
-    /** A server that operators have excluded drains, whatever the endpoint list says. */
+    /** The listed state, except that a server which operators have excluded is draining. */
     private Server.State effectiveState(PooledServer server) {
         return server.listedState == Server.State.UP && exclusions.isExcluded(server.id)
                 ? Server.State.DRAINING
                 : server.listedState;
     }
 
-    /** Whether a server is or was on the endpoint list, or was excluded. */
+    /** Whether a server is or recently was on the endpoint list, or is or was excluded. */
     public boolean isKnown(String serverId) {
         return servers.containsKey(serverId)
                 || removedIds.contains(serverId)
                 || exclusions.isKnown(serverId);
     }
 
-    /** Within a batch: applies a record made by {@link ServerExclusions#toRecord}. */
+    /** Applies a record made by {@link ServerExclusions#toRecord}. To be called within a batch. */
     public void applyExclusion(String serverRecord) {
         PooledServer server = servers.get(exclusions.apply(serverRecord));
         if (server == null || server.state() == effectiveState(server)) {
@@ -166,7 +173,7 @@
     /**
      * Sends an attempt on an idle connection, or on a new one.
      *
-     * @param timeoutMs how long the sender waits, which the server is informed of
+     * @param timeoutMs how long the gateway waits for the response; sent to the server
      */
     public void send(ServerAttempt attempt, PooledServer server, long timeoutMs) {
         ServerConnection reusable = takeReusable(server);
@@ -180,12 +187,12 @@
             closeAnyIdle();
         }
         ServerConnection connection = new ServerConnection(this, server);
-        server.opening.add(connection);
+        server.openingConnections.add(connection);
         connection.send(attempt, timeoutMs);
-        if (isAtLimit(server) && !server.idle.isEmpty()) {
-            ServerConnection resting = server.idle.peekLast();
-            resting.successor = connection;
-            resting.close(CloseReason.CLOSED_IDLE);
+        if (isAtLimit(server) && !server.idleConnections.isEmpty()) {
+            ServerConnection idleConnection = server.idleConnections.peekLast();
+            idleConnection.successor = connection;
+            idleConnection.close(CloseReason.CLOSED_IDLE);
         } else {
             open(connection);
         }
@@ -195,7 +202,10 @@
         return server.connectionCount >= context.fleetPolicy().connectionLimit(server);
     }
 
-    /** The only place that opens connections, within what the fleet allows at a server. */
+    /**
+     * Opens a connection if the limits allow it. All connections are opened here, so that the
+     * fleet's connection limit for the server is observed.
+     */
     private void open(ServerConnection connection) {
         PooledServer server = connection.server;
         boolean allowed = !isAtLimit(server) && connectionCount < maxConnections;
@@ -209,15 +219,16 @@
     }
 
     /**
-     * Takes an idle connection out that can be used again: it has rested, and nothing has arrived
-     * on it meanwhile. A late or second response must not become that of the next command.
+     * Removes and returns an idle connection that can be reused, or returns null. It must have been
+     * idle for {@link #REUSE_DELAY_MS} without receiving anything: a late or duplicate response
+     * must not be taken for the response to the next command.
      */
     private ServerConnection takeReusable(PooledServer server) {
         double nowMs = context.nowMs();
-        for (ServerConnection connection : server.idle) {
+        for (ServerConnection connection : server.idleConnections) {
             if (nowMs - connection.idleSinceMs >= REUSE_DELAY_MS
                     && connection.hasNoPendingInput()) {
-                server.idle.remove(connection);
+                server.idleConnections.remove(connection);
                 return connection;
             }
         }
@@ -226,46 +237,48 @@
 
     private void closeAnyIdle() {
         for (PooledServer server : servers.values()) {
-            if (!server.idle.isEmpty()) {
-                server.idle.peekLast().close(CloseReason.CLOSED_IDLE);
+            if (!server.idleConnections.isEmpty()) {
+                server.idleConnections.peekLast().close(CloseReason.CLOSED_IDLE);
                 return;
             }
         }
     }
 
-    /** Nothing is in flight on a connection any more: it becomes idle or is closed. */
+    /** Called when an attempt has ended: the connection becomes idle or is closed. */
     void release(ServerConnection connection) {
         PooledServer server = connection.server;
         if (server.state() == Server.State.UP
-                && server.liveCount() <= context.fleetPolicy().connectionLimit(server)) {
+                && server.liveConnectionCount() <= context.fleetPolicy().connectionLimit(server)) {
             connection.idleSinceMs = context.nowMs();
-            server.idle.addFirst(connection);
+            server.idleConnections.addFirst(connection);
         } else {
             connection.close(CloseReason.CLOSED_IDLE);
         }
     }
 
-    /** A connection is closed by this side. */
+    /** Called when this side has closed a connection. */
     void connectionClosed(ServerConnection connection, CloseReason reason) {
         PooledServer server = connection.server;
         if (connection.counted) {
-            server.closingCount++;
+            server.closedConnectionCount++;
         }
-        server.idle.remove(connection);
-        server.opening.remove(connection);
-        // Idle connections may lead to a machine that is gone: none can be opened to it.
+        server.idleConnections.remove(connection);
+        server.openingConnections.remove(connection);
+        // The machine may be down, as no connection can be opened: the idle ones may be dead.
         if (reason == CloseReason.CONNECT_REFUSED || reason == CloseReason.CONNECT_TIMEOUT) {
             closeIdleConnections(server);
         }
     }
 
-    /** A connection is closed, and its server has seen that or had its time to. */
+    /**
+     * Called when the server has seen the close of a connection, or the wait for it has expired.
+     */
     void descriptorReleased(ServerConnection connection) {
         if (connection.counted) {
             PooledServer server = connection.server;
             connectionCount--;
             server.connectionCount--;
-            server.closingCount--;
+            server.closedConnectionCount--;
             context.fleetPolicy().connectionClosed(server);
         }
         ServerConnection successor = connection.successor;
@@ -275,47 +288,50 @@
     }
 
     /**
-     * Within a batch: the fleet may allow fewer connections than before. Idle ones are closed now,
-     * the others behind their responses.
+     * Closes connections if the fleet allows fewer than before: idle ones now, the others after
+     * their responses. To be called within a batch.
      */
     public void closeExcessConnections() {
         for (PooledServer server : servers.values()) {
-            while (server.liveCount() > context.fleetPolicy().connectionLimit(server)
-                    && !server.idle.isEmpty()) {
-                server.idle.peekLast().close(CloseReason.CLOSED_IDLE);
+            while (server.liveConnectionCount() > context.fleetPolicy().connectionLimit(server)
+                    && !server.idleConnections.isEmpty()) {
+                server.idleConnections.peekLast().close(CloseReason.CLOSED_IDLE);
             }
         }
     }
 
-    /** Sends nothing new to a server, not even attempts that wait for their connection. */
+    /** Closes idle connections to a server, and cancels attempts that wait for a connection. */
     private void stopUsing(PooledServer server) {
         closeIdleConnections(server);
-        for (ServerConnection connection : new ArrayList<>(server.opening)) {
+        for (ServerConnection connection : new ArrayList<>(server.openingConnections)) {
             connection.close(CloseReason.CANCELLED);
         }
     }
 
-    /** Within a batch: closes the connections to a server that have nothing in flight. */
+    /** Closes the idle connections to a server. To be called within a batch. */
     public void closeIdleConnections(PooledServer server) {
-        while (!server.idle.isEmpty()) {
-            server.idle.peekFirst().close(CloseReason.CLOSED_IDLE);
+        while (!server.idleConnections.isEmpty()) {
+            server.idleConnections.peekFirst().close(CloseReason.CLOSED_IDLE);
         }
     }
 
-    /** Closes idle connections before their servers do: a command could cross a server's close. */
-    private void closeLongIdle() {
+    /**
+     * Closes idle connections before their servers do, as a command sent while its server closes
+     * the connection would be lost.
+     */
+    private void closeExpiredIdle() {
         double nowMs = context.nowMs();
-        double maxIdleMs = IDLE_TIMEOUT_SHARE * idleTimeoutMs;
+        double maxIdleMs = IDLE_TIMEOUT_FRACTION * idleTimeoutMs;
         for (PooledServer server : servers.values()) {
-            while (!server.idle.isEmpty()
-                    && nowMs - server.idle.peekLast().idleSinceMs > maxIdleMs) {
-                server.idle.peekLast().close(CloseReason.CLOSED_IDLE);
+            while (!server.idleConnections.isEmpty()
+                    && nowMs - server.idleConnections.peekLast().idleSinceMs > maxIdleMs) {
+                server.idleConnections.peekLast().close(CloseReason.CLOSED_IDLE);
             }
         }
-        context.loop().schedule(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT, this::closeLongIdle);
+        context.loop().schedule(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT, this::closeExpiredIdle);
     }
 
-    /** The values of a load report, or null if none are taken or the text has none. */
+    /** The values of a load report, or null if load reports are unused or the text has none. */
     double[] readLoadReport(String text) {
         return loadFields.isEmpty() ? null : UsageReport.loadReport(text, loadFields);
     }
--- a/gateway/src/test/java/tinford/routing/client/ClientDisconnectTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ClientDisconnectTest.java
@@ -14,34 +14,35 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The end of a client is seen, also behind what is not read yet. */
+/** The disconnect of a client is noticed even behind data that has not been read. */
 public class ClientDisconnectTest extends ForwardingFixture {
     private static final int PARTIAL_LENGTH = 70_000;
 
     @DataProvider
     public Object[][] disconnects() {
-        return new Object[][] {{"closes"}, {"resets"}, {"ends its sending"}};
+        return new Object[][] {{"closes"}, {"resets"}, {"shuts down its output"}};
     }
 
-    /** Looked for before each attempt, when neither the end nor what is before it may be read. */
+    /** The disconnect is looked for before each attempt, even if the socket has not been read. */
     @Test(dataProvider = "disconnects")
     public void disconnectIsSeenBeforeItIsRead(String way) throws Exception {
         checksClients = true;
         Socket client = connect();
         runBatch(
                 () -> {
-                    write(client, ask(1));
+                    write(client, askCommand(1));
                     disconnect(client, way);
                 });
-        write(connect(), ask(2));
+        write(connect(), askCommand(2));
         String event = nextEvent();
-        while (!event.equals("arrived 2 and there")) {
-            assertTrue(event.equals("arrived 1 and gone") || event.equals("left"), event);
+        while (!event.equals("arrived 2, client connected")) {
+            assertTrue(
+                    event.equals("arrived 1, client gone") || event.equals("disconnected"), event);
             event = nextEvent();
         }
     }
 
-    /** The beginning of a command that takes all room for those that arrive. */
+    /** The beginning of a command that takes all the memory for commands being received. */
     private static String partialCommand(int id) {
         return longCommand(id).substring(0, PARTIAL_LENGTH);
     }
@@ -53,7 +54,7 @@
             case "a command that there is no room for" -> partialCommand(9);
             default ->
                     IntStream.range(2, 80)
-                            .mapToObj(ForwardingFixture::ask)
+                            .mapToObj(ForwardingFixture::askCommand)
                             .collect(Collectors.joining());
         };
     }
@@ -64,17 +65,17 @@
             {"noise"},
             {"noise without end"},
             {"a command that there is no room for"},
-            {"many that wait"}
+            {"many unanswered commands"}
         };
     }
 
-    /** While a request is open, whatever lies before the end on the connection. */
+    /** The disconnect is noticed while a request is open, whatever was sent before the close. */
     @Test(dataProvider = "unreadKinds", timeOut = 3 * TIMEOUT_MS)
     public void disconnectIsSeenBehindWhatIsNotRead(String kind) throws Exception {
-        // Takes the room, and never ends.
+        // Takes all the memory for commands being received, and is never completed.
         write(connect(), partialCommand(8));
         Socket client = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         assertEquals(nextEvent(), "arrived");
         write(client, unreadText(kind));
         disconnect(client, "closes");
@@ -82,17 +83,17 @@
         while (event.equals("arrived")) {
             event = nextEvent();
         }
-        assertEquals(event, "left");
+        assertEquals(event, "disconnected");
     }
 
-    /** A command without room behind an open request is rejected; what follows it is read. */
+    /** A long command without a buffer is rejected behind an open request; later ones are read. */
     @Test(timeOut = 3 * TIMEOUT_MS)
     public void commandBehindADiscardedOneIsAnsweredInOrder() throws Exception {
         write(connect(), partialCommand(8));
         Socket client = connect();
-        forwards = true;
+        forwardsRequests = true;
         useSlowServer();
-        write(client, ask(1));
+        write(client, askCommand(1));
         Socket server = acceptAtSlowServer();
         write(client, longCommand(9) + PING);
         write(server, "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
--- a/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionCloseTest.java
@@ -25,19 +25,19 @@
 import tinford.transport.Connection;
 import tinford.transport.DescriptorBudget;
 
-/** Closes of client connections by the gateway: responses are complete, no request is lost. */
+/** Closes of client connections by the gateway: responses are complete and no request is lost. */
 public class ConnectionCloseTest extends ClosingFixture {
     private static final int PART_BYTES = 64 << 10;
     private static final int SMALL_BUFFER_BYTES = 4096;
 
-    /** The response before a malformed command is still due when the connection is to end. */
+    /** The connection is to close while the response before a malformed command is still due. */
     @Test
     public void commandBehindAMalformedOneIsNotRead() throws Exception {
-        failsAtOnce = false;
+        failsRequests = false;
         Socket client = connect();
-        write(client, ask(1) + "+nonsense\r\n");
-        ClientRequest request = nextArrived();
-        write(client, ask(2));
+        write(client, askCommand(1) + "+nonsense\r\n");
+        ClientRequest request = nextRequest();
+        write(client, askCommand(2));
         runBatch(() -> {});
         runBatch(() -> clients.closeWhenAnswered(() -> {}));
         runBatch(() -> clients.fail(request));
@@ -51,16 +51,17 @@
     }
 
     /**
-     * Answers a request with so much that its end is not written when the connection is to close.
+     * Answers a request with a response so long that its end is unwritten when the connection is to
+     * close.
      *
-     * @return bytes of the response
+     * @return length of the response in bytes
      */
     private int closeBehindUnreadResponse(Socket client) throws Exception {
-        failsAtOnce = false;
-        write(client, ask(1));
-        ClientRequest request = nextArrived();
+        failsRequests = false;
+        write(client, askCommand(1));
+        ClientRequest request = nextRequest();
         int[] written = new int[1];
-        do { // until the system takes no more
+        do { // until the socket's send buffer is full
             runBatch(
                     () -> {
                         clients.finish(request);
@@ -68,8 +69,8 @@
                         written[0] += PART_BYTES;
                     });
         } while (request.connection.isAllWritten());
-        failsAtOnce = true;
-        // Far more than the system would still take.
+        failsRequests = true;
+        // Far more than fits into the socket's send buffer.
         byte[] rest = new byte[8 * PART_BYTES];
         runBatch(
                 () -> {
@@ -81,7 +82,7 @@
         return written[0] + rest.length + 2;
     }
 
-    /** The client reads nothing for a while, and then everything. */
+    /** The client reads nothing for a while, and then the complete response. */
     @Test
     public void responseReadLateIsCompleteBeforeTheEnd() throws Exception {
         Socket client = connect(SMALL_BUFFER_BYTES);
@@ -91,36 +92,36 @@
         assertEquals(client.getInputStream().read(), -1);
     }
 
-    /** The client can't know yet that the connection is to close: what it writes is answered. */
+    /** The client cannot know yet that the connection is to close, so its request is answered. */
     @Test
     public void requestBeforeTheEndOfSendingIsAnswered() throws Exception {
         Socket client = connect(SMALL_BUFFER_BYTES);
         int length = closeBehindUnreadResponse(client);
-        write(client, ask(2));
-        settle();
+        write(client, askCommand(2));
+        awaitInputProcessed();
         assertEquals(client.getInputStream().readNBytes(length).length, length);
         assertEquals(readToEnd(client), ABORTED);
         assertEquals(arrivedIds, List.of(1L, 2L));
     }
 
-    /** The client has seen the end: no request is read any more, and the connection closes soon. */
+    /** After the client has seen the end of the stream, no request is read any more. */
     @Test
     public void requestBehindTheEndOfSendingIsNeverForwarded() throws Exception {
         Socket client = connect();
         Socket other = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         assertEquals(read(client, ABORTED.length()), ABORTED);
-        ClientConnection connection = nextArrived().connection;
-        write(other, ask(2).substring(0, 30));
-        write(client, ask(3).substring(0, 30));
+        ClientConnection connection = nextRequest().connection;
+        write(other, askCommand(2).substring(0, 30));
+        write(client, askCommand(3).substring(0, 30));
         runBatch(() -> {});
-        write(client, ask(3).substring(30));
+        write(client, askCommand(3).substring(30));
         assertEquals(read(client, ABORTED.length()), ABORTED);
         runBatch(clients::closeIdleConnections);
         assertEquals(client.getInputStream().read(), -1);
-        write(client, ask(4) + "x".repeat(200_000) + ask(5));
-        // A command that had arrived in part is answered.
-        write(other, ask(2).substring(30));
+        write(client, askCommand(4) + "x".repeat(200_000) + askCommand(5));
+        // A command that had arrived in part before the close is answered.
+        write(other, askCommand(2).substring(30));
         assertEquals(read(other, ABORTED.length()), ABORTED);
         runBatch(() -> {});
         assertFalse(connection.isClosed());
@@ -134,25 +135,25 @@
         return new Object[][] {{true}, {false}};
     }
 
-    /** A request that crosses the close of an idle connection. */
+    /** A request crosses the close of an idle connection. */
     @Test(dataProvider = "writtenBeforeClose")
     public void requestThatCrossesAnIdleCloseIsAnsweredOrNeverRead(boolean before)
             throws Exception {
         Socket client = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         assertEquals(read(client, ABORTED.length()), ABORTED);
-        ClientConnection connection = nextArrived().connection;
+        ClientConnection connection = nextRequest().connection;
         runBatch(
                 () -> {
                     if (before) {
-                        write(client, ask(2));
+                        write(client, askCommand(2));
                     }
                     connection.checkTimeouts(dispatcher.nowMs() + 15_000);
                     if (!before) {
                         try {
-                            write(client, ask(2));
+                            write(client, askCommand(2));
                         } catch (UncheckedIOException e) {
-                            // The client sees the close while it writes.
+                            // The client has seen the close and cannot write.
                         }
                     }
                 });
@@ -164,16 +165,16 @@
         }
     }
 
-    /** The system must not hold back a small write, which a close by reset would discard. */
+    /** Nagle's algorithm must be off: a reset would discard a small write that it delays. */
     @Test
     public void smallWritesAreSentAtOnce() throws Exception {
         Socket client = connect();
-        write(client, ask(1));
-        ClientConnection accepted = nextArrived().connection;
+        write(client, askCommand(1));
+        ClientConnection accepted = nextRequest().connection;
         assertEquals(read(client, ABORTED.length()), ABORTED);
         assertTrue(hasNoDelay(accepted), "accepted");
         ServerSocket server = new ServerSocket(0, 1, LOOPBACK);
-        open.add(server);
+        resources.add(server);
         CountDownLatch established = new CountDownLatch(1);
         OutgoingConnection[] outgoing = new OutgoingConnection[1];
         runBatch(() -> outgoing[0] = new OutgoingConnection(server, established));
@@ -187,7 +188,7 @@
         return ((StreamConnection) field.get(connection)).getOption(Options.TCP_NODELAY);
     }
 
-    /** As those to servers, counter and discovery. */
+    /** An outgoing connection like those to servers, the counter and discovery. */
     private final class OutgoingConnection extends Connection {
         private final CountDownLatch established;
 
--- a/gateway/src/test/java/tinford/routing/client/ConnectionReclaimTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ConnectionReclaimTest.java
@@ -5,7 +5,7 @@
 import static tinford.routing.RoutingFixtures.LOOPBACK;
 import static tinford.routing.RoutingFixtures.PING;
 import static tinford.routing.RoutingFixtures.PONG;
-import static tinford.routing.RoutingFixtures.ask;
+import static tinford.routing.RoutingFixtures.askCommand;
 import static tinford.routing.RoutingFixtures.read;
 import static tinford.routing.RoutingFixtures.write;
 
@@ -24,7 +24,10 @@
 import tinford.testing.FreePort;
 import tinford.testing.IgnoredEvents;
 
-/** Connections closed for others, or at the end, while something is on them. */
+/**
+ * Connections that are closed for new ones, or at the end of the process, while a request arrives
+ * or a response is unwritten.
+ */
 public class ConnectionReclaimTest {
     private static final int REQUEST_TIMEOUT_MS = 900;
     private RequestDispatcher dispatcher;
@@ -66,18 +69,21 @@
 
     @DataProvider
     public Object[][] closes() {
-        return new Object[][] {{"room"}, {"end"}, {"end, crossed"}, {"let go, crossed"}};
+        return new Object[][] {
+            {"reclaim"}, {"process end"}, {"process end, crossed"}, {"close idle, crossed"}
+        };
     }
 
     /**
-     * A request that has arrived by the time its connection would be closed is answered, though it
-     * is not read yet; so is one that arrives in the very batch in which the close is begun.
+     * A request is answered if it has arrived before its connection would be closed, even if it has
+     * not been read yet. So is a request that arrives in the same batch, just after the start of
+     * the close.
      */
     @Test(dataProvider = "closes")
     public void unreadRequestKeepsItsConnection(String how) throws Exception {
         try (Socket longestIdle = new Socket(LOOPBACK, port);
-                Socket next = new Socket(LOOPBACK, port)) {
-            for (Socket socket : List.of(longestIdle, next)) {
+                Socket recentlyUsed = new Socket(LOOPBACK, port)) {
+            for (Socket socket : List.of(longestIdle, recentlyUsed)) {
                 socket.setSoTimeout(10_000);
                 write(socket, PING);
                 assertEquals(read(socket, PONG.length()), PONG);
@@ -88,22 +94,22 @@
                     .execute(
                             () -> {
                                 if (!crossed) {
-                                    write(longestIdle, ask(1, REQUEST_TIMEOUT_MS));
+                                    write(longestIdle, askCommand(1, REQUEST_TIMEOUT_MS));
                                 }
                                 beginClose(how.split(",")[0]);
                                 if (crossed) {
-                                    write(longestIdle, ask(1, REQUEST_TIMEOUT_MS));
+                                    write(longestIdle, askCommand(1, REQUEST_TIMEOUT_MS));
                                 }
                             });
             assertEquals(read(longestIdle, ABORTED.length()), ABORTED);
-            assertEquals(next.getInputStream().read(), -1);
+            assertEquals(recentlyUsed.getInputStream().read(), -1);
         }
     }
 
     private void beginClose(String how) {
         switch (how) {
-            case "room" -> clients.reclaimConnections(ConnectionActivity.JUST_OPENED);
-            case "end" -> clients.closeWhenAnswered(() -> {});
+            case "reclaim" -> clients.reclaimConnections(ConnectionActivity.JUST_OPENED);
+            case "process end" -> clients.closeWhenAnswered(() -> {});
             default -> clients.closeIdleConnections();
         }
     }
@@ -114,7 +120,7 @@
         onAnswered = () -> clients.reclaimConnections(ConnectionActivity.BUSY);
         try (Socket socket = new Socket(LOOPBACK, port)) {
             socket.setSoTimeout(10_000);
-            write(socket, ask(1, REQUEST_TIMEOUT_MS));
+            write(socket, askCommand(1, REQUEST_TIMEOUT_MS));
             assertEquals(read(socket, ABORTED.length()), ABORTED);
         }
     }
--- a/gateway/src/test/java/tinford/routing/client/DecisionFailureTest.java
+++ b/gateway/src/test/java/tinford/routing/client/DecisionFailureTest.java
@@ -9,31 +9,34 @@
 import java.net.Socket;
 import org.testng.annotations.Test;
 
-/** Requests get their final answer where the decision module fails. */
+/** Requests get a final answer if the decision module throws. */
 public class DecisionFailureTest extends ForwardingFixture {
-    /** Guards against a request that was read and is never answered. */
+    /** Guards against a request that is never answered because its arrival was not handled. */
     @Test
     public void requestThatIsNotDecidedOnIsAnsweredAsFailed() throws Exception {
         arrivalFailure = new OutOfMemoryError();
         Socket client = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         assertEquals(read(client, ABORTED.length()), ABORTED);
         arrivalFailure = null;
-        write(client, ask(2));
+        write(client, askCommand(2));
         assertEquals(nextEvent(), "arrived");
         assertEquals(nextEvent(), "arrived");
     }
 
-    /** Guards against a request whose only attempt has ended without a decision on what follows. */
+    /**
+     * Guards against a request that is never answered because the end of its only attempt was not
+     * handled.
+     */
     @Test
     public void requestWhoseAttemptEndsWithoutADecisionIsAnsweredAsFailed() throws Exception {
-        forwards = true;
+        forwardsRequests = true;
         useSlowServer();
         attemptEndFailure = new OutOfMemoryError();
         Socket client = connect();
-        write(client, ask(1));
+        write(client, askCommand(1));
         Socket server = acceptAtSlowServer();
-        read(server, ask(1).length());
+        read(server, askCommand(1).length());
         server.close();
         assertEquals(read(client, ABORTED.length()), ABORTED);
         assertEquals(nextEvent(), "arrived");
--- a/gateway/src/test/java/tinford/routing/client/ForwardingFixture.java
+++ b/gateway/src/test/java/tinford/routing/client/ForwardingFixture.java
@@ -1,9 +1,9 @@
 package tinford.routing.client;
 
 import static tinford.routing.RoutingFixtures.LOOPBACK;
-import static tinford.routing.RoutingFixtures.fullServer;
 import static tinford.routing.RoutingFixtures.hostEntry;
 import static tinford.routing.RoutingFixtures.requestClass;
+import static tinford.routing.RoutingFixtures.serverWithFullBacklog;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -30,18 +30,19 @@
 import tinford.testing.IgnoredEvents;
 
 /**
- * A gateway between real clients and two servers: one that no connection to is ever established,
- * and one that reads slowly. Requests are not decided on, but sent to the first server if asked.
+ * A gateway with clients and two servers on real sockets. Connections to one server are never
+ * established; the other server reads slowly. The decision module of the tests does nothing with a
+ * request, or sends it to the first server if a test asks for it.
  */
 abstract class ForwardingFixture {
     static final int TIMEOUT_MS = RoutingFixtures.TIMEOUT_MS / 2;
     static final int REQUEST_TIMEOUT_MS = 60_000;
     static final int LONG_BODY_BYTES = 4 << 20;
 
-    /** Half of it is for commands that arrive, so that there is room for one long command. */
+    /** Half of it is available to commands being received, which is enough for one long command. */
     private static final int MAX_HELD_BYTES = 6_000_000;
 
-    final List<AutoCloseable> open = new ArrayList<>();
+    final List<AutoCloseable> resources = new ArrayList<>();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private InetSocketAddress address;
     ServerSocket fullServer;
@@ -50,41 +51,41 @@
     ServerPool servers;
     ClientPool clients;
 
-    /** The first server listed since this was last null. */
+    /** The first server listed since this was last set to null. */
     volatile Server firstServer;
 
-    /** Within which an attempt has to be written. */
+    /** Time within which an attempt must be written. */
     volatile double sendWithinMs;
 
     /** Whether each request is sent to the first server. */
-    volatile boolean forwards;
+    volatile boolean forwardsRequests;
 
-    /** What the decision module fails with as a request arrives, or null. */
+    /** Thrown by the decision module when a request arrives, or null. */
     volatile Error arrivalFailure;
 
-    /** What the decision module fails with as an attempt ends, or null. */
+    /** Thrown by the decision module when an attempt ends, or null. */
     volatile Error attemptEndFailure;
 
-    /** Whether the events say if the client of a request is seen to be gone as it arrives. */
+    /** Whether arrival events state if the client of the request has disconnected. */
     volatile boolean checksClients;
 
     @BeforeMethod
     public void start() throws Exception {
-        forwards = false;
+        forwardsRequests = false;
         checksClients = false;
         arrivalFailure = null;
         attemptEndFailure = null;
         sendWithinMs = Double.POSITIVE_INFINITY;
         events.clear();
-        fullServer = fullServer(open);
+        fullServer = serverWithFullBacklog(resources);
         slowServer = new ServerSocket();
         slowServer.setReceiveBufferSize(4096);
         slowServer.bind(new InetSocketAddress(LOOPBACK, 0));
         slowServer.setSoTimeout(TIMEOUT_MS);
-        open.add(slowServer);
+        resources.add(slowServer);
         DecisionModule decisions = (now, batch, to) -> batch.replay(new Recorder(to));
         dispatcher = new RequestDispatcher(decisions, 3, 30, 1 << 26);
-        open.add(dispatcher.loop()::close);
+        resources.add(dispatcher.loop()::close);
         servers = new ServerPool(dispatcher, dispatcher, 2.0 * TIMEOUT_MS, 15_000, 10, List.of());
         clients =
                 new ClientPool(
@@ -107,13 +108,13 @@
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
-        open.clear();
+        resources.clear();
     }
 
-    /** Writes down what reaches the decision module. */
+    /** Records the events that the decision module receives. */
     private final class Recorder extends IgnoredEvents {
         private final GatewayActions actions;
 
@@ -132,18 +133,18 @@
             if (arrivalFailure != null) {
                 throw arrivalFailure;
             }
-            if (forwards) {
+            if (forwardsRequests) {
                 actions.sendAttempt(request, firstServer, 0, sendWithinMs);
             }
         }
 
         private static String clientState(Request request) {
-            return request.clientGone() ? " and gone" : " and there";
+            return request.clientGone() ? ", client gone" : ", client connected";
         }
 
         @Override
         public void clientDisconnected(Request request) {
-            events.add("left");
+            events.add("disconnected");
         }
 
         @Override
@@ -163,7 +164,7 @@
         }
     }
 
-    /** The event of an attempt that ended so. */
+    /** The event of an attempt that ended with an outcome. */
     static String ended(AttemptOutcome outcome) {
         return "ended " + outcome;
     }
@@ -180,7 +181,7 @@
         servers.updateEndpoints(RoutingFixtures.endpointList(complete, List.of(entries)));
     }
 
-    /** Lists the slow server alone, which requests then go to. */
+    /** Lists the slow server only, so that requests are sent to it. */
     void useSlowServer() throws Exception {
         firstServer = null;
         runBatch(() -> updateEndpoints(true, hostEntry("s1", slowServer, "ready", 0)));
@@ -188,27 +189,27 @@
 
     Socket acceptAtSlowServer() throws IOException {
         Socket socket = slowServer.accept();
-        open.add(socket);
+        resources.add(socket);
         return socket;
     }
 
     Socket connect() throws IOException {
         Socket socket = new Socket(LOOPBACK, address.getPort());
         socket.setSoTimeout(TIMEOUT_MS);
-        open.add(socket);
+        resources.add(socket);
         return socket;
     }
 
-    static String ask(int id) {
-        return RoutingFixtures.ask(id, REQUEST_TIMEOUT_MS);
+    static String askCommand(int id) {
+        return RoutingFixtures.askCommand(id, REQUEST_TIMEOUT_MS);
     }
 
-    /** A command whose body is too long for the sockets' buffers. */
+    /** A command whose body exceeds the buffers of the sockets. */
     static String longCommand(int id) {
-        return RoutingFixtures.doOnce(id, "w", REQUEST_TIMEOUT_MS, "x".repeat(LONG_BODY_BYTES));
+        return RoutingFixtures.doCommand(id, "w", REQUEST_TIMEOUT_MS, "x".repeat(LONG_BODY_BYTES));
     }
 
-    /** A client goes; the ways are those of the tests' data providers. */
+    /** Disconnects a client in one of the ways of the tests' data providers. */
     static void disconnect(Socket socket, String way) {
         try {
             switch (way) {
--- a/gateway/src/test/java/tinford/routing/client/ProcessEndTest.java
+++ b/gateway/src/test/java/tinford/routing/client/ProcessEndTest.java
@@ -21,12 +21,12 @@
 import org.testng.annotations.Test;
 import tinford.routing.counter.CounterClient;
 
-/** The end of the process: everything read is answered, everything due is written. */
+/** End of the process: all requests read are answered, and all pending data is written. */
 public class ProcessEndTest extends ClosingFixture {
-    /** Of a command with a key and an amount of one digit and a TTL of four. */
+    /** Length of a command with a one-digit key, a one-digit amount and a four-digit TTL. */
     private static final int COMMAND_LENGTH = 41;
 
-    /** The grace period ends before connections accepted last could be taken over. */
+    /** The grace period ends before the last connections in the backlog have been accepted. */
     @Test
     public void connectionsAcceptedLastAreAnsweredBeforeTheEnd() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
@@ -35,7 +35,7 @@
         runBatch(
                 () -> {
                     client[0] = connectWithinBatch();
-                    write(client[0], ask(1));
+                    write(client[0], askCommand(1));
                     clients.stopAccepting(
                             0,
                             () -> {
@@ -49,7 +49,7 @@
         assertFalse(early[0], "ended before the request arrived");
     }
 
-    /** While the batch holds the I/O thread. */
+    /** Connects while the batch occupies the I/O thread. */
     private Socket connectWithinBatch() {
         try {
             return connect();
@@ -58,24 +58,24 @@
         }
     }
 
-    /** What the last disconnect causes is written before the process may end. */
+    /** Counter calls caused by the last disconnect are written before the process may end. */
     @Test
     public void unitsAreGivenBackBeforeTheEnd() throws Exception {
         returnsUnits = true;
-        failsAtOnce = false;
+        failsRequests = false;
         ServerSocket counterServer = new ServerSocket(0, 1, LOOPBACK);
-        open.add(counterServer);
+        resources.add(counterServer);
         InetSocketAddress address = new InetSocketAddress(LOOPBACK, counterServer.getLocalPort());
         CounterClient counter = new CounterClient(dispatcher, address, 60_000, 60_000, 1);
         dispatcher.attach(clients, null, counter, null, null);
         runBatch(() -> actions.incrementCounter(1, 1, 1000));
         Socket counterSocket = counterServer.accept();
-        open.add(counterSocket);
+        resources.add(counterSocket);
         assertEquals(read(counterSocket, COMMAND_LENGTH).length(), COMMAND_LENGTH);
         write(counterSocket, "$1\r\n1\r\n");
         Socket client = connect();
-        write(client, ask(1));
-        nextArrived();
+        write(client, askCommand(1));
+        nextRequest();
         LinkedBlockingQueue<String> counted = new LinkedBlockingQueue<>();
         runBatch(() -> clients.closeWhenAnswered(() -> counted.add(readCommand(counterSocket))));
         client.close();
@@ -83,7 +83,7 @@
         assertTrue(command != null && command.contains("\r\n-1\r\n"), command);
     }
 
-    /** Waits no longer: what is not written by now would not be written any more. */
+    /** Reads with a short timeout: data not written by now would be lost with the process. */
     private static String readCommand(Socket counterSocket) {
         try {
             counterSocket.setSoTimeout(1000);
@@ -93,20 +93,20 @@
         }
     }
 
-    /** Open requests are answered, later and incomplete ones rejected. */
+    /** Open requests are answered; later requests and partial commands are rejected. */
     @Test
     public void nothingReadIsLeftUnansweredAtTheEnd() throws Exception {
-        failsAtOnce = false;
+        failsRequests = false;
         Socket waiting = connect();
         Socket partial = connect();
         Socket both = connect();
-        write(waiting, ask(1) + ask(2));
-        write(partial, ask(3).substring(0, 40));
-        write(both, ask(4) + ask(5).substring(0, 40));
-        nextArrived();
-        nextArrived();
-        nextArrived();
-        settle();
+        write(waiting, askCommand(1) + askCommand(2));
+        write(partial, askCommand(3).substring(0, 40));
+        write(both, askCommand(4) + askCommand(5).substring(0, 40));
+        nextRequest();
+        nextRequest();
+        nextRequest();
+        awaitInputProcessed();
         CountDownLatch ended = new CountDownLatch(1);
         runBatch(() -> clients.closeWhenAnswered(ended::countDown));
         advanceTime(3019);
@@ -114,7 +114,7 @@
         assertEquals(available, 0);
         runBatch(
                 () -> {
-                    write(waiting, ask(7));
+                    write(waiting, askCommand(7));
                     nanoTime.addAndGet(1_000_000L);
                 });
         assertEquals(readToEnd(waiting), REJECTED.repeat(3));
--- a/gateway/src/test/java/tinford/routing/upstream/EndpointListTest.java
+++ b/gateway/src/test/java/tinford/routing/upstream/EndpointListTest.java
@@ -21,11 +21,11 @@
 import tinford.routing.dispatch.RequestDispatcher;
 import tinford.testing.IgnoredEvents;
 
-/** Servers under endpoint lists: whose connections end, in which order, and which ids are known. */
+/** Effects of endpoint lists: which connections are closed in which order, and known ids. */
 public class EndpointListTest {
     private static final int FLEET_SIZE = 6000;
     private static final int MAX_REMOVED_IDS = 4096;
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private final Map<String, PooledServer> listed = new LinkedHashMap<>();
 
     /** Ids of the servers whose connections were closed, in order. */
@@ -39,7 +39,7 @@
     public void start() throws Exception {
         listed.clear();
         closed.clear();
-        fullServer = RoutingFixtures.fullServer(open);
+        fullServer = RoutingFixtures.serverWithFullBacklog(resources);
         IgnoredEvents events =
                 new IgnoredEvents() {
                     @Override
@@ -48,7 +48,7 @@
                     }
                 };
         dispatcher = new RequestDispatcher(RoutingFixtures.decisions(events), 3, 100, 1 << 24);
-        open.add(dispatcher.loop()::close);
+        resources.add(dispatcher.loop()::close);
         servers = new ServerPool(dispatcher, dispatcher, 60_000, 60_000, 100, List.of());
         dispatcher.attach(null, servers, null, null, null);
         FleetPolicy policy =
@@ -58,18 +58,18 @@
                         closed.add(server.id);
                     }
                 };
-        runBatch(() -> dispatcher.joinFleet(policy));
+        runBatch(() -> dispatcher.applyFleetPolicy(policy));
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
-        open.clear();
+        resources.clear();
     }
 
-    /** Complete or not; entries with their health; whose connections end, in which order. */
+    /** Whether the list is complete; its entries; servers whose connections close, in order. */
     @DataProvider
     public Object[][] lists() {
         return new Object[][] {
@@ -86,7 +86,7 @@
     public void connectionsCloseInTheOrderOfFirstListing(
             boolean complete, String entries, String expected) throws Exception {
         String[] each = entries.isEmpty() ? new String[0] : entries.split(",");
-        assertEquals(closedBy(complete, each), expected);
+        assertEquals(closedIdsAfter(complete, each), expected);
     }
 
     @Test
@@ -99,7 +99,7 @@
         assertEquals(closedIds(), "7 0");
     }
 
-    /** Operators of a large fleet exclude servers by id. */
+    /** Operators exclude servers by id, so each listed id must be known, also in a large fleet. */
     @Test
     public void eachListedServerIsKnownHoweverMany() throws Exception {
         runBatch(() -> update(true, IntStream.range(0, FLEET_SIZE).mapToObj(i -> i + " ready")));
@@ -112,7 +112,7 @@
                 });
     }
 
-    /** The last ones are remembered, besides those listed. */
+    /** The most recently removed ids are known, in addition to the listed ones. */
     @Test
     public void removedServersRememberedAreBounded() throws Exception {
         runBatch(() -> update(true, IntStream.range(0, FLEET_SIZE).mapToObj(i -> i + " ready")));
@@ -130,7 +130,7 @@
                 });
     }
 
-    private String closedBy(boolean complete, String... entries) throws Exception {
+    private String closedIdsAfter(boolean complete, String... entries) throws Exception {
         runBatch(() -> update(true, IntStream.range(0, 8).mapToObj(i -> i + " ready")));
         runBatch(this::connectToAll);
         runBatch(() -> update(complete, Stream.of(entries)));
@@ -143,18 +143,18 @@
         return ids[0];
     }
 
-    /** Opens one connection to each server, which is never established. */
+    /** Starts one connection to each server. The connections are never established. */
     private void connectToAll() {
         for (PooledServer server : listed.values()) {
             ServerConnection connection = new ServerConnection(servers, server);
             connection.counted = true;
             server.connectionCount++;
-            server.opening.add(connection);
+            server.openingConnections.add(connection);
             connection.connect(60_000);
         }
     }
 
-    /** Entries are a number and a health. */
+    /** Applies a list whose entries consist of a server number and a health value. */
     private void update(boolean complete, Stream<String> entries) {
         List<String> hosts = entries.map(this::hostEntry).toList();
         servers.updateEndpoints(RoutingFixtures.endpointList(complete, hosts));
--- a/gateway/src/test/java/tinford/routing/upstream/ServerResponseTest.java
+++ b/gateway/src/test/java/tinford/routing/upstream/ServerResponseTest.java
@@ -6,7 +6,7 @@
 import static tinford.routing.RoutingFixtures.LOOPBACK;
 import static tinford.routing.RoutingFixtures.PING;
 import static tinford.routing.RoutingFixtures.PONG;
-import static tinford.routing.RoutingFixtures.doOnce;
+import static tinford.routing.RoutingFixtures.doCommand;
 import static tinford.routing.RoutingFixtures.endpointList;
 import static tinford.routing.RoutingFixtures.hostEntry;
 import static tinford.routing.RoutingFixtures.read;
@@ -39,8 +39,9 @@
 import tinford.testing.IgnoredEvents;
 
 /**
- * Responses that arrive in the very batch in which an attempt times out or the next one is sent.
- * The test sends the attempts itself.
+ * Guards against responses that are attributed to the wrong attempt or answer a request twice. The
+ * responses arrive in the same batch in which an attempt times out or the next one is sent. The
+ * test sends the attempts itself.
  */
 public class ServerResponseTest {
     private static final String ONE = "*1\r\n$3\r\none\r\n";
@@ -50,13 +51,13 @@
     private static final int REQUEST_TIMEOUT_MS = 7000;
     private static final int COMMAND_LINES = 9;
 
-    /** Until a connection may be used again. */
-    private static final long REST_NANOS = 30_000_000L;
+    /** Time after which a connection may be reused. */
+    private static final long REUSE_DELAY_NANOS = 30_000_000L;
 
     private final AtomicLong nanoTime = new AtomicLong();
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private final List<String> ended = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<Request> arrived = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
     private RequestDispatcher dispatcher;
     private volatile Server server;
     private ServerSocket serverSocket;
@@ -65,14 +66,14 @@
     @BeforeMethod
     public void start() throws Exception {
         ended.clear();
-        arrived.clear();
+        requests.clear();
         serverSocket = new ServerSocket(0, 5, LOOPBACK);
         serverSocket.setSoTimeout(10_000);
-        open.add(serverSocket);
+        resources.add(serverSocket);
         dispatcher =
                 new RequestDispatcher(
                         RoutingFixtures.decisions(new Recorder()), 3, 100, 1 << 22, nanoTime::get);
-        open.add(dispatcher.loop()::close);
+        resources.add(dispatcher.loop()::close);
         ServerPool servers = new ServerPool(dispatcher, dispatcher, 250, 15_000, 10, List.of());
         ClientPool clients =
                 new ClientPool(
@@ -90,18 +91,18 @@
                 .execute(() -> servers.updateEndpoints(endpointList(true, List.of(entry))));
         client = new Socket(LOOPBACK, port);
         client.setSoTimeout(10_000);
-        open.add(client);
+        resources.add(client);
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
-        open.clear();
+        resources.clear();
     }
 
-    /** Notes what arrives and ends; a request whose attempt ended without an answer fails. */
+    /** Records requests and outcomes; fails a request whose attempt ended without an answer. */
     private final class Recorder extends IgnoredEvents {
         @Override
         public void endpointsUpdated(List<Server> entries, boolean complete) {
@@ -110,7 +111,7 @@
 
         @Override
         public void requestArrived(Request request) {
-            arrived.add(request);
+            requests.add(request);
         }
 
         @Override
@@ -131,15 +132,15 @@
     }
 
     private Request request(int id) throws InterruptedException {
-        write(client, doOnce(id, "f", REQUEST_TIMEOUT_MS));
-        return arrived.poll(10, TimeUnit.SECONDS);
+        write(client, doCommand(id, "f", REQUEST_TIMEOUT_MS));
+        return requests.poll(10, TimeUnit.SECONDS);
     }
 
-    /** The server's next connection, on which the command with that id has come. */
+    /** Accepts the server's next connection, and reads the command with the id from it. */
     private Socket acceptCommand(int id) throws IOException {
         Socket socket = serverSocket.accept();
         socket.setSoTimeout(10_000);
-        open.add(socket);
+        resources.add(socket);
         StringBuilder command = new StringBuilder();
         int lines = 0;
         while (lines < COMMAND_LINES) {
@@ -150,13 +151,13 @@
         return socket;
     }
 
-    /** The client gets the answer to this, and nothing before it. */
+    /** Sends a PING, and checks that its answer is the next data that the client receives. */
     private void ping() throws IOException {
         write(client, PING);
         assertEquals(read(client, PONG.length()), PONG);
     }
 
-    /** What has arrived by the time-out, and whether the sockets had been read before that. */
+    /** Response that has arrived by the timeout; whether the socket is read before the timeout. */
     @DataProvider
     public Object[][] responsesAtTheTimeout() {
         String streamed = "*1\r\n$70000\r\n" + "x".repeat(200);
@@ -172,7 +173,10 @@
         };
     }
 
-    /** Timers run first: the request has its one final answer, and the response is discarded. */
+    /**
+     * Timers run before received data is handled: the request gets a single final answer, and the
+     * response is discarded.
+     */
     @Test(dataProvider = "responsesAtTheTimeout")
     public void responseInTheBatchOfTheTimeoutIsNoSecondAnswer(String response, boolean read)
             throws Exception {
@@ -195,13 +199,13 @@
                             nanoTime.addAndGet((long) (2 * TIMEOUT_MS * 1e6));
                         });
         String head = read(client, 3);
-        // Unless read, it may be read before the timer's batch, and then is the answer.
+        // Otherwise the response may be read before the timer's batch, and then is the answer.
         boolean inTime = !read && !head.equals("-ER");
         String answer = response.equals(ONE) ? ANSWER_ONE : "$70000\r\n";
         String expected = inTime ? answer : ABORTED;
         assertEquals(head + read(client, expected.length() - head.length()), expected);
         if (inTime && !response.equals(ONE)) {
-            return; // a streamed response, to which no time-out applies
+            return; // a streamed response, to which no timeout applies
         }
         ping();
         assertEquals(
@@ -215,7 +219,10 @@
         }
     }
 
-    /** The next attempt then goes on another connection, and has its own response. */
+    /**
+     * A duplicate response arrives on an idle connection just before the next attempt is sent: the
+     * attempt must use another connection and get its own response.
+     */
     @Test
     public void secondResponseIsNotTakenForThatOfTheNextAttempt() throws Exception {
         Request first = request(1);
@@ -225,7 +232,7 @@
         Socket socket = acceptCommand(1);
         write(socket, ONE);
         assertEquals(read(client, ANSWER_ONE.length()), ANSWER_ONE);
-        long restedAt = System.nanoTime() + REST_NANOS;
+        long restedAt = System.nanoTime() + REUSE_DELAY_NANOS;
         while (System.nanoTime() < restedAt) {
             ping();
         }
