--- a/fleet/src/main/java/tinford/fleet/config/AppliedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/AppliedState.java
@@ -4,8 +4,8 @@
 
 /**
  * The configurations of a follower: the active one, the one being applied, and the last one
- * received. One revision is applied at a time; updates that are received meanwhile are combined
- * into one step from the active revision. Not thread-safe.
+ * received. One revision is applied at a time; updates that are received in the meantime are
+ * combined into a single update from the active revision. Not thread-safe.
  */
 final class AppliedState {
     private Configuration active;
@@ -14,16 +14,16 @@
     /** The configuration being applied; null if none is. */
     private Configuration pending;
 
-    /** The last revision offered, so that a rejected one is not offered again. */
+    /** The last revision offered to the owner, so that a rejected one is not offered again. */
     private long offeredRevision;
 
-    /** Whether a snapshot is among what has been received since the last offer. */
+    /** Whether a snapshot has been received since a configuration was last offered. */
     private boolean snapshotReceived;
 
-    /** Whether a snapshot is among what is being applied. */
+    /** Whether a snapshot led to the configuration being applied. */
     private boolean snapshotPending;
 
-    /** The update that led to the received configuration; null after a snapshot. */
+    /** The update that resulted in the received configuration; null after a snapshot. */
     private Update lastUpdate;
 
     private String rejectionReason;
@@ -46,26 +46,26 @@
         return pending != null;
     }
 
-    /** Why the last revision offered is not active; null if it is. */
+    /** Why the last revision offered was rejected; null if it was not. */
     String rejectionReason() {
         return rejectionReason;
     }
 
     /**
-     * Takes an update that leads on from the received configuration.
+     * Processes an update of the received configuration.
      *
-     * @throws InvalidConfigurationException if it does not, or its result is invalid; nothing
-     *     changes
+     * @throws InvalidConfigurationException if the update starts from another revision, or its
+     *     result is invalid; the state is unchanged
      */
     void receive(Update update) throws InvalidConfigurationException {
         if (update.fromRevision() != received.revision()) {
             throw new InvalidConfigurationException(
                     "update.from",
-                    "the revision held, "
+                    "the current revision, "
                             + received.revision()
                             + ", not "
                             + update.fromRevision()
-                            + " to "
+                            + ", in the update to revision "
                             + update.revision());
         }
         Configuration next = received.with(update.revision(), update.changes());
@@ -79,21 +79,21 @@
     }
 
     /**
-     * Takes a whole configuration.
+     * Processes a snapshot of a whole configuration.
      *
      * @throws InvalidConfigurationException if the snapshot can't be read, is older than the
-     *     received configuration, or differs from it at the same revision; nothing changes
+     *     received configuration, or differs from it at the same revision; the state is unchanged
      */
     void receive(long revision, byte[] snapshot, SnapshotCodec codec)
             throws InvalidConfigurationException {
-        // checked before the work of decoding
+        // checked first, because decoding is expensive
         if (revision < received.revision()) {
             throw outdatedSnapshot(revision);
         }
         Configuration next = codec.decode(snapshot);
         if (next.revision() != revision) {
             throw new InvalidConfigurationException(
-                    "snapshot.revision", "that of its data, " + next.revision());
+                    "snapshot.revision", "the revision in its data, " + next.revision());
         }
         if (revision == received.revision()) {
             expectSameContent(next);
@@ -104,7 +104,7 @@
         snapshotReceived = true;
     }
 
-    /** Adds the action that applies the received configuration, unless one is being applied. */
+    /** Adds an action that applies the received configuration, unless one is being applied. */
     void offer(List<Follower.Action> actions) {
         if (pending != null || received.revision() <= offeredRevision) {
             return;
@@ -120,14 +120,14 @@
         }
     }
 
-    /** The pending configuration is in force. */
+    /** Records that the pending configuration was applied. */
     void activate() {
         active = pending;
         rejectionReason = null;
         pending = null;
     }
 
-    /** The pending configuration can't be brought into force; the active one stays. */
+    /** Records that the pending configuration could not be applied; the active one stays. */
     void reject(String reason) {
         rejectionReason = ValidationError.oneLine("revision " + pending.revision() + ": " + reason);
         snapshotReceived |= snapshotPending;
@@ -144,14 +144,14 @@
     private void expectSameContent(Configuration other) throws InvalidConfigurationException {
         if (other.contentHash() != received.contentHash()) {
             throw new InvalidConfigurationException(
-                    "snapshot", "the content held at revision " + received.revision());
+                    "snapshot", "the content already received at revision " + received.revision());
         }
     }
 
     private InvalidConfigurationException outdatedSnapshot(long revision) {
         return new InvalidConfigurationException(
                 "snapshot.revision",
-                "no earlier one than the revision held, "
+                "at least the current revision, "
                         + received.revision()
                         + ", not "
                         + revision);
--- a/fleet/src/main/java/tinford/fleet/config/ApplyResult.java
+++ b/fleet/src/main/java/tinford/fleet/config/ApplyResult.java
@@ -1,12 +1,12 @@
 package tinford.fleet.config;
 
-/** What became of a configuration that a follower was to bring into force. */
+/** The result of applying a configuration on a follower. */
 public sealed interface ApplyResult {
-    /** The configuration is in force. */
+    /** The configuration is active. */
     record Applied() implements ApplyResult {}
 
     /**
-     * The configuration can't be brought into force; the one before stays.
+     * The configuration can't be applied; the previous one stays active.
      *
      * @param reason the key and what was expected there, in one line
      */
--- a/fleet/src/main/java/tinford/fleet/config/ChangeJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/ChangeJson.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.util.Set;
 
-/** The JSON of a change: an object whose only field names the kind of change. */
+/** Reads and writes a change as a JSON object whose only field names the kind of change. */
 final class ChangeJson {
     private static final Set<String> NAME_KEYS = JsonObjectReader.keys("name");
     private static final Set<String> ID_KEYS = JsonObjectReader.keys("id");
--- a/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
@@ -10,13 +10,13 @@
 import java.util.zip.Inflater;
 
 /**
- * An envelope around stored configuration data: it names the kind of content, the fleet and the
- * revision, and detects damage. Big-endian: magic, format version, kind, revision, length of the
- * fleet id, the fleet id, length of the content, length of the compressed content, the compressed
- * content (deflated), and a SHA-256 over all bytes before it.
+ * An envelope for stored configuration data, which identifies the kind of content, the fleet and the
+ * revision, and detects corruption. The format is big-endian: magic number, format version, kind,
+ * revision, length of the fleet id, fleet id, length of the content, length of the compressed
+ * content, the compressed content (deflate), and a SHA-256 of all bytes before it.
  */
 final class ChecksummedState {
-    /** The kind of content; the codes and, in error messages, the names are fixed. */
+    /** The kind of content. The codes are part of the format; error messages contain the names. */
     enum Kind {
         CONFIGURATION(1),
         HISTORY(2);
@@ -48,14 +48,14 @@
         return buffer.array();
     }
 
-    /** The revision and the content of an envelope whose checksum matches. */
+    /** The revision and content of a valid envelope. */
     record Decoded(long revision, byte[] content) {}
 
     /**
-     * Checks an envelope and unpacks its content.
+     * Validates an envelope and decompresses its content.
      *
-     * @throws InvalidConfigurationException if it is truncated, damaged, or of another kind, fleet
-     *     or later format
+     * @throws InvalidConfigurationException if it is truncated, corrupted, of another kind or fleet,
+     *     or of a later format
      */
     static Decoded decode(Kind kind, String fleetId, byte[] encoded)
             throws InvalidConfigurationException {
@@ -64,7 +64,7 @@
         }
         ByteBuffer buffer = ByteBuffer.wrap(encoded);
         checkMagic(buffer);
-        checkVersion(buffer); // before the hash: a later version may hash differently
+        checkVersion(buffer); // before the hash, which a later version may compute differently
         checkHash(encoded);
         checkKind(buffer, kind);
         long revision = buffer.getLong();
@@ -92,7 +92,7 @@
         byte[] storedHash = Arrays.copyOfRange(encoded, end, encoded.length);
         if (!MessageDigest.isEqual(storedHash, hash(encoded, end))) {
             throw new InvalidConfigurationException(
-                    "snapshot.hash", "the SHA-256 of what stands before it: torn or damaged");
+                    "snapshot.hash", "the SHA-256 of all bytes before it; truncated or corrupted");
         }
     }
 
@@ -140,7 +140,7 @@
 
     private static InvalidConfigurationException truncated(byte[] encoded) {
         return new InvalidConfigurationException(
-                "snapshot", "a whole snapshot; torn at " + encoded.length + " bytes");
+                "snapshot", "a complete snapshot; truncated to " + encoded.length + " bytes");
     }
 
     private static byte[] compress(byte[] content) {
@@ -173,11 +173,11 @@
             boolean ended = inflater.finished() || inflater.inflate(new byte[1]) == 0;
             if (size != contentLength || !ended) {
                 throw new InvalidConfigurationException(
-                        "snapshot.length", "content of " + contentLength + " bytes");
+                        "snapshot.length", "content of " + contentLength + " bytes when decompressed");
             }
             return content;
         } catch (DataFormatException e) {
-            throw new InvalidConfigurationException("snapshot.content", "deflated bytes", e);
+            throw new InvalidConfigurationException("snapshot.content", "valid deflate data", e);
         } finally {
             inflater.end();
         }
--- a/fleet/src/main/java/tinford/fleet/config/Configuration.java
+++ b/fleet/src/main/java/tinford/fleet/config/Configuration.java
@@ -11,11 +11,11 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The configuration at one revision; immutable. The maps iterate in ascending order of their keys
- * and are shared between revisions that don't differ in them.
+ * The configuration at one revision. Immutable; the maps iterate in ascending order of their keys
+ * and are shared between revisions that do not differ in them.
  */
 public final class Configuration {
-    /** Revision 0, without any content. */
+    /** The empty configuration, at revision 0. */
     public static final Configuration EMPTY =
             new Configuration(
                     0,
@@ -47,7 +47,10 @@
         this.contentHash = contentHash;
     }
 
-    /** Of several records with the same key the last is kept; nothing is validated. */
+    /**
+     * Creates a configuration from its records, which are not validated. If several records have the
+     * same key, the last one is used.
+     */
     static Configuration of(
             long revision,
             Collection<ServiceRecord> services,
@@ -93,14 +96,14 @@
     }
 
     /**
-     * A 64-bit hash of the content without the revision, the same in every process. It is computed
-     * once.
+     * A 64-bit hash of the content without the revision. It is the same in every process and is
+     * computed once.
      */
     public long contentHash() {
         return contentHash;
     }
 
-    /** A copy with these changes, in their order, at a later revision; nothing is validated. */
+    /** A copy with the changes applied in order, at a later revision; they are not validated. */
     public Configuration with(long laterRevision, List<Change> changes) {
         Edits edits = new Edits();
         for (Change change : changes) {
@@ -121,7 +124,7 @@
                 hash);
     }
 
-    /** The changes that lead from this content to that of another configuration. */
+    /** The changes that turn the content of this configuration into that of another. */
     public List<Change> changesTo(Configuration other) {
         List<Change> changes = new ArrayList<>();
         addPuts(changes, services, other.services, Change.PutService::new);
@@ -164,7 +167,7 @@
         return values.stream().mapToLong(hash).sum();
     }
 
-    /** By how much edits change the sum of hashes. */
+    /** The difference that edits make to the sum of the records' hashes. */
     private static <K extends Comparable<K>, V> long difference(
             SortedArrayMap<K, V> before, SortedMap<K, V> edits, ToLongFunction<V> hash) {
         long difference = 0;
@@ -176,7 +179,7 @@
         return difference;
     }
 
-    /** Changes by key; a null value removes. */
+    /** The records changed by a change set, by key; null for a removed record. */
     private static final class Edits {
         private final SortedMap<String, ServiceRecord> services = new TreeMap<>();
         private final SortedMap<String, RouteRecord> routes = new TreeMap<>();
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 
 /**
- * Proposals, outcomes, watch messages and reports as JSON, one object each with a field {@code
- * version}. The forms are used on the wire and in the replicated log. Each decoder throws {@link
- * InvalidConfigurationException} for JSON that can't be read, unknown fields, a later version and
- * whatever exceeds {@link ConfigurationLimits}.
+ * Encodes and decodes proposals, outcomes, watch messages and reports as JSON objects with a field
+ * {@code version}. The format is used on the wire and in the replicated log. Decoders throw {@link
+ * InvalidConfigurationException} for invalid JSON, unknown fields, a later version, and data that
+ * exceeds {@link ConfigurationLimits}.
  */
 public final class ConfigurationCodec {
-    /** The version of the JSON forms. */
+    /** The version of the JSON format. */
     public static final int VERSION = 1;
 
     private static final Set<String> CHANGE_SET_KEYS =
@@ -34,12 +34,12 @@
 
     private ConfigurationCodec() {}
 
-    /** A proposal as an entry of the log and as the body of a request. */
+    /** Encodes a proposal, for an entry of the replicated log and the body of a request. */
     public static byte[] encode(Proposal proposal) {
         return Json.write(VERSION, out -> writeProposal(out, proposal));
     }
 
-    /** Reads a proposal; its changes are not yet validated. */
+    /** Decodes a proposal; its changes are not validated. */
     public static Proposal decodeProposal(byte[] json) throws InvalidConfigurationException {
         JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_PROPOSAL_BYTES);
         if (object.has("revertTo")) {
@@ -55,12 +55,12 @@
                 JsonArrays.read(object, "changes", ChangeJson::read));
     }
 
-    /** An outcome as the body of a response. */
+    /** Encodes an outcome, for the body of a response. */
     public static byte[] encode(Outcome outcome) {
         return Json.write(VERSION, out -> writeOutcome(out, outcome));
     }
 
-    /** Reads an outcome. */
+    /** Decodes an outcome. */
     public static Outcome decodeOutcome(byte[] json) throws InvalidConfigurationException {
         JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_OUTCOME_BYTES);
         if (object.has("revision")) {
@@ -71,12 +71,12 @@
         return readOutcome(object);
     }
 
-    /** A watch message as one line, without the line feed. */
+    /** Encodes a watch message as one line, without the line feed. */
     public static byte[] encode(WatchMessage message) {
         return Json.write(VERSION, out -> writeWatchMessage(out, message));
     }
 
-    /** Reads a line without its line feed; the changes are not yet validated. */
+    /** Decodes a line without its line feed; the changes are not validated. */
     public static WatchMessage decodeWatchMessage(byte[] json)
             throws InvalidConfigurationException {
         JsonObjectReader object =
@@ -89,12 +89,12 @@
         return new WatchMessage.UpdateMessage(readUpdate(object.object("update")));
     }
 
-    /** A report as the body of a request. */
+    /** Encodes a report, for the body of a request. */
     public static byte[] encode(FollowerReport report) {
         return Json.write(VERSION, out -> writeReport(out, report));
     }
 
-    /** Reads a report. */
+    /** Decodes a report. */
     public static FollowerReport decodeReport(byte[] json) throws InvalidConfigurationException {
         JsonObjectReader object = Json.read(json, VERSION, ConfigurationLimits.MAX_REPORT_BYTES);
         object.allowOnly(REPORT_KEYS);
@@ -118,7 +118,7 @@
         long from = json.nonNegativeLong("from");
         long revision = json.nonNegativeLong("revision");
         if (revision <= from) {
-            throw json.invalid("revision", "one above from, " + from);
+            throw json.invalid("revision", "a revision above from, " + from);
         }
         return new Update(from, revision, JsonArrays.read(json, "changes", ChangeJson::read));
     }
@@ -137,7 +137,7 @@
         }
         List<ValidationError> errors = JsonArrays.read(json, "faults", RecordJson::readError);
         if (errors.isEmpty()) {
-            throw json.invalid("faults", "one at least");
+            throw json.invalid("faults", "at least one");
         }
         return new Outcome.Rejected(new Rejection(errors));
     }
@@ -175,7 +175,7 @@
                     json.nonNegativeLong("revision"),
                     Base64.getDecoder().decode(json.text("data")));
         } catch (IllegalArgumentException e) {
-            throw json.invalid("data", "Base64");
+            throw json.invalid("data", "a string in Base64");
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationJson.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The JSON of a whole configuration, which is validated when it is read. */
+/** Reads and writes a whole configuration as JSON; reading validates it. */
 final class ConfigurationJson {
     private ConfigurationJson() {}
 
@@ -41,7 +41,7 @@
             JsonObjectReader json, String key, List<?> listed, Map<?, ?> distinct)
             throws InvalidConfigurationException {
         if (listed.size() != distinct.size()) {
-            throw json.invalid(key, "each once");
+            throw json.invalid(key, "no duplicate keys");
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationLimits.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationLimits.java
@@ -1,22 +1,22 @@
 package tinford.fleet.config;
 
-/** Bounds on sizes and counts; whatever exceeds one is rejected. */
+/** Bounds on sizes and counts; data that exceeds one is rejected. */
 public final class ConfigurationLimits {
     public static final int MAX_SERVICES = 4_096;
     public static final int MAX_ROUTES = 16_384;
     public static final int MAX_PLANS = 1_024;
     public static final int MAX_TENANTS = 65_536;
 
-    /** Characters of a name or an id. */
+    /** Characters in a name or an id. */
     public static final int MAX_NAME_LENGTH = 64;
 
-    /** Characters of an explanation, such as a follower's rejection reason. */
+    /** Characters in a text, such as a follower's rejection reason. */
     public static final int MAX_TEXT_LENGTH = 512;
 
-    /** Changes in one set. */
+    /** Changes in one change set. */
     public static final int MAX_CHANGES = 16_384;
 
-    /** Bytes of one encoded proposal; an entry of the log holds at most 512 KiB. */
+    /** Bytes of an encoded proposal; an entry of the replicated log holds at most 512 KiB. */
     public static final int MAX_PROPOSAL_BYTES = 500_000;
 
     /** Bytes of one line of a watch. */
@@ -25,34 +25,34 @@
     /** Bytes of an encoded snapshot before compression. */
     public static final int MAX_SNAPSHOT_BYTES = 48 << 20;
 
-    /** Bytes of one encoded outcome of a proposal. */
+    /** Bytes of an encoded outcome of a proposal. */
     public static final int MAX_OUTCOME_BYTES = 256 << 10;
 
-    /** Bytes of one encoded follower's report. */
+    /** Bytes of an encoded follower report. */
     public static final int MAX_REPORT_BYTES = 4_096;
 
     /** Levels of nested JSON objects and arrays. */
     public static final int MAX_NESTING_DEPTH = 16;
 
-    /** Validation errors that are reported of one proposal. */
+    /** Validation errors reported for one proposal. */
     public static final int MAX_ERRORS = 20;
 
-    /** Updates that a history retains. */
+    /** Updates retained by a history. */
     public static final int MAX_RETAINED_UPDATES = 4_096;
 
-    /** Bytes of encoded updates that a history retains. */
+    /** Bytes of encoded updates retained by a history. */
     public static final int MAX_RETAINED_BYTES = 8 << 20;
 
-    /** Proposal ids whose outcome a history remembers. */
+    /** Proposals whose outcome is retained by a history. */
     public static final int MAX_REMEMBERED_PROPOSALS = 4_096;
 
-    /** Characters, about, of the remembered outcomes. */
+    /** Approximate number of characters in the retained outcomes of proposals. */
     public static final int MAX_REMEMBERED_CHARACTERS = 4 << 20;
 
-    /** The largest number that a field may have. */
+    /** The largest value of a numeric field. */
     public static final double MAX_NUMBER = 1e12;
 
-    /** The longest duration that a field may have: a day. */
+    /** The largest value of a duration field: one day. */
     public static final double MAX_DURATION_MS = 86_400_000;
 
     private ConfigurationLimits() {}
--- a/fleet/src/main/java/tinford/fleet/config/ContentHash.java
+++ b/fleet/src/main/java/tinford/fleet/config/ContentHash.java
@@ -6,8 +6,8 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Hashes of single records, the same in every process. The hash of a configuration is the sum of
- * its records' hashes, so that a change only costs the hashes of the records it touches.
+ * Hashes of single records; they are the same in every process. The hash of a configuration is the
+ * sum of the hashes of its records, so that a change requires hashing only the records it touches.
  */
 final class ContentHash {
     private static final char SEPARATOR = '\n';
@@ -56,7 +56,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every JDK has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available, but every JDK provides it", e);
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/config/Endpoint.java
+++ b/fleet/src/main/java/tinford/fleet/config/Endpoint.java
@@ -1,6 +1,6 @@
 package tinford.fleet.config;
 
-/** Where a control server serves HTTP. */
+/** The HTTP address of a control server and the region in which it runs. */
 public record Endpoint(String region, String host, int port) {
     @Override
     public String toString() {
--- a/fleet/src/main/java/tinford/fleet/config/EndpointRotation.java
+++ b/fleet/src/main/java/tinford/fleet/config/EndpointRotation.java
@@ -6,17 +6,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The order in which control servers are tried, and the backoff between attempts. Servers of the
- * own region come first; within a region the order is random, so that followers spread over the
- * servers. The backoff doubles after each round in which no server succeeded. Not thread-safe.
+ * The order in which a follower tries the control servers, and the backoff between attempts. Servers
+ * in the follower's own region come first; servers of equal rank are in random order, so that
+ * followers spread over them. The backoff doubles after each pass over all servers in which none
+ * succeeded. Not thread-safe.
  */
 final class EndpointRotation {
-    /** The longest backoff of the first round. */
+    /** The longest backoff during the first pass over the servers. */
     static final double INITIAL_BACKOFF_MS = 250;
 
     static final double MAX_BACKOFF_MS = 4_000;
 
-    /** A backoff is drawn between this part of its longest value and all of it. */
+    /** The shortest backoff, as a fraction of the longest one; it is drawn at random in between. */
     private static final double MIN_JITTER_FACTOR = 0.5;
 
     private final String region;
@@ -27,7 +28,7 @@
 
     EndpointRotation(String region, List<Endpoint> endpoints, RandomGenerator random) {
         if (endpoints.isEmpty()) {
-            throw new IllegalArgumentException("control servers: expected one at least");
+            throw new IllegalArgumentException("control servers: expected at least one");
         }
         this.region = region;
         this.random = random;
@@ -43,25 +44,25 @@
         return isOwnRegion(endpoints.get(0));
     }
 
-    /** The server to try next. */
+    /** Returns the server to try next. */
     Endpoint next() {
         Endpoint endpoint = endpoints.get(next);
         next = (next + 1) % endpoints.size();
         return endpoint;
     }
 
-    /** Starts again with the servers of the own region, in a new random order. */
+    /** Starts over with the servers in the own region, in a new random order. */
     void restart() {
         shuffle();
         next = 0;
     }
 
-    /** The server that {@link #next} returned last serves steadily; resets the backoff. */
+    /** Resets the backoff because the server last returned by {@link #next} is healthy. */
     void succeeded() {
         failures = 0;
     }
 
-    /** The server that {@link #next} returned last failed; returns the backoff in ms. */
+    /** Records that the server last returned by {@link #next} failed; returns the backoff in ms. */
     double failed() {
         int round = failures / endpoints.size();
         failures++;
--- a/fleet/src/main/java/tinford/fleet/config/Follower.java
+++ b/fleet/src/main/java/tinford/fleet/config/Follower.java
@@ -5,48 +5,49 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Follows one control server at a time and decides what its owner does: connect, disconnect, apply,
- * report.
+ * The state machine of a gateway that follows the configuration: it watches one control server at a
+ * time and returns actions for its owner to perform, such as to connect, to apply an update or to
+ * send a report.
  *
- * <p>The owner passes in each event with its time in ms on any steady clock, performs the returned
- * actions in their order, and passes in what became of them. Events of an earlier watch are not
- * passed in after a {@link Action.Disconnect} or a new {@link Action.Connect}. After {@link
- * Action.Apply} or {@link Action.ApplySnapshot} no further one is returned until {@link #applied};
- * updates that arrive meanwhile are combined. The revision in force never decreases. Not
- * thread-safe.
+ * <p>The owner passes in each event with its time in ms of any monotonic clock, performs the
+ * returned actions in order, and passes in their results as events. After a {@link
+ * Action.Disconnect} or a new {@link Action.Connect} it passes in no more events of the earlier
+ * watch. After {@link Action.Apply} or {@link Action.ApplySnapshot} no other such action is returned
+ * until {@link #applied} is called; updates that arrive in the meantime are combined. The active
+ * revision never decreases. Not thread-safe.
  */
 public final class Follower {
-    /** What the owner is to do. */
+    /** An action for the owner to perform. */
     public sealed interface Action {
-        /** Open a watch; then {@link Follower#opened} or {@link Follower#closed}. */
+        /** Open a watch, then call {@link Follower#opened} or {@link Follower#closed}. */
         record Connect(Endpoint endpoint, long afterRevision) implements Action {}
 
-        /** End the watch or the attempt; no {@link Follower#closed} is expected for it. */
+        /** Close the watch or stop connecting; {@link Follower#closed} is not called for it. */
         record Disconnect(String reason) implements Action {}
 
-        /** Bring this update into force; then {@link Follower#applied}. */
+        /** Apply an update, then call {@link Follower#applied}. */
         record Apply(Update update, Configuration result) implements Action {}
 
-        /** Bring this into force, whatever was before; then {@link Follower#applied}. */
+        /** Replace the whole configuration, then call {@link Follower#applied}. */
         record ApplySnapshot(Configuration configuration) implements Action {}
 
-        /** Send this to the control server that is followed; no response is expected. */
+        /** Send a report to the control server that is followed; no response is expected. */
         record Report(Endpoint endpoint, FollowerReport report) implements Action {}
 
-        /** Log a warning of one line for the operators. */
+        /** Log a one-line warning for the operators. */
         record Warn(String message) implements Action {}
     }
 
     /** How often {@link #tick} should be called. */
     public static final double TICK_INTERVAL_MS = 100;
 
-    /** How long an attempt to connect may take. */
+    /** How long opening a watch may take. */
     public static final double CONNECT_TIMEOUT_MS = 2_500;
 
-    /** How long a watch may be silent; a heartbeat is due each second. */
+    /** How long a watch may be silent; control servers send a heartbeat each second. */
     public static final double HEARTBEAT_TIMEOUT_MS = 3_500;
 
-    /** How long a line may take from its first bytes to its end. */
+    /** How long it may take to receive one line. */
     public static final double LINE_TIMEOUT_MS = 10_000;
 
     /** How often a report is sent while nothing changes. */
@@ -55,17 +56,17 @@
     /** The shortest time between two reports. */
     public static final double MIN_REPORT_GAP_MS = 250;
 
-    /** A watch that has lived so long resets the backoff. */
+    /** A watch that has been open for this long resets the backoff. */
     static final double STEADY_WATCH_MS = 5_000;
 
-    /** How long a server of another region is followed at least before the own region is tried. */
+    /** The shortest time that a server in another region is followed before returning. */
     static final double OWN_REGION_RETRY_MS = 60_000;
 
-    /** How often errors of control servers are logged. */
+    /** Warnings about invalid messages of control servers are at least this far apart. */
     static final double WARNING_INTERVAL_MS = 60_000;
 
     private enum State {
-        /** Nothing is open; the next attempt is due at {@code attemptAtMs}. */
+        /** No watch is open; the next attempt to open one is due at {@code attemptAtMs}. */
         WAITING,
         CONNECTING,
         WATCHING
@@ -86,17 +87,20 @@
     private double ownRegionRetryAtMs;
     private double warnedAtMs = Double.NEGATIVE_INFINITY;
 
-    /** The last invalid message of a control server; null once another has served steadily. */
+    /** Error in the last invalid message of a control server; null after a stable watch. */
     private String serverError;
 
     /**
-     * Nothing is connected before the first {@link #tick}.
+     * Creates a follower; it does not connect before the first {@link #tick}.
      *
-     * @param id of the follower, the same over restarts
-     * @param endpoints all control servers; those of the own region are preferred
-     * @param initialConfiguration what is in force at the start, from the last good snapshot or
-     *     {@link Configuration#EMPTY}
-     * @throws IllegalArgumentException for an id or region that is no name, or no endpoints
+     * @param id id of the follower; the same after a restart
+     * @param region region of the follower
+     * @param fleetId id of the fleet; snapshots of other fleets are rejected
+     * @param endpoints all control servers; those in the follower's region are preferred
+     * @param initialConfiguration the active configuration at the start, from the last valid
+     *     snapshot or {@link Configuration#EMPTY}
+     * @throws IllegalArgumentException if the id or the region is not a valid name, or there are no
+     *     endpoints
      */
     public Follower(
             String id,
@@ -107,7 +111,7 @@
             RandomGenerator random) {
         if (!RecordChecks.isName(id) || !RecordChecks.isName(region)) {
             throw new IllegalArgumentException(
-                    "follower and region: expected " + RecordChecks.EXPECTED_NAME);
+                    "follower id and region: expected " + RecordChecks.EXPECTED_NAME);
         }
         this.id = id;
         this.region = region;
@@ -118,7 +122,7 @@
         this.reports = new ReportSchedule(random);
     }
 
-    /** The watch of the last {@link Action.Connect} is open. */
+    /** The watch of the last {@link Action.Connect} has been opened. */
     public List<Action> opened(double nowMs) {
         if (state != State.CONNECTING) {
             return List.of();
@@ -129,7 +133,11 @@
         return List.of(report(nowMs));
     }
 
-    /** A line was received, without its line feed; an empty one is a heartbeat. */
+    /**
+     * A line was received.
+     *
+     * @param line the line without its line feed; an empty one is a heartbeat
+     */
     public List<Action> line(byte[] line, double nowMs) {
         if (state != State.WATCHING) {
             return List.of();
@@ -148,14 +156,14 @@
         return actions;
     }
 
-    /** Bytes of an unfinished line were received: a long line on a slow link is no silence. */
+    /** Part of a line was received, so that a long line on a slow link does not look silent. */
     public void partialLine(double nowMs) {
         if (state == State.WATCHING) {
             liveness.partialLineReceived(nowMs);
         }
     }
 
-    /** The watch could not be opened, or ended. */
+    /** The watch could not be opened, or has ended. */
     public List<Action> closed(String reason, double nowMs) {
         if (state != State.WAITING) {
             waitForNext(nowMs);
@@ -163,7 +171,7 @@
         return List.of();
     }
 
-    /** What became of the last {@link Action.Apply} or {@link Action.ApplySnapshot}. */
+    /** The last {@link Action.Apply} or {@link Action.ApplySnapshot} has been performed. */
     public List<Action> applied(ApplyResult result, double nowMs) {
         if (!applied.isPending()) {
             return List.of();
@@ -180,7 +188,7 @@
         return actions;
     }
 
-    /** Time has passed; see {@link #TICK_INTERVAL_MS}. */
+    /** Checks timeouts and sends due reports; called every {@link #TICK_INTERVAL_MS}. */
     public List<Action> tick(double nowMs) {
         List<Action> actions = new ArrayList<>();
         if (state == State.WAITING) {
@@ -193,12 +201,12 @@
         return actions;
     }
 
-    /** The configuration in force. */
+    /** The active configuration. */
     public Configuration activeConfiguration() {
         return applied.active();
     }
 
-    /** The latest configuration received; in force unless it is being applied or was rejected. */
+    /** The last configuration received; active unless it is being applied or was rejected. */
     public Configuration receivedConfiguration() {
         return applied.received();
     }
@@ -218,13 +226,13 @@
 
     private void checkConnectTimeout(List<Action> actions, double nowMs) {
         if (nowMs - attemptAtMs >= CONNECT_TIMEOUT_MS) {
-            disconnect("no watch within " + CONNECT_TIMEOUT_MS + " ms", actions, nowMs);
+            disconnect("the watch was not opened within " + CONNECT_TIMEOUT_MS + " ms", actions, nowMs);
         }
     }
 
     private void checkWatch(List<Action> actions, double nowMs) {
         if (liveness.isSilent(nowMs)) {
-            disconnect("silent for " + HEARTBEAT_TIMEOUT_MS + " ms", actions, nowMs);
+            disconnect("received nothing for " + HEARTBEAT_TIMEOUT_MS + " ms", actions, nowMs);
             return;
         }
         if (liveness.isSteady(nowMs)) {
@@ -232,7 +240,7 @@
             serverError = null;
         }
         if (isReturnToOwnRegionDue(nowMs)) {
-            actions.add(new Action.Disconnect("to return to the own region"));
+            actions.add(new Action.Disconnect("returning to a server in the own region"));
             rotation.restart();
             connect(actions, nowMs);
         } else if (reports.isDue(nowMs)) {
@@ -264,7 +272,7 @@
         }
     }
 
-    /** Reports the error to the server, warns the operators and goes on to another server. */
+    /** Reports an invalid message to its server, logs a warning and turns to another server. */
     private void rejectMessage(String error, List<Action> actions, double nowMs) {
         serverError = ValidationError.oneLine(endpoint + ": " + error);
         actions.add(report(nowMs));
--- a/fleet/src/main/java/tinford/fleet/config/FollowerReport.java
+++ b/fleet/src/main/java/tinford/fleet/config/FollowerReport.java
@@ -3,11 +3,11 @@
 /**
  * A follower's report to its control server.
  *
- * @param follower its id
- * @param region the region it runs in
- * @param revision the revision in force there
- * @param rejectionReason why the last revision that it was offered is not in force; null where it
- *     is
+ * @param follower id of the follower
+ * @param region region of the follower
+ * @param revision the active revision of the follower
+ * @param rejectionReason why the last revision was rejected, or the error in a message of a control
+ *     server; null if there is neither
  */
 public record FollowerReport(
         String follower, String region, long revision, String rejectionReason) {}
--- a/fleet/src/main/java/tinford/fleet/config/FollowerTable.java
+++ b/fleet/src/main/java/tinford/fleet/config/FollowerTable.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * The latest report of each follower. Bounded; entries expire. Times are in ms on any steady clock.
- * Not thread-safe.
+ * The latest report of each follower. The number of entries is bounded, and entries expire. Times
+ * are in ms of any monotonic clock. Not thread-safe.
  */
 public final class FollowerTable {
     /** A report and the time when it was received, in ms. */
@@ -19,17 +19,17 @@
 
     /**
      * @param capacity the largest number of followers
-     * @param expiryMs how long a report is kept unless a later one replaces it
+     * @param expiryMs time after which a report expires unless a later one replaces it
      */
     public FollowerTable(int capacity, double expiryMs) {
         if (capacity < 1 || !(expiryMs > 0)) {
-            throw new IllegalArgumentException("expected capacity >= 1 and expiryMs > 0");
+            throw new IllegalArgumentException("follower table: expected capacity >= 1 and expiryMs > 0");
         }
         this.capacity = capacity;
         this.expiryMs = expiryMs;
     }
 
-    /** Stores a report; false if the table is full of other followers. */
+    /** Stores a report; returns false if the table is full of reports of other followers. */
     public boolean report(FollowerReport report, double nowMs) {
         if (byFollower.size() >= capacity && !byFollower.containsKey(report.follower())) {
             expire(nowMs);
@@ -41,13 +41,13 @@
         return true;
     }
 
-    /** All entries that have not expired, by follower. */
+    /** All entries that have not expired, ordered by follower. */
     public List<Entry> entries(double nowMs) {
         expire(nowMs);
         return List.copyOf(byFollower.values());
     }
 
-    /** The entries with an earlier revision, by follower. */
+    /** The entries with an earlier revision than the given one, ordered by follower. */
     public List<Entry> lagging(long revision, double nowMs) {
         List<Entry> lagging = new ArrayList<>();
         for (Entry entry : entries(nowMs)) {
@@ -58,7 +58,7 @@
         return lagging;
     }
 
-    /** How many followers hold which revision. */
+    /** The number of followers at each revision. */
     public SortedMap<Long, Integer> countByRevision(double nowMs) {
         SortedMap<Long, Integer> counts = new TreeMap<>();
         for (Entry entry : entries(nowMs)) {
--- a/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Encodes the whole state of a {@link RevisionHistory}, with a checksum. */
+/** Encodes and decodes the whole state of a {@link RevisionHistory}, with a checksum. */
 final class HistoryCodec {
     private static final int CONTENT_VERSION = 1;
     private static final Set<String> KEYS =
@@ -68,7 +68,7 @@
         long at = oldest;
         for (Update update : updates) {
             if (update.fromRevision() != at || update.revision() != at + 1) {
-                throw json.invalid("updates", "one that leads from " + at + " to " + (at + 1));
+                throw json.invalid("updates", "an update from revision " + at + " to " + (at + 1));
             }
             at++;
         }
--- a/fleet/src/main/java/tinford/fleet/config/InvalidConfigurationException.java
+++ b/fleet/src/main/java/tinford/fleet/config/InvalidConfigurationException.java
@@ -1,6 +1,6 @@
 package tinford.fleet.config;
 
-/** Data that can't be read as a configuration, proposal, message or snapshot. */
+/** Thrown for data that is not a valid configuration, proposal, message or snapshot. */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,9 @@
     private final String expected;
 
     /**
-     * @param key the path of the field that is invalid
+     * Creates an exception for one field.
+     *
+     * @param key the path of the invalid field
      * @param expected what was expected there
      */
     public InvalidConfigurationException(String key, String expected) {
@@ -17,14 +19,14 @@
         this.expected = expected;
     }
 
-    /** With the exception that showed it. */
+    /** Creates an exception with a cause. */
     public InvalidConfigurationException(String key, String expected, Throwable cause) {
         super(new ValidationError(key, expected).toString(), cause);
         this.key = key;
         this.expected = expected;
     }
 
-    /** The path of the field that is invalid. */
+    /** The path of the invalid field. */
     public String key() {
         return key;
     }
@@ -34,7 +36,7 @@
         return expected;
     }
 
-    /** The same as a validation error, for the response to a client. */
+    /** The error for the response to a client. */
     public ValidationError error() {
         return new ValidationError(key, expected);
     }
--- a/fleet/src/main/java/tinford/fleet/config/Json.java
+++ b/fleet/src/main/java/tinford/fleet/config/Json.java
@@ -13,13 +13,13 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Reads and writes versioned JSON objects; depth and lengths of what is read are bounded. */
+/** Reads and writes versioned JSON objects; when reading, depth and lengths are bounded. */
 final class Json {
     private static final String VERSION_KEY = "version";
     private static final int MAX_KEY_LENGTH = 64;
     private static final int MAX_NUMBER_LENGTH = 64;
 
-    /** For everything but watch messages, whose snapshots are one long text. */
+    /** For everything except watch messages, which contain a snapshot as one long string. */
     private static final JsonMapper SHORT_TEXT_MAPPER = mapper(ConfigurationLimits.MAX_TEXT_LENGTH);
 
     private static final JsonMapper LONG_TEXT_MAPPER = mapper(ConfigurationLimits.MAX_LINE_BYTES);
@@ -31,7 +31,7 @@
         void write(JsonGenerator out) throws IOException;
     }
 
-    /** An object with the version and the fields of a body, on one line without a line feed. */
+    /** Writes an object with the version and the fields of a body, on one line without line feed. */
     static byte[] write(int latestVersion, Body body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = SHORT_TEXT_MAPPER.createGenerator(bytes, JsonEncoding.UTF8)) {
@@ -40,7 +40,7 @@
             body.write(out);
             out.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("writing to memory", e);
+            throw new UncheckedIOException("JSON could not be written to memory", e);
         }
         return bytes.toByteArray();
     }
@@ -48,7 +48,7 @@
     /**
      * Reads one object.
      *
-     * @param latestVersion the latest version that is understood
+     * @param latestVersion the latest supported version
      * @param maxBytes the largest size of the JSON
      */
     static JsonObjectReader read(byte[] json, int latestVersion, int maxBytes)
@@ -56,7 +56,7 @@
         return read(SHORT_TEXT_MAPPER, json, latestVersion, maxBytes);
     }
 
-    /** Reads one object whose texts may be as long as a line of a watch. */
+    /** Reads one object whose strings may be as long as a line of a watch. */
     static JsonObjectReader readWithLongTexts(byte[] json, int latestVersion, int maxBytes)
             throws InvalidConfigurationException {
         return read(LONG_TEXT_MAPPER, json, latestVersion, maxBytes);
--- a/fleet/src/main/java/tinford/fleet/config/JsonObjectReader.java
+++ b/fleet/src/main/java/tinford/fleet/config/JsonObjectReader.java
@@ -8,12 +8,12 @@
 import java.util.TreeSet;
 
 /**
- * Reads the fields of one object of a JSON tree; an error names the field by its path from the
+ * Reads the fields of one object in a JSON tree. Exceptions identify a field by its path from the
  * root, such as {@code changes[2].putRoute.name}.
  *
- * <p>Unlike {@code tinford.settings.JsonFields}, which reads the settings that a gateway is started
- * with, it throws a checked exception with such a path, and reads a tree whose depth and lengths
- * {@link Json} has bounded.
+ * <p>{@code tinford.settings.JsonFields} is the counterpart for the settings with which a gateway is
+ * started. This class differs in that it throws a checked exception with the path, and reads only
+ * trees whose depth and lengths were bounded by {@link Json}.
  */
 final class JsonObjectReader {
     private final JsonObjectReader parent;
@@ -26,7 +26,7 @@
         this.node = node;
     }
 
-    /** The field names of an object, in alphabetical order. */
+    /** A set of field names, in alphabetical order. */
     static Set<String> keys(String... keys) {
         return new TreeSet<>(List.of(keys));
     }
@@ -38,27 +38,27 @@
         return new JsonObjectReader(null, "", node);
     }
 
-    /** The exception for a field of this object that is not as expected. */
+    /** Creates the exception for a field of this object that is not as expected. */
     InvalidConfigurationException invalid(String key, String expected) {
         return new InvalidConfigurationException(path(key), expected);
     }
 
-    /** Whether there is such a field, and it is not null. */
+    /** Whether the object has a field with this name that is not null. */
     boolean has(String key) {
         return node.hasNonNull(key);
     }
 
-    /** Rejects an object with any other field. */
+    /** Throws if the object has any other field. */
     void allowOnly(Set<String> keys) throws InvalidConfigurationException {
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String key = names.next();
             if (!keys.contains(key)) {
-                throw invalid(key, "no such key; known are " + String.join(", ", keys));
+                throw invalid(key, "a known key, one of " + String.join(", ", keys));
             }
         }
     }
 
-    /** The name of the only field. */
+    /** Returns the name of the only field; throws unless there is exactly one. */
     String onlyKey(String expected) throws InvalidConfigurationException {
         if (node.size() != 1) {
             throw new InvalidConfigurationException(path(), expected);
@@ -69,7 +69,7 @@
     String text(String key) throws InvalidConfigurationException {
         JsonNode value = node.path(key);
         if (!value.isTextual()) {
-            throw invalid(key, "a text");
+            throw invalid(key, "a string");
         }
         return value.textValue();
     }
@@ -77,7 +77,7 @@
     long integer(String key) throws InvalidConfigurationException {
         JsonNode value = node.path(key);
         if (!value.isIntegralNumber() || !value.canConvertToLong()) {
-            throw invalid(key, "a whole number");
+            throw invalid(key, "an integer");
         }
         return value.longValue();
     }
@@ -85,7 +85,7 @@
     long nonNegativeLong(String key) throws InvalidConfigurationException {
         long value = integer(key);
         if (value < 0) {
-            throw invalid(key, "a whole number from 0 on");
+            throw invalid(key, "an integer of at least 0");
         }
         return value;
     }
@@ -93,7 +93,7 @@
     int nonNegativeInt(String key) throws InvalidConfigurationException {
         long value = nonNegativeLong(key);
         if (value > Integer.MAX_VALUE) {
-            throw invalid(key, "a whole number from 0 to " + Integer.MAX_VALUE);
+            throw invalid(key, "an integer from 0 to " + Integer.MAX_VALUE);
         }
         return (int) value;
     }
--- a/fleet/src/main/java/tinford/fleet/config/Outcome.java
+++ b/fleet/src/main/java/tinford/fleet/config/Outcome.java
@@ -1,10 +1,10 @@
 package tinford.fleet.config;
 
-/** The decision on a proposal, the same on every voter. */
+/** The outcome of a proposal; the same on every voter. */
 public sealed interface Outcome {
-    /** The proposal became this revision. */
+    /** The proposal was accepted as this revision. */
     record Accepted(long revision) implements Outcome {}
 
-    /** The proposal changed nothing. */
+    /** The proposal was rejected and changed nothing. */
     record Rejected(Rejection rejection) implements Outcome {}
 }
--- a/fleet/src/main/java/tinford/fleet/config/Proposal.java
+++ b/fleet/src/main/java/tinford/fleet/config/Proposal.java
@@ -1,10 +1,10 @@
 package tinford.fleet.config;
 
-/** A change of the configuration that an operator proposes to the control servers. */
+/** A change to the configuration that an operator proposes to the control servers. */
 public sealed interface Proposal permits ChangeSet, Revert {
     /**
-     * Chosen by the proposer; the same proposal sent again with the same id has the outcome of the
-     * first.
+     * The id of the proposal, chosen by the proposer. If the same proposal is sent again with the
+     * same id, it is not applied again and gets the outcome of the first one.
      */
     String id();
 }
--- a/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
+++ b/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
@@ -7,13 +7,18 @@
 import java.util.Optional;
 
 /**
- * The outcomes of the latest proposals by id, so that a proposal that is sent again does not take
- * effect twice. The oldest are evicted when there are too many or they are too long.
+ * The latest proposals that were decided, with their outcomes, by id, so that a proposal that is
+ * sent again does not take effect twice. The oldest are evicted when there are too many or they take
+ * too much memory.
  */
 final class ProposalMemory {
-    /** A proposal's id, the SHA-256 of its content in hex, and its outcome. */
+    /**
+     * A proposal that was decided.
+     *
+     * @param digest SHA-256 of the encoded proposal, in hex
+     */
     record Remembered(String id, String digest, Outcome outcome) {
-        /** The approximate size. */
+        /** The approximate size in characters. */
         private int characters() {
             int characters = id.length() + digest.length();
             if (outcome instanceof Outcome.Rejected rejected) {
@@ -28,7 +33,7 @@
     private final Map<String, Remembered> byId = new LinkedHashMap<>();
     private long characters;
 
-    /** The SHA-256 of the proposal's content, in hex. */
+    /** The SHA-256 of the encoded proposal, in hex. */
     static String digest(Proposal proposal) {
         byte[] json = ConfigurationCodec.encode(proposal);
         return HexFormat.of().formatHex(ContentHash.sha256().digest(json));
@@ -39,7 +44,7 @@
         return Optional.ofNullable(byId.get(id));
     }
 
-    /** Adds a proposal whose id is not remembered. */
+    /** Adds a proposal; its id must not be present. */
     void add(Remembered proposal) {
         byId.put(proposal.id(), proposal);
         characters += proposal.characters();
@@ -55,7 +60,7 @@
         return byId.size();
     }
 
-    /** All remembered proposals, the oldest first. */
+    /** All retained proposals, the oldest first. */
     Collection<Remembered> all() {
         return byId.values();
     }
--- a/fleet/src/main/java/tinford/fleet/config/RecordChecks.java
+++ b/fleet/src/main/java/tinford/fleet/config/RecordChecks.java
@@ -4,7 +4,7 @@
 import tinford.api.DeduplicationScope;
 import tinford.api.Idempotency;
 
-/** Validates single records: names and ranges of numbers, but no references. */
+/** Validates single records: names and ranges of numbers, but not references to other records. */
 public final class RecordChecks {
     private static final Pattern NAME =
             Pattern.compile(
@@ -12,7 +12,7 @@
                             + (ConfigurationLimits.MAX_NAME_LENGTH - 1)
                             + "}");
 
-    /** The form of a name, for error messages. */
+    /** Description of a valid name, for error messages. */
     public static final String EXPECTED_NAME =
             "1 to "
                     + ConfigurationLimits.MAX_NAME_LENGTH
@@ -85,7 +85,7 @@
         errors.expect(isAmount(number), key, EXPECTED_AMOUNT);
     }
 
-    /** A rate needs a burst: a token bucket without capacity would admit nothing. */
+    /** A rate requires a burst, because a token bucket without capacity would admit nothing. */
     private void checkBurst(String key, double burst, double rate) {
         checkAmount(key, burst);
         errors.expect(!(rate > 0) || burst > 0, key, "above 0 where there is a rate");
--- a/fleet/src/main/java/tinford/fleet/config/RecordJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/RecordJson.java
@@ -7,8 +7,9 @@
 import tinford.api.Idempotency;
 
 /**
- * The JSON of single records and validation errors. Types are checked; names and ranges of numbers
- * are left to {@link Validator}. The field names are part of the protocol and of stored data.
+ * Reads and writes single records and validation errors as JSON. Reading checks the types of fields;
+ * {@link Validator} checks names and ranges of numbers. The field names are part of the protocol
+ * and of stored data.
  */
 final class RecordJson {
     private static final Set<String> NAME_KEYS = JsonObjectReader.keys("name");
@@ -165,8 +166,8 @@
     }
 
     /**
-     * The scope that is named, or the narrowest for routes with an idempotency key: a repeat within
-     * a cell is dropped in any scope.
+     * Reads the deduplication scope. For routes with an idempotency key the default is the narrowest
+     * one, because a duplicate within a cell is dropped whatever the actual scope is.
      */
     private static DeduplicationScope readScope(JsonObjectReader json, Idempotency idempotency)
             throws InvalidConfigurationException {
--- a/fleet/src/main/java/tinford/fleet/config/Rejection.java
+++ b/fleet/src/main/java/tinford/fleet/config/Rejection.java
@@ -6,13 +6,12 @@
 /**
  * Why a proposal was rejected.
  *
- * @param errors at least one; of more than {@link ConfigurationLimits#MAX_ERRORS} the first are
- *     kept
+ * @param errors at least one error; only the first {@link ConfigurationLimits#MAX_ERRORS} are kept
  */
 public record Rejection(List<ValidationError> errors) {
     public Rejection {
         if (errors.isEmpty()) {
-            throw new IllegalArgumentException("a rejection needs an error");
+            throw new IllegalArgumentException("rejection: expected at least one error");
         }
         errors =
                 List.copyOf(
--- a/fleet/src/main/java/tinford/fleet/config/ReportSchedule.java
+++ b/fleet/src/main/java/tinford/fleet/config/ReportSchedule.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a follower reports: at a regular interval with jitter, and soon after a change, but never
- * twice within {@link Follower#MIN_REPORT_GAP_MS}. Not thread-safe.
+ * Decides when a follower sends a report: at a regular interval with jitter, and soon after a change,
+ * but never twice within {@link Follower#MIN_REPORT_GAP_MS}. Not thread-safe.
  */
 final class ReportSchedule {
     private static final double MIN_INTERVAL_FACTOR = 0.9;
@@ -18,7 +18,7 @@
         this.random = random;
     }
 
-    /** A report is sent now; the next one is due an interval later. */
+    /** Records that a report is sent now; the next one is due an interval later. */
     void sent(double nowMs) {
         sentAtMs = nowMs;
         double factor = MIN_INTERVAL_FACTOR + INTERVAL_JITTER * random.nextDouble();
@@ -29,12 +29,12 @@
         return nowMs >= dueAtMs;
     }
 
-    /** Brings the next report forward to the earliest time that the gap allows. */
+    /** Makes the next report due at the earliest time that the minimum gap allows. */
     void bringForward() {
         dueAtMs = Math.min(dueAtMs, sentAtMs + Follower.MIN_REPORT_GAP_MS);
     }
 
-    /** Whether the last report is long enough ago for another one. */
+    /** Whether enough time has passed since the last report to send another one. */
     boolean isGapOver(double nowMs) {
         return nowMs - sentAtMs >= Follower.MIN_REPORT_GAP_MS;
     }
--- a/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
+++ b/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
@@ -7,16 +7,16 @@
 import java.util.Optional;
 
 /**
- * The replicated state machine of the configuration: it decides proposals and keeps the revisions.
- * The same proposals in the same order give the same state and the same outcomes on every voter.
- * Memory is bounded by {@link ConfigurationLimits}. Not thread-safe.
+ * The replicated state machine of the configuration: it accepts or rejects proposals and retains
+ * recent revisions. The same proposals in the same order produce the same state and the same
+ * outcomes on every voter. Memory is bounded by {@link ConfigurationLimits}. Not thread-safe.
  */
 public final class RevisionHistory {
     /**
      * How many updates are retained.
      *
      * @param updates the largest number of updates
-     * @param bytes the largest size of all of them when encoded
+     * @param bytes the largest total size of the encoded updates
      */
     public record Retention(int updates, int bytes) {
         /** The largest retention. */
@@ -31,16 +31,16 @@
                     || bytes < 0
                     || bytes > ConfigurationLimits.MAX_RETAINED_BYTES) {
                 throw new IllegalArgumentException(
-                        "retention: expected at most "
+                        "retention: expected non-negative numbers, at most "
                                 + ConfigurationLimits.MAX_RETAINED_UPDATES
-                                + " updates of "
+                                + " updates and "
                                 + ConfigurationLimits.MAX_RETAINED_BYTES
                                 + " bytes");
             }
         }
     }
 
-    /** An update and how many bytes it has when encoded. */
+    /** An update and its encoded size. */
     private record RetainedUpdate(Update update, int bytes) {}
 
     private final HistoryCodec codec;
@@ -48,18 +48,18 @@
     private final Deque<RetainedUpdate> retained = new ArrayDeque<>();
     private ProposalMemory proposals = new ProposalMemory();
 
-    /** The configuration that the retained updates start from. */
+    /** The configuration before the first retained update. */
     private Configuration oldest = Configuration.EMPTY;
 
     private Configuration current = Configuration.EMPTY;
     private long retainedBytes;
 
-    /** An empty history, at revision 0. */
+    /** Creates an empty history, at revision 0, with the default retention. */
     public RevisionHistory(String fleetId) {
         this(fleetId, Retention.DEFAULT);
     }
 
-    /** An empty history with another retention than the default. */
+    /** Creates an empty history, at revision 0. */
     public RevisionHistory(String fleetId, Retention retention) {
         this.codec = new HistoryCodec(fleetId);
         this.retention = retention;
@@ -70,7 +70,7 @@
         return current;
     }
 
-    /** The oldest revision that {@link #updatesSince} and a revert can go from. */
+    /** The oldest revision that {@link #updatesSince} and a {@link Revert} can refer to. */
     public long oldestRetained() {
         return oldest.revision();
     }
@@ -80,19 +80,19 @@
         return retained.size();
     }
 
-    /** Bytes of the retained updates when encoded. */
+    /** Total encoded size of the retained updates, in bytes. */
     public long retainedBytes() {
         return retainedBytes;
     }
 
-    /** How many proposals' outcomes are remembered. */
+    /** How many proposals are retained with their outcomes. */
     public int rememberedProposals() {
         return proposals.size();
     }
 
     /**
-     * Accepts the proposal as a new revision, or rejects it and changes nothing. A proposal that
-     * was decided before gets the same outcome again.
+     * Accepts a proposal as a new revision, or rejects it and changes nothing. A proposal that was
+     * already decided gets the same outcome again.
      */
     public Outcome propose(Proposal proposal) {
         if (!RecordChecks.isName(proposal.id())) {
@@ -109,8 +109,9 @@
     }
 
     /**
-     * The updates after a revision, oldest first, each by one revision. The list is empty for the
-     * current revision and for future ones; it is absent if the updates are no longer retained.
+     * The updates after a revision, one for each revision, oldest first. The list is empty for the
+     * current revision and for future ones; the result is empty if the updates are no longer
+     * retained.
      */
     public Optional<List<Update>> updatesSince(long revision) {
         if (revision < oldest.revision()) {
@@ -125,14 +126,14 @@
         return Optional.of(updates);
     }
 
-    /** The whole state, for {@link #restore} on any voter. */
+    /** Encodes the whole state, for {@link #restore} on any voter. */
     public byte[] snapshot() {
         return codec.encode(
                 oldest, retained.stream().map(RetainedUpdate::update).toList(), proposals);
     }
 
     /**
-     * Replaces the whole state.
+     * Replaces the whole state by a snapshot.
      *
      * @throws InvalidConfigurationException if the snapshot is invalid; the state is unchanged
      */
--- a/fleet/src/main/java/tinford/fleet/config/ServiceRecord.java
+++ b/fleet/src/main/java/tinford/fleet/config/ServiceRecord.java
@@ -1,4 +1,4 @@
 package tinford.fleet.config;
 
-/** A service: the servers that routes lead to, found by name in discovery. */
+/** A service: the group of servers that serves a route; discovery lists its endpoints by name. */
 public record ServiceRecord(String name) {}
--- a/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
@@ -3,8 +3,8 @@
 import java.util.Set;
 
 /**
- * Encodes a whole configuration as compressed JSON in a {@link ChecksummedState}, which names the
- * fleet and the revision.
+ * Encodes and decodes a whole configuration as compressed JSON in a {@link ChecksummedState}, which
+ * also contains the fleet id and the revision.
  */
 public final class SnapshotCodec {
     private static final int CONTENT_VERSION = 1;
@@ -14,9 +14,9 @@
     private final String fleetId;
 
     /**
-     * For the snapshots of one fleet.
+     * Creates a codec for the snapshots of one fleet.
      *
-     * @throws IllegalArgumentException if the id is no name
+     * @throws IllegalArgumentException if the fleet id is not a valid name
      */
     public SnapshotCodec(String fleetId) {
         if (!RecordChecks.isName(fleetId)) {
@@ -25,7 +25,7 @@
         this.fleetId = fleetId;
     }
 
-    /** The snapshot of a configuration. */
+    /** Encodes a configuration. */
     public byte[] encode(Configuration configuration) {
         byte[] json =
                 Json.write(
@@ -35,10 +35,10 @@
     }
 
     /**
-     * Reads and validates a snapshot.
+     * Decodes a snapshot and validates its configuration.
      *
-     * @throws InvalidConfigurationException if it is truncated, damaged, of another fleet or of a
-     *     later format, or its configuration is invalid
+     * @throws InvalidConfigurationException if the snapshot is truncated, corrupted, of another
+     *     fleet or of a later format, or its configuration is invalid
      */
     public Configuration decode(byte[] snapshot) throws InvalidConfigurationException {
         ChecksummedState.Decoded decoded =
@@ -49,7 +49,7 @@
         object.allowOnly(KEYS);
         Configuration configuration = ConfigurationJson.read(object);
         if (configuration.revision() != decoded.revision()) {
-            throw object.invalid("revision", "that of the envelope, " + decoded.revision());
+            throw object.invalid("revision", "the revision of the envelope, " + decoded.revision());
         }
         return configuration;
     }
--- a/fleet/src/main/java/tinford/fleet/config/SortedArrayMap.java
+++ b/fleet/src/main/java/tinford/fleet/config/SortedArrayMap.java
@@ -13,8 +13,8 @@
 import java.util.function.Function;
 
 /**
- * An immutable map that iterates in ascending order of its keys. It is held in two arrays, which
- * cost two references per entry; a changed copy costs one pass over them.
+ * An immutable map that iterates in ascending order of its keys. It is backed by two sorted arrays,
+ * so that it needs two references per entry and a modified copy takes a single pass.
  */
 final class SortedArrayMap<K extends Comparable<K>, V> extends AbstractMap<K, V> {
     private final Object[] keys;
@@ -29,7 +29,7 @@
         return new SortedArrayMap<>(new Object[0], new Object[0]);
     }
 
-    /** Of several values with one key the last is kept. */
+    /** Creates a map from its values; of several values with the same key the last one is used. */
     static <K extends Comparable<K>, V> SortedArrayMap<K, V> of(
             Collection<V> values, Function<V, K> keyOf) {
         SortedMap<K, V> sorted = new TreeMap<>();
@@ -40,8 +40,8 @@
     }
 
     /**
-     * A copy with these entries added, replaced, or, where the value is null, removed; this map
-     * where there are none.
+     * A copy with entries added or replaced, or removed if their value is null. Returns this map if
+     * there are no edits.
      */
     SortedArrayMap<K, V> with(SortedMap<K, V> edits) {
         if (edits.isEmpty()) {
--- a/fleet/src/main/java/tinford/fleet/config/Update.java
+++ b/fleet/src/main/java/tinford/fleet/config/Update.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The changes that lead from one revision to a later one.
+ * The changes between one revision and a later one.
  *
  * @param fromRevision the revision before the changes
  * @param revision the revision after them
@@ -12,7 +12,7 @@
     public Update {
         if (fromRevision < 0 || revision <= fromRevision) {
             throw new IllegalArgumentException(
-                    "update from " + fromRevision + " to " + revision + ": expected a later one");
+                    "update from " + fromRevision + " to " + revision + ": expected a later revision");
         }
         changes = List.copyOf(changes);
     }
--- a/fleet/src/main/java/tinford/fleet/config/ValidationError.java
+++ b/fleet/src/main/java/tinford/fleet/config/ValidationError.java
@@ -3,7 +3,7 @@
 import java.util.regex.Pattern;
 
 /**
- * One thing that is wrong in a proposal or a configuration, in one line of bounded length.
+ * One error in a proposal or a configuration, on one line of bounded length.
  *
  * @param key the path of the field, such as {@code changes[0].putRoute.timeoutMs}
  * @param expected what was expected there
@@ -21,7 +21,7 @@
         return key + ": expected " + expected;
     }
 
-    /** The text without control characters, cut to {@link ConfigurationLimits#MAX_TEXT_LENGTH}. */
+    /** Truncates to {@link ConfigurationLimits#MAX_TEXT_LENGTH} and removes control characters. */
     static String oneLine(String text) {
         String cut =
                 text.substring(0, Math.min(text.length(), ConfigurationLimits.MAX_TEXT_LENGTH));
--- a/fleet/src/main/java/tinford/fleet/config/Validator.java
+++ b/fleet/src/main/java/tinford/fleet/config/Validator.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Validates configurations and changes; an invalid one never comes into force. */
+/** Validates configurations and changes to them, so that an invalid one never becomes active. */
 public final class Validator {
     private final ValidationErrors errors = new ValidationErrors();
     private final RecordChecks recordChecks = new RecordChecks(errors);
@@ -13,7 +13,7 @@
     private Validator() {}
 
     /**
-     * The errors of changes to a configuration; empty if the result is valid.
+     * Validates changes to a configuration; returns the errors, none if the result is valid.
      *
      * @param before a valid configuration
      */
@@ -22,7 +22,7 @@
     }
 
     /**
-     * The same for a result that was computed already.
+     * The same if the result has already been computed.
      *
      * @param after {@code before} with the changes
      */
@@ -37,7 +37,7 @@
         return validator.errors.toList();
     }
 
-    /** The errors of a whole configuration; empty if it is valid. */
+    /** Validates a whole configuration; returns its errors, none if it is valid. */
     public static List<ValidationError> check(Configuration configuration) {
         Validator validator = new Validator();
         validator.checkCounts(configuration);
@@ -45,7 +45,7 @@
         return validator.errors.toList();
     }
 
-    /** The record that a change adds, replaces or removes; a change set may name each once. */
+    /** The record that a change adds, replaces or removes; one change set may have each only once. */
     private record Target(String kind, Object key) {}
 
     private void checkChanges(Configuration before, List<Change> changes) {
@@ -122,7 +122,7 @@
         errors.expect(count <= limit, key, "at most " + limit + ", not " + count);
     }
 
-    /** Checks only references that the changes can have broken. */
+    /** Checks only the references that the changes may have broken. */
     private void checkReferences(List<Change> changes, Configuration after) {
         for (int i = 0; i < changes.size(); i++) {
             String prefix = "changes[" + i + "].";
--- a/fleet/src/main/java/tinford/fleet/config/WatchLiveness.java
+++ b/fleet/src/main/java/tinford/fleet/config/WatchLiveness.java
@@ -1,6 +1,6 @@
 package tinford.fleet.config;
 
-/** When a follower last received something over its watch. Not thread-safe. */
+/** Tracks when a follower last received data over its watch. Not thread-safe. */
 final class WatchLiveness {
     private double openedAtMs;
     private double receivedAtMs;
@@ -16,7 +16,7 @@
         lineEndedAtMs = nowMs;
     }
 
-    /** Counts as a sign of life until the line has taken {@link Follower#LINE_TIMEOUT_MS}. */
+    /** Keeps the watch alive until the line has taken {@link Follower#LINE_TIMEOUT_MS}. */
     void partialLineReceived(double nowMs) {
         if (nowMs - lineEndedAtMs < Follower.LINE_TIMEOUT_MS) {
             receivedAtMs = nowMs;
@@ -27,7 +27,7 @@
         return nowMs - receivedAtMs >= Follower.HEARTBEAT_TIMEOUT_MS;
     }
 
-    /** Whether the watch has been open long enough to call its server healthy. */
+    /** Whether the watch has been open long enough for its server to count as healthy. */
     boolean isSteady(double nowMs) {
         return nowMs - openedAtMs >= Follower.STEADY_WATCH_MS;
     }
--- a/fleet/src/main/java/tinford/fleet/config/WatchMessage.java
+++ b/fleet/src/main/java/tinford/fleet/config/WatchMessage.java
@@ -1,14 +1,14 @@
 package tinford.fleet.config;
 
-/** A line of a watch; an empty line is a heartbeat and not a message. */
+/** A message of a watch, sent as one line; an empty line is a heartbeat and not a message. */
 public sealed interface WatchMessage {
-    /** An update from the revision that the follower has. */
+    /** An update of the configuration that the follower has received before. */
     record UpdateMessage(Update update) implements WatchMessage {}
 
     /**
-     * A whole configuration, for a follower that is too far behind.
+     * A whole configuration, for a follower whose revision is too old for updates.
      *
-     * @param data encoded by {@link SnapshotCodec}
+     * @param data the configuration as encoded by {@link SnapshotCodec}
      */
     record SnapshotMessage(long revision, byte[] data) implements WatchMessage {}
 }
--- a/fleet/src/main/java/tinford/fleet/membership/GossipCodec.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipCodec.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * Encodes and decodes gossip messages: a version byte; records, the sender's own first; a byte 0;
- * and heartbeats, which say only that an incarnation was alive, and when. See {@link
- * GossipRecordCodec} for a record.
+ * Encodes and decodes gossip messages. A message consists of a version byte, records (the sender's
+ * own first), a zero byte, and heartbeats. A heartbeat only tells at which time an incarnation was
+ * alive. For the format of a record see {@link GossipRecordCodec}.
  */
 public final class GossipCodec {
-    /** The longest message, whatever the transport carries. */
+    /** The longest message, even if the transport allows longer ones. */
     public static final int MAX_MESSAGE_BYTES = 256;
 
     public static final int MAX_RECORD_BYTES = GossipRecordCodec.MAX_RECORD_BYTES;
@@ -21,12 +21,13 @@
     private static final double AGE_UNIT_MS = 2;
     private static final int MAX_AGE_UNITS = 65535;
 
-    /** The highest age that a message can carry. */
+    /** The highest age of a record that can be encoded. */
     public static final double MAX_AGE_MS = MAX_AGE_UNITS * AGE_UNIT_MS;
 
     /**
-     * Length of a heartbeat: gateway, low bits of the start, and the time since the start in units
-     * of {@link #HEARTBEAT_UNIT_MS}, in three bytes.
+     * Length of a heartbeat: two bytes for the gateway, the low two bytes of the incarnation's
+     * start, and three bytes for the time since that start, in units of {@link
+     * #HEARTBEAT_UNIT_MS}.
      */
     static final int HEARTBEAT_BYTES = 7;
 
@@ -39,17 +40,19 @@
     /**
      * A record as received.
      *
-     * @param madeAtMs on its owner's clock, since the owner's start
-     * @param ageMs since its owner made it, as its sender counts
-     * @param encoded as received, to be forwarded with what a later version put at its end
+     * @param madeAtMs when its owner created it, in ms since the owner's start by the owner's clock
+     * @param ageMs time since its owner created it, as stated by the sender of the message
+     * @param encoded the bytes received; they are forwarded unchanged, including any fields that a
+     *     later version appended
      */
     public record Received(GossipRecord record, double madeAtMs, double ageMs, byte[] encoded) {}
 
     /**
      * A heartbeat as received.
      *
-     * @param startBits the low bits of the incarnation's start
-     * @param aliveUnits time since the start, modulo the range of three bytes
+     * @param startBits the low 16 bits of the incarnation's start
+     * @param aliveUnits time from that start to when the incarnation was alive, modulo the range of
+     *     three bytes
      */
     record Heartbeat(int gateway, short startBits, int aliveUnits) {
         boolean isOf(Incarnation incarnation) {
@@ -57,8 +60,8 @@
         }
 
         /**
-         * Ms since the start: of the times that the three bytes may mean, which repeat after 37
-         * hours, the nearest to the expected one.
+         * Time from the incarnation's start to when it was alive. The encoded time wraps around
+         * after 37 hours; of the possible times, the one nearest to the expected time is returned.
          */
         double aliveMs(double expectedMs) {
             double wraps =
@@ -68,7 +71,8 @@
     }
 
     /**
-     * @param maxStartAheadMs by how much an incarnation's start may lie in the future
+     * @param gateways number of configured gateways; records of others are rejected
+     * @param maxStartAheadMs how far in the future an incarnation's start may lie
      */
     public GossipCodec(int gateways, double maxStartAheadMs) {
         this.gateways = gateways;
@@ -78,21 +82,21 @@
     /**
      * Encodes a record.
      *
-     * @param madeAtMs on the owner's clock, since its start
+     * @param madeAtMs current time in ms since the start of the record's owner
      */
     public static byte[] encode(GossipRecord record, double madeAtMs) {
         return GossipRecordCodec.encode(record, madeAtMs);
     }
 
-    /** Returns an empty message, to be filled by {@link #addRecord}. */
+    /** Returns an empty message, to which {@link #addRecord} adds records. */
     public static ByteBuffer newMessage(int maxBytes) {
         return ByteBuffer.allocate(Math.min(maxBytes, MAX_MESSAGE_BYTES)).put(VERSION);
     }
 
     /**
-     * Adds a record with its age, rounded up.
+     * Adds a record with its age, rounded up to whole units.
      *
-     * @return false where there is no room or the record is too old
+     * @return false if there is no room or the record is too old
      */
     public static boolean addRecord(ByteBuffer message, byte[] encoded, double ageMs) {
         if (encoded.length > message.remaining() || ageMs > MAX_AGE_MS) {
@@ -104,7 +108,7 @@
         return true;
     }
 
-    /** Ends the records; heartbeats may follow. */
+    /** Marks the end of the records; heartbeats may follow. */
     static void endRecords(ByteBuffer message) {
         if (message.hasRemaining()) {
             message.put(END_OF_RECORDS);
@@ -114,8 +118,8 @@
     /**
      * Adds a heartbeat.
      *
-     * @param aliveMs when the incarnation was alive, since its start; rounded down
-     * @return false where there is no room
+     * @param aliveMs when the incarnation was alive, in ms since its start; rounded down
+     * @return false if there is no room
      */
     static boolean addHeartbeat(ByteBuffer message, Incarnation incarnation, double aliveMs) {
         if (message.remaining() < HEARTBEAT_BYTES) {
@@ -135,8 +139,8 @@
     /**
      * Decodes the records of a message. Never throws.
      *
-     * @return none where the message is of another version or torn, or its first record
-     *     implausible; else the plausible ones
+     * @return the plausible records; empty if the message is truncated or of another version, or if
+     *     its first record is implausible
      */
     public List<Received> read(byte[] message, double nowMs) {
         if (message.length < 2 || message.length > MAX_MESSAGE_BYTES || message[0] != VERSION) {
@@ -160,7 +164,7 @@
         return records;
     }
 
-    /** Returns null where the record is implausible. */
+    /** Returns null if the record is implausible. */
     private Received readRecord(byte[] message, int offset, int length, double nowMs) {
         ByteBuffer input = ByteBuffer.wrap(message);
         if (GossipRecordCodec.gateway(input, offset) >= gateways
--- a/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
@@ -6,27 +6,31 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Composes the messages of a round: the own record; records of others, alternately the freshest and
- * those whose turn it is; and heartbeats. What was forwarded least comes first.
+ * Composes the gossip messages of a round. A message holds the sender's own record, then records of
+ * other gateways (alternately the freshest one and the one not forwarded for the longest time), then
+ * heartbeats. Among the records and heartbeats, those forwarded least often come first.
  */
 final class GossipComposer {
-    /** Heartbeats take at most half of a message. */
+    /** Most heartbeats in a message; they take at most half of it. */
     private static final int MAX_HEARTBEATS = 16;
 
     /** Most records of other gateways in a message. */
     private static final int MAX_RECORDS = 5;
 
-    /** An incarnation is new until its records were forwarded so often. */
+    /** An incarnation counts as new until its records were forwarded this many times. */
     private static final int NEW_FORWARDS = 8;
 
-    /** The records of so many peers fit into a message, so these need no heartbeats. */
+    /**
+     * Records of this many peers fit into every message, so that a fleet with no more peers needs
+     * no heartbeats.
+     */
     private static final int PEERS_WITHOUT_HEARTBEATS = 4;
 
     private static final Comparator<Peer> FRESHEST_FIRST =
             Comparator.comparingInt(Peer::recordForwards)
                     .thenComparing(Comparator.comparingDouble(Peer::madeMs).reversed());
 
-    /** New incarnations first, then in turn, so that no gateway is left out. */
+    /** New incarnations first, then by the last time forwarded, so that every peer gets a turn. */
     private static final Comparator<Peer> IN_TURN =
             Comparator.comparingInt(
                             (Peer peer) -> Math.min(NEW_FORWARDS, peer.incarnationForwards()))
@@ -40,7 +44,7 @@
     private final int fanout;
     private final double maxAgeMs;
 
-    /** Candidates for this round's messages, the best first; null where there are fewer. */
+    /** Candidates for this round's messages, the best first; padded with null. */
     private final Peer[] freshest;
 
     private final Peer[] inTurn;
@@ -48,8 +52,9 @@
     private long messages;
 
     /**
-     * @param peers by number; null where none was heard of
-     * @param maxAgeMs of records and heartbeats that are forwarded
+     * @param peers the peers by number; null where none is known
+     * @param fanout number of messages per round
+     * @param maxAgeMs the highest age of records and heartbeats that are forwarded
      */
     GossipComposer(Peer[] peers, int fanout, double maxAgeMs) {
         this.peers = peers;
@@ -60,14 +65,14 @@
         this.heartbeats = new Peer[fanout * MAX_HEARTBEATS];
     }
 
-    /** Chooses the candidates; to be called before the messages of a round. */
+    /** Selects the candidates; to be called before the messages of a round are composed. */
     void startRound(double nowMs) {
         choose(freshest, FRESHEST_FIRST, Peer::madeMs, nowMs);
         choose(inTurn, IN_TURN, Peer::madeMs, nowMs);
         choose(heartbeats, LATEST_ALIVE_FIRST, Peer::aliveMs, nowMs);
     }
 
-    /** Inserts those peers that are not too old, as many as there is room for, in order. */
+    /** Fills the array with the best peers that are not too old, by insertion sort. */
     private void choose(
             Peer[] chosen, Comparator<Peer> order, ToDoubleFunction<Peer> time, double nowMs) {
         Arrays.fill(chosen, null);
@@ -90,9 +95,11 @@
     /**
      * Composes one message of the round.
      *
-     * @param index which of the round's messages
-     * @param alivePeers number of other gateways that are alive
-     * @return null where there is no room for the own record
+     * @param ownRecord the encoded record of this gateway
+     * @param target the gateway that the message is for; what is known about it is left out
+     * @param index index of the message in the round, below the fanout
+     * @param alivePeers number of peers that are alive
+     * @return the message; null if there is no room for the own record
      */
     byte[] compose(
             byte[] ownRecord,
@@ -119,7 +126,7 @@
         return GossipCodec.toBytes(message);
     }
 
-    /** The heartbeats for which records leave room; fewer while an incarnation is new. */
+    /** For how many heartbeats the records leave room; fewer while an incarnation is new. */
     private int reservedHeartbeats(int alivePeers) {
         boolean hasNew = inTurn[0] != null && inTurn[0].incarnationForwards() < NEW_FORWARDS;
         return hasNew
--- a/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
@@ -6,35 +6,39 @@
 import tinford.fleet.transport.Transport;
 
 /**
- * Membership by gossip. In each round a message goes to a few random gateways, with the own record
- * and those of others that were forwarded least, so that the traffic of a gateway does not grow
- * with the fleet. Keeps one record for each gateway. For one thread; times are in ms of its wall
- * clock.
+ * Membership by gossip. In each round a gateway sends a message to a few random peers with its own
+ * record and the records of other gateways that it has forwarded least often. Messages have a
+ * bounded size, so the traffic of a gateway does not grow with the fleet. One record is kept per
+ * gateway. Not thread-safe; times are in ms of the local wall clock.
  *
- * <p>A record's age is what its sender counted, plus the time since it was received. Where records
- * of the incarnation have come faster before, a slower one (delayed, or received by a process that
- * was suspended) counts as older by the difference, so that an age is too low by the shortest
- * recent delay at most; for the first record of an incarnation, by that record's delay. Only the
- * own clock and the owner's count of time since its start are compared, never two clocks.
+ * <p>The age of a record is the age stated by its sender plus the time since it was received. If a
+ * record took longer to arrive than earlier ones of its incarnation (because it was delayed, or
+ * this process was suspended), the difference is added to its age. An age is therefore too low by
+ * at most the shortest recent delay, or for the first record of an incarnation by the delay of that
+ * record. Clocks of two machines are never compared; only the local clock and the time since the
+ * start of the record's owner, as the owner counts it, are used.
  */
 public final class GossipMembership implements Membership {
-    /** How far in the future another incarnation's start may lie. */
+    /** How far in the future, by the local clock, the start of another incarnation may lie. */
     public static final double MAX_START_AHEAD_MS = 5000;
 
-    /** Messages accepted; the rate and the burst together bound those of any second. */
+    /**
+     * Rate at which messages are accepted. In any second at most this number plus {@link
+     * #MAX_MESSAGE_BURST} are.
+     */
     public static final int MAX_MESSAGES_PER_SECOND = 50;
 
     public static final int MAX_MESSAGE_BURST = 50;
 
     /**
-     * This many suspicion times after a later incarnation was last alive, an earlier one is
-     * accepted again, as after a failed upgrade.
+     * An earlier incarnation is accepted again once the later one has been silent for this many
+     * suspicion timeouts, for instance after a failed upgrade.
      */
     public static final double FORGET_AFTER_SUSPICION_TIMES = 10;
 
     /**
-     * One of so many messages goes to any gateway, alive or not, so that the halves of a partition
-     * find each other again.
+     * On average, one message in this many goes to a random gateway, alive or not, so that the two
+     * sides of a network partition find each other again once it heals.
      */
     private static final int RANDOM_TARGET_PERIOD = 8;
 
@@ -62,11 +66,14 @@
     private long rateLimitedMessages;
 
     /**
-     * @param gateways number of gateways that the settings name
-     * @param roundIntervalMs between rounds
-     * @param fanout messages in a round
-     * @param suspectAfterMs without a sign of life until a gateway is suspected
-     * @param freshForMs up to which age a record counts
+     * @param self this process
+     * @param gateways number of configured gateways
+     * @param roundIntervalMs time between two rounds
+     * @param fanout number of messages sent per round
+     * @param suspectAfterMs suspicion timeout: a gateway not known to have been alive for this time
+     *     is suspected of having failed
+     * @param freshForMs the highest age of a record that {@link #freshRecords} returns; at most the
+     *     suspicion timeout is used
      */
     public GossipMembership(
             Incarnation self,
@@ -87,7 +94,8 @@
                             + gateways
                             + ", suspected after "
                             + suspectAfterMs
-                            + " ms: expected one of at most 65536, and at most "
+                            + " ms: expected a gateway number below the number of gateways, which"
+                            + " is at most 65536, and a suspicion timeout of at most "
                             + GossipCodec.MAX_AGE_MS
                             + " ms");
         }
@@ -103,7 +111,7 @@
         this.alivePeers = new int[gateways];
     }
 
-    /** Sets the own record; to be called before each round. */
+    /** Sets the record of this gateway; to be called before each round. */
     public void setOwnRecord(GossipRecord record, double atMs) {
         advance(atMs);
         ownRecord = record;
@@ -111,7 +119,7 @@
         ownEncoded = GossipCodec.encode(record, nowMs - self.start());
     }
 
-    /** Sends a round once the interval has passed; missed rounds are not made up for. */
+    /** Sends the messages of a round if one is due; missed rounds are not made up for. */
     public void sendRound(double atMs, Transport transport) {
         advance(atMs);
         if (atMs < nextRoundMs || ownRecord == null || fleetSize() < 2) {
@@ -155,7 +163,7 @@
         return alivePeers[random.nextInt(alive)];
     }
 
-    /** Takes in a message; one that is invalid or beyond the rate limit is dropped and counted. */
+    /** Processes a message; one that is invalid or exceeds the rate limit is dropped and counted. */
     public void receive(byte[] message, int from, double atMs) {
         advance(atMs);
         if (!incoming.tryTake(atMs)) {
@@ -236,7 +244,7 @@
         return peers.size();
     }
 
-    /** The present incarnation of a gateway as known; null where none was heard of. */
+    /** The current incarnation of a gateway; null if none is known. */
     public Incarnation incarnation(int gateway) {
         if (gateway == self.gateway()) {
             return self;
@@ -245,7 +253,7 @@
         return peer == null ? null : peer.incarnation();
     }
 
-    /** The newest record of a gateway, fresh or not; null where there is none. */
+    /** The newest record of a gateway, fresh or not; null if none is known. */
     public GossipRecord newestRecord(int gateway) {
         if (gateway == self.gateway()) {
             return ownRecord;
@@ -254,7 +262,7 @@
         return peer == null ? null : peer.record();
     }
 
-    /** Age of the newest record; infinite where there is none. */
+    /** Age of the newest record of a gateway; infinite if none is known. */
     public double recordAgeMs(int gateway) {
         if (gateway == self.gateway()) {
             return ownRecord == null ? Double.POSITIVE_INFINITY : nowMs - ownMadeMs;
@@ -263,7 +271,7 @@
         return peer == null ? Double.POSITIVE_INFINITY : nowMs - peer.madeMs();
     }
 
-    /** Time since the gateway was surely alive; infinite where none was heard of. */
+    /** Time since the gateway is known to have been alive; infinite if no record is known. */
     public double silenceMs(int gateway) {
         if (gateway == self.gateway()) {
             return 0;
@@ -272,19 +280,20 @@
         return peer == null ? Double.POSITIVE_INFINITY : nowMs - peer.aliveMs();
     }
 
-    /** Whether a later process of the own number was heard of. */
+    /** Whether a later incarnation of this gateway has been seen. */
     public boolean isReplaced() {
         return replaced;
     }
 
     /**
-     * Messages of another version, torn, implausible, or not from the owner of their first record.
+     * Number of messages dropped because they were truncated, implausible, of another format
+     * version, or not sent by the owner of their first record.
      */
     public long rejectedMessages() {
         return rejectedMessages;
     }
 
-    /** Messages dropped by the rate limit. */
+    /** Number of messages dropped because they exceeded the rate limit. */
     public long rateLimitedMessages() {
         return rateLimitedMessages;
     }
--- a/fleet/src/main/java/tinford/fleet/membership/GossipRecord.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipRecord.java
@@ -4,56 +4,61 @@
 import java.util.List;
 
 /**
- * The gossip record of one gateway: what it observed itself over about the last second, as rates a
- * second. Priority classes are powers of the square root of two of the priority weight a unit, so
- * that all gateways have the same classes without agreeing on any.
+ * The gossip record of one gateway: what the gateway itself observed over about the last second, as
+ * rates per second. Work is grouped into priority classes by the priority weight of a unit. The
+ * lower bounds of the classes are a factor of the square root of two apart, so that all gateways
+ * use the same classes without having to agree on them.
  */
 public final class GossipRecord {
     public static final int PRIORITY_CLASSES = 24;
 
-    /** Weight of class 0 and below; class {@code c} begins at this times 2^(c/2). */
+    /**
+     * Lower bound of class 0, which also takes all lower weights. The lower bound of class {@code
+     * c} is this times 2^(c/2).
+     */
     public static final double MIN_PRIORITY_WEIGHT = 1.0 / 16;
 
     public static final int MAX_SERVERS = 6;
 
-    /** Keeps a weight that is the lower bound of a class in it, whatever the rounding. */
+    /** Ensures that rounding does not put a class's lower bound into the class below. */
     private static final double CLASS_TOLERANCE = 1e-9;
 
     /**
-     * A server that this gateway ejected, or found healthy again.
+     * A server that this gateway ejected or found healthy again.
      *
-     * @param serverHash of the server's id
-     * @param agoMs before the record was made
+     * @param serverHash hash of the server's id
+     * @param unhealthy whether the server was ejected
+     * @param agoMs time from that event to the creation of the record
      */
     public record ServerHealth(int serverHash, boolean unhealthy, double agoMs) {}
 
     public final Incarnation incarnation;
 
-    /** Rises with each record of the incarnation, and may wrap around. */
+    /** Increases with each record of the incarnation and may wrap around. */
     public final int sequence;
 
-    /** Units a second within quotas, by priority class: offered by clients. */
+    /** Units per second within quotas that clients requested, by priority class. */
     public final double[] offeredUnits = new double[PRIORITY_CLASSES];
 
-    /** Units a second within quotas, by priority class: sent to servers. */
+    /** Units per second within quotas that were sent to servers, by priority class. */
     public final double[] admittedUnits = new double[PRIORITY_CLASSES];
 
-    /** First attempts a second. */
+    /** First attempts per second. */
     public double firstAttempts;
 
-    /** Retries a second. */
+    /** Retries per second. */
     public double retries;
 
-    /** Attempts a second that were answered within the latency objective. */
+    /** Attempts per second that were answered within the latency objective. */
     public double onTime;
 
-    /** Attempts a second that were answered late or not at all. */
+    /** Attempts per second that were answered late or not at all. */
     public double late;
 
-    /** Attempts a second that failed. */
+    /** Attempts per second that failed. */
     public double failed;
 
-    /** Units a second of the answers within the latency objective. */
+    /** Units per second of the attempts answered within the latency objective. */
     public double onTimeUnits;
 
     /** Attempts in flight. */
@@ -63,14 +68,18 @@
     public double queued;
 
     /**
-     * Estimated capacity of the servers for the whole fleet, units a second; 0 without overload.
+     * Estimated capacity of the servers for the whole fleet, in units per second; 0 if they are not
+     * overloaded.
      */
     public double capacity;
 
-    /** The incarnation that lately received retries of this gateway's budget; null for none. */
+    /**
+     * The incarnation to which this gateway most recently ceded part of its retry budget; null for
+     * none.
+     */
     public Incarnation retriesCededTo;
 
-    /** Retries ceded to that incarnation in total. */
+    /** Total number of retries ceded to that incarnation. */
     public double retriesCeded;
 
     public final List<ServerHealth> serverHealth = new ArrayList<>(MAX_SERVERS);
@@ -80,19 +89,19 @@
         this.sequence = sequence;
     }
 
-    /** The priority class of a weight a unit. */
+    /** The priority class for a weight of a unit. */
     public static int classOf(double weight) {
         double octaves =
                 Math.log(Math.max(weight, MIN_PRIORITY_WEIGHT) / MIN_PRIORITY_WEIGHT) / Math.log(2);
         return Math.min(PRIORITY_CLASSES - 1, (int) Math.floor(2 * octaves + CLASS_TOLERANCE));
     }
 
-    /** The lowest weight a unit of a priority class. */
+    /** The lowest weight of a unit in a priority class. */
     public static double minWeightOf(int priorityClass) {
         return MIN_PRIORITY_WEIGHT * Math.pow(2, priorityClass / 2.0);
     }
 
-    /** Whether this record replaces another one of the same gateway, or null. */
+    /** Whether this record is newer than another of the same gateway; true if that is null. */
     public boolean isNewerThan(GossipRecord other) {
         return other == null
                 || incarnation.start() > other.incarnation.start()
--- a/fleet/src/main/java/tinford/fleet/membership/GossipRecordCodec.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipRecordCodec.java
@@ -4,14 +4,16 @@
 import java.util.Arrays;
 
 /**
- * Encodes and decodes one gossip record. It takes 31 bytes, one for each priority class in use and
- * a bit (61 with all classes), one more for each class of which a part was admitted, five for each
- * server, and twelve where retries were ceded, whose total is exact to seven digits: 127 at most.
+ * Encodes and decodes a gossip record. The first byte is the length; all rates are encoded by {@link
+ * RateScale}. A record takes 31 bytes, plus one byte and two bits for each priority class in use (61
+ * bytes with all classes), one byte more for each class that was admitted in part, five bytes for
+ * each server, and twelve bytes if retries were ceded, whose total is exact to seven digits. This
+ * is 127 bytes at most.
  */
 final class GossipRecordCodec {
     static final int MAX_RECORD_BYTES = 127;
 
-    /** Offsets from the record's begin; its first byte is the length. */
+    /** Offset from the start of the record, as all offsets below. */
     static final int MADE_AT_OFFSET = 13;
 
     static final int AGE_OFFSET = 18;
@@ -27,7 +29,7 @@
     private static final int MAX_AGO_CODE = 127;
     private static final int UNHEALTHY_BIT = 128;
 
-    /** Two bits for each class: which of its rates follow. */
+    /** Two bits for each priority class encode which of its rates follow; see {@link #kind}. */
     private static final int UNUSED = 0;
 
     private static final int ALL_ADMITTED = 1;
@@ -38,7 +40,7 @@
     private GossipRecordCodec() {}
 
     /**
-     * @param madeAtMs on the owner's clock, since its start
+     * @param madeAtMs current time in ms since the start of the record's owner
      */
     static byte[] encode(GossipRecord record, double madeAtMs) {
         ByteBuffer output = ByteBuffer.allocate(MAX_RECORD_BYTES);
@@ -77,7 +79,7 @@
         putRate(output, record.capacity);
     }
 
-    /** The number of classes, their kinds, and the rates that the kinds call for. */
+    /** Writes the number of classes, their kinds, and the rates that each kind requires. */
     private static void putClasses(ByteBuffer output, GossipRecord record) {
         int classes = usedClasses(record);
         output.put((byte) classes);
@@ -164,14 +166,14 @@
         return (high & 0xFFFFL) << 32 | low & 0xFFFFFFFFL;
     }
 
-    /** Ms since the owner's start, on its clock. */
+    /** When the owner created the record, in ms since the owner's start by its own clock. */
     static double madeAtMs(ByteBuffer input, int recordOffset) {
         long high = input.get(recordOffset + MADE_AT_OFFSET) & 255L;
         long low = input.getInt(recordOffset + MADE_AT_OFFSET + 1) & 0xFFFFFFFFL;
         return high * (1L << 32) + low;
     }
 
-    /** Returns null where the fields don't fit into the record's length, or counts are too high. */
+    /** Returns null if the fields exceed the length of the record, or a count is too high. */
     static GossipRecord decode(byte[] encoded) {
         ByteBuffer input = ByteBuffer.wrap(encoded);
         GossipRecord record =
@@ -264,7 +266,7 @@
         return true;
     }
 
-    /** Optional; what a later version adds behind it is ignored. */
+    /** Reads the optional field; any fields that a later version appended are ignored. */
     private static void takeCeded(ByteBuffer input, GossipRecord record) {
         if (input.remaining() < CEDED_BYTES) {
             return;
--- a/fleet/src/main/java/tinford/fleet/membership/Incarnation.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Incarnation.java
@@ -1,11 +1,11 @@
 package tinford.fleet.membership;
 
 /**
- * One run of a gateway's process. A later start is a later incarnation; incarnations are ordered by
- * gateway, then by start.
+ * One run of a gateway's process. Incarnations are ordered by gateway, then by start time: a restart
+ * creates a later incarnation of the same gateway.
  *
  * @param gateway number of the gateway, from 0
- * @param start of its process, Unix ms
+ * @param start start time of the process, in Unix ms
  */
 public record Incarnation(int gateway, long start) implements Comparable<Incarnation> {
     @Override
--- a/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
+++ b/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
@@ -14,16 +14,20 @@
 import java.util.TreeMap;
 
 /**
- * The leases of all incarnations, by the entries of the log; the same on every member after the
- * same entries. A later incarnation of a gateway does not end the lease of an earlier one, which
- * may be suspended and act when it resumes; the earlier one just can't renew. Holds {@link
- * #MAX_INCARNATIONS} incarnations of a gateway at most, until nothing that they opened can be open.
- * Times are in ms of the log, which is the latest time stamp of its entries.
+ * The leases of all incarnations: a state machine driven by the entries of the replicated log, so
+ * that it is the same on every member after the same entries.
+ *
+ * <p>A later incarnation of a gateway does not end the lease of an earlier one, because the process
+ * of the earlier one may be suspended and use its lease when it resumes. The earlier incarnation can
+ * no longer renew its lease, however. An incarnation is kept until all connections that it opened
+ * are certain to be closed; at most {@link #MAX_INCARNATIONS} of each gateway are kept.
+ *
+ * <p>Times are in ms. The time of the log is the latest time stamp of its entries.
  */
 public final class LeaseTable {
     /**
-     * Incarnations of one gateway that are not surely closed. A further one gets no lease until one
-     * of them is.
+     * How many incarnations of one gateway are kept. A further one gets no lease until the
+     * connections of one of them are certain to be closed.
      */
     public static final int MAX_INCARNATIONS = 8;
 
@@ -38,20 +42,26 @@
     private final double lingerMs;
     private final TreeMap<Incarnation, Lease> leases = new TreeMap<>();
 
-    /** Start of the latest incarnation of each gateway that had a lease; outlasts the lease. */
+    /**
+     * Start of the latest incarnation of each gateway that was granted a lease; kept after the
+     * lease ends.
+     */
     private final TreeMap<Integer, Long> latestStarts = new TreeMap<>();
 
-    /** Start of the latest incarnation of each gateway that has left; outlasts the lease. */
+    /**
+     * Start of the latest incarnation of each gateway that left the fleet; kept after the lease
+     * ends.
+     */
     private final TreeMap<Integer, Long> departedStarts = new TreeMap<>();
 
     private double logTimeMs;
     private long rejectedEntries;
 
     /**
-     * @param gateways number of gateways
+     * @param gateways number of configured gateways
      * @param maxLeaseMs length of the longest lease
-     * @param maxClockSkewMs by which clocks differ at most
-     * @param lingerMs until no connection is open that a stopped process had opened
+     * @param maxClockSkewMs the largest difference between the clocks of two members
+     * @param lingerMs time after which no connection of a stopped process is open any more
      */
     public LeaseTable(int gateways, double maxLeaseMs, double maxClockSkewMs, double lingerMs) {
         this.gateways = gateways;
@@ -60,14 +70,19 @@
         this.lingerMs = lingerMs;
     }
 
-    /** Encodes an entry: the incarnation requests, at its own time, a lease of a length. */
+    /**
+     * Encodes a log entry by which an incarnation requests or renews its lease.
+     *
+     * @param atMs current time by the incarnation's clock
+     * @param lengthMs length of the lease
+     */
     public static byte[] renewalEntry(Incarnation incarnation, double atMs, double lengthMs) {
         return encode(RENEWAL, incarnation, atMs, lengthMs);
     }
 
     /**
-     * Encodes an entry: the incarnation has closed all connections, and acts no more from its own
-     * time {@code atMs} on.
+     * Encodes a log entry by which an incarnation gives up its lease: it has closed all its
+     * connections and does not use the lease after {@code atMs} by its own clock.
      */
     public static byte[] departureEntry(Incarnation incarnation, double atMs) {
         return encode(DEPARTURE, incarnation, atMs, 0);
@@ -87,10 +102,10 @@
         return bytes.toByteArray();
     }
 
-    /** An entry of leases. */
+    /** A decoded log entry about a lease. */
     private record Entry(
             byte kind, byte version, Incarnation incarnation, double atMs, double lengthMs) {
-        /** Returns null where the entry has not exactly the length of one. */
+        /** Returns null if the length is not exactly that of an entry. */
         static Entry decode(byte[] bytes) throws IOException {
             if (bytes.length != ENTRY_BYTES) {
                 return null;
@@ -106,10 +121,11 @@
     }
 
     /**
-     * Applies an entry of leases, and no others. One that is malformed or not due changes nothing
-     * and is counted by {@link #rejectedEntries}.
+     * Applies a log entry if it is about a lease. One that is malformed or not applicable changes
+     * nothing and is counted by {@link #rejectedEntries}.
      *
-     * @return whether the entry was one of leases, accepted or not
+     * @param index index of the entry in the log
+     * @return whether the entry is about a lease, accepted or not
      */
     public boolean apply(long index, byte[] bytes) {
         if (bytes.length == 0 || bytes[0] != RENEWAL && bytes[0] != DEPARTURE) {
@@ -152,7 +168,7 @@
             return false;
         }
         Lease lease = new Lease(incarnation, atMs + lengthMs, index);
-        // entries may come late or twice: no lease gets shorter, and none begins that has expired
+        // entries may be delayed or duplicated: no lease is shortened or granted after its expiry
         if (lease.isSurelyExpired(logTimeMs, maxClockSkewMs)
                 || previous != null && previous.expiresAtMs() >= lease.expiresAtMs()) {
             return false;
@@ -181,7 +197,7 @@
         return true;
     }
 
-    /** Advances the log's time by the time stamp of any entry; it never goes back. */
+    /** Advances the time of the log to the time stamp of an entry; it never goes back. */
     public void observeTime(double atMs) {
         if (atMs > logTimeMs && atMs < Double.POSITIVE_INFINITY) {
             logTimeMs = atMs;
@@ -190,7 +206,7 @@
         }
     }
 
-    /** The log's time. */
+    /** The time of the log: the latest time stamp of its entries. */
     public double logTimeMs() {
         return logTimeMs;
     }
@@ -204,14 +220,14 @@
     }
 
     /**
-     * The incarnation's lease, also an expired one while its connections may be open; null where
-     * there is none.
+     * The lease of an incarnation, including an expired one whose holder may still have open
+     * connections; null if there is none.
      */
     public Lease of(Incarnation incarnation) {
         return leases.get(incarnation);
     }
 
-    /** The incarnations of a gateway that are not surely closed, the earliest first. */
+    /** The incarnations of a gateway that may still have open connections, earliest first. */
     public List<Incarnation> of(int gateway) {
         Incarnation first = new Incarnation(gateway, Long.MIN_VALUE);
         Incarnation last = new Incarnation(gateway, Long.MAX_VALUE);
@@ -219,20 +235,23 @@
     }
 
     /**
-     * Whether the incarnation may still act, as its lease is not surely expired. Several
-     * incarnations of one gateway may.
+     * Whether an incarnation may still be using its lease, because the lease has not certainly
+     * expired by the holder's clock. Several incarnations of one gateway may.
      */
     public boolean mayAct(Incarnation incarnation) {
         Lease lease = leases.get(incarnation);
         return lease != null && !lease.isSurelyExpired(logTimeMs, maxClockSkewMs);
     }
 
-    /** All incarnations that may still act, by gateway and start. */
+    /** All incarnations that may still be using their leases, ordered by gateway and start. */
     public List<Incarnation> mayAct() {
         return notSurelyExpired(logTimeMs);
     }
 
-    /** Those whose lease was not surely expired at a time of the log, by gateway and start. */
+    /**
+     * The incarnations that may still have been using their leases at a time of the log, ordered by
+     * gateway and start.
+     */
     public List<Incarnation> notSurelyExpired(double atLogTimeMs) {
         List<Incarnation> holders = new ArrayList<>();
         for (Lease lease : leases.values()) {
@@ -244,8 +263,8 @@
     }
 
     /**
-     * Whether the incarnation may act and is its gateway's latest; only such a one is granted
-     * anything new.
+     * Whether an incarnation may still be using its lease and is the latest of its gateway. Only
+     * such an incarnation is granted anything new.
      */
     public boolean mayRenew(Incarnation incarnation) {
         return mayAct(incarnation)
@@ -253,19 +272,19 @@
     }
 
     /**
-     * Whether no connection can be open that the incarnation opened: it has left, or its lease is
-     * surely closed, or it never had one.
+     * Whether all connections that an incarnation opened are certain to be closed: it left the
+     * fleet, its lease expired long enough ago, or it never had a lease.
      */
     public boolean isClosed(Incarnation incarnation) {
         return !leases.containsKey(incarnation);
     }
 
-    /** Number of entries of leases that changed nothing. */
+    /** Number of entries about leases that were rejected and changed nothing. */
     public long rejectedEntries() {
         return rejectedEntries;
     }
 
-    /** Writes the table as a part of a snapshot. */
+    /** Writes the table as one section of a snapshot. */
     public void write(DataOutput output) throws IOException {
         output.writeByte(FORMAT_VERSION);
         output.writeDouble(logTimeMs);
@@ -280,14 +299,14 @@
     }
 
     /**
-     * Replaces the table by a part of a snapshot.
+     * Replaces the table by the section of a snapshot.
      *
-     * @throws IOException the part is torn or of an unknown format
+     * @throws IOException if the section is truncated or of an unknown format
      */
     public void read(DataInput input) throws IOException {
         if (input.readByte() != FORMAT_VERSION) {
             throw new IOException(
-                    "leases in the snapshot: a form that is not known, expected " + FORMAT_VERSION);
+                    "snapshot, leases: expected format version " + FORMAT_VERSION);
         }
         leases.clear();
         logTimeMs = input.readDouble();
--- a/fleet/src/main/java/tinford/fleet/membership/Peer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Peer.java
@@ -1,10 +1,11 @@
 package tinford.fleet.membership;
 
-/** What a gateway knows of another one. Times are in ms of the own clock. */
+/** What a gateway knows about one of its peers. Times are in ms of the local clock. */
 final class Peer {
     /**
-     * The shortest delay is taken over the last one or two spans of this length, so that a clock
-     * that was set, or stood still, is followed by then.
+     * The peer's start time is estimated from the shortest message delay in the current and the
+     * previous window of this length. After a clock was adjusted or stopped, the estimate is
+     * correct again once both windows have passed.
      */
     private static final double START_ESTIMATE_SPAN_MS = 10_000;
 
@@ -14,31 +15,31 @@
     private double madeMs;
     private double aliveMs = Double.NEGATIVE_INFINITY;
 
-    /** Counts as alive until then whatever is heard. */
+    /** Until this time the peer counts as alive even if nothing is received from it. */
     private double grantedUntilMs = Double.NEGATIVE_INFINITY;
 
-    /** Earliest apparent start of the peer's process in the present span. */
+    /** Earliest start of the peer's process that any record of the current window implied. */
     private double spanStartMs;
 
-    /** The same in the span before. */
+    /** The same for the previous window. */
     private double previousSpanStartMs;
 
     private double spanBeganMs;
 
-    /** How often this record was forwarded. */
+    /** How often the current record was forwarded. */
     private int recordForwards;
 
-    /** How often any record of this incarnation was forwarded. */
+    /** How often records of the current incarnation were forwarded. */
     private int incarnationForwards;
 
-    /** How often the heartbeat of the present {@link #aliveMs} was forwarded. */
+    /** How often the heartbeat for the current {@link #aliveMs} was forwarded. */
     private int heartbeatForwards;
 
     private double lastForwardMs;
     private long lastMessage;
 
     /**
-     * @param madeMs when its owner made the first record
+     * @param madeMs local time at which the peer created the record
      */
     Peer(GossipCodec.Received first, double madeMs, double nowMs) {
         spanStartMs = madeMs - first.madeAtMs();
@@ -56,7 +57,7 @@
         recordAlive(newMadeMs);
     }
 
-    /** Notes that it was surely alive at a time. */
+    /** Records proof that the peer was alive at a time. */
     void recordAlive(double atMs) {
         if (atMs > aliveMs) {
             aliveMs = atMs;
@@ -69,11 +70,11 @@
     }
 
     /**
-     * Takes the apparent start of its process, by a record's delay, into the estimate.
+     * Updates the estimate of the peer's start time with the one that a record implies.
      *
-     * @param startsNewSpan whether a span may end now; not right after the own process was
-     *     suspended
-     * @return the new {@link #startMs}
+     * @param startsNewSpan whether a new window may begin; false right after this process was
+     *     suspended, when all delays are too long
+     * @return the new estimate, as by {@link #startMs}
      */
     double updateStart(double apparentStartMs, double nowMs, boolean startsNewSpan) {
         if (nowMs - spanBeganMs > START_ESTIMATE_SPAN_MS && startsNewSpan) {
@@ -85,7 +86,7 @@
         return startMs();
     }
 
-    /** Start of its process, by the record of the shortest recent delay. */
+    /** Estimated start of the peer's process, from the recent record with the shortest delay. */
     double startMs() {
         return Math.min(spanStartMs, previousSpanStartMs);
     }
@@ -98,22 +99,22 @@
         return record.sequence - sequence > 0;
     }
 
-    /** Decoded on each call, as the bytes take less memory than the record. */
+    /** The current record; decoded on each call, as the encoded form takes less memory. */
     GossipRecord record() {
         return GossipRecordCodec.decode(encoded);
     }
 
-    /** The record as received. */
+    /** The current record as received. */
     byte[] encoded() {
         return encoded;
     }
 
-    /** When its owner made the record. */
+    /** Local time at which the peer created the current record. */
     double madeMs() {
         return madeMs;
     }
 
-    /** When it was surely alive last. */
+    /** The latest time at which the peer is known to have been alive. */
     double aliveMs() {
         return aliveMs;
     }
@@ -138,7 +139,7 @@
         return lastForwardMs;
     }
 
-    /** Whether its record was forwarded in that message. */
+    /** Whether the peer's record was already added to the message with this number. */
     boolean isIn(long message) {
         return lastMessage == message;
     }
--- a/fleet/src/main/java/tinford/fleet/membership/PeerTable.java
+++ b/fleet/src/main/java/tinford/fleet/membership/PeerTable.java
@@ -2,15 +2,15 @@
 
 import java.util.Arrays;
 
-/** What a gateway knows of the others by number, and which of them it suspects. */
+/** The peers of a gateway, indexed by number, and which of them it suspects of having failed. */
 final class PeerTable {
     private final Peer[] peers;
     private final double suspectAfterMs;
 
     /**
-     * When a heartbeat was heard of a gateway without a known record. The heartbeat may itself be
-     * as old as it may be forwarded, so a gateway that is known by heartbeats alone may count as
-     * alive for twice the suspicion time.
+     * Local time of the latest heartbeat of each gateway for which no record is known. A heartbeat
+     * is forwarded until it is as old as the suspicion timeout, so that a gateway known only by
+     * heartbeats may count as alive for up to twice that timeout.
      */
     private final double[] heartbeatOnlyMs;
 
@@ -25,12 +25,12 @@
         return peers.length;
     }
 
-    /** Null where no record was received. */
+    /** The peer with this number; null if no record of it was received. */
     Peer get(int gateway) {
         return peers[gateway];
     }
 
-    /** By number, with null for those of which no record was received; not a copy. */
+    /** The peers by number, null for those without a received record; not a copy. */
     Peer[] all() {
         return peers;
     }
@@ -42,7 +42,7 @@
                 : peer.isAlive(nowMs, suspectAfterMs);
     }
 
-    /** Takes a record of another gateway; an outdated one changes nothing. */
+    /** Processes a record of another gateway; an outdated one changes nothing. */
     void receiveRecord(GossipCodec.Received received, double nowMs, SuspensionDetector suspension) {
         Incarnation incarnation = received.record().incarnation;
         Peer peer = peers[incarnation.gateway()];
@@ -56,7 +56,10 @@
         }
     }
 
-    /** A later incarnation does, or an earlier one once the later was silent for long. */
+    /**
+     * Whether a record's incarnation replaces the known one: a later one does, and an earlier one
+     * does once the later one has been silent for long enough.
+     */
     private boolean replaces(Incarnation incarnation, Peer peer, double nowMs) {
         boolean forgotten =
                 nowMs - peer.aliveMs()
@@ -75,7 +78,7 @@
         }
     }
 
-    /** Takes a heartbeat; one of an unknown incarnation does not replace a known one. */
+    /** Processes a heartbeat; one of an unknown incarnation does not replace a known one. */
     void receiveHeartbeat(GossipCodec.Heartbeat heartbeat, double nowMs, boolean isWakingUp) {
         if (heartbeat.gateway() >= peers.length) {
             return;
@@ -95,7 +98,12 @@
         }
     }
 
-    /** Gives those alive before a suspension of the own process the time to be heard of again. */
+    /**
+     * Lets the peers that were alive before this process was suspended count as alive for another
+     * suspicion timeout, so that their next messages can arrive.
+     *
+     * @param beforeMs local time at which the suspension began
+     */
     void grantToAlive(double beforeMs, double nowMs) {
         for (Peer peer : peers) {
             if (peer != null && peer.isAlive(beforeMs, suspectAfterMs)) {
--- a/fleet/src/main/java/tinford/fleet/membership/RateScale.java
+++ b/fleet/src/main/java/tinford/fleet/membership/RateScale.java
@@ -1,8 +1,8 @@
 package tinford.fleet.membership;
 
 /**
- * One-byte codes of rates on a logarithmic scale, ten steps an octave, from 1/64 to 635 000, with a
- * code of its own for zero. The error is at most 3.5 %.
+ * Encodes a rate in one byte on a logarithmic scale with ten steps per octave, from 1/64 to
+ * 635 000. Code 0 stands for zero. The relative error is at most 3.5 %.
  */
 final class RateScale {
     private static final int STEPS_PER_OCTAVE = 10;
@@ -18,7 +18,7 @@
 
     private RateScale() {}
 
-    /** Rates out of range, and NaN as zero, get the nearest code. */
+    /** Rates out of range get the nearest code; NaN is encoded as zero. */
     static int encode(double rate) {
         if (!(rate > 0)) {
             return 0;
--- a/fleet/src/main/java/tinford/fleet/membership/SuspensionDetector.java
+++ b/fleet/src/main/java/tinford/fleet/membership/SuspensionDetector.java
@@ -1,8 +1,9 @@
 package tinford.fleet.membership;
 
 /**
- * Detects that the own process was suspended. Messages that waited meanwhile are older than they
- * seem, and silence of others proves nothing.
+ * Detects from steps of the clock that this process was suspended. Messages that were queued during
+ * a suspension are older than they seem, and not having heard from a peer does not mean that it has
+ * failed.
  */
 final class SuspensionDetector {
     private final double roundIntervalMs;
@@ -16,10 +17,10 @@
     }
 
     /**
-     * Notes a step of the clock.
+     * Records a step of the clock.
      *
      * @param fromMs negative infinity before the first step
-     * @return whether it was so long that others may seem silent because of it
+     * @return whether the step was long enough for live peers to exceed the suspicion timeout
      */
     boolean advance(double fromMs, double toMs) {
         if (fromMs == Double.NEGATIVE_INFINITY) {
@@ -33,12 +34,12 @@
         return stepMs > Math.max(suspectAfterMs / 2, 2 * roundIntervalMs);
     }
 
-    /** Whether messages that waited during a suspension may still come. */
+    /** Whether messages that were queued during a suspension may still arrive. */
     boolean isWakingUp(double nowMs) {
         return nowMs < wakingUntilMs;
     }
 
-    /** By how much a message that comes now may be older than it seems. */
+    /** The longest time that a message received now may have been queued during a suspension. */
     double possibleDelayMs(double nowMs) {
         return isWakingUp(nowMs) ? durationMs : 0;
     }
--- a/fleet/src/main/java/tinford/fleet/membership/TokenBucket.java
+++ b/fleet/src/main/java/tinford/fleet/membership/TokenBucket.java
@@ -1,6 +1,6 @@
 package tinford.fleet.membership;
 
-/** Limits a rate, with bursts. For one thread. */
+/** A token bucket: limits a rate and allows bursts. Not thread-safe. */
 final class TokenBucket {
     private static final double MS_PER_SECOND = 1000;
 
@@ -15,7 +15,7 @@
         this.tokens = capacity;
     }
 
-    /** Takes a token; returns false where there is none. */
+    /** Takes a token; returns false if none is available. */
     boolean tryTake(double nowMs) {
         double refill = Math.max(0, nowMs - refilledMs) * ratePerSecond / MS_PER_SECOND;
         tokens = Math.min(capacity, tokens + refill);
--- a/fleet/src/main/java/tinford/fleet/settings/EndpointText.java
+++ b/fleet/src/main/java/tinford/fleet/settings/EndpointText.java
@@ -6,9 +6,9 @@
 import tinford.fleet.config.Endpoint;
 import tinford.fleet.config.RecordChecks;
 
-/** The form in which operators write the addresses of control servers. */
+/** Parses the addresses of control servers as operators write them. */
 public final class EndpointText {
-    /** The form, for error messages. */
+    /** The format of an address, for error messages. */
     public static final String FORM = "region=numeric host:port";
 
     private static final Pattern ENDPOINT = Pattern.compile("([^=\\s]+)=([0-9.]+):([0-9]{1,5})");
@@ -16,7 +16,7 @@
 
     private EndpointText() {}
 
-    /** Parses one address; empty if the text is not of the {@link #FORM}. */
+    /** Parses an address; empty if the text does not have the {@link #FORM}. */
     public static Optional<Endpoint> parse(String text) {
         Matcher form = ENDPOINT.matcher(text);
         if (!form.matches()) {
--- a/fleet/src/main/java/tinford/fleet/settings/InvalidOperatorFileException.java
+++ b/fleet/src/main/java/tinford/fleet/settings/InvalidOperatorFileException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** An operator file that can't be used; its message has one line per error. */
+/** Thrown for an invalid operator file; its message has one line per error. */
 public final class InvalidOperatorFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/fleet/src/main/java/tinford/fleet/settings/OperatorSettings.java
+++ b/fleet/src/main/java/tinford/fleet/settings/OperatorSettings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The values of an operator file that was read, by {@code table.key}. */
+/** The settings read from an operator file, with keys of the form {@code table.key}. */
 public final class OperatorSettings {
     private static final int NOT_WRITTEN = 0;
 
@@ -17,33 +17,36 @@
         this.values = values;
     }
 
-    /** The value of a number key, written or by default. */
+    /** The value of a numeric key, or its default. */
     public double number(String key) {
         return (Double) values.get(key);
     }
 
-    /** The value of a flag key, written or by default. */
+    /** The value of a boolean key, or its default. */
     public boolean flag(String key) {
         return (Boolean) values.get(key);
     }
 
-    /** The value of a text key, written or by default. */
+    /** The value of a string key, or its default. */
     public String text(String key) {
         return (String) values.get(key);
     }
 
-    /** The value of a list key, written or by default. */
+    /** The value of a key that holds a list of strings, or its default. */
     @SuppressWarnings("unchecked")
     public List<String> texts(String key) {
         return (List<String>) values.get(key);
     }
 
-    /** One line for an error: file, line of the key if it is written, key, expectation. */
+    /**
+     * A one-line error message: the file, the line of the key if the file contains it, the key, and
+     * what was expected.
+     */
     public String error(String key, String expected) {
         return errorAt(key, key, expected);
     }
 
-    /** The same with the line of another key, such as the one that makes this one required. */
+    /** The same with the line of another key, such as one that makes this key required. */
     public String errorAt(String lineKey, String key, String expected) {
         int line = lineOf(lineKey);
         String where = line == NOT_WRITTEN ? file : file + ", line " + line;
@@ -54,7 +57,7 @@
         return lineOf(key) != NOT_WRITTEN;
     }
 
-    /** The key's first line in its table, since the parser does not retain positions of values. */
+    /** The line of a key, searched for in the text because the parser does not keep positions. */
     private int lineOf(String key) {
         int dot = key.indexOf('.');
         String table = dot < 0 ? "" : key.substring(0, dot);
--- a/fleet/src/main/java/tinford/fleet/settings/SettingsKey.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsKey.java
@@ -7,13 +7,13 @@
 /**
  * One key of a schema.
  *
- * @param expected the values that are valid, for error messages
- * @param min the smallest number, if it is one
- * @param max the largest number, if it is one
- * @param defaultValue the value if the key is left out; null if it is required
+ * @param expected description of the valid values, for error messages
+ * @param min the smallest valid number; only for numbers
+ * @param max the largest valid number; only for numbers
+ * @param defaultValue the value if the key is omitted; null if the key is required
  */
 record SettingsKey(Type type, String expected, double min, double max, Object defaultValue) {
-    /** The types of values. */
+    /** The type of a value; {@code TEXTS} is a list of strings. */
     enum Type {
         NUMBER,
         FLAG,
@@ -30,7 +30,7 @@
         return new SettingsKey(type, expected, 0, 0, defaultValue);
     }
 
-    /** The value of a node; null if it is invalid. */
+    /** The value of a TOML node; null if it is invalid. */
     Object value(JsonNode node) {
         return switch (type) {
             case NUMBER -> number(node);
--- a/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
@@ -11,35 +11,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** The keys that an operator file may have, each named {@code table.key}. */
+/** The keys that an operator file may contain, each named {@code table.key}. */
 public final class SettingsSchema {
     private final Map<String, SettingsKey> keys = new LinkedHashMap<>();
 
-    /** An optional number. */
+    /** Adds an optional number. */
     public SettingsSchema number(String key, double defaultValue, double min, double max) {
         keys.put(key, SettingsKey.number(min, max, defaultValue));
         return this;
     }
 
-    /** An optional flag, true or false. */
+    /** Adds an optional boolean. */
     public SettingsSchema flag(String key, boolean defaultValue) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.FLAG, "true or false", defaultValue));
         return this;
     }
 
-    /** An optional text, empty by default. */
+    /** Adds an optional string, empty by default. */
     public SettingsSchema text(String key, String expected) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.TEXT, expected, ""));
         return this;
     }
 
-    /** A required text. */
+    /** Adds a required string. */
     public SettingsSchema requiredText(String key, String expected) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.TEXT, expected, null));
         return this;
     }
 
-    /** An optional list of texts, empty by default. */
+    /** Adds an optional list of strings, empty by default. */
     public SettingsSchema texts(String key, String expected) {
         keys.put(key, SettingsKey.of(SettingsKey.Type.TEXTS, expected, List.of()));
         return this;
@@ -48,7 +48,8 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidOperatorFileException with all errors of its keys
+     * @throws InvalidOperatorFileException if the file can't be read or is not TOML, or with all
+     *     errors of its keys
      */
     public OperatorSettings read(Path file) throws InvalidOperatorFileException {
         String text;
@@ -64,8 +65,8 @@
     /**
      * Parses the content of a file.
      *
-     * @param file its name, for error messages
-     * @throws InvalidOperatorFileException with all errors of its keys
+     * @param file name of the file, for error messages
+     * @throws InvalidOperatorFileException if the text is not TOML, or with all errors of its keys
      */
     public OperatorSettings parse(String file, String text) throws InvalidOperatorFileException {
         Map<String, Object> values = new LinkedHashMap<>();
--- a/fleet/src/main/java/tinford/fleet/settings/package-info.java
+++ b/fleet/src/main/java/tinford/fleet/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Operator files in TOML: a schema of typed keys, and readers that report all errors at once with
- * file, line, key and what was expected.
+ * Settings files that operators write in TOML: schemas of typed keys, and a parser that reports all
+ * errors at once, each with file, line, key and what was expected.
  */
 package tinford.fleet.settings;
--- a/fleet/src/main/java/tinford/fleet/transport/InMemoryNetwork.java
+++ b/fleet/src/main/java/tinford/fleet/transport/InMemoryNetwork.java
@@ -9,9 +9,9 @@
 import java.util.Random;
 
 /**
- * A network between the gateways of a fleet, in memory and in virtual time, for tests and the lab:
- * the same seed gives the same run. Messages beyond a receiver's capacity are dropped, as with
- * datagrams. Not thread-safe.
+ * A simulated network between the gateways of a fleet, in memory and in virtual time, for tests and
+ * the lab. Runs with the same seed are identical. Messages beyond a receiver's capacity are dropped,
+ * as datagrams are. Not thread-safe.
  */
 public final class InMemoryNetwork {
     /**
@@ -19,9 +19,10 @@
      *
      * @param delayMs shortest delay of a message
      * @param jitterMs longest random addition to the delay, by which messages may be reordered
-     * @param lossProbability that a message is lost
-     * @param duplicateProbability that a message is delivered twice
-     * @param lateProbability that a message takes {@code lateDelayMs} longer
+     * @param lossProbability probability that a message is lost
+     * @param duplicateProbability probability that a message is delivered twice
+     * @param lateProbability probability that a message takes {@code lateDelayMs} longer
+     * @param lateDelayMs additional delay of such a message
      */
     public record Link(
             double delayMs,
@@ -30,13 +31,13 @@
             double duplicateProbability,
             double lateProbability,
             double lateDelayMs) {
-        /** A link that loses, duplicates and delays no message. */
+        /** A link without loss, duplication or late messages. */
         public static Link of(double delayMs, double jitterMs) {
             return new Link(delayMs, jitterMs, 0, 0, 0, 0);
         }
     }
 
-    /** A message on its way; of two with the same arrival time the one that was sent first wins. */
+    /** A message in transit; messages with the same arrival time arrive in the order of sending. */
     private record InTransit(double arrivalMs, long order, int from, int to, byte[] message)
             implements Comparable<InTransit> {
         @Override
@@ -52,7 +53,7 @@
     private final Random random;
     private Link defaultLink = Link.of(1, 1);
 
-    /** By sender and receiver; null where the default applies. */
+    /** Links by sender and receiver; null where {@link #defaultLink} applies. */
     private final List<Link[]> links = new ArrayList<>();
 
     private final BitSet cutLinks;
@@ -60,7 +61,7 @@
     private final BitSet paused;
     private final List<Queue<InTransit>> waitingMessages = new ArrayList<>();
 
-    /** By receiver, how many messages are in transit or waiting. */
+    /** Number of messages in transit or waiting, by receiver. */
     private final int[] inFlight;
 
     private final PriorityQueue<InTransit> inTransit = new PriorityQueue<>();
@@ -72,8 +73,11 @@
     private long receiverFailures;
 
     /**
-     * @param gateways their number; they are numbered from 0
-     * @param capacityPerReceiver messages in transit to or waiting for one receiver, at most
+     * @param gateways number of gateways; they are numbered from 0
+     * @param maxMessageBytes the length of the longest message
+     * @param capacityPerReceiver the largest number of messages in transit to or waiting for one
+     *     receiver
+     * @param seed seed of the random delays and losses
      */
     public InMemoryNetwork(int gateways, int maxMessageBytes, int capacityPerReceiver, long seed) {
         this.gateways = gateways;
@@ -91,19 +95,20 @@
     }
 
     /**
-     * The transport of a new process of a gateway. An earlier process of the same number receives
-     * no more messages but may send until it is closed. Messages in transit still arrive.
+     * Opens the transport of a new process of a gateway. An earlier process with the same number
+     * receives no more messages but can send until it is closed. Messages in transit arrive at the
+     * new process.
      */
     public Transport open(int gateway, Transport.Receiver receiver) {
         if (gateway < 0 || gateway >= gateways) {
             throw new IllegalArgumentException(
-                    "gateway " + gateway + ": expected 0 to " + (gateways - 1));
+                    "gateway " + gateway + ": expected a number from 0 to " + (gateways - 1));
         }
         processes[gateway] = new Process(gateway, receiver);
         return processes[gateway];
     }
 
-    /** Sets the behaviour of all links that have none of their own. */
+    /** Sets the behaviour of all links that were not set individually. */
     public void setLink(Link all) {
         defaultLink = all;
     }
@@ -127,12 +132,12 @@
         setCut(other, one, cut);
     }
 
-    /** Lets messages to a gateway wait, as for a suspended process, within its capacity. */
+    /** Queues messages to a gateway, up to its capacity, as if its process were suspended. */
     public void pause(int gateway) {
         paused.set(gateway);
     }
 
-    /** Messages that have waited arrive with the next {@link #advance}. */
+    /** Resumes a paused gateway; its queued messages arrive with the next {@link #advance}. */
     public void resume(int gateway) {
         paused.clear(gateway);
         Queue<InTransit> waiting = waitingMessages.get(gateway);
@@ -144,8 +149,8 @@
     }
 
     /**
-     * Advances the time and delivers what arrives until then, in the order of arrival. Receivers
-     * may send messages meanwhile.
+     * Advances the virtual time and delivers the messages that arrive until then, in the order of
+     * arrival. Receivers may send messages while they are called.
      */
     public void advance(double untilMs) {
         while (!inTransit.isEmpty() && inTransit.peek().arrivalMs <= untilMs) {
@@ -195,7 +200,7 @@
         return ofSender == null || ofSender[to] == null ? defaultLink : ofSender[to];
     }
 
-    /** Draws a random number only for a probability above 0. */
+    /** Draws an event; takes a random number only if the probability is above 0. */
     private boolean occurs(double probability) {
         return probability > 0 && random.nextDouble() < probability;
     }
@@ -214,32 +219,32 @@
         inTransit.add(new InTransit(arrivalMs, nextOrder++, from, to, message.clone()));
     }
 
-    /** The virtual time. */
+    /** The current virtual time. */
     public double nowMs() {
         return nowMs;
     }
 
-    /** Messages sent, lost ones included. */
+    /** Number of messages sent, including those that were lost. */
     public long sentMessages() {
         return sentMessages;
     }
 
-    /** Bytes of the messages sent. */
+    /** Total length of the messages sent, including those that were lost. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** Messages dropped because the receiver's capacity was exhausted. */
+    /** Number of messages dropped because the receiver's capacity was exhausted. */
     public long droppedMessages() {
         return droppedMessages;
     }
 
-    /** How often a receiver threw an exception. */
+    /** Number of times a receiver threw an exception. */
     public long receiverFailures() {
         return receiverFailures;
     }
 
-    /** A gateway's process, from its start to its end. */
+    /** The transport of one process of a gateway. */
     private final class Process implements Transport {
         private final int number;
         private final Receiver receiver;
--- a/fleet/src/main/java/tinford/fleet/transport/Transport.java
+++ b/fleet/src/main/java/tinford/fleet/transport/Transport.java
@@ -1,31 +1,34 @@
 package tinford.fleet.transport;
 
 /**
- * Messages between the gateways of a fleet, which are identified by their numbers. A message may be
- * lost, duplicated, delayed or reordered, but it is neither altered nor attributed to another
- * sender. No call blocks, and buffers are bounded.
+ * Unreliable messages between the gateways of a fleet, which are identified by their numbers. A
+ * message may be lost, duplicated, delayed or reordered, but is neither altered nor attributed to
+ * another sender. No call blocks, and buffers are bounded.
  */
 public interface Transport extends AutoCloseable {
-    /** Receives messages; called by one thread at a time, which may be the transport's own. */
+    /** Receives messages; called by one thread at a time, which may belong to the transport. */
     interface Receiver {
         /**
+         * Handles a message.
+         *
          * @param from the number of the sender
          */
         void receive(int from, byte[] message);
     }
 
-    /** The length of the longest message. */
+    /** The length of the longest message that can be sent. */
     int maxMessageBytes();
 
     /**
-     * Sends a message now or never.
+     * Sends a message without blocking. It is not retried if it can't be sent at once.
      *
-     * @return false if it was surely not sent: it is too long, the number is unknown, the transport
-     *     is closed, or a buffer is full
+     * @param to the number of the recipient
+     * @return false if the message was certainly not sent: it is too long, the number is unknown,
+     *     the transport is closed, or a buffer is full
      */
     boolean send(int to, byte[] message);
 
-    /** Ends sending and receiving; may be called twice. */
+    /** Stops sending and receiving. Closing twice has no effect. */
     @Override
     void close();
 }
--- a/fleet/src/main/java/tinford/fleet/transport/UdpTransport.java
+++ b/fleet/src/main/java/tinford/fleet/transport/UdpTransport.java
@@ -20,15 +20,15 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Messages as UDP datagrams. A thread of its own receives datagrams from the addresses of the
- * peers, as from the peer that has the address; all others are dropped and counted. Nothing is
- * buffered outside the socket's own buffers of {@link #SOCKET_BUFFER_BYTES} (the system may double
- * them).
+ * Sends each message as a UDP datagram. A dedicated thread receives datagrams and identifies their
+ * sender by its address; those from an address that belongs to no peer are dropped and counted.
+ * Messages are buffered only by the socket, whose buffers are {@link #SOCKET_BUFFER_BYTES} long (the
+ * operating system may double them).
  */
 public final class UdpTransport implements Transport {
     private static final int SOCKET_BUFFER_BYTES = 256 * 1024;
 
-    /** How long {@link #close} waits for a receiver that is being called. */
+    /** How long {@link #close} waits for the receiver to return from its current call. */
     private static final long CLOSE_TIMEOUT_MS = 1000;
 
     private final List<InetSocketAddress> peers;
@@ -39,7 +39,7 @@
     private final Selector selector;
     private final DatagramChannel channel;
 
-    /** Held while the receiver is called, so that it is not called after {@link #close}. */
+    /** Held during calls of the receiver, so that none is made after {@link #close} returns. */
     private final ReentrantLock deliveryLock = new ReentrantLock();
 
     private final LongAdder unknownSenders = new LongAdder();
@@ -48,11 +48,14 @@
     private volatile boolean closed;
 
     /**
-     * Opens the socket and starts the thread.
+     * Opens the socket and starts the receiving thread.
      *
-     * @param peers the addresses of the gateways by number; the own one is ignored and may be null
-     * @throws IllegalArgumentException for a peer without a resolved address and port, or an
-     *     address of two peers
+     * @param ownNumber the number of this gateway
+     * @param listen the address to bind
+     * @param peers the addresses of the gateways by number; that of this gateway is ignored and may
+     *     be null
+     * @throws IllegalArgumentException if a peer's address is not resolved or has no port, or if two
+     *     peers have the same address
      * @throws IOException if the address can't be bound
      */
     public UdpTransport(
@@ -89,19 +92,19 @@
             Map<SocketAddress, Integer> numbers, int number, InetSocketAddress peer) {
         if (peer == null || peer.isUnresolved() || peer.getPort() == 0) {
             throw new IllegalArgumentException(
-                    "peers, " + number + ": expected an address that resolves, with port: " + peer);
+                    "peers[" + number + "]: expected a resolved address with a port, not " + peer);
         }
         if (numbers.put(peer, number) != null) {
             throw new IllegalArgumentException(
-                    "peers, "
+                    "peers["
                             + number
-                            + ": expected an address of its own, found "
+                            + "]: expected an address of no other peer, not "
                             + peer
-                            + " twice");
+                            + ", which occurs twice");
         }
     }
 
-    /** Closes the selector too if the channel can't be opened. */
+    /** Opens the channel; if that fails, closes the selector too. */
     private static DatagramChannel openChannel(InetSocketAddress listen, Selector selector)
             throws IOException {
         DatagramChannel channel = null;
@@ -136,7 +139,7 @@
             return false;
         }
         try {
-            // for an empty message, 0 bytes mean either that it was sent or that it was not
+            // for an empty message the result 0 does not tell whether it was sent
             return channel.send(ByteBuffer.wrap(message), peers.get(to)) == message.length;
         } catch (IOException | RuntimeException e) {
             return false;
@@ -151,7 +154,7 @@
                 selector.selectedKeys().clear();
                 receiveAll(buffer);
             } catch (IOException e) {
-                // an ICMP error for an earlier datagram; no message was lost by it
+                // an ICMP error reported for an earlier datagram; no received message is lost
                 if (!channel.isOpen()) {
                     return;
                 }
@@ -195,24 +198,24 @@
         }
     }
 
-    /** Datagrams dropped because their sender is no peer. */
+    /** Number of datagrams dropped because their sender is not a peer. */
     public long unknownSenders() {
         return unknownSenders.sum();
     }
 
-    /** Datagrams dropped because they were too long. */
+    /** Number of datagrams dropped because they were too long. */
     public long oversizedMessages() {
         return oversizedMessages.sum();
     }
 
-    /** How often the receiver threw an exception. */
+    /** Number of times the receiver threw an exception. */
     public long receiverFailures() {
         return receiverFailures.sum();
     }
 
     /**
-     * Returns when the receiver is not called any more, or after a timeout if it does not return
-     * from its current call.
+     * Closes the socket and waits, up to a timeout, until the receiver has returned from its current
+     * call. The receiver is not called afterwards.
      */
     @Override
     public void close() {
--- a/fleet/src/main/java/tinford/fleet/transport/package-info.java
+++ b/fleet/src/main/java/tinford/fleet/transport/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Messages between gateways, which may be lost: the interface, UDP datagrams, and a simulated
- * network in memory and virtual time. {@code UdpTransport} has a thread of its own; the rest has
- * none.
+ * Unreliable messages between the gateways of a fleet: the transport interface, its implementation
+ * over UDP, and a simulated network in memory and virtual time. Only {@code UdpTransport} starts a
+ * thread.
  */
 package tinford.fleet.transport;
--- a/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
@@ -14,7 +14,7 @@
 import tinford.api.DeduplicationScope;
 import tinford.api.Idempotency;
 
-/** The JSON forms: valid ones are read and written unchanged, all others are rejected by key. */
+/** Valid JSON is encoded and decoded unchanged; invalid JSON is rejected with its key. */
 public class ConfigurationCodecTest {
     private static final String OPEN = "{\"version\":1,\"id\":\"a\",\"changes\":[";
     private static final String CLOSE = "]}";
@@ -53,7 +53,7 @@
     public void proposalIsUnchangedByEncodingAndDecoding(Proposal proposal) throws Exception {
         byte[] json = ConfigurationCodec.encode(proposal);
         assertEquals(ConfigurationCodec.decodeProposal(json), proposal);
-        assertFalse(text(json).contains("\n"), "one line");
+        assertFalse(text(json).contains("\n"), "more than one line");
     }
 
     @Test
@@ -335,7 +335,7 @@
                 refusals++;
             }
         }
-        assertTrue(refusals > 1000, "refused " + refusals);
+        assertTrue(refusals > 1000, "rejected " + refusals);
     }
 
     private static Change decodeOne(String change) throws InvalidConfigurationException {
--- a/fleet/src/test/java/tinford/fleet/config/ConfigurationFixtures.java
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationFixtures.java
@@ -50,7 +50,7 @@
         return new Change.PutTenant(new TenantRecord(id, plan));
     }
 
-    /** One of each kind. */
+    /** Changes that add one record of each kind. */
     static List<Change> basicChanges() {
         return List.of(
                 putService("search"),
@@ -63,7 +63,7 @@
         return Configuration.EMPTY.with(1, basicChanges());
     }
 
-    /** A configuration as large as the deployment's. */
+    /** A configuration with the given numbers of records, to test at the size of the deployment. */
     static Configuration largeConfiguration(int services, int routes, int plans, int tenants) {
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i < services; i++) {
@@ -81,7 +81,7 @@
         return Configuration.EMPTY.with(1, changes);
     }
 
-    /** Has few different names, so that many proposals conflict and many are rejected. */
+    /** Uses few different names, so that many proposals conflict and are rejected. */
     static Proposal randomProposal(Random random, long currentRevision) {
         String id = "proposal-" + random.nextInt(1_000_000);
         if (random.nextInt(8) == 0) {
--- a/fleet/src/test/java/tinford/fleet/config/ConfigurationTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Configurations as values. */
+/** Configurations are immutable values with a content hash. */
 public class ConfigurationTest {
     @Test
     public void changeLeavesEarlierRevisionUntouched() {
@@ -87,7 +87,7 @@
         assertEquals(
                 Long.toHexString(ConfigurationFixtures.basicConfiguration().contentHash()),
                 "3118fbba8b6ab96a",
-                "a change of this number breaks comparisons between versions");
+                "hash changed: processes of different versions could not be compared");
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/config/FollowerFixture.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerFixture.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import tinford.fleet.config.Follower.Action;
 
-/** A follower with its clock, and what control servers send to it. */
+/** A follower, its virtual clock, and the lines that control servers send to it. */
 abstract class FollowerFixture {
     static final List<Endpoint> ENDPOINTS =
             List.of(
--- a/fleet/src/test/java/tinford/fleet/config/FollowerRandomHistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerRandomHistoriesTest.java
@@ -11,10 +11,10 @@
 import tinford.fleet.config.Follower.Action;
 
 /**
- * Random histories: servers at different revisions that stall, disconnect and send outdated,
- * truncated or wrong data, and a follower whose owner rejects revisions. The active configuration
- * never goes back, always has the content of exactly one revision, and reaches the last revision
- * once the servers are healthy again.
+ * Random histories: control servers are at different revisions, stall, disconnect, and send
+ * outdated, truncated or wrong data, and the follower's owner rejects some revisions. The active
+ * revision never decreases, the active configuration always has the content of exactly one
+ * revision, and the follower reaches the last revision once the servers are healthy again.
  */
 public class FollowerRandomHistoriesTest {
     private static final int SEEDS = 150;
@@ -32,10 +32,10 @@
             snapshots += play.snapshots;
             refusals += play.rejections;
         }
-        assertTrue(snapshots > SEEDS && refusals > SEEDS, snapshots + " " + refusals);
+        assertTrue(snapshots > SEEDS && refusals > SEEDS, snapshots + " snapshots and " + refusals + " rejections");
     }
 
-    /** A control server: a view of the history up to a revision, with faults that can be set. */
+    /** A control server, which knows the history up to a revision and has configurable faults. */
     private static final class Server {
         private long revision;
         private boolean reachable = true;
@@ -84,7 +84,7 @@
                 each.sendsInvalidLines = false;
                 each.revision = last();
             }
-            propose(); // a rejected revision is followed by one that is accepted
+            propose(); // a rejected revision is not offered again, so a new one is needed
             for (Server each : servers) {
                 each.revision = last();
             }
@@ -121,7 +121,7 @@
                 case 4, 5 -> one.silent = false;
                 case 6 -> one.sendsInvalidLines = true;
                 case 7, 8 -> one.sendsInvalidLines = false;
-                case 9 -> one.revision = random.nextInt((int) last() + 1); // restored or lagging
+                case 9 -> one.revision = random.nextInt((int) last() + 1); // restored from a backup, or lagging
                 case 10 -> {
                     if (random.nextInt(10) == 0) {
                         restart(random.nextBoolean() ? storedConfiguration : Configuration.EMPTY);
@@ -218,11 +218,11 @@
                     reject ? new ApplyResult.Rejected("not here") : new ApplyResult.Applied();
             List<Action> actions = follower.applied(result, nowMs);
             Configuration active = follower.activeConfiguration();
-            assertTrue(active.revision() >= before, "seed " + seed + ": went back");
+            assertTrue(active.revision() >= before, "seed " + seed + ": the active revision decreased");
             assertEquals(
                     active.contentHash(),
                     revisions.get((int) active.revision()).contentHash(),
-                    "seed " + seed + ": content of no single revision");
+                    "seed " + seed + ": the active content is not that of its revision");
             storedConfiguration = active;
             perform(actions);
         }
@@ -255,7 +255,7 @@
         }
 
         private void begin(Configuration offered) {
-            assertTrue(!applying, "seed " + seed + ": two at once");
+            assertTrue(!applying, "seed " + seed + ": a second configuration was offered while one was being applied");
             assertTrue(
                     offered.revision() > follower.activeConfiguration().revision(), "seed " + seed);
             applying = true;
--- a/fleet/src/test/java/tinford/fleet/config/FollowerTableTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerTableTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** The latest reports of followers, bounded in number and age. */
+/** The table keeps the latest report of each follower, bounded in number and age. */
 public class FollowerTableTest {
     private static final double EXPIRY_MS = 30_000;
 
@@ -51,7 +51,7 @@
             assertTrue(table.report(report(each, 1), 0));
         }
         assertFalse(table.report(report("d", 1), 1));
-        assertTrue(table.report(report("a", 2), 1), "known ones are still heard");
+        assertTrue(table.report(report("a", 2), 1), "rejected a report of a known follower");
         assertEquals(table.entries(1).size(), 3);
         assertTrue(table.report(report("d", 1), EXPIRY_MS));
         assertEquals(
--- a/fleet/src/test/java/tinford/fleet/config/FollowerTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.Test;
 import tinford.fleet.config.Follower.Action;
 
-/** Which server a follower connects to and when, and when it reports. */
+/** Which control server a follower connects to, when it does so, and when it sends reports. */
 public class FollowerTest extends FollowerFixture {
     @Test
     public void connectsToItsOwnRegionAfterItsRevision() {
@@ -22,7 +22,7 @@
         Action.Connect connect = only(holding.tick(0), Action.Connect.class);
         assertEquals(connect.endpoint().region(), "east");
         assertEquals(connect.afterRevision(), 1);
-        assertEquals(holding.tick(1), List.of(), "one attempt at a time");
+        assertEquals(holding.tick(1), List.of(), "made a second attempt during the first one");
     }
 
     @Test
@@ -50,7 +50,7 @@
         assertEquals(follower.tick(nowMs), List.of());
         nowMs += 1;
         only(follower.tick(nowMs), Action.Disconnect.class);
-        assertEquals(follower.tick(nowMs), List.of(), "not at once");
+        assertEquals(follower.tick(nowMs), List.of(), "reconnected without a backoff");
         nowMs += EndpointRotation.INITIAL_BACKOFF_MS;
         Action.Connect next = only(follower.tick(nowMs), Action.Connect.class);
         assertNotEquals(next.endpoint(), first);
@@ -61,7 +61,7 @@
     public void heartbeatsKeepTheWatch() {
         Endpoint endpoint = open().endpoint();
         for (Action each : serveFor(25_000)) {
-            assertEquals(((Action.Report) each).endpoint(), endpoint, "only reports");
+            assertEquals(((Action.Report) each).endpoint(), endpoint, "reported to another server");
         }
     }
 
--- a/fleet/src/test/java/tinford/fleet/config/FollowerUpdateTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerUpdateTest.java
@@ -21,7 +21,7 @@
         assertEquals(
                 apply.result().contentHash(),
                 ConfigurationFixtures.basicConfiguration().contentHash());
-        assertSame(follower.activeConfiguration(), Configuration.EMPTY, "until it is applied");
+        assertSame(follower.activeConfiguration(), Configuration.EMPTY, "active before it was applied");
         assertSame(follower.receivedConfiguration(), apply.result());
         nowMs += 1000;
         Action.Report report = only(follower.applied(APPLIED, nowMs), Action.Report.class);
@@ -91,7 +91,7 @@
         assertEquals(report.report().revision(), 1);
         assertEquals(report.report().rejectionReason(), warn.message());
         assertEquals(follower.activeConfiguration().revision(), 1);
-        assertEquals(line(HEARTBEAT), List.of(), "it is not offered again");
+        assertEquals(line(HEARTBEAT), List.of(), "offered a rejected revision again");
         Action.Apply next =
                 only(
                         line(update(2, 3, List.of(new Change.RemoveService("a")))),
@@ -121,7 +121,7 @@
         open();
         assertRejected(
                 line(snapshot(ConfigurationFixtures.basicConfiguration())),
-                "no earlier one than the revision held, 9");
+                "at least the current revision, 9, not 1");
         assertEquals(follower.activeConfiguration().revision(), 9);
     }
 
@@ -129,14 +129,14 @@
     public void outdatedUpdateIsRejectedAndReported() {
         follower = follower(ConfigurationFixtures.basicConfiguration().with(9, List.of()), 1);
         open();
-        assertRejected(line(update(7, 8, List.of())), "the revision held, 9, not 7 to 8");
+        assertRejected(line(update(7, 8, List.of())), "the current revision, 9, not 7, in the update to revision 8");
         assertEquals(follower.receivedConfiguration().revision(), 9);
     }
 
     @Test
     public void updateAfterAGapIsRejected() {
         open();
-        assertRejected(line(update(1, 2, List.of())), "the revision held, 0, not 1 to 2");
+        assertRejected(line(update(1, 2, List.of())), "the current revision, 0, not 1, in the update to revision 2");
         assertEquals(follower.receivedConfiguration().revision(), 0);
     }
 
@@ -156,10 +156,10 @@
         assertEquals(
                 line(snapshot(ConfigurationFixtures.basicConfiguration())),
                 List.of(),
-                "the same is no harm");
+                "rejected a snapshot with the same content");
         assertRejected(
                 line(snapshot(Configuration.EMPTY.with(1, List.of()))),
-                "the content held at revision 1");
+                "the content already received at revision 1");
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/config/ReferenceHistory.java
+++ b/fleet/src/test/java/tinford/fleet/config/ReferenceHistory.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 
 /**
- * A simple model of {@link RevisionHistory} for comparison: every revision is kept whole, as a map
- * from a key such as {@code "s search"} to a record.
+ * A simple reference model of {@link RevisionHistory}: it stores the full content of every revision,
+ * as a map from a key such as {@code "s search"} to a record.
  */
 final class ReferenceHistory {
     private final List<Map<String, Object>> revisions = new ArrayList<>(List.of(Map.of()));
     private final Map<String, Proposal> decided = new HashMap<>();
     private final Map<String, Long> outcomes = new HashMap<>();
 
-    /** The new revision; null if the proposal is rejected. */
+    /** Returns the new revision, or null if the proposal is rejected. */
     Long propose(Proposal proposal) {
         Proposal before = decided.putIfAbsent(proposal.id(), proposal);
         if (before != null) {
--- a/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Random histories against the reference model, and voters against each other. */
+/** Compares random histories with a reference model, and voters with each other. */
 public class RevisionHistoryModelTest {
     private static final int SEEDS = 300;
     private static final int PROPOSALS = 60;
@@ -43,7 +43,7 @@
             }
             followersReachTheCurrentRevision(history, reference);
         }
-        assertTrue(accepted > 3000 && refused > 3000, accepted + " and " + refused);
+        assertTrue(accepted > 3000 && refused > 3000, accepted + " accepted, " + refused + " rejected");
     }
 
     @Test
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Now and then one that was made before is sent again. */
+    /** Draws a random proposal; one in ten repeats an earlier one. */
     private static Proposal draw(Random random, List<Proposal> made, RevisionHistory history) {
         if (!made.isEmpty() && random.nextInt(10) == 0) {
             return made.get(random.nextInt(made.size()));
@@ -98,7 +98,7 @@
         return outcomes;
     }
 
-    /** From every revision, by the updates alone. */
+    /** Applies the updates one by one and compares each revision with the reference model. */
     private static void followersReachTheCurrentRevision(
             RevisionHistory history, ReferenceHistory reference) {
         Configuration configuration = Configuration.EMPTY;
--- a/fleet/src/test/java/tinford/fleet/config/RevisionHistoryTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** The replicated state machine: outcomes, reverts, retention and snapshots. */
+/** Outcomes of proposals, reverts, retention and snapshots of the replicated state machine. */
 public class RevisionHistoryTest {
     private final RevisionHistory history = new RevisionHistory(ConfigurationFixtures.FLEET);
 
@@ -39,7 +39,7 @@
                 basic.updatesSince(0).orElseThrow(),
                 List.of(new Update(0, 1, ConfigurationFixtures.basicChanges())));
         assertEquals(basic.updatesSince(1).orElseThrow(), List.of());
-        assertEquals(basic.updatesSince(99).orElseThrow(), List.of(), "yet to come");
+        assertEquals(basic.updatesSince(99).orElseThrow(), List.of(), "future revision");
     }
 
     @Test
@@ -112,7 +112,7 @@
                         ConfigurationFixtures.changeSet(
                                 "one", ConfigurationFixtures.putService("a"))),
                 new Outcome.Accepted(2),
-                "the first one's outcome is still known");
+                "the outcome of the first proposal is no longer known");
         assertEquals(
                 refuse(basic, ConfigurationFixtures.changeSet("no name")).errors().get(0).key(),
                 "id");
@@ -207,7 +207,7 @@
             large.add(ConfigurationFixtures.putService("large" + i));
         }
         accept(small, new ChangeSet("large", null, large));
-        assertEquals(small.retainedUpdates(), 0, "a single one may be too large");
+        assertEquals(small.retainedUpdates(), 0, "retained an update that exceeds the limit on its own");
         assertEquals(small.oldestRetained(), 51);
         assertEquals(small.updatesSince(50), Optional.empty());
     }
@@ -240,7 +240,7 @@
         assertTrue(
                 basic.rememberedProposals()
                         <= ConfigurationLimits.MAX_REMEMBERED_CHARACTERS / characters,
-                basic.rememberedProposals() + " remembered");
+                basic.rememberedProposals() + " proposals retained");
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/config/SnapshotCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/SnapshotCodecTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Snapshots: valid ones are read and written unchanged, all others are rejected. */
+/** Valid snapshots are encoded and decoded unchanged; all others are rejected. */
 public class SnapshotCodecTest {
     private static final int VERSION_AT = 4;
     private static final SnapshotCodec CODEC = new SnapshotCodec(ConfigurationFixtures.FLEET);
--- a/fleet/src/test/java/tinford/fleet/config/SortedArrayMapTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/SortedArrayMapTest.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 
-/** The map against a {@link java.util.TreeMap}. */
+/** Compares the map with a {@link java.util.TreeMap}. */
 public class SortedArrayMapTest {
     private static final int SEEDS = 200;
 
@@ -31,7 +31,7 @@
                 edits.forEach((key, value) -> model.compute(key, (k, old) -> value));
                 assertEquals(map, model, "seed " + seed);
                 assertEquals(new ArrayList<>(map.keySet()), new ArrayList<>(model.keySet()));
-                assertEquals(new ArrayList<>(before.keySet()), keysBefore, "immutable");
+                assertEquals(new ArrayList<>(before.keySet()), keysBefore, "an earlier map was modified");
                 for (int key = -1; key < 21; key++) {
                     assertEquals(map.get(key), model.get(key));
                     assertEquals(map.containsKey(key), model.containsKey(key));
--- a/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
@@ -10,7 +10,7 @@
 import tinford.api.DeduplicationScope;
 import tinford.api.Idempotency;
 
-/** Which configurations and changes are invalid, and the keys of their errors. */
+/** Which configurations and changes are invalid, and which keys their errors name. */
 public class ValidatorTest {
     private static final Configuration BASIC = ConfigurationFixtures.basicConfiguration();
 
--- a/fleet/src/test/java/tinford/fleet/membership/GossipCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipCodecTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Records are decoded within the stated error; anything else is rejected without harm. */
+/** Records are decoded within the documented error; invalid messages are rejected. */
 public class GossipCodecTest {
     private static final double NOW_MS = 1.8e12;
     private static final double MAX_RELATIVE_ERROR = 0.036;
@@ -60,7 +60,7 @@
         assertTrue(
                 Math.abs(actual - expected)
                         <= MAX_RELATIVE_ERROR * expected + (expected < 1.0 / 64 ? 1.0 / 64 : 0),
-                actual + ", expected " + expected);
+                actual + ", expected " + expected + " within the error of the scale");
     }
 
     @Test
@@ -76,7 +76,7 @@
             assertEquals(received.madeAtMs(), 5000.0);
             assertTrue(
                     received.ageMs() >= age && received.ageMs() < age + 2,
-                    "age " + age + " received as " + received.ageMs());
+                    "age " + age + " decoded as " + received.ageMs());
             assertTrue(received.encoded().length <= GossipCodec.MAX_RECORD_BYTES);
             assertEquals(received.record().retriesCededTo, record.retriesCededTo);
             assertEquals(received.record().retriesCeded, record.retriesCeded, 0.1);
@@ -93,7 +93,7 @@
                         a.serverHash() == b.serverHash()
                                 && a.unhealthy() == b.unhealthy()
                                 && Math.abs(a.agoMs() - b.agoMs()) <= 0.05 * a.agoMs(),
-                        a + " " + b);
+                        "encoded " + a + ", decoded " + b);
             }
         }
     }
@@ -114,11 +114,11 @@
             {"empty", new byte[0]},
             {"one byte", new byte[] {1}},
             {"another version", version},
-            {"torn", Arrays.copyOf(message, message.length - 1)},
+            {"truncated", Arrays.copyOf(message, message.length - 1)},
             {"length beyond the end", length},
-            {"classes beyond", classes},
-            {"servers beyond", servers},
-            {"gateway beyond", message(0, new GossipRecord(new Incarnation(10, 5), 1))},
+            {"too many classes", classes},
+            {"too many servers", servers},
+            {"unknown gateway", message(0, new GossipRecord(new Incarnation(10, 5), 1))},
             {
                 "starts in the future",
                 message(0, new GossipRecord(new Incarnation(1, (long) NOW_MS + 5001), 1))
@@ -160,8 +160,8 @@
     }
 
     /**
-     * Neither random bytes nor a valid message with changes, cuts or additions make the codec or
-     * the membership throw.
+     * Messages with random bytes changed, and truncated or extended messages, cause no exception in
+     * the codec or the membership.
      */
     @Test
     public void toleratesGarbage() {
@@ -208,6 +208,6 @@
         Arrays.fill(record.admittedUnits, 50);
         assertTrue(
                 GossipCodec.encode(record, 0).length * 2 + 1 <= GossipCodec.MAX_MESSAGE_BYTES,
-                "two of the longest don't fit");
+                "two records of the greatest length do not fit into a message");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
@@ -12,9 +12,9 @@
 import org.testng.annotations.Test;
 import tinford.fleet.transport.InMemoryNetwork;
 
-/** Fleets of several sizes in virtual time: who is known to be alive, how soon, at what cost. */
+/** Failure detection in fleets of several sizes in virtual time, and the traffic that it takes. */
 public class GossipMembershipTest {
-    /** Whether each counts so many alive gateways; of 400, each may miss one in a hundred. */
+    /** Whether each gateway counts this many alive ones; in a fleet of 400 it may be off by 4. */
     private static boolean allCount(SimulatedGossipFleet fleet, int expected) {
         for (int i = 0; i < fleet.members.length; i++) {
             if (!fleet.stopped[i]
@@ -28,7 +28,7 @@
 
     private static double runUntilAllKnown(SimulatedGossipFleet fleet, double maxMs) {
         double tookMs = fleet.runUntil(maxMs, () -> allCount(fleet, fleet.members.length));
-        assertTrue(tookMs < maxMs, "all known after " + tookMs);
+        assertTrue(tookMs < maxMs, "not all gateways known to all after " + tookMs + " ms");
         return tookMs;
     }
 
@@ -40,7 +40,7 @@
         return min;
     }
 
-    /** Gateways, suspicion time, and the time within which all know each other at the start, ms. */
+    /** Fleet size, suspicion timeout, and time in ms until all gateways must know each other. */
     @DataProvider
     public Object[][] sizes() {
         return new Object[][] {{5, 2000.0, 2000.0}, {14, 3000.0, 3000.0}, {100, 6000.0, 8000.0}};
@@ -67,11 +67,11 @@
         fleet.run(2000);
         assertTrue(
                 minAliveCount(fleet) >= n - 1 - n / 80,
-                "wrongly suspected: sees " + minAliveCount(fleet));
+                "live gateways suspected, one counts only " + minAliveCount(fleet));
         double messages = (fleet.network.sentMessages() - sent) * 1000.0 / (fleet.nowMs - from) / n;
         double perSecond = (fleet.network.sentBytes() - bytes) * 1000.0 / (fleet.nowMs - from) / n;
-        assertEquals(messages, 20, 0.5, "messages a second a gateway");
-        assertTrue(perSecond <= 20.5 * 256, "bytes a second a gateway " + perSecond);
+        assertEquals(messages, 20, 0.5, "messages per second and gateway");
+        assertTrue(perSecond <= 20.5 * 256, "bytes per second and gateway: " + perSecond);
 
         int lost = n / 2;
         fleet.runUntil(
@@ -91,7 +91,7 @@
                         });
         assertTrue(
                 gone <= suspectAfterMs + 2 * SimulatedGossipFleet.ROUND_INTERVAL_MS,
-                "loss known by all after " + gone);
+                "failure detected by all after " + gone + " ms");
         fleet.start(lost, (long) fleet.nowMs);
         double back =
                 fleet.runUntil(
@@ -106,7 +106,7 @@
                             }
                             return true;
                         });
-        assertTrue(back < 1500 + n * 10, "restart known by all after " + back);
+        assertTrue(back < 1500 + n * 10, "restart known to all after " + back + " ms");
     }
 
     @Test(dataProvider = "sizes")
@@ -129,7 +129,7 @@
                         });
         assertTrue(
                 seen <= suspectAfterMs + 2 * SimulatedGossipFleet.ROUND_INTERVAL_MS,
-                "halves seen after " + seen);
+                "partition detected after " + seen + " ms");
         assertEquals(fleet.members[0].fleetSize(), n);
         cut(fleet, half, false);
         runUntilAllKnown(fleet, withinMs);
@@ -152,13 +152,13 @@
             fleet.round();
             assertTrue(
                     minAliveCount(fleet) >= 13,
-                    "suspected at " + fleet.nowMs + ": " + minAliveCount(fleet));
+                    "suspected at " + fleet.nowMs + ", one counts only " + minAliveCount(fleet));
         }
     }
 
     /**
-     * Some gateways have five times the load of others; the sum is estimated by the mean of the
-     * fresh records times the number of alive gateways.
+     * The load of the fleet is estimated as the mean of the fresh records times the number of alive
+     * gateways, although some gateways have five times the load of others.
      */
     @Test
     public void estimatesTheSumOverUnevenGateways() {
@@ -184,13 +184,13 @@
             }
             assertTrue(
                     worst < (n < 100 ? 0.04 : 0.2) && mean < 0.05,
-                    n + " gateways, off by " + mean + ", worst " + worst);
+                    n + " gateways: mean relative error " + mean + ", largest " + worst);
         }
     }
 
     /**
-     * After a long suspension, with all messages since then waiting: no gateway is suspected, and
-     * no dead one counts as alive.
+     * A gateway that resumes after a long suspension, and then receives all messages queued in the
+     * meantime, suspects no live gateway, and no gateway takes a stopped one for alive.
      */
     @Test
     public void neitherSuspectsNorRevivesAfterALongSuspension() {
@@ -206,16 +206,16 @@
         fleet.network.advance(fleet.nowMs + 1);
         assertTrue(
                 fleet.members[3].recordAgeMs(7) > 29_000 && fleet.members[3].silenceMs(7) > 29_000,
-                "a stale record counts as " + fleet.members[3].silenceMs(7));
+                "a stale record counts as fresh, silent for ms: " + fleet.members[3].silenceMs(7));
         for (int i = 0; i < 60; i++) {
             fleet.round();
             assertTrue(
                     fleet.members[3].aliveCount() >= 13,
-                    "suspects after its suspension: sees " + fleet.members[3].aliveCount());
+                    "suspects live gateways after its suspension, counts only " + fleet.members[3].aliveCount());
             for (int j = 0; j < 14; j++) {
                 assertFalse(
                         j != 3 && j != 7 && fleet.members[j].isAlive(7),
-                        "brought to life by stale records at " + j);
+                        "a stopped gateway counts as alive at gateway " + j);
             }
         }
         assertFalse(fleet.members[3].isAlive(7));
@@ -228,9 +228,9 @@
     }
 
     /**
-     * Messages may be delayed by 2 s, and wait for a suspended gateway for any time. Over random
-     * histories of losses, partitions, suspensions and restarts no record is known before it was
-     * made, nor counts as fresher than it is by more than two delays.
+     * Random histories of losses, partitions, suspensions and restarts. Messages are delayed by up to
+     * 2 s, and by any time if the receiver is suspended. The stated age of a record is never too low
+     * by more than two delays, and no record is known before it was created.
      */
     @Test(dataProvider = "seeds")
     public void noRecordCountsAsFresherThanItIs(long seed) {
@@ -256,17 +256,17 @@
                     List<Double> made = fleet.madeMs.get(m.incarnation(b));
                     assertTrue(
                             made != null && m.newestRecord(b).sequence < made.size(),
-                            "known before it was made");
+                            "a record is known that was not created yet");
                     double tooLow =
                             fleet.nowMs - made.get(m.newestRecord(b).sequence) - m.recordAgeMs(b);
-                    assertTrue(tooLow > -3120, "counts as older than it is by " + -tooLow);
+                    assertTrue(tooLow > -3120, "stated age too high by ms: " + -tooLow);
                     if (!fleet.stopped[b] && fleet.nowMs - since[a][b] > 3000) {
                         worst = Math.max(worst, tooLow);
                     }
                 }
             }
         }
-        assertTrue(worst < 2 * 2021 + 150, "counts as fresher than it is by " + worst);
+        assertTrue(worst < 2 * 2021 + 150, "stated age too low by ms: " + worst);
     }
 
     private static void disturb(SimulatedGossipFleet fleet, Random random) {
@@ -328,12 +328,12 @@
         for (int t = 1200; t < 10_000; t += 500) {
             m.receive(message(500, t, t - 500), 1, t);
             assertEquals(
-                    m.incarnation(1).start(), 1000, "an earlier incarnation came back at " + t);
+                    m.incarnation(1).start(), 1000, "an earlier incarnation was accepted again at " + t);
         }
         assertFalse(m.isAlive(1));
         m.receive(message(500, 20_000, 11_500), 1, 12_000);
         m.receive(message(500, 20_000, 11_650), 1, 12_150);
-        assertEquals(m.incarnation(1).start(), 500, "the upgrade failed long ago");
+        assertEquals(m.incarnation(1).start(), 500, "an earlier incarnation was not accepted after a long silence");
         m.receive(message(500, 20_001, 11_700), 0, 12_200);
         assertEquals(m.rejectedMessages(), 1);
     }
@@ -345,6 +345,6 @@
         for (int i = 0; i < 10_000; i++) {
             m.receive(message(500, i, i), 1, 1000 + i / 10.0);
         }
-        assertTrue(m.rateLimitedMessages() >= 9900, "taken " + (10_000 - m.rateLimitedMessages()));
+        assertTrue(m.rateLimitedMessages() >= 9900, "accepted " + (10_000 - m.rateLimitedMessages()));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/membership/LeaseTableTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/LeaseTableTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Leases as the entries of the log grant and end them. */
+/** How entries of the log grant, renew and end leases. */
 public class LeaseTableTest {
     private static final Incarnation FIRST = new Incarnation(3, 100);
     private static final Incarnation LATER = new Incarnation(3, 900);
@@ -34,7 +34,7 @@
         table.observeTime(2050);
         assertFalse(table.mayAct(FIRST));
         table.observeTime(2449);
-        assertFalse(table.isClosed(FIRST), "its connections may be open");
+        assertFalse(table.isClosed(FIRST), "its connections may still be open");
         table.observeTime(2450);
         assertTrue(table.isClosed(FIRST));
     }
@@ -52,7 +52,7 @@
         table.apply(4, LeaseTable.departureEntry(LATER, 1300));
         assertEquals(table.mayAct(), List.of(FIRST));
         table.apply(5, LeaseTable.renewalEntry(LATER, 1200, 1000));
-        assertTrue(table.isClosed(LATER), "a late entry revived an incarnation that has left");
+        assertTrue(table.isClosed(LATER), "a delayed entry restored the lease of an incarnation that left");
     }
 
     @DataProvider
@@ -77,7 +77,7 @@
         assertTrue(table.apply(1, entry));
         assertEquals(table.rejectedEntries(), 1);
         assertEquals(table.mayAct(), List.of());
-        assertFalse(table.apply(2, new byte[] {77}), "took an entry of another kind");
+        assertFalse(table.apply(2, new byte[] {77}), "handled an entry that is not about a lease");
     }
 
     @Test
--- a/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
+++ b/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
@@ -10,8 +10,8 @@
 import tinford.fleet.transport.Transport;
 
 /**
- * Gateways that gossip over a simulated network, in virtual time. Each renews its record and sends
- * a round every 100 ms, at a time of its own.
+ * A fleet of gateways that gossip over a simulated network, in virtual time. Each gateway updates
+ * its record and sends a round every 100 ms; the rounds of different gateways are staggered.
  */
 final class SimulatedGossipFleet {
     static final double ROUND_INTERVAL_MS = 100;
@@ -22,7 +22,7 @@
     final boolean[] stopped;
     final int[] sequences;
 
-    /** When each record was madeMs, by incarnation and sequence. */
+    /** Creation time of each record, by incarnation and sequence. */
     final Map<Incarnation, List<Double>> madeMs = new HashMap<>();
 
     final Random random;
@@ -30,7 +30,7 @@
     private final double suspectAfterMs;
     private final double freshForMs;
 
-    /** Load of each gateway, as a multiple of the usual one. */
+    /** Load of each gateway, as a multiple of the normal load. */
     final double[] loadFactors;
 
     SimulatedGossipFleet(int n, double suspectAfterMs, double freshForMs, long seed) {
@@ -73,7 +73,7 @@
         stopped[i] = true;
     }
 
-    /** Advances by one round of all gateways, in ten steps with a tenth of them each. */
+    /** Advances by one round of all gateways, in ten steps in each of which a tenth of them send. */
     void round() {
         for (int step = 0; step < 10; step++) {
             nowMs += ROUND_INTERVAL_MS / 10;
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Runs until the condition holds, and returns the ms that this took, at most {@code maxMs}. */
+    /** Runs until the condition holds, for at most {@code maxMs}; returns the elapsed ms. */
     double runUntil(double maxMs, BooleanSupplier condition) {
         double startedMs = nowMs;
         while (!condition.getAsBoolean() && nowMs - startedMs < maxMs) {
--- a/fleet/src/test/java/tinford/fleet/testing/Eventually.java
+++ b/fleet/src/test/java/tinford/fleet/testing/Eventually.java
@@ -4,14 +4,14 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Polls, for a bounded time, for a condition that other threads bring about. */
+/** Waits, for a bounded time, until a condition holds that other threads fulfil. */
 public final class Eventually {
     private static final long TIMEOUT_MS = 20_000;
     private static final long POLL_INTERVAL_MS = 5;
 
-    /** A condition whose evaluation may fail. */
+    /** A condition whose evaluation may throw an exception. */
     public interface Condition {
-        /** Whether the condition is met; an exception ends the wait. */
+        /** Whether the condition holds; an exception ends the wait and is passed on. */
         boolean holds() throws Exception;
     }
 
@@ -20,11 +20,11 @@
     /** Returns once the condition holds, and fails the test when it does not within 20 s. */
     public static void holds(String description, Condition condition) throws Exception {
         if (!holdsWithin(TIMEOUT_MS, condition)) {
-            fail("not within " + TIMEOUT_MS + " ms: " + description);
+            fail("did not happen within " + TIMEOUT_MS + " ms: " + description);
         }
     }
 
-    /** Returns whether the condition came to hold within the time. */
+    /** Waits until the condition holds; returns false if it does not within the timeout. */
     public static boolean holdsWithin(long timeoutMs, Condition condition) throws Exception {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         while (!condition.holds()) {
--- a/fleet/src/test/java/tinford/fleet/transport/BrokenTransportsTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/BrokenTransportsTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The contract detects each fault of a faulty transport, and passes without one. */
+/** The transport contract fails for each kind of faulty transport, and passes without a fault. */
 public class BrokenTransportsTest {
     enum Fault {
         NONE,
@@ -30,7 +30,7 @@
         DELIVERS_TO_CLOSED_PROCESS
     }
 
-    /** The in-memory network with one fault. */
+    /** The contract for the in-memory network with one injected fault. */
     private static final class Broken extends InMemoryNetworkTest {
         private final Fault fault;
         private final Transport.Receiver[] first = new Transport.Receiver[3];
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Delivers the sender's own array instead of a copy. */
+    /** Delivers the array passed to {@code send} instead of a copy. */
     private static final class ArraySharingTransport implements Transport {
         private static byte[] last;
         private final Transport real;
@@ -180,9 +180,9 @@
     public void contractDetectsEachFault(Fault fault) throws IllegalAccessException {
         Set<String> failing = failing(fault);
         if (fault == Fault.NONE) {
-            assertEquals(failing, Set.of(), "detected without a fault");
+            assertEquals(failing, Set.of(), "tests failed without a fault");
         } else {
-            assertTrue(!failing.isEmpty(), fault + " was not detected");
+            assertTrue(!failing.isEmpty(), fault + " was not detected by any test");
         }
     }
 }
--- a/fleet/src/test/java/tinford/fleet/transport/InMemoryNetworkTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/InMemoryNetworkTest.java
@@ -10,7 +10,7 @@
 import java.util.function.BooleanSupplier;
 import org.testng.annotations.Test;
 
-/** The in-memory network fulfils the contract, and its links behave as set. */
+/** The in-memory network fulfils the transport contract, and its links behave as configured. */
 @Test
 public class InMemoryNetworkTest extends TransportContract {
     InMemoryNetwork network;
@@ -29,7 +29,7 @@
     @Override
     void awaitCondition(BooleanSupplier so) {
         for (int i = 0; !so.getAsBoolean(); i++) {
-            assertTrue(i < 2000, "not received");
+            assertTrue(i < 2000, "not received within 2000 steps");
             network.advance(network.nowMs() + 10);
         }
     }
@@ -75,7 +75,7 @@
             b.send(0, new byte[] {(byte) i});
         }
         n.advance(1000);
-        assertTrue(to0.size() > 50 && to0.size() < 100, "1.5 times a half of 100: " + to0.size());
+        assertTrue(to0.size() > 50 && to0.size() < 100, "expected about 75 of 100 with half lost and half duplicated: " + to0.size());
         assertFalse(to0.equals(to0.stream().sorted().toList()), "no message was reordered");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/transport/TransportContract.java
+++ b/fleet/src/test/java/tinford/fleet/transport/TransportContract.java
@@ -15,13 +15,13 @@
 import org.testng.annotations.Test;
 
 /**
- * The contract of every transport, between gateways 0 to 2, whose {@link #transports} are open from
- * the start of each case.
+ * Tests that every implementation of {@link Transport} must pass, with three gateways numbered 0 to
+ * 2. {@link #openAll} opens their {@link #transports} at the start of each test.
  */
 public abstract class TransportContract {
     static final int MAX_MESSAGE_BYTES = 256;
 
-    /** At most this many messages may be buffered for a stalled receiver. */
+    /** Largest number of messages that may be buffered for a stalled receiver. */
     static final int MAX_KEPT_MESSAGES = 4096;
 
     private static final int FLOOD_MESSAGES = 20_000;
@@ -34,17 +34,17 @@
 
     abstract Transport open(int gateway, Transport.Receiver receiver);
 
-    /** Lets the transport work until the condition holds; fails after a timeout. */
+    /** Runs the transport until the condition holds; fails after a timeout. */
     abstract void awaitCondition(BooleanSupplier so);
 
-    /** Makes links lose, duplicate, delay and reorder messages, if the transport can. */
+    /** Makes links lose, duplicate, delay and reorder messages, if the transport supports that. */
     abstract void disturb();
 
     abstract void stall(int gateway);
 
     abstract void unstall(int gateway);
 
-    /** Sends a message from outside the fleet, if the transport can receive any. */
+    /** Sends a message from outside the fleet, if the transport could receive it. */
     abstract void sendFromUnknownSender(int to, byte[] message);
 
     void openAll() {
@@ -179,12 +179,12 @@
         for (int i = 0; i < FLOOD_MESSAGES; i++) {
             transports.get(0).send(1, testMessage(0, 1, MAX_MESSAGE_BYTES));
             assertTrue(
-                    System.nanoTime() - from < FLOOD_MS * 1e6, "sends block on the receiver: " + i);
+                    System.nanoTime() - from < FLOOD_MS * 1e6, "sending blocks while the receiver is stalled, at message " + i);
         }
         unstall(1);
         sendUntilReceived(0, 1, testMessage(0, 2, 20));
         assertTrue(
-                received.get(1).size() < MAX_KEPT_MESSAGES, "buffered " + received.get(1).size());
+                received.get(1).size() < MAX_KEPT_MESSAGES, "buffered messages: " + received.get(1).size());
         assertUnaltered(1);
     }
 
@@ -219,6 +219,6 @@
         Arrays.fill(changed, (byte) 9);
         assertTrue(
                 received.get(2).stream().allMatch(g -> Arrays.equals(g.message, all)),
-                "changed by its sender after it was sent");
+                "the message changed when its sender modified the array after sending");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/transport/UdpTransportTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/UdpTransportTest.java
@@ -15,7 +15,7 @@
 import java.util.function.BooleanSupplier;
 import org.testng.annotations.Test;
 
-/** Datagrams over loopback fulfil the contract. */
+/** The UDP transport fulfils the transport contract over the loopback interface. */
 @Test
 public class UdpTransportTest extends TransportContract {
     private final List<InetSocketAddress> peers = new ArrayList<>();
@@ -73,14 +73,14 @@
     @Override
     void awaitCondition(BooleanSupplier so) {
         for (long end = System.nanoTime() + 10_000_000_000L; !so.getAsBoolean(); ) {
-            assertTrue(System.nanoTime() < end, "not received");
+            assertTrue(System.nanoTime() < end, "not received within 10 s");
             LockSupport.parkNanos(1_000_000);
         }
     }
 
     @Override
     void disturb() {
-        // loopback can't be disturbed
+        // there is no way to lose or delay datagrams on the loopback interface
     }
 
     @Override
@@ -110,7 +110,7 @@
         awaitCondition(() -> ((UdpTransport) transports.get(to)).unknownSenders() == 1);
     }
 
-    /** A datagram from a peer's address that is longer than the bound. */
+    /** The datagram comes from a peer's address and is longer than the largest message. */
     public void oversizedDatagramIsDropped() throws IOException {
         openAll();
         transports.get(0).close();
