--- a/fleet/src/main/java/tinford/fleet/config/AppliedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/AppliedState.java
@@ -46,7 +46,7 @@
         return pending != null;
     }
 
-    /** Why the last revision offered was rejected; null if it was not. */
+    /** Why the configuration that was last to be applied was rejected; null if it was applied. */
     String rejectionReason() {
         return rejectionReason;
     }
--- a/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
@@ -10,9 +10,9 @@
 import java.util.zip.Inflater;
 
 /**
- * An envelope for stored configuration data, which identifies the kind of content, the fleet and the
- * revision, and detects corruption. The format is big-endian: magic number, format version, kind,
- * revision, length of the fleet id, fleet id, length of the content, length of the compressed
+ * An envelope for stored configuration data, which identifies the kind of content, the fleet and
+ * the revision, and detects corruption. The format is big-endian: magic number, format version,
+ * kind, revision, length of the fleet id, fleet id, length of the content, length of the compressed
  * content, the compressed content (deflate), and a SHA-256 of all bytes before it.
  */
 final class ChecksummedState {
@@ -54,8 +54,8 @@
     /**
      * Validates an envelope and decompresses its content.
      *
-     * @throws InvalidConfigurationException if it is truncated, corrupted, of another kind or fleet,
-     *     or of a later format
+     * @throws InvalidConfigurationException if it is truncated, corrupted, of another kind or
+     *     fleet, or of a later format
      */
     static Decoded decode(Kind kind, String fleetId, byte[] encoded)
             throws InvalidConfigurationException {
--- a/fleet/src/main/java/tinford/fleet/config/Configuration.java
+++ b/fleet/src/main/java/tinford/fleet/config/Configuration.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Creates a configuration from its records, which are not validated. If several records have the
-     * same key, the last one is used.
+     * Creates a configuration from its records, which are not validated. If several records have
+     * the same key, the last one is used.
      */
     static Configuration of(
             long revision,
--- a/fleet/src/main/java/tinford/fleet/config/EndpointRotation.java
+++ b/fleet/src/main/java/tinford/fleet/config/EndpointRotation.java
@@ -6,10 +6,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The order in which a follower tries the control servers, and the backoff between attempts. Servers
- * in the follower's own region come first; servers of equal rank are in random order, so that
- * followers spread over them. The backoff doubles after each pass over all servers in which none
- * succeeded. Not thread-safe.
+ * The order in which a follower tries the control servers, and the backoff between attempts.
+ * Servers in the follower's own region come first; servers of equal rank are in random order, so
+ * that followers spread over them. The backoff doubles after each pass over all servers in which
+ * none succeeded. Not thread-safe.
  */
 final class EndpointRotation {
     /** The longest backoff during the first pass over the servers. */
--- a/fleet/src/main/java/tinford/fleet/config/Follower.java
+++ b/fleet/src/main/java/tinford/fleet/config/Follower.java
@@ -12,9 +12,9 @@
  * <p>The owner passes in each event with its time in ms of any monotonic clock, performs the
  * returned actions in order, and passes in their results as events. After a {@link
  * Action.Disconnect} or a new {@link Action.Connect} it passes in no more events of the earlier
- * watch. After {@link Action.Apply} or {@link Action.ApplySnapshot} no other such action is returned
- * until {@link #applied} is called; updates that arrive in the meantime are combined. The active
- * revision never decreases. Not thread-safe.
+ * watch. After {@link Action.Apply} or {@link Action.ApplySnapshot} no other such action is
+ * returned until {@link #applied} is called; updates that arrive in the meantime are combined. The
+ * active revision never decreases. Not thread-safe.
  */
 public final class Follower {
     /** An action for the owner to perform. */
--- a/fleet/src/main/java/tinford/fleet/config/Json.java
+++ b/fleet/src/main/java/tinford/fleet/config/Json.java
@@ -31,7 +31,9 @@
         void write(JsonGenerator out) throws IOException;
     }
 
-    /** Writes an object with the version and the fields of a body, on one line without line feed. */
+    /**
+     * Writes an object with the version and the fields of a body, on one line without line feed.
+     */
     static byte[] write(int latestVersion, Body body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = SHORT_TEXT_MAPPER.createGenerator(bytes, JsonEncoding.UTF8)) {
--- a/fleet/src/main/java/tinford/fleet/config/JsonObjectReader.java
+++ b/fleet/src/main/java/tinford/fleet/config/JsonObjectReader.java
@@ -11,9 +11,9 @@
  * Reads the fields of one object in a JSON tree. Exceptions identify a field by its path from the
  * root, such as {@code changes[2].putRoute.name}.
  *
- * <p>{@code tinford.settings.JsonFields} is the counterpart for the settings with which a gateway is
- * started. This class differs in that it throws a checked exception with the path, and reads only
- * trees whose depth and lengths were bounded by {@link Json}.
+ * <p>{@code tinford.settings.JsonFields} is the counterpart for the settings with which a gateway
+ * is started. This class differs in that it throws a checked exception with the path, and reads
+ * only trees whose depth and lengths were bounded by {@link Json}.
  */
 final class JsonObjectReader {
     private final JsonObjectReader parent;
--- a/fleet/src/main/java/tinford/fleet/config/PlanRecord.java
+++ b/fleet/src/main/java/tinford/fleet/config/PlanRecord.java
@@ -10,8 +10,8 @@
  * @param overQuotaWeight weight of a unit beyond the quota
  * @param overQuotaCost cost of a unit beyond the quota
  * @param hardLimitPerSecond units per second that may never be exceeded; 0 for no hard limit
- * @param hardLimitBurst units of the hard limit that may be used at once; above 0 if there is a hard
- *     limit
+ * @param hardLimitBurst units of the hard limit that may be used at once; above 0 if there is a
+ *     hard limit
  * @param hardLimitSlack units by which the hard limit may be exceeded
  */
 public record PlanRecord(
--- a/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
+++ b/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
@@ -8,8 +8,8 @@
 
 /**
  * The latest proposals that were decided, with their outcomes, by id, so that a proposal that is
- * sent again does not take effect twice. The oldest are evicted when there are too many or they take
- * too much memory.
+ * sent again does not take effect twice. The oldest are evicted when there are too many or they
+ * take too much memory.
  */
 final class ProposalMemory {
     /**
--- a/fleet/src/main/java/tinford/fleet/config/RecordJson.java
+++ b/fleet/src/main/java/tinford/fleet/config/RecordJson.java
@@ -7,9 +7,9 @@
 import tinford.api.Idempotency;
 
 /**
- * Reads and writes single records and validation errors as JSON. Reading checks the types of fields;
- * {@link Validator} checks names and ranges of numbers. The field names are part of the protocol
- * and of stored data.
+ * Reads and writes single records and validation errors as JSON. Reading checks the types of
+ * fields; {@link Validator} checks names and ranges of numbers. The field names are part of the
+ * protocol and of stored data.
  */
 final class RecordJson {
     private static final Set<String> NAME_KEYS = JsonObjectReader.keys("name");
@@ -166,8 +166,8 @@
     }
 
     /**
-     * Reads the deduplication scope. For routes with an idempotency key the default is the narrowest
-     * one, because a duplicate within a cell is dropped whatever the actual scope is.
+     * Reads the deduplication scope. For routes with an idempotency key the default is the
+     * narrowest one, because a duplicate within a cell is dropped whatever the actual scope is.
      */
     private static DeduplicationScope readScope(JsonObjectReader json, Idempotency idempotency)
             throws InvalidConfigurationException {
--- a/fleet/src/main/java/tinford/fleet/config/ReportSchedule.java
+++ b/fleet/src/main/java/tinford/fleet/config/ReportSchedule.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides when a follower sends a report: at a regular interval with jitter, and soon after a change,
- * but never twice within {@link Follower#MIN_REPORT_GAP_MS}. Not thread-safe.
+ * Decides when a follower sends a report: at a regular interval with jitter, and soon after a
+ * change, but never twice within {@link Follower#MIN_REPORT_GAP_MS}. Not thread-safe.
  */
 final class ReportSchedule {
     private static final double MIN_INTERVAL_FACTOR = 0.9;
--- a/fleet/src/main/java/tinford/fleet/config/Validator.java
+++ b/fleet/src/main/java/tinford/fleet/config/Validator.java
@@ -45,7 +45,9 @@
         return validator.errors.toList();
     }
 
-    /** The record that a change adds, replaces or removes; one change set may have each only once. */
+    /**
+     * The record that a change adds, replaces or removes; one change set may have each only once.
+     */
     private record Target(String kind, Object key) {}
 
     private void checkChanges(Configuration before, List<Change> changes) {
--- a/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
@@ -7,8 +7,8 @@
 
 /**
  * Composes the gossip messages of a round. A message holds the sender's own record, then records of
- * other gateways (alternately the freshest one and the one not forwarded for the longest time), then
- * heartbeats. Among the records and heartbeats, those forwarded least often come first.
+ * other gateways (alternately the freshest one and the one not forwarded for the longest time),
+ * then heartbeats. Among the records and heartbeats, those forwarded least often come first.
  */
 final class GossipComposer {
     /** Most heartbeats in a message; they take at most half of it. */
--- a/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
@@ -163,7 +163,9 @@
         return alivePeers[random.nextInt(alive)];
     }
 
-    /** Processes a message; one that is invalid or exceeds the rate limit is dropped and counted. */
+    /**
+     * Processes a message; one that is invalid or exceeds the rate limit is dropped and counted.
+     */
     public void receive(byte[] message, int from, double atMs) {
         advance(atMs);
         if (!incoming.tryTake(atMs)) {
--- a/fleet/src/main/java/tinford/fleet/membership/GossipRecordCodec.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipRecordCodec.java
@@ -4,11 +4,11 @@
 import java.util.Arrays;
 
 /**
- * Encodes and decodes a gossip record. The first byte is the length; all rates are encoded by {@link
- * RateScale}. A record takes 31 bytes, plus one byte and two bits for each priority class in use (61
- * bytes with all classes), one byte more for each class that was admitted in part, five bytes for
- * each server, and twelve bytes if retries were ceded, whose total is exact to seven digits. This
- * is 127 bytes at most.
+ * Encodes and decodes a gossip record. The first byte is the length; all rates are encoded by
+ * {@link RateScale}. A record takes 31 bytes, plus one byte and two bits for each priority class in
+ * use (61 bytes with all classes), one byte more for each class that was admitted in part, five
+ * bytes for each server, and twelve bytes if retries were ceded, whose total is exact to seven
+ * digits. This is 127 bytes at most.
  */
 final class GossipRecordCodec {
     static final int MAX_RECORD_BYTES = 127;
--- a/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
+++ b/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
@@ -18,9 +18,9 @@
  * that it is the same on every member after the same entries.
  *
  * <p>A later incarnation of a gateway does not end the lease of an earlier one, because the process
- * of the earlier one may be suspended and use its lease when it resumes. The earlier incarnation can
- * no longer renew its lease, however. An incarnation is kept until all connections that it opened
- * are certain to be closed; at most {@link #MAX_INCARNATIONS} of each gateway are kept.
+ * of the earlier one may be suspended and use its lease when it resumes. The earlier incarnation
+ * can no longer renew its lease, however. An incarnation is kept until all connections that it
+ * opened are certain to be closed; at most {@link #MAX_INCARNATIONS} of each gateway are kept.
  *
  * <p>Times are in ms. The time of the log is the latest time stamp of its entries.
  */
--- a/fleet/src/main/java/tinford/fleet/membership/Membership.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Membership.java
@@ -4,7 +4,9 @@
 
 /** One gateway's view of the fleet, itself included. */
 public interface Membership {
-    /** Number of gateways that are alive: this one and those it does not suspect of having failed. */
+    /**
+     * Number of gateways that are alive: this one and those it does not suspect of having failed.
+     */
     int aliveCount();
 
     /** Whether a gateway is considered alive; always true for this gateway. */
--- a/fleet/src/main/java/tinford/fleet/transport/InMemoryNetwork.java
+++ b/fleet/src/main/java/tinford/fleet/transport/InMemoryNetwork.java
@@ -10,8 +10,8 @@
 
 /**
  * A simulated network between the gateways of a fleet, in memory and in virtual time, for tests and
- * the lab. Runs with the same seed are identical. Messages beyond a receiver's capacity are dropped,
- * as datagrams are. Not thread-safe.
+ * the lab. Runs with the same seed are identical. Messages beyond a receiver's capacity are
+ * dropped, as datagrams are. Not thread-safe.
  */
 public final class InMemoryNetwork {
     /**
--- a/fleet/src/main/java/tinford/fleet/transport/UdpTransport.java
+++ b/fleet/src/main/java/tinford/fleet/transport/UdpTransport.java
@@ -22,8 +22,8 @@
 /**
  * Sends each message as a UDP datagram. A dedicated thread receives datagrams and identifies their
  * sender by its address; those from an address that belongs to no peer are dropped and counted.
- * Messages are buffered only by the socket, whose buffers are {@link #SOCKET_BUFFER_BYTES} long (the
- * operating system may double them).
+ * Messages are buffered only by the socket, whose buffers are {@link #SOCKET_BUFFER_BYTES} long
+ * (the operating system may double them).
  */
 public final class UdpTransport implements Transport {
     private static final int SOCKET_BUFFER_BYTES = 256 * 1024;
@@ -54,8 +54,8 @@
      * @param listen the address to bind
      * @param peers the addresses of the gateways by number; that of this gateway is ignored and may
      *     be null
-     * @throws IllegalArgumentException if a peer's address is not resolved or has no port, or if two
-     *     peers have the same address
+     * @throws IllegalArgumentException if a peer's address is not resolved or has no port, or if
+     * two peers have the same address
      * @throws IOException if the address can't be bound
      */
     public UdpTransport(
@@ -214,8 +214,8 @@
     }
 
     /**
-     * Closes the socket and waits, up to a timeout, until the receiver has returned from its current
-     * call. The receiver is not called afterwards.
+     * Closes the socket and waits, up to a timeout, until the receiver has returned from its
+     * current call. The receiver is not called afterwards.
      */
     @Override
     public void close() {
--- a/fleet/src/test/java/tinford/fleet/config/FollowerRandomHistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerRandomHistoriesTest.java
@@ -121,7 +121,7 @@
                 case 4, 5 -> one.silent = false;
                 case 6 -> one.sendsInvalidLines = true;
                 case 7, 8 -> one.sendsInvalidLines = false;
-                case 9 -> one.revision = random.nextInt((int) last() + 1); // restored from a backup, or lagging
+                case 9 -> one.revision = random.nextInt((int) last() + 1); // restored, or lagging
                 case 10 -> {
                     if (random.nextInt(10) == 0) {
                         restart(random.nextBoolean() ? storedConfiguration : Configuration.EMPTY);
--- a/fleet/src/test/java/tinford/fleet/config/ReferenceHistory.java
+++ b/fleet/src/test/java/tinford/fleet/config/ReferenceHistory.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * A simple reference model of {@link RevisionHistory}: it stores the full content of every revision,
- * as a map from a key such as {@code "s search"} to a record.
+ * A simple reference model of {@link RevisionHistory}: it stores the full content of every
+ * revision, as a map from a key such as {@code "s search"} to a record.
  */
 final class ReferenceHistory {
     private final List<Map<String, Object>> revisions = new ArrayList<>(List.of(Map.of()));
--- a/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
@@ -228,9 +228,9 @@
     }
 
     /**
-     * Random histories of losses, partitions, suspensions and restarts. Messages are delayed by up to
-     * 2 s, and by any time if the receiver is suspended. The stated age of a record is never too low
-     * by more than two delays, and no record is known before it was created.
+     * Random histories of losses, partitions, suspensions and restarts. Messages are delayed by up
+     * to 2 s, and by any time if the receiver is suspended. The stated age of a record is never too
+     * low by more than two delays, and no record is known before it was created.
      */
     @Test(dataProvider = "seeds")
     public void noRecordCountsAsFresherThanItIs(long seed) {
--- a/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
+++ b/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
@@ -73,7 +73,9 @@
         stopped[i] = true;
     }
 
-    /** Advances by one round of all gateways, in ten steps in each of which a tenth of them send. */
+    /**
+     * Advances by one round of all gateways, in ten steps in each of which a tenth of them send.
+     */
     void round() {
         for (int step = 0; step < 10; step++) {
             nowMs += ROUND_INTERVAL_MS / 10;
