--- a/fleet/src/main/java/tinford/fleet/config/ChecksummedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/ChecksummedEnvelope.java
@@ -15,7 +15,7 @@
  * kind, revision, length of the fleet id, fleet id, length of the content, length of the compressed
  * content, the compressed content (deflate), and a SHA-256 of all bytes before it.
  */
-final class ChecksummedState {
+final class ChecksummedEnvelope {
     /** The kind of content. The codes are part of the format; error messages contain the names. */
     enum Kind {
         CONFIGURATION(1),
@@ -35,7 +35,7 @@
     private static final int MIN_BYTES = HEADER_BYTES + Byte.BYTES + 2 * Integer.BYTES + HASH_BYTES;
     private static final int BUFFER_BYTES = 16 << 10;
 
-    private ChecksummedState() {}
+    private ChecksummedEnvelope() {}
 
     static byte[] encode(Kind kind, String fleetId, long revision, byte[] content) {
         byte[] fleet = fleetId.getBytes(StandardCharsets.UTF_8);
@@ -173,7 +173,8 @@
             boolean ended = inflater.finished() || inflater.inflate(new byte[1]) == 0;
             if (size != contentLength || !ended) {
                 throw new InvalidConfigurationException(
-                        "snapshot.length", "content of " + contentLength + " bytes when decompressed");
+                        "snapshot.length",
+                        "content of " + contentLength + " bytes when decompressed");
             }
             return content;
         } catch (DataFormatException e) {
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationCodec.java
@@ -175,7 +175,7 @@
                     json.nonNegativeLong("revision"),
                     Base64.getDecoder().decode(json.text("data")));
         } catch (IllegalArgumentException e) {
-            throw json.invalid("data", "a string in Base64");
+            throw json.invalid("data", "Base64");
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/config/ConfigurationLimits.java
+++ b/fleet/src/main/java/tinford/fleet/config/ConfigurationLimits.java
@@ -44,10 +44,10 @@
     public static final int MAX_RETAINED_BYTES = 8 << 20;
 
     /** Proposals whose outcome is retained by a history. */
-    public static final int MAX_REMEMBERED_PROPOSALS = 4_096;
+    public static final int MAX_RETAINED_PROPOSALS = 4_096;
 
     /** Approximate number of characters in the retained outcomes of proposals. */
-    public static final int MAX_REMEMBERED_CHARACTERS = 4 << 20;
+    public static final int MAX_RETAINED_PROPOSAL_CHARACTERS = 4 << 20;
 
     /** The largest value of a numeric field. */
     public static final double MAX_NUMBER = 1e12;
--- a/fleet/src/main/java/tinford/fleet/config/ContentHash.java
+++ b/fleet/src/main/java/tinford/fleet/config/ContentHash.java
@@ -56,7 +56,8 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("SHA-256 is not available, but every JDK provides it", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, but every JDK provides it", e);
         }
     }
 
--- a/fleet/src/main/java/tinford/fleet/config/ProposalMemory.java
+++ b/fleet/src/main/java/tinford/fleet/config/DecidedProposals.java
@@ -11,13 +11,13 @@
  * sent again does not take effect twice. The oldest are evicted when there are too many or they
  * take too much memory.
  */
-final class ProposalMemory {
+final class DecidedProposals {
     /**
      * A proposal that was decided.
      *
      * @param digest SHA-256 of the encoded proposal, in hex
      */
-    record Remembered(String id, String digest, Outcome outcome) {
+    record DecidedProposal(String id, String digest, Outcome outcome) {
         /** The approximate size in characters. */
         private int characters() {
             int characters = id.length() + digest.length();
@@ -30,7 +30,7 @@
         }
     }
 
-    private final Map<String, Remembered> byId = new LinkedHashMap<>();
+    private final Map<String, DecidedProposal> byId = new LinkedHashMap<>();
     private long characters;
 
     /** The SHA-256 of the encoded proposal, in hex. */
@@ -40,17 +40,17 @@
     }
 
     /** The proposal with this id, unless it was evicted. */
-    Optional<Remembered> get(String id) {
+    Optional<DecidedProposal> get(String id) {
         return Optional.ofNullable(byId.get(id));
     }
 
     /** Adds a proposal; its id must not be present. */
-    void add(Remembered proposal) {
+    void add(DecidedProposal proposal) {
         byId.put(proposal.id(), proposal);
         characters += proposal.characters();
-        while (byId.size() > ConfigurationLimits.MAX_REMEMBERED_PROPOSALS
-                || characters > ConfigurationLimits.MAX_REMEMBERED_CHARACTERS) {
-            Remembered oldest = byId.values().iterator().next();
+        while (byId.size() > ConfigurationLimits.MAX_RETAINED_PROPOSALS
+                || characters > ConfigurationLimits.MAX_RETAINED_PROPOSAL_CHARACTERS) {
+            DecidedProposal oldest = byId.values().iterator().next();
             byId.remove(oldest.id());
             characters -= oldest.characters();
         }
@@ -61,7 +61,7 @@
     }
 
     /** All retained proposals, the oldest first. */
-    Collection<Remembered> all() {
+    Collection<DecidedProposal> all() {
         return byId.values();
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/EndpointRotation.java
+++ b/fleet/src/main/java/tinford/fleet/config/EndpointRotation.java
@@ -40,7 +40,7 @@
         return endpoint.region().equals(region);
     }
 
-    boolean hasOwnRegion() {
+    boolean hasServerInOwnRegion() {
         return isOwnRegion(endpoints.get(0));
     }
 
--- a/fleet/src/main/java/tinford/fleet/config/Follower.java
+++ b/fleet/src/main/java/tinford/fleet/config/Follower.java
@@ -13,22 +13,24 @@
  * returned actions in order, and passes in their results as events. After a {@link
  * Action.Disconnect} or a new {@link Action.Connect} it passes in no more events of the earlier
  * watch. After {@link Action.Apply} or {@link Action.ApplySnapshot} no other such action is
- * returned until {@link #applied} is called; updates that arrive in the meantime are combined. The
- * active revision never decreases. Not thread-safe.
+ * returned until {@link #applyCompleted} is called; updates that arrive in the meantime are
+ * combined. The active revision never decreases. Not thread-safe.
  */
 public final class Follower {
     /** An action for the owner to perform. */
     public sealed interface Action {
-        /** Open a watch, then call {@link Follower#opened} or {@link Follower#closed}. */
+        /** Open a watch, then call {@link Follower#watchOpened} or {@link Follower#watchClosed}. */
         record Connect(Endpoint endpoint, long afterRevision) implements Action {}
 
-        /** Close the watch or stop connecting; {@link Follower#closed} is not called for it. */
+        /**
+         * Close the watch or stop connecting; {@link Follower#watchClosed} is not called for it.
+         */
         record Disconnect(String reason) implements Action {}
 
-        /** Apply an update, then call {@link Follower#applied}. */
+        /** Apply an update, then call {@link Follower#applyCompleted}. */
         record Apply(Update update, Configuration result) implements Action {}
 
-        /** Replace the whole configuration, then call {@link Follower#applied}. */
+        /** Replace the whole configuration, then call {@link Follower#applyCompleted}. */
         record ApplySnapshot(Configuration configuration) implements Action {}
 
         /** Send a report to the control server that is followed; no response is expected. */
@@ -57,7 +59,7 @@
     public static final double MIN_REPORT_GAP_MS = 250;
 
     /** A watch that has been open for this long resets the backoff. */
-    static final double STEADY_WATCH_MS = 5_000;
+    static final double STABLE_WATCH_MS = 5_000;
 
     /** The shortest time that a server in another region is followed before returning. */
     static final double OWN_REGION_RETRY_MS = 60_000;
@@ -77,7 +79,7 @@
     private final SnapshotCodec snapshots;
     private final EndpointRotation rotation;
     private final RandomGenerator random;
-    private final AppliedState applied;
+    private final FollowerConfigurations configurations;
     private final ReportSchedule reports;
     private final WatchLiveness liveness = new WatchLiveness();
 
@@ -118,17 +120,17 @@
         this.snapshots = new SnapshotCodec(fleetId);
         this.rotation = new EndpointRotation(region, endpoints, random);
         this.random = random;
-        this.applied = new AppliedState(initialConfiguration);
+        this.configurations = new FollowerConfigurations(initialConfiguration);
         this.reports = new ReportSchedule(random);
     }
 
     /** The watch of the last {@link Action.Connect} has been opened. */
-    public List<Action> opened(double nowMs) {
+    public List<Action> watchOpened(double nowMs) {
         if (state != State.CONNECTING) {
             return List.of();
         }
         state = State.WATCHING;
-        liveness.opened(nowMs);
+        liveness.watchOpened(nowMs);
         ownRegionRetryAtMs = nowMs + OWN_REGION_RETRY_MS * (1 + random.nextDouble());
         return List.of(report(nowMs));
     }
@@ -138,7 +140,7 @@
      *
      * @param line the line without its line feed; an empty one is a heartbeat
      */
-    public List<Action> line(byte[] line, double nowMs) {
+    public List<Action> lineReceived(byte[] line, double nowMs) {
         if (state != State.WATCHING) {
             return List.of();
         }
@@ -149,7 +151,7 @@
         List<Action> actions = new ArrayList<>();
         try {
             receive(ConfigurationCodec.decodeWatchMessage(line));
-            applied.offer(actions);
+            configurations.offer(actions);
         } catch (InvalidConfigurationException e) {
             rejectMessage(e.getMessage(), actions, nowMs);
         }
@@ -157,33 +159,33 @@
     }
 
     /** Part of a line was received, so that a long line on a slow link does not look silent. */
-    public void partialLine(double nowMs) {
+    public void partialLineReceived(double nowMs) {
         if (state == State.WATCHING) {
             liveness.partialLineReceived(nowMs);
         }
     }
 
     /** The watch could not be opened, or has ended. */
-    public List<Action> closed(String reason, double nowMs) {
+    public List<Action> watchClosed(String reason, double nowMs) {
         if (state != State.WAITING) {
-            waitForNext(nowMs);
+            scheduleNextAttempt(nowMs);
         }
         return List.of();
     }
 
     /** The last {@link Action.Apply} or {@link Action.ApplySnapshot} has been performed. */
-    public List<Action> applied(ApplyResult result, double nowMs) {
-        if (!applied.isPending()) {
+    public List<Action> applyCompleted(ApplyResult result, double nowMs) {
+        if (!configurations.isPending()) {
             return List.of();
         }
         List<Action> actions = new ArrayList<>();
         if (result instanceof ApplyResult.Rejected rejected) {
-            applied.reject(rejected.reason());
-            actions.add(new Action.Warn(applied.rejectionReason()));
+            configurations.reject(rejected.reason());
+            actions.add(new Action.Warn(configurations.rejectionReason()));
         } else {
-            applied.activate();
+            configurations.activate();
         }
-        applied.offer(actions);
+        configurations.offer(actions);
         reportSoon(actions, nowMs);
         return actions;
     }
@@ -203,12 +205,12 @@
 
     /** The active configuration. */
     public Configuration activeConfiguration() {
-        return applied.active();
+        return configurations.active();
     }
 
     /** The last configuration received; active unless it is being applied or was rejected. */
     public Configuration receivedConfiguration() {
-        return applied.received();
+        return configurations.received();
     }
 
     private void connectWhenDue(List<Action> actions, double nowMs) {
@@ -221,12 +223,15 @@
         endpoint = rotation.next();
         attemptAtMs = nowMs;
         state = State.CONNECTING;
-        actions.add(new Action.Connect(endpoint, applied.received().revision()));
+        actions.add(new Action.Connect(endpoint, configurations.received().revision()));
     }
 
     private void checkConnectTimeout(List<Action> actions, double nowMs) {
         if (nowMs - attemptAtMs >= CONNECT_TIMEOUT_MS) {
-            disconnect("the watch was not opened within " + CONNECT_TIMEOUT_MS + " ms", actions, nowMs);
+            disconnect(
+                    "the watch was not opened within " + CONNECT_TIMEOUT_MS + " ms",
+                    actions,
+                    nowMs);
         }
     }
 
@@ -235,7 +240,7 @@
             disconnect("received nothing for " + HEARTBEAT_TIMEOUT_MS + " ms", actions, nowMs);
             return;
         }
-        if (liveness.isSteady(nowMs)) {
+        if (liveness.isStable(nowMs)) {
             rotation.succeeded();
             serverError = null;
         }
@@ -251,24 +256,24 @@
     private boolean isReturnToOwnRegionDue(double nowMs) {
         return nowMs >= ownRegionRetryAtMs
                 && !rotation.isOwnRegion(endpoint)
-                && rotation.hasOwnRegion();
+                && rotation.hasServerInOwnRegion();
     }
 
     private void disconnect(String reason, List<Action> actions, double nowMs) {
         actions.add(new Action.Disconnect(reason));
-        waitForNext(nowMs);
+        scheduleNextAttempt(nowMs);
     }
 
-    private void waitForNext(double nowMs) {
+    private void scheduleNextAttempt(double nowMs) {
         state = State.WAITING;
         attemptAtMs = nowMs + rotation.failed();
     }
 
     private void receive(WatchMessage message) throws InvalidConfigurationException {
         if (message instanceof WatchMessage.UpdateMessage update) {
-            applied.receive(update.update());
+            configurations.receive(update.update());
         } else if (message instanceof WatchMessage.SnapshotMessage snapshot) {
-            applied.receive(snapshot.revision(), snapshot.data(), snapshots);
+            configurations.receive(snapshot.revision(), snapshot.data(), snapshots);
         }
     }
 
@@ -287,7 +292,7 @@
         if (state != State.WATCHING) {
             return;
         }
-        if (reports.isGapOver(nowMs)) {
+        if (reports.isMinGapOver(nowMs)) {
             actions.add(report(nowMs));
         } else {
             reports.bringForward();
@@ -296,8 +301,11 @@
 
     private Action.Report report(double nowMs) {
         reports.sent(nowMs);
-        String reason = applied.rejectionReason() != null ? applied.rejectionReason() : serverError;
-        long revision = applied.active().revision();
+        String reason =
+                configurations.rejectionReason() != null
+                        ? configurations.rejectionReason()
+                        : serverError;
+        long revision = configurations.active().revision();
         return new Action.Report(endpoint, new FollowerReport(id, region, revision, reason));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/AppliedState.java
+++ b/fleet/src/main/java/tinford/fleet/config/FollowerConfigurations.java
@@ -7,7 +7,7 @@
  * received. One revision is applied at a time; updates that are received in the meantime are
  * combined into a single update from the active revision. Not thread-safe.
  */
-final class AppliedState {
+final class FollowerConfigurations {
     private Configuration active;
     private Configuration received;
 
@@ -28,7 +28,7 @@
 
     private String rejectionReason;
 
-    AppliedState(Configuration active) {
+    FollowerConfigurations(Configuration active) {
         this.active = active;
         this.received = active;
         this.offeredRevision = active.revision();
@@ -151,9 +151,6 @@
     private InvalidConfigurationException outdatedSnapshot(long revision) {
         return new InvalidConfigurationException(
                 "snapshot.revision",
-                "at least the current revision, "
-                        + received.revision()
-                        + ", not "
-                        + revision);
+                "at least the current revision, " + received.revision() + ", not " + revision);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/FollowerTable.java
+++ b/fleet/src/main/java/tinford/fleet/config/FollowerTable.java
@@ -23,7 +23,8 @@
      */
     public FollowerTable(int capacity, double expiryMs) {
         if (capacity < 1 || !(expiryMs > 0)) {
-            throw new IllegalArgumentException("follower table: expected capacity >= 1 and expiryMs > 0");
+            throw new IllegalArgumentException(
+                    "follower table: expected capacity >= 1 and expiryMs > 0");
         }
         this.capacity = capacity;
         this.expiryMs = expiryMs;
--- a/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/HistoryCodec.java
@@ -25,9 +25,9 @@
     }
 
     /** The state of a history. */
-    record State(Configuration oldest, List<Update> updates, ProposalMemory proposals) {}
+    record State(Configuration oldest, List<Update> updates, DecidedProposals proposals) {}
 
-    byte[] encode(Configuration oldest, List<Update> updates, ProposalMemory proposals) {
+    byte[] encode(Configuration oldest, List<Update> updates, DecidedProposals proposals) {
         byte[] json =
                 Json.write(
                         CONTENT_VERSION,
@@ -42,12 +42,14 @@
                         });
         long revision =
                 updates.isEmpty() ? oldest.revision() : updates.get(updates.size() - 1).revision();
-        return ChecksummedState.encode(ChecksummedState.Kind.HISTORY, fleetId, revision, json);
+        return ChecksummedEnvelope.encode(
+                ChecksummedEnvelope.Kind.HISTORY, fleetId, revision, json);
     }
 
     State decode(byte[] snapshot) throws InvalidConfigurationException {
         byte[] content =
-                ChecksummedState.decode(ChecksummedState.Kind.HISTORY, fleetId, snapshot).content();
+                ChecksummedEnvelope.decode(ChecksummedEnvelope.Kind.HISTORY, fleetId, snapshot)
+                        .content();
         JsonObjectReader json =
                 Json.read(content, CONTENT_VERSION, ConfigurationLimits.MAX_SNAPSHOT_BYTES);
         json.allowOnly(KEYS);
@@ -55,26 +57,27 @@
         oldestJson.allowOnly(CONFIGURATION_KEYS);
         Configuration oldest = ConfigurationJson.read(oldestJson);
         List<Update> updates = JsonArrays.read(json, "updates", ConfigurationCodec::readUpdate);
-        expectUnbroken(json, oldest.revision(), updates);
-        ProposalMemory proposals = new ProposalMemory();
+        expectConsecutive(json, oldest.revision(), updates);
+        DecidedProposals proposals = new DecidedProposals();
         for (JsonObjectReader each : json.objects("proposals")) {
             proposals.add(readProposal(each));
         }
         return new State(oldest, updates, proposals);
     }
 
-    private static void expectUnbroken(JsonObjectReader json, long oldest, List<Update> updates)
+    private static void expectConsecutive(JsonObjectReader json, long oldest, List<Update> updates)
             throws InvalidConfigurationException {
-        long at = oldest;
+        long revision = oldest;
         for (Update update : updates) {
-            if (update.fromRevision() != at || update.revision() != at + 1) {
-                throw json.invalid("updates", "an update from revision " + at + " to " + (at + 1));
+            if (update.fromRevision() != revision || update.revision() != revision + 1) {
+                throw json.invalid(
+                        "updates", "an update from revision " + revision + " to " + (revision + 1));
             }
-            at++;
+            revision++;
         }
     }
 
-    private static void writeProposal(JsonGenerator out, ProposalMemory.Remembered proposal)
+    private static void writeProposal(JsonGenerator out, DecidedProposals.DecidedProposal proposal)
             throws IOException {
         out.writeStartObject();
         out.writeStringField("id", proposal.id());
@@ -83,10 +86,10 @@
         out.writeEndObject();
     }
 
-    private static ProposalMemory.Remembered readProposal(JsonObjectReader json)
+    private static DecidedProposals.DecidedProposal readProposal(JsonObjectReader json)
             throws InvalidConfigurationException {
         json.allowOnly(PROPOSAL_KEYS);
-        return new ProposalMemory.Remembered(
+        return new DecidedProposals.DecidedProposal(
                 json.text("id"), json.text("digest"), ConfigurationCodec.readOutcome(json));
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/ReportSchedule.java
+++ b/fleet/src/main/java/tinford/fleet/config/ReportSchedule.java
@@ -35,7 +35,7 @@
     }
 
     /** Whether enough time has passed since the last report to send another one. */
-    boolean isGapOver(double nowMs) {
+    boolean isMinGapOver(double nowMs) {
         return nowMs - sentAtMs >= Follower.MIN_REPORT_GAP_MS;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
+++ b/fleet/src/main/java/tinford/fleet/config/RevisionHistory.java
@@ -46,7 +46,7 @@
     private final HistoryCodec codec;
     private final Retention retention;
     private final Deque<RetainedUpdate> retained = new ArrayDeque<>();
-    private ProposalMemory proposals = new ProposalMemory();
+    private DecidedProposals proposals = new DecidedProposals();
 
     /** The configuration before the first retained update. */
     private Configuration oldest = Configuration.EMPTY;
@@ -86,7 +86,7 @@
     }
 
     /** How many proposals are retained with their outcomes. */
-    public int rememberedProposals() {
+    public int retainedProposals() {
         return proposals.size();
     }
 
@@ -98,13 +98,13 @@
         if (!RecordChecks.isName(proposal.id())) {
             return rejected(new ValidationError("id", RecordChecks.EXPECTED_NAME));
         }
-        String digest = ProposalMemory.digest(proposal);
-        Optional<ProposalMemory.Remembered> remembered = proposals.get(proposal.id());
-        if (remembered.isPresent()) {
-            return outcomeAgain(remembered.get(), digest);
+        String digest = DecidedProposals.digest(proposal);
+        Optional<DecidedProposals.DecidedProposal> decided = proposals.get(proposal.id());
+        if (decided.isPresent()) {
+            return repeatedOutcome(decided.get(), digest);
         }
         Outcome outcome = decide(proposal);
-        proposals.add(new ProposalMemory.Remembered(proposal.id(), digest, outcome));
+        proposals.add(new DecidedProposals.DecidedProposal(proposal.id(), digest, outcome));
         return outcome;
     }
 
@@ -150,9 +150,10 @@
         }
     }
 
-    private static Outcome outcomeAgain(ProposalMemory.Remembered remembered, String digest) {
-        return remembered.digest().equals(digest)
-                ? remembered.outcome()
+    private static Outcome repeatedOutcome(
+            DecidedProposals.DecidedProposal decided, String digest) {
+        return decided.digest().equals(digest)
+                ? decided.outcome()
                 : rejected(new ValidationError("id", "an id that no other proposal has had"));
     }
 
--- a/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
+++ b/fleet/src/main/java/tinford/fleet/config/SnapshotCodec.java
@@ -3,8 +3,8 @@
 import java.util.Set;
 
 /**
- * Encodes and decodes a whole configuration as compressed JSON in a {@link ChecksummedState}, which
- * also contains the fleet id and the revision.
+ * Encodes and decodes a whole configuration as compressed JSON in a {@link ChecksummedEnvelope},
+ * which also contains the fleet id and the revision.
  */
 public final class SnapshotCodec {
     private static final int CONTENT_VERSION = 1;
@@ -30,8 +30,8 @@
         byte[] json =
                 Json.write(
                         CONTENT_VERSION, out -> ConfigurationJson.writeFields(out, configuration));
-        return ChecksummedState.encode(
-                ChecksummedState.Kind.CONFIGURATION, fleetId, configuration.revision(), json);
+        return ChecksummedEnvelope.encode(
+                ChecksummedEnvelope.Kind.CONFIGURATION, fleetId, configuration.revision(), json);
     }
 
     /**
@@ -41,8 +41,9 @@
      *     fleet or of a later format, or its configuration is invalid
      */
     public Configuration decode(byte[] snapshot) throws InvalidConfigurationException {
-        ChecksummedState.Decoded decoded =
-                ChecksummedState.decode(ChecksummedState.Kind.CONFIGURATION, fleetId, snapshot);
+        ChecksummedEnvelope.Decoded decoded =
+                ChecksummedEnvelope.decode(
+                        ChecksummedEnvelope.Kind.CONFIGURATION, fleetId, snapshot);
         JsonObjectReader object =
                 Json.read(
                         decoded.content(), CONTENT_VERSION, ConfigurationLimits.MAX_SNAPSHOT_BYTES);
--- a/fleet/src/main/java/tinford/fleet/config/Update.java
+++ b/fleet/src/main/java/tinford/fleet/config/Update.java
@@ -12,7 +12,11 @@
     public Update {
         if (fromRevision < 0 || revision <= fromRevision) {
             throw new IllegalArgumentException(
-                    "update from " + fromRevision + " to " + revision + ": expected a later revision");
+                    "update from "
+                            + fromRevision
+                            + " to "
+                            + revision
+                            + ": expected a later revision");
         }
         changes = List.copyOf(changes);
     }
--- a/fleet/src/main/java/tinford/fleet/config/WatchLiveness.java
+++ b/fleet/src/main/java/tinford/fleet/config/WatchLiveness.java
@@ -6,7 +6,7 @@
     private double receivedAtMs;
     private double lineEndedAtMs;
 
-    void opened(double nowMs) {
+    void watchOpened(double nowMs) {
         openedAtMs = nowMs;
         lineReceived(nowMs);
     }
@@ -28,7 +28,7 @@
     }
 
     /** Whether the watch has been open long enough for its server to count as healthy. */
-    boolean isSteady(double nowMs) {
-        return nowMs - openedAtMs >= Follower.STEADY_WATCH_MS;
+    boolean isStable(double nowMs) {
+        return nowMs - openedAtMs >= Follower.STABLE_WATCH_MS;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
+++ b/fleet/src/main/java/tinford/fleet/control/ControlSettingsReader.java
@@ -12,7 +12,7 @@
 import tinford.fleet.config.RecordChecks;
 import tinford.fleet.control.ControlSettings.VoterSettings;
 import tinford.fleet.control.ControlSettings.WatchTiming;
-import tinford.fleet.settings.EndpointText;
+import tinford.fleet.settings.EndpointParser;
 import tinford.fleet.settings.InvalidOperatorFileException;
 import tinford.fleet.settings.OperatorSettings;
 import tinford.fleet.settings.SettingsSchema;
@@ -35,7 +35,9 @@
                     .texts("voters.members", "a list of number=host:port, all voters")
                     .number("voters.silence_ms", 1000, 100, 30_000)
                     .number("voters.decide_ms", 5000, 500, 10_000)
-                    .texts("replica.upstream", "a list of " + EndpointText.FORM + ", all voters");
+                    .texts(
+                            "replica.upstream",
+                            "a list of " + EndpointParser.FORMAT + ", all voters");
 
     private static final Pattern NUMBER = Pattern.compile("[1-9][0-9]{0,2}");
 
@@ -144,15 +146,15 @@
     private List<Endpoint> upstream() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (String text : settings.texts("replica.upstream")) {
-            Optional<Endpoint> endpoint = EndpointText.parse(text);
+            Optional<Endpoint> endpoint = EndpointParser.parse(text);
             if (endpoint.isPresent()) {
                 endpoints.add(endpoint.get());
             } else {
-                addError("replica.upstream", EndpointText.FORM + ", not " + text);
+                addError("replica.upstream", EndpointParser.FORMAT + ", not " + text);
             }
         }
         if (endpoints.isEmpty()) {
-            addError("replica.upstream", "one or more " + EndpointText.FORM + " for a replica");
+            addError("replica.upstream", "one or more " + EndpointParser.FORMAT + " for a replica");
         }
         return endpoints;
     }
--- a/fleet/src/main/java/tinford/fleet/follow/ConfigurationClient.java
+++ b/fleet/src/main/java/tinford/fleet/follow/ConfigurationClient.java
@@ -149,7 +149,7 @@
                     new ApplyResult.Rejected(
                             "configuration: expected one that can be applied, not " + e);
         }
-        List<Action> next = follower.applied(result, nowMs());
+        List<Action> next = follower.applyCompleted(result, nowMs());
         activeConfiguration = follower.activeConfiguration();
         return next;
     }
@@ -180,23 +180,23 @@
     private final class WatchListener implements WatchSession.Listener {
         @Override
         public void opened() {
-            perform(follower.opened(nowMs()));
+            perform(follower.watchOpened(nowMs()));
         }
 
         @Override
         public void line(byte[] line) {
-            perform(follower.line(line, nowMs()));
+            perform(follower.lineReceived(line, nowMs()));
         }
 
         @Override
         public void partialLine() {
-            follower.partialLine(nowMs());
+            follower.partialLineReceived(nowMs());
         }
 
         @Override
         public void ended(String reason) {
             watch = null;
-            perform(follower.closed(reason, nowMs()));
+            perform(follower.watchClosed(reason, nowMs()));
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/GossipCodec.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipCodec.java
@@ -26,8 +26,7 @@
 
     /**
      * Length of a heartbeat: two bytes for the gateway, the low two bytes of the incarnation's
-     * start, and three bytes for the time since that start, in units of {@link
-     * #HEARTBEAT_UNIT_MS}.
+     * start, and three bytes for the time since that start, in units of {@link #HEARTBEAT_UNIT_MS}.
      */
     static final int HEARTBEAT_BYTES = 7;
 
@@ -40,22 +39,22 @@
     /**
      * A record as received.
      *
-     * @param madeAtMs when its owner created it, in ms since the owner's start by the owner's clock
+     * @param uptimeMs time since the owner's start when it created the record, by its clock
      * @param ageMs time since its owner created it, as stated by the sender of the message
      * @param encoded the bytes received; they are forwarded unchanged, including any fields that a
      *     later version appended
      */
-    public record Received(GossipRecord record, double madeAtMs, double ageMs, byte[] encoded) {}
+    public record Received(GossipRecord record, double uptimeMs, double ageMs, byte[] encoded) {}
 
     /**
      * A heartbeat as received.
      *
      * @param startBits the low 16 bits of the incarnation's start
-     * @param aliveUnits time from that start to when the incarnation was alive, modulo the range of
-     *     three bytes
+     * @param uptimeUnits time from that start to when the incarnation was alive, modulo the range
+     *     of three bytes
      */
-    record Heartbeat(int gateway, short startBits, int aliveUnits) {
-        boolean isOf(Incarnation incarnation) {
+    record Heartbeat(int gateway, short startBits, int uptimeUnits) {
+        boolean belongsTo(Incarnation incarnation) {
             return (short) incarnation.start() == startBits;
         }
 
@@ -63,10 +62,11 @@
          * Time from the incarnation's start to when it was alive. The encoded time wraps around
          * after 37 hours; of the possible times, the one nearest to the expected time is returned.
          */
-        double aliveMs(double expectedMs) {
+        double uptimeMs(double expectedUptimeMs) {
             double wraps =
-                    Math.rint((expectedMs / HEARTBEAT_UNIT_MS - aliveUnits) / HEARTBEAT_UNITS);
-            return (aliveUnits + wraps * HEARTBEAT_UNITS) * HEARTBEAT_UNIT_MS;
+                    Math.rint(
+                            (expectedUptimeMs / HEARTBEAT_UNIT_MS - uptimeUnits) / HEARTBEAT_UNITS);
+            return (uptimeUnits + wraps * HEARTBEAT_UNITS) * HEARTBEAT_UNIT_MS;
         }
     }
 
@@ -82,10 +82,10 @@
     /**
      * Encodes a record.
      *
-     * @param madeAtMs current time in ms since the start of the record's owner
+     * @param uptimeMs time since the start of the record's owner, by its clock
      */
-    public static byte[] encode(GossipRecord record, double madeAtMs) {
-        return GossipRecordCodec.encode(record, madeAtMs);
+    public static byte[] encode(GossipRecord record, double uptimeMs) {
+        return GossipRecordCodec.encode(record, uptimeMs);
     }
 
     /** Returns an empty message, to which {@link #addRecord} adds records. */
@@ -118,14 +118,14 @@
     /**
      * Adds a heartbeat.
      *
-     * @param aliveMs when the incarnation was alive, in ms since its start; rounded down
+     * @param uptimeMs time from its start to when it was alive; rounded down
      * @return false if there is no room
      */
-    static boolean addHeartbeat(ByteBuffer message, Incarnation incarnation, double aliveMs) {
+    static boolean addHeartbeat(ByteBuffer message, Incarnation incarnation, double uptimeMs) {
         if (message.remaining() < HEARTBEAT_BYTES) {
             return false;
         }
-        long units = (long) Math.floor(aliveMs / HEARTBEAT_UNIT_MS);
+        long units = (long) Math.floor(uptimeMs / HEARTBEAT_UNIT_MS);
         message.putShort((short) incarnation.gateway());
         message.putShort((short) incarnation.start());
         message.put((byte) (units >> 16)).putShort((short) units);
@@ -142,7 +142,7 @@
      * @return the plausible records; empty if the message is truncated or of another version, or if
      *     its first record is implausible
      */
-    public List<Received> read(byte[] message, double nowMs) {
+    public List<Received> readRecords(byte[] message, double nowMs) {
         if (message.length < 2 || message.length > MAX_MESSAGE_BYTES || message[0] != VERSION) {
             return List.of();
         }
@@ -177,11 +177,11 @@
             return null;
         }
         int ageUnits = input.getShort(offset + GossipRecordCodec.AGE_OFFSET) & MAX_AGE_UNITS;
-        double madeAtMs = GossipRecordCodec.madeAtMs(input, offset);
-        return new Received(record, madeAtMs, ageUnits * AGE_UNIT_MS, encoded);
+        double uptimeMs = GossipRecordCodec.uptimeMs(input, offset);
+        return new Received(record, uptimeMs, ageUnits * AGE_UNIT_MS, encoded);
     }
 
-    /** Decodes the heartbeats of a message whose records {@link #read} accepted. */
+    /** Decodes the heartbeats of a message whose records {@link #readRecords} accepted. */
     static List<Heartbeat> readHeartbeats(byte[] message) {
         int offset = 1;
         while (offset < message.length && message[offset] != END_OF_RECORDS) {
@@ -193,8 +193,8 @@
         while (input.remaining() >= HEARTBEAT_BYTES) {
             int gateway = input.getShort() & 0xFFFF;
             short startBits = input.getShort();
-            int aliveUnits = (input.get() & 255) << 16 | input.getShort() & 0xFFFF;
-            heartbeats.add(new Heartbeat(gateway, startBits, aliveUnits));
+            int uptimeUnits = (input.get() & 255) << 16 | input.getShort() & 0xFFFF;
+            heartbeats.add(new Heartbeat(gateway, startBits, uptimeUnits));
         }
         return heartbeats;
     }
--- a/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipComposer.java
@@ -18,7 +18,7 @@
     private static final int MAX_RECORDS = 5;
 
     /** An incarnation counts as new until its records were forwarded this many times. */
-    private static final int NEW_FORWARDS = 8;
+    private static final int NEW_INCARNATION_FORWARDS = 8;
 
     /**
      * Records of this many peers fit into every message, so that a fleet with no more peers needs
@@ -28,17 +28,18 @@
 
     private static final Comparator<Peer> FRESHEST_FIRST =
             Comparator.comparingInt(Peer::recordForwards)
-                    .thenComparing(Comparator.comparingDouble(Peer::madeMs).reversed());
+                    .thenComparing(Comparator.comparingDouble(Peer::createdMs).reversed());
 
     /** New incarnations first, then by the last time forwarded, so that every peer gets a turn. */
-    private static final Comparator<Peer> IN_TURN =
+    private static final Comparator<Peer> OLDEST_FORWARD_FIRST =
             Comparator.comparingInt(
-                            (Peer peer) -> Math.min(NEW_FORWARDS, peer.incarnationForwards()))
+                            (Peer peer) ->
+                                    Math.min(NEW_INCARNATION_FORWARDS, peer.incarnationForwards()))
                     .thenComparingDouble(Peer::lastForwardMs);
 
     private static final Comparator<Peer> LATEST_ALIVE_FIRST =
             Comparator.comparingInt(Peer::heartbeatForwards)
-                    .thenComparing(Comparator.comparingDouble(Peer::aliveMs).reversed());
+                    .thenComparing(Comparator.comparingDouble(Peer::lastAliveMs).reversed());
 
     private final Peer[] peers;
     private final int fanout;
@@ -47,9 +48,9 @@
     /** Candidates for this round's messages, the best first; padded with null. */
     private final Peer[] freshest;
 
-    private final Peer[] inTurn;
+    private final Peer[] leastRecentlyForwarded;
     private final Peer[] heartbeats;
-    private long messages;
+    private long messageCount;
 
     /**
      * @param peers the peers by number; null where none is known
@@ -61,34 +62,38 @@
         this.fanout = fanout;
         this.maxAgeMs = maxAgeMs;
         this.freshest = new Peer[fanout * MAX_RECORDS];
-        this.inTurn = new Peer[fanout * MAX_RECORDS];
+        this.leastRecentlyForwarded = new Peer[fanout * MAX_RECORDS];
         this.heartbeats = new Peer[fanout * MAX_HEARTBEATS];
     }
 
     /** Selects the candidates; to be called before the messages of a round are composed. */
     void startRound(double nowMs) {
-        choose(freshest, FRESHEST_FIRST, Peer::madeMs, nowMs);
-        choose(inTurn, IN_TURN, Peer::madeMs, nowMs);
-        choose(heartbeats, LATEST_ALIVE_FIRST, Peer::aliveMs, nowMs);
+        selectCandidates(freshest, FRESHEST_FIRST, Peer::createdMs, nowMs);
+        selectCandidates(leastRecentlyForwarded, OLDEST_FORWARD_FIRST, Peer::createdMs, nowMs);
+        selectCandidates(heartbeats, LATEST_ALIVE_FIRST, Peer::lastAliveMs, nowMs);
     }
 
     /** Fills the array with the best peers that are not too old, by insertion sort. */
-    private void choose(
-            Peer[] chosen, Comparator<Peer> order, ToDoubleFunction<Peer> time, double nowMs) {
-        Arrays.fill(chosen, null);
+    private void selectCandidates(
+            Peer[] candidates,
+            Comparator<Peer> order,
+            ToDoubleFunction<Peer> timestampMs,
+            double nowMs) {
+        Arrays.fill(candidates, null);
         int count = 0;
         for (Peer peer : peers) {
             if (peer == null
-                    || nowMs - time.applyAsDouble(peer) > maxAgeMs
-                    || count == chosen.length && order.compare(peer, chosen[count - 1]) >= 0) {
+                    || nowMs - timestampMs.applyAsDouble(peer) > maxAgeMs
+                    || count == candidates.length
+                            && order.compare(peer, candidates[count - 1]) >= 0) {
                 continue;
             }
-            int index = count < chosen.length ? count++ : count - 1;
-            while (index > 0 && order.compare(peer, chosen[index - 1]) < 0) {
-                chosen[index] = chosen[index - 1];
+            int index = count < candidates.length ? count++ : count - 1;
+            while (index > 0 && order.compare(peer, candidates[index - 1]) < 0) {
+                candidates[index] = candidates[index - 1];
                 index--;
             }
-            chosen[index] = peer;
+            candidates[index] = peer;
         }
     }
 
@@ -113,10 +118,10 @@
         if (!GossipCodec.addRecord(message, ownRecord, ownAgeMs)) {
             return null;
         }
-        messages++;
+        messageCount++;
         int reservedBytes = 1 + reservedHeartbeats(alivePeers) * GossipCodec.HEARTBEAT_BYTES;
         for (int i = index; i < MAX_RECORDS * fanout; i += fanout) {
-            addRecord(message, inTurn[i], target, reservedBytes, nowMs);
+            addRecord(message, leastRecentlyForwarded[i], target, reservedBytes, nowMs);
             addRecord(message, freshest[i], target, reservedBytes, nowMs);
         }
         GossipCodec.endRecords(message);
@@ -128,7 +133,10 @@
 
     /** For how many heartbeats the records leave room; fewer while an incarnation is new. */
     private int reservedHeartbeats(int alivePeers) {
-        boolean hasNew = inTurn[0] != null && inTurn[0].incarnationForwards() < NEW_FORWARDS;
+        boolean hasNew =
+                leastRecentlyForwarded[0] != null
+                        && leastRecentlyForwarded[0].incarnationForwards()
+                                < NEW_INCARNATION_FORWARDS;
         return hasNew
                 ? MAX_HEARTBEATS / 4
                 : Math.max(0, Math.min(MAX_HEARTBEATS, alivePeers - PEERS_WITHOUT_HEARTBEATS));
@@ -137,21 +145,21 @@
     private void addRecord(
             ByteBuffer message, Peer peer, int target, int reservedBytes, double nowMs) {
         if (peer == null
-                || peer.isIn(messages)
+                || peer.isIncludedIn(messageCount)
                 || peer.incarnation().gateway() == target
                 || message.remaining() < peer.encoded().length + reservedBytes) {
             return;
         }
-        if (GossipCodec.addRecord(message, peer.encoded(), nowMs - peer.madeMs())) {
-            peer.recordForwarded(messages, nowMs);
+        if (GossipCodec.addRecord(message, peer.encoded(), nowMs - peer.createdMs())) {
+            peer.countRecordForward(messageCount, nowMs);
         }
     }
 
     private static void addHeartbeat(ByteBuffer message, Peer peer, int target) {
-        double aliveMs = peer.aliveMs() - peer.startMs();
+        double uptimeMs = peer.lastAliveMs() - peer.estimatedStartMs();
         if (peer.incarnation().gateway() != target
-                && GossipCodec.addHeartbeat(message, peer.incarnation(), aliveMs)) {
-            peer.heartbeatForwarded();
+                && GossipCodec.addHeartbeat(message, peer.incarnation(), uptimeMs)) {
+            peer.countHeartbeatForward();
         }
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipMembership.java
@@ -34,7 +34,7 @@
      * An earlier incarnation is accepted again once the later one has been silent for this many
      * suspicion timeouts, for instance after a failed upgrade.
      */
-    public static final double FORGET_AFTER_SUSPICION_TIMES = 10;
+    public static final double FORGET_AFTER_SUSPICION_TIMEOUTS = 10;
 
     /**
      * On average, one message in this many goes to a random gateway, alive or not, so that the two
@@ -53,12 +53,12 @@
     private final PeerTable peers;
     private final GossipComposer composer;
     private final SuspensionDetector suspension;
-    private final TokenBucket incoming =
+    private final TokenBucket incomingLimiter =
             new TokenBucket(MAX_MESSAGE_BURST, MAX_MESSAGES_PER_SECOND);
     private final int[] alivePeers;
     private GossipRecord ownRecord;
-    private byte[] ownEncoded;
-    private double ownMadeMs;
+    private byte[] ownEncodedRecord;
+    private double ownCreatedMs;
     private double nowMs = Double.NEGATIVE_INFINITY;
     private double nextRoundMs = Double.NEGATIVE_INFINITY;
     private boolean replaced;
@@ -115,8 +115,8 @@
     public void setOwnRecord(GossipRecord record, double atMs) {
         advance(atMs);
         ownRecord = record;
-        ownMadeMs = nowMs;
-        ownEncoded = GossipCodec.encode(record, nowMs - self.start());
+        ownCreatedMs = nowMs;
+        ownEncodedRecord = GossipCodec.encode(record, nowMs - self.start());
     }
 
     /** Sends the messages of a round if one is due; missed rounds are not made up for. */
@@ -132,8 +132,8 @@
             int target = chooseTarget(alive);
             byte[] message =
                     composer.compose(
-                            ownEncoded,
-                            nowMs - ownMadeMs,
+                            ownEncodedRecord,
+                            nowMs - ownCreatedMs,
                             target,
                             i,
                             alive,
@@ -168,11 +168,11 @@
      */
     public void receive(byte[] message, int from, double atMs) {
         advance(atMs);
-        if (!incoming.tryTake(atMs)) {
+        if (!incomingLimiter.tryTake(atMs)) {
             rateLimitedMessages++;
             return;
         }
-        List<GossipCodec.Received> records = codec.read(message, atMs);
+        List<GossipCodec.Received> records = codec.readRecords(message, atMs);
         if (records.isEmpty() || records.get(0).record().incarnation.gateway() != from) {
             rejectedMessages++;
             return;
@@ -181,7 +181,7 @@
             receiveRecord(received);
         }
         for (GossipCodec.Heartbeat heartbeat : GossipCodec.readHeartbeats(message)) {
-            peers.receiveHeartbeat(heartbeat, nowMs, suspension.isWakingUp(nowMs));
+            peers.receiveHeartbeat(heartbeat, nowMs, suspension.isResuming(nowMs));
         }
     }
 
@@ -196,7 +196,7 @@
 
     private void advance(double atMs) {
         if (suspension.advance(nowMs, atMs)) {
-            peers.grantToAlive(nowMs, atMs);
+            peers.presumeAliveAfterSuspension(nowMs, atMs);
         }
         nowMs = Math.max(nowMs, atMs);
     }
@@ -234,7 +234,7 @@
             Peer peer = peers.get(gateway);
             if (gateway == self.gateway() && ownRecord != null) {
                 fresh.add(ownRecord);
-            } else if (peer != null && nowMs - peer.madeMs() <= freshForMs) {
+            } else if (peer != null && nowMs - peer.createdMs() <= freshForMs) {
                 fresh.add(peer.record());
             }
         }
@@ -267,10 +267,10 @@
     /** Age of the newest record of a gateway; infinite if none is known. */
     public double recordAgeMs(int gateway) {
         if (gateway == self.gateway()) {
-            return ownRecord == null ? Double.POSITIVE_INFINITY : nowMs - ownMadeMs;
+            return ownRecord == null ? Double.POSITIVE_INFINITY : nowMs - ownCreatedMs;
         }
         Peer peer = peers.get(gateway);
-        return peer == null ? Double.POSITIVE_INFINITY : nowMs - peer.madeMs();
+        return peer == null ? Double.POSITIVE_INFINITY : nowMs - peer.createdMs();
     }
 
     /** Time since the gateway is known to have been alive; infinite if no record is known. */
@@ -279,7 +279,7 @@
             return 0;
         }
         Peer peer = peers.get(gateway);
-        return peer == null ? Double.POSITIVE_INFINITY : nowMs - peer.aliveMs();
+        return peer == null ? Double.POSITIVE_INFINITY : nowMs - peer.lastAliveMs();
     }
 
     /** Whether a later incarnation of this gateway has been seen. */
--- a/fleet/src/main/java/tinford/fleet/membership/GossipRecord.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipRecord.java
@@ -28,9 +28,9 @@
      *
      * @param serverHash hash of the server's id
      * @param unhealthy whether the server was ejected
-     * @param agoMs time from that event to the creation of the record
+     * @param ageMs time from that event to the creation of the record
      */
-    public record ServerHealth(int serverHash, boolean unhealthy, double agoMs) {}
+    public record ServerHealth(int serverHash, boolean unhealthy, double ageMs) {}
 
     public final Incarnation incarnation;
 
@@ -90,7 +90,7 @@
     }
 
     /** The priority class for a weight of a unit. */
-    public static int classOf(double weight) {
+    public static int priorityClassOf(double weight) {
         double octaves =
                 Math.log(Math.max(weight, MIN_PRIORITY_WEIGHT) / MIN_PRIORITY_WEIGHT) / Math.log(2);
         return Math.min(PRIORITY_CLASSES - 1, (int) Math.floor(2 * octaves + CLASS_TOLERANCE));
--- a/fleet/src/main/java/tinford/fleet/membership/GossipRecordCodec.java
+++ b/fleet/src/main/java/tinford/fleet/membership/GossipRecordCodec.java
@@ -14,7 +14,7 @@
     static final int MAX_RECORD_BYTES = 127;
 
     /** Offset from the start of the record, as all offsets below. */
-    static final int MADE_AT_OFFSET = 13;
+    static final int UPTIME_OFFSET = 13;
 
     static final int AGE_OFFSET = 18;
     static final int BODY_OFFSET = 20;
@@ -25,8 +25,8 @@
     private static final int RATE_BYTES = 9;
     private static final int SERVER_BYTES = 5;
     private static final int CEDED_BYTES = 12;
-    private static final int AGO_STEPS_PER_OCTAVE = 8;
-    private static final int MAX_AGO_CODE = 127;
+    private static final int AGE_STEPS_PER_OCTAVE = 8;
+    private static final int MAX_AGE_CODE = 127;
     private static final int UNHEALTHY_BIT = 128;
 
     /** Two bits for each priority class encode which of its rates follow; see {@link #kind}. */
@@ -40,47 +40,47 @@
     private GossipRecordCodec() {}
 
     /**
-     * @param madeAtMs current time in ms since the start of the record's owner
+     * @param uptimeMs time since the start of the record's owner, by its clock
      */
-    static byte[] encode(GossipRecord record, double madeAtMs) {
+    static byte[] encode(GossipRecord record, double uptimeMs) {
         ByteBuffer output = ByteBuffer.allocate(MAX_RECORD_BYTES);
         output.put((byte) 0);
         output.putShort((short) record.incarnation.gateway());
-        putStart(output, record.incarnation.start());
+        writeStart(output, record.incarnation.start());
         output.putInt(record.sequence);
-        long madeAt = (long) Math.max(0, madeAtMs);
-        output.put((byte) (madeAt >> 32)).putInt((int) madeAt);
+        long uptime = (long) Math.max(0, uptimeMs);
+        output.put((byte) (uptime >> 32)).putInt((int) uptime);
         output.putShort((short) 0);
-        putRates(output, record);
-        putClasses(output, record);
-        putServers(output, record);
-        putCeded(output, record);
+        writeRates(output, record);
+        writeClasses(output, record);
+        writeServers(output, record);
+        writeCededRetries(output, record);
         output.put(0, (byte) output.position());
         return Arrays.copyOf(output.array(), output.position());
     }
 
-    private static void putStart(ByteBuffer output, long start) {
+    private static void writeStart(ByteBuffer output, long start) {
         output.putShort((short) (start >> 32)).putInt((int) start);
     }
 
-    private static void putRate(ByteBuffer output, double rate) {
+    private static void writeRate(ByteBuffer output, double rate) {
         output.put((byte) RateScale.encode(rate));
     }
 
-    private static void putRates(ByteBuffer output, GossipRecord record) {
-        putRate(output, record.firstAttempts);
-        putRate(output, record.retries);
-        putRate(output, record.onTime);
-        putRate(output, record.late);
-        putRate(output, record.failed);
-        putRate(output, record.onTimeUnits);
-        putRate(output, record.inFlight);
-        putRate(output, record.queued);
-        putRate(output, record.capacity);
+    private static void writeRates(ByteBuffer output, GossipRecord record) {
+        writeRate(output, record.firstAttempts);
+        writeRate(output, record.retries);
+        writeRate(output, record.onTime);
+        writeRate(output, record.late);
+        writeRate(output, record.failed);
+        writeRate(output, record.onTimeUnits);
+        writeRate(output, record.inFlight);
+        writeRate(output, record.queued);
+        writeRate(output, record.capacity);
     }
 
     /** Writes the number of classes, their kinds, and the rates that each kind requires. */
-    private static void putClasses(ByteBuffer output, GossipRecord record) {
+    private static void writeClasses(ByteBuffer output, GossipRecord record) {
         int classes = usedClasses(record);
         output.put((byte) classes);
         int kindsOffset = output.position();
@@ -128,26 +128,26 @@
         return admitted == 0 ? NONE_ADMITTED : BOTH_RATES;
     }
 
-    private static void putServers(ByteBuffer output, GossipRecord record) {
+    private static void writeServers(ByteBuffer output, GossipRecord record) {
         int servers = Math.min(record.serverHealth.size(), GossipRecord.MAX_SERVERS);
         output.put((byte) servers);
         for (GossipRecord.ServerHealth health : record.serverHealth.subList(0, servers)) {
             int unhealthyBit = health.unhealthy() ? UNHEALTHY_BIT : 0;
             output.putInt(health.serverHash());
-            output.put((byte) (agoCode(health.agoMs()) | unhealthyBit));
+            output.put((byte) (ageCode(health.ageMs()) | unhealthyBit));
         }
     }
 
-    private static long agoCode(double agoMs) {
-        long code = Math.round(AGO_STEPS_PER_OCTAVE * Math.log(Math.max(agoMs, 1)) / Math.log(2));
-        return Math.max(0, Math.min(MAX_AGO_CODE, code));
+    private static long ageCode(double ageMs) {
+        long code = Math.round(AGE_STEPS_PER_OCTAVE * Math.log(Math.max(ageMs, 1)) / Math.log(2));
+        return Math.max(0, Math.min(MAX_AGE_CODE, code));
     }
 
-    private static void putCeded(ByteBuffer output, GossipRecord record) {
+    private static void writeCededRetries(ByteBuffer output, GossipRecord record) {
         Incarnation receiver = record.retriesCededTo;
         if (receiver != null) {
             output.putShort((short) receiver.gateway());
-            putStart(output, receiver.start());
+            writeStart(output, receiver.start());
             output.putFloat((float) record.retriesCeded);
         }
     }
@@ -167,9 +167,9 @@
     }
 
     /** When the owner created the record, in ms since the owner's start by its own clock. */
-    static double madeAtMs(ByteBuffer input, int recordOffset) {
-        long high = input.get(recordOffset + MADE_AT_OFFSET) & 255L;
-        long low = input.getInt(recordOffset + MADE_AT_OFFSET + 1) & 0xFFFFFFFFL;
+    static double uptimeMs(ByteBuffer input, int recordOffset) {
+        long high = input.get(recordOffset + UPTIME_OFFSET) & 255L;
+        long low = input.getInt(recordOffset + UPTIME_OFFSET + 1) & 0xFFFFFFFFL;
         return high * (1L << 32) + low;
     }
 
@@ -184,31 +184,31 @@
         if (input.remaining() < RATE_BYTES + 1) {
             return null;
         }
-        takeRates(input, record);
-        if (!takeClasses(input, record) || !takeServers(input, record)) {
+        readRates(input, record);
+        if (!readClasses(input, record) || !readServers(input, record)) {
             return null;
         }
-        takeCeded(input, record);
+        readCededRetries(input, record);
         return record;
     }
 
-    private static double takeRate(ByteBuffer input) {
+    private static double readRate(ByteBuffer input) {
         return RateScale.decode(input.get());
     }
 
-    private static void takeRates(ByteBuffer input, GossipRecord record) {
-        record.firstAttempts = takeRate(input);
-        record.retries = takeRate(input);
-        record.onTime = takeRate(input);
-        record.late = takeRate(input);
-        record.failed = takeRate(input);
-        record.onTimeUnits = takeRate(input);
-        record.inFlight = takeRate(input);
-        record.queued = takeRate(input);
-        record.capacity = takeRate(input);
+    private static void readRates(ByteBuffer input, GossipRecord record) {
+        record.firstAttempts = readRate(input);
+        record.retries = readRate(input);
+        record.onTime = readRate(input);
+        record.late = readRate(input);
+        record.failed = readRate(input);
+        record.onTimeUnits = readRate(input);
+        record.inFlight = readRate(input);
+        record.queued = readRate(input);
+        record.capacity = readRate(input);
     }
 
-    private static boolean takeClasses(ByteBuffer input, GossipRecord record) {
+    private static boolean readClasses(ByteBuffer input, GossipRecord record) {
         int classes = input.get() & 255;
         int kindsOffset = input.position();
         if (classes > GossipRecord.PRIORITY_CLASSES || input.remaining() < kindBytes(classes)) {
@@ -220,7 +220,7 @@
             if (input.remaining() < rateBytes(kind)) {
                 return false;
             }
-            takeClass(input, record, c, kind);
+            readClass(input, record, c, kind);
         }
         return true;
     }
@@ -233,22 +233,22 @@
         };
     }
 
-    private static void takeClass(
+    private static void readClass(
             ByteBuffer input, GossipRecord record, int priorityClass, int kind) {
         if (kind == UNUSED) {
             return;
         }
-        double offered = takeRate(input);
+        double offered = readRate(input);
         record.offeredUnits[priorityClass] = offered;
         record.admittedUnits[priorityClass] =
                 switch (kind) {
                     case ALL_ADMITTED -> offered;
                     case NONE_ADMITTED -> 0;
-                    default -> takeRate(input);
+                    default -> readRate(input);
                 };
     }
 
-    private static boolean takeServers(ByteBuffer input, GossipRecord record) {
+    private static boolean readServers(ByteBuffer input, GossipRecord record) {
         if (!input.hasRemaining()) {
             return false;
         }
@@ -259,15 +259,15 @@
         for (int i = 0; i < servers; i++) {
             int serverHash = input.getInt();
             int code = input.get() & 255;
-            double agoMs = Math.pow(2, (code & MAX_AGO_CODE) / (double) AGO_STEPS_PER_OCTAVE);
+            double ageMs = Math.pow(2, (code & MAX_AGE_CODE) / (double) AGE_STEPS_PER_OCTAVE);
             record.serverHealth.add(
-                    new GossipRecord.ServerHealth(serverHash, code >= UNHEALTHY_BIT, agoMs));
+                    new GossipRecord.ServerHealth(serverHash, code >= UNHEALTHY_BIT, ageMs));
         }
         return true;
     }
 
     /** Reads the optional field; any fields that a later version appended are ignored. */
-    private static void takeCeded(ByteBuffer input, GossipRecord record) {
+    private static void readCededRetries(ByteBuffer input, GossipRecord record) {
         if (input.remaining() < CEDED_BYTES) {
             return;
         }
--- a/fleet/src/main/java/tinford/fleet/membership/Lease.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Lease.java
@@ -23,7 +23,7 @@
      *
      * @param logTimeMs current time of the log
      */
-    public boolean isSurelyExpired(double logTimeMs, double maxClockSkewMs) {
+    public boolean isDefinitelyExpired(double logTimeMs, double maxClockSkewMs) {
         return logTimeMs >= expiresAtMs + maxClockSkewMs;
     }
 
@@ -33,7 +33,7 @@
      * @param lingerMs how long a connection can outlast its owner; covers the servers' idle timeout
      *     and the longest client timeout
      */
-    public boolean isSurelyClosed(double logTimeMs, double maxClockSkewMs, double lingerMs) {
+    public boolean areConnectionsClosed(double logTimeMs, double maxClockSkewMs, double lingerMs) {
         return logTimeMs >= expiresAtMs + maxClockSkewMs + lingerMs;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
+++ b/fleet/src/main/java/tinford/fleet/membership/LeaseTable.java
@@ -169,7 +169,7 @@
         }
         Lease lease = new Lease(incarnation, atMs + lengthMs, index);
         // entries may be delayed or duplicated: no lease is shortened or granted after its expiry
-        if (lease.isSurelyExpired(logTimeMs, maxClockSkewMs)
+        if (lease.isDefinitelyExpired(logTimeMs, maxClockSkewMs)
                 || previous != null && previous.expiresAtMs() >= lease.expiresAtMs()) {
             return false;
         }
@@ -202,7 +202,10 @@
         if (atMs > logTimeMs && atMs < Double.POSITIVE_INFINITY) {
             logTimeMs = atMs;
             leases.values()
-                    .removeIf(lease -> lease.isSurelyClosed(logTimeMs, maxClockSkewMs, lingerMs));
+                    .removeIf(
+                            lease ->
+                                    lease.areConnectionsClosed(
+                                            logTimeMs, maxClockSkewMs, lingerMs));
         }
     }
 
@@ -240,22 +243,22 @@
      */
     public boolean mayAct(Incarnation incarnation) {
         Lease lease = leases.get(incarnation);
-        return lease != null && !lease.isSurelyExpired(logTimeMs, maxClockSkewMs);
+        return lease != null && !lease.isDefinitelyExpired(logTimeMs, maxClockSkewMs);
     }
 
     /** All incarnations that may still be using their leases, ordered by gateway and start. */
     public List<Incarnation> mayAct() {
-        return notSurelyExpired(logTimeMs);
+        return possibleHoldersAt(logTimeMs);
     }
 
     /**
      * The incarnations that may still have been using their leases at a time of the log, ordered by
      * gateway and start.
      */
-    public List<Incarnation> notSurelyExpired(double atLogTimeMs) {
+    public List<Incarnation> possibleHoldersAt(double atLogTimeMs) {
         List<Incarnation> holders = new ArrayList<>();
         for (Lease lease : leases.values()) {
-            if (!lease.isSurelyExpired(atLogTimeMs, maxClockSkewMs)) {
+            if (!lease.isDefinitelyExpired(atLogTimeMs, maxClockSkewMs)) {
                 holders.add(lease.holder());
             }
         }
@@ -305,8 +308,7 @@
      */
     public void read(DataInput input) throws IOException {
         if (input.readByte() != FORMAT_VERSION) {
-            throw new IOException(
-                    "snapshot, leases: expected format version " + FORMAT_VERSION);
+            throw new IOException("snapshot, leases: expected format version " + FORMAT_VERSION);
         }
         leases.clear();
         logTimeMs = input.readDouble();
--- a/fleet/src/main/java/tinford/fleet/membership/Peer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Peer.java
@@ -7,24 +7,24 @@
      * previous window of this length. After a clock was adjusted or stopped, the estimate is
      * correct again once both windows have passed.
      */
-    private static final double START_ESTIMATE_SPAN_MS = 10_000;
+    private static final double START_ESTIMATE_WINDOW_MS = 10_000;
 
     private Incarnation incarnation;
     private int sequence;
     private byte[] encoded;
-    private double madeMs;
-    private double aliveMs = Double.NEGATIVE_INFINITY;
+    private double createdMs;
+    private double lastAliveMs = Double.NEGATIVE_INFINITY;
 
     /** Until this time the peer counts as alive even if nothing is received from it. */
-    private double grantedUntilMs = Double.NEGATIVE_INFINITY;
+    private double presumedAliveUntilMs = Double.NEGATIVE_INFINITY;
 
     /** Earliest start of the peer's process that any record of the current window implied. */
-    private double spanStartMs;
+    private double minStartMs;
 
     /** The same for the previous window. */
-    private double previousSpanStartMs;
+    private double previousMinStartMs;
 
-    private double spanBeganMs;
+    private double windowBeganMs;
 
     /** How often the current record was forwarded. */
     private int recordForwards;
@@ -32,63 +32,63 @@
     /** How often records of the current incarnation were forwarded. */
     private int incarnationForwards;
 
-    /** How often the heartbeat for the current {@link #aliveMs} was forwarded. */
+    /** How often the heartbeat for the current {@link #lastAliveMs} was forwarded. */
     private int heartbeatForwards;
 
     private double lastForwardMs;
-    private long lastMessage;
+    private long lastMessageNumber;
 
     /**
-     * @param madeMs local time at which the peer created the record
+     * @param createdMs local time at which the peer created the record
      */
-    Peer(GossipCodec.Received first, double madeMs, double nowMs) {
-        spanStartMs = madeMs - first.madeAtMs();
-        previousSpanStartMs = spanStartMs;
-        spanBeganMs = nowMs;
-        replaceRecord(first, madeMs);
+    Peer(GossipCodec.Received first, double createdMs, double nowMs) {
+        minStartMs = createdMs - first.uptimeMs();
+        previousMinStartMs = minStartMs;
+        windowBeganMs = nowMs;
+        replaceRecord(first, createdMs);
     }
 
-    void replaceRecord(GossipCodec.Received received, double newMadeMs) {
+    void replaceRecord(GossipCodec.Received received, double newCreatedMs) {
         incarnation = received.record().incarnation;
         sequence = received.record().sequence;
         encoded = received.encoded();
-        madeMs = newMadeMs;
+        createdMs = newCreatedMs;
         recordForwards = 0;
-        recordAlive(newMadeMs);
+        updateLastAlive(newCreatedMs);
     }
 
     /** Records proof that the peer was alive at a time. */
-    void recordAlive(double atMs) {
-        if (atMs > aliveMs) {
-            aliveMs = atMs;
+    void updateLastAlive(double atMs) {
+        if (atMs > lastAliveMs) {
+            lastAliveMs = atMs;
             heartbeatForwards = 0;
         }
     }
 
-    void grantUntil(double untilMs) {
-        grantedUntilMs = untilMs;
+    void presumeAliveUntil(double untilMs) {
+        presumedAliveUntilMs = untilMs;
     }
 
     /**
      * Updates the estimate of the peer's start time with the one that a record implies.
      *
-     * @param startsNewSpan whether a new window may begin; false right after this process was
+     * @param mayStartWindow whether a new window may begin; false right after this process was
      *     suspended, when all delays are too long
-     * @return the new estimate, as by {@link #startMs}
+     * @return the new estimate, as by {@link #estimatedStartMs}
      */
-    double updateStart(double apparentStartMs, double nowMs, boolean startsNewSpan) {
-        if (nowMs - spanBeganMs > START_ESTIMATE_SPAN_MS && startsNewSpan) {
-            previousSpanStartMs = spanStartMs;
-            spanStartMs = apparentStartMs;
-            spanBeganMs = nowMs;
+    double updateStartEstimate(double apparentStartMs, double nowMs, boolean mayStartWindow) {
+        if (nowMs - windowBeganMs > START_ESTIMATE_WINDOW_MS && mayStartWindow) {
+            previousMinStartMs = minStartMs;
+            minStartMs = apparentStartMs;
+            windowBeganMs = nowMs;
         }
-        spanStartMs = Math.min(spanStartMs, apparentStartMs);
-        return startMs();
+        minStartMs = Math.min(minStartMs, apparentStartMs);
+        return estimatedStartMs();
     }
 
     /** Estimated start of the peer's process, from the recent record with the shortest delay. */
-    double startMs() {
-        return Math.min(spanStartMs, previousSpanStartMs);
+    double estimatedStartMs() {
+        return Math.min(minStartMs, previousMinStartMs);
     }
 
     Incarnation incarnation() {
@@ -110,17 +110,17 @@
     }
 
     /** Local time at which the peer created the current record. */
-    double madeMs() {
-        return madeMs;
+    double createdMs() {
+        return createdMs;
     }
 
     /** The latest time at which the peer is known to have been alive. */
-    double aliveMs() {
-        return aliveMs;
+    double lastAliveMs() {
+        return lastAliveMs;
     }
 
     boolean isAlive(double nowMs, double suspectAfterMs) {
-        return nowMs - aliveMs <= suspectAfterMs || nowMs < grantedUntilMs;
+        return nowMs - lastAliveMs <= suspectAfterMs || nowMs < presumedAliveUntilMs;
     }
 
     int recordForwards() {
@@ -140,18 +140,18 @@
     }
 
     /** Whether the peer's record was already added to the message with this number. */
-    boolean isIn(long message) {
-        return lastMessage == message;
+    boolean isIncludedIn(long messageNumber) {
+        return lastMessageNumber == messageNumber;
     }
 
-    void recordForwarded(long message, double nowMs) {
+    void countRecordForward(long messageNumber, double nowMs) {
         recordForwards++;
         incarnationForwards++;
         lastForwardMs = nowMs;
-        lastMessage = message;
+        lastMessageNumber = messageNumber;
     }
 
-    void heartbeatForwarded() {
+    void countHeartbeatForward() {
         heartbeatForwards++;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/PeerTable.java
+++ b/fleet/src/main/java/tinford/fleet/membership/PeerTable.java
@@ -12,13 +12,13 @@
      * is forwarded until it is as old as the suspicion timeout, so that a gateway known only by
      * heartbeats may count as alive for up to twice that timeout.
      */
-    private final double[] heartbeatOnlyMs;
+    private final double[] heartbeatOnlyAliveMs;
 
     PeerTable(int gateways, double suspectAfterMs) {
         this.peers = new Peer[gateways];
         this.suspectAfterMs = suspectAfterMs;
-        this.heartbeatOnlyMs = new double[gateways];
-        Arrays.fill(heartbeatOnlyMs, Double.NEGATIVE_INFINITY);
+        this.heartbeatOnlyAliveMs = new double[gateways];
+        Arrays.fill(heartbeatOnlyAliveMs, Double.NEGATIVE_INFINITY);
     }
 
     int size() {
@@ -38,7 +38,7 @@
     boolean isAlive(int gateway, double nowMs) {
         Peer peer = peers[gateway];
         return peer == null
-                ? nowMs - heartbeatOnlyMs[gateway] <= suspectAfterMs
+                ? nowMs - heartbeatOnlyAliveMs[gateway] <= suspectAfterMs
                 : peer.isAlive(nowMs, suspectAfterMs);
     }
 
@@ -47,12 +47,12 @@
         Incarnation incarnation = received.record().incarnation;
         Peer peer = peers[incarnation.gateway()];
         if (peer == null || replaces(incarnation, peer, nowMs)) {
-            double ageMs = received.ageMs() + suspension.possibleDelayMs(nowMs);
+            double ageMs = received.ageMs() + suspension.maxQueueingDelayMs(nowMs);
             if (ageMs <= suspectAfterMs) {
                 peers[incarnation.gateway()] = new Peer(received, nowMs - ageMs, nowMs);
             }
         } else if (incarnation.start() == peer.incarnation().start()) {
-            receiveNext(peer, received, nowMs, suspension.isWakingUp(nowMs));
+            receiveSameIncarnation(peer, received, nowMs, suspension.isResuming(nowMs));
         }
     }
 
@@ -62,38 +62,39 @@
      */
     private boolean replaces(Incarnation incarnation, Peer peer, double nowMs) {
         boolean forgotten =
-                nowMs - peer.aliveMs()
-                        > GossipMembership.FORGET_AFTER_SUSPICION_TIMES * suspectAfterMs;
+                nowMs - peer.lastAliveMs()
+                        > GossipMembership.FORGET_AFTER_SUSPICION_TIMEOUTS * suspectAfterMs;
         return incarnation.start() > peer.incarnation().start()
                 || forgotten && incarnation.start() < peer.incarnation().start();
     }
 
-    private void receiveNext(
-            Peer peer, GossipCodec.Received received, double nowMs, boolean isWakingUp) {
-        double apparentStartMs = nowMs - received.ageMs() - received.madeAtMs();
-        double startMs = peer.updateStart(apparentStartMs, nowMs, !isWakingUp);
-        double ageMs = Math.max(received.ageMs(), nowMs - received.madeAtMs() - startMs);
+    private void receiveSameIncarnation(
+            Peer peer, GossipCodec.Received received, double nowMs, boolean isResuming) {
+        double apparentStartMs = nowMs - received.ageMs() - received.uptimeMs();
+        double estimatedStartMs = peer.updateStartEstimate(apparentStartMs, nowMs, !isResuming);
+        double ageMs = Math.max(received.ageMs(), nowMs - received.uptimeMs() - estimatedStartMs);
         if (ageMs <= suspectAfterMs && peer.isOlderThan(received.record())) {
             peer.replaceRecord(received, nowMs - ageMs);
         }
     }
 
     /** Processes a heartbeat; one of an unknown incarnation does not replace a known one. */
-    void receiveHeartbeat(GossipCodec.Heartbeat heartbeat, double nowMs, boolean isWakingUp) {
+    void receiveHeartbeat(GossipCodec.Heartbeat heartbeat, double nowMs, boolean isResuming) {
         if (heartbeat.gateway() >= peers.length) {
             return;
         }
         Peer peer = peers[heartbeat.gateway()];
         if (peer == null) {
-            if (!isWakingUp) {
-                heartbeatOnlyMs[heartbeat.gateway()] = nowMs;
+            if (!isResuming) {
+                heartbeatOnlyAliveMs[heartbeat.gateway()] = nowMs;
             }
             return;
         }
-        if (heartbeat.isOf(peer.incarnation())) {
-            double aliveMs = peer.startMs() + heartbeat.aliveMs(nowMs - peer.startMs());
-            if (aliveMs <= nowMs) {
-                peer.recordAlive(aliveMs);
+        if (heartbeat.belongsTo(peer.incarnation())) {
+            double lastAliveMs =
+                    peer.estimatedStartMs() + heartbeat.uptimeMs(nowMs - peer.estimatedStartMs());
+            if (lastAliveMs <= nowMs) {
+                peer.updateLastAlive(lastAliveMs);
             }
         }
     }
@@ -102,12 +103,12 @@
      * Lets the peers that were alive before this process was suspended count as alive for another
      * suspicion timeout, so that their next messages can arrive.
      *
-     * @param beforeMs local time at which the suspension began
+     * @param suspendedAtMs local time at which the suspension began
      */
-    void grantToAlive(double beforeMs, double nowMs) {
+    void presumeAliveAfterSuspension(double suspendedAtMs, double nowMs) {
         for (Peer peer : peers) {
-            if (peer != null && peer.isAlive(beforeMs, suspectAfterMs)) {
-                peer.grantUntil(nowMs + suspectAfterMs);
+            if (peer != null && peer.isAlive(suspendedAtMs, suspectAfterMs)) {
+                peer.presumeAliveUntil(nowMs + suspectAfterMs);
             }
         }
     }
--- a/fleet/src/main/java/tinford/fleet/membership/RateScale.java
+++ b/fleet/src/main/java/tinford/fleet/membership/RateScale.java
@@ -1,8 +1,8 @@
 package tinford.fleet.membership;
 
 /**
- * Encodes a rate in one byte on a logarithmic scale with ten steps per octave, from 1/64 to
- * 635 000. Code 0 stands for zero. The relative error is at most 3.5 %.
+ * Encodes a rate in one byte on a logarithmic scale with ten steps per octave, from 1/64 to 635
+ * 000. Code 0 stands for zero. The relative error is at most 3.5 %.
  */
 final class RateScale {
     private static final int STEPS_PER_OCTAVE = 10;
--- a/fleet/src/main/java/tinford/fleet/membership/SuspensionDetector.java
+++ b/fleet/src/main/java/tinford/fleet/membership/SuspensionDetector.java
@@ -8,8 +8,8 @@
 final class SuspensionDetector {
     private final double roundIntervalMs;
     private final double suspectAfterMs;
-    private double durationMs;
-    private double wakingUntilMs = Double.NEGATIVE_INFINITY;
+    private double suspensionMs;
+    private double resumingUntilMs = Double.NEGATIVE_INFINITY;
 
     SuspensionDetector(double roundIntervalMs, double suspectAfterMs) {
         this.roundIntervalMs = roundIntervalMs;
@@ -28,19 +28,19 @@
         }
         double stepMs = toMs - fromMs;
         if (stepMs > 2 * roundIntervalMs) {
-            durationMs = stepMs;
-            wakingUntilMs = toMs + roundIntervalMs;
+            suspensionMs = stepMs;
+            resumingUntilMs = toMs + roundIntervalMs;
         }
         return stepMs > Math.max(suspectAfterMs / 2, 2 * roundIntervalMs);
     }
 
     /** Whether messages that were queued during a suspension may still arrive. */
-    boolean isWakingUp(double nowMs) {
-        return nowMs < wakingUntilMs;
+    boolean isResuming(double nowMs) {
+        return nowMs < resumingUntilMs;
     }
 
     /** The longest time that a message received now may have been queued during a suspension. */
-    double possibleDelayMs(double nowMs) {
-        return isWakingUp(nowMs) ? durationMs : 0;
+    double maxQueueingDelayMs(double nowMs) {
+        return isResuming(nowMs) ? suspensionMs : 0;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
+++ b/fleet/src/main/java/tinford/fleet/overload/FleetOverloadPolicy.java
@@ -79,8 +79,8 @@
     /** By priority class, so that gateways whose thresholds differ slightly shed alike. */
     @Override
     public double admittedShare(double weight) {
-        int priorityClass = GossipRecord.classOf(weight);
-        int thresholdClass = GossipRecord.classOf(admission.threshold());
+        int priorityClass = GossipRecord.priorityClassOf(weight);
+        int thresholdClass = GossipRecord.priorityClassOf(admission.threshold());
         if (admission.threshold() <= 0 || priorityClass > thresholdClass) {
             return 1;
         }
--- a/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
+++ b/fleet/src/main/java/tinford/fleet/overload/LocalStatistics.java
@@ -56,13 +56,13 @@
 
     /** A request within its quota has arrived. */
     public void requestOffered(double units, double weight) {
-        offeredUnits[bucketIndex()][GossipRecord.classOf(weight)] += units;
+        offeredUnits[bucketIndex()][GossipRecord.priorityClassOf(weight)] += units;
         queued++;
     }
 
     /** An offered request has ended without any attempt. */
     public void requestRejected(double units, double weight) {
-        rejectedUnits[bucketIndex()][GossipRecord.classOf(weight)] += units;
+        rejectedUnits[bucketIndex()][GossipRecord.priorityClassOf(weight)] += units;
         queued = Math.max(0, queued - 1);
     }
 
--- a/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
+++ b/fleet/src/main/java/tinford/fleet/overload/ProbeOwners.java
@@ -119,8 +119,8 @@
             return;
         }
         server.updatedAtMs = nowMs;
-        boolean validAge = report.agoMs() >= 0 && report.agoMs() < EXPIRY_MS;
-        double ageMs = validAge ? report.agoMs() : EXPIRY_MS;
+        boolean validAge = report.ageMs() >= 0 && report.ageMs() < EXPIRY_MS;
+        double ageMs = validAge ? report.ageMs() : EXPIRY_MS;
         double foundAtMs = nowMs - ageMs;
         boolean byOwner = ownerOf(server) == peer;
         if (byOwner) {
--- a/fleet/src/main/java/tinford/fleet/run/ConfigurationSettings.java
+++ b/fleet/src/main/java/tinford/fleet/run/ConfigurationSettings.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import tinford.fleet.config.Endpoint;
-import tinford.fleet.settings.EndpointText;
+import tinford.fleet.settings.EndpointParser;
 
 /**
  * The table {@code [configuration]} of the operator file.
@@ -19,7 +19,7 @@
         }
         List<Endpoint> servers = new ArrayList<>();
         for (String server : file.texts("configuration.servers")) {
-            servers.add(EndpointText.parse(server).orElseThrow());
+            servers.add(EndpointParser.parse(server).orElseThrow());
         }
         return new ConfigurationSettings(
                 file.text("configuration.fleet"),
--- a/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
+++ b/fleet/src/main/java/tinford/fleet/run/FleetStateMachine.java
@@ -38,7 +38,7 @@
             Map<String, String> homeGroups) {
         leases = new LeaseTable(gateways, leaseMs, maxClockSkewMs, lingerMs);
         ledger = new BudgetLedger(leases, staticShares);
-        migration = new MigrationState(homeGroups, leases::notSurelyExpired, maxClockSkewMs);
+        migration = new MigrationState(homeGroups, leases::possibleHoldersAt, maxClockSkewMs);
     }
 
     @Override
--- a/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
+++ b/fleet/src/main/java/tinford/fleet/run/OperatorFile.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import tinford.fleet.config.RecordChecks;
-import tinford.fleet.settings.EndpointText;
+import tinford.fleet.settings.EndpointParser;
 import tinford.fleet.settings.InvalidOperatorFileException;
 import tinford.fleet.settings.OperatorSettings;
 import tinford.fleet.settings.SettingsSchema;
@@ -42,7 +42,7 @@
                     .flag("configuration.on", false)
                     .text("configuration.fleet", "the name of the fleet")
                     .text("configuration.region", "the name of this gateway's region")
-                    .texts("configuration.servers", "a list of " + EndpointText.FORM)
+                    .texts("configuration.servers", "a list of " + EndpointParser.FORMAT)
                     .text("configuration.folder", "a folder that lasts");
 
     private final OperatorSettings settings;
@@ -94,8 +94,8 @@
 
     private void checkConfiguration() {
         for (String server : texts("configuration.servers")) {
-            if (EndpointText.parse(server).isEmpty()) {
-                addError("configuration.servers", EndpointText.FORM + ", not " + server);
+            if (EndpointParser.parse(server).isEmpty()) {
+                addError("configuration.servers", EndpointParser.FORMAT + ", not " + server);
             }
         }
         for (String key : List.of("configuration.fleet", "configuration.region")) {
--- a/fleet/src/main/java/tinford/fleet/settings/OperatorSettings.java
+++ b/fleet/src/main/java/tinford/fleet/settings/OperatorSettings.java
@@ -5,7 +5,7 @@
 
 /** The settings read from an operator file, with keys of the form {@code table.key}. */
 public final class OperatorSettings {
-    private static final int NOT_WRITTEN = 0;
+    private static final int NOT_FOUND = 0;
 
     private final String file;
     private final String content;
@@ -49,12 +49,12 @@
     /** The same with the line of another key, such as one that makes this key required. */
     public String errorAt(String lineKey, String key, String expected) {
         int line = lineOf(lineKey);
-        String where = line == NOT_WRITTEN ? file : file + ", line " + line;
+        String where = line == NOT_FOUND ? file : file + ", line " + line;
         return where + ": " + key + ": expected " + expected;
     }
 
-    boolean isWritten(String key) {
-        return lineOf(key) != NOT_WRITTEN;
+    boolean isPresent(String key) {
+        return lineOf(key) != NOT_FOUND;
     }
 
     /** The line of a key, searched for in the text because the parser does not keep positions. */
@@ -73,6 +73,6 @@
                 return lineNumber;
             }
         }
-        return NOT_WRITTEN;
+        return NOT_FOUND;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/settings/SettingsKey.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsKey.java
@@ -22,7 +22,7 @@
     }
 
     static SettingsKey number(double min, double max, Double defaultValue) {
-        String expected = "a number from " + plain(min) + " to " + plain(max);
+        String expected = "a number from " + formatNumber(min) + " to " + formatNumber(max);
         return new SettingsKey(Type.NUMBER, expected, min, max, defaultValue);
     }
 
@@ -56,7 +56,7 @@
         return node.isArray() ? texts : null;
     }
 
-    private static String plain(double number) {
+    private static String formatNumber(double number) {
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 }
--- a/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
@@ -128,7 +128,7 @@
                 (name, key) -> {
                     if (key.defaultValue() != null) {
                         values.putIfAbsent(name, key.defaultValue());
-                    } else if (!values.containsKey(name) && !settings.isWritten(name)) {
+                    } else if (!values.containsKey(name) && !settings.isPresent(name)) {
                         errors.add(settings.error(name, key.expected()));
                     }
                 });
--- a/fleet/src/main/java/tinford/fleet/transport/InMemoryNetwork.java
+++ b/fleet/src/main/java/tinford/fleet/transport/InMemoryNetwork.java
@@ -57,7 +57,7 @@
     private final List<Link[]> links = new ArrayList<>();
 
     private final BitSet cutLinks;
-    private final Process[] processes;
+    private final ProcessTransport[] processes;
     private final BitSet paused;
     private final List<Queue<InTransit>> waitingMessages = new ArrayList<>();
 
@@ -85,7 +85,7 @@
         this.capacityPerReceiver = capacityPerReceiver;
         this.random = new Random(seed);
         this.cutLinks = new BitSet(gateways * gateways);
-        this.processes = new Process[gateways];
+        this.processes = new ProcessTransport[gateways];
         this.paused = new BitSet(gateways);
         this.inFlight = new int[gateways];
         for (int i = 0; i < gateways; i++) {
@@ -104,13 +104,13 @@
             throw new IllegalArgumentException(
                     "gateway " + gateway + ": expected a number from 0 to " + (gateways - 1));
         }
-        processes[gateway] = new Process(gateway, receiver);
+        processes[gateway] = new ProcessTransport(gateway, receiver);
         return processes[gateway];
     }
 
     /** Sets the behaviour of all links that were not set individually. */
-    public void setLink(Link all) {
-        defaultLink = all;
+    public void setLink(Link link) {
+        defaultLink = link;
     }
 
     /** Sets the behaviour of one link in one direction. */
@@ -167,13 +167,13 @@
             return;
         }
         inFlight[message.to]--;
-        Process process = processes[message.to];
+        ProcessTransport process = processes[message.to];
         if (process != null && !process.closed) {
             deliver(process, message);
         }
     }
 
-    private void deliver(Process process, InTransit message) {
+    private void deliver(ProcessTransport process, InTransit message) {
         try {
             process.receiver.receive(message.from, message.message);
         } catch (RuntimeException e) {
@@ -196,8 +196,8 @@
     }
 
     private Link link(int from, int to) {
-        Link[] ofSender = links.get(from);
-        return ofSender == null || ofSender[to] == null ? defaultLink : ofSender[to];
+        Link[] senderLinks = links.get(from);
+        return senderLinks == null || senderLinks[to] == null ? defaultLink : senderLinks[to];
     }
 
     /** Draws an event; takes a random number only if the probability is above 0. */
@@ -245,12 +245,12 @@
     }
 
     /** The transport of one process of a gateway. */
-    private final class Process implements Transport {
+    private final class ProcessTransport implements Transport {
         private final int number;
         private final Receiver receiver;
         private boolean closed;
 
-        Process(int number, Receiver receiver) {
+        ProcessTransport(int number, Receiver receiver) {
             this.number = number;
             this.receiver = receiver;
         }
--- a/fleet/src/main/java/tinford/fleet/transport/UdpTransport.java
+++ b/fleet/src/main/java/tinford/fleet/transport/UdpTransport.java
@@ -55,7 +55,7 @@
      * @param peers the addresses of the gateways by number; that of this gateway is ignored and may
      *     be null
      * @throws IllegalArgumentException if a peer's address is not resolved or has no port, or if
-     * two peers have the same address
+     *     two peers have the same address
      * @throws IOException if the address can't be bound
      */
     public UdpTransport(
--- a/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ConfigurationCodecTest.java
@@ -86,20 +86,21 @@
         assertEquals(
                 text(ConfigurationCodec.encode(new Outcome.Accepted(6))),
                 "{\"version\":1,\"revision\":6}");
-        Rejection refusal = new Rejection(List.of(new ValidationError("k", "e")));
+        Rejection rejection = new Rejection(List.of(new ValidationError("k", "e")));
         assertEquals(
-                text(ConfigurationCodec.encode(new Outcome.Rejected(refusal))),
+                text(ConfigurationCodec.encode(new Outcome.Rejected(rejection))),
                 "{\"version\":1,\"faults\":[{\"key\":\"k\",\"expected\":\"e\"}]}");
     }
 
     @Test
     public void outcomesReportsAndMessagesAreUnchangedByEncodingAndDecoding() throws Exception {
         Outcome accepted = new Outcome.Accepted(9);
-        Outcome refused =
+        Outcome rejected =
                 new Outcome.Rejected(new Rejection(List.of(new ValidationError("k", "\"e\" \\"))));
         assertEquals(
                 ConfigurationCodec.decodeOutcome(ConfigurationCodec.encode(accepted)), accepted);
-        assertEquals(ConfigurationCodec.decodeOutcome(ConfigurationCodec.encode(refused)), refused);
+        assertEquals(
+                ConfigurationCodec.decodeOutcome(ConfigurationCodec.encode(rejected)), rejected);
         FollowerReport report = new FollowerReport("g-1", "east", 3, "routes.r: no");
         assertEquals(ConfigurationCodec.decodeReport(ConfigurationCodec.encode(report)), report);
         WatchMessage update =
@@ -235,23 +236,23 @@
 
     @Test(dataProvider = "badProposals")
     public void invalidProposalIsRejectedWithItsKey(String json, String key) {
-        InvalidConfigurationException refused =
+        InvalidConfigurationException rejected =
                 expectThrows(
                         InvalidConfigurationException.class,
                         () -> ConfigurationCodec.decodeProposal(bytes(json)));
-        assertEquals(refused.key(), key, refused.getMessage());
-        assertFalse(refused.expected().isBlank());
-        assertEquals(refused.error().toString().lines().count(), 1);
+        assertEquals(rejected.key(), key, rejected.getMessage());
+        assertFalse(rejected.expected().isBlank());
+        assertEquals(rejected.error().toString().lines().count(), 1);
     }
 
     @Test
     public void oversizedProposalIsRejectedBeforeParsing() {
         byte[] large = new byte[ConfigurationLimits.MAX_PROPOSAL_BYTES + 1];
-        InvalidConfigurationException refused =
+        InvalidConfigurationException rejected =
                 expectThrows(
                         InvalidConfigurationException.class,
                         () -> ConfigurationCodec.decodeProposal(large));
-        assertEquals(refused.expected(), "at most 500000 bytes, not 500001");
+        assertEquals(rejected.expected(), "at most 500000 bytes, not 500001");
     }
 
     @Test
@@ -288,11 +289,11 @@
 
     @Test(dataProvider = "badWatchMessages")
     public void invalidWatchMessageIsRejectedWithItsKey(String json, String key) {
-        InvalidConfigurationException refused =
+        InvalidConfigurationException rejected =
                 expectThrows(
                         InvalidConfigurationException.class,
                         () -> ConfigurationCodec.decodeWatchMessage(bytes(json)));
-        assertEquals(refused.key(), key, refused.getMessage());
+        assertEquals(rejected.key(), key, rejected.getMessage());
     }
 
     @Test
@@ -323,7 +324,7 @@
         byte[] whole =
                 ConfigurationCodec.encode(
                         new ChangeSet("all", 3L, ConfigurationFixtures.basicChanges()));
-        int refusals = 0;
+        int rejections = 0;
         for (int i = 0; i < 3000; i++) {
             byte[] bytes = whole.clone();
             for (int flips = 1 + random.nextInt(3); flips > 0; flips--) {
@@ -332,10 +333,10 @@
             try {
                 ConfigurationCodec.decodeProposal(bytes);
             } catch (InvalidConfigurationException e) {
-                refusals++;
+                rejections++;
             }
         }
-        assertTrue(refusals > 1000, "rejected " + refusals);
+        assertTrue(rejections > 1000, "rejected " + rejections);
     }
 
     private static Change decodeOne(String change) throws InvalidConfigurationException {
--- a/fleet/src/test/java/tinford/fleet/config/FollowerFixture.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerFixture.java
@@ -42,7 +42,7 @@
 
     Action.Report open() {
         only(follower.tick(nowMs), Action.Connect.class);
-        return only(follower.opened(nowMs), Action.Report.class);
+        return only(follower.watchOpened(nowMs), Action.Report.class);
     }
 
     /** Sends a heartbeat each second and ticks ten times a second. */
@@ -60,7 +60,7 @@
     }
 
     List<Action> line(byte[] line) {
-        return follower.line(line, nowMs);
+        return follower.lineReceived(line, nowMs);
     }
 
     void assertRejected(List<Action> actions, String expected) {
--- a/fleet/src/test/java/tinford/fleet/config/FollowerRandomHistoriesTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerRandomHistoriesTest.java
@@ -19,20 +19,22 @@
 public class FollowerRandomHistoriesTest {
     private static final int SEEDS = 150;
     private static final double STEP_MS = 100;
-    private static final int DISTURBED_STEPS = 900;
-    private static final int QUIET_STEPS = 200;
+    private static final int FAULTY_STEPS = 900;
+    private static final int HEALTHY_STEPS = 200;
 
     @Test
     public void followerNeverGoesBackAndConverges() {
         int snapshots = 0;
-        int refusals = 0;
+        int rejections = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            RandomHistory play = new RandomHistory(seed);
-            play.run();
-            snapshots += play.snapshots;
-            refusals += play.rejections;
+            RandomHistory history = new RandomHistory(seed);
+            history.run();
+            snapshots += history.snapshots;
+            rejections += history.rejections;
         }
-        assertTrue(snapshots > SEEDS && refusals > SEEDS, snapshots + " snapshots and " + refusals + " rejections");
+        assertTrue(
+                snapshots > SEEDS && rejections > SEEDS,
+                snapshots + " snapshots and " + rejections + " rejections");
     }
 
     /** A control server, which knows the history up to a revision and has configurable faults. */
@@ -54,12 +56,12 @@
         private final SnapshotCodec snapshotCodec = new SnapshotCodec(ConfigurationFixtures.FLEET);
         private Follower follower;
         private Configuration storedConfiguration = Configuration.EMPTY;
-        private Server followed;
+        private Server watchedServer;
         private boolean opening;
-        private long sent;
+        private long sentRevision;
         private boolean applying;
         private double nowMs;
-        private boolean disturbed = true;
+        private boolean faulty = true;
         private int snapshots;
         private int rejections;
 
@@ -73,28 +75,28 @@
         }
 
         void run() {
-            for (int step = 0; step < DISTURBED_STEPS; step++) {
-                disturb();
+            for (int step = 0; step < FAULTY_STEPS; step++) {
+                injectFault();
                 step();
             }
-            disturbed = false;
+            faulty = false;
             for (Server each : servers) {
                 each.reachable = true;
                 each.silent = false;
                 each.sendsInvalidLines = false;
-                each.revision = last();
+                each.revision = lastRevision();
             }
             propose(); // a rejected revision is not offered again, so a new one is needed
             for (Server each : servers) {
-                each.revision = last();
+                each.revision = lastRevision();
             }
-            for (int step = 0; step < QUIET_STEPS; step++) {
+            for (int step = 0; step < HEALTHY_STEPS; step++) {
                 step();
             }
-            assertEquals(follower.activeConfiguration().revision(), last(), "seed " + seed);
+            assertEquals(follower.activeConfiguration().revision(), lastRevision(), "seed " + seed);
         }
 
-        private long last() {
+        private long lastRevision() {
             return revisions.size() - 1;
         }
 
@@ -105,83 +107,87 @@
             }
             follower =
                     new Follower("g", "east", ConfigurationFixtures.FLEET, endpoints, from, random);
-            followed = null;
+            watchedServer = null;
             applying = false;
         }
 
-        private void disturb() {
+        private void injectFault() {
             if (random.nextInt(5) == 0) {
                 propose();
             }
-            Server one = servers.get(random.nextInt(servers.size()));
+            Server server = servers.get(random.nextInt(servers.size()));
             switch (random.nextInt(60)) {
-                case 0 -> one.reachable = false;
-                case 1, 2 -> one.reachable = true;
-                case 3 -> one.silent = true;
-                case 4, 5 -> one.silent = false;
-                case 6 -> one.sendsInvalidLines = true;
-                case 7, 8 -> one.sendsInvalidLines = false;
-                case 9 -> one.revision = random.nextInt((int) last() + 1); // restored, or lagging
+                case 0 -> server.reachable = false;
+                case 1, 2 -> server.reachable = true;
+                case 3 -> server.silent = true;
+                case 4, 5 -> server.silent = false;
+                case 6 -> server.sendsInvalidLines = true;
+                case 7, 8 -> server.sendsInvalidLines = false;
+                case 9 ->
+                        server.revision =
+                                random.nextInt((int) lastRevision() + 1); // restored, or lagging
                 case 10 -> {
                     if (random.nextInt(10) == 0) {
                         restart(random.nextBoolean() ? storedConfiguration : Configuration.EMPTY);
                         storedConfiguration = follower.activeConfiguration();
                     }
                 }
-                default -> one.revision = last();
+                default -> server.revision = lastRevision();
             }
         }
 
         private void propose() {
             Outcome outcome;
             do {
-                outcome = history.propose(ConfigurationFixtures.randomProposal(random, last()));
+                outcome =
+                        history.propose(
+                                ConfigurationFixtures.randomProposal(random, lastRevision()));
             } while (!(outcome instanceof Outcome.Accepted));
             revisions.add(history.current());
         }
 
         private void step() {
             nowMs += STEP_MS;
-            perform(follower.tick(nowMs));
+            performAll(follower.tick(nowMs));
             if (opening) {
                 opening = false;
-                perform(followed.reachable ? follower.opened(nowMs) : closed());
+                performAll(watchedServer.reachable ? follower.watchOpened(nowMs) : closed());
             }
-            if (followed != null && !followed.reachable) {
-                perform(closed());
+            if (watchedServer != null && !watchedServer.reachable) {
+                performAll(closed());
             }
-            if (followed != null && !followed.silent) {
+            if (watchedServer != null && !watchedServer.silent) {
                 serve();
             }
             if (applying && random.nextInt(3) > 0) {
-                settle();
+                completeApply();
             }
         }
 
         private List<Action> closed() {
-            followed = null;
-            return follower.closed("closed", nowMs);
+            watchedServer = null;
+            return follower.watchClosed("closed", nowMs);
         }
 
         private void serve() {
             byte[] line = nextLine();
-            if (followed.sendsInvalidLines && random.nextInt(4) == 0) {
+            if (watchedServer.sendsInvalidLines && random.nextInt(4) == 0) {
                 line = invalidLine(line);
             }
-            perform(follower.line(line, nowMs));
+            performAll(follower.lineReceived(line, nowMs));
         }
 
         private byte[] nextLine() {
-            if (sent >= followed.revision) {
+            if (sentRevision >= watchedServer.revision) {
                 return new byte[0];
             }
-            List<Update> updates = history.updatesSince(sent).orElse(null);
+            List<Update> updates = history.updatesSince(sentRevision).orElse(null);
             if (updates == null) {
-                sent = followed.revision;
-                return snapshotOf(sent);
+                sentRevision = watchedServer.revision;
+                return snapshotOf(sentRevision);
             }
             Update next = updates.get(0);
-            sent = next.revision();
+            sentRevision = next.revision();
             return ConfigurationCodec.encode(new WatchMessage.UpdateMessage(next));
         }
 
@@ -192,16 +198,17 @@
 
         private byte[] invalidLine(byte[] line) {
             return switch (random.nextInt(4)) {
-                case 0 -> snapshotOf(random.nextInt((int) last() + 1));
+                case 0 -> snapshotOf(random.nextInt((int) lastRevision() + 1));
                 case 1 -> {
                     byte[] data = new SnapshotCodec("other").encode(history.current());
-                    yield ConfigurationCodec.encode(new WatchMessage.SnapshotMessage(last(), data));
+                    yield ConfigurationCodec.encode(
+                            new WatchMessage.SnapshotMessage(lastRevision(), data));
                 }
                 case 2 -> {
                     Update wrong =
                             new Update(
-                                    last() + 1,
-                                    last() + 2,
+                                    lastRevision() + 1,
+                                    lastRevision() + 2,
                                     List.of(ConfigurationFixtures.putService("x")));
                     yield ConfigurationCodec.encode(new WatchMessage.UpdateMessage(wrong));
                 }
@@ -209,32 +216,34 @@
             };
         }
 
-        private void settle() {
+        private void completeApply() {
             applying = false;
             long before = follower.activeConfiguration().revision();
-            boolean reject = disturbed && random.nextInt(6) == 0;
+            boolean reject = faulty && random.nextInt(6) == 0;
             rejections += reject ? 1 : 0;
             ApplyResult result =
                     reject ? new ApplyResult.Rejected("not here") : new ApplyResult.Applied();
-            List<Action> actions = follower.applied(result, nowMs);
+            List<Action> actions = follower.applyCompleted(result, nowMs);
             Configuration active = follower.activeConfiguration();
-            assertTrue(active.revision() >= before, "seed " + seed + ": the active revision decreased");
+            assertTrue(
+                    active.revision() >= before,
+                    "seed " + seed + ": the active revision decreased");
             assertEquals(
                     active.contentHash(),
                     revisions.get((int) active.revision()).contentHash(),
                     "seed " + seed + ": the active content is not that of its revision");
             storedConfiguration = active;
-            perform(actions);
+            performAll(actions);
         }
 
-        private void perform(List<Action> actions) {
+        private void performAll(List<Action> actions) {
             for (Action action : actions) {
                 if (action instanceof Action.Connect connect) {
-                    followed = servers.get(connect.endpoint().port());
+                    watchedServer = servers.get(connect.endpoint().port());
                     opening = true;
-                    sent = connect.afterRevision();
+                    sentRevision = connect.afterRevision();
                 } else if (action instanceof Action.Disconnect) {
-                    followed = null;
+                    watchedServer = null;
                     opening = false;
                 } else if (action instanceof Action.Apply apply) {
                     assertEquals(
@@ -243,10 +252,10 @@
                                     .contentHash(),
                             apply.result().contentHash(),
                             "seed " + seed);
-                    begin(apply.result());
+                    startApply(apply.result());
                 } else if (action instanceof Action.ApplySnapshot apply) {
                     snapshots++;
-                    begin(apply.configuration());
+                    startApply(apply.configuration());
                 } else if (action instanceof Action.Report report) {
                     assertEquals(
                             report.report().revision(), follower.activeConfiguration().revision());
@@ -254,8 +263,12 @@
             }
         }
 
-        private void begin(Configuration offered) {
-            assertTrue(!applying, "seed " + seed + ": a second configuration was offered while one was being applied");
+        private void startApply(Configuration offered) {
+            assertTrue(
+                    !applying,
+                    "seed "
+                            + seed
+                            + ": a second configuration was offered while one was being applied");
             assertTrue(
                     offered.revision() > follower.activeConfiguration().revision(), "seed " + seed);
             applying = true;
--- a/fleet/src/test/java/tinford/fleet/config/FollowerTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerTest.java
@@ -38,7 +38,7 @@
     @Test
     public void reportsWhenTheWatchIsOpen() {
         Endpoint endpoint = only(follower.tick(nowMs), Action.Connect.class).endpoint();
-        Action.Report report = only(follower.opened(nowMs), Action.Report.class);
+        Action.Report report = only(follower.watchOpened(nowMs), Action.Report.class);
         assertEquals(report.endpoint(), endpoint);
         assertEquals(report.report(), new FollowerReport("gateway-1", "east", 0, null));
     }
@@ -71,13 +71,13 @@
         double until = nowMs + Follower.LINE_TIMEOUT_MS;
         while (nowMs < until - 200) {
             nowMs += 100;
-            follower.partialLine(nowMs);
+            follower.partialLineReceived(nowMs);
             assertFalse(has(follower.tick(nowMs), Action.Disconnect.class));
         }
         List<Action> actions = new ArrayList<>();
         while (nowMs < until + Follower.HEARTBEAT_TIMEOUT_MS + 200) {
             nowMs += 100;
-            follower.partialLine(nowMs);
+            follower.partialLineReceived(nowMs);
             actions.addAll(follower.tick(nowMs));
         }
         assertTrue(has(actions, Action.Disconnect.class));
@@ -100,7 +100,7 @@
             if (!actions.isEmpty()) {
                 tried.add(only(actions, Action.Connect.class).endpoint());
                 waits.add(nowMs - closedAt);
-                follower.closed("refused", nowMs);
+                follower.watchClosed("refused", nowMs);
                 closedAt = nowMs;
                 i++;
             }
@@ -123,12 +123,12 @@
         for (int i = 0; i < 30; i++) {
             nowMs += EndpointRotation.MAX_BACKOFF_MS;
             follower.tick(nowMs);
-            follower.closed("refused", nowMs);
+            follower.watchClosed("refused", nowMs);
         }
         nowMs += EndpointRotation.MAX_BACKOFF_MS;
         open();
-        serveFor(Follower.STEADY_WATCH_MS + 1000);
-        follower.closed("ended", nowMs);
+        serveFor(Follower.STABLE_WATCH_MS + 1000);
+        follower.watchClosed("ended", nowMs);
         nowMs += EndpointRotation.INITIAL_BACKOFF_MS;
         only(follower.tick(nowMs), Action.Connect.class);
     }
@@ -139,7 +139,7 @@
             nowMs += EndpointRotation.MAX_BACKOFF_MS;
             open();
             line(HEARTBEAT);
-            follower.closed("ended", nowMs);
+            follower.watchClosed("ended", nowMs);
         }
         nowMs += EndpointRotation.MAX_BACKOFF_MS / 2 - 1;
         assertEquals(follower.tick(nowMs), List.of());
@@ -148,10 +148,10 @@
     @Test
     public void returnsToTheOwnRegion() {
         follower.tick(nowMs);
-        follower.closed("refused", nowMs);
+        follower.watchClosed("refused", nowMs);
         nowMs += 1000;
         follower.tick(nowMs);
-        follower.closed("refused", nowMs);
+        follower.watchClosed("refused", nowMs);
         nowMs += 1000;
         assertEquals(open().endpoint().region(), "west");
         List<Action> actions = serveFor(2 * Follower.OWN_REGION_RETRY_MS);
@@ -173,7 +173,7 @@
         for (int i = 0; i < 100; i++) {
             nowMs += 10;
             line(update(i, i + 1, List.of()));
-            actions.addAll(follower.applied(APPLIED, nowMs));
+            actions.addAll(follower.applyCompleted(APPLIED, nowMs));
             actions.addAll(follower.tick(nowMs));
         }
         nowMs += Follower.MIN_REPORT_GAP_MS;
@@ -187,19 +187,19 @@
     public void revisionAppliedWithoutAWatchIsReportedLater() {
         open();
         line(update(0, 1, ConfigurationFixtures.basicChanges()));
-        follower.closed("ended", nowMs);
-        assertEquals(follower.applied(APPLIED, nowMs), List.of());
+        follower.watchClosed("ended", nowMs);
+        assertEquals(follower.applyCompleted(APPLIED, nowMs), List.of());
         nowMs += 1000;
         assertEquals(open().report().revision(), 1);
     }
 
     @Test
     public void unexpectedEventsAreIgnored() {
-        assertEquals(follower.opened(nowMs), List.of());
-        assertEquals(follower.line(new byte[] {'x'}, nowMs), List.of());
-        assertEquals(follower.closed("ended", nowMs), List.of());
-        assertEquals(follower.applied(APPLIED, nowMs), List.of());
-        follower.partialLine(nowMs);
+        assertEquals(follower.watchOpened(nowMs), List.of());
+        assertEquals(follower.lineReceived(new byte[] {'x'}, nowMs), List.of());
+        assertEquals(follower.watchClosed("ended", nowMs), List.of());
+        assertEquals(follower.applyCompleted(APPLIED, nowMs), List.of());
+        follower.partialLineReceived(nowMs);
         only(follower.tick(nowMs), Action.Connect.class);
     }
 
--- a/fleet/src/test/java/tinford/fleet/config/FollowerUpdateTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/FollowerUpdateTest.java
@@ -21,10 +21,13 @@
         assertEquals(
                 apply.result().contentHash(),
                 ConfigurationFixtures.basicConfiguration().contentHash());
-        assertSame(follower.activeConfiguration(), Configuration.EMPTY, "active before it was applied");
+        assertSame(
+                follower.activeConfiguration(),
+                Configuration.EMPTY,
+                "active before it was applied");
         assertSame(follower.receivedConfiguration(), apply.result());
         nowMs += 1000;
-        Action.Report report = only(follower.applied(APPLIED, nowMs), Action.Report.class);
+        Action.Report report = only(follower.applyCompleted(APPLIED, nowMs), Action.Report.class);
         assertEquals(report.report().revision(), 1);
         assertNull(report.report().rejectionReason());
         assertSame(follower.activeConfiguration(), apply.result());
@@ -40,7 +43,7 @@
         assertEquals(
                 apply.configuration().contentHash(),
                 ConfigurationFixtures.basicConfiguration().contentHash());
-        follower.applied(APPLIED, nowMs);
+        follower.applyCompleted(APPLIED, nowMs);
         assertEquals(follower.activeConfiguration().revision(), 1);
     }
 
@@ -51,7 +54,7 @@
         assertEquals(line(update(1, 2, List.of(ConfigurationFixtures.putService("a")))), List.of());
         assertEquals(line(update(2, 3, List.of(ConfigurationFixtures.putService("b")))), List.of());
         assertEquals(line(update(3, 4, List.of(new Change.RemoveService("a")))), List.of());
-        Action.Apply apply = first(follower.applied(APPLIED, nowMs), Action.Apply.class);
+        Action.Apply apply = first(follower.applyCompleted(APPLIED, nowMs), Action.Apply.class);
         assertEquals(
                 apply.update(), new Update(1, 4, List.of(ConfigurationFixtures.putService("b"))));
         assertEquals(apply.result().revision(), 4);
@@ -68,10 +71,10 @@
         assertEquals(line(snapshot(second)), List.of());
         assertEquals(line(update(2, 3, List.of(ConfigurationFixtures.putService("b")))), List.of());
         Action.ApplySnapshot apply =
-                first(follower.applied(APPLIED, nowMs), Action.ApplySnapshot.class);
+                first(follower.applyCompleted(APPLIED, nowMs), Action.ApplySnapshot.class);
         assertEquals(apply.configuration().revision(), 3);
         line(update(3, 4, List.of(ConfigurationFixtures.putService("c"))));
-        Action.Apply next = first(follower.applied(APPLIED, nowMs), Action.Apply.class);
+        Action.Apply next = first(follower.applyCompleted(APPLIED, nowMs), Action.Apply.class);
         assertEquals(
                 next.update(), new Update(3, 4, List.of(ConfigurationFixtures.putService("c"))));
     }
@@ -80,11 +83,12 @@
     public void rejectedRevisionLeavesTheLastOneActiveAndIsReported() {
         open();
         line(update(0, 1, ConfigurationFixtures.basicChanges()));
-        follower.applied(APPLIED, nowMs);
+        follower.applyCompleted(APPLIED, nowMs);
         line(update(1, 2, List.of(ConfigurationFixtures.putService("a"))));
         nowMs += 1000;
         List<Action> actions =
-                follower.applied(new ApplyResult.Rejected("services.a: no such address"), nowMs);
+                follower.applyCompleted(
+                        new ApplyResult.Rejected("services.a: no such address"), nowMs);
         Action.Warn warn = first(actions, Action.Warn.class);
         assertEquals(warn.message(), "revision 2: services.a: no such address");
         Action.Report report = first(actions, Action.Report.class);
@@ -98,15 +102,16 @@
                         Action.Apply.class);
         assertEquals(next.update(), new Update(1, 3, List.of()));
         nowMs += 1000;
-        Action.Report healed = only(follower.applied(APPLIED, nowMs), Action.Report.class);
-        assertEquals(healed.report(), new FollowerReport("gateway-1", "east", 3, null));
+        Action.Report recovered =
+                only(follower.applyCompleted(APPLIED, nowMs), Action.Report.class);
+        assertEquals(recovered.report(), new FollowerReport("gateway-1", "east", 3, null));
     }
 
     @Test
     public void updateAfterRejectedSnapshotIsAppliedAsSnapshot() {
         open();
         line(snapshot(ConfigurationFixtures.basicConfiguration()));
-        follower.applied(new ApplyResult.Rejected("no"), nowMs);
+        follower.applyCompleted(new ApplyResult.Rejected("no"), nowMs);
         assertEquals(follower.activeConfiguration().revision(), 0);
         Action.ApplySnapshot next =
                 only(
@@ -129,14 +134,18 @@
     public void outdatedUpdateIsRejectedAndReported() {
         follower = follower(ConfigurationFixtures.basicConfiguration().with(9, List.of()), 1);
         open();
-        assertRejected(line(update(7, 8, List.of())), "the current revision, 9, not 7, in the update to revision 8");
+        assertRejected(
+                line(update(7, 8, List.of())),
+                "the current revision, 9, not 7, in the update to revision 8");
         assertEquals(follower.receivedConfiguration().revision(), 9);
     }
 
     @Test
     public void updateAfterAGapIsRejected() {
         open();
-        assertRejected(line(update(1, 2, List.of())), "the current revision, 0, not 1, in the update to revision 2");
+        assertRejected(
+                line(update(1, 2, List.of())),
+                "the current revision, 0, not 1, in the update to revision 2");
         assertEquals(follower.receivedConfiguration().revision(), 0);
     }
 
@@ -166,8 +175,8 @@
     public void unreadableLinesAreRejected() {
         byte[] foreign =
                 new SnapshotCodec("other").encode(ConfigurationFixtures.basicConfiguration());
-        byte[] torn = SNAPSHOTS.encode(ConfigurationFixtures.basicConfiguration());
-        torn[torn.length - 1]++;
+        byte[] corrupted = SNAPSHOTS.encode(ConfigurationFixtures.basicConfiguration());
+        corrupted[corrupted.length - 1]++;
         byte[] other = SNAPSHOTS.encode(ConfigurationFixtures.basicConfiguration());
         List<byte[]> lines =
                 List.of(
@@ -176,7 +185,7 @@
                         "x".repeat(100).getBytes(StandardCharsets.UTF_8),
                         new byte[ConfigurationLimits.MAX_LINE_BYTES + 1],
                         snapshotLine(1, foreign),
-                        snapshotLine(1, torn),
+                        snapshotLine(1, corrupted),
                         snapshotLine(2, other));
         for (byte[] each : lines) {
             start();
@@ -206,10 +215,10 @@
         nowMs += 1000;
         Action.Report report = open();
         assertTrue(report.report().rejectionReason().contains("json"));
-        serveFor(Follower.STEADY_WATCH_MS + 1000);
+        serveFor(Follower.STABLE_WATCH_MS + 1000);
         line(update(0, 1, ConfigurationFixtures.basicChanges()));
         assertNull(
-                first(follower.applied(APPLIED, nowMs), Action.Report.class)
+                first(follower.applyCompleted(APPLIED, nowMs), Action.Report.class)
                         .report()
                         .rejectionReason());
     }
--- a/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryModelTest.java
@@ -16,15 +16,15 @@
     @Test
     public void randomHistoriesMatchTheReferenceModel() {
         int accepted = 0;
-        int refused = 0;
+        int rejected = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             Random random = new Random(seed);
             RevisionHistory history = new RevisionHistory(ConfigurationFixtures.FLEET);
             ReferenceHistory reference = new ReferenceHistory();
-            List<Proposal> made = new ArrayList<>();
+            List<Proposal> earlier = new ArrayList<>();
             for (int step = 0; step < PROPOSALS; step++) {
-                Proposal proposal = draw(random, made, history);
-                made.add(proposal);
+                Proposal proposal = draw(random, earlier, history);
+                earlier.add(proposal);
                 Long expected = reference.propose(proposal);
                 Outcome outcome = history.propose(proposal);
                 String where = "seed " + seed + " step " + step + " " + proposal + " " + outcome;
@@ -36,14 +36,16 @@
                         reference.at(reference.currentRevision()),
                         where);
                 if (expected == null) {
-                    refused++;
+                    rejected++;
                 } else {
                     accepted++;
                 }
             }
-            followersReachTheCurrentRevision(history, reference);
+            assertUpdatesLeadToTheCurrentRevision(history, reference);
         }
-        assertTrue(accepted > 3000 && refused > 3000, accepted + " accepted, " + refused + " rejected");
+        assertTrue(
+                accepted > 3000 && rejected > 3000,
+                accepted + " accepted, " + rejected + " rejected");
     }
 
     @Test
@@ -55,15 +57,15 @@
             RevisionHistory first = new RevisionHistory(ConfigurationFixtures.FLEET, retention);
             List<byte[]> log = new ArrayList<>();
             List<Outcome> outcomes = new ArrayList<>();
-            List<Proposal> made = new ArrayList<>();
+            List<Proposal> earlier = new ArrayList<>();
             int cut = random.nextInt(PROPOSALS);
             byte[] atCut = first.snapshot();
             for (int step = 0; step < PROPOSALS; step++) {
                 if (step == cut) {
                     atCut = first.snapshot();
                 }
-                Proposal proposal = draw(random, made, first);
-                made.add(proposal);
+                Proposal proposal = draw(random, earlier, first);
+                earlier.add(proposal);
                 log.add(ConfigurationCodec.encode(proposal));
                 outcomes.add(first.propose(proposal));
             }
@@ -82,9 +84,9 @@
     }
 
     /** Draws a random proposal; one in ten repeats an earlier one. */
-    private static Proposal draw(Random random, List<Proposal> made, RevisionHistory history) {
-        if (!made.isEmpty() && random.nextInt(10) == 0) {
-            return made.get(random.nextInt(made.size()));
+    private static Proposal draw(Random random, List<Proposal> earlier, RevisionHistory history) {
+        if (!earlier.isEmpty() && random.nextInt(10) == 0) {
+            return earlier.get(random.nextInt(earlier.size()));
         }
         return ConfigurationFixtures.randomProposal(random, history.current().revision());
     }
@@ -99,7 +101,7 @@
     }
 
     /** Applies the updates one by one and compares each revision with the reference model. */
-    private static void followersReachTheCurrentRevision(
+    private static void assertUpdatesLeadToTheCurrentRevision(
             RevisionHistory history, ReferenceHistory reference) {
         Configuration configuration = Configuration.EMPTY;
         for (Update update : history.updatesSince(0).orElseThrow()) {
--- a/fleet/src/test/java/tinford/fleet/config/RevisionHistoryTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/RevisionHistoryTest.java
@@ -46,14 +46,14 @@
     public void changeSetWithAnyErrorChangesNothing() {
         RevisionHistory basic = basic();
         Configuration before = basic.current();
-        Rejection refusal =
-                refuse(
+        Rejection rejection =
+                reject(
                         basic,
                         ConfigurationFixtures.changeSet(
                                 "half",
                                 ConfigurationFixtures.putService("fine"),
                                 new Change.RemoveService("search")));
-        assertEquals(refusal.errors().get(0).key(), "changes[1].removeService.name");
+        assertEquals(rejection.errors().get(0).key(), "changes[1].removeService.name");
         assertSame(basic.current(), before);
         assertEquals(basic.updatesSince(1).orElseThrow(), List.of());
     }
@@ -61,7 +61,7 @@
     @Test
     public void emptyChangeSetIsRejected() {
         assertEquals(
-                refuse(history, ConfigurationFixtures.changeSet("nothing")).errors().get(0).key(),
+                reject(history, ConfigurationFixtures.changeSet("nothing")).errors().get(0).key(),
                 "changes");
     }
 
@@ -70,7 +70,7 @@
         RevisionHistory basic = basic();
         ChangeSet late = new ChangeSet("late", 0L, List.of(ConfigurationFixtures.putService("s")));
         assertEquals(
-                refuse(basic, late).errors(),
+                reject(basic, late).errors(),
                 List.of(new ValidationError("expectedRevision", "the current revision, 1")));
         accept(basic, new ChangeSet("right", 1L, List.of(ConfigurationFixtures.putService("s"))));
         assertEquals(basic.current().revision(), 2);
@@ -81,17 +81,17 @@
         RevisionHistory basic = basic();
         ChangeSet accepted =
                 ConfigurationFixtures.changeSet("one", ConfigurationFixtures.putService("s"));
-        ChangeSet refused =
+        ChangeSet rejected =
                 ConfigurationFixtures.changeSet(
                         "two", ConfigurationFixtures.putRoute("r", "later"));
         Outcome first = basic.propose(accepted);
-        Outcome second = basic.propose(refused);
+        Outcome second = basic.propose(rejected);
         accept(
                 basic,
                 ConfigurationFixtures.changeSet(
                         "three", ConfigurationFixtures.putService("later")));
         assertEquals(basic.propose(accepted), first);
-        assertEquals(basic.propose(refused), second);
+        assertEquals(basic.propose(rejected), second);
         assertEquals(basic.current().revision(), 3);
     }
 
@@ -101,12 +101,12 @@
         accept(
                 basic,
                 ConfigurationFixtures.changeSet("one", ConfigurationFixtures.putService("a")));
-        Rejection refusal =
-                refuse(
+        Rejection rejection =
+                reject(
                         basic,
                         ConfigurationFixtures.changeSet(
                                 "one", ConfigurationFixtures.putService("b")));
-        assertEquals(refusal.errors().get(0).key(), "id");
+        assertEquals(rejection.errors().get(0).key(), "id");
         assertEquals(
                 basic.propose(
                         ConfigurationFixtures.changeSet(
@@ -114,10 +114,10 @@
                 new Outcome.Accepted(2),
                 "the outcome of the first proposal is no longer known");
         assertEquals(
-                refuse(basic, ConfigurationFixtures.changeSet("no name")).errors().get(0).key(),
+                reject(basic, ConfigurationFixtures.changeSet("no name")).errors().get(0).key(),
                 "id");
         assertEquals(
-                refuse(basic, ConfigurationFixtures.changeSet("no\nname")).errors().get(0).key(),
+                reject(basic, ConfigurationFixtures.changeSet("no\nname")).errors().get(0).key(),
                 "id");
     }
 
@@ -164,9 +164,9 @@
                             "s" + i, ConfigurationFixtures.putService("s" + i)));
         }
         assertEquals(
-                refuse(small, new Revert("far", 2)).errors(),
+                reject(small, new Revert("far", 2)).errors(),
                 List.of(new ValidationError("revertTo", "a retained revision, 3 to 5")));
-        assertEquals(refuse(small, new Revert("ahead", 6)).errors().get(0).key(), "revertTo");
+        assertEquals(reject(small, new Revert("ahead", 6)).errors().get(0).key(), "revertTo");
         accept(small, new Revert("near", 3));
         assertEquals(small.current().services().size(), 3);
     }
@@ -207,7 +207,8 @@
             large.add(ConfigurationFixtures.putService("large" + i));
         }
         accept(small, new ChangeSet("large", null, large));
-        assertEquals(small.retainedUpdates(), 0, "retained an update that exceeds the limit on its own");
+        assertEquals(
+                small.retainedUpdates(), 0, "retained an update that exceeds the limit on its own");
         assertEquals(small.oldestRetained(), 51);
         assertEquals(small.updatesSince(50), Optional.empty());
     }
@@ -215,12 +216,12 @@
     @Test
     public void rememberedProposalsAreBounded() {
         RevisionHistory basic = basic();
-        int beyond = ConfigurationLimits.MAX_REMEMBERED_PROPOSALS + 100;
+        int beyond = ConfigurationLimits.MAX_RETAINED_PROPOSALS + 100;
         for (int i = 0; i < beyond; i++) {
             basic.propose(
                     ConfigurationFixtures.changeSet("id" + i, new Change.RemoveRoute("absent")));
         }
-        assertEquals(basic.rememberedProposals(), ConfigurationLimits.MAX_REMEMBERED_PROPOSALS);
+        assertEquals(basic.retainedProposals(), ConfigurationLimits.MAX_RETAINED_PROPOSALS);
         accept(
                 basic,
                 ConfigurationFixtures.changeSet("basics", ConfigurationFixtures.putService("s")));
@@ -229,18 +230,18 @@
     @Test
     public void rememberedErrorsAreBounded() {
         RevisionHistory basic = basic();
-        List<Change> faulty = new ArrayList<>();
+        List<Change> invalid = new ArrayList<>();
         for (int i = 0; i < ConfigurationLimits.MAX_ERRORS; i++) {
-            faulty.add(new Change.RemoveRoute("x".repeat(500) + i));
+            invalid.add(new Change.RemoveRoute("x".repeat(500) + i));
         }
         for (int i = 0; i < 1000; i++) {
-            basic.propose(new ChangeSet("id" + i, null, faulty));
+            basic.propose(new ChangeSet("id" + i, null, invalid));
         }
         int characters = ConfigurationLimits.MAX_ERRORS * 500;
         assertTrue(
-                basic.rememberedProposals()
-                        <= ConfigurationLimits.MAX_REMEMBERED_CHARACTERS / characters,
-                basic.rememberedProposals() + " proposals retained");
+                basic.retainedProposals()
+                        <= ConfigurationLimits.MAX_RETAINED_PROPOSAL_CHARACTERS / characters,
+                basic.retainedProposals() + " proposals retained");
     }
 
     @Test
@@ -281,8 +282,8 @@
             assertEquals(basic.snapshot(), whole);
         }
         for (int length = 0; length < whole.length; length++) {
-            byte[] torn = Arrays.copyOf(whole, length);
-            expectThrows(InvalidConfigurationException.class, () -> basic.restore(torn));
+            byte[] truncated = Arrays.copyOf(whole, length);
+            expectThrows(InvalidConfigurationException.class, () -> basic.restore(truncated));
         }
         assertEquals(basic.snapshot(), whole);
     }
@@ -295,7 +296,7 @@
         return revision;
     }
 
-    private static Rejection refuse(RevisionHistory history, Proposal proposal) {
+    private static Rejection reject(RevisionHistory history, Proposal proposal) {
         Configuration before = history.current();
         Outcome outcome = history.propose(proposal);
         assertTrue(outcome instanceof Outcome.Rejected, outcome.toString());
--- a/fleet/src/test/java/tinford/fleet/config/SnapshotCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/SnapshotCodecTest.java
@@ -12,7 +12,7 @@
 
 /** Valid snapshots are encoded and decoded unchanged; all others are rejected. */
 public class SnapshotCodecTest {
-    private static final int VERSION_AT = 4;
+    private static final int VERSION_OFFSET = 4;
     private static final SnapshotCodec CODEC = new SnapshotCodec(ConfigurationFixtures.FLEET);
 
     @Test
@@ -50,8 +50,8 @@
     public void snapshotTruncatedAnywhereIsRejected() {
         byte[] whole = CODEC.encode(ConfigurationFixtures.basicConfiguration());
         for (int length = 0; length < whole.length; length++) {
-            byte[] torn = Arrays.copyOf(whole, length);
-            expectThrows(InvalidConfigurationException.class, () -> CODEC.decode(torn));
+            byte[] truncated = Arrays.copyOf(whole, length);
+            expectThrows(InvalidConfigurationException.class, () -> CODEC.decode(truncated));
         }
         byte[] longer = Arrays.copyOf(whole, whole.length + 1);
         expectThrows(InvalidConfigurationException.class, () -> CODEC.decode(longer));
@@ -60,9 +60,9 @@
     @Test
     public void snapshotWithAnyByteChangedIsRejected() {
         byte[] whole = CODEC.encode(ConfigurationFixtures.basicConfiguration());
-        for (int at = 0; at < whole.length; at++) {
+        for (int index = 0; index < whole.length; index++) {
             byte[] damaged = whole.clone();
-            damaged[at] ^= 0x10;
+            damaged[index] ^= 0x10;
             expectThrows(InvalidConfigurationException.class, () -> CODEC.decode(damaged));
         }
     }
@@ -78,7 +78,7 @@
     @Test
     public void laterFormatIsRejectedByItsVersion() {
         byte[] later = CODEC.encode(ConfigurationFixtures.basicConfiguration());
-        later[VERSION_AT] = 2;
+        later[VERSION_OFFSET] = 2;
         assertEquals(decodeError(later).key(), "snapshot.version");
     }
 
@@ -98,17 +98,17 @@
 
     @Test
     public void contentOfAnotherLengthThanDeclaredIsRejected() {
-        byte[] sealed = encode("{\"version\":1}" + " ".repeat(10_000_000));
-        int lengthAt = 15 + ConfigurationFixtures.FLEET.length();
-        ByteBuffer.wrap(sealed).putInt(lengthAt, 100);
-        rehash(sealed);
-        assertEquals(decodeError(sealed).key(), "snapshot.length");
-        ByteBuffer.wrap(sealed).putInt(lengthAt, Integer.MAX_VALUE);
-        rehash(sealed);
-        assertEquals(decodeError(sealed).key(), "snapshot.length");
-        ByteBuffer.wrap(sealed).putInt(lengthAt, 11_000_000);
-        rehash(sealed);
-        assertEquals(decodeError(sealed).key(), "snapshot.length");
+        byte[] envelope = encode("{\"version\":1}" + " ".repeat(10_000_000));
+        int lengthOffset = 15 + ConfigurationFixtures.FLEET.length();
+        ByteBuffer.wrap(envelope).putInt(lengthOffset, 100);
+        rehash(envelope);
+        assertEquals(decodeError(envelope).key(), "snapshot.length");
+        ByteBuffer.wrap(envelope).putInt(lengthOffset, Integer.MAX_VALUE);
+        rehash(envelope);
+        assertEquals(decodeError(envelope).key(), "snapshot.length");
+        ByteBuffer.wrap(envelope).putInt(lengthOffset, 11_000_000);
+        rehash(envelope);
+        assertEquals(decodeError(envelope).key(), "snapshot.length");
     }
 
     @Test
@@ -134,17 +134,17 @@
     }
 
     private static byte[] encode(String json) {
-        return ChecksummedState.encode(
-                ChecksummedState.Kind.CONFIGURATION,
+        return ChecksummedEnvelope.encode(
+                ChecksummedEnvelope.Kind.CONFIGURATION,
                 ConfigurationFixtures.FLEET,
                 5,
                 json.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void rehash(byte[] sealed) {
-        int end = sealed.length - 32;
-        byte[] hash = ContentHash.sha256().digest(Arrays.copyOf(sealed, end));
-        System.arraycopy(hash, 0, sealed, end, hash.length);
+    private static void rehash(byte[] envelope) {
+        int end = envelope.length - 32;
+        byte[] hash = ContentHash.sha256().digest(Arrays.copyOf(envelope, end));
+        System.arraycopy(hash, 0, envelope, end, hash.length);
     }
 
     private static InvalidConfigurationException decodeError(byte[] snapshot) {
--- a/fleet/src/test/java/tinford/fleet/config/SortedArrayMapTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/SortedArrayMapTest.java
@@ -31,7 +31,10 @@
                 edits.forEach((key, value) -> model.compute(key, (k, old) -> value));
                 assertEquals(map, model, "seed " + seed);
                 assertEquals(new ArrayList<>(map.keySet()), new ArrayList<>(model.keySet()));
-                assertEquals(new ArrayList<>(before.keySet()), keysBefore, "an earlier map was modified");
+                assertEquals(
+                        new ArrayList<>(before.keySet()),
+                        keysBefore,
+                        "an earlier map was modified");
                 for (int key = -1; key < 21; key++) {
                     assertEquals(map.get(key), model.get(key));
                     assertEquals(map.containsKey(key), model.containsKey(key));
--- a/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
+++ b/fleet/src/test/java/tinford/fleet/config/ValidatorTest.java
@@ -15,7 +15,7 @@
     private static final Configuration BASIC = ConfigurationFixtures.basicConfiguration();
 
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] invalidChanges() {
         return new Object[][] {
             {
                 "putRoute.service",
@@ -34,30 +34,34 @@
             {"removeTenant.id", new Change.RemoveTenant(77), "one that exists, not 77"},
             {"putTenant.plan", ConfigurationFixtures.putTenant(2, "missing"), "a plan that exists"},
             {"putService.name", ConfigurationFixtures.putService("a/b"), "A-Z"},
-            {"putRoute.targetMs", timing(0, 100), "above 0"},
-            {"putRoute.targetMs", timing(200, 100), "at most timeoutMs"},
-            {"putRoute.targetMs", timing(Double.NaN, 100), "above 0"},
-            {"putRoute.timeoutMs", timing(50, Double.POSITIVE_INFINITY), "at most 86400000"},
-            {"putRoute.timeoutMs", timing(50, 86_400_001), "at most 86400000"},
+            {"putRoute.targetMs", routeWithTimes(0, 100), "above 0"},
+            {"putRoute.targetMs", routeWithTimes(200, 100), "at most timeoutMs"},
+            {"putRoute.targetMs", routeWithTimes(Double.NaN, 100), "above 0"},
+            {
+                "putRoute.timeoutMs",
+                routeWithTimes(50, Double.POSITIVE_INFINITY),
+                "at most 86400000"
+            },
+            {"putRoute.timeoutMs", routeWithTimes(50, 86_400_001), "at most 86400000"},
             {
                 "putRoute.group",
-                grouped(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ZONE),
+                routeWithScope(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ZONE),
                 "none, or all"
             },
             {"putPlan.ratePerSecond", ConfigurationFixtures.putPlan("p", -1), "from 0"},
             {"putPlan.ratePerSecond", ConfigurationFixtures.putPlan("p", Double.NaN), "from 0"},
             {"putPlan.ratePerSecond", ConfigurationFixtures.putPlan("p", 1e13), "from 0"},
-            {"putPlan.burst", rates(5, 0, 0, 0), "above 0 where there is a rate"},
-            {"putPlan.ceilingBurst", rates(5, 5, 5, 0), "above 0 where there is a rate"},
+            {"putPlan.burst", planWithRates(5, 0, 0, 0), "above 0 where there is a rate"},
+            {"putPlan.ceilingBurst", planWithRates(5, 5, 5, 0), "above 0 where there is a rate"},
         };
     }
 
-    @Test(dataProvider = "faults")
+    @Test(dataProvider = "invalidChanges")
     public void invalidChangeIsRejectedWithKeyAndExpectation(
             String key, Change change, String expected) {
-        List<ValidationError> faults = Validator.check(BASIC, List.of(change));
-        assertEquals(faults.get(0).key(), "changes[0]." + key);
-        assertTrue(faults.get(0).expected().contains(expected), faults.toString());
+        List<ValidationError> errors = Validator.check(BASIC, List.of(change));
+        assertEquals(errors.get(0).key(), "changes[0]." + key);
+        assertTrue(errors.get(0).expected().contains(expected), errors.toString());
     }
 
     @Test
@@ -114,8 +118,8 @@
         for (int i = 0; i <= ConfigurationLimits.MAX_PLANS; i++) {
             changes.add(ConfigurationFixtures.putPlan("p" + i, 0));
         }
-        List<ValidationError> faults = Validator.check(Configuration.EMPTY, changes);
-        assertEquals(faults, List.of(new ValidationError("plans", "at most 1024, not 1025")));
+        List<ValidationError> errors = Validator.check(Configuration.EMPTY, changes);
+        assertEquals(errors, List.of(new ValidationError("plans", "at most 1024, not 1025")));
     }
 
     @Test
@@ -156,13 +160,13 @@
 
     @Test
     public void errorIsOneLineOfBoundedLength() {
-        ValidationError fault = new ValidationError("a\nb", "x\r\n".repeat(1000));
-        assertEquals(fault.key(), "a b");
-        assertEquals(fault.expected().lines().count(), 1);
-        assertTrue(fault.expected().length() <= ConfigurationLimits.MAX_TEXT_LENGTH);
+        ValidationError error = new ValidationError("a\nb", "x\r\n".repeat(1000));
+        assertEquals(error.key(), "a b");
+        assertEquals(error.expected().lines().count(), 1);
+        assertTrue(error.expected().length() <= ConfigurationLimits.MAX_TEXT_LENGTH);
     }
 
-    private static Change timing(double targetMs, double timeoutMs) {
+    private static Change routeWithTimes(double targetMs, double timeoutMs) {
         return new Change.PutRoute(
                 new RouteRecord(
                         "r",
@@ -177,14 +181,14 @@
                         false));
     }
 
-    private static Change grouped(Idempotency effect, DeduplicationScope group) {
+    private static Change routeWithScope(Idempotency idempotency, DeduplicationScope scope) {
         return new Change.PutRoute(
-                new RouteRecord("r", "search", 1, 2, 1, 0, effect, group, 0, false));
+                new RouteRecord("r", "search", 1, 2, 1, 0, idempotency, scope, 0, false));
     }
 
-    private static Change rates(
-            double rate, double burst, double ceilingRate, double ceilingBurst) {
+    private static Change planWithRates(
+            double rate, double burst, double hardLimitRate, double hardLimitBurst) {
         return new Change.PutPlan(
-                new PlanRecord("p", rate, burst, 0, 1, 0, 0, ceilingRate, ceilingBurst, 0));
+                new PlanRecord("p", rate, burst, 0, 1, 0, 0, hardLimitRate, hardLimitBurst, 0));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/control/StoredConfigurationDataTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/StoredConfigurationDataTest.java
@@ -214,7 +214,7 @@
     public void voterSnapshotKeepsTheOutcomesOfItsProposals() throws Exception {
         RevisionHistory history = new RevisionHistory(FLEET);
         history.restore(stored("voter-snapshot.bin"));
-        assertEquals(history.rememberedProposals(), 4);
+        assertEquals(history.retainedProposals(), 4);
         assertEquals(history.propose(ADDITIONS), new Outcome.Accepted(1));
         assertEquals(history.propose(REMOVALS), new Outcome.Accepted(2));
         assertEquals(history.propose(REVERT), new Outcome.Accepted(3));
@@ -315,9 +315,9 @@
                         Configuration.EMPTY,
                         new Random(1));
         follower.tick(0);
-        follower.opened(0);
+        follower.watchOpened(0);
         double heardAt = Follower.HEARTBEAT_TIMEOUT_MS - 1;
-        assertEquals(follower.line(withoutLineFeed(line), heardAt), List.of());
+        assertEquals(follower.lineReceived(withoutLineFeed(line), heardAt), List.of());
         assertEquals(follower.tick(heardAt + 2), List.of(), "not silent: no disconnect");
         assertEquals(WatchResponseStream.HEARTBEAT, line);
     }
--- a/fleet/src/test/java/tinford/fleet/membership/GossipCodecTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipCodecTest.java
@@ -53,7 +53,7 @@
     }
 
     private static List<GossipCodec.Received> read(byte[] message) {
-        return new GossipCodec(10, 5000).read(message, NOW_MS);
+        return new GossipCodec(10, 5000).readRecords(message, NOW_MS);
     }
 
     private static void assertNear(double actual, double expected) {
@@ -73,7 +73,7 @@
             GossipCodec.Received received = read(message(age, record)).get(0);
             assertEquals(received.record().incarnation, record.incarnation);
             assertEquals(received.record().sequence, record.sequence);
-            assertEquals(received.madeAtMs(), 5000.0);
+            assertEquals(received.uptimeMs(), 5000.0);
             assertTrue(
                     received.ageMs() >= age && received.ageMs() < age + 2,
                     "age " + age + " decoded as " + received.ageMs());
@@ -92,7 +92,7 @@
                 assertTrue(
                         a.serverHash() == b.serverHash()
                                 && a.unhealthy() == b.unhealthy()
-                                && Math.abs(a.agoMs() - b.agoMs()) <= 0.05 * a.agoMs(),
+                                && Math.abs(a.ageMs() - b.ageMs()) <= 0.05 * a.ageMs(),
                         "encoded " + a + ", decoded " + b);
             }
         }
@@ -164,7 +164,7 @@
      * the codec or the membership.
      */
     @Test
-    public void toleratesGarbage() {
+    public void toleratesRandomlyCorruptedMessages() {
         Random random = new Random(4);
         GossipMembership membership =
                 new GossipMembership(new Incarnation(0, 5), 10, 100, 2, 3000, 3000, random);
--- a/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/GossipMembershipTest.java
@@ -69,44 +69,49 @@
                 minAliveCount(fleet) >= n - 1 - n / 80,
                 "live gateways suspected, one counts only " + minAliveCount(fleet));
         double messages = (fleet.network.sentMessages() - sent) * 1000.0 / (fleet.nowMs - from) / n;
-        double perSecond = (fleet.network.sentBytes() - bytes) * 1000.0 / (fleet.nowMs - from) / n;
+        double bytesPerSecond =
+                (fleet.network.sentBytes() - bytes) * 1000.0 / (fleet.nowMs - from) / n;
         assertEquals(messages, 20, 0.5, "messages per second and gateway");
-        assertTrue(perSecond <= 20.5 * 256, "bytes per second and gateway: " + perSecond);
+        assertTrue(bytesPerSecond <= 20.5 * 256, "bytes per second and gateway: " + bytesPerSecond);
 
-        int lost = n / 2;
+        int stopped = n / 2;
         fleet.runUntil(
                 20_000,
-                () -> Arrays.stream(fleet.members).allMatch(m -> m.newestRecord(lost) != null));
-        fleet.kill(lost);
-        double gone =
+                () -> Arrays.stream(fleet.members).allMatch(m -> m.newestRecord(stopped) != null));
+        fleet.kill(stopped);
+        double detectedMs =
                 fleet.runUntil(
                         suspectAfterMs + 10_000,
                         () -> {
                             for (int i = 0; i < n; i++) {
-                                if (i != lost && fleet.members[i].isAlive(lost)) {
+                                if (i != stopped && fleet.members[i].isAlive(stopped)) {
                                     return false;
                                 }
                             }
                             return true;
                         });
         assertTrue(
-                gone <= suspectAfterMs + 2 * SimulatedGossipFleet.ROUND_INTERVAL_MS,
-                "failure detected by all after " + gone + " ms");
-        fleet.start(lost, (long) fleet.nowMs);
-        double back =
+                detectedMs <= suspectAfterMs + 2 * SimulatedGossipFleet.ROUND_INTERVAL_MS,
+                "failure detected by all after " + detectedMs + " ms");
+        fleet.start(stopped, (long) fleet.nowMs);
+        double restartKnownMs =
                 fleet.runUntil(
                         10_000,
                         () -> {
                             for (int i = 0; i < n; i++) {
-                                if (!fleet.members[i].isAlive(lost)
-                                        || fleet.members[i].incarnation(lost).start()
-                                                != fleet.members[lost].incarnation(lost).start()) {
+                                if (!fleet.members[i].isAlive(stopped)
+                                        || fleet.members[i].incarnation(stopped).start()
+                                                != fleet.members[stopped]
+                                                        .incarnation(stopped)
+                                                        .start()) {
                                     return false;
                                 }
                             }
                             return true;
                         });
-        assertTrue(back < 1500 + n * 10, "restart known to all after " + back + " ms");
+        assertTrue(
+                restartKnownMs < 1500 + n * 10,
+                "restart known to all after " + restartKnownMs + " ms");
     }
 
     @Test(dataProvider = "sizes")
@@ -116,7 +121,7 @@
         fleet.run(2 * withinMs);
         int half = n / 2;
         cut(fleet, half, true);
-        double seen =
+        double detectedMs =
                 fleet.runUntil(
                         2 * suspectAfterMs,
                         () -> {
@@ -128,8 +133,8 @@
                             return true;
                         });
         assertTrue(
-                seen <= suspectAfterMs + 2 * SimulatedGossipFleet.ROUND_INTERVAL_MS,
-                "partition detected after " + seen + " ms");
+                detectedMs <= suspectAfterMs + 2 * SimulatedGossipFleet.ROUND_INTERVAL_MS,
+                "partition detected after " + detectedMs + " ms");
         assertEquals(fleet.members[0].fleetSize(), n);
         cut(fleet, half, false);
         runUntilAllKnown(fleet, withinMs);
@@ -144,7 +149,7 @@
     }
 
     @Test
-    public void suspectsNoneOverLossAndDuplication() {
+    public void suspectsNoGatewayDespiteLossAndDuplication() {
         SimulatedGossipFleet fleet = new SimulatedGossipFleet(14, 3000, 3000, 7);
         fleet.network.setLink(new InMemoryNetwork.Link(1, 30, 0.3, 0.3, 0.1, 300));
         runUntilAllKnown(fleet, 5000);
@@ -161,7 +166,7 @@
      * gateways, although some gateways have five times the load of others.
      */
     @Test
-    public void estimatesTheSumOverUnevenGateways() {
+    public void estimatesTheTotalOverUnevenlyLoadedGateways() {
         for (int n : new int[] {5, 14, 100}) {
             SimulatedGossipFleet fleet = new SimulatedGossipFleet(n, 6000, 5000, 8);
             double sum = 0;
@@ -211,7 +216,8 @@
             fleet.round();
             assertTrue(
                     fleet.members[3].aliveCount() >= 13,
-                    "suspects live gateways after its suspension, counts only " + fleet.members[3].aliveCount());
+                    "suspects live gateways after its suspension, counts only "
+                            + fleet.members[3].aliveCount());
             for (int j = 0; j < 14; j++) {
                 assertFalse(
                         j != 3 && j != 7 && fleet.members[j].isAlive(7),
@@ -233,7 +239,7 @@
      * low by more than two delays, and no record is known before it was created.
      */
     @Test(dataProvider = "seeds")
-    public void noRecordCountsAsFresherThanItIs(long seed) {
+    public void ageOfARecordIsNotUnderstated(long seed) {
         SimulatedGossipFleet fleet = new SimulatedGossipFleet(7, 3000, 1500, seed);
         Random random = new Random(seed);
         fleet.network.setLink(new InMemoryNetwork.Link(1, 20, 0.2, 0.2, 0.05, 2000));
@@ -241,27 +247,31 @@
         Incarnation[][] known = new Incarnation[7][7];
         double worst = 0;
         for (int i = 0; i < 900; i++) {
-            disturb(fleet, random);
+            injectFault(fleet, random);
             fleet.round();
             for (int a = 0; a < 7; a++) {
                 for (int b = 0; b < 7; b++) {
-                    GossipMembership m = fleet.members[a];
-                    if (a == b || fleet.stopped[a] || m.newestRecord(b) == null) {
+                    GossipMembership membership = fleet.members[a];
+                    if (a == b || fleet.stopped[a] || membership.newestRecord(b) == null) {
                         continue;
                     }
-                    if (!m.incarnation(b).equals(known[a][b])) {
-                        known[a][b] = m.incarnation(b);
+                    if (!membership.incarnation(b).equals(known[a][b])) {
+                        known[a][b] = membership.incarnation(b);
                         since[a][b] = fleet.nowMs;
                     }
-                    List<Double> made = fleet.madeMs.get(m.incarnation(b));
+                    List<Double> createdMs = fleet.createdMs.get(membership.incarnation(b));
                     assertTrue(
-                            made != null && m.newestRecord(b).sequence < made.size(),
+                            createdMs != null
+                                    && membership.newestRecord(b).sequence < createdMs.size(),
                             "a record is known that was not created yet");
-                    double tooLow =
-                            fleet.nowMs - made.get(m.newestRecord(b).sequence) - m.recordAgeMs(b);
-                    assertTrue(tooLow > -3120, "stated age too high by ms: " + -tooLow);
+                    double understatedMs =
+                            fleet.nowMs
+                                    - createdMs.get(membership.newestRecord(b).sequence)
+                                    - membership.recordAgeMs(b);
+                    assertTrue(
+                            understatedMs > -3120, "stated age too high by ms: " + -understatedMs);
                     if (!fleet.stopped[b] && fleet.nowMs - since[a][b] > 3000) {
-                        worst = Math.max(worst, tooLow);
+                        worst = Math.max(worst, understatedMs);
                     }
                 }
             }
@@ -269,7 +279,7 @@
         assertTrue(worst < 2 * 2021 + 150, "stated age too low by ms: " + worst);
     }
 
-    private static void disturb(SimulatedGossipFleet fleet, Random random) {
+    private static void injectFault(SimulatedGossipFleet fleet, Random random) {
         int a = random.nextInt(7);
         int b = (a + 1 + random.nextInt(6)) % 7;
         switch (random.nextInt(60)) {
@@ -294,7 +304,7 @@
     }
 
     @Test
-    public void aGatewayWithoutOthersIsAloneAlive() {
+    public void gatewayWithoutPeersCountsOnlyItself() {
         SimulatedGossipFleet fleet = new SimulatedGossipFleet(5, 1000, 1000, 10);
         for (int i = 1; i < 5; i++) {
             fleet.kill(i);
@@ -306,45 +316,52 @@
         assertEquals(fleet.members[0].freshRecords().size(), 1);
     }
 
-    private static byte[] message(long start, int sequence, double madeMs) {
-        ByteBuffer m = GossipCodec.newMessage(256);
+    private static byte[] message(long start, int sequence, double uptimeMs) {
+        ByteBuffer buffer = GossipCodec.newMessage(256);
         GossipCodec.addRecord(
-                m,
-                GossipCodec.encode(new GossipRecord(new Incarnation(1, start), sequence), madeMs),
+                buffer,
+                GossipCodec.encode(new GossipRecord(new Incarnation(1, start), sequence), uptimeMs),
                 0);
-        return GossipCodec.toBytes(m);
+        return GossipCodec.toBytes(buffer);
     }
 
     @Test
     public void prefersTheLaterIncarnation() {
-        GossipMembership m =
+        GossipMembership membership =
                 new GossipMembership(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
-        m.receive(message(500, 900, 500), 1, 1000);
-        m.receive(message(1000, 1, 50), 1, 1050);
-        m.receive(message(500, 901, 600), 1, 1100);
-        assertEquals(m.incarnation(1).start(), 1000);
-        m.receive(message(1000, 0, 40), 1, 1110);
-        assertEquals(m.newestRecord(1).sequence, 1);
+        membership.receive(message(500, 900, 500), 1, 1000);
+        membership.receive(message(1000, 1, 50), 1, 1050);
+        membership.receive(message(500, 901, 600), 1, 1100);
+        assertEquals(membership.incarnation(1).start(), 1000);
+        membership.receive(message(1000, 0, 40), 1, 1110);
+        assertEquals(membership.newestRecord(1).sequence, 1);
         for (int t = 1200; t < 10_000; t += 500) {
-            m.receive(message(500, t, t - 500), 1, t);
+            membership.receive(message(500, t, t - 500), 1, t);
             assertEquals(
-                    m.incarnation(1).start(), 1000, "an earlier incarnation was accepted again at " + t);
+                    membership.incarnation(1).start(),
+                    1000,
+                    "an earlier incarnation was accepted again at " + t);
         }
-        assertFalse(m.isAlive(1));
-        m.receive(message(500, 20_000, 11_500), 1, 12_000);
-        m.receive(message(500, 20_000, 11_650), 1, 12_150);
-        assertEquals(m.incarnation(1).start(), 500, "an earlier incarnation was not accepted after a long silence");
-        m.receive(message(500, 20_001, 11_700), 0, 12_200);
-        assertEquals(m.rejectedMessages(), 1);
+        assertFalse(membership.isAlive(1));
+        membership.receive(message(500, 20_000, 11_500), 1, 12_000);
+        membership.receive(message(500, 20_000, 11_650), 1, 12_150);
+        assertEquals(
+                membership.incarnation(1).start(),
+                500,
+                "an earlier incarnation was not accepted after a long silence");
+        membership.receive(message(500, 20_001, 11_700), 0, 12_200);
+        assertEquals(membership.rejectedMessages(), 1);
     }
 
     @Test
     public void limitsTheRateOfMessages() {
-        GossipMembership m =
+        GossipMembership membership =
                 new GossipMembership(new Incarnation(0, 0), 2, 100, 1, 1000, 1000, new Random(1));
         for (int i = 0; i < 10_000; i++) {
-            m.receive(message(500, i, i), 1, 1000 + i / 10.0);
+            membership.receive(message(500, i, i), 1, 1000 + i / 10.0);
         }
-        assertTrue(m.rateLimitedMessages() >= 9900, "accepted " + (10_000 - m.rateLimitedMessages()));
+        assertTrue(
+                membership.rateLimitedMessages() >= 9900,
+                "accepted " + (10_000 - membership.rateLimitedMessages()));
     }
 }
--- a/fleet/src/test/java/tinford/fleet/membership/LeaseTableTest.java
+++ b/fleet/src/test/java/tinford/fleet/membership/LeaseTableTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    public void expiresSurelyAfterTheClockSkewAndIsClosedAfterTheLinger() {
+    public void leaseExpiresAfterTheClockSkewAndIsClosedAfterTheLingerTime() {
         LeaseTable table = newTable();
         table.apply(1, LeaseTable.renewalEntry(FIRST, 1000, 1000));
         assertTrue(table.of(FIRST).isHeldAt(1999) && !table.of(FIRST).isHeldAt(2000));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void aLaterIncarnationEndsNoEarlierLeaseButItsRenewal() {
+    public void laterIncarnationPreventsRenewalButDoesNotEndEarlierLease() {
         LeaseTable table = newTable();
         table.apply(1, LeaseTable.renewalEntry(FIRST, 1000, 1000));
         table.apply(2, LeaseTable.renewalEntry(LATER, 1100, 1000));
@@ -52,7 +52,9 @@
         table.apply(4, LeaseTable.departureEntry(LATER, 1300));
         assertEquals(table.mayAct(), List.of(FIRST));
         table.apply(5, LeaseTable.renewalEntry(LATER, 1200, 1000));
-        assertTrue(table.isClosed(LATER), "a delayed entry restored the lease of an incarnation that left");
+        assertTrue(
+                table.isClosed(LATER),
+                "a delayed entry restored the lease of an incarnation that left");
     }
 
     @DataProvider
--- a/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
+++ b/fleet/src/test/java/tinford/fleet/membership/SimulatedGossipFleet.java
@@ -23,7 +23,7 @@
     final int[] sequences;
 
     /** Creation time of each record, by incarnation and sequence. */
-    final Map<Incarnation, List<Double>> madeMs = new HashMap<>();
+    final Map<Incarnation, List<Double>> createdMs = new HashMap<>();
 
     final Random random;
     double nowMs = 1000;
@@ -91,7 +91,7 @@
     private void sendRound(int i) {
         GossipRecord record = new GossipRecord(members[i].incarnation(i), sequences[i]);
         sequences[i]++;
-        madeMs.computeIfAbsent(record.incarnation, l -> new ArrayList<>()).add(nowMs);
+        createdMs.computeIfAbsent(record.incarnation, l -> new ArrayList<>()).add(nowMs);
         for (int c = 4; c < 14; c++) {
             record.offeredUnits[c] = 10 * loadFactors[i];
             record.admittedUnits[c] =
--- a/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
+++ b/fleet/src/test/java/tinford/fleet/overload/AdmissionThresholdTest.java
@@ -19,7 +19,7 @@
             int gateway, double onTimeUnits, boolean queueing, double... weights) {
         GossipRecord record = new GossipRecord(new Incarnation(gateway, 1), 1);
         for (double weight : weights) {
-            record.offeredUnits[GossipRecord.classOf(weight)] += 100;
+            record.offeredUnits[GossipRecord.priorityClassOf(weight)] += 100;
         }
         record.onTimeUnits = onTimeUnits;
         record.onTime = 40;
--- a/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/StoredFleetDataTest.java
@@ -205,7 +205,7 @@
     @Test
     public void aStoredGossipMessageIsReadAndWrittenWithTheSameBytes() throws IOException {
         byte[] message = storedBytes("gossip-message.bin");
-        List<GossipCodec.Received> received = new GossipCodec(3, 5000).read(message, 70_000);
+        List<GossipCodec.Received> received = new GossipCodec(3, 5000).readRecords(message, 70_000);
         assertEquals(received.size(), 1);
         GossipRecord record = received.get(0).record();
         assertEquals(record.incarnation, FIRST);
@@ -213,7 +213,7 @@
         assertEquals(record.retriesCededTo, SECOND);
         assertEquals(record.serverHealth.size(), 1);
         ByteBuffer again = GossipCodec.newMessage(GossipCodec.MAX_MESSAGE_BYTES);
-        byte[] encoded = GossipCodec.encode(record, received.get(0).madeAtMs());
+        byte[] encoded = GossipCodec.encode(record, received.get(0).uptimeMs());
         assertTrue(GossipCodec.addRecord(again, encoded, received.get(0).ageMs()));
         assertEquals(GossipCodec.toBytes(again), message);
     }
--- a/fleet/src/test/java/tinford/fleet/transport/BrokenTransportsTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/BrokenTransportsTest.java
@@ -31,12 +31,12 @@
     }
 
     /** The contract for the in-memory network with one injected fault. */
-    private static final class Broken extends InMemoryNetworkTest {
+    private static final class FaultyNetworkContract extends InMemoryNetworkTest {
         private final Fault fault;
         private final Transport.Receiver[] first = new Transport.Receiver[3];
         private final boolean[] stopped = new boolean[3];
 
-        Broken(Fault fault) {
+        FaultyNetworkContract(Fault fault) {
             this.fault = fault;
         }
 
@@ -154,17 +154,17 @@
         }
     }
 
-    private static Set<String> failing(Fault fault) throws IllegalAccessException {
+    private static Set<String> failingTests(Fault fault) throws IllegalAccessException {
         Set<String> failing = new TreeSet<>();
-        for (Method one : TransportContract.class.getDeclaredMethods()) {
-            if (one.isAnnotationPresent(Test.class)) {
-                Broken broken = new Broken(fault);
+        for (Method testMethod : TransportContract.class.getDeclaredMethods()) {
+            if (testMethod.isAnnotationPresent(Test.class)) {
+                FaultyNetworkContract contract = new FaultyNetworkContract(fault);
                 try {
-                    one.invoke(broken);
+                    testMethod.invoke(contract);
                 } catch (InvocationTargetException e) {
-                    failing.add(one.getName());
+                    failing.add(testMethod.getName());
                 } finally {
-                    broken.closeAll();
+                    contract.closeAll();
                 }
             }
         }
@@ -178,7 +178,7 @@
 
     @Test(dataProvider = "faults")
     public void contractDetectsEachFault(Fault fault) throws IllegalAccessException {
-        Set<String> failing = failing(fault);
+        Set<String> failing = failingTests(fault);
         if (fault == Fault.NONE) {
             assertEquals(failing, Set.of(), "tests failed without a fault");
         } else {
--- a/fleet/src/test/java/tinford/fleet/transport/InMemoryNetworkTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/InMemoryNetworkTest.java
@@ -27,15 +27,15 @@
     }
 
     @Override
-    void awaitCondition(BooleanSupplier so) {
-        for (int i = 0; !so.getAsBoolean(); i++) {
+    void awaitCondition(BooleanSupplier condition) {
+        for (int i = 0; !condition.getAsBoolean(); i++) {
             assertTrue(i < 2000, "not received within 2000 steps");
             network.advance(network.nowMs() + 10);
         }
     }
 
     @Override
-    void disturb() {
+    void degradeLinks() {
         network.setLink(new InMemoryNetwork.Link(5, 50, 0.3, 0.3, 0.2, 500));
     }
 
@@ -45,7 +45,7 @@
     }
 
     @Override
-    void unstall(int gateway) {
+    void resume(int gateway) {
         network.resume(gateway);
     }
 
@@ -75,7 +75,9 @@
             b.send(0, new byte[] {(byte) i});
         }
         n.advance(1000);
-        assertTrue(to0.size() > 50 && to0.size() < 100, "expected about 75 of 100 with half lost and half duplicated: " + to0.size());
+        assertTrue(
+                to0.size() > 50 && to0.size() < 100,
+                "expected about 75 of 100 with half lost and half duplicated: " + to0.size());
         assertFalse(to0.equals(to0.stream().sorted().toList()), "no message was reordered");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/transport/TransportContract.java
+++ b/fleet/src/test/java/tinford/fleet/transport/TransportContract.java
@@ -22,10 +22,10 @@
     static final int MAX_MESSAGE_BYTES = 256;
 
     /** Largest number of messages that may be buffered for a stalled receiver. */
-    static final int MAX_KEPT_MESSAGES = 4096;
+    static final int MAX_BUFFERED_MESSAGES = 4096;
 
     private static final int FLOOD_MESSAGES = 20_000;
-    private static final double FLOOD_MS = 1500;
+    private static final double MAX_FLOOD_MS = 1500;
 
     record Received(int from, byte[] message) {}
 
@@ -35,14 +35,14 @@
     abstract Transport open(int gateway, Transport.Receiver receiver);
 
     /** Runs the transport until the condition holds; fails after a timeout. */
-    abstract void awaitCondition(BooleanSupplier so);
+    abstract void awaitCondition(BooleanSupplier condition);
 
     /** Makes links lose, duplicate, delay and reorder messages, if the transport supports that. */
-    abstract void disturb();
+    abstract void degradeLinks();
 
     abstract void stall(int gateway);
 
-    abstract void unstall(int gateway);
+    abstract void resume(int gateway);
 
     /** Sends a message from outside the fleet, if the transport could receive it. */
     abstract void sendFromUnknownSender(int to, byte[] message);
@@ -64,10 +64,10 @@
     }
 
     static byte[] testMessage(int from, int number, int length) {
-        byte[] m = new byte[length];
-        new Random(from * 100_003L + number).nextBytes(m);
-        ByteBuffer.wrap(m).putInt(from).putInt(number);
-        return m;
+        byte[] message = new byte[length];
+        new Random(from * 100_003L + number).nextBytes(message);
+        ByteBuffer.wrap(message).putInt(from).putInt(number);
+        return message;
     }
 
     /** Sends a message repeatedly until it is received, since any attempt may be lost. */
@@ -76,23 +76,29 @@
                 () -> {
                     transports.get(from).send(to, message);
                     return List.copyOf(received.get(to)).stream()
-                            .anyMatch(g -> g.from == from && Arrays.equals(g.message, message));
+                            .anyMatch(
+                                    each ->
+                                            each.from == from
+                                                    && Arrays.equals(each.message, message));
                 });
     }
 
     private void assertUnaltered(int to) {
-        for (Received g : List.copyOf(received.get(to))) {
-            ByteBuffer b = ByteBuffer.wrap(g.message);
-            int from = b.getInt();
-            assertEquals(g.from, from, "attributed to another sender");
-            assertEquals(g.message, testMessage(from, b.getInt(), g.message.length), "altered");
+        for (Received each : List.copyOf(received.get(to))) {
+            ByteBuffer buffer = ByteBuffer.wrap(each.message);
+            int from = buffer.getInt();
+            assertEquals(each.from, from, "attributed to another sender");
+            assertEquals(
+                    each.message,
+                    testMessage(from, buffer.getInt(), each.message.length),
+                    "altered");
         }
     }
 
     @Test
     public void lossDuplicationDelayAndReorderingAlterNothing() {
         openAll();
-        disturb();
+        degradeLinks();
         for (int i = 0; i < 200; i++) {
             transports.get(0).send(2, testMessage(0, i, 8 + i));
             transports.get(1).send(2, testMessage(1, i, MAX_MESSAGE_BYTES - i));
@@ -112,9 +118,10 @@
         assertTrue(
                 received.get(1).stream()
                         .allMatch(
-                                g ->
+                                each ->
                                         Arrays.equals(
-                                                g.message, testMessage(0, 3, MAX_MESSAGE_BYTES))),
+                                                each.message,
+                                                testMessage(0, 3, MAX_MESSAGE_BYTES))),
                 "part of an oversized message was received");
     }
 
@@ -167,7 +174,9 @@
         transports.get(0).send(1, testMessage(0, 4, 20));
         sendUntilReceived(0, 2, testMessage(0, 5, 20));
         assertEquals(received.get(1).size(), before, "received after it was closed");
-        assertTrue(received.get(2).stream().allMatch(g -> g.from == 0), "sent after it was closed");
+        assertTrue(
+                received.get(2).stream().allMatch(each -> each.from == 0),
+                "sent after it was closed");
     }
 
     @Test
@@ -179,12 +188,14 @@
         for (int i = 0; i < FLOOD_MESSAGES; i++) {
             transports.get(0).send(1, testMessage(0, 1, MAX_MESSAGE_BYTES));
             assertTrue(
-                    System.nanoTime() - from < FLOOD_MS * 1e6, "sending blocks while the receiver is stalled, at message " + i);
+                    System.nanoTime() - from < MAX_FLOOD_MS * 1e6,
+                    "sending blocks while the receiver is stalled, at message " + i);
         }
-        unstall(1);
+        resume(1);
         sendUntilReceived(0, 1, testMessage(0, 2, 20));
         assertTrue(
-                received.get(1).size() < MAX_KEPT_MESSAGES, "buffered messages: " + received.get(1).size());
+                received.get(1).size() < MAX_BUFFERED_MESSAGES,
+                "buffered messages: " + received.get(1).size());
         assertUnaltered(1);
     }
 
@@ -218,7 +229,7 @@
         sendUntilReceived(0, 2, changed);
         Arrays.fill(changed, (byte) 9);
         assertTrue(
-                received.get(2).stream().allMatch(g -> Arrays.equals(g.message, all)),
+                received.get(2).stream().allMatch(each -> Arrays.equals(each.message, all)),
                 "the message changed when its sender modified the array after sending");
     }
 }
--- a/fleet/src/test/java/tinford/fleet/transport/UdpTransportTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/UdpTransportTest.java
@@ -71,15 +71,15 @@
     }
 
     @Override
-    void awaitCondition(BooleanSupplier so) {
-        for (long end = System.nanoTime() + 10_000_000_000L; !so.getAsBoolean(); ) {
+    void awaitCondition(BooleanSupplier condition) {
+        for (long end = System.nanoTime() + 10_000_000_000L; !condition.getAsBoolean(); ) {
             assertTrue(System.nanoTime() < end, "not received within 10 s");
             LockSupport.parkNanos(1_000_000);
         }
     }
 
     @Override
-    void disturb() {
+    void degradeLinks() {
         // there is no way to lose or delay datagrams on the loopback interface
     }
 
@@ -89,7 +89,7 @@
     }
 
     @Override
-    void unstall(int gateway) {
+    void resume(int gateway) {
         setStalled(gateway, false);
     }
 
--- a/lab/src/main/java/tinford/lab/explore/MigrationModel.java
+++ b/lab/src/main/java/tinford/lab/explore/MigrationModel.java
@@ -147,7 +147,8 @@
     }
 
     private boolean surelyOver(Incarnation incarnation, double until, double since) {
-        return new Lease(incarnation, until, 0).isSurelyExpired(since, settings.countedClockSkew);
+        return new Lease(incarnation, until, 0)
+                .isDefinitelyExpired(since, settings.countedClockSkew);
     }
 
     MigrationRouter route(MigratingGatewayModel gateway) {
