--- a/fleet/src/main/java/tinford/fleet/config/WatchLiveness.java
+++ b/fleet/src/main/java/tinford/fleet/config/WatchLiveness.java
@@ -1,12 +1,12 @@
 package tinford.fleet.config;
 
-/** When a follower last received something over its watch. Not thread-safe. */
+/** Tracks when a follower last received data over its watch. Not thread-safe. */
 final class WatchLiveness {
     private double openedAtMs;
     private double receivedAtMs;
     private double lineEndedAtMs;
 
-    void opened(double nowMs) {
+    void watchOpened(double nowMs) {
         openedAtMs = nowMs;
         lineReceived(nowMs);
     }
@@ -16,7 +16,7 @@
         lineEndedAtMs = nowMs;
     }
 
-    /** Counts as a sign of life until the line has taken {@link Follower#LINE_TIMEOUT_MS}. */
+    /** Keeps the watch alive until the line has taken {@link Follower#LINE_TIMEOUT_MS}. */
     void partialLineReceived(double nowMs) {
         if (nowMs - lineEndedAtMs < Follower.LINE_TIMEOUT_MS) {
             receivedAtMs = nowMs;
@@ -27,8 +27,8 @@
         return nowMs - receivedAtMs >= Follower.HEARTBEAT_TIMEOUT_MS;
     }
 
-    /** Whether the watch has been open long enough to call its server healthy. */
-    boolean isSteady(double nowMs) {
-        return nowMs - openedAtMs >= Follower.STEADY_WATCH_MS;
+    /** Whether the watch has been open long enough for its server to count as healthy. */
+    boolean isStable(double nowMs) {
+        return nowMs - openedAtMs >= Follower.STABLE_WATCH_MS;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/Peer.java
+++ b/fleet/src/main/java/tinford/fleet/membership/Peer.java
@@ -1,93 +1,94 @@
 package tinford.fleet.membership;
 
-/** What a gateway knows of another one. Times are in ms of the own clock. */
+/** What a gateway knows about one of its peers. Times are in ms of the local clock. */
 final class Peer {
     /**
-     * The shortest delay is taken over the last one or two spans of this length, so that a clock
-     * that was set, or stood still, is followed by then.
+     * The peer's start time is estimated from the shortest message delay in the current and the
+     * previous window of this length. After a clock was adjusted or stopped, the estimate is
+     * correct again once both windows have passed.
      */
-    private static final double START_ESTIMATE_SPAN_MS = 10_000;
+    private static final double START_ESTIMATE_WINDOW_MS = 10_000;
 
     private Incarnation incarnation;
     private int sequence;
     private byte[] encoded;
-    private double madeMs;
-    private double aliveMs = Double.NEGATIVE_INFINITY;
+    private double createdMs;
+    private double lastAliveMs = Double.NEGATIVE_INFINITY;
 
-    /** Counts as alive until then whatever is heard. */
-    private double grantedUntilMs = Double.NEGATIVE_INFINITY;
+    /** Until this time the peer counts as alive even if nothing is received from it. */
+    private double presumedAliveUntilMs = Double.NEGATIVE_INFINITY;
 
-    /** Earliest apparent start of the peer's process in the present span. */
-    private double spanStartMs;
+    /** Earliest start of the peer's process that any record of the current window implied. */
+    private double minStartMs;
 
-    /** The same in the span before. */
-    private double previousSpanStartMs;
+    /** The same for the previous window. */
+    private double previousMinStartMs;
 
-    private double spanBeganMs;
+    private double windowBeganMs;
 
-    /** How often this record was forwarded. */
+    /** How often the current record was forwarded. */
     private int recordForwards;
 
-    /** How often any record of this incarnation was forwarded. */
+    /** How often records of the current incarnation were forwarded. */
     private int incarnationForwards;
 
-    /** How often the heartbeat of the present {@link #aliveMs} was forwarded. */
+    /** How often the heartbeat for the current {@link #lastAliveMs} was forwarded. */
     private int heartbeatForwards;
 
     private double lastForwardMs;
-    private long lastMessage;
+    private long lastMessageNumber;
 
     /**
-     * @param madeMs when its owner made the first record
+     * @param createdMs local time at which the peer created the record
      */
-    Peer(GossipCodec.Received first, double madeMs, double nowMs) {
-        spanStartMs = madeMs - first.madeAtMs();
-        previousSpanStartMs = spanStartMs;
-        spanBeganMs = nowMs;
-        replaceRecord(first, madeMs);
+    Peer(GossipCodec.Received first, double createdMs, double nowMs) {
+        minStartMs = createdMs - first.uptimeMs();
+        previousMinStartMs = minStartMs;
+        windowBeganMs = nowMs;
+        replaceRecord(first, createdMs);
     }
 
-    void replaceRecord(GossipCodec.Received received, double newMadeMs) {
+    void replaceRecord(GossipCodec.Received received, double newCreatedMs) {
         incarnation = received.record().incarnation;
         sequence = received.record().sequence;
         encoded = received.encoded();
-        madeMs = newMadeMs;
+        createdMs = newCreatedMs;
         recordForwards = 0;
-        recordAlive(newMadeMs);
+        updateLastAlive(newCreatedMs);
     }
 
-    /** Notes that it was surely alive at a time. */
-    void recordAlive(double atMs) {
-        if (atMs > aliveMs) {
-            aliveMs = atMs;
+    /** Records proof that the peer was alive at a time. */
+    void updateLastAlive(double atMs) {
+        if (atMs > lastAliveMs) {
+            lastAliveMs = atMs;
             heartbeatForwards = 0;
         }
     }
 
-    void grantUntil(double untilMs) {
-        grantedUntilMs = untilMs;
+    void presumeAliveUntil(double untilMs) {
+        presumedAliveUntilMs = untilMs;
     }
 
     /**
-     * Takes the apparent start of its process, by a record's delay, into the estimate.
+     * Updates the estimate of the peer's start time with the one that a record implies.
      *
-     * @param startsNewSpan whether a span may end now; not right after the own process was
-     *     suspended
-     * @return the new {@link #startMs}
+     * @param mayStartWindow whether a new window may begin; false right after this process was
+     *     suspended, when all delays are too long
+     * @return the new estimate, as by {@link #estimatedStartMs}
      */
-    double updateStart(double apparentStartMs, double nowMs, boolean startsNewSpan) {
-        if (nowMs - spanBeganMs > START_ESTIMATE_SPAN_MS && startsNewSpan) {
-            previousSpanStartMs = spanStartMs;
-            spanStartMs = apparentStartMs;
-            spanBeganMs = nowMs;
+    double updateStartEstimate(double apparentStartMs, double nowMs, boolean mayStartWindow) {
+        if (nowMs - windowBeganMs > START_ESTIMATE_WINDOW_MS && mayStartWindow) {
+            previousMinStartMs = minStartMs;
+            minStartMs = apparentStartMs;
+            windowBeganMs = nowMs;
         }
-        spanStartMs = Math.min(spanStartMs, apparentStartMs);
-        return startMs();
+        minStartMs = Math.min(minStartMs, apparentStartMs);
+        return estimatedStartMs();
     }
 
-    /** Start of its process, by the record of the shortest recent delay. */
-    double startMs() {
-        return Math.min(spanStartMs, previousSpanStartMs);
+    /** Estimated start of the peer's process, from the recent record with the shortest delay. */
+    double estimatedStartMs() {
+        return Math.min(minStartMs, previousMinStartMs);
     }
 
     Incarnation incarnation() {
@@ -98,28 +99,28 @@
         return record.sequence - sequence > 0;
     }
 
-    /** Decoded on each call, as the bytes take less memory than the record. */
+    /** The current record; decoded on each call, as the encoded form takes less memory. */
     GossipRecord record() {
         return GossipRecordCodec.decode(encoded);
     }
 
-    /** The record as received. */
+    /** The current record as received. */
     byte[] encoded() {
         return encoded;
     }
 
-    /** When its owner made the record. */
-    double madeMs() {
-        return madeMs;
+    /** Local time at which the peer created the current record. */
+    double createdMs() {
+        return createdMs;
     }
 
-    /** When it was surely alive last. */
-    double aliveMs() {
-        return aliveMs;
+    /** The latest time at which the peer is known to have been alive. */
+    double lastAliveMs() {
+        return lastAliveMs;
     }
 
     boolean isAlive(double nowMs, double suspectAfterMs) {
-        return nowMs - aliveMs <= suspectAfterMs || nowMs < grantedUntilMs;
+        return nowMs - lastAliveMs <= suspectAfterMs || nowMs < presumedAliveUntilMs;
     }
 
     int recordForwards() {
@@ -138,19 +139,19 @@
         return lastForwardMs;
     }
 
-    /** Whether its record was forwarded in that message. */
-    boolean isIn(long message) {
-        return lastMessage == message;
+    /** Whether the peer's record was already added to the message with this number. */
+    boolean isIncludedIn(long messageNumber) {
+        return lastMessageNumber == messageNumber;
     }
 
-    void recordForwarded(long message, double nowMs) {
+    void countRecordForward(long messageNumber, double nowMs) {
         recordForwards++;
         incarnationForwards++;
         lastForwardMs = nowMs;
-        lastMessage = message;
+        lastMessageNumber = messageNumber;
     }
 
-    void heartbeatForwarded() {
+    void countHeartbeatForward() {
         heartbeatForwards++;
     }
 }
--- a/fleet/src/main/java/tinford/fleet/membership/SuspensionDetector.java
+++ b/fleet/src/main/java/tinford/fleet/membership/SuspensionDetector.java
@@ -1,14 +1,15 @@
 package tinford.fleet.membership;
 
 /**
- * Detects that the own process was suspended. Messages that waited meanwhile are older than they
- * seem, and silence of others proves nothing.
+ * Detects from steps of the clock that this process was suspended. Messages that were queued during
+ * a suspension are older than they seem, and not having heard from a peer does not mean that it has
+ * failed.
  */
 final class SuspensionDetector {
     private final double roundIntervalMs;
     private final double suspectAfterMs;
-    private double durationMs;
-    private double wakingUntilMs = Double.NEGATIVE_INFINITY;
+    private double suspensionMs;
+    private double resumingUntilMs = Double.NEGATIVE_INFINITY;
 
     SuspensionDetector(double roundIntervalMs, double suspectAfterMs) {
         this.roundIntervalMs = roundIntervalMs;
@@ -16,10 +17,10 @@
     }
 
     /**
-     * Notes a step of the clock.
+     * Records a step of the clock.
      *
      * @param fromMs negative infinity before the first step
-     * @return whether it was so long that others may seem silent because of it
+     * @return whether the step was long enough for live peers to exceed the suspicion timeout
      */
     boolean advance(double fromMs, double toMs) {
         if (fromMs == Double.NEGATIVE_INFINITY) {
@@ -27,19 +28,19 @@
         }
         double stepMs = toMs - fromMs;
         if (stepMs > 2 * roundIntervalMs) {
-            durationMs = stepMs;
-            wakingUntilMs = toMs + roundIntervalMs;
+            suspensionMs = stepMs;
+            resumingUntilMs = toMs + roundIntervalMs;
         }
         return stepMs > Math.max(suspectAfterMs / 2, 2 * roundIntervalMs);
     }
 
-    /** Whether messages that waited during a suspension may still come. */
-    boolean isWakingUp(double nowMs) {
-        return nowMs < wakingUntilMs;
+    /** Whether messages that were queued during a suspension may still arrive. */
+    boolean isResuming(double nowMs) {
+        return nowMs < resumingUntilMs;
     }
 
-    /** By how much a message that comes now may be older than it seems. */
-    double possibleDelayMs(double nowMs) {
-        return isWakingUp(nowMs) ? durationMs : 0;
+    /** The longest time that a message received now may have been queued during a suspension. */
+    double maxQueueingDelayMs(double nowMs) {
+        return isResuming(nowMs) ? suspensionMs : 0;
     }
 }
--- a/fleet/src/test/java/tinford/fleet/transport/BrokenTransportsTest.java
+++ b/fleet/src/test/java/tinford/fleet/transport/BrokenTransportsTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The contract detects each fault of a faulty transport, and passes without one. */
+/** The transport contract fails for each kind of faulty transport, and passes without a fault. */
 public class BrokenTransportsTest {
     enum Fault {
         NONE,
@@ -30,13 +30,13 @@
         DELIVERS_TO_CLOSED_PROCESS
     }
 
-    /** The in-memory network with one fault. */
-    private static final class Broken extends InMemoryNetworkTest {
+    /** The contract for the in-memory network with one injected fault. */
+    private static final class FaultyNetworkContract extends InMemoryNetworkTest {
         private final Fault fault;
         private final Transport.Receiver[] first = new Transport.Receiver[3];
         private final boolean[] stopped = new boolean[3];
 
-        Broken(Fault fault) {
+        FaultyNetworkContract(Fault fault) {
             this.fault = fault;
         }
 
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Delivers the sender's own array instead of a copy. */
+    /** Delivers the array passed to {@code send} instead of a copy. */
     private static final class ArraySharingTransport implements Transport {
         private static byte[] last;
         private final Transport real;
@@ -154,17 +154,17 @@
         }
     }
 
-    private static Set<String> failing(Fault fault) throws IllegalAccessException {
+    private static Set<String> failingTests(Fault fault) throws IllegalAccessException {
         Set<String> failing = new TreeSet<>();
-        for (Method one : TransportContract.class.getDeclaredMethods()) {
-            if (one.isAnnotationPresent(Test.class)) {
-                Broken broken = new Broken(fault);
+        for (Method testMethod : TransportContract.class.getDeclaredMethods()) {
+            if (testMethod.isAnnotationPresent(Test.class)) {
+                FaultyNetworkContract contract = new FaultyNetworkContract(fault);
                 try {
-                    one.invoke(broken);
+                    testMethod.invoke(contract);
                 } catch (InvocationTargetException e) {
-                    failing.add(one.getName());
+                    failing.add(testMethod.getName());
                 } finally {
-                    broken.closeAll();
+                    contract.closeAll();
                 }
             }
         }
@@ -178,11 +178,11 @@
 
     @Test(dataProvider = "faults")
     public void contractDetectsEachFault(Fault fault) throws IllegalAccessException {
-        Set<String> failing = failing(fault);
+        Set<String> failing = failingTests(fault);
         if (fault == Fault.NONE) {
-            assertEquals(failing, Set.of(), "detected without a fault");
+            assertEquals(failing, Set.of(), "tests failed without a fault");
         } else {
-            assertTrue(!failing.isEmpty(), fault + " was not detected");
+            assertTrue(!failing.isEmpty(), fault + " was not detected by any test");
         }
     }
 }
