--- a/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
+++ b/fleet/src/main/java/tinford/fleet/settings/SettingsSchema.java
@@ -76,7 +76,7 @@
             if (table.getValue().isObject()) {
                 readTable(table, settings, values, errors);
             } else {
-                errors.add(settings.error(table.getKey(), "to stand in a table"));
+                errors.add(settings.error(table.getKey(), "a table, not a top-level value"));
             }
         }
         addDefaults(settings, values, errors);
@@ -110,7 +110,7 @@
             String name = table.getKey() + "." + entry.getKey();
             SettingsKey key = keys.get(name);
             if (key == null) {
-                errors.add(settings.error(name, "no such key; there are " + keys.keySet()));
+                errors.add(settings.error(name, "one of the keys " + keys.keySet()));
                 continue;
             }
             Object value = key.value(entry.getValue());
--- a/fleet/src/test/java/tinford/fleet/control/ControlSettingsReaderTest.java
+++ b/fleet/src/test/java/tinford/fleet/control/ControlSettingsReaderTest.java
@@ -65,10 +65,10 @@
             {VOTER.replace("2=127", "1=127"), "f, line 10: voters.members: expected each number"},
             {VOTER.replace("3=127.0.0.1:3", "three"), "f, line 10: voters.members: expected"},
             {VOTER + "silence_ms = 5\n", "f, line 11: voters.silence_ms: expected a number from"},
-            {VOTER + "speed = 5\n", "f, line 11: voters.speed: expected no such key"},
+            {VOTER + "speed = 5\n", "f, line 11: voters.speed: expected one of the keys ["},
             {VOTER.replace("fleet = \"main\"\n", ""), "f: server.fleet: expected a name"},
             {VOTER.replace("[voters]", "[voters"), "f, line 8: expected TOML"},
-            {"name = \"x\"\n" + VOTER, "f, line 1: name: expected to stand in a table"},
+            {"name = \"x\"\n" + VOTER, "f, line 1: name: expected a table, not a top-level value"},
             {REPLICA.replace("east=127.0.0.1:7501", "east"), "f, line 9: replica.upstream"},
             {REPLICA.replaceAll("upstream.*", ""), "f: replica.upstream: expected one or more"},
         };
--- a/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
+++ b/fleet/src/test/java/tinford/fleet/run/OperatorFileTest.java
@@ -49,7 +49,7 @@
             },
             {
                 "[talk]\non = 1\n[budgets]\nofer = 2",
-                "f.toml, line 4: budgets.ofer: expected no such key; there are"
+                "f.toml, line 4: budgets.ofer: expected one of the keys ["
             },
             {
                 "[configuration]\non = true\nfleet = \"f\"\nregion = \"r\"\nfolder = \"d\"",
@@ -76,7 +76,7 @@
                 "[configuration]\nfleet = \"f\"\nregion = \"a b\"",
                 "f.toml, line 3: configuration.region: expected 1 to 64 of"
             },
-            {"offer = 3", "f.toml, line 1: offer: expected to stand in a table"},
+            {"offer = 3", "f.toml, line 1: offer: expected a table, not a top-level value"},
             {
                 "[budgets]\non = true",
                 "f.toml: log.members: expected three or more, and log.folder, where budgets or"
--- a/gateway/src/main/java/tinford/protocol/RespReader.java
+++ b/gateway/src/main/java/tinford/protocol/RespReader.java
@@ -153,7 +153,7 @@
             return false;
         }
         if (lineEnd - position != "$-1".length() || bytes[position + 2] != '1') {
-            throw new ProtocolException("$-1 for no value");
+            throw new ProtocolException("a length of 0 or more, or -1 for a null bulk string");
         }
         elementType[i] = NULL_TYPE;
         setElement(i, lineEnd, lineEnd);
--- a/gateway/src/main/java/tinford/routing/client/ClientRequestFactory.java
+++ b/gateway/src/main/java/tinford/routing/client/ClientRequestFactory.java
@@ -68,18 +68,24 @@
                 || command.fanIn > gateways
                 || command.firstGateway >= gateways) {
             throw new ProtocolException(
-                    "units up to " + maxUnits + ", spread up to " + gateways + ", first below it");
+                    "units of at most "
+                            + maxUnits
+                            + ", spread of at most "
+                            + gateways
+                            + " and first below "
+                            + gateways);
         }
         Idempotency idempotency = requestClass.idempotency;
         if (command.retryable != (idempotency == Idempotency.IDEMPOTENT)) {
-            throw new ProtocolException("Q.ASK for what may run again, Q.DO for the rest");
+            throw new ProtocolException(
+                    "Q.ASK for idempotent request classes, Q.DO for all others");
         }
         if (idempotency == Idempotency.IDEMPOTENCY_KEY && !command.hasIdempotencyKey) {
-            throw new ProtocolException("k, the mark against repeats");
+            throw new ProtocolException("a non-empty idempotency key in the term k");
         }
         // Servers and clients could not tell two open requests with the same id apart.
         if (openRequests.containsId(command.id)) {
-            throw new ProtocolException("an id of its own");
+            throw new ProtocolException("an id that no open request has");
         }
     }
 }
--- a/gateway/src/test/java/tinford/program/ClientConnectionTest.java
+++ b/gateway/src/test/java/tinford/program/ClientConnectionTest.java
@@ -19,7 +19,7 @@
 /** Malformed commands, and connections that are idle, silent or too many. */
 public class ClientConnectionTest extends GatewayFixture {
     private static final String OUT_OF_RANGE =
-            "-ERR expected units up to 6.0, spread up to 1, first below it";
+            "-ERR expected units of at most 6.0, spread of at most 1 and first below 1";
 
     @DataProvider
     public Object[][] malformedCommands() {
@@ -69,12 +69,12 @@
             },
             {
                 command("Q.ASK", requestId(7), requestId(1), terms("write", "")),
-                "-ERR expected Q.ASK for what may run again, Q.DO for the rest",
+                "-ERR expected Q.ASK for idempotent request classes, Q.DO for all others",
                 true
             },
             {
                 command("Q.DO", requestId(7), requestId(1), terms("marked", "")),
-                "-ERR expected k, the mark against repeats",
+                "-ERR expected a non-empty idempotency key in the term k",
                 true
             },
             {
@@ -82,7 +82,11 @@
                 "-ERR expected id of 16 hex digits",
                 true
             },
-            {"*3\r\n$5\r\nQ.ASK\r\n$-5\r\n", "-ERR expected $-1 for no value", false},
+            {
+                "*3\r\n$5\r\nQ.ASK\r\n$-5\r\n",
+                "-ERR expected a length of 0 or more, or -1 for a null bulk string",
+                false
+            },
             {
                 "*4\r\n$5\r\nQ.ASK\r\n$60000000\r\n" + "x".repeat(1 << 20),
                 "-ERR expected a value of at most 65536 bytes",
@@ -155,7 +159,9 @@
         client.send(readCommand(1));
         TestConnection server = accept(servers[0]);
         server.receive();
-        assertEquals(other.send(readCommand(1)).receive(), "-ERR expected an id of its own");
+        assertEquals(
+                other.send(readCommand(1)).receive(),
+                "-ERR expected an id that no open request has");
         server.send(valueReply("one"));
         assertEquals(client.receive(), "one");
         answerAll(servers[0]);
--- a/gateway/src/test/java/tinford/protocol/ProtocolTest.java
+++ b/gateway/src/test/java/tinford/protocol/ProtocolTest.java
@@ -67,7 +67,7 @@
             {"*x\r\n", "a length in decimal digits"},
             {"$1234567890\r\n", "a length of 1 to 9 digits"},
             {"$65537\r\n", "a value of at most 65536 bytes"},
-            {"$-2\r\n", "$-1 for no value"},
+            {"$-2\r\n", "a length of 0 or more, or -1 for a null bulk string"},
             {"$2\r\nabcd", "CR LF after a bulk string"},
             {"*1\r\n*1\r\n$1\r\na\r\n", "a RESP2 value"},
             {"+" + "x".repeat(2000), "a line of under 1024 bytes"},
