--- a/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/tinford/routing/discovery/DiscoveryWatch.java
@@ -237,12 +237,9 @@
             JsonFields list = JsonFields.of(json, "discovery", text);
             long listVersion = list.integer("seq");
             if (listVersion < version) {
+                // Without the version numbers, since warnings are rate-limited by their text.
                 warnInvalid(
-                        new ProtocolException(
-                                "an endpoint list of version "
-                                        + version
-                                        + " or later, not "
-                                        + listVersion));
+                        new ProtocolException("an endpoint list no older than the one in force"));
                 return;
             }
             handler.updateEndpoints(list);
